--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -4,6 +4,7 @@
 mod checker;
 #[path = "../common/mod.rs"]
 mod common;
+mod recorded;
 mod steps;
 
 use birchreach::*;
--- /dev/null
+++ b/tests/property/recorded.rs
@@ -0,0 +1,81 @@
+//! Regression test of the routing decisions: the same events with the same seed give the recorded actions.
+//!
+//! `recorded.txt` has one line for each generated event sequence: the bits its settings are drawn from, the number of actions
+//! returned, and a digest of these actions with their times. The text of log actions is not part of the digest.
+
+use super::*;
+use std::fmt::Write;
+
+const DAYS: u64 = 256;
+const STEPS_PER_DAY: usize = 200;
+
+/// SplitMix64: the same numbers on every machine and with every version of a library.
+struct Numbers(u64);
+
+impl Numbers {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn step(&mut self) -> Step {
+        let (kind, numbers) = (self.next(), self.next());
+        (kind as u8, (numbers >> 32) as u32, numbers as u32)
+    }
+}
+
+/// FNV-1a over 64-bit words.
+struct Digest(u64);
+
+impl Digest {
+    fn word(&mut self, word: i64) {
+        for byte in word.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    fn action(&mut self, at: Micros, action: &Action) {
+        self.word(at);
+        let words = match action {
+            Action::Send { request, server, patience } => {
+                [1, request.0 as i64, i64::from(server.0), *patience]
+            }
+            Action::Refuse { request, retry_after } => [2, request.0 as i64, retry_after.unwrap_or(-1), 0],
+            Action::Fail { request } => [3, request.0 as i64, 0, 0],
+            Action::Cancel { request, attempt } => [4, request.0 as i64, i64::from(attempt.0), 0],
+            Action::Probe { server } => [5, i64::from(server.0), 0, 0],
+            Action::Timer { id, after } => [6, i64::from(*id), *after, 0],
+            Action::FollowList => [7, 0, 0, 0],
+            Action::AskList => [8, 0, 0, 0],
+            Action::Log(_) => [9, 0, 0, 0],
+        };
+        words.into_iter().for_each(|word| self.word(word));
+    }
+}
+
+fn recorded_days() -> String {
+    let mut lines = String::new();
+    for number in 0..DAYS {
+        let mut numbers = Numbers(number);
+        let (bits, seed) = (numbers.next() as u32, numbers.next());
+        let steps: Vec<Step> = (0..STEPS_PER_DAY).map(|_| numbers.step()).collect();
+        let actions = day(bits, seed, &steps);
+        let mut digest = Digest(0xcbf2_9ce4_8422_2325);
+        actions.iter().for_each(|(at, action)| digest.action(*at, action));
+        writeln!(lines, "{bits:08x} {} {:016x}", actions.len(), digest.0).unwrap();
+    }
+    lines
+}
+
+#[test]
+fn the_same_events_give_the_recorded_actions() {
+    let recorded = include_str!("recorded.txt");
+    let played = recorded_days();
+    for (number, (recorded, played)) in recorded.lines().zip(played.lines()).enumerate() {
+        assert_eq!(recorded, played, "day {number}");
+    }
+    assert_eq!(recorded.lines().count(), played.lines().count());
+}
