--- a/background/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -1,7 +1,7 @@
 //! Budgets hold in the sum, the urgent go first, the late never start, tables are bounded; and each check finds its fault.
 
-use birchreach_background::mutant::{Mutant, with};
-use birchreach_background::{Budget, Kind, Micros, Scheduler, Task};
+use birchreach_background_tasks::mutant::{Mutant, with};
+use birchreach_background_tasks::{Budget, Kind, Micros, Scheduler, Task};
 
 const S: Micros = 1_000_000;
 const BUDGET: Budget = Budget { database_per_s: 6.5, all_per_s: 11.0, window: 4 * S };
--- a/benches/src/cost.rs
+++ b/benches/src/cost.rs
@@ -1,10 +1,10 @@
 //! What checks cost, what requests lose by them, and what a log line costs: modes take turns within one run.
 
 use crate::{Done, Times};
-use birchreach_standins::balancer::{Check, check};
-use birchreach_standins::client::Client;
-use birchreach_standins::process::{PATIENCE, Process};
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::balancer::{Check, check};
+use birchreach_test_support::client::Client;
+use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
--- a/benches/src/crowd.rs
+++ b/benches/src/crowd.rs
@@ -1,10 +1,10 @@
 //! Answers to balancers while 1,000 clients crowd the proxy, 200 checkers poll, and 50 of them say or read nothing.
 
 use crate::{Done, Times};
-use birchreach_standins::balancer::{Check, check};
-use birchreach_standins::client::{Client, Reply};
-use birchreach_standins::process::PATIENCE;
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::balancer::{Check, check};
+use birchreach_test_support::client::{Client, Reply};
+use birchreach_test_support::process::PATIENCE;
+use birchreach_test_support::rig::Rig;
 use std::io::Write;
 use std::net::TcpStream;
 use std::path::Path;
--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -4,7 +4,7 @@
 use super::servers::{Call, Job};
 use super::world::{Happens, Mode, WAY, World};
 use birchreach::*;
-use birchreach_background::{Kind, Task};
+use birchreach_background_tasks::{Kind, Task};
 use std::net::SocketAddr;
 
 impl World {
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -6,9 +6,9 @@
     Action, Checks, Class, Effect, Event, GroupId, ListMode, Member, MemberState, Members, Need, Reports,
     Router, ServerId, Settings, Tokens, ZoneId,
 };
-use birchreach_background::{Budget, Kind, Scheduler};
-use birchreach_fleet::GossipReports;
-use birchreach_hot::{Database, Due, Hot, Key, Need as Needs};
+use birchreach_background_tasks::{Budget, Kind, Scheduler};
+use birchreach_hot_keys::{Database, Due, Hot, Key, Need as Needs};
+use birchreach_membership::GossipReports;
 use std::collections::HashMap;
 
 /// A class for bounded reads, one for writes.
@@ -78,7 +78,7 @@
         });
         let list = Members { complete: true, members: members.collect() };
         router.handle(now, Event::Members(list), &mut actions);
-        let hot = birchreach_hot::Settings {
+        let hot = birchreach_hot_keys::Settings {
             bears: BEARS,
             copy_cost: 2.0,
             most_guests: 3,
--- a/benches/src/hangs.rs
+++ b/benches/src/hangs.rs
@@ -1,10 +1,10 @@
 //! From the hang of a primary to the changed answer, as balancers read it; and claims withdrawn where nothing hung.
 
 use crate::{Done, Times};
-use birchreach_standins::balancer::{Balancer, Check, Rules, check};
-use birchreach_standins::client::Client;
-use birchreach_standins::process::{PATIENCE, Process};
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::balancer::{Balancer, Check, Rules, check};
+use birchreach_test_support::client::Client;
+use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::rig::Rig;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on several processes with hot keys and a split, many side by side; each that fails is printed whole.
 
 use crate::Done;
-use birchreach_standins::groups::play::{Summary, play};
+use birchreach_test_support::groups::play::{Summary, play};
 use sha2::{Digest, Sha256};
 use std::path::Path;
 use std::sync::Mutex;
--- a/benches/src/view.rs
+++ b/benches/src/view.rs
@@ -2,9 +2,9 @@
 //! removed though they are well, and processor time and bytes of each.
 
 use crate::Done;
-use birchreach_standins::fleet::{Fleet, ask, settled, word};
-use birchreach_standins::process::Process;
-use birchreach_standins::relay::Rules;
+use birchreach_test_support::fleet::{Fleet, ask, settled, word};
+use birchreach_test_support::process::Process;
+use birchreach_test_support::relay::Rules;
 use std::path::Path;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
--- a/example/toy/src/main.rs
+++ b/example/local-cluster/src/main.rs
@@ -2,9 +2,9 @@
 //! that reaches it, and proxies before them, as processes of their own. The replica has every write at once. Nothing here is meant
 //! for real use.
 
-use birchreach_standins::database::Database;
-use birchreach_standins::discovery::{Discovery, Line};
-use birchreach_standins::process::{Process, Setup};
+use birchreach_test_support::database::Database;
+use birchreach_test_support::discovery::{Discovery, Line};
+use birchreach_test_support::process::{Process, Setup};
 use clap::Parser;
 use serde_json::{Value, json};
 use signal_hook::consts::{SIGINT, SIGTERM};
--- a/hot/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Many processes' machines on virtual time, with reports that go round by the fleet's own machine; reads come as drawn.
 #![allow(dead_code)]
 
-use birchreach_fleet::GossipReports;
-use birchreach_hot::{Database, Entry, Hot, Key, Micros, Need, Report, Settings};
+use birchreach_hot_keys::{Database, Entry, Hot, Key, Micros, Need, Report, Settings};
+use birchreach_membership::GossipReports;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/hot/tests/hot.rs
+++ b/hot-keys/tests/hot.rs
@@ -1,8 +1,8 @@
 //! What must hold of rates, sets and guests; and each check finds its fault.
 
 mod common;
-use birchreach_hot::mutant::{Mutant, with};
-use birchreach_hot::{Database, Entry, Hot, Key, Micros, Sketch};
+use birchreach_hot_keys::mutant::{Mutant, with};
+use birchreach_hot_keys::{Database, Entry, Hot, Key, Micros, Sketch};
 use common::{Net, REPLICAS, S, databases, heard, key};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/hot/tests/machine.rs
+++ b/hot-keys/tests/machine.rs
@@ -1,7 +1,7 @@
 //! The machine among many: what is found by all, what is learnt of copies, what noise does, and when it pays.
 
 mod common;
-use birchreach_hot::{Entry, Hot, Report};
+use birchreach_hot_keys::{Entry, Hot, Report};
 use common::{Net, S, heard, key, settings};
 use std::collections::BTreeSet;
 
@@ -93,7 +93,7 @@
 
 #[test]
 fn copies_prove_themselves() {
-    use birchreach_hot::copy::{Copy, joined, serves, taken};
+    use birchreach_hot_keys::copy::{Copy, joined, serves, taken};
     let copy = |position| Copy { value: position, position };
     assert_eq!(taken(None, 1, Some(5)), None, "without a position told before there is no copy");
     assert_eq!(joined(Some(copy(5)), copy(3)), copy(5));
@@ -109,7 +109,7 @@
     assert_eq!(s.cost(300.0, 2).guests, 3);
     assert_eq!(s.cost(150.0, 2).guests, 1);
     assert!(s.pays(101.0, 2) && !s.pays(99.0, 2));
-    let dear = birchreach_hot::Settings { copy_cost: 60.0, ..settings(5) };
+    let dear = birchreach_hot_keys::Settings { copy_cost: 60.0, ..settings(5) };
     assert!(!dear.pays(300.0, 2), "600 reads a second for copies, to spare 180");
     assert!(dear.threshold(2) > 300.0);
 }
--- a/hot/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -2,8 +2,8 @@
 //! from several at once, answers tell a position from after their value, and anybody pauses anywhere. The transition functions are
 //! the crate's own.
 
-use birchreach_hot::copy::{Copy, joined, serves, taken};
-use birchreach_hot::mutant::{self, Mutant};
+use birchreach_hot_keys::copy::{Copy, joined, serves, taken};
+use birchreach_hot_keys::mutant::{self, Mutant};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
--- a/fleet/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -1,11 +1,11 @@
 //! How long views take to settle, whom they remove wrongly, and what that costs: a table of figures on virtual time.
 //!
-//!     cargo run --release -p birchreach-fleet --example measure -- 10 40 300 [0% 5% 20%] [seed=1]
+//!     cargo run --release -p birchreach-membership --example measure -- 10 40 300 [0% 5% 20%] [seed=1]
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use birchreach_fleet::{Change, Micros};
+use birchreach_membership::{Change, Micros};
 use common::{Net, SECOND, at};
 use std::time::Instant;
 
--- a/fleet/examples/schedules.rs
+++ b/membership/examples/schedules.rs
@@ -1,6 +1,6 @@
 //! Schedules of faults on virtual time, thousands of them; one that fails is printed whole, and `schedules SEED SEED` plays it again.
 //!
-//!     cargo run --release -p birchreach-fleet --example schedules -- 1 5000
+//!     cargo run --release -p birchreach-membership --example schedules -- 1 5000
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/fleet/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod scenes;
 pub mod schedule;
 
-use birchreach_fleet::{Change, Fleet, Micros, Settings, State};
+use birchreach_membership::{Change, Fleet, Micros, Settings, State};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
--- a/fleet/tests/common/scenes.rs
+++ b/membership/tests/common/scenes.rs
@@ -1,7 +1,7 @@
 //! What must hold, as scenes that say what went wrong: the tests want them to pass, and each mutant must make one fail.
 
 use super::{Net, SECOND, at};
-use birchreach_fleet::{Change, Fleet, Micros, State};
+use birchreach_membership::{Change, Fleet, Micros, State};
 
 macro_rules! hold {
     ($what:expr) => { hold!($what, "{}", stringify!($what)) };
@@ -156,7 +156,7 @@
 
 /// A peer that has the key and makes up members by the thousand.
 pub fn what_is_heard_is_bounded() -> Result<(), String> {
-    use birchreach_fleet::{MOST_MEMBERS, Peer};
+    use birchreach_membership::{MOST_MEMBERS, Peer};
     use foca::{Codec, Header, Member, Message, PostcardCodec};
     let mut net = Net::started(2, 10);
     net.until_agreed(2, 10 * SECOND).ok_or("they do not agree")?;
--- a/fleet/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -2,7 +2,7 @@
 //! come to one view.
 
 use super::{Net, SECOND};
-use birchreach_fleet::{Fleet, Micros, State};
+use birchreach_membership::{Fleet, Micros, State};
 
 /// What happens to a fleet.
 #[derive(Clone, Debug)]
--- a/fleet/tests/mutants.rs
+++ b/membership/tests/mutants.rs
@@ -1,7 +1,7 @@
 //! A checker that never failed has shown nothing: each of these one-line faults must make its scene fail.
 
 mod common;
-use birchreach_fleet::mutant::{Mutant, with};
+use birchreach_membership::mutant::{Mutant, with};
 use common::{scenes, schedule};
 
 type Scene = fn() -> Result<(), String>;
--- a/fleet/tests/rumours.rs
+++ b/membership/tests/rumours.rs
@@ -1,7 +1,7 @@
 //! Reports of members: each counts once, the newest alone, nearly all hear it, and what comes is bounded.
 
-use birchreach_fleet::mutant::{Mutant, with};
-use birchreach_fleet::{GossipReports, LIFE, MOST_REPORT, Micros};
+use birchreach_membership::mutant::{Mutant, with};
+use birchreach_membership::{GossipReports, LIFE, MOST_REPORT, Micros};
 use std::net::SocketAddr;
 
 const S: Micros = 1_000_000;
--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -1,7 +1,7 @@
 //! Links to other proxies: what is learnt from them (`knowledge`), and who of them is there (`fleet`).
 
 use crate::reader::Reader;
-use birchreach_knowledge::{donor, join};
+use birchreach_peer_state::{donor, join};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use uppsala::NodeId;
--- a/knowledge/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -1,7 +1,7 @@
 //! Datagrams among proxies: what is forged, cut, repeated, late or too much is dropped.
 
-use birchreach_knowledge::datagram::{Datagrams, Dropped, MOST, PAYLOAD, WINDOW};
-use birchreach_knowledge::frame::Keys;
+use birchreach_peer_state::datagram::{Datagrams, Dropped, MOST, PAYLOAD, WINDOW};
+use birchreach_peer_state::frame::Keys;
 
 fn keys(secret: u8) -> Keys {
     Keys::new(vec![(1, vec![secret; 16])]).unwrap()
--- a/knowledge/tests/exchange.rs
+++ b/peer-state/tests/exchange.rs
@@ -1,6 +1,6 @@
 //! A full exchange over one link: whole, in its order, or not at all.
 
-use birchreach_knowledge::frame::{Keys, Refused, Side};
+use birchreach_peer_state::frame::{Keys, Refused, Side};
 
 fn keys(ids: &[u32]) -> Keys {
     Keys::new(ids.iter().map(|id| (*id, format!("a secret with the number {id}").into_bytes())).collect())
@@ -9,7 +9,7 @@
 
 #[test]
 fn an_exchange_is_whole_or_nothing() {
-    use birchreach_knowledge::exchange::{Exchange, MOST_PARTS, Step};
+    use birchreach_peer_state::exchange::{Exchange, MOST_PARTS, Step};
     let ends =
         || (Exchange::new(Side::Asker, keys(&[1]), [1; 16]), Exchange::new(Side::Donor, keys(&[1]), [2; 16]));
     let pass = |from: &mut Exchange, to: &mut Exchange, piece: usize| {
--- a/knowledge/tests/properties.rs
+++ b/peer-state/tests/properties.rs
@@ -1,6 +1,6 @@
 //! The crate's invariants over seeded knowledge. A seed that fails is printed, and fails again.
 
-use birchreach_knowledge::{CoreEvent, Facts, Knowledge, Listed, Micros, Role, Source, Told, advice};
+use birchreach_peer_state::{CoreEvent, Facts, Knowledge, Listed, Micros, Role, Source, Told, advice};
 use std::collections::BTreeMap;
 
 const S: Micros = 1_000_000;
--- a/knowledge/tests/ways.rs
+++ b/peer-state/tests/ways.rs
@@ -1,10 +1,10 @@
 //! Frames, snapshots, and who asks whom.
 
-use birchreach_knowledge::donor::{self, Donor, Verdict};
-use birchreach_knowledge::frame::{Keys, Kind, Link, MOST, Refused, Side};
-use birchreach_knowledge::join::{End, Joiner, Settings};
-use birchreach_knowledge::snapshot::{self, Unfit};
-use birchreach_knowledge::{Knowledge, Listed, Micros, Role, Source, advice};
+use birchreach_peer_state::donor::{self, Donor, Verdict};
+use birchreach_peer_state::frame::{Keys, Kind, Link, MOST, Refused, Side};
+use birchreach_peer_state::join::{End, Joiner, Settings};
+use birchreach_peer_state::snapshot::{self, Unfit};
+use birchreach_peer_state::{Knowledge, Listed, Micros, Role, Source, advice};
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
@@ -140,7 +140,7 @@
         link.feed(&bytes);
         while let Ok(Some(_)) = link.frame() {}
         // A frame's payload may be anything too.
-        let told: Result<birchreach_knowledge::Told, _> = postcard::from_bytes(&bytes);
+        let told: Result<birchreach_peer_state::Told, _> = postcard::from_bytes(&bytes);
         if let Ok(told) = told {
             Knowledge::new(1).hear(S, &told);
         }
@@ -307,7 +307,7 @@
 /// All that one knows reaches the other, in pieces of any size, with nothing added.
 #[test]
 fn a_conversation_tells_all_in_parts() {
-    use birchreach_knowledge::talk::{Asker, Heard, Teller};
+    use birchreach_peer_state::talk::{Asker, Heard, Teller};
     let mut donor = Knowledge::new(1);
     for n in 0..1000 {
         donor.listed(&format!("server-with-a-long-name-{n}"), Listed { boot_ms: 0, group: n / 5 });
--- a/proxy/src/config/keys.rs
+++ b/proxy/src/config/keys.rs
@@ -1,7 +1,7 @@
 //! The file of keys that proxies of one fleet share.
 
 use super::Fault;
-use birchreach_knowledge::frame::Keys;
+use birchreach_peer_state::frame::Keys;
 use std::path::Path;
 
 /// A file of keys: one a line, its number and its secret in hexadecimal digits; the first is the one to speak with. Nobody
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -7,8 +7,8 @@
 mod place;
 
 use crate::discovery::Update;
-use birchreach_knowledge::frame::Keys;
 use birchreach_options::Options;
+use birchreach_peer_state::frame::Keys;
 use birchreach_settings::Site;
 use keys::keys;
 use parse::{lacks, parse};
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What operators are shown of the fleet: the view in lines, and its figures as metrics. It owns the words; what is so is the fleet
 //! crate's to say.
 
-use birchreach_fleet::{Fleet, Micros, State};
+use birchreach_membership::{Fleet, Micros, State};
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -39,7 +39,7 @@
 impl Metrics {
     pub fn new() -> Metrics {
         let mut m = Metrics {
-            registry: Registry::with_prefix("birchreach_fleet"),
+            registry: Registry::with_prefix("birchreach_membership"),
             datagrams: Family::default(),
             bytes: Family::default(),
             dropped: Family::default(),
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -3,8 +3,8 @@
 
 use crate::observe::{Adviser, Asked, CoreEvent, Observer};
 use birchreach::{Micros, Need, ServerId};
-use birchreach_hot::{Database, Hot, Key, Need as Needs, Settings};
-use birchreach_knowledge::Hasher;
+use birchreach_hot_keys::{Database, Hot, Key, Need as Needs, Settings};
+use birchreach_peer_state::Hasher;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Figures of work that no client waits for, and of what it is done for: each is named once, here.
 
-use birchreach_background::Counts;
-use birchreach_split::{self as split, Verdict};
+use birchreach_background_tasks::Counts;
+use birchreach_shard_split::{self as split, Verdict};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::metrics::counter::Counter;
--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -5,9 +5,9 @@
 use crate::net::pool::Done;
 use crate::pg::copies;
 use birchreach::{Ending, Micros, Role};
-use birchreach_background::{Kind, Task};
-use birchreach_hot::copy::taken;
-use birchreach_hot::{Due, Key};
+use birchreach_background_tasks::{Kind, Task};
+use birchreach_hot_keys::copy::taken;
+use birchreach_hot_keys::{Due, Key};
 use tracing::info;
 
 /// A row that cannot be copied is not read for copying again for so long.
--- a/proxy/src/net/background/shadows.rs
+++ b/proxy/src/net/background/shadows.rs
@@ -4,8 +4,8 @@
 use crate::net::pool::Done;
 use crate::pg::{copies, looks};
 use birchreach::Micros;
-use birchreach_background::{Kind, Task};
-use birchreach_split::{Ask, Told, Verdict};
+use birchreach_background_tasks::{Kind, Task};
+use birchreach_shard_split::{Ask, Told, Verdict};
 use tracing::{info, warn};
 
 /// Questions that are handed to the scheduler at once.
@@ -82,7 +82,7 @@
         let mut watch = watch.borrow_mut();
         let told = done.map_or(Told::Nothing, |done| watch.answer(shadow.ask, done));
         if let Some(flag) = watch.split.told(now, shadow.number, told) {
-            let range = birchreach_split::Definition::range(flag.hash);
+            let range = birchreach_shard_split::Definition::range(flag.hash);
             warn!(event = "split-flag", flag = %crate::log::Quoted(watch.flag(range, &flag)));
         }
     }
--- a/proxy/src/net/background/show.rs
+++ b/proxy/src/net/background/show.rs
@@ -2,7 +2,7 @@
 
 use super::Background;
 use birchreach::Micros;
-use birchreach_background::Kind;
+use birchreach_background_tasks::Kind;
 
 impl Background {
     pub fn hot_lines(&self, now: Micros, divisor: u32) -> Option<String> {
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -7,8 +7,8 @@
 use crate::fleet::Metrics;
 use crate::observe::shared;
 use birchreach::Micros;
-use birchreach_fleet::{Fleet, GossipReports, Settings};
-use birchreach_knowledge::datagram::Datagrams;
+use birchreach_membership::{Fleet, GossipReports, Settings};
+use birchreach_peer_state::datagram::Datagrams;
 use std::io::ErrorKind;
 
 impl Proxy {
@@ -22,10 +22,10 @@
         getrandom::fill(&mut boot).map_err(|e| format!("no random numbers: {e}"))?;
         let boot = u64::from_be_bytes(boot);
         let name = self.config.name.clone();
-        if name.len() > birchreach_fleet::MOST_NAME || name.chars().any(char::is_control) {
+        if name.len() > birchreach_membership::MOST_NAME || name.chars().any(char::is_control) {
             return Err(format!(
                 "name: the fleet takes {} printable bytes at most",
-                birchreach_fleet::MOST_NAME
+                birchreach_membership::MOST_NAME
             ));
         }
         let settings = Settings {
--- a/proxy/src/net/gossip/talk.rs
+++ b/proxy/src/net/gossip/talk.rs
@@ -5,10 +5,10 @@
 use super::super::stream;
 use super::lessons::Lessons;
 use birchreach::Micros;
-use birchreach_knowledge::donor::Verdict;
-use birchreach_knowledge::frame::Nonce;
-use birchreach_knowledge::join::End;
-use birchreach_knowledge::talk::{Asker, Heard, Teller};
+use birchreach_peer_state::donor::Verdict;
+use birchreach_peer_state::frame::Nonce;
+use birchreach_peer_state::join::End;
+use birchreach_peer_state::talk::{Asker, Heard, Teller};
 use mio::net::TcpStream;
 
 /// What is read at once.
--- a/proxy/src/peer_knowledge.rs
+++ b/proxy/src/peer_knowledge.rs
@@ -5,7 +5,7 @@
 use crate::observe::{CoreEvent, Observer};
 use crate::reply::Reply;
 use birchreach::{Micros, Report};
-use birchreach_knowledge::{Knowledge, Listed, Role, Source, Told, advice};
+use birchreach_peer_state::{Knowledge, Listed, Role, Source, Told, advice};
 use std::collections::HashMap;
 
 /// A position seen longer ago is not handed on: the decisions date it by the moment at which they hear of it, and would
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -5,9 +5,9 @@
 use crate::observe::{CoreEvent, Observer};
 use crate::pg::looks;
 use birchreach::{Micros, Role, ServerId};
-use birchreach_knowledge::Hasher;
-use birchreach_split::judge::Parent;
-use birchreach_split::{Ask, Definition, Flag, Look, RANGES, Settings, Split, Told, Verdict};
+use birchreach_peer_state::Hasher;
+use birchreach_shard_split::judge::Parent;
+use birchreach_shard_split::{Ask, Definition, Flag, Look, RANGES, Settings, Split, Told, Verdict};
 use std::collections::HashMap;
 use std::fmt::Write;
 
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The view of the fleet on real processes, with relays between them: cuts, kills, stops, restarts, and what is no datagram of ours.
 
-use birchreach_standins::fleet::{Fleet, ask, settled, word};
-use birchreach_standins::process::{PATIENCE, Process};
-use birchreach_standins::relay::Rules;
-use birchreach_standins::schedule::Schedule;
+use birchreach_test_support::fleet::{Fleet, ask, settled, word};
+use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::relay::Rules;
+use birchreach_test_support::schedule::Schedule;
 use std::net::{TcpListener, UdpSocket};
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/proxy/tests/grpc.rs
+++ b/proxy/tests/grpc.rs
@@ -1,7 +1,7 @@
 //! gRPC health on a real process: h2's client, polled by hand over a loopback socket.
 
-use birchreach_standins::process::PATIENCE;
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::process::PATIENCE;
+use birchreach_test_support::rig::Rig;
 use bytes::Bytes;
 use h2::RecvStream;
 use h2::client::{Connection, SendRequest};
--- a/proxy/tests/health.rs
+++ b/proxy/tests/health.rs
@@ -1,10 +1,10 @@
 //! Balancers' health on real processes: scripted databases hang, die and change places while stand-in balancers ask.
 //! Times are bounded generously; how soon things are told is measured by `benches/`, not asserted here.
 
-use birchreach_standins::balancer::{Balancer, Check, Rules, Told, check};
-use birchreach_standins::client::{Client, Reply};
-use birchreach_standins::process::{PATIENCE, Process};
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::balancer::{Balancer, Check, Rules, Told, check};
+use birchreach_test_support::client::{Client, Reply};
+use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
--- a/proxy/tests/hot.rs
+++ b/proxy/tests/hot.rs
@@ -1,12 +1,12 @@
 //! Hot keys on several real processes before groups that lie like databases do, with faults between them: found by all, served from
 //! copies, never stale, never over the budget.
 
-use birchreach_standins::fleet::{ask, settled};
-use birchreach_standins::groups::judge::{Read, claims, cold, doubles, stale, windows};
-use birchreach_standins::groups::traffic::{Habit, Told, Traffic};
-use birchreach_standins::groups::{Group, Load, Site, What};
-use birchreach_standins::process::{PATIENCE, Process};
-use birchreach_standins::relay::Rules;
+use birchreach_test_support::fleet::{ask, settled};
+use birchreach_test_support::groups::judge::{Read, claims, cold, doubles, stale, windows};
+use birchreach_test_support::groups::traffic::{Habit, Told, Traffic};
+use birchreach_test_support::groups::{Group, Load, Site, What};
+use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::relay::Rules;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -140,7 +140,7 @@
     lags(20);
     // Its primary fails over, and the new one lacks the last writes; in a guest's group the old one does not know it for a while.
     let home = rig.site.groups[0].clone();
-    let now = birchreach_standins::groups::now_ms;
+    let now = birchreach_test_support::groups::now_ms;
     home.with(|s| s.fail_over((s.primary + 1) % 3, now(), true));
     let guests = rig.site.groups[1].clone();
     let old = primary(&guests);
--- a/proxy/tests/knowledge.rs
+++ b/proxy/tests/knowledge.rs
@@ -1,8 +1,8 @@
 //! Knowledge between real processes: a newcomer learns from a running proxy, and nobody learns without the key.
 
-use birchreach_standins::client::{Client, Reply};
-use birchreach_standins::process::{PATIENCE, Process};
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::client::{Client, Reply};
+use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::os::unix::fs::PermissionsExt;
--- a/proxy/tests/ready.rs
+++ b/proxy/tests/ready.rs
@@ -1,7 +1,7 @@
 //! Processes that start at once while discovery is down.
 
-use birchreach_standins::client::Client;
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::client::Client;
+use birchreach_test_support::rig::Rig;
 use std::path::Path;
 
 /// Each answers an empty query, by which a front takes it in: nothing at the start waits for discovery or for other processes.
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on four processes with hot keys and a split: the same ones each time. Thousands more are played by
 //! `birchreach-measure schedules`; a seed that failed there once stands here for good.
 
-use birchreach_standins::groups::play::{Summary, play};
+use birchreach_test_support::groups::play::{Summary, play};
 use sha2::{Digest, Sha256};
 use std::path::Path;
 
--- a/proxy/tests/slow_reader.rs
+++ b/proxy/tests/slow_reader.rs
@@ -1,7 +1,7 @@
 //! A client that asks for much and reads nothing.
 
-use birchreach_standins::client::{Client, Reply};
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::client::{Client, Reply};
+use birchreach_test_support::rig::Rig;
 use std::io::Write;
 use std::net::TcpStream;
 use std::path::Path;
--- a/proxy/tests/split.rs
+++ b/proxy/tests/split.rs
@@ -1,11 +1,11 @@
 //! Reads compared while a group splits, on several real processes: faults alone are flagged, all of them, and a verdict is of all.
 
-use birchreach_standins::fleet::{ask, settled};
-use birchreach_standins::groups::judge::{cold, windows};
-use birchreach_standins::groups::traffic::{Habit, Traffic};
-use birchreach_standins::groups::{Change, Group, Load, Planted, Site, What, now_ms};
-use birchreach_standins::process::{PATIENCE, Process};
-use birchreach_standins::relay::Rules;
+use birchreach_test_support::fleet::{ask, settled};
+use birchreach_test_support::groups::judge::{cold, windows};
+use birchreach_test_support::groups::traffic::{Habit, Traffic};
+use birchreach_test_support::groups::{Change, Group, Load, Planted, Site, What, now_ms};
+use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::relay::Rules;
 use sha2::{Digest, Sha256};
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
--- a/proxy/tests/stopping.rs
+++ b/proxy/tests/stopping.rs
@@ -1,7 +1,7 @@
 //! SIGTERM under clients that go on sending, on every connection that stays open, until the process is gone.
 
-use birchreach_standins::client::{Client, Reply};
-use birchreach_standins::rig::Rig;
+use birchreach_test_support::client::{Client, Reply};
+use birchreach_test_support::rig::Rig;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
--- a/split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A parent, two children that follow it late, clients that read and write, and processes that compare: on virtual time, from a seed.
 #![allow(dead_code)]
 
-use birchreach_split::judge::Parent;
-use birchreach_split::{Ask, Child, Definition, Flag, Look, Micros, Settings, Sort, Split, Told};
+use birchreach_shard_split::judge::Parent;
+use birchreach_shard_split::{Ask, Child, Definition, Flag, Look, Micros, Settings, Sort, Split, Told};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const S: Micros = 1_000_000;
--- a/split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -1,8 +1,8 @@
 //! The rule of comparison, model-checked: a writer whose values go and come back, a parent that may lag itself (deposed, or a replica), two
 //! children that lag, and a comparer that pauses anywhere between a position that it was told and the read behind it. The rule is the crate's own.
 
-use birchreach_split::judge::{Look, Outcome, Parent, outcome};
-use birchreach_split::mutant::{self, Mutant};
+use birchreach_shard_split::judge::{Look, Outcome, Parent, outcome};
+use birchreach_shard_split::mutant::{self, Mutant};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const COMMITS: usize = 4;
--- a/split/tests/noise.rs
+++ b/shard-split/tests/noise.rs
@@ -1,7 +1,7 @@
 //! What cannot be read changes nothing, and what has enough is asked seldom.
 
 mod common;
-use birchreach_split::{Definition, RANGES, Report, Split};
+use birchreach_shard_split::{Definition, RANGES, Report, Split};
 use common::{S, Trouble, World, definition, key, settings};
 
 #[test]
--- a/split/tests/split.rs
+++ b/shard-split/tests/split.rs
@@ -1,8 +1,8 @@
 //! What is flagged, what is covered, and what is said of it; and each check finds its fault.
 
 mod common;
-use birchreach_split::mutant::{Mutant, with};
-use birchreach_split::{Definition, Lacks, RANGES, Report, Split, Verdict};
+use birchreach_shard_split::mutant::{Mutant, with};
+use birchreach_shard_split::{Definition, Lacks, RANGES, Report, Split, Verdict};
 use common::{Fault, S, Trouble, World, definition, key, settings};
 
 type Held = Result<(), String>;
@@ -85,7 +85,7 @@
     let of =
         |compared: Vec<u32>| Report { definition: definition().digest(), compared, flags: vec![] }.encode();
     let new = |compared: &dyn Fn(usize) -> u32| {
-        let mut split = Split::new(birchreach_split::Settings { processes: 2, ..settings(3) }, 1, 0);
+        let mut split = Split::new(birchreach_shard_split::Settings { processes: 2, ..settings(3) }, 1, 0);
         for origin in 2..=4 {
             let _ = split.hear(S, origin, 1, 0, &of((0..RANGES).map(compared).collect()));
         }
@@ -138,8 +138,8 @@
 
 /// The same difference twice is none where a process was another the second time: a restart or a failover lies between.
 fn processes_stay() -> Held {
-    use birchreach_split::judge::Parent;
-    use birchreach_split::{Ask, Look, Told};
+    use birchreach_shard_split::judge::Parent;
+    use birchreach_shard_split::{Ask, Look, Told};
     let mut split = Split::new(settings(1), 1, 0);
     let (low, high, seen) = (10 * S, 11 * S, 12 * S);
     split.served(0, 0, &key(1), Some(1));
--- a/simhost/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `birchreach-simhost`: hosts many routers behind the bench's wire and translates, nothing else.
+//! `birchreach-simulator-adapter`: hosts many routers behind the bench's wire and translates, nothing else.
 
 mod wire;
 
@@ -11,7 +11,7 @@
         BufReader::with_capacity(1 << 16, io::stdin().lock()),
         BufWriter::with_capacity(1 << 16, io::stdout().lock()),
     ) {
-        eprintln!("birchreach-simhost: {message}");
+        eprintln!("birchreach-simulator-adapter: {message}");
         std::process::exit(1);
     }
 }
@@ -60,7 +60,7 @@
                 wire::Incoming::Ignored => {}
                 wire::Incoming::Unknown { code } => {
                     if unknown_seen.insert(code, ()).is_none() {
-                        eprintln!("birchreach-simhost: {at}: unknown event code {code} skipped");
+                        eprintln!("birchreach-simulator-adapter: {at}: unknown event code {code} skipped");
                     }
                 }
             }
--- a/simhost/tests/pipe.rs
+++ b/simulator-adapter/tests/pipe.rs
@@ -12,7 +12,7 @@
  "obligations": {"cold_ms": 1000.0, "cold_share": 0.2, "drain_grace_ms": 500.0, "fall_ms": 1000.0, "fall_multiple": 2.0}}"#;
 
 fn play(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_birchreach-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_birchreach-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/standins/tests/judges.rs
+++ b/test-support/tests/judges.rs
@@ -1,7 +1,7 @@
 //! A judge that never rejected anything has shown nothing: each has a history here that it must reject, and one that it must not.
 
-use birchreach_standins::groups::judge::{Read, claims, cold, doubles, stale, windows};
-use birchreach_standins::groups::{Change, Entry, Record, State, What};
+use birchreach_test_support::groups::judge::{Read, claims, cold, doubles, stale, windows};
+use birchreach_test_support::groups::{Change, Entry, Record, State, What};
 
 fn entry(at: i64, key: &str, value: &str) -> Entry {
     Entry { at, id: format!("{key}{at}"), change: Change::Row { key: key.into(), value: value.into() } }
