--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,6 +2,7 @@
 //! Writes go to the primary; each read goes to the replica, among those fresh enough, with the
 //! fewest outstanding requests per unit weight, own zone first while no busier.
 
+mod attempt_results;
 mod attempts;
 mod choice;
 mod entry;
