--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -1,8 +1,8 @@
 //! The classes by number, and the settings that the module is told: a number stands for one class and its rules for as long
 //! as anything of it is open.
 
-use super::{Core, Work};
-use crate::stats::{End, Stats};
+use super::{Core, RequestPayload};
+use crate::stats::{RequestResult, Stats};
 use birchreach::*;
 use birchreach_settings::Site;
 use std::collections::HashSet;
@@ -42,7 +42,7 @@
     }
 
     /// A request of this class had its one answer.
-    pub fn ended(&self, stats: &mut Stats, class: ClassId, end: End) {
+    pub fn ended(&self, stats: &mut Stats, class: ClassId, end: RequestResult) {
         if let Some(kind) = self.kinds.get(usize::from(class.0)) {
             stats.ended(kind.row, end);
         }
@@ -97,18 +97,18 @@
     }
 }
 
-impl<W: Work> Core<W> {
+impl<W: RequestPayload> Core<W> {
     /// Other settings are in force from now on.
     pub fn settings(&mut self, now: Micros, site: &Site) {
         let mut used: HashSet<ClassId> = self.requests.values().map(|e| e.class).collect();
-        used.extend(self.out.values().map(|o| o.class));
+        used.extend(self.in_flight.values().map(|o| o.class));
         self.classes.take(now, site, &used, &mut self.stats);
         self.servers.zones(site);
         self.tell_settings(now);
     }
 
     /// So many processes share what this proxy may do: each is a router of its own.
-    pub fn share(&mut self, now: Micros, processes: u32) {
+    pub fn set_process_count(&mut self, now: Micros, processes: u32) {
         if std::mem::replace(&mut self.classes.processes, processes) != processes {
             self.tell_settings(now);
         }
@@ -120,7 +120,7 @@
     }
 
     /// The number and the rules of a class by its name, while requests of it are taken: dropped classes end a little later.
-    pub fn class(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
+    pub fn find_class(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
         let live = |k: &&Kind| k.name == name && k.until.is_none_or(|at| now < at);
         let kinds = self.classes.kinds.iter().enumerate();
         let (i, kind) = kinds.filter(|(_, k)| live(k)).min_by_key(|(_, k)| k.until)?;
@@ -128,7 +128,7 @@
     }
 
     /// Where session reads' requirements come from.
-    pub fn tokens(&self) -> SessionPositionSource {
+    pub fn session_positions(&self) -> SessionPositionSource {
         self.classes.module.session_positions
     }
 }
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -4,12 +4,12 @@
 use birchreach::*;
 
 /// A front's own form of a request.
-pub trait Work: Clone {
+pub trait RequestPayload: Clone {
     /// The key that a read asks for.
     fn key(&self) -> &[u8];
 }
 
-impl Work for () {
+impl RequestPayload for () {
     fn key(&self) -> &[u8] {
         &[]
     }
@@ -17,14 +17,14 @@
 
 /// A request as any front may bring it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct RoutingRequest {
     pub class: ClassId,
     pub group: GroupId,
     pub session: Option<u64>,
     /// The position that a session read must see.
-    pub after: Option<Micros>,
+    pub read_after_position: Option<Micros>,
     /// How long from now the client still waits.
-    pub patience: Micros,
+    pub timeout: Micros,
 }
 
 /// The one final answer to a request.
@@ -32,10 +32,10 @@
 pub enum Answer {
     Served(Value),
     /// Served: its value went on in pieces, and is whole now.
-    Passed,
+    Streamed,
     /// Not served and never run, or harmless to repeat.
-    Refused {
-        come_back_ms: Option<u64>,
+    Rejected {
+        retry_after_ms: Option<u64>,
     },
     /// Not served; it may have run.
     Failed,
@@ -47,18 +47,18 @@
 /// What the loop is to do, in this order.
 #[derive(Debug, PartialEq)]
 pub enum Command<W> {
-    Start {
+    StartAttempt {
         attempt: Attempt,
         server: ServerId,
-        work: W,
-        until: Micros,
+        payload: W,
+        deadline: Micros,
         /// The server is of another group: its copy is asked for, with the position of [`super::Core::proof`].
-        copy: bool,
+        from_copy: bool,
     },
-    Stop {
+    CancelAttempt {
         attempt: Attempt,
     },
-    Probe {
+    HealthCheck {
         server: ServerId,
     },
     Answer {
@@ -67,33 +67,33 @@
         answer: Answer,
     },
     /// A long value begins; its pieces follow, and then `Answer::Passed`, or the break.
-    Begin {
+    BeginStream {
         client: usize,
         request: RequestId,
         attempt: Attempt,
         length: usize,
     },
-    Piece {
+    StreamChunk {
         client: usize,
         request: RequestId,
         bytes: Vec<u8>,
     },
-    Break {
+    AbortStream {
         client: usize,
         request: RequestId,
     },
-    Wake {
+    SetTimer {
         id: u32,
         at: Micros,
     },
-    Log(Line),
+    Log(LogRecord),
 }
 
 /// Something to be told in the log.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Line {
+pub enum LogRecord {
     /// A note of the decision module.
-    Module(String),
+    RoutingNote(String),
     /// The list names a server for the first time; the module's notes call it by its number.
-    Server { number: u32, uid: String, endpoint: String },
+    ServerListed { number: u32, uid: String, endpoint: String },
 }
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -9,56 +9,56 @@
 mod servers;
 
 use crate::config::hash;
-use crate::observe::{Adviser, CoreEvent, Observers};
-use crate::stats::{End, Gauges, Stats};
+use crate::observe::{CopyLocator, CoreEvent, Observers};
+use crate::stats::{Gauges, RequestResult, Stats};
 use birchreach::*;
 use birchreach_settings::Site;
 use classes::Classes;
-pub use command::{Answer, Ask, Attempt, Command, Line, Work};
+pub use command::{Answer, Attempt, Command, LogRecord, RequestPayload, RoutingRequest};
 use servers::Servers;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-struct Entry<W> {
+struct PendingRequest<W> {
     client: usize,
     class: ClassId,
     group: GroupId,
-    work: W,
+    payload: W,
     /// Servers of other groups that may have a copy.
-    guests: Vec<ServerId>,
-    attempts: u16,
+    copy_holders: Vec<ServerId>,
+    attempts_started: u16,
     /// Attempts that are out, and since when there was none.
-    out: u16,
+    attempts_in_flight: u16,
     idle_since: Micros,
     /// The attempt whose value is going on in pieces.
-    passing: Option<Attempt>,
+    streaming_attempt: Option<Attempt>,
 }
 
 /// An attempt that owes the module its outcome.
-struct Out {
+struct InFlightAttempt {
     server: ServerId,
     class: ClassId,
-    sent: Micros,
-    copy: bool,
+    sent_at: Micros,
+    from_copy: bool,
 }
 
 pub struct Core<W> {
     router: Router,
-    requests: HashMap<RequestId, Entry<W>>,
-    out: HashMap<Attempt, Out>,
+    requests: HashMap<RequestId, PendingRequest<W>>,
+    in_flight: HashMap<Attempt, InFlightAttempt>,
     last_id: u64,
     pub stats: Stats,
     servers: Servers,
     classes: Classes,
     observers: Observers,
     /// Who knows of copies; nobody, unless the options say so.
-    advisers: Vec<Rc<RefCell<dyn Adviser>>>,
+    copy_locators: Vec<Rc<RefCell<dyn CopyLocator>>>,
     actions: Vec<Action>,
     commands: VecDeque<Command<W>>,
 }
 
-impl<W: Work> Core<W> {
+impl<W: RequestPayload> Core<W> {
     pub fn new(site: &Site, seed: u64, now: Micros) -> Core<W> {
         let mut actions = Vec::new();
         let router = Router::new(site.module.clone(), seed, now, &mut actions);
@@ -69,9 +69,9 @@
             stats,
             servers: Servers::new(site),
             observers: Observers::default(),
-            advisers: Vec::new(),
+            copy_locators: Vec::new(),
             requests: HashMap::new(),
-            out: HashMap::new(),
+            in_flight: HashMap::new(),
             last_id: 0,
             actions,
             commands: VecDeque::new(),
@@ -80,7 +80,7 @@
         core
     }
 
-    pub fn next(&mut self) -> Option<Command<W>> {
+    pub fn next_command(&mut self) -> Option<Command<W>> {
         self.commands.pop_front()
     }
 
@@ -90,7 +90,7 @@
         Gauges { in_progress: self.requests.len(), known: self.servers.listed().count(), skipped }
     }
 
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
@@ -104,50 +104,62 @@
             match action {
                 Action::Send { request, server, timeout: patience } => {
                     let Some(entry) = self.requests.get_mut(&request) else { continue };
-                    let attempt = (request, AttemptNo(entry.attempts));
-                    entry.attempts += 1;
-                    entry.out += 1;
-                    self.observers.tell(now, CoreEvent::Sent { server });
-                    let copy = entry.guests.contains(&server);
-                    self.out.insert(attempt, Out { server, class: entry.class, sent: now, copy });
-                    let (work, until) = (entry.work.clone(), now + patience);
-                    self.commands.push_back(Command::Start { attempt, server, work, until, copy });
+                    let attempt = (request, AttemptNo(entry.attempts_started));
+                    entry.attempts_started += 1;
+                    entry.attempts_in_flight += 1;
+                    self.observers.notify(now, CoreEvent::AttemptSent { server });
+                    let copy = entry.copy_holders.contains(&server);
+                    self.in_flight.insert(
+                        attempt,
+                        InFlightAttempt { server, class: entry.class, sent_at: now, from_copy: copy },
+                    );
+                    let (work, until) = (entry.payload.clone(), now + patience);
+                    self.commands.push_back(Command::StartAttempt {
+                        attempt,
+                        server,
+                        payload: work,
+                        deadline: until,
+                        from_copy: copy,
+                    });
                 }
                 Action::Reject { request, retry_after } => {
                     let come_back_ms = retry_after.and_then(|t| u64::try_from(t / 1000).ok());
-                    self.answer(now, request, Answer::Refused { come_back_ms });
+                    self.answer(now, request, Answer::Rejected { retry_after_ms: come_back_ms });
                 }
                 Action::Fail { request } => self.answer(now, request, Answer::Failed),
                 Action::Cancel { request, attempt } => {
-                    self.commands.push_back(Command::Stop { attempt: (request, attempt) });
+                    self.commands.push_back(Command::CancelAttempt { attempt: (request, attempt) });
                 }
                 Action::HealthCheck { server } => self.probe(now, server),
                 // Never at once: what the module does when woken must not wake it again without end.
                 Action::Timer { id, delay: after } => {
-                    self.commands.push_back(Command::Wake { id, at: now + after.max(1) });
+                    self.commands.push_back(Command::SetTimer { id, at: now + after.max(1) });
                 }
                 // The list is watched at all times, whether the module asks or not.
                 Action::WatchEndpoints => {}
                 Action::Log(note) => {
-                    self.commands.push_back(Command::Log(Line::Module(note)));
+                    self.commands.push_back(Command::Log(LogRecord::RoutingNote(note)));
                 }
             }
         }
     }
 
-    fn ended(&mut self, now: Micros, entry: &Entry<W>, end: End) {
+    fn ended(&mut self, now: Micros, entry: &PendingRequest<W>, end: RequestResult) {
         self.classes.ended(&mut self.stats, entry.class, end);
         if !self.classes.writes(entry.class) {
-            self.observers.tell(now, CoreEvent::Read { group: entry.group, served: end == End::Served });
+            self.observers.notify(
+                now,
+                CoreEvent::ReadFinished { group: entry.group, served: end == RequestResult::Served },
+            );
         }
     }
 
     fn answer(&mut self, now: Micros, request: RequestId, answer: Answer) {
         if let Some(entry) = self.requests.remove(&request) {
             let end = match answer {
-                Answer::Served(_) | Answer::Passed => End::Served,
-                Answer::Refused { .. } => End::Refused,
-                Answer::Failed => End::Failed,
+                Answer::Served(_) | Answer::Streamed => RequestResult::Served,
+                Answer::Rejected { .. } => RequestResult::Rejected,
+                Answer::Failed => RequestResult::Failed,
             };
             self.ended(now, &entry, end);
             self.commands.push_back(Command::Answer { client: entry.client, request, answer });
@@ -155,21 +167,21 @@
     }
 
     /// A client's request; its answer will name `client`.
-    pub fn request(&mut self, now: Micros, client: usize, ask: Ask, work: W) -> RequestId {
+    pub fn request(&mut self, now: Micros, client: usize, ask: RoutingRequest, work: W) -> RequestId {
         self.last_id += 1;
         let id = RequestId(self.last_id);
         let (class, group) = (ask.class, ask.group);
-        let guests = self.advice(now, &ask, &work);
-        let entry = Entry {
+        let guests = self.locate_copies(now, &ask, &work);
+        let entry = PendingRequest {
             client,
             class,
             group,
-            work,
-            guests: guests.iter().map(|candidate| candidate.server).collect(),
-            attempts: 0,
-            out: 0,
+            payload: work,
+            copy_holders: guests.iter().map(|candidate| candidate.server).collect(),
+            attempts_started: 0,
+            attempts_in_flight: 0,
             idle_since: now,
-            passing: None,
+            streaming_attempt: None,
         };
         self.requests.insert(id, entry);
         let request = Request {
@@ -177,9 +189,9 @@
             class: ask.class,
             group: ask.group,
             tenant: TenantId(0),
-            timeout: ask.patience,
+            timeout: ask.timeout,
             session: ask.session.map(SessionId),
-            last_write_position: ask.after,
+            last_write_position: ask.read_after_position,
             copy_candidates: guests,
         };
         self.handle(now, Event::Request(request));
@@ -187,13 +199,13 @@
     }
 
     /// The client left; no answer is owed.
-    pub fn gone(&mut self, now: Micros, request: RequestId) {
+    pub fn client_disconnected(&mut self, now: Micros, request: RequestId) {
         if self.requests.remove(&request).is_some() {
             self.handle(now, Event::ClientDisconnected { request });
         }
     }
 
-    pub fn timer(&mut self, now: Micros, id: u32) {
+    pub fn timer_fired(&mut self, now: Micros, id: u32) {
         self.handle(now, Event::Timer { id });
     }
 }
--- a/proxy/src/core/servers.rs
+++ b/proxy/src/core/servers.rs
@@ -1,7 +1,7 @@
 //! The servers by the list: their names, numbers and addresses. A number is never given twice; who left long ago is forgotten
 //! with the decisions.
 
-use super::{Command, Core, Line, Work};
+use super::{Command, Core, LogRecord, RequestPayload};
 use crate::discovery::{State, Target, Update};
 use crate::observe::{CoreEvent, Observer};
 use birchreach::*;
@@ -32,7 +32,7 @@
                 group: self.group,
                 primary: self.primary,
                 up: self.up,
-                boot_ms: self.started_ms.and_then(|ms| u64::try_from(ms).ok()).unwrap_or(0),
+                started_ms: self.started_ms.and_then(|ms| u64::try_from(ms).ok()).unwrap_or(0),
             },
         }
     }
@@ -116,24 +116,24 @@
     }
 }
 
-impl<W: Work> Core<W> {
+impl<W: RequestPayload> Core<W> {
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.servers.listed.get(&server)?.address
     }
 
     /// The list names servers of this group; an unread list may name any.
-    pub fn serves(&self, group: GroupId) -> bool {
+    pub fn has_group(&self, group: GroupId) -> bool {
         let listed = &self.servers.listed;
         listed.is_empty() || listed.values().any(|s| s.group == group)
     }
 
     /// The server's name in the list, for the log.
-    pub fn name(&self, server: ServerId) -> &str {
+    pub fn server_name(&self, server: ServerId) -> &str {
         self.servers.name(server)
     }
 
     /// News of the list. Returns the servers that must not be reached as before: they moved, or left.
-    pub fn members(&mut self, now: Micros, update: Update) -> Vec<ServerId> {
+    pub fn update_endpoints(&mut self, now: Micros, update: Update) -> Vec<ServerId> {
         let (mut moved, mut members) = (Vec::new(), Vec::new());
         if update.all {
             // Whom a whole list does not name has left.
@@ -143,7 +143,11 @@
             let (server, new) = self.servers.number(&t.uid);
             if new {
                 let (uid, endpoint) = (t.uid.clone(), t.endpoint.clone());
-                self.commands.push_back(Command::Log(Line::Server { number: server.0, uid, endpoint }));
+                self.commands.push_back(Command::Log(LogRecord::ServerListed {
+                    number: server.0,
+                    uid,
+                    endpoint,
+                }));
             }
             let (member, elsewhere) = self.servers.take(server, t);
             moved.extend(elsewhere.then_some(server));
@@ -151,10 +155,10 @@
         }
         let listed = &self.servers.listed;
         for (id, s) in members.iter().filter_map(|m| Some((m.server, listed.get(&m.server)?))) {
-            self.observers.tell(now, s.seen(id));
+            self.observers.notify(now, s.seen(id));
         }
         for (id, s) in listed.iter().filter(|(_, s)| s.removed) {
-            self.observers.tell(now, s.seen(*id));
+            self.observers.notify(now, s.seen(*id));
         }
         self.handle(now, Event::EndpointsChanged(EndpointList { complete: update.all, endpoints: members }));
         // Servers that left long ago are forgotten here when the module has forgotten them.
@@ -165,15 +169,15 @@
     }
 
     /// Somebody listens from now on, and is told first of what the list said so far.
-    pub fn observe(&mut self, now: Micros, observer: Rc<RefCell<dyn Observer>>) {
+    pub fn subscribe(&mut self, now: Micros, observer: Rc<RefCell<dyn Observer>>) {
         for (id, s) in self.servers.listed.iter().filter(|(_, s)| !s.removed) {
-            observer.borrow_mut().see(now, s.seen(*id));
+            observer.borrow_mut().on_event(now, s.seen(*id));
         }
         self.observers.add(observer);
     }
 
     /// And no more.
-    pub fn ignore(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
+    pub fn unsubscribe(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
         self.observers.remove(observer);
     }
 }
--- a/proxy/src/core/servers/tests.rs
+++ b/proxy/src/core/servers/tests.rs
@@ -14,10 +14,10 @@
         let new = target(format!("s-{n}"), "up");
         let list = format!(r#"{{"rev": {n}, "all": false, "targets": [{old}, {new}]}}"#);
         let update = serde_json::from_str(&list).unwrap();
-        core.members(Micros::from(n) * 1_000_000, update);
+        core.update_endpoints(Micros::from(n) * 1_000_000, update);
         assert_eq!(core.servers.roster[&format!("s-{n}")], ServerId(n + 1), "s--1 was the first");
     }
     let (listed, roster) = (core.servers.listed.len(), core.servers.roster.len());
     assert!(listed < 30 && roster < 30, "{listed} kept");
-    assert_eq!(core.name(ServerId(100)), "s-99");
+    assert_eq!(core.server_name(ServerId(100)), "s-99");
 }
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -37,14 +37,14 @@
 
 /// How an attempt ended, as far as it tells of the server.
 fn how(reply: &Reply) -> How {
-    match reply.ending {
+    match reply.outcome {
         // Each of these was said by the server itself.
         AttemptOutcome::Ok
         | AttemptOutcome::Error
         | AttemptOutcome::Overloaded
         | AttemptOutcome::Ineligible => How::Answered,
         AttemptOutcome::Timeout => How::Unanswered,
-        AttemptOutcome::ConnectFailed if reply.refused => How::Refused,
+        AttemptOutcome::ConnectFailed if reply.connection_refused => How::Refused,
         // A machine that does not answer a connect is judged like one that breaks connections: by some in a row.
         AttemptOutcome::ConnectFailed
         | AttemptOutcome::ClosedBeforeExecution
@@ -56,8 +56,8 @@
 
 /// What the server said that it is: in a note, in a report, or by what it did with a write.
 fn role(reply: &Reply, write: bool) -> Option<birchreach_health::Role> {
-    let told = reply.note.map(|n| n.role).or_else(|| reply.report.and_then(|r| r.role));
-    let done = match reply.ending {
+    let told = reply.status.map(|n| n.role).or_else(|| reply.load_report.and_then(|r| r.role));
+    let done = match reply.outcome {
         AttemptOutcome::Ok if write => Some(Role::Primary),
         AttemptOutcome::Ineligible if write => Some(Role::Replica),
         _ => None,
@@ -109,23 +109,23 @@
 }
 
 impl Observer for Watch {
-    fn see(&mut self, now: Micros, seen: CoreEvent<'_>) {
+    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
         let fact = match seen {
             CoreEvent::Listed { server: id, group: of, primary, up, .. } => {
                 Fact::Listed { server: server(id), group: group(of), primary, up }
             }
             CoreEvent::Unlisted { server: id, .. } => Fact::Unlisted { server: server(id) },
-            CoreEvent::Sent { server: id } => Fact::Sent { server: server(id) },
-            CoreEvent::Ended { server: id, write, reply, .. } => {
+            CoreEvent::AttemptSent { server: id } => Fact::Sent { server: server(id) },
+            CoreEvent::AttemptEnded { server: id, write, reply, .. } => {
                 Fact::Ended { server: server(id), write, how: how(reply), role: role(reply, write) }
             }
-            CoreEvent::Checked { server: id, reply } => {
+            CoreEvent::MonitorCheckEnded { server: id, reply } => {
                 Fact::Probed { server: server(id), how: how(reply), role: role(reply, false) }
             }
-            CoreEvent::Alive { server: id } => Fact::Alive { server: server(id) },
-            CoreEvent::Read { group: of, served } => Fact::Read { group: group(of), served },
-            CoreEvent::Discovery => Fact::Discovery,
-            CoreEvent::Held { writes } => return self.held(now, writes),
+            CoreEvent::ServerAlive { server: id } => Fact::Alive { server: server(id) },
+            CoreEvent::ReadFinished { group: of, served } => Fact::Read { group: group(of), served },
+            CoreEvent::DiscoveryAnswered => Fact::Discovery,
+            CoreEvent::QueuedWrites { writes } => return self.held(now, writes),
             // Of no concern to balancers.
             _ => return,
         };
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -1,7 +1,7 @@
 //! The proxy's values as the crate `hot` has them: reads that come, databases of the list, answers of guests; and what operators are
 //! shown of it. It owns the words; which keys are hot, and who has copies, is the crate's to say.
 
-use crate::observe::{Adviser, Asked, CoreEvent, Observer};
+use crate::observe::{CopyLocator, CoreEvent, Observer, ReadDescription};
 use birchreach::{Consistency, CopyCandidate, Micros, ServerId};
 use birchreach_hot_keys::{Database, Hot, Key, Need as Needs, Settings};
 use birchreach_peer_state::Hasher;
@@ -105,7 +105,7 @@
 }
 
 impl Observer for Watch {
-    fn see(&mut self, now: Micros, seen: CoreEvent<'_>) {
+    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
         match seen {
             CoreEvent::Listed { server, uid, group, primary, up, .. } => {
                 let listed = Listed { uid: uid.into(), group: group.0, primary: primary == Some(true), up };
@@ -113,7 +113,7 @@
                 self.changed = true;
             }
             CoreEvent::Unlisted { server, .. } => self.changed |= self.listed.remove(&server).is_some(),
-            CoreEvent::Copied { group, key, server, position } => {
+            CoreEvent::CopyRead { group, key, server, position } => {
                 self.served += u64::from(position.is_some());
                 self.missed += u64::from(position.is_none());
                 let key = self.key(group.0, key);
@@ -124,9 +124,9 @@
     }
 }
 
-impl Adviser for Watch {
-    fn guests(&mut self, now: Micros, asked: &Asked<'_>) -> Vec<CopyCandidate> {
-        if needs(asked.need) == Needs::Current {
+impl CopyLocator for Watch {
+    fn locate_copies(&mut self, now: Micros, asked: &ReadDescription<'_>) -> Vec<CopyCandidate> {
+        if needs(asked.consistency) == Needs::Current {
             return Vec::new();
         }
         let key = self.key(asked.group.0, asked.key);
--- a/proxy/src/net/agent.rs
+++ b/proxy/src/net/agent.rs
@@ -219,7 +219,7 @@
 
     /// An answer came, and behind it perhaps the end of the connection. The next call follows.
     fn answered(&mut self, cx: &mut Cx, answer: Answer, ended: bool) -> Option<Update> {
-        cx.core.discovery(cx.now);
+        cx.core.discovery_answered(cx.now);
         let news = match answer {
             Answer::News(update) => Some(update),
             Answer::Old => None,
--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -45,12 +45,12 @@
             Copying::Read(due) => {
                 let refresh = watch.borrow().hot.settings().refresh();
                 // Of a replica: a primary may have been deposed and not know it, and claims the present.
-                let note = |n: usize| done.replies.get(n)?.note.filter(|note| note.role == Role::Replica);
+                let note = |n: usize| done.replies.get(n)?.status.filter(|note| note.role == Role::Replica);
                 let position = |n: usize| note(n)?.position;
                 let value = done.replies.get(1).and_then(|reply| reply.value.as_ref());
                 let copy =
                     value.filter(|_| done.whole).and_then(|v| taken(position(0), &v.bytes, position(1)));
-                let nonsense = done.replies.iter().any(|reply| reply.ending == AttemptOutcome::Error);
+                let nonsense = done.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error);
                 let long = copy.as_ref().is_some_and(|copy| copy.value.len() > copies::MOST);
                 if nonsense || long {
                     watch.borrow_mut().hot.spoilt(due.key, now + SPOILT);
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -155,7 +155,7 @@
         }
         let place = |core: &Core<_>, what: &What| {
             let (group, write) = what.place();
-            core.spare(GroupId(group), write, what.yields()).map(|server| server.0)
+            core.background_candidate(GroupId(group), write, what.yields()).map(|server| server.0)
         };
         let started = self.scheduler.start(cx.now, divisor, |what| place(cx.core, what));
         for (number, task, database) in started {
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -3,7 +3,7 @@
 use super::Background;
 use crate::hot::{Watch, settings};
 use crate::net::{Due, Proxy};
-use crate::observe::{Adviser, Observer, Shared, shared};
+use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split;
 use birchreach::Micros;
 use birchreach_background_tasks::{Budget, Kind};
@@ -41,19 +41,19 @@
             self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.now)));
         match (&options, background.hot.clone()) {
             (Some(options), Some(watch)) => {
-                watch.borrow_mut().hot.set(settings(options, named, &self.core.needs()));
+                watch.borrow_mut().hot.set(settings(options, named, &self.core.consistencies()));
             }
             (Some(options), None) => {
-                let settings = settings(options, named, &self.core.needs());
+                let settings = settings(options, named, &self.core.consistencies());
                 let watch = shared(Watch::new(settings, boot, keys.hasher(b"hot keys"), self.now));
-                self.core.observe(self.now, watch.clone());
-                self.core.advise(watch.clone());
+                self.core.subscribe(self.now, watch.clone());
+                self.core.add_copy_locator(watch.clone());
                 background.hot = Some(watch);
                 info!(event = "hot-on");
             }
             (None, Some(watch)) => {
-                self.core.ignore(&(watch.clone() as Rc<RefCell<dyn Observer>>));
-                self.core.unadvise(&(watch as Rc<RefCell<dyn Adviser>>));
+                self.core.unsubscribe(&(watch.clone() as Rc<RefCell<dyn Observer>>));
+                self.core.remove_copy_locator(&(watch as Rc<RefCell<dyn CopyLocator>>));
                 background.hot = None;
                 info!(event = "hot-off");
             }
@@ -82,14 +82,14 @@
             return;
         }
         if let Some(watch) = background.split.take() {
-            self.core.ignore(&(watch as Rc<RefCell<dyn Observer>>));
+            self.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
             info!(event = "split-off");
         }
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
             let (hasher, classes) = (keys.hasher(b"split"), self.config.site.class_names.clone());
             let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.now));
-            self.core.observe(self.now, watch.clone());
+            self.core.subscribe(self.now, watch.clone());
             background.split = Some(watch);
             background.started += 1;
             info!(event = "split-on", definition);
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -57,7 +57,7 @@
     pub(super) fn watch(&mut self) {
         let Some(options) = &self.config.options.health else {
             if let Some(watch) = self.health.watch.take() {
-                self.core.ignore(&(watch as Rc<RefCell<dyn Observer>>));
+                self.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
             }
             self.checks.watch = None;
             return;
@@ -72,7 +72,7 @@
             Some(watch) => watch.borrow_mut().monitor.settings(self.now, settings),
             None => {
                 let watch = shared(Watch::new(settings, self.now));
-                self.core.observe(self.now, watch.clone());
+                self.core.subscribe(self.now, watch.clone());
                 self.checks.watch = Some(watch.clone());
                 self.health.watch = Some(watch);
             }
@@ -134,9 +134,9 @@
         let busy = 1.0 - self.health.slept as f64 / span as f64;
         (self.health.ticked, self.health.slept) = (self.now, 0);
         let (for_clients, for_databases) = self.places();
-        let out = self.core.attempts_out() as f64 / for_databases.max(1) as f64;
-        let held = self.core.look_at_held(self.now);
-        let in_progress = self.core.open_requests();
+        let out = self.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
+        let held = self.core.report_queued(self.now);
+        let in_progress = self.core.open_request_count();
         let pressure = busy.max(out);
         self.tell_balancers(Fact::Load { pressure, in_progress, held, room: for_clients });
         self.timers.set(self.now + HEALTH_TICK, Due::HealthTick);
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -38,7 +38,7 @@
     let now = cx.now;
     let core = &*cx.core;
     let Some(watch) = watch else { return Serve::Over("off") };
-    let name = |server: birchreach_health::Server| core.name(ServerId(server.0)).to_string();
+    let name = |server: birchreach_health::Server| core.server_name(ServerId(server.0)).to_string();
     let all = machine.run(now, watch.borrow_mut().verdict(now), &name);
     let waiting = machine.out.len();
     let written = stream::write_some(&mut c.stream, &machine.out).map(|n| machine.wrote(n));
--- a/proxy/src/net/clients/converse.rs
+++ b/proxy/src/net/clients/converse.rs
@@ -5,7 +5,7 @@
 use super::super::stream::{self, Ended};
 use super::Clients;
 use super::client::{Client, CloseMode};
-use crate::core::Ask;
+use crate::core::RoutingRequest;
 use crate::pg::frontend::ClientCommand;
 use crate::pg::sqlstate;
 use crate::pg::statement::Statement;
@@ -32,11 +32,11 @@
         cx: &Cx,
         s: &Statement,
         arrived: Micros,
-    ) -> Result<Ask, (&'static str, &'static str)> {
-        let class = cx.core.class(cx.now, &s.class);
+    ) -> Result<RoutingRequest, (&'static str, &'static str)> {
+        let class = cx.core.find_class(cx.now, &s.class);
         let (id, class) = class.ok_or((sqlstate::INVALID_VALUE, "c names no class"))?;
-        let ask = s.ask(id, class, cx.core.tokens(), cx.now - arrived)?;
-        if !cx.core.serves(ask.group) {
+        let ask = s.ask(id, class, cx.core.session_positions(), cx.now - arrived)?;
+        if !cx.core.has_group(ask.group) {
             return Err((sqlstate::INVALID_VALUE, "cluster names no group"));
         }
         if !self.ids.insert(s.id().into()) {
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -190,7 +190,7 @@
         }
         if let Some((request, work)) = c.request {
             self.admission.ids.remove(work.id());
-            cx.core.gone(cx.now, request);
+            cx.core.client_disconnected(cx.now, request);
         }
     }
 }
--- a/proxy/src/net/due.rs
+++ b/proxy/src/net/due.rs
@@ -42,7 +42,7 @@
 impl Proxy {
     pub(super) fn fire(&mut self, due: Due) {
         if let Due::Module(id) = due {
-            return self.core.timer(self.now, id);
+            return self.core.timer_fired(self.now, id);
         }
         self.with(|clients, pool, agent, cx| match due {
             Due::Module(_) | Due::Leave | Due::Exit | Due::Depart => {}
@@ -70,7 +70,7 @@
                     }
                 });
                 let (_, for_databases) = self.places();
-                let pressure = self.core.attempts_out() as f64 / for_databases.max(1) as f64;
+                let pressure = self.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
                 self.with_gossip(|gossip, _| gossip.pressed(pressure));
                 self.check_doors();
             }
@@ -87,7 +87,7 @@
             Due::Depart => self.depart(),
             Due::Leave => self.leave(),
             Due::Exit => {
-                info!(event = "stopped", open = self.core.open_requests());
+                info!(event = "stopped", open = self.core.open_request_count());
                 std::process::exit(0);
             }
             _ => {}
--- a/proxy/src/net/gossip/talk.rs
+++ b/proxy/src/net/gossip/talk.rs
@@ -38,9 +38,9 @@
                 // The decisions hear of positions; who is said to be a primary is asked.
                 let learnt = lessons.peer_knowledge.borrow_mut().hear(cx.now, asked_at, &told);
                 for (uid, report) in learnt.reports {
-                    cx.core.proven(cx.now, &uid, report);
+                    cx.core.record_remote_position(cx.now, &uid, report);
                 }
-                learnt.ask.iter().for_each(|uid| cx.core.ask_role(cx.now, uid));
+                learnt.ask.iter().for_each(|uid| cx.core.check_role(cx.now, uid));
             }
             Ok(Some(Heard::Whole(named))) => {
                 lessons.joiner.ended(cx.now, donor, End::Whole(named));
--- a/proxy/src/net/leaving.rs
+++ b/proxy/src/net/leaving.rs
@@ -23,7 +23,7 @@
     /// Told to stop. Where balancers are told of it, they have a while to go elsewhere first; told again, it leaves.
     pub(super) fn stop(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
-            info!(event = "stopping", open = self.core.open_requests());
+            info!(event = "stopping", open = self.core.open_request_count());
             self.tell_balancers(Fact::Stopping);
             let lead = self.config.options.health.as_ref().map_or(0, |health| health.lead);
             if lead > 0 && !self.twin.replaced() {
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -170,7 +170,7 @@
         }
         proxy.turn(&mut events, &mut signals)?;
     }
-    info!(event = "stopped", open = proxy.core.open_requests());
+    info!(event = "stopped", open = proxy.core.open_request_count());
     Ok(())
 }
 
@@ -223,7 +223,7 @@
         let mut observer = [0; 8];
         getrandom::fill(&mut observer).map_err(|e| format!("no random numbers: {e}"))?;
         let peer_knowledge = shared(PeerKnowledge::new(u64::from_be_bytes(observer)));
-        self.core.observe(self.now, peer_knowledge.clone());
+        self.core.subscribe(self.now, peer_knowledge.clone());
         let (keys, seed) = (keys.clone(), self.config.seed);
         let lessons = Lessons::new(self.poll.registry(), options, keys, peer_knowledge, seed, self.now)?;
         self.gossip.get_or_insert_default().learn(lessons);
--- a/proxy/src/net/places.rs
+++ b/proxy/src/net/places.rs
@@ -44,7 +44,7 @@
     pub(super) fn share(&mut self) {
         let (for_clients, for_databases) = self.places();
         let replaced = self.twin.replaced();
-        self.core.share(self.now, self.twin.processes());
+        self.core.set_process_count(self.now, self.twin.processes());
         let (stopping, guests) = (self.stopping, guests(&self.config));
         self.with(|clients, pool, _, cx| {
             pool.limit(cx, for_databases);
--- a/proxy/src/net/pool/answers.rs
+++ b/proxy/src/net/pool/answers.rs
@@ -52,7 +52,7 @@
         match heard {
             Heard::Begun(length) => {
                 self.slots[key].moved_at = cx.now;
-                attempt.is_some_and(|attempt| cx.core.begun(cx.now, attempt, length)) || {
+                attempt.is_some_and(|attempt| cx.core.response_started(cx.now, attempt, length)) || {
                     // Its request has its answer already: nobody wants this one.
                     attempt.into_iter().for_each(|attempt| self.stop(cx, attempt));
                     false
@@ -63,14 +63,14 @@
                 // A bounded piece at a time, and the next once the client has taken it.
                 (c.paused, c.moved_at) = (c.machine.streaming(), cx.now);
                 if let Some(attempt) = attempt {
-                    cx.core.piece(attempt, bytes);
+                    cx.core.response_chunk(attempt, bytes);
                 }
                 true
             }
             Heard::Ready => {
                 self.slots[key].up = true;
                 let (server, address) = (self.slots[key].server, self.slots[key].address);
-                cx.core.alive(cx.now, server);
+                cx.core.server_alive(cx.now, server);
                 match self.slots[key].job.take() {
                     Some(job) if cx.core.address(server) != Some(address) => {
                         // The server moved while its connection was opened: nothing more goes to where it was.
@@ -96,19 +96,19 @@
             }
             Heard::TurnedAway(reply) => {
                 // 53300 is a database that is full; all else means that there is no connection to be had.
-                let ending = if reply.ending == AttemptOutcome::Overloaded {
+                let ending = if reply.outcome == AttemptOutcome::Overloaded {
                     AttemptOutcome::Overloaded
                 } else {
                     AttemptOutcome::ClosedBeforeExecution
                 };
                 if let Some(job) = self.close(cx, key, "turned-away") {
-                    self.report(cx, job, Reply { ending, ..reply });
+                    self.report(cx, job, Reply { outcome: ending, ..reply });
                 }
                 false
             }
             Heard::Nonsense => {
                 // The query has run and its answer is lost, but its server lives.
-                self.lose(cx, key, "nonsense", Reply::bare(AttemptOutcome::Error));
+                self.lose(cx, key, "nonsense", Reply::with_outcome(AttemptOutcome::Error));
                 false
             }
         }
@@ -119,7 +119,7 @@
     pub(super) fn end(&mut self, cx: &mut Cx, key: usize, reason: &str) {
         let reply = match self.slots[key].machine.ended() {
             Some(Heard::Done(reply)) => reply,
-            _ => Reply::bare(AttemptOutcome::ConnectionReset),
+            _ => Reply::with_outcome(AttemptOutcome::ConnectionReset),
         };
         self.lose(cx, key, reason, reply);
     }
@@ -135,7 +135,7 @@
             self.report(
                 cx,
                 job,
-                if written { reply } else { Reply::bare(AttemptOutcome::ClosedBeforeExecution) },
+                if written { reply } else { Reply::with_outcome(AttemptOutcome::ClosedBeforeExecution) },
             );
         }
     }
@@ -161,7 +161,7 @@
         } else {
             "idle"
         };
-        info!(conn = "database", server = cx.core.name(c.server), state, reason);
+        info!(conn = "database", server = cx.core.server_name(c.server), state, reason);
         c.job
     }
 
@@ -169,10 +169,10 @@
         match job {
             Job::Attempt { attempt, .. } => {
                 self.attempts.remove(&attempt);
-                cx.core.outcome(cx.now, attempt, reply);
+                cx.core.attempt_completed(cx.now, attempt, reply);
             }
-            Job::Probe { server } => cx.core.probed(cx.now, server, &reply),
-            Job::Check { server } => cx.core.checked(cx.now, server, &reply),
+            Job::Probe { server } => cx.core.health_check_completed(cx.now, server, &reply),
+            Job::Check { server } => cx.core.monitor_check_completed(cx.now, server, &reply),
             Job::BackgroundQuery(errand) => self.done.push(errand.over(reply)),
         }
     }
--- a/proxy/src/net/pool/asking.rs
+++ b/proxy/src/net/pool/asking.rs
@@ -13,15 +13,17 @@
         match &job {
             Job::Attempt { attempt, work, until, copy } => {
                 // Opening the connection took time: it may be over, or what was told since forbid the send.
-                if *until <= cx.now || !cx.core.may_write(cx.now, *attempt) {
+                if *until <= cx.now || !cx.core.may_still_send(cx.now, *attempt) {
                     self.settle(cx, key);
-                    self.report(cx, job, Reply::bare(AttemptOutcome::NotSent));
+                    self.report(cx, job, Reply::with_outcome(AttemptOutcome::NotSent));
                     return;
                 }
                 let left_ms = u64::try_from((until - cx.now) / 1000).unwrap_or(1).max(1);
                 match copy {
                     false => c.machine.run(work, left_ms),
-                    true => c.machine.run_copy(work, left_ms, cx.core.proof(cx.now, *attempt)),
+                    true => {
+                        c.machine.run_copy(work, left_ms, cx.core.required_copy_position(cx.now, *attempt))
+                    }
                 }
                 self.attempts.insert(*attempt, key);
             }
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -33,7 +33,7 @@
 
     pub(super) fn over(mut self, reply: Reply) -> Done {
         self.replies.push(reply);
-        let well = self.replies.iter().all(|r| r.ending == AttemptOutcome::Ok);
+        let well = self.replies.iter().all(|r| r.outcome == AttemptOutcome::Ok);
         let whole = well && self.replies.len() == self.texts.len();
         Done { number: self.number, server: self.server, replies: self.replies, whole }
     }
@@ -68,7 +68,7 @@
     ) -> Option<(Option<Job>, Reply)> {
         match job {
             Some(Job::BackgroundQuery(mut errand))
-                if reply.ending == AttemptOutcome::Ok
+                if reply.outcome == AttemptOutcome::Ok
                     && errand.replies.len() + 1 < errand.texts.len()
                     && self.slots[key].machine.clean() =>
             {
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -28,7 +28,7 @@
 
 pub type Work = Rc<Statement>;
 
-impl core::Work for Work {
+impl core::RequestPayload for Work {
     fn key(&self) -> &[u8] {
         Statement::key(self)
     }
@@ -182,7 +182,7 @@
             match c.stream.take_error() {
                 Ok(None) => return true,
                 Ok(Some(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-                    self.unreachable(cx, key, "refused", Reply::refused());
+                    self.unreachable(cx, key, "refused", Reply::connection_refused());
                 }
                 _ => self.end(cx, key, "reset"),
             }
@@ -191,7 +191,7 @@
         match stream::write(&mut c.stream, &mut c.machine.out) {
             Ok(all) => {
                 if all && c.asked && !std::mem::replace(&mut c.written, true) {
-                    cx.core.stats.tries += u64::from(matches!(c.job, Some(Job::Attempt { .. })));
+                    cx.core.stats.attempts += u64::from(matches!(c.job, Some(Job::Attempt { .. })));
                 }
                 true
             }
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -88,25 +88,26 @@
 
     /// A new connection. Where there is no socket for it the server is not to blame, and nothing was sent.
     fn open(&mut self, cx: &mut Cx, server: ServerId) -> Result<usize, Reply> {
-        let address = cx.core.address(server).ok_or_else(|| Reply::bare(AttemptOutcome::ConnectFailed))?;
+        let address =
+            cx.core.address(server).ok_or_else(|| Reply::with_outcome(AttemptOutcome::ConnectFailed))?;
         if self.slots.len() >= self.most && !self.evict(cx) {
-            return Err(Reply::bare(AttemptOutcome::NotSent));
+            return Err(Reply::with_outcome(AttemptOutcome::NotSent));
         }
         let failed = |cx: &Cx, reason, error| {
-            let server = cx.core.name(server);
+            let server = cx.core.server_name(server);
             info!(conn = "database", server, state = "opening", reason, error = %Quoted(error));
         };
         let mut stream = match TcpStream::connect(address) {
             Ok(stream) => stream,
             Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
                 failed(cx, "refused", e);
-                return Err(Reply::refused());
+                return Err(Reply::connection_refused());
             }
             Err(e) => {
                 // Fewer than the limit told: one of our own makes room for the next.
                 failed(cx, "no-socket", e);
                 self.starved |= !self.evict(cx);
-                return Err(Reply::bare(AttemptOutcome::NotSent));
+                return Err(Reply::with_outcome(AttemptOutcome::NotSent));
             }
         };
         let _ = stream.set_nodelay(true);
@@ -115,7 +116,7 @@
         let token = Source::Database(key).token();
         if let Err(e) = cx.registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE) {
             failed(cx, "no-socket", e);
-            return Err(Reply::bare(AttemptOutcome::NotSent));
+            return Err(Reply::with_outcome(AttemptOutcome::NotSent));
         }
         self.serial += 1;
         slot.insert(Connection {
--- a/proxy/src/net/pool/times.rs
+++ b/proxy/src/net/pool/times.rs
@@ -34,18 +34,18 @@
                 self.settle(cx, key);
             }
             if let Some(job) = job {
-                self.report(cx, job, Reply::bare(AttemptOutcome::NotSent));
+                self.report(cx, job, Reply::with_outcome(AttemptOutcome::NotSent));
             }
             return;
         }
         if let Some(job) = self.close(cx, key, reason) {
-            self.report(cx, job, Reply::bare(if written { ending } else { AttemptOutcome::NotSent }));
+            self.report(cx, job, Reply::with_outcome(if written { ending } else { AttemptOutcome::NotSent }));
         }
     }
 
     pub fn connect_overdue(&mut self, cx: &mut Cx, key: usize, serial: u64) {
         if self.slots.get(key).is_some_and(|c| c.serial == serial && !c.up) {
-            self.unreachable(cx, key, "connect-timeout", Reply::bare(AttemptOutcome::ConnectFailed));
+            self.unreachable(cx, key, "connect-timeout", Reply::with_outcome(AttemptOutcome::ConnectFailed));
         }
     }
 
@@ -57,7 +57,7 @@
         if self.slots.get(key).is_some_and(probing)
             && let Some(job) = self.close(cx, key, "timeout")
         {
-            self.report(cx, job, Reply::bare(AttemptOutcome::Timeout));
+            self.report(cx, job, Reply::with_outcome(AttemptOutcome::Timeout));
         }
     }
 
@@ -66,7 +66,7 @@
         let stands = |c: &Connection| c.machine.streaming() && !c.paused && cx.now - c.moved_at >= STANDSTILL;
         let still: Vec<usize> = self.slots.iter().filter(|(_, c)| stands(c)).map(|(key, _)| key).collect();
         for key in still {
-            self.lose(cx, key, "standstill", Reply::bare(AttemptOutcome::ConnectionReset));
+            self.lose(cx, key, "standstill", Reply::with_outcome(AttemptOutcome::ConnectionReset));
         }
         self.idle.retain(|_, keys| !keys.is_empty());
         let old = |k: &&usize| cx.now - self.slots[**k].idle_since >= self.idle_limit;
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -25,18 +25,18 @@
         {
             Ok(new) => new,
             Err(message) => {
-                self.core.stats.load_errors += 1;
+                self.core.stats.configuration_load_errors += 1;
                 return warn!(event = "reload-failed", error = %Quoted(message));
             }
         };
         let opened = match self.checks.open(new.options.health.as_ref()) {
             Ok(opened) => opened,
             Err(message) => {
-                self.core.stats.load_errors += 1;
+                self.core.stats.configuration_load_errors += 1;
                 return warn!(event = "reload-failed", error = %Quoted(message));
             }
         };
-        self.core.stats.loads += 1;
+        self.core.stats.configuration_loads += 1;
         let rest = self.config.differs(&new).join(",");
         // Links among proxies wait for a restart, and count as they are until then.
         (new.options.knowledge, new.keys) = (self.config.options.knowledge.clone(), self.config.keys.clone());
--- a/proxy/src/net/turn.rs
+++ b/proxy/src/net/turn.rs
@@ -3,7 +3,7 @@
 use super::checks::Checks;
 use super::sources::Source;
 use super::{Due, Proxy};
-use crate::core::{Command, Line};
+use crate::core::{Command, LogRecord};
 use crate::discovery::Update;
 use crate::log::Quoted;
 use crate::operator::Call;
@@ -149,27 +149,31 @@
     /// Does what the core commands; what comes of it may bring more.
     pub(super) fn carry_out(&mut self) {
         loop {
-            let Some(command) = self.core.next() else {
+            let Some(command) = self.core.next_command() else {
                 // Clients that have taken what there was of a long value get more of it.
                 let Some(attempt) = self.clients.wants_data() else { return };
                 self.with(|_, pool, _, cx| pool.more(cx, attempt));
                 continue;
             };
             self.with(|clients, pool, _, cx| match command {
-                Command::Start { attempt, server, work, until, copy } => {
-                    pool.start(cx, attempt, server, work, until, copy)
-                }
-                Command::Stop { attempt } => pool.stop(cx, attempt),
-                Command::Probe { server } => pool.probe(cx, server),
+                Command::StartAttempt {
+                    attempt,
+                    server,
+                    payload: work,
+                    deadline: until,
+                    from_copy: copy,
+                } => pool.start(cx, attempt, server, work, until, copy),
+                Command::CancelAttempt { attempt } => pool.stop(cx, attempt),
+                Command::HealthCheck { server } => pool.probe(cx, server),
                 Command::Answer { client, request, answer } => clients.answer(cx, client, request, &answer),
-                Command::Begin { client, request, attempt, length } => {
+                Command::BeginStream { client, request, attempt, length } => {
                     clients.begin(cx, client, request, attempt, length);
                 }
-                Command::Piece { client, request, bytes } => clients.piece(cx, client, request, &bytes),
-                Command::Break { client, request } => clients.broken(cx, client, request),
-                Command::Wake { id, at } => cx.timers.set(at, Due::Module(id)),
-                Command::Log(Line::Module(note)) => info!(event = "module", note = %Quoted(note)),
-                Command::Log(Line::Server { number, uid, endpoint }) => {
+                Command::StreamChunk { client, request, bytes } => clients.piece(cx, client, request, &bytes),
+                Command::AbortStream { client, request } => clients.broken(cx, client, request),
+                Command::SetTimer { id, at } => cx.timers.set(at, Due::Module(id)),
+                Command::Log(LogRecord::RoutingNote(note)) => info!(event = "module", note = %Quoted(note)),
+                Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
                     info!(event = "server", number, uid, endpoint);
                 }
             });
@@ -178,7 +182,7 @@
 
     pub(super) fn members(&mut self, update: Update) {
         info!(event = "list", rev = update.rev, all = update.all, lines = update.targets.len());
-        let moved = self.core.members(self.now, update);
+        let moved = self.core.update_endpoints(self.now, update);
         self.with(|_, pool, _, cx| moved.into_iter().for_each(|server| pool.moved(cx, server)));
         self.carry_out();
     }
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -11,46 +11,53 @@
 #[derive(Clone, Copy, Debug)]
 pub enum CoreEvent<'a> {
     /// The list has a server, or says something else of it. `primary`: what it says of its role, if it does.
-    Listed { server: ServerId, uid: &'a str, group: GroupId, primary: Option<bool>, up: bool, boot_ms: u64 },
+    Listed {
+        server: ServerId,
+        uid: &'a str,
+        group: GroupId,
+        primary: Option<bool>,
+        up: bool,
+        started_ms: u64,
+    },
     /// The list has it no more.
     Unlisted { server: ServerId, uid: &'a str },
     /// An attempt, or a probe of the decisions, goes out.
-    Sent { server: ServerId },
+    AttemptSent { server: ServerId },
     /// It came to this. `write`: of a class for the primary alone.
-    Ended { server: ServerId, uid: &'a str, write: bool, reply: &'a Reply },
+    AttemptEnded { server: ServerId, uid: &'a str, write: bool, reply: &'a Reply },
     /// A probe came back that an observer asked for, and the decisions did not.
-    Checked { server: ServerId, reply: &'a Reply },
+    MonitorCheckEnded { server: ServerId, reply: &'a Reply },
     /// A connection came up, or an answer has begun.
-    Alive { server: ServerId },
+    ServerAlive { server: ServerId },
     /// A read of a group had its final answer.
-    Read { group: GroupId, served: bool },
+    ReadFinished { group: GroupId, served: bool },
     /// The writes that have no attempt out, each with its group and since when.
-    Held { writes: &'a [(GroupId, Micros)] },
+    QueuedWrites { writes: &'a [(GroupId, Micros)] },
     /// Discovery has answered.
-    Discovery,
+    DiscoveryAnswered,
     /// A read of a key was served by a member of its group.
-    Served { group: GroupId, class: ClassId, key: &'a [u8], value: &'a Value },
+    ReadServed { group: GroupId, class: ClassId, key: &'a [u8], value: &'a Value },
     /// A server of another group answered a read from its copy, with the copy's position; or it had none that was new enough.
-    Copied { group: GroupId, key: &'a [u8], server: ServerId, position: Option<Micros> },
+    CopyRead { group: GroupId, key: &'a [u8], server: ServerId, position: Option<Micros> },
 }
 
 /// Whoever listens.
 pub trait Observer {
-    fn see(&mut self, now: Micros, seen: CoreEvent<'_>);
+    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>);
 }
 
 /// A read that has come, as an adviser sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct ReadDescription<'a> {
     pub group: GroupId,
-    pub need: Consistency,
+    pub consistency: Consistency,
     pub key: &'a [u8],
 }
 
 /// Whoever knows of servers of other groups that may have a copy of what is asked for. It names candidates; the decisions choose,
 /// and the copy proves itself.
-pub trait Adviser {
-    fn guests(&mut self, now: Micros, asked: &Asked<'_>) -> Vec<CopyCandidate>;
+pub trait CopyLocator {
+    fn locate_copies(&mut self, now: Micros, asked: &ReadDescription<'_>) -> Vec<CopyCandidate>;
 }
 
 /// An observer that its driver holds too. One thread, and never lent out across a call that tells: the loop is its owner.
@@ -79,9 +86,9 @@
         !self.0.is_empty()
     }
 
-    pub fn tell(&self, now: Micros, seen: CoreEvent) {
+    pub fn notify(&self, now: Micros, seen: CoreEvent) {
         for observer in &self.0 {
-            observer.borrow_mut().see(now, seen);
+            observer.borrow_mut().on_event(now, seen);
         }
     }
 }
@@ -94,7 +101,7 @@
     struct Ear(Vec<Micros>);
 
     impl Observer for Ear {
-        fn see(&mut self, now: Micros, _: CoreEvent<'_>) {
+        fn on_event(&mut self, now: Micros, _: CoreEvent<'_>) {
             self.0.push(now);
         }
     }
@@ -103,12 +110,12 @@
     fn all_that_listen_hear_and_who_left_does_not() {
         let (a, b) = (shared(Ear::default()), shared(Ear::default()));
         let mut all = Observers::default();
-        all.tell(1, CoreEvent::Discovery);
+        all.notify(1, CoreEvent::DiscoveryAnswered);
         all.add(a.clone());
         all.add(b.clone());
-        all.tell(2, CoreEvent::Discovery);
+        all.notify(2, CoreEvent::DiscoveryAnswered);
         all.remove(&(a.clone() as Rc<RefCell<dyn Observer>>));
-        all.tell(3, CoreEvent::Discovery);
+        all.notify(3, CoreEvent::DiscoveryAnswered);
         assert_eq!((a.borrow().0.clone(), b.borrow().0.clone()), (vec![2], vec![2, 3]));
     }
 }
--- a/proxy/src/peer_knowledge.rs
+++ b/proxy/src/peer_knowledge.rs
@@ -36,13 +36,13 @@
     /// What a server said of itself, with an answer or a report.
     fn saw(&mut self, now: Micros, uid: &str, reply: &Reply) {
         let known = &mut self.knowledge;
-        if let Some(note) = reply.note {
+        if let Some(note) = reply.status {
             known.saw_role(now, uid, role(note.role), Source::Note);
             if let Some(position) = note.position {
                 known.saw_position(now, uid, position, (now - position).max(0), Source::Note);
             }
         }
-        if let Some(report) = reply.report {
+        if let Some(report) = reply.load_report {
             if let Some(told) = report.role {
                 known.saw_role(now, uid, role(told), Source::Report);
             }
@@ -50,9 +50,9 @@
                 known.saw_position(now, uid, position, (now - position).max(0), Source::Report);
             }
         }
-        let answered = reply.note.is_some() || reply.report.is_some();
-        if answered || reply.refused {
-            known.saw_health(now, uid, reply.refused);
+        let answered = reply.status.is_some() || reply.load_report.is_some();
+        if answered || reply.connection_refused {
+            known.saw_health(now, uid, reply.connection_refused);
         }
     }
 
@@ -87,14 +87,14 @@
 }
 
 impl Observer for PeerKnowledge {
-    fn see(&mut self, now: Micros, seen: CoreEvent<'_>) {
+    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
         match seen {
             // Facts are kept of the servers that the list names, and of their present boots alone.
-            CoreEvent::Listed { uid, group, boot_ms, .. } => {
+            CoreEvent::Listed { uid, group, started_ms: boot_ms, .. } => {
                 self.knowledge.listed(uid, Listed { boot_ms, group: group.0 });
             }
             CoreEvent::Unlisted { uid, .. } => self.knowledge.unlisted(uid),
-            CoreEvent::Ended { uid, reply, .. } => self.saw(now, uid, reply),
+            CoreEvent::AttemptEnded { uid, reply, .. } => self.saw(now, uid, reply),
             _ => {}
         }
     }
--- a/proxy/src/pg/answer.rs
+++ b/proxy/src/pg/answer.rs
@@ -44,18 +44,19 @@
             None => AttemptOutcome::Ok,
         };
         if let Some(position) = copy.filter(|_| ending == AttemptOutcome::Ok) {
-            let miss = Reply { note, report: usage, ..Reply::bare(AttemptOutcome::Ineligible) };
+            let miss =
+                Reply { status: note, load_report: usage, ..Reply::with_outcome(AttemptOutcome::Ineligible) };
             return copies::answer(value, position, miss);
         }
         let asked = value.as_ref().filter(|_| probe && ending == AttemptOutcome::Ok);
         let report = asked.map_or(usage, |v| form.read(&v.bytes));
         Reply {
-            ending,
+            outcome: ending,
             value: value.filter(|_| ending == AttemptOutcome::Ok && !probe),
-            note,
-            report,
-            refused: false,
-            copied: None,
+            status: note,
+            load_report: report,
+            connection_refused: false,
+            copy_position: None,
         }
     }
 }
--- a/proxy/src/pg/copies.rs
+++ b/proxy/src/pg/copies.rs
@@ -36,7 +36,7 @@
         return miss;
     }
     let value = Some(Value { bytes: blob.to_vec(), binary });
-    Reply { ending: AttemptOutcome::Ok, value, copied: Some(position), ..miss }
+    Reply { outcome: AttemptOutcome::Ok, value, copy_position: Some(position), ..miss }
 }
 
 /// Reads a row at home for a copy or a comparison, as no client did.
@@ -83,18 +83,21 @@
     fn an_answer_proves_its_position_or_is_a_miss() {
         let of = |bytes: &[u8], needed| {
             let value = Some(Value { bytes: bytes.to_vec(), binary: true });
-            answer(value, needed, Reply::bare(AttemptOutcome::Ineligible))
+            answer(value, needed, Reply::with_outcome(AttemptOutcome::Ineligible))
         };
         let copy = [&5i64.to_be_bytes()[..], b"value"].concat();
         let served = of(&copy, 5_000);
-        assert_eq!((served.ending, served.copied), (AttemptOutcome::Ok, Some(5_000)));
+        assert_eq!((served.outcome, served.copy_position), (AttemptOutcome::Ok, Some(5_000)));
         assert_eq!(served.value.unwrap().bytes, b"value");
         for (bytes, needed) in [(&copy[..], 5_001), (b"", 0), (b"short", 0)] {
             let reply = of(bytes, needed);
-            assert_eq!((reply.ending, reply.value, reply.copied), (AttemptOutcome::Ineligible, None, None));
+            assert_eq!(
+                (reply.outcome, reply.value, reply.copy_position),
+                (AttemptOutcome::Ineligible, None, None)
+            );
         }
         assert_eq!(
-            answer(None, 0, Reply::bare(AttemptOutcome::Ineligible)).ending,
+            answer(None, 0, Reply::with_outcome(AttemptOutcome::Ineligible)).outcome,
             AttemptOutcome::Ineligible
         );
     }
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -27,8 +27,8 @@
                 self.out.raw(&value.bytes);
                 self.out.command_complete(tag);
             }
-            Answer::Passed => self.out.command_complete(tag),
-            Answer::Refused { come_back_ms } => {
+            Answer::Streamed => self.out.command_complete(tag),
+            Answer::Rejected { retry_after_ms: come_back_ms } => {
                 let detail = come_back_ms.map(|ms| ms.to_string());
                 let message = "not now; nothing ran, or a repeat is harmless";
                 self.out.error("ERROR", sqlstate::TOO_MANY_CONNECTIONS, message, detail.as_deref());
--- a/proxy/src/pg/looks.rs
+++ b/proxy/src/pg/looks.rs
@@ -34,11 +34,11 @@
         ));
         let of = |bytes: &[u8]| Reply {
             value: Some(Value { bytes: bytes.to_vec(), binary: true }),
-            ..Reply::bare(AttemptOutcome::Ok)
+            ..Reply::with_outcome(AttemptOutcome::Ok)
         };
         let whole = of(&[&5i64.to_be_bytes()[..], b"value"].concat());
         assert_eq!(answer(&whole), Some((5_000, Some(&b"value"[..]))));
-        assert_eq!(answer(&Reply::bare(AttemptOutcome::Ok)), Some((0, None)));
+        assert_eq!(answer(&Reply::with_outcome(AttemptOutcome::Ok)), Some((0, None)));
         assert_eq!(answer(&of(b"short")), None);
         assert_eq!(answer(&of(&i64::MAX.to_be_bytes())), None);
     }
--- a/proxy/src/pg/statement.rs
+++ b/proxy/src/pg/statement.rs
@@ -3,7 +3,7 @@
 
 use super::codec::MAX_VALUE;
 use super::sqlstate;
-use crate::core::{Ask, session};
+use crate::core::{RoutingRequest, session};
 use birchreach::{ClassId, Consistency, GroupId, Micros, RequestClass, SessionPositionSource};
 use std::ops::Range;
 
@@ -137,7 +137,7 @@
         class: &RequestClass,
         tokens: SessionPositionSource,
         waited: Micros,
-    ) -> Result<Ask, (&'static str, &'static str)> {
+    ) -> Result<RoutingRequest, (&'static str, &'static str)> {
         if self.write != (class.consistency == Consistency::Write) {
             return Err((sqlstate::INVALID_VALUE, "the class does not go with this form of statement"));
         }
@@ -146,12 +146,12 @@
             class.consistency == Consistency::Session && tokens == SessionPositionSource::FromRequest;
         // Nobody of this class waits longer, whatever is claimed.
         let wait = (Micros::from(self.wait_ms) * 1000).min(class.client_timeout);
-        Ok(Ask {
+        Ok(RoutingRequest {
             class: id,
             group: GroupId(self.group),
             session: sessions.then(|| session(self.key())),
-            after: self.after_ms.filter(|_| carried).map(|ms| ms * 1000),
-            patience: (wait - MARGIN.min(wait / 10) - waited.max(0)).max(0),
+            read_after_position: self.after_ms.filter(|_| carried).map(|ms| ms * 1000),
+            timeout: (wait - MARGIN.min(wait / 10) - waited.max(0)).max(0),
         })
     }
 }
--- a/proxy/src/pg/tests/waits.rs
+++ b/proxy/src/pg/tests/waits.rs
@@ -3,7 +3,7 @@
 use super::super::arrivals::Arrivals;
 use super::super::frontend::{ClientCommand, Frontend};
 use super::super::statement::Statement;
-use crate::core::{Answer, Ask};
+use crate::core::{Answer, RoutingRequest};
 use birchreach::{ClassId, Consistency, Idempotency, Micros, RequestClass, SessionPositionSource};
 
 const MS: Micros = 1_000;
@@ -45,7 +45,7 @@
     for (now, came) in [(360, 100), (700, 100), (900, 350)] {
         let (_, arrived) = run(&mut client, now * MS);
         assert_eq!(arrived, came * MS);
-        client.answer(&Answer::Refused { come_back_ms: None });
+        client.answer(&Answer::Rejected { retry_after_ms: None });
     }
     client.feed(1_500 * MS, &read("4", 900));
     assert_eq!(run(&mut client, 1_501 * MS).1, 1_500 * MS);
@@ -65,8 +65,9 @@
     client.feed(0, &read("1", 900));
     let (statement, _) = run(&mut client, 0);
     let patience = |waited| -> Micros {
-        let ask: Ask = statement.ask(id, &class, SessionPositionSource::FromRequest, waited).unwrap();
-        ask.patience
+        let ask: RoutingRequest =
+            statement.ask(id, &class, SessionPositionSource::FromRequest, waited).unwrap();
+        ask.timeout
     };
     let whole = patience(0);
     assert!((880 * MS..900 * MS).contains(&whole));
--- a/proxy/src/reply.rs
+++ b/proxy/src/reply.rs
@@ -14,24 +14,31 @@
 /// What a database's reply came to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    pub ending: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     pub value: Option<Value>,
-    pub note: Option<ServerStatus>,
-    pub report: Option<LoadReport>,
+    pub status: Option<ServerStatus>,
+    pub load_report: Option<LoadReport>,
     /// No process listened there.
-    pub refused: bool,
+    pub connection_refused: bool,
     /// The position of the copy that it answered from.
-    pub copied: Option<Micros>,
+    pub copy_position: Option<Micros>,
 }
 
 impl Reply {
     /// An ending of which the database said nothing.
-    pub fn bare(ending: AttemptOutcome) -> Reply {
-        Reply { ending, value: None, note: None, report: None, refused: false, copied: None }
+    pub fn with_outcome(ending: AttemptOutcome) -> Reply {
+        Reply {
+            outcome: ending,
+            value: None,
+            status: None,
+            load_report: None,
+            connection_refused: false,
+            copy_position: None,
+        }
     }
 
     /// No process listens there.
-    pub fn refused() -> Reply {
-        Reply { refused: true, ..Reply::bare(AttemptOutcome::ConnectFailed) }
+    pub fn connection_refused() -> Reply {
+        Reply { connection_refused: true, ..Reply::with_outcome(AttemptOutcome::ConnectFailed) }
     }
 }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -54,7 +54,7 @@
     fn read(&self, ask: Ask, done: &Done) -> Option<Told> {
         // A primary may have been deposed and not know it: it claims the present, and answers from the past. A replica's position is that
         // of the log that it has applied.
-        let note = |n: usize| done.replies.get(n)?.note.filter(|note| note.role == Role::Replica);
+        let note = |n: usize| done.replies.get(n)?.status.filter(|note| note.role == Role::Replica);
         let position = |n: usize| note(n)?.position;
         let row = |n: usize| Some(done.replies.get(n)?.value.as_ref().map(|v| self.digest(&v.bytes)));
         let process = *self.processes.get(&done.server)?;
@@ -141,14 +141,14 @@
 }
 
 impl Observer for Watch {
-    fn see(&mut self, now: Micros, seen: CoreEvent<'_>) {
+    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
         match seen {
-            CoreEvent::Listed { server, uid, boot_ms, .. } => {
+            CoreEvent::Listed { server, uid, started_ms: boot_ms, .. } => {
                 let process = crate::config::hash(format!("{uid} {boot_ms}").as_bytes());
                 self.processes.insert(server, process);
             }
             CoreEvent::Unlisted { server, .. } => drop(self.processes.remove(&server)),
-            CoreEvent::Served { group, class, key, value }
+            CoreEvent::ReadServed { group, class, key, value }
                 if group.0 == self.split.settings().definition.from =>
             {
                 let row = Some(self.digest(&value.bytes));
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -12,9 +12,9 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestResult {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
 
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 pub struct Stats {
     classes: Vec<(String, Count)>,
-    pub tries: u64,
-    pub loads: u64,
-    pub load_errors: u64,
+    pub attempts: u64,
+    pub configuration_loads: u64,
+    pub configuration_load_errors: u64,
 }
 
 /// What is so just now, asked of its owners.
@@ -46,12 +46,12 @@
         })
     }
 
-    pub fn ended(&mut self, row: usize, end: End) {
+    pub fn ended(&mut self, row: usize, end: RequestResult) {
         let Some((_, count)) = self.classes.get_mut(row) else { return };
         *match end {
-            End::Served => &mut count.passed,
-            End::Refused => &mut count.dropped,
-            End::Failed => &mut count.bad_gateway,
+            RequestResult::Served => &mut count.passed,
+            RequestResult::Rejected => &mut count.dropped,
+            RequestResult::Failed => &mut count.bad_gateway,
         } += 1;
     }
 
@@ -66,12 +66,12 @@
             line(&format!("dropped.{name}"), count.dropped);
             line(&format!("bad_gateway.{name}"), count.bad_gateway);
         }
-        line("upstream_tries", self.tries);
+        line("upstream_tries", self.attempts);
         line("in_progress", gauges.in_progress as u64);
         line("known_databases", gauges.known as u64);
         line("skipped_databases", gauges.skipped as u64);
-        line("loads", self.loads);
-        line("load_errors", self.load_errors);
+        line("loads", self.configuration_loads);
+        line("load_errors", self.configuration_load_errors);
         out
     }
 }
