--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -1,7 +1,7 @@
 //! The admin listener: its listener and callers. It has descriptors of its own, and silent callers make
 //! room for those who speak.
 
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
 use crate::operator::{Call, Caller};
@@ -80,20 +80,20 @@
         self.waiting
     }
 
-    pub fn accept(&mut self, cx: &mut Cx) {
+    pub fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..TURN {
             let Some(listener) = self.listener.as_ref().filter(|_| self.waiting) else { return };
             match listener.accept() {
                 Ok((mut stream, _)) => {
                     if self.slots.len() >= MOST {
                         let oldest = self.slots.iter().min_by_key(|(_, c)| c.since).map(|(k, _)| k);
-                        oldest.into_iter().for_each(|key| self.close(cx, key, "shed"));
+                        oldest.into_iter().for_each(|key| self.close(context, key, "shed"));
                     }
                     let slot = self.slots.vacant_entry();
                     let token = Source::Operator(slot.key()).token();
                     let wanted = Interest::READABLE | Interest::WRITABLE;
-                    if cx.registry.register(&mut stream, token, wanted).is_ok() {
-                        slot.insert(Open { stream, machine: Caller::default(), since: cx.now });
+                    if context.registry.register(&mut stream, token, wanted).is_ok() {
+                        slot.insert(Open { stream, machine: Caller::default(), since: context.now });
                     }
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
@@ -104,27 +104,27 @@
     }
 
     /// Reads what a caller says; its call is the loop's to answer.
-    pub fn ready(&mut self, cx: &mut Cx, key: usize) -> Option<Call> {
+    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) -> Option<Call> {
         let c = self.slots.get_mut(key)?;
         let (machine, mut call, mut read) = (&mut c.machine, None, 0);
-        let drained = stream::read(&mut c.stream, cx.scratch, |bytes| {
+        let drained = stream::read(&mut c.stream, context.scratch, |bytes| {
             read += bytes.len();
             call = call.or_else(|| machine.feed(bytes));
             read < READ_TURN
         });
         if drained == Err(stream::Ended::Reset) {
-            self.close(cx, key, "reset");
+            self.close(context, key, "reset");
             return None;
         }
         if drained.is_err() && call.is_none() {
             call = c.machine.ended();
             if call.is_none() && !c.machine.done() {
-                self.close(cx, key, "closed");
+                self.close(context, key, "closed");
                 return None;
             }
         }
         if call.is_none() {
-            self.write(cx, key);
+            self.write(context, key);
         }
         call
     }
@@ -135,29 +135,29 @@
     }
 
     /// Writes what is to be said, and ends once all of it has gone.
-    pub fn write(&mut self, cx: &mut Cx, key: usize) {
+    pub fn write(&mut self, context: &mut EventLoopContext, key: usize) {
         let Some(c) = self.slots.get_mut(key).filter(|c| c.machine.done()) else { return };
         match stream::write(&mut c.stream, &mut c.machine.out) {
             Ok(false) => {}
             Ok(true) => {
                 let _ = c.stream.shutdown(Shutdown::Write);
-                self.close(cx, key, "answered");
+                self.close(context, key, "answered");
             }
-            Err(_) => self.close(cx, key, "reset"),
+            Err(_) => self.close(context, key, "reset"),
         }
     }
 
-    pub fn sweep(&mut self, cx: &mut Cx) {
+    pub fn sweep(&mut self, context: &mut EventLoopContext) {
         self.waiting = self.listener.is_some();
-        let silent = self.slots.iter().filter(|(_, c)| cx.now - c.since >= SILENT);
+        let silent = self.slots.iter().filter(|(_, c)| context.now - c.since >= SILENT);
         for key in silent.map(|(k, _)| k).collect::<Vec<_>>() {
-            self.close(cx, key, "silent");
+            self.close(context, key, "silent");
         }
     }
 
-    fn close(&mut self, cx: &mut Cx, key: usize, reason: &str) {
+    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) {
         let mut c = self.slots.remove(key);
-        let _ = cx.registry.deregister(&mut c.stream);
+        let _ = context.registry.deregister(&mut c.stream);
         info!(conn = "operator", reason);
     }
 }
--- a/proxy/src/net/agent.rs
+++ b/proxy/src/net/agent.rs
@@ -1,7 +1,7 @@
 //! The connection to discovery's agent, on which the watch is kept up.
 
 use super::Due;
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream::{self, Ended};
 use crate::discovery::{ANSWER, Answer, Backoff, CONNECT, CallError, Update, Watch};
@@ -66,9 +66,9 @@
     }
 
     /// The first call; where proxies are many and share discovery, not with all the others that start now.
-    pub fn start(&mut self, cx: &mut Cx) {
+    pub fn start(&mut self, context: &mut EventLoopContext) {
         let wait = self.backoff.first();
-        self.call_after(cx, wait);
+        self.call_after(context, wait);
     }
 
     /// Other settings are in force from now on.
@@ -78,64 +78,64 @@
 
     /// Discovery is to be found elsewhere: it is called there at once, for what is newer than what was
     /// told before.
-    pub fn moved(&mut self, cx: &mut Cx, address: SocketAddr) {
+    pub fn moved(&mut self, context: &mut EventLoopContext, address: SocketAddr) {
         if self.address == address {
             return;
         }
         self.address = address;
         self.watch.moved(address.to_string());
         self.backoff.answered();
-        self.hang_up(cx, "moved");
-        self.call(cx);
+        self.hang_up(context, "moved");
+        self.call(context);
     }
 
     /// A stage begins, which may last so long.
-    fn enter(&mut self, cx: &mut Cx, stage: Stage, limit: Micros) {
+    fn enter(&mut self, context: &mut EventLoopContext, stage: Stage, limit: Micros) {
         self.stage = stage;
         self.turn += 1;
-        cx.timers.set(cx.now + limit, Due::Discovery(self.turn));
+        context.timers.set(context.now + limit, Due::Discovery(self.turn));
     }
 
-    fn call_after(&mut self, cx: &mut Cx, wait: Micros) {
-        self.enter(cx, Stage::Waiting, wait);
+    fn call_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
+        self.enter(context, Stage::Waiting, wait);
     }
 
     /// Makes the next call, on a new connection where there is none.
-    fn call(&mut self, cx: &mut Cx) {
-        (self.called_at, self.held) = (cx.now, self.watch.holds());
+    fn call(&mut self, context: &mut EventLoopContext) {
+        (self.called_at, self.held) = (context.now, self.watch.holds());
         if self.stream.is_none() {
             self.out = Outbox::default();
             let opened = TcpStream::connect(self.address).and_then(|mut stream| {
                 let _ = stream.set_nodelay(true);
                 let interest = Interest::READABLE | Interest::WRITABLE;
-                cx.registry.register(&mut stream, Source::Discovery.token(), interest)?;
+                context.registry.register(&mut stream, Source::Discovery.token(), interest)?;
                 Ok(stream)
             });
             match opened {
                 Ok(stream) => self.stream = Some(stream),
                 Err(_) => {
                     self.starved = true;
-                    return self.failed(cx, &CallError::NoSocket);
+                    return self.failed(context, &CallError::NoSocket);
                 }
             }
             self.out.raw(&self.watch.call());
-            self.enter(cx, Stage::Connecting, CONNECT);
+            self.enter(context, Stage::Connecting, CONNECT);
         } else {
             self.out.raw(&self.watch.call());
-            self.enter(cx, Stage::Called, self.watch.patience());
+            self.enter(context, Stage::Called, self.watch.patience());
         }
-        self.write(cx);
+        self.write(context);
     }
 
     /// The time of a stage is over; one that has gone on since is not disturbed.
-    pub fn due(&mut self, cx: &mut Cx, turn: u64) {
+    pub fn due(&mut self, context: &mut EventLoopContext, turn: u64) {
         if self.turn != turn {
             return;
         }
         match self.stage {
-            Stage::Waiting => self.call(cx),
-            Stage::Connecting => self.failed(cx, &CallError::ConnectTimeout),
-            Stage::Called | Stage::Answering => self.failed(cx, &CallError::Silent),
+            Stage::Waiting => self.call(context),
+            Stage::Connecting => self.failed(context, &CallError::ConnectTimeout),
+            Stage::Called | Stage::Answering => self.failed(context, &CallError::Silent),
         }
     }
 
@@ -144,54 +144,54 @@
         std::mem::take(&mut self.starved)
     }
 
-    fn hang_up(&mut self, cx: &mut Cx, reason: &str) {
+    fn hang_up(&mut self, context: &mut EventLoopContext, reason: &str) {
         if let Some(mut stream) = self.stream.take() {
-            let _ = cx.registry.deregister(&mut stream);
+            let _ = context.registry.deregister(&mut stream);
         }
         info!(conn = "discovery", reason = %Quoted(reason));
     }
 
-    fn failed(&mut self, cx: &mut Cx, error: &CallError) {
-        self.hang_up(cx, &error.to_string());
+    fn failed(&mut self, context: &mut EventLoopContext, error: &CallError) {
+        self.hang_up(context, &error.to_string());
         self.watch.failed();
         let wait = self.backoff.failed(error);
-        self.call_after(cx, wait);
+        self.call_after(context, wait);
     }
 
     /// True: the connection is up, and what waits has been written as far as it goes.
-    fn write(&mut self, cx: &mut Cx) -> bool {
+    fn write(&mut self, context: &mut EventLoopContext) -> bool {
         let Some(stream) = &mut self.stream else { return false };
         if stream.peer_addr().is_err() {
             match stream.take_error() {
                 Ok(None) => {}
-                _ if self.stage == Stage::Connecting => self.failed(cx, &CallError::Connect),
-                _ => self.failed(cx, &CallError::Reset),
+                _ if self.stage == Stage::Connecting => self.failed(context, &CallError::Connect),
+                _ => self.failed(context, &CallError::Reset),
             }
             return false;
         }
         if stream::write(stream, &mut self.out).is_err() {
-            self.failed(cx, &CallError::Reset);
+            self.failed(context, &CallError::Reset);
             return false;
         }
         if self.stage == Stage::Connecting {
-            self.enter(cx, Stage::Called, self.watch.patience());
+            self.enter(context, Stage::Called, self.watch.patience());
         }
         true
     }
 
     /// Reads and writes as far as it goes; news of the list comes out.
-    pub fn ready(&mut self, cx: &mut Cx) -> Option<Update> {
-        if !self.write(cx) {
+    pub fn ready(&mut self, context: &mut EventLoopContext) -> Option<Update> {
+        if !self.write(context) {
             return None;
         }
-        let Heard { answer, ended } = self.read(cx)?;
+        let Heard { answer, ended } = self.read(context)?;
         match (answer, ended) {
-            (Err(error), _) => self.failed(cx, &error),
-            (Ok(Some(answer)), ended) => return self.answered(cx, answer, ended.is_some()),
-            (Ok(None), Some(Ended::Closed)) => self.failed(cx, &CallError::Closed),
-            (Ok(None), Some(Ended::Reset)) => self.failed(cx, &CallError::Reset),
+            (Err(error), _) => self.failed(context, &error),
+            (Ok(Some(answer)), ended) => return self.answered(context, answer, ended.is_some()),
+            (Ok(None), Some(Ended::Closed)) => self.failed(context, &CallError::Closed),
+            (Ok(None), Some(Ended::Reset)) => self.failed(context, &CallError::Reset),
             (Ok(None), None) if self.watch.answering() && self.stage == Stage::Called => {
-                self.enter(cx, Stage::Answering, ANSWER);
+                self.enter(context, Stage::Answering, ANSWER);
             }
             (Ok(None), None) => {}
         }
@@ -199,11 +199,11 @@
     }
 
     /// What has come, and whether the connection ended behind it.
-    fn read(&mut self, cx: &mut Cx) -> Option<Heard> {
+    fn read(&mut self, context: &mut EventLoopContext) -> Option<Heard> {
         let stream = self.stream.as_mut()?;
         let watch = &mut self.watch;
         let mut answer = Ok(None);
-        let ended = stream::read(stream, cx.scratch, |bytes| {
+        let ended = stream::read(stream, context.scratch, |bytes| {
             // On to the end of the input: an end of the connection behind the answer is not told twice.
             if answer == Ok(None) {
                 answer = watch.feed(bytes);
@@ -218,8 +218,8 @@
     }
 
     /// An answer came, and behind it perhaps the end of the connection. The next call follows.
-    fn answered(&mut self, cx: &mut Cx, answer: Answer, ended: bool) -> Option<Update> {
-        cx.core.discovery_answered(cx.now);
+    fn answered(&mut self, context: &mut EventLoopContext, answer: Answer, ended: bool) -> Option<Update> {
+        context.core.discovery_answered(context.now);
         let news = match answer {
             Answer::News(update) => Some(update),
             Answer::Old => None,
@@ -231,13 +231,13 @@
         }
         if ended {
             // Nothing was missed: the next call is a watch again.
-            self.hang_up(cx, &CallError::Closed.to_string());
+            self.hang_up(context, &CallError::Closed.to_string());
             let wait = self.backoff.failed(&CallError::Closed);
-            self.call_after(cx, wait);
-        } else if cx.now - self.called_at < TOO_SOON && empty {
-            self.call_after(cx, TOO_SOON);
+            self.call_after(context, wait);
+        } else if context.now - self.called_at < TOO_SOON && empty {
+            self.call_after(context, TOO_SOON);
         } else {
-            self.call(cx);
+            self.call(context);
         }
         news
     }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -6,7 +6,7 @@
 mod show;
 mod start;
 
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::pool::{Done, Pool};
 use crate::core::Core;
 use crate::hot::Watch;
@@ -146,23 +146,23 @@
     }
 
     /// What the scheduler lets go now is sent.
-    fn start(&mut self, cx: &mut Cx, pool: &mut Pool, divisor: u32) {
-        if cx.now - std::mem::replace(&mut self.turned, cx.now) > STOPPED {
-            self.rests = cx.now + STOPPED;
+    fn start(&mut self, context: &mut EventLoopContext, pool: &mut Pool, divisor: u32) {
+        if context.now - std::mem::replace(&mut self.turned, context.now) > STOPPED {
+            self.rests = context.now + STOPPED;
         }
-        if cx.now < self.rests {
+        if context.now < self.rests {
             return;
         }
         let place = |core: &Core<_>, what: &What| {
             let (group, write) = what.place();
             core.background_candidate(GroupId(group), write, what.yields()).map(|server| server.0)
         };
-        let started = self.scheduler.start(cx.now, divisor, |what| place(cx.core, what));
+        let started = self.scheduler.start(context.now, divisor, |what| place(context.core, what));
         for (number, task, database) in started {
             self.sent += 1;
             let texts = task.what.texts(self.boot.wrapping_add(self.sent));
-            self.out.insert(number, (task.what, cx.now));
-            pool.errand(cx, number, ServerId(database), texts);
+            self.out.insert(number, (task.what, context.now));
+            pool.errand(context, number, ServerId(database), texts);
         }
     }
 
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -105,11 +105,11 @@
         act(&mut background, now);
         background.step(now, view.members, GossipReports::interval(view.members));
         let said = background.say(now);
-        let (mut cx, parts) = self.lend();
+        let (mut context, parts) = self.lend();
         background.ended(now, parts.pool.done());
         // Of two processes of one proxy one acts for it; the other only serves.
         if speaks {
-            background.start(&mut cx, parts.pool, view.divisor());
+            background.start(&mut context, parts.pool, view.divisor());
         }
         background.ended(now, parts.pool.done());
         let next = background.next_change(now);
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -46,7 +46,7 @@
         let predecessor = self.twin.has_predecessor();
         // The one that this process replaces answers until it yields.
         let opened = self.checks.open(if predecessor { None } else { health.as_ref() })?;
-        self.with_checks(|checks, cx| checks.take(cx, health, opened));
+        self.with_checks(|checks, context| checks.take(context, health, opened));
         if predecessor {
             self.ready_from(self.now + NO_WORD);
         }
@@ -106,7 +106,7 @@
             self.tell_balancers(Fact::YieldAt(at));
             match at {
                 Some(at) => {
-                    self.with_own(|_, twin, cx| twin.yields(cx, unix + YIELD));
+                    self.with_own(|_, twin, context| twin.yields(context, unix + YIELD));
                     self.timers.set(at, Due::Yield);
                 }
                 None => self.with_checks(Checks::reopen),
@@ -166,7 +166,7 @@
             self.timers.set(next, Due::Health);
         }
         if !probes.is_empty() {
-            self.with(|_, pool, _, cx| probes.iter().for_each(|s| pool.check(cx, ServerId(s.0))));
+            self.with(|_, pool, _, context| probes.iter().for_each(|s| pool.check(context, ServerId(s.0))));
             self.carry_out();
         }
     }
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -1,6 +1,6 @@
 //! The listeners for balancers' checks: opened and closed with the options, or for another process of this proxy.
 
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::{Checks, Kind};
 use birchreach::Micros;
@@ -63,7 +63,7 @@
     }
 
     /// These options are in force from now on.
-    pub fn take(&mut self, cx: &mut Cx, options: Option<Health>, opened: Opened) {
+    pub fn take(&mut self, context: &mut EventLoopContext, options: Option<Health>, opened: Opened) {
         let wanted = |l: &Listening| {
             options
                 .iter()
@@ -73,11 +73,12 @@
         let (stay, mut go): (Vec<_>, Vec<_>) = self.listening.drain(..).partition(wanted);
         self.listening = stay;
         for l in &mut go {
-            let _ = cx.registry.deregister(&mut l.listener);
+            let _ = context.registry.deregister(&mut l.listener);
         }
         drop(go);
         for mut l in opened.0 {
-            if let Err(e) = cx.registry.register(&mut l.listener, l.kind.source().token(), Interest::READABLE)
+            if let Err(e) =
+                context.registry.register(&mut l.listener, l.kind.source().token(), Interest::READABLE)
             {
                 warn!(event = "health-failed", error = %crate::log::Quoted(e));
                 continue;
@@ -88,29 +89,29 @@
         }
         if options.is_none() {
             let keys: Vec<usize> = self.slots.iter().map(|(key, _)| key).collect();
-            keys.into_iter().for_each(|key| self.close(cx, key, "off"));
+            keys.into_iter().for_each(|key| self.close(context, key, "off"));
         }
         self.options = options;
     }
 
     /// Opens the listeners again that were closed for another process.
-    pub fn reopen(&mut self, cx: &mut Cx) {
+    pub fn reopen(&mut self, context: &mut EventLoopContext) {
         match self.open(self.options.as_ref()) {
             Ok(opened) => {
                 let options = self.options.take();
-                self.take(cx, options, opened);
+                self.take(context, options, opened);
             }
             Err(e) => warn!(event = "health-failed", error = %crate::log::Quoted(e)),
         }
     }
 
     /// Another process answers from now on where it listens too; whoever is connected here hears on.
-    pub fn stop_listening(&mut self, cx: &mut Cx) {
+    pub fn stop_listening(&mut self, context: &mut EventLoopContext) {
         if self.shared {
             self.listening.iter_mut().for_each(|l| l.waiting = true);
-            self.accept(cx);
+            self.accept(context);
             for mut l in self.listening.drain(..) {
-                let _ = cx.registry.deregister(&mut l.listener);
+                let _ = context.registry.deregister(&mut l.listener);
             }
         }
     }
@@ -129,8 +130,8 @@
         self.listening.iter_mut().filter(|l| l.kind.source() == source).for_each(|l| l.waiting = true);
     }
 
-    pub(super) fn accept(&mut self, cx: &mut Cx) {
-        if cx.now < self.from {
+    pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
+        if context.now < self.from {
             return;
         }
         for at in 0..self.listening.len() {
@@ -142,7 +143,7 @@
                 match l.listener.accept() {
                     Ok((stream, _)) => {
                         let kind = l.kind;
-                        self.admit(cx, stream, kind);
+                        self.admit(context, stream, kind);
                     }
                     Err(e) => {
                         use std::io::ErrorKind::{ConnectionAborted, Interrupted};
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -8,7 +8,7 @@
 mod serve;
 
 use super::Due;
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::grpc;
 use crate::health::Watch;
@@ -103,15 +103,15 @@
     }
 
     /// Goes on where the last turn stopped.
-    pub fn go_on(&mut self, cx: &mut Cx) {
+    pub fn go_on(&mut self, context: &mut EventLoopContext) {
         let rest = self.unread.split_off(self.unread.len().min(GO_ON));
         for key in std::mem::replace(&mut self.unread, rest) {
-            self.ready(cx, key);
+            self.ready(context, key);
         }
-        self.accept(cx);
+        self.accept(context);
     }
 
-    fn admit(&mut self, cx: &mut Cx, mut stream: TcpStream, kind: Kind) {
+    fn admit(&mut self, context: &mut EventLoopContext, mut stream: TcpStream, kind: Kind) {
         let Some(most) = self.check_listener(kind).map(|check_listener| check_listener.callers) else {
             return;
         };
@@ -119,13 +119,13 @@
         if of_kind().count() >= most {
             // The one that has been still for longest makes room.
             let oldest = of_kind().min_by_key(|(_, c)| (c.active, c.serial)).map(|(key, _)| key);
-            oldest.into_iter().for_each(|key| self.close(cx, key, "shed"));
+            oldest.into_iter().for_each(|key| self.close(context, key, "shed"));
         }
         let _ = stream.set_nodelay(true);
         let slot = self.slots.vacant_entry();
         let key = slot.key();
         let wanted = Interest::READABLE | Interest::WRITABLE;
-        if cx.registry.register(&mut stream, Source::Check(key).token(), wanted).is_err() {
+        if context.registry.register(&mut stream, Source::Check(key).token(), wanted).is_err() {
             return;
         }
         self.serial += 1;
@@ -134,45 +134,45 @@
             Kind::Agent => Machine::Agent(agent::Caller::default(), None),
             Kind::Grpc => Machine::Grpc(Box::default()),
         };
-        slot.insert(Caller { stream, kind, machine, serial: self.serial, active: cx.now });
+        slot.insert(Caller { stream, kind, machine, serial: self.serial, active: context.now });
         if let Some(agent) =
             self.options.as_ref().and_then(|o| o.agent.as_ref()).filter(|_| kind == Kind::Agent)
         {
-            cx.timers.set(cx.now + agent.ask, Due::Asked(key, self.serial));
+            context.timers.set(context.now + agent.ask, Due::Asked(key, self.serial));
         }
         // What was sent with the connect is there already.
-        self.ready(cx, key);
+        self.ready(context, key);
     }
 
     /// A balancer has said nothing for long enough: it asks for the whole.
-    pub fn asked(&mut self, cx: &mut Cx, key: usize, serial: u64) {
+    pub fn asked(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
         let Some(c) = self.slots.get_mut(key).filter(|c| c.serial == serial) else { return };
         if let Machine::Agent(machine, reply @ None) = &mut c.machine
             && let Some(asked) = machine.ended()
         {
-            *reply = Some(say(cx, &asked, self.options.as_ref(), self.watch.as_ref()));
-            self.ready(cx, key);
+            *reply = Some(say(context, &asked, self.options.as_ref(), self.watch.as_ref()));
+            self.ready(context, key);
         }
     }
 
     /// The caller's turn: it is read, answered and written as far as that takes it.
-    pub fn ready(&mut self, cx: &mut Cx, key: usize) {
+    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) {
         let (options, watch) = (self.options.as_ref(), self.watch.as_ref());
         let Some(c) = self.slots.get_mut(key) else { return };
         let over = match &mut c.machine {
-            Machine::Http(_) => serve_http(cx, c, watch),
-            Machine::Agent(..) => serve_agent(cx, c, options, watch),
-            Machine::Grpc(_) => serve_grpc(cx, c, watch),
+            Machine::Http(_) => serve_http(context, c, watch),
+            Machine::Agent(..) => serve_agent(context, c, options, watch),
+            Machine::Grpc(_) => serve_grpc(context, c, watch),
         };
         match over {
-            Serve::Over(reason) => self.close(cx, key, reason),
+            Serve::Over(reason) => self.close(context, key, reason),
             Serve::More => self.unread.push(key),
             Serve::Waits => {}
         }
     }
 
     /// Closes those that stop halfway, say nothing, or read nothing.
-    pub fn sweep(&mut self, cx: &mut Cx) {
+    pub fn sweep(&mut self, context: &mut EventLoopContext) {
         self.listening.iter_mut().for_each(|l| l.waiting = true);
         let Some(options) = &self.options else { return };
         let idle = options.http.as_ref().map_or(0, |http| http.idle);
@@ -182,7 +182,7 @@
         for (key, c) in &mut self.slots {
             if let Machine::Grpc(m) = &mut c.machine
                 && m.watches()
-                && cx.now - c.active >= grpc_idle / 2
+                && context.now - c.active >= grpc_idle / 2
             {
                 m.ping();
                 pinged.push(key);
@@ -199,23 +199,23 @@
                 }
                 _ => (check_listener, "silent"),
             };
-            (cx.now - c.active >= long).then_some(reason)
+            (context.now - c.active >= long).then_some(reason)
         };
         let old: Vec<_> = self.slots.iter().filter_map(|(key, c)| Some((key, silent(c)?))).collect();
-        old.into_iter().for_each(|(key, reason)| self.close(cx, key, reason));
-        pinged.into_iter().for_each(|key| self.ready(cx, key));
+        old.into_iter().for_each(|(key, reason)| self.close(context, key, reason));
+        pinged.into_iter().for_each(|key| self.ready(context, key));
     }
 
     /// Something is told otherwise from now on: who watches hears of it.
-    pub fn changed(&mut self, cx: &mut Cx) {
+    pub fn changed(&mut self, context: &mut EventLoopContext) {
         let watches = |c: &Caller| matches!(&c.machine, Machine::Grpc(m) if m.watches());
         let keys: Vec<usize> = self.slots.iter().filter(|(_, c)| watches(c)).map(|(key, _)| key).collect();
-        keys.into_iter().for_each(|key| self.ready(cx, key));
+        keys.into_iter().for_each(|key| self.ready(context, key));
     }
 
-    fn close(&mut self, cx: &mut Cx, key: usize, reason: &'static str) {
+    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: &'static str) {
         let mut c = self.slots.remove(key);
-        let _ = cx.registry.deregister(&mut c.stream);
+        let _ = context.registry.deregister(&mut c.stream);
         // Checks come by the hundred a second: those that went as they should are not worth the lines of others.
         match reason {
             "answered" | "closed" | "idle" => tracing::debug!(conn = "check", kind = c.kind.word(), reason),
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -1,6 +1,6 @@
 //! A caller's turn: what it asks is read, and answered with the monitor's verdict of this moment.
 
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
 use super::{Caller, Machine};
 use crate::health::Watch;
@@ -23,20 +23,20 @@
     Waits,
 }
 
-pub(super) fn serve_http(cx: &mut Cx, c: &mut Caller, watch: Watched) -> Serve {
+pub(super) fn serve_http(context: &mut EventLoopContext, c: &mut Caller, watch: Watched) -> Serve {
     let Machine::Http(machine) = &mut c.machine else { return Serve::Waits };
     let before = (machine.calls(), machine.out.len());
     let read = if machine.hungry() {
-        let most = PIECE.min(cx.scratch.len());
-        stream::read(&mut c.stream, &mut cx.scratch[..most], |bytes| {
+        let most = PIECE.min(context.scratch.len());
+        stream::read(&mut c.stream, &mut context.scratch[..most], |bytes| {
             machine.feed(bytes);
             machine.hungry()
         })
     } else {
         Ok(false)
     };
-    let now = cx.now;
-    let core = &*cx.core;
+    let now = context.now;
+    let core = &*context.core;
     let Some(watch) = watch else { return Serve::Over("off") };
     let name = |server: birchreach_health::Server| core.server_name(ServerId(server.0)).to_string();
     let all = machine.run(now, watch.borrow_mut().verdict(now), &name);
@@ -61,12 +61,12 @@
     }
 }
 
-pub(super) fn serve_grpc(cx: &mut Cx, c: &mut Caller, watch: Watched) -> Serve {
+pub(super) fn serve_grpc(context: &mut EventLoopContext, c: &mut Caller, watch: Watched) -> Serve {
     let Machine::Grpc(machine) = &mut c.machine else { return Serve::Waits };
     let before = machine.events();
     let read = if machine.hungry() {
-        let most = PIECE.min(cx.scratch.len());
-        stream::read(&mut c.stream, &mut cx.scratch[..most], |bytes| {
+        let most = PIECE.min(context.scratch.len());
+        stream::read(&mut c.stream, &mut context.scratch[..most], |bytes| {
             machine.feed(bytes);
             machine.hungry()
         })
@@ -79,7 +79,7 @@
     if read.is_err() {
         machine.ended();
     }
-    let now = cx.now;
+    let now = context.now;
     let Some(watch) = watch else { return Serve::Over("off") };
     let more = machine.run(watch.borrow_mut().verdict(now));
     let out = machine.take_out();
@@ -96,10 +96,15 @@
     if unread && !machine.has_out() { Serve::More } else { Serve::Waits }
 }
 
-pub(super) fn serve_agent(cx: &mut Cx, c: &mut Caller, options: Option<&Health>, watch: Watched) -> Serve {
+pub(super) fn serve_agent(
+    context: &mut EventLoopContext,
+    c: &mut Caller,
+    options: Option<&Health>,
+    watch: Watched,
+) -> Serve {
     let Machine::Agent(machine, reply) = &mut c.machine else { return Serve::Waits };
     let mut asked = None;
-    let read = stream::read(&mut c.stream, cx.scratch, |bytes| {
+    let read = stream::read(&mut c.stream, context.scratch, |bytes| {
         asked = asked.take().or_else(|| machine.feed(bytes));
         asked.is_none()
     });
@@ -107,7 +112,7 @@
         if read == Err(stream::Ended::Closed) {
             asked = asked.or_else(|| machine.ended());
         }
-        *reply = asked.map(|asked| say(cx, &asked, options, watch));
+        *reply = asked.map(|asked| say(context, &asked, options, watch));
     }
     let Some(bytes) = reply else {
         return if read.is_err() { Serve::Over("reset") } else { Serve::Waits };
@@ -126,10 +131,15 @@
 }
 
 /// The reply to an agent-check.
-pub(super) fn say(cx: &mut Cx, asked: &agent::Asked, options: Option<&Health>, watch: Watched) -> Vec<u8> {
+pub(super) fn say(
+    context: &mut EventLoopContext,
+    asked: &agent::Asked,
+    options: Option<&Health>,
+    watch: Watched,
+) -> Vec<u8> {
     let Some(watch) = watch else { return Vec::new() };
     let mut watch = watch.borrow_mut();
-    let verdict = watch.verdict(cx.now);
+    let verdict = watch.verdict(context.now);
     let maxconn = options.and_then(|o| o.agent.as_ref()).filter(|a| a.maxconn).map(|_| verdict.room);
     agent::reply(asked, verdict, maxconn).into_bytes()
 }
--- a/proxy/src/net/clients/converse.rs
+++ b/proxy/src/net/clients/converse.rs
@@ -1,6 +1,6 @@
 //! A client's turn: its input is read and decoded, its statements are taken or answered with what is wrong, its answers written.
 
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::pool::Work;
 use super::super::stream::{self, Ended};
 use super::Clients;
@@ -29,14 +29,14 @@
 impl Admission {
     pub fn ask(
         &mut self,
-        cx: &Cx,
+        context: &EventLoopContext,
         s: &Statement,
         arrived: Micros,
     ) -> Result<RoutingRequest, (&'static str, &'static str)> {
-        let class = cx.core.find_class(cx.now, &s.class);
+        let class = context.core.find_class(context.now, &s.class);
         let (id, class) = class.ok_or((sqlstate::INVALID_VALUE, "c names no class"))?;
-        let ask = s.ask(id, class, cx.core.session_positions(), cx.now - arrived)?;
-        if !cx.core.has_group(ask.group) {
+        let ask = s.ask(id, class, context.core.session_positions(), context.now - arrived)?;
+        if !context.core.has_group(ask.group) {
             return Err((sqlstate::INVALID_VALUE, "cluster names no group"));
         }
         if !self.ids.insert(s.id().into()) {
@@ -47,9 +47,9 @@
 }
 
 impl Clients {
-    pub(super) fn go(&mut self, cx: &mut Cx, key: usize) {
+    pub(super) fn go(&mut self, context: &mut EventLoopContext, key: usize) {
         let Some(c) = self.slots.get_mut(key) else { return };
-        let over = Self::serve(cx, &mut self.admission, key, c);
+        let over = Self::serve(context, &mut self.admission, key, c);
         let settles = c.unclassified && c.request.is_some();
         c.unclassified &= !settles;
         if let Some((attempt, fed @ true)) = &mut c.passing
@@ -59,33 +59,46 @@
             self.wants_data.push(*attempt);
         }
         match over {
-            Some(reason) => self.close(cx, key, reason),
+            Some(reason) => self.close(context, key, reason),
             None if self.leaving && c.request.is_none() && c.machine.finished() => {
-                self.close(cx, key, "stopping");
+                self.close(context, key, "stopping");
+            }
+            None if c.last && c.request.is_none() && c.machine.idle() => {
+                self.close(context, key, "handed-over")
             }
-            None if c.last && c.request.is_none() && c.machine.idle() => self.close(cx, key, "handed-over"),
             None if c.unread => self.unread.push(key),
             None => {}
         }
         if settles {
             self.unclassified -= 1;
             if self.unclassified_allowance > 0 {
-                self.room(cx, Some(key));
+                self.room(context, Some(key));
             }
         }
     }
 
     /// The reason, if the connection is over.
-    fn serve(cx: &mut Cx, admission: &mut Admission, key: usize, c: &mut Client) -> Option<&'static str> {
+    fn serve(
+        context: &mut EventLoopContext,
+        admission: &mut Admission,
+        key: usize,
+        c: &mut Client,
+    ) -> Option<&'static str> {
         // A client that sends without end gets its turn like all others.
         c.unread = false;
-        let over = if c.draining() { Self::linger(cx, c) } else { Self::converse(cx, admission, key, c) };
+        let over =
+            if c.draining() { Self::linger(context, c) } else { Self::converse(context, admission, key, c) };
         let halfway = c.request.is_none() && c.machine.unfinished();
-        c.unfinished = halfway.then(|| c.unfinished.unwrap_or(cx.now));
+        c.unfinished = halfway.then(|| c.unfinished.unwrap_or(context.now));
         over
     }
 
-    fn converse(cx: &mut Cx, admission: &mut Admission, key: usize, c: &mut Client) -> Option<&'static str> {
+    fn converse(
+        context: &mut EventLoopContext,
+        admission: &mut Admission,
+        key: usize,
+        c: &mut Client,
+    ) -> Option<&'static str> {
         for _ in 0..ROUNDS {
             let hungry = c.closing.is_none() && c.machine.hungry();
             if c.ended && !hungry {
@@ -93,11 +106,11 @@
                 return Some(c.closing.map_or("client-closed", |(reason, _)| reason));
             }
             let mut read = 0;
-            let (machine, now) = (&mut c.machine, cx.now);
+            let (machine, now) = (&mut c.machine, context.now);
             let drained = if !hungry {
                 Ok(true)
             } else {
-                stream::read(&mut c.stream, cx.scratch, |bytes| {
+                stream::read(&mut c.stream, context.scratch, |bytes| {
                     read += bytes.len();
                     machine.feed(now, bytes);
                     machine.hungry() && read < READ_TURN
@@ -115,11 +128,11 @@
                     return Some(c.closing.map_or(reason, |(reason, _)| reason));
                 }
             };
-            Self::run(cx, admission, key, c);
+            Self::run(context, admission, key, c);
             let waiting = c.machine.out.pending().len();
             let written = stream::write(&mut c.stream, &mut c.machine.out);
             if read > 0 || c.machine.out.pending().len() < waiting {
-                c.active = cx.now;
+                c.active = context.now;
             }
             match written {
                 Err(_) => return Some("client-reset"),
@@ -130,15 +143,15 @@
                 None => {}
                 Some((reason, CloseMode::AfterFlush)) => {
                     let _ = c.stream.shutdown(Shutdown::Write);
-                    let (until, spare) = (cx.now + LINGER, SPARE_INPUT);
+                    let (until, spare) = (context.now + LINGER, SPARE_INPUT);
                     c.closing = Some((reason, CloseMode::Draining { until, spare }));
-                    return Self::linger(cx, c);
+                    return Self::linger(context, c);
                 }
                 Some((reason, _)) => return Some(reason),
             }
             // Room again: what was held back for a slow reader goes on. Input that was not read to its
             // end must be asked for now, for the socket does not tell of it twice.
-            Self::run(cx, admission, key, c);
+            Self::run(context, admission, key, c);
             let more = !hungry || !drained;
             let held_back = c.closing.is_some() || !c.machine.out.pending().is_empty();
             let unread = more && c.machine.hungry();
@@ -152,11 +165,11 @@
     }
 
     /// Passes over what still comes from one that has been told why it is closed.
-    fn linger(cx: &mut Cx, c: &mut Client) -> Option<&'static str> {
+    fn linger(context: &mut EventLoopContext, c: &mut Client) -> Option<&'static str> {
         let Some((reason, CloseMode::Draining { spare, .. })) = &mut c.closing else { return None };
         let mut left = (*spare).min(READ_TURN);
         let before = left;
-        let drained = stream::read(&mut c.stream, cx.scratch, |bytes| {
+        let drained = stream::read(&mut c.stream, context.scratch, |bytes| {
             left = left.saturating_sub(bytes.len());
             left > 0
         });
@@ -169,20 +182,21 @@
     }
 
     /// Carries the client's commands out, until one has to be waited for.
-    fn run(cx: &mut Cx, admission: &mut Admission, key: usize, c: &mut Client) {
+    fn run(context: &mut EventLoopContext, admission: &mut Admission, key: usize, c: &mut Client) {
         while c.request.is_none() && c.closing.is_none() {
-            match c.machine.next(cx.now) {
+            match c.machine.next(context.now) {
                 None => return,
                 Some(ClientCommand::Close(reason)) => c.closing = Some((reason, CloseMode::Immediate)),
                 Some(ClientCommand::CloseWithError(reason)) => {
                     c.closing = Some((reason, CloseMode::AfterFlush))
                 }
                 Some(ClientCommand::Run(statement, arrived)) => {
-                    match admission.ask(cx, &statement, arrived) {
+                    match admission.ask(context, &statement, arrived) {
                         Err((code, message)) => c.machine.reject(code, message),
                         Ok(ask) => {
                             let work = Work::new(statement);
-                            c.request = Some((cx.core.request(cx.now, key, ask, work.clone()), work));
+                            c.request =
+                                Some((context.core.request(context.now, key, ask, work.clone()), work));
                         }
                     }
                 }
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -5,7 +5,7 @@
 mod places;
 mod times;
 
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::core::{Answer, Attempt};
 use birchreach::RequestId;
@@ -101,11 +101,11 @@
     }
 
     /// Goes on where the last turn stopped.
-    pub fn go_on(&mut self, cx: &mut Cx) {
+    pub fn go_on(&mut self, context: &mut EventLoopContext) {
         for key in std::mem::take(&mut self.unread) {
-            self.ready(cx, key);
+            self.ready(context, key);
         }
-        self.accept(cx);
+        self.accept(context);
     }
 
     pub fn is_empty(&self) -> bool {
@@ -113,10 +113,10 @@
     }
 
     /// The connection's turn: it is read, run and written as far as that takes it.
-    pub fn ready(&mut self, cx: &mut Cx, key: usize) {
+    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) {
         if let Some(c) = self.slots.get_mut(key) {
             c.machine.turn();
-            self.go(cx, key);
+            self.go(context, key);
         }
     }
 
@@ -137,33 +137,46 @@
     }
 
     /// A long value begins.
-    pub fn begin(&mut self, cx: &mut Cx, key: usize, request: RequestId, attempt: Attempt, length: usize) {
+    pub fn begin(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: usize,
+        request: RequestId,
+        attempt: Attempt,
+        length: usize,
+    ) {
         if let Some(c) = self.holder(key, request) {
             c.passing = Some((attempt, true));
             c.machine.begin(true, length);
-            self.go(cx, key);
+            self.go(context, key);
         }
     }
 
     /// More of it has come.
-    pub fn piece(&mut self, cx: &mut Cx, key: usize, request: RequestId, bytes: &[u8]) {
+    pub fn piece(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId, bytes: &[u8]) {
         let Some(c) = self.holder(key, request) else { return };
         if let Some((_, fed)) = &mut c.passing {
             *fed = true;
         }
         c.machine.out.raw(bytes);
-        self.go(cx, key);
+        self.go(context, key);
     }
 
     /// The rest of it will not come: the client is to see that it is not whole.
-    pub fn broken(&mut self, cx: &mut Cx, key: usize, request: RequestId) {
+    pub fn broken(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId) {
         if self.holder(key, request).is_some() {
-            self.close(cx, key, "cut-short");
+            self.close(context, key, "cut-short");
         }
     }
 
     /// The answer to a client's request.
-    pub fn answer(&mut self, cx: &mut Cx, key: usize, request: RequestId, answer: &Answer) {
+    pub fn answer(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: usize,
+        request: RequestId,
+        answer: &Answer,
+    ) {
         let Some(c) = self.slots.get_mut(key) else { return };
         let Some((_, work)) = c.request.take_if(|(id, _)| *id == request) else { return };
         self.admission.ids.remove(work.id());
@@ -171,13 +184,13 @@
         c.last = self.handing;
         c.passing = None;
         c.machine.answer(answer);
-        self.go(cx, key);
+        self.go(context, key);
     }
 
     /// Closes the connection and logs why.
-    fn close(&mut self, cx: &mut Cx, key: usize, reason: &str) {
+    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) {
         let mut c = self.slots.remove(key);
-        let _ = cx.registry.deregister(&mut c.stream);
+        let _ = context.registry.deregister(&mut c.stream);
         self.unclassified -= usize::from(c.unclassified);
         let looked = self.unclassified_allowance > 0
             && c.unclassified
@@ -190,7 +203,7 @@
         }
         if let Some((request, work)) = c.request {
             self.admission.ids.remove(work.id());
-            cx.core.client_disconnected(cx.now, request);
+            context.core.client_disconnected(context.now, request);
         }
     }
 }
--- a/proxy/src/net/clients/places.rs
+++ b/proxy/src/net/clients/places.rs
@@ -1,7 +1,7 @@
 //! Who may come in: newcomers are accepted while there are places, and idle clients make room for them.
 
 use super::super::Due;
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::pause::{self, Point};
 use super::super::sources::Source;
 use super::client::{Client, NEWCOMER};
@@ -22,10 +22,10 @@
 
 impl Clients {
     /// So many places there are from now on; idle clients beyond them make room.
-    pub fn limit(&mut self, cx: &mut Cx, most: usize) {
+    pub fn limit(&mut self, context: &mut EventLoopContext, most: usize) {
         (self.most, self.many) = (most, most * 2 / 5);
         for _ in self.most..self.occupied() {
-            self.shed(cx, None, NEWCOMER);
+            self.shed(context, None, NEWCOMER);
         }
     }
 
@@ -40,11 +40,11 @@
     }
 
     /// A newcomer takes a place: others make room, after the fact, for only now it is known that someone came.
-    pub(super) fn room(&mut self, cx: &mut Cx, newcomer: Option<usize>) {
+    pub(super) fn room(&mut self, context: &mut EventLoopContext, newcomer: Option<usize>) {
         if self.occupied() > self.most || self.spare.is_none() {
-            self.shed(cx, newcomer, NEWCOMER);
+            self.shed(context, newcomer, NEWCOMER);
         } else if self.occupied() > self.many {
-            self.shed(cx, newcomer, NEWCOMER - 1);
+            self.shed(context, newcomer, NEWCOMER - 1);
         }
     }
 
@@ -53,20 +53,20 @@
         self.waiting && !self.retry_set && !self.handing && !self.learning && self.listener.is_some()
     }
 
-    pub(super) fn accept(&mut self, cx: &mut Cx) {
+    pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..TURN {
             if !self.can_accept() {
                 return;
             }
             if self.occupied() >= self.most && !self.slots.iter().any(|(_, c)| c.can_be_shed()) {
                 // Nobody can make room: newcomers wait outside.
-                return self.pause(cx);
+                return self.pause(context);
             }
             let Some(listener) = &self.listener else { return };
             match listener.accept() {
                 Ok((stream, peer)) => {
-                    let key = self.admit(cx, stream, peer);
-                    self.room(cx, key);
+                    let key = self.admit(context, stream, peer);
+                    self.room(context, key);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => self.waiting = false,
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
@@ -75,17 +75,17 @@
                 Err(e) => {
                     // Trying again at once would spin.
                     warn!(event = "accept-failed", error = %Quoted(e));
-                    self.shed(cx, None, NEWCOMER);
-                    self.pause(cx);
+                    self.shed(context, None, NEWCOMER);
+                    self.pause(context);
                 }
             }
             self.spare = self.spare.take().or_else(spare);
         }
     }
 
-    fn pause(&mut self, cx: &mut Cx) {
+    fn pause(&mut self, context: &mut EventLoopContext) {
         self.retry_set = true;
-        cx.timers.set(cx.now + ACCEPT_AGAIN, Due::Accept);
+        context.timers.set(context.now + ACCEPT_AGAIN, Due::Accept);
     }
 
     pub fn accept_again(&mut self) {
@@ -93,34 +93,42 @@
     }
 
     /// Databases lack descriptors that clients hold.
-    pub fn make_room(&mut self, cx: &mut Cx) {
-        self.shed(cx, None, NEWCOMER);
+    pub fn make_room(&mut self, context: &mut EventLoopContext) {
+        self.shed(context, None, NEWCOMER);
     }
 
     /// Closes the client that makes room first, but not the newcomer, nor one of a higher class.
-    fn shed(&mut self, cx: &mut Cx, newcomer: Option<usize>, class: u8) {
+    fn shed(&mut self, context: &mut EventLoopContext, newcomer: Option<usize>, class: u8) {
         for _ in 0..TURN {
             let can_be_shed = self.slots.iter().filter(|(k, c)| Some(*k) != newcomer && c.can_be_shed());
-            let ranks = can_be_shed.map(|(k, c)| (c.rank(cx.now), k));
+            let ranks = can_be_shed.map(|(k, c)| (c.rank(context.now), k));
             let first = ranks.filter(|(rank, _)| rank.0 <= class).min();
             let Some((before, key)) = first else { return };
             pause::at(Point::Shed);
             // What came in meanwhile is read first: a request must not cross with the end.
-            self.ready(cx, key);
+            self.ready(context, key);
             match self.slots.get(key) {
                 None => return,
-                Some(c) if c.can_be_shed() && c.rank(cx.now) == before => return self.close(cx, key, "shed"),
+                Some(c) if c.can_be_shed() && c.rank(context.now) == before => {
+                    return self.close(context, key, "shed");
+                }
                 Some(_) => {}
             }
         }
     }
 
-    pub(super) fn admit(&mut self, cx: &mut Cx, mut stream: TcpStream, peer: SocketAddr) -> Option<usize> {
+    pub(super) fn admit(
+        &mut self,
+        context: &mut EventLoopContext,
+        mut stream: TcpStream,
+        peer: SocketAddr,
+    ) -> Option<usize> {
         let _ = stream.set_nodelay(true);
         let slot = self.slots.vacant_entry();
         let key = slot.key();
         let token = Source::Client(key).token();
-        if let Err(e) = cx.registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE) {
+        if let Err(e) = context.registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)
+        {
             warn!(conn = "client", %peer, reason = "no-socket", error = %Quoted(e));
             return None;
         }
@@ -135,9 +143,9 @@
             ended: false,
             unread: false,
             closing: None,
-            active: cx.now,
+            active: context.now,
             last: false,
-            unfinished: Some(cx.now),
+            unfinished: Some(context.now),
         });
         self.unclassified += 1;
         Some(key)
--- a/proxy/src/net/clients/times.rs
+++ b/proxy/src/net/clients/times.rs
@@ -1,6 +1,6 @@
 //! What a client's time runs out for, and how all of them go when the process does.
 
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::pause::{self, Point};
 use super::Clients;
 use super::client::{Client, CloseMode};
@@ -36,21 +36,21 @@
 
     /// Closes those that stop halfway, through their startup, a message, or the reading of an answer, and
     /// those that ask no more. Left alone, they could take every place.
-    pub fn sweep(&mut self, cx: &mut Cx) {
-        let keys = self.slots.iter().filter(|(_, c)| Self::expired(c, cx.now).is_some());
+    pub fn sweep(&mut self, context: &mut EventLoopContext) {
+        let keys = self.slots.iter().filter(|(_, c)| Self::expired(c, context.now).is_some());
         for key in keys.map(|(k, _)| k).collect::<Vec<_>>() {
             pause::at(Point::Sweep);
             // What came in meanwhile is read first: a request must not cross with the end.
-            self.ready(cx, key);
+            self.ready(context, key);
             let Some(c) = self.slots.get_mut(key) else { continue };
-            match Self::expired(c, cx.now) {
+            match Self::expired(c, context.now) {
                 Some(reason @ "unfinished") if c.closing.is_none() => {
                     c.machine.time_out();
                     c.closing = Some((reason, CloseMode::AfterFlush));
-                    c.active = cx.now;
-                    self.ready(cx, key);
+                    c.active = context.now;
+                    self.ready(context, key);
                 }
-                Some(reason) => self.close(cx, key, reason),
+                Some(reason) => self.close(context, key, reason),
                 None => {}
             }
         }
@@ -58,34 +58,34 @@
 
     /// Another process has the listening socket too, and takes whoever waits in its queue: nobody more is
     /// accepted here, and each client is sent there behind its next answer.
-    pub fn hand_over(&mut self, cx: &mut Cx) {
+    pub fn hand_over(&mut self, context: &mut EventLoopContext) {
         if let Some(mut listener) = self.listener.take() {
-            let _ = cx.registry.deregister(&mut listener);
+            let _ = context.registry.deregister(&mut listener);
         }
         self.handing = true;
     }
 
     /// Accepts and reads what has arrived, then takes no more, and closes each connection once that is answered: a client that
     /// sends one command behind the other would else have one in hand when the process is killed.
-    pub fn leave(&mut self, cx: &mut Cx) {
+    pub fn leave(&mut self, context: &mut EventLoopContext) {
         pause::at(Point::Leave);
         self.waiting = true;
         self.retry_set = false;
         while self.can_accept() {
-            self.accept(cx);
+            self.accept(context);
         }
         if let Some(mut listener) = self.listener.take() {
-            let _ = cx.registry.deregister(&mut listener);
+            let _ = context.registry.deregister(&mut listener);
         }
         self.leaving = true;
         for key in self.slots.iter().map(|(k, _)| k).collect::<Vec<_>>() {
-            self.ready(cx, key);
+            self.ready(context, key);
             let Some(c) = self.slots.get_mut(key) else { continue };
             c.machine.last_call();
             if c.machine.starting() {
-                self.close(cx, key, "stopping");
+                self.close(context, key, "stopping");
             } else {
-                self.go(cx, key);
+                self.go(context, key);
             }
         }
     }
--- a/proxy/src/net/due.rs
+++ b/proxy/src/net/due.rs
@@ -44,29 +44,29 @@
         if let Due::Module(id) = due {
             return self.core.timer_fired(self.now, id);
         }
-        self.with(|clients, pool, agent, cx| match due {
+        self.with(|clients, pool, agent, context| match due {
             Due::Module(_) | Due::Leave | Due::Exit | Due::Depart => {}
             Due::Asked(..) | Due::Health | Due::HealthTick | Due::Yield | Due::Checks => {}
             Due::Gossip | Due::GossipSend(..) | Due::Fleet | Due::Background => {}
-            Due::Attempt(attempt) => pool.overdue(cx, attempt),
-            Due::Connect(key, serial) => pool.connect_overdue(cx, key, serial),
-            Due::Probe(key, turn) => pool.probe_overdue(cx, key, turn),
-            Due::Rested(key, serial) => pool.rested(cx, key, serial),
+            Due::Attempt(attempt) => pool.overdue(context, attempt),
+            Due::Connect(key, serial) => pool.connect_overdue(context, key, serial),
+            Due::Probe(key, turn) => pool.probe_overdue(context, key, turn),
+            Due::Rested(key, serial) => pool.rested(context, key, serial),
             Due::Accept => clients.accept_again(),
-            Due::Discovery(turn) => agent.due(cx, turn),
+            Due::Discovery(turn) => agent.due(context, turn),
             Due::Sweep => {
-                clients.sweep(cx);
-                pool.sweep(cx);
-                cx.timers.set(cx.now + SWEEP, Due::Sweep);
+                clients.sweep(context);
+                pool.sweep(context);
+                context.timers.set(context.now + SWEEP, Due::Sweep);
             }
         });
         match due {
             Due::Sweep => {
                 let (stopping, held) = (self.stopping, self.clients.len() + self.pool.len());
-                self.with_own(|admin, twin, cx| {
-                    admin.sweep(cx);
+                self.with_own(|admin, twin, context| {
+                    admin.sweep(context);
                     if stopping {
-                        twin.leaving(cx, held);
+                        twin.leaving(context, held);
                     }
                 });
                 let (_, for_databases) = self.places();
@@ -74,14 +74,16 @@
                 self.with_gossip(|gossip, _| gossip.pressed(pressure));
                 self.check_doors();
             }
-            Due::Asked(key, serial) => self.with_checks(|checks, cx| checks.asked(cx, key, serial)),
+            Due::Asked(key, serial) => self.with_checks(|checks, context| checks.asked(context, key, serial)),
             // The look at the end of the turn does the rest.
             Due::Health => self.health.timer = self.health.timer.filter(|at| *at > self.now),
             Due::HealthTick => self.tell_load(),
             Due::Yield if self.health.yielding => self.with_checks(Checks::stop_listening),
             Due::Checks if self.checks.lacks() => self.with_checks(Checks::reopen),
             Due::Gossip => self.with_gossip(Gossip::step),
-            Due::GossipSend(key, serial) => self.with_gossip(|gossip, cx| gossip.go_on(cx, key, serial)),
+            Due::GossipSend(key, serial) => {
+                self.with_gossip(|gossip, context| gossip.go_on(context, key, serial))
+            }
             Due::Fleet => self.with_fleet(|fellows, now| fellows.due(now)),
             Due::Background => self.with_background(|_, _| {}),
             Due::Depart => self.depart(),
--- a/proxy/src/net/cx.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -7,7 +7,7 @@
 use birchreach::Micros;
 use mio::Registry;
 
-pub struct Cx<'a> {
+pub struct EventLoopContext<'a> {
     pub now: Micros,
     pub registry: &'a Registry,
     pub timers: &'a mut Timers<Due>,
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -92,7 +92,7 @@
             background.hear(self.now, fresh);
         }
         if let Some(peer) = exchange {
-            self.with_gossip(|gossip, cx| gossip.exchange(cx, peer));
+            self.with_gossip(|gossip, context| gossip.exchange(context, peer));
         }
     }
 }
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -7,7 +7,7 @@
 mod views;
 
 use super::Due;
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use birchreach::Micros;
 use birchreach_peer_state::exchange::Exchange;
@@ -105,26 +105,26 @@
     }
 
     /// What is due: links to be accepted, donors to be asked, links that have had their time.
-    pub fn step(&mut self, cx: &mut Cx) {
+    pub fn step(&mut self, context: &mut EventLoopContext) {
         let old: Vec<usize> =
-            self.slots.iter().filter(|(_, l)| cx.now - l.since >= LIFE).map(|(key, _)| key).collect();
-        old.into_iter().for_each(|key| self.end(cx, key, Next::Over("silent")));
-        self.accept(cx);
-        let mut next = cx.now + 1_000_000;
-        let asked = self.lessons.iter_mut().flat_map(|l| l.joiner.step(cx.now)).collect::<Vec<_>>();
+            self.slots.iter().filter(|(_, l)| context.now - l.since >= LIFE).map(|(key, _)| key).collect();
+        old.into_iter().for_each(|key| self.end(context, key, Next::Over("silent")));
+        self.accept(context);
+        let mut next = context.now + 1_000_000;
+        let asked = self.lessons.iter_mut().flat_map(|l| l.joiner.step(context.now)).collect::<Vec<_>>();
         for donor in asked {
-            let ends = |machine| Ends::Asks { machine, donor: donor.clone(), asked_at: cx.now };
+            let ends = |machine| Ends::Asks { machine, donor: donor.clone(), asked_at: context.now };
             let Some(lessons) = &self.lessons else { break };
             let asks = lessons.ask(&donor).map(|(stream, peer, machine)| (stream, peer, ends(machine)));
-            if let Err(why) = asks.and_then(|(stream, peer, ends)| self.link(cx, stream, peer, ends)) {
-                self.lessons.iter_mut().for_each(|l| l.joiner.ended(cx.now, &donor, End::Failed));
+            if let Err(why) = asks.and_then(|(stream, peer, ends)| self.link(context, stream, peer, ends)) {
+                self.lessons.iter_mut().for_each(|l| l.joiner.ended(context.now, &donor, End::Failed));
                 info!(conn = "knowledge", peer = donor, reason = why);
             }
         }
         if let Some(lessons) = &self.lessons {
-            next = next.min(lessons.joiner.next_change(cx.now));
+            next = next.min(lessons.joiner.next_change(context.now));
         }
-        cx.timers.set(next, Due::Gossip);
+        context.timers.set(next, Due::Gossip);
     }
 
     /// How much this process has to do for its clients.
@@ -133,11 +133,11 @@
     }
 
     /// All that is known of the fleet is to be exchanged with a member.
-    pub fn exchange(&mut self, cx: &mut Cx, peer: SocketAddr) {
+    pub fn exchange(&mut self, context: &mut EventLoopContext, peer: SocketAddr) {
         let Some(views) = &self.views else { return };
         let linked = views.ask(peer).and_then(|(stream, machine)| {
             let ends = Ends::View(machine);
-            self.link(cx, stream, peer, ends)
+            self.link(context, stream, peer, ends)
         });
         if let Err(reason) = linked {
             info!(conn = "fleet", %peer, reason);
@@ -146,7 +146,7 @@
 
     fn link(
         &mut self,
-        cx: &mut Cx,
+        context: &mut EventLoopContext,
         mut stream: TcpStream,
         peer: SocketAddr,
         ends: Ends,
@@ -160,13 +160,13 @@
         let slot = self.slots.vacant_entry();
         let wanted = Interest::READABLE | Interest::WRITABLE;
         let token = Source::Gossip(slot.key()).token();
-        cx.registry.register(&mut stream, token, wanted).map_err(|_| "no-socket")?;
+        context.registry.register(&mut stream, token, wanted).map_err(|_| "no-socket")?;
         self.serial += 1;
-        slot.insert(Link { stream, ends, peer, serial: self.serial, since: cx.now });
+        slot.insert(Link { stream, ends, peer, serial: self.serial, since: context.now });
         Ok(())
     }
 
-    fn accept(&mut self, cx: &mut Cx) {
+    fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..TURN {
             let lessons = self.lessons.as_mut().and_then(Lessons::accept);
             let views = self.views.as_mut().and_then(Views::accept);
@@ -177,7 +177,7 @@
             let viewed = views.map(|(s, peer, machine)| (s, peer, Ends::View(machine)));
             for (stream, peer, ends) in told.into_iter().chain(viewed) {
                 let conn = if matches!(ends, Ends::View(_)) { "fleet" } else { "knowledge" };
-                if let Err(reason) = self.link(cx, stream, peer, ends) {
+                if let Err(reason) = self.link(context, stream, peer, ends) {
                     info!(conn, %peer, reason);
                 }
             }
@@ -185,19 +185,19 @@
     }
 
     /// A link's budget has come.
-    pub fn go_on(&mut self, cx: &mut Cx, key: usize, serial: u64) {
+    pub fn go_on(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
         if self.slots.get(key).is_some_and(|l| l.serial == serial) {
-            self.ready_link(cx, key);
+            self.ready_link(context, key);
         }
     }
 
-    fn end(&mut self, cx: &mut Cx, key: usize, how: Next) {
+    fn end(&mut self, context: &mut EventLoopContext, key: usize, how: Next) {
         let mut link = self.slots.remove(key);
-        let _ = cx.registry.deregister(&mut link.stream);
+        let _ = context.registry.deregister(&mut link.stream);
         let whole = matches!(how, Next::Over("told" | "heard"));
         if let Some(lessons) = &mut self.lessons {
             match &link.ends {
-                Ends::Asks { donor, .. } if !whole => lessons.joiner.ended(cx.now, donor, End::Failed),
+                Ends::Asks { donor, .. } if !whole => lessons.joiner.ended(context.now, donor, End::Failed),
                 Ends::Tells { serving: true, .. } => lessons.donor.done(whole),
                 _ => {}
             }
--- a/proxy/src/net/gossip/talk.rs
+++ b/proxy/src/net/gossip/talk.rs
@@ -1,7 +1,7 @@
 //! What passes on a link: a donor's parts into what is known, and what is known to an asker, within the donor's budget.
 
 use super::super::Due;
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
 use super::lessons::Lessons;
 use birchreach::Micros;
@@ -25,7 +25,7 @@
 
 /// What a donor says.
 pub(super) fn listen(
-    cx: &mut Cx,
+    context: &mut EventLoopContext,
     machine: &mut Asker,
     donor: &str,
     asked_at: Micros,
@@ -36,18 +36,18 @@
             Ok(None) => return Next::Waits,
             Ok(Some(Heard::Part(told))) => {
                 // The decisions hear of positions; who is said to be a primary is asked.
-                let learnt = lessons.peer_knowledge.borrow_mut().hear(cx.now, asked_at, &told);
+                let learnt = lessons.peer_knowledge.borrow_mut().hear(context.now, asked_at, &told);
                 for (uid, report) in learnt.reports {
-                    cx.core.record_remote_position(cx.now, &uid, report);
+                    context.core.record_remote_position(context.now, &uid, report);
                 }
-                learnt.ask.iter().for_each(|uid| cx.core.check_role(cx.now, uid));
+                learnt.ask.iter().for_each(|uid| context.core.check_role(context.now, uid));
             }
             Ok(Some(Heard::Whole(named))) => {
-                lessons.joiner.ended(cx.now, donor, End::Whole(named));
+                lessons.joiner.ended(context.now, donor, End::Whole(named));
                 return Next::Over("heard");
             }
             Ok(Some(Heard::Busy(wait))) => {
-                lessons.joiner.ended(cx.now, donor, End::Busy(wait));
+                lessons.joiner.ended(context.now, donor, End::Busy(wait));
                 return Next::Over("heard");
             }
             Err(refused) => return Next::Refused(refused.to_string()),
@@ -57,7 +57,7 @@
 
 /// What an asker is told.
 pub(super) fn tell(
-    cx: &mut Cx,
+    context: &mut EventLoopContext,
     machine: &mut Teller,
     serving: &mut bool,
     lessons: &mut Lessons,
@@ -66,18 +66,18 @@
     match machine.asked() {
         Err(refused) => return Next::Refused(refused.to_string()),
         Ok(false) => {}
-        Ok(true) => match lessons.donor.asked(cx.now) {
+        Ok(true) => match lessons.donor.asked(context.now) {
             Verdict::Busy(wait) => machine.put_off(wait),
             Verdict::Serve => {
                 *serving = true;
-                machine.tell(lessons.peer_knowledge.borrow().knowledge.tell(cx.now), &lessons.named);
+                machine.tell(lessons.peer_knowledge.borrow().knowledge.tell(context.now), &lessons.named);
             }
         },
     }
     if machine.telling() && machine.out.is_empty() {
-        match lessons.donor.may_send(cx.now, PART) {
+        match lessons.donor.may_send(context.now, PART) {
             Ok(()) => drop(machine.part()),
-            Err(at) => cx.timers.set(at, Due::GossipSend(key, serial)),
+            Err(at) => context.timers.set(at, Due::GossipSend(key, serial)),
         }
     }
     Next::Waits
@@ -92,14 +92,14 @@
 /// Reads what there is, a piece at once.
 pub(super) fn take(
     stream: &mut TcpStream,
-    cx: &mut Cx,
+    context: &mut EventLoopContext,
     mut feed: impl FnMut(&[u8]),
 ) -> Result<bool, stream::Ended> {
     if stream.peer_addr().is_err() {
         return Ok(true);
     }
-    let most = PIECE.min(cx.scratch.len());
-    stream::read(stream, &mut cx.scratch[..most], |bytes| {
+    let most = PIECE.min(context.scratch.len());
+    stream::read(stream, &mut context.scratch[..most], |bytes| {
         feed(bytes);
         true
     })
--- a/proxy/src/net/gossip/turn.rs
+++ b/proxy/src/net/gossip/turn.rs
@@ -1,28 +1,28 @@
 //! A link's turn: what has come is taken, what is to be said is written, and it goes on or ends.
 
 use super::super::Due;
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
 use super::talk::{self, Next, take};
 use super::{Ends, Gossip};
 
 impl Gossip {
     /// A link's turn.
-    pub fn ready_link(&mut self, cx: &mut Cx, key: usize) {
+    pub fn ready_link(&mut self, context: &mut EventLoopContext, key: usize) {
         let Some(link) = self.slots.get_mut(key) else { return };
         let read = match &mut link.ends {
-            Ends::Asks { machine, .. } => take(&mut link.stream, cx, |b| machine.feed(b)),
-            Ends::Tells { machine, .. } => take(&mut link.stream, cx, |b| machine.feed(b)),
-            Ends::View(machine) => take(&mut link.stream, cx, |b| machine.feed(b)),
+            Ends::Asks { machine, .. } => take(&mut link.stream, context, |b| machine.feed(b)),
+            Ends::Tells { machine, .. } => take(&mut link.stream, context, |b| machine.feed(b)),
+            Ends::View(machine) => take(&mut link.stream, context, |b| machine.feed(b)),
         };
         let next = match (&mut link.ends, &mut self.lessons, &mut self.views) {
             (Ends::Asks { machine, donor, asked_at }, Some(lessons), _) => {
-                talk::listen(cx, machine, donor, *asked_at, lessons)
+                talk::listen(context, machine, donor, *asked_at, lessons)
             }
             (Ends::Tells { machine, serving }, Some(lessons), _) => {
-                talk::tell(cx, machine, serving, lessons, (key, link.serial))
+                talk::tell(context, machine, serving, lessons, (key, link.serial))
             }
-            (Ends::View(machine), _, Some(views)) => views.step(cx, machine),
+            (Ends::View(machine), _, Some(views)) => views.step(context, machine),
             _ => Next::Over("closed"),
         };
         let out = link.ends.out();
@@ -44,18 +44,18 @@
             };
         let broken = matches!(link.stream.take_error(), Ok(Some(_)) | Err(_));
         match next {
-            Next::Waits if told => self.end(cx, key, Next::Over("told")),
-            Next::Waits if gone || broken || read.is_err() => self.end(cx, key, Next::Over("closed")),
+            Next::Waits if told => self.end(context, key, Next::Over("told")),
+            Next::Waits if gone || broken || read.is_err() => self.end(context, key, Next::Over("closed")),
             // What is left of the answer goes on when there is room.
             Next::Waits
                 if drained
                     && matches!(&self.slots[key].ends, Ends::Tells { machine, .. } if machine.telling()) =>
             {
                 let serial = self.slots[key].serial;
-                cx.timers.set(cx.now + 1, Due::GossipSend(key, serial));
+                context.timers.set(context.now + 1, Due::GossipSend(key, serial));
             }
             Next::Waits => {}
-            over => self.end(cx, key, over),
+            over => self.end(context, key, over),
         }
     }
 }
--- a/proxy/src/net/gossip/views.rs
+++ b/proxy/src/net/gossip/views.rs
@@ -2,7 +2,7 @@
 //! address; what is told and believed is the fleet crate's to say.
 
 use super::super::Due;
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::listen;
 use super::talk::{Next, nonce};
@@ -72,7 +72,7 @@
     }
 
     /// What the other end has told is taken, and this one tells in its turn.
-    pub(super) fn step(&self, cx: &mut Cx, machine: &mut Exchange) -> Next {
+    pub(super) fn step(&self, context: &mut EventLoopContext, machine: &mut Exchange) -> Next {
         loop {
             match machine.step() {
                 Err(refused) => return Next::Refused(refused.to_string()),
@@ -83,9 +83,9 @@
                     if !asked {
                         machine.tell(&self.machine.borrow().all());
                     }
-                    let taken = self.machine.borrow_mut().take_all(cx.now, &parts);
+                    let taken = self.machine.borrow_mut().take_all(context.now, &parts);
                     // What has changed by it is told and shown by the owner of the datagrams.
-                    cx.timers.set(cx.now, Due::Fleet);
+                    context.timers.set(context.now, Due::Fleet);
                     match taken {
                         Err(why) => return Next::Refused(format!("{why:?}").to_lowercase()),
                         Ok(()) if asked => return Next::Over("heard"),
--- a/proxy/src/net/leaving.rs
+++ b/proxy/src/net/leaving.rs
@@ -36,7 +36,7 @@
     pub(super) fn depart(&mut self) {
         if !std::mem::replace(&mut self.departed, true) {
             let linger = if self.config.inherited.is_some() {
-                self.with(|clients, _, _, cx| clients.hand_over(cx));
+                self.with(|clients, _, _, context| clients.hand_over(context));
                 HANDOVER
             } else {
                 LINGER
@@ -48,7 +48,7 @@
 
     /// The last idle clients go now; who has a request in hand goes with its answer.
     pub(super) fn leave(&mut self) {
-        self.with(|clients, _, _, cx| clients.leave(cx));
+        self.with(|clients, _, _, context| clients.leave(context));
         self.with_fleet(|fellows, now| fellows.leave(now));
         self.left = true;
     }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -7,8 +7,8 @@
 mod balancers;
 mod checks;
 mod clients;
-mod cx;
 mod due;
+mod event_loop_context;
 mod fleet;
 mod gossip;
 mod leaving;
@@ -35,8 +35,8 @@
 use birchreach::Micros;
 use checks::Checks;
 use clients::Clients;
-use cx::Cx;
 pub use due::Due;
+use event_loop_context::EventLoopContext;
 use fleet::Fellows;
 use gossip::{Gossip, Lessons};
 use mio::{Events, Poll};
@@ -161,7 +161,7 @@
     }
     proxy.share();
     proxy.timers.set(now + SWEEP, Due::Sweep);
-    proxy.with(|_, _, agent, cx| agent.start(cx));
+    proxy.with(|_, _, agent, context| agent.start(context));
     let mut events = Events::with_capacity(EVENTS);
     while !(proxy.left && proxy.clients.is_empty()) {
         let most = if proxy.health.watch.is_some() { CHECKED_EVENTS } else { EVENTS };
@@ -176,8 +176,8 @@
 
 impl Proxy {
     /// Lends the parts out beside one another.
-    fn lend(&mut self) -> (Cx<'_>, Parts<'_>) {
-        let cx = Cx {
+    fn lend(&mut self) -> (EventLoopContext<'_>, Parts<'_>) {
+        let context = EventLoopContext {
             now: self.now,
             registry: self.poll.registry(),
             timers: &mut self.timers,
@@ -192,23 +192,26 @@
             checks: &mut self.checks,
             twin: &mut self.twin,
         };
-        (cx, parts)
+        (context, parts)
     }
 
-    fn with<T>(&mut self, act: impl FnOnce(&mut Clients, &mut Pool, &mut Agent, &mut Cx) -> T) -> T {
-        let (mut cx, parts) = self.lend();
-        act(parts.clients, parts.pool, parts.agent, &mut cx)
+    fn with<T>(
+        &mut self,
+        act: impl FnOnce(&mut Clients, &mut Pool, &mut Agent, &mut EventLoopContext) -> T,
+    ) -> T {
+        let (mut context, parts) = self.lend();
+        act(parts.clients, parts.pool, parts.agent, &mut context)
     }
 
-    fn with_own(&mut self, act: impl FnOnce(&mut AdminListener, &mut Twin, &mut Cx)) {
-        let (mut cx, parts) = self.lend();
-        act(parts.admin, parts.twin, &mut cx);
+    fn with_own(&mut self, act: impl FnOnce(&mut AdminListener, &mut Twin, &mut EventLoopContext)) {
+        let (mut context, parts) = self.lend();
+        act(parts.admin, parts.twin, &mut context);
     }
 
-    fn with_gossip(&mut self, act: impl FnOnce(&mut Gossip, &mut Cx)) {
+    fn with_gossip(&mut self, act: impl FnOnce(&mut Gossip, &mut EventLoopContext)) {
         let Some(mut gossip) = self.gossip.take() else { return };
-        let (mut cx, parts) = self.lend();
-        act(&mut gossip, &mut cx);
+        let (mut context, parts) = self.lend();
+        act(&mut gossip, &mut context);
         parts.clients.learning(!gossip.ready());
         self.gossip = Some(gossip);
         self.carry_out();
@@ -230,8 +233,8 @@
         Ok(())
     }
 
-    fn with_checks(&mut self, act: impl FnOnce(&mut Checks, &mut Cx)) {
-        let (mut cx, parts) = self.lend();
-        act(parts.checks, &mut cx);
+    fn with_checks(&mut self, act: impl FnOnce(&mut Checks, &mut EventLoopContext)) {
+        let (mut context, parts) = self.lend();
+        act(parts.checks, &mut context);
     }
 }
--- a/proxy/src/net/places.rs
+++ b/proxy/src/net/places.rs
@@ -46,10 +46,10 @@
         let replaced = self.twin.replaced();
         self.core.set_process_count(self.now, self.twin.processes());
         let (stopping, guests) = (self.stopping, guests(&self.config));
-        self.with(|clients, pool, _, cx| {
-            pool.limit(cx, for_databases);
+        self.with(|clients, pool, _, context| {
+            pool.limit(context, for_databases);
             clients.host(guests);
-            clients.limit(cx, for_clients);
+            clients.limit(context, for_clients);
             if !stopping {
                 clients.give_way(replaced);
             }
--- a/proxy/src/net/pool/answers.rs
+++ b/proxy/src/net/pool/answers.rs
@@ -1,7 +1,7 @@
 //! What comes back on a connection, and how it ends: each job has one outcome, and whether it may have run turns on whether the
 //! last byte of its query was written.
 
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::super::stream::{self, Ended};
 use super::{Job, Pool};
 use crate::pg::backend::Heard;
@@ -11,7 +11,7 @@
 
 impl Pool {
     /// False: the connection is gone.
-    pub(super) fn read(&mut self, cx: &mut Cx, key: usize) -> bool {
+    pub(super) fn read(&mut self, context: &mut EventLoopContext, key: usize) -> bool {
         let c = &mut self.slots[key];
         if !c.up && c.stream.peer_addr().is_err() {
             return true;
@@ -23,12 +23,12 @@
             }
             // A piece at a time: what has come is decoded before more is kept.
             let machine = &mut c.machine;
-            let read = stream::read(&mut c.stream, cx.scratch, |bytes| {
+            let read = stream::read(&mut c.stream, context.scratch, |bytes| {
                 machine.feed(bytes);
                 false
             });
             while let Some(heard) = self.slots.get_mut(key).and_then(|c| c.machine.next()) {
-                if !self.hear(cx, key, heard) {
+                if !self.hear(context, key, heard) {
                     return false;
                 }
             }
@@ -36,7 +36,7 @@
                 Ok(true) => return true,
                 Ok(false) => {}
                 Err(ended) => {
-                    self.end(cx, key, if ended == Ended::Closed { "closed" } else { "reset" });
+                    self.end(context, key, if ended == Ended::Closed { "closed" } else { "reset" });
                     return false;
                 }
             }
@@ -44,53 +44,54 @@
     }
 
     /// False: the connection is gone.
-    fn hear(&mut self, cx: &mut Cx, key: usize, heard: Heard) -> bool {
+    fn hear(&mut self, context: &mut EventLoopContext, key: usize, heard: Heard) -> bool {
         let attempt = match self.slots[key].job {
             Some(Job::Attempt { attempt, .. }) => Some(attempt),
             _ => None,
         };
         match heard {
             Heard::Begun(length) => {
-                self.slots[key].moved_at = cx.now;
-                attempt.is_some_and(|attempt| cx.core.response_started(cx.now, attempt, length)) || {
-                    // Its request has its answer already: nobody wants this one.
-                    attempt.into_iter().for_each(|attempt| self.stop(cx, attempt));
-                    false
-                }
+                self.slots[key].moved_at = context.now;
+                attempt.is_some_and(|attempt| context.core.response_started(context.now, attempt, length))
+                    || {
+                        // Its request has its answer already: nobody wants this one.
+                        attempt.into_iter().for_each(|attempt| self.stop(context, attempt));
+                        false
+                    }
             }
             Heard::Piece(bytes) => {
                 let c = &mut self.slots[key];
                 // A bounded piece at a time, and the next once the client has taken it.
-                (c.paused, c.moved_at) = (c.machine.streaming(), cx.now);
+                (c.paused, c.moved_at) = (c.machine.streaming(), context.now);
                 if let Some(attempt) = attempt {
-                    cx.core.response_chunk(attempt, bytes);
+                    context.core.response_chunk(attempt, bytes);
                 }
                 true
             }
             Heard::Ready => {
                 self.slots[key].up = true;
                 let (server, address) = (self.slots[key].server, self.slots[key].address);
-                cx.core.server_alive(cx.now, server);
+                context.core.server_alive(context.now, server);
                 match self.slots[key].job.take() {
-                    Some(job) if cx.core.address(server) != Some(address) => {
+                    Some(job) if context.core.address(server) != Some(address) => {
                         // The server moved while its connection was opened: nothing more goes to where it was.
-                        self.close(cx, key, "moved");
-                        self.take_up(cx, server, job);
+                        self.close(context, key, "moved");
+                        self.take_up(context, server, job);
                     }
-                    Some(job) => self.ask(cx, key, job),
-                    None => self.settle(cx, key),
+                    Some(job) => self.ask(context, key, job),
+                    None => self.settle(context, key),
                 }
                 self.slots.contains(key)
             }
             Heard::Done(reply) => {
                 let job = self.slots[key].job.take();
-                let (job, reply) = match self.next_step(cx, key, job, reply) {
+                let (job, reply) = match self.next_step(context, key, job, reply) {
                     None => return self.slots.contains(key),
                     Some(over) => over,
                 };
-                self.settle(cx, key);
+                self.settle(context, key);
                 if let Some(job) = job {
-                    self.report(cx, job, reply);
+                    self.report(context, job, reply);
                 }
                 self.slots.contains(key)
             }
@@ -101,14 +102,14 @@
                 } else {
                     AttemptOutcome::ClosedBeforeExecution
                 };
-                if let Some(job) = self.close(cx, key, "turned-away") {
-                    self.report(cx, job, Reply { outcome: ending, ..reply });
+                if let Some(job) = self.close(context, key, "turned-away") {
+                    self.report(context, job, Reply { outcome: ending, ..reply });
                 }
                 false
             }
             Heard::Nonsense => {
                 // The query has run and its answer is lost, but its server lives.
-                self.lose(cx, key, "nonsense", Reply::with_outcome(AttemptOutcome::Error));
+                self.lose(context, key, "nonsense", Reply::with_outcome(AttemptOutcome::Error));
                 false
             }
         }
@@ -116,24 +117,24 @@
 
     /// The connection broke, or is given up. Whether the job may have run turns on whether the last
     /// byte of its query was written.
-    pub(super) fn end(&mut self, cx: &mut Cx, key: usize, reason: &str) {
+    pub(super) fn end(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) {
         let reply = match self.slots[key].machine.ended() {
             Some(Heard::Done(reply)) => reply,
             _ => Reply::with_outcome(AttemptOutcome::ConnectionReset),
         };
-        self.lose(cx, key, reason, reply);
+        self.lose(context, key, reason, reply);
     }
 
     /// Closes the connection; `reply` is what becomes of a job whose query was written whole.
-    pub(super) fn lose(&mut self, cx: &mut Cx, key: usize, reason: &str, reply: Reply) {
+    pub(super) fn lose(&mut self, context: &mut EventLoopContext, key: usize, reason: &str, reply: Reply) {
         let c = &self.slots[key];
         let (server, resting, written) = (c.server, c.up && !c.asked, c.written);
-        let Some(job) = self.close(cx, key, reason) else { return };
+        let Some(job) = self.close(context, key, reason) else { return };
         if resting {
-            self.take_up(cx, server, job);
+            self.take_up(context, server, job);
         } else {
             self.report(
-                cx,
+                context,
                 job,
                 if written { reply } else { Reply::with_outcome(AttemptOutcome::ClosedBeforeExecution) },
             );
@@ -141,16 +142,22 @@
     }
 
     /// No connection came up: no process listens, or nothing is heard of the machine.
-    pub(super) fn unreachable(&mut self, cx: &mut Cx, key: usize, reason: &str, reply: Reply) {
-        if let Some(job) = self.close(cx, key, reason) {
-            self.report(cx, job, reply);
+    pub(super) fn unreachable(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: usize,
+        reason: &str,
+        reply: Reply,
+    ) {
+        if let Some(job) = self.close(context, key, reason) {
+            self.report(context, job, reply);
         }
     }
 
     /// Closes the connection and logs why. A job that it had is handed back without an outcome.
-    pub(super) fn close(&mut self, cx: &mut Cx, key: usize, reason: &str) -> Option<Job> {
+    pub(super) fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) -> Option<Job> {
         let mut c = self.slots.remove(key);
-        let _ = cx.registry.deregister(&mut c.stream);
+        let _ = context.registry.deregister(&mut c.stream);
         if let Some(keys) = self.idle.get_mut(&c.server) {
             keys.retain(|k| *k != key);
         }
@@ -161,18 +168,18 @@
         } else {
             "idle"
         };
-        info!(conn = "database", server = cx.core.server_name(c.server), state, reason);
+        info!(conn = "database", server = context.core.server_name(c.server), state, reason);
         c.job
     }
 
-    pub(super) fn report(&mut self, cx: &mut Cx, job: Job, reply: Reply) {
+    pub(super) fn report(&mut self, context: &mut EventLoopContext, job: Job, reply: Reply) {
         match job {
             Job::Attempt { attempt, .. } => {
                 self.attempts.remove(&attempt);
-                cx.core.attempt_completed(cx.now, attempt, reply);
+                context.core.attempt_completed(context.now, attempt, reply);
             }
-            Job::Probe { server } => cx.core.health_check_completed(cx.now, server, &reply),
-            Job::Check { server } => cx.core.monitor_check_completed(cx.now, server, &reply),
+            Job::Probe { server } => context.core.health_check_completed(context.now, server, &reply),
+            Job::Check { server } => context.core.monitor_check_completed(context.now, server, &reply),
             Job::BackgroundQuery(errand) => self.done.push(errand.over(reply)),
         }
     }
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -1,7 +1,7 @@
 //! BackgroundQueries: statements that no client waits for, one after the other on one connection, which is one process of a database from the
 //! first to the last. Whether and where one goes is decided elsewhere; here it runs, and what came back is kept for its owner.
 
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::{Job, Pool};
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
@@ -41,9 +41,15 @@
 
 impl Pool {
     /// Sends statements to a server, in this order.
-    pub fn errand(&mut self, cx: &mut Cx, number: u64, server: ServerId, texts: Vec<Vec<u8>>) {
+    pub fn errand(
+        &mut self,
+        context: &mut EventLoopContext,
+        number: u64,
+        server: ServerId,
+        texts: Vec<Vec<u8>>,
+    ) {
         self.take_up(
-            cx,
+            context,
             server,
             Job::BackgroundQuery(BackgroundQuery { number, server, texts, replies: Vec::new() }),
         );
@@ -61,7 +67,7 @@
     /// An answer has come: an errand that has more to say goes on, on the same connection. Else the job is handed back.
     pub(super) fn next_step(
         &mut self,
-        cx: &mut Cx,
+        context: &mut EventLoopContext,
         key: usize,
         job: Option<Job>,
         reply: Reply,
@@ -73,7 +79,7 @@
                     && self.slots[key].machine.clean() =>
             {
                 errand.replies.push(reply);
-                self.ask(cx, key, Job::BackgroundQuery(errand));
+                self.ask(context, key, Job::BackgroundQuery(errand));
                 None
             }
             other => Some((other, reply)),
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -8,7 +8,7 @@
 mod times;
 
 use super::Due;
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::stream;
 use crate::core::{self, Attempt};
 use crate::pg::backend::Backend;
@@ -133,31 +133,31 @@
     }
 
     /// So many places there are from now on; idle connections beyond them are closed.
-    pub fn limit(&mut self, cx: &mut Cx, most: usize) {
+    pub fn limit(&mut self, context: &mut EventLoopContext, most: usize) {
         self.most = most;
-        while self.slots.len() > self.most && self.evict(cx) {}
+        while self.slots.len() > self.most && self.evict(context) {}
     }
 
     pub fn start(
         &mut self,
-        cx: &mut Cx,
+        context: &mut EventLoopContext,
         attempt: Attempt,
         server: ServerId,
         work: Work,
         until: Micros,
         copy: bool,
     ) {
-        cx.timers.set(until, Due::Attempt(attempt));
-        self.take_up(cx, server, Job::Attempt { attempt, work, until, copy });
+        context.timers.set(until, Due::Attempt(attempt));
+        self.take_up(context, server, Job::Attempt { attempt, work, until, copy });
     }
 
-    pub fn probe(&mut self, cx: &mut Cx, server: ServerId) {
-        self.take_up(cx, server, Job::Probe { server });
+    pub fn probe(&mut self, context: &mut EventLoopContext, server: ServerId) {
+        self.take_up(context, server, Job::Probe { server });
     }
 
     /// A probe that the decisions did not ask for, and are not told of.
-    pub fn check(&mut self, cx: &mut Cx, server: ServerId) {
-        self.take_up(cx, server, Job::Check { server });
+    pub fn check(&mut self, context: &mut EventLoopContext, server: ServerId) {
+        self.take_up(context, server, Job::Check { server });
     }
 
     /// How long such a probe may be out on a connection that is up.
@@ -165,40 +165,40 @@
         self.check_timeout = timeout;
     }
 
-    pub fn ready(&mut self, cx: &mut Cx, key: usize) {
+    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) {
         if !self.slots.contains(key) {
             return;
         }
-        if self.write(cx, key) {
-            self.read(cx, key);
+        if self.write(context, key) {
+            self.read(context, key);
         }
     }
 
     /// False: the connection is gone.
-    fn write(&mut self, cx: &mut Cx, key: usize) -> bool {
+    fn write(&mut self, context: &mut EventLoopContext, key: usize) -> bool {
         let c = &mut self.slots[key];
         if !c.up && c.stream.peer_addr().is_err() {
             // Not connected yet, or refused: then no process listens. One that was reset was accepted first.
             match c.stream.take_error() {
                 Ok(None) => return true,
                 Ok(Some(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-                    self.unreachable(cx, key, "refused", Reply::connection_refused());
+                    self.unreachable(context, key, "refused", Reply::connection_refused());
                 }
-                _ => self.end(cx, key, "reset"),
+                _ => self.end(context, key, "reset"),
             }
             return false;
         }
         match stream::write(&mut c.stream, &mut c.machine.out) {
             Ok(all) => {
                 if all && c.asked && !std::mem::replace(&mut c.written, true) {
-                    cx.core.stats.attempts += u64::from(matches!(c.job, Some(Job::Attempt { .. })));
+                    context.core.stats.attempts += u64::from(matches!(c.job, Some(Job::Attempt { .. })));
                 }
                 true
             }
             Err(_) => {
                 // What came before the break may be an answer or a refusal.
-                if self.read(cx, key) {
-                    self.end(cx, key, "reset");
+                if self.read(context, key) {
+                    self.end(context, key, "reset");
                 }
                 false
             }
@@ -206,10 +206,10 @@
     }
 
     /// The client has taken what there was of a long value.
-    pub fn more(&mut self, cx: &mut Cx, attempt: Attempt) {
+    pub fn more(&mut self, context: &mut EventLoopContext, attempt: Attempt) {
         let Some(key) = self.attempts.get(&attempt).copied() else { return };
         let c = &mut self.slots[key];
-        (c.paused, c.moved_at) = (false, cx.now);
-        self.read(cx, key);
+        (c.paused, c.moved_at) = (false, context.now);
+        self.read(context, key);
     }
 }
--- a/proxy/src/net/pool/times.rs
+++ b/proxy/src/net/pool/times.rs
@@ -1,7 +1,7 @@
 //! What a connection's time runs out for: attempts that are given up, connects and probes that take too long, idle ones, and
 //! long values that stand still.
 
-use super::super::cx::Cx;
+use super::super::event_loop_context::EventLoopContext;
 use super::{Connection, Job, Pool};
 use crate::core::Attempt;
 use crate::reply::Reply;
@@ -12,16 +12,22 @@
 
 impl Pool {
     /// Gives an attempt up: its connection is closed, for an answer may still come on it.
-    pub fn stop(&mut self, cx: &mut Cx, attempt: Attempt) {
-        self.give_up(cx, attempt, AttemptOutcome::Cancelled, "cancelled");
+    pub fn stop(&mut self, context: &mut EventLoopContext, attempt: Attempt) {
+        self.give_up(context, attempt, AttemptOutcome::Cancelled, "cancelled");
     }
 
     /// The attempt's time is over.
-    pub fn overdue(&mut self, cx: &mut Cx, attempt: Attempt) {
-        self.give_up(cx, attempt, AttemptOutcome::Timeout, "timeout");
+    pub fn overdue(&mut self, context: &mut EventLoopContext, attempt: Attempt) {
+        self.give_up(context, attempt, AttemptOutcome::Timeout, "timeout");
     }
 
-    fn give_up(&mut self, cx: &mut Cx, attempt: Attempt, ending: AttemptOutcome, reason: &str) {
+    fn give_up(
+        &mut self,
+        context: &mut EventLoopContext,
+        attempt: Attempt,
+        ending: AttemptOutcome,
+        reason: &str,
+    ) {
         let Some(key) = self.attempts.get(&attempt).copied() else { return };
         if ending == AttemptOutcome::Timeout && self.slots[key].machine.streaming() {
             return;
@@ -31,55 +37,65 @@
             // The connection is still being opened, or rests, and may serve another.
             let job = self.slots[key].job.take();
             if self.slots[key].up {
-                self.settle(cx, key);
+                self.settle(context, key);
             }
             if let Some(job) = job {
-                self.report(cx, job, Reply::with_outcome(AttemptOutcome::NotSent));
+                self.report(context, job, Reply::with_outcome(AttemptOutcome::NotSent));
             }
             return;
         }
-        if let Some(job) = self.close(cx, key, reason) {
-            self.report(cx, job, Reply::with_outcome(if written { ending } else { AttemptOutcome::NotSent }));
+        if let Some(job) = self.close(context, key, reason) {
+            self.report(
+                context,
+                job,
+                Reply::with_outcome(if written { ending } else { AttemptOutcome::NotSent }),
+            );
         }
     }
 
-    pub fn connect_overdue(&mut self, cx: &mut Cx, key: usize, serial: u64) {
+    pub fn connect_overdue(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
         if self.slots.get(key).is_some_and(|c| c.serial == serial && !c.up) {
-            self.unreachable(cx, key, "connect-timeout", Reply::with_outcome(AttemptOutcome::ConnectFailed));
+            self.unreachable(
+                context,
+                key,
+                "connect-timeout",
+                Reply::with_outcome(AttemptOutcome::ConnectFailed),
+            );
         }
     }
 
-    pub fn probe_overdue(&mut self, cx: &mut Cx, key: usize, turn: u64) {
+    pub fn probe_overdue(&mut self, context: &mut EventLoopContext, key: usize, turn: u64) {
         let probing = |c: &Connection| {
             c.turn == turn
                 && matches!(c.job, Some(Job::Probe { .. } | Job::Check { .. } | Job::BackgroundQuery(_)))
         };
         if self.slots.get(key).is_some_and(probing)
-            && let Some(job) = self.close(cx, key, "timeout")
+            && let Some(job) = self.close(context, key, "timeout")
         {
-            self.report(cx, job, Reply::with_outcome(AttemptOutcome::Timeout));
+            self.report(context, job, Reply::with_outcome(AttemptOutcome::Timeout));
         }
     }
 
     /// Closes connections that have been idle for long, and those that stand still within a long value.
-    pub fn sweep(&mut self, cx: &mut Cx) {
-        let stands = |c: &Connection| c.machine.streaming() && !c.paused && cx.now - c.moved_at >= STANDSTILL;
+    pub fn sweep(&mut self, context: &mut EventLoopContext) {
+        let stands =
+            |c: &Connection| c.machine.streaming() && !c.paused && context.now - c.moved_at >= STANDSTILL;
         let still: Vec<usize> = self.slots.iter().filter(|(_, c)| stands(c)).map(|(key, _)| key).collect();
         for key in still {
-            self.lose(cx, key, "standstill", Reply::with_outcome(AttemptOutcome::ConnectionReset));
+            self.lose(context, key, "standstill", Reply::with_outcome(AttemptOutcome::ConnectionReset));
         }
         self.idle.retain(|_, keys| !keys.is_empty());
-        let old = |k: &&usize| cx.now - self.slots[**k].idle_since >= self.idle_limit;
+        let old = |k: &&usize| context.now - self.slots[**k].idle_since >= self.idle_limit;
         let old: Vec<usize> = self.idle.values().flatten().filter(old).copied().collect();
         for key in old {
-            self.close(cx, key, "idle");
+            self.close(context, key, "idle");
         }
     }
 
     /// The server moved or left: its idle connections are of no more use.
-    pub fn moved(&mut self, cx: &mut Cx, server: ServerId) {
+    pub fn moved(&mut self, context: &mut EventLoopContext, server: ServerId) {
         for key in self.idle.remove(&server).unwrap_or_default() {
-            self.close(cx, key, "moved");
+            self.close(context, key, "moved");
         }
     }
 }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -50,20 +50,20 @@
         let reserve = reserve(&new);
         let (for_clients, for_databases) = places(new.sockets, reserve, &self.twin);
         self.core.settings(self.now, &new.site);
-        self.with(|clients, pool, agent, cx| {
+        self.with(|clients, pool, agent, context| {
             pool.settings(&new.site);
-            pool.limit(cx, for_databases);
+            pool.limit(context, for_databases);
             clients.host(guests(&new));
-            clients.limit(cx, for_clients);
+            clients.limit(context, for_clients);
             agent.settings(&new.site.module);
-            agent.moved(cx, new.discovery);
+            agent.moved(context, new.discovery);
         });
         let Config { name, listen, operator, inherited, .. } = &self.config;
         let (name, listen, operator, inherited) = (name.clone(), *listen, *operator, *inherited);
         self.config = Config { name, listen, operator, inherited, ..new };
         self.watch();
         let health = self.config.options.health.clone();
-        self.with_checks(|checks, cx| checks.take(cx, health, opened));
+        self.with_checks(|checks, context| checks.take(context, health, opened));
         self.start_background();
         self.carry_out();
     }
--- a/proxy/src/net/turn.rs
+++ b/proxy/src/net/turn.rs
@@ -32,11 +32,11 @@
                 source @ (Source::HttpListener | Source::AgentListener | Source::GrpcListener) => {
                     self.checks.accept_ready(source)
                 }
-                Source::Check(key) => self.with_checks(|checks, cx| checks.ready(cx, key)),
+                Source::Check(key) => self.with_checks(|checks, context| checks.ready(context, key)),
                 _ => {}
             }
         }
-        self.with_own(|admin, _, cx| admin.accept(cx));
+        self.with_own(|admin, _, context| admin.accept(context));
         self.with_checks(Checks::go_on);
         for event in events.iter() {
             match Source::of(event.token()) {
@@ -52,37 +52,39 @@
                     }
                 }
                 Source::Discovery => {
-                    if let Some(update) = self.with(|_, _, agent, cx| agent.ready(cx)) {
+                    if let Some(update) = self.with(|_, _, agent, context| agent.ready(context)) {
                         self.members(update);
                     }
                 }
                 Source::Fleet => self.with_fleet(|fellows, now| fellows.ready(now)),
-                source @ (Source::GossipListener | Source::ViewListener) => self.with_gossip(|gossip, cx| {
-                    gossip.accept_ready(source);
-                    gossip.step(cx);
-                }),
-                Source::Gossip(key) => self.with_gossip(|gossip, cx| gossip.ready_link(cx, key)),
+                source @ (Source::GossipListener | Source::ViewListener) => {
+                    self.with_gossip(|gossip, context| {
+                        gossip.accept_ready(source);
+                        gossip.step(context);
+                    })
+                }
+                Source::Gossip(key) => self.with_gossip(|gossip, context| gossip.ready_link(context, key)),
                 Source::Client(key) => {
                     let ended = event.is_read_closed() || event.is_error();
-                    self.with(|clients, _, _, cx| {
+                    self.with(|clients, _, _, context| {
                         if ended {
                             clients.ended(key);
                         }
-                        clients.ready(cx, key);
+                        clients.ready(context, key);
                     });
                 }
-                Source::Database(key) => self.with(|_, pool, _, cx| pool.ready(cx, key)),
+                Source::Database(key) => self.with(|_, pool, _, context| pool.ready(context, key)),
                 _ => {}
             }
             self.carry_out();
         }
-        self.with(|clients, pool, agent, cx| {
-            clients.go_on(cx);
+        self.with(|clients, pool, agent, context| {
+            clients.go_on(context);
             if pool.starved() {
-                clients.make_room(cx);
+                clients.make_room(context);
             }
             if agent.starved() {
-                clients.make_room(cx);
+                clients.make_room(context);
             }
         });
         self.carry_out();
@@ -100,9 +102,9 @@
 
     /// Another process of this proxy came, spoke or went.
     fn meet(&mut self, source: Source) {
-        self.with_own(|_, twin, cx| match source {
-            Source::Successors => twin.accept(cx),
-            link => twin.ready(cx, link),
+        self.with_own(|_, twin, context| match source {
+            Source::Successors => twin.accept(context),
+            link => twin.ready(context, link),
         });
         self.share();
         let replaced = self.twin.replaced();
@@ -115,9 +117,9 @@
         let (stopping, balanced) = (self.stopping, self.health.watch.is_some());
         let mut maintenance = None;
         let told = self.told();
-        self.with_own(|admin, _, cx| {
-            let Some(call) = admin.ready(cx, key) else { return };
-            let figures = cx.core.stats.lines(cx.core.gauges(cx.now));
+        self.with_own(|admin, _, context| {
+            let Some(call) = admin.ready(context, key) else { return };
+            let figures = context.core.stats.lines(context.core.gauges(context.now));
             if let Some(caller) = admin.caller(key) {
                 match call {
                     Call::Status if stopping => caller.no("stopping"),
@@ -139,7 +141,7 @@
                     }
                 }
             }
-            admin.write(cx, key);
+            admin.write(context, key);
         });
         if let Some(on) = maintenance {
             self.tell_balancers(Fact::Maintenance(on));
@@ -152,26 +154,30 @@
             let Some(command) = self.core.next_command() else {
                 // Clients that have taken what there was of a long value get more of it.
                 let Some(attempt) = self.clients.wants_data() else { return };
-                self.with(|_, pool, _, cx| pool.more(cx, attempt));
+                self.with(|_, pool, _, context| pool.more(context, attempt));
                 continue;
             };
-            self.with(|clients, pool, _, cx| match command {
+            self.with(|clients, pool, _, context| match command {
                 Command::StartAttempt {
                     attempt,
                     server,
                     payload: work,
                     deadline: until,
                     from_copy: copy,
-                } => pool.start(cx, attempt, server, work, until, copy),
-                Command::CancelAttempt { attempt } => pool.stop(cx, attempt),
-                Command::HealthCheck { server } => pool.probe(cx, server),
-                Command::Answer { client, request, answer } => clients.answer(cx, client, request, &answer),
+                } => pool.start(context, attempt, server, work, until, copy),
+                Command::CancelAttempt { attempt } => pool.stop(context, attempt),
+                Command::HealthCheck { server } => pool.probe(context, server),
+                Command::Answer { client, request, answer } => {
+                    clients.answer(context, client, request, &answer)
+                }
                 Command::BeginStream { client, request, attempt, length } => {
-                    clients.begin(cx, client, request, attempt, length);
+                    clients.begin(context, client, request, attempt, length);
+                }
+                Command::StreamChunk { client, request, bytes } => {
+                    clients.piece(context, client, request, &bytes)
                 }
-                Command::StreamChunk { client, request, bytes } => clients.piece(cx, client, request, &bytes),
-                Command::AbortStream { client, request } => clients.broken(cx, client, request),
-                Command::SetTimer { id, at } => cx.timers.set(at, Due::Module(id)),
+                Command::AbortStream { client, request } => clients.broken(context, client, request),
+                Command::SetTimer { id, at } => context.timers.set(at, Due::Module(id)),
                 Command::Log(LogRecord::RoutingNote(note)) => info!(event = "module", note = %Quoted(note)),
                 Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
                     info!(event = "server", number, uid, endpoint);
@@ -183,7 +189,7 @@
     pub(super) fn members(&mut self, update: Update) {
         info!(event = "list", rev = update.rev, all = update.all, lines = update.targets.len());
         let moved = self.core.update_endpoints(self.now, update);
-        self.with(|_, pool, _, cx| moved.into_iter().for_each(|server| pool.moved(cx, server)));
+        self.with(|_, pool, _, context| moved.into_iter().for_each(|server| pool.moved(context, server)));
         self.carry_out();
     }
 }
--- a/proxy/src/net/twin.rs
+++ b/proxy/src/net/twin.rs
@@ -1,7 +1,7 @@
 //! The process that this one replaces, and the one that replaces this: they meet at a Unix socket in `$TMPDIR`,
 //! so that limits and budgets cover both.
 
-use super::cx::Cx;
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
 use crate::config::hash;
@@ -67,12 +67,12 @@
     }
 
     /// Someone came: the newest is the successor.
-    pub fn accept(&mut self, cx: &mut Cx) {
+    pub fn accept(&mut self, context: &mut EventLoopContext) {
         while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             if let Some(mut old) = self.successor.take() {
-                let _ = cx.registry.deregister(&mut old.stream);
+                let _ = context.registry.deregister(&mut old.stream);
             }
-            if cx
+            if context
                 .registry
                 .register(&mut stream, Source::Successor.token(), Interest::READABLE | Interest::WRITABLE)
                 .is_ok()
@@ -84,12 +84,12 @@
     }
 
     /// Reads and writes one of the links.
-    pub fn ready(&mut self, cx: &mut Cx, link: Source) {
+    pub fn ready(&mut self, context: &mut EventLoopContext, link: Source) {
         let predecessor = link == Source::Predecessor;
         let slot = if predecessor { &mut self.predecessor } else { &mut self.successor };
         let Some(link) = slot else { return };
         let machine = &mut link.machine;
-        let read = stream::read(&mut link.stream, cx.scratch, |bytes| {
+        let read = stream::read(&mut link.stream, context.scratch, |bytes| {
             machine.feed(bytes);
             true
         });
@@ -103,29 +103,29 @@
         };
         let written = stream::write(&mut link.stream, &mut link.machine.out);
         if read.is_err() || written.is_err() || !sound {
-            let _ = cx.registry.deregister(&mut link.stream);
+            let _ = context.registry.deregister(&mut link.stream);
             *slot = None;
             info!(event = if predecessor { "predecessor-gone" } else { "successor-gone" });
             if !predecessor {
                 // It had taken the meeting place too.
-                self.listen(cx.registry);
+                self.listen(context.registry);
             }
         }
     }
 
     /// Tells the successor how much this process still holds.
-    pub fn leaving(&mut self, cx: &mut Cx, held: usize) {
+    pub fn leaving(&mut self, context: &mut EventLoopContext, held: usize) {
         if let Some(successor) = &mut self.successor {
             successor.machine.say(Word::Leaving(held));
-            self.ready(cx, Source::Successor);
+            self.ready(context, Source::Successor);
         }
     }
 
     /// Tells the successor when this process takes no new work any more, on the system's clock.
-    pub fn yields(&mut self, cx: &mut Cx, unix: i64) {
+    pub fn yields(&mut self, context: &mut EventLoopContext, unix: i64) {
         if let Some(successor) = &mut self.successor {
             successor.machine.say(Word::Yields(unix));
-            self.ready(cx, Source::Successor);
+            self.ready(context, Source::Successor);
         }
     }
 
