--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -9,7 +9,7 @@
 use crate::discovery::Update;
 use birchreach_options::Options;
 use birchreach_peer_state::frame::Keys;
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 use keys::keys;
 use parse::{lacks, parse};
 use place::located;
@@ -32,7 +32,7 @@
     pub sockets: usize,
     /// The list of databases as this proxy last had it.
     pub known: Option<Update>,
-    pub site: Site,
+    pub site: DeploymentSettings,
     /// Options of our own; without a file all that is new is off.
     pub options: Options,
     /// The keys among proxies, where the options name a file of them.
--- a/proxy/src/config/parse.rs
+++ b/proxy/src/config/parse.rs
@@ -3,7 +3,7 @@
 use super::{Config, hash};
 use crate::discovery::Update;
 use birchreach_options::Options;
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -41,7 +41,7 @@
     };
     let site = match root.get("settings") {
         None => Err(vec!["settings: absent".to_string()]),
-        Some(settings) => sound(birchreach_settings::all_from_value(settings)),
+        Some(settings) => sound(birchreach_settings::from_value_with_errors(settings)),
     };
     let (listen, discovery) = (address("listen", "RELAY_LISTEN"), address("discovery", "RELAY_DISCOVERY"));
     match (operator, sockets, known, site, listen, discovery) {
@@ -60,7 +60,7 @@
                 known,
                 doubts: root
                     .get("settings")
-                    .map_or_else(Vec::new, |told| birchreach_settings::doubts(told, &site)),
+                    .map_or_else(Vec::new, |told| birchreach_settings::warnings(told, &site)),
                 site,
                 options: Options::default(),
                 keys: None,
@@ -77,7 +77,7 @@
 }
 
 /// What the settings' form cannot tell: with these, no request could be served.
-fn sound((site, mut faults): (Site, Vec<String>)) -> Result<Site, Vec<String>> {
+fn sound((site, mut faults): (DeploymentSettings, Vec<String>)) -> Result<DeploymentSettings, Vec<String>> {
     let names = &site.class_names;
     let told = faults.clone();
     // What could not be read is not told of a second time.
@@ -90,7 +90,7 @@
     if names.is_empty() {
         fault("classes", "one at least");
     }
-    for (i, (name, class)) in names.iter().zip(&site.module.classes).enumerate() {
+    for (i, (name, class)) in names.iter().zip(&site.routing.classes).enumerate() {
         if name.is_empty() || names[..i].contains(name) {
             fault(&format!("classes[{i}].name"), "a name of its own");
         }
@@ -98,7 +98,7 @@
             fault(&format!("classes[{i}].deadline_ms"), "a positive number");
         }
     }
-    if site.module.max_attempts == 0 {
+    if site.routing.max_attempts == 0 {
         fault("limits.attempts_cap", "a positive number");
     }
     if faults.is_empty() { Ok(site) } else { Err(faults) }
--- a/proxy/src/core/advice.rs
+++ b/proxy/src/core/advice.rs
@@ -1,7 +1,7 @@
 //! Copies of rows at servers of other groups: who is asked for candidates, and what is asked of the decisions for work that no client
 //! waits for.
 
-use super::{Attempt, Core, RequestPayload, RoutingRequest};
+use super::{AttemptId, Core, RequestPayload, RoutingRequest};
 use crate::observe::{CopyLocator, ReadDescription};
 use birchreach::*;
 use std::cell::RefCell;
@@ -29,8 +29,8 @@
     }
 
     /// The position that a copy must have to answer this attempt's read, as of now; the least there is, where any will do.
-    pub fn required_copy_position(&self, now: Micros, attempt: Attempt) -> Micros {
-        self.router.required_copy_position(now, attempt.0).unwrap_or(0).max(0)
+    pub fn required_copy_position(&self, now: Micros, attempt: AttemptId) -> Micros {
+        self.router.required_copy_position(now, attempt.request).unwrap_or(0).max(0)
     }
 
     /// Where work that no client waits for may go now, by the decisions.
--- a/proxy/src/core/attempts.rs
+++ b/proxy/src/core/attempts.rs
@@ -1,6 +1,6 @@
 //! What becomes of attempts and probes: one outcome each, told to the decisions and to observers.
 
-use super::{Answer, Attempt, Command, Core, InFlightAttempt, RequestPayload};
+use super::{Answer, AttemptId, Command, Core, InFlightAttempt, RequestPayload};
 use crate::observe::CoreEvent;
 use crate::reply::Reply;
 use crate::stats::RequestResult;
@@ -17,13 +17,13 @@
 
     /// May this attempt still be written? Opening its connection took time, and what was told since
     /// may forbid it.
-    pub fn may_still_send(&self, now: Micros, attempt: Attempt) -> bool {
-        self.router.may_still_send(now, attempt.0, attempt.1)
+    pub fn may_still_send(&self, now: Micros, attempt: AttemptId) -> bool {
+        self.router.may_still_send(now, attempt.request, attempt.number)
     }
 
     /// A long value begins to come. False: its request has another answer.
-    pub fn response_started(&mut self, now: Micros, attempt: Attempt, length: usize) -> bool {
-        let request = attempt.0;
+    pub fn response_started(&mut self, now: Micros, attempt: AttemptId, length: usize) -> bool {
+        let request = attempt.request;
         let Some(entry) = self.requests.get_mut(&request).filter(|e| e.streaming_attempt.is_none()) else {
             return false;
         };
@@ -32,26 +32,26 @@
         if let Some(out) = self.in_flight.get(&attempt) {
             self.observers.notify(now, CoreEvent::ServerAlive { server: out.server });
         }
-        self.handle(now, Event::ResponseStarted { request, attempt: attempt.1 });
+        self.handle(now, Event::ResponseStarted { request, attempt: attempt.number });
         true
     }
 
     /// A piece of it, which goes on as it is.
-    pub fn response_chunk(&mut self, attempt: Attempt, bytes: Vec<u8>) {
-        let request = attempt.0;
+    pub fn response_chunk(&mut self, attempt: AttemptId, bytes: Vec<u8>) {
+        let request = attempt.request;
         if let Some(entry) = self.requests.get(&request).filter(|e| e.streaming_attempt == Some(attempt)) {
             self.commands.push_back(Command::StreamChunk { client: entry.client, request, bytes });
         }
     }
 
     /// An attempt's one outcome.
-    pub fn attempt_completed(&mut self, now: Micros, attempt: Attempt, reply: Reply) {
+    pub fn attempt_completed(&mut self, now: Micros, attempt: AttemptId, reply: Reply) {
         let Some(InFlightAttempt { server, sent_at: sent, class, from_copy: copy }) =
             self.in_flight.remove(&attempt)
         else {
             return;
         };
-        let (request, number) = attempt;
+        let AttemptId { request, number } = attempt;
         self.tell_ended(now, server, self.classes.writes(class), &reply);
         if self.observers.any() {
             self.tell_served(now, request, server, copy, &reply);
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -4,7 +4,7 @@
 use super::{Core, RequestPayload};
 use crate::stats::{RequestResult, Stats};
 use birchreach::*;
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 use std::collections::HashSet;
 
 /// A class that was dropped is taken for so long: its last requests are on their way.
@@ -30,15 +30,15 @@
 }
 
 impl Classes {
-    pub fn new(site: &Site, stats: &mut Stats) -> Classes {
-        let kinds = site.class_names.iter().zip(&site.module.classes);
+    pub fn new(site: &DeploymentSettings, stats: &mut Stats) -> Classes {
+        let kinds = site.class_names.iter().zip(&site.routing.classes);
         let kinds = kinds.map(|(name, rules)| Kind {
             name: name.clone(),
             rules: rules.clone(),
             row: stats.class(name),
             until: None,
         });
-        Classes { kinds: kinds.collect(), module: site.module.clone(), processes: 1 }
+        Classes { kinds: kinds.collect(), module: site.routing.clone(), processes: 1 }
     }
 
     /// A request of this class had its one answer.
@@ -67,13 +67,13 @@
     }
 
     /// Other rules from now on; a class that is new, or has other rules, gets a number that is free.
-    fn take(&mut self, now: Micros, site: &Site, used: &HashSet<ClassId>, stats: &mut Stats) {
+    fn take(&mut self, now: Micros, site: &DeploymentSettings, used: &HashSet<ClassId>, stats: &mut Stats) {
         for kind in &mut self.kinds {
             let same = |(name, rules): (&String, &RequestClass)| *name == kind.name && *rules == kind.rules;
-            let stays = site.class_names.iter().zip(&site.module.classes).any(same);
+            let stays = site.class_names.iter().zip(&site.routing.classes).any(same);
             kind.until = if stays { None } else { kind.until.or(Some(now + LAST_REQUESTS)) };
         }
-        for (name, rules) in site.class_names.iter().zip(&site.module.classes) {
+        for (name, rules) in site.class_names.iter().zip(&site.routing.classes) {
             if self.kinds.iter().any(|k| k.until.is_none() && k.name == *name) {
                 continue;
             }
@@ -87,7 +87,7 @@
                 None => self.kinds.push(kind),
             }
         }
-        self.module = site.module.clone();
+        self.module = site.routing.clone();
     }
 
     fn settings(&self) -> Settings {
@@ -99,7 +99,7 @@
 
 impl<W: RequestPayload> Core<W> {
     /// Other settings are in force from now on.
-    pub fn settings(&mut self, now: Micros, site: &Site) {
+    pub fn settings(&mut self, now: Micros, site: &DeploymentSettings) {
         let mut used: HashSet<ClassId> = self.requests.values().map(|e| e.class).collect();
         used.extend(self.in_flight.values().map(|o| o.class));
         self.classes.take(now, site, &used, &mut self.stats);
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -41,14 +41,18 @@
     Failed,
 }
 
-/// An attempt: its request and its number in it.
-pub type Attempt = (RequestId, AttemptNo);
+/// Identifies an attempt: its request and its number within the request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    pub request: RequestId,
+    pub number: AttemptNo,
+}
 
 /// What the loop is to do, in this order.
 #[derive(Debug, PartialEq)]
 pub enum Command<W> {
     StartAttempt {
-        attempt: Attempt,
+        attempt: AttemptId,
         server: ServerId,
         payload: W,
         deadline: Micros,
@@ -56,7 +60,7 @@
         from_copy: bool,
     },
     CancelAttempt {
-        attempt: Attempt,
+        attempt: AttemptId,
     },
     HealthCheck {
         server: ServerId,
@@ -70,7 +74,7 @@
     BeginStream {
         client: usize,
         request: RequestId,
-        attempt: Attempt,
+        attempt: AttemptId,
         length: usize,
     },
     StreamChunk {
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -12,9 +12,9 @@
 use crate::observe::{CopyLocator, CoreEvent, Observers};
 use crate::stats::{Gauges, RequestResult, Stats};
 use birchreach::*;
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 use classes::Classes;
-pub use command::{Answer, Attempt, Command, LogRecord, RequestPayload, RoutingRequest};
+pub use command::{Answer, AttemptId, Command, LogRecord, RequestPayload, RoutingRequest};
 use servers::Servers;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -32,7 +32,7 @@
     attempts_in_flight: u16,
     idle_since: Micros,
     /// The attempt whose value is going on in pieces.
-    streaming_attempt: Option<Attempt>,
+    streaming_attempt: Option<AttemptId>,
 }
 
 /// An attempt that owes the module its outcome.
@@ -46,7 +46,7 @@
 pub struct Core<W> {
     router: Router,
     requests: HashMap<RequestId, PendingRequest<W>>,
-    in_flight: HashMap<Attempt, InFlightAttempt>,
+    in_flight: HashMap<AttemptId, InFlightAttempt>,
     last_id: u64,
     pub stats: Stats,
     servers: Servers,
@@ -59,9 +59,9 @@
 }
 
 impl<W: RequestPayload> Core<W> {
-    pub fn new(site: &Site, seed: u64, now: Micros) -> Core<W> {
+    pub fn new(site: &DeploymentSettings, seed: u64, now: Micros) -> Core<W> {
         let mut actions = Vec::new();
-        let router = Router::new(site.module.clone(), seed, now, &mut actions);
+        let router = Router::new(site.routing.clone(), seed, now, &mut actions);
         let mut stats = Stats::default();
         let mut core = Core {
             router,
@@ -104,7 +104,7 @@
             match action {
                 Action::Send { request, server, timeout: patience } => {
                     let Some(entry) = self.requests.get_mut(&request) else { continue };
-                    let attempt = (request, AttemptNo(entry.attempts_started));
+                    let attempt = AttemptId { request, number: AttemptNo(entry.attempts_started) };
                     entry.attempts_started += 1;
                     entry.attempts_in_flight += 1;
                     self.observers.notify(now, CoreEvent::AttemptSent { server });
@@ -128,7 +128,9 @@
                 }
                 Action::Fail { request } => self.answer(now, request, Answer::Failed),
                 Action::Cancel { request, attempt } => {
-                    self.commands.push_back(Command::CancelAttempt { attempt: (request, attempt) });
+                    self.commands.push_back(Command::CancelAttempt {
+                        attempt: AttemptId { request, number: attempt },
+                    });
                 }
                 Action::HealthCheck { server } => self.probe(now, server),
                 // Never at once: what the module does when woken must not wake it again without end.
--- a/proxy/src/core/servers.rs
+++ b/proxy/src/core/servers.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{State, Target, Update};
 use crate::observe::{CoreEvent, Observer};
 use birchreach::*;
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -47,12 +47,12 @@
 }
 
 impl Servers {
-    pub fn new(site: &Site) -> Servers {
-        Servers { zones: site.zones.clone(), roster: HashMap::new(), listed: HashMap::new(), named: 0 }
+    pub fn new(site: &DeploymentSettings) -> Servers {
+        Servers { zones: site.zone_names.clone(), roster: HashMap::new(), listed: HashMap::new(), named: 0 }
     }
 
-    pub fn zones(&mut self, site: &Site) {
-        self.zones.clone_from(&site.zones);
+    pub fn zones(&mut self, site: &DeploymentSettings) {
+        self.zones.clone_from(&site.zone_names);
     }
 
     /// Those that have not left.
--- a/proxy/src/discovery/tests/mod.rs
+++ b/proxy/src/discovery/tests/mod.rs
@@ -12,7 +12,7 @@
     let config: serde_json::Value =
         serde_json::from_str(include_str!("../../../tests/exchanges/config.json")).unwrap();
     let site = birchreach_settings::from_value(&config["settings"]).unwrap();
-    Settings { endpoint_discovery: list, proxy_count: routers, drain_grace, ..site.module }
+    Settings { endpoint_discovery: list, proxy_count: routers, drain_grace, ..site.routing }
 }
 
 fn asked(routers: u32, seed: u64) -> Backoff {
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -5,7 +5,7 @@
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Consistency, GroupId, Micros, Role, ServerId};
 use birchreach_health::{Change, Class, Fact, Group, How, Monitor, Needs, Server, Settings};
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
 
 /// The monitor, and what it was told last of the groups' held writes.
@@ -15,15 +15,15 @@
 }
 
 /// What the options and the platform's settings say together. Probes need the platform's leave.
-pub fn settings(options: &birchreach_options::Health, site: &Site, seed: u64) -> Settings {
+pub fn settings(options: &birchreach_options::Health, site: &DeploymentSettings, seed: u64) -> Settings {
     let needs = |need: &Consistency| match need {
         Consistency::Write | Consistency::Strong => Needs::Primary,
         Consistency::Session | Consistency::BoundedStaleness(_) | Consistency::Any => Needs::Member,
     };
-    let classes = site.class_names.iter().zip(&site.module.classes);
+    let classes = site.class_names.iter().zip(&site.routing.classes);
     let classes = classes.map(|(name, class)| Class { name: name.clone(), needs: needs(&class.consistency) });
     let mut settings = Settings { classes: classes.collect(), seed, ..options.settings.clone() };
-    settings.probes = settings.probes.filter(|_| site.module.health_checks_allowed);
+    settings.probes = settings.probes.filter(|_| site.routing.health_checks_allowed);
     settings
 }
 
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -1,7 +1,7 @@
 //! One client: its socket, machine and request, and how ready it is to make room for another.
 
 use super::super::pool::Work;
-use crate::core::Attempt;
+use crate::core::AttemptId;
 use crate::pg::frontend::Frontend;
 use birchreach::{Micros, RequestId};
 use mio::net::TcpStream;
@@ -17,7 +17,7 @@
     pub machine: Frontend,
     pub request: Option<(RequestId, Work)>,
     /// The attempt whose long value it is being sent, and whether more of that may come.
-    pub passing: Option<(Attempt, bool)>,
+    pub passing: Option<(AttemptId, bool)>,
     pub served: u64,
     /// It has made no request yet: it may be a balancer that only looks whether the process lives.
     pub unclassified: bool,
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -7,7 +7,7 @@
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
-use crate::core::{Answer, Attempt};
+use crate::core::{Answer, AttemptId};
 use birchreach::RequestId;
 use client::Client;
 use converse::Admission;
@@ -41,7 +41,7 @@
     /// Clients with more input than one turn takes.
     unread: Vec<usize>,
     /// Long values of which their clients have taken what there was.
-    wants_data: Vec<Attempt>,
+    wants_data: Vec<AttemptId>,
     /// A descriptor kept in hand: when the system has none to give, it lets one more client in, and with
     /// that tells whether any waits.
     spare: Option<File>,
@@ -128,7 +128,7 @@
     }
 
     /// A long value that has gone on as far as its client has taken it.
-    pub fn wants_data(&mut self) -> Option<Attempt> {
+    pub fn wants_data(&mut self) -> Option<AttemptId> {
         self.wants_data.pop()
     }
 
@@ -142,7 +142,7 @@
         context: &mut EventLoopContext,
         key: usize,
         request: RequestId,
-        attempt: Attempt,
+        attempt: AttemptId,
         length: usize,
     ) {
         if let Some(c) = self.holder(key, request) {
--- a/proxy/src/net/due.rs
+++ b/proxy/src/net/due.rs
@@ -3,14 +3,14 @@
 use super::checks::Checks;
 use super::gossip::Gossip;
 use super::{Proxy, SWEEP};
-use crate::core::Attempt;
+use crate::core::AttemptId;
 use tracing::info;
 
 /// What a timer was set for.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Module(u32),
-    Attempt(Attempt),
+    Attempt(AttemptId),
     Connect(usize, u64),
     Probe(usize, u64),
     Rested(usize, u64),
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -126,7 +126,7 @@
         agent: Agent::new(
             config.discovery,
             known.as_ref().map(|known| known.rev),
-            &config.site.module,
+            &config.site.routing,
             config.seed,
         ),
         admin,
--- a/proxy/src/net/places.rs
+++ b/proxy/src/net/places.rs
@@ -5,7 +5,7 @@
 use super::{Proxy, admin, gossip};
 use crate::config::Config;
 use birchreach::Micros;
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 
 /// Descriptors kept for the rest: standard streams, poll, signals, listeners, discovery, operators.
 const OWN_SOCKETS: usize = 16 + admin::MOST;
@@ -35,8 +35,8 @@
     if config.options.health.is_some() { GUESTS } else { 0 }
 }
 
-pub(super) fn longest_deadline(site: &Site) -> Micros {
-    site.module.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
+pub(super) fn longest_deadline(site: &DeploymentSettings) -> Micros {
+    site.routing.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
 }
 
 impl Proxy {
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -10,7 +10,7 @@
 use super::Due;
 use super::event_loop_context::EventLoopContext;
 use super::stream;
-use crate::core::{self, Attempt};
+use crate::core::{self, AttemptId};
 use crate::pg::backend::Backend;
 use crate::pg::report::ReportForm;
 use crate::pg::statement::Statement;
@@ -18,7 +18,7 @@
 use background_queries::BackgroundQuery;
 pub use background_queries::Done;
 use birchreach::{LoadReportSource, Micros, ServerId};
-use birchreach_settings::Site;
+use birchreach_settings::DeploymentSettings;
 use mio::net::TcpStream;
 use slab::Slab;
 use std::collections::HashMap;
@@ -37,7 +37,7 @@
 /// What a connection was opened or taken for.
 enum Job {
     Attempt {
-        attempt: Attempt,
+        attempt: AttemptId,
         work: Work,
         until: Micros,
         /// The server's copy is asked for.
@@ -79,7 +79,7 @@
     slots: Slab<Connection>,
     /// Idle connections of each server; the one used last is taken first, so that those too many age.
     idle: HashMap<ServerId, Vec<usize>>,
-    attempts: HashMap<Attempt, usize>,
+    attempts: HashMap<AttemptId, usize>,
     most: usize,
     /// The system had no socket to give, and no idle connection was there to make room.
     starved: bool,
@@ -98,7 +98,7 @@
 const IDLE_KEPT: f64 = 0.6;
 
 impl Pool {
-    pub fn new(site: &Site, most: usize) -> Pool {
+    pub fn new(site: &DeploymentSettings, most: usize) -> Pool {
         let mut pool = Pool {
             slots: Slab::new(),
             idle: HashMap::new(),
@@ -117,14 +117,14 @@
     }
 
     /// Takes what the settings say of connections to databases.
-    pub fn settings(&mut self, site: &Site) {
-        let name = |place: Option<usize>| place.and_then(|p| site.report_names.get(p).cloned());
-        self.connect_timeout = site.module.connect_timeout.max(1);
-        self.idle_limit = (site.conn_idle as f64 * IDLE_KEPT) as Micros;
+    pub fn settings(&mut self, site: &DeploymentSettings) {
+        let name = |place: Option<usize>| place.and_then(|p| site.load_report_fields.get(p).cloned());
+        self.connect_timeout = site.routing.connect_timeout.max(1);
+        self.idle_limit = (site.connection_idle_timeout as f64 * IDLE_KEPT) as Micros;
         self.report = ReportForm {
-            position: name(site.report_position),
-            role: name(site.report_role),
-            in_answers: site.module.load_reports == LoadReportSource::Responses,
+            position: name(site.load_report_position_index),
+            role: name(site.load_report_role_index),
+            in_answers: site.routing.load_reports == LoadReportSource::Responses,
         };
     }
 
@@ -141,7 +141,7 @@
     pub fn start(
         &mut self,
         context: &mut EventLoopContext,
-        attempt: Attempt,
+        attempt: AttemptId,
         server: ServerId,
         work: Work,
         until: Micros,
@@ -206,7 +206,7 @@
     }
 
     /// The client has taken what there was of a long value.
-    pub fn more(&mut self, context: &mut EventLoopContext, attempt: Attempt) {
+    pub fn more(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempts.get(&attempt).copied() else { return };
         let c = &mut self.slots[key];
         (c.paused, c.moved_at) = (false, context.now);
--- a/proxy/src/net/pool/times.rs
+++ b/proxy/src/net/pool/times.rs
@@ -3,7 +3,7 @@
 
 use super::super::event_loop_context::EventLoopContext;
 use super::{Connection, Job, Pool};
-use crate::core::Attempt;
+use crate::core::AttemptId;
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
 
@@ -12,19 +12,19 @@
 
 impl Pool {
     /// Gives an attempt up: its connection is closed, for an answer may still come on it.
-    pub fn stop(&mut self, context: &mut EventLoopContext, attempt: Attempt) {
+    pub fn stop(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         self.give_up(context, attempt, AttemptOutcome::Cancelled, "cancelled");
     }
 
     /// The attempt's time is over.
-    pub fn overdue(&mut self, context: &mut EventLoopContext, attempt: Attempt) {
+    pub fn overdue(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         self.give_up(context, attempt, AttemptOutcome::Timeout, "timeout");
     }
 
     fn give_up(
         &mut self,
         context: &mut EventLoopContext,
-        attempt: Attempt,
+        attempt: AttemptId,
         ending: AttemptOutcome,
         reason: &str,
     ) {
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -55,7 +55,7 @@
             pool.limit(context, for_databases);
             clients.host(guests(&new));
             clients.limit(context, for_clients);
-            agent.settings(&new.site.module);
+            agent.settings(&new.site.routing);
             agent.moved(context, new.discovery);
         });
         let Config { name, listen, operator, inherited, .. } = &self.config;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,34 +1,34 @@
 //! The settings JSON, as the simulator's first message and a proxy's configuration hold it, read
 //! once into what the decision module and its hosts need. Unknown keys are skipped, and told as doubts.
 
-mod doubts;
+mod warnings;
 
 use birchreach::*;
-pub use doubts::doubts;
 use serde_json::Value;
 use std::cell::RefCell;
+pub use warnings::warnings;
 
 /// What the module is told, and what its hosts need to know besides.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct DeploymentSettings {
     /// The module's own part.
-    pub module: Settings,
+    pub routing: Settings,
     /// The classes' names, in the order of the module's classes.
     pub class_names: Vec<String>,
     /// The zones' names; a zone's number is its place.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// The names of a load report's values, in their order.
-    pub report_names: Vec<String>,
+    pub load_report_fields: Vec<String>,
     /// Servers close a connection that has been idle for this long, at the latest.
-    pub conn_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// The clock time that positions are counted from.
-    pub zero: Micros,
+    pub position_epoch: Micros,
     /// Session reads say how long ago their session wrote.
-    pub carried: Vec<bool>,
+    pub session_position_in_request: Vec<bool>,
     /// The place of the position in a report.
-    pub report_position: Option<usize>,
+    pub load_report_position_index: Option<usize>,
     /// The place of the role in a report.
-    pub report_role: Option<usize>,
+    pub load_report_role_index: Option<usize>,
 }
 
 type Read<T> = Result<T, String>;
@@ -85,29 +85,29 @@
 }
 
 /// Reads the settings from their text.
-pub fn parse(text: &str) -> Read<Site> {
+pub fn parse(text: &str) -> Read<DeploymentSettings> {
     let root: Value = serde_json::from_str(text).map_err(|e| format!("settings: info: {e}"))?;
     from_value(&root)
 }
 
 /// Reads the settings from JSON that has been parsed already; the error is the first fault.
-pub fn from_value(root: &Value) -> Read<Site> {
-    let (site, faults) = all_from_value(root);
+pub fn from_value(root: &Value) -> Read<DeploymentSettings> {
+    let (site, faults) = from_value_with_errors(root);
     faults.into_iter().next().map_or(Ok(site), Err)
 }
 
 /// The same, with every fault there is; something harmless stands in the site where one was.
-pub fn all_from_value(root: &Value) -> (Site, Vec<String>) {
-    let faults = Faults::default();
+pub fn from_value_with_errors(root: &Value) -> (DeploymentSettings, Vec<String>) {
+    let faults = SettingsErrors::default();
     let site = site(root, &faults);
     (site, faults.0.into_inner())
 }
 
 /// What was found wrong; reading goes on with something harmless in its place.
 #[derive(Default)]
-struct Faults(RefCell<Vec<String>>);
+struct SettingsErrors(RefCell<Vec<String>>);
 
-impl Faults {
+impl SettingsErrors {
     fn or<T>(&self, read: Read<T>, instead: T) -> T {
         read.unwrap_or_else(|fault| {
             self.0.borrow_mut().push(fault);
@@ -116,7 +116,7 @@
     }
 }
 
-fn site(root: &Value, faults: &Faults) -> Site {
+fn site(root: &Value, faults: &SettingsErrors) -> DeploymentSettings {
     if !root.is_object() {
         faults.or(bad("info", "an object"), ());
     }
@@ -206,21 +206,21 @@
         .map(|c| c.consistency == Consistency::Session && tokens == SessionPositionSource::FromRequest)
         .collect();
     let (report_position, report_role) = (place("x0"), place("x1"));
-    Site {
+    DeploymentSettings {
         class_names,
-        zones: words(root, "dcs"),
-        conn_idle: span(
+        zone_names: words(root, "dcs"),
+        connection_idle_timeout: span(
             faults.or(
                 number(find(root, "limits.conn_idle_ms"), "limits.conn_idle_ms", Some(30_000.0)),
                 30_000.0,
             ),
         ),
-        report_names,
-        zero: span(zero_ms),
-        carried,
-        report_position,
-        report_role,
-        module: Settings {
+        load_report_fields: report_names,
+        position_epoch: span(zero_ms),
+        session_position_in_request: carried,
+        load_report_position_index: report_position,
+        load_report_role_index: report_role,
+        routing: Settings {
             proxy_count: num("balancers") as u32,
             zone: ZoneId(num("my_zone") as u16),
             classes,
--- a/settings/src/doubts.rs
+++ b/settings/src/warnings.rs
@@ -1,7 +1,7 @@
 //! What settings that can be served with are likely not to mean. A fault keeps a proxy from starting; a doubt is only
 //! told, and says what is done instead. It owns the known keys and the contradictions; it never changes what was read.
 
-use crate::{Site, find};
+use crate::{DeploymentSettings, find};
 use birchreach::*;
 use serde_json::Value;
 
@@ -21,7 +21,7 @@
 const WHOLE: [&str; 3] = ["client_habits", "objective_mix", "prices"];
 
 /// Every doubt, each beginning with the path of its key, as faults do.
-pub fn doubts(root: &Value, site: &Site) -> Vec<String> {
+pub fn warnings(root: &Value, site: &DeploymentSettings) -> Vec<String> {
     let mut found = Vec::new();
     unknown(root, "", "", &mut found);
     contradictions(root, site, &mut found);
@@ -51,8 +51,8 @@
     }
 }
 
-fn contradictions(root: &Value, site: &Site, found: &mut Vec<String>) {
-    let set = &site.module;
+fn contradictions(root: &Value, site: &DeploymentSettings, found: &mut Vec<String>) {
+    let set = &site.routing;
     let mut doubt = |key: &str, what: &str| found.push(format!("{key}: {what}"));
     let length = |key: &str| find(root, key).and_then(Value::as_array).map_or(0, Vec::len);
     if length("extra.class_read") != set.classes.len() {
@@ -84,7 +84,7 @@
     if needs_proof && set.load_reports != LoadReportSource::Never && !set.load_reports_have_position {
         doubt("load_info.names", "without x0: only answers may tell of positions");
     }
-    if usize::from(set.zone.0) >= site.zones.len() {
+    if usize::from(set.zone.0) >= site.zone_names.len() {
         doubt("my_zone", "names no place in dcs; every server counts as elsewhere");
     }
     if set.slow_start_initial_fraction > 1.0 {
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -2,7 +2,7 @@
 //! instead is safe.
 
 use birchreach::{Consistency, LoadReportSource};
-use birchreach_settings::{all_from_value, doubts};
+use birchreach_settings::{from_value_with_errors, warnings};
 use serde_json::{Value, json};
 
 fn example() -> Value {
@@ -23,16 +23,16 @@
 }
 
 fn doubts_of(told: &Value) -> Vec<String> {
-    let (site, faults) = all_from_value(told);
+    let (site, faults) = from_value_with_errors(told);
     assert_eq!(faults, [""; 0]);
-    doubts(told, &site)
+    warnings(told, &site)
 }
 
 #[test]
 fn both_forms_are_beyond_doubt() {
     assert_eq!(doubts_of(&example()), [""; 0]);
     assert_eq!(doubts_of(&other()), [""; 0]);
-    assert_eq!(all_from_value(&other()).0.module.load_reports, LoadReportSource::Responses);
+    assert_eq!(from_value_with_errors(&other()).0.routing.load_reports, LoadReportSource::Responses);
 }
 
 #[test]
@@ -67,13 +67,13 @@
     for reads in [json!(["any"]), json!([]), Value::Null] {
         let mut settings = example();
         settings["extra"]["class_read"] = reads;
-        let (site, faults) = all_from_value(&settings);
+        let (site, faults) = from_value_with_errors(&settings);
         assert_eq!(faults, [""; 0]);
         assert!(
-            site.module.classes[1..].iter().all(|c| c.consistency == Consistency::Strong),
+            site.routing.classes[1..].iter().all(|c| c.consistency == Consistency::Strong),
             "a write among them too"
         );
-        assert_eq!(doubts(&settings, &site).len(), 1);
+        assert_eq!(warnings(&settings, &site).len(), 1);
     }
 }
 
@@ -104,14 +104,14 @@
                 let mut settings = form.clone();
                 *settings.pointer_mut(path).unwrap() = value.clone();
                 // Faults and doubts name a key each, and every one of them begins alike.
-                let (site, faults) = all_from_value(&settings);
-                for said in faults.iter().chain(&doubts(&settings, &site)) {
+                let (site, faults) = from_value_with_errors(&settings);
+                for said in faults.iter().chain(&warnings(&settings, &site)) {
                     assert!(
                         said.starts_with("settings: ") && said.matches(": ").count() >= 1,
                         "{path}: {said}"
                     );
                 }
-                let silent = faults.is_empty() && doubts(&settings, &site).is_empty();
+                let silent = faults.is_empty() && warnings(&settings, &site).is_empty();
                 let number = path.ends_with("_ms") && !path.contains("extra");
                 assert!(!silent || !number || value == json!(1e300) || value.is_null(), "{path}: {value}");
             }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -18,7 +18,7 @@
 
 struct Instance {
     router: Router,
-    settings: birchreach_settings::Site,
+    settings: birchreach_settings::DeploymentSettings,
 }
 
 fn run(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
@@ -37,7 +37,7 @@
                 }
                 wire::Incoming::Begin { router, seed, info } => match birchreach_settings::parse(&info) {
                     Ok(settings) => {
-                        let made = Router::new(settings.module.clone(), seed, now, &mut actions);
+                        let made = Router::new(settings.routing.clone(), seed, now, &mut actions);
                         reply.actions(router, &mut actions);
                         let instance = Instance { router: made, settings };
                         instances.insert(router, instance);
--- a/simulator-adapter/src/wire/mod.rs
+++ b/simulator-adapter/src/wire/mod.rs
@@ -126,7 +126,8 @@
             },
             258 => {
                 let class = f.u16(20);
-                let carried = wire.is_some_and(|w| w.carried.get(class as usize) == Some(&true));
+                let carried =
+                    wire.is_some_and(|w| w.session_position_in_request.get(class as usize) == Some(&true));
                 let ago = f.f32(30);
                 Event::Request(Request {
                     id: RequestId(f.u64(4)),
@@ -151,7 +152,7 @@
                     outcome: ending,
                     elapsed: micros_down(f.f64(24)),
                     request_finished: f.u8(20) != 0,
-                    status: wire.and_then(|w| note(f.u32(12), w.zero)),
+                    status: wire.and_then(|w| note(f.u32(12), w.position_epoch)),
                     load_report: wire.and_then(|w| report(&f, 32, w)),
                 })
             }
@@ -219,7 +220,7 @@
     Some(ServerStatus { role, position })
 }
 
-fn report(f: &Fields, at: usize, wire: &birchreach_settings::Site) -> Option<LoadReport> {
+fn report(f: &Fields, at: usize, wire: &birchreach_settings::DeploymentSettings) -> Option<LoadReport> {
     let n = (f.u8(at) as usize).min(4);
     if n == 0 {
         return None;
@@ -229,11 +230,11 @@
     };
     // A position of a few seconds survives 32-bit floats to a fraction of a millisecond; the
     // last step of that is taken off, so that it is never read as later than it was.
-    let position = value(wire.report_position).map(|s| {
+    let position = value(wire.load_report_position_index).map(|s| {
         let step = (s as f32).next_up() as f64 - s;
-        wire.zero + micros_down((s - step) * 1000.0)
+        wire.position_epoch + micros_down((s - step) * 1000.0)
     });
-    let role = value(wire.report_role).map(|v| match v {
+    let role = value(wire.load_report_role_index).map(|v| match v {
         v if v >= 0.5 => Role::Primary,
         _ => Role::Replica,
     });
