--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,21 +1,21 @@
 //! `birchreach-proxy`: one proxy on real sockets before groups of a primary and its replicas.
 
-mod ask;
+mod admin_protocol;
 mod cli;
 mod config;
 mod core;
 mod discovery;
 mod fleet;
 mod grpc;
+mod handover_protocol;
 mod health;
+mod health_command;
 mod hot;
 mod log;
 mod metrics;
 mod net;
 mod observe;
-mod operator;
 mod outbox;
-mod peer;
 mod peer_knowledge;
 mod pg;
 mod reply;
@@ -56,9 +56,11 @@
                 let first = |faults: Vec<birchreach_options::Fault>| faults.first().map(ToString::to_string);
                 let read = text
                     .and_then(|t| birchreach_options::parse(&t).map_err(|f| first(f).unwrap_or_default()));
-                read.unwrap_or_else(|why| quit(&format!("{}: {why}", path.display()), ask::UNREACHED))
+                read.unwrap_or_else(|why| {
+                    quit(&format!("{}: {why}", path.display()), health_command::UNREACHED)
+                })
             });
-            let (code, text) = ask::ask(&health, options.as_ref());
+            let (code, text) = health_command::ask(&health, options.as_ref());
             finish(code, &text);
         }
     }
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -4,7 +4,7 @@
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
-use crate::operator::{Call, Caller};
+use crate::admin_protocol::{Call, Caller};
 use birchreach::Micros;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry};
@@ -23,14 +23,14 @@
 
 /// What subsystems have to tell; nothing of those that are off.
 #[derive(Default)]
-pub struct Told {
+pub struct AdminReports {
     pub fleet: Option<String>,
     pub hot: Option<String>,
     pub split: Option<String>,
     pub metrics: Option<String>,
 }
 
-impl Told {
+impl AdminReports {
     pub fn lines(&self, call: Call) -> Option<&String> {
         match call {
             Call::Fleet => self.fleet.as_ref(),
--- a/proxy/src/net/background/shadows.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -2,7 +2,7 @@
 
 use super::{Background, What};
 use crate::net::pool::Done;
-use crate::pg::{copies, looks};
+use crate::pg::{copies, health_check_query};
 use birchreach::Micros;
 use birchreach_background_tasks::{Kind, Task};
 use birchreach_shard_split::{Ask, Told, Verdict};
@@ -34,7 +34,7 @@
             Ask::Glance(_) => vec![row()],
             // Positions are told with answers: one before the read that counts, one with it.
             Ask::Look(_) => vec![row(); 2],
-            Ask::Parent => vec![row(), looks::row(&self.text, self.group, id, 1_000)],
+            Ask::Parent => vec![row(), health_check_query::row(&self.text, self.group, id, 1_000)],
         }
     }
 }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -2,7 +2,7 @@
 //! handed back. It owns tasks on their way and the times; what is to be done is decided in crates.
 
 mod copies;
-mod shadows;
+mod dual_reads;
 mod show;
 mod start;
 
@@ -17,7 +17,7 @@
 use birchreach_background_tasks::{Kind, Scheduler, Task};
 use birchreach_membership::Fresh;
 use copies::Copying;
-use shadows::Shadow;
+use dual_reads::Shadow;
 use std::collections::HashMap;
 use tracing::info;
 
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -2,7 +2,7 @@
 
 use super::Background;
 use crate::hot::{Watch, settings};
-use crate::net::{Due, Proxy};
+use crate::net::{Proxy, TimerEvent};
 use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split;
 use birchreach::Micros;
@@ -35,7 +35,7 @@
     /// Switches on what the options say, and off what they do not say any more.
     pub(in crate::net) fn start_background(&mut self) {
         let options = self.config.options.hot.clone();
-        let (Some(fellows), Some(keys)) = (&self.fellows, &self.config.fleet_keys) else { return };
+        let (Some(fellows), Some(keys)) = (&self.fleet, &self.config.fleet_keys) else { return };
         let (boot, named, divisor) = (fellows.boot(), fellows.view().named, fellows.view().divisor());
         let mut background =
             self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.now)));
@@ -98,7 +98,7 @@
 
     /// A turn of it: what is over is taken, what is due is begun, and the timer set.
     pub(in crate::net) fn with_background(&mut self, act: impl FnOnce(&mut Background, Micros)) {
-        let Some(fellows) = &self.fellows else { return };
+        let Some(fellows) = &self.fleet else { return };
         let Some(mut background) = self.background.take() else { return };
         let (view, speaks) = (fellows.view(), fellows.speaks());
         let now = self.now;
@@ -115,7 +115,7 @@
         let next = background.next_change(now);
         if next < background.armed || background.armed <= now {
             background.armed = next;
-            self.timers.set(next, Due::Background);
+            self.timers.set(next, TimerEvent::Background);
         }
         self.background = Some(background);
         if !said.is_empty() {
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -2,7 +2,7 @@
 //! one process of this proxy yields to the next. The verdict is the monitor's.
 
 use super::checks::Checks;
-use super::{Due, Proxy};
+use super::{Proxy, TimerEvent};
 use crate::health::{self, Watch};
 use crate::observe::{Observer, Shared, shared};
 use birchreach::{Micros, ServerId};
@@ -43,7 +43,7 @@
     pub(super) fn start_health(&mut self) -> Result<(), String> {
         self.watch();
         let health = self.config.options.health.clone();
-        let predecessor = self.twin.has_predecessor();
+        let predecessor = self.handover.has_predecessor();
         // The one that this process replaces answers until it yields.
         let opened = self.checks.open(if predecessor { None } else { health.as_ref() })?;
         self.with_checks(|checks, context| checks.take(context, health, opened));
@@ -79,43 +79,43 @@
         }
         if !std::mem::replace(&mut self.health.ticking, true) {
             (self.health.ticked, self.health.slept) = (self.now, 0);
-            self.timers.set(self.now + HEALTH_TICK, Due::HealthTick);
+            self.timers.set(self.now + HEALTH_TICK, TimerEvent::HealthTick);
         }
     }
 
     /// This process is not to be called ready before then.
     fn ready_from(&mut self, at: Micros) {
         self.health.ready_at = at;
-        self.tell_balancers(Fact::ReadyAt(at));
+        self.record_health_event(Fact::ReadyAt(at));
         self.checks.not_before(at);
-        self.timers.set(at - EARLY, Due::Checks);
+        self.timers.set(at - EARLY, TimerEvent::OpenCheckListeners);
     }
 
     /// One process of this proxy yields to the next at an instant that both know, so that balancers never find both
     /// down, nor both up for new work.
-    pub(super) fn agree(&mut self) {
+    pub(super) fn negotiate_handover(&mut self) {
         if self.health.watch.is_none() {
             return;
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let unix = i64::try_from(unix.as_micros()).unwrap_or(i64::MAX);
-        let replaced = self.twin.replaced();
+        let replaced = self.handover.is_replaced();
         if replaced != self.health.yielding {
             self.health.yielding = replaced;
             let at = replaced.then_some(self.now + YIELD);
-            self.tell_balancers(Fact::YieldAt(at));
+            self.record_health_event(Fact::YieldAt(at));
             match at {
                 Some(at) => {
-                    self.with_own(|_, twin, context| twin.yields(context, unix + YIELD));
-                    self.timers.set(at, Due::Yield);
+                    self.with_own(|_, twin, context| twin.announce_stop_accepting(context, unix + YIELD));
+                    self.timers.set(at, TimerEvent::StopAcceptingChecks);
                 }
                 None => self.with_checks(Checks::reopen),
             }
         }
         if self.health.ready_at > self.now && !self.health.yields_heard {
-            let left = match self.twin.predecessor_yields() {
+            let left = match self.handover.predecessor_stops_accepting_at() {
                 Some(at) => (at - unix).clamp(0, NO_WORD),
-                None if self.twin.has_predecessor() => return,
+                None if self.handover.has_predecessor() => return,
                 None => 0,
             };
             self.health.yields_heard = true;
@@ -125,7 +125,7 @@
 
     /// What this process has to carry: the share of the time that its loop did not sleep, and of the descriptors for
     /// databases that have something out.
-    pub(super) fn tell_load(&mut self) {
+    pub(super) fn report_load(&mut self) {
         if self.health.watch.is_none() {
             self.health.ticking = false;
             return;
@@ -133,17 +133,17 @@
         let span = (self.now - self.health.ticked).max(1);
         let busy = 1.0 - self.health.slept as f64 / span as f64;
         (self.health.ticked, self.health.slept) = (self.now, 0);
-        let (for_clients, for_databases) = self.places();
+        let (for_clients, for_databases) = self.connection_limits();
         let out = self.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
         let held = self.core.report_queued(self.now);
         let in_progress = self.core.open_request_count();
         let pressure = busy.max(out);
-        self.tell_balancers(Fact::Load { pressure, in_progress, held, room: for_clients });
-        self.timers.set(self.now + HEALTH_TICK, Due::HealthTick);
+        self.record_health_event(Fact::Load { pressure, in_progress, held, room: for_clients });
+        self.timers.set(self.now + HEALTH_TICK, TimerEvent::HealthTick);
     }
 
     /// Looks at what balancers are told, if it may have changed; sends the probes that are due.
-    pub(super) fn look_at_health(&mut self) {
+    pub(super) fn update_health(&mut self) {
         let Some(watch) = &self.health.watch else { return };
         let (next, changes, probes) = watch.borrow_mut().news(self.now);
         let changed = !changes.is_empty();
@@ -163,7 +163,7 @@
         }
         if self.health.timer.is_none_or(|at| next < at) {
             self.health.timer = Some(next);
-            self.timers.set(next, Due::Health);
+            self.timers.set(next, TimerEvent::HealthChange);
         }
         if !probes.is_empty() {
             self.with(|_, pool, _, context| probes.iter().for_each(|s| pool.check(context, ServerId(s.0))));
@@ -172,14 +172,14 @@
     }
 
     /// Something that the core does not see.
-    pub(super) fn tell_balancers(&self, fact: Fact) {
+    pub(super) fn record_health_event(&self, fact: Fact) {
         if let Some(watch) = &self.health.watch {
             watch.borrow_mut().monitor.fact(self.now, fact);
         }
     }
 
     /// Checks listen again if they may and do not.
-    pub(super) fn check_doors(&mut self) {
+    pub(super) fn reopen_check_listeners(&mut self) {
         self.with_checks(Checks::sweep);
         if self.checks.lacks() && !self.health.yielding && self.now >= self.health.ready_at - EARLY {
             self.with_checks(Checks::reopen);
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -7,7 +7,7 @@
 mod listeners;
 mod serve;
 
-use super::Due;
+use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::grpc;
@@ -138,7 +138,7 @@
         if let Some(agent) =
             self.options.as_ref().and_then(|o| o.agent.as_ref()).filter(|_| kind == Kind::Agent)
         {
-            context.timers.set(context.now + agent.ask, Due::Asked(key, self.serial));
+            context.timers.set(context.now + agent.ask, TimerEvent::CheckTimeout(key, self.serial));
         }
         // What was sent with the connect is there already.
         self.ready(context, key);
--- a/proxy/src/net/clients/places.rs
+++ b/proxy/src/net/clients/admission.rs
@@ -1,9 +1,9 @@
 //! Who may come in: newcomers are accepted while there are places, and idle clients make room for them.
 
-use super::super::Due;
+use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
-use super::super::pause::{self, Point};
 use super::super::sources::Source;
+use super::super::test_hooks::{self, Point};
 use super::client::{Client, NEWCOMER};
 use super::{Clients, spare};
 use crate::log::Quoted;
@@ -85,7 +85,7 @@
 
     fn pause(&mut self, context: &mut EventLoopContext) {
         self.retry_set = true;
-        context.timers.set(context.now + ACCEPT_AGAIN, Due::Accept);
+        context.timers.set(context.now + ACCEPT_AGAIN, TimerEvent::RetryAccept);
     }
 
     pub fn accept_again(&mut self) {
@@ -104,7 +104,7 @@
             let ranks = can_be_shed.map(|(k, c)| (c.rank(context.now), k));
             let first = ranks.filter(|(rank, _)| rank.0 <= class).min();
             let Some((before, key)) = first else { return };
-            pause::at(Point::Shed);
+            test_hooks::at(Point::Shed);
             // What came in meanwhile is read first: a request must not cross with the end.
             self.ready(context, key);
             match self.slots.get(key) {
--- a/proxy/src/net/clients/times.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -1,7 +1,7 @@
 //! What a client's time runs out for, and how all of them go when the process does.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::pause::{self, Point};
+use super::super::test_hooks::{self, Point};
 use super::Clients;
 use super::client::{Client, CloseMode};
 use birchreach::Micros;
@@ -39,7 +39,7 @@
     pub fn sweep(&mut self, context: &mut EventLoopContext) {
         let keys = self.slots.iter().filter(|(_, c)| Self::expired(c, context.now).is_some());
         for key in keys.map(|(k, _)| k).collect::<Vec<_>>() {
-            pause::at(Point::Sweep);
+            test_hooks::at(Point::Sweep);
             // What came in meanwhile is read first: a request must not cross with the end.
             self.ready(context, key);
             let Some(c) = self.slots.get_mut(key) else { continue };
@@ -68,7 +68,7 @@
     /// Accepts and reads what has arrived, then takes no more, and closes each connection once that is answered: a client that
     /// sends one command behind the other would else have one in hand when the process is killed.
     pub fn leave(&mut self, context: &mut EventLoopContext) {
-        pause::at(Point::Leave);
+        test_hooks::at(Point::Leave);
         self.waiting = true;
         self.retry_set = false;
         while self.can_accept() {
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -1,16 +1,16 @@
 //! The listener and the clients' connections.
 
+mod admission;
 mod client;
-mod converse;
-mod places;
-mod times;
+mod expiry;
+mod input;
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::core::{Answer, AttemptId};
 use birchreach::RequestId;
 use client::Client;
-use converse::Admission;
+use input::Admission;
 use mio::net::TcpListener;
 use mio::{Interest, Registry};
 use slab::Slab;
--- a/proxy/src/net/places.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -1,7 +1,7 @@
 //! How descriptors are shared out: among the process's own, clients, databases and checks, and between two processes of one
 //! proxy.
 
-use super::twin::Twin;
+use super::process_handover::ProcessHandover;
 use super::{Proxy, admin, gossip};
 use crate::config::Config;
 use birchreach::Micros;
@@ -16,10 +16,13 @@
 
 /// How many descriptors clients and databases of this process may hold: all but its own; half of that while
 /// another process is there; and while that one is leaving, all but what it still holds.
-pub(super) fn places(sockets: usize, checks: usize, twin: &Twin) -> (usize, usize) {
-    let processes = twin.processes() as usize;
+pub(super) fn places(sockets: usize, checks: usize, twin: &ProcessHandover) -> (usize, usize) {
+    let processes = twin.process_count() as usize;
     let free = sockets.saturating_sub((OWN_SOCKETS + checks) * processes);
-    let free = twin.left_over().map_or(free / processes, |held| free.saturating_sub(held)).max(LEAST_PLACES);
+    let free = twin
+        .predecessor_descriptors()
+        .map_or(free / processes, |held| free.saturating_sub(held))
+        .max(LEAST_PLACES);
     (free - free / 2, free / 2)
 }
 
@@ -41,10 +44,10 @@
 
 impl Proxy {
     /// What this process may do beside others.
-    pub(super) fn share(&mut self) {
-        let (for_clients, for_databases) = self.places();
-        let replaced = self.twin.replaced();
-        self.core.set_process_count(self.now, self.twin.processes());
+    pub(super) fn apply_process_count(&mut self) {
+        let (for_clients, for_databases) = self.connection_limits();
+        let replaced = self.handover.is_replaced();
+        self.core.set_process_count(self.now, self.handover.process_count());
         let (stopping, guests) = (self.stopping, guests(&self.config));
         self.with(|clients, pool, _, context| {
             pool.limit(context, for_databases);
@@ -56,8 +59,8 @@
         });
     }
 
-    pub(super) fn places(&self) -> (usize, usize) {
+    pub(super) fn connection_limits(&self) -> (usize, usize) {
         let reserve = reserve(&self.config);
-        places(self.config.sockets, reserve, &self.twin)
+        places(self.config.sockets, reserve, &self.handover)
     }
 }
--- a/proxy/src/net/agent.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -1,6 +1,6 @@
 //! The connection to discovery's agent, on which the watch is kept up.
 
-use super::Due;
+use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream::{self, Ended};
@@ -28,12 +28,12 @@
 }
 
 /// What one look at the connection brought.
-struct Heard {
+struct DiscoveryEvent {
     answer: Result<Option<Answer>, CallError>,
     ended: Option<Ended>,
 }
 
-pub struct Agent {
+pub struct DiscoveryConnection {
     address: SocketAddr,
     watch: Watch,
     stream: Option<TcpStream>,
@@ -49,9 +49,9 @@
     backoff: Backoff,
 }
 
-impl Agent {
-    pub fn new(address: SocketAddr, rev: Option<u64>, settings: &Settings, seed: u64) -> Agent {
-        Agent {
+impl DiscoveryConnection {
+    pub fn new(address: SocketAddr, rev: Option<u64>, settings: &Settings, seed: u64) -> DiscoveryConnection {
+        DiscoveryConnection {
             address,
             watch: Watch::new(address.to_string(), rev),
             stream: None,
@@ -85,7 +85,7 @@
         self.address = address;
         self.watch.moved(address.to_string());
         self.backoff.answered();
-        self.hang_up(context, "moved");
+        self.disconnect(context, "moved");
         self.call(context);
     }
 
@@ -93,7 +93,7 @@
     fn enter(&mut self, context: &mut EventLoopContext, stage: Stage, limit: Micros) {
         self.stage = stage;
         self.turn += 1;
-        context.timers.set(context.now + limit, Due::Discovery(self.turn));
+        context.timers.set(context.now + limit, TimerEvent::Discovery(self.turn));
     }
 
     fn call_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
@@ -140,11 +140,11 @@
     }
 
     /// Somebody else must make room. Told once.
-    pub fn starved(&mut self) -> bool {
+    pub fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.starved)
     }
 
-    fn hang_up(&mut self, context: &mut EventLoopContext, reason: &str) {
+    fn disconnect(&mut self, context: &mut EventLoopContext, reason: &str) {
         if let Some(mut stream) = self.stream.take() {
             let _ = context.registry.deregister(&mut stream);
         }
@@ -152,7 +152,7 @@
     }
 
     fn failed(&mut self, context: &mut EventLoopContext, error: &CallError) {
-        self.hang_up(context, &error.to_string());
+        self.disconnect(context, &error.to_string());
         self.watch.failed();
         let wait = self.backoff.failed(error);
         self.call_after(context, wait);
@@ -184,7 +184,7 @@
         if !self.write(context) {
             return None;
         }
-        let Heard { answer, ended } = self.read(context)?;
+        let DiscoveryEvent { answer, ended } = self.read(context)?;
         match (answer, ended) {
             (Err(error), _) => self.failed(context, &error),
             (Ok(Some(answer)), ended) => return self.answered(context, answer, ended.is_some()),
@@ -199,7 +199,7 @@
     }
 
     /// What has come, and whether the connection ended behind it.
-    fn read(&mut self, context: &mut EventLoopContext) -> Option<Heard> {
+    fn read(&mut self, context: &mut EventLoopContext) -> Option<DiscoveryEvent> {
         let stream = self.stream.as_mut()?;
         let watch = &mut self.watch;
         let mut answer = Ok(None);
@@ -214,7 +214,7 @@
         if ended == Err(Ended::Closed) && answer == Ok(None) {
             answer = watch.closed();
         }
-        Some(Heard { answer, ended: ended.err() })
+        Some(DiscoveryEvent { answer, ended: ended.err() })
     }
 
     /// An answer came, and behind it perhaps the end of the connection. The next call follows.
@@ -231,7 +231,7 @@
         }
         if ended {
             // Nothing was missed: the next call is a watch again.
-            self.hang_up(context, &CallError::Closed.to_string());
+            self.disconnect(context, &CallError::Closed.to_string());
             let wait = self.backoff.failed(&CallError::Closed);
             self.call_after(context, wait);
         } else if context.now - self.called_at < TOO_SOON && empty {
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -1,6 +1,6 @@
 //! What the connections' owners need of the loop, lent to them for a call.
 
-use super::Due;
+use super::TimerEvent;
 use super::pool::Work;
 use super::timers::Timers;
 use crate::core::Core;
@@ -10,7 +10,7 @@
 pub struct EventLoopContext<'a> {
     pub now: Micros,
     pub registry: &'a Registry,
-    pub timers: &'a mut Timers<Due>,
+    pub timers: &'a mut Timers<TimerEvent>,
     pub core: &'a mut Core<Work>,
     pub scratch: &'a mut [u8],
 }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -24,7 +24,7 @@
 const VIEW: u8 = 0;
 const REPORTS: u8 = 1;
 
-pub struct Fellows {
+pub struct FleetMembership {
     /// None: another process of this proxy speaks, or this one has said goodbye.
     socket: Option<UdpSocket>,
     listen: SocketAddr,
@@ -53,7 +53,7 @@
     }
 }
 
-impl Fellows {
+impl FleetMembership {
     fn open(&mut self) -> std::io::Result<()> {
         let mut socket = UdpSocket::bind(self.listen)?;
         self.registry.register(&mut socket, Source::Fleet.token(), Interest::READABLE)?;
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -1,9 +1,9 @@
 //! How the loop comes by the fleet's driver, and how it lends it out: its datagrams, its listener for links, and whom it wants to meet.
 
-use super::super::admin::Told;
-use super::super::gossip::Views;
-use super::super::{Due, Proxy};
-use super::Fellows;
+use super::super::admin::AdminReports;
+use super::super::gossip::MembershipSync;
+use super::super::{Proxy, TimerEvent};
+use super::FleetMembership;
 use crate::fleet::Metrics;
 use crate::observe::shared;
 use birchreach::Micros;
@@ -38,7 +38,7 @@
             named: options.named,
         };
         let machine = shared(Fleet::new(settings, self.now));
-        let mut fellows = Fellows {
+        let mut fellows = FleetMembership {
             socket: None,
             listen: options.listen,
             registry: self.poll.registry().try_clone().map_err(failed)?,
@@ -57,20 +57,20 @@
             Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited.is_some() => {}
             other => other.map_err(failed)?,
         }
-        let views = Views::new(options.listen, keys.clone(), machine);
+        let views = MembershipSync::new(options.listen, keys.clone(), machine);
         self.gossip.get_or_insert_default().view(views);
-        self.fellows = Some(fellows);
+        self.fleet = Some(fellows);
         self.with_fleet(|fellows, now| fellows.due(now));
         Ok(())
     }
 
     /// What operators are told of the fleet and of what stands on it.
-    pub(in crate::net) fn told(&self) -> Told {
-        let Some(fellows) = &self.fellows else { return Told::default() };
+    pub(in crate::net) fn admin_reports(&self) -> AdminReports {
+        let Some(fellows) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fellows.view());
         let (divisor, heard) = (view.divisor(), view.members);
         let more = background.map_or_else(String::new, |b| b.metrics(heard));
-        Told {
+        AdminReports {
             fleet: Some(fellows.lines(self.now)),
             hot: background.and_then(|b| b.hot_lines(self.now, divisor)),
             split: background.and_then(|b| b.split_lines(heard, divisor)),
@@ -78,12 +78,12 @@
         }
     }
 
-    pub(in crate::net) fn with_fleet(&mut self, act: impl FnOnce(&mut Fellows, Micros)) {
-        let Some(fellows) = &mut self.fellows else { return };
+    pub(in crate::net) fn with_fleet(&mut self, act: impl FnOnce(&mut FleetMembership, Micros)) {
+        let Some(fellows) = &mut self.fleet else { return };
         act(fellows, self.now);
         let exchange = fellows.machine.borrow_mut().exchange(self.now).filter(|_| fellows.speaks());
         if let Some(at) = fellows.wake(self.now) {
-            self.timers.set(at, Due::Fleet);
+            self.timers.set(at, TimerEvent::Fleet);
         }
         let (speaks, fresh) = (fellows.speaks(), fellows.fresh());
         let registry = self.poll.registry();
--- a/proxy/src/net/gossip/turn.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -1,9 +1,9 @@
 //! A link's turn: what has come is taken, what is to be said is written, and it goes on or ends.
 
-use super::super::Due;
+use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
-use super::talk::{self, Next, take};
+use super::peer_protocol::{self, Next, take};
 use super::{Ends, Gossip};
 
 impl Gossip {
@@ -15,12 +15,12 @@
             Ends::Tells { machine, .. } => take(&mut link.stream, context, |b| machine.feed(b)),
             Ends::View(machine) => take(&mut link.stream, context, |b| machine.feed(b)),
         };
-        let next = match (&mut link.ends, &mut self.lessons, &mut self.views) {
+        let next = match (&mut link.ends, &mut self.state_transfer, &mut self.membership_sync) {
             (Ends::Asks { machine, donor, asked_at }, Some(lessons), _) => {
-                talk::listen(context, machine, donor, *asked_at, lessons)
+                peer_protocol::listen(context, machine, donor, *asked_at, lessons)
             }
             (Ends::Tells { machine, serving }, Some(lessons), _) => {
-                talk::tell(context, machine, serving, lessons, (key, link.serial))
+                peer_protocol::tell(context, machine, serving, lessons, (key, link.serial))
             }
             (Ends::View(machine), _, Some(views)) => views.step(context, machine),
             _ => Next::Over("closed"),
@@ -52,7 +52,7 @@
                     && matches!(&self.slots[key].ends, Ends::Tells { machine, .. } if machine.telling()) =>
             {
                 let serial = self.slots[key].serial;
-                context.timers.set(context.now + 1, Due::GossipSend(key, serial));
+                context.timers.set(context.now + 1, TimerEvent::GossipSend(key, serial));
             }
             Next::Waits => {}
             over => self.end(context, key, over),
--- a/proxy/src/net/gossip/views.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -1,11 +1,11 @@
 //! Links over which two members of the fleet tell each other all that they know of it. Their listener has the number of the datagrams'
 //! address; what is told and believed is the fleet crate's to say.
 
-use super::super::Due;
+use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::listen;
-use super::talk::{Next, nonce};
+use super::peer_protocol::{Next, nonce};
 use crate::observe::Shared;
 use birchreach_membership::Fleet;
 use birchreach_peer_state::exchange::{Exchange, Step};
@@ -19,7 +19,7 @@
 /// Such links at once, both ways: what each may make a process keep is some half a megabyte.
 pub const MOST: usize = 6;
 
-pub struct Views {
+pub struct MembershipSync {
     /// None: another process of this proxy has the listener.
     listener: Option<TcpListener>,
     /// Where others reach this process.
@@ -29,9 +29,9 @@
     pub(super) waiting: bool,
 }
 
-impl Views {
-    pub fn new(own: SocketAddr, keys: Keys, machine: Shared<Fleet>) -> Views {
-        Views { listener: None, own, keys, machine, waiting: false }
+impl MembershipSync {
+    pub fn new(own: SocketAddr, keys: Keys, machine: Shared<Fleet>) -> MembershipSync {
+        MembershipSync { listener: None, own, keys, machine, waiting: false }
     }
 
     /// The listener is open while this process speaks for the proxy. Where another still has the address, it is tried again with the
@@ -85,7 +85,7 @@
                     }
                     let taken = self.machine.borrow_mut().take_all(context.now, &parts);
                     // What has changed by it is told and shown by the owner of the datagrams.
-                    context.timers.set(context.now, Due::Fleet);
+                    context.timers.set(context.now, TimerEvent::Fleet);
                     match taken {
                         Err(why) => return Next::Refused(format!("{why:?}").to_lowercase()),
                         Ok(()) if asked => return Next::Over("heard"),
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -1,26 +1,26 @@
 //! The links to other proxies: over some knowledge travels, over others all that is known of the fleet. It moves bytes and keeps
 //! times; whom to ask, whom to answer and what to believe is decided by the knowledge and fleet crates.
 
-mod lessons;
-mod talk;
-mod turn;
-mod views;
+mod link_events;
+mod membership_sync;
+mod peer_protocol;
+mod state_transfer;
 
-use super::Due;
+use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use birchreach::Micros;
 use birchreach_peer_state::exchange::Exchange;
 use birchreach_peer_state::join::End;
 use birchreach_peer_state::talk::{Asker, Teller};
-pub use lessons::Lessons;
+pub use membership_sync::MembershipSync;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry};
+use peer_protocol::Next;
 use slab::Slab;
+pub use state_transfer::StateTransfer;
 use std::net::SocketAddr;
-use talk::Next;
 use tracing::{info, warn};
-pub use views::Views;
 
 /// Links at once, both ways; one more is not taken.
 pub const MOST: usize = 24;
@@ -65,8 +65,8 @@
 #[derive(Default)]
 pub struct Gossip {
     slots: Slab<Link>,
-    lessons: Option<Lessons>,
-    views: Option<Views>,
+    state_transfer: Option<StateTransfer>,
+    membership_sync: Option<MembershipSync>,
     serial: u64,
 }
 
@@ -79,28 +79,28 @@
 }
 
 impl Gossip {
-    pub fn learn(&mut self, lessons: Lessons) {
-        self.lessons = Some(lessons);
+    pub fn learn(&mut self, lessons: StateTransfer) {
+        self.state_transfer = Some(lessons);
     }
 
-    pub fn view(&mut self, views: Views) {
-        self.views = Some(views);
+    pub fn view(&mut self, views: MembershipSync) {
+        self.membership_sync = Some(views);
     }
 
     /// This process speaks for the proxy in the fleet, or another does.
     pub fn speak(&mut self, registry: &Registry, speaks: bool) {
-        self.views.iter_mut().for_each(|views| views.speak(registry, speaks));
+        self.membership_sync.iter_mut().for_each(|views| views.speak(registry, speaks));
     }
 
     /// The start need not wait any more.
     pub fn ready(&self) -> bool {
-        self.lessons.as_ref().is_none_or(|lessons| lessons.joiner.ready())
+        self.state_transfer.as_ref().is_none_or(|lessons| lessons.joiner.ready())
     }
 
     pub fn accept_ready(&mut self, source: Source) {
         match source {
-            Source::ViewListener => self.views.iter_mut().for_each(|v| v.waiting = true),
-            _ => self.lessons.iter_mut().for_each(|l| l.waiting = true),
+            Source::ViewListener => self.membership_sync.iter_mut().for_each(|v| v.waiting = true),
+            _ => self.state_transfer.iter_mut().for_each(|l| l.waiting = true),
         }
     }
 
@@ -111,30 +111,31 @@
         old.into_iter().for_each(|key| self.end(context, key, Next::Over("silent")));
         self.accept(context);
         let mut next = context.now + 1_000_000;
-        let asked = self.lessons.iter_mut().flat_map(|l| l.joiner.step(context.now)).collect::<Vec<_>>();
+        let asked =
+            self.state_transfer.iter_mut().flat_map(|l| l.joiner.step(context.now)).collect::<Vec<_>>();
         for donor in asked {
             let ends = |machine| Ends::Asks { machine, donor: donor.clone(), asked_at: context.now };
-            let Some(lessons) = &self.lessons else { break };
+            let Some(lessons) = &self.state_transfer else { break };
             let asks = lessons.ask(&donor).map(|(stream, peer, machine)| (stream, peer, ends(machine)));
             if let Err(why) = asks.and_then(|(stream, peer, ends)| self.link(context, stream, peer, ends)) {
-                self.lessons.iter_mut().for_each(|l| l.joiner.ended(context.now, &donor, End::Failed));
+                self.state_transfer.iter_mut().for_each(|l| l.joiner.ended(context.now, &donor, End::Failed));
                 info!(conn = "knowledge", peer = donor, reason = why);
             }
         }
-        if let Some(lessons) = &self.lessons {
+        if let Some(lessons) = &self.state_transfer {
             next = next.min(lessons.joiner.next_change(context.now));
         }
-        context.timers.set(next, Due::Gossip);
+        context.timers.set(next, TimerEvent::Gossip);
     }
 
     /// How much this process has to do for its clients.
     pub fn pressed(&mut self, pressure: f64) {
-        self.lessons.iter_mut().for_each(|lessons| lessons.donor.pressed(pressure));
+        self.state_transfer.iter_mut().for_each(|lessons| lessons.donor.pressed(pressure));
     }
 
     /// All that is known of the fleet is to be exchanged with a member.
     pub fn exchange(&mut self, context: &mut EventLoopContext, peer: SocketAddr) {
-        let Some(views) = &self.views else { return };
+        let Some(views) = &self.membership_sync else { return };
         let linked = views.ask(peer).and_then(|(stream, machine)| {
             let ends = Ends::View(machine);
             self.link(context, stream, peer, ends)
@@ -153,7 +154,7 @@
     ) -> Result<(), &'static str> {
         let alike = |l: &Link| matches!((&l.ends, &ends), (Ends::View(_), Ends::View(_)));
         let views = self.slots.iter().filter(|(_, l)| alike(l)).count();
-        if self.slots.len() >= MOST || views >= views::MOST {
+        if self.slots.len() >= MOST || views >= membership_sync::MOST {
             return Err("full");
         }
         let _ = stream.set_nodelay(true);
@@ -168,8 +169,8 @@
 
     fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..TURN {
-            let lessons = self.lessons.as_mut().and_then(Lessons::accept);
-            let views = self.views.as_mut().and_then(Views::accept);
+            let lessons = self.state_transfer.as_mut().and_then(StateTransfer::accept);
+            let views = self.membership_sync.as_mut().and_then(MembershipSync::accept);
             if lessons.is_none() && views.is_none() {
                 return;
             }
@@ -195,7 +196,7 @@
         let mut link = self.slots.remove(key);
         let _ = context.registry.deregister(&mut link.stream);
         let whole = matches!(how, Next::Over("told" | "heard"));
-        if let Some(lessons) = &mut self.lessons {
+        if let Some(lessons) = &mut self.state_transfer {
             match &link.ends {
                 Ends::Asks { donor, .. } if !whole => lessons.joiner.ended(context.now, donor, End::Failed),
                 Ends::Tells { serving: true, .. } => lessons.donor.done(whole),
--- a/proxy/src/net/gossip/talk.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -1,9 +1,9 @@
 //! What passes on a link: a donor's parts into what is known, and what is known to an asker, within the donor's budget.
 
-use super::super::Due;
+use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
-use super::lessons::Lessons;
+use super::state_transfer::StateTransfer;
 use birchreach::Micros;
 use birchreach_peer_state::donor::Verdict;
 use birchreach_peer_state::frame::Nonce;
@@ -29,7 +29,7 @@
     machine: &mut Asker,
     donor: &str,
     asked_at: Micros,
-    lessons: &mut Lessons,
+    lessons: &mut StateTransfer,
 ) -> Next {
     loop {
         match machine.heard() {
@@ -60,7 +60,7 @@
     context: &mut EventLoopContext,
     machine: &mut Teller,
     serving: &mut bool,
-    lessons: &mut Lessons,
+    lessons: &mut StateTransfer,
     (key, serial): (usize, u64),
 ) -> Next {
     match machine.asked() {
@@ -77,7 +77,7 @@
     if machine.telling() && machine.out.is_empty() {
         match lessons.donor.may_send(context.now, PART) {
             Ok(()) => drop(machine.part()),
-            Err(at) => context.timers.set(at, Due::GossipSend(key, serial)),
+            Err(at) => context.timers.set(at, TimerEvent::GossipSend(key, serial)),
         }
     }
     Next::Waits
--- a/proxy/src/net/gossip/lessons.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -2,7 +2,7 @@
 
 use super::super::sources::Source;
 use super::listen;
-use super::talk::nonce;
+use super::peer_protocol::nonce;
 use crate::observe::Shared;
 use crate::peer_knowledge::PeerKnowledge;
 use birchreach::Micros;
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-pub struct Lessons {
+pub struct StateTransfer {
     listener: Option<TcpListener>,
     keys: Keys,
     /// What is known, which listens to the core.
@@ -27,7 +27,7 @@
     pub(super) waiting: bool,
 }
 
-impl Lessons {
+impl StateTransfer {
     pub fn new(
         registry: &Registry,
         options: &birchreach_options::Knowledge,
@@ -35,14 +35,14 @@
         peer_knowledge: Shared<PeerKnowledge>,
         seed: u64,
         now: Micros,
-    ) -> Result<Lessons, String> {
+    ) -> Result<StateTransfer, String> {
         let open = |at| listen(registry, at, Source::GossipListener, "knowledge");
         let listener = options.listen.map(open).transpose()?;
         if let Some(at) = listener.as_ref().and_then(|l| l.local_addr().ok()) {
             info!(event = "knowledge-listening", %at);
         }
         let join = join::Settings { seed, ..options.join.clone() };
-        Ok(Lessons {
+        Ok(StateTransfer {
             listener,
             keys,
             peer_knowledge,
--- a/proxy/src/net/leaving.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -1,7 +1,7 @@
 //! How the process ends: told to stop, it serves who still arrives, closes whoever is idle, and ends when nothing is owed.
 //! It owns the times of that order; whom to close when is the clients' owner's to do.
 
-use super::{Due, Proxy};
+use super::{Proxy, TimerEvent};
 use birchreach::Micros;
 use birchreach_health::Fact;
 use tracing::info;
@@ -24,33 +24,33 @@
     pub(super) fn stop(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.core.open_request_count());
-            self.tell_balancers(Fact::Stopping);
+            self.record_health_event(Fact::Stopping);
             let lead = self.config.options.health.as_ref().map_or(0, |health| health.lead);
-            if lead > 0 && !self.twin.replaced() {
-                return self.timers.set(self.now + lead, Due::Depart);
+            if lead > 0 && !self.handover.is_replaced() {
+                return self.timers.set(self.now + lead, TimerEvent::StopListening);
             }
         }
-        self.depart();
+        self.stop_listening();
     }
 
-    pub(super) fn depart(&mut self) {
-        if !std::mem::replace(&mut self.departed, true) {
+    pub(super) fn stop_listening(&mut self) {
+        if !std::mem::replace(&mut self.listener_closed, true) {
             let linger = if self.config.inherited.is_some() {
                 self.with(|clients, _, _, context| clients.hand_over(context));
                 HANDOVER
             } else {
                 LINGER
             };
-            self.timers.set(self.now + linger, Due::Leave);
-            self.timers.set(self.now + linger + self.longest_deadline + LAST_CALL, Due::Exit);
+            self.timers.set(self.now + linger, TimerEvent::CloseIdleClients);
+            self.timers.set(self.now + linger + self.longest_deadline + LAST_CALL, TimerEvent::Exit);
         }
     }
 
     /// The last idle clients go now; who has a request in hand goes with its answer.
-    pub(super) fn leave(&mut self) {
+    pub(super) fn close_idle_clients(&mut self) {
         self.with(|clients, _, _, context| clients.leave(context));
         self.with_fleet(|fellows, now| fellows.leave(now));
-        self.left = true;
+        self.clients_closed = true;
     }
 }
 
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -2,26 +2,26 @@
 //! done, and what waits is written. One thread, one clock.
 
 mod admin;
-mod agent;
 mod background;
 mod balancers;
 mod checks;
 mod clients;
-mod due;
+mod connection_limits;
+mod discovery_connection;
 mod event_loop_context;
 mod fleet;
 mod gossip;
-mod leaving;
+mod graceful_shutdown;
 mod listener;
-mod pause;
-mod places;
 mod pool;
+mod process_handover;
 mod reload;
+mod run_once;
 mod sources;
 mod stream;
+mod test_hooks;
+mod timer_events;
 mod timers;
-mod turn;
-mod twin;
 
 use crate::config::Config;
 use crate::core::Core;
@@ -29,28 +29,28 @@
 use crate::observe::shared;
 use crate::peer_knowledge::PeerKnowledge;
 use admin::AdminListener;
-use agent::Agent;
 use background::Background;
 use balancers::Balancers;
 use birchreach::Micros;
 use checks::Checks;
 use clients::Clients;
-pub use due::Due;
+use connection_limits::{longest_deadline, places, reserve};
+use discovery_connection::DiscoveryConnection;
 use event_loop_context::EventLoopContext;
-use fleet::Fellows;
-use gossip::{Gossip, Lessons};
+use fleet::FleetMembership;
+use gossip::{Gossip, StateTransfer};
 use mio::{Events, Poll};
-use places::{longest_deadline, places, reserve};
 pub use pool::Done;
 use pool::{Pool, Work};
-use reload::tell_doubts;
+use process_handover::ProcessHandover;
+use reload::log_settings_warnings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use sources::Source;
 use std::path::PathBuf;
+pub use timer_events::TimerEvent;
 use timers::{Clock, Timers};
 use tracing::info;
-use twin::Twin;
 
 /// What is ready and taken in one turn, at most: a request costs some 50 us, and balancers wait for a turn's end.
 const EVENTS: usize = 1024;
@@ -61,36 +61,36 @@
 struct Parts<'a> {
     clients: &'a mut Clients,
     pool: &'a mut Pool,
-    agent: &'a mut Agent,
+    discovery: &'a mut DiscoveryConnection,
     admin: &'a mut AdminListener,
     checks: &'a mut Checks,
-    twin: &'a mut Twin,
+    handover: &'a mut ProcessHandover,
 }
 
 struct Proxy {
     poll: Poll,
     clock: Clock,
     now: Micros,
-    timers: Timers<Due>,
+    timers: Timers<TimerEvent>,
     core: Core<Work>,
     scratch: Vec<u8>,
     clients: Clients,
     pool: Pool,
-    agent: Agent,
+    discovery: DiscoveryConnection,
     admin: AdminListener,
     checks: Checks,
     gossip: Option<Gossip>,
-    fellows: Option<Fellows>,
+    fleet: Option<FleetMembership>,
     background: Option<Box<Background>>,
     health: Balancers,
-    twin: Twin,
+    handover: ProcessHandover,
     config: Config,
     /// The options' file, to be read again.
     options: Option<PathBuf>,
     longest_deadline: Micros,
     stopping: bool,
-    departed: bool,
-    left: bool,
+    listener_closed: bool,
+    clients_closed: bool,
 }
 
 /// From here on signals wait for the loop instead of ending the process.
@@ -110,7 +110,11 @@
     let admin = AdminListener::new(poll.registry(), config.operator)?;
     // Only one that shares its listener can have another process beside it.
     let shared = config.inherited.is_some();
-    let twin = if shared { Twin::meet(poll.registry(), listen) } else { Twin::default() };
+    let twin = if shared {
+        ProcessHandover::connect_or_listen(poll.registry(), listen)
+    } else {
+        ProcessHandover::default()
+    };
     let reserve = reserve(&config);
     let (for_clients, for_databases) = places(config.sockets, reserve, &twin);
     let clients = Clients::new(poll.registry(), listener, for_clients)?;
@@ -123,7 +127,7 @@
         scratch: vec![0; 64 << 10],
         clients,
         pool: Pool::new(&config.site, for_databases),
-        agent: Agent::new(
+        discovery: DiscoveryConnection::new(
             config.discovery,
             known.as_ref().map(|known| known.rev),
             &config.site.routing,
@@ -132,22 +136,22 @@
         admin,
         checks: Checks::new(shared),
         gossip: None,
-        fellows: None,
+        fleet: None,
         background: None,
         health: Balancers::default(),
-        twin,
+        handover: twin,
         longest_deadline: longest_deadline(&config.site),
         config,
         options,
         stopping: false,
-        departed: false,
-        left: false,
+        listener_closed: false,
+        clients_closed: false,
         poll,
     };
     let Config { name, discovery, .. } = &proxy.config;
     let operator = proxy.admin.address().map(tracing::field::display);
     info!(event = "started", name, %listen, %discovery, operator);
-    tell_doubts(&proxy.config);
+    log_settings_warnings(&proxy.config);
     proxy.start_health()?;
     proxy.start_gossip()?;
     proxy.start_fleet()?;
@@ -156,19 +160,19 @@
         proxy.members(Update { all: true, ..known });
     }
     proxy.with_gossip(Gossip::step);
-    if proxy.twin.processes() > 1 {
+    if proxy.handover.process_count() > 1 {
         info!(event = "predecessor-met");
     }
-    proxy.share();
-    proxy.timers.set(now + SWEEP, Due::Sweep);
+    proxy.apply_process_count();
+    proxy.timers.set(now + SWEEP, TimerEvent::Sweep);
     proxy.with(|_, _, agent, context| agent.start(context));
     let mut events = Events::with_capacity(EVENTS);
-    while !(proxy.left && proxy.clients.is_empty()) {
+    while !(proxy.clients_closed && proxy.clients.is_empty()) {
         let most = if proxy.health.watch.is_some() { CHECKED_EVENTS } else { EVENTS };
         if events.capacity() != most {
             events = Events::with_capacity(most);
         }
-        proxy.turn(&mut events, &mut signals)?;
+        proxy.run_once(&mut events, &mut signals)?;
     }
     info!(event = "stopped", open = proxy.core.open_request_count());
     Ok(())
@@ -187,25 +191,28 @@
         let parts = Parts {
             clients: &mut self.clients,
             pool: &mut self.pool,
-            agent: &mut self.agent,
+            discovery: &mut self.discovery,
             admin: &mut self.admin,
             checks: &mut self.checks,
-            twin: &mut self.twin,
+            handover: &mut self.handover,
         };
         (context, parts)
     }
 
     fn with<T>(
         &mut self,
-        act: impl FnOnce(&mut Clients, &mut Pool, &mut Agent, &mut EventLoopContext) -> T,
+        act: impl FnOnce(&mut Clients, &mut Pool, &mut DiscoveryConnection, &mut EventLoopContext) -> T,
     ) -> T {
         let (mut context, parts) = self.lend();
-        act(parts.clients, parts.pool, parts.agent, &mut context)
+        act(parts.clients, parts.pool, parts.discovery, &mut context)
     }
 
-    fn with_own(&mut self, act: impl FnOnce(&mut AdminListener, &mut Twin, &mut EventLoopContext)) {
+    fn with_own(
+        &mut self,
+        act: impl FnOnce(&mut AdminListener, &mut ProcessHandover, &mut EventLoopContext),
+    ) {
         let (mut context, parts) = self.lend();
-        act(parts.admin, parts.twin, &mut context);
+        act(parts.admin, parts.handover, &mut context);
     }
 
     fn with_gossip(&mut self, act: impl FnOnce(&mut Gossip, &mut EventLoopContext)) {
@@ -228,7 +235,8 @@
         let peer_knowledge = shared(PeerKnowledge::new(u64::from_be_bytes(observer)));
         self.core.subscribe(self.now, peer_knowledge.clone());
         let (keys, seed) = (keys.clone(), self.config.seed);
-        let lessons = Lessons::new(self.poll.registry(), options, keys, peer_knowledge, seed, self.now)?;
+        let lessons =
+            StateTransfer::new(self.poll.registry(), options, keys, peer_knowledge, seed, self.now)?;
         self.gossip.get_or_insert_default().learn(lessons);
         Ok(())
     }
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -1,13 +1,13 @@
 //! The connections to databases: opened as attempts and probes need them, kept while of use, each
 //! with one query out at a time.
 
-mod answers;
-mod asking;
 mod background_queries;
+mod expiry;
 mod opening;
-mod times;
+mod query;
+mod responses;
 
-use super::Due;
+use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::stream;
 use crate::core::{self, AttemptId};
@@ -147,7 +147,7 @@
         until: Micros,
         copy: bool,
     ) {
-        context.timers.set(until, Due::Attempt(attempt));
+        context.timers.set(until, TimerEvent::AttemptTimeout(attempt));
         self.take_up(context, server, Job::Attempt { attempt, work, until, copy });
     }
 
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -1,6 +1,6 @@
 //! Which connection a job gets: one that is idle and has rested, or a new one, within the places that there are.
 
-use super::super::Due;
+use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::{Connection, Job, Pool};
@@ -23,7 +23,7 @@
             if !rested {
                 // Sooner than a new connection could be up.
                 let c = &mut self.slots[key];
-                context.timers.set(c.idle_since + REST, Due::Rested(key, c.serial));
+                context.timers.set(c.idle_since + REST, TimerEvent::ConnectionRested(key, c.serial));
                 if let Job::Attempt { attempt, .. } = &job {
                     self.attempts.insert(*attempt, key);
                 }
@@ -41,7 +41,9 @@
                     self.attempts.insert(*attempt, key);
                 }
                 let serial = self.slots[key].serial;
-                context.timers.set(context.now + self.connect_timeout, Due::Connect(key, serial));
+                context
+                    .timers
+                    .set(context.now + self.connect_timeout, TimerEvent::ConnectTimeout(key, serial));
                 self.slots[key].job = Some(job);
             }
             Err(reply) => self.report(context, job, reply),
--- a/proxy/src/net/pool/asking.rs
+++ b/proxy/src/net/pool/query.rs
@@ -1,6 +1,6 @@
 //! A connection that is up gets its next query, or rests.
 
-use super::super::Due;
+use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::{Job, Pool, background_queries};
 use crate::reply::Reply;
@@ -33,7 +33,9 @@
                 c.machine.errand(errand.text());
                 self.serial += 1;
                 c.turn = self.serial;
-                context.timers.set(context.now + background_queries::PATIENCE, Due::Probe(key, c.turn));
+                context
+                    .timers
+                    .set(context.now + background_queries::PATIENCE, TimerEvent::QueryTimeout(key, c.turn));
             }
             Job::Probe { .. } | Job::Check { .. } => {
                 c.machine.probe();
@@ -41,7 +43,7 @@
                 c.turn = self.serial;
                 let check = matches!(job, Job::Check { .. });
                 let timeout = if check { self.check_timeout } else { self.connect_timeout };
-                context.timers.set(context.now + timeout, Due::Probe(key, c.turn));
+                context.timers.set(context.now + timeout, TimerEvent::QueryTimeout(key, c.turn));
             }
         }
         (c.job, c.asked, c.written) = (Some(job), true, false);
--- a/proxy/src/net/twin.rs
+++ b/proxy/src/net/process_handover.rs
@@ -5,8 +5,8 @@
 use super::sources::Source;
 use super::stream;
 use crate::config::hash;
+use crate::handover_protocol::{HandoverMessage, HandoverProtocol};
 use crate::log::Quoted;
-use crate::peer::{Peer, Word};
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry};
 use std::net::SocketAddr;
@@ -15,35 +15,35 @@
 
 struct Link {
     stream: UnixStream,
-    machine: Peer,
+    machine: HandoverProtocol,
     /// It takes clients, or was told to stop and holds so much.
-    word: Option<Word>,
+    word: Option<HandoverMessage>,
     /// When the predecessor takes no new work any more, on the system's clock.
     yields: Option<i64>,
 }
 
 #[derive(Default)]
-pub struct Twin {
+pub struct ProcessHandover {
     path: Option<PathBuf>,
     listener: Option<UnixListener>,
     predecessor: Option<Link>,
     successor: Option<Link>,
 }
 
-impl Twin {
+impl ProcessHandover {
     /// Looks for a process that serves at this address, and says that this one does now; then waits for the next.
-    pub fn meet(registry: &Registry, address: SocketAddr) -> Twin {
+    pub fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", hash(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
-        let mut twin = Twin { path: Some(path.clone()), ..Twin::default() };
+        let mut twin = ProcessHandover { path: Some(path.clone()), ..ProcessHandover::default() };
         // Refused, or not there: nobody serves, whatever file was left behind.
         if let Ok(mut stream) = UnixStream::connect(&path)
             && registry
                 .register(&mut stream, Source::Predecessor.token(), Interest::READABLE | Interest::WRITABLE)
                 .is_ok()
         {
-            let mut machine = Peer::default();
-            machine.say(Word::Serving);
+            let mut machine = HandoverProtocol::default();
+            machine.send(HandoverMessage::Serving);
             twin.predecessor = Some(Link { stream, machine, word: None, yields: None });
         }
         twin.listen(registry);
@@ -77,7 +77,8 @@
                 .register(&mut stream, Source::Successor.token(), Interest::READABLE | Interest::WRITABLE)
                 .is_ok()
             {
-                self.successor = Some(Link { stream, machine: Peer::default(), word: None, yields: None });
+                self.successor =
+                    Some(Link { stream, machine: HandoverProtocol::default(), word: None, yields: None });
                 info!(event = "successor-met");
             }
         }
@@ -94,9 +95,9 @@
             true
         });
         let sound = loop {
-            match link.machine.next() {
+            match link.machine.next_message() {
                 Ok(None) => break true,
-                Ok(Some(Word::Yields(at))) => link.yields = Some(at),
+                Ok(Some(HandoverMessage::StopsAcceptingAt(at))) => link.yields = Some(at),
                 Ok(word) => link.word = word,
                 Err(_) => break false,
             }
@@ -114,23 +115,23 @@
     }
 
     /// Tells the successor how much this process still holds.
-    pub fn leaving(&mut self, context: &mut EventLoopContext, held: usize) {
+    pub fn announce_stopping(&mut self, context: &mut EventLoopContext, held: usize) {
         if let Some(successor) = &mut self.successor {
-            successor.machine.say(Word::Leaving(held));
+            successor.machine.send(HandoverMessage::Stopping(held));
             self.ready(context, Source::Successor);
         }
     }
 
     /// Tells the successor when this process takes no new work any more, on the system's clock.
-    pub fn yields(&mut self, context: &mut EventLoopContext, unix: i64) {
+    pub fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, unix: i64) {
         if let Some(successor) = &mut self.successor {
-            successor.machine.say(Word::Yields(unix));
+            successor.machine.send(HandoverMessage::StopsAcceptingAt(unix));
             self.ready(context, Source::Successor);
         }
     }
 
     /// What the predecessor said of that.
-    pub fn predecessor_yields(&self) -> Option<i64> {
+    pub fn predecessor_stops_accepting_at(&self) -> Option<i64> {
         self.predecessor.as_ref()?.yields
     }
 
@@ -139,19 +140,19 @@
     }
 
     /// Another process takes the clients now.
-    pub fn replaced(&self) -> bool {
-        self.successor.as_ref().is_some_and(|successor| successor.word == Some(Word::Serving))
+    pub fn is_replaced(&self) -> bool {
+        self.successor.as_ref().is_some_and(|successor| successor.word == Some(HandoverMessage::Serving))
     }
 
     /// How many processes there are, this one among them.
-    pub fn processes(&self) -> u32 {
+    pub fn process_count(&self) -> u32 {
         1 + u32::from(self.predecessor.is_some()) + u32::from(self.successor.is_some())
     }
 
     /// What the predecessor, told to stop, still holds; it opens nothing beyond that.
-    pub fn left_over(&self) -> Option<usize> {
+    pub fn predecessor_descriptors(&self) -> Option<usize> {
         match self.predecessor.as_ref()?.word {
-            Some(Word::Leaving(held)) => Some(held),
+            Some(HandoverMessage::Stopping(held)) => Some(held),
             _ => None,
         }
     }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -1,7 +1,7 @@
 //! The configuration, read again at SIGHUP: taken whole or not at all.
 
 use super::Proxy;
-use super::places::{guests, longest_deadline, places, reserve};
+use super::connection_limits::{guests, longest_deadline, places, reserve};
 use crate::config::{self, Config};
 use crate::log::Quoted;
 use tracing::{info, warn};
@@ -10,7 +10,7 @@
 const DOUBTS_TOLD: usize = 20;
 
 /// What the settings are likely not to mean, a line each.
-pub(super) fn tell_doubts(config: &Config) {
+pub(super) fn log_settings_warnings(config: &Config) {
     for doubt in config.doubts.iter().take(DOUBTS_TOLD) {
         warn!(event = "settings-doubt", about = %Quoted(doubt));
     }
@@ -44,11 +44,11 @@
             (self.config.options.fleet.clone(), self.config.fleet_keys.clone());
         let classes = new.site.class_names.join(",");
         info!(event = "reloaded", discovery = %new.discovery, classes, "needs-restart" = rest);
-        tell_doubts(&new);
+        log_settings_warnings(&new);
         // Requests that are open keep the deadlines that they came with.
         self.longest_deadline = longest_deadline(&new.site).max(longest_deadline(&self.config.site));
         let reserve = reserve(&new);
-        let (for_clients, for_databases) = places(new.sockets, reserve, &self.twin);
+        let (for_clients, for_databases) = places(new.sockets, reserve, &self.handover);
         self.core.settings(self.now, &new.site);
         self.with(|clients, pool, agent, context| {
             pool.settings(&new.site);
--- a/proxy/src/net/turn.rs
+++ b/proxy/src/net/run_once.rs
@@ -2,11 +2,11 @@
 
 use super::checks::Checks;
 use super::sources::Source;
-use super::{Due, Proxy};
+use super::{Proxy, TimerEvent};
+use crate::admin_protocol::Call;
 use crate::core::{Command, LogRecord};
 use crate::discovery::Update;
 use crate::log::Quoted;
-use crate::operator::Call;
 use birchreach_health::Fact;
 use mio::Events;
 use signal_hook::consts::SIGHUP;
@@ -15,7 +15,7 @@
 use tracing::info;
 
 impl Proxy {
-    pub(super) fn turn(&mut self, events: &mut Events, signals: &mut Signals) -> Result<(), String> {
+    pub(super) fn run_once(&mut self, events: &mut Events, signals: &mut Signals) -> Result<(), String> {
         let asleep = self.clock.now();
         let pressing = self.clients.pressing() || self.admin.pressing() || self.checks.pressing(asleep);
         let wait = if pressing { Some(std::time::Duration::ZERO) } else { self.timers.wait(asleep) };
@@ -41,7 +41,9 @@
         for event in events.iter() {
             match Source::of(event.token()) {
                 source if source.first() => {}
-                source @ (Source::Successors | Source::Predecessor | Source::Successor) => self.meet(source),
+                source @ (Source::Successors | Source::Predecessor | Source::Successor) => {
+                    self.handle_handover(source)
+                }
                 Source::Listener => self.clients.accept_ready(),
                 Source::Signals => {
                     for signal in signals.pending() {
@@ -83,40 +85,40 @@
             if pool.starved() {
                 clients.make_room(context);
             }
-            if agent.starved() {
+            if agent.take_descriptors_exhausted() {
                 clients.make_room(context);
             }
         });
         self.carry_out();
         self.now = self.clock.now();
         while let Some(due) = self.timers.due(self.now) {
-            self.fire(due);
+            self.handle_timer(due);
             self.carry_out();
         }
         if self.pool.has_done() {
             self.with_background(|_, _| {});
         }
-        self.look_at_health();
+        self.update_health();
         Ok(())
     }
 
     /// Another process of this proxy came, spoke or went.
-    fn meet(&mut self, source: Source) {
+    fn handle_handover(&mut self, source: Source) {
         self.with_own(|_, twin, context| match source {
             Source::Successors => twin.accept(context),
             link => twin.ready(context, link),
         });
-        self.share();
-        let replaced = self.twin.replaced();
+        self.apply_process_count();
+        let replaced = self.handover.is_replaced();
         self.with_fleet(|fellows, now| fellows.replaced(now, replaced));
-        self.agree();
+        self.negotiate_handover();
     }
 
     /// An operator's connection is ready.
     fn operator(&mut self, key: usize) {
         let (stopping, balanced) = (self.stopping, self.health.watch.is_some());
         let mut maintenance = None;
-        let told = self.told();
+        let told = self.admin_reports();
         self.with_own(|admin, _, context| {
             let Some(call) = admin.ready(context, key) else { return };
             let figures = context.core.stats.lines(context.core.gauges(context.now));
@@ -144,7 +146,7 @@
             admin.write(context, key);
         });
         if let Some(on) = maintenance {
-            self.tell_balancers(Fact::Maintenance(on));
+            self.record_health_event(Fact::Maintenance(on));
         }
     }
 
@@ -177,7 +179,7 @@
                     clients.piece(context, client, request, &bytes)
                 }
                 Command::AbortStream { client, request } => clients.broken(context, client, request),
-                Command::SetTimer { id, at } => context.timers.set(at, Due::Module(id)),
+                Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
                 Command::Log(LogRecord::RoutingNote(note)) => info!(event = "module", note = %Quoted(note)),
                 Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
                     info!(event = "server", number, uid, endpoint);
--- a/proxy/src/pg/mod.rs
+++ b/proxy/src/pg/mod.rs
@@ -7,7 +7,7 @@
 pub mod codec;
 pub mod copies;
 pub mod frontend;
-pub mod looks;
+pub mod health_check_query;
 pub mod report;
 pub mod statement;
 #[cfg(test)]
