--- a/benches/src/fleet.rs
+++ b/benches/src/fleet.rs
@@ -2,7 +2,7 @@
 //! what `health/tests/fleet.rs` asserts, beside the ways that were not taken.
 
 use crate::Done;
-use birchreach_health::{Fact, Group, Micros, Monitor, Server, Settings};
+use birchreach_health::{Group, HealthEvent, Micros, Monitor, Server, Settings};
 use plotters::prelude::*;
 use std::path::Path;
 
@@ -31,7 +31,15 @@
     let mut monitors: Vec<Monitor> = (0..PROXIES)
         .map(|_| {
             let mut m = Monitor::new(Settings::default(), 0);
-            m.fact(0, Fact::Listed { server: Server(0), group: Group(0), primary: Some(true), up: true });
+            m.handle_event(
+                0,
+                HealthEvent::ServerListed {
+                    server: Server(0),
+                    group: Group(0),
+                    primary: Some(true),
+                    up: true,
+                },
+            );
             m
         })
         .collect();
@@ -49,7 +57,7 @@
         }
         for n in 0..PROXIES {
             let pressure = (used[n] + 0.02 * (rng.f64() - 0.5)).min(1.0);
-            monitors[n].fact(now, Fact::Load { pressure, in_progress: 0, held: 0, room: 0 });
+            monitors[n].handle_event(now, HealthEvent::Load { pressure, in_progress: 0, held: 0, room: 0 });
             monitors[n].step(now);
             weight[n] = match way {
                 Way::Step => {
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -1,7 +1,7 @@
 //! What a proxy may truthfully claim to the balancers before it: decisions without I/O or clock, and beside them the
 //! machines of the protocols in which balancers ask.
 //!
-//! [`Monitor`] is fed [`Fact`]s with their times and holds one [`Verdict`]; whoever drives it calls
+//! [`Monitor`] is fed [`HealthEvent`]s with their times and holds one [`Verdict`]; whoever drives it calls
 //! [`Monitor::step`] at [`Monitor::next_change`], and sends the probes it asks for. [`agent`] and [`http`] turn calls
 //! into [`Question`]s and verdicts into replies.
 //!
@@ -31,7 +31,7 @@
 mod verdict;
 mod weight;
 
-pub use monitor::{Fact, How, Monitor};
+pub use monitor::{HealthEvent, Monitor, ProbeOutcome};
 pub use settings::{Class, Fault, Idle, Needs, Overload, Probing, Settings, Shared, Sum, Weighing};
 pub use verdict::{Capability, Change, GroupVerdict, Kind, Question, Reason, State, Verdict};
 
--- a/health/src/monitor.rs
+++ b/health/src/monitor.rs
@@ -22,7 +22,7 @@
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum ProbeOutcome {
     /// With an answer of any kind, an error too.
     Answered,
     /// Its time ran out.
@@ -32,33 +32,33 @@
     /// The connection broke.
     Reset,
     /// Called off before its time.
-    CalledOff,
+    Cancelled,
     /// Never sent, for no fault of the server's.
-    Unsent,
+    NotSent,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
+pub enum HealthEvent {
     /// The list has a server, or says something else of it. `primary`: what it says of its role, if it does; `up`: it
     /// takes new work.
-    Listed { server: Server, group: Group, primary: Option<bool>, up: bool },
+    ServerListed { server: Server, group: Group, primary: Option<bool>, up: bool },
     /// The list has it no more.
-    Unlisted { server: Server },
+    ServerUnlisted { server: Server },
     /// Discovery was heard.
-    Discovery,
+    DiscoveryAnswered,
     /// An attempt goes out.
-    Sent { server: Server },
+    RequestSent { server: Server },
     /// It came back, and what the server said that it is.
-    Ended { server: Server, write: bool, how: How, role: Option<Role> },
+    RequestEnded { server: Server, write: bool, outcome: ProbeOutcome, role: Option<Role> },
     /// A probe that was asked for came back.
-    Probed { server: Server, how: How, role: Option<Role> },
+    ProbeEnded { server: Server, outcome: ProbeOutcome, role: Option<Role> },
     /// A sign of life beside answers: a connection came up.
-    Alive { server: Server },
+    ServerAlive { server: Server },
     /// A read got its final answer.
-    Read { group: Group, served: bool },
+    ReadEnded { group: Group, served: bool },
     /// Since when the oldest of a group's writes is held for want of a server, if one is.
-    Held { group: Group, since: Option<Micros> },
+    WritesQueued { group: Group, since: Option<Micros> },
     /// What the proxy itself has to carry: pressure (0 to 1) since the last time, and figures to tell.
     Load { pressure: f64, in_progress: usize, held: usize, room: usize },
     /// It is not ready before this time.
@@ -66,7 +66,7 @@
     /// It was told to stop.
     Stopping,
     /// Another process takes over at this time; or does not, after all.
-    YieldAt(Option<Micros>),
+    HandoverAt(Option<Micros>),
     /// An operator takes the proxy out, or back in.
     Maintenance(bool),
 }
@@ -224,7 +224,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Whom to probe now. Each must come back as [`Fact::Probed`].
+    /// Whom to probe now. Each must come back as [`HealthEvent::ProbeEnded`].
     pub fn probes(&mut self) -> Vec<Server> {
         std::mem::take(&mut self.wanted)
     }
@@ -233,16 +233,18 @@
         self.next = self.next.min(at);
     }
 
-    pub fn fact(&mut self, now: Micros, fact: Fact) {
+    pub fn handle_event(&mut self, now: Micros, fact: HealthEvent) {
         match fact {
-            Fact::Listed { server, group, primary, up } => self.list(now, server, group, primary, up),
-            Fact::Unlisted { server } => {
+            HealthEvent::ServerListed { server, group, primary, up } => {
+                self.list(now, server, group, primary, up)
+            }
+            HealthEvent::ServerUnlisted { server } => {
                 self.leave(server);
                 self.servers.remove(&server);
                 self.by(now);
             }
-            Fact::Discovery => self.discovery = Some(now),
-            Fact::Sent { server } => {
+            HealthEvent::DiscoveryAnswered => self.discovery = Some(now),
+            HealthEvent::RequestSent { server } => {
                 let Some(watched) = self.servers.get_mut(&server) else { return };
                 watched.evidence.sent(now);
                 let silent = watched.evidence.next(now, &self.settings);
@@ -250,17 +252,17 @@
                 let suspect = suspect.and_then(|long| watched.evidence.silent_at(now, long));
                 silent.into_iter().chain(suspect).for_each(|at| self.by(at));
             }
-            Fact::Ended { server, write, how, role } => {
+            HealthEvent::RequestEnded { server, write, outcome: how, role } => {
                 self.ended(now, server, write, how);
                 if let Some(role) = role {
                     self.says(now, server, role);
                 }
             }
-            Fact::Probed { server, how, role } => {
+            HealthEvent::ProbeEnded { server, outcome: how, role } => {
                 let Some(watched) = self.servers.get_mut(&server) else { return };
                 if watched.probing.take().is_none() {
                     // It was taken for lost; but a sign of life is one.
-                    if !matches!(how, How::Answered) {
+                    if !matches!(how, ProbeOutcome::Answered) {
                         return;
                     }
                     watched.evidence.alive(now);
@@ -272,7 +274,7 @@
                     self.says(now, server, role);
                 }
             }
-            Fact::Alive { server } => {
+            HealthEvent::ServerAlive { server } => {
                 if let Some(watched) = self.servers.get_mut(&server) {
                     let doubted = watched.evidence.is_gone() || watched.evidence.owes;
                     watched.evidence.alive(now);
@@ -281,7 +283,7 @@
                     }
                 }
             }
-            Fact::Read { group, served } => {
+            HealthEvent::ReadEnded { group, served } => {
                 if let Some(members) = self.groups.get_mut(&group) {
                     members.reads.ended(now, served);
                     if served != members.read.able {
@@ -289,7 +291,7 @@
                     }
                 }
             }
-            Fact::Held { group, since } => {
+            HealthEvent::WritesQueued { group, since } => {
                 if let Some(members) = self.groups.get_mut(&group)
                     && std::mem::replace(&mut members.held, since) != since
                 {
@@ -297,24 +299,24 @@
                     self.by(told.max(now));
                 }
             }
-            Fact::Load { pressure, in_progress, held, room } => {
+            HealthEvent::Load { pressure, in_progress, held, room } => {
                 self.weight.press(now, pressure, &self.settings.weight);
                 (self.verdict.in_progress, self.verdict.held, self.verdict.room) = (in_progress, held, room);
                 self.by(now);
             }
-            Fact::ReadyAt(at) => {
+            HealthEvent::ReadyAt(at) => {
                 self.ready_at = at;
                 self.by(now);
             }
-            Fact::Stopping => {
+            HealthEvent::Stopping => {
                 self.stopping = true;
                 self.by(now);
             }
-            Fact::YieldAt(at) => {
+            HealthEvent::HandoverAt(at) => {
                 self.yield_at = at;
                 self.by(now);
             }
-            Fact::Maintenance(on) => {
+            HealthEvent::Maintenance(on) => {
                 self.maintenance = on;
                 self.by(now);
             }
@@ -354,27 +356,27 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, server: Server, write: bool, how: How) {
+    fn ended(&mut self, now: Micros, server: Server, write: bool, how: ProbeOutcome) {
         let Some(watched) = self.servers.get_mut(&server) else { return };
         let e = &mut watched.evidence;
         let doubted = e.owes || e.is_gone();
         match how {
-            How::Answered => e.answered(now, write),
-            How::Unanswered => e.unanswered(now, write),
-            How::Refused => e.refused(now),
-            How::Reset => e.reset(now),
-            How::CalledOff | How::Unsent => e.called_off(now),
+            ProbeOutcome::Answered => e.answered(now, write),
+            ProbeOutcome::Unanswered => e.unanswered(now, write),
+            ProbeOutcome::Refused => e.refused(now),
+            ProbeOutcome::Reset => e.reset(now),
+            ProbeOutcome::Cancelled | ProbeOutcome::NotSent => e.called_off(now),
         }
         let group = e.group;
         match how {
             // The ordinary case costs no step.
-            How::Answered => {
+            ProbeOutcome::Answered => {
                 if doubted && self.groups.get(&group).is_some_and(|g| !g.write.able || !g.read.able) {
                     self.look(now);
                 }
             }
-            How::CalledOff | How::Unsent => {}
-            How::Unanswered | How::Refused | How::Reset => self.by(now),
+            ProbeOutcome::Cancelled | ProbeOutcome::NotSent => {}
+            ProbeOutcome::Unanswered | ProbeOutcome::Refused | ProbeOutcome::Reset => self.by(now),
         }
     }
 
--- a/health/tests/cases.rs
+++ b/health/tests/cases.rs
@@ -21,15 +21,20 @@
     let mut p = Proxy { now: 100 * S, monitor: Monitor::new(settings, 100 * S) };
     for g in 0..groups {
         for (n, primary) in [(g * 10, true), (g * 10 + 1, false)] {
-            p.tell(Fact::Listed { server: Server(n), group: Group(g), primary: Some(primary), up: true });
+            p.tell(HealthEvent::ServerListed {
+                server: Server(n),
+                group: Group(g),
+                primary: Some(primary),
+                up: true,
+            });
         }
     }
     p
 }
 
 impl Proxy {
-    fn tell(&mut self, fact: Fact) {
-        self.monitor.fact(self.now, fact);
+    fn tell(&mut self, fact: HealthEvent) {
+        self.monitor.handle_event(self.now, fact);
         if self.monitor.next_change() <= self.now {
             self.monitor.step(self.now);
         }
@@ -43,7 +48,11 @@
             self.monitor.step(self.now);
             for server in self.monitor.probes() {
                 if let Some(role) = probed(server) {
-                    self.tell(Fact::Probed { server, how: How::Answered, role: Some(role) });
+                    self.tell(HealthEvent::ProbeEnded {
+                        server,
+                        outcome: ProbeOutcome::Answered,
+                        role: Some(role),
+                    });
                 }
             }
         }
@@ -51,18 +60,18 @@
     }
 
     fn sent(&mut self, n: u32) {
-        self.tell(Fact::Sent { server: Server(n) });
+        self.tell(HealthEvent::RequestSent { server: Server(n) });
     }
 
-    fn ended(&mut self, n: u32, write: bool, how: How, role: Option<Role>) {
-        self.tell(Fact::Ended { server: Server(n), write, how, role });
+    fn ended(&mut self, n: u32, write: bool, how: ProbeOutcome, role: Option<Role>) {
+        self.tell(HealthEvent::RequestEnded { server: Server(n), write, outcome: how, role });
     }
 
     /// A write that is served after this time.
     fn write(&mut self, n: u32, spent: Micros) {
         self.sent(n);
         self.pass(spent, |_| None);
-        self.ended(n, true, How::Answered, Some(Role::Primary));
+        self.ended(n, true, ProbeOutcome::Answered, Some(Role::Primary));
     }
 
     fn asks(&self, line: &str) -> String {
@@ -108,12 +117,12 @@
     assert!(p.gets("/ready").contains("x-envoy-degraded: true"));
     // The list comes to name another one, seconds late.
     p.pass(4 * S, |_| None);
-    p.tell(Fact::Listed { server: Server(0), group: Group(0), primary: Some(false), up: true });
-    p.tell(Fact::Listed { server: Server(1), group: Group(0), primary: Some(true), up: true });
+    p.tell(HealthEvent::ServerListed { server: Server(0), group: Group(0), primary: Some(false), up: true });
+    p.tell(HealthEvent::ServerListed { server: Server(1), group: Group(0), primary: Some(true), up: true });
     p.pass(20 * S, |_| None);
     assert_eq!(p.asks("group=0 write"), "ready down #primary-silent\n");
     p.sent(1);
-    p.ended(1, false, How::Answered, Some(Role::Primary));
+    p.ended(1, false, ProbeOutcome::Answered, Some(Role::Primary));
     p.pass(50 * MS, |_| None);
     assert_eq!(p.asks("file-entry"), "ready down #recovering\n", "good news must last");
     p.pass(2 * S, |_| None);
@@ -128,7 +137,7 @@
         p.write(g * 10, 5 * MS);
     }
     p.sent(20);
-    p.ended(20, true, How::Refused, None);
+    p.ended(20, true, ProbeOutcome::Refused, None);
     p.pass(S, |_| None);
     assert_eq!(p.asks("group=2 write"), "ready down #primary-gone\n");
     assert_eq!(p.asks("group=1 write"), "ready up 100%\n");
@@ -138,7 +147,7 @@
     assert_eq!(p.monitor.verdict().state, State::Degraded);
     for g in [0, 1, 3] {
         p.sent(g * 10);
-        p.ended(g * 10, true, How::Refused, None);
+        p.ended(g * 10, true, ProbeOutcome::Refused, None);
     }
     p.pass(S, |_| None);
     assert_eq!(p.monitor.verdict().state, State::NoPrimary);
@@ -149,7 +158,7 @@
     let mut strict = proxy(1, Settings { shared: Shared::Down, ..Settings::default() });
     strict.write(0, MS);
     strict.sent(0);
-    strict.ended(0, true, How::Refused, None);
+    strict.ended(0, true, ProbeOutcome::Refused, None);
     strict.pass(S, |_| None);
     assert_eq!(strict.asks(""), "ready down #primary-gone\n");
 }
@@ -163,7 +172,7 @@
     for _ in 0..60 {
         p.sent(0);
         p.pass(300 * MS, |_| None);
-        p.ended(0, true, How::Answered, Some(Role::Primary));
+        p.ended(0, true, ProbeOutcome::Answered, Some(Role::Primary));
         for _ in 0..7 {
             p.write(0, 100 * MS);
         }
@@ -176,7 +185,7 @@
     for _ in 0..60 {
         p.sent(0);
         p.pass(1900 * MS, |_| None);
-        p.ended(0, true, How::Unanswered, None);
+        p.ended(0, true, ProbeOutcome::Unanswered, None);
         p.write(0, 5 * MS);
         p.pass(1200 * MS, |_| None);
     }
@@ -193,7 +202,7 @@
     for _ in 0..20 {
         p.sent(0);
         p.pass(8 * S, |s| Some(if s == Server(0) { Role::Primary } else { Role::Replica }));
-        p.ended(0, true, How::Answered, Some(Role::Primary));
+        p.ended(0, true, ProbeOutcome::Answered, Some(Role::Primary));
     }
     assert_eq!(p.changes(), 0);
     let mut p = proxy(1, Settings::default());
@@ -214,7 +223,7 @@
     p.pass(60 * S, primary);
     assert_eq!(p.changes(), 0);
     // All go silent, with no request out.
-    p.tell(Fact::Discovery);
+    p.tell(HealthEvent::DiscoveryAnswered);
     p.pass(8 * S, |_| None);
     assert_eq!(p.asks("file-entry"), "ready down #primary-silent\n");
 }
@@ -224,27 +233,27 @@
     let mut p = proxy(2, Settings::default());
     p.write(0, MS);
     p.write(10, MS);
-    p.tell(Fact::Maintenance(true));
+    p.tell(HealthEvent::Maintenance(true));
     assert_eq!((p.asks(""), p.asks("group=1 read")), ("maint\n".into(), "maint\n".into()));
     assert!(p.gets("/group/0/read").contains("x-envoy-immediate-health-check-fail: true"));
-    p.tell(Fact::Maintenance(false));
+    p.tell(HealthEvent::Maintenance(false));
     assert_eq!(p.asks("group=1 read"), "ready up 100%\n");
     // Another process takes over, at an instant known ahead; and then does not after all.
     let at = p.now + 20 * MS;
-    p.tell(Fact::YieldAt(Some(at)));
+    p.tell(HealthEvent::HandoverAt(Some(at)));
     p.pass(19 * MS, |_| None);
     assert_eq!(p.asks(""), "ready up 100%\n");
     p.pass(MS, |_| None);
     assert_eq!(p.asks("file-entry"), "drain\n");
-    p.tell(Fact::YieldAt(None));
+    p.tell(HealthEvent::HandoverAt(None));
     assert_eq!(p.asks(""), "ready up 100%\n");
-    p.tell(Fact::Stopping);
+    p.tell(HealthEvent::Stopping);
     assert_eq!((p.asks(""), p.monitor.verdict().state), ("drain\n".into(), State::Draining));
     assert_eq!(p.monitor.verdict().whole.weight, 0);
     // One that waits for its predecessor is not ready before.
     let mut successor = proxy(1, Settings::default());
     let at = successor.now + 500 * MS;
-    successor.tell(Fact::ReadyAt(at));
+    successor.tell(HealthEvent::ReadyAt(at));
     assert_eq!(successor.asks(""), "ready down #starting\n");
     successor.pass(500 * MS, |_| None);
     assert_eq!(successor.asks(""), "ready up 100%\n");
@@ -253,23 +262,23 @@
 #[test]
 fn blind_is_discovery_and_databases_together() {
     let mut p = proxy(1, Settings::default());
-    p.tell(Fact::Discovery);
+    p.tell(HealthEvent::DiscoveryAnswered);
     p.write(0, MS);
     // Without requests, a silent discovery alone is no blindness.
     p.pass(120 * S, |_| None);
     assert_eq!(p.monitor.verdict().state, State::Ready);
     for n in [0, 1] {
         p.sent(n);
-        p.ended(n, false, How::Refused, None);
+        p.ended(n, false, ProbeOutcome::Refused, None);
     }
     p.pass(2 * S, |_| None);
     assert_eq!((p.monitor.verdict().state, p.asks("")), (State::Blind, "ready down #blind\n".into()));
     // With discovery at hand it is the databases' fault, and others see the same.
     let mut p = proxy(1, Settings::default());
-    p.tell(Fact::Discovery);
+    p.tell(HealthEvent::DiscoveryAnswered);
     for n in [0, 1] {
         p.sent(n);
-        p.ended(n, false, How::Refused, None);
+        p.ended(n, false, ProbeOutcome::Refused, None);
     }
     p.pass(2 * S, |_| None);
     assert_eq!(p.monitor.verdict().state, State::NoPrimary);
@@ -283,7 +292,7 @@
     for p in [&mut p, &mut down] {
         for _ in 0..240 {
             p.pass(250 * MS, |_| None);
-            p.tell(Fact::Load { pressure: 1.0, in_progress: 9, held: 1, room: 2 });
+            p.tell(HealthEvent::Load { pressure: 1.0, in_progress: 9, held: 1, room: 2 });
         }
         assert_eq!(p.monitor.verdict().state, State::Overloaded);
     }
--- a/health/tests/fleet.rs
+++ b/health/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The weight as a control loop: 16 proxies and two balancers that read weights late, in virtual time.
 
-use birchreach_health::{Fact, Group, Micros, Monitor, Server, Settings};
+use birchreach_health::{Group, HealthEvent, Micros, Monitor, Server, Settings};
 
 const PROXIES: usize = 16;
 const TICK: Micros = 250_000;
@@ -21,7 +21,8 @@
         let monitors = (0..PROXIES).map(|_| {
             let mut monitor = Monitor::new(Settings::default(), 0);
             let (server, group) = (Server(0), Group(0));
-            monitor.fact(0, Fact::Listed { server, group, primary: Some(true), up: true });
+            monitor
+                .handle_event(0, HealthEvent::ServerListed { server, group, primary: Some(true), up: true });
             monitor.step(0);
             monitor
         });
@@ -53,7 +54,7 @@
         for (monitor, used) in self.monitors.iter_mut().zip(used) {
             // A proxy measures what it does, with noise, and no more than it can.
             let pressure = (used + 0.02 * (self.rng.f64() - 0.5)).min(1.0);
-            monitor.fact(self.now, Fact::Load { pressure, in_progress: 0, held: 0, room: 0 });
+            monitor.handle_event(self.now, HealthEvent::Load { pressure, in_progress: 0, held: 0, room: 0 });
             monitor.step(self.now);
         }
         for (b, read) in self.read.iter_mut().enumerate() {
@@ -139,13 +140,16 @@
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut monitor = Monitor::new(settings.clone(), 0);
-        monitor.fact(0, Fact::Listed { server: Server(0), group: Group(0), primary: Some(true), up: true });
+        monitor.handle_event(
+            0,
+            HealthEvent::ServerListed { server: Server(0), group: Group(0), primary: Some(true), up: true },
+        );
         let (mut now, mut last) = (0, 100.0);
         for _ in 0..200 {
             let span = rng.i64(1_000..2_000_000);
             now += span;
             let pressure = if rng.bool() { rng.f64() } else { f64::from(rng.u8(0..=1)) };
-            monitor.fact(now, Fact::Load { pressure, in_progress: 0, held: 0, room: 0 });
+            monitor.handle_event(now, HealthEvent::Load { pressure, in_progress: 0, held: 0, room: 0 });
             monitor.step(now);
             let whole = monitor.verdict().whole;
             assert!(whole.able && whole.weight >= 1, "seed {seed}: the weight alone takes nobody out");
--- a/health/tests/histories.rs
+++ b/health/tests/histories.rs
@@ -2,8 +2,8 @@
 //! here of what was heard. A seed that fails is printed, and fails again.
 
 use birchreach_health::{
-    Change, Class, Fact, Group, How, Idle, Kind, Micros, Monitor, Needs, Probing, Reason, Role, Server,
-    Settings, State,
+    Change, Class, Group, HealthEvent, Idle, Kind, Micros, Monitor, Needs, ProbeOutcome, Probing, Reason,
+    Role, Server, Settings, State,
 };
 use std::collections::HashMap;
 
@@ -78,11 +78,16 @@
     fn list(&mut self, n: u32, group: u32, primary: bool, up: bool) {
         let noted = self.servers.entry(n).or_default();
         (noted.group, noted.primary, noted.up) = (group, primary, up);
-        self.tell(Fact::Listed { server: Server(n), group: Group(group), primary: Some(primary), up });
+        self.tell(HealthEvent::ServerListed {
+            server: Server(n),
+            group: Group(group),
+            primary: Some(primary),
+            up,
+        });
     }
 
-    fn tell(&mut self, fact: Fact) {
-        self.monitor.fact(self.now, fact);
+    fn tell(&mut self, fact: HealthEvent) {
+        self.monitor.handle_event(self.now, fact);
     }
 
     fn life(&mut self, n: u32) {
@@ -101,14 +106,14 @@
 
     fn come_back(&mut self, n: u32, write: bool, probe: bool) {
         let how = match self.rng.u8(0..10) {
-            0..4 => How::Answered,
-            4 | 5 => How::Unanswered,
-            6 => How::Refused,
-            7 => How::Reset,
-            8 => How::CalledOff,
-            _ => How::Unsent,
+            0..4 => ProbeOutcome::Answered,
+            4 | 5 => ProbeOutcome::Unanswered,
+            6 => ProbeOutcome::Refused,
+            7 => ProbeOutcome::Reset,
+            8 => ProbeOutcome::Cancelled,
+            _ => ProbeOutcome::NotSent,
         };
-        let answered = matches!(how, How::Answered);
+        let answered = matches!(how, ProbeOutcome::Answered);
         let role = (answered && self.rng.u8(0..4) > 0).then(|| {
             let primary = self.servers[&n].primary != (self.rng.u8(0..8) == 0);
             if primary { Role::Primary } else { Role::Replica }
@@ -116,16 +121,16 @@
         let now = self.now;
         let noted = self.servers.get_mut(&n).unwrap();
         match how {
-            How::Unanswered if write => {
+            ProbeOutcome::Unanswered if write => {
                 noted.writes_timed_out += 1;
                 noted.write_timed_out = Some(now);
             }
-            How::Refused => noted.refused = noted.refused.or(Some(now)),
-            How::Reset => {
+            ProbeOutcome::Refused => noted.refused = noted.refused.or(Some(now)),
+            ProbeOutcome::Reset => {
                 noted.resets += 1;
                 noted.refused = noted.refused.or((noted.resets >= 3).then_some(now));
             }
-            How::Answered if write => noted.writes_timed_out = 0,
+            ProbeOutcome::Answered if write => noted.writes_timed_out = 0,
             _ => {}
         }
         if answered {
@@ -134,9 +139,9 @@
         self.said(n, role);
         let server = Server(n);
         self.tell(if probe {
-            Fact::Probed { server, how, role }
+            HealthEvent::ProbeEnded { server, outcome: how, role }
         } else {
-            Fact::Ended { server, write, how, role }
+            HealthEvent::RequestEnded { server, write, outcome: how, role }
         });
     }
 
@@ -152,16 +157,16 @@
                 let now = self.now;
                 let since = if self.held.remove(&group).is_none() { Some(now) } else { None };
                 self.held.extend(since.map(|at| (group, at)));
-                self.tell(Fact::Held { group: Group(group), since });
+                self.tell(HealthEvent::WritesQueued { group: Group(group), since });
             }
-            2 => self.tell(Fact::Discovery),
+            2 => self.tell(HealthEvent::DiscoveryAnswered),
             3 => {
                 self.life(n);
-                self.tell(Fact::Alive { server: Server(n) });
+                self.tell(HealthEvent::ServerAlive { server: Server(n) });
             }
             4 | 5 => {
                 let served = self.rng.bool();
-                self.tell(Fact::Read { group: Group(group), served });
+                self.tell(HealthEvent::ReadEnded { group: Group(group), served });
             }
             _ => {
                 let now = self.now;
@@ -176,7 +181,7 @@
                 } else {
                     noted.out += 1;
                     noted.sent = Some(now);
-                    self.tell(Fact::Sent { server: Server(n) });
+                    self.tell(HealthEvent::RequestSent { server: Server(n) });
                 }
             }
         }
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -56,7 +56,7 @@
         server: ServerId,
         payload: W,
         deadline: Micros,
-        /// The server is of another group: its copy is asked for, with the position of [`super::Core::proof`].
+        /// The server is of another group: its copy is asked for, with the position of [`super::Core::required_copy_position`].
         from_copy: bool,
     },
     CancelAttempt {
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -4,7 +4,7 @@
 use crate::observe::{CoreEvent, Observer};
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Consistency, GroupId, Micros, Role, ServerId};
-use birchreach_health::{Change, Class, Fact, Group, How, Monitor, Needs, Server, Settings};
+use birchreach_health::{Change, Class, Group, HealthEvent, Monitor, Needs, ProbeOutcome, Server, Settings};
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
 
@@ -36,21 +36,21 @@
 }
 
 /// How an attempt ended, as far as it tells of the server.
-fn how(reply: &Reply) -> How {
+fn how(reply: &Reply) -> ProbeOutcome {
     match reply.outcome {
         // Each of these was said by the server itself.
         AttemptOutcome::Ok
         | AttemptOutcome::Error
         | AttemptOutcome::Overloaded
-        | AttemptOutcome::Ineligible => How::Answered,
-        AttemptOutcome::Timeout => How::Unanswered,
-        AttemptOutcome::ConnectFailed if reply.connection_refused => How::Refused,
+        | AttemptOutcome::Ineligible => ProbeOutcome::Answered,
+        AttemptOutcome::Timeout => ProbeOutcome::Unanswered,
+        AttemptOutcome::ConnectFailed if reply.connection_refused => ProbeOutcome::Refused,
         // A machine that does not answer a connect is judged like one that breaks connections: by some in a row.
         AttemptOutcome::ConnectFailed
         | AttemptOutcome::ClosedBeforeExecution
-        | AttemptOutcome::ConnectionReset => How::Reset,
-        AttemptOutcome::Cancelled => How::CalledOff,
-        AttemptOutcome::NotSent => How::Unsent,
+        | AttemptOutcome::ConnectionReset => ProbeOutcome::Reset,
+        AttemptOutcome::Cancelled => ProbeOutcome::Cancelled,
+        AttemptOutcome::NotSent => ProbeOutcome::NotSent,
     }
 }
 
@@ -99,10 +99,10 @@
             *at = (*since).min(*at);
         }
         for group in self.held.keys().filter(|g| !oldest.contains_key(g)) {
-            self.monitor.fact(now, Fact::Held { group: *group, since: None });
+            self.monitor.handle_event(now, HealthEvent::WritesQueued { group: *group, since: None });
         }
         for (group, since) in &oldest {
-            self.monitor.fact(now, Fact::Held { group: *group, since: Some(*since) });
+            self.monitor.handle_event(now, HealthEvent::WritesQueued { group: *group, since: Some(*since) });
         }
         self.held = oldest;
     }
@@ -112,23 +112,28 @@
     fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
         let fact = match seen {
             CoreEvent::Listed { server: id, group: of, primary, up, .. } => {
-                Fact::Listed { server: server(id), group: group(of), primary, up }
-            }
-            CoreEvent::Unlisted { server: id, .. } => Fact::Unlisted { server: server(id) },
-            CoreEvent::AttemptSent { server: id } => Fact::Sent { server: server(id) },
-            CoreEvent::AttemptEnded { server: id, write, reply, .. } => {
-                Fact::Ended { server: server(id), write, how: how(reply), role: role(reply, write) }
+                HealthEvent::ServerListed { server: server(id), group: group(of), primary, up }
             }
+            CoreEvent::Unlisted { server: id, .. } => HealthEvent::ServerUnlisted { server: server(id) },
+            CoreEvent::AttemptSent { server: id } => HealthEvent::RequestSent { server: server(id) },
+            CoreEvent::AttemptEnded { server: id, write, reply, .. } => HealthEvent::RequestEnded {
+                server: server(id),
+                write,
+                outcome: how(reply),
+                role: role(reply, write),
+            },
             CoreEvent::MonitorCheckEnded { server: id, reply } => {
-                Fact::Probed { server: server(id), how: how(reply), role: role(reply, false) }
+                HealthEvent::ProbeEnded { server: server(id), outcome: how(reply), role: role(reply, false) }
+            }
+            CoreEvent::ServerAlive { server: id } => HealthEvent::ServerAlive { server: server(id) },
+            CoreEvent::ReadFinished { group: of, served } => {
+                HealthEvent::ReadEnded { group: group(of), served }
             }
-            CoreEvent::ServerAlive { server: id } => Fact::Alive { server: server(id) },
-            CoreEvent::ReadFinished { group: of, served } => Fact::Read { group: group(of), served },
-            CoreEvent::DiscoveryAnswered => Fact::Discovery,
+            CoreEvent::DiscoveryAnswered => HealthEvent::DiscoveryAnswered,
             CoreEvent::QueuedWrites { writes } => return self.held(now, writes),
             // Of no concern to balancers.
             _ => return,
         };
-        self.monitor.fact(now, fact);
+        self.monitor.handle_event(now, fact);
     }
 }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -6,7 +6,7 @@
 use crate::health::{self, Watch};
 use crate::observe::{Observer, Shared, shared};
 use birchreach::{Micros, ServerId};
-use birchreach_health::{Change, Fact};
+use birchreach_health::{Change, HealthEvent};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -86,7 +86,7 @@
     /// This process is not to be called ready before then.
     fn ready_from(&mut self, at: Micros) {
         self.health.ready_at = at;
-        self.record_health_event(Fact::ReadyAt(at));
+        self.record_health_event(HealthEvent::ReadyAt(at));
         self.checks.not_before(at);
         self.timers.set(at - EARLY, TimerEvent::OpenCheckListeners);
     }
@@ -103,7 +103,7 @@
         if replaced != self.health.yielding {
             self.health.yielding = replaced;
             let at = replaced.then_some(self.now + YIELD);
-            self.record_health_event(Fact::YieldAt(at));
+            self.record_health_event(HealthEvent::HandoverAt(at));
             match at {
                 Some(at) => {
                     self.with_own(|_, twin, context| twin.announce_stop_accepting(context, unix + YIELD));
@@ -138,7 +138,7 @@
         let held = self.core.report_queued(self.now);
         let in_progress = self.core.open_request_count();
         let pressure = busy.max(out);
-        self.record_health_event(Fact::Load { pressure, in_progress, held, room: for_clients });
+        self.record_health_event(HealthEvent::Load { pressure, in_progress, held, room: for_clients });
         self.timers.set(self.now + HEALTH_TICK, TimerEvent::HealthTick);
     }
 
@@ -172,9 +172,9 @@
     }
 
     /// Something that the core does not see.
-    pub(super) fn record_health_event(&self, fact: Fact) {
+    pub(super) fn record_health_event(&self, fact: HealthEvent) {
         if let Some(watch) = &self.health.watch {
-            watch.borrow_mut().monitor.fact(self.now, fact);
+            watch.borrow_mut().monitor.handle_event(self.now, fact);
         }
     }
 
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -3,7 +3,7 @@
 
 use super::{Proxy, TimerEvent};
 use birchreach::Micros;
-use birchreach_health::Fact;
+use birchreach_health::HealthEvent;
 use tracing::info;
 
 /// After SIGTERM connections still arrive for so long at the most; they are served.
@@ -24,7 +24,7 @@
     pub(super) fn stop(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.core.open_request_count());
-            self.record_health_event(Fact::Stopping);
+            self.record_health_event(HealthEvent::Stopping);
             let lead = self.config.options.health.as_ref().map_or(0, |health| health.lead);
             if lead > 0 && !self.handover.is_replaced() {
                 return self.timers.set(self.now + lead, TimerEvent::StopListening);
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -7,7 +7,7 @@
 use crate::core::{Command, LogRecord};
 use crate::discovery::Update;
 use crate::log::Quoted;
-use birchreach_health::Fact;
+use birchreach_health::HealthEvent;
 use mio::Events;
 use signal_hook::consts::SIGHUP;
 use signal_hook_mio::v1_0::Signals;
@@ -146,7 +146,7 @@
             admin.write(context, key);
         });
         if let Some(on) = maintenance {
-            self.record_health_event(Fact::Maintenance(on));
+            self.record_health_event(HealthEvent::Maintenance(on));
         }
     }
 
