--- a/proxy/src/handover_protocol.rs
+++ b/proxy/src/handover_protocol.rs
@@ -64,33 +64,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn words_come_as_they_were_said_and_nonsense_is_told() {
-        let mut said = HandoverProtocol::default();
-        said.send(HandoverMessage::Serving);
-        said.send(HandoverMessage::Stopping(17));
-        said.send(HandoverMessage::StopsAcceptingAt(1_767_225_600_123_456));
-        let mut heard = HandoverProtocol::default();
-        let mut words = Vec::new();
-        for byte in said.out.pending() {
-            heard.feed(&[*byte]);
-            words.extend(heard.next_message().unwrap());
-        }
-        assert_eq!(
-            words,
-            [
-                HandoverMessage::Serving,
-                HandoverMessage::Stopping(17),
-                HandoverMessage::StopsAcceptingAt(1_767_225_600_123_456)
-            ]
-        );
-        for bad in ["leaving\n", "leaving -1\n", "yields soon\n", "\n", &"x".repeat(65)] {
-            let mut peer = HandoverProtocol::default();
-            peer.feed(bad.as_bytes());
-            assert_eq!(peer.next_message(), Err(InvalidMessage), "{bad}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/proxy/src/handover_protocol/tests.rs
@@ -0,0 +1,65 @@
+//! The bytes between two processes of one proxy, literally: a process of another version must understand them.
+
+use super::*;
+
+const SERVING: &[u8] = b"serving\n";
+const STOPPING: &[u8] = b"leaving 17\n";
+const STOPS_ACCEPTING_AT: &[u8] = b"yields 1767225600123456\n";
+
+/// Each message with its line on the wire.
+const MESSAGES: [(HandoverMessage, &[u8]); 3] = [
+    (HandoverMessage::Serving, SERVING),
+    (HandoverMessage::Stopping(17), STOPPING),
+    (HandoverMessage::StopsAcceptingAt(1_767_225_600_123_456), STOPS_ACCEPTING_AT),
+];
+
+#[test]
+fn each_message_is_written_as_its_line() {
+    for (message, line) in MESSAGES {
+        let mut sender = HandoverProtocol::default();
+        sender.send(message);
+        assert_eq!(sender.out.pending(), line, "{message:?}");
+    }
+}
+
+#[test]
+fn each_line_is_read_as_its_message() {
+    for (message, line) in MESSAGES {
+        let mut receiver = HandoverProtocol::default();
+        receiver.feed(line);
+        assert_eq!(receiver.next_message(), Ok(Some(message)));
+        assert_eq!(receiver.next_message(), Ok(None));
+    }
+}
+
+#[test]
+fn a_time_before_the_epoch_and_a_carriage_return_are_read() {
+    let mut receiver = HandoverProtocol::default();
+    receiver.feed(b"yields -5\r\nleaving 0\r\n");
+    assert_eq!(receiver.next_message(), Ok(Some(HandoverMessage::StopsAcceptingAt(-5))));
+    assert_eq!(receiver.next_message(), Ok(Some(HandoverMessage::Stopping(0))));
+}
+
+#[test]
+fn messages_arrive_in_order_when_fed_byte_by_byte() {
+    let mut sender = HandoverProtocol::default();
+    for (message, _) in MESSAGES {
+        sender.send(message);
+    }
+    let mut receiver = HandoverProtocol::default();
+    let mut received = Vec::new();
+    for byte in sender.out.pending() {
+        receiver.feed(&[*byte]);
+        received.extend(receiver.next_message().unwrap());
+    }
+    assert_eq!(received, MESSAGES.map(|(message, _)| message));
+}
+
+#[test]
+fn invalid_lines_are_reported() {
+    for line in ["leaving\n", "leaving -1\n", "yields soon\n", "\n", &"x".repeat(65)] {
+        let mut receiver = HandoverProtocol::default();
+        receiver.feed(line.as_bytes());
+        assert_eq!(receiver.next_message(), Err(InvalidMessage), "{line}");
+    }
+}
