--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -2,7 +2,7 @@
 
 use super::Background;
 use crate::hot::{Watch, settings};
-use crate::net::{Proxy, TimerEvent};
+use crate::net::{EventLoop, TimerEvent};
 use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split;
 use birchreach::Micros;
@@ -31,7 +31,7 @@
     all
 }
 
-impl Proxy {
+impl EventLoop {
     /// Switches on what the options say, and off what they do not say any more.
     pub(in crate::net) fn start_background(&mut self) {
         let options = self.config.options.hot.clone();
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -2,7 +2,7 @@
 //! one process of this proxy yields to the next. The verdict is the monitor's.
 
 use super::checks::Checks;
-use super::{Proxy, TimerEvent};
+use super::{EventLoop, TimerEvent};
 use crate::health::{self, Watch};
 use crate::observe::{Observer, Shared, shared};
 use birchreach::{Micros, ServerId};
@@ -38,7 +38,7 @@
     pub yields_heard: bool,
 }
 
-impl Proxy {
+impl EventLoop {
     /// Balancers are told, where the options say so.
     pub(super) fn start_health(&mut self) -> Result<(), String> {
         self.watch();
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -2,7 +2,7 @@
 //! proxy.
 
 use super::process_handover::ProcessHandover;
-use super::{Proxy, admin, gossip};
+use super::{EventLoop, admin, gossip};
 use crate::config::Config;
 use birchreach::Micros;
 use birchreach_settings::DeploymentSettings;
@@ -42,7 +42,7 @@
     site.routing.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
 }
 
-impl Proxy {
+impl EventLoop {
     /// What this process may do beside others.
     pub(super) fn apply_process_count(&mut self) {
         let (for_clients, for_databases) = self.connection_limits();
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -2,7 +2,7 @@
 
 use super::super::admin::AdminReports;
 use super::super::gossip::MembershipSync;
-use super::super::{Proxy, TimerEvent};
+use super::super::{EventLoop, TimerEvent};
 use super::FleetMembership;
 use crate::fleet::Metrics;
 use crate::observe::shared;
@@ -11,7 +11,7 @@
 use birchreach_peer_state::datagram::Datagrams;
 use std::io::ErrorKind;
 
-impl Proxy {
+impl EventLoop {
     /// The view of the fleet is kept, where the options say so.
     pub(in crate::net) fn start_fleet(&mut self) -> Result<(), String> {
         let (Some(options), Some(keys)) = (&self.config.options.fleet, &self.config.fleet_keys) else {
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -1,7 +1,7 @@
 //! How the process ends: told to stop, it serves who still arrives, closes whoever is idle, and ends when nothing is owed.
 //! It owns the times of that order; whom to close when is the clients' owner's to do.
 
-use super::{Proxy, TimerEvent};
+use super::{EventLoop, TimerEvent};
 use birchreach::Micros;
 use birchreach_health::HealthEvent;
 use tracing::info;
@@ -19,7 +19,7 @@
 /// Beyond the longest deadline, clients have gone: nothing more is owed to anyone.
 const LAST_CALL: Micros = 1_500_000;
 
-impl Proxy {
+impl EventLoop {
     /// Told to stop. Where balancers are told of it, they have a while to go elsewhere first; told again, it leaves.
     pub(super) fn stop(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -67,7 +67,7 @@
     handover: &'a mut ProcessHandover,
 }
 
-struct Proxy {
+struct EventLoop {
     poll: Poll,
     clock: Clock,
     now: Micros,
@@ -119,7 +119,7 @@
     let (for_clients, for_databases) = places(config.sockets, reserve, &twin);
     let clients = Clients::new(poll.registry(), listener, for_clients)?;
     let known = config.known.take();
-    let mut proxy = Proxy {
+    let mut proxy = EventLoop {
         clock,
         now,
         timers: Timers::new(),
@@ -178,7 +178,7 @@
     Ok(())
 }
 
-impl Proxy {
+impl EventLoop {
     /// Lends the parts out beside one another.
     fn lend(&mut self) -> (EventLoopContext<'_>, Parts<'_>) {
         let context = EventLoopContext {
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -1,6 +1,6 @@
 //! The configuration, read again at SIGHUP: taken whole or not at all.
 
-use super::Proxy;
+use super::EventLoop;
 use super::connection_limits::{guests, longest_deadline, places, reserve};
 use crate::config::{self, Config};
 use crate::log::Quoted;
@@ -16,7 +16,7 @@
     }
 }
 
-impl Proxy {
+impl EventLoop {
     /// Reads the configuration again, whole; of one that is bad nothing is taken. Discovery's address,
     /// settings and limits change at once, in all places; the rest with a restart.
     pub(super) fn reload(&mut self) {
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -2,7 +2,7 @@
 
 use super::checks::Checks;
 use super::sources::Source;
-use super::{Proxy, TimerEvent};
+use super::{EventLoop, TimerEvent};
 use crate::admin_protocol::Call;
 use crate::core::{Command, LogRecord};
 use crate::discovery::Update;
@@ -14,7 +14,7 @@
 use std::io::ErrorKind;
 use tracing::info;
 
-impl Proxy {
+impl EventLoop {
     pub(super) fn run_once(&mut self, events: &mut Events, signals: &mut Signals) -> Result<(), String> {
         let asleep = self.clock.now();
         let pressing = self.clients.pressing() || self.admin.pressing() || self.checks.pressing(asleep);
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -2,7 +2,7 @@
 
 use super::checks::Checks;
 use super::gossip::Gossip;
-use super::{Proxy, SWEEP};
+use super::{EventLoop, SWEEP};
 use crate::core::AttemptId;
 use tracing::info;
 
@@ -39,7 +39,7 @@
     Exit,
 }
 
-impl Proxy {
+impl EventLoop {
     pub(super) fn handle_timer(&mut self, due: TimerEvent) {
         if let TimerEvent::Routing(id) = due {
             return self.core.timer_fired(self.now, id);
