--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -25,6 +25,19 @@
     Maintenance(bool),
 }
 
+/// What an operator is answered.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum AdminReply {
+    Yes(&'static str),
+    No(&'static str),
+    /// No such call, or the subsystem that it is about is off.
+    UnknownCall,
+    /// Lines of figures; a line that ends them follows.
+    Figures(String),
+    /// A text that ends itself.
+    Text(String),
+}
+
 /// A caller's connection.
 #[derive(Default)]
 pub struct Caller {
@@ -43,7 +56,7 @@
         let end = bytes.iter().position(|b| *b == b'\n');
         let more = &bytes[..end.unwrap_or(bytes.len())];
         if self.line.len() + more.len() > LINE {
-            self.no("the line is too long");
+            self.answer(&AdminReply::No("the line is too long"));
             return None;
         }
         self.line.extend_from_slice(more);
@@ -66,32 +79,21 @@
             b"metrics" => return Some(Call::Metrics),
             b"maintenance on" => return Some(Call::Maintenance(true)),
             b"maintenance off" => return Some(Call::Maintenance(false)),
-            b"" => self.no("an empty line; calls are: status, stats"),
-            _ => self.unknown(),
+            b"" => self.answer(&AdminReply::No("an empty line; calls are: status, stats")),
+            _ => self.answer(&AdminReply::UnknownCall),
         }
         None
     }
 
-    pub fn unknown(&mut self) {
-        self.no("no such call; calls are: status, stats");
-    }
-
-    pub fn yes(&mut self, what: &str) {
-        self.reply(&format!("YES {what}\n"));
-    }
-
-    pub fn no(&mut self, why: &str) {
-        self.reply(&format!("NO {why}\n"));
-    }
-
-    /// The figures, a line each, and a line that ends them.
-    pub fn figures(&mut self, lines: &str) {
-        self.reply(&format!("{lines}END\n"));
-    }
-
-    /// A text that ends itself.
-    pub fn text(&mut self, text: &str) {
-        self.reply(text);
+    /// Answers the call; nothing more is read.
+    pub fn answer(&mut self, reply: &AdminReply) {
+        match reply {
+            AdminReply::Yes(text) => self.reply(&format!("YES {text}\n")),
+            AdminReply::No(reason) => self.reply(&format!("NO {reason}\n")),
+            AdminReply::UnknownCall => self.reply("NO no such call; calls are: status, stats\n"),
+            AdminReply::Figures(lines) => self.reply(&format!("{lines}END\n")),
+            AdminReply::Text(text) => self.reply(text),
+        }
     }
 
     fn reply(&mut self, text: &str) {
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -30,17 +30,6 @@
     pub metrics: Option<String>,
 }
 
-impl AdminReports {
-    pub fn lines(&self, call: Call) -> Option<&String> {
-        match call {
-            Call::Fleet => self.fleet.as_ref(),
-            Call::Hot => self.hot.as_ref(),
-            Call::Split => self.split.as_ref(),
-            _ => None,
-        }
-    }
-}
-
 struct Open {
     stream: TcpStream,
     machine: Caller,
@@ -107,7 +96,7 @@
     pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) -> Option<Call> {
         let c = self.slots.get_mut(key)?;
         let (machine, mut call, mut read) = (&mut c.machine, None, 0);
-        let drained = stream::read(&mut c.stream, context.scratch, |bytes| {
+        let drained = stream::read(&mut c.stream, &mut context.scratch, |bytes| {
             read += bytes.len();
             call = call.or_else(|| machine.feed(bytes));
             read < READ_TURN
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -157,7 +157,7 @@
             let (group, write) = what.place();
             core.background_candidate(GroupId(group), write, what.yields()).map(|server| server.0)
         };
-        let started = self.scheduler.start(context.now, divisor, |what| place(context.core, what));
+        let started = self.scheduler.start(context.now, divisor, |what| place(&context.core, what));
         for (number, task, database) in started {
             self.sent += 1;
             let texts = task.what.texts(self.boot.wrapping_add(self.sent));
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -2,7 +2,8 @@
 
 use super::Background;
 use crate::hot::{Watch, settings};
-use crate::net::{EventLoop, TimerEvent};
+use crate::net::EventLoop;
+use crate::net::timer_events::TimerEvent;
 use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split;
 use birchreach::Micros;
@@ -38,22 +39,22 @@
         let (Some(fellows), Some(keys)) = (&self.fleet, &self.config.fleet_keys) else { return };
         let (boot, named, divisor) = (fellows.boot(), fellows.view().named, fellows.view().divisor());
         let mut background =
-            self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.now)));
+            self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.context.now)));
         match (&options, background.hot.clone()) {
             (Some(options), Some(watch)) => {
-                watch.borrow_mut().hot.set(settings(options, named, &self.core.consistencies()));
+                watch.borrow_mut().hot.set(settings(options, named, &self.context.core.consistencies()));
             }
             (Some(options), None) => {
-                let settings = settings(options, named, &self.core.consistencies());
-                let watch = shared(Watch::new(settings, boot, keys.hasher(b"hot keys"), self.now));
-                self.core.subscribe(self.now, watch.clone());
-                self.core.add_copy_locator(watch.clone());
+                let settings = settings(options, named, &self.context.core.consistencies());
+                let watch = shared(Watch::new(settings, boot, keys.hasher(b"hot keys"), self.context.now));
+                self.context.core.subscribe(self.context.now, watch.clone());
+                self.context.core.add_copy_locator(watch.clone());
                 background.hot = Some(watch);
                 info!(event = "hot-on");
             }
             (None, Some(watch)) => {
-                self.core.unsubscribe(&(watch.clone() as Rc<RefCell<dyn Observer>>));
-                self.core.remove_copy_locator(&(watch as Rc<RefCell<dyn CopyLocator>>));
+                self.context.core.unsubscribe(&(watch.clone() as Rc<RefCell<dyn Observer>>));
+                self.context.core.remove_copy_locator(&(watch as Rc<RefCell<dyn CopyLocator>>));
                 background.hot = None;
                 info!(event = "hot-off");
             }
@@ -61,7 +62,7 @@
         }
         self.start_split(&mut background, boot, named);
         let split = self.config.options.split.as_ref();
-        background.scheduler.budgets(&budgets(options.as_ref(), split), self.now);
+        background.scheduler.budgets(&budgets(options.as_ref(), split), self.context.now);
         for kind in Kind::ALL {
             if let Some((0, _) | (_, 0)) = background.scheduler.parts(kind, divisor) {
                 // Rounded down, so that the sum holds: nothing of it is ever done.
@@ -70,7 +71,7 @@
         }
         if !background.idle() {
             self.background = Some(background);
-            self.with_background(|_, _| {});
+            self.run_background();
         }
     }
 
@@ -82,46 +83,43 @@
             return;
         }
         if let Some(watch) = background.split.take() {
-            self.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
+            self.context.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
             info!(event = "split-off");
         }
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
             let (hasher, classes) = (keys.hasher(b"split"), self.config.site.class_names.clone());
-            let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.now));
-            self.core.subscribe(self.now, watch.clone());
+            let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.context.now));
+            self.context.core.subscribe(self.context.now, watch.clone());
             background.split = Some(watch);
             background.started += 1;
             info!(event = "split-on", definition);
         }
     }
 
-    /// A turn of it: what is over is taken, what is due is begun, and the timer set.
-    pub(in crate::net) fn with_background(&mut self, act: impl FnOnce(&mut Background, Micros)) {
-        let Some(fellows) = &self.fleet else { return };
-        let Some(mut background) = self.background.take() else { return };
+    /// Runs the background subsystems once: takes finished queries, starts due tasks, sets the timer.
+    pub(in crate::net) fn run_background(&mut self) {
+        let (Some(fellows), Some(background)) = (&self.fleet, &mut self.background) else { return };
         let (view, speaks) = (fellows.view(), fellows.speaks());
-        let now = self.now;
-        act(&mut background, now);
+        let now = self.context.now;
         background.step(now, view.members, GossipReports::interval(view.members));
         let said = background.say(now);
-        let (mut context, parts) = self.lend();
-        background.ended(now, parts.pool.done());
+        background.ended(now, self.pool.done());
         // Of two processes of one proxy one acts for it; the other only serves.
         if speaks {
-            background.start(&mut context, parts.pool, view.divisor());
+            background.start(&mut self.context, &mut self.pool, view.divisor());
         }
-        background.ended(now, parts.pool.done());
+        background.ended(now, self.pool.done());
         let next = background.next_change(now);
         if next < background.armed || background.armed <= now {
             background.armed = next;
-            self.timers.set(next, TimerEvent::Background);
+            self.context.timers.set(next, TimerEvent::Background);
         }
-        self.background = Some(background);
-        if !said.is_empty() {
-            self.with_fleet(|fellows, now| {
-                said.into_iter().for_each(|(channel, said)| fellows.say(now, channel, said))
-            });
+        if let (Some(fellows), false) = (&mut self.fleet, said.is_empty()) {
+            for (channel, said) in said {
+                fellows.say(now, channel, said);
+            }
+            self.after_fleet();
         }
     }
 }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -1,8 +1,8 @@
 //! What balancers are told, as far as the loop has to do with it: the monitor's times and probes, the load, and at which instant
 //! one process of this proxy yields to the next. The verdict is the monitor's.
 
-use super::checks::Checks;
-use super::{EventLoop, TimerEvent};
+use super::EventLoop;
+use super::timer_events::TimerEvent;
 use crate::health::{self, Watch};
 use crate::observe::{Observer, Shared, shared};
 use birchreach::{Micros, ServerId};
@@ -46,9 +46,9 @@
         let predecessor = self.handover.has_predecessor();
         // The one that this process replaces answers until it yields.
         let opened = self.checks.open(if predecessor { None } else { health.as_ref() })?;
-        self.with_checks(|checks, context| checks.take(context, health, opened));
+        self.checks.take(&mut self.context, health, opened);
         if predecessor {
-            self.ready_from(self.now + NO_WORD);
+            self.ready_from(self.context.now + NO_WORD);
         }
         Ok(())
     }
@@ -57,7 +57,7 @@
     pub(super) fn watch(&mut self) {
         let Some(options) = &self.config.options.health else {
             if let Some(watch) = self.health.watch.take() {
-                self.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
+                self.context.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
             }
             self.checks.watch = None;
             return;
@@ -69,17 +69,17 @@
         let timeout = settings.probes.as_ref().map_or(0, |probes| probes.timeout);
         self.pool.check_timeout(timeout);
         match &self.health.watch {
-            Some(watch) => watch.borrow_mut().monitor.settings(self.now, settings),
+            Some(watch) => watch.borrow_mut().monitor.settings(self.context.now, settings),
             None => {
-                let watch = shared(Watch::new(settings, self.now));
-                self.core.subscribe(self.now, watch.clone());
+                let watch = shared(Watch::new(settings, self.context.now));
+                self.context.core.subscribe(self.context.now, watch.clone());
                 self.checks.watch = Some(watch.clone());
                 self.health.watch = Some(watch);
             }
         }
         if !std::mem::replace(&mut self.health.ticking, true) {
-            (self.health.ticked, self.health.slept) = (self.now, 0);
-            self.timers.set(self.now + HEALTH_TICK, TimerEvent::HealthTick);
+            (self.health.ticked, self.health.slept) = (self.context.now, 0);
+            self.context.timers.set(self.context.now + HEALTH_TICK, TimerEvent::HealthTick);
         }
     }
 
@@ -88,7 +88,7 @@
         self.health.ready_at = at;
         self.record_health_event(HealthEvent::ReadyAt(at));
         self.checks.not_before(at);
-        self.timers.set(at - EARLY, TimerEvent::OpenCheckListeners);
+        self.context.timers.set(at - EARLY, TimerEvent::OpenCheckListeners);
     }
 
     /// One process of this proxy yields to the next at an instant that both know, so that balancers never find both
@@ -102,24 +102,24 @@
         let replaced = self.handover.is_replaced();
         if replaced != self.health.yielding {
             self.health.yielding = replaced;
-            let at = replaced.then_some(self.now + YIELD);
+            let at = replaced.then_some(self.context.now + YIELD);
             self.record_health_event(HealthEvent::HandoverAt(at));
             match at {
                 Some(at) => {
-                    self.with_own(|_, twin, context| twin.announce_stop_accepting(context, unix + YIELD));
-                    self.timers.set(at, TimerEvent::StopAcceptingChecks);
+                    self.handover.announce_stop_accepting(&mut self.context, unix + YIELD);
+                    self.context.timers.set(at, TimerEvent::StopAcceptingChecks);
                 }
-                None => self.with_checks(Checks::reopen),
+                None => self.checks.reopen(&mut self.context),
             }
         }
-        if self.health.ready_at > self.now && !self.health.yields_heard {
+        if self.health.ready_at > self.context.now && !self.health.yields_heard {
             let left = match self.handover.predecessor_stops_accepting_at() {
                 Some(at) => (at - unix).clamp(0, NO_WORD),
                 None if self.handover.has_predecessor() => return,
                 None => 0,
             };
             self.health.yields_heard = true;
-            self.ready_from(self.now + left);
+            self.ready_from(self.context.now + left);
         }
     }
 
@@ -130,22 +130,22 @@
             self.health.ticking = false;
             return;
         }
-        let span = (self.now - self.health.ticked).max(1);
+        let span = (self.context.now - self.health.ticked).max(1);
         let busy = 1.0 - self.health.slept as f64 / span as f64;
-        (self.health.ticked, self.health.slept) = (self.now, 0);
+        (self.health.ticked, self.health.slept) = (self.context.now, 0);
         let (for_clients, for_databases) = self.connection_limits();
-        let out = self.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
-        let held = self.core.report_queued(self.now);
-        let in_progress = self.core.open_request_count();
+        let out = self.context.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
+        let held = self.context.core.report_queued(self.context.now);
+        let in_progress = self.context.core.open_request_count();
         let pressure = busy.max(out);
         self.record_health_event(HealthEvent::Load { pressure, in_progress, held, room: for_clients });
-        self.timers.set(self.now + HEALTH_TICK, TimerEvent::HealthTick);
+        self.context.timers.set(self.context.now + HEALTH_TICK, TimerEvent::HealthTick);
     }
 
     /// Looks at what balancers are told, if it may have changed; sends the probes that are due.
     pub(super) fn update_health(&mut self) {
         let Some(watch) = &self.health.watch else { return };
-        let (next, changes, probes) = watch.borrow_mut().news(self.now);
+        let (next, changes, probes) = watch.borrow_mut().news(self.context.now);
         let changed = !changes.is_empty();
         for change in changes {
             match change {
@@ -159,14 +159,16 @@
             }
         }
         if changed {
-            self.with_checks(Checks::changed);
+            self.checks.changed(&mut self.context);
         }
         if self.health.timer.is_none_or(|at| next < at) {
             self.health.timer = Some(next);
-            self.timers.set(next, TimerEvent::HealthChange);
+            self.context.timers.set(next, TimerEvent::HealthChange);
         }
         if !probes.is_empty() {
-            self.with(|_, pool, _, context| probes.iter().for_each(|s| pool.check(context, ServerId(s.0))));
+            for server in probes {
+                self.pool.check(&mut self.context, ServerId(server.0));
+            }
             self.carry_out();
         }
     }
@@ -174,15 +176,15 @@
     /// Something that the core does not see.
     pub(super) fn record_health_event(&self, fact: HealthEvent) {
         if let Some(watch) = &self.health.watch {
-            watch.borrow_mut().monitor.handle_event(self.now, fact);
+            watch.borrow_mut().monitor.handle_event(self.context.now, fact);
         }
     }
 
     /// Checks listen again if they may and do not.
     pub(super) fn reopen_check_listeners(&mut self) {
-        self.with_checks(Checks::sweep);
-        if self.checks.lacks() && !self.health.yielding && self.now >= self.health.ready_at - EARLY {
-            self.with_checks(Checks::reopen);
+        self.checks.sweep(&mut self.context);
+        if self.checks.lacks() && !self.health.yielding && self.context.now >= self.health.ready_at - EARLY {
+            self.checks.reopen(&mut self.context);
         }
     }
 }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -7,9 +7,9 @@
 mod listeners;
 mod serve;
 
-use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
+use super::timer_events::TimerEvent;
 use crate::grpc;
 use crate::health::Watch;
 use crate::observe::Shared;
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -36,7 +36,7 @@
         Ok(false)
     };
     let now = context.now;
-    let core = &*context.core;
+    let core = &context.core;
     let Some(watch) = watch else { return Serve::Over("off") };
     let name = |server: birchreach_health::Server| core.server_name(ServerId(server.0)).to_string();
     let all = machine.run(now, watch.borrow_mut().verdict(now), &name);
@@ -104,7 +104,7 @@
 ) -> Serve {
     let Machine::Agent(machine, reply) = &mut c.machine else { return Serve::Waits };
     let mut asked = None;
-    let read = stream::read(&mut c.stream, context.scratch, |bytes| {
+    let read = stream::read(&mut c.stream, &mut context.scratch, |bytes| {
         asked = asked.take().or_else(|| machine.feed(bytes));
         asked.is_none()
     });
--- a/proxy/src/net/clients/admission.rs
+++ b/proxy/src/net/clients/admission.rs
@@ -1,9 +1,9 @@
 //! Who may come in: newcomers are accepted while there are places, and idle clients make room for them.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::super::test_hooks::{self, Point};
+use super::super::timer_events::TimerEvent;
 use super::client::{Client, NEWCOMER};
 use super::{Clients, spare};
 use crate::log::Quoted;
--- a/proxy/src/net/clients/input.rs
+++ b/proxy/src/net/clients/input.rs
@@ -1,7 +1,7 @@
 //! A client's turn: its input is read and decoded, its statements are taken or answered with what is wrong, its answers written.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::pool::Work;
+use super::super::statement_payload::StatementPayload;
 use super::super::stream::{self, Ended};
 use super::Clients;
 use super::client::{Client, CloseMode};
@@ -110,7 +110,7 @@
             let drained = if !hungry {
                 Ok(true)
             } else {
-                stream::read(&mut c.stream, context.scratch, |bytes| {
+                stream::read(&mut c.stream, &mut context.scratch, |bytes| {
                     read += bytes.len();
                     machine.feed(now, bytes);
                     machine.hungry() && read < READ_TURN
@@ -169,7 +169,7 @@
         let Some((reason, CloseMode::Draining { spare, .. })) = &mut c.closing else { return None };
         let mut left = (*spare).min(READ_TURN);
         let before = left;
-        let drained = stream::read(&mut c.stream, context.scratch, |bytes| {
+        let drained = stream::read(&mut c.stream, &mut context.scratch, |bytes| {
             left = left.saturating_sub(bytes.len());
             left > 0
         });
@@ -194,7 +194,7 @@
                     match admission.ask(context, &statement, arrived) {
                         Err((code, message)) => c.machine.reject(code, message),
                         Ok(ask) => {
-                            let work = Work::new(statement);
+                            let work = StatementPayload::new(statement);
                             c.request =
                                 Some((context.core.request(context.now, key, ask, work.clone()), work));
                         }
--- /dev/null
+++ b/proxy/src/net/commands.rs
@@ -0,0 +1,60 @@
+//! The core's commands, carried out on the connections.
+
+use super::EventLoop;
+use super::timer_events::TimerEvent;
+use crate::core::{Command, LogRecord};
+use crate::discovery::Update;
+use crate::log::Quoted;
+use tracing::info;
+
+impl EventLoop {
+    /// Carries out what the core commands, and what follows from that, until nothing is left.
+    pub(super) fn carry_out(&mut self) {
+        loop {
+            if let Some(command) = self.context.core.next_command() {
+                self.carry_out_one(command);
+            } else if let Some(attempt) = self.clients.wants_data() {
+                // A client that has taken what there was of a long value gets more of it.
+                self.pool.more(&mut self.context, attempt);
+            } else {
+                return;
+            }
+        }
+    }
+
+    fn carry_out_one(&mut self, command: Command<super::statement_payload::StatementPayload>) {
+        let context = &mut self.context;
+        match command {
+            Command::StartAttempt { attempt, server, payload, deadline, from_copy } => {
+                self.pool.start(context, attempt, server, payload, deadline, from_copy);
+            }
+            Command::CancelAttempt { attempt } => self.pool.stop(context, attempt),
+            Command::HealthCheck { server } => self.pool.probe(context, server),
+            Command::Answer { client, request, answer } => {
+                self.clients.answer(context, client, request, &answer);
+            }
+            Command::BeginStream { client, request, attempt, length } => {
+                self.clients.begin(context, client, request, attempt, length);
+            }
+            Command::StreamChunk { client, request, bytes } => {
+                self.clients.piece(context, client, request, &bytes);
+            }
+            Command::AbortStream { client, request } => self.clients.broken(context, client, request),
+            Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
+            Command::Log(LogRecord::RoutingNote(note)) => info!(event = "module", note = %Quoted(note)),
+            Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
+                info!(event = "server", number, uid, endpoint);
+            }
+        }
+    }
+
+    /// Takes a newer endpoint list.
+    pub(super) fn update_endpoints(&mut self, update: Update) {
+        info!(event = "list", rev = update.rev, all = update.all, lines = update.targets.len());
+        let moved = self.context.core.update_endpoints(self.context.now, update);
+        for server in moved {
+            self.pool.moved(&mut self.context, server);
+        }
+        self.carry_out();
+    }
+}
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -47,16 +47,13 @@
     pub(super) fn apply_process_count(&mut self) {
         let (for_clients, for_databases) = self.connection_limits();
         let replaced = self.handover.is_replaced();
-        self.core.set_process_count(self.now, self.handover.process_count());
-        let (stopping, guests) = (self.stopping, guests(&self.config));
-        self.with(|clients, pool, _, context| {
-            pool.limit(context, for_databases);
-            clients.host(guests);
-            clients.limit(context, for_clients);
-            if !stopping {
-                clients.give_way(replaced);
-            }
-        });
+        self.context.core.set_process_count(self.context.now, self.handover.process_count());
+        self.pool.limit(&mut self.context, for_databases);
+        self.clients.host(guests(&self.config));
+        self.clients.limit(&mut self.context, for_clients);
+        if !self.stopping {
+            self.clients.give_way(replaced);
+        }
     }
 
     pub(super) fn connection_limits(&self) -> (usize, usize) {
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -1,9 +1,9 @@
 //! The connection to discovery's agent, on which the watch is kept up.
 
-use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream::{self, Ended};
+use super::timer_events::TimerEvent;
 use crate::discovery::{ANSWER, Answer, Backoff, CONNECT, CallError, Update, Watch};
 use crate::log::Quoted;
 use crate::outbox::Outbox;
@@ -203,7 +203,7 @@
         let stream = self.stream.as_mut()?;
         let watch = &mut self.watch;
         let mut answer = Ok(None);
-        let ended = stream::read(stream, context.scratch, |bytes| {
+        let ended = stream::read(stream, &mut context.scratch, |bytes| {
             // On to the end of the input: an end of the connection behind the answer is not told twice.
             if answer == Ok(None) {
                 answer = watch.feed(bytes);
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -1,16 +1,21 @@
-//! What the connections' owners need of the loop, lent to them for a call.
+//! What the owners of connections share with the loop, lent to each of their calls beside the owner itself.
 
-use super::TimerEvent;
-use super::pool::Work;
+use super::statement_payload::StatementPayload;
+use super::timer_events::TimerEvent;
 use super::timers::Timers;
 use crate::core::Core;
 use birchreach::Micros;
 use mio::Registry;
 
-pub struct EventLoopContext<'a> {
+/// The part of the loop's state that every owner may use. It is a field of the loop, so that a call such as
+/// `self.clients.sweep(&mut self.context)` borrows two fields that do not overlap.
+pub struct EventLoopContext {
+    /// The time of this turn, or of its timers: all that one step does happens at one time.
     pub now: Micros,
-    pub registry: &'a Registry,
-    pub timers: &'a mut Timers<TimerEvent>,
-    pub core: &'a mut Core<Work>,
-    pub scratch: &'a mut [u8],
+    /// A clone of the poll's registry.
+    pub registry: Registry,
+    pub timers: Timers<TimerEvent>,
+    pub core: Core<StatementPayload>,
+    /// Where sockets are read into. Nothing is kept in it between two calls.
+    pub scratch: Vec<u8>,
 }
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -1,8 +1,9 @@
 //! How the loop comes by the fleet's driver, and how it lends it out: its datagrams, its listener for links, and whom it wants to meet.
 
+use super::super::EventLoop;
 use super::super::admin::AdminReports;
 use super::super::gossip::MembershipSync;
-use super::super::{EventLoop, TimerEvent};
+use super::super::timer_events::TimerEvent;
 use super::FleetMembership;
 use crate::fleet::Metrics;
 use crate::observe::shared;
@@ -32,16 +33,16 @@
             name,
             at: options.advertise,
             boot,
-            epoch: u64::try_from(self.now / 1_000).unwrap_or(0),
+            epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
             seed: self.config.seed ^ boot,
             seeds: options.peers.clone(),
             named: options.named,
         };
-        let machine = shared(Fleet::new(settings, self.now));
+        let machine = shared(Fleet::new(settings, self.context.now));
         let mut fellows = FleetMembership {
             socket: None,
             listen: options.listen,
-            registry: self.poll.registry().try_clone().map_err(failed)?,
+            registry: self.context.registry.try_clone().map_err(failed)?,
             machine: machine.clone(),
             gossip_reports: GossipReports::new(boot, self.config.seed ^ boot.rotate_left(32)),
             fresh: Vec::new(),
@@ -60,7 +61,7 @@
         let views = MembershipSync::new(options.listen, keys.clone(), machine);
         self.gossip.get_or_insert_default().view(views);
         self.fleet = Some(fellows);
-        self.with_fleet(|fellows, now| fellows.due(now));
+        self.fleet_due();
         Ok(())
     }
 
@@ -71,28 +72,39 @@
         let (divisor, heard) = (view.divisor(), view.members);
         let more = background.map_or_else(String::new, |b| b.metrics(heard));
         AdminReports {
-            fleet: Some(fellows.lines(self.now)),
-            hot: background.and_then(|b| b.hot_lines(self.now, divisor)),
+            fleet: Some(fellows.lines(self.context.now)),
+            hot: background.and_then(|b| b.hot_lines(self.context.now, divisor)),
             split: background.and_then(|b| b.split_lines(heard, divisor)),
             metrics: Some(fellows.metrics() + &more + "# EOF\n"),
         }
     }
 
-    pub(in crate::net) fn with_fleet(&mut self, act: impl FnOnce(&mut FleetMembership, Micros)) {
+    /// The fleet's timer is due.
+    pub(in crate::net) fn fleet_due(&mut self) {
+        if let Some(fellows) = &mut self.fleet {
+            fellows.due(self.context.now);
+            self.after_fleet();
+        }
+    }
+
+    /// Follows each call of the fleet's driver: its timer is set, and gossip and the background subsystems are told what has
+    /// come of the call.
+    pub(in crate::net) fn after_fleet(&mut self) {
         let Some(fellows) = &mut self.fleet else { return };
-        act(fellows, self.now);
-        let exchange = fellows.machine.borrow_mut().exchange(self.now).filter(|_| fellows.speaks());
-        if let Some(at) = fellows.wake(self.now) {
-            self.timers.set(at, TimerEvent::Fleet);
+        let exchange = fellows.machine.borrow_mut().exchange(self.context.now).filter(|_| fellows.speaks());
+        if let Some(at) = fellows.wake(self.context.now) {
+            self.context.timers.set(at, TimerEvent::Fleet);
         }
         let (speaks, fresh) = (fellows.speaks(), fellows.fresh());
-        let registry = self.poll.registry();
-        self.gossip.iter_mut().for_each(|gossip| gossip.speak(registry, speaks));
+        if let Some(gossip) = &mut self.gossip {
+            gossip.speak(&self.context.registry, speaks);
+        }
         if let Some(background) = &mut self.background {
-            background.hear(self.now, fresh);
+            background.hear(self.context.now, fresh);
         }
-        if let Some(peer) = exchange {
-            self.with_gossip(|gossip, context| gossip.exchange(context, peer));
+        if let (Some(peer), Some(gossip)) = (exchange, &mut self.gossip) {
+            gossip.exchange(&mut self.context, peer);
+            self.after_gossip();
         }
     }
 }
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -1,8 +1,8 @@
 //! A link's turn: what has come is taken, what is to be said is written, and it goes on or ends.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
+use super::super::timer_events::TimerEvent;
 use super::peer_protocol::{self, Next, take};
 use super::{Ends, Gossip};
 
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -1,9 +1,9 @@
 //! Links over which two members of the fleet tell each other all that they know of it. Their listener has the number of the datagrams'
 //! address; what is told and believed is the fleet crate's to say.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
+use super::super::timer_events::TimerEvent;
 use super::listen;
 use super::peer_protocol::{Next, nonce};
 use crate::observe::Shared;
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -6,9 +6,9 @@
 mod peer_protocol;
 mod state_transfer;
 
-use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
+use super::timer_events::TimerEvent;
 use birchreach::Micros;
 use birchreach_peer_state::exchange::Exchange;
 use birchreach_peer_state::join::End;
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -1,8 +1,8 @@
 //! What passes on a link: a donor's parts into what is known, and what is known to an asker, within the donor's budget.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
+use super::super::timer_events::TimerEvent;
 use super::state_transfer::StateTransfer;
 use birchreach::Micros;
 use birchreach_peer_state::donor::Verdict;
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -1,7 +1,8 @@
 //! How the process ends: told to stop, it serves who still arrives, closes whoever is idle, and ends when nothing is owed.
 //! It owns the times of that order; whom to close when is the clients' owner's to do.
 
-use super::{EventLoop, TimerEvent};
+use super::EventLoop;
+use super::timer_events::TimerEvent;
 use birchreach::Micros;
 use birchreach_health::HealthEvent;
 use tracing::info;
@@ -23,11 +24,11 @@
     /// Told to stop. Where balancers are told of it, they have a while to go elsewhere first; told again, it leaves.
     pub(super) fn stop(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
-            info!(event = "stopping", open = self.core.open_request_count());
+            info!(event = "stopping", open = self.context.core.open_request_count());
             self.record_health_event(HealthEvent::Stopping);
             let lead = self.config.options.health.as_ref().map_or(0, |health| health.lead);
             if lead > 0 && !self.handover.is_replaced() {
-                return self.timers.set(self.now + lead, TimerEvent::StopListening);
+                return self.context.timers.set(self.context.now + lead, TimerEvent::StopListening);
             }
         }
         self.stop_listening();
@@ -36,20 +37,25 @@
     pub(super) fn stop_listening(&mut self) {
         if !std::mem::replace(&mut self.listener_closed, true) {
             let linger = if self.config.inherited.is_some() {
-                self.with(|clients, _, _, context| clients.hand_over(context));
+                self.clients.hand_over(&mut self.context);
                 HANDOVER
             } else {
                 LINGER
             };
-            self.timers.set(self.now + linger, TimerEvent::CloseIdleClients);
-            self.timers.set(self.now + linger + self.longest_deadline + LAST_CALL, TimerEvent::Exit);
+            self.context.timers.set(self.context.now + linger, TimerEvent::CloseIdleClients);
+            self.context
+                .timers
+                .set(self.context.now + linger + self.longest_deadline + LAST_CALL, TimerEvent::Exit);
         }
     }
 
     /// The last idle clients go now; who has a request in hand goes with its answer.
     pub(super) fn close_idle_clients(&mut self) {
-        self.with(|clients, _, _, context| clients.leave(context));
-        self.with_fleet(|fellows, now| fellows.leave(now));
+        self.clients.leave(&mut self.context);
+        if let Some(fleet) = &mut self.fleet {
+            fleet.leave(self.context.now);
+            self.after_fleet();
+        }
         self.clients_closed = true;
     }
 }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -2,10 +2,12 @@
 //! done, and what waits is written. One thread, one clock.
 
 mod admin;
+mod admin_calls;
 mod background;
 mod balancers;
 mod checks;
 mod clients;
+mod commands;
 mod connection_limits;
 mod discovery_connection;
 mod event_loop_context;
@@ -18,8 +20,10 @@
 mod reload;
 mod run_once;
 mod sources;
+mod statement_payload;
 mod stream;
 mod test_hooks;
+mod timer_dispatch;
 mod timer_events;
 mod timers;
 
@@ -41,14 +45,14 @@
 use gossip::{Gossip, StateTransfer};
 use mio::{Events, Poll};
 pub use pool::Done;
-use pool::{Pool, Work};
+use pool::Pool;
 use process_handover::ProcessHandover;
 use reload::log_settings_warnings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use sources::Source;
 use std::path::PathBuf;
-pub use timer_events::TimerEvent;
+use timer_events::TimerEvent;
 use timers::{Clock, Timers};
 use tracing::info;
 
@@ -56,24 +60,14 @@
 const EVENTS: usize = 1024;
 const CHECKED_EVENTS: usize = 128;
 const SWEEP: Micros = 250_000;
+/// What is read of a socket at once.
+const SCRATCH_BYTES: usize = 64 << 10;
 
-/// The connections' owners, lent out side by side.
-struct Parts<'a> {
-    clients: &'a mut Clients,
-    pool: &'a mut Pool,
-    discovery: &'a mut DiscoveryConnection,
-    admin: &'a mut AdminListener,
-    checks: &'a mut Checks,
-    handover: &'a mut ProcessHandover,
-}
-
+/// The loop's state: each field owns its part, and the calls between them go through here.
 struct EventLoop {
     poll: Poll,
     clock: Clock,
-    now: Micros,
-    timers: Timers<TimerEvent>,
-    core: Core<Work>,
-    scratch: Vec<u8>,
+    context: EventLoopContext,
     clients: Clients,
     pool: Pool,
     discovery: DiscoveryConnection,
@@ -119,12 +113,15 @@
     let (for_clients, for_databases) = places(config.sockets, reserve, &twin);
     let clients = Clients::new(poll.registry(), listener, for_clients)?;
     let known = config.known.take();
-    let mut proxy = EventLoop {
+    let mut event_loop = EventLoop {
         clock,
-        now,
-        timers: Timers::new(),
-        core: Core::new(&config.site, config.seed, now),
-        scratch: vec![0; 64 << 10],
+        context: EventLoopContext {
+            now,
+            registry: poll.registry().try_clone().map_err(|e| format!("no poll: {e}"))?,
+            timers: Timers::new(),
+            core: Core::new(&config.site, config.seed, now),
+            scratch: vec![0; SCRATCH_BYTES],
+        },
         clients,
         pool: Pool::new(&config.site, for_databases),
         discovery: DiscoveryConnection::new(
@@ -148,101 +145,71 @@
         clients_closed: false,
         poll,
     };
-    let Config { name, discovery, .. } = &proxy.config;
-    let operator = proxy.admin.address().map(tracing::field::display);
+    let Config { name, discovery, .. } = &event_loop.config;
+    let operator = event_loop.admin.address().map(tracing::field::display);
     info!(event = "started", name, %listen, %discovery, operator);
-    log_settings_warnings(&proxy.config);
-    proxy.start_health()?;
-    proxy.start_gossip()?;
-    proxy.start_fleet()?;
-    proxy.start_background();
+    log_settings_warnings(&event_loop.config);
+    event_loop.start_health()?;
+    event_loop.start_gossip()?;
+    event_loop.start_fleet()?;
+    event_loop.start_background();
     if let Some(known) = known {
-        proxy.members(Update { all: true, ..known });
+        event_loop.update_endpoints(Update { all: true, ..known });
     }
-    proxy.with_gossip(Gossip::step);
-    if proxy.handover.process_count() > 1 {
+    event_loop.step_gossip();
+    if event_loop.handover.process_count() > 1 {
         info!(event = "predecessor-met");
     }
-    proxy.apply_process_count();
-    proxy.timers.set(now + SWEEP, TimerEvent::Sweep);
-    proxy.with(|_, _, agent, context| agent.start(context));
+    event_loop.apply_process_count();
+    event_loop.context.timers.set(now + SWEEP, TimerEvent::Sweep);
+    event_loop.discovery.start(&mut event_loop.context);
     let mut events = Events::with_capacity(EVENTS);
-    while !(proxy.clients_closed && proxy.clients.is_empty()) {
-        let most = if proxy.health.watch.is_some() { CHECKED_EVENTS } else { EVENTS };
+    while !(event_loop.clients_closed && event_loop.clients.is_empty()) {
+        let most = if event_loop.health.watch.is_some() { CHECKED_EVENTS } else { EVENTS };
         if events.capacity() != most {
             events = Events::with_capacity(most);
         }
-        proxy.run_once(&mut events, &mut signals)?;
+        event_loop.run_once(&mut events, &mut signals)?;
     }
-    info!(event = "stopped", open = proxy.core.open_request_count());
+    info!(event = "stopped", open = event_loop.context.core.open_request_count());
     Ok(())
 }
 
 impl EventLoop {
-    /// Lends the parts out beside one another.
-    fn lend(&mut self) -> (EventLoopContext<'_>, Parts<'_>) {
-        let context = EventLoopContext {
-            now: self.now,
-            registry: self.poll.registry(),
-            timers: &mut self.timers,
-            core: &mut self.core,
-            scratch: &mut self.scratch,
-        };
-        let parts = Parts {
-            clients: &mut self.clients,
-            pool: &mut self.pool,
-            discovery: &mut self.discovery,
-            admin: &mut self.admin,
-            checks: &mut self.checks,
-            handover: &mut self.handover,
-        };
-        (context, parts)
-    }
-
-    fn with<T>(
-        &mut self,
-        act: impl FnOnce(&mut Clients, &mut Pool, &mut DiscoveryConnection, &mut EventLoopContext) -> T,
-    ) -> T {
-        let (mut context, parts) = self.lend();
-        act(parts.clients, parts.pool, parts.discovery, &mut context)
-    }
-
-    fn with_own(
-        &mut self,
-        act: impl FnOnce(&mut AdminListener, &mut ProcessHandover, &mut EventLoopContext),
-    ) {
-        let (mut context, parts) = self.lend();
-        act(parts.admin, parts.handover, &mut context);
+    /// Gossip's timer is due, or another proxy wants to connect.
+    fn step_gossip(&mut self) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.step(&mut self.context);
+            self.after_gossip();
+        }
     }
 
-    fn with_gossip(&mut self, act: impl FnOnce(&mut Gossip, &mut EventLoopContext)) {
-        let Some(mut gossip) = self.gossip.take() else { return };
-        let (mut context, parts) = self.lend();
-        act(&mut gossip, &mut context);
-        parts.clients.learning(!gossip.ready());
-        self.gossip = Some(gossip);
+    /// Follows each call of gossip: clients wait while it still learns, and what the core now commands is carried out.
+    fn after_gossip(&mut self) {
+        let Some(gossip) = &self.gossip else { return };
+        self.clients.learning(!gossip.ready());
         self.carry_out();
     }
 
-    /// Knowledge is asked for and told, where the options say so.
+    /// State is requested from and sent to other proxies, where the options say so.
     fn start_gossip(&mut self) -> Result<(), String> {
         let (Some(options), Some(keys)) = (&self.config.options.knowledge, &self.config.keys) else {
             return Ok(());
         };
-        // Each process is an observer of its own: what the one before told is hearsay.
+        // Each process observes for itself: what its predecessor observed reaches it at second hand.
         let mut observer = [0; 8];
         getrandom::fill(&mut observer).map_err(|e| format!("no random numbers: {e}"))?;
         let peer_knowledge = shared(PeerKnowledge::new(u64::from_be_bytes(observer)));
-        self.core.subscribe(self.now, peer_knowledge.clone());
-        let (keys, seed) = (keys.clone(), self.config.seed);
-        let lessons =
-            StateTransfer::new(self.poll.registry(), options, keys, peer_knowledge, seed, self.now)?;
-        self.gossip.get_or_insert_default().learn(lessons);
+        self.context.core.subscribe(self.context.now, peer_knowledge.clone());
+        let state_transfer = StateTransfer::new(
+            &self.context.registry,
+            options,
+            keys.clone(),
+            peer_knowledge,
+            self.config.seed,
+            self.context.now,
+        )?;
+        self.gossip.get_or_insert_default().learn(state_transfer);
         Ok(())
     }
-
-    fn with_checks(&mut self, act: impl FnOnce(&mut Checks, &mut EventLoopContext)) {
-        let (mut context, parts) = self.lend();
-        act(parts.checks, &mut context);
-    }
 }
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -7,13 +7,13 @@
 mod query;
 mod responses;
 
-use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
+use super::statement_payload::StatementPayload;
 use super::stream;
-use crate::core::{self, AttemptId};
+use super::timer_events::TimerEvent;
+use crate::core::AttemptId;
 use crate::pg::backend::Backend;
 use crate::pg::report::ReportForm;
-use crate::pg::statement::Statement;
 use crate::reply::Reply;
 use background_queries::BackgroundQuery;
 pub use background_queries::Done;
@@ -24,21 +24,12 @@
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::rc::Rc;
-
-pub type Work = Rc<Statement>;
-
-impl core::RequestPayload for Work {
-    fn key(&self) -> &[u8] {
-        Statement::key(self)
-    }
-}
 
 /// What a connection was opened or taken for.
 enum Job {
     Attempt {
         attempt: AttemptId,
-        work: Work,
+        work: StatementPayload,
         until: Micros,
         /// The server's copy is asked for.
         copy: bool,
@@ -143,7 +134,7 @@
         context: &mut EventLoopContext,
         attempt: AttemptId,
         server: ServerId,
-        work: Work,
+        work: StatementPayload,
         until: Micros,
         copy: bool,
     ) {
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -1,8 +1,8 @@
 //! Which connection a job gets: one that is idle and has rested, or a new one, within the places that there are.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
+use super::super::timer_events::TimerEvent;
 use super::{Connection, Job, Pool};
 use crate::log::Quoted;
 use crate::pg::backend::Backend;
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -1,7 +1,7 @@
 //! A connection that is up gets its next query, or rests.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::timer_events::TimerEvent;
 use super::{Job, Pool, background_queries};
 use crate::reply::Reply;
 use birchreach::AttemptOutcome;
--- a/proxy/src/net/pool/responses.rs
+++ b/proxy/src/net/pool/responses.rs
@@ -23,7 +23,7 @@
             }
             // A piece at a time: what has come is decoded before more is kept.
             let machine = &mut c.machine;
-            let read = stream::read(&mut c.stream, context.scratch, |bytes| {
+            let read = stream::read(&mut c.stream, &mut context.scratch, |bytes| {
                 machine.feed(bytes);
                 false
             });
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -90,7 +90,7 @@
         let slot = if predecessor { &mut self.predecessor } else { &mut self.successor };
         let Some(link) = slot else { return };
         let machine = &mut link.machine;
-        let read = stream::read(&mut link.stream, context.scratch, |bytes| {
+        let read = stream::read(&mut link.stream, &mut context.scratch, |bytes| {
             machine.feed(bytes);
             true
         });
@@ -109,7 +109,7 @@
             info!(event = if predecessor { "predecessor-gone" } else { "successor-gone" });
             if !predecessor {
                 // It had taken the meeting place too.
-                self.listen(context.registry);
+                self.listen(&context.registry);
             }
         }
     }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -25,18 +25,18 @@
         {
             Ok(new) => new,
             Err(message) => {
-                self.core.stats.configuration_load_errors += 1;
+                self.context.core.stats.configuration_load_errors += 1;
                 return warn!(event = "reload-failed", error = %Quoted(message));
             }
         };
         let opened = match self.checks.open(new.options.health.as_ref()) {
             Ok(opened) => opened,
             Err(message) => {
-                self.core.stats.configuration_load_errors += 1;
+                self.context.core.stats.configuration_load_errors += 1;
                 return warn!(event = "reload-failed", error = %Quoted(message));
             }
         };
-        self.core.stats.configuration_loads += 1;
+        self.context.core.stats.configuration_loads += 1;
         let rest = self.config.differs(&new).join(",");
         // Links among proxies wait for a restart, and count as they are until then.
         (new.options.knowledge, new.keys) = (self.config.options.knowledge.clone(), self.config.keys.clone());
@@ -49,21 +49,19 @@
         self.longest_deadline = longest_deadline(&new.site).max(longest_deadline(&self.config.site));
         let reserve = reserve(&new);
         let (for_clients, for_databases) = places(new.sockets, reserve, &self.handover);
-        self.core.settings(self.now, &new.site);
-        self.with(|clients, pool, agent, context| {
-            pool.settings(&new.site);
-            pool.limit(context, for_databases);
-            clients.host(guests(&new));
-            clients.limit(context, for_clients);
-            agent.settings(&new.site.routing);
-            agent.moved(context, new.discovery);
-        });
+        self.context.core.settings(self.context.now, &new.site);
+        self.pool.settings(&new.site);
+        self.pool.limit(&mut self.context, for_databases);
+        self.clients.host(guests(&new));
+        self.clients.limit(&mut self.context, for_clients);
+        self.discovery.settings(&new.site.routing);
+        self.discovery.moved(&mut self.context, new.discovery);
         let Config { name, listen, operator, inherited, .. } = &self.config;
         let (name, listen, operator, inherited) = (name.clone(), *listen, *operator, *inherited);
         self.config = Config { name, listen, operator, inherited, ..new };
         self.watch();
         let health = self.config.options.health.clone();
-        self.with_checks(|checks, context| checks.take(context, health, opened));
+        self.checks.take(&mut self.context, health, opened);
         self.start_background();
         self.carry_out();
     }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -1,197 +1,161 @@
-//! A turn of the loop: who is ready has his turn, in order; what the core commands is done; timers fire.
+//! One turn of the loop: wait, serve operators and balancers first, then all others in the order of their events, then what is
+//! left over and the timers that are due.
 
-use super::checks::Checks;
+use super::EventLoop;
 use super::sources::Source;
-use super::{EventLoop, TimerEvent};
-use crate::admin_protocol::Call;
-use crate::core::{Command, LogRecord};
-use crate::discovery::Update;
-use crate::log::Quoted;
-use birchreach_health::HealthEvent;
+use birchreach::Micros;
 use mio::Events;
+use mio::event::Event;
 use signal_hook::consts::SIGHUP;
 use signal_hook_mio::v1_0::Signals;
 use std::io::ErrorKind;
-use tracing::info;
+use std::time::Duration;
 
 impl EventLoop {
+    /// Waits for events or the next timer, and does all that is due.
     pub(super) fn run_once(&mut self, events: &mut Events, signals: &mut Signals) -> Result<(), String> {
+        self.wait(events)?;
+        self.serve_priority_sources(events);
+        for event in events.iter() {
+            let source = Source::of(event.token());
+            if !source.first() {
+                self.handle_event(source, event, signals);
+            }
+            self.carry_out();
+        }
+        self.continue_connections();
+        self.handle_due_timers();
+        if self.pool.has_done() {
+            self.run_background();
+        }
+        self.update_health();
+        Ok(())
+    }
+
+    fn wait(&mut self, events: &mut Events) -> Result<(), String> {
         let asleep = self.clock.now();
-        let pressing = self.clients.pressing() || self.admin.pressing() || self.checks.pressing(asleep);
-        let wait = if pressing { Some(std::time::Duration::ZERO) } else { self.timers.wait(asleep) };
+        let pressing = self.has_unfinished_work(asleep);
+        let wait = if pressing { Some(Duration::ZERO) } else { self.context.timers.wait(asleep) };
         match self.poll.poll(events, wait) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(format!("polling: {e}")),
             _ => {}
         }
-        self.now = self.clock.now();
-        self.health.slept += if pressing { 0 } else { self.now - asleep };
+        self.context.now = self.clock.now();
+        self.health.slept += if pressing { 0 } else { self.context.now - asleep };
+        Ok(())
+    }
+
+    /// Something is left from the last turn that no socket will report again.
+    fn has_unfinished_work(&self, now: Micros) -> bool {
+        self.clients.pressing() || self.admin.pressing() || self.checks.pressing(now)
+    }
+
+    fn serve_priority_sources(&mut self, events: &Events) {
         for event in events.iter() {
             match Source::of(event.token()) {
                 Source::Admin => self.admin.accept_ready(),
-                Source::Operator(key) => self.operator(key),
+                Source::Operator(key) => self.handle_admin(key),
                 source @ (Source::HttpListener | Source::AgentListener | Source::GrpcListener) => {
-                    self.checks.accept_ready(source)
+                    self.checks.accept_ready(source);
                 }
-                Source::Check(key) => self.with_checks(|checks, context| checks.ready(context, key)),
+                Source::Check(key) => self.checks.ready(&mut self.context, key),
                 _ => {}
             }
         }
-        self.with_own(|admin, _, context| admin.accept(context));
-        self.with_checks(Checks::go_on);
-        for event in events.iter() {
-            match Source::of(event.token()) {
-                source if source.first() => {}
-                source @ (Source::Successors | Source::Predecessor | Source::Successor) => {
-                    self.handle_handover(source)
-                }
-                Source::Listener => self.clients.accept_ready(),
-                Source::Signals => {
-                    for signal in signals.pending() {
-                        match signal {
-                            SIGHUP => self.reload(),
-                            _ => self.stop(),
-                        }
-                    }
-                }
-                Source::Discovery => {
-                    if let Some(update) = self.with(|_, _, agent, context| agent.ready(context)) {
-                        self.members(update);
-                    }
+        self.admin.accept(&mut self.context);
+        self.checks.go_on(&mut self.context);
+    }
+
+    fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
+        match source {
+            Source::Listener => self.clients.accept_ready(),
+            Source::Signals => self.handle_signals(signals),
+            Source::Discovery => self.handle_discovery(),
+            Source::Successors | Source::Predecessor | Source::Successor => self.handle_handover(source),
+            Source::Fleet => self.handle_fleet(),
+            Source::GossipListener | Source::ViewListener => {
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.accept_ready(source);
+                    self.step_gossip();
                 }
-                Source::Fleet => self.with_fleet(|fellows, now| fellows.ready(now)),
-                source @ (Source::GossipListener | Source::ViewListener) => {
-                    self.with_gossip(|gossip, context| {
-                        gossip.accept_ready(source);
-                        gossip.step(context);
-                    })
+            }
+            Source::Gossip(key) => {
+                if let Some(gossip) = &mut self.gossip {
+                    gossip.ready_link(&mut self.context, key);
+                    self.after_gossip();
                 }
-                Source::Gossip(key) => self.with_gossip(|gossip, context| gossip.ready_link(context, key)),
-                Source::Client(key) => {
-                    let ended = event.is_read_closed() || event.is_error();
-                    self.with(|clients, _, _, context| {
-                        if ended {
-                            clients.ended(key);
-                        }
-                        clients.ready(context, key);
-                    });
+            }
+            Source::Client(key) => {
+                if event.is_read_closed() || event.is_error() {
+                    self.clients.ended(key);
                 }
-                Source::Database(key) => self.with(|_, pool, _, context| pool.ready(context, key)),
-                _ => {}
+                self.clients.ready(&mut self.context, key);
             }
-            self.carry_out();
+            Source::Database(key) => self.pool.ready(&mut self.context, key),
+            // `serve_priority_sources` has had them.
+            Source::Admin
+            | Source::Operator(_)
+            | Source::HttpListener
+            | Source::AgentListener
+            | Source::GrpcListener
+            | Source::Check(_) => {}
         }
-        self.with(|clients, pool, agent, context| {
-            clients.go_on(context);
-            if pool.starved() {
-                clients.make_room(context);
-            }
-            if agent.take_descriptors_exhausted() {
-                clients.make_room(context);
+    }
+
+    fn handle_signals(&mut self, signals: &mut Signals) {
+        for signal in signals.pending() {
+            match signal {
+                SIGHUP => self.reload(),
+                _ => self.stop(),
             }
-        });
-        self.carry_out();
-        self.now = self.clock.now();
-        while let Some(due) = self.timers.due(self.now) {
-            self.handle_timer(due);
-            self.carry_out();
         }
-        if self.pool.has_done() {
-            self.with_background(|_, _| {});
+    }
+
+    fn handle_discovery(&mut self) {
+        if let Some(update) = self.discovery.ready(&mut self.context) {
+            self.update_endpoints(update);
         }
-        self.update_health();
-        Ok(())
     }
 
     /// Another process of this proxy came, spoke or went.
     fn handle_handover(&mut self, source: Source) {
-        self.with_own(|_, twin, context| match source {
-            Source::Successors => twin.accept(context),
-            link => twin.ready(context, link),
-        });
+        match source {
+            Source::Successors => self.handover.accept(&mut self.context),
+            link => self.handover.ready(&mut self.context, link),
+        }
         self.apply_process_count();
-        let replaced = self.handover.is_replaced();
-        self.with_fleet(|fellows, now| fellows.replaced(now, replaced));
+        if let Some(fleet) = &mut self.fleet {
+            fleet.replaced(self.context.now, self.handover.is_replaced());
+            self.after_fleet();
+        }
         self.negotiate_handover();
     }
 
-    /// An operator's connection is ready.
-    fn operator(&mut self, key: usize) {
-        let (stopping, balanced) = (self.stopping, self.health.watch.is_some());
-        let mut maintenance = None;
-        let told = self.admin_reports();
-        self.with_own(|admin, _, context| {
-            let Some(call) = admin.ready(context, key) else { return };
-            let figures = context.core.stats.lines(context.core.gauges(context.now));
-            if let Some(caller) = admin.caller(key) {
-                match call {
-                    Call::Status if stopping => caller.no("stopping"),
-                    Call::Status => caller.yes("it takes clients"),
-                    Call::Stats => caller.figures(&figures),
-                    Call::Fleet | Call::Hot | Call::Split => match told.lines(call) {
-                        Some(lines) => caller.figures(lines),
-                        None => caller.unknown(),
-                    },
-                    Call::Metrics => match &told.metrics {
-                        Some(metrics) => caller.text(metrics),
-                        None => caller.unknown(),
-                    },
-                    // Without balancers there is nothing to be taken out of.
-                    Call::Maintenance(_) if !balanced => caller.unknown(),
-                    Call::Maintenance(on) => {
-                        maintenance = Some(on);
-                        caller.yes(if on { "balancers are told maintenance" } else { "maintenance is over" });
-                    }
-                }
-            }
-            admin.write(context, key);
-        });
-        if let Some(on) = maintenance {
-            self.record_health_event(HealthEvent::Maintenance(on));
+    fn handle_fleet(&mut self) {
+        if let Some(fleet) = &mut self.fleet {
+            fleet.ready(self.context.now);
+            self.after_fleet();
         }
     }
 
-    /// Does what the core commands; what comes of it may bring more.
-    pub(super) fn carry_out(&mut self) {
-        loop {
-            let Some(command) = self.core.next_command() else {
-                // Clients that have taken what there was of a long value get more of it.
-                let Some(attempt) = self.clients.wants_data() else { return };
-                self.with(|_, pool, _, context| pool.more(context, attempt));
-                continue;
-            };
-            self.with(|clients, pool, _, context| match command {
-                Command::StartAttempt {
-                    attempt,
-                    server,
-                    payload: work,
-                    deadline: until,
-                    from_copy: copy,
-                } => pool.start(context, attempt, server, work, until, copy),
-                Command::CancelAttempt { attempt } => pool.stop(context, attempt),
-                Command::HealthCheck { server } => pool.probe(context, server),
-                Command::Answer { client, request, answer } => {
-                    clients.answer(context, client, request, &answer)
-                }
-                Command::BeginStream { client, request, attempt, length } => {
-                    clients.begin(context, client, request, attempt, length);
-                }
-                Command::StreamChunk { client, request, bytes } => {
-                    clients.piece(context, client, request, &bytes)
-                }
-                Command::AbortStream { client, request } => clients.broken(context, client, request),
-                Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
-                Command::Log(LogRecord::RoutingNote(note)) => info!(event = "module", note = %Quoted(note)),
-                Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
-                    info!(event = "server", number, uid, endpoint);
-                }
-            });
+    /// Goes on with clients where the last turn stopped, and closes idle ones where the system has no descriptor for
+    /// connections to databases or to discovery.
+    fn continue_connections(&mut self) {
+        self.clients.go_on(&mut self.context);
+        if self.pool.starved() {
+            self.clients.make_room(&mut self.context);
         }
+        if self.discovery.take_descriptors_exhausted() {
+            self.clients.make_room(&mut self.context);
+        }
+        self.carry_out();
     }
 
-    pub(super) fn members(&mut self, update: Update) {
-        info!(event = "list", rev = update.rev, all = update.all, lines = update.targets.len());
-        let moved = self.core.update_endpoints(self.now, update);
-        self.with(|_, pool, _, context| moved.into_iter().for_each(|server| pool.moved(context, server)));
-        self.carry_out();
+    fn handle_due_timers(&mut self) {
+        self.context.now = self.clock.now();
+        while let Some(due) = self.context.timers.due(self.context.now) {
+            self.handle_timer(due);
+            self.carry_out();
+        }
     }
 }
