--- a/proxy/src/config/parse.rs
+++ b/proxy/src/config/parse.rs
@@ -3,7 +3,7 @@
 use super::{Config, hash};
 use crate::discovery::Update;
 use birchreach_options::Options;
-use birchreach_settings::DeploymentSettings;
+use birchreach_settings::{DeploymentSettings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -77,7 +77,10 @@
 }
 
 /// What the settings' form cannot tell: with these, no request could be served.
-fn sound((site, mut faults): (DeploymentSettings, Vec<String>)) -> Result<DeploymentSettings, Vec<String>> {
+fn sound(
+    (site, errors): (DeploymentSettings, Vec<SettingsError>),
+) -> Result<DeploymentSettings, Vec<String>> {
+    let mut faults: Vec<String> = errors.iter().map(ToString::to_string).collect();
     let names = &site.class_names;
     let told = faults.clone();
     // What could not be read is not told of a second time.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,247 +1,189 @@
-//! The settings JSON, as the simulator's first message and a proxy's configuration hold it, read
-//! once into what the decision module and its hosts need. Unknown keys are skipped, and told as doubts.
-
+//! The settings JSON of the platform, as a proxy's configuration and the simulator's first message hold it.
+//!
+//! This crate is the only place that knows the platform's key names, words and units; it maps them to the types of the decision
+//! crate. Unknown keys are skipped; [`warnings`] lists them.
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod classes;
+mod error;
+mod reader;
 mod warnings;
 
-use birchreach::*;
+use birchreach::{
+    Consistency, EndpointDiscovery, LoadReportSource, Micros, RequestClass, SessionPositionSource, Settings,
+    StaleReadPolicy, Tenant, ZoneId,
+};
+use classes::{NamedClass, classes};
+pub use error::SettingsError;
+use reader::Reader;
 use serde_json::Value;
-use std::cell::RefCell;
 pub use warnings::warnings;
 
-/// What the module is told, and what its hosts need to know besides.
+/// Names of the values in a load report that hold the log position and the role.
+const POSITION_FIELD: &str = "x0";
+const ROLE_FIELD: &str = "x1";
+const DEFAULT_IDLE_TIMEOUT_MS: f64 = 30_000.0;
+
+/// Settings of a deployment: those of the router, and what its hosts need beside them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentSettings {
-    /// The module's own part.
+    /// Settings of the router.
     pub routing: Settings,
-    /// The classes' names, in the order of the module's classes.
+    /// Names of the request classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// The zones' names; a zone's number is its place.
+    /// Names of the zones; a [`ZoneId`] is an index into this list.
     pub zone_names: Vec<String>,
-    /// The names of a load report's values, in their order.
+    /// Names of the values in a load report, in their order.
     pub load_report_fields: Vec<String>,
-    /// Servers close a connection that has been idle for this long, at the latest.
+    /// Servers close a connection that has been idle for this time, or sooner.
     pub connection_idle_timeout: Micros,
-    /// The clock time that positions are counted from.
+    /// The clock time from which log positions are counted.
     pub position_epoch: Micros,
-    /// Session reads say how long ago their session wrote.
+    /// For each class: its requests carry the time since their session's last write.
     pub session_position_in_request: Vec<bool>,
-    /// The place of the position in a report.
+    /// Index of the log position among the values of a load report.
     pub load_report_position_index: Option<usize>,
-    /// The place of the role in a report.
+    /// Index of the role among the values of a load report.
     pub load_report_role_index: Option<usize>,
 }
 
-type Read<T> = Result<T, String>;
-
-fn bad<T>(key: &str, wanted: &str) -> Read<T> {
-    Err(format!("settings: {key}: expected {wanted}"))
-}
-
-/// Looks up `a.b.c`; absent and null are the same.
-fn find<'a>(root: &'a Value, path: &str) -> Option<&'a Value> {
-    let found = path.split('.').try_fold(root, |v, key| v.get(key))?;
-    (!found.is_null()).then_some(found)
+/// Reads the settings from their text.
+///
+/// # Errors
+/// The first error found.
+pub fn parse(text: &str) -> Result<DeploymentSettings, SettingsError> {
+    let root: Value = serde_json::from_str(text).map_err(SettingsError::InvalidJson)?;
+    from_value(&root)
 }
 
-fn number(v: Option<&Value>, key: &str, absent: Option<f64>) -> Read<f64> {
-    match (v, absent) {
-        (None, Some(value)) => Ok(value),
-        (Some(v), _) => match v.as_f64() {
-            Some(n) if n.is_finite() && n >= 0.0 => Ok(n),
-            _ => bad(key, "a number that is not negative"),
-        },
-        (None, None) => bad(key, "a number, but it is absent"),
-    }
+/// Reads the settings from parsed JSON.
+///
+/// # Errors
+/// The first error found.
+pub fn from_value(root: &Value) -> Result<DeploymentSettings, SettingsError> {
+    let (settings, errors) = from_value_with_errors(root);
+    errors.into_iter().next().map_or(Ok(settings), Err)
 }
 
-fn flag(root: &Value, key: &str) -> Read<bool> {
-    match find(root, key) {
-        None => Ok(false),
-        Some(v) => v.as_bool().map_or_else(|| bad(key, "true or false"), Ok),
-    }
+/// Reads the settings from parsed JSON and returns all errors. Where there is one the settings hold a harmless value.
+pub fn from_value_with_errors(root: &Value) -> (DeploymentSettings, Vec<SettingsError>) {
+    let reader = Reader::new(root);
+    let settings = read(&reader);
+    (settings, reader.into_errors())
 }
 
-fn word<'a>(v: Option<&'a Value>, key: &str, absent: &'a str) -> Read<&'a str> {
-    match v {
-        None => Ok(absent),
-        Some(v) => v.as_str().map_or_else(|| bad(key, "a word"), Ok),
+fn read(reader: &Reader) -> DeploymentSettings {
+    let position_epoch = reader.micros_or("extra.counted_from_ms", 0.0);
+    let session_positions = session_positions(reader);
+    let (class_names, classes) = split_names(classes(reader));
+    let tenants = tenants(reader);
+    let load_report_fields = reader.words("load_info.names");
+    let index_of = |field: &str| load_report_fields.iter().position(|name| name == field);
+    let (position_index, role_index) = (index_of(POSITION_FIELD), index_of(ROLE_FIELD));
+    let from_request = session_positions == SessionPositionSource::FromRequest;
+    let carries = |class: &RequestClass| class.consistency == Consistency::Session && from_request;
+    let session_position_in_request = classes.iter().map(carries).collect();
+    let routing = Settings {
+        classes,
+        tenants,
+        session_positions,
+        load_reports: load_reports(reader),
+        load_reports_have_position: position_index.is_some(),
+        endpoint_discovery: endpoint_discovery(reader),
+        stale_reads: stale_reads(reader),
+        max_retry_after: max_retry_after(reader),
+        proxy_count: reader.required_number("balancers") as u32,
+        zone: ZoneId(reader.required_number("my_zone") as u16),
+        max_attempts: reader.required_number("limits.attempts_cap") as u16,
+        hedging_allowed: reader.flag("limits.parallel_tries"),
+        cancellation_allowed: reader.flag("limits.may_cancel"),
+        health_checks_allowed: reader.flag("limits.may_probe"),
+        connect_timeout: reader.micros_or("limits.connect_timeout_ms", 0.0),
+        drain_grace: reader.required_micros("obligations.drain_grace_ms"),
+        removal_is_advisory: reader.flag("obligations.soft_removal"),
+        slow_start_initial_fraction: reader.required_number("obligations.cold_share"),
+        slow_start_window: reader.required_micros("obligations.cold_ms"),
+        overload_factor: reader.required_number("obligations.fall_multiple"),
+        overload_window: reader.required_micros("obligations.fall_ms"),
+    };
+    DeploymentSettings {
+        routing,
+        class_names,
+        zone_names: reader.words("dcs"),
+        load_report_fields,
+        connection_idle_timeout: reader.micros_or("limits.conn_idle_ms", DEFAULT_IDLE_TIMEOUT_MS),
+        position_epoch,
+        session_position_in_request,
+        load_report_position_index: position_index,
+        load_report_role_index: role_index,
     }
 }
 
-fn span(ms: f64) -> Micros {
-    (ms * 1000.0) as Micros
+fn split_names(classes: Vec<NamedClass>) -> (Vec<String>, Vec<RequestClass>) {
+    classes.into_iter().map(|class| (class.name, class.rules)).unzip()
 }
 
-fn list<'a>(root: &'a Value, key: &str) -> Read<&'a [Value]> {
-    match find(root, key) {
-        None => Ok(&[]),
-        Some(v) => v.as_array().map_or_else(|| bad(key, "a list"), |a| Ok(a.as_slice())),
+fn session_positions(reader: &Reader) -> SessionPositionSource {
+    let key = "extra.tokens";
+    match reader.word_or(key, "carried") {
+        "carried" => SessionPositionSource::FromRequest,
+        "remembered" => SessionPositionSource::FromObservedWrites,
+        _ => {
+            reader.unexpected(key, "'carried' or 'remembered'");
+            SessionPositionSource::FromRequest
+        }
     }
 }
 
-/// The words of a list; what is none of them keeps its place as an empty word.
-fn words(root: &Value, key: &str) -> Read<Vec<String>> {
-    Ok(list(root, key)?.iter().map(|v| v.as_str().unwrap_or_default().to_string()).collect())
-}
-
-/// Reads the settings from their text.
-pub fn parse(text: &str) -> Read<DeploymentSettings> {
-    let root: Value = serde_json::from_str(text).map_err(|e| format!("settings: info: {e}"))?;
-    from_value(&root)
-}
-
-/// Reads the settings from JSON that has been parsed already; the error is the first fault.
-pub fn from_value(root: &Value) -> Read<DeploymentSettings> {
-    let (site, faults) = from_value_with_errors(root);
-    faults.into_iter().next().map_or(Ok(site), Err)
-}
-
-/// The same, with every fault there is; something harmless stands in the site where one was.
-pub fn from_value_with_errors(root: &Value) -> (DeploymentSettings, Vec<String>) {
-    let faults = SettingsErrors::default();
-    let site = site(root, &faults);
-    (site, faults.0.into_inner())
-}
-
-/// What was found wrong; reading goes on with something harmless in its place.
-#[derive(Default)]
-struct SettingsErrors(RefCell<Vec<String>>);
-
-impl SettingsErrors {
-    fn or<T>(&self, read: Read<T>, instead: T) -> T {
-        read.unwrap_or_else(|fault| {
-            self.0.borrow_mut().push(fault);
-            instead
+fn tenants(reader: &Reader) -> Vec<Tenant> {
+    let tenants = reader.list("parties").iter().enumerate();
+    tenants
+        .map(|(index, tenant)| {
+            let key = format!("parties[{index}].quota_per_s");
+            Tenant { quota_per_second: reader.required_number_in(tenant.get("quota_per_s"), &key) }
         })
-    }
+        .collect()
 }
 
-fn site(root: &Value, faults: &SettingsErrors) -> DeploymentSettings {
-    if !root.is_object() {
-        faults.or(bad("info", "an object"), ());
-    }
-    let num = |key: &str| faults.or(number(find(root, key), key, None), 0.0);
-    let num_or_0 = |key: &str| faults.or(number(find(root, key), key, Some(0.0)), 0.0);
-    let flag = |root, key| faults.or(flag(root, key), false);
-    let words = |root, key| faults.or(words(root, key), Vec::new());
-    let list = |key| faults.or(list(root, key), &[][..]);
-    let word = |v, key: &str, absent| faults.or(word(v, key, absent), absent);
-    let zero_ms = num_or_0("extra.counted_from_ms");
-    let tokens = match word(find(root, "extra.tokens"), "extra.tokens", "carried") {
-        "carried" => SessionPositionSource::FromRequest,
-        "remembered" => SessionPositionSource::FromObservedWrites,
-        _ => faults.or(bad("extra.tokens", "'carried' or 'remembered'"), SessionPositionSource::FromRequest),
-    };
-    let reads = list("extra.class_read");
-    let ages = list("extra.max_age_ms");
-    let mut classes = Vec::new();
-    let mut class_names = Vec::new();
-    for (i, class) in list("classes").iter().enumerate() {
-        let key = |name: &str| format!("classes[{i}].{name}");
-        let num = |name: &str, absent| faults.or(number(class.get(name), &key(name), absent), 0.0);
-        let need = match word(reads.get(i), "extra.class_read", "fresh") {
-            "write" => Consistency::Write,
-            "fresh" => Consistency::Strong,
-            "session" => Consistency::Session,
-            "bounded" => Consistency::BoundedStaleness(span(
-                faults.or(number(ages.get(i), "extra.max_age_ms", None), 0.0),
-            )),
-            "any" => Consistency::Any,
-            _ => faults
-                .or(bad("extra.class_read", "write, fresh, session, bounded or any"), Consistency::Strong),
-        };
-        let effect = match word(class.get("idempotency"), &key("idempotency"), "single_shot") {
-            "free" => Idempotency::Idempotent,
-            "guarded" => Idempotency::WithKey {
-                scope: match word(class.get("dedup_scope"), &key("dedup_scope"), "cell") {
-                    "all" => DedupScope::AllServers,
-                    "zone" => DedupScope::Zone,
-                    "cell" => DedupScope::Group,
-                    _ => faults.or(bad(&key("dedup_scope"), "all, zone or cell"), DedupScope::Group),
-                },
-                dedup_window: span(num("repeat_window_ms", None)),
-            },
-            "single_shot" => Idempotency::NotIdempotent,
-            _ => faults
-                .or(bad(&key("idempotency"), "free, guarded or single_shot"), Idempotency::NotIdempotent),
-        };
-        class_names.push(word(class.get("name"), &key("name"), "").to_string());
-        classes.push(RequestClass {
-            consistency: need,
-            idempotency: effect,
-            latency_objective: span(num("goal_time_ms", None)),
-            client_timeout: span(num("deadline_ms", None)),
-            priority_weight: num("credit", None),
-            late_weight_fraction: num("late_worth", Some(0.0)),
-        });
-    }
-    let mut tenants = Vec::new();
-    for (i, tenant) in list("parties").iter().enumerate() {
-        let key = format!("parties[{i}].quota_per_s");
-        let quota_per_s = faults.or(number(tenant.get("quota_per_s"), &key, None), 0.0);
-        tenants.push(Tenant { quota_per_second: quota_per_s });
-    }
-    let report_names = words(root, "load_info.names");
-    let place = |name: &str| report_names.iter().position(|v| v == name);
-    let reports = match word(find(root, "load_info.via"), "load_info.via", "silent") {
+fn load_reports(reader: &Reader) -> LoadReportSource {
+    let key = "load_info.via";
+    match reader.word_or(key, "silent") {
         "piggyback" => LoadReportSource::Responses,
         "pull" => LoadReportSource::HealthChecks,
         "silent" => LoadReportSource::Never,
-        _ => faults.or(bad("load_info.via", "piggyback, pull or silent"), LoadReportSource::Never),
-    };
-    let list_mode = match word(find(root, "registry_mode"), "registry_mode", "automatic") {
+        _ => {
+            reader.unexpected(key, "piggyback, pull or silent");
+            LoadReportSource::Never
+        }
+    }
+}
+
+fn endpoint_discovery(reader: &Reader) -> EndpointDiscovery {
+    let key = "registry_mode";
+    match reader.word_or(key, "automatic") {
         "automatic" => EndpointDiscovery::Pushed,
         "subscribe" => EndpointDiscovery::Polled,
-        _ => faults.or(bad("registry_mode", "automatic or subscribe"), EndpointDiscovery::Pushed),
-    };
-    let checks = match word(find(root, "extra.guards"), "extra.guards", "silent") {
+        _ => {
+            reader.unexpected(key, "automatic or subscribe");
+            EndpointDiscovery::Pushed
+        }
+    }
+}
+
+fn stale_reads(reader: &Reader) -> StaleReadPolicy {
+    let key = "extra.guards";
+    match reader.word_or(key, "silent") {
         "silent" => StaleReadPolicy::Served,
         "refuse" | "wait" => StaleReadPolicy::Rejected,
-        _ => faults.or(bad("extra.guards", "silent, refuse or wait"), StaleReadPolicy::Served),
-    };
-    let max_retry_after =
-        if flag(root, "limits.retry_after") { Some(span(num("limits.max_retry_after_ms"))) } else { None };
-    let carried = classes
-        .iter()
-        .map(|c| c.consistency == Consistency::Session && tokens == SessionPositionSource::FromRequest)
-        .collect();
-    let (report_position, report_role) = (place("x0"), place("x1"));
-    DeploymentSettings {
-        class_names,
-        zone_names: words(root, "dcs"),
-        connection_idle_timeout: span(
-            faults.or(
-                number(find(root, "limits.conn_idle_ms"), "limits.conn_idle_ms", Some(30_000.0)),
-                30_000.0,
-            ),
-        ),
-        load_report_fields: report_names,
-        position_epoch: span(zero_ms),
-        session_position_in_request: carried,
-        load_report_position_index: report_position,
-        load_report_role_index: report_role,
-        routing: Settings {
-            proxy_count: num("balancers") as u32,
-            zone: ZoneId(num("my_zone") as u16),
-            classes,
-            tenants,
-            session_positions: tokens,
-            stale_reads: checks,
-            endpoint_discovery: list_mode,
-            load_reports: reports,
-            load_reports_have_position: report_position.is_some(),
-            max_attempts: num("limits.attempts_cap") as u16,
-            hedging_allowed: flag(root, "limits.parallel_tries"),
-            cancellation_allowed: flag(root, "limits.may_cancel"),
-            health_checks_allowed: flag(root, "limits.may_probe"),
-            max_retry_after,
-            connect_timeout: span(num_or_0("limits.connect_timeout_ms")),
-            drain_grace: span(num("obligations.drain_grace_ms")),
-            removal_is_advisory: flag(root, "obligations.soft_removal"),
-            slow_start_initial_fraction: num("obligations.cold_share"),
-            slow_start_window: span(num("obligations.cold_ms")),
-            overload_factor: num("obligations.fall_multiple"),
-            overload_window: span(num("obligations.fall_ms")),
-        },
+        _ => {
+            reader.unexpected(key, "silent, refuse or wait");
+            StaleReadPolicy::Served
+        }
     }
 }
+
+fn max_retry_after(reader: &Reader) -> Option<Micros> {
+    let advised = reader.flag("limits.retry_after");
+    advised.then(|| reader.required_micros("limits.max_retry_after_ms"))
+}
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Settings that lack something, know too much or contradict themselves: told by key, never a crash, and what is done
-//! instead is safe.
+//! Settings that lack keys, have unknown ones or contradict themselves give errors and warnings by key, never a panic, and a safe
+//! value instead.
 
 use birchreach::{Consistency, LoadReportSource};
 use birchreach_settings::{from_value_with_errors, warnings};
@@ -10,7 +10,7 @@
     whole["settings"].clone()
 }
 
-/// The same as the other deployment has it: reports in answers, one attempt at a time, advice on return.
+/// The same as another deployment has it: load reports in responses, no hedged requests, a Retry-After.
 fn other() -> Value {
     let mut told = example();
     told["load_info"]["via"] = json!("piggyback");
@@ -22,21 +22,21 @@
     told
 }
 
-fn doubts_of(told: &Value) -> Vec<String> {
-    let (site, faults) = from_value_with_errors(told);
-    assert_eq!(faults, [""; 0]);
-    warnings(told, &site)
+fn warnings_of(told: &Value) -> Vec<String> {
+    let (settings_read, errors) = from_value_with_errors(told);
+    assert!(errors.is_empty(), "{errors:?}");
+    warnings(told, &settings_read)
 }
 
 #[test]
-fn both_forms_are_beyond_doubt() {
-    assert_eq!(doubts_of(&example()), [""; 0]);
-    assert_eq!(doubts_of(&other()), [""; 0]);
+fn both_deployments_give_no_warning() {
+    assert_eq!(warnings_of(&example()), [""; 0]);
+    assert_eq!(warnings_of(&other()), [""; 0]);
     assert_eq!(from_value_with_errors(&other()).0.routing.load_reports, LoadReportSource::Responses);
 }
 
 #[test]
-fn what_contradicts_itself_or_is_unknown_is_told_by_its_key() {
+fn contradictions_and_unknown_keys_give_a_warning_by_key() {
     let cases: [(&str, Value, &str); 13] = [
         ("/my_zone", json!(9), "my_zone: "),
         ("/my_rack", json!(9), "my_rack: unknown"),
@@ -56,29 +56,32 @@
         let mut settings = example();
         let (parent, key) = path.rsplit_once('/').unwrap();
         settings.pointer_mut(parent).unwrap()[key] = value;
-        let said = doubts_of(&settings);
+        let said = warnings_of(&settings);
         assert_eq!(said.len(), usize::from(!told.is_empty()), "{path}: {said:?}");
-        assert!(said.iter().all(|doubt| doubt.starts_with(&format!("settings: {told}"))), "{path}: {said:?}");
+        assert!(
+            said.iter().all(|warning| warning.starts_with(&format!("settings: {told}"))),
+            "{path}: {said:?}"
+        );
     }
 }
 
 #[test]
-fn a_class_that_is_not_told_what_it_needs_goes_to_the_primary_alone() {
+fn a_class_without_a_consistency_goes_to_the_primary_alone() {
     for reads in [json!(["any"]), json!([]), Value::Null] {
         let mut settings = example();
         settings["extra"]["class_read"] = reads;
-        let (site, faults) = from_value_with_errors(&settings);
-        assert_eq!(faults, [""; 0]);
+        let (settings_read, errors) = from_value_with_errors(&settings);
+        assert!(errors.is_empty(), "{errors:?}");
         assert!(
-            site.routing.classes[1..].iter().all(|c| c.consistency == Consistency::Strong),
+            settings_read.routing.classes[1..].iter().all(|c| c.consistency == Consistency::Strong),
             "a write among them too"
         );
-        assert_eq!(warnings(&settings, &site).len(), 1);
+        assert_eq!(warnings(&settings, &settings_read).len(), 1);
     }
 }
 
 #[test]
-fn each_key_left_out_or_of_another_kind_is_a_fault_by_its_name_or_has_a_default() {
+fn each_key_that_is_absent_or_of_another_kind_gives_an_error_or_a_default() {
     fn paths(node: &Value, path: &str, found: &mut Vec<String>) {
         match node {
             Value::Object(map) => {
@@ -103,15 +106,16 @@
             for value in [Value::Null, json!({"a": [1]}), json!([[]]), json!(-1), json!(1e300), json!("?")] {
                 let mut settings = form.clone();
                 *settings.pointer_mut(path).unwrap() = value.clone();
-                // Faults and doubts name a key each, and every one of them begins alike.
-                let (site, faults) = from_value_with_errors(&settings);
-                for said in faults.iter().chain(&warnings(&settings, &site)) {
+                // Each error and each warning names a key, and all begin alike.
+                let (settings_read, errors) = from_value_with_errors(&settings);
+                let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
+                for said in errors.iter().chain(&warnings(&settings, &settings_read)) {
                     assert!(
                         said.starts_with("settings: ") && said.matches(": ").count() >= 1,
                         "{path}: {said}"
                     );
                 }
-                let silent = faults.is_empty() && warnings(&settings, &site).is_empty();
+                let silent = errors.is_empty() && warnings(&settings, &settings_read).is_empty();
                 let number = path.ends_with("_ms") && !path.contains("extra");
                 assert!(!silent || !number || value == json!(1e300) || value.is_null(), "{path}: {value}");
             }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,74 +1,34 @@
-//! `birchreach-simulator-adapter`: hosts many routers behind the bench's wire and translates, nothing else.
+//! `birchreach-simulator-adapter`: connects routers to the simulator, which speaks binary frames over standard input and output.
+//!
+//! One process hosts many routers. The adapter translates events and actions between the wire and the decision crate and decides
+//! nothing itself.
+#![forbid(unsafe_code)]
 
+mod host;
 mod wire;
 
-use birchreach::{Action, Router};
-use std::collections::BTreeMap;
+use host::Host;
 use std::io::{self, BufReader, BufWriter, Read, Write};
+use wire::{FrameError, read_batch};
+
+const BUFFER_BYTES: usize = 64 * 1024;
 
 fn main() {
-    if let Err(message) = run(
-        BufReader::with_capacity(1 << 16, io::stdin().lock()),
-        BufWriter::with_capacity(1 << 16, io::stdout().lock()),
-    ) {
-        eprintln!("birchreach-simulator-adapter: {message}");
+    let input = BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
+    if let Err(error) = run(input, output) {
+        eprintln!("birchreach-simulator-adapter: {error}");
         std::process::exit(1);
     }
 }
 
-struct Instance {
-    router: Router,
-    settings: birchreach_settings::DeploymentSettings,
-}
-
-fn run(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut instances: BTreeMap<u16, Instance> = BTreeMap::new();
-    let mut lists: BTreeMap<u16, Vec<wire::Entry>> = BTreeMap::new();
-    let mut unknown_seen: BTreeMap<u16, ()> = BTreeMap::new();
-    let mut actions: Vec<Action> = Vec::new();
-    while let Some(batch) = wire::read_batch(&mut input)? {
-        let now = wire::micros_down(batch.clock_ms);
-        let mut reply = wire::Reply::new(batch.number);
-        for index in 0..batch.records {
-            let at = format!("batch {}, record {index}", batch.number);
-            match batch.event(index, &lists, &instances).map_err(|e| format!("{at}: {e}"))? {
-                wire::Incoming::List { bank, entries } => {
-                    lists.insert(bank, entries);
-                }
-                wire::Incoming::Begin { router, seed, info } => match birchreach_settings::parse(&info) {
-                    Ok(settings) => {
-                        let made = Router::new(settings.routing.clone(), seed, now, &mut actions);
-                        reply.actions(router, &mut actions);
-                        let instance = Instance { router: made, settings };
-                        instances.insert(router, instance);
-                    }
-                    Err(message) => {
-                        instances.remove(&router);
-                        reply.bail_out(router, &message);
-                    }
-                },
-                wire::Incoming::Detach { router } => {
-                    instances.remove(&router);
-                    reply.forget(router);
-                }
-                wire::Incoming::Event { router, event } => {
-                    if let Some(instance) = instances.get_mut(&router) {
-                        instance.router.handle(now, event, &mut actions);
-                        reply.actions(router, &mut actions);
-                    }
-                }
-                wire::Incoming::Ignored => {}
-                wire::Incoming::Unknown { code } => {
-                    if unknown_seen.insert(code, ()).is_none() {
-                        eprintln!("birchreach-simulator-adapter: {at}: unknown event code {code} skipped");
-                    }
-                }
-            }
-        }
-        output
-            .write_all(&reply.finish())
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("writing a reply: {e}"))?;
+/// Answers each batch of the input with one reply, up to the end of the input.
+fn run(mut input: impl Read, mut output: impl Write) -> Result<(), FrameError> {
+    let mut host = Host::default();
+    while let Some(batch) = read_batch(&mut input)? {
+        let reply = host.handle(&batch)?;
+        let written = output.write_all(&reply.encode()).and_then(|()| output.flush());
+        written.map_err(FrameError::WriteReply)?;
     }
     Ok(())
 }
--- /dev/null
+++ b/simulator-adapter/src/wire/events.rs
@@ -0,0 +1,244 @@
+//! Event records of the simulator, decoded into the router's events.
+
+use super::batch::Batch;
+use super::error::FrameError;
+use super::fields::Fields;
+use super::{micros_down, micros_up};
+use crate::host::Instance;
+use birchreach::*;
+use birchreach_settings::DeploymentSettings;
+use std::collections::BTreeMap;
+
+/// Length of an event record.
+pub const EVENT_BYTES: usize = 56;
+/// Length of an endpoint in the tail.
+const ENDPOINT_BYTES: usize = 25;
+/// A load report has at most this many values.
+const MAX_REPORT_VALUES: usize = 4;
+/// Role values in a load report from this one on mean the primary.
+const PRIMARY_ROLE_VALUE: f32 = 0.5;
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+
+/// Codes of event records.
+mod code {
+    pub const START: u16 = 256;
+    pub const ENDPOINTS: u16 = 257;
+    pub const REQUEST: u16 = 258;
+    pub const RESPONSE_STARTED: u16 = 259;
+    pub const ATTEMPT_COMPLETED: u16 = 260;
+    pub const CLIENT_DISCONNECTED: u16 = 261;
+    pub const TIMER: u16 = 262;
+    pub const HEALTH_CHECK_COMPLETED: u16 = 263;
+    pub const PEER_MESSAGE: u16 = 264;
+    pub const STOP: u16 = 265;
+    pub const DEFINE_LIST: u16 = 266;
+}
+
+/// Number of a router on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RouterId(pub u16);
+
+/// Number of an endpoint list on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ListId(pub u16);
+
+/// An entry of an endpoint list.
+#[derive(Clone)]
+pub struct EndpointRecord(Endpoint);
+
+/// A decoded record.
+pub enum Incoming {
+    /// Defines an endpoint list for later records.
+    DefineList { list: ListId, endpoints: Vec<EndpointRecord> },
+    /// Starts a router with settings in JSON.
+    Start { router: RouterId, seed: u64, settings: String },
+    /// Stops a router.
+    Stop { router: RouterId },
+    /// An event for a router.
+    Event { router: RouterId, event: Event },
+    /// A record that is valid and has no meaning here.
+    Ignored,
+    /// A record with an unknown code.
+    Unknown { code: u16 },
+}
+
+impl Batch {
+    /// Decodes one record, with the endpoint lists that were defined before it.
+    ///
+    /// # Errors
+    /// The record is malformed or refers to something that does not exist.
+    pub fn decode(
+        &self,
+        index: usize,
+        lists: &BTreeMap<ListId, Vec<EndpointRecord>>,
+        instances: &BTreeMap<RouterId, Instance>,
+    ) -> Result<Incoming, FrameError> {
+        let record = self.record(index);
+        let router = RouterId(record.u16(2));
+        let settings = instances.get(&router).map(|instance| &instance.settings);
+        let event = match record.u16(0) {
+            code::START => return self.decode_start(router, &record),
+            code::STOP => return Ok(Incoming::Stop { router }),
+            code::DEFINE_LIST => return self.decode_list(ListId(record.u16(2)), &record),
+            code::PEER_MESSAGE => {
+                // The router has no peers in the simulator; only the reference into the tail is checked.
+                self.tail(record.u32(8), record.u32(12) as usize)?;
+                return Ok(Incoming::Ignored);
+            }
+            code::ENDPOINTS => decode_endpoints(&record, lists)?,
+            code::REQUEST => Event::Request(self.decode_request(&record, settings)),
+            code::RESPONSE_STARTED => Event::ResponseStarted {
+                request: RequestId(record.u64(4)),
+                attempt: AttemptNo(record.u16(20)),
+            },
+            code::ATTEMPT_COMPLETED => Event::AttemptCompleted(decode_result(&record, settings)?),
+            code::CLIENT_DISCONNECTED => Event::ClientDisconnected { request: RequestId(record.u64(4)) },
+            code::TIMER => Event::Timer { id: record.u32(4) },
+            code::HEALTH_CHECK_COMPLETED => Event::HealthCheckCompleted {
+                server: ServerId(record.u32(4)),
+                outcome: decode_outcome(record.u8(16))?,
+                load_report: settings.and_then(|settings| decode_load_report(&record, 17, settings)),
+            },
+            code => return Ok(Incoming::Unknown { code }),
+        };
+        Ok(Incoming::Event { router, event })
+    }
+
+    fn decode_start(&self, router: RouterId, record: &Fields) -> Result<Incoming, FrameError> {
+        let settings = self.tail(record.u32(12), record.u32(16) as usize)?;
+        let settings = String::from_utf8_lossy(settings).into_owned();
+        Ok(Incoming::Start { router, seed: record.u64(4), settings })
+    }
+
+    fn decode_list(&self, list: ListId, record: &Fields) -> Result<Incoming, FrameError> {
+        let count = record.u32(8) as usize;
+        let length = count.checked_mul(ENDPOINT_BYTES).ok_or(FrameError::ListTooLong)?;
+        let bytes = self.tail(record.u32(4), length)?;
+        let endpoints: Result<Vec<_>, _> = bytes.chunks_exact(ENDPOINT_BYTES).map(decode_endpoint).collect();
+        Ok(Incoming::DefineList { list, endpoints: endpoints? })
+    }
+
+    fn decode_request(&self, record: &Fields, settings: Option<&DeploymentSettings>) -> Request {
+        let class = record.u16(20);
+        let carries_position = settings.is_some_and(|settings| {
+            settings.session_position_in_request.get(usize::from(class)) == Some(&true)
+        });
+        let since_write_ms = record.f32(30);
+        Request {
+            id: RequestId(record.u64(4)),
+            class: ClassId(class),
+            group: GroupId(record.f32(34) as u32),
+            tenant: TenantId(record.u16(46)),
+            timeout: micros_down(record.f64(12)),
+            session: Some(record.u64(38)).filter(|session| *session != 0).map(SessionId),
+            // Rounded up, including the precision of the 32-bit float: the read has to see the write.
+            last_write_position: (carries_position && since_write_ms > 0.0)
+                .then(|| micros_up(self.clock_ms - f64::from(since_write_ms.next_down()))),
+            copy_candidates: Vec::new(),
+        }
+    }
+}
+
+fn decode_endpoints(
+    record: &Fields,
+    lists: &BTreeMap<ListId, Vec<EndpointRecord>>,
+) -> Result<Event, FrameError> {
+    const CHANGES: u8 = 0;
+    const POLL_FAILED: u8 = 3;
+    match record.u8(4) {
+        POLL_FAILED => Ok(Event::EndpointPollFailed),
+        mode if mode < POLL_FAILED => {
+            let list = ListId(record.u16(13));
+            let endpoints = lists.get(&list).ok_or(FrameError::UndefinedList(list))?;
+            let endpoints = endpoints.iter().map(|endpoint| endpoint.0.clone()).collect();
+            Ok(Event::EndpointsChanged(EndpointList { complete: mode != CHANGES, endpoints }))
+        }
+        mode => Err(FrameError::UnknownListMode(mode)),
+    }
+}
+
+fn decode_endpoint(bytes: &[u8]) -> Result<EndpointRecord, FrameError> {
+    let fields = Fields(bytes);
+    let state = match fields.u8(0) {
+        0 => EndpointState::Removed,
+        1 => EndpointState::Draining,
+        2 => EndpointState::Ready,
+        state => return Err(FrameError::UnknownEndpointState(state)),
+    };
+    let started_ms = fields.f64(2);
+    Ok(EndpointRecord(Endpoint {
+        server: ServerId(fields.u32(21)),
+        group: GroupId(u32::from(fields.u16(14))),
+        zone: ZoneId(u16::from(fields.u8(1))),
+        state,
+        started_at: (started_ms != 0.0).then(|| micros_down(started_ms)),
+        weight: f64::from(fields.f32(10)),
+        primary: fields.f32(16) == 1.0,
+    }))
+}
+
+fn decode_result(
+    record: &Fields,
+    settings: Option<&DeploymentSettings>,
+) -> Result<AttemptResult, FrameError> {
+    Ok(AttemptResult {
+        request: RequestId(record.u64(4)),
+        attempt: AttemptNo(record.u16(21)),
+        server: ServerId(record.u32(16)),
+        outcome: decode_outcome(record.u8(23))?,
+        elapsed: micros_down(record.f64(24)),
+        request_finished: record.u8(20) != 0,
+        status: settings.and_then(|settings| decode_status(record.u32(12), settings.position_epoch)),
+        load_report: settings.and_then(|settings| decode_load_report(record, 32, settings)),
+    })
+}
+
+fn decode_outcome(code: u8) -> Result<AttemptOutcome, FrameError> {
+    Ok(match code {
+        0 => AttemptOutcome::Ok,
+        1 => AttemptOutcome::Error,
+        2 => AttemptOutcome::Overloaded,
+        3 => AttemptOutcome::Timeout,
+        4 => AttemptOutcome::ConnectFailed,
+        5 => AttemptOutcome::ConnectionReset,
+        6 => AttemptOutcome::Cancelled,
+        7 => AttemptOutcome::NotSent,
+        8 => AttemptOutcome::Ineligible,
+        code => return Err(FrameError::UnknownOutcome(code)),
+    })
+}
+
+/// The two lowest bits hold the role, the others the position in milliseconds.
+fn decode_status(bits: u32, position_epoch: Micros) -> Option<ServerStatus> {
+    let role = match bits % 4 {
+        1 => Role::Primary,
+        2 => Role::Replica,
+        _ => return None,
+    };
+    let position_ms = Micros::from(bits / 4);
+    let position = (position_ms > 0).then_some(position_epoch + position_ms * MICROS_PER_MILLISECOND);
+    Some(ServerStatus { role, position })
+}
+
+fn decode_load_report(record: &Fields, offset: usize, settings: &DeploymentSettings) -> Option<LoadReport> {
+    let count = usize::from(record.u8(offset)).min(MAX_REPORT_VALUES);
+    if count == 0 {
+        return None;
+    }
+    let value = |index: Option<usize>| {
+        let index = index.filter(|index| *index < count)?;
+        Some(record.f32(offset + 1 + 4 * index)).filter(|value| value.is_finite())
+    };
+    let position = value(settings.load_report_position_index)
+        .map(|seconds| settings.position_epoch + micros_from_seconds_down(seconds));
+    let role = value(settings.load_report_role_index)
+        .map(|role| if role >= PRIMARY_ROLE_VALUE { Role::Primary } else { Role::Replica });
+    Some(LoadReport { position, role })
+}
+
+/// Rounded down, including the precision of the 32-bit float: a position must never read as later than it was.
+fn micros_from_seconds_down(seconds: f32) -> Micros {
+    const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
+    let precision = f64::from(seconds.next_up()) - f64::from(seconds);
+    micros_down((f64::from(seconds) - precision) * MILLISECONDS_PER_SECOND)
+}
--- a/simulator-adapter/src/wire/fields.rs
+++ b/simulator-adapter/src/wire/fields.rs
@@ -1,30 +1,36 @@
-//! Numbers of a frame, by their places.
+//! Little-endian numbers at fixed offsets of a record.
 
-/// Fixed-size fields of one record; every offset used lies inside it.
+/// The bytes of one record. Every offset that is read lies inside it.
 pub struct Fields<'a>(pub &'a [u8]);
 
 impl Fields<'_> {
-    pub fn bytes<const N: usize>(&self, at: usize) -> [u8; N] {
-        let mut out = [0; N];
-        out.copy_from_slice(&self.0[at..at + N]);
-        out
+    fn bytes<const N: usize>(&self, offset: usize) -> [u8; N] {
+        let mut bytes = [0; N];
+        bytes.copy_from_slice(&self.0[offset..offset + N]);
+        bytes
     }
-    pub fn u8(&self, at: usize) -> u8 {
-        self.0[at]
+
+    pub fn u8(&self, offset: usize) -> u8 {
+        self.0[offset]
     }
-    pub fn u16(&self, at: usize) -> u16 {
-        u16::from_le_bytes(self.bytes(at))
+
+    pub fn u16(&self, offset: usize) -> u16 {
+        u16::from_le_bytes(self.bytes(offset))
     }
-    pub fn u32(&self, at: usize) -> u32 {
-        u32::from_le_bytes(self.bytes(at))
+
+    pub fn u32(&self, offset: usize) -> u32 {
+        u32::from_le_bytes(self.bytes(offset))
     }
-    pub fn u64(&self, at: usize) -> u64 {
-        u64::from_le_bytes(self.bytes(at))
+
+    pub fn u64(&self, offset: usize) -> u64 {
+        u64::from_le_bytes(self.bytes(offset))
     }
-    pub fn f32(&self, at: usize) -> f64 {
-        f64::from(f32::from_le_bytes(self.bytes(at)))
+
+    pub fn f32(&self, offset: usize) -> f32 {
+        f32::from_le_bytes(self.bytes(offset))
     }
-    pub fn f64(&self, at: usize) -> f64 {
-        f64::from_le_bytes(self.bytes(at))
+
+    pub fn f64(&self, offset: usize) -> f64 {
+        f64::from_le_bytes(self.bytes(offset))
     }
 }
--- a/simulator-adapter/tests/pipe.rs
+++ b/simulator-adapter/tests/pipe.rs
@@ -115,7 +115,7 @@
     let got = replies(&out.stdout);
     let sends: Vec<_> = got[0].1.iter().filter(|(code, _)| *code == 262).map(|(_, r)| r).collect();
     assert_eq!(got[0].0, 12);
-    assert!(got[0].1.iter().any(|(code, r)| *code == 259 && r[4] == 1), "it follows the list");
+    assert!(got[0].1.iter().any(|(code, r)| *code == 259 && r[4] == 1), "it watches the endpoint list");
     assert_eq!(sends[0][4..16], [1, 0, 0, 0, 0, 0, 0, 0, 77, 0, 0, 0]);
     assert_eq!(sends[1][4..16], [2, 0, 0, 0, 0, 0, 0, 0, 78, 0, 0, 0]);
     assert!(f64::from_le_bytes(sends[0][16..24].try_into().unwrap()) <= 1500.0);
@@ -131,7 +131,7 @@
     assert_eq!(
         got[0].1.iter().filter(|(code, _)| *code == 259).count(),
         1,
-        "the dead one's wishes are dropped"
+        "the actions of the stopped router are dropped"
     );
 }
 
