--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,6 +1,7 @@
 //! `birchreach-proxy`: one proxy on real sockets before groups of a primary and its replicas.
 
 mod admin_protocol;
+mod background_query;
 mod cli;
 mod config;
 mod core;
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -7,7 +7,8 @@
 mod start;
 
 use super::event_loop_context::EventLoopContext;
-use super::pool::{Done, Pool};
+use super::pool::Pool;
+use crate::background_query::BackgroundQueryResult;
 use crate::core::Core;
 use crate::hot::Watch;
 use crate::metrics::Metrics;
@@ -167,7 +168,7 @@
     }
 
     /// BackgroundQueries that are over; those whose end was never told are given up.
-    fn ended(&mut self, now: Micros, done: Vec<Done>) {
+    fn ended(&mut self, now: Micros, done: Vec<BackgroundQueryResult>) {
         for done in done {
             self.scheduler.ended(done.number);
             let Some((what, _)) = self.out.remove(&done.number) else { continue };
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -44,7 +44,6 @@
 use fleet::FleetMembership;
 use gossip::{Gossip, StateTransfer};
 use mio::{Events, Poll};
-pub use pool::Done;
 use pool::Pool;
 use process_handover::ProcessHandover;
 use reload::log_settings_warnings;
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -3,6 +3,7 @@
 
 use super::super::event_loop_context::EventLoopContext;
 use super::{Job, Pool};
+use crate::background_query::BackgroundQueryResult;
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
 
@@ -17,25 +18,16 @@
     replies: Vec<Reply>,
 }
 
-/// One that is over: its number, where it was, and a reply for each statement that ran; after the first that failed none did.
-#[derive(Debug)]
-pub struct Done {
-    pub number: u64,
-    pub server: ServerId,
-    pub replies: Vec<Reply>,
-    pub whole: bool,
-}
-
 impl BackgroundQuery {
     pub(super) fn text(&self) -> &[u8] {
         self.texts.get(self.replies.len()).map_or(&[], Vec::as_slice)
     }
 
-    pub(super) fn over(mut self, reply: Reply) -> Done {
+    pub(super) fn over(mut self, reply: Reply) -> BackgroundQueryResult {
         self.replies.push(reply);
         let well = self.replies.iter().all(|r| r.outcome == AttemptOutcome::Ok);
-        let whole = well && self.replies.len() == self.texts.len();
-        Done { number: self.number, server: self.server, replies: self.replies, whole }
+        let complete = well && self.replies.len() == self.texts.len();
+        BackgroundQueryResult { number: self.number, server: self.server, replies: self.replies, complete }
     }
 }
 
@@ -60,7 +52,7 @@
     }
 
     /// BackgroundQueries that are over.
-    pub fn done(&mut self) -> Vec<Done> {
+    pub fn done(&mut self) -> Vec<BackgroundQueryResult> {
         std::mem::take(&mut self.done)
     }
 
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -11,12 +11,12 @@
 use super::statement_payload::StatementPayload;
 use super::stream;
 use super::timer_events::TimerEvent;
+use crate::background_query::BackgroundQueryResult;
 use crate::core::AttemptId;
 use crate::pg::backend::Backend;
 use crate::pg::report::ReportForm;
 use crate::reply::Reply;
 use background_queries::BackgroundQuery;
-pub use background_queries::Done;
 use birchreach::{LoadReportSource, Micros, ServerId};
 use birchreach_settings::DeploymentSettings;
 use mio::net::TcpStream;
@@ -81,7 +81,7 @@
     idle_limit: Micros,
     report: ReportForm,
     /// BackgroundQueries that are over.
-    done: Vec<Done>,
+    done: Vec<BackgroundQueryResult>,
 }
 
 /// Share of the idle time after which databases close that a connection is kept for: a request
