--- /dev/null
+++ b/proxy/src/core/actions.rs
@@ -0,0 +1,60 @@
+//! The router's actions as commands for the event loop.
+
+use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload};
+use crate::observe::CoreEvent;
+use birchreach::*;
+
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+/// A timer never expires at once: an action of the router on its expiry could otherwise set it again without end.
+const MIN_TIMER_DELAY_MICROS: Micros = 1;
+
+impl<P: RequestPayload> Core<P> {
+    pub(super) fn carry_out_actions(&mut self, now: Micros) {
+        for action in std::mem::take(&mut self.actions) {
+            self.carry_out(now, action);
+        }
+    }
+
+    fn carry_out(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Send { request, server, timeout } => self.start_attempt(now, request, server, timeout),
+            Action::Reject { request, retry_after } => {
+                let retry_after_ms =
+                    retry_after.and_then(|delay| u64::try_from(delay / MICROS_PER_MILLISECOND).ok());
+                self.answer(now, request, Answer::Rejected { retry_after_ms });
+            }
+            Action::Fail { request } => self.answer(now, request, Answer::Failed),
+            Action::Cancel { request, attempt } => {
+                let attempt = AttemptId { request, number: attempt };
+                self.commands.push_back(Command::CancelAttempt { attempt });
+            }
+            Action::HealthCheck { server } => self.start_health_check(now, server),
+            Action::Timer { id, delay } => {
+                let at = now + delay.max(MIN_TIMER_DELAY_MICROS);
+                self.commands.push_back(Command::SetTimer { id, at });
+            }
+            // The event loop watches the endpoint list at all times.
+            Action::WatchEndpoints => {}
+            Action::Log(note) => self.commands.push_back(Command::Log(LogRecord::RoutingNote(note))),
+        }
+    }
+
+    fn start_attempt(&mut self, now: Micros, request: RequestId, server: ServerId, timeout: Micros) {
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        let attempt = AttemptId { request, number: AttemptNo(pending.attempts_started) };
+        pending.attempts_started += 1;
+        pending.attempts_in_flight += 1;
+        let from_copy = pending.copy_holders.contains(&server);
+        let in_flight = InFlightAttempt { server, class: pending.class, sent_at: now, from_copy };
+        let payload = pending.payload.clone();
+        self.observers.notify(now, CoreEvent::AttemptSent { server });
+        self.in_flight.insert(attempt, in_flight);
+        self.commands.push_back(Command::StartAttempt {
+            attempt,
+            server,
+            payload,
+            deadline: now + timeout,
+            from_copy,
+        });
+    }
+}
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -1,5 +1,7 @@
-//! The classes by number, and the settings that the module is told: a number stands for one class and its rules for as long
-//! as anything of it is open.
+//! Request classes by number, across changes of the settings.
+//!
+//! A number stands for one class and its rules for as long as a request of it may be open: a class that is dropped or gets other rules
+//! keeps its old number for a while, and the new one gets a number that is free.
 
 use super::{Core, RequestPayload};
 use crate::stats::{RequestResult, Stats};
@@ -7,128 +9,177 @@
 use birchreach_settings::DeploymentSettings;
 use std::collections::HashSet;
 
-/// A class that was dropped is taken for so long: its last requests are on their way.
-const LAST_REQUESTS: Micros = 2_000_000;
+/// A class that was dropped still accepts requests for this time: its last ones are on their way.
+const DROPPED_CLASS_GRACE_MICROS: Micros = 2_000_000;
 
-/// A class by its number.
+/// A class and its number's history.
 #[derive(Clone, Debug)]
-struct Kind {
+struct NumberedClass {
     name: String,
     rules: RequestClass,
-    /// Its row among the figures.
-    row: usize,
-    /// It was dropped, or replaced by another of its name: when its last requests will have come.
-    until: Option<Micros>,
+    /// Index of its row in the statistics.
+    stats_row: usize,
+    /// Set once the class is dropped or replaced by another of its name: its last requests have arrived by then.
+    accepted_until: Option<Micros>,
 }
 
-pub(super) struct Classes {
-    /// By number, with those that are no more while requests of them may be open.
-    kinds: Vec<Kind>,
-    /// The module's settings but for its classes, and how many processes share them with this one.
-    module: Settings,
-    processes: u32,
+impl NumberedClass {
+    fn is_current(&self) -> bool {
+        self.accepted_until.is_none()
+    }
+
+    fn accepts_requests(&self, now: Micros) -> bool {
+        self.accepted_until.is_none_or(|until| now < until)
+    }
+}
+
+/// All classes, and the settings of the router.
+pub(super) struct ClassTable {
+    /// By number, including classes that were dropped.
+    classes: Vec<NumberedClass>,
+    /// Settings of the router; its list of classes is replaced by the one above.
+    routing: Settings,
+    /// Processes that share the quota of this proxy.
+    process_count: u32,
 }
 
-impl Classes {
-    pub fn new(site: &DeploymentSettings, stats: &mut Stats) -> Classes {
-        let kinds = site.class_names.iter().zip(&site.routing.classes);
-        let kinds = kinds.map(|(name, rules)| Kind {
+impl ClassTable {
+    pub fn new(settings: &DeploymentSettings, stats: &mut Stats) -> ClassTable {
+        let named = settings.class_names.iter().zip(&settings.routing.classes);
+        let numbered = named.map(|(name, rules)| NumberedClass {
             name: name.clone(),
             rules: rules.clone(),
-            row: stats.class(name),
-            until: None,
+            stats_row: stats.class_row(name),
+            accepted_until: None,
         });
-        Classes { kinds: kinds.collect(), module: site.routing.clone(), processes: 1 }
+        ClassTable { classes: numbered.collect(), routing: settings.routing.clone(), process_count: 1 }
     }
 
-    /// A request of this class had its one answer.
-    pub fn ended(&self, stats: &mut Stats, class: ClassId, end: RequestResult) {
-        if let Some(kind) = self.kinds.get(usize::from(class.0)) {
-            stats.ended(kind.row, end);
+    fn get(&self, class: ClassId) -> Option<&NumberedClass> {
+        self.classes.get(usize::from(class.0))
+    }
+
+    /// A request of this class got its final answer.
+    pub fn count_result(&self, stats: &mut Stats, class: ClassId, result: RequestResult) {
+        if let Some(class) = self.get(class) {
+            stats.count_result(class.stats_row, result);
         }
     }
 
-    /// Requests of this class go to the primary alone.
-    pub fn writes(&self, class: ClassId) -> bool {
-        self.kinds.get(usize::from(class.0)).is_some_and(|kind| kind.rules.consistency == Consistency::Write)
+    pub fn is_write(&self, class: ClassId) -> bool {
+        self.get(class).is_some_and(|class| class.rules.consistency == Consistency::Write)
     }
 
-    /// What reads of this class need.
-    pub fn need(&self, class: ClassId) -> Consistency {
-        self.kinds.get(usize::from(class.0)).map_or(Consistency::Write, |kind| kind.rules.consistency)
+    /// Consistency of a class; that of a write for an unknown one.
+    pub fn consistency(&self, class: ClassId) -> Consistency {
+        self.get(class).map_or(Consistency::Write, |class| class.rules.consistency)
     }
 
-    pub fn needs(&self) -> Vec<Consistency> {
-        self.kinds.iter().map(|kind| kind.rules.consistency).collect()
+    pub fn consistencies(&self) -> Vec<Consistency> {
+        self.classes.iter().map(|class| class.rules.consistency).collect()
     }
 
-    pub fn may_probe(&self) -> bool {
-        self.module.health_checks_allowed
+    pub fn health_checks_allowed(&self) -> bool {
+        self.routing.health_checks_allowed
     }
 
-    /// Other rules from now on; a class that is new, or has other rules, gets a number that is free.
-    fn take(&mut self, now: Micros, site: &DeploymentSettings, used: &HashSet<ClassId>, stats: &mut Stats) {
-        for kind in &mut self.kinds {
-            let same = |(name, rules): (&String, &RequestClass)| *name == kind.name && *rules == kind.rules;
-            let stays = site.class_names.iter().zip(&site.routing.classes).any(same);
-            kind.until = if stays { None } else { kind.until.or(Some(now + LAST_REQUESTS)) };
-        }
-        for (name, rules) in site.class_names.iter().zip(&site.routing.classes) {
-            if self.kinds.iter().any(|k| k.until.is_none() && k.name == *name) {
-                continue;
-            }
-            let row = stats.class(name);
-            let kind = Kind { name: name.clone(), rules: rules.clone(), row, until: None };
-            let free = |(i, k): (usize, &Kind)| {
-                k.until.is_some_and(|at| at <= now) && !used.iter().any(|id| usize::from(id.0) == i)
-            };
-            match self.kinds.iter().enumerate().position(free) {
-                Some(i) => self.kinds[i] = kind,
-                None => self.kinds.push(kind),
+    /// Applies new settings. `used` are the numbers of classes with open requests or attempts.
+    fn update(
+        &mut self,
+        now: Micros,
+        settings: &DeploymentSettings,
+        used: &HashSet<ClassId>,
+        stats: &mut Stats,
+    ) {
+        self.drop_missing(now, settings);
+        for (name, rules) in settings.class_names.iter().zip(&settings.routing.classes) {
+            if !self.classes.iter().any(|class| class.is_current() && class.name == *name) {
+                self.add(now, name, rules, used, stats);
             }
         }
-        self.module = site.routing.clone();
+        self.routing = settings.routing.clone();
+    }
+
+    /// Classes that the settings do not have, or have with other rules, end soon.
+    fn drop_missing(&mut self, now: Micros, settings: &DeploymentSettings) {
+        for class in &mut self.classes {
+            let mut named = settings.class_names.iter().zip(&settings.routing.classes);
+            let stays = named.any(|(name, rules)| *rules == class.rules && *name == class.name);
+            let until = class.accepted_until.unwrap_or(now + DROPPED_CLASS_GRACE_MICROS);
+            class.accepted_until = (!stays).then_some(until);
+        }
+    }
+
+    /// Adds a class under a free number.
+    fn add(
+        &mut self,
+        now: Micros,
+        name: &str,
+        rules: &RequestClass,
+        used: &HashSet<ClassId>,
+        stats: &mut Stats,
+    ) {
+        let added = NumberedClass {
+            name: name.to_string(),
+            rules: rules.clone(),
+            stats_row: stats.class_row(name),
+            accepted_until: None,
+        };
+        let is_free = |(index, class): (usize, &NumberedClass)| {
+            !class.accepts_requests(now) && !used.iter().any(|used| usize::from(used.0) == index)
+        };
+        match self.classes.iter().enumerate().position(is_free) {
+            Some(index) => self.classes[index] = added,
+            None => self.classes.push(added),
+        }
+    }
+
+    /// The settings for the router: each process of this proxy is a proxy of its own.
+    fn router_settings(&self) -> Settings {
+        let classes = self.classes.iter().map(|class| class.rules.clone()).collect();
+        let proxy_count = self.routing.proxy_count.saturating_mul(self.process_count);
+        Settings { classes, proxy_count, ..self.routing.clone() }
     }
 
-    fn settings(&self) -> Settings {
-        let classes = self.kinds.iter().map(|k| k.rules.clone()).collect();
-        let routers = self.module.proxy_count.saturating_mul(self.processes);
-        Settings { classes, proxy_count: routers, ..self.module.clone() }
+    /// The number and rules of a class that accepts requests. Of two of that name the current one, for which requests are meant, is
+    /// found first.
+    fn find(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
+        let classes = self.classes.iter().enumerate();
+        let accepting = classes.filter(|(_, class)| class.name == name && class.accepts_requests(now));
+        let (index, class) = accepting.min_by_key(|(_, class)| class.accepted_until)?;
+        Some((ClassId(u16::try_from(index).ok()?), &class.rules))
     }
 }
 
-impl<W: RequestPayload> Core<W> {
-    /// Other settings are in force from now on.
-    pub fn settings(&mut self, now: Micros, site: &DeploymentSettings) {
-        let mut used: HashSet<ClassId> = self.requests.values().map(|e| e.class).collect();
-        used.extend(self.in_flight.values().map(|o| o.class));
-        self.classes.take(now, site, &used, &mut self.stats);
-        self.servers.zones(site);
-        self.tell_settings(now);
+impl<P: RequestPayload> Core<P> {
+    /// Applies new settings.
+    pub fn settings(&mut self, now: Micros, settings: &DeploymentSettings) {
+        let mut used: HashSet<ClassId> = self.requests.values().map(|pending| pending.class).collect();
+        used.extend(self.in_flight.values().map(|attempt| attempt.class));
+        self.classes.update(now, settings, &used, &mut self.stats);
+        self.servers.set_zones(settings);
+        self.update_router_settings(now);
     }
 
-    /// So many processes share what this proxy may do: each is a router of its own.
-    pub fn set_process_count(&mut self, now: Micros, processes: u32) {
-        if std::mem::replace(&mut self.classes.processes, processes) != processes {
-            self.tell_settings(now);
+    /// Sets how many processes share the quota of this proxy.
+    pub fn set_process_count(&mut self, now: Micros, process_count: u32) {
+        if std::mem::replace(&mut self.classes.process_count, process_count) != process_count {
+            self.update_router_settings(now);
         }
     }
 
-    fn tell_settings(&mut self, now: Micros) {
-        let settings = self.classes.settings();
+    fn update_router_settings(&mut self, now: Micros) {
+        let settings = self.classes.router_settings();
         self.handle(now, Event::Settings(Box::new(settings)));
     }
 
-    /// The number and the rules of a class by its name, while requests of it are taken: dropped classes end a little later.
+    /// The number and rules of the class with this name, while requests of it are accepted.
     pub fn find_class(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
-        let live = |k: &&Kind| k.name == name && k.until.is_none_or(|at| now < at);
-        let kinds = self.classes.kinds.iter().enumerate();
-        let (i, kind) = kinds.filter(|(_, k)| live(k)).min_by_key(|(_, k)| k.until)?;
-        Some((ClassId(u16::try_from(i).ok()?), &kind.rules))
+        self.classes.find(now, name)
     }
 
-    /// Where session reads' requirements come from.
+    /// Where the required positions of session reads come from.
     pub fn session_positions(&self) -> SessionPositionSource {
-        self.classes.module.session_positions
+        self.classes.routing.session_positions
     }
 }
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -1,9 +1,9 @@
-//! What passes between the core, the fronts and the loop: small values of no protocol.
+//! What passes between the core, the protocol front ends and the event loop: values of no protocol.
 
 use crate::reply::Value;
 use birchreach::*;
 
-/// A front's own form of a request.
+/// A front end's own form of a request.
 pub trait RequestPayload: Clone {
     /// The key that a read asks for.
     fn key(&self) -> &[u8];
@@ -15,26 +15,31 @@
     }
 }
 
-/// A request as any front may bring it.
+/// A request in the form in which every front end brings it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingRequest {
+    /// Its class.
     pub class: ClassId,
+    /// The group that it addresses.
     pub group: GroupId,
+    /// Its session.
     pub session: Option<u64>,
-    /// The position that a session read must see.
+    /// The position that a session read has to see.
     pub read_after_position: Option<Micros>,
-    /// How long from now the client still waits.
+    /// How long from now the client waits.
     pub timeout: Micros,
 }
 
 /// The one final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
+    /// Served, with this value.
     Served(Value),
-    /// Served: its value went on in pieces, and is whole now.
+    /// Served; the value was streamed and is complete.
     Streamed,
-    /// Not served and never run, or harmless to repeat.
+    /// Not served, and safe to retry.
     Rejected {
+        /// Suggested delay before the client retries.
         retry_after_ms: Option<u64>,
     },
     /// Not served; it may have run.
@@ -48,56 +53,42 @@
     pub number: AttemptNo,
 }
 
-/// What the loop is to do, in this order.
+/// A command for the event loop, to be carried out in order. `client` is the key that the client's request came with.
 #[derive(Debug, PartialEq)]
-pub enum Command<W> {
+pub enum Command<P> {
+    /// Send an attempt to a server.
     StartAttempt {
         attempt: AttemptId,
         server: ServerId,
-        payload: W,
+        payload: P,
+        /// The attempt times out at this time.
         deadline: Micros,
-        /// The server is of another group: its copy is asked for, with the position of [`super::Core::required_copy_position`].
+        /// The server belongs to another group: its copy is read, with the position of [`super::Core::required_copy_position`].
         from_copy: bool,
     },
-    CancelAttempt {
-        attempt: AttemptId,
-    },
-    HealthCheck {
-        server: ServerId,
-    },
-    Answer {
-        client: usize,
-        request: RequestId,
-        answer: Answer,
-    },
-    /// A long value begins; its pieces follow, and then `Answer::Passed`, or the break.
-    BeginStream {
-        client: usize,
-        request: RequestId,
-        attempt: AttemptId,
-        length: usize,
-    },
-    StreamChunk {
-        client: usize,
-        request: RequestId,
-        bytes: Vec<u8>,
-    },
-    AbortStream {
-        client: usize,
-        request: RequestId,
-    },
-    SetTimer {
-        id: u32,
-        at: Micros,
-    },
+    /// Give up an attempt.
+    CancelAttempt { attempt: AttemptId },
+    /// Check the health of a server.
+    HealthCheck { server: ServerId },
+    /// Give a client its answer.
+    Answer { client: usize, request: RequestId, answer: Answer },
+    /// A long value begins. Chunks follow, then [`Answer::Streamed`] or [`Command::AbortStream`].
+    BeginStream { client: usize, request: RequestId, attempt: AttemptId, length: usize },
+    /// The next bytes of a long value.
+    StreamChunk { client: usize, request: RequestId, bytes: Vec<u8> },
+    /// The rest of a long value will not come.
+    AbortStream { client: usize, request: RequestId },
+    /// Call [`super::Core::timer_fired`] at this time.
+    SetTimer { id: u32, at: Micros },
+    /// Write a line to the log.
     Log(LogRecord),
 }
 
-/// Something to be told in the log.
+/// A line for the log.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LogRecord {
-    /// A note of the decision module.
+    /// A note of the router.
     RoutingNote(String),
-    /// The list names a server for the first time; the module's notes call it by its number.
+    /// The endpoint list names a server for the first time; notes of the router call it by its number.
     ServerListed { number: u32, uid: String, endpoint: String },
 }
--- /dev/null
+++ b/proxy/src/core/endpoints.rs
@@ -0,0 +1,226 @@
+//! Servers by the endpoint list: their names, numbers and addresses.
+//!
+//! A number is never given to two servers. A server that was removed long ago is dropped once the router has dropped it.
+
+use super::{Command, Core, LogRecord, RequestPayload};
+use crate::discovery::{State, Target, Update};
+use crate::observe::{CoreEvent, Observer};
+use birchreach::*;
+use birchreach_settings::DeploymentSettings;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+const MICROS_PER_MILLISECOND: i64 = 1_000;
+/// Shown in place of the name of a server that is no longer known.
+const UNKNOWN_SERVER: &str = "?";
+
+/// What the endpoint list last said of a server.
+struct ListedServer {
+    uid: String,
+    address: Option<SocketAddr>,
+    group: GroupId,
+    primary: Option<bool>,
+    up: bool,
+    started_ms: Option<i64>,
+    removed: bool,
+}
+
+impl ListedServer {
+    fn new(target: &Target) -> ListedServer {
+        ListedServer {
+            uid: target.uid.clone(),
+            address: None,
+            group: GroupId(target.group),
+            primary: None,
+            up: false,
+            started_ms: None,
+            removed: false,
+        }
+    }
+
+    /// Applies an entry of the list. Returns whether connections to the server are of no more use: it moved or was removed.
+    fn update(&mut self, target: &Target) -> bool {
+        let address = target.endpoint.parse().ok();
+        self.group = GroupId(target.group);
+        self.primary = target.primary();
+        self.up = target.state == State::Up;
+        self.started_ms = target.started_ms();
+        self.removed = target.state == State::Removed;
+        let moved = self.address != address || self.removed;
+        if moved {
+            self.address = address.or(self.address);
+        }
+        moved
+    }
+
+    fn event(&self, server: ServerId) -> CoreEvent<'_> {
+        if self.removed {
+            return CoreEvent::Unlisted { server, uid: &self.uid };
+        }
+        CoreEvent::Listed {
+            server,
+            uid: &self.uid,
+            group: self.group,
+            primary: self.primary,
+            up: self.up,
+            started_ms: self.started_ms.and_then(|ms| u64::try_from(ms).ok()).unwrap_or(0),
+        }
+    }
+}
+
+/// All servers that the list has named and the router has not dropped.
+pub(super) struct ServerTable {
+    zone_names: Vec<String>,
+    numbers: HashMap<String, ServerId>,
+    listed: HashMap<ServerId, ListedServer>,
+    /// The number for the next new server.
+    next_number: u32,
+}
+
+impl ServerTable {
+    pub fn new(settings: &DeploymentSettings) -> ServerTable {
+        ServerTable {
+            zone_names: settings.zone_names.clone(),
+            numbers: HashMap::new(),
+            listed: HashMap::new(),
+            next_number: 0,
+        }
+    }
+
+    pub fn set_zones(&mut self, settings: &DeploymentSettings) {
+        self.zone_names.clone_from(&settings.zone_names);
+    }
+
+    /// Servers that were not removed.
+    pub fn present(&self) -> impl Iterator<Item = ServerId> {
+        self.listed.iter().filter(|(_, server)| !server.removed).map(|(id, _)| *id)
+    }
+
+    /// Name of a server in the list.
+    pub fn name(&self, server: ServerId) -> &str {
+        self.listed.get(&server).map_or(UNKNOWN_SERVER, |server| &server.uid)
+    }
+
+    pub fn by_name(&self, uid: &str) -> Option<ServerId> {
+        self.numbers.get(uid).copied()
+    }
+
+    /// The number of a server, and whether it is new.
+    fn number(&mut self, uid: &str) -> (ServerId, bool) {
+        if let Some(server) = self.by_name(uid) {
+            return (server, false);
+        }
+        let server = ServerId(self.next_number);
+        self.next_number += 1;
+        self.numbers.insert(uid.to_string(), server);
+        (server, true)
+    }
+
+    /// Applies an entry of the list. Returns it for the router, and whether the server moved or was removed.
+    fn update(&mut self, server: ServerId, target: &Target) -> (Endpoint, bool) {
+        let listed = self.listed.entry(server).or_insert_with(|| ListedServer::new(target));
+        let moved = listed.update(target);
+        let endpoint = Endpoint {
+            server,
+            group: GroupId(target.group),
+            zone: self.zone(&target.zone),
+            state: match target.state {
+                State::Up => EndpointState::Ready,
+                State::Draining => EndpointState::Draining,
+                State::Removed => EndpointState::Removed,
+            },
+            started_at: target.started_ms().and_then(|ms| ms.checked_mul(MICROS_PER_MILLISECOND)),
+            weight: target.weight,
+            primary: target.primary() == Some(true),
+        };
+        (endpoint, moved)
+    }
+
+    /// The number of a zone; one that no server or proxy has for an unknown name.
+    fn zone(&self, name: &str) -> ZoneId {
+        let index = self.zone_names.iter().position(|known| known == name);
+        ZoneId(index.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX))
+    }
+}
+
+impl<P: RequestPayload> Core<P> {
+    /// The address of a server.
+    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
+        self.servers.listed.get(&server)?.address
+    }
+
+    /// Whether the endpoint list has servers of this group. Before there is a list any group may exist.
+    pub fn has_group(&self, group: GroupId) -> bool {
+        let listed = &self.servers.listed;
+        listed.is_empty() || listed.values().any(|server| server.group == group)
+    }
+
+    /// Name of a server in the list, for the log.
+    pub fn server_name(&self, server: ServerId) -> &str {
+        self.servers.name(server)
+    }
+
+    /// Applies a change of the endpoint list. Returns the servers that moved or were removed.
+    pub fn update_endpoints(&mut self, now: Micros, update: Update) -> Vec<ServerId> {
+        if update.all {
+            self.servers.listed.values_mut().for_each(|server| server.removed = true);
+        }
+        let (mut moved, mut endpoints) = (Vec::new(), Vec::new());
+        for target in &update.targets {
+            let server = self.number_server(target);
+            let (endpoint, has_moved) = self.servers.update(server, target);
+            moved.extend(has_moved.then_some(server));
+            endpoints.push(endpoint);
+        }
+        self.notify_listed(now, &endpoints);
+        self.handle(now, Event::EndpointsChanged(EndpointList { complete: update.all, endpoints }));
+        self.drop_unknown_servers();
+        moved
+    }
+
+    fn number_server(&mut self, target: &Target) -> ServerId {
+        let (server, is_new) = self.servers.number(&target.uid);
+        if is_new {
+            let (uid, endpoint) = (target.uid.clone(), target.endpoint.clone());
+            let record = LogRecord::ServerListed { number: server.0, uid, endpoint };
+            self.commands.push_back(Command::Log(record));
+        }
+        server
+    }
+
+    fn notify_listed(&self, now: Micros, endpoints: &[Endpoint]) {
+        let listed = &self.servers.listed;
+        for endpoint in endpoints {
+            if let Some(server) = listed.get(&endpoint.server) {
+                self.observers.notify(now, server.event(endpoint.server));
+            }
+        }
+        for (id, server) in listed.iter().filter(|(_, server)| server.removed) {
+            self.observers.notify(now, server.event(*id));
+        }
+    }
+
+    fn drop_unknown_servers(&mut self) {
+        let router = &self.router;
+        self.servers.listed.retain(|id, _| router.is_known(*id));
+        self.servers.numbers.retain(|_, id| router.is_known(*id));
+    }
+
+    /// Adds an observer; it is told first of all servers in the list.
+    pub fn subscribe(&mut self, now: Micros, observer: Rc<RefCell<dyn Observer>>) {
+        for (id, server) in self.servers.listed.iter().filter(|(_, server)| !server.removed) {
+            observer.borrow_mut().on_event(now, server.event(*id));
+        }
+        self.observers.add(observer);
+    }
+
+    /// Removes an observer.
+    pub fn unsubscribe(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
+        self.observers.remove(observer);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/proxy/src/core/health_checks.rs
@@ -0,0 +1,53 @@
+//! Health checks of servers, those of the router and those of observers, and what proxies tell of servers.
+
+use super::attempts::credible_report;
+use super::{Command, Core, RequestPayload};
+use crate::observe::CoreEvent;
+use crate::reply::Reply;
+use birchreach::*;
+
+impl<P: RequestPayload> Core<P> {
+    pub(super) fn start_health_check(&mut self, now: Micros, server: ServerId) {
+        self.observers.notify(now, CoreEvent::AttemptSent { server });
+        self.commands.push_back(Command::HealthCheck { server });
+    }
+
+    /// A health check of the router ended.
+    pub fn health_check_completed(&mut self, now: Micros, server: ServerId, reply: &Reply) {
+        self.notify_attempt_ended(now, server, false, reply);
+        let load_report = credible_report(reply.load_report, now);
+        self.handle(now, Event::HealthCheckCompleted { server, outcome: reply.outcome, load_report });
+    }
+
+    /// A health check ended that an observer requested; the router does not learn of it.
+    pub fn monitor_check_completed(&self, now: Micros, server: ServerId, reply: &Reply) {
+        self.observers.notify(now, CoreEvent::MonitorCheckEnded { server, reply });
+    }
+
+    /// Another proxy proved a position for the present process of a listed server. The router uses it as a lower bound, like a
+    /// load report.
+    pub fn record_remote_position(&mut self, now: Micros, uid: &str, report: LoadReport) {
+        let load_report = credible_report(Some(report), now);
+        if let (Some(server), Some(_)) = (self.servers.by_name(uid), load_report) {
+            let outcome = AttemptOutcome::Ok;
+            self.handle(now, Event::HealthCheckCompleted { server, outcome, load_report });
+        }
+    }
+
+    /// Checks the role of a server, where health checks are allowed.
+    pub fn check_role(&mut self, now: Micros, uid: &str) {
+        if let Some(server) = self.servers.by_name(uid).filter(|_| self.classes.health_checks_allowed()) {
+            self.start_health_check(now, server);
+        }
+    }
+
+    /// A connection to a server was established.
+    pub fn server_alive(&self, now: Micros, server: ServerId) {
+        self.observers.notify(now, CoreEvent::ServerAlive { server });
+    }
+
+    /// Discovery answered a call.
+    pub fn discovery_answered(&self, now: Micros) {
+        self.observers.notify(now, CoreEvent::DiscoveryAnswered);
+    }
+}
--- /dev/null
+++ b/proxy/src/core/requests.rs
@@ -0,0 +1,90 @@
+//! Requests from their arrival to their one final answer.
+
+use super::{Answer, Command, Core, PendingRequest, RequestPayload, RoutingRequest};
+use crate::config::hash;
+use crate::observe::CoreEvent;
+use crate::stats::RequestResult;
+use birchreach::*;
+
+impl<P: RequestPayload> Core<P> {
+    /// Takes a client's request. `client` is given back with its answer.
+    pub fn request(&mut self, now: Micros, client: usize, request: RoutingRequest, payload: P) -> RequestId {
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
+        let RoutingRequest { class, group, session, read_after_position, timeout } = request;
+        let copy_candidates = self.locate_copies(now, class, group, &payload);
+        let pending = PendingRequest {
+            client,
+            class,
+            group,
+            payload,
+            copy_holders: copy_candidates.iter().map(|candidate| candidate.server).collect(),
+            attempts_started: 0,
+            attempts_in_flight: 0,
+            idle_since: now,
+            streaming_attempt: None,
+        };
+        self.requests.insert(id, pending);
+        let request = Request {
+            id,
+            class,
+            group,
+            tenant: TenantId(0),
+            timeout,
+            session: session.map(SessionId),
+            last_write_position: read_after_position,
+            copy_candidates,
+        };
+        self.handle(now, Event::Request(request));
+        id
+    }
+
+    /// The client disconnected; no answer is owed.
+    pub fn client_disconnected(&mut self, now: Micros, request: RequestId) {
+        if self.requests.remove(&request).is_some() {
+            self.handle(now, Event::ClientDisconnected { request });
+        }
+    }
+
+    /// Gives a pending request its final answer.
+    pub(super) fn answer(&mut self, now: Micros, request: RequestId, answer: Answer) {
+        let Some(pending) = self.requests.remove(&request) else { return };
+        let result = match answer {
+            Answer::Served(_) | Answer::Streamed => RequestResult::Served,
+            Answer::Rejected { .. } => RequestResult::Rejected,
+            Answer::Failed => RequestResult::Failed,
+        };
+        self.count_result(now, &pending, result);
+        self.commands.push_back(Command::Answer { client: pending.client, request, answer });
+    }
+
+    /// A response broke off while it was streamed to the client: the client has to see that it is incomplete.
+    pub(super) fn abort_stream(&mut self, now: Micros, request: RequestId) {
+        let Some(pending) = self.requests.remove(&request) else { return };
+        self.count_result(now, &pending, RequestResult::Failed);
+        self.commands.push_back(Command::AbortStream { client: pending.client, request });
+    }
+
+    fn count_result(&mut self, now: Micros, pending: &PendingRequest<P>, result: RequestResult) {
+        self.classes.count_result(&mut self.stats, pending.class, result);
+        if !self.classes.is_write(pending.class) {
+            let served = result == RequestResult::Served;
+            self.observers.notify(now, CoreEvent::ReadFinished { group: pending.group, served });
+        }
+    }
+
+    /// Tells observers since when writes have had no attempt in flight. Returns how many requests, reads included, have none.
+    pub fn report_queued(&self, now: Micros) -> usize {
+        let queued = self.requests.values().filter(|pending| pending.attempts_in_flight == 0);
+        let queued_count = queued.clone().count();
+        let writes = queued.filter(|pending| self.classes.is_write(pending.class));
+        let writes: Vec<_> = writes.map(|pending| (pending.group, pending.idle_since)).collect();
+        self.observers.notify(now, CoreEvent::QueuedWrites { writes: &writes });
+        queued_count
+    }
+}
+
+/// The id of a session, from its name.
+pub fn session_id(name: &[u8]) -> u64 {
+    hash(name)
+}
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -1,16 +1,17 @@
-//! The one seam between the core and the subsystems beside the decisions: what happens to servers and requests, told as it
-//! happens to whoever listens. An observer learns; it answers nothing, changes nothing here, and no other one knows of it.
-//! Another subsystem implements [`Observer`] and is added by its driver; no line of the core or of the others changes.
+//! Observers of the core: subsystems beside the routing decisions that learn what happens to servers and requests.
+//!
+//! An observer answers nothing and changes nothing in the core, and does not know the others. Another subsystem implements
+//! [`Observer`] and is added by its driver; the core does not change.
 
 use crate::reply::{Reply, Value};
 use birchreach::{ClassId, Consistency, CopyCandidate, GroupId, Micros, ServerId};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Something that happened.
+/// Something that happened in the core.
 #[derive(Clone, Copy, Debug)]
 pub enum CoreEvent<'a> {
-    /// The list has a server, or says something else of it. `primary`: what it says of its role, if it does.
+    /// The endpoint list has a server, or changed its entry. `primary` is what the list says of its role, if anything.
     Listed {
         server: ServerId,
         uid: &'a str,
@@ -19,103 +20,87 @@
         up: bool,
         started_ms: u64,
     },
-    /// The list has it no more.
+    /// A server was removed from the endpoint list.
     Unlisted { server: ServerId, uid: &'a str },
-    /// An attempt, or a probe of the decisions, goes out.
+    /// An attempt or a health check of the router is sent.
     AttemptSent { server: ServerId },
-    /// It came to this. `write`: of a class for the primary alone.
+    /// It ended. `write` is set for classes that only the primary serves.
     AttemptEnded { server: ServerId, uid: &'a str, write: bool, reply: &'a Reply },
-    /// A probe came back that an observer asked for, and the decisions did not.
+    /// A health check ended that an observer requested.
     MonitorCheckEnded { server: ServerId, reply: &'a Reply },
-    /// A connection came up, or an answer has begun.
+    /// A connection was established, or a response has begun.
     ServerAlive { server: ServerId },
-    /// A read of a group had its final answer.
+    /// A read got its final answer.
     ReadFinished { group: GroupId, served: bool },
-    /// The writes that have no attempt out, each with its group and since when.
+    /// Writes without an attempt in flight: the group of each, and since when it has none.
     QueuedWrites { writes: &'a [(GroupId, Micros)] },
-    /// Discovery has answered.
+    /// Discovery answered a call.
     DiscoveryAnswered,
     /// A read of a key was served by a member of its group.
     ReadServed { group: GroupId, class: ClassId, key: &'a [u8], value: &'a Value },
-    /// A server of another group answered a read from its copy, with the copy's position; or it had none that was new enough.
+    /// A server of another group answered a read from its copy, whose position it stated, or had no copy that was new enough.
     CopyRead { group: GroupId, key: &'a [u8], server: ServerId, position: Option<Micros> },
 }
 
-/// Whoever listens.
+/// A subsystem that learns what happens in the core.
 pub trait Observer {
-    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>);
+    /// Called for each event, in the order in which they happen.
+    fn on_event(&mut self, now: Micros, event: CoreEvent<'_>);
 }
 
-/// A read that has come, as an adviser sees it.
+/// A read that arrived, as a [`CopyLocator`] sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadDescription<'a> {
+    /// The group that it addresses.
     pub group: GroupId,
+    /// Which data it has to see.
     pub consistency: Consistency,
+    /// The key that it reads.
     pub key: &'a [u8],
 }
 
-/// Whoever knows of servers of other groups that may have a copy of what is asked for. It names candidates; the decisions choose,
-/// and the copy proves itself.
+/// A subsystem that knows which servers of other groups may hold a copy of what is read. It names candidates; the router chooses,
+/// and the copy proves its position in its reply.
 pub trait CopyLocator {
-    fn locate_copies(&mut self, now: Micros, asked: &ReadDescription<'_>) -> Vec<CopyCandidate>;
+    /// Candidates for a read.
+    fn locate_copies(&mut self, now: Micros, read: &ReadDescription<'_>) -> Vec<CopyCandidate>;
 }
 
-/// An observer that its driver holds too. One thread, and never lent out across a call that tells: the loop is its owner.
+/// An observer that its driver uses too. There is one thread, and no borrow is held across a call that notifies observers.
 pub type Shared<T> = Rc<RefCell<T>>;
 
+/// Makes an observer that its driver uses too.
 pub fn shared<T>(observer: T) -> Shared<T> {
     Rc::new(RefCell::new(observer))
 }
 
-/// All that listen, in the order in which they came.
+/// All observers, in the order in which they were added.
 #[derive(Default)]
 pub struct Observers(Vec<Rc<RefCell<dyn Observer>>>);
 
 impl Observers {
+    /// Adds an observer.
     pub fn add(&mut self, observer: Rc<RefCell<dyn Observer>>) {
         self.0.push(observer);
     }
 
-    /// It hears no more.
+    /// Removes an observer.
     pub fn remove(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
         self.0.retain(|known| !Rc::ptr_eq(known, observer));
     }
 
-    /// Somebody listens.
+    /// Whether there is any.
     pub fn any(&self) -> bool {
         !self.0.is_empty()
     }
 
-    pub fn notify(&self, now: Micros, seen: CoreEvent) {
+    /// Tells all observers.
+    pub fn notify(&self, now: Micros, event: CoreEvent) {
         for observer in &self.0 {
-            observer.borrow_mut().on_event(now, seen);
+            observer.borrow_mut().on_event(now, event);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[derive(Default)]
-    struct Ear(Vec<Micros>);
-
-    impl Observer for Ear {
-        fn on_event(&mut self, now: Micros, _: CoreEvent<'_>) {
-            self.0.push(now);
-        }
-    }
-
-    #[test]
-    fn all_that_listen_hear_and_who_left_does_not() {
-        let (a, b) = (shared(Ear::default()), shared(Ear::default()));
-        let mut all = Observers::default();
-        all.notify(1, CoreEvent::DiscoveryAnswered);
-        all.add(a.clone());
-        all.add(b.clone());
-        all.notify(2, CoreEvent::DiscoveryAnswered);
-        all.remove(&(a.clone() as Rc<RefCell<dyn Observer>>));
-        all.notify(3, CoreEvent::DiscoveryAnswered);
-        assert_eq!((a.borrow().0.clone(), b.borrow().0.clone()), (vec![2], vec![2, 3]));
-    }
-}
+mod tests;
--- /dev/null
+++ b/proxy/src/observe/tests.rs
@@ -0,0 +1,28 @@
+//! Observers are notified while they are added, and no longer.
+
+use super::*;
+
+#[derive(Default)]
+struct Recorder {
+    events_at: Vec<Micros>,
+}
+
+impl Observer for Recorder {
+    fn on_event(&mut self, now: Micros, _: CoreEvent<'_>) {
+        self.events_at.push(now);
+    }
+}
+
+#[test]
+fn observers_are_notified_from_their_addition_to_their_removal() {
+    let (removed, stays) = (shared(Recorder::default()), shared(Recorder::default()));
+    let mut observers = Observers::default();
+    observers.notify(1, CoreEvent::DiscoveryAnswered);
+    observers.add(removed.clone());
+    observers.add(stays.clone());
+    observers.notify(2, CoreEvent::DiscoveryAnswered);
+    observers.remove(&(removed.clone() as Rc<RefCell<dyn Observer>>));
+    observers.notify(3, CoreEvent::DiscoveryAnswered);
+    assert_eq!(removed.borrow().events_at, [2]);
+    assert_eq!(stays.borrow().events_at, [2, 3]);
+}
--- a/proxy/src/pg/statement.rs
+++ b/proxy/src/pg/statement.rs
@@ -3,7 +3,7 @@
 
 use super::codec::MAX_VALUE;
 use super::sqlstate;
-use crate::core::{RoutingRequest, session};
+use crate::core::{RoutingRequest, session_id};
 use birchreach::{ClassId, Consistency, GroupId, Micros, RequestClass, SessionPositionSource};
 use std::ops::Range;
 
@@ -149,7 +149,7 @@
         Ok(RoutingRequest {
             class: id,
             group: GroupId(self.group),
-            session: sessions.then(|| session(self.key())),
+            session: sessions.then(|| session_id(self.key())),
             read_after_position: self.after_ms.filter(|_| carried).map(|ms| ms * 1000),
             timeout: (wait - MARGIN.min(wait / 10) - waited.max(0)).max(0),
         })
--- a/proxy/src/reply.rs
+++ b/proxy/src/reply.rs
@@ -1,34 +1,40 @@
-//! What a database's reply came to, in values of no protocol. It lies below all that speaks of replies: the machines that
-//! make them, the core, and whoever observes; it knows none of them.
+//! The reply of a database to an attempt or a health check, in values of no protocol.
+//!
+//! The protocol's state machines make it; the core and its observers read it.
 
 use birchreach::{AttemptOutcome, LoadReport, Micros, ServerStatus};
 
-/// A value as a database made it.
+/// A value as a database sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
+    /// Its bytes.
     pub bytes: Vec<u8>,
-    /// In the databases' binary form, not as text.
+    /// The bytes are in the databases' binary format, not in the text format.
     pub binary: bool,
 }
 
-/// What a database's reply came to.
+/// How an attempt or a health check ended, and what the database said.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
+    /// How it ended.
     pub outcome: AttemptOutcome,
+    /// The value that was read.
     pub value: Option<Value>,
+    /// Role and position that the database stated.
     pub status: Option<ServerStatus>,
+    /// Load report in the reply.
     pub load_report: Option<LoadReport>,
-    /// No process listened there.
+    /// The connection was refused: no process listens there.
     pub connection_refused: bool,
-    /// The position of the copy that it answered from.
+    /// Position of the copy from which a read was answered.
     pub copy_position: Option<Micros>,
 }
 
 impl Reply {
-    /// An ending of which the database said nothing.
-    pub fn with_outcome(ending: AttemptOutcome) -> Reply {
+    /// An outcome of which the database said nothing.
+    pub fn with_outcome(outcome: AttemptOutcome) -> Reply {
         Reply {
-            outcome: ending,
+            outcome,
             value: None,
             status: None,
             load_report: None,
@@ -37,7 +43,7 @@
         }
     }
 
-    /// No process listens there.
+    /// The connection was refused.
     pub fn connection_refused() -> Reply {
         Reply { connection_refused: true, ..Reply::with_outcome(AttemptOutcome::ConnectFailed) }
     }
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -1,70 +1,87 @@
-//! What is counted from the start of the process on, and told at the admin listener.
+//! Counters since the start of the process, as the admin listener reports them.
 
 use std::fmt::Write;
 
-/// The counts of a class: its requests by what became of them.
+/// Counters of a class: its requests by their result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Count {
-    passed: u64,
-    dropped: u64,
-    bad_gateway: u64,
+struct ResultCounts {
+    served: u64,
+    rejected: u64,
+    failed: u64,
 }
 
-/// How a request ended.
+/// Counters of one class, by its name.
+#[derive(Debug)]
+struct ClassRow {
+    name: String,
+    counts: ResultCounts,
+}
+
+/// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
+    /// It was served.
     Served,
+    /// It was not served, and may be retried.
     Rejected,
+    /// It was not served, and may have run.
     Failed,
 }
 
-/// Each count is raised in one place: a request's where its one answer is given, an attempt's where the last
-/// byte of its query is written, a file's where it is taken or turned down.
+/// All counters. A request is counted when it gets its answer, an attempt when the last byte of its query is written.
 #[derive(Debug, Default)]
 pub struct Stats {
-    classes: Vec<(String, Count)>,
+    classes: Vec<ClassRow>,
+    /// Attempts written to databases.
     pub attempts: u64,
+    /// Configuration files applied after SIGHUP.
     pub configuration_loads: u64,
+    /// Configuration files not applied because of errors.
     pub configuration_load_errors: u64,
 }
 
-/// What is so just now, asked of its owners.
+/// Present state, asked of its owners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
+    /// Requests without an answer.
     pub in_progress: usize,
+    /// Databases in the endpoint list.
     pub known: usize,
+    /// Databases that get no new work at the moment.
     pub skipped: usize,
 }
 
 impl Stats {
-    /// The table's row for a class; one that was known before goes on with its counts.
-    pub fn class(&mut self, name: &str) -> usize {
-        let found = self.classes.iter().position(|(n, _)| n == name);
-        found.unwrap_or_else(|| {
-            self.classes.push((name.to_string(), Count::default()));
+    /// The index of a class's row. A class that was known before keeps its counters.
+    pub fn class_row(&mut self, name: &str) -> usize {
+        let known = self.classes.iter().position(|row| row.name == name);
+        known.unwrap_or_else(|| {
+            self.classes.push(ClassRow { name: name.to_string(), counts: ResultCounts::default() });
             self.classes.len() - 1
         })
     }
 
-    pub fn ended(&mut self, row: usize, end: RequestResult) {
-        let Some((_, count)) = self.classes.get_mut(row) else { return };
-        *match end {
-            RequestResult::Served => &mut count.passed,
-            RequestResult::Rejected => &mut count.dropped,
-            RequestResult::Failed => &mut count.bad_gateway,
-        } += 1;
+    /// Counts a request of the class with this row.
+    pub fn count_result(&mut self, row: usize, result: RequestResult) {
+        let Some(ClassRow { counts, .. }) = self.classes.get_mut(row) else { return };
+        match result {
+            RequestResult::Served => counts.served += 1,
+            RequestResult::Rejected => counts.rejected += 1,
+            RequestResult::Failed => counts.failed += 1,
+        }
     }
 
-    /// Every figure, a line each.
+    /// Every counter and gauge, a line each, under the names that operators use.
     pub fn lines(&self, gauges: Gauges) -> String {
-        let mut out = String::new();
-        let mut line = |name: &str, figure: u64| {
-            let _ = writeln!(out, "relay.{name}={figure}");
+        let mut text = String::new();
+        let mut line = |name: &str, value: u64| {
+            // Writing to a string does not fail.
+            let _ = writeln!(text, "relay.{name}={value}");
         };
-        for (name, count) in &self.classes {
-            line(&format!("passed.{name}"), count.passed);
-            line(&format!("dropped.{name}"), count.dropped);
-            line(&format!("bad_gateway.{name}"), count.bad_gateway);
+        for ClassRow { name, counts } in &self.classes {
+            line(&format!("passed.{name}"), counts.served);
+            line(&format!("dropped.{name}"), counts.rejected);
+            line(&format!("bad_gateway.{name}"), counts.failed);
         }
         line("upstream_tries", self.attempts);
         line("in_progress", gauges.in_progress as u64);
@@ -72,6 +89,6 @@
         line("skipped_databases", gauges.skipped as u64);
         line("loads", self.configuration_loads);
         line("load_errors", self.configuration_load_errors);
-        out
+        text
     }
 }
