--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -14,6 +14,8 @@
 pub(super) struct Client {
     pub stream: TcpStream,
     pub peer: SocketAddr,
+    /// How many came before it: its key does not tell, for keys are used again.
+    pub number: u64,
     pub machine: Frontend,
     pub request: Option<(RequestId, Work)>,
     /// The attempt whose long value it is being sent, and whether more of that may come.
@@ -60,8 +62,8 @@
 
     /// Who makes room first: those that have been told goodbye; those that had time for a request and
     /// brought none, for a flood of them would drive out those who do; those idle longest; and last those
-    /// that have just come.
-    pub fn rank(&self, now: Micros) -> (u8, Micros) {
+    /// that have just come. Of those idle as long, for many come in one turn, who came first goes first.
+    pub fn rank(&self, now: Micros) -> (u8, Micros, u64) {
         let since = self.unfinished.unwrap_or(self.active);
         let class = match self.served {
             _ if self.draining() => 0,
@@ -69,6 +71,6 @@
             0 => NEWCOMER,
             _ => 2,
         };
-        (class, since)
+        (class, since, self.number)
     }
 }
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -21,6 +21,8 @@
 pub struct Clients {
     listener: Option<TcpListener>,
     slots: Slab<Client>,
+    /// So many have been let in so far.
+    admitted: u64,
     admission: Admission,
     most: usize,
     /// Beyond so many, idle ones make room before all places are taken: clients that keep connections they do
@@ -58,6 +60,7 @@
         Ok(Clients {
             listener: Some(listener),
             slots: Slab::new(),
+            admitted: 0,
             admission: Admission { ids: HashSet::new() },
             most,
             many: most * 2 / 5,
--- a/proxy/src/net/clients/places.rs
+++ b/proxy/src/net/clients/places.rs
@@ -127,6 +127,7 @@
         slot.insert(Client {
             stream,
             peer,
+            number: self.admitted,
             machine: Frontend::default(),
             request: None,
             passing: None,
@@ -140,6 +141,7 @@
             unfinished: Some(cx.now),
         });
         self.unclassified += 1;
+        self.admitted += 1;
         Some(key)
     }
 }
