--- a/proxy/src/net/clients/admission.rs
+++ b/proxy/src/net/clients/admission.rs
@@ -135,6 +135,7 @@
         slot.insert(Client {
             stream,
             peer,
+            number: self.admitted,
             machine: Frontend::default(),
             request: None,
             passing: None,
@@ -148,6 +149,7 @@
             unfinished: Some(context.now),
         });
         self.unclassified += 1;
+        self.admitted += 1;
         Some(key)
     }
 }
