--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -3,82 +3,101 @@
 use super::*;
 
 /// Share of a cold server's budget that is used: others send to it too, and work varies.
-const COLD_USE: f64 = 0.75;
+const SLOW_START_UTILIZATION: f64 = 0.75;
 /// What is kept of the best yardstick of that budget after each cold time with a lower one.
-const USUAL_KEPT: f64 = 0.75;
+const BASELINE_DECAY: f64 = 0.75;
 /// The least that the caps of all routers on a server come to; one below one is kept by rests after answers.
-const LEAST_CAPS: f64 = 6.0;
+const MIN_FLEET_CONCURRENCY: f64 = 6.0;
 
 impl Router {
     /// How much of its capacity a server surely had at a time, for it may just have started.
-    pub(super) fn warmth(&self, server: &Server, at: Micros) -> f64 {
-        let started = server.line.started_at.max(server.down_at);
+    pub(super) fn slow_start_fraction(&self, server: &Server, at: Micros) -> f64 {
+        let started = server.endpoint.started_at.max(server.connection_refused_at);
         let age = started.map_or(Micros::MAX, |started| at.saturating_sub(started).max(0));
-        if age >= self.set.slow_start_window || self.set.slow_start_window <= 0 {
+        if age >= self.settings.slow_start_window || self.settings.slow_start_window <= 0 {
             return 1.0;
         }
-        let risen = age as f64 / self.set.slow_start_window as f64;
-        (self.set.slow_start_initial_fraction + (1.0 - self.set.slow_start_initial_fraction) * risen)
+        let risen = age as f64 / self.settings.slow_start_window as f64;
+        (self.settings.slow_start_initial_fraction
+            + (1.0 - self.settings.slow_start_initial_fraction) * risen)
             .clamp(0.0, 1.0)
     }
 
     /// A cold server falls over from what all routers send it. Each keeps to its part: what a server serves
     /// it in the mean, scaled to the capacity that the cold one surely has. Less than one send is saved up
     /// from a start drawn by lot, never rounded up: one each, from hundreds, would be many times the budget.
-    pub(super) fn allowance(&self, s: &Server) -> f64 {
-        let (left, at) = s.allowed;
-        let warmth = (self.warmth(s, at) + self.warmth(s, self.now)) / 2.0;
+    pub(super) fn available_slow_start_tokens(&self, s: &Server) -> f64 {
+        let (left, at) = s.slow_start_tokens;
+        let warmth = (self.slow_start_fraction(s, at) + self.slow_start_fraction(s, self.now)) / 2.0;
         // Where nothing was served yet: one send from all routers together.
-        let floor = 1.0 / (f64::from(self.set.proxy_count) * self.set.overload_window.max(1) as f64);
+        let floor =
+            1.0 / (f64::from(self.settings.proxy_count) * self.settings.overload_window.max(1) as f64);
         // A day may be so brisk that servers are warm before they can fall over.
-        let span = (self.now - self.served.1).min(self.set.slow_start_window).max(self.set.overload_window);
-        let span = if self.usual > 0.0 { self.set.slow_start_window } else { span }.max(1);
-        let pace = self.usual.max(self.served.0 / self.ready_count as f64) / span as f64;
-        let pace = (COLD_USE * self.set.overload_factor * warmth * pace).max(floor);
-        (left + pace * (self.now - at) as f64).min((pace * self.set.overload_window as f64).max(1.0))
+        let span = (self.now - self.served.1)
+            .min(self.settings.slow_start_window)
+            .max(self.settings.overload_window);
+        let span = if self.baseline_throughput > 0.0 { self.settings.slow_start_window } else { span }.max(1);
+        let pace = self.baseline_throughput.max(self.served.0 / self.ready_count as f64) / span as f64;
+        let pace = (SLOW_START_UTILIZATION * self.settings.overload_factor * warmth * pace).max(floor);
+        (left + pace * (self.now - at) as f64).min((pace * self.settings.overload_window as f64).max(1.0))
     }
 
     /// The best of a few cold times: while most servers are cold, the present would starve them for good.
-    pub(super) fn count_served(&mut self, ending: AttemptOutcome) {
-        if self.now - self.served.1 >= self.set.slow_start_window {
+    pub(super) fn record_served(&mut self, ending: AttemptOutcome) {
+        if self.now - self.served.1 >= self.settings.slow_start_window {
             let latest = self.served.0 / self.ready_count as f64;
-            self.usual = latest.max(self.usual * USUAL_KEPT);
+            self.baseline_throughput = latest.max(self.baseline_throughput * BASELINE_DECAY);
             self.served = (0.0, self.now);
         }
         self.served.0 += f64::from(ending == AttemptOutcome::Ok);
     }
 
     /// Below this share of its cap, not over its budget as a cold server.
-    pub(super) fn room(&self, s: &Server, share: f64) -> bool {
-        let below = f64::from(s.out + 1) <= (s.cap * share).max(1.0);
-        below && self.now >= s.rest && (self.warmth(s, self.now) >= 1.0 || self.allowance(s) >= 1.0)
+    pub(super) fn has_capacity(&self, s: &Server, share: f64) -> bool {
+        let below = f64::from(s.in_flight_count + 1) <= (s.concurrency_limit * share).max(1.0);
+        below
+            && self.now >= s.resume_at
+            && (self.slow_start_fraction(s, self.now) >= 1.0 || self.available_slow_start_tokens(s) >= 1.0)
     }
 
     /// The cap follows what answers take against their aims; `full` shrinks it.
-    pub(super) fn ease(&mut self, id: ServerId, ending: AttemptOutcome, class: usize, took: Micros) {
-        let mean = self.latency.mean(class);
-        let ratio = (took as f64 / self.set.classes[class].latency_objective.max(1) as f64).min(2.0);
+    pub(super) fn adjust_concurrency_limit(
+        &mut self,
+        id: ServerId,
+        ending: AttemptOutcome,
+        class: usize,
+        took: Micros,
+    ) {
+        let mean = self.latencies.mean(class);
+        let ratio = (took as f64 / self.settings.classes[class].latency_objective.max(1) as f64).min(2.0);
         let Some(s) = self.servers.get_mut(&id) else { return };
         match ending {
             AttemptOutcome::Ok | AttemptOutcome::Timeout | AttemptOutcome::Cancelled => {
-                blend(&mut s.strain, ratio, QUICK_BLEND)
+                update_mean(&mut s.latency_ratio, ratio, RECENT_SAMPLE_WEIGHT)
             }
             AttemptOutcome::Overloaded => {}
             _ => return,
         }
-        if ending == AttemptOutcome::Overloaded || s.strain > CONGESTED {
-            if s.eased_at < Some(self.now - mean) {
-                s.eased_at = Some(self.now);
-                s.cap = (s.cap.min(f64::from(s.out + 1)) * SHRINK)
-                    .max(LEAST_CAPS / f64::from(self.set.proxy_count));
+        if ending == AttemptOutcome::Overloaded || s.latency_ratio > CONGESTION_LATENCY_RATIO {
+            if s.limit_reduced_at < Some(self.now - mean) {
+                s.limit_reduced_at = Some(self.now);
+                s.concurrency_limit = (s.concurrency_limit.min(f64::from(s.in_flight_count + 1))
+                    * LIMIT_DECREASE_FACTOR)
+                    .max(MIN_FLEET_CONCURRENCY / f64::from(self.settings.proxy_count));
                 // The answers to come were sent under the old cap: they must not shrink it again.
-                s.strain *= SHRINK;
+                s.latency_ratio *= LIMIT_DECREASE_FACTOR;
             }
-        } else if ending == AttemptOutcome::Ok && f64::from(s.out + 1) >= s.cap.floor() {
-            let regained = if s.cap < 1.0 { s.cap / SHRINK - s.cap } else { 1.0 / s.cap };
-            s.cap += if s.eased_at.is_none() { 1.0 } else { regained };
+        } else if ending == AttemptOutcome::Ok
+            && f64::from(s.in_flight_count + 1) >= s.concurrency_limit.floor()
+        {
+            let regained = if s.concurrency_limit < 1.0 {
+                s.concurrency_limit / LIMIT_DECREASE_FACTOR - s.concurrency_limit
+            } else {
+                1.0 / s.concurrency_limit
+            };
+            s.concurrency_limit += if s.limit_reduced_at.is_none() { 1.0 } else { regained };
         }
-        let busy = took.min(self.set.classes[class].latency_objective) as f64;
-        s.rest = self.now + (busy * (1.0 / s.cap - 1.0).max(0.0)) as Micros;
+        let busy = took.min(self.settings.classes[class].latency_objective) as f64;
+        s.resume_at = self.now + (busy * (1.0 / s.concurrency_limit - 1.0).max(0.0)) as Micros;
     }
 }
--- a/src/policy/members.rs
+++ b/src/policy/members.rs
@@ -3,50 +3,58 @@
 use super::*;
 
 /// A server that left is forgotten after this time: its process may only have been started again.
-const FORGET: Micros = 20_000_000;
+const REMOVED_SERVER_RETENTION: Micros = 20_000_000;
 
 impl Router {
-    pub(super) fn members(&mut self, list: EndpointList) {
+    pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
         let named: BTreeSet<ServerId> = list.endpoints.iter().map(|m| m.server).collect();
-        let unnamed = |s: &&mut Server| list.complete && !named.contains(&s.line.server);
-        let soft = self.set.removal_is_advisory;
+        let unnamed = |s: &&mut Server| list.complete && !named.contains(&s.endpoint.server);
+        let soft = self.settings.removal_is_advisory;
         for s in self.servers.values_mut().filter(unnamed) {
-            (s.open, s.line.state) = (s.open && soft, EndpointState::Removed);
+            (s.accepts_work, s.endpoint.state) = (s.accepts_work && soft, EndpointState::Removed);
         }
         for m in list.endpoints {
             // An absurd weight counts as 1: better even than starved or flooded.
             let weight = if m.weight.is_finite() && m.weight > 0.0 { m.weight } else { 1.0 };
             let allowed = (self.rng.f64(), self.now);
-            let fresh = Server { cap: FIRST_CAP, trial_wait: FIRST_TRIAL, allowed, ..Server::default() };
-            let server = self.servers.entry(m.server).or_insert(Server { line: m.clone(), ..fresh });
-            if server.line.started_at != m.started_at && m.started_at.is_some() {
+            let fresh = Server {
+                concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
+                ejection_backoff: INITIAL_EJECTION_BACKOFF,
+                slow_start_tokens: allowed,
+                ..Server::default()
+            };
+            let server = self.servers.entry(m.server).or_insert(Server { endpoint: m.clone(), ..fresh });
+            if server.endpoint.started_at != m.started_at && m.started_at.is_some() {
                 // A new process: cold, and what was known of the old one but its log position is void.
-                (server.primary_at, server.allowed) = (None, allowed);
-                (server.failing, server.suspect, server.mute) = (0.0, false, false);
-                (server.cap, server.strain, server.eased_at, server.rest) = (FIRST_CAP / 2.0, 0.0, None, 0);
+                (server.primary_confirmed_at, server.slow_start_tokens) = (None, allowed);
+                (server.failure_rate, server.ejected, server.unresponsive) = (0.0, false, false);
+                (server.concurrency_limit, server.latency_ratio, server.limit_reduced_at, server.resume_at) =
+                    (INITIAL_CONCURRENCY_LIMIT / 2.0, 0.0, None, 0);
             }
-            self.groups.entry(server.line.group).or_default().members.remove(&m.server);
+            self.groups.entry(server.endpoint.group).or_default().members.remove(&m.server);
             self.groups.entry(m.group).or_default().members.insert(m.server);
-            server.open =
-                m.state == EndpointState::Ready || (m.state == EndpointState::Removed && soft && server.open);
-            server.line = Endpoint { weight, started_at: m.started_at.or(server.line.started_at), ..m };
+            server.accepts_work = m.state == EndpointState::Ready
+                || (m.state == EndpointState::Removed && soft && server.accepts_work);
+            server.endpoint =
+                Endpoint { weight, started_at: m.started_at.or(server.endpoint.started_at), ..m };
         }
-        self.forget();
-        self.ready_count = self.servers.values().filter(|s| s.open).count().max(1);
+        self.evict_removed_servers();
+        self.ready_count = self.servers.values().filter(|s| s.accepts_work).count().max(1);
     }
 
     /// Servers that left for good: nothing is out at them any more, and nobody takes them for alive.
-    fn forget(&mut self) {
-        let flying: BTreeSet<ServerId> = self.flying.values().map(|f| f.server).collect();
+    fn evict_removed_servers(&mut self) {
+        let flying: BTreeSet<ServerId> = self.in_flight.values().map(|f| f.server).collect();
         self.servers.retain(|id, s| {
-            s.gone_at = s.gone_at.or(Some(self.now)).filter(|_| s.line.state == EndpointState::Removed);
-            let long_gone = s.gone_at.is_some_and(|at| self.now - at >= FORGET);
-            !long_gone || (s.open && !s.mute) || flying.contains(id)
+            s.removed_at =
+                s.removed_at.or(Some(self.now)).filter(|_| s.endpoint.state == EndpointState::Removed);
+            let long_gone = s.removed_at.is_some_and(|at| self.now - at >= REMOVED_SERVER_RETENTION);
+            !long_gone || (s.accepts_work && !s.unresponsive) || flying.contains(id)
         });
         for g in self.groups.values_mut() {
             g.members.retain(|id| self.servers.contains_key(id));
         }
-        self.groups.retain(|_, g| !g.members.is_empty() || !g.held.is_empty());
+        self.groups.retain(|_, g| !g.members.is_empty() || !g.queued.is_empty());
     }
 
     /// Does the module still know of this server?
@@ -56,12 +64,12 @@
 
     /// Nothing new goes to it now: it drains or is gone, or is suspect (to writes: mute) and no trial is due.
     pub fn is_avoided(&self, now: Micros, id: ServerId) -> bool {
-        let Some(s) = self.ready(id) else { return true };
-        let writes = !s.mute && self.primary(s.line.group) == Some(id);
-        s.suspect && s.trial_at > Some(now) && !writes
+        let Some(s) = self.accepting_server(id) else { return true };
+        let writes = !s.unresponsive && self.primary(s.endpoint.group) == Some(id);
+        s.ejected && s.half_open_at > Some(now) && !writes
     }
 
-    pub(super) fn ready(&self, id: ServerId) -> Option<&Server> {
-        self.servers.get(&id).filter(|s| s.open)
+    pub(super) fn accepting_server(&self, id: ServerId) -> Option<&Server> {
+        self.servers.get(&id).filter(|s| s.accepts_work)
     }
 }
--- a/src/policy/suspicion.rs
+++ b/src/policy/suspicion.rs
@@ -3,44 +3,48 @@
 use super::*;
 
 /// A server failing more than this share of its requests is avoided, until down to a third of it.
-const FAILING: f64 = 0.3;
+const EJECTION_FAILURE_RATE: f64 = 0.3;
 /// Each router leaves so much time to each of the others: 20 trials a second of one server, however many.
-const TRIAL_TURN: Micros = 50_000;
+const EJECTION_RETRY_SPACING: Micros = 50_000;
 
 impl Router {
-    pub(super) fn suspect(&mut self, id: ServerId, mute: bool, out: &mut Vec<Action>) {
+    pub(super) fn eject(&mut self, id: ServerId, mute: bool, actions: &mut Vec<Action>) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        s.mute |= mute;
-        if !s.suspect || Some(self.now) >= s.trial_at {
-            s.trial_at = Some(self.now + s.trial_wait.max(Micros::from(self.set.proxy_count) * TRIAL_TURN));
-            s.trial_wait = (s.trial_wait * 2).min(LONGEST_TRIAL);
+        s.unresponsive |= mute;
+        if !s.ejected || Some(self.now) >= s.half_open_at {
+            s.half_open_at = Some(
+                self.now
+                    + s.ejection_backoff
+                        .max(Micros::from(self.settings.proxy_count) * EJECTION_RETRY_SPACING),
+            );
+            s.ejection_backoff = (s.ejection_backoff * 2).min(MAX_EJECTION_BACKOFF);
         }
-        if !std::mem::replace(&mut s.suspect, true) {
+        if !std::mem::replace(&mut s.ejected, true) {
             let why = if mute { "gives no sign of life" } else { "fails its requests" };
-            out.push(Action::Log(format!("server {} {why}: reads avoid it", id.0)));
+            actions.push(Action::Log(format!("server {} {why}: reads avoid it", id.0)));
         }
     }
 
     /// A sign of life; `failed` tells whether the request itself went wrong.
-    pub(super) fn heard(&mut self, id: ServerId, failed: bool, out: &mut Vec<Action>) {
+    pub(super) fn record_sign_of_life(&mut self, id: ServerId, failed: bool, actions: &mut Vec<Action>) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        (s.last_reply, s.mute) = (Some(self.now), false);
-        self.tally(id, failed, out);
+        (s.last_response_at, s.unresponsive) = (Some(self.now), false);
+        self.record_outcome(id, failed, actions);
     }
 
-    pub(super) fn tally(&mut self, id: ServerId, failed: bool, out: &mut Vec<Action>) {
+    pub(super) fn record_outcome(&mut self, id: ServerId, failed: bool, actions: &mut Vec<Action>) {
         let Some(s) = self.servers.get_mut(&id) else { return };
-        blend(&mut s.failing, f64::from(failed), QUICK_BLEND);
-        if failed && s.failing > FAILING {
-            self.suspect(id, false, out);
-        } else if s.suspect && s.failing <= FAILING / 3.0 {
-            (s.suspect, s.trial_wait) = (false, FIRST_TRIAL);
-        } else if s.suspect && !failed {
-            s.trial_at = Some(self.now);
+        update_mean(&mut s.failure_rate, f64::from(failed), RECENT_SAMPLE_WEIGHT);
+        if failed && s.failure_rate > EJECTION_FAILURE_RATE {
+            self.eject(id, false, actions);
+        } else if s.ejected && s.failure_rate <= EJECTION_FAILURE_RATE / 3.0 {
+            (s.ejected, s.ejection_backoff) = (false, INITIAL_EJECTION_BACKOFF);
+        } else if s.ejected && !failed {
+            s.half_open_at = Some(self.now);
         }
     }
 
-    pub(super) fn trial_due(&self, s: &Server) -> bool {
-        s.out == 0 && s.suspect && Some(self.now) >= s.trial_at
+    pub(super) fn is_half_open(&self, s: &Server) -> bool {
+        s.in_flight_count == 0 && s.ejected && Some(self.now) >= s.half_open_at
     }
 }
