--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,14 +2,14 @@
 //! Writes go to the primary; each read goes to the replica, among those fresh enough, with the
 //! fewest outstanding requests per unit weight, own zone first while no busier.
 
+mod admission;
 mod attempt_results;
 mod attempts;
-mod choice;
-mod entry;
-mod freshness;
-mod limits;
-mod members;
-mod suspicion;
+mod concurrency;
+mod endpoints;
+mod outlier_detection;
+mod positions;
+mod server_selection;
 
 use crate::estimates::{LatencyEstimates, MIN_WAKE_DELAY, initial_latency, update_mean};
 use crate::interface::*;
