--- a/benches/src/fleet.rs
+++ b/benches/src/fleet.rs
@@ -2,7 +2,7 @@
 //! what `health/tests/fleet.rs` asserts, beside the ways that were not taken.
 
 use crate::Done;
-use birchreach_health::{Group, HealthEvent, Micros, Monitor, Server, Settings};
+use birchreach_health::{GroupId, HealthEvent, HealthSettings, Micros, Monitor, ServerId};
 use plotters::prelude::*;
 use std::path::Path;
 
@@ -30,12 +30,12 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut monitors: Vec<Monitor> = (0..PROXIES)
         .map(|_| {
-            let mut m = Monitor::new(Settings::default(), 0);
+            let mut m = Monitor::new(HealthSettings::default(), 0);
             m.handle_event(
                 0,
                 HealthEvent::ServerListed {
-                    server: Server(0),
-                    group: Group(0),
+                    server: ServerId(0),
+                    group: GroupId(0),
                     primary: Some(true),
                     up: true,
                 },
@@ -57,8 +57,11 @@
         }
         for n in 0..PROXIES {
             let pressure = (used[n] + 0.02 * (rng.f64() - 0.5)).min(1.0);
-            monitors[n].handle_event(now, HealthEvent::Load { pressure, in_progress: 0, held: 0, room: 0 });
-            monitors[n].step(now);
+            monitors[n].handle_event(
+                now,
+                HealthEvent::Load { pressure, in_progress: 0, queued: 0, client_capacity: 0 },
+            );
+            monitors[n].update(now);
             weight[n] = match way {
                 Way::Step => {
                     if pressure > 0.9 {
@@ -68,7 +71,7 @@
                     }
                 }
                 Way::Free => (100.0 * (1.0 - pressure)).round().max(1.0),
-                Way::Loop => f64::from(monitors[n].verdict().whole.weight),
+                Way::Loop => f64::from(monitors[n].verdict().overall.weight_percent),
             };
             for (b, r) in read.iter_mut().enumerate() {
                 let turn = every / PROXIES as Micros * n as Micros + b as Micros * every / 2;
--- a/health/src/claim.rs
+++ b/health/src/claim.rs
@@ -2,7 +2,7 @@
 //! forth. Owns nothing but its own times; never decides what is seen.
 
 use crate::Micros;
-use crate::settings::Settings;
+use crate::settings::HealthSettings;
 use crate::verdict::Reason;
 
 /// Falls within this time slow the next rise down.
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
-    pub able: bool,
+    pub available: bool,
     pub reason: Reason,
     /// Since when it is told as it is.
     pub since: Micros,
@@ -27,7 +27,7 @@
 impl Claim {
     pub fn new(now: Micros) -> Claim {
         Claim {
-            able: false,
+            available: false,
             reason: Reason::Starting,
             since: now,
             other: None,
@@ -38,8 +38,8 @@
     }
 
     /// Takes what is seen now. True: it is told from now on.
-    pub fn see(&mut self, now: Micros, able: bool, reason: Reason, s: &Settings) -> bool {
-        if able == self.able {
+    pub fn see(&mut self, now: Micros, able: bool, reason: Reason, s: &HealthSettings) -> bool {
+        if able == self.available {
             self.other = None;
             self.reason = reason;
             return false;
@@ -55,21 +55,25 @@
             self.falls = if now - self.fell_at < MEMORY { (self.falls + 1).min(MOST_DOUBLED + 1) } else { 1 };
             self.fell_at = now;
         }
-        *self = Claim { able, reason, since: now, other: None, fresh: false, ..*self };
+        *self = Claim { available: able, reason, since: now, other: None, fresh: false, ..*self };
         true
     }
 
     /// When what is seen will be told, if it goes on.
-    pub fn due(&self, s: &Settings) -> Option<Micros> {
+    pub fn due(&self, s: &HealthSettings) -> Option<Micros> {
         let other = self.other?;
         if self.fresh {
             return Some(other);
         }
-        let (lasts, held) = if self.able { (s.fall, s.hold_able) } else { (self.rise(s), s.hold_unable) };
+        let (lasts, held) = if self.available {
+            (s.withdraw_after, s.min_time_available)
+        } else {
+            (self.rise(s), s.min_time_unavailable)
+        };
         Some((other + lasts).max(self.since + held))
     }
 
-    fn rise(&self, s: &Settings) -> Micros {
-        (s.rise << self.falls.saturating_sub(1).min(MOST_DOUBLED)).min(s.rise_most)
+    fn rise(&self, s: &HealthSettings) -> Micros {
+        (s.restore_after << self.falls.saturating_sub(1).min(MOST_DOUBLED)).min(s.restore_after_max)
     }
 }
--- a/health/src/evidence.rs
+++ b/health/src/evidence.rs
@@ -1,8 +1,8 @@
 //! What was heard of one server, and for how long it has owed a sign of life. Owns the clock of its silence; never
 //! says what follows for a group.
 
-use crate::settings::Settings;
-use crate::{Group, Micros, Role};
+use crate::settings::HealthSettings;
+use crate::{GroupId, Micros, Role};
 
 /// Connections broken in a row, without a sign of life between, that tell of an end.
 const RESETS: u32 = 3;
@@ -23,7 +23,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Evidence {
-    pub group: Group,
+    pub group: GroupId,
     pub up: bool,
     /// The list says that it is the primary, or is not.
     pub listed: Option<bool>,
@@ -46,7 +46,7 @@
 }
 
 impl Evidence {
-    pub fn new(now: Micros, group: Group) -> Evidence {
+    pub fn new(now: Micros, group: GroupId) -> Evidence {
         Evidence {
             group,
             up: true,
@@ -142,10 +142,10 @@
     }
 
     /// What speaks against its taking writes.
-    pub fn against(&self, now: Micros, s: &Settings) -> Option<Against> {
+    pub fn against(&self, now: Micros, s: &HealthSettings) -> Option<Against> {
         if self.gone.is_some() {
             Some(Against::Gone)
-        } else if self.silence(now) >= s.silent_after() {
+        } else if self.silence(now) >= s.silence_limit() {
             Some(Against::Silent)
         } else if self.writes >= WRITES && now - self.writes_at < TRIED_AGAIN {
             Some(Against::WritesUnanswered)
@@ -155,15 +155,15 @@
     }
 
     /// Nothing is to be expected of it, for reads either.
-    pub fn dead(&self, now: Micros, s: &Settings) -> bool {
+    pub fn dead(&self, now: Micros, s: &HealthSettings) -> bool {
         let fresh = self.out > 0 || now - self.last_out < FORGIVEN;
         fresh && matches!(self.against(now, s), Some(Against::Gone | Against::Silent))
     }
 
     /// When time alone will change what is said above.
-    pub fn next(&self, now: Micros, s: &Settings) -> Option<Micros> {
-        let silent = self.since.filter(|_| self.silence(now) < s.silent_after());
-        let silent = silent.map(|since| since + s.silent_after() - self.silent);
+    pub fn next(&self, now: Micros, s: &HealthSettings) -> Option<Micros> {
+        let silent = self.since.filter(|_| self.silence(now) < s.silence_limit());
+        let silent = silent.map(|since| since + s.silence_limit() - self.silent);
         let forgiven = (self.out == 0 && self.dead(now, s)).then_some(self.last_out + FORGIVEN);
         let again = (self.writes >= WRITES).then_some(self.writes_at + TRIED_AGAIN).filter(|at| *at > now);
         [silent, forgiven, again].into_iter().flatten().min()
--- a/health/src/http.rs
+++ b/health/src/http.rs
@@ -1,34 +1,34 @@
 //! HTTP/1.1 health: GET, HEAD and OPTIONS on a handful of paths. A machine fed bytes that answers from the verdict it is
 //! handed; it knows no socket and no clock.
 //!
-//! Owns the framing and the mapping of verdicts to statuses and headers. Never keeps more than [`HEAD`] of input for
-//! one call, nor answers more than [`AHEAD`] bytes ahead of a caller that reads nothing.
+//! Owns the framing and the mapping of verdicts to statuses and headers. Never keeps more than [`MAX_HEAD_BYTES`] of input for
+//! one call, nor answers more than [`MAX_PENDING_OUTPUT_BYTES`] bytes ahead of a caller that reads nothing.
 
-use crate::verdict::{Capability, Kind, Question, Reason, State, Verdict};
-use crate::{Group, Micros, Server};
+use crate::verdict::{Capability, HealthQuery, Operation, Reason, State, Verdict};
+use crate::{GroupId, Micros, ServerId};
 use serde::Serialize;
 use std::borrow::Cow;
 
 /// A call's request line and headers together; the longest target; headers in one call.
-pub const HEAD: usize = 8 << 10;
+pub const MAX_HEAD_BYTES: usize = 8 << 10;
 const TARGET: usize = 1 << 10;
 const HEADERS: usize = 64;
 /// A body is of no use here: a short one is passed over, a longer one ends the connection.
 const BODY: usize = 4 << 10;
 /// Replies that wait to be read; calls behind them wait too.
-pub const AHEAD: usize = 16 << 10;
+pub const MAX_PENDING_OUTPUT_BYTES: usize = 16 << 10;
 
 /// How servers are called in what people read.
-pub type Names<'a> = &'a dyn Fn(Server) -> String;
+pub type ServerNames<'a> = &'a dyn Fn(ServerId) -> String;
 
 /// A balancer's connection.
 #[derive(Default)]
-pub struct Caller {
+pub struct HttpCheckConnection {
     input: Vec<u8>,
     /// Bytes of a body that are still to be passed over.
     skip: usize,
     /// What waits to be written.
-    pub out: Vec<u8>,
+    pub output: Vec<u8>,
     closing: bool,
     calls: u64,
 }
@@ -40,32 +40,32 @@
     body: Cow<'a, str>,
 }
 
-impl Caller {
+impl HttpCheckConnection {
     /// More input may be read.
-    pub fn hungry(&self) -> bool {
-        !self.closing && self.input.len() < 2 * HEAD
+    pub fn wants_input(&self) -> bool {
+        !self.closing && self.input.len() < 2 * MAX_HEAD_BYTES
     }
 
     /// All is written, and the connection is to be closed.
-    pub fn over(&self) -> bool {
-        self.closing && self.out.is_empty()
+    pub fn is_finished(&self) -> bool {
+        self.closing && self.output.is_empty()
     }
 
     /// A call has begun and is not whole.
-    pub fn halfway(&self) -> bool {
+    pub fn has_partial_request(&self) -> bool {
         self.skip > 0 || !self.input.is_empty()
     }
 
     /// Calls answered.
-    pub fn calls(&self) -> u64 {
+    pub fn requests_answered(&self) -> u64 {
         self.calls
     }
 
     /// So much of `out` has been written.
-    pub fn wrote(&mut self, n: usize) {
-        self.out.drain(..n.min(self.out.len()));
-        if self.out.is_empty() {
-            self.out.shrink_to(4 << 10);
+    pub fn output_written(&mut self, n: usize) {
+        self.output.drain(..n.min(self.output.len()));
+        if self.output.is_empty() {
+            self.output.shrink_to(4 << 10);
         }
     }
 
@@ -76,8 +76,8 @@
     }
 
     /// Answers the calls that are whole, as far as the caller reads. False: others may wait until it has read.
-    pub fn run(&mut self, now: Micros, verdict: &Verdict, names: Names) -> bool {
-        while !self.closing && self.out.len() < AHEAD {
+    pub fn process(&mut self, now: Micros, verdict: &Verdict, names: ServerNames) -> bool {
+        while !self.closing && self.output.len() < MAX_PENDING_OUTPUT_BYTES {
             if !self.one(now, verdict, names) {
                 return true;
             }
@@ -86,7 +86,7 @@
     }
 
     /// One call. False: none is whole.
-    fn one(&mut self, now: Micros, verdict: &Verdict, names: Names) -> bool {
+    fn one(&mut self, now: Micros, verdict: &Verdict, names: ServerNames) -> bool {
         let skipped = self.skip.min(self.input.len());
         self.input.drain(..skipped);
         self.skip -= skipped;
@@ -96,8 +96,8 @@
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let (head, call) = match request.parse(&self.input) {
-            Ok(httparse::Status::Complete(head)) if head <= HEAD => (head, Call::read(&request)),
-            Ok(httparse::Status::Partial) if self.input.len() < HEAD => return false,
+            Ok(httparse::Status::Complete(head)) if head <= MAX_HEAD_BYTES => (head, Call::read(&request)),
+            Ok(httparse::Status::Partial) if self.input.len() < MAX_HEAD_BYTES => return false,
             Ok(_) => return self.refuse(431),
             Err(httparse::Error::TooManyHeaders) => return self.refuse(431),
             Err(httparse::Error::Version) => return self.refuse(505),
@@ -129,7 +129,7 @@
         self.calls += 1;
         let text =
             |s: &mut Vec<u8>, parts: &[&str]| parts.iter().for_each(|p| s.extend_from_slice(p.as_bytes()));
-        let out = &mut self.out;
+        let out = &mut self.output;
         text(out, &["HTTP/1.1 ", &reply.status.to_string(), " ", phrase(reply.status), "\r\n"]);
         if !reply.body.is_empty() {
             let json = reply.body.starts_with('{');
@@ -180,7 +180,7 @@
 
 enum Path {
     Live,
-    Ask(Question),
+    Ask(HealthQuery),
     Whole,
     None,
 }
@@ -236,21 +236,21 @@
         Ok(Call { method, path: path(target), keep, body })
     }
 
-    fn answer<'a>(&self, now: Micros, verdict: &Verdict, names: Names) -> Reply<'a> {
+    fn answer<'a>(&self, now: Micros, verdict: &Verdict, names: ServerNames) -> Reply<'a> {
         if self.method == Method::Options {
             return Reply { status: 204, headers: vec![ALLOW], body: "".into() };
         }
         let told = match &self.path {
             Path::None => None,
             Path::Live => return Reply { status: 200, headers: Vec::new(), body: "alive\n".into() },
-            Path::Whole => Some((verdict.whole, report(now, verdict, names))),
-            Path::Ask(question) => verdict.ask(question).map(|c| (c, json(&Told::of(now, &c)))),
+            Path::Whole => Some((verdict.overall, report(now, verdict, names))),
+            Path::Ask(question) => verdict.capability(question).map(|c| (c, json(&Told::of(now, &c)))),
         };
         let Some((capability, body)) = told else {
             return Reply { status: 404, headers: Vec::new(), body: "no such capability\n".into() };
         };
         let mut headers = Vec::new();
-        if capability.able {
+        if capability.available {
             if capability.partial || verdict.state == State::Overloaded {
                 headers.push(("x-envoy-degraded", "true"));
             }
@@ -262,7 +262,7 @@
                 headers.push(("x-envoy-immediate-health-check-fail", "true"));
             }
         }
-        Reply { status: if capability.able { 200 } else { 503 }, headers, body: body.into() }
+        Reply { status: if capability.available { 200 } else { 503 }, headers, body: body.into() }
     }
 }
 
@@ -270,30 +270,34 @@
 fn path(target: &str) -> Path {
     let target = target.split(['?', '#']).next().unwrap_or_default();
     let parts: Vec<&str> = target.trim_start_matches('/').split('/').collect();
-    let group = |n: &str| n.parse().ok().map(Group);
+    let group = |n: &str| n.parse().ok().map(GroupId);
     let asked = match parts[..] {
         ["live"] => return Path::Live,
         ["health"] => return Path::Whole,
-        ["ready"] => Some(Question::default()),
+        ["ready"] => Some(HealthQuery::default()),
         ["class", name] => class(name, None),
         ["class", name, "group", n] => group(n).and_then(|g| class(name, Some(g))),
-        ["group", n] => group(n).map(|g| Question { group: Some(g), ..Question::default() }),
+        ["group", n] => group(n).map(|g| HealthQuery { group: Some(g), ..HealthQuery::default() }),
         ["group", n, kind] => {
             let kind = match kind {
-                "read" => Some(Kind::Read),
-                "write" => Some(Kind::Write),
+                "read" => Some(Operation::Read),
+                "write" => Some(Operation::Write),
                 _ => None,
             };
-            group(n).filter(|_| kind.is_some()).map(|g| Question { class: None, group: Some(g), kind })
+            group(n).filter(|_| kind.is_some()).map(|g| HealthQuery {
+                class: None,
+                group: Some(g),
+                operation: kind,
+            })
         }
         _ => None,
     };
     asked.filter(|_| target.starts_with('/')).map_or(Path::None, Path::Ask)
 }
 
-fn class(name: &str, group: Option<Group>) -> Option<Question> {
+fn class(name: &str, group: Option<GroupId>) -> Option<HealthQuery> {
     let name = percent_encoding::percent_decode_str(name).decode_utf8().ok()?;
-    Some(Question { class: Some(name.into_owned()), group, kind: None })
+    Some(HealthQuery { class: Some(name.into_owned()), group, operation: None })
 }
 
 /// A capability as programs read it.
@@ -309,10 +313,10 @@
 impl Told {
     fn of(now: Micros, c: &Capability) -> Told {
         Told {
-            able: c.able,
+            able: c.available,
             partial: c.partial,
             reason: c.reason,
-            weight: c.weight,
+            weight: c.weight_percent,
             since_ms: ago(now, c.since),
         }
     }
@@ -320,7 +324,7 @@
 
 #[derive(Serialize)]
 struct ToldGroup {
-    group: Group,
+    group: GroupId,
     members: usize,
     primary: Option<String>,
     proven_ms: Option<Micros>,
@@ -359,28 +363,28 @@
 }
 
 /// All that is told, with reasons and ages in milliseconds.
-pub fn report(now: Micros, verdict: &Verdict, names: Names) -> String {
+pub fn report(now: Micros, verdict: &Verdict, names: ServerNames) -> String {
     let classes = verdict.classes.iter().map(|class| {
-        let question = Question { class: Some(class.name.clone()), ..Question::default() };
-        ToldClass { class: &class.name, told: verdict.ask(&question).map(|c| Told::of(now, &c)) }
+        let question = HealthQuery { class: Some(class.name.clone()), ..HealthQuery::default() };
+        ToldClass { class: &class.name, told: verdict.capability(&question).map(|c| Told::of(now, &c)) }
     });
     let groups = verdict.groups.iter().map(|g| ToldGroup {
         group: g.group,
-        members: g.members,
-        primary: g.primary.map(names),
+        members: g.working_servers,
+        primary: g.proven_primary.map(names),
         proven_ms: g.proven_at.map(|at| ago(now, at)),
         read: Told::of(now, &g.read),
         write: Told::of(now, &g.write),
     });
     json(&Report {
         state: verdict.state,
-        whole: Told::of(now, &verdict.whole),
+        whole: Told::of(now, &verdict.overall),
         pressure: (verdict.pressure * 1000.0).round() / 1000.0,
         in_progress: verdict.in_progress,
-        held: verdict.held,
-        room: verdict.room,
-        discovery_ms: verdict.discovery_at.map(|at| ago(now, at)),
-        ignored: verdict.ignored,
+        held: verdict.queued,
+        room: verdict.client_capacity,
+        discovery_ms: verdict.discovery_heard_at.map(|at| ago(now, at)),
+        ignored: verdict.ignored_servers,
         classes: classes.collect(),
         groups: groups.collect(),
     })
--- a/health/src/monitor.rs
+++ b/health/src/monitor.rs
@@ -4,10 +4,10 @@
 use crate::claim::Claim;
 use crate::evidence::{Against, Evidence};
 use crate::probes::Budget;
-use crate::settings::{Idle, Overload, Probing, Settings, Shared};
-use crate::verdict::{Capability, Change, GroupVerdict, Kind, Reason, State, Verdict};
+use crate::settings::{HealthSettings, IdleGroupPolicy, OverloadPolicy, ProbeSettings, SharedCausePolicy};
+use crate::verdict::{Capability, Change, GroupVerdict, Operation, Reason, State, Verdict};
 use crate::weight::Weight;
-use crate::{Group, Micros, Role, Server};
+use crate::{GroupId, Micros, Role, ServerId};
 use std::collections::BTreeMap;
 
 /// What is beyond is counted and left out: a list of this size is no list.
@@ -42,25 +42,25 @@
 pub enum HealthEvent {
     /// The list has a server, or says something else of it. `primary`: what it says of its role, if it does; `up`: it
     /// takes new work.
-    ServerListed { server: Server, group: Group, primary: Option<bool>, up: bool },
+    ServerListed { server: ServerId, group: GroupId, primary: Option<bool>, up: bool },
     /// The list has it no more.
-    ServerUnlisted { server: Server },
+    ServerUnlisted { server: ServerId },
     /// Discovery was heard.
     DiscoveryAnswered,
     /// An attempt goes out.
-    RequestSent { server: Server },
+    RequestSent { server: ServerId },
     /// It came back, and what the server said that it is.
-    RequestEnded { server: Server, write: bool, outcome: ProbeOutcome, role: Option<Role> },
+    RequestEnded { server: ServerId, write: bool, outcome: ProbeOutcome, role: Option<Role> },
     /// A probe that was asked for came back.
-    ProbeEnded { server: Server, outcome: ProbeOutcome, role: Option<Role> },
+    ProbeEnded { server: ServerId, outcome: ProbeOutcome, role: Option<Role> },
     /// A sign of life beside answers: a connection came up.
-    ServerAlive { server: Server },
+    ServerAlive { server: ServerId },
     /// A read got its final answer.
-    ReadEnded { group: Group, served: bool },
+    ReadEnded { group: GroupId, served: bool },
     /// Since when the oldest of a group's writes is held for want of a server, if one is.
-    WritesQueued { group: Group, since: Option<Micros> },
+    WritesQueued { group: GroupId, since: Option<Micros> },
     /// What the proxy itself has to carry: pressure (0 to 1) since the last time, and figures to tell.
-    Load { pressure: f64, in_progress: usize, held: usize, room: usize },
+    Load { pressure: f64, in_progress: usize, queued: usize, client_capacity: usize },
     /// It is not ready before this time.
     ReadyAt(Micros),
     /// It was told to stop.
@@ -110,13 +110,13 @@
 struct Members {
     write: Claim,
     read: Claim,
-    proof: Option<(Server, Micros)>,
+    proof: Option<(ServerId, Micros)>,
     /// Evidence has withdrawn the claim: what the list says counts no more until there is a proof.
     distrust: Option<Reason>,
     held: Option<Micros>,
     reads: Reads,
     /// Its servers by the list, and how many of them took work at the last look.
-    ids: Vec<Server>,
+    ids: Vec<ServerId>,
     up: usize,
 }
 
@@ -140,7 +140,7 @@
     }
 }
 
-type Servers = BTreeMap<Server, Watched>;
+type Servers = BTreeMap<ServerId, Watched>;
 
 struct Watched {
     evidence: Evidence,
@@ -152,9 +152,9 @@
 }
 
 pub struct Monitor {
-    settings: Settings,
-    servers: BTreeMap<Server, Watched>,
-    groups: BTreeMap<Group, Members>,
+    settings: HealthSettings,
+    servers: BTreeMap<ServerId, Watched>,
+    groups: BTreeMap<GroupId, Members>,
     weight: Weight,
     budget: Budget,
     rng: fastrand::Rng,
@@ -170,13 +170,13 @@
     next: Micros,
     verdict: Verdict,
     changes: Vec<Change>,
-    wanted: Vec<Server>,
+    wanted: Vec<ServerId>,
     /// Answers and reads alone move nothing that is told at once.
     stepped: Micros,
 }
 
 impl Monitor {
-    pub fn new(settings: Settings, now: Micros) -> Monitor {
+    pub fn new(settings: HealthSettings, now: Micros) -> Monitor {
         Monitor {
             verdict: Verdict::new(now, &settings),
             rng: fastrand::Rng::with_seed(settings.seed),
@@ -202,9 +202,9 @@
     }
 
     /// Other settings are in force from now on; what was heard stays.
-    pub fn settings(&mut self, now: Micros, settings: Settings) {
+    pub fn apply_settings(&mut self, now: Micros, settings: HealthSettings) {
         self.verdict.classes.clone_from(&settings.classes);
-        self.verdict.sum = settings.sum;
+        self.verdict.aggregation = settings.aggregation;
         self.settings = settings;
         self.next = now;
     }
@@ -220,12 +220,12 @@
     }
 
     /// What was told otherwise since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// Whom to probe now. Each must come back as [`HealthEvent::ProbeEnded`].
-    pub fn probes(&mut self) -> Vec<Server> {
+    pub fn take_probes(&mut self) -> Vec<ServerId> {
         std::mem::take(&mut self.wanted)
     }
 
@@ -248,7 +248,7 @@
                 let Some(watched) = self.servers.get_mut(&server) else { return };
                 watched.evidence.sent(now);
                 let silent = watched.evidence.next(now, &self.settings);
-                let suspect = self.settings.probes.as_ref().map(|p| p.suspect);
+                let suspect = self.settings.probes.as_ref().map(|p| p.suspect_after);
                 let suspect = suspect.and_then(|long| watched.evidence.silent_at(now, long));
                 silent.into_iter().chain(suspect).for_each(|at| self.by(at));
             }
@@ -286,7 +286,7 @@
             HealthEvent::ReadEnded { group, served } => {
                 if let Some(members) = self.groups.get_mut(&group) {
                     members.reads.ended(now, served);
-                    if served != members.read.able {
+                    if served != members.read.available {
                         self.look(now);
                     }
                 }
@@ -295,13 +295,14 @@
                 if let Some(members) = self.groups.get_mut(&group)
                     && std::mem::replace(&mut members.held, since) != since
                 {
-                    let told = since.map_or(now, |since| since + self.settings.silent_after());
+                    let told = since.map_or(now, |since| since + self.settings.silence_limit());
                     self.by(told.max(now));
                 }
             }
-            HealthEvent::Load { pressure, in_progress, held, room } => {
+            HealthEvent::Load { pressure, in_progress, queued: held, client_capacity: room } => {
                 self.weight.press(now, pressure, &self.settings.weight);
-                (self.verdict.in_progress, self.verdict.held, self.verdict.room) = (in_progress, held, room);
+                (self.verdict.in_progress, self.verdict.queued, self.verdict.client_capacity) =
+                    (in_progress, held, room);
                 self.by(now);
             }
             HealthEvent::ReadyAt(at) => {
@@ -328,14 +329,14 @@
         self.by((self.stepped + 10_000).max(now));
     }
 
-    fn list(&mut self, now: Micros, server: Server, group: Group, primary: Option<bool>, up: bool) {
+    fn list(&mut self, now: Micros, server: ServerId, group: GroupId, primary: Option<bool>, up: bool) {
         self.listed = true;
         self.by(now);
         let moves = self.servers.get(&server).is_none_or(|w| w.evidence.group != group);
         if moves {
             let tables = self.servers.len() < MOST_SERVERS || self.servers.contains_key(&server);
             if !tables || (self.groups.len() >= MOST_GROUPS && !self.groups.contains_key(&group)) {
-                self.verdict.ignored += 1;
+                self.verdict.ignored_servers += 1;
                 return;
             }
             self.leave(server);
@@ -349,14 +350,14 @@
     }
 
     /// Its group has it no more.
-    fn leave(&mut self, server: Server) {
+    fn leave(&mut self, server: ServerId) {
         let group = self.servers.get(&server).map(|w| w.evidence.group);
         if let Some(members) = group.and_then(|group| self.groups.get_mut(&group)) {
             members.ids.retain(|id| *id != server);
         }
     }
 
-    fn ended(&mut self, now: Micros, server: Server, write: bool, how: ProbeOutcome) {
+    fn ended(&mut self, now: Micros, server: ServerId, write: bool, how: ProbeOutcome) {
         let Some(watched) = self.servers.get_mut(&server) else { return };
         let e = &mut watched.evidence;
         let doubted = e.owes || e.is_gone();
@@ -371,7 +372,8 @@
         match how {
             // The ordinary case costs no step.
             ProbeOutcome::Answered => {
-                if doubted && self.groups.get(&group).is_some_and(|g| !g.write.able || !g.read.able) {
+                if doubted && self.groups.get(&group).is_some_and(|g| !g.write.available || !g.read.available)
+                {
                     self.look(now);
                 }
             }
@@ -380,7 +382,7 @@
         }
     }
 
-    fn says(&mut self, now: Micros, server: Server, role: Role) {
+    fn says(&mut self, now: Micros, server: ServerId, role: Role) {
         let Some(watched) = self.servers.get_mut(&server) else { return };
         watched.evidence.says(now, role);
         let Some(members) = self.groups.get_mut(&watched.evidence.group) else { return };
@@ -389,7 +391,7 @@
                 let moved = members.proof.is_none_or(|(proven, _)| proven != server);
                 members.proof = Some((server, now));
                 members.distrust = None;
-                if moved || !members.write.able {
+                if moved || !members.write.available {
                     self.look(now);
                 }
             }
@@ -404,7 +406,7 @@
     }
 
     /// Looks at everything that time or facts may have changed.
-    pub fn step(&mut self, now: Micros) {
+    pub fn update(&mut self, now: Micros) {
         self.stepped = now;
         let mut next = Micros::MAX;
         let mut by = |at: Option<Micros>| next = next.min(at.unwrap_or(Micros::MAX));
@@ -413,21 +415,31 @@
         for (&group, members) in &mut self.groups {
             let (able, reason) = writes(now, members, &self.servers, s);
             if members.write.see(now, able, reason, s) {
-                self.changes.push(Change::Claim { group, kind: Kind::Write, able, reason });
+                self.changes.push(Change::Capability {
+                    group,
+                    operation: Operation::Write,
+                    available: able,
+                    reason,
+                });
                 if !able && reason.is_evidence() {
                     (members.proof, members.distrust) = (None, Some(reason));
                 }
             }
             if let Some((_, at)) = members.proof {
-                by(Some(at + s.window).filter(|at| *at > now));
+                by(Some(at + s.proof_window).filter(|at| *at > now));
             }
-            by(members.held.map(|since| since + s.silent_after()).filter(|at| *at > now));
+            by(members.held.map(|since| since + s.silence_limit()).filter(|at| *at > now));
             let (able, reason) = reads(now, members, &self.servers, s);
             if members.read.see(now, able, reason, s) {
-                self.changes.push(Change::Claim { group, kind: Kind::Read, able, reason });
+                self.changes.push(Change::Capability {
+                    group,
+                    operation: Operation::Read,
+                    available: able,
+                    reason,
+                });
             }
             // Withdrawn for failing, they are tried again when the last spans have passed.
-            by((!members.read.able && reason == Reason::ReadsFailing).then_some(now + SPAN));
+            by((!members.read.available && reason == Reason::ReadsFailing).then_some(now + SPAN));
             by(members.write.due(s));
             by(members.read.due(s));
         }
@@ -458,25 +470,25 @@
     /// The whole, and with it what is told of every group.
     fn own(&mut self, now: Micros) -> Option<Micros> {
         let s = &self.settings;
-        let deaf = self.discovery.unwrap_or(self.started) + s.discovery_after;
+        let deaf = self.discovery.unwrap_or(self.started) + s.discovery_lost_after;
         let tried = self.servers.values().filter(|w| w.evidence.owes || w.evidence.is_gone());
         let dead = |w: &Watched| w.evidence.against(now, s).is_some_and(|a| a != Against::WritesUnanswered);
         let (tried, unheard) = tried.fold((0, 0), |n, w| (n.0 + 1, n.1 + usize::from(dead(w))));
         let lately = self.servers.values().filter_map(|w| w.evidence.heard).max();
-        let unheard = tried > 0 && unheard == tried && lately.is_none_or(|at| now - at >= s.silent_after());
+        let unheard = tried > 0 && unheard == tried && lately.is_none_or(|at| now - at >= s.silence_limit());
         let blind = now >= deaf && unheard;
         let seeing = if blind { Reason::Blind } else { Reason::Proven };
         self.seeing.see(now, !blind, seeing, s);
-        let crowded = self.weight.pressure() >= s.overload_at;
+        let crowded = self.weight.pressure() >= s.overload_pressure;
         let coping = if crowded { Reason::Overloaded } else { Reason::Proven };
         self.coping.see(now, !crowded, coping, s);
         let starting = now < self.ready_at || !self.listed;
         let replaced = self.yield_at.is_some_and(|at| now >= at);
-        let writes = self.groups.values().filter(|g| g.write.able).count();
-        let whole = self.groups.values().all(|g| g.write.able && g.read.able);
+        let writes = self.groups.values().filter(|g| g.write.available).count();
+        let whole = self.groups.values().all(|g| g.write.available && g.read.available);
         let worst = || {
             let claims = self.groups.values().flat_map(|g| [&g.write, &g.read]);
-            claims.filter(|c| !c.able).map(|c| c.reason).max().unwrap_or(Reason::NoGroups)
+            claims.filter(|c| !c.available).map(|c| c.reason).max().unwrap_or(Reason::NoGroups)
         };
         let (state, reason) = if self.maintenance {
             (State::Maintenance, Reason::Maintenance)
@@ -486,9 +498,9 @@
             (State::Draining, Reason::Replaced)
         } else if starting {
             (State::Starting, Reason::Starting)
-        } else if !self.seeing.able {
+        } else if !self.seeing.available {
             (State::Blind, Reason::Blind)
-        } else if !self.coping.able {
+        } else if !self.coping.available {
             (State::Overloaded, Reason::Overloaded)
         } else if writes == 0 {
             (State::NoPrimary, worst())
@@ -499,8 +511,8 @@
         };
         let able = match state {
             State::Maintenance | State::Draining | State::Starting | State::Blind => false,
-            State::Overloaded => s.overload == Overload::Weight,
-            State::NoPrimary => s.shared == Shared::Tell,
+            State::Overloaded => s.overload == OverloadPolicy::ReduceWeight,
+            State::NoPrimary => s.shared_causes == SharedCausePolicy::StayInRotation,
             State::Degraded | State::Ready => true,
         };
         let percent = self.weight.percent();
@@ -510,41 +522,47 @@
         if old.state != state {
             self.changes.push(Change::State { from: old.state, to: state, reason });
         }
-        let since = if old.whole.able == able && old.state == state { old.whole.since } else { now };
-        let told = Capability { able, partial, reason, since, weight };
+        let since = if old.overall.available == able && old.state == state { old.overall.since } else { now };
+        let told = Capability { available: able, partial, reason, since, weight_percent: weight };
         // What the proxy's own fault forbids, it forbids in every group; a shared cause does not.
         let own = !able && state != State::NoPrimary;
         let told_of = |claim: &Claim| {
             if own {
                 return told;
             }
-            let weight = if claim.able { percent } else { 0 };
-            Capability { able: claim.able, partial: false, reason: claim.reason, since: claim.since, weight }
+            let weight = if claim.available { percent } else { 0 };
+            Capability {
+                available: claim.available,
+                partial: false,
+                reason: claim.reason,
+                since: claim.since,
+                weight_percent: weight,
+            }
         };
         let groups = self.groups.iter().map(|(&group, members)| GroupVerdict {
             group,
             read: told_of(&members.read),
             write: told_of(&members.write),
-            primary: members.proof.map(|(server, _)| server),
+            proven_primary: members.proof.map(|(server, _)| server),
             proven_at: members.proof.map(|(_, at)| at),
-            members: members.up,
+            working_servers: members.up,
         });
         let groups = groups.collect();
         let verdict = &mut self.verdict;
-        (verdict.state, verdict.whole, verdict.groups) = (state, told, groups);
-        (verdict.discovery_at, verdict.pressure) = (self.discovery, self.weight.pressure());
+        (verdict.state, verdict.overall, verdict.groups) = (state, told, groups);
+        (verdict.discovery_heard_at, verdict.pressure) = (self.discovery, self.weight.pressure());
         let s = &self.settings;
         // Where something is tried in vain, blindness comes with the end of discovery's time.
         let deaf = (unheard && deaf > now).then_some(deaf);
         // And with the last sign of life growing old.
         let quiet =
-            lately.map(|at| at + s.silent_after()).filter(|at| *at > now && now >= deaf.unwrap_or(now));
+            lately.map(|at| at + s.silence_limit()).filter(|at| *at > now && now >= deaf.unwrap_or(now));
         [self.seeing.due(s), self.coping.due(s), deaf, quiet].into_iter().flatten().min()
     }
 
     /// Whom to probe: whoever owes a sign of life, the primaries of groups that are long unproven, and every member of
     /// a group that has lost its primary.
-    fn schedule(&mut self, now: Micros, probing: &Probing) -> Option<Micros> {
+    fn schedule(&mut self, now: Micros, probing: &ProbeSettings) -> Option<Micros> {
         let mut next: Option<Micros> = None;
         for (&server, watched) in &mut self.servers {
             let e = &watched.evidence;
@@ -562,17 +580,17 @@
                 Some((proven, _)) => proven == server,
                 None => e.listed == Some(true),
             };
-            let suspect = e.is_gone() || e.silence(now) >= probing.suspect;
-            let searching = !members.write.able;
+            let suspect = e.is_gone() || e.silence(now) >= probing.suspect_after;
+            let searching = !members.write.available;
             let proven = members.proof.map(|(_, at)| at);
             let due = if (leading && suspect) || searching {
                 Some(now)
             } else if leading {
-                Some(proven.map_or(now, |at| at + probing.every - watched.sooner))
+                Some(proven.map_or(now, |at| at + probing.interval - watched.sooner))
             } else {
                 None
             };
-            let rising = e.silent_at(now, probing.suspect).filter(|_| leading);
+            let rising = e.silent_at(now, probing.suspect_after).filter(|_| leading);
             let mut by = |at: Micros| next = Some(next.map_or(at, |n: Micros| n.min(at)));
             rising.into_iter().for_each(&mut by);
             let Some(due) = due.map(|at| at.max(watched.probe_next)) else { continue };
@@ -583,7 +601,7 @@
             if self.budget.take(now, e.group, probing) {
                 watched.probing = Some(now);
                 watched.evidence.sent(now);
-                watched.sooner = self.rng.i64(0..=probing.every / 4);
+                watched.sooner = self.rng.i64(0..=probing.interval / 4);
                 // Whoever owes an answer is asked again as soon as one is lost, so that the silence has no gaps.
                 let searched = searching && !suspect && !leading;
                 let pause = if searched { probing.timeout + self.rng.i64(0..=probing.timeout) } else { 0 };
@@ -606,7 +624,7 @@
     }
 }
 
-fn against(now: Micros, e: &Evidence, s: &Settings) -> Option<Reason> {
+fn against(now: Micros, e: &Evidence, s: &HealthSettings) -> Option<Reason> {
     Some(match e.against(now, s)? {
         Against::Gone => Reason::PrimaryGone,
         Against::Silent => Reason::PrimarySilent,
@@ -615,11 +633,15 @@
 }
 
 /// What is seen of a group's writes.
-fn writes(now: Micros, members: &Members, servers: &Servers, s: &Settings) -> (bool, Reason) {
-    if members.held.is_some_and(|since| now - since >= s.silent_after()) {
+fn writes(now: Micros, members: &Members, servers: &Servers, s: &HealthSettings) -> (bool, Reason) {
+    if members.held.is_some_and(|since| now - since >= s.silence_limit()) {
         return (false, Reason::WritesHeld);
     }
-    let unproven = if s.idle == Idle::Trust { (true, Reason::Trusted) } else { (false, Reason::Unproven) };
+    let unproven = if s.idle_groups == IdleGroupPolicy::TrustEndpointList {
+        (true, Reason::Trusted)
+    } else {
+        (false, Reason::Unproven)
+    };
     if let Some((server, at)) = members.proof {
         return match members
             .ids
@@ -632,7 +654,7 @@
             None => (false, Reason::PrimaryLeft),
             Some(e) => match against(now, e, s) {
                 Some(reason) => (false, reason),
-                None if now - at < s.window => (true, Reason::Proven),
+                None if now - at < s.proof_window => (true, Reason::Proven),
                 None => unproven,
             },
         };
@@ -653,7 +675,7 @@
 }
 
 /// What is seen of a group's reads.
-fn reads(now: Micros, members: &mut Members, servers: &Servers, s: &Settings) -> (bool, Reason) {
+fn reads(now: Micros, members: &mut Members, servers: &Servers, s: &HealthSettings) -> (bool, Reason) {
     let failing = members.reads.failing(now);
     let up = || members.working(servers);
     if up().next().is_none() {
@@ -662,7 +684,7 @@
         (false, Reason::MembersSilent)
     } else if failing {
         (false, Reason::ReadsFailing)
-    } else if up().any(|e| e.heard.is_some_and(|at| now - at < s.window)) {
+    } else if up().any(|e| e.heard.is_some_and(|at| now - at < s.proof_window)) {
         (true, Reason::Proven)
     } else {
         (true, Reason::Trusted)
--- a/health/src/probes.rs
+++ b/health/src/probes.rs
@@ -1,7 +1,7 @@
 //! The budget of probes: a bucket for each group and one for all. Owns what is left in them; never says whom to ask.
 
-use crate::settings::Probing;
-use crate::{Group, Micros};
+use crate::settings::ProbeSettings;
+use crate::{GroupId, Micros};
 use std::collections::BTreeMap;
 
 /// Probes that may go at once, in buckets that are full.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Budget {
     whole: Bucket,
-    groups: BTreeMap<Group, Bucket>,
+    groups: BTreeMap<GroupId, Bucket>,
 }
 
 impl Budget {
@@ -33,10 +33,10 @@
     }
 
     /// Takes a probe's worth, if there is one.
-    pub fn take(&mut self, now: Micros, group: Group, s: &Probing) -> bool {
-        self.whole.fill(now, s.whole_per_s, WHOLE_BURST);
+    pub fn take(&mut self, now: Micros, group: GroupId, s: &ProbeSettings) -> bool {
+        self.whole.fill(now, s.total_rate_per_s, WHOLE_BURST);
         let bucket = self.groups.entry(group).or_insert(Bucket { left: GROUP_BURST, at: now });
-        bucket.fill(now, s.group_per_s, GROUP_BURST);
+        bucket.fill(now, s.group_rate_per_s, GROUP_BURST);
         if self.whole.left < 1.0 || bucket.left < 1.0 {
             return false;
         }
@@ -45,7 +45,7 @@
         true
     }
 
-    pub fn forget(&mut self, group: Group) {
+    pub fn forget(&mut self, group: GroupId) {
         self.groups.remove(&group);
     }
 }
--- a/health/src/verdict.rs
+++ b/health/src/verdict.rs
@@ -1,8 +1,8 @@
 //! What is told: the state of the whole, each group's capabilities, and the sums by class; the closed sets of words
 //! for them. Owns no evidence; every protocol reads the same verdict.
 
-use crate::settings::{Class, Needs, Settings, Sum};
-use crate::{Group, Micros, Server};
+use crate::settings::{AggregationRule, HealthSettings, RequestClass, RequiredServer};
+use crate::{GroupId, Micros, ServerId};
 use serde::Serialize;
 
 /// How the whole is.
@@ -119,117 +119,123 @@
     Replaced = "replaced",
     Maintenance = "maintenance",
 });
-words!(Kind { Read = "read", Write = "write" });
+words!(Operation { Read = "read", Write = "write" });
 
 /// Reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum Operation {
     Read,
     Write,
 }
 
 /// What a balancer asks for. All absent: the whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Question {
+pub struct HealthQuery {
     pub class: Option<String>,
-    pub group: Option<Group>,
-    pub kind: Option<Kind>,
+    pub group: Option<GroupId>,
+    pub operation: Option<Operation>,
 }
 
 /// Something that a balancer may send work for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Capability {
-    pub able: bool,
+    pub available: bool,
     /// Able, but not in all its parts.
     pub partial: bool,
     pub reason: Reason,
     /// Since when it is told as it is.
     pub since: Micros,
     /// In per cent; 0 only where it is not able.
-    pub weight: u8,
+    pub weight_percent: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct GroupVerdict {
-    pub group: Group,
+    pub group: GroupId,
     pub read: Capability,
     pub write: Capability,
     /// Who gave the last proof of being the primary, and when.
-    pub primary: Option<Server>,
+    pub proven_primary: Option<ServerId>,
     pub proven_at: Option<Micros>,
-    pub members: usize,
+    pub working_servers: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     pub state: State,
     /// The whole: what a balancer hears that asks for nothing special.
-    pub whole: Capability,
+    pub overall: Capability,
     /// By number.
     pub groups: Vec<GroupVerdict>,
-    pub classes: Vec<Class>,
-    pub sum: Sum,
-    pub discovery_at: Option<Micros>,
+    pub classes: Vec<RequestClass>,
+    pub aggregation: AggregationRule,
+    pub discovery_heard_at: Option<Micros>,
     /// Smoothed, 0 to 1.
     pub pressure: f64,
     /// Requests without an attempt out.
-    pub held: usize,
+    pub queued: usize,
     pub in_progress: usize,
     /// Places for clients.
-    pub room: usize,
+    pub client_capacity: usize,
     /// Facts left out because a table was full.
-    pub ignored: u64,
+    pub ignored_servers: u64,
 }
 
 /// A change of what is told, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     State { from: State, to: State, reason: Reason },
-    Claim { group: Group, kind: Kind, able: bool, reason: Reason },
+    Capability { group: GroupId, operation: Operation, available: bool, reason: Reason },
 }
 
 impl Verdict {
-    pub(crate) fn new(now: Micros, s: &Settings) -> Verdict {
-        let whole =
-            Capability { able: false, partial: false, reason: Reason::Starting, since: now, weight: 0 };
+    pub(crate) fn new(now: Micros, s: &HealthSettings) -> Verdict {
+        let whole = Capability {
+            available: false,
+            partial: false,
+            reason: Reason::Starting,
+            since: now,
+            weight_percent: 0,
+        };
         Verdict {
             state: State::Starting,
-            whole,
+            overall: whole,
             groups: Vec::new(),
             classes: s.classes.clone(),
-            sum: s.sum,
-            discovery_at: None,
+            aggregation: s.aggregation,
+            discovery_heard_at: None,
             pressure: 0.0,
-            held: 0,
+            queued: 0,
             in_progress: 0,
-            room: 0,
-            ignored: 0,
+            client_capacity: 0,
+            ignored_servers: 0,
         }
     }
 
     /// The answer to a question; none if it names what there is not.
-    pub fn ask(&self, question: &Question) -> Option<Capability> {
+    pub fn capability(&self, question: &HealthQuery) -> Option<Capability> {
         let kind = match &question.class {
-            None => question.kind,
+            None => question.operation,
             Some(name) => {
                 let class = self.classes.iter().find(|c| c.name == *name)?;
-                let kind = if class.needs == Needs::Primary { Kind::Write } else { Kind::Read };
-                if question.kind.is_some_and(|k| k != kind) {
+                let kind =
+                    if class.needs == RequiredServer::Primary { Operation::Write } else { Operation::Read };
+                if question.operation.is_some_and(|k| k != kind) {
                     return None;
                 }
                 Some(kind)
             }
         };
         match (question.group, kind) {
-            (None, None) => Some(self.whole),
+            (None, None) => Some(self.overall),
             (None, Some(kind)) => Some(self.sum(kind)),
             (Some(group), kind) => {
                 let at = self.groups.binary_search_by_key(&group, |g| g.group).ok()?;
                 let g = &self.groups[at];
                 Some(match kind {
-                    Some(Kind::Read) => g.read,
-                    Some(Kind::Write) => g.write,
+                    Some(Operation::Read) => g.read,
+                    Some(Operation::Write) => g.write,
                     None => both(&g.read, &g.write),
                 })
             }
@@ -237,30 +243,31 @@
     }
 
     /// A capability over all groups; its weight is in proportion to those that are able.
-    fn sum(&self, kind: Kind) -> Capability {
-        if !self.whole.able {
-            return Capability { weight: 0, ..self.whole };
+    fn sum(&self, kind: Operation) -> Capability {
+        if !self.overall.available {
+            return Capability { weight_percent: 0, ..self.overall };
         }
-        let of = |g: &GroupVerdict| if kind == Kind::Read { g.read } else { g.write };
-        let able = self.groups.iter().filter(|g| of(g).able).count();
+        let of = |g: &GroupVerdict| if kind == Operation::Read { g.read } else { g.write };
+        let able = self.groups.iter().filter(|g| of(g).available).count();
         let all = self.groups.len();
-        let enough = match self.sum {
-            Sum::Any => able > 0,
-            Sum::All => able > 0 && able == all,
+        let enough = match self.aggregation {
+            AggregationRule::AnyGroup => able > 0,
+            AggregationRule::AllGroups => able > 0 && able == all,
         };
         // What is told of the sum is the worst of its parts, or the least sure where all are able.
-        let telling = self.groups.iter().map(of).filter(|c| able == all || !c.able);
+        let telling = self.groups.iter().map(of).filter(|c| able == all || !c.available);
         let reason = telling.clone().map(|c| c.reason).max().unwrap_or(Reason::NoGroups);
-        let since = telling.map(|c| c.since).max().unwrap_or(self.whole.since);
+        let since = telling.map(|c| c.since).max().unwrap_or(self.overall.since);
         let share = if all == 0 { 0.0 } else { able as f64 / all as f64 };
-        let weight = if enough { (f64::from(self.whole.weight) * share).round().max(1.0) as u8 } else { 0 };
-        Capability { able: enough, partial: enough && able < all, reason, since, weight }
+        let weight =
+            if enough { (f64::from(self.overall.weight_percent) * share).round().max(1.0) as u8 } else { 0 };
+        Capability { available: enough, partial: enough && able < all, reason, since, weight_percent: weight }
     }
 }
 
 /// A group's reads and writes together: able with either, in part without both.
 fn both(read: &Capability, write: &Capability) -> Capability {
-    match (read.able, write.able) {
+    match (read.available, write.available) {
         (true, true) | (false, false) => *read,
         (true, false) => Capability { partial: true, reason: write.reason, since: write.since, ..*read },
         (false, true) => Capability { partial: true, reason: read.reason, since: read.since, ..*write },
--- a/health/src/weight.rs
+++ b/health/src/weight.rs
@@ -5,7 +5,7 @@
 //! goes on lowering the weight while the pressure stays hot, holds within a band, and is given back below it.
 
 use crate::Micros;
-use crate::settings::Weighing;
+use crate::settings::WeightSettings;
 
 /// The pressure that is told is smoothed over this time.
 const SMOOTH: f64 = 1.0;
@@ -31,22 +31,23 @@
     }
 
     /// Takes the pressure (0 to 1) of the time since it was last told.
-    pub fn press(&mut self, now: Micros, pressure: f64, s: &Weighing) {
+    pub fn press(&mut self, now: Micros, pressure: f64, s: &WeightSettings) {
         let seconds = (now - self.at).max(0) as f64 / 1e6;
         self.at = now;
         let pressure = if pressure.is_finite() { pressure.clamp(0.0, 1.0) } else { 1.0 };
         let toward = |span: f64| 1.0 - (-seconds / span).exp();
         self.pressure += (pressure - self.pressure) * toward(SMOOTH);
-        if self.pressure > s.hot {
-            self.trim -= seconds * TRIM_DOWN * (self.pressure - s.hot) / (1.0 - s.hot);
-        } else if self.pressure < s.hot - BAND {
+        if self.pressure > s.trim_above {
+            self.trim -= seconds * TRIM_DOWN * (self.pressure - s.trim_above) / (1.0 - s.trim_above);
+        } else if self.pressure < s.trim_above - BAND {
             self.trim += seconds * TRIM_UP;
         }
         self.trim = self.trim.clamp(LEAST_TRIM.ln(), 0.0);
-        let over = ((self.pressure - s.knee) / (1.0 - s.knee)).clamp(0.0, 1.0);
-        let goal = 100f64.ln() + over * (s.least / 100.0).ln() + self.trim;
-        let step = (goal - self.weight) * toward(s.settle.max(1) as f64 / 1e6);
-        self.weight += step.clamp(-seconds * s.down_per_s.ln(), seconds * s.up_per_s.ln());
+        let over = ((self.pressure - s.reduce_above) / (1.0 - s.reduce_above)).clamp(0.0, 1.0);
+        let goal = 100f64.ln() + over * (s.percent_at_full_pressure / 100.0).ln() + self.trim;
+        let step = (goal - self.weight) * toward(s.settling_time.max(1) as f64 / 1e6);
+        self.weight +=
+            step.clamp(-seconds * s.max_fall_factor_per_s.ln(), seconds * s.max_rise_factor_per_s.ln());
     }
 
     pub fn pressure(&self) -> f64 {
--- a/health/tests/cases.rs
+++ b/health/tests/cases.rs
@@ -1,7 +1,7 @@
 //! The hard cases as the decisions see them, in virtual time, and what the protocols then say.
 
 use birchreach_health::agent;
-use birchreach_health::http::Caller;
+use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::*;
 
 const MS: Micros = 1_000;
@@ -13,17 +13,18 @@
     monitor: Monitor,
 }
 
-fn proxy(groups: u32, settings: Settings) -> Proxy {
-    let class = |name: &str, needs| Class { name: name.into(), needs };
-    let classes = vec![class("file-entry", Needs::Primary), class("tariff-lookup", Needs::Member)];
-    let settings = Settings { classes, ..settings };
-    assert_eq!(settings.faults(), []);
+fn proxy(groups: u32, settings: HealthSettings) -> Proxy {
+    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
+    let classes =
+        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let settings = HealthSettings { classes, ..settings };
+    assert_eq!(settings.errors(), []);
     let mut p = Proxy { now: 100 * S, monitor: Monitor::new(settings, 100 * S) };
     for g in 0..groups {
         for (n, primary) in [(g * 10, true), (g * 10 + 1, false)] {
             p.tell(HealthEvent::ServerListed {
-                server: Server(n),
-                group: Group(g),
+                server: ServerId(n),
+                group: GroupId(g),
                 primary: Some(primary),
                 up: true,
             });
@@ -36,17 +37,17 @@
     fn tell(&mut self, fact: HealthEvent) {
         self.monitor.handle_event(self.now, fact);
         if self.monitor.next_change() <= self.now {
-            self.monitor.step(self.now);
+            self.monitor.update(self.now);
         }
     }
 
     /// Time passes; what is probed meanwhile is answered, or not.
-    fn pass(&mut self, span: Micros, probed: impl Fn(Server) -> Option<Role>) {
+    fn pass(&mut self, span: Micros, probed: impl Fn(ServerId) -> Option<Role>) {
         let until = self.now + span;
         while self.monitor.next_change() <= until {
             self.now = self.monitor.next_change();
-            self.monitor.step(self.now);
-            for server in self.monitor.probes() {
+            self.monitor.update(self.now);
+            for server in self.monitor.take_probes() {
                 if let Some(role) = probed(server) {
                     self.tell(HealthEvent::ProbeEnded {
                         server,
@@ -60,11 +61,11 @@
     }
 
     fn sent(&mut self, n: u32) {
-        self.tell(HealthEvent::RequestSent { server: Server(n) });
+        self.tell(HealthEvent::RequestSent { server: ServerId(n) });
     }
 
     fn ended(&mut self, n: u32, write: bool, how: ProbeOutcome, role: Option<Role>) {
-        self.tell(HealthEvent::RequestEnded { server: Server(n), write, outcome: how, role });
+        self.tell(HealthEvent::RequestEnded { server: ServerId(n), write, outcome: how, role });
     }
 
     /// A write that is served after this time.
@@ -75,7 +76,7 @@
     }
 
     fn asks(&self, line: &str) -> String {
-        let asked = agent::Caller::default().feed(format!("{line}\n").as_bytes()).unwrap();
+        let asked = agent::AgentCheckConnection::default().feed(format!("{line}\n").as_bytes()).unwrap();
         agent::reply(&asked, self.monitor.verdict(), None)
     }
 
@@ -84,26 +85,26 @@
     }
 
     fn calls(&self, text: &str) -> String {
-        let mut caller = Caller::default();
+        let mut caller = HttpCheckConnection::default();
         caller.feed(text.as_bytes());
-        caller.run(self.now, self.monitor.verdict(), &|s| format!("s-{}", s.0));
-        String::from_utf8(caller.out).unwrap()
+        caller.process(self.now, self.monitor.verdict(), &|s| format!("s-{}", s.0));
+        String::from_utf8(caller.output).unwrap()
     }
 
     fn changes(&mut self) -> usize {
-        let claims = self.monitor.changes();
-        claims.iter().filter(|c| matches!(c, Change::Claim { .. })).count()
+        let claims = self.monitor.take_changes();
+        claims.iter().filter(|c| matches!(c, Change::Capability { .. })).count()
     }
 }
 
-fn probing() -> Settings {
-    Settings { probes: Some(Probing::default()), ..Settings::default() }
+fn probing() -> HealthSettings {
+    HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
 }
 
 /// Cases 1 and 2: a hang is told within 2 s, reads stay; the list alone does not bring the claim back, a proof does.
 #[test]
 fn a_hang_is_told_in_time_and_only_a_proof_takes_it_back() {
-    let mut p = proxy(1, Settings::default());
+    let mut p = proxy(1, HealthSettings::default());
     p.write(0, 5 * MS);
     assert_eq!(p.asks("file-entry"), "ready up 100%\n");
     let hung = p.now;
@@ -117,8 +118,18 @@
     assert!(p.gets("/ready").contains("x-envoy-degraded: true"));
     // The list comes to name another one, seconds late.
     p.pass(4 * S, |_| None);
-    p.tell(HealthEvent::ServerListed { server: Server(0), group: Group(0), primary: Some(false), up: true });
-    p.tell(HealthEvent::ServerListed { server: Server(1), group: Group(0), primary: Some(true), up: true });
+    p.tell(HealthEvent::ServerListed {
+        server: ServerId(0),
+        group: GroupId(0),
+        primary: Some(false),
+        up: true,
+    });
+    p.tell(HealthEvent::ServerListed {
+        server: ServerId(1),
+        group: GroupId(0),
+        primary: Some(true),
+        up: true,
+    });
     p.pass(20 * S, |_| None);
     assert_eq!(p.asks("group=0 write"), "ready down #primary-silent\n");
     p.sent(1);
@@ -132,7 +143,7 @@
 /// Cases 3 and 4: one group of four, then all.
 #[test]
 fn a_missing_primary_is_told_where_it_is_asked_for() {
-    let mut p = proxy(4, Settings::default());
+    let mut p = proxy(4, HealthSettings::default());
     for g in 0..4 {
         p.write(g * 10, 5 * MS);
     }
@@ -155,7 +166,10 @@
     assert_eq!(p.asks("tariff-lookup"), "ready up 100%\n");
     assert_eq!(p.asks(""), "ready up 100%\n", "else the balancer has nobody left");
     // The other way, for a balancer of writes alone.
-    let mut strict = proxy(1, Settings { shared: Shared::Down, ..Settings::default() });
+    let mut strict = proxy(
+        1,
+        HealthSettings { shared_causes: SharedCausePolicy::ReportDown, ..HealthSettings::default() },
+    );
     strict.write(0, MS);
     strict.sent(0);
     strict.ended(0, true, ProbeOutcome::Refused, None);
@@ -166,7 +180,7 @@
 /// Case 5: silent for 300 ms of every second; then for 1.9 s of every 3.1.
 #[test]
 fn a_stuttering_primary_makes_few_transitions() {
-    let mut p = proxy(1, Settings::default());
+    let mut p = proxy(1, HealthSettings::default());
     p.write(0, 5 * MS);
     p.changes();
     for _ in 0..60 {
@@ -179,7 +193,7 @@
     }
     assert_eq!(p.changes(), 0);
     // Long ones are told, but each rise is slower than the one before.
-    let mut p = proxy(1, Settings::default());
+    let mut p = proxy(1, HealthSettings::default());
     p.write(0, 5 * MS);
     p.changes();
     for _ in 0..60 {
@@ -201,11 +215,11 @@
     p.changes();
     for _ in 0..20 {
         p.sent(0);
-        p.pass(8 * S, |s| Some(if s == Server(0) { Role::Primary } else { Role::Replica }));
+        p.pass(8 * S, |s| Some(if s == ServerId(0) { Role::Primary } else { Role::Replica }));
         p.ended(0, true, ProbeOutcome::Answered, Some(Role::Primary));
     }
     assert_eq!(p.changes(), 0);
-    let mut p = proxy(1, Settings::default());
+    let mut p = proxy(1, HealthSettings::default());
     p.changes();
     for _ in 0..50 {
         p.write(0, 1600 * MS);
@@ -215,8 +229,8 @@
 
 #[test]
 fn a_hang_is_told_with_probes_too_and_idle_groups_are_proven_by_them() {
-    let primary = |s: Server| Some(if s.0.is_multiple_of(10) { Role::Primary } else { Role::Replica });
-    let mut p = proxy(4, Settings { idle: Idle::Withdraw, ..probing() });
+    let primary = |s: ServerId| Some(if s.0.is_multiple_of(10) { Role::Primary } else { Role::Replica });
+    let mut p = proxy(4, HealthSettings { idle_groups: IdleGroupPolicy::Withdraw, ..probing() });
     p.pass(60 * S, primary);
     assert_eq!(p.asks("file-entry"), "ready up 100%\n", "no client ever came");
     p.changes();
@@ -230,7 +244,7 @@
 
 #[test]
 fn own_faults_speak_for_every_capability() {
-    let mut p = proxy(2, Settings::default());
+    let mut p = proxy(2, HealthSettings::default());
     p.write(0, MS);
     p.write(10, MS);
     p.tell(HealthEvent::Maintenance(true));
@@ -249,9 +263,9 @@
     assert_eq!(p.asks(""), "ready up 100%\n");
     p.tell(HealthEvent::Stopping);
     assert_eq!((p.asks(""), p.monitor.verdict().state), ("drain\n".into(), State::Draining));
-    assert_eq!(p.monitor.verdict().whole.weight, 0);
+    assert_eq!(p.monitor.verdict().overall.weight_percent, 0);
     // One that waits for its predecessor is not ready before.
-    let mut successor = proxy(1, Settings::default());
+    let mut successor = proxy(1, HealthSettings::default());
     let at = successor.now + 500 * MS;
     successor.tell(HealthEvent::ReadyAt(at));
     assert_eq!(successor.asks(""), "ready down #starting\n");
@@ -261,7 +275,7 @@
 
 #[test]
 fn blind_is_discovery_and_databases_together() {
-    let mut p = proxy(1, Settings::default());
+    let mut p = proxy(1, HealthSettings::default());
     p.tell(HealthEvent::DiscoveryAnswered);
     p.write(0, MS);
     // Without requests, a silent discovery alone is no blindness.
@@ -274,7 +288,7 @@
     p.pass(2 * S, |_| None);
     assert_eq!((p.monitor.verdict().state, p.asks("")), (State::Blind, "ready down #blind\n".into()));
     // With discovery at hand it is the databases' fault, and others see the same.
-    let mut p = proxy(1, Settings::default());
+    let mut p = proxy(1, HealthSettings::default());
     p.tell(HealthEvent::DiscoveryAnswered);
     for n in [0, 1] {
         p.sent(n);
@@ -282,21 +296,22 @@
     }
     p.pass(2 * S, |_| None);
     assert_eq!(p.monitor.verdict().state, State::NoPrimary);
-    assert!(p.monitor.verdict().whole.able);
+    assert!(p.monitor.verdict().overall.available);
 }
 
 #[test]
 fn an_overloaded_proxy_gets_lighter_and_stays_unless_told_otherwise() {
-    let mut down = proxy(1, Settings { overload: Overload::Down, ..Settings::default() });
-    let mut p = proxy(1, Settings::default());
+    let mut down =
+        proxy(1, HealthSettings { overload: OverloadPolicy::ReportDown, ..HealthSettings::default() });
+    let mut p = proxy(1, HealthSettings::default());
     for p in [&mut p, &mut down] {
         for _ in 0..240 {
             p.pass(250 * MS, |_| None);
-            p.tell(HealthEvent::Load { pressure: 1.0, in_progress: 9, held: 1, room: 2 });
+            p.tell(HealthEvent::Load { pressure: 1.0, in_progress: 9, queued: 1, client_capacity: 2 });
         }
         assert_eq!(p.monitor.verdict().state, State::Overloaded);
     }
-    let weight = p.monitor.verdict().whole.weight;
+    let weight = p.monitor.verdict().overall.weight_percent;
     assert!((1..=10).contains(&weight), "{weight}");
     assert_eq!(p.asks(""), format!("ready up {weight}%\n"));
     assert_eq!(down.asks(""), "ready down #overloaded\n");
@@ -305,7 +320,7 @@
 
 #[test]
 fn http_calls_are_answered_in_order_and_bad_ones_end_the_connection() {
-    let mut p = proxy(2, Settings::default());
+    let mut p = proxy(2, HealthSettings::default());
     p.write(0, MS);
     p.pass(50 * MS, |_| None);
     let ready = p.gets("/ready");
@@ -353,25 +368,25 @@
 
 #[test]
 fn what_nobody_reads_is_bounded() {
-    let p = proxy(1, Settings::default());
-    let mut caller = Caller::default();
+    let p = proxy(1, HealthSettings::default());
+    let mut caller = HttpCheckConnection::default();
     let call = b"GET /health HTTP/1.1\r\nHost: p\r\n\r\n";
-    while caller.hungry() {
+    while caller.wants_input() {
         caller.feed(call);
-        caller.run(p.now, p.monitor.verdict(), &|_| String::new());
+        caller.process(p.now, p.monitor.verdict(), &|_| String::new());
     }
-    assert!(caller.out.len() < http::AHEAD + 4096, "{}", caller.out.len());
+    assert!(caller.output.len() < http::MAX_PENDING_OUTPUT_BYTES + 4096, "{}", caller.output.len());
     // Once it reads, all that was asked is answered.
-    let answered = caller.calls();
-    caller.wrote(caller.out.len());
-    caller.run(p.now, p.monitor.verdict(), &|_| String::new());
-    assert!(caller.calls() > answered);
+    let answered = caller.requests_answered();
+    caller.output_written(caller.output.len());
+    caller.process(p.now, p.monitor.verdict(), &|_| String::new());
+    assert!(caller.requests_answered() > answered);
 }
 
 /// Random bytes and broken calls: an answer or nothing, never a panic, and bounded.
 #[test]
 fn noise_is_harmless() {
-    let p = proxy(1, Settings::default());
+    let p = proxy(1, HealthSettings::default());
     let call = b"GET /class/file-entry HTTP/1.1\r\nHost: p\r\nConnection: keep-alive\r\n\r\n";
     for seed in 0..5_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -384,13 +399,13 @@
                 _ => bytes.splice(at..at, (0..rng.usize(0..200)).map(|_| b'x')).for_each(drop),
             }
         }
-        let (mut caller, mut line) = (Caller::default(), agent::Caller::default());
+        let (mut caller, mut line) = (HttpCheckConnection::default(), agent::AgentCheckConnection::default());
         for piece in bytes.chunks(rng.usize(1..64)) {
             caller.feed(piece);
-            caller.run(p.now, p.monitor.verdict(), &|_| String::new());
+            caller.process(p.now, p.monitor.verdict(), &|_| String::new());
             let _ = line.feed(piece);
         }
-        let _ = line.ended();
-        assert!(caller.out.len() < 4096);
+        let _ = line.input_ended();
+        assert!(caller.output.len() < 4096);
     }
 }
--- a/health/tests/fleet.rs
+++ b/health/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The weight as a control loop: 16 proxies and two balancers that read weights late, in virtual time.
 
-use birchreach_health::{Group, HealthEvent, Micros, Monitor, Server, Settings};
+use birchreach_health::{GroupId, HealthEvent, HealthSettings, Micros, Monitor, ServerId};
 
 const PROXIES: usize = 16;
 const TICK: Micros = 250_000;
@@ -19,11 +19,11 @@
 impl Fleet {
     fn new(load: f64, every: Micros, seed: u64) -> Fleet {
         let monitors = (0..PROXIES).map(|_| {
-            let mut monitor = Monitor::new(Settings::default(), 0);
-            let (server, group) = (Server(0), Group(0));
+            let mut monitor = Monitor::new(HealthSettings::default(), 0);
+            let (server, group) = (ServerId(0), GroupId(0));
             monitor
                 .handle_event(0, HealthEvent::ServerListed { server, group, primary: Some(true), up: true });
-            monitor.step(0);
+            monitor.update(0);
             monitor
         });
         Fleet {
@@ -54,15 +54,18 @@
         for (monitor, used) in self.monitors.iter_mut().zip(used) {
             // A proxy measures what it does, with noise, and no more than it can.
             let pressure = (used + 0.02 * (self.rng.f64() - 0.5)).min(1.0);
-            monitor.handle_event(self.now, HealthEvent::Load { pressure, in_progress: 0, held: 0, room: 0 });
-            monitor.step(self.now);
+            monitor.handle_event(
+                self.now,
+                HealthEvent::Load { pressure, in_progress: 0, queued: 0, client_capacity: 0 },
+            );
+            monitor.update(self.now);
         }
         for (b, read) in self.read.iter_mut().enumerate() {
             for (i, weight) in read.iter_mut().enumerate() {
                 // Each proxy is asked in its turn, and the answer is acted on only now.
                 let turn = self.every / PROXIES as Micros * i as Micros + b as Micros * self.every / 2;
                 if (self.now + turn) % self.every < TICK {
-                    *weight = f64::from(self.monitors[i].verdict().whole.weight);
+                    *weight = f64::from(self.monitors[i].verdict().overall.weight_percent);
                 }
             }
         }
@@ -78,7 +81,7 @@
             seen.spread = seen.spread.max(top - low);
             seen.top = seen.top.max(top);
             for (i, monitor) in self.monitors.iter().enumerate() {
-                let w = monitor.verdict().whole.weight;
+                let w = monitor.verdict().overall.weight_percent;
                 seen.weights.resize(PROXIES, (u8::MAX, 0));
                 seen.weights[i] = (seen.weights[i].0.min(w), seen.weights[i].1.max(w));
             }
@@ -135,25 +138,36 @@
 
 #[test]
 fn weight_moves_boundedly() {
-    let settings = Settings::default();
-    let (up, down) = (settings.weight.up_per_s, settings.weight.down_per_s);
+    let settings = HealthSettings::default();
+    let (up, down) = (settings.weight.max_rise_factor_per_s, settings.weight.max_fall_factor_per_s);
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut monitor = Monitor::new(settings.clone(), 0);
         monitor.handle_event(
             0,
-            HealthEvent::ServerListed { server: Server(0), group: Group(0), primary: Some(true), up: true },
+            HealthEvent::ServerListed {
+                server: ServerId(0),
+                group: GroupId(0),
+                primary: Some(true),
+                up: true,
+            },
         );
         let (mut now, mut last) = (0, 100.0);
         for _ in 0..200 {
             let span = rng.i64(1_000..2_000_000);
             now += span;
             let pressure = if rng.bool() { rng.f64() } else { f64::from(rng.u8(0..=1)) };
-            monitor.handle_event(now, HealthEvent::Load { pressure, in_progress: 0, held: 0, room: 0 });
-            monitor.step(now);
-            let whole = monitor.verdict().whole;
-            assert!(whole.able && whole.weight >= 1, "seed {seed}: the weight alone takes nobody out");
-            let weight = f64::from(whole.weight);
+            monitor.handle_event(
+                now,
+                HealthEvent::Load { pressure, in_progress: 0, queued: 0, client_capacity: 0 },
+            );
+            monitor.update(now);
+            let whole = monitor.verdict().overall;
+            assert!(
+                whole.available && whole.weight_percent >= 1,
+                "seed {seed}: the weight alone takes nobody out"
+            );
+            let weight = f64::from(whole.weight_percent);
             let seconds = span as f64 / 1e6;
             // What is told is rounded, both times.
             let most = (last + 0.5) * up.powf(seconds) + 0.5;
--- a/health/tests/histories.rs
+++ b/health/tests/histories.rs
@@ -2,8 +2,8 @@
 //! here of what was heard. A seed that fails is printed, and fails again.
 
 use birchreach_health::{
-    Change, Class, Group, HealthEvent, Idle, Kind, Micros, Monitor, Needs, ProbeOutcome, Probing, Reason,
-    Role, Server, Settings, State,
+    Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor, Operation, ProbeOutcome,
+    ProbeSettings, Reason, RequestClass, RequiredServer, Role, ServerId, State,
 };
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
     seed: u64,
     rng: fastrand::Rng,
     now: Micros,
-    settings: Settings,
+    settings: HealthSettings,
     monitor: Monitor,
     servers: HashMap<u32, Noted>,
     /// Each group's last word of a primary, and when its claim fell for evidence.
@@ -42,13 +42,18 @@
     probes: Vec<(Micros, u32)>,
 }
 
-fn settings(seed: u64) -> Settings {
-    let class = |name: &str, needs| Class { name: name.into(), needs };
-    let classes = vec![class("file-entry", Needs::Primary), class("tariff-lookup", Needs::Member)];
-    let probes = seed.is_multiple_of(2).then(Probing::default);
-    let idle = if probes.is_some() && seed.is_multiple_of(4) { Idle::Withdraw } else { Idle::Trust };
-    let settings = Settings { classes, probes, idle, seed, ..Settings::default() };
-    assert_eq!(settings.faults(), []);
+fn settings(seed: u64) -> HealthSettings {
+    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
+    let classes =
+        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let probes = seed.is_multiple_of(2).then(ProbeSettings::default);
+    let idle = if probes.is_some() && seed.is_multiple_of(4) {
+        IdleGroupPolicy::Withdraw
+    } else {
+        IdleGroupPolicy::TrustEndpointList
+    };
+    let settings = HealthSettings { classes, probes, idle_groups: idle, seed, ..HealthSettings::default() };
+    assert_eq!(settings.errors(), []);
     settings
 }
 
@@ -79,8 +84,8 @@
         let noted = self.servers.entry(n).or_default();
         (noted.group, noted.primary, noted.up) = (group, primary, up);
         self.tell(HealthEvent::ServerListed {
-            server: Server(n),
-            group: Group(group),
+            server: ServerId(n),
+            group: GroupId(group),
             primary: Some(primary),
             up,
         });
@@ -137,7 +142,7 @@
             self.life(n);
         }
         self.said(n, role);
-        let server = Server(n);
+        let server = ServerId(n);
         self.tell(if probe {
             HealthEvent::ProbeEnded { server, outcome: how, role }
         } else {
@@ -157,16 +162,16 @@
                 let now = self.now;
                 let since = if self.held.remove(&group).is_none() { Some(now) } else { None };
                 self.held.extend(since.map(|at| (group, at)));
-                self.tell(HealthEvent::WritesQueued { group: Group(group), since });
+                self.tell(HealthEvent::WritesQueued { group: GroupId(group), since });
             }
             2 => self.tell(HealthEvent::DiscoveryAnswered),
             3 => {
                 self.life(n);
-                self.tell(HealthEvent::ServerAlive { server: Server(n) });
+                self.tell(HealthEvent::ServerAlive { server: ServerId(n) });
             }
             4 | 5 => {
                 let served = self.rng.bool();
-                self.tell(HealthEvent::ReadEnded { group: Group(group), served });
+                self.tell(HealthEvent::ReadEnded { group: GroupId(group), served });
             }
             _ => {
                 let now = self.now;
@@ -181,23 +186,24 @@
                 } else {
                     noted.out += 1;
                     noted.sent = Some(now);
-                    self.tell(HealthEvent::RequestSent { server: Server(n) });
+                    self.tell(HealthEvent::RequestSent { server: ServerId(n) });
                 }
             }
         }
     }
 
     fn step(&mut self) {
-        self.monitor.step(self.now);
-        for server in self.monitor.probes() {
+        self.monitor.update(self.now);
+        for server in self.monitor.take_probes() {
             let noted = self.servers.get_mut(&server.0).unwrap();
             noted.probed = 1;
             noted.sent = Some(self.now);
             self.probes.push((self.now, server.0));
         }
-        for change in self.monitor.changes() {
+        for change in self.monitor.take_changes() {
             self.changes.push((self.now, change));
-            if let Change::Claim { group, kind: Kind::Write, able, reason } = change {
+            if let Change::Capability { group, operation: Operation::Write, available: able, reason } = change
+            {
                 self.judge(group.0, able, reason);
             }
         }
@@ -214,15 +220,16 @@
             }
             return;
         }
-        let owes = |n: &Noted| n.sent.is_some() && n.life.is_none_or(|l| now - l >= s.silent_after());
+        let owes = |n: &Noted| n.sent.is_some() && n.life.is_none_or(|l| now - l >= s.silence_limit());
         let cause = match reason {
             Reason::PrimarySilent => members().any(owes),
             Reason::PrimaryGone => members().any(|n| n.refused.is_some()),
             Reason::PrimaryDemoted => members().any(|n| n.said == Some(Role::Replica)),
             Reason::WritesUnanswered => members().any(|n| n.writes_timed_out >= 3),
-            Reason::WritesHeld => self.held.get(&group).is_some_and(|at| now - at >= s.silent_after()),
+            Reason::WritesHeld => self.held.get(&group).is_some_and(|at| now - at >= s.silence_limit()),
             Reason::Unproven => {
-                s.idle == Idle::Withdraw && proofs.last().is_none_or(|(t, _)| now - t >= s.window)
+                s.idle_groups == IdleGroupPolicy::Withdraw
+                    && proofs.last().is_none_or(|(t, _)| now - t >= s.proof_window)
             }
             Reason::NoPrimary => !members().any(|n| n.up && n.primary),
             Reason::PrimaryLeft => proofs.last().is_some_and(|(_, n)| !self.servers[n].up),
@@ -237,18 +244,18 @@
     /// What holds at every moment.
     fn always(&self) {
         let (now, seed, s, verdict) = (self.now, self.seed, &self.settings, self.monitor.verdict());
-        let lag = s.fall + s.hold_able;
+        let lag = s.withdraw_after + s.min_time_available;
         for g in &verdict.groups {
             let proof = self.proofs.get(&g.group.0).and_then(|p| p.last());
-            if s.idle == Idle::Withdraw && g.write.able {
-                let fresh = proof.is_some_and(|(t, _)| now - t <= s.window + lag);
+            if s.idle_groups == IdleGroupPolicy::Withdraw && g.write.available {
+                let fresh = proof.is_some_and(|(t, _)| now - t <= s.proof_window + lag);
                 assert!(fresh, "seed {seed}: group {} is claimed at {now} without a proof", g.group.0);
             }
-            assert!(g.write.weight == 0 || g.write.able, "seed {seed}: weight without a claim");
+            assert!(g.write.weight_percent == 0 || g.write.available, "seed {seed}: weight without a claim");
         }
         let own = matches!(verdict.state, State::Starting | State::Blind);
         let weight = if own { 0 } else { 100 };
-        assert_eq!(verdict.whole.weight, weight, "seed {seed}: {} moved the whole", verdict.state);
+        assert_eq!(verdict.overall.weight_percent, weight, "seed {seed}: {} moved the whole", verdict.state);
     }
 
     /// Goes on to a later time, waking when the monitor wants to.
@@ -287,7 +294,7 @@
         let history = History::new(seed).play();
         transitions_are_bounded(&history);
         probes_stay_within_their_budget(&history);
-        let fell = |(_, c): &&(Micros, Change)| matches!(c, Change::Claim { able: false, .. });
+        let fell = |(_, c): &&(Micros, Change)| matches!(c, Change::Capability { available: false, .. });
         claims += history.changes.len();
         withdrawn += history.changes.iter().filter(fell).count();
         probes += history.probes.len();
@@ -301,12 +308,12 @@
 
 fn transitions_are_bounded(history: &History) {
     let s = &history.settings;
-    let mut last: HashMap<(Group, bool), (Micros, bool, u32)> = HashMap::new();
+    let mut last: HashMap<(GroupId, bool), (Micros, bool, u32)> = HashMap::new();
     for (at, change) in &history.changes {
-        let Change::Claim { group, kind, able, .. } = change else { continue };
-        let key = (*group, *kind == Kind::Write);
+        let Change::Capability { group, operation: kind, available: able, .. } = change else { continue };
+        let key = (*group, *kind == Operation::Write);
         let (before, _, falls) = last.get(&key).copied().unwrap_or((Micros::MIN / 2, false, 0));
-        let held = if *able { s.hold_unable.max(s.rise) } else { s.hold_able };
+        let held = if *able { s.min_time_unavailable.max(s.restore_after) } else { s.min_time_available };
         assert!(falls == 0 && *able || at - before >= held, "seed {}: held too short at {at}", history.seed);
         last.insert(key, (*at, *able, falls + u32::from(!*able)));
     }
@@ -322,10 +329,10 @@
             }
         }
     };
-    check(&history.probes.iter().map(|p| p.0).collect::<Vec<_>>(), s.whole_per_s, 8.0);
+    check(&history.probes.iter().map(|p| p.0).collect::<Vec<_>>(), s.total_rate_per_s, 8.0);
     for group in 0..2 {
         let of = history.probes.iter().filter(|(_, n)| history.servers[n].group == group);
-        check(&of.map(|p| p.0).collect::<Vec<_>>(), s.group_per_s, 3.0);
+        check(&of.map(|p| p.0).collect::<Vec<_>>(), s.group_rate_per_s, 3.0);
     }
 }
 
@@ -355,7 +362,7 @@
             }
             assert_eq!(sleeper.changes, restless.changes, "seed {seed}");
             let (a, b) = (sleeper.monitor.verdict(), restless.monitor.verdict());
-            assert_eq!((a.state, a.whole, &a.groups), (b.state, b.whole, &b.groups), "seed {seed}");
+            assert_eq!((a.state, a.overall, &a.groups), (b.state, b.overall, &b.groups), "seed {seed}");
         }
     }
 }
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -2,7 +2,10 @@
 
 use crate::reader::Reader;
 use crate::{Fault, meet};
-use birchreach_health::{Idle, Micros, Overload, Probing, Settings, Shared, Sum};
+use birchreach_health::{
+    AggregationRule, HealthSettings, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings,
+    SharedCausePolicy,
+};
 use std::net::SocketAddr;
 use uppsala::NodeId;
 
@@ -13,7 +16,7 @@
     pub agent: Option<Agent>,
     pub grpc: Option<Http>,
     /// Classes and seed are the program's to fill in.
-    pub settings: Settings,
+    pub settings: HealthSettings,
     /// After SIGTERM, draining is told for so long before the listener closes.
     pub lead: Micros,
 }
@@ -58,7 +61,7 @@
 
 impl Reader<'_> {
     pub(crate) fn health(&mut self, node: NodeId) -> Option<Health> {
-        let mut settings = Settings::default();
+        let mut settings = HealthSettings::default();
         let mut lead = 3_000_000;
         let http = self.child(node, "http").and_then(|node| {
             let mut http = Http { check_listener: self.check_listener(node)?, idle: 65_000_000 };
@@ -82,32 +85,32 @@
             self.claims(node, &mut settings);
         }
         if let Some(node) = probes {
-            let mut probing = Probing::default();
-            self.ms(node, "every-ms", &mut probing.every);
-            self.ms(node, "suspect-ms", &mut probing.suspect);
+            let mut probing = ProbeSettings::default();
+            self.ms(node, "every-ms", &mut probing.interval);
+            self.ms(node, "suspect-ms", &mut probing.suspect_after);
             self.ms(node, "timeout-ms", &mut probing.timeout);
-            self.number(node, "group-per-s", &mut probing.group_per_s);
-            self.number(node, "whole-per-s", &mut probing.whole_per_s);
+            self.number(node, "group-per-s", &mut probing.group_rate_per_s);
+            self.number(node, "whole-per-s", &mut probing.total_rate_per_s);
             settings.probes = Some(probing);
         }
         if let Some(node) = weight {
             let w = &mut settings.weight;
-            self.number(node, "knee", &mut w.knee);
-            self.number(node, "hot", &mut w.hot);
-            self.number(node, "least", &mut w.least);
-            self.number(node, "up-per-s", &mut w.up_per_s);
-            self.number(node, "down-per-s", &mut w.down_per_s);
-            self.ms(node, "settle-ms", &mut w.settle);
-            self.number(node, "overload-at", &mut settings.overload_at);
+            self.number(node, "knee", &mut w.reduce_above);
+            self.number(node, "hot", &mut w.trim_above);
+            self.number(node, "least", &mut w.percent_at_full_pressure);
+            self.number(node, "up-per-s", &mut w.max_rise_factor_per_s);
+            self.number(node, "down-per-s", &mut w.max_fall_factor_per_s);
+            self.ms(node, "settle-ms", &mut w.settling_time);
+            self.number(node, "overload-at", &mut settings.overload_pressure);
         }
         if let Some(node) = stopping {
             self.ms(node, "lead-ms", &mut lead);
         }
         // What does not hold together is told where it is written, or else at the whole.
-        for fault in settings.faults() {
-            let written = |n: &NodeId| self.doc.get_attribute(*n, fault.field).is_some();
+        for fault in settings.errors() {
+            let written = |n: &NodeId| self.doc.get_attribute(*n, fault.option).is_some();
             let at = parts.into_iter().flatten().find(written).unwrap_or(node);
-            self.fault(at, format!("{}: {}", fault.field, fault.message));
+            self.fault(at, format!("{}: {}", fault.option, fault.message));
         }
         if http.is_none() && agent.is_none() && grpc.is_none() {
             self.fault(node, "neither http, agent nor grpc: nobody could ask");
@@ -137,26 +140,41 @@
         Some(check_listener)
     }
 
-    fn claims(&mut self, node: NodeId, s: &mut Settings) {
-        self.word(node, "idle", [("trust", Idle::Trust), ("withdraw", Idle::Withdraw)], &mut s.idle);
-        self.word(node, "shared", [("tell", Shared::Tell), ("down", Shared::Down)], &mut s.shared);
+    fn claims(&mut self, node: NodeId, s: &mut HealthSettings) {
+        self.word(
+            node,
+            "idle",
+            [("trust", IdleGroupPolicy::TrustEndpointList), ("withdraw", IdleGroupPolicy::Withdraw)],
+            &mut s.idle_groups,
+        );
+        self.word(
+            node,
+            "shared",
+            [("tell", SharedCausePolicy::StayInRotation), ("down", SharedCausePolicy::ReportDown)],
+            &mut s.shared_causes,
+        );
         self.word(
             node,
             "overload",
-            [("weight", Overload::Weight), ("down", Overload::Down)],
+            [("weight", OverloadPolicy::ReduceWeight), ("down", OverloadPolicy::ReportDown)],
             &mut s.overload,
         );
-        self.word(node, "sum", [("any", Sum::Any), ("all", Sum::All)], &mut s.sum);
+        self.word(
+            node,
+            "sum",
+            [("any", AggregationRule::AnyGroup), ("all", AggregationRule::AllGroups)],
+            &mut s.aggregation,
+        );
         for (name, into) in [
-            ("window-ms", &mut s.window),
-            ("fall-ms", &mut s.fall),
-            ("rise-ms", &mut s.rise),
-            ("rise-most-ms", &mut s.rise_most),
-            ("hold-able-ms", &mut s.hold_able),
-            ("hold-unable-ms", &mut s.hold_unable),
-            ("hang-probed-ms", &mut s.hang_probed),
-            ("hang-ms", &mut s.hang),
-            ("discovery-after-ms", &mut s.discovery_after),
+            ("window-ms", &mut s.proof_window),
+            ("fall-ms", &mut s.withdraw_after),
+            ("rise-ms", &mut s.restore_after),
+            ("rise-most-ms", &mut s.restore_after_max),
+            ("hold-able-ms", &mut s.min_time_available),
+            ("hold-unable-ms", &mut s.min_time_unavailable),
+            ("hang-probed-ms", &mut s.silence_limit_probed),
+            ("hang-ms", &mut s.silence_limit_unprobed),
+            ("discovery-after-ms", &mut s.discovery_lost_after),
         ] {
             self.ms(node, name, into);
         }
--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Every fault names line and element, and nothing of a faulty file is taken.
 
-use birchreach_health::{Probing, Settings};
+use birchreach_health::{HealthSettings, ProbeSettings};
 use birchreach_options::{Options, parse};
 
 const EXAMPLE: &str = include_str!("../../deploy/options.xml");
@@ -9,12 +9,15 @@
 fn the_example_holds_every_default() {
     let options = parse(EXAMPLE).unwrap();
     let health = options.health.unwrap();
-    assert_eq!(health.settings, Settings { probes: Some(Probing::default()), ..Settings::default() });
+    assert_eq!(
+        health.settings,
+        HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
+    );
     assert_eq!((health.http.unwrap().check_listener.callers, health.lead), (64, 3_000_000));
     // What is left out is what it says.
     let short = "<birchreach-options><health><http listen='127.0.0.1:7081'/></health></birchreach-options>";
     let short = parse(short).unwrap().health.unwrap();
-    assert_eq!((short.settings, short.lead), (Settings::default(), 3_000_000));
+    assert_eq!((short.settings, short.lead), (HealthSettings::default(), 3_000_000));
     assert_eq!(parse("<birchreach-options/>"), Ok(Options::default()));
 }
 
--- a/proxy/src/grpc.rs
+++ b/proxy/src/grpc.rs
@@ -4,7 +4,7 @@
 //! It owns the framing, the streams of one connection and their bounds. Service names are the agent-check's words; what is
 //! told is the verdict's. It never keeps a state that the peer did not read: of a watch, the newest one counts.
 
-use birchreach_health::{Question, Verdict, agent};
+use birchreach_health::{HealthQuery, Verdict, agent};
 use bytes::Bytes;
 use h2::server::{Builder, Connection, Handshake, SendResponse};
 use h2::{Ping, PingPong, RecvStream, SendStream};
@@ -103,11 +103,11 @@
     /// Its request is coming.
     Asking { watch: bool, body: RecvStream, got: Vec<u8>, respond: SendResponse<Bytes> },
     /// It hears of every change.
-    Watching { question: Question, told: Option<i32>, send: SendStream<Bytes> },
+    Watching { question: HealthQuery, told: Option<i32>, send: SendStream<Bytes> },
 }
 
 /// A balancer's connection.
-pub struct Caller {
+pub struct GrpcCheckConnection {
     pipe: Rc<RefCell<Pipe>>,
     stage: Stage,
     calls: Vec<Call>,
@@ -115,8 +115,8 @@
     events: u64,
 }
 
-impl Default for Caller {
-    fn default() -> Caller {
+impl Default for GrpcCheckConnection {
+    fn default() -> GrpcCheckConnection {
         let pipe = Rc::new(RefCell::new(Pipe::default()));
         let handshake = Builder::new()
             .max_concurrent_streams(STREAMS)
@@ -128,11 +128,16 @@
             .max_concurrent_reset_streams(STREAMS as usize)
             .max_pending_accept_reset_streams(STREAMS as usize)
             .handshake(End(pipe.clone()));
-        Caller { pipe, stage: Stage::Greeting(Box::pin(handshake)), calls: Vec::new(), events: 0 }
+        GrpcCheckConnection {
+            pipe,
+            stage: Stage::Greeting(Box::pin(handshake)),
+            calls: Vec::new(),
+            events: 0,
+        }
     }
 }
 
-impl Caller {
+impl GrpcCheckConnection {
     /// More input may be read.
     pub fn hungry(&self) -> bool {
         self.pipe.borrow().input.len() < AHEAD
@@ -295,7 +300,7 @@
                 let Ok(send) = respond.send_response(headers(), false) else { return false };
                 // What names nothing now may come to be, with other settings: the watch stays.
                 let question = question
-                    .unwrap_or_else(|_| Question { class: Some(String::new()), ..Default::default() });
+                    .unwrap_or_else(|_| HealthQuery { class: Some(String::new()), ..Default::default() });
                 *call = Call::Watching { question, told: None, send };
                 true
             }
@@ -320,7 +325,7 @@
 }
 
 /// The question, once the message is whole.
-fn request(got: &[u8]) -> Option<Result<agent::Asked, ()>> {
+fn request(got: &[u8]) -> Option<Result<agent::ParsedQuery, ()>> {
     let (head, rest) = got.split_first_chunk::<5>()?;
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
     if head[0] != 0 || length > BODY {
@@ -328,13 +333,13 @@
     }
     let message = rest.get(..length)?;
     let request = HealthCheckRequest::decode(message).map_err(|_| ());
-    Some(request.map(|request| agent::question(request.service.as_bytes())))
+    Some(request.map(|request| agent::parse_query(request.service.as_bytes())))
 }
 
 /// The status of what is asked for; none if there is no such thing.
-fn told(asked: &agent::Asked, verdict: &Verdict) -> Option<i32> {
-    let capability = verdict.ask(asked.as_ref().ok()?)?;
-    Some(if capability.able { SERVING } else { NOT_SERVING })
+fn told(asked: &agent::ParsedQuery, verdict: &Verdict) -> Option<i32> {
+    let capability = verdict.capability(asked.as_ref().ok()?)?;
+    Some(if capability.available { SERVING } else { NOT_SERVING })
 }
 
 fn headers() -> Response<()> {
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -4,35 +4,45 @@
 use crate::observe::{CoreEvent, Observer};
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Consistency, GroupId, Micros, Role, ServerId};
-use birchreach_health::{Change, Class, Group, HealthEvent, Monitor, Needs, ProbeOutcome, Server, Settings};
+use birchreach_health as health;
+use birchreach_health::{
+    Change, HealthEvent, HealthSettings, Monitor, ProbeOutcome, RequestClass, RequiredServer,
+};
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
 
 /// The monitor, and what it was told last of the groups' held writes.
 pub struct Watch {
     pub monitor: Monitor,
-    held: BTreeMap<Group, Micros>,
+    held: BTreeMap<health::GroupId, Micros>,
 }
 
 /// What the options and the platform's settings say together. Probes need the platform's leave.
-pub fn settings(options: &birchreach_options::Health, site: &DeploymentSettings, seed: u64) -> Settings {
+pub fn settings(
+    options: &birchreach_options::Health,
+    site: &DeploymentSettings,
+    seed: u64,
+) -> HealthSettings {
     let needs = |need: &Consistency| match need {
-        Consistency::Write | Consistency::Strong => Needs::Primary,
-        Consistency::Session | Consistency::BoundedStaleness(_) | Consistency::Any => Needs::Member,
+        Consistency::Write | Consistency::Strong => RequiredServer::Primary,
+        Consistency::Session | Consistency::BoundedStaleness(_) | Consistency::Any => {
+            RequiredServer::AnyMember
+        }
     };
     let classes = site.class_names.iter().zip(&site.routing.classes);
-    let classes = classes.map(|(name, class)| Class { name: name.clone(), needs: needs(&class.consistency) });
-    let mut settings = Settings { classes: classes.collect(), seed, ..options.settings.clone() };
+    let classes =
+        classes.map(|(name, class)| RequestClass { name: name.clone(), needs: needs(&class.consistency) });
+    let mut settings = HealthSettings { classes: classes.collect(), seed, ..options.settings.clone() };
     settings.probes = settings.probes.filter(|_| site.routing.health_checks_allowed);
     settings
 }
 
-fn group(id: GroupId) -> Group {
-    Group(id.0)
+fn group(id: GroupId) -> health::GroupId {
+    health::GroupId(id.0)
 }
 
-fn server(id: ServerId) -> Server {
-    Server(id.0)
+fn server(id: ServerId) -> health::ServerId {
+    health::ServerId(id.0)
 }
 
 /// How an attempt ended, as far as it tells of the server.
@@ -55,7 +65,7 @@
 }
 
 /// What the server said that it is: in a note, in a report, or by what it did with a write.
-fn role(reply: &Reply, write: bool) -> Option<birchreach_health::Role> {
+fn role(reply: &Reply, write: bool) -> Option<health::Role> {
     let told = reply.status.map(|n| n.role).or_else(|| reply.load_report.and_then(|r| r.role));
     let done = match reply.outcome {
         AttemptOutcome::Ok if write => Some(Role::Primary),
@@ -63,37 +73,37 @@
         _ => None,
     };
     Some(match told.or(done)? {
-        Role::Primary => birchreach_health::Role::Primary,
-        Role::Replica => birchreach_health::Role::Replica,
+        Role::Primary => health::Role::Primary,
+        Role::Replica => health::Role::Replica,
     })
 }
 
 impl Watch {
-    pub fn new(settings: Settings, now: Micros) -> Watch {
+    pub fn new(settings: HealthSettings, now: Micros) -> Watch {
         Watch { monitor: Monitor::new(settings, now), held: BTreeMap::new() }
     }
 
     /// The verdict as of now.
-    pub fn verdict(&mut self, now: Micros) -> &birchreach_health::Verdict {
+    pub fn verdict(&mut self, now: Micros) -> &health::Verdict {
         self.step(now);
         self.monitor.verdict()
     }
 
     /// When the verdict may change next, what has changed, and who is to be probed now.
-    pub fn news(&mut self, now: Micros) -> (Micros, Vec<Change>, Vec<Server>) {
+    pub fn news(&mut self, now: Micros) -> (Micros, Vec<Change>, Vec<health::ServerId>) {
         self.step(now);
-        (self.monitor.next_change(), self.monitor.changes(), self.monitor.probes())
+        (self.monitor.next_change(), self.monitor.take_changes(), self.monitor.take_probes())
     }
 
     fn step(&mut self, now: Micros) {
         if self.monitor.next_change() <= now {
-            self.monitor.step(now);
+            self.monitor.update(now);
         }
     }
 
     /// Since when each group's oldest write is held; groups that are not named have none.
     fn held(&mut self, now: Micros, held: &[(GroupId, Micros)]) {
-        let mut oldest: BTreeMap<Group, Micros> = BTreeMap::new();
+        let mut oldest: BTreeMap<health::GroupId, Micros> = BTreeMap::new();
         for (of, since) in held {
             let at = oldest.entry(group(*of)).or_insert(*since);
             *at = (*since).min(*at);
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -69,7 +69,7 @@
         let timeout = settings.probes.as_ref().map_or(0, |probes| probes.timeout);
         self.pool.check_timeout(timeout);
         match &self.health.watch {
-            Some(watch) => watch.borrow_mut().monitor.settings(self.now, settings),
+            Some(watch) => watch.borrow_mut().monitor.apply_settings(self.now, settings),
             None => {
                 let watch = shared(Watch::new(settings, self.now));
                 self.core.subscribe(self.now, watch.clone());
@@ -138,7 +138,12 @@
         let held = self.core.report_queued(self.now);
         let in_progress = self.core.open_request_count();
         let pressure = busy.max(out);
-        self.record_health_event(HealthEvent::Load { pressure, in_progress, held, room: for_clients });
+        self.record_health_event(HealthEvent::Load {
+            pressure,
+            in_progress,
+            queued: held,
+            client_capacity: for_clients,
+        });
         self.timers.set(self.now + HEALTH_TICK, TimerEvent::HealthTick);
     }
 
@@ -152,7 +157,7 @@
                 Change::State { from, to, reason } => {
                     info!(event = "health", state = to.word(), was = from.word(), reason = reason.word());
                 }
-                Change::Claim { group, kind, able, reason } => {
+                Change::Capability { group, operation: kind, available: able, reason } => {
                     let (kind, reason) = (kind.word(), reason.word());
                     info!(event = "health-claim", group = group.0, kind, able, reason);
                 }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -53,10 +53,10 @@
 }
 
 enum Machine {
-    Http(http::Caller),
+    Http(http::HttpCheckConnection),
     /// And its reply, once it is made.
-    Agent(agent::Caller, Option<Vec<u8>>),
-    Grpc(Box<grpc::Caller>),
+    Agent(agent::AgentCheckConnection, Option<Vec<u8>>),
+    Grpc(Box<grpc::GrpcCheckConnection>),
 }
 
 struct Caller {
@@ -130,8 +130,8 @@
         }
         self.serial += 1;
         let machine = match kind {
-            Kind::Http => Machine::Http(http::Caller::default()),
-            Kind::Agent => Machine::Agent(agent::Caller::default(), None),
+            Kind::Http => Machine::Http(http::HttpCheckConnection::default()),
+            Kind::Agent => Machine::Agent(agent::AgentCheckConnection::default(), None),
             Kind::Grpc => Machine::Grpc(Box::default()),
         };
         slot.insert(Caller { stream, kind, machine, serial: self.serial, active: context.now });
@@ -148,7 +148,7 @@
     pub fn asked(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
         let Some(c) = self.slots.get_mut(key).filter(|c| c.serial == serial) else { return };
         if let Machine::Agent(machine, reply @ None) = &mut c.machine
-            && let Some(asked) = machine.ended()
+            && let Some(asked) = machine.input_ended()
         {
             *reply = Some(say(context, &asked, self.options.as_ref(), self.watch.as_ref()));
             self.ready(context, key);
@@ -193,7 +193,11 @@
                 .find(|(kind, _)| *kind == c.kind)
                 .map_or(0, |(_, check_listener)| check_listener.silent);
             let (long, reason) = match &c.machine {
-                Machine::Http(m) if m.calls() > 0 && !m.halfway() && m.out.is_empty() => (idle, "idle"),
+                Machine::Http(m)
+                    if m.requests_answered() > 0 && !m.has_partial_request() && m.output.is_empty() =>
+                {
+                    (idle, "idle")
+                }
                 Machine::Grpc(m) if m.events() > 0 && (m.idle() || m.watches()) && !m.has_out() => {
                     (grpc_idle, "idle")
                 }
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -25,12 +25,12 @@
 
 pub(super) fn serve_http(context: &mut EventLoopContext, c: &mut Caller, watch: Watched) -> Serve {
     let Machine::Http(machine) = &mut c.machine else { return Serve::Waits };
-    let before = (machine.calls(), machine.out.len());
-    let read = if machine.hungry() {
+    let before = (machine.requests_answered(), machine.output.len());
+    let read = if machine.wants_input() {
         let most = PIECE.min(context.scratch.len());
         stream::read(&mut c.stream, &mut context.scratch[..most], |bytes| {
             machine.feed(bytes);
-            machine.hungry()
+            machine.wants_input()
         })
     } else {
         Ok(false)
@@ -38,25 +38,25 @@
     let now = context.now;
     let core = &*context.core;
     let Some(watch) = watch else { return Serve::Over("off") };
-    let name = |server: birchreach_health::Server| core.server_name(ServerId(server.0)).to_string();
-    let all = machine.run(now, watch.borrow_mut().verdict(now), &name);
-    let waiting = machine.out.len();
-    let written = stream::write_some(&mut c.stream, &machine.out).map(|n| machine.wrote(n));
+    let name = |server: birchreach_health::ServerId| core.server_name(ServerId(server.0)).to_string();
+    let all = machine.process(now, watch.borrow_mut().verdict(now), &name);
+    let waiting = machine.output.len();
+    let written = stream::write_some(&mut c.stream, &machine.output).map(|n| machine.output_written(n));
     // Bytes that make no call whole do not keep a caller: it could go on so for ever.
-    if machine.calls() > before.0 || machine.out.len() < waiting {
+    if machine.requests_answered() > before.0 || machine.output.len() < waiting {
         c.active = now;
     }
-    if machine.over() {
+    if machine.is_finished() {
         let _ = c.stream.shutdown(Shutdown::Write);
         return Serve::Over("answered");
     }
     match (read, written) {
         (_, Err(_)) | (Err(stream::Ended::Reset), _) => Serve::Over("reset"),
         (Err(stream::Ended::Closed), _) => {
-            Serve::Over(if machine.halfway() { "cut-short" } else { "closed" })
+            Serve::Over(if machine.has_partial_request() { "cut-short" } else { "closed" })
         }
         // The socket tells once it takes more; of what was not read, or not answered yet, nobody tells again.
-        (Ok(drained), _) if (drained && all) || !machine.out.is_empty() => Serve::Waits,
+        (Ok(drained), _) if (drained && all) || !machine.output.is_empty() => Serve::Waits,
         _ => Serve::More,
     }
 }
@@ -110,7 +110,7 @@
     });
     if reply.is_none() {
         if read == Err(stream::Ended::Closed) {
-            asked = asked.or_else(|| machine.ended());
+            asked = asked.or_else(|| machine.input_ended());
         }
         *reply = asked.map(|asked| say(context, &asked, options, watch));
     }
@@ -133,13 +133,14 @@
 /// The reply to an agent-check.
 pub(super) fn say(
     context: &mut EventLoopContext,
-    asked: &agent::Asked,
+    asked: &agent::ParsedQuery,
     options: Option<&Health>,
     watch: Watched,
 ) -> Vec<u8> {
     let Some(watch) = watch else { return Vec::new() };
     let mut watch = watch.borrow_mut();
     let verdict = watch.verdict(context.now);
-    let maxconn = options.and_then(|o| o.agent.as_ref()).filter(|a| a.maxconn).map(|_| verdict.room);
+    let maxconn =
+        options.and_then(|o| o.agent.as_ref()).filter(|a| a.maxconn).map(|_| verdict.client_capacity);
     agent::reply(asked, verdict, maxconn).into_bytes()
 }
