--- /dev/null
+++ b/membership/tests/recorded_bytes.rs
@@ -0,0 +1,105 @@
+//! Payloads that members send each other, recorded from the release before: they are read as they were, and the same are written
+//! again. `recorded/payloads.txt` holds them, a name and its bytes in hexadecimal on each line.
+
+use birchreach_membership::{Fleet, GossipReports, Micros, Settings, State};
+use std::net::SocketAddr;
+
+const SECOND: Micros = 1_000_000;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn recorded(name: &str) -> Vec<u8> {
+    let lines = include_str!("recorded/payloads.txt").lines();
+    let line = lines.filter_map(|line| line.split_once(' ')).find(|(other, _)| *other == name);
+    let digits = line.unwrap_or_else(|| panic!("{name} is not recorded")).1;
+    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+}
+
+/// What was written now is what was recorded.
+fn assert_recorded(name: &str, written: &[u8]) {
+    assert_eq!(hex(written), hex(&recorded(name)), "{name}");
+}
+
+fn address(n: usize) -> SocketAddr {
+    match n {
+        0 => "10.0.0.1:7000".parse().unwrap(),
+        _ => "[2001:db8::2]:7001".parse().unwrap(),
+    }
+}
+
+fn fleet(n: usize, now: Micros) -> Fleet {
+    let settings = Settings {
+        name: ["proxy-a", "proxy-b"][n].into(),
+        at: address(n),
+        boot: 0x1000_0000_0000_0001 + n as u64,
+        epoch: 1_700_000_000_000 + n as u64,
+        seed: n as u64 + 1,
+        seeds: vec![address(0)],
+        named: 2,
+    };
+    Fleet::new(settings, now)
+}
+
+/// The second joins the first; each is fed the recorded payloads of the other for five seconds.
+#[test]
+fn a_join_and_the_gossip_after_it_are_written_and_read_as_recorded() {
+    let mut fleets = [fleet(0, 0), fleet(1, 0)];
+    let boots = [0, 1].map(|n| fleets[n].own().boot);
+    let mut sent = 0;
+    for now in (0..5 * SECOND).step_by(100_000) {
+        for n in [1, 0] {
+            fleets[n].step(now);
+            while let Some((to, payload)) = fleets[n].send() {
+                assert_eq!(to, address(1 - n));
+                let name = format!("gossip-{sent}-from-{n}");
+                assert_recorded(&name, &payload);
+                fleets[1 - n].heard(now, boots[n], &recorded(&name)).unwrap();
+                sent += 1;
+            }
+        }
+    }
+    assert!(sent > 30, "{sent} payloads");
+    for fleet in &fleets {
+        assert_eq!(fleet.view().members, 2);
+        assert_recorded("digest-of-two", &fleet.view().digest.to_be_bytes());
+        assert!(matches!(fleet.view().state, State::Settled { .. }));
+    }
+    fleets[1].leave(5 * SECOND);
+    let (_, goodbye) = fleets[1].send().unwrap();
+    assert_recorded("goodbye", &goodbye);
+    fleets[0].heard(5 * SECOND, boots[1], &recorded("goodbye")).unwrap();
+    assert_eq!(fleets[0].members().count(), 0);
+}
+
+#[test]
+fn a_full_exchange_is_written_and_read_as_recorded() {
+    let (mut first, second) = (fleet(0, 0), fleet(1, 0));
+    let parts = second.all();
+    assert_eq!(parts.len(), 1);
+    assert_recorded("exchange", &parts[0]);
+    first.take_all(SECOND, &[recorded("exchange")]).unwrap();
+    let members: Vec<_> = first.members().cloned().collect();
+    assert_eq!(members, [second.own().clone()]);
+    assert_eq!(first.own().name, "proxy-a");
+    assert_recorded("exchange-of-two", &first.all().concat());
+}
+
+#[test]
+fn reports_are_written_and_read_as_recorded() {
+    let (mut sender, mut receiver) = (GossipReports::new(0x2122_2324_2526_2728, 1), GossipReports::new(2, 2));
+    sender.say(0, 1, b"first channel".to_vec());
+    sender.say(SECOND, 200, vec![0, 255, 7]);
+    let (_, payload) = sender.due(SECOND + 1, &[address(0)]).unwrap();
+    assert_recorded("reports", &payload);
+    let fresh = receiver.hear(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
+    let mut fresh: Vec<_> =
+        fresh.into_iter().map(|r| (r.channel, r.origin, r.number, r.age, r.payload)).collect();
+    fresh.sort();
+    let origin = 0x2122_2324_2526_2728;
+    assert_eq!(
+        fresh,
+        [(1, origin, 1, 1_001_000, b"first channel".to_vec()), (200, origin, 1, 1_000, vec![0, 255, 7])]
+    );
+}
