--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -39,7 +39,7 @@
 impl Metrics {
     pub fn new() -> Metrics {
         let mut m = Metrics {
-            registry: Registry::with_prefix("birchreach_membership"),
+            registry: Registry::with_prefix("birchreach_fleet"),
             datagrams: Family::default(),
             bytes: Family::default(),
             dropped: Family::default(),
