--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -3,6 +3,7 @@
 
 mod link_events;
 mod membership_sync;
+mod nonce;
 mod peer_protocol;
 mod state_transfer;
 
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -6,7 +6,6 @@
 use super::state_transfer::StateTransfer;
 use birchreach::Micros;
 use birchreach_peer_state::donor::Verdict;
-use birchreach_peer_state::frame::Nonce;
 use birchreach_peer_state::join::End;
 use birchreach_peer_state::talk::{Asker, Heard, Teller};
 use mio::net::TcpStream;
@@ -83,12 +82,6 @@
     Next::Waits
 }
 
-pub(super) fn nonce() -> Result<Nonce, &'static str> {
-    let mut nonce = [0; 16];
-    getrandom::fill(&mut nonce).map_err(|_| "no-random-numbers")?;
-    Ok(nonce)
-}
-
 /// Reads what there is, a piece at once.
 pub(super) fn take(
     stream: &mut TcpStream,
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -2,7 +2,7 @@
 
 use super::super::sources::Source;
 use super::listen;
-use super::peer_protocol::nonce;
+use super::nonce::nonce;
 use crate::observe::Shared;
 use crate::peer_knowledge::PeerKnowledge;
 use birchreach::Micros;
