--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -37,15 +37,15 @@
             CallError::NoSocket => f.write_str("no-socket"),
             CallError::Connect => f.write_str("refused"),
             CallError::ConnectTimeout => f.write_str("connect-timeout"),
-            CallError::Silent => f.write_str("silent"),
+            CallError::Silent => f.write_str("unresponsive"),
             CallError::Closed => f.write_str("closed"),
             CallError::Reset => f.write_str("reset"),
             CallError::NoRoom => f.write_str("status 503"),
             CallError::Status(code) => write!(f, "status {code}"),
-            CallError::CutShort => f.write_str("answer cut short"),
-            CallError::TooLong => f.write_str("answer too long"),
-            CallError::Http(fault) => write!(f, "not HTTP: {fault}"),
-            CallError::List(fault) => write!(f, "not a list: {fault}"),
+            CallError::CutShort => f.write_str("response truncated"),
+            CallError::TooLong => f.write_str("response too long"),
+            CallError::Http(fault) => write!(f, "invalid HTTP: {fault}"),
+            CallError::List(fault) => write!(f, "invalid list: {fault}"),
         }
     }
 }
--- a/proxy/src/discovery/tests/answers.rs
+++ b/proxy/src/discovery/tests/answers.rs
@@ -58,7 +58,7 @@
         ("HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n".to_string(), "a length that is no number"),
         ("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n".to_string(), "too long"),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_string(), "a chunk without a size"),
-        ("SSH-2.0-x\r\n\r\n".to_string(), "not HTTP"),
+        ("SSH-2.0-x\r\n\r\n".to_string(), "invalid HTTP"),
         (format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(20_000)), "too long"),
         (list("{"), "line 1 column 1"),
         (list(r#"{"all":true,"targets":[]}"#), "`rev`"),
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -140,7 +140,7 @@
         self.waiting = self.listener.is_some();
         let silent = self.slots.iter().filter(|(_, c)| context.now - c.since >= SILENT);
         for key in silent.map(|(k, _)| k).collect::<Vec<_>>() {
-            self.close(context, key, "silent");
+            self.close(context, key, "unresponsive");
         }
     }
 
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -41,16 +41,16 @@
             }
             Command::AbortStream { client, request } => self.clients.broken(context, client, request),
             Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
-            Command::Log(LogRecord::RoutingNote(note)) => info!(event = "module", note = %Quoted(note)),
+            Command::Log(LogRecord::RoutingNote(note)) => info!(event = "routing-note", note = %Quoted(note)),
             Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
-                info!(event = "server", number, uid, endpoint);
+                info!(event = "server-listed", number, uid, endpoint);
             }
         }
     }
 
     /// Takes a newer endpoint list.
     pub(super) fn update_endpoints(&mut self, update: Update) {
-        info!(event = "list", rev = update.rev, all = update.all, lines = update.targets.len());
+        info!(event = "endpoint-list", rev = update.rev, all = update.all, lines = update.targets.len());
         let moved = self.context.core.update_endpoints(self.context.now, update);
         for server in moved {
             self.pool.moved(&mut self.context, server);
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -157,7 +157,7 @@
     }
     event_loop.step_gossip();
     if event_loop.handover.process_count() > 1 {
-        info!(event = "predecessor-met");
+        info!(event = "predecessor-connected");
     }
     event_loop.apply_process_count();
     event_loop.context.timers.set(now + SWEEP, TimerEvent::Sweep);
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -61,7 +61,7 @@
         match bound {
             Ok(listener) => self.listener = Some(listener),
             Err(e) => {
-                warn!(event = "no-meeting-place", path = %path.display(), error = %Quoted(e));
+                warn!(event = "handover-socket-unavailable", path = %path.display(), error = %Quoted(e));
             }
         }
     }
@@ -79,7 +79,7 @@
             {
                 self.successor =
                     Some(Link { stream, machine: HandoverProtocol::default(), word: None, yields: None });
-                info!(event = "successor-met");
+                info!(event = "successor-connected");
             }
         }
     }
@@ -106,7 +106,7 @@
         if read.is_err() || written.is_err() || !sound {
             let _ = context.registry.deregister(&mut link.stream);
             *slot = None;
-            info!(event = if predecessor { "predecessor-gone" } else { "successor-gone" });
+            info!(event = if predecessor { "predecessor-disconnected" } else { "successor-disconnected" });
             if !predecessor {
                 // It had taken the meeting place too.
                 self.listen(&context.registry);
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -12,7 +12,7 @@
 /// What the settings are likely not to mean, a line each.
 pub(super) fn log_settings_warnings(config: &Config) {
     for doubt in config.doubts.iter().take(DOUBTS_TOLD) {
-        warn!(event = "settings-doubt", about = %Quoted(doubt));
+        warn!(event = "settings-warning", about = %Quoted(doubt));
     }
 }
 
