--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -6,7 +6,7 @@
 mod parse;
 mod place;
 
-use crate::discovery::Update;
+use crate::discovery::EndpointUpdate;
 use birchreach_options::Options;
 use birchreach_peer_state::frame::Keys;
 use birchreach_settings::DeploymentSettings;
@@ -31,7 +31,7 @@
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// The list of databases as this proxy last had it.
-    pub known: Option<Update>,
+    pub known: Option<EndpointUpdate>,
     pub site: DeploymentSettings,
     /// Options of our own; without a file all that is new is off.
     pub options: Options,
--- a/proxy/src/config/parse.rs
+++ b/proxy/src/config/parse.rs
@@ -1,7 +1,7 @@
 //! The platform's JSON into a configuration, with every fault of it; and what a later one must have that an earlier one had.
 
 use super::{Config, hash};
-use crate::discovery::Update;
+use crate::discovery::EndpointUpdate;
 use birchreach_options::Options;
 use birchreach_settings::{DeploymentSettings, SettingsError};
 use serde::Deserialize;
@@ -37,7 +37,7 @@
     };
     let known = match root.get("known") {
         None | Some(Value::Null) => Ok(None),
-        Some(v) => Update::deserialize(v).map(Some).map_err(|e| format!("known: {e}")),
+        Some(v) => EndpointUpdate::deserialize(v).map(Some).map_err(|e| format!("known: {e}")),
     };
     let site = match root.get("settings") {
         None => Err(vec!["settings: absent".to_string()]),
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -3,7 +3,7 @@
 //! A number is never given to two servers. A server that was removed long ago is dropped once the router has dropped it.
 
 use super::{Command, Core, LogRecord, RequestPayload};
-use crate::discovery::{State, Target, Update};
+use crate::discovery::{EndpointUpdate, ListedEndpoint, ListedState};
 use crate::observe::{CoreEvent, Observer};
 use birchreach::*;
 use birchreach_settings::DeploymentSettings;
@@ -28,7 +28,7 @@
 }
 
 impl ListedServer {
-    fn new(target: &Target) -> ListedServer {
+    fn new(target: &ListedEndpoint) -> ListedServer {
         ListedServer {
             uid: target.uid.clone(),
             address: None,
@@ -41,13 +41,13 @@
     }
 
     /// Applies an entry of the list. Returns whether connections to the server are of no more use: it moved or was removed.
-    fn update(&mut self, target: &Target) -> bool {
+    fn update(&mut self, target: &ListedEndpoint) -> bool {
         let address = target.endpoint.parse().ok();
         self.group = GroupId(target.group);
-        self.primary = target.primary();
-        self.up = target.state == State::Up;
+        self.primary = target.is_primary();
+        self.up = target.state == ListedState::Up;
         self.started_ms = target.started_ms();
-        self.removed = target.state == State::Removed;
+        self.removed = target.state == ListedState::Removed;
         let moved = self.address != address || self.removed;
         if moved {
             self.address = address.or(self.address);
@@ -119,7 +119,7 @@
     }
 
     /// Applies an entry of the list. Returns it for the router, and whether the server moved or was removed.
-    fn update(&mut self, server: ServerId, target: &Target) -> (Endpoint, bool) {
+    fn update(&mut self, server: ServerId, target: &ListedEndpoint) -> (Endpoint, bool) {
         let listed = self.listed.entry(server).or_insert_with(|| ListedServer::new(target));
         let moved = listed.update(target);
         let endpoint = Endpoint {
@@ -127,13 +127,13 @@
             group: GroupId(target.group),
             zone: self.zone(&target.zone),
             state: match target.state {
-                State::Up => EndpointState::Ready,
-                State::Draining => EndpointState::Draining,
-                State::Removed => EndpointState::Removed,
+                ListedState::Up => EndpointState::Ready,
+                ListedState::Draining => EndpointState::Draining,
+                ListedState::Removed => EndpointState::Removed,
             },
             started_at: target.started_ms().and_then(|ms| ms.checked_mul(MICROS_PER_MILLISECOND)),
             weight: target.weight,
-            primary: target.primary() == Some(true),
+            primary: target.is_primary() == Some(true),
         };
         (endpoint, moved)
     }
@@ -163,24 +163,24 @@
     }
 
     /// Applies a change of the endpoint list. Returns the servers that moved or were removed.
-    pub fn update_endpoints(&mut self, now: Micros, update: Update) -> Vec<ServerId> {
-        if update.all {
+    pub fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate) -> Vec<ServerId> {
+        if update.complete {
             self.servers.listed.values_mut().for_each(|server| server.removed = true);
         }
         let (mut moved, mut endpoints) = (Vec::new(), Vec::new());
-        for target in &update.targets {
+        for target in &update.endpoints {
             let server = self.number_server(target);
             let (endpoint, has_moved) = self.servers.update(server, target);
             moved.extend(has_moved.then_some(server));
             endpoints.push(endpoint);
         }
         self.notify_listed(now, &endpoints);
-        self.handle(now, Event::EndpointsChanged(EndpointList { complete: update.all, endpoints }));
+        self.handle(now, Event::EndpointsChanged(EndpointList { complete: update.complete, endpoints }));
         self.drop_unknown_servers();
         moved
     }
 
-    fn number_server(&mut self, target: &Target) -> ServerId {
+    fn number_server(&mut self, target: &ListedEndpoint) -> ServerId {
         let (server, is_new) = self.servers.number(&target.uid);
         if is_new {
             let (uid, endpoint) = (target.uid.clone(), target.endpoint.clone());
--- a/proxy/src/discovery/http.rs
+++ b/proxy/src/discovery/http.rs
@@ -1,27 +1,28 @@
-//! An answer of discovery's as HTTP/1.1 has it: with a length, in chunks, or up to the end; bounded.
+//! The body of an HTTP/1.1 response: with a length, in chunks, or up to the end of the connection. Its size is bounded.
 
-use super::error::CallError;
+use super::error::{HttpFault, PollError};
 
-/// The status of a call for which there was no room.
-const NO_ROOM: u16 = 503;
-/// A list longer than this is no list.
-pub(super) const MAX_BODY: usize = 4 << 20;
-pub(super) const MAX_HEAD: usize = 16 << 10;
+/// The status with which discovery rejects a request for which it has no capacity.
+const SERVICE_UNAVAILABLE: u16 = 503;
+const OK: u16 = 200;
+/// The longest body and head that are buffered.
+pub(super) const MAX_BODY_BYTES: usize = 4 << 20;
+pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 
-/// The body of an answer, once it is whole.
-pub(super) fn body(input: &[u8], ended: bool) -> Result<Option<Vec<u8>>, CallError> {
+/// The body, once it is complete. `ended`: the connection was closed, which completes a body without a length.
+pub(super) fn response_body(input: &[u8], ended: bool) -> Result<Option<Vec<u8>>, PollError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let parsed = response.parse(input).map_err(|_| CallError::Http("no head of an answer"))?;
+    let parsed = response.parse(input).map_err(|_| PollError::InvalidHttp(HttpFault::Head))?;
     let httparse::Status::Complete(head) = parsed else {
-        return if input.len() > MAX_HEAD { Err(CallError::TooLong) } else { Ok(None) };
+        return if input.len() > MAX_HEAD_BYTES { Err(PollError::TooLong) } else { Ok(None) };
     };
     let code = response.code.unwrap_or(0);
     match code {
-        200 => {}
-        NO_ROOM => return Err(CallError::NoRoom),
-        _ => return Err(CallError::Status(code)),
+        OK => {}
+        SERVICE_UNAVAILABLE => return Err(PollError::Overloaded),
+        _ => return Err(PollError::Status(code)),
     }
     let header = |name: &str| {
         let found = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
@@ -29,35 +30,37 @@
     };
     let rest = &input[head..];
     if header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
-        return chunks(rest);
+        return chunked_body(rest);
     }
     let length = match header("content-length") {
-        Some(v) => v.parse().map_err(|_| CallError::Http("a length that is no number"))?,
+        Some(v) => v.parse().map_err(|_| PollError::InvalidHttp(HttpFault::ContentLength))?,
         None if ended => rest.len(),
-        None if rest.len() > MAX_BODY => MAX_BODY + 1,
+        None if rest.len() > MAX_BODY_BYTES => MAX_BODY_BYTES + 1,
         None => return Ok(None),
     };
-    if length > MAX_BODY {
-        return Err(CallError::TooLong);
+    if length > MAX_BODY_BYTES {
+        return Err(PollError::TooLong);
     }
     Ok(rest.get(..length).map(<[u8]>::to_vec))
 }
 
-fn chunks(mut rest: &[u8]) -> Result<Option<Vec<u8>>, CallError> {
+fn chunked_body(mut rest: &[u8]) -> Result<Option<Vec<u8>>, PollError> {
+    /// What ends each chunk.
+    const LINE_END: &[u8] = b"\r\n";
     let mut body = Vec::new();
     loop {
         let parsed =
-            httparse::parse_chunk_size(rest).map_err(|_| CallError::Http("a chunk without a size"))?;
+            httparse::parse_chunk_size(rest).map_err(|_| PollError::InvalidHttp(HttpFault::ChunkSize))?;
         let httparse::Status::Complete((head, size)) = parsed else { return Ok(None) };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
-        if size.saturating_add(body.len()) > MAX_BODY {
-            return Err(CallError::TooLong);
+        if size.saturating_add(body.len()) > MAX_BODY_BYTES {
+            return Err(PollError::TooLong);
         }
-        let Some(chunk) = rest.get(head..head + size + 2) else { return Ok(None) };
+        let Some(chunk) = rest.get(head..head + size + LINE_END.len()) else { return Ok(None) };
         if size == 0 {
             return Ok(Some(body));
         }
         body.extend_from_slice(&chunk[..size]);
-        rest = &rest[head + size + 2..];
+        rest = &rest[head + size + LINE_END.len()..];
     }
 }
--- a/proxy/src/discovery/list.rs
+++ b/proxy/src/discovery/list.rs
@@ -1,21 +1,26 @@
-//! Discovery's list of databases, as its JSON has it.
+//! Discovery's endpoint list. The names of its JSON are mapped to ours here and nowhere else.
 
 use serde::Deserialize;
 
-/// What the list says of a database.
+/// The state that the list gives a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum ListedState {
+    /// It takes new work.
     Up,
+    /// It finishes what it has and takes nothing new.
     Draining,
+    /// It is gone.
     Removed,
 }
 
-/// What the list says of a database's role, where it does.
+/// The role that the list gives a database, where it names one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum Access {
+    /// A primary.
     Writer,
+    /// A replica: each word but `writer`.
     Reader,
 }
 
@@ -25,47 +30,60 @@
     }
 }
 
-/// A line of the list.
+/// A database on the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Target {
+pub struct ListedEndpoint {
+    /// Its identity, which outlives an address.
     pub uid: String,
+    /// Its address, `host:port`.
     #[serde(default)]
     pub endpoint: String,
+    /// Its availability zone.
     #[serde(default, rename = "az")]
     pub zone: String,
+    /// The number of its group: one primary and its replicas.
     #[serde(default, rename = "pod_group")]
     pub group: u32,
-    pub state: State,
-    #[serde(default = "usual_weight", rename = "capacity_hint")]
+    /// Whether it takes work.
+    pub state: ListedState,
+    /// Its capacity relative to the others.
+    #[serde(default = "default_weight", rename = "capacity_hint")]
     pub weight: f64,
-    /// Unix time of the last start; 0 if that was long ago.
-    #[serde(default)]
-    pub boot_ms: f64,
+    /// Unix time of its last start in milliseconds; 0 if that was long ago.
+    #[serde(default, rename = "boot_ms")]
+    pub started_unix_ms: f64,
+    /// Its role, where the list names roles.
     #[serde(default)]
     pub access: Option<Access>,
 }
 
-fn usual_weight() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-impl Target {
+impl ListedEndpoint {
     /// When it last started, in milliseconds of Unix time; none if that was long ago.
     pub fn started_ms(&self) -> Option<i64> {
-        let started = self.boot_ms as i64;
+        let started = self.started_unix_ms as i64;
         (started > 0).then_some(started)
     }
 
-    /// Whether the list names it a primary, if it tells of roles.
-    pub fn primary(&self) -> Option<bool> {
+    /// Whether the list names it a primary; none where the list names no roles.
+    pub fn is_primary(&self) -> Option<bool> {
         self.access.map(|access| access == Access::Writer)
     }
 }
 
-/// An answer: changes, or the whole list.
+/// A response of discovery: changes to the list, or the complete list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Update {
-    pub rev: u64,
-    pub all: bool,
-    pub targets: Vec<Target>,
+pub struct EndpointUpdate {
+    /// The version of the list that this brings up to.
+    #[serde(rename = "rev")]
+    pub revision: u64,
+    /// The list is complete: whoever it does not name has been removed.
+    #[serde(rename = "all")]
+    pub complete: bool,
+    /// The databases that changed, or all of them.
+    #[serde(rename = "targets")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery's list of databases and the watch on it: HTTP/1.1, as machines that are fed bytes and know no socket.
+//! Discovery's endpoint list and the watch on it, over HTTP/1.1. State machines that are fed bytes and know no socket.
 
 mod backoff;
 mod error;
@@ -9,6 +9,6 @@
 mod watch;
 
 pub use backoff::Backoff;
-pub use error::CallError;
-pub use list::{State, Target, Update};
-pub use watch::{ANSWER, Answer, CONNECT, Watch};
+pub use error::PollError;
+pub use list::{EndpointUpdate, ListedEndpoint, ListedState};
+pub use watch::{CONNECT_TIMEOUT_MICROS, EndpointWatch, PollResponse, RESPONSE_TIMEOUT_MICROS};
--- /dev/null
+++ b/proxy/src/discovery/tests/mass_restart.rs
@@ -0,0 +1,78 @@
+//! Many proxies that poll one discovery of fixed capacity.
+
+use super::super::backoff::{MAX_OVERLOAD_WAIT_MICROS, POLL_SLOT_MICROS};
+use super::super::error::PollError;
+use super::polling_backoff;
+use birchreach::Micros;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// Discovery rejects a poll that would wait longer for its slot.
+const QUEUE_LIMIT_MICROS: Micros = 2_000_000;
+
+/// What came of a restart.
+struct Restart {
+    /// When each proxy had the list, in order.
+    notified_at: Vec<Micros>,
+    /// The longest time between two polls of one proxy.
+    longest_wait: Micros,
+}
+
+/// So many proxies, all started at once.
+fn restart(proxies: usize, seed: u64) -> Restart {
+    let backoffs = (0..proxies).map(|n| polling_backoff(proxies as u32, seed * 1_000 + n as u64));
+    let mut backoffs: Vec<_> = backoffs.collect();
+    let first = backoffs.iter_mut().enumerate().map(|(n, backoff)| Reverse((backoff.initial_wait(), n)));
+    let mut polls: BinaryHeap<_> = first.collect();
+    let (mut free_at, mut longest_wait) = (0, 0);
+    let mut notified_at = Vec::new();
+    while let Some(Reverse((now, n))) = polls.pop() {
+        let slot = now.max(free_at);
+        if slot - now <= QUEUE_LIMIT_MICROS {
+            free_at = slot + POLL_SLOT_MICROS;
+            notified_at.push(free_at);
+        } else {
+            let wait = backoffs[n].wait_after(&PollError::Overloaded);
+            longest_wait = longest_wait.max(wait);
+            polls.push(Reverse((now + wait, n)));
+        }
+    }
+    notified_at.sort_unstable();
+    Restart { notified_at, longest_wait }
+}
+
+/// Up to fifty proxies all have the list within the notification deadline. For more the capacity does not suffice: it is used to the
+/// last slot, no proxy is left out, and none waits longer than the bound between two polls.
+#[test]
+fn all_proxies_of_a_mass_restart_are_notified_as_fast_as_discovery_can() {
+    for seed in 1..=5 {
+        for proxies in [1, 5, 20, 48, 100, 300] {
+            let Restart { notified_at, longest_wait } = restart(proxies, seed);
+            let last = notified_at[notified_at.len() - 1];
+            let capacity = proxies as Micros * POLL_SLOT_MICROS;
+            assert!(longest_wait <= MAX_OVERLOAD_WAIT_MICROS);
+            assert!(last <= capacity + capacity / 4 + MAX_OVERLOAD_WAIT_MICROS, "{proxies}: {last}");
+            assert!(proxies > 50 || last < 6_000_000, "{proxies}: {last}");
+        }
+    }
+}
+
+/// 48 proxies that start at one moment: their polls must not come in bursts.
+#[test]
+fn proxies_that_start_at_once_spread_their_polls() {
+    let mut backoffs: Vec<_> = (0..48).map(|seed| polling_backoff(48, seed)).collect();
+    let most_in_a_second = |times: &[Micros]| {
+        times.iter().map(|at| times.iter().filter(|t| (0..1_000_000).contains(&(*t - at))).count()).max()
+    };
+    // Half of them are rejected: they fit into half a round, and into a longer one if that was not enough.
+    let mut rejected = || -> Vec<Micros> {
+        backoffs[..24].iter_mut().map(|backoff| backoff.wait_after(&PollError::Overloaded)).collect()
+    };
+    let (second, third) = (rejected(), rejected());
+    assert!(most_in_a_second(&second) < Some(26) && second.iter().all(|t| *t <= 1_440_000), "{second:?}");
+    assert!(third.iter().any(|t| *t > 1_440_000) && third.iter().all(|t| *t <= 2_880_000), "{third:?}");
+    // After a broken connection the watch goes on if the next poll comes soon.
+    assert!(backoffs.iter_mut().all(|backoff| backoff.wait_after(&PollError::Closed) <= 20_000));
+    backoffs.iter_mut().for_each(|backoff| backoff.reset());
+    assert!(backoffs.iter_mut().all(|backoff| backoff.wait_after(&PollError::Overloaded) <= 1_440_000));
+}
--- a/proxy/src/discovery/tests/mod.rs
+++ b/proxy/src/discovery/tests/mod.rs
@@ -1,20 +1,21 @@
-//! What the machines of the watch do, on times made by hand.
+//! The watch and its backoff, as state machines without a socket or a clock.
 
-mod answers;
-mod fleet;
-mod told;
+mod deadlines;
+mod mass_restart;
+mod responses;
 
 use super::backoff::Backoff;
 use birchreach::{EndpointDiscovery, Micros, Settings};
 
-/// Settings of a deployment whose lists arrive so, for so many proxies.
-fn settings(list: EndpointDiscovery, routers: u32, drain_grace: Micros) -> Settings {
+/// Settings of a deployment with this way of discovery, number of proxies and grace.
+fn settings(discovery: EndpointDiscovery, proxy_count: u32, drain_grace: Micros) -> Settings {
     let config: serde_json::Value =
         serde_json::from_str(include_str!("../../../tests/exchanges/config.json")).unwrap();
-    let site = birchreach_settings::from_value(&config["settings"]).unwrap();
-    Settings { endpoint_discovery: list, proxy_count: routers, drain_grace, ..site.routing }
+    let deployment = birchreach_settings::from_value(&config["settings"]).unwrap();
+    Settings { endpoint_discovery: discovery, proxy_count, drain_grace, ..deployment.routing }
 }
 
-fn asked(routers: u32, seed: u64) -> Backoff {
-    Backoff::new(&settings(EndpointDiscovery::Polled, routers, 2_000_000), seed)
+/// The backoff of one of so many proxies that poll one discovery.
+fn polling_backoff(proxy_count: u32, seed: u64) -> Backoff {
+    Backoff::new(&settings(EndpointDiscovery::Polled, proxy_count, 2_000_000), seed)
 }
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -1,117 +1,129 @@
-//! The watch on the list: which call is next, how long each part of it may take, and what its answer tells. A machine that is fed
-//! bytes.
+//! The watch on the endpoint list: which request is next, how long each part of it may take, and what its response changes. A state
+//! machine that is fed bytes.
 //!
-//! A change counts as told [`TOLD`] after discovery had it and could be reached, whatever call failed. The parts of the chain from a
-//! failed call to the list held are bounded by that: see [`super::backoff`].
+//! The proxy counts as notified of a change [`NOTIFICATION_DEADLINE_MICROS`] after discovery had it and could be reached, whatever
+//! poll failed. The parts of the chain from a failed poll to the new list are bounded by that: see [`super::backoff`].
 
-use super::error::CallError;
-use super::http::{MAX_BODY, MAX_HEAD, body};
-use super::list::Update;
+use super::error::PollError;
+use super::http::{MAX_BODY_BYTES, MAX_HEAD_BYTES, response_body};
+use super::list::EndpointUpdate;
 use birchreach::Micros;
 
-/// What discovery has counts as told so long after it had it, or after a call fell silent.
-pub const TOLD: Micros = 6_000_000;
-/// A call that may wait counts as silent so long after that wait, if that is later.
-const TOLD_AFTER_HOLD: Micros = 2_000_000;
-/// Kept of those times for the next call and its answer.
-pub const SPARE: Micros = 500_000;
-/// For a call that does not wait, and for the rest of an answer that has begun: two such calls fit into [`TOLD`].
-pub const ANSWER: Micros = (TOLD - 2 * SPARE) / 2;
-/// For a connection to come up: a lost first packet is sent again after a second.
-pub const CONNECT: Micros = TOLD / 4;
-/// How long a watch may wait for news.
-const HOLD_MS: u64 = 20_000;
+const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// The calls: one at a time, each from the newest version held.
-pub struct Watch {
+/// The proxy counts as notified of a change so long after discovery had it, or after a poll became unresponsive.
+pub const NOTIFICATION_DEADLINE_MICROS: Micros = 6_000_000;
+/// For a change that a long poll missed: so long after the poll's wait, if that is later.
+const LONG_POLL_GRACE_MICROS: Micros = 2_000_000;
+/// Reserved of those times for the next poll and its response.
+pub const NEXT_POLL_RESERVE_MICROS: Micros = 500_000;
+/// For a poll that does not wait, and for the rest of a response that has begun: two such polls fit into
+/// [`NOTIFICATION_DEADLINE_MICROS`].
+pub const RESPONSE_TIMEOUT_MICROS: Micros = (NOTIFICATION_DEADLINE_MICROS - 2 * NEXT_POLL_RESERVE_MICROS) / 2;
+/// For a connection to be established: a lost first packet is sent again after a second.
+pub const CONNECT_TIMEOUT_MICROS: Micros = NOTIFICATION_DEADLINE_MICROS / 4;
+/// How long a long poll may wait for a change.
+const LONG_POLL_MS: u64 = 20_000;
+
+/// The polls: one at a time, each for what is newer than the newest revision received.
+pub struct EndpointWatch {
     host: String,
-    /// The newest version held.
-    rev: Option<u64>,
-    /// The last call came to nothing: the next one does not wait for news, so that its silence shows soon.
-    failed: bool,
+    /// The newest revision received.
+    revision: Option<u64>,
+    /// The next poll does not wait for a change, so that a discovery that is still unresponsive shows soon.
+    last_poll_failed: bool,
     input: Vec<u8>,
 }
 
-impl Watch {
-    pub fn new(host: String, rev: Option<u64>) -> Watch {
-        Watch { host, rev, failed: false, input: Vec::new() }
+impl EndpointWatch {
+    /// A watch that goes on from a revision, if one is known.
+    pub fn new(host: String, revision: Option<u64>) -> EndpointWatch {
+        EndpointWatch { host, revision, last_poll_failed: false, input: Vec::new() }
     }
 
-    /// Another host tells the list from now on, with the same versions.
-    pub fn moved(&mut self, host: String) {
+    /// Polls another host from now on, which has the same revisions.
+    pub fn set_host(&mut self, host: String) {
         self.host = host;
-        self.failed();
+        self.record_failure();
     }
 
-    /// The call came to nothing.
-    pub fn failed(&mut self) {
-        self.failed = true;
+    /// The poll failed.
+    pub fn record_failure(&mut self) {
+        self.last_poll_failed = true;
         self.input.clear();
     }
 
-    /// The next call may wait for news.
-    pub fn holds(&self) -> bool {
-        self.rev.is_some() && !self.failed
+    /// The next poll may wait for a change.
+    pub fn is_long_poll(&self) -> bool {
+        self.revision.is_some() && !self.last_poll_failed
     }
 
-    /// The next call, on a connection that owes no answer.
-    pub fn call(&mut self) -> Vec<u8> {
+    /// The next request, for a connection on which no response is outstanding.
+    pub fn next_request(&mut self) -> Vec<u8> {
         self.input.clear();
-        let hold = if self.holds() { HOLD_MS } else { 0 };
-        let query = self.rev.map_or(String::new(), |rev| format!("?from={rev}&hold_ms={hold}"));
+        let wait_ms = if self.is_long_poll() { LONG_POLL_MS } else { 0 };
+        let query = match self.revision {
+            Some(revision) => format!("?from={revision}&hold_ms={wait_ms}"),
+            None => String::new(),
+        };
         let host = &self.host;
         format!("GET /v1/endpoints{query} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n")
             .into_bytes()
     }
 
-    /// How long that call may stay silent.
-    pub fn patience(&self) -> Micros {
-        if self.holds() { HOLD_MS as Micros * 1000 + TOLD_AFTER_HOLD - SPARE } else { ANSWER }
+    /// How long that poll may take until its response begins.
+    pub fn response_timeout(&self) -> Micros {
+        if !self.is_long_poll() {
+            return RESPONSE_TIMEOUT_MICROS;
+        }
+        LONG_POLL_MS as Micros * MICROS_PER_MILLISECOND + LONG_POLL_GRACE_MICROS - NEXT_POLL_RESERVE_MICROS
     }
 
-    /// An answer has begun, and is not whole.
-    pub fn answering(&self) -> bool {
+    /// A response has begun, and is not complete.
+    pub fn response_started(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Takes bytes; an answer comes out once it is whole.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Answer>, CallError> {
+    /// Takes bytes; returns the response once it is complete.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<PollResponse>, PollError> {
         self.input.extend_from_slice(bytes);
-        if self.input.len() > MAX_HEAD + 2 * MAX_BODY {
-            return Err(CallError::TooLong);
+        if self.input.len() > MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES {
+            return Err(PollError::TooLong);
         }
-        let Some(body) = body(&self.input, false)? else { return Ok(None) };
-        self.take(&body).map(Some)
+        let Some(body) = response_body(&self.input, false)? else { return Ok(None) };
+        self.parse_list(&body).map(Some)
     }
 
-    /// The connection was closed, which ends an answer without a length. A reset does not.
-    pub fn closed(&mut self) -> Result<Option<Answer>, CallError> {
+    /// The connection was closed, which completes a response without a length. A reset does not.
+    pub fn finish_on_close(&mut self) -> Result<Option<PollResponse>, PollError> {
         if self.input.is_empty() {
             return Ok(None);
         }
-        let Some(body) = body(&self.input, true)? else { return Err(CallError::CutShort) };
-        self.take(&body).map(Some)
+        let Some(body) = response_body(&self.input, true)? else { return Err(PollError::Truncated) };
+        self.parse_list(&body).map(Some)
     }
 
-    fn take(&mut self, body: &[u8]) -> Result<Answer, CallError> {
+    fn parse_list(&mut self, body: &[u8]) -> Result<PollResponse, PollError> {
         self.input.clear();
-        let update: Update = serde_json::from_slice(body).map_err(|e| CallError::List(e.to_string()))?;
-        self.failed = false;
-        // An agent that is behind what this proxy knew at its start has old changes to tell. A whole
-        // list counts, however old: it is all that the agent holds.
-        if !update.all && self.rev.is_some_and(|rev| update.rev < rev) {
-            self.rev = None;
-            return Ok(Answer::Old);
+        let update: EndpointUpdate =
+            serde_json::from_slice(body).map_err(|error| PollError::InvalidList(error.to_string()))?;
+        self.last_poll_failed = false;
+        // An agent that is behind what this proxy knew at its start sends old changes. A complete list counts, however old:
+        // it is all that the agent has.
+        if !update.complete && self.revision.is_some_and(|revision| update.revision < revision) {
+            self.revision = None;
+            return Ok(PollResponse::Stale);
         }
-        self.rev = Some(update.rev);
-        Ok(Answer::News(update))
+        self.revision = Some(update.revision);
+        Ok(PollResponse::Updated(update))
     }
 }
 
-/// What a call was answered with.
+/// What a poll was answered with.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    News(Update),
-    /// Changes older than what is held, not to be applied: the whole list is asked for next.
-    Old,
+pub enum PollResponse {
+    /// A newer list, or no change.
+    Updated(EndpointUpdate),
+    /// Changes older than the newest revision received. They are not applied; the next poll is for the complete list.
+    Stale,
 }
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use super::timer_events::TimerEvent;
 use crate::core::{Command, LogRecord};
-use crate::discovery::Update;
+use crate::discovery::EndpointUpdate;
 use crate::log::Quoted;
 use tracing::info;
 
@@ -49,8 +49,13 @@
     }
 
     /// Takes a newer endpoint list.
-    pub(super) fn update_endpoints(&mut self, update: Update) {
-        info!(event = "endpoint-list", rev = update.rev, all = update.all, lines = update.targets.len());
+    pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
+        info!(
+            event = "endpoint-list",
+            rev = update.revision,
+            all = update.complete,
+            lines = update.endpoints.len()
+        );
         let moved = self.context.core.update_endpoints(self.context.now, update);
         for server in moved {
             self.pool.moved(&mut self.context, server);
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -4,7 +4,10 @@
 use super::sources::Source;
 use super::stream::{self, Ended};
 use super::timer_events::TimerEvent;
-use crate::discovery::{ANSWER, Answer, Backoff, CONNECT, CallError, Update, Watch};
+use crate::discovery::{
+    Backoff, CONNECT_TIMEOUT_MICROS, EndpointUpdate, EndpointWatch, PollError, PollResponse,
+    RESPONSE_TIMEOUT_MICROS,
+};
 use crate::log::Quoted;
 use crate::outbox::Outbox;
 use birchreach::{Micros, Settings};
@@ -29,13 +32,13 @@
 
 /// What one look at the connection brought.
 struct DiscoveryEvent {
-    answer: Result<Option<Answer>, CallError>,
+    answer: Result<Option<PollResponse>, PollError>,
     ended: Option<Ended>,
 }
 
 pub struct DiscoveryConnection {
     address: SocketAddr,
-    watch: Watch,
+    watch: EndpointWatch,
     stream: Option<TcpStream>,
     out: Outbox,
     called_at: Micros,
@@ -53,7 +56,7 @@
     pub fn new(address: SocketAddr, rev: Option<u64>, settings: &Settings, seed: u64) -> DiscoveryConnection {
         DiscoveryConnection {
             address,
-            watch: Watch::new(address.to_string(), rev),
+            watch: EndpointWatch::new(address.to_string(), rev),
             stream: None,
             out: Outbox::default(),
             called_at: 0,
@@ -67,13 +70,13 @@
 
     /// The first call; where proxies are many and share discovery, not with all the others that start now.
     pub fn start(&mut self, context: &mut EventLoopContext) {
-        let wait = self.backoff.first();
+        let wait = self.backoff.initial_wait();
         self.call_after(context, wait);
     }
 
     /// Other settings are in force from now on.
     pub fn settings(&mut self, settings: &Settings) {
-        self.backoff.settings(settings);
+        self.backoff.update_settings(settings);
     }
 
     /// Discovery is to be found elsewhere: it is called there at once, for what is newer than what was
@@ -83,8 +86,8 @@
             return;
         }
         self.address = address;
-        self.watch.moved(address.to_string());
-        self.backoff.answered();
+        self.watch.set_host(address.to_string());
+        self.backoff.reset();
         self.disconnect(context, "moved");
         self.call(context);
     }
@@ -102,7 +105,7 @@
 
     /// Makes the next call, on a new connection where there is none.
     fn call(&mut self, context: &mut EventLoopContext) {
-        (self.called_at, self.held) = (context.now, self.watch.holds());
+        (self.called_at, self.held) = (context.now, self.watch.is_long_poll());
         if self.stream.is_none() {
             self.out = Outbox::default();
             let opened = TcpStream::connect(self.address).and_then(|mut stream| {
@@ -115,14 +118,14 @@
                 Ok(stream) => self.stream = Some(stream),
                 Err(_) => {
                     self.starved = true;
-                    return self.failed(context, &CallError::NoSocket);
+                    return self.failed(context, &PollError::NoSocket);
                 }
             }
-            self.out.raw(&self.watch.call());
-            self.enter(context, Stage::Connecting, CONNECT);
+            self.out.raw(&self.watch.next_request());
+            self.enter(context, Stage::Connecting, CONNECT_TIMEOUT_MICROS);
         } else {
-            self.out.raw(&self.watch.call());
-            self.enter(context, Stage::Called, self.watch.patience());
+            self.out.raw(&self.watch.next_request());
+            self.enter(context, Stage::Called, self.watch.response_timeout());
         }
         self.write(context);
     }
@@ -134,8 +137,8 @@
         }
         match self.stage {
             Stage::Waiting => self.call(context),
-            Stage::Connecting => self.failed(context, &CallError::ConnectTimeout),
-            Stage::Called | Stage::Answering => self.failed(context, &CallError::Silent),
+            Stage::Connecting => self.failed(context, &PollError::ConnectTimeout),
+            Stage::Called | Stage::Answering => self.failed(context, &PollError::Unresponsive),
         }
     }
 
@@ -151,10 +154,10 @@
         info!(conn = "discovery", reason = %Quoted(reason));
     }
 
-    fn failed(&mut self, context: &mut EventLoopContext, error: &CallError) {
+    fn failed(&mut self, context: &mut EventLoopContext, error: &PollError) {
         self.disconnect(context, &error.to_string());
-        self.watch.failed();
-        let wait = self.backoff.failed(error);
+        self.watch.record_failure();
+        let wait = self.backoff.wait_after(error);
         self.call_after(context, wait);
     }
 
@@ -164,23 +167,23 @@
         if stream.peer_addr().is_err() {
             match stream.take_error() {
                 Ok(None) => {}
-                _ if self.stage == Stage::Connecting => self.failed(context, &CallError::Connect),
-                _ => self.failed(context, &CallError::Reset),
+                _ if self.stage == Stage::Connecting => self.failed(context, &PollError::ConnectionRefused),
+                _ => self.failed(context, &PollError::Reset),
             }
             return false;
         }
         if stream::write(stream, &mut self.out).is_err() {
-            self.failed(context, &CallError::Reset);
+            self.failed(context, &PollError::Reset);
             return false;
         }
         if self.stage == Stage::Connecting {
-            self.enter(context, Stage::Called, self.watch.patience());
+            self.enter(context, Stage::Called, self.watch.response_timeout());
         }
         true
     }
 
     /// Reads and writes as far as it goes; news of the list comes out.
-    pub fn ready(&mut self, context: &mut EventLoopContext) -> Option<Update> {
+    pub fn ready(&mut self, context: &mut EventLoopContext) -> Option<EndpointUpdate> {
         if !self.write(context) {
             return None;
         }
@@ -188,10 +191,10 @@
         match (answer, ended) {
             (Err(error), _) => self.failed(context, &error),
             (Ok(Some(answer)), ended) => return self.answered(context, answer, ended.is_some()),
-            (Ok(None), Some(Ended::Closed)) => self.failed(context, &CallError::Closed),
-            (Ok(None), Some(Ended::Reset)) => self.failed(context, &CallError::Reset),
-            (Ok(None), None) if self.watch.answering() && self.stage == Stage::Called => {
-                self.enter(context, Stage::Answering, ANSWER);
+            (Ok(None), Some(Ended::Closed)) => self.failed(context, &PollError::Closed),
+            (Ok(None), Some(Ended::Reset)) => self.failed(context, &PollError::Reset),
+            (Ok(None), None) if self.watch.response_started() && self.stage == Stage::Called => {
+                self.enter(context, Stage::Answering, RESPONSE_TIMEOUT_MICROS);
             }
             (Ok(None), None) => {}
         }
@@ -212,27 +215,32 @@
         });
         // A reset is no end of an answer without a length.
         if ended == Err(Ended::Closed) && answer == Ok(None) {
-            answer = watch.closed();
+            answer = watch.finish_on_close();
         }
         Some(DiscoveryEvent { answer, ended: ended.err() })
     }
 
     /// An answer came, and behind it perhaps the end of the connection. The next call follows.
-    fn answered(&mut self, context: &mut EventLoopContext, answer: Answer, ended: bool) -> Option<Update> {
+    fn answered(
+        &mut self,
+        context: &mut EventLoopContext,
+        answer: PollResponse,
+        ended: bool,
+    ) -> Option<EndpointUpdate> {
         context.core.discovery_answered(context.now);
         let news = match answer {
-            Answer::News(update) => Some(update),
-            Answer::Old => None,
+            PollResponse::Updated(update) => Some(update),
+            PollResponse::Stale => None,
         };
-        let empty = news.as_ref().is_none_or(|update| update.targets.is_empty());
+        let empty = news.as_ref().is_none_or(|update| update.endpoints.is_empty());
         // An agent that ends each watch and answers what does not wait is still to be left in peace.
         if self.held || !empty {
-            self.backoff.answered();
+            self.backoff.reset();
         }
         if ended {
             // Nothing was missed: the next call is a watch again.
-            self.disconnect(context, &CallError::Closed.to_string());
-            let wait = self.backoff.failed(&CallError::Closed);
+            self.disconnect(context, &PollError::Closed.to_string());
+            let wait = self.backoff.wait_after(&PollError::Closed);
             self.call_after(context, wait);
         } else if context.now - self.called_at < TOO_SOON && empty {
             self.call_after(context, TOO_SOON);
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -29,7 +29,7 @@
 
 use crate::config::Config;
 use crate::core::Core;
-use crate::discovery::Update;
+use crate::discovery::EndpointUpdate;
 use crate::observe::shared;
 use crate::peer_knowledge::PeerKnowledge;
 use admin::AdminListener;
@@ -125,7 +125,7 @@
         pool: Pool::new(&config.site, for_databases),
         discovery: DiscoveryConnection::new(
             config.discovery,
-            known.as_ref().map(|known| known.rev),
+            known.as_ref().map(|known| known.revision),
             &config.site.routing,
             config.seed,
         ),
@@ -153,7 +153,7 @@
     event_loop.start_fleet()?;
     event_loop.start_background();
     if let Some(known) = known {
-        event_loop.update_endpoints(Update { all: true, ..known });
+        event_loop.update_endpoints(EndpointUpdate { complete: true, ..known });
     }
     event_loop.step_gossip();
     if event_loop.handover.process_count() > 1 {
