--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -54,8 +54,8 @@
         self.pool.limit(&mut self.context, for_databases);
         self.clients.host(guests(&new));
         self.clients.limit(&mut self.context, for_clients);
-        self.discovery.settings(&new.site.routing);
-        self.discovery.moved(&mut self.context, new.discovery);
+        self.discovery.update_settings(&new.site.routing);
+        self.discovery.set_address(&mut self.context, new.discovery);
         let Config { name, listen, operator, inherited, .. } = &self.config;
         let (name, listen, operator, inherited) = (name.clone(), *listen, *operator, *inherited);
         self.config = Config { name, listen, operator, inherited, ..new };
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -15,7 +15,7 @@
             TimerEvent::QueryTimeout(key, turn) => self.pool.probe_overdue(context, key, turn),
             TimerEvent::ConnectionRested(key, serial) => self.pool.rested(context, key, serial),
             TimerEvent::RetryAccept => self.clients.accept_again(),
-            TimerEvent::Discovery(turn) => self.discovery.due(context, turn),
+            TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
             TimerEvent::Sweep => self.sweep(),
             TimerEvent::CheckTimeout(key, serial) => self.checks.asked(context, key, serial),
             // `update_health` at the end of the turn does the rest.
