--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -2,7 +2,7 @@
 
 use super::{Background, What};
 use crate::hot::Watch;
-use crate::net::pool::Done;
+use crate::net::pool::CompletedQuery;
 use crate::pg::copies;
 use birchreach::{AttemptOutcome, Micros, Role};
 use birchreach_background_tasks::{Kind, Task};
@@ -39,7 +39,7 @@
 }
 
 impl Background {
-    pub(super) fn copied(&mut self, now: Micros, copying: Copying, done: &Done) {
+    pub(super) fn copied(&mut self, now: Micros, copying: Copying, done: &CompletedQuery) {
         let Some(watch) = self.hot.clone() else { return };
         match copying {
             Copying::Read(due) => {
@@ -49,7 +49,7 @@
                 let position = |n: usize| note(n)?.position;
                 let value = done.replies.get(1).and_then(|reply| reply.value.as_ref());
                 let copy =
-                    value.filter(|_| done.whole).and_then(|v| taken(position(0), &v.bytes, position(1)));
+                    value.filter(|_| done.complete).and_then(|v| taken(position(0), &v.bytes, position(1)));
                 let nonsense = done.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error);
                 let long = copy.as_ref().is_some_and(|copy| copy.value.len() > copies::MOST);
                 if nonsense || long {
@@ -65,8 +65,8 @@
                 }
             }
             Copying::Write { key, guest, .. } => {
-                self.metrics.copy(if done.whole { "written" } else { "unwritten" });
-                if done.whole {
+                self.metrics.copy(if done.complete { "written" } else { "unwritten" });
+                if done.complete {
                     watch.borrow_mut().hot.written(now, key, guest);
                 }
             }
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -1,7 +1,7 @@
 //! A read that is compared, on its way: what the crate wants to know is asked of a replica of a child or of the parent, and told it.
 
 use super::{Background, What};
-use crate::net::pool::Done;
+use crate::net::pool::CompletedQuery;
 use crate::pg::{copies, health_check_query};
 use birchreach::Micros;
 use birchreach_background_tasks::{Kind, Task};
@@ -77,7 +77,7 @@
     }
 
     /// None: it was lost.
-    pub(super) fn compared(&self, now: Micros, shadow: &Shadow, done: Option<&Done>) {
+    pub(super) fn compared(&self, now: Micros, shadow: &Shadow, done: Option<&CompletedQuery>) {
         let Some(watch) = self.split.as_ref().filter(|_| shadow.start == self.started) else { return };
         let mut watch = watch.borrow_mut();
         let told = done.map_or(Told::Nothing, |done| watch.answer(shadow.ask, done));
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -7,7 +7,7 @@
 mod start;
 
 use super::event_loop_context::EventLoopContext;
-use super::pool::{Done, Pool};
+use super::pool::{CompletedQuery, Pool};
 use crate::core::Core;
 use crate::hot::Watch;
 use crate::metrics::Metrics;
@@ -162,12 +162,12 @@
             self.sent += 1;
             let texts = task.what.texts(self.boot.wrapping_add(self.sent));
             self.out.insert(number, (task.what, context.now));
-            pool.errand(context, number, ServerId(database), texts);
+            pool.start_background_query(context, number, ServerId(database), texts);
         }
     }
 
     /// BackgroundQueries that are over; those whose end was never told are given up.
-    fn ended(&mut self, now: Micros, done: Vec<Done>) {
+    fn ended(&mut self, now: Micros, done: Vec<CompletedQuery>) {
         for done in done {
             self.scheduler.ended(done.number);
             let Some((what, _)) = self.out.remove(&done.number) else { continue };
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -106,12 +106,12 @@
         background.step(now, view.members, GossipReports::interval(view.members));
         let said = background.say(now);
         let (mut context, parts) = self.lend();
-        background.ended(now, parts.pool.done());
+        background.ended(now, parts.pool.take_completed_queries());
         // Of two processes of one proxy one acts for it; the other only serves.
         if speaks {
             background.start(&mut context, parts.pool, view.divisor());
         }
-        background.ended(now, parts.pool.done());
+        background.ended(now, parts.pool.take_completed_queries());
         let next = background.next_change(now);
         if next < background.armed || background.armed <= now {
             background.armed = next;
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -67,7 +67,7 @@
             warn!(event = "health-probes-off", reason = "the settings do not allow probes");
         }
         let timeout = settings.probes.as_ref().map_or(0, |probes| probes.timeout);
-        self.pool.check_timeout(timeout);
+        self.pool.set_monitor_check_timeout(timeout);
         match &self.health.watch {
             Some(watch) => watch.borrow_mut().monitor.settings(self.now, settings),
             None => {
@@ -166,7 +166,9 @@
             self.timers.set(next, TimerEvent::HealthChange);
         }
         if !probes.is_empty() {
-            self.with(|_, pool, _, context| probes.iter().for_each(|s| pool.check(context, ServerId(s.0))));
+            self.with(|_, pool, _, context| {
+                probes.iter().for_each(|s| pool.start_monitor_check(context, ServerId(s.0)))
+            });
             self.carry_out();
         }
     }
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -1,6 +1,6 @@
 //! One client: its socket, machine and request, and how ready it is to make room for another.
 
-use super::super::pool::Work;
+use super::super::pool::SharedStatement;
 use crate::core::AttemptId;
 use crate::pg::frontend::Frontend;
 use birchreach::{Micros, RequestId};
@@ -15,7 +15,7 @@
     pub stream: TcpStream,
     pub peer: SocketAddr,
     pub machine: Frontend,
-    pub request: Option<(RequestId, Work)>,
+    pub request: Option<(RequestId, SharedStatement)>,
     /// The attempt whose long value it is being sent, and whether more of that may come.
     pub passing: Option<(AttemptId, bool)>,
     pub served: u64,
--- a/proxy/src/net/clients/input.rs
+++ b/proxy/src/net/clients/input.rs
@@ -1,7 +1,7 @@
 //! A client's turn: its input is read and decoded, its statements are taken or answered with what is wrong, its answers written.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::pool::Work;
+use super::super::pool::SharedStatement;
 use super::super::stream::{self, Ended};
 use super::Clients;
 use super::client::{Client, CloseMode};
@@ -194,7 +194,7 @@
                     match admission.ask(context, &statement, arrived) {
                         Err((code, message)) => c.machine.reject(code, message),
                         Ok(ask) => {
-                            let work = Work::new(statement);
+                            let work = SharedStatement::new(statement);
                             c.request =
                                 Some((context.core.request(context.now, key, ask, work.clone()), work));
                         }
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -50,7 +50,7 @@
         self.core.set_process_count(self.now, self.handover.process_count());
         let (stopping, guests) = (self.stopping, guests(&self.config));
         self.with(|clients, pool, _, context| {
-            pool.limit(context, for_databases);
+            pool.set_limit(context, for_databases);
             clients.host(guests);
             clients.limit(context, for_clients);
             if !stopping {
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -1,7 +1,7 @@
 //! What the connections' owners need of the loop, lent to them for a call.
 
 use super::TimerEvent;
-use super::pool::Work;
+use super::pool::SharedStatement;
 use super::timers::Timers;
 use crate::core::Core;
 use birchreach::Micros;
@@ -11,6 +11,6 @@
     pub now: Micros,
     pub registry: &'a Registry,
     pub timers: &'a mut Timers<TimerEvent>,
-    pub core: &'a mut Core<Work>,
+    pub core: &'a mut Core<SharedStatement>,
     pub scratch: &'a mut [u8],
 }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -40,8 +40,8 @@
 use fleet::FleetMembership;
 use gossip::{Gossip, StateTransfer};
 use mio::{Events, Poll};
-pub use pool::Done;
-use pool::{Pool, Work};
+pub use pool::CompletedQuery;
+use pool::{Pool, SharedStatement};
 use process_handover::ProcessHandover;
 use reload::log_settings_warnings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -72,7 +72,7 @@
     clock: Clock,
     now: Micros,
     timers: Timers<TimerEvent>,
-    core: Core<Work>,
+    core: Core<SharedStatement>,
     scratch: Vec<u8>,
     clients: Clients,
     pool: Pool,
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -2,50 +2,50 @@
 //! long values that stand still.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::{Connection, Job, Pool};
+use super::{Connection, ConnectionTask, Pool};
 use crate::core::AttemptId;
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
 
 /// A database that has begun a long value and sends no more of it for so long has failed.
-const STANDSTILL: Micros = 10_000_000;
+const RESPONSE_STALL_TIMEOUT_MICROS: Micros = 10_000_000;
 
 impl Pool {
     /// Gives an attempt up: its connection is closed, for an answer may still come on it.
-    pub fn stop(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
-        self.give_up(context, attempt, AttemptOutcome::Cancelled, "cancelled");
+    pub fn cancel_attempt(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
+        self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, "cancelled");
     }
 
     /// The attempt's time is over.
-    pub fn overdue(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
-        self.give_up(context, attempt, AttemptOutcome::Timeout, "timeout");
+    pub fn attempt_timed_out(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
+        self.abandon_attempt(context, attempt, AttemptOutcome::Timeout, "timeout");
     }
 
-    fn give_up(
+    fn abandon_attempt(
         &mut self,
         context: &mut EventLoopContext,
         attempt: AttemptId,
         ending: AttemptOutcome,
         reason: &str,
     ) {
-        let Some(key) = self.attempts.get(&attempt).copied() else { return };
-        if ending == AttemptOutcome::Timeout && self.slots[key].machine.streaming() {
+        let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
+        if ending == AttemptOutcome::Timeout && self.connections[key].protocol.streaming() {
             return;
         }
-        let written = self.slots[key].written;
-        if !self.slots[key].asked {
+        let written = self.connections[key].query_written;
+        if !self.connections[key].query_queued {
             // The connection is still being opened, or rests, and may serve another.
-            let job = self.slots[key].job.take();
-            if self.slots[key].up {
-                self.settle(context, key);
+            let job = self.connections[key].task.take();
+            if self.connections[key].established {
+                self.return_to_idle(context, key);
             }
             if let Some(job) = job {
-                self.report(context, job, Reply::with_outcome(AttemptOutcome::NotSent));
+                self.complete_task(context, job, Reply::with_outcome(AttemptOutcome::NotSent));
             }
             return;
         }
         if let Some(job) = self.close(context, key, reason) {
-            self.report(
+            self.complete_task(
                 context,
                 job,
                 Reply::with_outcome(if written { ending } else { AttemptOutcome::NotSent }),
@@ -53,9 +53,9 @@
         }
     }
 
-    pub fn connect_overdue(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
-        if self.slots.get(key).is_some_and(|c| c.serial == serial && !c.up) {
-            self.unreachable(
+    pub fn connect_timed_out(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
+        if self.connections.get(key).is_some_and(|c| c.serial == serial && !c.established) {
+            self.connect_failed(
                 context,
                 key,
                 "connect-timeout",
@@ -64,28 +64,44 @@
         }
     }
 
-    pub fn probe_overdue(&mut self, context: &mut EventLoopContext, key: usize, turn: u64) {
+    pub fn query_timed_out(&mut self, context: &mut EventLoopContext, key: usize, turn: u64) {
         let probing = |c: &Connection| {
-            c.turn == turn
-                && matches!(c.job, Some(Job::Probe { .. } | Job::Check { .. } | Job::BackgroundQuery(_)))
+            c.query_serial == turn
+                && matches!(
+                    c.task,
+                    Some(
+                        ConnectionTask::HealthCheck { .. }
+                            | ConnectionTask::MonitorCheck { .. }
+                            | ConnectionTask::BackgroundQuery(_)
+                    )
+                )
         };
-        if self.slots.get(key).is_some_and(probing)
+        if self.connections.get(key).is_some_and(probing)
             && let Some(job) = self.close(context, key, "timeout")
         {
-            self.report(context, job, Reply::with_outcome(AttemptOutcome::Timeout));
+            self.complete_task(context, job, Reply::with_outcome(AttemptOutcome::Timeout));
         }
     }
 
     /// Closes connections that have been idle for long, and those that stand still within a long value.
-    pub fn sweep(&mut self, context: &mut EventLoopContext) {
-        let stands =
-            |c: &Connection| c.machine.streaming() && !c.paused && context.now - c.moved_at >= STANDSTILL;
-        let still: Vec<usize> = self.slots.iter().filter(|(_, c)| stands(c)).map(|(key, _)| key).collect();
+    pub fn close_expired(&mut self, context: &mut EventLoopContext) {
+        let stands = |c: &Connection| {
+            c.protocol.streaming()
+                && !c.reading_paused
+                && context.now - c.last_progress_at >= RESPONSE_STALL_TIMEOUT_MICROS
+        };
+        let still: Vec<usize> =
+            self.connections.iter().filter(|(_, c)| stands(c)).map(|(key, _)| key).collect();
         for key in still {
-            self.lose(context, key, "standstill", Reply::with_outcome(AttemptOutcome::ConnectionReset));
+            self.fail_connection(
+                context,
+                key,
+                "standstill",
+                Reply::with_outcome(AttemptOutcome::ConnectionReset),
+            );
         }
         self.idle.retain(|_, keys| !keys.is_empty());
-        let old = |k: &&usize| context.now - self.slots[**k].idle_since >= self.idle_limit;
+        let old = |k: &&usize| context.now - self.connections[**k].idle_since >= self.idle_limit;
         let old: Vec<usize> = self.idle.values().flatten().filter(old).copied().collect();
         for key in old {
             self.close(context, key, "idle");
@@ -93,7 +109,7 @@
     }
 
     /// The server moved or left: its idle connections are of no more use.
-    pub fn moved(&mut self, context: &mut EventLoopContext, server: ServerId) {
+    pub fn server_moved(&mut self, context: &mut EventLoopContext, server: ServerId) {
         for key in self.idle.remove(&server).unwrap_or_default() {
             self.close(context, key, "moved");
         }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -51,8 +51,8 @@
         let (for_clients, for_databases) = places(new.sockets, reserve, &self.handover);
         self.core.settings(self.now, &new.site);
         self.with(|clients, pool, agent, context| {
-            pool.settings(&new.site);
-            pool.limit(context, for_databases);
+            pool.apply_settings(&new.site);
+            pool.set_limit(context, for_databases);
             clients.host(guests(&new));
             clients.limit(context, for_clients);
             agent.settings(&new.site.routing);
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -75,14 +75,14 @@
                         clients.ready(context, key);
                     });
                 }
-                Source::Database(key) => self.with(|_, pool, _, context| pool.ready(context, key)),
+                Source::Database(key) => self.with(|_, pool, _, context| pool.handle_ready(context, key)),
                 _ => {}
             }
             self.carry_out();
         }
         self.with(|clients, pool, agent, context| {
             clients.go_on(context);
-            if pool.starved() {
+            if pool.take_descriptors_exhausted() {
                 clients.make_room(context);
             }
             if agent.take_descriptors_exhausted() {
@@ -95,7 +95,7 @@
             self.handle_timer(due);
             self.carry_out();
         }
-        if self.pool.has_done() {
+        if self.pool.has_completed_queries() {
             self.with_background(|_, _| {});
         }
         self.update_health();
@@ -156,7 +156,7 @@
             let Some(command) = self.core.next_command() else {
                 // Clients that have taken what there was of a long value get more of it.
                 let Some(attempt) = self.clients.wants_data() else { return };
-                self.with(|_, pool, _, context| pool.more(context, attempt));
+                self.with(|_, pool, _, context| pool.resume_reading(context, attempt));
                 continue;
             };
             self.with(|clients, pool, _, context| match command {
@@ -166,9 +166,9 @@
                     payload: work,
                     deadline: until,
                     from_copy: copy,
-                } => pool.start(context, attempt, server, work, until, copy),
-                Command::CancelAttempt { attempt } => pool.stop(context, attempt),
-                Command::HealthCheck { server } => pool.probe(context, server),
+                } => pool.start_attempt(context, attempt, server, work, until, copy),
+                Command::CancelAttempt { attempt } => pool.cancel_attempt(context, attempt),
+                Command::HealthCheck { server } => pool.start_health_check(context, server),
                 Command::Answer { client, request, answer } => {
                     clients.answer(context, client, request, &answer)
                 }
@@ -191,7 +191,9 @@
     pub(super) fn members(&mut self, update: Update) {
         info!(event = "list", rev = update.rev, all = update.all, lines = update.targets.len());
         let moved = self.core.update_endpoints(self.now, update);
-        self.with(|_, pool, _, context| moved.into_iter().for_each(|server| pool.moved(context, server)));
+        self.with(|_, pool, _, context| {
+            moved.into_iter().for_each(|server| pool.server_moved(context, server))
+        });
         self.carry_out();
     }
 }
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -55,15 +55,15 @@
             | TimerEvent::StopAcceptingChecks
             | TimerEvent::OpenCheckListeners => {}
             TimerEvent::Gossip | TimerEvent::GossipSend(..) | TimerEvent::Fleet | TimerEvent::Background => {}
-            TimerEvent::AttemptTimeout(attempt) => pool.overdue(context, attempt),
-            TimerEvent::ConnectTimeout(key, serial) => pool.connect_overdue(context, key, serial),
-            TimerEvent::QueryTimeout(key, turn) => pool.probe_overdue(context, key, turn),
-            TimerEvent::ConnectionRested(key, serial) => pool.rested(context, key, serial),
+            TimerEvent::AttemptTimeout(attempt) => pool.attempt_timed_out(context, attempt),
+            TimerEvent::ConnectTimeout(key, serial) => pool.connect_timed_out(context, key, serial),
+            TimerEvent::QueryTimeout(key, turn) => pool.query_timed_out(context, key, turn),
+            TimerEvent::ConnectionRested(key, serial) => pool.connection_rested(context, key, serial),
             TimerEvent::RetryAccept => clients.accept_again(),
             TimerEvent::Discovery(turn) => agent.due(context, turn),
             TimerEvent::Sweep => {
                 clients.sweep(context);
-                pool.sweep(context);
+                pool.close_expired(context);
                 context.timers.set(context.now + SWEEP, TimerEvent::Sweep);
             }
         });
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -1,7 +1,7 @@
 //! The proxy's values as the crate `split` has them: reads that were served, and what databases answer; and what operators are shown
 //! of it. It owns the words; what is compared and what a difference means is the crate's to say.
 
-use crate::net::Done;
+use crate::net::CompletedQuery;
 use crate::observe::{CoreEvent, Observer};
 use crate::pg::health_check_query;
 use birchreach::{Micros, Role, ServerId};
@@ -47,11 +47,11 @@
     }
 
     /// What an errand came to, as an answer to what was asked.
-    pub fn answer(&self, ask: Ask, done: &Done) -> Told {
-        self.read(ask, done).filter(|_| done.whole).unwrap_or(Told::Nothing)
+    pub fn answer(&self, ask: Ask, done: &CompletedQuery) -> Told {
+        self.read(ask, done).filter(|_| done.complete).unwrap_or(Told::Nothing)
     }
 
-    fn read(&self, ask: Ask, done: &Done) -> Option<Told> {
+    fn read(&self, ask: Ask, done: &CompletedQuery) -> Option<Told> {
         // A primary may have been deposed and not know it: it claims the present, and answers from the past. A replica's position is that
         // of the log that it has applied.
         let note = |n: usize| done.replies.get(n)?.status.filter(|note| note.role == Role::Replica);
