--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -30,9 +30,9 @@
     pub fn texts(&self, id: u64) -> Vec<Vec<u8>> {
         match self {
             // The position that comes with the first answer is told before the second read is sent.
-            Copying::Read(due) => vec![copies::row(&due.text, due.key.group, id, 1_000); 2],
+            Copying::Read(due) => vec![copies::read_row(&due.text, due.key.group, id, 1_000); 2],
             Copying::Write { key, text, position, blob, .. } => {
-                vec![copies::write(key.group, text, *position, blob)]
+                vec![copies::write_copy(key.group, text, *position, blob)]
             }
         }
     }
@@ -51,7 +51,7 @@
                 let copy =
                     value.filter(|_| done.complete).and_then(|v| taken(position(0), &v.bytes, position(1)));
                 let nonsense = done.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error);
-                let long = copy.as_ref().is_some_and(|copy| copy.value.len() > copies::MOST);
+                let long = copy.as_ref().is_some_and(|copy| copy.value.len() > copies::MAX_COPY_BYTES);
                 if nonsense || long {
                     watch.borrow_mut().hot.spoilt(due.key, now + SPOILT);
                     return self.metrics.copy(if long { "long" } else { "unreadable" });
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -2,7 +2,7 @@
 
 use super::{Background, What};
 use crate::net::pool::CompletedQuery;
-use crate::pg::{copies, health_check_query};
+use crate::pg::{commit_time_query, copies};
 use birchreach::Micros;
 use birchreach_background_tasks::{Kind, Task};
 use birchreach_shard_split::{Ask, Told, Verdict};
@@ -29,12 +29,14 @@
     }
 
     pub fn texts(&self, id: u64) -> Vec<Vec<u8>> {
-        let row = || copies::row(&self.text, self.group, id, 1_000);
+        let row = || copies::read_row(&self.text, self.group, id, 1_000);
         match self.ask {
             Ask::Glance(_) => vec![row()],
             // Positions are told with answers: one before the read that counts, one with it.
             Ask::Look(_) => vec![row(); 2],
-            Ask::Parent => vec![row(), health_check_query::row(&self.text, self.group, id, 1_000)],
+            Ask::Parent => {
+                vec![row(), commit_time_query::read_row_with_commit_time(&self.text, self.group, id, 1_000)]
+            }
         }
     }
 }
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -50,7 +50,7 @@
 impl Client {
     /// Nothing was asked on it that is not answered.
     pub fn can_be_shed(&self) -> bool {
-        let idle = self.machine.idle() || self.machine.starting();
+        let idle = self.machine.is_idle() || self.machine.is_in_startup();
         self.draining() || (self.request.is_none() && self.closing.is_none() && idle)
     }
 
@@ -65,7 +65,7 @@
         let since = self.unfinished.unwrap_or(self.active);
         let class = match self.served {
             _ if self.draining() => 0,
-            0 if self.machine.asked() || now - since >= GRACE => 1,
+            0 if self.machine.has_received_command() || now - since >= GRACE => 1,
             0 => NEWCOMER,
             _ => 2,
         };
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -30,7 +30,7 @@
         } else if unfinished.is_some_and(|since| now - since >= UNFINISHED) {
             Some("unfinished")
         } else {
-            (c.machine.idle() && now - c.active >= IDLE).then_some("idle")
+            (c.machine.is_idle() && now - c.active >= IDLE).then_some("idle")
         }
     }
 
@@ -45,7 +45,7 @@
             let Some(c) = self.slots.get_mut(key) else { continue };
             match Self::expired(c, context.now) {
                 Some(reason @ "unfinished") if c.closing.is_none() => {
-                    c.machine.time_out();
+                    c.machine.fail_incomplete_message();
                     c.closing = Some((reason, CloseMode::AfterFlush));
                     c.active = context.now;
                     self.ready(context, key);
@@ -81,8 +81,8 @@
         for key in self.slots.iter().map(|(k, _)| k).collect::<Vec<_>>() {
             self.ready(context, key);
             let Some(c) = self.slots.get_mut(key) else { continue };
-            c.machine.last_call();
-            if c.machine.starting() {
+            c.machine.stop_reading();
+            if c.machine.is_in_startup() {
                 self.close(context, key, "stopping");
             } else {
                 self.go(context, key);
--- a/proxy/src/net/clients/input.rs
+++ b/proxy/src/net/clients/input.rs
@@ -35,7 +35,7 @@
     ) -> Result<RoutingRequest, (&'static str, &'static str)> {
         let class = context.core.find_class(context.now, &s.class);
         let (id, class) = class.ok_or((sqlstate::INVALID_VALUE, "c names no class"))?;
-        let ask = s.ask(id, class, context.core.session_positions(), context.now - arrived)?;
+        let ask = s.routing_request(id, class, context.core.session_positions(), context.now - arrived)?;
         if !context.core.has_group(ask.group) {
             return Err((sqlstate::INVALID_VALUE, "cluster names no group"));
         }
@@ -60,10 +60,10 @@
         }
         match over {
             Some(reason) => self.close(context, key, reason),
-            None if self.leaving && c.request.is_none() && c.machine.finished() => {
+            None if self.leaving && c.request.is_none() && c.machine.all_input_answered() => {
                 self.close(context, key, "stopping");
             }
-            None if c.last && c.request.is_none() && c.machine.idle() => {
+            None if c.last && c.request.is_none() && c.machine.is_idle() => {
                 self.close(context, key, "handed-over")
             }
             None if c.unread => self.unread.push(key),
@@ -88,7 +88,7 @@
         c.unread = false;
         let over =
             if c.draining() { Self::linger(context, c) } else { Self::converse(context, admission, key, c) };
-        let halfway = c.request.is_none() && c.machine.unfinished();
+        let halfway = c.request.is_none() && c.machine.has_incomplete_message();
         c.unfinished = halfway.then(|| c.unfinished.unwrap_or(context.now));
         over
     }
@@ -100,7 +100,7 @@
         c: &mut Client,
     ) -> Option<&'static str> {
         for _ in 0..ROUNDS {
-            let hungry = c.closing.is_none() && c.machine.hungry();
+            let hungry = c.closing.is_none() && c.machine.wants_input();
             if c.ended && !hungry {
                 // Its end stands behind input that is not read now, and would be heard too late.
                 return Some(c.closing.map_or("client-closed", |(reason, _)| reason));
@@ -113,7 +113,7 @@
                 stream::read(&mut c.stream, context.scratch, |bytes| {
                     read += bytes.len();
                     machine.feed(now, bytes);
-                    machine.hungry() && read < READ_TURN
+                    machine.wants_input() && read < READ_TURN
                 })
             };
             let drained = match drained {
@@ -121,7 +121,7 @@
                 // It has gone: nothing that it asked for begins now.
                 Err(how) => {
                     let reason = match how {
-                        Ended::Closed if c.machine.said_goodbye() => "terminate",
+                        Ended::Closed if c.machine.only_terminate_left() => "terminate",
                         Ended::Closed => "client-closed",
                         Ended::Reset => "client-reset",
                     };
@@ -154,9 +154,9 @@
             Self::run(context, admission, key, c);
             let more = !hungry || !drained;
             let held_back = c.closing.is_some() || !c.machine.out.pending().is_empty();
-            let unread = more && c.machine.hungry();
+            let unread = more && c.machine.wants_input();
             if !held_back && !unread {
-                c.unread = c.machine.exhausted();
+                c.unread = c.machine.commands_deferred();
                 return None;
             }
         }
@@ -184,7 +184,7 @@
     /// Carries the client's commands out, until one has to be waited for.
     fn run(context: &mut EventLoopContext, admission: &mut Admission, key: usize, c: &mut Client) {
         while c.request.is_none() && c.closing.is_none() {
-            match c.machine.next(context.now) {
+            match c.machine.next_command(context.now) {
                 None => return,
                 Some(ClientCommand::Close(reason)) => c.closing = Some((reason, CloseMode::Immediate)),
                 Some(ClientCommand::CloseWithError(reason)) => {
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -115,7 +115,7 @@
     /// The connection's turn: it is read, run and written as far as that takes it.
     pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) {
         if let Some(c) = self.slots.get_mut(key) {
-            c.machine.turn();
+            c.machine.start_turn();
             self.go(context, key);
         }
     }
@@ -147,7 +147,7 @@
     ) {
         if let Some(c) = self.holder(key, request) {
             c.passing = Some((attempt, true));
-            c.machine.begin(true, length);
+            c.machine.start_value(true, length);
             self.go(context, key);
         }
     }
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -81,7 +81,7 @@
             Some(ConnectionTask::BackgroundQuery(mut errand))
                 if reply.outcome == AttemptOutcome::Ok
                     && errand.replies.len() + 1 < errand.statements.len()
-                    && self.connections[key].protocol.clean() =>
+                    && self.connections[key].protocol.is_idle() =>
             {
                 errand.replies.push(reply);
                 self.send_query(context, key, ConnectionTask::BackgroundQuery(errand));
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -29,7 +29,7 @@
         reason: &str,
     ) {
         let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
-        if ending == AttemptOutcome::Timeout && self.connections[key].protocol.streaming() {
+        if ending == AttemptOutcome::Timeout && self.connections[key].protocol.is_streaming() {
             return;
         }
         let written = self.connections[key].query_written;
@@ -86,7 +86,7 @@
     /// Closes connections that have been idle for long, and those that stand still within a long value.
     pub fn close_expired(&mut self, context: &mut EventLoopContext) {
         let stands = |c: &Connection| {
-            c.protocol.streaming()
+            c.protocol.is_streaming()
                 && !c.reading_paused
                 && context.now - c.last_progress_at >= RESPONSE_STALL_TIMEOUT_MICROS
         };
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -12,7 +12,7 @@
 use super::stream;
 use crate::core::{self, AttemptId};
 use crate::pg::backend::Backend;
-use crate::pg::report::ReportForm;
+use crate::pg::report::LoadReportFormat;
 use crate::pg::statement::Statement;
 use crate::reply::Reply;
 use background_queries::BackgroundQuery;
@@ -88,7 +88,7 @@
     connect_timeout: Micros,
     monitor_check_timeout: Micros,
     idle_limit: Micros,
-    report_form: ReportForm,
+    report_form: LoadReportFormat,
     /// BackgroundQueries that are over.
     completed_queries: Vec<CompletedQuery>,
 }
@@ -109,7 +109,7 @@
             connect_timeout: 0,
             monitor_check_timeout: 0,
             idle_limit: 0,
-            report_form: ReportForm::default(),
+            report_form: LoadReportFormat::default(),
             completed_queries: Vec::new(),
         };
         pool.apply_settings(site);
@@ -121,10 +121,10 @@
         let name = |place: Option<usize>| place.and_then(|p| site.load_report_fields.get(p).cloned());
         self.connect_timeout = site.routing.connect_timeout.max(1);
         self.idle_limit = (site.connection_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
-        self.report_form = ReportForm {
-            position: name(site.load_report_position_index),
-            role: name(site.load_report_role_index),
-            in_answers: site.routing.load_reports == LoadReportSource::Responses,
+        self.report_form = LoadReportFormat {
+            position_field: name(site.load_report_position_index),
+            role_field: name(site.load_report_role_index),
+            in_responses: site.routing.load_reports == LoadReportSource::Responses,
         };
     }
 
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -67,7 +67,7 @@
         if !self.read(context, key) {
             return false;
         }
-        let clean = self.connections[key].protocol.clean();
+        let clean = self.connections[key].protocol.is_idle();
         if !clean {
             self.close(context, key, "surplus");
         }
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -20,8 +20,8 @@
                 }
                 let left_ms = u64::try_from((until - context.now) / 1000).unwrap_or(1).max(1);
                 match copy {
-                    false => c.protocol.run(work, left_ms),
-                    true => c.protocol.run_copy(
+                    false => c.protocol.send_statement(work, left_ms),
+                    true => c.protocol.send_copy_read(
                         work,
                         left_ms,
                         context.core.required_copy_position(context.now, *attempt),
@@ -30,7 +30,7 @@
                 self.attempt_connections.insert(*attempt, key);
             }
             ConnectionTask::BackgroundQuery(errand) => {
-                c.protocol.errand(errand.current_statement());
+                c.protocol.send_background_query(errand.current_statement());
                 self.last_serial += 1;
                 c.query_serial = self.last_serial;
                 context.timers.set(
@@ -39,7 +39,7 @@
                 );
             }
             ConnectionTask::HealthCheck { .. } | ConnectionTask::MonitorCheck { .. } => {
-                c.protocol.probe();
+                c.protocol.send_load_report_query();
                 self.last_serial += 1;
                 c.query_serial = self.last_serial;
                 let check = matches!(job, ConnectionTask::MonitorCheck { .. });
@@ -55,7 +55,7 @@
     pub(super) fn return_to_idle(&mut self, context: &mut EventLoopContext, key: usize) {
         let c = &mut self.connections[key];
         (c.task, c.query_queued, c.query_written, c.idle_since) = (None, false, false, context.now);
-        if !c.protocol.clean() {
+        if !c.protocol.is_idle() {
             // More than its answer: nobody can tell any more which query the next bytes belong to.
             self.close(context, key, "surplus");
         } else if context.core.address(c.server) == Some(c.address) {
--- a/proxy/src/net/pool/responses.rs
+++ b/proxy/src/net/pool/responses.rs
@@ -4,7 +4,7 @@
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream::{self, Ended};
 use super::{ConnectionTask, Pool};
-use crate::pg::backend::Heard;
+use crate::pg::backend::BackendEvent;
 use crate::reply::Reply;
 use birchreach::AttemptOutcome;
 use tracing::info;
@@ -27,7 +27,7 @@
                 machine.feed(bytes);
                 false
             });
-            while let Some(heard) = self.connections.get_mut(key).and_then(|c| c.protocol.next()) {
+            while let Some(heard) = self.connections.get_mut(key).and_then(|c| c.protocol.next_event()) {
                 if !self.handle_event(context, key, heard) {
                     return false;
                 }
@@ -48,13 +48,13 @@
     }
 
     /// False: the connection is gone.
-    fn handle_event(&mut self, context: &mut EventLoopContext, key: usize, heard: Heard) -> bool {
+    fn handle_event(&mut self, context: &mut EventLoopContext, key: usize, heard: BackendEvent) -> bool {
         let attempt = match self.connections[key].task {
             Some(ConnectionTask::Attempt { attempt, .. }) => Some(attempt),
             _ => None,
         };
         match heard {
-            Heard::Begun(length) => {
+            BackendEvent::ValueStarted(length) => {
                 self.connections[key].last_progress_at = context.now;
                 attempt.is_some_and(|attempt| context.core.response_started(context.now, attempt, length))
                     || {
@@ -63,16 +63,16 @@
                         false
                     }
             }
-            Heard::Piece(bytes) => {
+            BackendEvent::ValueChunk(bytes) => {
                 let c = &mut self.connections[key];
                 // A bounded piece at a time, and the next once the client has taken it.
-                (c.reading_paused, c.last_progress_at) = (c.protocol.streaming(), context.now);
+                (c.reading_paused, c.last_progress_at) = (c.protocol.is_streaming(), context.now);
                 if let Some(attempt) = attempt {
                     context.core.response_chunk(attempt, bytes);
                 }
                 true
             }
-            Heard::Ready => {
+            BackendEvent::Ready => {
                 self.connections[key].established = true;
                 let (server, address) = (self.connections[key].server, self.connections[key].address);
                 context.core.server_alive(context.now, server);
@@ -87,7 +87,7 @@
                 }
                 self.connections.contains(key)
             }
-            Heard::Done(reply) => {
+            BackendEvent::QueryCompleted(reply) => {
                 let job = self.connections[key].task.take();
                 let (job, reply) = match self.continue_background_query(context, key, job, reply) {
                     None => return self.connections.contains(key),
@@ -99,7 +99,7 @@
                 }
                 self.connections.contains(key)
             }
-            Heard::TurnedAway(reply) => {
+            BackendEvent::Rejected(reply) => {
                 // 53300 is a database that is full; all else means that there is no connection to be had.
                 let ending = if reply.outcome == AttemptOutcome::Overloaded {
                     AttemptOutcome::Overloaded
@@ -111,7 +111,7 @@
                 }
                 false
             }
-            Heard::Nonsense => {
+            BackendEvent::ProtocolError => {
                 // The query has run and its answer is lost, but its server lives.
                 self.fail_connection(context, key, "nonsense", Reply::with_outcome(AttemptOutcome::Error));
                 false
@@ -122,8 +122,8 @@
     /// The connection broke, or is given up. Whether the job may have run turns on whether the last
     /// byte of its query was written.
     pub(super) fn connection_ended(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) {
-        let reply = match self.connections[key].protocol.ended() {
-            Some(Heard::Done(reply)) => reply,
+        let reply = match self.connections[key].protocol.connection_ended() {
+            Some(BackendEvent::QueryCompleted(reply)) => reply,
             _ => Reply::with_outcome(AttemptOutcome::ConnectionReset),
         };
         self.fail_connection(context, key, reason, reply);
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -1,6 +1,6 @@
 //! What a client sends, as typed values.
 
-use super::{Malformed, cut, lossy};
+use super::{DecodeError, split_c_string, to_string_lossy};
 
 /// How a client begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 }
 
 impl Startup {
-    pub(super) fn decode(body: &[u8]) -> Result<Startup, Malformed> {
+    pub(super) fn decode(body: &[u8]) -> Result<Startup, DecodeError> {
         let (version, mut rest) = body.split_at(4);
         let (major, minor) =
             (u16::from_be_bytes([version[0], version[1]]), u16::from_be_bytes([version[2], version[3]]));
@@ -31,14 +31,16 @@
         }
         let mut options = Vec::new();
         loop {
-            let (name, after) = cut(rest).ok_or(Malformed::Bad("a startup message without its end"))?;
+            let (name, after) =
+                split_c_string(rest).ok_or(DecodeError::Malformed("a startup message without its end"))?;
             if name.is_empty() {
                 return Ok(Startup::Version3 { minor, options });
             }
             if name.starts_with(b"_pq_.") {
-                options.push(lossy(name));
+                options.push(to_string_lossy(name));
             }
-            let (_, after) = cut(after).ok_or(Malformed::Bad("a startup parameter without a value"))?;
+            let (_, after) =
+                split_c_string(after).ok_or(DecodeError::Malformed("a startup parameter without a value"))?;
             rest = after;
         }
     }
@@ -46,7 +48,7 @@
 
 /// A client's message after the first.
 #[derive(Debug, PartialEq, Eq)]
-pub enum FromClient {
+pub enum ClientMessage {
     Query(Vec<u8>),
     /// A part of the extended protocol, or a function call: all that a Sync ends.
     Extended,
@@ -57,20 +59,20 @@
     Terminate,
 }
 
-impl FromClient {
-    pub(super) fn decode(tag: u8, body: &[u8]) -> Result<FromClient, Malformed> {
+impl ClientMessage {
+    pub(super) fn decode(tag: u8, body: &[u8]) -> Result<ClientMessage, DecodeError> {
         Ok(match tag {
-            b'Q' => match cut(body) {
-                Some((query, [])) => FromClient::Query(query.to_vec()),
-                _ => return Err(Malformed::Bad("a query without its end")),
+            b'Q' => match split_c_string(body) {
+                Some((query, [])) => ClientMessage::Query(query.to_vec()),
+                _ => return Err(DecodeError::Malformed("a query without its end")),
             },
-            b'P' | b'B' | b'D' | b'E' | b'C' => FromClient::Extended,
-            b'F' => FromClient::FunctionCall,
-            b'S' => FromClient::Sync,
+            b'P' | b'B' | b'D' | b'E' | b'C' => ClientMessage::Extended,
+            b'F' => ClientMessage::FunctionCall,
+            b'S' => ClientMessage::Sync,
             // The remains of a copy that never began are dropped, as PostgreSQL drops them.
-            b'H' | b'd' | b'c' | b'f' => FromClient::Flush,
-            b'X' => FromClient::Terminate,
-            _ => return Err(Malformed::Bad("an unknown message")),
+            b'H' | b'd' | b'c' | b'f' => ClientMessage::Flush,
+            b'X' => ClientMessage::Terminate,
+            _ => return Err(DecodeError::Malformed("an unknown message")),
         })
     }
 }
--- a/proxy/src/pg/codec/encode.rs
+++ b/proxy/src/pg/codec/encode.rs
@@ -1,6 +1,6 @@
 //! Messages on their way out.
 
-use super::ROW_HEAD;
+use super::ROW_HEADER_BYTES;
 use crate::outbox::Outbox;
 
 impl Outbox {
@@ -59,7 +59,7 @@
             b.extend_from_slice(&u16::from(binary).to_be_bytes());
         });
         self.raw(b"D");
-        self.raw(&((value + ROW_HEAD - 1) as u32).to_be_bytes());
+        self.raw(&((value + ROW_HEADER_BYTES - 1) as u32).to_be_bytes());
         self.raw(&1u16.to_be_bytes());
         self.raw(&(value as u32).to_be_bytes());
     }
--- a/proxy/src/pg/codec/server.rs
+++ b/proxy/src/pg/codec/server.rs
@@ -1,10 +1,10 @@
 //! What a database sends, as typed values.
 
-use super::{MAX_WHOLE, Malformed, be32, cut, lossy};
+use super::{DecodeError, MAX_BUFFERED_VALUE_BYTES, read_u32, split_c_string, to_string_lossy};
 
 /// A database's message, as far as it matters here.
 #[derive(Debug, PartialEq, Eq)]
-pub enum FromServer {
+pub enum ServerMessage {
     Authentication(u32),
     ParameterStatus {
         name: String,
@@ -25,30 +25,34 @@
     Skipped,
 }
 
-impl FromServer {
+impl ServerMessage {
     /// Every byte of what an answer is made of must be accounted for: nothing of it goes on by halves.
-    pub(super) fn decode(tag: u8, body: &[u8]) -> Result<FromServer, Malformed> {
-        let spoilt = Malformed::Bad("a message whose parts do not fit it");
+    pub(super) fn decode(tag: u8, body: &[u8]) -> Result<ServerMessage, DecodeError> {
+        let spoilt = DecodeError::Malformed("a message whose parts do not fit it");
         Ok(match tag {
-            b'R' => FromServer::Authentication(be32(body).ok_or(spoilt)?),
+            b'R' => ServerMessage::Authentication(read_u32(body).ok_or(spoilt)?),
             // What a database says of itself beside the answer spoils no answer: unread, it tells nothing.
-            b'S' => match cut(body).and_then(|(name, rest)| Some((name, cut(rest)?.0))) {
-                Some((name, value)) => FromServer::ParameterStatus { name: lossy(name), value: lossy(value) },
-                None => FromServer::Skipped,
+            b'S' => match split_c_string(body).and_then(|(name, rest)| Some((name, split_c_string(rest)?.0)))
+            {
+                Some((name, value)) => ServerMessage::ParameterStatus {
+                    name: to_string_lossy(name),
+                    value: to_string_lossy(value),
+                },
+                None => ServerMessage::Skipped,
             },
             b'Z' => match body {
-                b"I" | b"T" | b"E" => FromServer::ReadyForQuery,
+                b"I" | b"T" | b"E" => ServerMessage::ReadyForQuery,
                 _ => return Err(spoilt),
             },
-            b'T' => FromServer::RowDescription { binary: description(body).ok_or(spoilt)? },
-            b'D' => FromServer::DataRow(value(body).ok_or(spoilt)?.to_vec()),
-            b'C' => match cut(body) {
-                Some((_, [])) => FromServer::CommandComplete,
+            b'T' => ServerMessage::RowDescription { binary: description(body).ok_or(spoilt)? },
+            b'D' => ServerMessage::DataRow(value(body).ok_or(spoilt)?.to_vec()),
+            b'C' => match split_c_string(body) {
+                Some((_, [])) => ServerMessage::CommandComplete,
                 _ => return Err(spoilt),
             },
-            b'E' => FromServer::Error { code: code(body).ok_or(spoilt)? },
-            b'N' | b'A' | b'K' | b'v' => FromServer::Skipped,
-            _ => return Err(Malformed::Bad("a message out of place")),
+            b'E' => ServerMessage::Error { code: code(body).ok_or(spoilt)? },
+            b'N' | b'A' | b'K' | b'v' => ServerMessage::Skipped,
+            _ => return Err(DecodeError::Malformed("a message out of place")),
         })
     }
 }
@@ -56,7 +60,7 @@
 /// The form of the one column that is described: whether it is binary.
 fn description(body: &[u8]) -> Option<bool> {
     // Behind the name: table, column, type, length, modifier, and then the form.
-    let (_, field) = cut(body.strip_prefix(&[0, 1])?)?;
+    let (_, field) = split_c_string(body.strip_prefix(&[0, 1])?)?;
     let form = <[u8; 18]>::try_from(field).ok()?;
     match form[16..] {
         [0, form @ (0 | 1)] => Some(form == 1),
@@ -67,8 +71,8 @@
 /// The value of a row's one column, which fills the message to its end.
 fn value(body: &[u8]) -> Option<&[u8]> {
     let (length, value) = body.strip_prefix(&[0, 1])?.split_at_checked(4)?;
-    let fits = be32(length).and_then(|l| usize::try_from(l).ok()) == Some(value.len());
-    (fits && value.len() <= MAX_WHOLE).then_some(value)
+    let fits = read_u32(length).and_then(|l| usize::try_from(l).ok()) == Some(value.len());
+    (fits && value.len() <= MAX_BUFFERED_VALUE_BYTES).then_some(value)
 }
 
 /// The code among an error's fields.
@@ -79,10 +83,10 @@
             (0, []) => return code,
             (0, _) => return None,
             (tag, after) => {
-                let (field, next) = cut(after)?;
+                let (field, next) = split_c_string(after)?;
                 if *tag == b'C' {
                     let plain = field.len() == 5 && field.iter().all(u8::is_ascii_alphanumeric);
-                    code = Some(plain.then(|| lossy(field))?);
+                    code = Some(plain.then(|| to_string_lossy(field))?);
                 }
                 rest = next;
             }
--- a/proxy/src/pg/health_check_query.rs
+++ b/proxy/src/pg/commit_time_query.rs
@@ -5,7 +5,7 @@
 use birchreach::Micros;
 
 /// Reads a row behind the time of its last commit, in milliseconds, rounded up.
-pub fn row(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
+pub fn read_row_with_commit_time(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
     let comment = format!("' /* id={id:016x},c=background,d={wait_ms},cluster={group} */");
     let select: &[u8] =
         b"SELECT int8send((extract(epoch FROM pg_xact_commit_timestamp(xmin)) * 1000)::int8 + 1) || blob \
@@ -14,7 +14,7 @@
 }
 
 /// The time and the value; no value: there is no row. None: that is no answer to it.
-pub fn answer(reply: &Reply) -> Option<(Micros, Option<&[u8]>)> {
+pub fn parse_row_with_commit_time(reply: &Reply) -> Option<(Micros, Option<&[u8]>)> {
     let Some(value) = &reply.value else { return Some((0, None)) };
     let (since, blob) = value.bytes.split_first_chunk::<8>()?;
     Some((i64::from_be_bytes(*since).checked_mul(1_000)?, Some(blob)))
@@ -28,7 +28,7 @@
 
     #[test]
     fn a_look_is_a_time_and_a_value() {
-        let text = String::from_utf8(row(b"7f3a", 2, 7, 500)).unwrap();
+        let text = String::from_utf8(read_row_with_commit_time(b"7f3a", 2, 7, 500)).unwrap();
         assert!(text.ends_with(
             "FROM rows WHERE handle = '7f3a' /* id=0000000000000007,c=background,d=500,cluster=2 */"
         ));
@@ -37,9 +37,9 @@
             ..Reply::with_outcome(AttemptOutcome::Ok)
         };
         let whole = of(&[&5i64.to_be_bytes()[..], b"value"].concat());
-        assert_eq!(answer(&whole), Some((5_000, Some(&b"value"[..]))));
-        assert_eq!(answer(&Reply::with_outcome(AttemptOutcome::Ok)), Some((0, None)));
-        assert_eq!(answer(&of(b"short")), None);
-        assert_eq!(answer(&of(&i64::MAX.to_be_bytes())), None);
+        assert_eq!(parse_row_with_commit_time(&whole), Some((5_000, Some(&b"value"[..]))));
+        assert_eq!(parse_row_with_commit_time(&Reply::with_outcome(AttemptOutcome::Ok)), Some((0, None)));
+        assert_eq!(parse_row_with_commit_time(&of(b"short")), None);
+        assert_eq!(parse_row_with_commit_time(&of(&i64::MAX.to_be_bytes())), None);
     }
 }
--- a/proxy/src/pg/frontend/commands.rs
+++ b/proxy/src/pg/frontend/commands.rs
@@ -1,28 +1,28 @@
 //! What a client's messages mean: its greeting, and one command after the other.
 
-use super::{ClientCommand, Frontend, Phase, Step};
-use crate::pg::codec::{FromClient, Malformed, Startup};
+use super::{ClientCommand, Frontend, Phase, Progress};
+use crate::pg::codec::{ClientMessage, DecodeError, Startup};
 use crate::pg::sqlstate;
 use crate::pg::statement::Statement;
 use birchreach::Micros;
 
 impl Frontend {
-    pub(super) fn startup(&mut self, now: Micros) -> Result<Step, Malformed> {
+    pub(super) fn process_startup(&mut self, now: Micros) -> Result<Progress, DecodeError> {
         let waited = self.inbox.len();
         let message = self.inbox.startup()?;
-        self.arrived(waited, now);
+        self.take_arrival_time(waited, now);
         match message {
-            None => return Ok(Step::Wait),
+            None => return Ok(Progress::NeedsInput),
             Some(Startup::Encryption) => self.out.raw(b"N"),
             Some(Startup::Cancel) => {
                 // Nothing to cancel by key: a client that gives up closes its connection.
                 self.phase = Phase::Over;
-                return Ok(Step::Command(ClientCommand::Close("cancel-request")));
+                return Ok(Progress::Command(ClientCommand::Close("cancel-request")));
             }
             Some(Startup::Unsupported { .. }) => {
                 let message = "only version 3 of the protocol is spoken here";
-                self.fatal(sqlstate::NOT_SUPPORTED, message);
-                return Ok(Step::Command(ClientCommand::CloseWithError("version")));
+                self.fail(sqlstate::NOT_SUPPORTED, message);
+                return Ok(Progress::Command(ClientCommand::CloseWithError("version")));
             }
             Some(Startup::Version3 { minor, options }) => {
                 if minor > 0 || !options.is_empty() {
@@ -43,47 +43,50 @@
                 self.phase = Phase::Ready;
             }
         }
-        Ok(Step::On)
+        Ok(Progress::Continue)
     }
 
-    pub(super) fn command(&mut self, now: Micros) -> Result<Step, Malformed> {
+    pub(super) fn process_message(&mut self, now: Micros) -> Result<Progress, DecodeError> {
         let waited = self.inbox.len();
         let message = self.inbox.client_message()?;
-        let arrived = self.arrived(waited, now);
+        let arrived = self.take_arrival_time(waited, now);
         let Some(message) = message else {
-            let goes_on = self.inbox.begun().is_none_or(Statement::may_go_on);
-            return if goes_on { Ok(Step::Wait) } else { Err(Malformed::TooLong) };
+            let goes_on = self.inbox.incomplete_body().is_none_or(Statement::may_become_valid);
+            return if goes_on { Ok(Progress::NeedsInput) } else { Err(DecodeError::TooLong) };
         };
-        (self.taken, self.turn, self.waits) = (self.taken + 1, self.turn - 1, false);
+        (self.commands_received, self.commands_left_in_turn, self.awaiting_rest_of_message) =
+            (self.commands_received + 1, self.commands_left_in_turn - 1, false);
         let skipping = self.phase == Phase::UntilSync;
         match message {
-            FromClient::Terminate => {
+            ClientMessage::Terminate => {
                 self.phase = Phase::Over;
-                return Ok(Step::Command(ClientCommand::Close("terminate")));
+                return Ok(Progress::Command(ClientCommand::Close("terminate")));
             }
-            FromClient::Sync => {
+            ClientMessage::Sync => {
                 self.phase = Phase::Ready;
                 self.out.ready_for_query();
             }
             _ if skipping => {}
-            FromClient::Flush => {}
-            FromClient::Extended => {
+            ClientMessage::Flush => {}
+            ClientMessage::Extended => {
                 self.out.error("ERROR", sqlstate::NOT_SUPPORTED, "only simple queries are taken", None);
                 self.phase = Phase::UntilSync;
             }
-            FromClient::FunctionCall => self.reject(sqlstate::NOT_SUPPORTED, "function calls are not taken"),
-            FromClient::Query(text) if text.trim_ascii().is_empty() => {
+            ClientMessage::FunctionCall => {
+                self.reject(sqlstate::NOT_SUPPORTED, "function calls are not taken")
+            }
+            ClientMessage::Query(text) if text.trim_ascii().is_empty() => {
                 self.out.empty_query_response();
                 self.out.ready_for_query();
             }
-            FromClient::Query(text) => match Statement::parse(text) {
+            ClientMessage::Query(text) => match Statement::parse(text) {
                 Some(statement) => {
-                    self.phase = Phase::Busy { write: statement.write };
-                    return Ok(Step::Command(ClientCommand::Run(statement, arrived)));
+                    self.phase = Phase::Busy { write: statement.is_write };
+                    return Ok(Progress::Command(ClientCommand::Run(statement, arrived)));
                 }
                 None => self.reject(sqlstate::SYNTAX_ERROR, "not a statement of the form that is taken here"),
             },
         }
-        Ok(Step::On)
+        Ok(Progress::Continue)
     }
 }
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -4,15 +4,15 @@
 mod commands;
 mod replies;
 
-use super::arrivals::Arrivals;
-use super::codec::{Inbox, Malformed};
+use super::arrivals::ArrivalTimes;
+use super::codec::{DecodeError, Inbox};
 use super::sqlstate;
 use super::statement::Statement;
 use crate::outbox::Outbox;
 use birchreach::Micros;
 
 /// Unread input and unwritten output at most, beyond one message: a slow or hasty client waits.
-const AHEAD: usize = 16 << 10;
+const MAX_BUFFERED_BYTES: usize = 16 << 10;
 
 #[derive(Debug, PartialEq, Eq)]
 enum Phase {
@@ -28,10 +28,10 @@
 }
 
 /// The message with which a client takes its leave.
-const TERMINATE: &[u8] = b"X\0\0\0\x04";
+const TERMINATE_MESSAGE: &[u8] = b"X\0\0\0\x04";
 
 /// Commands taken in one turn: a client that sends hundreds at once takes turns with the others.
-const TURN: u32 = 32;
+const MAX_COMMANDS_PER_TURN: u32 = 32;
 
 /// What the client wants of the program.
 #[derive(Debug, PartialEq, Eq)]
@@ -47,15 +47,15 @@
 pub struct Frontend {
     phase: Phase,
     inbox: Inbox,
-    arrivals: Arrivals,
+    arrivals: ArrivalTimes,
     /// No more input is taken: what has been read is answered, and nothing behind it.
-    last_call: bool,
+    reading_stopped: bool,
     pub out: Outbox,
     /// Commands that this turn may still take, and those taken since the beginning.
-    turn: u32,
-    taken: u64,
+    commands_left_in_turn: u32,
+    commands_received: u64,
     /// The message that comes next is not whole yet.
-    waits: bool,
+    awaiting_rest_of_message: bool,
 }
 
 impl Default for Frontend {
@@ -63,109 +63,118 @@
         Frontend {
             phase: Phase::Startup,
             inbox: Inbox::default(),
-            arrivals: Arrivals::default(),
-            last_call: false,
+            arrivals: ArrivalTimes::default(),
+            reading_stopped: false,
             out: Outbox::default(),
-            turn: TURN,
-            taken: 0,
-            waits: true,
+            commands_left_in_turn: MAX_COMMANDS_PER_TURN,
+            commands_received: 0,
+            awaiting_rest_of_message: true,
         }
     }
 }
 
 impl Frontend {
     pub fn feed(&mut self, now: Micros, bytes: &[u8]) {
-        self.arrivals.came(bytes.len(), now);
+        self.arrivals.record(bytes.len(), now);
         self.inbox.feed(bytes);
     }
 
     /// More input is of use now. Little is read ahead of what is being answered.
-    pub fn hungry(&self) -> bool {
+    pub fn wants_input(&self) -> bool {
         let free = matches!(self.phase, Phase::Startup | Phase::Ready | Phase::UntilSync);
         self.phase != Phase::Over
-            && !self.last_call
-            && (self.inbox.len() < AHEAD || (free && self.waits && !self.clogged()))
+            && !self.reading_stopped
+            && (self.inbox.len() < MAX_BUFFERED_BYTES
+                || (free && self.awaiting_rest_of_message && !self.output_is_full()))
     }
 
     /// No more input is read from now on.
-    pub fn last_call(&mut self) {
-        self.last_call = true;
+    pub fn stop_reading(&mut self) {
+        self.reading_stopped = true;
     }
 
     /// All that was read before the last call is answered, but for a message that is not whole.
-    pub fn finished(&self) -> bool {
+    pub fn all_input_answered(&self) -> bool {
         let free = matches!(self.phase, Phase::Startup | Phase::Ready | Phase::UntilSync);
-        self.last_call && free && self.out.pending().is_empty() && (self.waits || self.inbox.len() == 0)
+        self.reading_stopped
+            && free
+            && self.out.pending().is_empty()
+            && (self.awaiting_rest_of_message || self.inbox.len() == 0)
     }
 
     /// A new turn of the loop begins.
-    pub fn turn(&mut self) {
-        self.turn = TURN;
+    pub fn start_turn(&mut self) {
+        self.commands_left_in_turn = MAX_COMMANDS_PER_TURN;
     }
 
     /// Commands wait for the next turn.
-    pub fn exhausted(&self) -> bool {
-        self.turn == 0 && matches!(self.phase, Phase::Ready | Phase::UntilSync) && self.inbox.len() > 0
+    pub fn commands_deferred(&self) -> bool {
+        self.commands_left_in_turn == 0
+            && matches!(self.phase, Phase::Ready | Phase::UntilSync)
+            && self.inbox.len() > 0
     }
 
     /// All that is left of its input is the message with which a client takes its leave.
-    pub fn said_goodbye(&self) -> bool {
-        self.inbox.rest() == TERMINATE
+    pub fn only_terminate_left(&self) -> bool {
+        self.inbox.unread() == TERMINATE_MESSAGE
     }
 
     /// A whole command has come, at any time.
-    pub fn asked(&self) -> bool {
-        self.taken > 0
+    pub fn has_received_command(&self) -> bool {
+        self.commands_received > 0
     }
 
     /// Nothing whole was ever asked, or something is left unfinished.
-    pub fn unfinished(&self) -> bool {
-        self.taken == 0 || (self.inbox.len() > 0 && self.waits && !matches!(self.phase, Phase::Busy { .. }))
+    pub fn has_incomplete_message(&self) -> bool {
+        self.commands_received == 0
+            || (self.inbox.len() > 0
+                && self.awaiting_rest_of_message
+                && !matches!(self.phase, Phase::Busy { .. }))
     }
 
     /// It took too long over something unfinished, and is told so.
-    pub fn time_out(&mut self) {
-        self.fatal(sqlstate::PROTOCOL_VIOLATION, "no whole message in time");
+    pub fn fail_incomplete_message(&mut self) {
+        self.fail(sqlstate::PROTOCOL_VIOLATION, "no whole message in time");
     }
 
-    fn clogged(&self) -> bool {
-        self.out.pending().len() > AHEAD
+    fn output_is_full(&self) -> bool {
+        self.out.pending().len() > MAX_BUFFERED_BYTES
     }
 
     /// Nothing was asked that is not answered in full.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Ready | Phase::UntilSync)
             && self.inbox.len() == 0
             && self.out.pending().is_empty()
     }
 
     /// It has yet to say who it is.
-    pub fn starting(&self) -> bool {
+    pub fn is_in_startup(&self) -> bool {
         self.phase == Phase::Startup
     }
 
     /// The next command, as far as the input goes; none while an answer is owed.
-    pub fn next(&mut self, now: Micros) -> Option<ClientCommand> {
-        while !self.clogged() && self.turn > 0 {
+    pub fn next_command(&mut self, now: Micros) -> Option<ClientCommand> {
+        while !self.output_is_full() && self.commands_left_in_turn > 0 {
             let step = match self.phase {
-                Phase::Startup => self.startup(now),
-                Phase::Ready | Phase::UntilSync => self.command(now),
+                Phase::Startup => self.process_startup(now),
+                Phase::Ready | Phase::UntilSync => self.process_message(now),
                 Phase::Busy { .. } | Phase::Over => return None,
             };
             match step {
-                Ok(Step::Command(wish)) => return Some(wish),
-                Ok(Step::On) => {}
-                Ok(Step::Wait) => {
-                    self.waits = true;
-                    self.inbox.shrink();
+                Ok(Progress::Command(wish)) => return Some(wish),
+                Ok(Progress::Continue) => {}
+                Ok(Progress::NeedsInput) => {
+                    self.awaiting_rest_of_message = true;
+                    self.inbox.release_empty_buffer();
                     return None;
                 }
-                Err(Malformed::TooLong) => {
-                    self.fatal(sqlstate::LIMIT_EXCEEDED, "the message is too long");
+                Err(DecodeError::TooLong) => {
+                    self.fail(sqlstate::LIMIT_EXCEEDED, "the message is too long");
                     return Some(ClientCommand::CloseWithError("too-long"));
                 }
-                Err(Malformed::Bad(what)) => {
-                    self.fatal(sqlstate::PROTOCOL_VIOLATION, what);
+                Err(DecodeError::Malformed(what)) => {
+                    self.fail(sqlstate::PROTOCOL_VIOLATION, what);
                     return Some(ClientCommand::CloseWithError("malformed"));
                 }
             }
@@ -173,20 +182,20 @@
         None
     }
 
-    fn fatal(&mut self, code: &str, message: &str) {
+    fn fail(&mut self, code: &str, message: &str) {
         self.out.error("FATAL", code, message, None);
         self.phase = Phase::Over;
     }
 
     /// What has been taken of the input since so much of it waited: when the last byte of that came.
-    fn arrived(&mut self, waited: usize, now: Micros) -> Micros {
+    fn take_arrival_time(&mut self, waited: usize, now: Micros) -> Micros {
         let taken = waited.saturating_sub(self.inbox.len());
-        self.arrivals.take(taken).unwrap_or(now)
+        self.arrivals.consume(taken).unwrap_or(now)
     }
 }
 
-enum Step {
-    On,
-    Wait,
+enum Progress {
+    Continue,
+    NeedsInput,
     Command(ClientCommand),
 }
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -13,7 +13,7 @@
     }
 
     /// A value of this length begins.
-    pub fn begin(&mut self, binary: bool, length: usize) {
+    pub fn start_value(&mut self, binary: bool, length: usize) {
         self.out.row_head("blob", binary, length);
     }
 
@@ -23,7 +23,7 @@
         let tag = if write { "INSERT 0 1" } else { "SELECT 1" };
         match answer {
             Answer::Served(value) => {
-                self.begin(value.binary, value.bytes.len());
+                self.start_value(value.binary, value.bytes.len());
                 self.out.raw(&value.bytes);
                 self.out.command_complete(tag);
             }
--- a/proxy/src/pg/mod.rs
+++ b/proxy/src/pg/mod.rs
@@ -5,9 +5,9 @@
 pub mod arrivals;
 pub mod backend;
 pub mod codec;
+pub mod commit_time_query;
 pub mod copies;
 pub mod frontend;
-pub mod health_check_query;
 pub mod report;
 pub mod statement;
 #[cfg(test)]
--- a/proxy/src/pg/report.rs
+++ b/proxy/src/pg/report.rs
@@ -4,31 +4,31 @@
 
 /// How databases write their load reports, by the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReportForm {
+pub struct LoadReportFormat {
     /// The names of the log position and of the role, where reports hold them.
-    pub position: Option<String>,
-    pub role: Option<String>,
+    pub position_field: Option<String>,
+    pub role_field: Option<String>,
     /// Each answer carries one, not those to probes alone.
-    pub in_answers: bool,
+    pub in_responses: bool,
 }
 
-impl ReportForm {
+impl LoadReportFormat {
     /// A report as `x0=1767225600.123,x1=1`: the position in seconds, where answers tell it in milliseconds. One
     /// that cannot be read in all its parts is none.
-    pub fn read(&self, text: &[u8]) -> Option<LoadReport> {
+    pub fn parse(&self, text: &[u8]) -> Option<LoadReport> {
         let text = std::str::from_utf8(text).ok()?;
         let field = |wanted: &str| {
             let (_, value) =
                 text.split(',').filter_map(|f| f.split_once('=')).find(|(name, _)| *name == wanted)?;
             value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
         };
-        let role = match self.role.as_deref().map(field) {
+        let role = match self.role_field.as_deref().map(field) {
             None => None,
             Some(Some(1.0)) => Some(Role::Primary),
             Some(Some(0.0)) => Some(Role::Replica),
             Some(_) => return None,
         };
-        let position = match self.position.as_deref().map(field) {
+        let position = match self.position_field.as_deref().map(field) {
             None => None,
             // Rounded down, by all that its last digit may have been rounded up: never read as later than it was.
             Some(seconds) => Some((seconds? * 1000.0 - 0.5).floor() as Micros * 1000),
@@ -38,7 +38,7 @@
 }
 
 /// As `server_role` has it.
-pub fn role(word: &str) -> Option<Role> {
+pub fn parse_role(word: &str) -> Option<Role> {
     match word {
         "writer" => Some(Role::Primary),
         "reader" => Some(Role::Replica),
@@ -47,6 +47,6 @@
 }
 
 /// A position, in milliseconds of Unix time.
-pub fn millis(word: &str) -> Option<Micros> {
+pub fn parse_position_millis(word: &str) -> Option<Micros> {
     word.parse::<Micros>().ok().filter(|ms| *ms >= 0)?.checked_mul(1000)
 }
--- a/proxy/src/pg/tests/waits.rs
+++ b/proxy/src/pg/tests/waits.rs
@@ -1,6 +1,6 @@
 //! A command's time runs from when its last byte came, however long it waited behind others.
 
-use super::super::arrivals::Arrivals;
+use super::super::arrivals::ArrivalTimes;
 use super::super::frontend::{ClientCommand, Frontend};
 use super::super::statement::Statement;
 use crate::core::{Answer, RoutingRequest};
@@ -24,12 +24,12 @@
     let mut client = Frontend::default();
     let body = [&196_608u32.to_be_bytes()[..], b"user\0api\0database\0ledger\0\0"].concat();
     client.feed(0, &[&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat());
-    assert_eq!(client.next(0), None);
+    assert_eq!(client.next_command(0), None);
     client
 }
 
 fn run(client: &mut Frontend, now: Micros) -> (Statement, Micros) {
-    match client.next(now) {
+    match client.next_command(now) {
         Some(ClientCommand::Run(statement, arrived)) => (statement, arrived),
         other => panic!("{other:?}"),
     }
@@ -66,7 +66,7 @@
     let (statement, _) = run(&mut client, 0);
     let patience = |waited| -> Micros {
         let ask: RoutingRequest =
-            statement.ask(id, &class, SessionPositionSource::FromRequest, waited).unwrap();
+            statement.routing_request(id, &class, SessionPositionSource::FromRequest, waited).unwrap();
         ask.timeout
     };
     let whole = patience(0);
@@ -78,12 +78,12 @@
 /// A message that comes byte by byte does not make the proxy keep a time for each.
 #[test]
 fn times_of_arrival_are_bounded_by_time_and_by_what_waits() {
-    let mut arrivals = Arrivals::default();
+    let mut arrivals = ArrivalTimes::default();
     for n in 0..100_000 {
-        arrivals.came(1, n * 10);
+        arrivals.record(1, n * 10);
     }
-    assert!(arrivals.kept() <= 101, "{}", arrivals.kept());
-    assert_eq!(arrivals.take(50_000), Some(490 * MS));
-    assert_eq!(arrivals.take(50_000), Some(990 * MS));
-    assert_eq!(arrivals.kept(), 0);
+    assert!(arrivals.recorded_times() <= 101, "{}", arrivals.recorded_times());
+    assert_eq!(arrivals.consume(50_000), Some(490 * MS));
+    assert_eq!(arrivals.consume(50_000), Some(990 * MS));
+    assert_eq!(arrivals.recorded_times(), 0);
 }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -3,7 +3,7 @@
 
 use crate::net::CompletedQuery;
 use crate::observe::{CoreEvent, Observer};
-use crate::pg::health_check_query;
+use crate::pg::commit_time_query;
 use birchreach::{Micros, Role, ServerId};
 use birchreach_peer_state::Hasher;
 use birchreach_shard_split::judge::Parent;
@@ -65,7 +65,7 @@
             }
             Ask::Parent => {
                 note(1)?;
-                let (since, value) = health_check_query::answer(done.replies.get(1)?)?;
+                let (since, value) = commit_time_query::parse_row_with_commit_time(done.replies.get(1)?)?;
                 let row = value.map(|v| self.digest(v));
                 Told::Parent { parent: Parent { row, since, seen: position(0)? }, process }
             }
