--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -8,30 +8,30 @@
 use std::net::SocketAddr;
 
 /// A newcomer's first bytes are on their way for so long: until then it makes room for nobody who came later.
-const GRACE: Micros = 300_000;
-pub(super) const NEWCOMER: u8 = 3;
+const FIRST_REQUEST_GRACE_MICROS: Micros = 300_000;
+pub(super) const NEWCOMER_CLASS: u8 = 3;
 
 pub(super) struct Client {
     pub stream: TcpStream,
     pub peer: SocketAddr,
-    pub machine: Frontend,
-    pub request: Option<(RequestId, SharedStatement)>,
+    pub protocol: Frontend,
+    pub open_request: Option<(RequestId, SharedStatement)>,
     /// The attempt whose long value it is being sent, and whether more of that may come.
-    pub passing: Option<(AttemptId, bool)>,
-    pub served: u64,
+    pub streaming: Option<(AttemptId, bool)>,
+    pub answered_requests: u64,
     /// It has made no request yet: it may be a balancer that only looks whether the process lives.
     pub unclassified: bool,
     /// It has closed its connection: what it sent before is owed no answer.
-    pub ended: bool,
+    pub peer_closed: bool,
     /// There is more to read or write than one turn takes.
-    pub unread: bool,
+    pub turn_incomplete: bool,
     /// To be closed, and how: at once, or after the client had its time to hear why.
     pub closing: Option<(&'static str, CloseMode)>,
-    pub active: Micros,
+    pub last_active_at: Micros,
     /// It was answered after the handover began: its end follows the answer.
-    pub last: bool,
+    pub close_when_idle: bool,
     /// Since when something that it began is not whole; its first command from its connect on.
-    pub unfinished: Option<Micros>,
+    pub incomplete_since: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,30 +43,30 @@
     /// All is written: until this time, and this much input, it may go on sending what nobody keeps.
     Draining {
         until: Micros,
-        spare: usize,
+        max_bytes: usize,
     },
 }
 
 impl Client {
     /// Nothing was asked on it that is not answered.
     pub fn can_be_shed(&self) -> bool {
-        let idle = self.machine.is_idle() || self.machine.is_in_startup();
-        self.draining() || (self.request.is_none() && self.closing.is_none() && idle)
+        let idle = self.protocol.is_idle() || self.protocol.is_in_startup();
+        self.is_draining() || (self.open_request.is_none() && self.closing.is_none() && idle)
     }
 
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         matches!(self.closing, Some((_, CloseMode::Draining { .. })))
     }
 
     /// Who makes room first: those that have been told goodbye; those that had time for a request and
     /// brought none, for a flood of them would drive out those who do; those idle longest; and last those
     /// that have just come.
-    pub fn rank(&self, now: Micros) -> (u8, Micros) {
-        let since = self.unfinished.unwrap_or(self.active);
-        let class = match self.served {
-            _ if self.draining() => 0,
-            0 if self.machine.has_received_command() || now - since >= GRACE => 1,
-            0 => NEWCOMER,
+    pub fn shed_priority(&self, now: Micros) -> (u8, Micros) {
+        let since = self.incomplete_since.unwrap_or(self.last_active_at);
+        let class = match self.answered_requests {
+            _ if self.is_draining() => 0,
+            0 if self.protocol.has_received_command() || now - since >= FIRST_REQUEST_GRACE_MICROS => 1,
+            0 => NEWCOMER_CLASS,
             _ => 2,
         };
         (class, since)
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -20,34 +20,34 @@
 
 pub struct Clients {
     listener: Option<TcpListener>,
-    slots: Slab<Client>,
+    connections: Slab<Client>,
     admission: Admission,
-    most: usize,
+    max_clients: usize,
     /// Beyond so many, idle ones make room before all places are taken: clients that keep connections they do
     /// not use have none left to open.
-    many: usize,
+    early_shed_threshold: usize,
     /// So many unclassified hold no place of a client's; and how many there are.
     unclassified_allowance: usize,
-    unclassified: usize,
+    unclassified_count: usize,
     /// More may wait to be accepted.
-    waiting: bool,
-    retry_set: bool,
+    accept_pending: bool,
+    accept_paused: bool,
     /// Connections close once they are idle: the proxy is stopping.
-    leaving: bool,
+    shutting_down: bool,
     /// Another process takes the clients: each connection closes with its next answer.
-    handing: bool,
+    handing_over: bool,
     /// The start waits for others to tell what they know.
-    learning: bool,
+    awaiting_peer_state: bool,
     /// Clients with more input than one turn takes.
-    unread: Vec<usize>,
+    turn_incomplete: Vec<usize>,
     /// Long values of which their clients have taken what there was.
-    wants_data: Vec<AttemptId>,
+    ready_for_more: Vec<AttemptId>,
     /// A descriptor kept in hand: when the system has none to give, it lets one more client in, and with
     /// that tells whether any waits.
-    spare: Option<File>,
+    spare_descriptor: Option<File>,
 }
 
-fn spare() -> Option<File> {
+fn open_spare_descriptor() -> Option<File> {
     File::open("/dev/null").ok()
 }
 
@@ -57,87 +57,89 @@
         registered.map_err(|e| format!("watching the listener: {e}"))?;
         Ok(Clients {
             listener: Some(listener),
-            slots: Slab::new(),
-            admission: Admission { ids: HashSet::new() },
-            most,
-            many: most * 2 / 5,
+            connections: Slab::new(),
+            admission: Admission { open_request_ids: HashSet::new() },
+            max_clients: most,
+            early_shed_threshold: most * 2 / 5,
             unclassified_allowance: 0,
-            unclassified: 0,
-            waiting: false,
-            retry_set: false,
-            leaving: false,
-            handing: false,
-            learning: false,
-            unread: Vec::new(),
-            wants_data: Vec::new(),
-            spare: spare(),
+            unclassified_count: 0,
+            accept_pending: false,
+            accept_paused: false,
+            shutting_down: false,
+            handing_over: false,
+            awaiting_peer_state: false,
+            turn_incomplete: Vec::new(),
+            ready_for_more: Vec::new(),
+            spare_descriptor: open_spare_descriptor(),
         })
     }
 
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.connections.len()
     }
 
     /// Another process takes the clients, or takes them no more: this one accepts nobody meanwhile, and sends each
     /// client there behind its next answer.
-    pub fn give_way(&mut self, give: bool) {
+    pub fn set_handing_over(&mut self, give: bool) {
         // Who came meanwhile and was not taken is told of no second time.
-        self.waiting |= self.handing && !give;
-        self.handing = give;
+        self.accept_pending |= self.handing_over && !give;
+        self.handing_over = give;
     }
 
     /// Nobody is accepted while the start waits.
-    pub fn learning(&mut self, learning: bool) {
-        self.learning = learning;
+    pub fn set_awaiting_peer_state(&mut self, learning: bool) {
+        self.awaiting_peer_state = learning;
     }
 
-    pub fn accept_ready(&mut self) {
-        self.waiting = true;
+    pub fn listener_ready(&mut self) {
+        self.accept_pending = true;
     }
 
     /// Something is left to do without any socket telling.
-    pub fn pressing(&self) -> bool {
-        self.can_accept() || !self.unread.is_empty()
+    pub fn has_pending_work(&self) -> bool {
+        self.can_accept() || !self.turn_incomplete.is_empty()
     }
 
     /// Goes on where the last turn stopped.
-    pub fn go_on(&mut self, context: &mut EventLoopContext) {
-        for key in std::mem::take(&mut self.unread) {
-            self.ready(context, key);
+    pub fn continue_pending_work(&mut self, context: &mut EventLoopContext) {
+        for key in std::mem::take(&mut self.turn_incomplete) {
+            self.handle_ready(context, key);
         }
         self.accept(context);
     }
 
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.connections.is_empty()
     }
 
     /// The connection's turn: it is read, run and written as far as that takes it.
-    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) {
-        if let Some(c) = self.slots.get_mut(key) {
-            c.machine.start_turn();
-            self.go(context, key);
+    pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: usize) {
+        if let Some(c) = self.connections.get_mut(key) {
+            c.protocol.start_turn();
+            self.process_client(context, key);
         }
     }
 
     /// The system tells that a client has closed its connection, whatever input may wait before that end.
-    pub fn ended(&mut self, key: usize) {
-        if let Some(c) = self.slots.get_mut(key) {
-            c.ended = true;
+    pub fn peer_closed(&mut self, key: usize) {
+        if let Some(c) = self.connections.get_mut(key) {
+            c.peer_closed = true;
         }
     }
 
     /// A long value that has gone on as far as its client has taken it.
-    pub fn wants_data(&mut self) -> Option<AttemptId> {
-        self.wants_data.pop()
+    pub fn next_ready_for_more(&mut self) -> Option<AttemptId> {
+        self.ready_for_more.pop()
     }
 
-    fn holder(&mut self, key: usize, request: RequestId) -> Option<&mut Client> {
-        self.slots.get_mut(key).filter(|c| c.request.as_ref().is_some_and(|(id, _)| *id == request))
+    fn client_with_request(&mut self, key: usize, request: RequestId) -> Option<&mut Client> {
+        self.connections
+            .get_mut(key)
+            .filter(|c| c.open_request.as_ref().is_some_and(|(id, _)| *id == request))
     }
 
     /// A long value begins.
-    pub fn begin(
+    pub fn start_value(
         &mut self,
         context: &mut EventLoopContext,
         key: usize,
@@ -145,26 +147,32 @@
         attempt: AttemptId,
         length: usize,
     ) {
-        if let Some(c) = self.holder(key, request) {
-            c.passing = Some((attempt, true));
-            c.machine.start_value(true, length);
-            self.go(context, key);
+        if let Some(c) = self.client_with_request(key, request) {
+            c.streaming = Some((attempt, true));
+            c.protocol.start_value(true, length);
+            self.process_client(context, key);
         }
     }
 
     /// More of it has come.
-    pub fn piece(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId, bytes: &[u8]) {
-        let Some(c) = self.holder(key, request) else { return };
-        if let Some((_, fed)) = &mut c.passing {
+    pub fn send_value_chunk(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: usize,
+        request: RequestId,
+        bytes: &[u8],
+    ) {
+        let Some(c) = self.client_with_request(key, request) else { return };
+        if let Some((_, fed)) = &mut c.streaming {
             *fed = true;
         }
-        c.machine.out.raw(bytes);
-        self.go(context, key);
+        c.protocol.out.raw(bytes);
+        self.process_client(context, key);
     }
 
     /// The rest of it will not come: the client is to see that it is not whole.
-    pub fn broken(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId) {
-        if self.holder(key, request).is_some() {
+    pub fn abort_value(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId) {
+        if self.client_with_request(key, request).is_some() {
             self.close(context, key, "cut-short");
         }
     }
@@ -177,32 +185,32 @@
         request: RequestId,
         answer: &Answer,
     ) {
-        let Some(c) = self.slots.get_mut(key) else { return };
-        let Some((_, work)) = c.request.take_if(|(id, _)| *id == request) else { return };
-        self.admission.ids.remove(work.id());
-        c.served += 1;
-        c.last = self.handing;
-        c.passing = None;
-        c.machine.answer(answer);
-        self.go(context, key);
+        let Some(c) = self.connections.get_mut(key) else { return };
+        let Some((_, work)) = c.open_request.take_if(|(id, _)| *id == request) else { return };
+        self.admission.open_request_ids.remove(work.id());
+        c.answered_requests += 1;
+        c.close_when_idle = self.handing_over;
+        c.streaming = None;
+        c.protocol.answer(answer);
+        self.process_client(context, key);
     }
 
     /// Closes the connection and logs why.
     fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) {
-        let mut c = self.slots.remove(key);
+        let mut c = self.connections.remove(key);
         let _ = context.registry.deregister(&mut c.stream);
-        self.unclassified -= usize::from(c.unclassified);
+        self.unclassified_count -= usize::from(c.unclassified);
         let looked = self.unclassified_allowance > 0
             && c.unclassified
             && matches!(reason, "terminate" | "client-closed" | "client-reset");
         if looked {
             // Balancers look in by the hundred; other lines are not to be left out for theirs.
-            debug!(conn = "client", peer = %c.peer, answered = c.served, reason);
+            debug!(conn = "client", peer = %c.peer, answered = c.answered_requests, reason);
         } else {
-            info!(conn = "client", peer = %c.peer, answered = c.served, reason);
+            info!(conn = "client", peer = %c.peer, answered = c.answered_requests, reason);
         }
-        if let Some((request, work)) = c.request {
-            self.admission.ids.remove(work.id());
+        if let Some((request, work)) = c.open_request {
+            self.admission.open_request_ids.remove(work.id());
             context.core.client_disconnected(context.now, request);
         }
     }
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -51,10 +51,10 @@
         let (stopping, guests) = (self.stopping, guests(&self.config));
         self.with(|clients, pool, _, context| {
             pool.set_limit(context, for_databases);
-            clients.host(guests);
-            clients.limit(context, for_clients);
+            clients.set_unclassified_allowance(guests);
+            clients.set_limit(context, for_clients);
             if !stopping {
-                clients.give_way(replaced);
+                clients.set_handing_over(replaced);
             }
         });
     }
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -36,7 +36,7 @@
     pub(super) fn stop_listening(&mut self) {
         if !std::mem::replace(&mut self.listener_closed, true) {
             let linger = if self.config.inherited.is_some() {
-                self.with(|clients, _, _, context| clients.hand_over(context));
+                self.with(|clients, _, _, context| clients.start_handover(context));
                 HANDOVER
             } else {
                 LINGER
@@ -48,7 +48,7 @@
 
     /// The last idle clients go now; who has a request in hand goes with its answer.
     pub(super) fn close_idle_clients(&mut self) {
-        self.with(|clients, _, _, context| clients.leave(context));
+        self.with(|clients, _, _, context| clients.shut_down(context));
         self.with_fleet(|fellows, now| fellows.leave(now));
         self.clients_closed = true;
     }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -219,7 +219,7 @@
         let Some(mut gossip) = self.gossip.take() else { return };
         let (mut context, parts) = self.lend();
         act(&mut gossip, &mut context);
-        parts.clients.learning(!gossip.ready());
+        parts.clients.set_awaiting_peer_state(!gossip.ready());
         self.gossip = Some(gossip);
         self.carry_out();
     }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -53,8 +53,8 @@
         self.with(|clients, pool, agent, context| {
             pool.apply_settings(&new.site);
             pool.set_limit(context, for_databases);
-            clients.host(guests(&new));
-            clients.limit(context, for_clients);
+            clients.set_unclassified_allowance(guests(&new));
+            clients.set_limit(context, for_clients);
             agent.settings(&new.site.routing);
             agent.moved(context, new.discovery);
         });
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -17,7 +17,8 @@
 impl Proxy {
     pub(super) fn run_once(&mut self, events: &mut Events, signals: &mut Signals) -> Result<(), String> {
         let asleep = self.clock.now();
-        let pressing = self.clients.pressing() || self.admin.pressing() || self.checks.pressing(asleep);
+        let pressing =
+            self.clients.has_pending_work() || self.admin.pressing() || self.checks.pressing(asleep);
         let wait = if pressing { Some(std::time::Duration::ZERO) } else { self.timers.wait(asleep) };
         match self.poll.poll(events, wait) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(format!("polling: {e}")),
@@ -44,7 +45,7 @@
                 source @ (Source::Successors | Source::Predecessor | Source::Successor) => {
                     self.handle_handover(source)
                 }
-                Source::Listener => self.clients.accept_ready(),
+                Source::Listener => self.clients.listener_ready(),
                 Source::Signals => {
                     for signal in signals.pending() {
                         match signal {
@@ -70,9 +71,9 @@
                     let ended = event.is_read_closed() || event.is_error();
                     self.with(|clients, _, _, context| {
                         if ended {
-                            clients.ended(key);
+                            clients.peer_closed(key);
                         }
-                        clients.ready(context, key);
+                        clients.handle_ready(context, key);
                     });
                 }
                 Source::Database(key) => self.with(|_, pool, _, context| pool.handle_ready(context, key)),
@@ -81,12 +82,12 @@
             self.carry_out();
         }
         self.with(|clients, pool, agent, context| {
-            clients.go_on(context);
+            clients.continue_pending_work(context);
             if pool.take_descriptors_exhausted() {
-                clients.make_room(context);
+                clients.release_descriptor(context);
             }
             if agent.take_descriptors_exhausted() {
-                clients.make_room(context);
+                clients.release_descriptor(context);
             }
         });
         self.carry_out();
@@ -155,7 +156,7 @@
         loop {
             let Some(command) = self.core.next_command() else {
                 // Clients that have taken what there was of a long value get more of it.
-                let Some(attempt) = self.clients.wants_data() else { return };
+                let Some(attempt) = self.clients.next_ready_for_more() else { return };
                 self.with(|_, pool, _, context| pool.resume_reading(context, attempt));
                 continue;
             };
@@ -173,12 +174,12 @@
                     clients.answer(context, client, request, &answer)
                 }
                 Command::BeginStream { client, request, attempt, length } => {
-                    clients.begin(context, client, request, attempt, length);
+                    clients.start_value(context, client, request, attempt, length);
                 }
                 Command::StreamChunk { client, request, bytes } => {
-                    clients.piece(context, client, request, &bytes)
+                    clients.send_value_chunk(context, client, request, &bytes)
                 }
-                Command::AbortStream { client, request } => clients.broken(context, client, request),
+                Command::AbortStream { client, request } => clients.abort_value(context, client, request),
                 Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
                 Command::Log(LogRecord::RoutingNote(note)) => info!(event = "module", note = %Quoted(note)),
                 Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -59,10 +59,10 @@
             TimerEvent::ConnectTimeout(key, serial) => pool.connect_timed_out(context, key, serial),
             TimerEvent::QueryTimeout(key, turn) => pool.query_timed_out(context, key, turn),
             TimerEvent::ConnectionRested(key, serial) => pool.connection_rested(context, key, serial),
-            TimerEvent::RetryAccept => clients.accept_again(),
+            TimerEvent::RetryAccept => clients.resume_accepting(),
             TimerEvent::Discovery(turn) => agent.due(context, turn),
             TimerEvent::Sweep => {
-                clients.sweep(context);
+                clients.close_expired(context);
                 pool.close_expired(context);
                 context.timers.set(context.now + SWEEP, TimerEvent::Sweep);
             }
