--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -1,6 +1,6 @@
 //! One client: its socket, machine and request, and how ready it is to make room for another.
 
-use super::super::pool::SharedStatement;
+use super::super::statement_payload::StatementPayload;
 use crate::core::AttemptId;
 use crate::pg::frontend::Frontend;
 use birchreach::{Micros, RequestId};
@@ -15,7 +15,7 @@
     pub stream: TcpStream,
     pub peer: SocketAddr,
     pub protocol: Frontend,
-    pub open_request: Option<(RequestId, SharedStatement)>,
+    pub open_request: Option<(RequestId, StatementPayload)>,
     /// The attempt whose long value it is being sent, and whether more of that may come.
     pub streaming: Option<(AttemptId, bool)>,
     pub answered_requests: u64,
--- a/proxy/src/net/clients/input.rs
+++ b/proxy/src/net/clients/input.rs
@@ -1,7 +1,7 @@
 //! A client's turn: its input is read and decoded, its statements are taken or answered with what is wrong, its answers written.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::pool::SharedStatement;
+use super::super::statement_payload::StatementPayload;
 use super::super::stream::{self, Ended};
 use super::Clients;
 use super::client::{Client, CloseMode};
@@ -199,7 +199,7 @@
                     match admission.admit_statement(context, &statement, arrived) {
                         Err((code, message)) => c.protocol.reject(code, message),
                         Ok(ask) => {
-                            let work = SharedStatement::new(statement);
+                            let work = StatementPayload::new(statement);
                             c.open_request =
                                 Some((context.core.request(context.now, key, ask, work.clone()), work));
                         }
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -1,7 +1,7 @@
 //! What the connections' owners need of the loop, lent to them for a call.
 
-use super::TimerEvent;
-use super::pool::SharedStatement;
+use super::statement_payload::StatementPayload;
+use super::timer_events::TimerEvent;
 use super::timers::Timers;
 use crate::core::Core;
 use birchreach::Micros;
@@ -11,6 +11,6 @@
     pub now: Micros,
     pub registry: &'a Registry,
     pub timers: &'a mut Timers<TimerEvent>,
-    pub core: &'a mut Core<SharedStatement>,
+    pub core: &'a mut Core<StatementPayload>,
     pub scratch: &'a mut [u8],
 }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -18,6 +18,7 @@
 mod reload;
 mod run_once;
 mod sources;
+mod statement_payload;
 mod stream;
 mod test_hooks;
 mod timer_events;
@@ -41,12 +42,13 @@
 use gossip::{Gossip, StateTransfer};
 use mio::{Events, Poll};
 pub use pool::CompletedQuery;
-use pool::{Pool, SharedStatement};
+use pool::Pool;
 use process_handover::ProcessHandover;
 use reload::log_settings_warnings;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use sources::Source;
+use statement_payload::StatementPayload;
 use std::path::PathBuf;
 pub use timer_events::TimerEvent;
 use timers::{Clock, Timers};
@@ -72,7 +74,7 @@
     clock: Clock,
     now: Micros,
     timers: Timers<TimerEvent>,
-    core: Core<SharedStatement>,
+    core: Core<StatementPayload>,
     scratch: Vec<u8>,
     clients: Clients,
     pool: Pool,
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -1,93 +1,95 @@
-//! BackgroundQueries: statements that no client waits for, one after the other on one connection, which is one process of a database from the
-//! first to the last. Whether and where one goes is decided elsewhere; here it runs, and what came back is kept for its owner.
+//! Background queries: statements that no client waits for, one after the other on one connection, so that the same process of a
+//! database runs all of them. The owner decides whether and where they run; the pool runs them and keeps the replies for the owner.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::{ConnectionTask, Pool};
+use super::connection::ConnectionTask;
+use super::{ConnectionKey, Pool};
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
 
-/// An answer that takes longer is of no more use to whoever sent the errand.
-pub(super) const TIMEOUT_MICROS: Micros = 2_000_000;
+/// A later reply to one statement is of no more use to the owner.
+pub(super) const BACKGROUND_QUERY_TIMEOUT_MICROS: Micros = 2_000_000;
 
-/// Statements, and what they came to so far.
-pub struct BackgroundQuery {
+/// Statements, and the replies so far.
+pub(super) struct BackgroundQuery {
     number: u64,
     server: ServerId,
     statements: Vec<Vec<u8>>,
     replies: Vec<Reply>,
 }
 
-/// One that is over: its number, where it was, and a reply for each statement that ran; after the first that failed none did.
+/// A background query that is over: a reply for each statement that ran; none ran after the first that failed.
 #[derive(Debug)]
 pub struct CompletedQuery {
+    /// The number that its owner gave it.
     pub number: u64,
+    /// Where it ran.
     pub server: ServerId,
+    /// In the order of the statements.
     pub replies: Vec<Reply>,
+    /// All statements ran, and well.
     pub complete: bool,
 }
 
 impl BackgroundQuery {
-    pub(super) fn current_statement(&self) -> &[u8] {
+    pub fn current_statement(&self) -> &[u8] {
         self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
     }
 
-    pub(super) fn complete(mut self, reply: Reply) -> CompletedQuery {
+    /// Another statement follows the one that came to this reply.
+    fn continues_after(&self, reply: &Reply) -> bool {
+        reply.outcome == AttemptOutcome::Ok && self.replies.len() + 1 < self.statements.len()
+    }
+
+    /// Takes the last reply.
+    pub fn complete(mut self, reply: Reply) -> CompletedQuery {
         self.replies.push(reply);
-        let well = self.replies.iter().all(|r| r.outcome == AttemptOutcome::Ok);
-        let whole = well && self.replies.len() == self.statements.len();
-        CompletedQuery { number: self.number, server: self.server, replies: self.replies, complete: whole }
+        let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
+        let complete = all_succeeded && self.replies.len() == self.statements.len();
+        CompletedQuery { number: self.number, server: self.server, replies: self.replies, complete }
     }
 }
 
 impl Pool {
-    /// Sends statements to a server, in this order.
+    /// Runs statements at a server, in this order.
     pub fn start_background_query(
         &mut self,
         context: &mut EventLoopContext,
         number: u64,
         server: ServerId,
-        texts: Vec<Vec<u8>>,
+        statements: Vec<Vec<u8>>,
     ) {
-        self.dispatch(
-            context,
-            server,
-            ConnectionTask::BackgroundQuery(BackgroundQuery {
-                number,
-                server,
-                statements: texts,
-                replies: Vec::new(),
-            }),
-        );
+        let query = BackgroundQuery { number, server, statements, replies: Vec::new() };
+        self.dispatch(context, server, ConnectionTask::BackgroundQuery(query));
     }
 
+    /// Background queries are over whose owner has not taken them yet.
     pub fn has_completed_queries(&self) -> bool {
         !self.completed_queries.is_empty()
     }
 
-    /// BackgroundQueries that are over.
+    /// Hands out the background queries that are over.
     pub fn take_completed_queries(&mut self) -> Vec<CompletedQuery> {
         std::mem::take(&mut self.completed_queries)
     }
 
-    /// An answer has come: an errand that has more to say goes on, on the same connection. Else the job is handed back.
+    /// Sends the next statement of a background query on the same connection, or hands back the task and the reply that ends it.
     pub(super) fn continue_background_query(
         &mut self,
         context: &mut EventLoopContext,
-        key: usize,
-        job: Option<ConnectionTask>,
+        key: ConnectionKey,
+        task: ConnectionTask,
         reply: Reply,
-    ) -> Option<(Option<ConnectionTask>, Reply)> {
-        match job {
-            Some(ConnectionTask::BackgroundQuery(mut errand))
-                if reply.outcome == AttemptOutcome::Ok
-                    && errand.replies.len() + 1 < errand.statements.len()
-                    && self.connections[key].protocol.is_idle() =>
+    ) -> Option<(ConnectionTask, Reply)> {
+        match task {
+            ConnectionTask::BackgroundQuery(mut query)
+                if query.continues_after(&reply) && self.connections[key].protocol.is_idle() =>
             {
-                errand.replies.push(reply);
-                self.send_query(context, key, ConnectionTask::BackgroundQuery(errand));
+                query.replies.push(reply);
+                self.send_query(context, key, ConnectionTask::BackgroundQuery(query));
                 None
             }
-            other => Some((other, reply)),
+            task => Some((task, reply)),
         }
     }
 }
--- /dev/null
+++ b/proxy/src/net/pool/closing.rs
@@ -0,0 +1,103 @@
+//! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last byte
+//! of the query was written.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::close_reason::DatabaseCloseReason;
+use super::connection::{ConnectionTask, QueryProgress};
+use super::{ConnectionKey, Pool};
+use crate::pg::backend::BackendEvent;
+use crate::reply::Reply;
+use birchreach::AttemptOutcome;
+use tracing::info;
+
+impl Pool {
+    /// The database closed the connection, or it broke. A response that had arrived still counts.
+    pub(super) fn connection_ended(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        reason: DatabaseCloseReason,
+    ) {
+        let reply = match self.connections[key].protocol.connection_ended() {
+            Some(BackendEvent::QueryCompleted(reply)) => reply,
+            _ => Reply::with_outcome(AttemptOutcome::ConnectionReset),
+        };
+        self.fail_connection(context, key, reason, reply);
+    }
+
+    /// Closes a connection that is of no more use. `reply` is the result of a task whose query was written; a task that waited for
+    /// the connection to have rested gets another one.
+    pub(super) fn fail_connection(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        reason: DatabaseCloseReason,
+        reply: Reply,
+    ) {
+        let connection = &self.connections[key];
+        let server = connection.server;
+        let was_resting = connection.is_resting();
+        let was_written = connection.query == QueryProgress::Written;
+        let Some(task) = self.close(context, key, reason) else { return };
+        if was_resting {
+            self.dispatch(context, server, task);
+        } else if was_written {
+            self.complete_task(context, task, reply);
+        } else {
+            let reply = Reply::with_outcome(AttemptOutcome::ClosedBeforeExecution);
+            self.complete_task(context, task, reply);
+        }
+    }
+
+    /// The connection was not established: no process listens, or nothing is heard from there.
+    pub(super) fn connect_failed(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        reason: DatabaseCloseReason,
+        reply: Reply,
+    ) {
+        if let Some(task) = self.close(context, key, reason) {
+            self.complete_task(context, task, reply);
+        }
+    }
+
+    /// Closes the connection and logs why. A task that it had is handed back without an outcome.
+    pub(super) fn close(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        reason: DatabaseCloseReason,
+    ) -> Option<ConnectionTask> {
+        let mut connection = self.connections.remove(key);
+        let _ = context.registry.deregister(&mut connection.stream);
+        if let Some(keys) = self.idle.get_mut(&connection.server) {
+            keys.retain(|other| *other != key);
+        }
+        let server = context.core.server_name(connection.server);
+        info!(conn = "database", server, state = connection.state_word(), reason = reason.word());
+        connection.task
+    }
+
+    /// Tells the result of a task to whoever asked for it.
+    pub(super) fn complete_task(
+        &mut self,
+        context: &mut EventLoopContext,
+        task: ConnectionTask,
+        reply: Reply,
+    ) {
+        match task {
+            ConnectionTask::Attempt(task) => {
+                self.attempt_connections.remove(&task.attempt);
+                context.core.attempt_completed(context.now, task.attempt, reply);
+            }
+            ConnectionTask::HealthCheck { server } => {
+                context.core.health_check_completed(context.now, server, &reply);
+            }
+            ConnectionTask::MonitorCheck { server } => {
+                context.core.monitor_check_completed(context.now, server, &reply);
+            }
+            ConnectionTask::BackgroundQuery(query) => self.completed_queries.push(query.complete(reply)),
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/net/pool/connection.rs
@@ -0,0 +1,142 @@
+//! One connection to a database, and the task that it was opened or taken for.
+
+use super::super::statement_payload::StatementPayload;
+use super::background_queries::BackgroundQuery;
+use crate::core::AttemptId;
+use crate::pg::backend::Backend;
+use birchreach::{Micros, ServerId};
+use mio::net::TcpStream;
+use std::net::SocketAddr;
+
+/// Number of a connection, never used again. A timer names it beside the key, for keys are used again.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionSerial(u64);
+
+impl ConnectionSerial {
+    pub(super) fn next(self) -> ConnectionSerial {
+        ConnectionSerial(self.0 + 1)
+    }
+}
+
+/// Number of a query that has a timer of its own, never used again. Zero is no query.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QuerySerial(u64);
+
+impl QuerySerial {
+    pub(super) fn next(self) -> QuerySerial {
+        QuerySerial(self.0 + 1)
+    }
+}
+
+/// Whether a connection is still there after an operation on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionState {
+    Open,
+    Closed,
+}
+
+/// An attempt at a client's request.
+pub(super) struct AttemptTask {
+    pub attempt: AttemptId,
+    pub statement: StatementPayload,
+    pub deadline: Micros,
+    /// The copy at the server is to be read, not the row itself.
+    pub from_copy: bool,
+}
+
+/// What a connection was opened or taken for.
+pub(super) enum ConnectionTask {
+    Attempt(AttemptTask),
+    /// Asked for by the routing decisions, which learn the result.
+    HealthCheck {
+        server: ServerId,
+    },
+    /// Asked for by the health monitor, which alone learns the result.
+    MonitorCheck {
+        server: ServerId,
+    },
+    /// Statements that no client waits for.
+    BackgroundQuery(BackgroundQuery),
+}
+
+/// How far the query of a connection's task has gone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum QueryProgress {
+    NotQueued,
+    /// It waits to be written, in part at least: it cannot have run.
+    Queued,
+    /// Its last byte was handed to the system: it may have run.
+    Written,
+}
+
+pub(super) struct Connection {
+    pub stream: TcpStream,
+    pub protocol: Backend,
+    pub server: ServerId,
+    /// Where the server was when the connection was opened.
+    pub address: SocketAddr,
+    pub serial: ConnectionSerial,
+    /// The latest query that had a timer.
+    pub query_serial: QuerySerial,
+    /// The startup exchange is complete.
+    pub established: bool,
+    pub task: Option<ConnectionTask>,
+    pub query: QueryProgress,
+    pub idle_since: Micros,
+    /// When more of a streamed value came, or reading it was resumed.
+    pub last_progress_at: Micros,
+    /// No more is read until the client has taken what it was sent of a streamed value.
+    pub reading_paused: bool,
+}
+
+impl Connection {
+    pub fn new(
+        stream: TcpStream,
+        protocol: Backend,
+        server: ServerId,
+        address: SocketAddr,
+        serial: ConnectionSerial,
+        now: Micros,
+    ) -> Connection {
+        Connection {
+            stream,
+            protocol,
+            server,
+            address,
+            serial,
+            query_serial: QuerySerial::default(),
+            established: false,
+            task: None,
+            query: QueryProgress::NotQueued,
+            idle_since: now,
+            last_progress_at: now,
+            reading_paused: false,
+        }
+    }
+
+    /// The system has not finished opening it, or could not.
+    pub fn is_connecting(&self) -> bool {
+        !self.established && self.stream.peer_addr().is_err()
+    }
+
+    /// It is established, and what it may have as a task waits until it has rested.
+    pub fn is_resting(&self) -> bool {
+        self.established && self.query == QueryProgress::NotQueued
+    }
+
+    pub fn attempt(&self) -> Option<AttemptId> {
+        match &self.task {
+            Some(ConnectionTask::Attempt(task)) => Some(task.attempt),
+            _ => None,
+        }
+    }
+
+    /// The state for the log.
+    pub fn state_word(&self) -> &'static str {
+        match (self.established, self.query) {
+            (false, _) => "opening",
+            (true, QueryProgress::NotQueued) => "idle",
+            (true, QueryProgress::Queued | QueryProgress::Written) => "busy",
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/net/pool/connection_table.rs
@@ -0,0 +1,62 @@
+//! The pool's connections by key.
+
+use super::connection::Connection;
+use slab::Slab;
+use std::ops::{Index, IndexMut};
+
+/// Where a connection is kept. Keys of closed connections are used again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionKey(pub(super) usize);
+
+#[derive(Default)]
+pub(super) struct ConnectionTable(Slab<Connection>);
+
+impl ConnectionTable {
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    pub fn contains(&self, key: ConnectionKey) -> bool {
+        self.0.contains(key.0)
+    }
+
+    pub fn get(&self, key: ConnectionKey) -> Option<&Connection> {
+        self.0.get(key.0)
+    }
+
+    pub fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
+        self.0.get_mut(key.0)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &Connection)> {
+        self.0.iter().map(|(slot, connection)| (ConnectionKey(slot), connection))
+    }
+
+    /// The key that the next insertion gives.
+    pub fn next_key(&self) -> ConnectionKey {
+        ConnectionKey(self.0.vacant_key())
+    }
+
+    pub fn insert(&mut self, connection: Connection) -> ConnectionKey {
+        ConnectionKey(self.0.insert(connection))
+    }
+
+    pub fn remove(&mut self, key: ConnectionKey) -> Connection {
+        self.0.remove(key.0)
+    }
+}
+
+/// For keys of connections that are known to be open.
+impl Index<ConnectionKey> for ConnectionTable {
+    type Output = Connection;
+
+    fn index(&self, key: ConnectionKey) -> &Connection {
+        &self.0[key.0]
+    }
+}
+
+impl IndexMut<ConnectionKey> for ConnectionTable {
+    fn index_mut(&mut self, key: ConnectionKey) -> &mut Connection {
+        &mut self.0[key.0]
+    }
+}
--- /dev/null
+++ b/proxy/src/net/pool/dispatch.rs
@@ -0,0 +1,118 @@
+//! Which connection a task gets: an idle one that has rested, an idle one that is about to have rested, or a new one.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::super::timer_events::TimerEvent;
+use super::close_reason::DatabaseCloseReason;
+use super::connection::{Connection, ConnectionSerial, ConnectionState, ConnectionTask};
+use super::{ConnectionKey, Pool};
+use birchreach::{Micros, ServerId};
+
+/// A connection rests after a response: what the database sends or does right behind that, unexpected data or a close, must not
+/// meet the next query.
+const REST_TIME_MICROS: Micros = 1_000;
+
+enum IdleConnection {
+    Rested(ConnectionKey),
+    Resting(ConnectionKey),
+}
+
+impl Pool {
+    /// Gives a task to a connection of a server, or completes it if there can be none.
+    pub(super) fn dispatch(
+        &mut self,
+        context: &mut EventLoopContext,
+        server: ServerId,
+        task: ConnectionTask,
+    ) {
+        while let Some(idle) = self.take_idle(context, server) {
+            match idle {
+                // Its rest is over sooner than a new connection could be established.
+                IdleConnection::Resting(key) => return self.assign_after_rest(context, key, task),
+                IdleConnection::Rested(key) => {
+                    if self.verify_usable(context, key) == ConnectionState::Open {
+                        return self.send_query(context, key, task);
+                    }
+                }
+            }
+        }
+        match self.open_connection(context, server) {
+            Ok(key) => self.assign_when_established(context, key, task),
+            Err(error) => self.complete_task(context, task, error.reply()),
+        }
+    }
+
+    /// The idle connection that was used last, but those that have rested before those that have not.
+    fn take_idle(&mut self, context: &EventLoopContext, server: ServerId) -> Option<IdleConnection> {
+        let keys = self.idle.get_mut(&server)?;
+        let has_rested =
+            |key: &ConnectionKey| context.now - self.connections[*key].idle_since >= REST_TIME_MICROS;
+        match keys.iter().rposition(has_rested) {
+            Some(index) => Some(IdleConnection::Rested(keys.remove(index))),
+            None => keys.pop().map(IdleConnection::Resting),
+        }
+    }
+
+    fn assign_after_rest(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        task: ConnectionTask,
+    ) {
+        let connection = &self.connections[key];
+        let rested_at = connection.idle_since + REST_TIME_MICROS;
+        context.timers.set(rested_at, TimerEvent::ConnectionRested(key, connection.serial));
+        self.assign(key, task);
+    }
+
+    fn assign_when_established(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        task: ConnectionTask,
+    ) {
+        let serial = self.connections[key].serial;
+        context.timers.set(context.now + self.connect_timeout, TimerEvent::ConnectTimeout(key, serial));
+        self.assign(key, task);
+    }
+
+    fn assign(&mut self, key: ConnectionKey, task: ConnectionTask) {
+        if let ConnectionTask::Attempt(task) = &task {
+            self.attempt_connections.insert(task.attempt, key);
+        }
+        self.connections[key].task = Some(task);
+    }
+
+    /// Reads a connection right before a query is written to it: its end may have arrived with the event that led here, and the
+    /// query would count as one that may have run.
+    fn verify_usable(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
+        if self.read(context, key) == ConnectionState::Closed {
+            return ConnectionState::Closed;
+        }
+        if self.connections[key].protocol.is_idle() {
+            return ConnectionState::Open;
+        }
+        self.close(context, key, DatabaseCloseReason::UnexpectedData);
+        ConnectionState::Closed
+    }
+
+    /// The connection has rested, and a task may wait for it.
+    pub fn connection_rested(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        serial: ConnectionSerial,
+    ) {
+        let is_waiting = |c: &&mut Connection| c.serial == serial && c.is_resting();
+        let Some(connection) = self.connections.get_mut(key).filter(is_waiting) else { return };
+        let (server, address) = (connection.server, connection.address);
+        let Some(task) = connection.task.take() else { return };
+        if context.core.address(server) != Some(address) {
+            self.close(context, key, DatabaseCloseReason::Moved);
+            self.dispatch(context, server, task);
+        } else if self.verify_usable(context, key) == ConnectionState::Open {
+            self.send_query(context, key, task);
+        } else {
+            self.dispatch(context, server, task);
+        }
+    }
+}
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -1,117 +1,122 @@
-//! What a connection's time runs out for: attempts that are given up, connects and probes that take too long, idle ones, and
-//! long values that stand still.
+//! Connections whose time is over: attempts that are given up, connects and checks that take too long, idle connections, and
+//! responses that stall.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::{Connection, ConnectionTask, Pool};
+use super::close_reason::DatabaseCloseReason;
+use super::connection::{Connection, ConnectionSerial, ConnectionTask, QueryProgress, QuerySerial};
+use super::{ConnectionKey, Pool};
 use crate::core::AttemptId;
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
 
-/// A database that has begun a long value and sends no more of it for so long has failed.
+/// A database that sends no more of a streamed value for this time has failed.
 const RESPONSE_STALL_TIMEOUT_MICROS: Micros = 10_000_000;
 
 impl Pool {
-    /// Gives an attempt up: its connection is closed, for an answer may still come on it.
+    /// Gives an attempt up. Its connection is closed, for a response may still come on it.
     pub fn cancel_attempt(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
-        self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, "cancelled");
+        self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, DatabaseCloseReason::Cancelled);
     }
 
-    /// The attempt's time is over.
+    /// The attempt's deadline has passed. A value that is being streamed goes on.
     pub fn attempt_timed_out(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
-        self.abandon_attempt(context, attempt, AttemptOutcome::Timeout, "timeout");
+        let Some(key) = self.attempt_connections.get(&attempt) else { return };
+        if !self.connections[*key].protocol.is_streaming() {
+            self.abandon_attempt(context, attempt, AttemptOutcome::Timeout, DatabaseCloseReason::Timeout);
+        }
     }
 
     fn abandon_attempt(
         &mut self,
         context: &mut EventLoopContext,
         attempt: AttemptId,
-        ending: AttemptOutcome,
-        reason: &str,
+        outcome: AttemptOutcome,
+        reason: DatabaseCloseReason,
     ) {
         let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
-        if ending == AttemptOutcome::Timeout && self.connections[key].protocol.is_streaming() {
-            return;
+        let outcome = match self.connections[key].query {
+            QueryProgress::NotQueued => return self.withdraw_task(context, key),
+            QueryProgress::Queued => AttemptOutcome::NotSent,
+            QueryProgress::Written => outcome,
+        };
+        if let Some(task) = self.close(context, key, reason) {
+            self.complete_task(context, task, Reply::with_outcome(outcome));
         }
-        let written = self.connections[key].query_written;
-        if !self.connections[key].query_queued {
-            // The connection is still being opened, or rests, and may serve another.
-            let job = self.connections[key].task.take();
-            if self.connections[key].established {
-                self.return_to_idle(context, key);
-            }
-            if let Some(job) = job {
-                self.complete_task(context, job, Reply::with_outcome(AttemptOutcome::NotSent));
-            }
-            return;
+    }
+
+    /// Takes the task from a connection that is still being opened, or rests. The connection may serve another.
+    fn withdraw_task(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
+        let task = self.connections[key].task.take();
+        if self.connections[key].established {
+            self.return_to_idle(context, key);
         }
-        if let Some(job) = self.close(context, key, reason) {
-            self.complete_task(
-                context,
-                job,
-                Reply::with_outcome(if written { ending } else { AttemptOutcome::NotSent }),
-            );
+        if let Some(task) = task {
+            self.complete_task(context, task, Reply::with_outcome(AttemptOutcome::NotSent));
         }
     }
 
-    pub fn connect_timed_out(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
-        if self.connections.get(key).is_some_and(|c| c.serial == serial && !c.established) {
-            self.connect_failed(
-                context,
-                key,
-                "connect-timeout",
-                Reply::with_outcome(AttemptOutcome::ConnectFailed),
-            );
+    /// A connection has had its time to be established.
+    pub fn connect_timed_out(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        serial: ConnectionSerial,
+    ) {
+        let is_opening = |c: &Connection| c.serial == serial && !c.established;
+        if self.connections.get(key).is_some_and(is_opening) {
+            let reply = Reply::with_outcome(AttemptOutcome::ConnectFailed);
+            self.connect_failed(context, key, DatabaseCloseReason::ConnectTimeout, reply);
         }
     }
 
-    pub fn query_timed_out(&mut self, context: &mut EventLoopContext, key: usize, turn: u64) {
-        let probing = |c: &Connection| {
-            c.query_serial == turn
-                && matches!(
-                    c.task,
-                    Some(
-                        ConnectionTask::HealthCheck { .. }
-                            | ConnectionTask::MonitorCheck { .. }
-                            | ConnectionTask::BackgroundQuery(_)
-                    )
+    /// A check or a statement of a background query has had its time.
+    pub fn query_timed_out(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        serial: QuerySerial,
+    ) {
+        let Some(connection) = self.connections.get(key) else { return };
+        let is_outstanding = connection.query_serial == serial
+            && matches!(
+                connection.task,
+                Some(
+                    ConnectionTask::HealthCheck { .. }
+                        | ConnectionTask::MonitorCheck { .. }
+                        | ConnectionTask::BackgroundQuery(_)
                 )
-        };
-        if self.connections.get(key).is_some_and(probing)
-            && let Some(job) = self.close(context, key, "timeout")
-        {
-            self.complete_task(context, job, Reply::with_outcome(AttemptOutcome::Timeout));
+            );
+        if is_outstanding && let Some(task) = self.close(context, key, DatabaseCloseReason::Timeout) {
+            self.complete_task(context, task, Reply::with_outcome(AttemptOutcome::Timeout));
         }
     }
 
-    /// Closes connections that have been idle for long, and those that stand still within a long value.
+    /// Closes connections whose response has stalled, and those that have been idle for long.
     pub fn close_expired(&mut self, context: &mut EventLoopContext) {
-        let stands = |c: &Connection| {
+        let now = context.now;
+        let has_stalled = |c: &Connection| {
             c.protocol.is_streaming()
                 && !c.reading_paused
-                && context.now - c.last_progress_at >= RESPONSE_STALL_TIMEOUT_MICROS
+                && now - c.last_progress_at >= RESPONSE_STALL_TIMEOUT_MICROS
         };
-        let still: Vec<usize> =
-            self.connections.iter().filter(|(_, c)| stands(c)).map(|(key, _)| key).collect();
-        for key in still {
-            self.fail_connection(
-                context,
-                key,
-                "standstill",
-                Reply::with_outcome(AttemptOutcome::ConnectionReset),
-            );
+        let stalled: Vec<ConnectionKey> =
+            self.connections.iter().filter(|(_, c)| has_stalled(c)).map(|(key, _)| key).collect();
+        for key in stalled {
+            let reply = Reply::with_outcome(AttemptOutcome::ConnectionReset);
+            self.fail_connection(context, key, DatabaseCloseReason::ResponseStalled, reply);
         }
         self.idle.retain(|_, keys| !keys.is_empty());
-        let old = |k: &&usize| context.now - self.connections[**k].idle_since >= self.idle_limit;
-        let old: Vec<usize> = self.idle.values().flatten().filter(old).copied().collect();
+        let is_old = |key: &&ConnectionKey| now - self.connections[**key].idle_since >= self.idle_limit;
+        let old: Vec<ConnectionKey> = self.idle.values().flatten().filter(is_old).copied().collect();
         for key in old {
-            self.close(context, key, "idle");
+            self.close(context, key, DatabaseCloseReason::Idle);
         }
     }
 
-    /// The server moved or left: its idle connections are of no more use.
+    /// Closes the idle connections of a server that moved or was removed.
     pub fn server_moved(&mut self, context: &mut EventLoopContext, server: ServerId) {
         for key in self.idle.remove(&server).unwrap_or_default() {
-            self.close(context, key, "moved");
+            self.close(context, key, DatabaseCloseReason::Moved);
         }
     }
 }
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -1,155 +1,111 @@
-//! Which connection a job gets: one that is idle and has rested, or a new one, within the places that there are.
+//! Opens connections to databases, within the limit on their number.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
-use super::{Connection, ConnectionTask, Pool};
+use super::close_reason::DatabaseCloseReason;
+use super::connection::Connection;
+use super::{ConnectionKey, Pool};
 use crate::log::Quoted;
 use crate::pg::backend::Backend;
 use crate::reply::Reply;
-use birchreach::{AttemptOutcome, Micros, ServerId};
+use birchreach::{AttemptOutcome, ServerId};
 use mio::Interest;
 use mio::net::TcpStream;
-use std::io::ErrorKind;
+use std::io::{Error, ErrorKind};
+use std::net::SocketAddr;
 use tracing::info;
 
-/// A connection rests after an answer: what the database sends or does right behind it, a surplus or its
-/// own close, must not meet the next query.
-const REST_TIME_MICROS: Micros = 1_000;
+/// Why no connection could be opened. Nothing was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum OpenError {
+    /// The endpoint list has no address for the server.
+    NoAddress,
+    /// No process listens there.
+    Refused,
+    /// As many connections are open as may be, and none of them is idle.
+    LimitReached,
+    /// The system gave no socket, for which the server is not to blame.
+    NoSocket,
+}
 
-impl Pool {
-    pub(super) fn dispatch(&mut self, context: &mut EventLoopContext, server: ServerId, job: ConnectionTask) {
-        while let Some((key, rested)) = self.take_idle(context, server) {
-            if !rested {
-                // Sooner than a new connection could be up.
-                let c = &mut self.connections[key];
-                context
-                    .timers
-                    .set(c.idle_since + REST_TIME_MICROS, TimerEvent::ConnectionRested(key, c.serial));
-                if let ConnectionTask::Attempt { attempt, .. } = &job {
-                    self.attempt_connections.insert(*attempt, key);
-                }
-                c.task = Some(job);
-                return;
-            }
-            if self.is_usable(context, key) {
-                self.send_query(context, key, job);
-                return;
-            }
-        }
-        match self.open_connection(context, server) {
-            Ok(key) => {
-                if let ConnectionTask::Attempt { attempt, .. } = &job {
-                    self.attempt_connections.insert(*attempt, key);
-                }
-                let serial = self.connections[key].serial;
-                context
-                    .timers
-                    .set(context.now + self.connect_timeout, TimerEvent::ConnectTimeout(key, serial));
-                self.connections[key].task = Some(job);
-            }
-            Err(reply) => self.complete_task(context, job, reply),
+impl OpenError {
+    /// The result for the task that the connection was meant for.
+    pub fn reply(self) -> Reply {
+        match self {
+            OpenError::NoAddress => Reply::with_outcome(AttemptOutcome::ConnectFailed),
+            OpenError::Refused => Reply::connection_refused(),
+            OpenError::LimitReached | OpenError::NoSocket => Reply::with_outcome(AttemptOutcome::NotSent),
         }
     }
+}
 
-    /// The idle connection that was used last, but those that have rested before those that have not.
-    fn take_idle(&mut self, context: &EventLoopContext, server: ServerId) -> Option<(usize, bool)> {
-        let keys = self.idle.get_mut(&server)?;
-        match keys.iter().rposition(|k| context.now - self.connections[*k].idle_since >= REST_TIME_MICROS) {
-            Some(at) => Some((keys.remove(at), true)),
-            None => keys.pop().map(|key| (key, false)),
-        }
-    }
+fn log_failure(context: &EventLoopContext, server: ServerId, reason: DatabaseCloseReason, error: Error) {
+    let server = context.core.server_name(server);
+    let reason = reason.word();
+    info!(conn = "database", server, state = "opening", reason, error = %Quoted(error));
+}
 
-    /// A last look at a connection that is up, before a query is written to it: its end may have come in
-    /// with the event that led here, and the query would count as one that may have run. False: it is gone.
-    fn is_usable(&mut self, context: &mut EventLoopContext, key: usize) -> bool {
-        if !self.read(context, key) {
-            return false;
+impl Pool {
+    /// Starts to open a connection.
+    pub(super) fn open_connection(
+        &mut self,
+        context: &mut EventLoopContext,
+        server: ServerId,
+    ) -> Result<ConnectionKey, OpenError> {
+        let address = context.core.address(server).ok_or(OpenError::NoAddress)?;
+        if self.connections.len() >= self.max_connections && !self.evict_oldest_idle(context) {
+            return Err(OpenError::LimitReached);
         }
-        let clean = self.connections[key].protocol.is_idle();
-        if !clean {
-            self.close(context, key, "surplus");
+        let mut stream = self.connect(context, server, address)?;
+        let key = self.connections.next_key();
+        let token = Source::Database(key.0).token();
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        if let Err(error) = context.registry.register(&mut stream, token, interest) {
+            log_failure(context, server, DatabaseCloseReason::NoSocket, error);
+            return Err(OpenError::NoSocket);
         }
-        clean
+        self.last_connection = self.last_connection.next();
+        let protocol = Backend::new(self.load_report_format.clone());
+        let connection =
+            Connection::new(stream, protocol, server, address, self.last_connection, context.now);
+        Ok(self.connections.insert(connection))
     }
 
-    /// The connection has rested, and a job may wait for it.
-    pub fn connection_rested(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
-        let waiting = |c: &&mut Connection| c.serial == serial && c.established && !c.query_queued;
-        let Some(c) = self.connections.get_mut(key).filter(waiting) else { return };
-        let (server, address) = (c.server, c.address);
-        let Some(job) = c.task.take() else { return };
-        if context.core.address(server) != Some(address) {
-            self.close(context, key, "moved");
-            self.dispatch(context, server, job);
-        } else if self.is_usable(context, key) {
-            self.send_query(context, key, job);
-        } else {
-            self.dispatch(context, server, job);
-        }
-    }
-
-    /// A new connection. Where there is no socket for it the server is not to blame, and nothing was sent.
-    fn open_connection(&mut self, context: &mut EventLoopContext, server: ServerId) -> Result<usize, Reply> {
-        let address =
-            context.core.address(server).ok_or_else(|| Reply::with_outcome(AttemptOutcome::ConnectFailed))?;
-        if self.connections.len() >= self.max_connections && !self.evict_oldest_idle(context) {
-            return Err(Reply::with_outcome(AttemptOutcome::NotSent));
-        }
-        let failed = |context: &EventLoopContext, reason, error| {
-            let server = context.core.server_name(server);
-            info!(conn = "database", server, state = "opening", reason, error = %Quoted(error));
-        };
-        let mut stream = match TcpStream::connect(address) {
-            Ok(stream) => stream,
-            Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
-                failed(context, "refused", e);
-                return Err(Reply::connection_refused());
+    fn connect(
+        &mut self,
+        context: &mut EventLoopContext,
+        server: ServerId,
+        address: SocketAddr,
+    ) -> Result<TcpStream, OpenError> {
+        match TcpStream::connect(address) {
+            Ok(stream) => {
+                let _ = stream.set_nodelay(true);
+                Ok(stream)
+            }
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
+                log_failure(context, server, DatabaseCloseReason::Refused, error);
+                Err(OpenError::Refused)
             }
-            Err(e) => {
-                // Fewer than the limit told: one of our own makes room for the next.
-                failed(context, "no-socket", e);
+            Err(error) => {
+                // The system has fewer sockets than the limit allows: an idle connection makes room for the next one.
+                log_failure(context, server, DatabaseCloseReason::NoSocket, error);
                 self.descriptors_exhausted |= !self.evict_oldest_idle(context);
-                return Err(Reply::with_outcome(AttemptOutcome::NotSent));
+                Err(OpenError::NoSocket)
             }
-        };
-        let _ = stream.set_nodelay(true);
-        let slot = self.connections.vacant_entry();
-        let key = slot.key();
-        let token = Source::Database(key).token();
-        if let Err(e) = context.registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)
-        {
-            failed(context, "no-socket", e);
-            return Err(Reply::with_outcome(AttemptOutcome::NotSent));
         }
-        self.last_serial += 1;
-        slot.insert(Connection {
-            stream,
-            protocol: Backend::new(self.report_form.clone()),
-            server,
-            address,
-            serial: self.last_serial,
-            query_serial: 0,
-            established: false,
-            task: None,
-            query_queued: false,
-            query_written: false,
-            idle_since: context.now,
-            last_progress_at: context.now,
-            reading_paused: false,
-        });
-        Ok(key)
     }
 
     /// Closes the connection that has been idle longest. False: none is idle.
     pub(super) fn evict_oldest_idle(&mut self, context: &mut EventLoopContext) -> bool {
-        let oldest = self.idle.values().filter_map(|keys| keys.first());
-        let oldest = oldest.min_by_key(|k| self.connections[**k].idle_since).copied();
-        oldest.map(|key| self.close(context, key, "evicted")).is_some()
+        // Those of one server are in the order in which they became idle.
+        let oldest_of_each = self.idle.values().filter_map(|keys| keys.first());
+        let oldest = oldest_of_each.min_by_key(|key| self.connections[**key].idle_since).copied();
+        let Some(key) = oldest else { return false };
+        self.close(context, key, DatabaseCloseReason::Evicted);
+        true
     }
 
-    /// Somebody else must make room. Told once.
+    /// The system had no socket since this was last asked, and no idle connection to close for one.
     pub fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.descriptors_exhausted)
     }
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -1,67 +1,87 @@
-//! A connection that is up gets its next query, or rests.
+//! Sends a task's query on a connection that is established.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
-use super::{ConnectionTask, Pool, background_queries};
+use super::super::timer_events::TimerEvent;
+use super::background_queries::BACKGROUND_QUERY_TIMEOUT_MICROS;
+use super::close_reason::DatabaseCloseReason;
+use super::connection::{AttemptTask, ConnectionTask, QueryProgress};
+use super::{ConnectionKey, Pool};
 use crate::reply::Reply;
-use birchreach::AttemptOutcome;
+use birchreach::{AttemptOutcome, Micros};
+
+const MICROS_PER_MILLI: Micros = 1_000;
 
 impl Pool {
-    /// Writes the job's query to a connection that is up and idle.
-    pub(super) fn send_query(&mut self, context: &mut EventLoopContext, key: usize, job: ConnectionTask) {
-        let c = &mut self.connections[key];
-        match &job {
-            ConnectionTask::Attempt { attempt, statement: work, deadline: until, from_copy: copy } => {
-                // Opening the connection took time: it may be over, or what was told since forbid the send.
-                if *until <= context.now || !context.core.may_still_send(context.now, *attempt) {
+    /// Writes the task's query to a connection that is established and idle.
+    pub(super) fn send_query(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        task: ConnectionTask,
+    ) {
+        match &task {
+            ConnectionTask::Attempt(attempt) => {
+                if !Self::may_send(context, attempt) {
                     self.return_to_idle(context, key);
-                    self.complete_task(context, job, Reply::with_outcome(AttemptOutcome::NotSent));
-                    return;
-                }
-                let left_ms = u64::try_from((until - context.now) / 1000).unwrap_or(1).max(1);
-                match copy {
-                    false => c.protocol.send_statement(work, left_ms),
-                    true => c.protocol.send_copy_read(
-                        work,
-                        left_ms,
-                        context.core.required_copy_position(context.now, *attempt),
-                    ),
+                    return self.complete_task(context, task, Reply::with_outcome(AttemptOutcome::NotSent));
                 }
-                self.attempt_connections.insert(*attempt, key);
+                self.queue_statement(context, key, attempt);
+            }
+            ConnectionTask::BackgroundQuery(query) => {
+                self.connections[key].protocol.send_background_query(query.current_statement());
+                self.start_query_timer(context, key, BACKGROUND_QUERY_TIMEOUT_MICROS);
             }
-            ConnectionTask::BackgroundQuery(errand) => {
-                c.protocol.send_background_query(errand.current_statement());
-                self.last_serial += 1;
-                c.query_serial = self.last_serial;
-                context.timers.set(
-                    context.now + background_queries::TIMEOUT_MICROS,
-                    TimerEvent::QueryTimeout(key, c.query_serial),
-                );
+            ConnectionTask::HealthCheck { .. } => {
+                self.connections[key].protocol.send_load_report_query();
+                self.start_query_timer(context, key, self.connect_timeout);
             }
-            ConnectionTask::HealthCheck { .. } | ConnectionTask::MonitorCheck { .. } => {
-                c.protocol.send_load_report_query();
-                self.last_serial += 1;
-                c.query_serial = self.last_serial;
-                let check = matches!(job, ConnectionTask::MonitorCheck { .. });
-                let timeout = if check { self.monitor_check_timeout } else { self.connect_timeout };
-                context.timers.set(context.now + timeout, TimerEvent::QueryTimeout(key, c.query_serial));
+            ConnectionTask::MonitorCheck { .. } => {
+                self.connections[key].protocol.send_load_report_query();
+                self.start_query_timer(context, key, self.monitor_check_timeout);
             }
         }
-        (c.task, c.query_queued, c.query_written) = (Some(job), true, false);
+        let connection = &mut self.connections[key];
+        connection.task = Some(task);
+        connection.query = QueryProgress::Queued;
         self.write(context, key);
     }
 
-    /// The connection has nothing to do: it waits for the next job.
-    pub(super) fn return_to_idle(&mut self, context: &mut EventLoopContext, key: usize) {
-        let c = &mut self.connections[key];
-        (c.task, c.query_queued, c.query_written, c.idle_since) = (None, false, false, context.now);
-        if !c.protocol.is_idle() {
-            // More than its answer: nobody can tell any more which query the next bytes belong to.
-            self.close(context, key, "surplus");
-        } else if context.core.address(c.server) == Some(c.address) {
-            self.idle.entry(c.server).or_default().push(key);
+    /// Opening the connection took time: the deadline may have passed, and the core may know by now that the send is not allowed.
+    fn may_send(context: &EventLoopContext, task: &AttemptTask) -> bool {
+        task.deadline > context.now && context.core.may_still_send(context.now, task.attempt)
+    }
+
+    fn queue_statement(&mut self, context: &EventLoopContext, key: ConnectionKey, task: &AttemptTask) {
+        let protocol = &mut self.connections[key].protocol;
+        let left_ms = u64::try_from((task.deadline - context.now) / MICROS_PER_MILLI).unwrap_or(1).max(1);
+        if task.from_copy {
+            let position = context.core.required_copy_position(context.now, task.attempt);
+            protocol.send_copy_read(&task.statement, left_ms, position);
+        } else {
+            protocol.send_statement(&task.statement, left_ms);
+        }
+        self.attempt_connections.insert(task.attempt, key);
+    }
+
+    fn start_query_timer(&mut self, context: &mut EventLoopContext, key: ConnectionKey, timeout: Micros) {
+        self.last_query = self.last_query.next();
+        self.connections[key].query_serial = self.last_query;
+        context.timers.set(context.now + timeout, TimerEvent::QueryTimeout(key, self.last_query));
+    }
+
+    /// The connection has nothing to do: it waits for the next task, or is closed if it cannot serve one.
+    pub(super) fn return_to_idle(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
+        let connection = &mut self.connections[key];
+        connection.task = None;
+        connection.query = QueryProgress::NotQueued;
+        connection.idle_since = context.now;
+        if !connection.protocol.is_idle() {
+            // Nobody can tell which query the next bytes belong to.
+            self.close(context, key, DatabaseCloseReason::UnexpectedData);
+        } else if context.core.address(connection.server) == Some(connection.address) {
+            self.idle.entry(connection.server).or_default().push(key);
         } else {
-            self.close(context, key, "moved");
+            self.close(context, key, DatabaseCloseReason::Moved);
         }
     }
 }
--- /dev/null
+++ b/proxy/src/net/pool/socket_io.rs
@@ -0,0 +1,99 @@
+//! Reads and writes the connections' sockets.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::super::stream::{self, Ended};
+use super::close_reason::DatabaseCloseReason;
+use super::connection::{ConnectionState, ConnectionTask, QueryProgress};
+use super::{ConnectionKey, Pool};
+use crate::core::AttemptId;
+use crate::reply::Reply;
+use std::io::ErrorKind;
+
+impl Pool {
+    /// The socket in this slot, as its token has it, is ready.
+    pub fn handle_ready(&mut self, context: &mut EventLoopContext, slot: usize) {
+        let key = ConnectionKey(slot);
+        if !self.connections.contains(key) {
+            return;
+        }
+        if self.write(context, key) == ConnectionState::Open {
+            self.read(context, key);
+        }
+    }
+
+    /// Writes what waits to be written.
+    pub(super) fn write(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
+        let connection = &mut self.connections[key];
+        if connection.is_connecting() {
+            return self.check_connecting(context, key);
+        }
+        match stream::write(&mut connection.stream, &mut connection.protocol.out) {
+            Ok(all_written) => {
+                if all_written && connection.query == QueryProgress::Queued {
+                    connection.query = QueryProgress::Written;
+                    let is_attempt = matches!(connection.task, Some(ConnectionTask::Attempt(_)));
+                    context.core.stats.attempts += u64::from(is_attempt);
+                }
+                ConnectionState::Open
+            }
+            Err(_) => {
+                // What was received before the connection broke may be a response or a rejection.
+                if self.read(context, key) == ConnectionState::Open {
+                    self.connection_ended(context, key, DatabaseCloseReason::Reset);
+                }
+                ConnectionState::Closed
+            }
+        }
+    }
+
+    /// Not connected yet, or failed. A refused connection means that no process listens; one that was reset had been accepted.
+    fn check_connecting(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
+        match self.connections[key].stream.take_error() {
+            Ok(None) => return ConnectionState::Open,
+            Ok(Some(error)) if error.kind() == ErrorKind::ConnectionRefused => {
+                self.connect_failed(context, key, DatabaseCloseReason::Refused, Reply::connection_refused());
+            }
+            _ => self.connection_ended(context, key, DatabaseCloseReason::Reset),
+        }
+        ConnectionState::Closed
+    }
+
+    /// Reads what has arrived, and handles it.
+    pub(super) fn read(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
+        if self.connections[key].is_connecting() {
+            return ConnectionState::Open;
+        }
+        loop {
+            let Some(connection) = self.connections.get_mut(key) else { return ConnectionState::Closed };
+            if connection.reading_paused {
+                return ConnectionState::Open;
+            }
+            let protocol = &mut connection.protocol;
+            // One piece at a time: what has arrived is decoded before more is kept.
+            let read = stream::read(&mut connection.stream, context.scratch, |bytes| {
+                protocol.feed(bytes);
+                false
+            });
+            if self.handle_events(context, key) == ConnectionState::Closed {
+                return ConnectionState::Closed;
+            }
+            let reason = match read {
+                Ok(true) => return ConnectionState::Open,
+                Ok(false) => continue,
+                Err(Ended::Closed) => DatabaseCloseReason::Closed,
+                Err(Ended::Reset) => DatabaseCloseReason::Reset,
+            };
+            self.connection_ended(context, key, reason);
+            return ConnectionState::Closed;
+        }
+    }
+
+    /// The client has taken what it was sent of a streamed value: reading goes on.
+    pub fn resume_reading(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
+        let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
+        let connection = &mut self.connections[key];
+        connection.reading_paused = false;
+        connection.last_progress_at = context.now;
+        self.read(context, key);
+    }
+}
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -2,6 +2,7 @@
 
 use super::checks::Checks;
 use super::gossip::Gossip;
+use super::pool::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::{Proxy, SWEEP};
 use crate::core::AttemptId;
 use tracing::info;
@@ -11,9 +12,9 @@
 pub enum TimerEvent {
     Routing(u32),
     AttemptTimeout(AttemptId),
-    ConnectTimeout(usize, u64),
-    QueryTimeout(usize, u64),
-    ConnectionRested(usize, u64),
+    ConnectTimeout(ConnectionKey, ConnectionSerial),
+    QueryTimeout(ConnectionKey, QuerySerial),
+    ConnectionRested(ConnectionKey, ConnectionSerial),
     RetryAccept,
     /// A call to discovery is due, or a stage of one has had its time.
     Discovery(u64),
@@ -57,7 +58,7 @@
             TimerEvent::Gossip | TimerEvent::GossipSend(..) | TimerEvent::Fleet | TimerEvent::Background => {}
             TimerEvent::AttemptTimeout(attempt) => pool.attempt_timed_out(context, attempt),
             TimerEvent::ConnectTimeout(key, serial) => pool.connect_timed_out(context, key, serial),
-            TimerEvent::QueryTimeout(key, turn) => pool.query_timed_out(context, key, turn),
+            TimerEvent::QueryTimeout(key, serial) => pool.query_timed_out(context, key, serial),
             TimerEvent::ConnectionRested(key, serial) => pool.connection_rested(context, key, serial),
             TimerEvent::RetryAccept => clients.resume_accepting(),
             TimerEvent::Discovery(turn) => agent.due(context, turn),
