--- a/proxy/src/net/clients/admission.rs
+++ b/proxy/src/net/clients/admission.rs
@@ -1,9 +1,9 @@
 //! Who may come in: newcomers are accepted while there are places, and idle clients make room for them.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::super::test_hooks::{self, Point};
+use super::super::timer_events::TimerEvent;
 use super::client::{Client, NEWCOMER_CLASS};
 use super::{Clients, open_spare_descriptor};
 use crate::log::Quoted;
@@ -142,6 +142,7 @@
         slot.insert(Client {
             stream,
             peer,
+            number: self.admitted,
             protocol: Frontend::default(),
             open_request: None,
             streaming: None,
@@ -155,6 +156,7 @@
             incomplete_since: Some(context.now),
         });
         self.unclassified_count += 1;
+        self.admitted += 1;
         Some(key)
     }
 }
--- a/proxy/src/net/clients/input.rs
+++ b/proxy/src/net/clients/input.rs
@@ -113,7 +113,7 @@
             let drained = if !hungry {
                 Ok(true)
             } else {
-                stream::read(&mut c.stream, context.scratch, |bytes| {
+                stream::read(&mut c.stream, &mut context.scratch, |bytes| {
                     read += bytes.len();
                     machine.feed(now, bytes);
                     machine.wants_input() && read < MAX_READ_BYTES
@@ -174,7 +174,7 @@
         };
         let mut left = (*spare).min(MAX_READ_BYTES);
         let before = left;
-        let drained = stream::read(&mut c.stream, context.scratch, |bytes| {
+        let drained = stream::read(&mut c.stream, &mut context.scratch, |bytes| {
             left = left.saturating_sub(bytes.len());
             left > 0
         });
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -21,6 +21,8 @@
 pub struct Clients {
     listener: Option<TcpListener>,
     connections: Slab<Client>,
+    /// So many have been let in so far.
+    admitted: u64,
     admission: Admission,
     max_clients: usize,
     /// Beyond so many, idle ones make room before all places are taken: clients that keep connections they do
@@ -58,6 +60,7 @@
         Ok(Clients {
             listener: Some(listener),
             connections: Slab::new(),
+            admitted: 0,
             admission: Admission { open_request_ids: HashSet::new() },
             max_clients: most,
             early_shed_threshold: most * 2 / 5,
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -2,7 +2,7 @@
 //! proxy.
 
 use super::process_handover::ProcessHandover;
-use super::{Proxy, admin, gossip};
+use super::{EventLoop, admin, gossip};
 use crate::config::Config;
 use birchreach::Micros;
 use birchreach_settings::DeploymentSettings;
@@ -42,21 +42,18 @@
     site.routing.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
 }
 
-impl Proxy {
+impl EventLoop {
     /// What this process may do beside others.
     pub(super) fn apply_process_count(&mut self) {
         let (for_clients, for_databases) = self.connection_limits();
         let replaced = self.handover.is_replaced();
-        self.core.set_process_count(self.now, self.handover.process_count());
-        let (stopping, guests) = (self.stopping, guests(&self.config));
-        self.with(|clients, pool, _, context| {
-            pool.set_limit(context, for_databases);
-            clients.set_unclassified_allowance(guests);
-            clients.set_limit(context, for_clients);
-            if !stopping {
-                clients.set_handing_over(replaced);
-            }
-        });
+        self.context.core.set_process_count(self.context.now, self.handover.process_count());
+        self.pool.set_limit(&mut self.context, for_databases);
+        self.clients.set_unclassified_allowance(guests(&self.config));
+        self.clients.set_limit(&mut self.context, for_clients);
+        if !self.stopping {
+            self.clients.set_handing_over(replaced);
+        }
     }
 
     pub(super) fn connection_limits(&self) -> (usize, usize) {
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -1,10 +1,11 @@
 //! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last byte
 //! of the query was written.
 
+use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{ConnectionTask, QueryProgress};
-use super::{ConnectionKey, Pool};
 use crate::pg::backend::BackendEvent;
 use crate::reply::Reply;
 use birchreach::AttemptOutcome;
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -1,5 +1,6 @@
 //! One connection to a database, and the task that it was opened or taken for.
 
+use super::super::database_ids::{ConnectionSerial, QuerySerial};
 use super::super::statement_payload::StatementPayload;
 use super::background_queries::BackgroundQuery;
 use crate::core::AttemptId;
@@ -8,26 +9,6 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// Number of a connection, never used again. A timer names it beside the key, for keys are used again.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionSerial(u64);
-
-impl ConnectionSerial {
-    pub(super) fn next(self) -> ConnectionSerial {
-        ConnectionSerial(self.0 + 1)
-    }
-}
-
-/// Number of a query that has a timer of its own, never used again. Zero is no query.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct QuerySerial(u64);
-
-impl QuerySerial {
-    pub(super) fn next(self) -> QuerySerial {
-        QuerySerial(self.0 + 1)
-    }
-}
-
 /// Whether a connection is still there after an operation on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
--- a/proxy/src/net/pool/connection_table.rs
+++ b/proxy/src/net/pool/connection_table.rs
@@ -1,13 +1,10 @@
 //! The pool's connections by key.
 
+use super::super::database_ids::ConnectionKey;
 use super::connection::Connection;
 use slab::Slab;
 use std::ops::{Index, IndexMut};
 
-/// Where a connection is kept. Keys of closed connections are used again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionKey(pub(super) usize);
-
 #[derive(Default)]
 pub(super) struct ConnectionTable(Slab<Connection>);
 
--- a/proxy/src/net/pool/dispatch.rs
+++ b/proxy/src/net/pool/dispatch.rs
@@ -1,10 +1,11 @@
 //! Which connection a task gets: an idle one that has rested, an idle one that is about to have rested, or a new one.
 
+use super::super::database_ids::{ConnectionKey, ConnectionSerial};
 use super::super::event_loop_context::EventLoopContext;
 use super::super::timer_events::TimerEvent;
+use super::Pool;
 use super::close_reason::DatabaseCloseReason;
-use super::connection::{Connection, ConnectionSerial, ConnectionState, ConnectionTask};
-use super::{ConnectionKey, Pool};
+use super::connection::{Connection, ConnectionState, ConnectionTask};
 use birchreach::{Micros, ServerId};
 
 /// A connection rests after a response: what the database sends or does right behind that, unexpected data or a close, must not
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -13,6 +13,7 @@
 mod responses;
 mod socket_io;
 
+use super::database_ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::event_loop_context::EventLoopContext;
 use super::statement_payload::StatementPayload;
 use super::timer_events::TimerEvent;
@@ -22,8 +23,6 @@
 use birchreach::{LoadReportSource, Micros, ServerId};
 use birchreach_settings::DeploymentSettings;
 use connection::{AttemptTask, ConnectionTask};
-pub use connection::{ConnectionSerial, QuerySerial};
-pub use connection_table::ConnectionKey;
 use connection_table::ConnectionTable;
 use std::collections::HashMap;
 
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -1,10 +1,11 @@
 //! Opens connections to databases, within the limit on their number.
 
+use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
+use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::Connection;
-use super::{ConnectionKey, Pool};
 use crate::log::Quoted;
 use crate::pg::backend::Backend;
 use crate::reply::Reply;
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -1,11 +1,12 @@
 //! Sends a task's query on a connection that is established.
 
+use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::timer_events::TimerEvent;
+use super::Pool;
 use super::background_queries::BACKGROUND_QUERY_TIMEOUT_MICROS;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{AttemptTask, ConnectionTask, QueryProgress};
-use super::{ConnectionKey, Pool};
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros};
 
--- a/proxy/src/net/pool/responses.rs
+++ b/proxy/src/net/pool/responses.rs
@@ -1,9 +1,10 @@
 //! Handles what databases send.
 
+use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::ConnectionState;
-use super::{ConnectionKey, Pool};
 use crate::pg::backend::BackendEvent;
 use crate::reply::Reply;
 use birchreach::AttemptOutcome;
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -1,10 +1,11 @@
 //! Reads and writes the connections' sockets.
 
+use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream::{self, Ended};
+use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{ConnectionState, ConnectionTask, QueryProgress};
-use super::{ConnectionKey, Pool};
 use crate::core::AttemptId;
 use crate::reply::Reply;
 use std::io::ErrorKind;
@@ -70,7 +71,7 @@
             }
             let protocol = &mut connection.protocol;
             // One piece at a time: what has arrived is decoded before more is kept.
-            let read = stream::read(&mut connection.stream, context.scratch, |bytes| {
+            let read = stream::read(&mut connection.stream, &mut context.scratch, |bytes| {
                 protocol.feed(bytes);
                 false
             });
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -1,6 +1,6 @@
 //! The configuration, read again at SIGHUP: taken whole or not at all.
 
-use super::Proxy;
+use super::EventLoop;
 use super::connection_limits::{guests, longest_deadline, places, reserve};
 use crate::config::{self, Config};
 use crate::log::Quoted;
@@ -16,7 +16,7 @@
     }
 }
 
-impl Proxy {
+impl EventLoop {
     /// Reads the configuration again, whole; of one that is bad nothing is taken. Discovery's address,
     /// settings and limits change at once, in all places; the rest with a restart.
     pub(super) fn reload(&mut self) {
@@ -25,18 +25,18 @@
         {
             Ok(new) => new,
             Err(message) => {
-                self.core.stats.configuration_load_errors += 1;
+                self.context.core.stats.configuration_load_errors += 1;
                 return warn!(event = "reload-failed", error = %Quoted(message));
             }
         };
         let opened = match self.checks.open(new.options.health.as_ref()) {
             Ok(opened) => opened,
             Err(message) => {
-                self.core.stats.configuration_load_errors += 1;
+                self.context.core.stats.configuration_load_errors += 1;
                 return warn!(event = "reload-failed", error = %Quoted(message));
             }
         };
-        self.core.stats.configuration_loads += 1;
+        self.context.core.stats.configuration_loads += 1;
         let rest = self.config.differs(&new).join(",");
         // Links among proxies wait for a restart, and count as they are until then.
         (new.options.knowledge, new.keys) = (self.config.options.knowledge.clone(), self.config.keys.clone());
@@ -49,21 +49,19 @@
         self.longest_deadline = longest_deadline(&new.site).max(longest_deadline(&self.config.site));
         let reserve = reserve(&new);
         let (for_clients, for_databases) = places(new.sockets, reserve, &self.handover);
-        self.core.settings(self.now, &new.site);
-        self.with(|clients, pool, agent, context| {
-            pool.apply_settings(&new.site);
-            pool.set_limit(context, for_databases);
-            clients.set_unclassified_allowance(guests(&new));
-            clients.set_limit(context, for_clients);
-            agent.settings(&new.site.routing);
-            agent.moved(context, new.discovery);
-        });
+        self.context.core.settings(self.context.now, &new.site);
+        self.pool.apply_settings(&new.site);
+        self.pool.set_limit(&mut self.context, for_databases);
+        self.clients.set_unclassified_allowance(guests(&new));
+        self.clients.set_limit(&mut self.context, for_clients);
+        self.discovery.settings(&new.site.routing);
+        self.discovery.moved(&mut self.context, new.discovery);
         let Config { name, listen, operator, inherited, .. } = &self.config;
         let (name, listen, operator, inherited) = (name.clone(), *listen, *operator, *inherited);
         self.config = Config { name, listen, operator, inherited, ..new };
         self.watch();
         let health = self.config.options.health.clone();
-        self.with_checks(|checks, context| checks.take(context, health, opened));
+        self.checks.take(&mut self.context, health, opened);
         self.start_background();
         self.carry_out();
     }
