--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -163,7 +163,7 @@
             self.sent += 1;
             let texts = task.what.texts(self.boot.wrapping_add(self.sent));
             self.out.insert(number, (task.what, context.now));
-            pool.errand(context, number, ServerId(database), texts);
+            pool.start_background_query(context, number, ServerId(database), texts);
         }
     }
 
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -104,12 +104,12 @@
         let now = self.context.now;
         background.step(now, view.members, GossipReports::interval(view.members));
         let said = background.say(now);
-        background.ended(now, self.pool.done());
+        background.ended(now, self.pool.take_completed_queries());
         // Of two processes of one proxy one acts for it; the other only serves.
         if speaks {
             background.start(&mut self.context, &mut self.pool, view.divisor());
         }
-        background.ended(now, self.pool.done());
+        background.ended(now, self.pool.take_completed_queries());
         let next = background.next_change(now);
         if next < background.armed || background.armed <= now {
             background.armed = next;
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -67,7 +67,7 @@
             warn!(event = "health-probes-off", reason = "the settings do not allow probes");
         }
         let timeout = settings.probes.as_ref().map_or(0, |probes| probes.timeout);
-        self.pool.check_timeout(timeout);
+        self.pool.set_monitor_check_timeout(timeout);
         match &self.health.watch {
             Some(watch) => watch.borrow_mut().monitor.apply_settings(self.context.now, settings),
             None => {
@@ -172,7 +172,7 @@
         }
         if !probes.is_empty() {
             for server in probes {
-                self.pool.check(&mut self.context, ServerId(server.0));
+                self.pool.start_monitor_check(&mut self.context, ServerId(server.0));
             }
             self.carry_out();
         }
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -37,7 +37,7 @@
     pub(super) fn stop_listening(&mut self) {
         if !std::mem::replace(&mut self.listener_closed, true) {
             let linger = if self.config.inherited.is_some() {
-                self.clients.hand_over(&mut self.context);
+                self.clients.start_handover(&mut self.context);
                 HANDOVER
             } else {
                 LINGER
@@ -51,7 +51,7 @@
 
     /// The last idle clients go now; who has a request in hand goes with its answer.
     pub(super) fn close_idle_clients(&mut self) {
-        self.clients.leave(&mut self.context);
+        self.clients.shut_down(&mut self.context);
         if let Some(fleet) = &mut self.fleet {
             fleet.leave(self.context.now);
             self.after_fleet();
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -9,6 +9,7 @@
 mod clients;
 mod commands;
 mod connection_limits;
+mod database_ids;
 mod discovery_connection;
 mod event_loop_context;
 mod fleet;
@@ -186,7 +187,7 @@
     /// Follows each call of gossip: clients wait while it still learns, and what the core now commands is carried out.
     fn after_gossip(&mut self) {
         let Some(gossip) = &self.gossip else { return };
-        self.clients.learning(!gossip.ready());
+        self.clients.set_awaiting_peer_state(!gossip.ready());
         self.carry_out();
     }
 
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -50,10 +50,10 @@
         let reserve = reserve(&new);
         let (for_clients, for_databases) = places(new.sockets, reserve, &self.handover);
         self.context.core.settings(self.context.now, &new.site);
-        self.pool.settings(&new.site);
-        self.pool.limit(&mut self.context, for_databases);
-        self.clients.host(guests(&new));
-        self.clients.limit(&mut self.context, for_clients);
+        self.pool.apply_settings(&new.site);
+        self.pool.set_limit(&mut self.context, for_databases);
+        self.clients.set_unclassified_allowance(guests(&new));
+        self.clients.set_limit(&mut self.context, for_clients);
         self.discovery.settings(&new.site.routing);
         self.discovery.moved(&mut self.context, new.discovery);
         let Config { name, listen, operator, inherited, .. } = &self.config;
