--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -1,13 +1,16 @@
-//! Running estimates that the decisions read: what answers of each class take. An estimate decides nothing by itself; it sees no server,
-//! no event and no clock.
+//! Running means that decisions are based on, among them the usual latency of each request class. They decide nothing
+//! themselves and know no server, event or clock.
 
 use crate::interface::*;
 
-/// Weight of a new sample in a running mean.
-const MEAN_SAMPLE_WEIGHT: f64 = 0.1;
-/// Before any answer, the share of the class's aim taken for mean and deviation of latency.
+#[cfg(test)]
+mod tests;
+
+/// Weight of a new sample in the mean and the mean deviation of latency.
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
+/// Fraction of the latency objective that is the first estimate of latency and of its deviation.
 const INITIAL_LATENCY_FRACTION: f64 = 0.125;
-/// The least time that counts as late: a wake at the present would find nothing changed, without end.
+/// Minimum of a latency bound. A request that were looked at again without a delay would find nothing changed.
 pub const MIN_WAKE_DELAY: Micros = 1_000;
 
 /// Moves a running mean towards a new sample.
@@ -15,72 +18,62 @@
     *mean += (sample - *mean) * weight;
 }
 
-/// What an answer takes, as long as nothing else is known: a small part of its class's aim.
+/// Estimated latency of a class of which no answer has been seen, in microseconds.
 pub fn initial_latency(class: &RequestClass) -> f64 {
     class.latency_objective as f64 * INITIAL_LATENCY_FRACTION
 }
 
-/// Mean and mean deviation of the latency of each class.
-pub struct LatencyEstimates(Vec<(f64, f64)>);
+/// Mean latency of a class, and its mean deviation, in microseconds.
+#[derive(Clone, Copy, Default)]
+struct LatencyEstimate {
+    mean: f64,
+    mean_deviation: f64,
+}
+
+impl LatencyEstimate {
+    fn new(class: &RequestClass) -> Self {
+        LatencyEstimate { mean: initial_latency(class), mean_deviation: initial_latency(class) }
+    }
+
+    fn record(&mut self, latency: f64) {
+        let deviation = (latency - self.mean).abs();
+        update_mean(&mut self.mean_deviation, deviation, LATENCY_SAMPLE_WEIGHT);
+        update_mean(&mut self.mean, latency, LATENCY_SAMPLE_WEIGHT);
+    }
+}
+
+/// Latency estimates of all classes, by index.
+pub struct LatencyEstimates(Vec<LatencyEstimate>);
 
 impl LatencyEstimates {
+    /// Initial estimates of these classes.
     pub fn new(classes: &[RequestClass]) -> LatencyEstimates {
-        LatencyEstimates(classes.iter().map(|c| (initial_latency(c), initial_latency(c))).collect())
+        LatencyEstimates(classes.iter().map(LatencyEstimate::new).collect())
     }
 
-    /// What was learnt of a class is void where another has its number now; all else stands.
+    /// Keeps the estimates of classes that stayed the same; those of all others start again.
     pub fn apply_classes(&mut self, before: &[RequestClass], after: &[RequestClass]) {
-        self.0.resize(after.len(), (0.0, 0.0));
-        for (i, c) in after.iter().enumerate().filter(|(i, c)| before.get(*i) != Some(*c)) {
-            self.0[i] = (initial_latency(c), initial_latency(c));
+        self.0.resize(after.len(), LatencyEstimate::default());
+        for (index, class) in after.iter().enumerate() {
+            if before.get(index) != Some(class) {
+                self.0[index] = LatencyEstimate::new(class);
+            }
         }
     }
 
-    /// An attempt of the class took so long.
-    pub fn record(&mut self, class: usize, took: Micros) {
-        let (mean, dev) = &mut self.0[class];
-        update_mean(dev, (took as f64 - *mean).abs(), MEAN_SAMPLE_WEIGHT);
-        update_mean(mean, took as f64, MEAN_SAMPLE_WEIGHT);
+    /// Records the latency of an attempt of the class.
+    pub fn record(&mut self, class: usize, latency: Micros) {
+        self.0[class].record(latency as f64);
     }
 
+    /// The mean latency of a class.
     pub fn mean(&self, class: usize) -> Micros {
-        self.0[class].0 as Micros
+        self.0[class].mean as Micros
     }
 
-    /// The mean latency of a class and some mean deviations more.
+    /// The mean latency of a class plus a number of mean deviations.
     pub fn upper_bound(&self, class: usize, deviations: f64) -> Micros {
-        let (mean, dev) = self.0[class];
-        ((mean + deviations * dev) as Micros).max(MIN_WAKE_DELAY)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn class(aim: Micros) -> RequestClass {
-        RequestClass {
-            consistency: Consistency::Any,
-            idempotency: Idempotency::Idempotent,
-            latency_objective: aim,
-            client_timeout: 2 * aim,
-            priority_weight: 1.0,
-            late_weight_fraction: 0.0,
-        }
-    }
-
-    #[test]
-    fn means_follow_samples_and_a_class_that_is_another_begins_anew() {
-        let before = [class(800_000), class(400_000)];
-        let mut all = LatencyEstimates::new(&before);
-        assert_eq!((all.mean(0), all.upper_bound(0, 2.0)), (100_000, 300_000));
-        (0..200).for_each(|_| all.record(0, 20_000));
-        assert!((20_000..20_100).contains(&all.mean(0)) && all.upper_bound(0, 4.0) < 22_000);
-        let after = [class(800_000), class(1_600_000), class(8_000)];
-        all.apply_classes(&before, &after);
-        assert!(all.mean(0) < 20_100, "it is the same class");
-        assert_eq!((all.mean(1), all.mean(2)), (200_000, 1_000));
-        (0..200).for_each(|_| all.record(2, 0));
-        assert_eq!(all.upper_bound(2, 4.0), MIN_WAKE_DELAY, "never at once");
+        let LatencyEstimate { mean, mean_deviation } = self.0[class];
+        ((mean + deviations * mean_deviation) as Micros).max(MIN_WAKE_DELAY)
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,141 +1,136 @@
-//! Requests that come, wait and go without a server: let in, held, given up.
+//! Admission: which requests are accepted, and load shedding when a group misses its latency objectives.
+//!
+//! A proxy with a small part of the traffic has no attempts in flight when overload begins, so that its
+//! concurrency limits never bind. It sheds a fraction of its reads by how the last ones of their group ended.
 
+use super::queue::QueuePosition;
 use super::*;
+use std::cmp::Reverse;
 
-/// Held work starts only with the mean latency and this many mean deviations left.
-const QUEUE_DEVIATIONS: f64 = 2.0;
-/// Held reads, and writes, tried again by one event: released work doubles with each answer.
-const QUEUE_RETRY_BATCH: usize = 2;
-/// Advice on return when an answer could still be of use by then.
-const SHORT_RETRY_AFTER: Micros = 500_000;
-/// Reads let in per share of their group's last attempts in time, and what each takes back of the distance.
+/// Admitted fraction of reads, as a multiple of the fraction that met its objective: admits a little more
+/// than what was served in time, so that the group recovers when load falls.
 const ADMISSION_GAIN: f64 = 1.4;
+/// Each admission check reduces the miss rate by this fraction, so that a group from which all is shed is
+/// tried again.
 const MISS_RATE_DECAY: f64 = 0.01;
+/// Below this fraction of missed objectives, reads that fall back on the primary are served well: the last
+/// miss is about ten answers or a hundred admission checks ago.
+const LOW_MISS_RATE: f64 = 0.05;
+
+/// Fractions of the attempts of a group that missed the latency objective.
+#[derive(Default)]
+pub(super) struct MissRates {
+    /// Attempts at the servers meant for them.
+    objective_miss_rate: f64,
+    /// Reads that fell back on the primary.
+    fallback_miss_rate: f64,
+}
+
+impl MissRates {
+    pub(super) fn is_fallback_served_well(&self) -> bool {
+        self.fallback_miss_rate < LOW_MISS_RATE
+    }
+}
 
 impl Router {
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
-        let class = request.class.0 as usize;
         if self.pending.contains_key(&request.id) {
             return;
         }
-        let Some(c) = self.settings.classes.get(class) else {
+        let Some(class) = self.settings.classes.get(request.class.0 as usize) else {
             return actions.push(Action::Reject { request: request.id, retry_after: None });
         };
-        let patience = request.timeout.max(0);
-        let useful = self.now.saturating_add(if c.late_weight_fraction > 0.0 {
-            patience
-        } else {
-            patience.min(c.latency_objective)
-        });
-        self.retry_budget = (self.retry_budget + RETRY_TOKENS_PER_REQUEST)
-            .min((RETRY_BUDGET_MAX_TOKENS / f64::from(self.settings.proxy_count)).max(1.0));
+        let is_write = class.consistency == Consistency::Write;
+        self.retry_budget.record_request(self.settings.proxy_count);
         self.arrival_count += 1;
-        let open = PendingRequest {
-            class,
+        let request_id = request.id;
+        let pending = self.pending_request(request);
+        let admitted = is_write || self.admits_read(&pending);
+        self.pending.insert(request_id, pending);
+        if admitted {
+            self.dispatch(request_id, actions);
+        } else {
+            self.finish_unserved(request_id, actions);
+        }
+    }
+
+    fn pending_request(&mut self, request: Request) -> PendingRequest {
+        let class = &self.settings.classes[request.class.0 as usize];
+        let timeout = request.timeout.max(0);
+        let is_late_answer_useful = class.late_weight_fraction > 0.0;
+        let useful_for = if is_late_answer_useful { timeout } else { timeout.min(class.latency_objective) };
+        PendingRequest {
+            class: request.class.0 as usize,
             group: request.group,
             session: request.session,
             required_session_position: self.session_position_for(&request),
             copy_candidates: request.copy_candidates,
-            useful_until: useful,
+            useful_until: self.now.saturating_add(useful_for),
             reached_no_server: true,
+            unsent_until: self.now + timeout / 2 - MIN_WAKE_DELAY,
+            queue_position: QueuePosition {
+                is_read: class.consistency != Consistency::Write,
+                priority_weight_thousandths: Reverse((class.priority_weight * 1000.0) as i64),
+                arrival: Reverse(self.arrival_count),
+                request: request.id,
+            },
+            attempts_sent: 0,
             max_attempts: self.settings.max_attempts,
-            unsent_until: self.now + patience / 2 - MIN_WAKE_DELAY,
+            in_flight_attempts: Vec::new(),
+            tried_servers: Vec::new(),
+            queried_servers: Vec::new(),
+            query_until: None,
             admission_draw: self.rng.f64(),
-            queue_position: (
-                c.consistency != Consistency::Write,
-                -(c.priority_weight * 1000.0) as i64,
-                -self.arrival_count,
-                request.id,
-            ),
-            ..PendingRequest::default()
-        };
-        let admitted = c.consistency == Consistency::Write || self.admits(&open, false);
-        self.pending.insert(request.id, open);
-        if admitted {
-            self.dispatch(request.id, actions);
-        } else {
-            self.finish_unserved(request.id, actions);
+            possible_execution: None,
+            next_wake: 0,
         }
     }
 
-    /// A thin router has nothing out when overload begins, so no cap binds: it lets in a share of its
-    /// reads of a group, by what became of the last ones there, and recovers by itself. It meets a group's
-    /// primary too seldom to learn of each: the more routers, the more those that fall back count for all.
-    pub(super) fn admits(&mut self, open: &PendingRequest, fell_back: bool) -> bool {
-        let missed = &mut self.groups.entry(open.group).or_default().miss_rates[usize::from(fell_back)];
-        update_mean(missed, 0.0, MISS_RATE_DECAY);
-        update_mean(&mut self.fallback_miss_rate, 0.0, if fell_back { MISS_RATE_DECAY } else { 0.0 });
-        let thin = (1.0 - POSITION_QUERYING_PROXIES / f64::from(self.settings.proxy_count)).max(0.0);
-        let share = 1.0 - if fell_back { missed.max(self.fallback_miss_rate * thin) } else { *missed };
-        open.admission_draw < if fell_back { share * share } else { share * ADMISSION_GAIN }
+    /// Whether a new read is admitted, by the miss rate of its group.
+    fn admits_read(&mut self, request: &PendingRequest) -> bool {
+        let rates = &mut self.groups.entry(request.group).or_default().miss_rates;
+        update_mean(&mut rates.objective_miss_rate, 0.0, MISS_RATE_DECAY);
+        let served_fraction = 1.0 - rates.objective_miss_rate;
+        request.admission_draw < served_fraction * ADMISSION_GAIN
     }
 
-    pub(super) fn enqueue(&mut self, id: RequestId, pause: Micros, actions: &mut Vec<Action>) {
-        let Some(open) = self.pending.get(&id) else { return };
-        let ran_out = open.possible_execution.is_some_and(|(_, on)| !self.may_repeat(open, on));
-        // A read that waits for a probe is as good as sent.
-        let (pause, needed) = match open.query_until.filter(|at| *at > self.now) {
-            Some(at) => (at - self.now, 0),
-            None => (pause, self.latencies.upper_bound(open.class, QUEUE_DEVIATIONS)),
-        };
-        // What can no longer be answered in time is given up at once.
-        let end = if open.reached_no_server {
-            open.useful_until.min(open.unsent_until + needed)
-        } else {
-            open.useful_until
-        };
-        if self.now + needed >= end || open.attempts_sent >= open.max_attempts || ran_out {
-            return self.finish_unserved(id, actions);
-        }
-        let at = (self.now + pause).min(end - needed);
-        self.groups.entry(open.group).or_default().queued.insert(open.queue_position);
-        self.schedule_wake(id, at);
+    /// Whether a read may fall back on the primary of its group. A proxy of a large fleet sends too few reads
+    /// to each primary to learn its miss rate: the larger the fleet, the more the rate over all groups
+    /// counts.
+    pub(super) fn admits_fallback(&mut self, request: &PendingRequest) -> bool {
+        let rates = &mut self.groups.entry(request.group).or_default().miss_rates;
+        update_mean(&mut rates.fallback_miss_rate, 0.0, MISS_RATE_DECAY);
+        update_mean(&mut self.fallback_miss_rate, 0.0, MISS_RATE_DECAY);
+        let all_groups_weight =
+            (1.0 - POSITION_QUERYING_PROXIES / f64::from(self.settings.proxy_count)).max(0.0);
+        let miss_rate = rates.fallback_miss_rate.max(self.fallback_miss_rate * all_groups_weight);
+        let served_fraction = 1.0 - miss_rate;
+        request.admission_draw < served_fraction * served_fraction
     }
 
-    pub(super) fn dequeue(&mut self, id: RequestId) {
-        let Some(open) = self.pending.get(&id) else { return };
-        let Some(group) = self.groups.get_mut(&open.group) else { return };
-        group.queued.remove(&open.queue_position);
-        if group.members.is_empty() && group.queued.is_empty() {
-            // A group that no server is of: clients may name any.
-            self.groups.remove(&open.group);
-        }
-    }
-
-    /// Tries held requests of a group again, on evidence that something changed.
-    pub(super) fn retry_queued(&mut self, group: GroupId, actions: &mut Vec<Action>) {
-        let Some(g) = self.groups.get(&group) else { return };
-        let pool =
-            |reads: bool| g.queued.iter().filter(move |h| h.0 == reads).take(QUEUE_RETRY_BATCH).map(|h| h.3);
-        for id in pool(false).chain(pool(true)).collect::<Vec<_>>() {
-            if self.pending.get(&id).is_some_and(|o| o.tried_servers.is_empty()) {
-                self.dispatch(id, actions);
-            }
+    /// Updates the miss rates after an attempt. Outcomes that say nothing of the load count only if they came
+    /// late.
+    pub(super) fn record_miss_rate(
+        &mut self,
+        group: GroupId,
+        attempt: &InFlightAttempt,
+        outcome: AttemptOutcome,
+    ) {
+        let RequestClass { consistency, latency_objective, .. } = self.settings.classes[attempt.class];
+        let is_late = attempt.latency(self.now) > latency_objective;
+        let shows_load =
+            matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Timeout | AttemptOutcome::Overloaded);
+        if !is_late && !shows_load {
+            return;
         }
-    }
-
-    /// The final answer when nothing more can be done: refused if that is known to be harmless.
-    pub(super) fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.pending.get(&id) else { return };
-        let clean = open.possible_execution.is_none() && open.in_flight_attempts.is_empty();
-        if clean || self.settings.classes[open.class].idempotency == Idempotency::Idempotent {
-            // Past the aim of a class that earns nothing late, no return can help: stay away longest.
-            let late = self.settings.classes[open.class].late_weight_fraction <= 0.0;
-            let retry_after =
-                self.settings.max_retry_after.map(|m| if late { m } else { m.min(SHORT_RETRY_AFTER) });
-            actions.push(Action::Reject { request: id, retry_after });
+        let is_fallback = !consistency.requires_primary() && self.primary(group) == Some(attempt.server);
+        let miss = f64::from(is_late || outcome != AttemptOutcome::Ok);
+        let rates = &mut self.groups.entry(group).or_default().miss_rates;
+        if is_fallback {
+            update_mean(&mut rates.fallback_miss_rate, miss, RECENT_SAMPLE_WEIGHT);
+            update_mean(&mut self.fallback_miss_rate, miss, MEAN_SAMPLE_WEIGHT);
         } else {
-            actions.push(Action::Fail { request: id });
+            update_mean(&mut rates.objective_miss_rate, miss, RECENT_SAMPLE_WEIGHT);
         }
-        self.finish(id, actions);
-    }
-
-    /// Forgets a finished request and calls off what is still out for it.
-    pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        self.dequeue(id);
-        let Some(open) = self.pending.remove(&id) else { return };
-        self.wakes.remove(&(open.next_wake, id));
-        let called_off = open.in_flight_attempts.into_iter().filter(|_| self.settings.cancellation_allowed);
-        actions.extend(called_off.map(|n| Action::Cancel { request: id, attempt: AttemptNo(n) }));
     }
 }
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -1,110 +1,137 @@
-//! What follows when an attempt ends: estimates and server states are updated, then the request is retried,
+//! What follows when an attempt ends: first the state of its server is updated, then the request is retried,
 //! queued or finished.
 
+use super::outlier_detection::EjectionReason;
 use super::*;
 
-/// Delay before a retry that has to go to the same server; doubles with each attempt.
-const RESEND_BACKOFF: Micros = 10_000;
+/// Backoff before a retry at the primary, which may be the same server; doubles with each attempt.
+const RETRY_BACKOFF: Micros = 10_000;
+/// The backoff is not doubled more often.
+const MAX_RETRY_BACKOFF_DOUBLINGS: u16 = 4;
 
 impl Router {
-    pub(super) fn on_attempt_completed(&mut self, o: AttemptResult, actions: &mut Vec<Action>) {
-        let Some(flight) = self.in_flight.remove(&(o.request, o.attempt.0)) else { return };
-        let InFlightAttempt {
-            server,
-            sent_at: sent,
-            class,
-            session,
-            released: lost,
-            response_started_at: begun,
-        } = flight;
-        let Some(s) = self.servers.get_mut(&server) else { return };
-        s.in_flight_count = s.in_flight_count.saturating_sub(u32::from(!lost));
-        if matches!(o.outcome, AttemptOutcome::Ok | AttemptOutcome::Ineligible | AttemptOutcome::Error) {
-            s.newest_answered_sent_at = s.newest_answered_sent_at.max(Some(sent));
-            // It answers what it had before a connection was turned down: its process never ended.
-            s.connection_refused_at = s.connection_refused_at.filter(|at| *at <= sent);
-        } else if o.outcome == AttemptOutcome::Overloaded {
-            s.last_response_at = Some(self.now);
+    pub(super) fn on_attempt_completed(&mut self, result: AttemptResult, actions: &mut Vec<Action>) {
+        let key = AttemptKey { request: result.request, attempt: result.attempt };
+        let Some(attempt) = self.in_flight.remove(&key) else { return };
+        let Some(server) = self.servers.get(&attempt.server) else { return };
+        let group = server.endpoint.listed().group;
+        self.update_server(&attempt, result.outcome);
+        self.update_latency(&attempt, result.outcome);
+        self.record_throughput(result.outcome);
+        self.record_miss_rate(group, &attempt, result.outcome);
+        if !attempt.released {
+            self.adjust_concurrency_limit(&attempt, result.outcome);
         }
-        let group = s.endpoint.group;
-        let took = begun.unwrap_or(self.now) - sent;
-        if o.outcome == AttemptOutcome::ConnectFailed && took < self.settings.connect_timeout {
-            // Turned down at once: no process runs, and the list tells seconds late of the cold one to come.
-            (s.connection_refused_at, s.slow_start_tokens) =
-                (Some(self.now), (s.slow_start_tokens.0.min(self.rng.f64()), self.now));
+        self.record_statements(&attempt, &result);
+        self.update_outlier_detection(attempt.server, result.outcome, actions);
+        self.update_request(&attempt, &result, actions);
+        self.retry_or_finish(result.request, result.outcome, actions);
+        self.retry_queued(group, actions);
+    }
+
+    fn update_server(&mut self, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
+        let Some(server) = self.servers.get_mut(&attempt.server) else { return };
+        if !attempt.released {
+            server.concurrency.attempt_released();
         }
-        if o.outcome == AttemptOutcome::Ok || (!lost && o.outcome == AttemptOutcome::Timeout) {
-            self.latencies.record(class, took);
+        if is_answer(outcome) {
+            server.outlier.record_answer_to_attempt_sent_at(attempt.sent_at);
+            server.slow_start.record_answer_to_attempt_sent_at(attempt.sent_at);
+        } else if outcome == AttemptOutcome::Overloaded {
+            server.outlier.record_response(self.now);
         }
-        self.record_served(o.outcome);
-        let RequestClass { consistency: need, latency_objective: aim, .. } = self.settings.classes[class];
-        let late = took > aim;
-        if late
-            || matches!(o.outcome, AttemptOutcome::Ok | AttemptOutcome::Timeout | AttemptOutcome::Overloaded)
-        {
-            let fell_back = !need.requires_primary() && self.primary(group) == Some(server);
-            let missed = &mut self.groups.entry(group).or_default().miss_rates[usize::from(fell_back)];
-            let miss = f64::from(late || o.outcome != AttemptOutcome::Ok);
-            update_mean(missed, miss, RECENT_SAMPLE_WEIGHT);
-            update_mean(&mut self.fallback_miss_rate, miss, if fell_back { MEAN_SAMPLE_WEIGHT } else { 0.0 });
+        let failed_before_timeout = attempt.latency(self.now) < self.settings.connect_timeout;
+        if outcome == AttemptOutcome::ConnectFailed && failed_before_timeout {
+            self.record_refused_connection(attempt.server);
         }
-        if !lost {
-            self.adjust_concurrency_limit(server, o.outcome, class, took);
+    }
+
+    fn update_latency(&mut self, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
+        let timed_out = outcome == AttemptOutcome::Timeout && !attempt.released;
+        if outcome == AttemptOutcome::Ok || timed_out {
+            self.latencies.record(attempt.class, attempt.latency(self.now));
         }
-        self.record_load_report(server, o.load_report);
-        if let Some(note) = o.status {
-            self.record_position(server, Some(note.role), note.position, self.now);
-            let written = o.outcome == AttemptOutcome::Ok && need == Consistency::Write;
-            self.record_session_write(session, note.position.filter(|_| written));
+    }
+
+    /// Records what the server states in its response: load, role, log position, commit position of a write.
+    fn record_statements(&mut self, attempt: &InFlightAttempt, result: &AttemptResult) {
+        if let Some(report) = result.load_report {
+            self.record_load_report(attempt.server, report);
         }
-        match o.outcome {
-            AttemptOutcome::Ok | AttemptOutcome::Ineligible | AttemptOutcome::Error => {
-                self.record_sign_of_life(server, o.outcome == AttemptOutcome::Error, actions)
-            }
-            AttemptOutcome::ConnectFailed => self.eject(server, true, actions),
-            // Connections break for many reasons. If its process died, the next connect will tell.
+        let Some(status) = result.status else { return };
+        self.record_status(attempt.server, status);
+        let is_write = self.settings.classes[attempt.class].consistency == Consistency::Write;
+        let is_committed = is_write && result.outcome == AttemptOutcome::Ok;
+        if let (true, Some(session), Some(position)) = (is_committed, attempt.session, status.position) {
+            self.record_session_write(session, position);
+        }
+    }
+
+    fn update_outlier_detection(&mut self, id: ServerId, outcome: AttemptOutcome, actions: &mut Vec<Action>) {
+        match outcome {
+            AttemptOutcome::Ok | AttemptOutcome::Ineligible => self.record_sign_of_life(id, false, actions),
+            AttemptOutcome::Error => self.record_sign_of_life(id, true, actions),
+            AttemptOutcome::ConnectFailed => self.eject(id, EjectionReason::Unresponsive, actions),
+            // Connections break for many reasons. If the process ended, the next connection attempt will
+            // fail.
             AttemptOutcome::ClosedBeforeExecution | AttemptOutcome::ConnectionReset => {
-                self.record_outcome(server, true, actions)
+                self.record_outcome(id, true, actions)
             }
-            // It turns work away at once, so it would look idle and draw all of it.
-            AttemptOutcome::Overloaded => self.eject(server, false, actions),
+            // It rejects requests at once, so that it would look idle and attract all of them.
+            AttemptOutcome::Overloaded => self.eject(id, EjectionReason::Failures, actions),
             AttemptOutcome::Timeout | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
-        if let Some(open) = self.pending.get_mut(&o.request) {
-            open.in_flight_attempts.retain(|n| *n != o.attempt.0);
-            open.reached_no_server &= matches!(
-                o.outcome,
-                AttemptOutcome::ConnectFailed
-                    | AttemptOutcome::ClosedBeforeExecution
-                    | AttemptOutcome::NotSent
-            );
-            if !o.outcome.never_executed() && open.possible_execution.is_none_or(|r| sent < r.0) {
-                open.possible_execution = Some((sent, server));
-            }
-            if o.request_finished || o.outcome == AttemptOutcome::Ok {
-                self.finish(o.request, actions);
-            }
+    }
+
+    fn update_request(
+        &mut self,
+        attempt: &InFlightAttempt,
+        result: &AttemptResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.pending.get_mut(&result.request) else { return };
+        request.in_flight_attempts.retain(|number| *number != result.attempt);
+        request.reached_no_server &= reached_no_server(result.outcome);
+        let first = request.possible_execution;
+        let is_first = first.is_none_or(|first| attempt.sent_at < first.sent_at);
+        if !result.outcome.never_executed() && is_first {
+            let execution = PossibleExecution { sent_at: attempt.sent_at, server: attempt.server };
+            request.possible_execution = Some(execution);
+        }
+        if result.request_finished || result.outcome == AttemptOutcome::Ok {
+            self.finish(result.request, actions);
         }
-        self.retry_or_finish(o.request, o.outcome, actions);
-        self.retry_queued(group, actions);
     }
 
-    /// After an attempt that did not serve: send again, hold, or give the final answer.
-    fn retry_or_finish(&mut self, id: RequestId, ending: AttemptOutcome, actions: &mut Vec<Action>) {
-        let Some(open) = self.pending.get(&id).filter(|open| open.in_flight_attempts.is_empty()) else {
+    /// Retries, queues or finishes a request that was not served and has no other attempt in flight. A retry
+    /// of an attempt that may have run costs a token of the retry budget.
+    fn retry_or_finish(&mut self, request_id: RequestId, outcome: AttemptOutcome, actions: &mut Vec<Action>) {
+        let Some(request) = self.pending.get(&request_id) else { return };
+        if !request.in_flight_attempts.is_empty() {
             return;
-        };
-        let to_primary = self.settings.classes[open.class].consistency.requires_primary();
-        let pause = RESEND_BACKOFF << open.attempts_sent.min(4);
-        let cost = f64::from(!ending.never_executed());
-        if self.now >= open.useful_until || self.retry_budget < cost {
-            return self.finish_unserved(id, actions);
         }
-        self.retry_budget -= cost;
-        if to_primary && ending != AttemptOutcome::Ineligible {
-            self.enqueue(id, pause, actions);
+        let requires_primary = self.class_of(request).consistency.requires_primary();
+        let backoff = RETRY_BACKOFF << request.attempts_sent.min(MAX_RETRY_BACKOFF_DOUBLINGS);
+        let cost = f64::from(!outcome.never_executed());
+        if self.now >= request.useful_until || !self.retry_budget.can_spend(cost) {
+            return self.finish_unserved(request_id, actions);
+        }
+        self.retry_budget.spend(cost);
+        if requires_primary && outcome != AttemptOutcome::Ineligible {
+            self.enqueue(request_id, backoff, actions);
         } else {
-            self.dispatch(id, actions);
+            self.dispatch(request_id, actions);
         }
     }
 }
+
+/// Whether the server answered the request itself.
+fn is_answer(outcome: AttemptOutcome) -> bool {
+    matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Ineligible | AttemptOutcome::Error)
+}
+
+/// Whether the server cannot have received the complete request.
+fn reached_no_server(outcome: AttemptOutcome) -> bool {
+    use AttemptOutcome::{ClosedBeforeExecution, ConnectFailed, NotSent};
+    matches!(outcome, ConnectFailed | ClosedBeforeExecution | NotSent)
+}
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -1,103 +1,155 @@
-//! Limits of what a server is given: its budget while it is cold, and its cap.
+//! Concurrency limits: how many attempts of this proxy a server may have in flight. The limit of each server
+//! adapts to the latency of its answers: additive increase while it binds, multiplicative decrease under
+//! congestion.
 
 use super::*;
 
-/// Share of a cold server's budget that is used: others send to it too, and work varies.
-const SLOW_START_UTILIZATION: f64 = 0.75;
-/// What is kept of the best yardstick of that budget after each cold time with a lower one.
-const BASELINE_DECAY: f64 = 0.75;
-/// The least that the caps of all routers on a server come to; one below one is kept by rests after answers.
+/// A server whose mean latency exceeds this fraction of the latency objective is congested.
+pub(super) const CONGESTION_LATENCY_RATIO: f64 = 0.4;
+/// Congestion multiplies the limit by this.
+const LIMIT_DECREASE_FACTOR: f64 = 0.8;
+/// Limit of a server of which nothing is known.
+const INITIAL_CONCURRENCY_LIMIT: f64 = 4.0;
+/// The limits of all proxies on a server add up to at least this.
 const MIN_FLEET_CONCURRENCY: f64 = 6.0;
+/// A sample of the latency ratio counts as at most this.
+const MAX_LATENCY_RATIO: f64 = 2.0;
 
-impl Router {
-    /// How much of its capacity a server surely had at a time, for it may just have started.
-    pub(super) fn slow_start_fraction(&self, server: &Server, at: Micros) -> f64 {
-        let started = server.endpoint.started_at.max(server.connection_refused_at);
-        let age = started.map_or(Micros::MAX, |started| at.saturating_sub(started).max(0));
-        if age >= self.settings.slow_start_window || self.settings.slow_start_window <= 0 {
-            return 1.0;
+/// The concurrency limit of a server and the attempts that it applies to.
+pub(super) struct ConcurrencyLimit {
+    /// Attempts in flight. One that is presumed lost, or whose response has started, no longer counts.
+    in_flight_count: u32,
+    /// A limit below 1 is kept by a pause after each answer.
+    limit: f64,
+    /// Running mean of latency divided by latency objective.
+    latency_ratio: f64,
+    reduced_at: Option<Micros>,
+    /// No attempt is sent before this time.
+    resume_at: Micros,
+}
+
+/// An attempt that ended, as far as the limit depends on it.
+struct LimitSample {
+    outcome: AttemptOutcome,
+    latency: Micros,
+    latency_objective: Micros,
+    /// Mean latency of the class.
+    mean_latency: Micros,
+}
+
+impl ConcurrencyLimit {
+    pub(super) fn new() -> Self {
+        ConcurrencyLimit {
+            in_flight_count: 0,
+            limit: INITIAL_CONCURRENCY_LIMIT,
+            latency_ratio: 0.0,
+            reduced_at: None,
+            resume_at: 0,
         }
-        let risen = age as f64 / self.settings.slow_start_window as f64;
-        (self.settings.slow_start_initial_fraction
-            + (1.0 - self.settings.slow_start_initial_fraction) * risen)
-            .clamp(0.0, 1.0)
     }
 
-    /// A cold server falls over from what all routers send it. Each keeps to its part: what a server serves
-    /// it in the mean, scaled to the capacity that the cold one surely has. Less than one send is saved up
-    /// from a start drawn by lot, never rounded up: one each, from hundreds, would be many times the budget.
-    pub(super) fn available_slow_start_tokens(&self, s: &Server) -> f64 {
-        let (left, at) = s.slow_start_tokens;
-        let warmth = (self.slow_start_fraction(s, at) + self.slow_start_fraction(s, self.now)) / 2.0;
-        // Where nothing was served yet: one send from all routers together.
-        let floor =
-            1.0 / (f64::from(self.settings.proxy_count) * self.settings.overload_window.max(1) as f64);
-        // A day may be so brisk that servers are warm before they can fall over.
-        let span = (self.now - self.served.1)
-            .min(self.settings.slow_start_window)
-            .max(self.settings.overload_window);
-        let span = if self.baseline_throughput > 0.0 { self.settings.slow_start_window } else { span }.max(1);
-        let pace = self.baseline_throughput.max(self.served.0 / self.ready_count as f64) / span as f64;
-        let pace = (SLOW_START_UTILIZATION * self.settings.overload_factor * warmth * pace).max(floor);
-        (left + pace * (self.now - at) as f64).min((pace * self.settings.overload_window as f64).max(1.0))
+    pub(super) fn reset_for_new_process(&mut self) {
+        let limit = INITIAL_CONCURRENCY_LIMIT / 2.0;
+        *self = ConcurrencyLimit { in_flight_count: self.in_flight_count, limit, ..ConcurrencyLimit::new() };
     }
 
-    /// The best of a few cold times: while most servers are cold, the present would starve them for good.
-    pub(super) fn record_served(&mut self, ending: AttemptOutcome) {
-        if self.now - self.served.1 >= self.settings.slow_start_window {
-            let latest = self.served.0 / self.ready_count as f64;
-            self.baseline_throughput = latest.max(self.baseline_throughput * BASELINE_DECAY);
-            self.served = (0.0, self.now);
-        }
-        self.served.0 += f64::from(ending == AttemptOutcome::Ok);
+    pub(super) fn in_flight_count(&self) -> u32 {
+        self.in_flight_count
+    }
+
+    pub(super) fn attempt_sent(&mut self) {
+        self.in_flight_count += 1;
+    }
+
+    pub(super) fn attempt_released(&mut self) {
+        self.in_flight_count = self.in_flight_count.saturating_sub(1);
     }
 
-    /// Below this share of its cap, not over its budget as a cold server.
-    pub(super) fn has_capacity(&self, s: &Server, share: f64) -> bool {
-        let below = f64::from(s.in_flight_count + 1) <= (s.concurrency_limit * share).max(1.0);
-        below
-            && self.now >= s.resume_at
-            && (self.slow_start_fraction(s, self.now) >= 1.0 || self.available_slow_start_tokens(s) >= 1.0)
+    /// The last answers took less than half of what counts as congestion.
+    pub(super) fn is_lightly_loaded(&self) -> bool {
+        (f64::MIN_POSITIVE..CONGESTION_LATENCY_RATIO / 2.0).contains(&self.latency_ratio)
     }
 
-    /// The cap follows what answers take against their aims; `full` shrinks it.
-    pub(super) fn adjust_concurrency_limit(
-        &mut self,
-        id: ServerId,
-        ending: AttemptOutcome,
-        class: usize,
-        took: Micros,
-    ) {
-        let mean = self.latencies.mean(class);
-        let ratio = (took as f64 / self.settings.classes[class].latency_objective.max(1) as f64).min(2.0);
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        match ending {
+    /// Whether one more attempt stays within this fraction of the limit.
+    fn has_capacity(&self, limit_fraction: f64, now: Micros) -> bool {
+        let allowed = (self.limit * limit_fraction).max(1.0);
+        f64::from(self.in_flight_count + 1) <= allowed && now >= self.resume_at
+    }
+
+    fn adjust(&mut self, sample: LimitSample, now: Micros, proxy_count: u32) {
+        let latency_ratio = sample.latency as f64 / sample.latency_objective.max(1) as f64;
+        match sample.outcome {
             AttemptOutcome::Ok | AttemptOutcome::Timeout | AttemptOutcome::Cancelled => {
-                update_mean(&mut s.latency_ratio, ratio, RECENT_SAMPLE_WEIGHT)
+                update_mean(
+                    &mut self.latency_ratio,
+                    latency_ratio.min(MAX_LATENCY_RATIO),
+                    RECENT_SAMPLE_WEIGHT,
+                );
             }
             AttemptOutcome::Overloaded => {}
             _ => return,
         }
-        if ending == AttemptOutcome::Overloaded || s.latency_ratio > CONGESTION_LATENCY_RATIO {
-            if s.limit_reduced_at < Some(self.now - mean) {
-                s.limit_reduced_at = Some(self.now);
-                s.concurrency_limit = (s.concurrency_limit.min(f64::from(s.in_flight_count + 1))
-                    * LIMIT_DECREASE_FACTOR)
-                    .max(MIN_FLEET_CONCURRENCY / f64::from(self.settings.proxy_count));
-                // The answers to come were sent under the old cap: they must not shrink it again.
-                s.latency_ratio *= LIMIT_DECREASE_FACTOR;
-            }
-        } else if ending == AttemptOutcome::Ok
-            && f64::from(s.in_flight_count + 1) >= s.concurrency_limit.floor()
-        {
-            let regained = if s.concurrency_limit < 1.0 {
-                s.concurrency_limit / LIMIT_DECREASE_FACTOR - s.concurrency_limit
-            } else {
-                1.0 / s.concurrency_limit
-            };
-            s.concurrency_limit += if s.limit_reduced_at.is_none() { 1.0 } else { regained };
+        let is_congested =
+            sample.outcome == AttemptOutcome::Overloaded || self.latency_ratio > CONGESTION_LATENCY_RATIO;
+        let limit_binds = f64::from(self.in_flight_count + 1) >= self.limit.floor();
+        if is_congested {
+            self.decrease(sample.mean_latency, now, proxy_count);
+        } else if sample.outcome == AttemptOutcome::Ok && limit_binds {
+            self.increase();
+        }
+        self.pause(sample.latency.min(sample.latency_objective), now);
+    }
+
+    /// Decreases the limit, at most once within the mean latency: answers that come sooner were sent under
+    /// the limit before. The latency ratio falls with it for the same reason.
+    fn decrease(&mut self, mean_latency: Micros, now: Micros, proxy_count: u32) {
+        if self.reduced_at >= Some(now - mean_latency) {
+            return;
+        }
+        self.reduced_at = Some(now);
+        let min_limit = MIN_FLEET_CONCURRENCY / f64::from(proxy_count);
+        let used = self.limit.min(f64::from(self.in_flight_count + 1));
+        self.limit = (used * LIMIT_DECREASE_FACTOR).max(min_limit);
+        self.latency_ratio *= LIMIT_DECREASE_FACTOR;
+    }
+
+    /// Increases the limit by 1 for each answer until it was first decreased, then by 1 for each `limit`
+    /// answers.
+    fn increase(&mut self) {
+        self.limit += if self.reduced_at.is_none() {
+            1.0
+        } else if self.limit < 1.0 {
+            self.limit / LIMIT_DECREASE_FACTOR - self.limit
+        } else {
+            1.0 / self.limit
+        };
+    }
+
+    /// With a limit below 1, the server rests after an answer so that it is in use that fraction of the time.
+    fn pause(&mut self, busy_time: Micros, now: Micros) {
+        let pause = busy_time as f64 * (1.0 / self.limit - 1.0).max(0.0);
+        self.resume_at = now + pause as Micros;
+    }
+}
+
+impl Router {
+    /// Whether the server may be sent one more attempt: within this fraction of its concurrency limit, and
+    /// within the slow-start budget.
+    pub(super) fn has_capacity(&self, server: &Server, limit_fraction: f64) -> bool {
+        server.concurrency.has_capacity(limit_fraction, self.now)
+            && (self.is_warmed_up(server) || self.available_slow_start_tokens(server) >= 1.0)
+    }
+
+    /// Adapts the limit of a server after an attempt that counted against it.
+    pub(super) fn adjust_concurrency_limit(&mut self, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
+        let sample = LimitSample {
+            outcome,
+            latency: attempt.latency(self.now),
+            latency_objective: self.settings.classes[attempt.class].latency_objective,
+            mean_latency: self.latencies.mean(attempt.class),
+        };
+        if let Some(server) = self.servers.get_mut(&attempt.server) {
+            server.concurrency.adjust(sample, self.now, self.settings.proxy_count);
         }
-        let busy = took.min(self.settings.classes[class].latency_objective) as f64;
-        s.resume_at = self.now + (busy * (1.0 / s.concurrency_limit - 1.0).max(0.0)) as Micros;
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,75 +1,142 @@
-//! Membership: who may be sent work at all, and who has left.
+//! Endpoint list: which servers exist, and which of them may be sent new work.
 
+use super::slow_start::SlowStart;
 use super::*;
 
-/// A server that left is forgotten after this time: its process may only have been started again.
+/// A removed server is forgotten after this time: its process may only have been restarted.
 const REMOVED_SERVER_RETENTION: Micros = 20_000_000;
+/// Mean delay, with the minimum of a quarter, before the endpoint list is polled again after a failure.
+const ENDPOINT_POLL_BACKOFF: Micros = 2_000_000;
+
+/// What the endpoint list says of a server.
+pub(super) struct EndpointStatus {
+    listed: Endpoint,
+    accepts_work: bool,
+    /// Since when the list has it as removed.
+    removed_at: Option<Micros>,
+}
+
+impl EndpointStatus {
+    fn new(listed: Endpoint) -> Self {
+        EndpointStatus { listed, accepts_work: false, removed_at: None }
+    }
+
+    /// The entry of the list, with a usable weight.
+    pub(super) fn listed(&self) -> &Endpoint {
+        &self.listed
+    }
+
+    fn shows_new_process(&self, endpoint: &Endpoint) -> bool {
+        endpoint.started_at.is_some() && self.listed.started_at != endpoint.started_at
+    }
+
+    fn update(&mut self, endpoint: Endpoint, removal_is_advisory: bool) {
+        self.accepts_work = match endpoint.state {
+            EndpointState::Ready => true,
+            EndpointState::Draining => false,
+            EndpointState::Removed => removal_is_advisory && self.accepts_work,
+        };
+        let started_at = endpoint.started_at.or(self.listed.started_at);
+        let weight = usable_weight(endpoint.weight);
+        self.listed = Endpoint { started_at, weight, ..endpoint };
+    }
+
+    fn mark_removed(&mut self, removal_is_advisory: bool) {
+        self.accepts_work &= removal_is_advisory;
+        self.listed.state = EndpointState::Removed;
+    }
+
+    /// Notes since when it has been listed as removed.
+    fn track_removal(&mut self, now: Micros) {
+        let is_removed = self.listed.state == EndpointState::Removed;
+        self.removed_at = self.removed_at.or(Some(now)).filter(|_| is_removed);
+    }
+
+    fn is_removal_expired(&self, now: Micros) -> bool {
+        self.removed_at.is_some_and(|at| now - at >= REMOVED_SERVER_RETENTION)
+    }
+}
+
+/// An invalid weight counts as 1, so that the server is neither starved nor overloaded.
+fn usable_weight(weight: f64) -> f64 {
+    if weight.is_finite() && weight > 0.0 { weight } else { 1.0 }
+}
 
 impl Router {
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
-        let named: BTreeSet<ServerId> = list.endpoints.iter().map(|m| m.server).collect();
-        let unnamed = |s: &&mut Server| list.complete && !named.contains(&s.endpoint.server);
-        let soft = self.settings.removal_is_advisory;
-        for s in self.servers.values_mut().filter(unnamed) {
-            (s.accepts_work, s.endpoint.state) = (s.accepts_work && soft, EndpointState::Removed);
+        if list.complete {
+            self.mark_unlisted_removed(&list.endpoints);
         }
-        for m in list.endpoints {
-            // An absurd weight counts as 1: better even than starved or flooded.
-            let weight = if m.weight.is_finite() && m.weight > 0.0 { m.weight } else { 1.0 };
-            let allowed = (self.rng.f64(), self.now);
-            let fresh = Server {
-                concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
-                ejection_backoff: INITIAL_EJECTION_BACKOFF,
-                slow_start_tokens: allowed,
-                ..Server::default()
-            };
-            let server = self.servers.entry(m.server).or_insert(Server { endpoint: m.clone(), ..fresh });
-            if server.endpoint.started_at != m.started_at && m.started_at.is_some() {
-                // A new process: cold, and what was known of the old one but its log position is void.
-                (server.primary_confirmed_at, server.slow_start_tokens) = (None, allowed);
-                (server.failure_rate, server.ejected, server.unresponsive) = (0.0, false, false);
-                (server.concurrency_limit, server.latency_ratio, server.limit_reduced_at, server.resume_at) =
-                    (INITIAL_CONCURRENCY_LIMIT / 2.0, 0.0, None, 0);
-            }
-            self.groups.entry(server.endpoint.group).or_default().members.remove(&m.server);
-            self.groups.entry(m.group).or_default().members.insert(m.server);
-            server.accepts_work = m.state == EndpointState::Ready
-                || (m.state == EndpointState::Removed && soft && server.accepts_work);
-            server.endpoint =
-                Endpoint { weight, started_at: m.started_at.or(server.endpoint.started_at), ..m };
+        for endpoint in list.endpoints {
+            self.apply_endpoint(endpoint);
         }
         self.evict_removed_servers();
-        self.ready_count = self.servers.values().filter(|s| s.accepts_work).count().max(1);
+        let ready_count = self.servers.values().filter(|server| server.endpoint.accepts_work).count();
+        self.ready_count = ready_count.max(1);
     }
 
-    /// Servers that left for good: nothing is out at them any more, and nobody takes them for alive.
+    fn mark_unlisted_removed(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
+        let unlisted = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
+        for (_, server) in unlisted {
+            server.endpoint.mark_removed(self.settings.removal_is_advisory);
+        }
+    }
+
+    fn apply_endpoint(&mut self, endpoint: Endpoint) {
+        let id = endpoint.server;
+        let slow_start = SlowStart::new(self.rng.f64(), self.now);
+        let new_server = || Server::new(EndpointStatus::new(endpoint.clone()), slow_start);
+        let server = self.servers.entry(id).or_insert_with(new_server);
+        if server.endpoint.shows_new_process(&endpoint) {
+            server.reset_for_new_process(slow_start);
+        }
+        let previous_group = server.endpoint.listed.group;
+        self.groups.entry(previous_group).or_default().members.remove(&id);
+        self.groups.entry(endpoint.group).or_default().members.insert(id);
+        server.endpoint.update(endpoint, self.settings.removal_is_advisory);
+    }
+
+    /// Forgets servers that have long been removed, unless an attempt is in flight there or, where removal is
+    /// advisory, they still respond.
     fn evict_removed_servers(&mut self) {
-        let flying: BTreeSet<ServerId> = self.in_flight.values().map(|f| f.server).collect();
-        self.servers.retain(|id, s| {
-            s.removed_at =
-                s.removed_at.or(Some(self.now)).filter(|_| s.endpoint.state == EndpointState::Removed);
-            let long_gone = s.removed_at.is_some_and(|at| self.now - at >= REMOVED_SERVER_RETENTION);
-            !long_gone || (s.accepts_work && !s.unresponsive) || flying.contains(id)
+        let with_attempts: BTreeSet<ServerId> =
+            self.in_flight.values().map(|attempt| attempt.server).collect();
+        self.servers.retain(|id, server| {
+            server.endpoint.track_removal(self.now);
+            let is_in_use = server.endpoint.accepts_work && !server.outlier.is_unresponsive();
+            !server.endpoint.is_removal_expired(self.now) || is_in_use || with_attempts.contains(id)
         });
-        for g in self.groups.values_mut() {
-            g.members.retain(|id| self.servers.contains_key(id));
+        for group in self.groups.values_mut() {
+            group.members.retain(|id| self.servers.contains_key(id));
         }
-        self.groups.retain(|_, g| !g.members.is_empty() || !g.queued.is_empty());
+        self.groups.retain(|_, group| !group.is_unused());
+    }
+
+    /// Polls the endpoint list again after a random delay, so that proxies whose polls failed together spread
+    /// out.
+    pub(super) fn on_endpoint_poll_failed(&mut self) {
+        let delay = ENDPOINT_POLL_BACKOFF / 4 + self.rng.i64(0..ENDPOINT_POLL_BACKOFF);
+        let is_polled = self.settings.endpoint_discovery == EndpointDiscovery::Polled;
+        self.next_endpoint_poll_at = is_polled.then_some(self.now + delay);
     }
 
-    /// Does the module still know of this server?
+    /// Whether the router still keeps state of this server.
     pub fn is_known(&self, id: ServerId) -> bool {
         self.servers.contains_key(&id)
     }
 
-    /// Nothing new goes to it now: it drains or is gone, or is suspect (to writes: mute) and no trial is due.
+    /// Whether nothing new is sent to this server: it is draining or removed, or it is ejected (for writes:
+    /// unresponsive) and not due for a retry.
     pub fn is_avoided(&self, now: Micros, id: ServerId) -> bool {
-        let Some(s) = self.accepting_server(id) else { return true };
-        let writes = !s.unresponsive && self.primary(s.endpoint.group) == Some(id);
-        s.ejected && s.half_open_at > Some(now) && !writes
+        let Some(server) = self.accepting_server(id) else { return true };
+        let takes_writes =
+            !server.outlier.is_unresponsive() && self.primary(server.endpoint.listed.group) == Some(id);
+        server.outlier.is_ejected_at(now) && !takes_writes
     }
 
+    /// The server, if the endpoint list allows to send it new work.
     pub(super) fn accepting_server(&self, id: ServerId) -> Option<&Server> {
-        self.servers.get(&id).filter(|s| s.accepts_work)
+        self.servers.get(&id).filter(|server| server.endpoint.accepts_work)
     }
 }
--- /dev/null
+++ b/src/policy/health_checks.rs
@@ -0,0 +1,67 @@
+//! Health checks: at most one in flight for each server.
+
+use super::*;
+
+/// Health check of a server.
+#[derive(Default)]
+pub(super) struct HealthCheckState {
+    in_flight: bool,
+    /// When the last check failed, unless a later one succeeded. This does not show that requests fail.
+    failed_at: Option<Micros>,
+}
+
+impl HealthCheckState {
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.in_flight
+    }
+
+    pub(super) fn has_failed(&self) -> bool {
+        self.failed_at.is_some()
+    }
+
+    pub(super) fn has_failed_since(&self, at: Micros) -> bool {
+        self.failed_at >= Some(at)
+    }
+
+    fn record_outcome(&mut self, outcome: AttemptOutcome, now: Micros) {
+        self.in_flight = false;
+        let has_failed = !matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::NotSent);
+        self.failed_at = has_failed.then_some(now);
+    }
+}
+
+impl Router {
+    pub(super) fn start_health_check(&mut self, id: ServerId, actions: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        if !std::mem::replace(&mut server.health_check.in_flight, true) {
+            actions.push(Action::HealthCheck { server: id });
+        }
+    }
+
+    pub(super) fn on_health_check_completed(
+        &mut self,
+        id: ServerId,
+        outcome: AttemptOutcome,
+        load_report: Option<LoadReport>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        server.health_check.record_outcome(outcome, self.now);
+        // A server that hangs may still answer health checks. Where hedged requests are allowed, these are
+        // used instead to tell whether it is alive.
+        if !self.settings.hedging_allowed && is_response(outcome) {
+            server.outlier.record_response(self.now);
+        }
+        let group = server.endpoint.listed().group;
+        if let Some(report) = load_report.filter(|_| outcome == AttemptOutcome::Ok) {
+            self.record_load_report(id, report);
+        }
+        self.retry_queued(group, actions);
+    }
+}
+
+/// Whether the server itself responded.
+fn is_response(outcome: AttemptOutcome) -> bool {
+    use AttemptOutcome::{Error, Ineligible, Ok, Overloaded};
+    matches!(outcome, Ok | Error | Overloaded | Ineligible)
+}
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,50 +1,160 @@
-//! What this router saw of a server: signs of life, failures, trials.
+//! Outlier detection: a server that fails its requests or stops responding is ejected, which means that it
+//! gets no more work than a single request after a backoff (the half-open state), until its answers are good
+//! again.
 
 use super::*;
 
-/// A server failing more than this share of its requests is avoided, until down to a third of it.
+/// A server whose recent requests fail at a higher rate is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.3;
-/// Each router leaves so much time to each of the others: 20 trials a second of one server, however many.
+/// An ejected server whose failure rate has fallen to this is restored.
+const RESTORE_FAILURE_RATE: f64 = EJECTION_FAILURE_RATE / 3.0;
+/// Backoff before the first retry of an ejected server; doubles up to the maximum.
+const INITIAL_EJECTION_BACKOFF: Micros = 500_000;
+const MAX_EJECTION_BACKOFF: Micros = 4_000_000;
+/// The backoff is at least this long for each proxy of the fleet, which bounds the retries of one server to
+/// 20 per second by all of them.
 const EJECTION_RETRY_SPACING: Micros = 50_000;
 
-impl Router {
-    pub(super) fn eject(&mut self, id: ServerId, mute: bool, actions: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        s.unresponsive |= mute;
-        if !s.ejected || Some(self.now) >= s.half_open_at {
-            s.half_open_at = Some(
-                self.now
-                    + s.ejection_backoff
-                        .max(Micros::from(self.settings.proxy_count) * EJECTION_RETRY_SPACING),
-            );
-            s.ejection_backoff = (s.ejection_backoff * 2).min(MAX_EJECTION_BACKOFF);
+/// Why a server is ejected.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum EjectionReason {
+    /// It was sent a request, or a connection, and has given no sign of life since.
+    Unresponsive,
+    /// It fails or rejects its requests.
+    Failures,
+}
+
+/// Signs of life and failures of a server.
+pub(super) struct OutlierDetection {
+    /// Running mean of requests that failed.
+    failure_rate: f64,
+    ejected: bool,
+    unresponsive: bool,
+    /// From this time on, an ejected server may be sent one request at a time.
+    half_open_at: Option<Micros>,
+    next_backoff: Micros,
+    last_response_at: Option<Micros>,
+    /// When the newest attempt that was answered had been sent.
+    newest_answered_sent_at: Option<Micros>,
+}
+
+impl OutlierDetection {
+    pub(super) fn new() -> Self {
+        OutlierDetection {
+            failure_rate: 0.0,
+            ejected: false,
+            unresponsive: false,
+            half_open_at: None,
+            next_backoff: INITIAL_EJECTION_BACKOFF,
+            last_response_at: None,
+            newest_answered_sent_at: None,
+        }
+    }
+
+    pub(super) fn reset_for_new_process(&mut self) {
+        self.failure_rate = 0.0;
+        self.ejected = false;
+        self.unresponsive = false;
+    }
+
+    pub(super) fn is_ejected(&self) -> bool {
+        self.ejected
+    }
+
+    pub(super) fn is_unresponsive(&self) -> bool {
+        self.unresponsive
+    }
+
+    /// When it may be, or could have been, sent a request although it is ejected.
+    pub(super) fn half_open_at(&self) -> Option<Micros> {
+        self.half_open_at
+    }
+
+    /// It is ejected and the backoff is not over.
+    pub(super) fn is_ejected_at(&self, now: Micros) -> bool {
+        self.ejected && self.half_open_at > Some(now)
+    }
+
+    /// It is ejected and may be sent one request to find out whether it has recovered.
+    pub(super) fn is_half_open_at(&self, now: Micros) -> bool {
+        self.ejected && Some(now) >= self.half_open_at
+    }
+
+    pub(super) fn record_response(&mut self, now: Micros) {
+        self.last_response_at = Some(now);
+    }
+
+    pub(super) fn record_answer_to_attempt_sent_at(&mut self, sent_at: Micros) {
+        self.newest_answered_sent_at = self.newest_answered_sent_at.max(Some(sent_at));
+    }
+
+    pub(super) fn is_silent_since(&self, at: Micros) -> bool {
+        self.last_response_at < Some(at)
+    }
+
+    pub(super) fn answered_attempt_sent_after(&self, sent_at: Micros) -> bool {
+        self.newest_answered_sent_at > Some(sent_at)
+    }
+
+    /// Ejects the server, or prolongs its ejection after a failed retry. Returns whether it was not ejected
+    /// before.
+    fn eject(&mut self, reason: EjectionReason, now: Micros, proxy_count: u32) -> bool {
+        self.unresponsive |= reason == EjectionReason::Unresponsive;
+        if !self.ejected || Some(now) >= self.half_open_at {
+            let min_backoff = Micros::from(proxy_count) * EJECTION_RETRY_SPACING;
+            self.half_open_at = Some(now + self.next_backoff.max(min_backoff));
+            self.next_backoff = (self.next_backoff * 2).min(MAX_EJECTION_BACKOFF);
+        }
+        !std::mem::replace(&mut self.ejected, true)
+    }
+
+    /// Returns whether the server is to be ejected.
+    fn record_outcome(&mut self, failed: bool, now: Micros) -> bool {
+        update_mean(&mut self.failure_rate, f64::from(failed), RECENT_SAMPLE_WEIGHT);
+        if failed && self.failure_rate > EJECTION_FAILURE_RATE {
+            return true;
+        }
+        if self.ejected && self.failure_rate <= RESTORE_FAILURE_RATE {
+            self.ejected = false;
+            self.next_backoff = INITIAL_EJECTION_BACKOFF;
+        } else if self.ejected && !failed {
+            // It served a request: the next one may follow at once.
+            self.half_open_at = Some(now);
         }
-        if !std::mem::replace(&mut s.ejected, true) {
-            let why = if mute { "gives no sign of life" } else { "fails its requests" };
-            actions.push(Action::Log(format!("server {} {why}: reads avoid it", id.0)));
+        false
+    }
+}
+
+impl Router {
+    pub(super) fn eject(&mut self, id: ServerId, reason: EjectionReason, actions: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        let newly_ejected = server.outlier.eject(reason, self.now, self.settings.proxy_count);
+        if newly_ejected {
+            let reason = match reason {
+                EjectionReason::Unresponsive => "unresponsive",
+                EjectionReason::Failures => "requests fail",
+            };
+            actions.push(Action::Log(format!("server {} ejected from reads: {reason}", id.0)));
         }
     }
 
-    /// A sign of life; `failed` tells whether the request itself went wrong.
+    /// The server answered; `failed` says whether with an error.
     pub(super) fn record_sign_of_life(&mut self, id: ServerId, failed: bool, actions: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        (s.last_response_at, s.unresponsive) = (Some(self.now), false);
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        server.outlier.record_response(self.now);
+        server.outlier.unresponsive = false;
         self.record_outcome(id, failed, actions);
     }
 
     pub(super) fn record_outcome(&mut self, id: ServerId, failed: bool, actions: &mut Vec<Action>) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
-        update_mean(&mut s.failure_rate, f64::from(failed), RECENT_SAMPLE_WEIGHT);
-        if failed && s.failure_rate > EJECTION_FAILURE_RATE {
-            self.eject(id, false, actions);
-        } else if s.ejected && s.failure_rate <= EJECTION_FAILURE_RATE / 3.0 {
-            (s.ejected, s.ejection_backoff) = (false, INITIAL_EJECTION_BACKOFF);
-        } else if s.ejected && !failed {
-            s.half_open_at = Some(self.now);
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        if server.outlier.record_outcome(failed, self.now) {
+            self.eject(id, EjectionReason::Failures, actions);
         }
     }
 
-    pub(super) fn is_half_open(&self, s: &Server) -> bool {
-        s.in_flight_count == 0 && s.ejected && Some(self.now) >= s.half_open_at
+    /// The server is ejected, has no attempt in flight and may be sent one.
+    pub(super) fn is_due_for_retry(&self, server: &Server) -> bool {
+        server.concurrency.in_flight_count() == 0 && server.outlier.is_half_open_at(self.now)
     }
 }
--- /dev/null
+++ b/src/policy/queue.rs
@@ -0,0 +1,78 @@
+//! The queue of each group: requests that wait for a server.
+
+use super::*;
+use std::cmp::Reverse;
+
+/// A queued request is tried again only while the mean latency plus this many mean deviations is left.
+const QUEUE_DEVIATIONS: f64 = 2.0;
+/// Queued reads, and queued writes, that one event retries. Each answer retries as many again, so that the
+/// queue drains at a growing rate but not all at once.
+const QUEUE_RETRY_BATCH: usize = 2;
+
+/// Order of queued requests: writes before reads, then the highest priority weight, then the newest.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct QueuePosition {
+    pub is_read: bool,
+    pub priority_weight_thousandths: Reverse<i64>,
+    pub arrival: Reverse<i64>,
+    pub request: RequestId,
+}
+
+impl Router {
+    /// Queues a request and retries it after a delay, or finishes it if it can no longer be answered in time.
+    pub(super) fn enqueue(&mut self, request_id: RequestId, delay: Micros, actions: &mut Vec<Action>) {
+        let Some(request) = self.pending.get(&request_id) else { return };
+        let (delay, required_time) = match request.query_until.filter(|at| *at > self.now) {
+            // While it waits for the position of a replica, no attempt is due.
+            Some(query_until) => (query_until - self.now, 0),
+            None => (delay, self.latencies.upper_bound(request.class, QUEUE_DEVIATIONS)),
+        };
+        let deadline = if request.reached_no_server {
+            request.useful_until.min(request.unsent_until + required_time)
+        } else {
+            request.useful_until
+        };
+        let is_too_late = self.now + required_time >= deadline;
+        let attempts_exhausted = request.attempts_sent >= request.max_attempts;
+        if is_too_late || attempts_exhausted || self.may_no_longer_repeat(request) {
+            return self.finish_unserved(request_id, actions);
+        }
+        let retry_at = (self.now + delay).min(deadline - required_time);
+        let position = request.queue_position;
+        self.groups.entry(request.group).or_default().queued.insert(position);
+        self.schedule_wake(request_id, retry_at);
+    }
+
+    /// The request may have run, and may not be sent again even to the server that may have run it.
+    fn may_no_longer_repeat(&self, request: &PendingRequest) -> bool {
+        request.possible_execution.is_some_and(|first| !self.may_repeat(request, first.server))
+    }
+
+    pub(super) fn dequeue(&mut self, request_id: RequestId) {
+        let Some(request) = self.pending.get(&request_id) else { return };
+        let Some(group) = self.groups.get_mut(&request.group) else { return };
+        group.queued.remove(&request.queue_position);
+        // Clients may name any group; one without servers is kept only while a request waits in it.
+        if group.is_unused() {
+            self.groups.remove(&request.group);
+        }
+    }
+
+    /// Retries queued requests of a group after an event that may have freed capacity or shown a fresh
+    /// replica.
+    pub(super) fn retry_queued(&mut self, group_id: GroupId, actions: &mut Vec<Action>) {
+        let Some(group) = self.groups.get(&group_id) else { return };
+        let first_of = |is_read: bool| {
+            let queued = group.queued.iter().filter(move |position| position.is_read == is_read);
+            queued.take(QUEUE_RETRY_BATCH).map(|position| position.request)
+        };
+        let request_ids: Vec<RequestId> = first_of(false).chain(first_of(true)).collect();
+        for request_id in request_ids {
+            let is_untried =
+                self.pending.get(&request_id).is_some_and(|request| request.tried_servers.is_empty());
+            if is_untried {
+                self.dispatch(request_id, actions);
+            }
+        }
+    }
+}
--- a/src/policy/server_selection.rs
+++ b/src/policy/server_selection.rs
@@ -1,124 +1,225 @@
-//! Which server, among those that may take a request.
+//! Server selection: which of the servers that may take a request it is sent to.
 
 use super::*;
+use std::cmp::{Ordering, Reverse};
 
-/// Share of a primary's cap that reads may fill: the rest is kept for writes.
+/// Fraction of a primary's concurrency limit that reads may use; the rest is reserved for writes.
 const PRIMARY_READ_FRACTION: f64 = 0.5;
-/// Reads that fell back miss seldom: the last miss is some ten answers or a hundred tries past.
-const LOW_MISS_RATE: f64 = 0.05;
 
-impl Router {
-    /// After its wait a suspect is one among the others, for one request at a time.
-    pub(super) fn is_eligible(&self, id: ServerId, open: &PendingRequest, share: f64) -> bool {
-        let Some(s) = self.accepting_server(id) else { return false };
-        (!s.ejected || self.is_half_open(s))
-            && !open.tried_servers.contains(&id)
-            && self.has_capacity(s, share)
-    }
+/// Order of preference among eligible servers; the lowest is selected.
+#[derive(PartialEq, PartialOrd)]
+struct SelectionRank {
+    /// Outstanding attempts per unit of weight.
+    utilization: f64,
+    is_in_other_zone: bool,
+    /// Lag of a replica that is too far behind for reads of bounded staleness.
+    lag: Reverse<Option<Micros>>,
+    /// Random, lower for a higher weight.
+    tie_break: f64,
+    server: ServerId,
+}
 
-    /// The fewest outstanding per unit weight; own zone first while no busier; ties by a lot by weight. A
-    /// read that `any` replica may answer leaves the fresh ones to others: ties go to the one furthest
-    /// behind, and one more is no busier where a replica is of no use to bounded reads.
-    pub(super) fn least_outstanding(&mut self, among: &[ServerId], any: bool) -> Option<ServerId> {
-        let bounds = self.settings.classes.iter().filter_map(|c| c.consistency.max_staleness());
-        let bound = bounds.min().filter(|_| any).unwrap_or(Micros::MAX);
-        let rank = |id: &ServerId| {
-            let s = &self.servers[id];
-            let lot = -(1.0 - self.rng.f64()).ln() / s.endpoint.weight;
-            let behind = Some(s.lag).filter(|lag| *lag > bound);
-            let busy =
-                f64::from(s.in_flight_count.saturating_sub(u32::from(behind.is_some()))) / s.endpoint.weight;
-            (busy, s.endpoint.zone != self.settings.zone, std::cmp::Reverse(behind), lot, *id)
-        };
-        let ranks = among.iter().map(rank);
-        ranks.min_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal)).map(|rank| rank.4)
-    }
+/// Servers that can answer a read.
+struct ReadCandidates {
+    primary: Option<ServerId>,
+    /// The other members of the group.
+    replicas: Vec<ServerId>,
+    /// Replicas that are proven to be fresh enough, and servers of other groups whose copy is likely to be.
+    fresh: Vec<ServerId>,
+    /// The position that the read has to see.
+    required: Option<Micros>,
+}
 
+impl Router {
+    /// Selects the server for the next attempt of a request, if one can take it now. May start a position
+    /// query for a read, which then waits for it.
     pub(super) fn select_server(
         &mut self,
-        open: &mut PendingRequest,
+        request: &mut PendingRequest,
         actions: &mut Vec<Action>,
     ) -> Option<ServerId> {
-        let primary = self.primary(open.group);
-        if self.settings.classes[open.class].consistency.requires_primary() {
-            return self.select_primary(open, primary);
+        if self.class_of(request).consistency.requires_primary() {
+            return self.select_primary(request);
         }
-        let Group { members, miss_rates: missed, .. } = self.groups.get(&open.group)?;
-        let well = missed[1] < LOW_MISS_RATE;
-        let replicas: Vec<ServerId> = members.iter().copied().filter(|m| Some(*m) != primary).collect();
-        let required = self.required_position(open, self.now);
-        let fresh = |r: &&ServerId| required.is_none_or(|at| self.servers[*r].position >= Some(at));
-        let copy = |c: &&CopyCandidate| {
-            !members.contains(&c.server) && required.is_none_or(|at| c.likely_position >= at)
-        };
-        let copies = open.copy_candidates.iter().filter(copy).map(|c| c.server);
-        let fresh: Vec<ServerId> = replicas.iter().filter(fresh).copied().chain(copies).collect();
-        let able: Vec<ServerId> = fresh.iter().copied().filter(|r| self.is_eligible(*r, open, 1.0)).collect();
-        if let Some(best) =
-            self.least_outstanding(&able, self.settings.classes[open.class].consistency == Consistency::Any)
-        {
-            return Some(best);
+        let candidates = self.read_candidates(request)?;
+        if let Some(replica) = self.select_fresh_replica(request, &candidates) {
+            return Some(replica);
         }
-        // Asking is not worth its price while the primary is at ease and what fell back on it was in time.
-        let at_ease = |p| {
-            well && (f64::MIN_POSITIVE..CONGESTION_LATENCY_RATIO / 2.0)
-                .contains(&self.servers[&p].latency_ratio)
-        };
-        let thin = open.admission_draw >= POSITION_QUERYING_PROXIES / f64::from(self.settings.proxy_count);
-        let spares = |p: ServerId| (thin || at_ease(p)) && self.is_eligible(p, open, PRIMARY_READ_FRACTION);
-        let unasked = primary.is_some_and(spares) && self.admits(open, true);
-        if required.is_some_and(|at| !unasked && self.query_position(open, at, &replicas, actions)) {
+        let skips_query = self.prefers_primary_to_query(request, &candidates);
+        if let Some(required) = candidates.required
+            && !skips_query
+            && self.query_position(request, required, &candidates.replicas, actions)
+        {
             return None;
         }
-        if self.settings.stale_reads == StaleReadPolicy::Rejected {
-            // A server that lags says so and nothing ran: the furthest ahead is worth a try.
-            let able = replicas.iter().copied().filter(|r| self.is_eligible(*r, open, 1.0));
-            let able = able.filter(|r| required.is_none_or(|at| !self.is_lagging(&self.servers[r], at)));
-            if let Some(ahead) = able.max_by_key(|r| (self.servers[r].position, *r)) {
-                return Some(ahead);
-            }
+        if let Some(replica) = self.select_most_advanced_replica(request, &candidates) {
+            return Some(replica);
         }
-        if !unasked && !self.admits(open, true) {
+        if !skips_query && !self.admits_fallback(request) {
             return None;
         }
-        if let Some(p) = primary.filter(|p| self.is_eligible(*p, open, PRIMARY_READ_FRACTION)) {
-            return Some(p);
+        let primary = candidates.primary.filter(|id| self.is_eligible(*id, request, PRIMARY_READ_FRACTION));
+        primary.or_else(|| self.select_ejected(request, &candidates))
+    }
+
+    /// Whether a server may be sent the request, within this fraction of its concurrency limit: it is not
+    /// ejected, or due for a retry, and was not tried before.
+    pub(super) fn is_eligible(&self, id: ServerId, request: &PendingRequest, limit_fraction: f64) -> bool {
+        let Some(server) = self.accepting_server(id) else { return false };
+        let is_in_rotation = !server.outlier.is_ejected() || self.is_due_for_retry(server);
+        is_in_rotation && !request.tried_servers.contains(&id) && self.has_capacity(server, limit_fraction)
+    }
+
+    /// The server with the fewest outstanding attempts per unit of weight, in the own zone if possible.
+    ///
+    /// Reads that `accept_any_age` leave the fresh replicas to reads of bounded staleness: ties go to the
+    /// replica that is furthest behind, and one that is too far behind for those reads is preferred up to one
+    /// more attempt.
+    pub(super) fn least_outstanding(
+        &mut self,
+        candidates: &[ServerId],
+        accept_any_age: bool,
+    ) -> Option<ServerId> {
+        let max_useful_lag = if accept_any_age { self.min_bounded_staleness() } else { Micros::MAX };
+        let rank = |id: &ServerId| {
+            let server = &self.servers[id];
+            let Endpoint { weight, zone, .. } = *server.endpoint.listed();
+            let tie_break = -(1.0 - self.rng.f64()).ln() / weight;
+            let lag = Some(server.replication.lag()).filter(|lag| *lag > max_useful_lag);
+            let outstanding = server.concurrency.in_flight_count().saturating_sub(u32::from(lag.is_some()));
+            SelectionRank {
+                utilization: f64::from(outstanding) / weight,
+                is_in_other_zone: zone != self.settings.zone,
+                lag: Reverse(lag),
+                tie_break,
+                server: *id,
+            }
+        };
+        let ranks = candidates.iter().map(rank);
+        let lowest = ranks.min_by(|left, right| left.partial_cmp(right).unwrap_or(Ordering::Equal));
+        lowest.map(|rank| rank.server)
+    }
+
+    fn min_bounded_staleness(&self) -> Micros {
+        let bounds = self.settings.classes.iter().filter_map(|class| class.consistency.max_staleness());
+        bounds.min().unwrap_or(Micros::MAX)
+    }
+
+    fn read_candidates(&self, request: &PendingRequest) -> Option<ReadCandidates> {
+        let primary = self.primary(request.group);
+        let members = &self.groups.get(&request.group)?.members;
+        let required = self.required_position(request, self.now);
+        let replicas: Vec<ServerId> = members.iter().copied().filter(|id| Some(*id) != primary).collect();
+        let is_fresh = |id: &ServerId| self.servers[id].replication.has_reached(required);
+        let is_likely_fresh =
+            |copy: &&CopyCandidate| required.is_none_or(|required| copy.likely_position >= required);
+        let copies = request.copy_candidates.iter().filter(|copy| !members.contains(&copy.server));
+        let fresh_copies = copies.filter(is_likely_fresh).map(|copy| copy.server);
+        let fresh = replicas.iter().copied().filter(is_fresh).chain(fresh_copies).collect();
+        Some(ReadCandidates { primary, replicas, fresh, required })
+    }
+
+    fn select_fresh_replica(
+        &mut self,
+        request: &PendingRequest,
+        candidates: &ReadCandidates,
+    ) -> Option<ServerId> {
+        let eligible = candidates.fresh.iter().copied().filter(|id| self.is_eligible(*id, request, 1.0));
+        let eligible: Vec<ServerId> = eligible.collect();
+        let accept_any_age = self.class_of(request).consistency == Consistency::Any;
+        self.least_outstanding(&eligible, accept_any_age)
+    }
+
+    /// Whether the read goes to the primary without a position query: the fleet is large enough that queries
+    /// would add notable load, or the primary is lightly loaded and serves such reads in time.
+    fn prefers_primary_to_query(&mut self, request: &PendingRequest, candidates: &ReadCandidates) -> bool {
+        let Some(primary) = candidates.primary else { return false };
+        let querying_fraction = POSITION_QUERYING_PROXIES / f64::from(self.settings.proxy_count);
+        let may_query = request.admission_draw < querying_fraction;
+        let is_served_well =
+            self.groups.get(&request.group).is_some_and(|group| group.miss_rates.is_fallback_served_well());
+        let has_spare_capacity = is_served_well && self.servers[&primary].concurrency.is_lightly_loaded();
+        (!may_query || has_spare_capacity)
+            && self.is_eligible(primary, request, PRIMARY_READ_FRACTION)
+            && self.admits_fallback(request)
+    }
+
+    /// Where servers reject stale reads before they run, the most advanced replica is worth an attempt.
+    fn select_most_advanced_replica(
+        &self,
+        request: &PendingRequest,
+        candidates: &ReadCandidates,
+    ) -> Option<ServerId> {
+        if self.settings.stale_reads != StaleReadPolicy::Rejected {
+            return None;
         }
-        // Suspicion never empties a group: the suspect due first rather than none.
-        let share = |r: &ServerId| if Some(*r) == primary { PRIMARY_READ_FRACTION } else { 1.0 };
-        let last = |r: &ServerId| self.accepting_server(*r).is_some_and(|s| self.has_capacity(s, share(r)));
-        let any = fresh.into_iter().chain(primary).filter(last).filter(|r| !open.tried_servers.contains(r));
-        any.min_by_key(|r| (self.servers[r].half_open_at, *r))
+        let replication = |id: &ServerId| &self.servers[id].replication;
+        let eligible = candidates.replicas.iter().copied().filter(|id| {
+            self.is_eligible(*id, request, 1.0) && !replication(id).is_lagging(candidates.required, self.now)
+        });
+        eligible.max_by_key(|id| (replication(id).position(), *id))
     }
 
-    /// Where work that no client waits for may go now: a write to the primary, a read to the replica with the
-    /// fewest out. A cold server is left alone, and clients' work goes first there, if it `yields`.
-    pub fn background_candidate(&self, group: GroupId, write: bool, yields: bool) -> Option<ServerId> {
-        let warm = |s: &Server| !s.ejected && self.slow_start_fraction(s, self.now) >= 1.0;
-        let fit = |s: &Server| warm(s) && (!yields || self.has_capacity(s, PRIMARY_READ_FRACTION));
-        let able = |id: &ServerId| {
-            self.accepting_server(*id).is_some_and(fit) && (self.primary(group) == Some(*id)) == write
+    /// Ejection never leaves a group without a server: the one that is due first for a retry takes the read.
+    fn select_ejected(&self, request: &PendingRequest, candidates: &ReadCandidates) -> Option<ServerId> {
+        let has_capacity = |id: &ServerId| {
+            let is_primary = Some(*id) == candidates.primary;
+            let limit_fraction = if is_primary { PRIMARY_READ_FRACTION } else { 1.0 };
+            self.accepting_server(*id).is_some_and(|server| self.has_capacity(server, limit_fraction))
         };
-        let able = self.groups.get(&group)?.members.iter().copied().filter(able);
-        able.min_by_key(|id| (self.servers[id].in_flight_count, *id))
+        let servers = candidates.fresh.iter().copied().chain(candidates.primary);
+        let available = servers.filter(|id| has_capacity(id) && !request.tried_servers.contains(id));
+        available.min_by_key(|id| (self.servers[id].outlier.half_open_at(), *id))
     }
 
-    fn select_primary(&self, open: &PendingRequest, primary: Option<ServerId>) -> Option<ServerId> {
-        let group = self.groups.get(&open.group)?;
-        let up = |s: &Server| (!s.unresponsive || self.is_half_open(s)) && self.has_capacity(s, 1.0);
-        let alive = |id: &ServerId| self.accepting_server(*id).is_some_and(up);
-        let free = |id: &ServerId| !self.attempts_of(open).any(|f| f.server == *id && !f.released);
-        if let Some(p) = primary.filter(|p| !self.servers[p].unresponsive) {
-            return Some(p).filter(|p| alive(p) && free(p));
+    /// The primary for a write or a strong read. While no responsive server is known to be primary, the
+    /// members are tried in turn, unresponsive ones last: a replica rejects the request and nothing has run.
+    fn select_primary(&self, request: &PendingRequest) -> Option<ServerId> {
+        let group = self.groups.get(&request.group)?;
+        let is_available = |id: &ServerId| self.is_available_as_primary(*id, request);
+        let primary = self.primary(request.group);
+        if let Some(primary) = primary.filter(|id| !self.servers[id].outlier.is_unresponsive()) {
+            return Some(primary).filter(is_available);
         }
-        // A fresh read goes round only where servers check: others would answer it stale.
-        let asks = self.settings.classes[open.class].consistency == Consistency::Write
+        // Replicas would answer a strong read from stale data unless they check their role.
+        let is_rejected_by_replicas = self.class_of(request).consistency == Consistency::Write
             || self.settings.stale_reads == StaleReadPolicy::Rejected;
-        if !asks || open.possible_execution.is_some() {
+        if !is_rejected_by_replicas || request.possible_execution.is_some() {
             return None;
         }
-        // Nobody is known to be primary: once round the members (a miss: nothing ran), the silent last.
-        let round = group.members.iter().filter(|m| alive(m) && free(m) && !open.tried_servers.contains(m));
-        round.copied().min_by_key(|m| (self.servers[m].unresponsive, *m))
+        let members = group.members.iter().copied();
+        let untried = members.filter(|id| is_available(id) && !request.tried_servers.contains(id));
+        untried.min_by_key(|id| (self.servers[id].outlier.is_unresponsive(), *id))
+    }
+
+    /// Whether a server may be sent a request for the primary, which ignores ejection for failures.
+    fn is_available_as_primary(&self, id: ServerId, request: &PendingRequest) -> bool {
+        let Some(server) = self.accepting_server(id) else { return false };
+        let is_alive = !server.outlier.is_unresponsive() || self.is_due_for_retry(server);
+        let mut attempts = self.attempts_of(request);
+        let has_attempt = attempts.any(|attempt| attempt.server == id && !attempt.released);
+        is_alive && !has_attempt && self.has_capacity(server, 1.0)
+    }
+
+    /// The server for background work that no client waits for: the primary for writes, the replica with the
+    /// fewest outstanding attempts for reads. Servers in slow start are left alone. Work that
+    /// `yields_to_clients` gets a server only while it has spare capacity.
+    pub fn background_candidate(
+        &self,
+        group: GroupId,
+        is_write: bool,
+        yields_to_clients: bool,
+    ) -> Option<ServerId> {
+        let members = &self.groups.get(&group)?.members;
+        let primary = self.primary(group);
+        let is_candidate = |id: &ServerId| {
+            let Some(server) = self.accepting_server(*id) else { return false };
+            (primary == Some(*id)) == is_write
+                && !server.outlier.is_ejected()
+                && self.is_warmed_up(server)
+                && (!yields_to_clients || self.has_capacity(server, PRIMARY_READ_FRACTION))
+        };
+        let candidates = members.iter().copied().filter(is_candidate);
+        candidates.min_by_key(|id| (self.servers[id].concurrency.in_flight_count(), *id))
     }
 }
