--- a/health/src/evidence.rs
+++ b/health/src/evidence.rs
@@ -1,181 +1,196 @@
-//! What was heard of one server, and for how long it has owed a sign of life. Owns the clock of its silence; never
-//! says what follows for a group.
+//! What attempts and probes tell of one server, and for how long it has been silent while something was in flight. What
+//! follows for its group is decided in `group`.
 
 use crate::settings::HealthSettings;
 use crate::{GroupId, Micros, Role};
 
-/// Connections broken in a row, without a sign of life between, that tell of an end.
-const RESETS: u32 = 3;
-/// Writes in a row whose time ran out, without one answered between.
-const WRITES: u32 = 3;
-/// After so long without anything out there, silence speaks no more against a server's reads.
-const FORGIVEN: Micros = 5_000_000;
-/// Writes are to be tried again so long after the last one that was not answered.
-const TRIED_AGAIN: Micros = 10_000_000;
+/// Connections reset in a row, without a sign of life between, after which a server counts as unreachable.
+const MAX_CONSECUTIVE_RESETS: u32 = 3;
+/// Writes timed out in a row, without one answered between, after which writes count as unanswered.
+const MAX_CONSECUTIVE_WRITE_TIMEOUTS: u32 = 3;
+/// With nothing in flight for this long, earlier silence no longer counts.
+const SILENCE_EXPIRES_MICROS: Micros = 5_000_000;
+/// This long after the last write that timed out, writes are tried again.
+const WRITE_RETRY_MICROS: Micros = 10_000_000;
 
-/// Why nothing is to be expected of a server.
+/// Why a server is not expected to respond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Against {
-    Silent,
-    Gone,
+pub(crate) enum FailureEvidence {
+    /// It has been silent for longer than the limit.
+    Unresponsive,
+    /// It refuses or resets connections.
+    Unreachable,
+    /// It responds, but not to writes.
     WritesUnanswered,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Evidence {
+pub(crate) struct ServerEvidence {
     pub group: GroupId,
-    pub up: bool,
-    /// The list says that it is the primary, or is not.
-    pub listed: Option<bool>,
-    /// What it last said it is, and when.
-    pub role: Option<(Role, Micros)>,
-    pub heard: Option<Micros>,
-    /// It was asked something since it was last heard.
-    pub owes: bool,
-    /// How many attempts and probes are out.
-    out: u32,
-    /// Silence before `since`, and since when it goes on: while something is out.
-    silent: Micros,
-    since: Option<Micros>,
-    /// When something was last out.
-    last_out: Micros,
-    gone: Option<Micros>,
-    resets: u32,
-    writes: u32,
-    writes_at: Micros,
+    /// The endpoint list says that it takes work.
+    pub accepts_work: bool,
+    /// Whether the endpoint list names it primary, if it says.
+    pub listed_as_primary: Option<bool>,
+    /// The role that it last reported.
+    pub reported_role: Option<Role>,
+    /// When it last gave a sign of life.
+    pub last_heard_at: Option<Micros>,
+    /// Something was sent to it since then.
+    pub owes_response: bool,
+    /// Attempts and probes in flight.
+    in_flight: u32,
+    /// Silence from times before `silent_since`.
+    earlier_silence: Micros,
+    /// Since when it is silent with something in flight.
+    silent_since: Option<Micros>,
+    /// When something was last in flight.
+    last_in_flight_at: Micros,
+    unreachable: bool,
+    consecutive_resets: u32,
+    consecutive_write_timeouts: u32,
+    last_write_timeout_at: Micros,
 }
 
-impl Evidence {
-    pub fn new(now: Micros, group: GroupId) -> Evidence {
-        Evidence {
+impl ServerEvidence {
+    pub fn new(now: Micros, group: GroupId) -> ServerEvidence {
+        ServerEvidence {
             group,
-            up: true,
-            listed: None,
-            role: None,
-            heard: None,
-            owes: false,
-            out: 0,
-            silent: 0,
-            since: None,
-            last_out: now,
-            gone: None,
-            resets: 0,
-            writes: 0,
-            writes_at: now,
+            accepts_work: true,
+            listed_as_primary: None,
+            reported_role: None,
+            last_heard_at: None,
+            owes_response: false,
+            in_flight: 0,
+            earlier_silence: 0,
+            silent_since: None,
+            last_in_flight_at: now,
+            unreachable: false,
+            consecutive_resets: 0,
+            consecutive_write_timeouts: 0,
+            last_write_timeout_at: now,
         }
     }
 
-    /// An attempt or a probe goes out.
-    pub fn sent(&mut self, now: Micros) {
-        if self.out == 0 && now - self.last_out >= FORGIVEN {
-            // Parts of a silence that lie far apart make no long one. A claim that fell for it stays down.
-            self.silent = 0;
+    /// An attempt or a probe was sent.
+    pub fn record_sent(&mut self, now: Micros) {
+        if self.in_flight == 0 && now - self.last_in_flight_at >= SILENCE_EXPIRES_MICROS {
+            // Silence is summed over consecutive attempts only. A capability withdrawn for it stays withdrawn.
+            self.earlier_silence = 0;
         }
-        self.out = self.out.saturating_add(1);
-        self.since.get_or_insert(now);
-        self.owes = true;
-        self.last_out = now;
+        self.in_flight = self.in_flight.saturating_add(1);
+        self.silent_since.get_or_insert(now);
+        self.owes_response = true;
+        self.last_in_flight_at = now;
     }
 
-    /// A sign of life.
-    pub fn alive(&mut self, now: Micros) {
-        self.heard = Some(now);
-        (self.silent, self.gone, self.resets) = (0, None, 0);
-        self.owes = self.out > 0;
-        self.since = (self.out > 0).then_some(now);
+    pub fn record_sign_of_life(&mut self, now: Micros) {
+        self.last_heard_at = Some(now);
+        self.earlier_silence = 0;
+        self.unreachable = false;
+        self.consecutive_resets = 0;
+        self.owes_response = self.in_flight > 0;
+        self.silent_since = self.owes_response.then_some(now);
     }
 
-    pub fn says(&mut self, now: Micros, role: Role) {
-        self.role = Some((role, now));
-    }
-
-    fn back(&mut self, now: Micros) {
-        self.last_out = now;
-        self.out = self.out.saturating_sub(1);
-        if self.out == 0
-            && let Some(since) = self.since.take()
-        {
-            self.silent += now - since;
+    /// An attempt or a probe was answered, possibly with an error.
+    pub fn record_answer(&mut self, now: Micros, write: bool) {
+        self.end_in_flight(now);
+        self.record_sign_of_life(now);
+        if write {
+            self.consecutive_write_timeouts = 0;
         }
     }
 
-    /// It came back with an answer of any kind.
-    pub fn answered(&mut self, now: Micros, write: bool) {
-        self.back(now);
-        self.alive(now);
+    pub fn record_timeout(&mut self, now: Micros, write: bool) {
+        self.end_in_flight(now);
         if write {
-            self.writes = 0;
+            self.consecutive_write_timeouts = self.consecutive_write_timeouts.saturating_add(1);
+            self.last_write_timeout_at = now;
         }
     }
 
-    /// Its time ran out.
-    pub fn unanswered(&mut self, now: Micros, write: bool) {
-        self.back(now);
-        if write {
-            (self.writes, self.writes_at) = (self.writes.saturating_add(1), now);
-        }
+    /// An attempt or a probe was cancelled or never sent: no evidence, but the silence until then counts.
+    pub fn record_cancelled(&mut self, now: Micros) {
+        self.end_in_flight(now);
     }
 
-    /// It was called off, or never went out: that tells nothing, but the silence until then stands.
-    pub fn called_off(&mut self, now: Micros) {
-        self.back(now);
+    pub fn record_refused(&mut self, now: Micros) {
+        self.end_in_flight(now);
+        self.unreachable = true;
     }
 
-    /// No process took it.
-    pub fn refused(&mut self, now: Micros) {
-        self.back(now);
-        self.gone.get_or_insert(now);
+    pub fn record_reset(&mut self, now: Micros) {
+        self.end_in_flight(now);
+        self.consecutive_resets = self.consecutive_resets.saturating_add(1);
+        if self.consecutive_resets >= MAX_CONSECUTIVE_RESETS {
+            self.unreachable = true;
+        }
     }
 
-    /// The connection broke under it.
-    pub fn reset(&mut self, now: Micros) {
-        self.back(now);
-        self.resets = self.resets.saturating_add(1);
-        if self.resets >= RESETS {
-            self.gone.get_or_insert(now);
+    fn end_in_flight(&mut self, now: Micros) {
+        self.last_in_flight_at = now;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if self.in_flight == 0
+            && let Some(since) = self.silent_since.take()
+        {
+            self.earlier_silence += now - since;
         }
     }
 
-    /// For how long it has owed a sign of life.
+    /// For how long it has been silent with something in flight.
     pub fn silence(&self, now: Micros) -> Micros {
-        self.silent + self.since.map_or(0, |since| now - since)
+        self.earlier_silence + self.silent_since.map_or(0, |since| now - since)
+    }
+
+    /// It refuses or resets connections.
+    pub fn is_unreachable(&self) -> bool {
+        self.unreachable
+    }
+
+    /// A sign of life would change what is known of it.
+    pub fn is_in_doubt(&self) -> bool {
+        self.owes_response || self.unreachable
     }
 
     /// What speaks against its taking writes.
-    pub fn against(&self, now: Micros, s: &HealthSettings) -> Option<Against> {
-        if self.gone.is_some() {
-            Some(Against::Gone)
-        } else if self.silence(now) >= s.silence_limit() {
-            Some(Against::Silent)
-        } else if self.writes >= WRITES && now - self.writes_at < TRIED_AGAIN {
-            Some(Against::WritesUnanswered)
+    pub fn failure(&self, now: Micros, settings: &HealthSettings) -> Option<FailureEvidence> {
+        if self.unreachable {
+            Some(FailureEvidence::Unreachable)
+        } else if self.silence(now) >= settings.silence_limit() {
+            Some(FailureEvidence::Unresponsive)
+        } else if self.consecutive_write_timeouts >= MAX_CONSECUTIVE_WRITE_TIMEOUTS
+            && now - self.last_write_timeout_at < WRITE_RETRY_MICROS
+        {
+            Some(FailureEvidence::WritesUnanswered)
         } else {
             None
         }
     }
 
-    /// Nothing is to be expected of it, for reads either.
-    pub fn dead(&self, now: Micros, s: &HealthSettings) -> bool {
-        let fresh = self.out > 0 || now - self.last_out < FORGIVEN;
-        fresh && matches!(self.against(now, s), Some(Against::Gone | Against::Silent))
-    }
-
-    /// When time alone will change what is said above.
-    pub fn next(&self, now: Micros, s: &HealthSettings) -> Option<Micros> {
-        let silent = self.since.filter(|_| self.silence(now) < s.silence_limit());
-        let silent = silent.map(|since| since + s.silence_limit() - self.silent);
-        let forgiven = (self.out == 0 && self.dead(now, s)).then_some(self.last_out + FORGIVEN);
-        let again = (self.writes >= WRITES).then_some(self.writes_at + TRIED_AGAIN).filter(|at| *at > now);
-        [silent, forgiven, again].into_iter().flatten().min()
+    /// It is not expected to serve reads either.
+    pub fn is_unusable_for_reads(&self, now: Micros, settings: &HealthSettings) -> bool {
+        let recent = self.in_flight > 0 || now - self.last_in_flight_at < SILENCE_EXPIRES_MICROS;
+        recent
+            && matches!(
+                self.failure(now, settings),
+                Some(FailureEvidence::Unreachable | FailureEvidence::Unresponsive)
+            )
     }
 
-    /// When it will have been silent for so long, if it goes on.
-    pub fn silent_at(&self, now: Micros, long: Micros) -> Option<Micros> {
-        let since = self.since?;
-        (self.silence(now) < long).then_some(since + long - self.silent)
+    /// When the passing of time alone will change `failure` or `is_unusable_for_reads`.
+    pub fn next_change(&self, now: Micros, settings: &HealthSettings) -> Option<Micros> {
+        let unresponsive_at = self.silence_reaches_at(now, settings.silence_limit());
+        let usable_at = (self.in_flight == 0 && self.is_unusable_for_reads(now, settings))
+            .then_some(self.last_in_flight_at + SILENCE_EXPIRES_MICROS);
+        let write_retry_at = (self.consecutive_write_timeouts >= MAX_CONSECUTIVE_WRITE_TIMEOUTS)
+            .then_some(self.last_write_timeout_at + WRITE_RETRY_MICROS)
+            .filter(|at| *at > now);
+        [unresponsive_at, usable_at, write_retry_at].into_iter().flatten().min()
     }
 
-    pub fn is_gone(&self) -> bool {
-        self.gone.is_some()
+    /// When its silence will reach this length, if it goes on; none if it has.
+    pub fn silence_reaches_at(&self, now: Micros, limit: Micros) -> Option<Micros> {
+        let since = self.silent_since?;
+        (self.silence(now) < limit).then_some(since + limit - self.earlier_silence)
     }
 }
--- /dev/null
+++ b/health/src/group.rs
@@ -0,0 +1,209 @@
+//! What is known of one group of servers, and what follows for its reads and writes.
+
+use crate::evidence::{FailureEvidence, ServerEvidence};
+use crate::hysteresis::{Observation, ReportedCapability};
+use crate::read_window::{INTERVAL_MICROS, ReadWindow};
+use crate::server_table::Servers;
+use crate::settings::{HealthSettings, IdleGroupPolicy};
+use crate::verdict::Change;
+use crate::words::{Operation, Reason};
+use crate::{GroupId, Micros, Role, ServerId, earliest};
+
+/// When the verdict must be computed anew after an event.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum UpdateUrgency {
+    /// The event changes nothing that is reported.
+    None,
+    /// Soon, but together with other events.
+    Deferred,
+    /// At once.
+    Immediate,
+}
+
+/// A server's report that it is the primary.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PrimaryProof {
+    pub server: ServerId,
+    pub at: Micros,
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct GroupState {
+    pub write: ReportedCapability,
+    pub read: ReportedCapability,
+    /// The latest proof, until evidence contradicts it.
+    pub primary_proof: Option<PrimaryProof>,
+    /// Evidence for which writes were withdrawn: the endpoint list no longer counts until there is a new proof.
+    pub withdrawn_for: Option<Reason>,
+    /// Since when the oldest write is queued, if one is.
+    pub writes_queued_since: Option<Micros>,
+    pub reads: ReadWindow,
+    /// Its servers by the endpoint list.
+    pub members: Vec<ServerId>,
+    /// How many of them took work at the last update.
+    pub working_members: usize,
+}
+
+impl GroupState {
+    pub fn new(now: Micros) -> GroupState {
+        GroupState {
+            write: ReportedCapability::new(now),
+            read: ReportedCapability::new(now),
+            primary_proof: None,
+            withdrawn_for: None,
+            writes_queued_since: None,
+            reads: ReadWindow::default(),
+            members: Vec::new(),
+            working_members: 0,
+        }
+    }
+
+    /// The evidence about those of its servers that take work.
+    pub fn working<'a>(&'a self, servers: &'a Servers) -> impl Iterator<Item = &'a ServerEvidence> {
+        let members = self.members.iter().filter_map(|id| servers.get(id));
+        members.map(|server| &server.evidence).filter(|evidence| evidence.accepts_work)
+    }
+
+    /// A server of this group has reported its role.
+    pub fn record_role(&mut self, now: Micros, server: ServerId, role: Role) -> UpdateUrgency {
+        let known = self.primary_proof.is_some_and(|proof| proof.server == server);
+        match role {
+            Role::Primary => {
+                self.primary_proof = Some(PrimaryProof { server, at: now });
+                self.withdrawn_for = None;
+                if known && self.write.available { UpdateUrgency::None } else { UpdateUrgency::Deferred }
+            }
+            Role::Replica if known => {
+                self.primary_proof = None;
+                self.withdrawn_for = Some(Reason::PrimaryDemoted);
+                UpdateUrgency::Immediate
+            }
+            Role::Replica => UpdateUrgency::None,
+        }
+    }
+
+    /// Computes both capabilities as of now. Returns when they may change next without an event.
+    pub fn update(
+        &mut self,
+        now: Micros,
+        group: GroupId,
+        servers: &Servers,
+        settings: &HealthSettings,
+        changes: &mut Vec<Change>,
+    ) -> Option<Micros> {
+        let write = self.observe_writes(now, servers, settings);
+        if self.write.observe(now, write, settings) {
+            let Observation { available, reason } = write;
+            changes.push(Change::Capability { group, operation: Operation::Write, available, reason });
+            if !available && reason.is_evidence() {
+                self.primary_proof = None;
+                self.withdrawn_for = Some(reason);
+            }
+        }
+        let read = self.observe_reads(now, servers, settings);
+        if self.read.observe(now, read, settings) {
+            let Observation { available, reason } = read;
+            changes.push(Change::Capability { group, operation: Operation::Read, available, reason });
+        }
+        // Reads withdrawn for failing are tried again once the window has moved on.
+        let reads_failing = !self.read.available && read.reason == Reason::ReadsFailing;
+        let reads_retried_at = reads_failing.then_some(now + INTERVAL_MICROS);
+        earliest(self.next_change(now, settings), reads_retried_at)
+    }
+
+    fn next_change(&self, now: Micros, settings: &HealthSettings) -> Option<Micros> {
+        let proof_expires_at = self.primary_proof.map(|proof| proof.at + settings.proof_window);
+        let queueing_counts_at = self.writes_queued_since.map(|since| since + settings.silence_limit());
+        let ahead = [proof_expires_at, queueing_counts_at].into_iter().flatten().filter(|at| *at > now).min();
+        let reported = earliest(self.write.changes_at(settings), self.read.changes_at(settings));
+        earliest(ahead, reported)
+    }
+
+    fn observe_writes(&self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Observation {
+        if self.writes_queued_since.is_some_and(|since| now - since >= settings.silence_limit()) {
+            return Observation::unavailable(Reason::WritesHeld);
+        }
+        if let Some(proof) = self.primary_proof {
+            return self.observe_proven_primary(now, proof, servers, settings);
+        }
+        if let Some(reason) = self.withdrawn_for {
+            return Observation::unavailable(reason);
+        }
+        self.observe_listed_primary(now, servers, settings)
+    }
+
+    fn observe_proven_primary(
+        &self,
+        now: Micros,
+        proof: PrimaryProof,
+        servers: &Servers,
+        settings: &HealthSettings,
+    ) -> Observation {
+        let server = servers.get(&proof.server).filter(|_| self.members.contains(&proof.server));
+        let Some(evidence) = server.map(|server| &server.evidence).filter(|evidence| evidence.accepts_work)
+        else {
+            return Observation::unavailable(Reason::PrimaryLeft);
+        };
+        match evidence.failure(now, settings) {
+            Some(failure) => Observation::unavailable(primary_failure(failure)),
+            None if now - proof.at < settings.proof_window => Observation::available(Reason::Proven),
+            None => unproven(settings),
+        }
+    }
+
+    fn observe_listed_primary(
+        &self,
+        now: Micros,
+        servers: &Servers,
+        settings: &HealthSettings,
+    ) -> Observation {
+        match self.working(servers).find(|evidence| evidence.listed_as_primary == Some(true)) {
+            // A list without roles doesn't prove a primary, but doesn't deny it either.
+            None if self.working(servers).any(|evidence| evidence.listed_as_primary.is_none()) => {
+                unproven(settings)
+            }
+            None => Observation::unavailable(Reason::NoPrimary),
+            Some(evidence) => match evidence.failure(now, settings) {
+                Some(failure) => Observation::unavailable(primary_failure(failure)),
+                None if evidence.reported_role == Some(Role::Replica) => {
+                    Observation::unavailable(Reason::PrimaryDemoted)
+                }
+                None => unproven(settings),
+            },
+        }
+    }
+
+    fn observe_reads(&mut self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Observation {
+        let failing = self.reads.is_failing(now);
+        let heard_lately = |evidence: &ServerEvidence| {
+            evidence.last_heard_at.is_some_and(|at| now - at < settings.proof_window)
+        };
+        if self.working(servers).next().is_none() {
+            Observation::unavailable(Reason::NoMembers)
+        } else if self.working(servers).all(|evidence| evidence.is_unusable_for_reads(now, settings)) {
+            Observation::unavailable(Reason::MembersSilent)
+        } else if failing {
+            Observation::unavailable(Reason::ReadsFailing)
+        } else if self.working(servers).any(heard_lately) {
+            Observation::available(Reason::Proven)
+        } else {
+            Observation::available(Reason::Trusted)
+        }
+    }
+}
+
+/// What is reported of a primary without a proof and without evidence against it.
+fn unproven(settings: &HealthSettings) -> Observation {
+    match settings.idle_groups {
+        IdleGroupPolicy::TrustEndpointList => Observation::available(Reason::Trusted),
+        IdleGroupPolicy::Withdraw => Observation::unavailable(Reason::Unproven),
+    }
+}
+
+fn primary_failure(failure: FailureEvidence) -> Reason {
+    match failure {
+        FailureEvidence::Unreachable => Reason::PrimaryGone,
+        FailureEvidence::Unresponsive => Reason::PrimarySilent,
+        FailureEvidence::WritesUnanswered => Reason::WritesUnanswered,
+    }
+}
--- /dev/null
+++ b/health/src/http/request.rs
@@ -0,0 +1,175 @@
+//! A request: its head read, its path understood, and its answer from the verdict.
+
+use super::ServerNames;
+use super::report::{capability_report, report};
+use super::response::{ALLOW, Response, Status};
+use crate::query::HealthQuery;
+use crate::verdict::{Capability, Verdict};
+use crate::words::{Operation, State};
+use crate::{GroupId, Micros};
+
+/// The longest request target.
+const MAX_TARGET_BYTES: usize = 1 << 10;
+/// Bodies have no meaning here: up to this length they are skipped, longer ones end the connection.
+const MAX_BODY_BYTES: usize = 4 << 10;
+/// When to ask again: while the cause may pass at any moment, and after a planned withdrawal.
+const RETRY_AFTER_FAULT: (&str, &str) = ("Retry-After", "1");
+const RETRY_AFTER_PLANNED: (&str, &str) = ("Retry-After", "10");
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Method {
+    Get,
+    Head,
+    Options,
+}
+
+/// What a path stands for.
+enum Resource {
+    /// The process runs.
+    Liveness,
+    /// Everything that is known.
+    Report,
+    /// One capability.
+    Capability(HealthQuery),
+    Unknown,
+}
+
+pub(super) struct Request {
+    pub method: Method,
+    resource: Resource,
+    pub keep_alive: bool,
+    pub body_length: usize,
+}
+
+impl Request {
+    /// The request of a complete head, or the status that refuses it.
+    pub fn from_head(head: &httparse::Request) -> Result<Request, Status> {
+        let target = head.path.unwrap_or_default();
+        if target.len() > MAX_TARGET_BYTES {
+            return Err(Status::UriTooLong);
+        }
+        if header_values(head, "transfer-encoding").next().is_some() {
+            return Err(Status::NotImplemented);
+        }
+        let body_length = body_length(head)?;
+        if body_length > MAX_BODY_BYTES {
+            return Err(Status::ContentTooLarge);
+        }
+        let is_http_1_1 = head.version == Some(1);
+        if is_http_1_1 && header_values(head, "host").count() != 1 {
+            return Err(Status::BadRequest);
+        }
+        let method = match head.method {
+            Some("GET") => Method::Get,
+            Some("HEAD") => Method::Head,
+            Some("OPTIONS") => Method::Options,
+            _ => return Err(Status::MethodNotAllowed),
+        };
+        let keep_alive = if is_http_1_1 {
+            !has_connection_option(head, "close")
+        } else {
+            has_connection_option(head, "keep-alive")
+        };
+        Ok(Request { method, resource: resource(target), keep_alive, body_length })
+    }
+
+    /// Answers from the verdict.
+    pub fn answer(&self, now: Micros, verdict: &Verdict, names: ServerNames) -> Response {
+        if self.method == Method::Options {
+            return Response { headers: vec![ALLOW], ..Response::new(Status::NoContent, "") };
+        }
+        match &self.resource {
+            Resource::Liveness => Response::new(Status::Ok, "alive\n"),
+            Resource::Report => {
+                capability_response(verdict.overall, verdict.state, report(now, verdict, names))
+            }
+            Resource::Capability(query) => match verdict.capability(query) {
+                Some(capability) => {
+                    capability_response(capability, verdict.state, capability_report(now, &capability))
+                }
+                None => unknown_resource(),
+            },
+            Resource::Unknown => unknown_resource(),
+        }
+    }
+}
+
+fn unknown_resource() -> Response {
+    Response::new(Status::NotFound, "no such capability\n")
+}
+
+/// Status and headers by which balancers see whether the capability is available.
+fn capability_response(capability: Capability, state: State, body: String) -> Response {
+    if capability.available {
+        let mut response = Response::new(Status::Ok, body);
+        if capability.partial || state == State::Overloaded {
+            response.headers.push(("x-envoy-degraded", "true"));
+        }
+        return response;
+    }
+    let mut response = Response::new(Status::ServiceUnavailable, body);
+    if capability.reason.is_planned() {
+        response.headers.push(RETRY_AFTER_PLANNED);
+        response.headers.push(("x-envoy-immediate-health-check-fail", "true"));
+    } else {
+        response.headers.push(RETRY_AFTER_FAULT);
+    }
+    response
+}
+
+fn header_values<'a>(head: &'a httparse::Request, name: &'static str) -> impl Iterator<Item = &'a [u8]> {
+    let matching = head.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
+    matching.map(|header| header.value)
+}
+
+fn body_length(head: &httparse::Request) -> Result<usize, Status> {
+    let mut lengths = header_values(head, "content-length");
+    let Some(value) = lengths.next() else { return Ok(0) };
+    if lengths.next().is_some() {
+        return Err(Status::BadRequest);
+    }
+    let digits = std::str::from_utf8(value).ok().map(str::trim).filter(|digits| !digits.starts_with('+'));
+    digits.and_then(|digits| digits.parse().ok()).ok_or(Status::BadRequest)
+}
+
+/// Whether the header `Connection` has this option.
+fn has_connection_option(head: &httparse::Request, option: &str) -> bool {
+    let values = header_values(head, "connection").filter_map(|value| std::str::from_utf8(value).ok());
+    let mut options = values.flat_map(|value| value.split(','));
+    options.any(|given| given.trim().eq_ignore_ascii_case(option))
+}
+
+/// `/live`, `/ready`, `/health`, `/class/NAME[/group/N]`, `/group/N[/read|/write]`.
+fn resource(target: &str) -> Resource {
+    let path = target.split(['?', '#']).next().unwrap_or_default();
+    let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+    match segments[..] {
+        ["live"] => Resource::Liveness,
+        ["health"] => Resource::Report,
+        _ if !path.starts_with('/') => Resource::Unknown,
+        _ => capability_query(&segments).map_or(Resource::Unknown, Resource::Capability),
+    }
+}
+
+fn capability_query(segments: &[&str]) -> Option<HealthQuery> {
+    match *segments {
+        ["ready"] => Some(HealthQuery::default()),
+        ["class", name] => class_query(name, None),
+        ["class", name, "group", id] => class_query(name, Some(group_id(id)?)),
+        ["group", id] => Some(HealthQuery { group: Some(group_id(id)?), ..HealthQuery::default() }),
+        ["group", id, operation] => {
+            let operation = Operation::ALL.iter().find(|known| known.as_str() == operation)?;
+            Some(HealthQuery { class: None, group: Some(group_id(id)?), operation: Some(*operation) })
+        }
+        _ => None,
+    }
+}
+
+fn group_id(text: &str) -> Option<GroupId> {
+    text.parse().ok().map(GroupId)
+}
+
+fn class_query(name: &str, group: Option<GroupId>) -> Option<HealthQuery> {
+    let name = percent_encoding::percent_decode_str(name).decode_utf8().ok()?;
+    Some(HealthQuery { class: Some(name.into_owned()), group, operation: None })
+}
--- /dev/null
+++ b/health/src/http/response.rs
@@ -0,0 +1,88 @@
+//! A response and its bytes.
+
+use std::borrow::Cow;
+
+/// The methods that are served.
+pub(super) const ALLOW: (&str, &str) = ("Allow", "GET, HEAD, OPTIONS");
+
+/// Defines the statuses in use with their codes and phrases.
+macro_rules! statuses {
+    ($($status:ident = $code:literal $phrase:literal,)*) => {
+        #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+        pub(super) enum Status {
+            $($status,)*
+        }
+
+        impl Status {
+            fn code(self) -> u16 {
+                match self { $(Status::$status => $code,)* }
+            }
+
+            fn phrase(self) -> &'static str {
+                match self { $(Status::$status => $phrase,)* }
+            }
+        }
+    };
+}
+
+statuses! {
+    Ok = 200 "OK",
+    NoContent = 204 "No Content",
+    BadRequest = 400 "Bad Request",
+    NotFound = 404 "Not Found",
+    MethodNotAllowed = 405 "Method Not Allowed",
+    ContentTooLarge = 413 "Content Too Large",
+    UriTooLong = 414 "URI Too Long",
+    HeadersTooLarge = 431 "Request Header Fields Too Large",
+    NotImplemented = 501 "Not Implemented",
+    ServiceUnavailable = 503 "Service Unavailable",
+    VersionNotSupported = 505 "HTTP Version Not Supported",
+}
+
+/// The answer to one request.
+pub(super) struct Response {
+    pub status: Status,
+    pub headers: Vec<(&'static str, &'static str)>,
+    pub body: Cow<'static, str>,
+}
+
+impl Response {
+    pub fn new(status: Status, body: impl Into<Cow<'static, str>>) -> Response {
+        Response { status, headers: Vec::new(), body: body.into() }
+    }
+
+    /// The answer to what is no valid request.
+    pub fn error(status: Status) -> Response {
+        let mut response = Response::new(status, status.phrase());
+        if status == Status::MethodNotAllowed {
+            response.headers.push(ALLOW);
+        }
+        response
+    }
+
+    /// Appends the response to the output.
+    pub fn write(&self, output: &mut Vec<u8>, closing: bool, head_only: bool) {
+        let mut append = |parts: &[&str]| {
+            parts.iter().for_each(|part| output.extend_from_slice(part.as_bytes()));
+        };
+        append(&["HTTP/1.1 ", &self.status.code().to_string(), " ", self.status.phrase(), "\r\n"]);
+        if !self.body.is_empty() {
+            let is_json = self.body.starts_with('{');
+            append(&["Content-Type: ", if is_json { "application/json" } else { "text/plain" }, "\r\n"]);
+        }
+        if self.status != Status::NoContent {
+            append(&["Content-Length: ", &self.body.len().to_string(), "\r\n"]);
+        }
+        append(&["Cache-Control: no-store\r\n"]);
+        for (name, value) in &self.headers {
+            append(&[name, ": ", value, "\r\n"]);
+        }
+        if closing {
+            append(&["Connection: close\r\n"]);
+        }
+        append(&["\r\n"]);
+        if !head_only {
+            append(&[&self.body]);
+        }
+    }
+}
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -1,56 +1,84 @@
-//! What a proxy may truthfully claim to the balancers before it: decisions without I/O or clock, and beside them the
-//! machines of the protocols in which balancers ask.
+//! Decides what a proxy reports to the load balancers in front of it, without I/O or clock, and implements the
+//! connection state machines of two protocols in which balancers ask (agent-check and HTTP).
 //!
-//! [`Monitor`] is fed [`HealthEvent`]s with their times and holds one [`Verdict`]; whoever drives it calls
-//! [`Monitor::update`] at [`Monitor::next_change`], and sends the probes it asks for. [`agent`] and [`http`] turn calls
-//! into [`HealthQuery`]s and verdicts into replies.
+//! [`Monitor`] is fed [`HealthEvent`]s with their times and keeps one [`Verdict`]. The caller runs [`Monitor::update`]
+//! at [`Monitor::next_change`] and sends the probes that the monitor requests. [`query`] parses what a balancer asks
+//! for into a [`HealthQuery`]; [`agent`] and [`http`] turn verdicts into replies.
 //!
-//! It owns the evidence about servers, the claims made from it, the weight and the probes' budget. It never routes,
-//! refuses or delays a request, and knows no socket, no PostgreSQL and no type of another crate.
+//! The crate owns the evidence about servers, the capabilities reported from it, the balancer weight and the probe
+//! budget. It never routes, rejects or delays a request.
 //!
-//! Invariants, each with the test that holds it (`tests/histories.rs`, `tests/fleet.rs`):
+//! It depends on no other crate of the project, so that its decisions can be tested and used (by the proxy, the
+//! benches and the options reader) without the routing decisions. Therefore it has its own [`Micros`], [`ServerId`],
+//! [`GroupId`] and [`Role`]; the proxy translates between them and those of the decision crate in one file.
 //!
-//! 1. A write capability is claimed with a proof in the window, or with [`IdleGroupPolicy::TrustEndpointList`] while nothing that was heard
-//!    speaks against it (`no_claim_without_proof`).
-//! 2. A claim is withdrawn for a cause that stood when it was (`no_withdrawal_without_cause`).
-//! 3. What evidence withdrew comes back by a later proof alone (`evidence_is_answered_by_proof_only`).
-//! 4. Transitions are bounded by the times each state is held (`transitions_are_bounded`).
-//! 5. A cause that all proxies share moves no weight of the whole (`a_shared_cause_moves_no_weight`).
-//! 6. The weight moves by a bounded factor a second, and is 0 only where the whole is not able
+//! Invariants, each with the test that holds it (in `tests/`):
+//!
+//! 1. A write capability is reported with a proof in the window, or with [`IdleGroupPolicy::TrustEndpointList`] while
+//!    no evidence contradicts it (`history_invariants.rs`).
+//! 2. A capability is withdrawn only for a cause that held at that time (`history_invariants.rs`).
+//! 3. A capability that evidence withdrew comes back only by a later proof (`history_invariants.rs`).
+//! 4. The rate of transitions is bounded by the minimum time in each state (`transitions_are_bounded`).
+//! 5. A cause that all proxies share doesn't change the overall weight (`history_invariants.rs`).
+//! 6. The weight changes by a bounded factor per second, and is 0 only where the proxy as a whole is unavailable
 //!    (`weight_moves_boundedly`).
-//! 7. Probes stay within the budgets (`probes_stay_within_their_budget`).
-//! 8. Between facts the verdict changes at [`Monitor::next_change`] only (`sleepers_miss_nothing`).
+//! 7. Probes stay within their budgets (`probes_stay_within_their_budget`).
+//! 8. Between events the verdict changes at [`Monitor::next_change`] only (`sleepers_miss_nothing`).
+
+#![warn(missing_docs)]
 
 pub mod agent;
-mod claim;
+mod connectivity;
+mod event;
 mod evidence;
+mod group;
 pub mod http;
+mod hysteresis;
 mod monitor;
-mod probes;
+mod overall;
+mod probe_budget;
+mod probe_scheduler;
+pub mod query;
+mod read_window;
+mod server_table;
 mod settings;
+mod settings_error;
 mod verdict;
 mod weight;
+mod words;
 
-pub use monitor::{HealthEvent, Monitor, ProbeOutcome};
+pub use event::{HealthEvent, ProbeOutcome};
+pub use monitor::Monitor;
+pub use query::HealthQuery;
 pub use settings::{
     AggregationRule, HealthSettings, IdleGroupPolicy, OverloadPolicy, ProbeSettings, RequestClass,
-    RequiredServer, SettingsError, SharedCausePolicy, WeightSettings,
+    RequiredServer, SharedCausePolicy, WeightSettings,
 };
-pub use verdict::{Capability, Change, GroupVerdict, HealthQuery, Operation, Reason, State, Verdict};
+pub use settings_error::SettingsError;
+pub use verdict::{Capability, Change, GroupVerdict, Verdict};
+pub use words::{Operation, Reason, State};
 
-/// A span of time, or an instant on the driver's clock, in microseconds.
+/// A duration, or a time on the caller's monotonic clock, in microseconds.
 pub type Micros = i64;
 
-/// A group of servers, by the number that the driver gives it.
+/// A group of servers, by the number that the caller gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
 pub struct GroupId(pub u32);
-/// A server, by the number that the driver gives it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
+
+/// A server, by the number that the caller gives it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// The part that a server says it has.
+/// The replication role that a server reports for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// It takes writes.
     Primary,
+    /// It serves reads only.
     Replica,
 }
+
+/// The earlier of two times, where there is one.
+fn earliest(one: Option<Micros>, other: Option<Micros>) -> Option<Micros> {
+    one.into_iter().chain(other).min()
+}
--- /dev/null
+++ b/health/src/monitor/events.rs
@@ -0,0 +1,177 @@
+//! The events: each goes to the part that owns the state concerned, and decides when the verdict must be computed anew.
+
+use super::Monitor;
+use crate::event::{HealthEvent, ProbeOutcome};
+use crate::group::UpdateUrgency;
+use crate::{GroupId, Micros, Role, ServerId, earliest};
+
+/// Updates that are not urgent are at least this far apart, which bounds their cost on a busy proxy.
+const DEFERRED_UPDATE_INTERVAL_MICROS: Micros = 10_000;
+
+impl Monitor {
+    /// Takes an event; the verdict follows with the next update.
+    pub fn handle_event(&mut self, now: Micros, event: HealthEvent) {
+        match event {
+            HealthEvent::ServerListed { server, group, primary, up } => {
+                self.list_server(now, server, group, primary, up);
+            }
+            HealthEvent::ServerUnlisted { server } => {
+                self.table.remove(server);
+                self.update_by(now);
+            }
+            HealthEvent::DiscoveryAnswered => self.proxy.connectivity.discovery_heard_at = Some(now),
+            HealthEvent::RequestSent { server } => self.record_sent(now, server),
+            HealthEvent::RequestEnded { server, write, outcome, role } => {
+                self.record_outcome(now, server, write, outcome);
+                self.record_role(now, server, role);
+            }
+            HealthEvent::ProbeEnded { server, outcome, role } => {
+                self.record_probe_outcome(now, server, outcome, role);
+            }
+            HealthEvent::ServerAlive { server } => self.record_sign_of_life(now, server),
+            HealthEvent::ReadEnded { group, served } => self.record_read(now, group, served),
+            HealthEvent::WritesQueued { group, since } => self.record_queued_writes(now, group, since),
+            HealthEvent::Load { pressure, in_progress, queued, client_capacity } => {
+                self.proxy.weight.record_pressure(now, pressure, &self.settings.weight);
+                self.verdict.in_progress = in_progress;
+                self.verdict.queued = queued;
+                self.verdict.client_capacity = client_capacity;
+                self.update_by(now);
+            }
+            HealthEvent::ReadyAt(at) => {
+                self.proxy.ready_at = at;
+                self.update_by(now);
+            }
+            HealthEvent::Stopping => {
+                self.proxy.stopping = true;
+                self.update_by(now);
+            }
+            HealthEvent::HandoverAt(at) => {
+                self.proxy.handover_at = at;
+                self.update_by(now);
+            }
+            HealthEvent::Maintenance(on) => {
+                self.proxy.in_maintenance = on;
+                self.update_by(now);
+            }
+        }
+    }
+
+    fn update_by(&mut self, at: Micros) {
+        self.next_update_at = self.next_update_at.min(at);
+    }
+
+    fn request_update(&mut self, now: Micros, urgency: UpdateUrgency) {
+        match urgency {
+            UpdateUrgency::None => {}
+            UpdateUrgency::Deferred => {
+                self.update_by((self.last_update_at + DEFERRED_UPDATE_INTERVAL_MICROS).max(now));
+            }
+            UpdateUrgency::Immediate => self.update_by(now),
+        }
+    }
+
+    fn list_server(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        group: GroupId,
+        primary: Option<bool>,
+        accepts_work: bool,
+    ) {
+        self.proxy.list_received = true;
+        self.update_by(now);
+        if self.table.list(now, server, group, primary, accepts_work).is_err() {
+            self.verdict.ignored_servers += 1;
+        }
+    }
+
+    fn record_sent(&mut self, now: Micros, server: ServerId) {
+        let Some(server) = self.table.servers.get_mut(&server) else { return };
+        server.evidence.record_sent(now);
+        let next_change = server.evidence.next_change(now, &self.settings);
+        let suspect_at = self
+            .settings
+            .probes
+            .as_ref()
+            .and_then(|probes| server.evidence.silence_reaches_at(now, probes.suspect_after));
+        if let Some(at) = earliest(next_change, suspect_at) {
+            self.update_by(at);
+        }
+    }
+
+    fn record_outcome(&mut self, now: Micros, server: ServerId, write: bool, outcome: ProbeOutcome) {
+        let Some(server) = self.table.servers.get_mut(&server) else { return };
+        let evidence = &mut server.evidence;
+        let was_in_doubt = evidence.is_in_doubt();
+        match outcome {
+            ProbeOutcome::Answered => evidence.record_answer(now, write),
+            ProbeOutcome::Unanswered => evidence.record_timeout(now, write),
+            ProbeOutcome::Refused => evidence.record_refused(now),
+            ProbeOutcome::Reset => evidence.record_reset(now),
+            ProbeOutcome::Cancelled | ProbeOutcome::NotSent => evidence.record_cancelled(now),
+        }
+        let group = self.table.groups.get(&evidence.group);
+        let urgency = match outcome {
+            // The common case, an answer from a server of a healthy group, must cost no update.
+            ProbeOutcome::Answered => {
+                let group_unavailable =
+                    group.is_some_and(|group| !group.write.available || !group.read.available);
+                if was_in_doubt && group_unavailable { UpdateUrgency::Deferred } else { UpdateUrgency::None }
+            }
+            ProbeOutcome::Cancelled | ProbeOutcome::NotSent => UpdateUrgency::None,
+            ProbeOutcome::Unanswered | ProbeOutcome::Refused | ProbeOutcome::Reset => {
+                UpdateUrgency::Immediate
+            }
+        };
+        self.request_update(now, urgency);
+    }
+
+    fn record_probe_outcome(&mut self, now: Micros, id: ServerId, outcome: ProbeOutcome, role: Option<Role>) {
+        let Some(server) = self.table.servers.get_mut(&id) else { return };
+        if server.probe_sent_at.take().is_some() {
+            self.record_outcome(now, id, false, outcome);
+        } else if outcome == ProbeOutcome::Answered {
+            // The probe counted as lost already; its answer is a sign of life all the same.
+            server.evidence.record_sign_of_life(now);
+            self.request_update(now, UpdateUrgency::Deferred);
+        } else {
+            return;
+        }
+        self.record_role(now, id, role);
+    }
+
+    fn record_sign_of_life(&mut self, now: Micros, server: ServerId) {
+        let Some(server) = self.table.servers.get_mut(&server) else { return };
+        let was_in_doubt = server.evidence.is_in_doubt();
+        server.evidence.record_sign_of_life(now);
+        if was_in_doubt {
+            self.request_update(now, UpdateUrgency::Deferred);
+        }
+    }
+
+    fn record_role(&mut self, now: Micros, id: ServerId, role: Option<Role>) {
+        let Some(role) = role else { return };
+        let Some(server) = self.table.servers.get_mut(&id) else { return };
+        server.evidence.reported_role = Some(role);
+        let Some(group) = self.table.groups.get_mut(&server.evidence.group) else { return };
+        let urgency = group.record_role(now, id, role);
+        self.request_update(now, urgency);
+    }
+
+    fn record_read(&mut self, now: Micros, group: GroupId, served: bool) {
+        let Some(group) = self.table.groups.get_mut(&group) else { return };
+        group.reads.record(now, served);
+        if served != group.read.available {
+            self.request_update(now, UpdateUrgency::Deferred);
+        }
+    }
+
+    fn record_queued_writes(&mut self, now: Micros, group: GroupId, since: Option<Micros>) {
+        let Some(group) = self.table.groups.get_mut(&group) else { return };
+        if std::mem::replace(&mut group.writes_queued_since, since) != since {
+            let counts_at = since.map_or(now, |since| since + self.settings.silence_limit());
+            self.update_by(counts_at.max(now));
+        }
+    }
+}
--- /dev/null
+++ b/health/src/probe_budget.rs
@@ -0,0 +1,56 @@
+//! The rate limit of probes: a token bucket for each group and one for all together.
+
+use crate::settings::ProbeSettings;
+use crate::{GroupId, Micros};
+use std::collections::BTreeMap;
+
+/// Probes that may be sent at once while the bucket is full.
+const GROUP_BURST: f64 = 3.0;
+const TOTAL_BURST: f64 = 8.0;
+
+#[derive(Clone, Debug)]
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Micros,
+}
+
+impl TokenBucket {
+    fn full(now: Micros, burst: f64) -> TokenBucket {
+        TokenBucket { tokens: burst, refilled_at: now }
+    }
+
+    fn refill(&mut self, now: Micros, rate_per_s: f64, burst: f64) {
+        let seconds = (now - self.refilled_at).max(0) as f64 / 1e6;
+        self.tokens = (self.tokens + seconds * rate_per_s).min(burst);
+        self.refilled_at = now;
+    }
+}
+
+#[derive(Clone, Debug)]
+pub(crate) struct ProbeBudget {
+    total: TokenBucket,
+    groups: BTreeMap<GroupId, TokenBucket>,
+}
+
+impl ProbeBudget {
+    pub fn new(now: Micros) -> ProbeBudget {
+        ProbeBudget { total: TokenBucket::full(now, TOTAL_BURST), groups: BTreeMap::new() }
+    }
+
+    /// Takes a token of both buckets for one probe. False if either has none.
+    pub fn take(&mut self, now: Micros, group: GroupId, settings: &ProbeSettings) -> bool {
+        self.total.refill(now, settings.total_rate_per_s, TOTAL_BURST);
+        let bucket = self.groups.entry(group).or_insert(TokenBucket::full(now, GROUP_BURST));
+        bucket.refill(now, settings.group_rate_per_s, GROUP_BURST);
+        if self.total.tokens < 1.0 || bucket.tokens < 1.0 {
+            return false;
+        }
+        self.total.tokens -= 1.0;
+        bucket.tokens -= 1.0;
+        true
+    }
+
+    pub fn remove_group(&mut self, group: GroupId) {
+        self.groups.remove(&group);
+    }
+}
--- /dev/null
+++ b/health/src/read_window.rs
@@ -0,0 +1,55 @@
+//! The success rate of a group's recent reads, over a sliding window of fixed intervals.
+
+use crate::Micros;
+
+/// Intervals in the window.
+const INTERVALS: usize = 3;
+/// The length of one interval.
+pub(crate) const INTERVAL_MICROS: Micros = 1_000_000;
+/// Fewer reads than this in the window say nothing.
+const MIN_READS: u64 = 20;
+/// Reads are failing if fewer than one in this many are served.
+const MIN_SERVED_ONE_IN: u64 = 10;
+
+#[derive(Clone, Copy, Debug, Default)]
+struct Interval {
+    served: u64,
+    finished: u64,
+}
+
+/// Counts of reads by interval, the current interval first.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ReadWindow {
+    intervals: [Interval; INTERVALS],
+    current_started_at: Micros,
+}
+
+impl ReadWindow {
+    pub fn record(&mut self, now: Micros, served: bool) {
+        self.advance(now);
+        self.intervals[0].served += u64::from(served);
+        self.intervals[0].finished += 1;
+    }
+
+    /// Nearly all reads of the window were rejected or failed.
+    pub fn is_failing(&mut self, now: Micros) -> bool {
+        self.advance(now);
+        let served: u64 = self.intervals.iter().map(|interval| interval.served).sum();
+        let finished: u64 = self.intervals.iter().map(|interval| interval.finished).sum();
+        finished >= MIN_READS && served * MIN_SERVED_ONE_IN < finished
+    }
+
+    fn advance(&mut self, now: Micros) {
+        while now - self.current_started_at >= INTERVAL_MICROS {
+            let passed = (now - self.current_started_at) / INTERVAL_MICROS;
+            if passed >= INTERVALS as Micros {
+                self.intervals = Default::default();
+                self.current_started_at = now;
+                return;
+            }
+            self.intervals.rotate_right(1);
+            self.intervals[0] = Interval::default();
+            self.current_started_at += INTERVAL_MICROS;
+        }
+    }
+}
--- /dev/null
+++ b/health/src/server_table.rs
@@ -0,0 +1,97 @@
+//! The servers and groups of the endpoint list, both bounded in number.
+
+use crate::evidence::ServerEvidence;
+use crate::group::GroupState;
+use crate::{GroupId, Micros, ServerId};
+use std::collections::BTreeMap;
+
+/// Servers and groups beyond these numbers are ignored and counted.
+const MAX_SERVERS: usize = 4096;
+const MAX_GROUPS: usize = 1024;
+
+/// A server and the state of its probes.
+pub(crate) struct MonitoredServer {
+    pub evidence: ServerEvidence,
+    /// When the probe in flight was sent, if one is.
+    pub probe_sent_at: Option<Micros>,
+    /// The next probe is not sent before this time.
+    pub probe_not_before: Micros,
+    /// The next periodic probe is due this much early, so that proxies don't probe in lockstep.
+    pub probe_advance: Micros,
+}
+
+pub(crate) type Servers = BTreeMap<ServerId, MonitoredServer>;
+
+/// The endpoint list has no place for a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct TableFull;
+
+#[derive(Default)]
+pub(crate) struct ServerTable {
+    pub servers: Servers,
+    pub groups: BTreeMap<GroupId, GroupState>,
+}
+
+impl ServerTable {
+    /// Takes what the endpoint list says of a server.
+    pub fn list(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        group: GroupId,
+        primary: Option<bool>,
+        accepts_work: bool,
+    ) -> Result<(), TableFull> {
+        let changes_group = self.servers.get(&id).is_none_or(|server| server.evidence.group != group);
+        if changes_group {
+            self.insert(now, id, group)?;
+        }
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.evidence.listed_as_primary = primary;
+            server.evidence.accepts_work = accepts_work;
+        }
+        Ok(())
+    }
+
+    /// Adds a server, or moves it to another group, where it starts without evidence.
+    fn insert(&mut self, now: Micros, id: ServerId, group: GroupId) -> Result<(), TableFull> {
+        let server_fits = self.servers.len() < MAX_SERVERS || self.servers.contains_key(&id);
+        let group_fits = self.groups.len() < MAX_GROUPS || self.groups.contains_key(&group);
+        if !server_fits || !group_fits {
+            return Err(TableFull);
+        }
+        self.leave_group(id);
+        let evidence = ServerEvidence::new(now, group);
+        let server =
+            MonitoredServer { evidence, probe_sent_at: None, probe_not_before: now, probe_advance: 0 };
+        self.servers.insert(id, server);
+        self.groups.entry(group).or_insert_with(|| GroupState::new(now)).members.push(id);
+        Ok(())
+    }
+
+    pub fn remove(&mut self, id: ServerId) {
+        self.leave_group(id);
+        self.servers.remove(&id);
+    }
+
+    fn leave_group(&mut self, id: ServerId) {
+        let group = self.servers.get(&id).map(|server| server.evidence.group);
+        if let Some(group) = group.and_then(|group| self.groups.get_mut(&group)) {
+            group.members.retain(|member| *member != id);
+        }
+    }
+
+    /// Counts the working members of each group. Removes groups without members and returns them.
+    pub fn refresh_groups(&mut self) -> Vec<GroupId> {
+        let servers = &self.servers;
+        let mut removed = Vec::new();
+        self.groups.retain(|id, group| {
+            group.working_members = group.working(servers).count();
+            if group.members.is_empty() {
+                removed.push(*id);
+            }
+            !group.members.is_empty()
+        });
+        removed
+    }
+}
--- a/health/src/settings.rs
+++ b/health/src/settings.rs
@@ -1,114 +1,134 @@
-//! What the operators set, and whether it can hold together.
+//! The settings of the monitor and the rules that hold among them. The XML options file calls them by other names, which
+//! `options/src/health.rs` maps.
 
 use crate::Micros;
 
-/// What is claimed of a group that nothing was heard of within the window.
+/// What is reported of a group without a proof within the window and without evidence against it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleGroupPolicy {
-    /// What the list says, as long as nothing that was heard speaks against it.
+    /// What the endpoint list says.
     TrustEndpointList,
-    /// Nothing.
+    /// Its writes are unavailable.
     Withdraw,
 }
 
-/// What a cause that all proxies share does to the whole.
+/// What a cause that all proxies share (no primary in any group) does to the proxy as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SharedCausePolicy {
-    /// It is told where the capability is asked for, and the whole stays in rotation.
+    /// It stays in rotation; only the capability concerned is unavailable.
     StayInRotation,
-    /// With no primary in any group, the whole is not able.
+    /// It is unavailable.
     ReportDown,
 }
 
-/// What being overloaded does to the whole.
+/// What overload does to the proxy as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverloadPolicy {
-    /// The weight falls as far as it may.
+    /// It stays available with a reduced weight.
     ReduceWeight,
-    /// The whole is not able.
+    /// It is unavailable.
     ReportDown,
 }
 
-/// When the sum of a capability over all groups is able.
+/// When an operation over all groups is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AggregationRule {
-    /// With one group that is.
+    /// If it is in at least one group.
     AnyGroup,
-    /// With all groups.
+    /// If it is in all groups.
     AllGroups,
 }
 
-/// Whom a class of requests needs.
+/// The server that a class of requests needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequiredServer {
+    /// The primary.
     Primary,
+    /// Any server of the group.
     AnyMember,
 }
 
+/// A class of requests that balancers may ask for by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestClass {
+    /// Its name in the proxy's settings.
     pub name: String,
+    /// The server that it needs.
     pub needs: RequiredServer,
 }
 
-/// When a server may be asked for a sign of life unasked by any request, and how often at most.
+/// When servers are probed, and how often at most.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeSettings {
-    /// A group of which nothing was proven for so long is asked.
+    /// The primary of a group without a proof for this long is probed.
     pub interval: Micros,
-    /// A server that owes an answer for so long is asked.
+    /// A primary that is silent for this long is probed.
     pub suspect_after: Micros,
-    /// A probe that is out for so long is lost.
+    /// The timeout of a probe.
     pub timeout: Micros,
-    /// Probes a second at most, for each group and for all.
+    /// The most probes a second to one group.
     pub group_rate_per_s: f64,
+    /// The most probes a second to all groups together.
     pub total_rate_per_s: f64,
 }
 
-/// How the weight follows the pressure.
+/// How the weight follows the pressure, see `weight`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightSettings {
     /// Up to this pressure (0 to 1) the weight is 100.
     pub reduce_above: f64,
-    /// The weight at full pressure, in per cent.
+    /// The weight in per cent at a pressure of 1, before the trim.
     pub percent_at_full_pressure: f64,
-    /// The weight moves at most by this factor a second, up and down.
+    /// The weight rises at most by this factor a second.
     pub max_rise_factor_per_s: f64,
+    /// The weight falls at most by this factor a second.
     pub max_fall_factor_per_s: f64,
-    /// It goes to where it belongs within about this time: some times longer than balancers take to follow.
+    /// Time constant with which the weight approaches its target. It must exceed the time that balancers take to act
+    /// on a weight, or the loop oscillates.
     pub settling_time: Micros,
-    /// Above this pressure the weight goes on falling until the pressure is below.
+    /// Above this pressure the trim lowers the weight further.
     pub trim_above: f64,
 }
 
+/// The settings of a monitor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthSettings {
+    /// The classes of requests that balancers may ask for.
     pub classes: Vec<RequestClass>,
+    /// What is reported of idle groups.
     pub idle_groups: IdleGroupPolicy,
+    /// What a shared cause does to the proxy as a whole.
     pub shared_causes: SharedCausePolicy,
+    /// What overload does to the proxy as a whole.
     pub overload: OverloadPolicy,
+    /// When an operation over all groups is available.
     pub aggregation: AggregationRule,
-    /// A proof counts for so long.
+    /// How long a server's report that it is the primary counts.
     pub proof_window: Micros,
-    /// Bad news must last this long to be told, good news that long; it doubles with each fall within a minute, up to
-    /// `rise_most`.
+    /// A capability must be observed as unavailable for this long before it is withdrawn.
     pub withdraw_after: Micros,
+    /// A capability must be observed as available for this long before it is restored. Doubles with each withdrawal
+    /// within a minute of the last.
     pub restore_after: Micros,
+    /// The limit of that doubling.
     pub restore_after_max: Micros,
-    /// Being able, and not being able, is held at least so long.
+    /// A capability stays available for at least this long.
     pub min_time_available: Micros,
+    /// A capability stays unavailable for at least this long.
     pub min_time_unavailable: Micros,
-    /// A server that owes answers and gives no sign of life for so long is silent. The shorter time counts where probes
-    /// tell slow from silent.
+    /// Without probes, a server that owes a response and is silent for this long counts as unresponsive.
     pub silence_limit_unprobed: Micros,
+    /// The same with probes, which tell a slow server from an unresponsive one.
     pub silence_limit_probed: Micros,
-    /// Discovery that was not heard for so long is lost.
+    /// Discovery that has not responded for this long counts as lost.
     pub discovery_lost_after: Micros,
     /// From this pressure on the proxy is overloaded.
     pub overload_pressure: f64,
+    /// Probes are sent if this is set.
     pub probes: Option<ProbeSettings>,
+    /// How the weight follows the pressure.
     pub weight: WeightSettings,
-    /// For what proxies must not do in step.
+    /// For the jitter of probes.
     pub seed: u64,
 }
 
@@ -162,59 +182,9 @@
     }
 }
 
-/// Something that cannot hold together; `field` is the option's name.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError {
-    pub option: &'static str,
-    pub message: &'static str,
-}
-
-/// Within this time a hang must be told, and this much of it is kept for the turns of a busy loop.
-const TOLD: Micros = 2_000_000;
-const TURNS: Micros = 100_000;
-
 impl HealthSettings {
-    /// The silence that speaks against a server.
+    /// For how long a server that owes a response may be silent.
     pub fn silence_limit(&self) -> Micros {
         if self.probes.is_some() { self.silence_limit_probed } else { self.silence_limit_unprobed }
     }
-
-    /// What the options' schema cannot say: sums and orders of values.
-    pub fn errors(&self) -> Vec<SettingsError> {
-        let mut faults = Vec::new();
-        let mut must = |holds: bool, field, message| {
-            if !holds {
-                faults.push(SettingsError { option: field, message });
-            }
-        };
-        must(self.silence_limit_probed <= self.silence_limit_unprobed, "hang-probed-ms", "above hang-ms");
-        must(
-            self.silence_limit_unprobed + self.withdraw_after + TURNS <= TOLD,
-            "hang-ms",
-            "with fall-ms, a hang would be told later than after 1.9 s",
-        );
-        must(
-            self.min_time_available <= self.silence_limit(),
-            "hold-able-ms",
-            "above the time after which a hang is told",
-        );
-        must(self.restore_after <= self.restore_after_max, "rise-ms", "above rise-most-ms");
-        must(self.weight.reduce_above < self.weight.trim_above, "knee", "not below hot");
-        must(self.weight.trim_above < self.overload_pressure, "hot", "not below overload-at");
-        must(
-            self.idle_groups == IdleGroupPolicy::TrustEndpointList || self.probes.is_some(),
-            "idle",
-            "with withdraw and no probes, an idle group would never be claimed again",
-        );
-        if let Some(probes) = &self.probes {
-            must(probes.interval * 2 <= self.proof_window, "every-ms", "above half of window-ms");
-            must(
-                probes.suspect_after + probes.timeout <= self.silence_limit_probed,
-                "timeout-ms",
-                "with suspect-ms, above hang-probed-ms: a slow server would be told as a silent one",
-            );
-            must(probes.group_rate_per_s <= probes.total_rate_per_s, "group-per-s", "above whole-per-s");
-        }
-        faults
-    }
 }
--- a/health/src/verdict.rs
+++ b/health/src/verdict.rs
@@ -1,209 +1,129 @@
-//! What is told: the state of the whole, each group's capabilities, and the sums by class; the closed sets of words
-//! for them. Owns no evidence; every protocol reads the same verdict.
+//! The verdict: what is reported of the proxy as a whole, of each group and of each class of requests. Every protocol
+//! answers from the same verdict.
 
+use crate::query::HealthQuery;
 use crate::settings::{AggregationRule, HealthSettings, RequestClass, RequiredServer};
+use crate::words::{Operation, Reason, State};
 use crate::{GroupId, Micros, ServerId};
-use serde::Serialize;
-
-/// How the whole is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum State {
-    /// It does not know its servers yet, or waits for the process that it replaces.
-    Starting,
-    Ready,
-    /// Some capability is missing, by a cause that other proxies have too.
-    Degraded,
-    /// It has more to do than it can.
-    Overloaded,
-    /// No group has a primary that is proven or trusted.
-    NoPrimary,
-    /// Discovery and every database that was tried are unheard.
-    Blind,
-    /// It takes no new work: it stops, or another process has taken over.
-    Draining,
-    /// An operator has taken it out.
-    Maintenance,
-}
-
-/// Why a capability is claimed or not.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Reason {
-    /// Heard within the window.
-    Proven,
-    /// The list says so, and nothing speaks against it.
-    Trusted,
-    /// Able again, but not for long enough to be told.
-    Recovering,
-    Starting,
-    /// Nothing within the window proves it.
-    Unproven,
-    /// The list names no primary, and none was heard.
-    NoPrimary,
-    /// The primary drains or has left, and none was heard since.
-    PrimaryLeft,
-    /// The primary takes connections and says nothing.
-    PrimarySilent,
-    /// No process listens at the primary, or it breaks every connection.
-    PrimaryGone,
-    /// The server that was the primary says that it is none.
-    PrimaryDemoted,
-    /// The primary answers, but no writes.
-    WritesUnanswered,
-    /// Writes are held for want of a server that takes them.
-    WritesHeld,
-    /// The list names no member that takes work.
-    NoMembers,
-    /// No member gives a sign of life.
-    MembersSilent,
-    /// Nearly all reads are refused or fail.
-    ReadsFailing,
-    /// No group is known.
-    NoGroups,
-    Overloaded,
-    Blind,
-    Draining,
-    Replaced,
-    Maintenance,
-}
-
-/// A word of one of the closed sets, as every protocol and log line writes it.
-macro_rules! words {
-    ($type:ident { $($variant:ident = $word:literal),* $(,)? }) => {
-        impl $type {
-            pub fn word(self) -> &'static str {
-                match self { $($type::$variant => $word),* }
-            }
-            /// All of them, for the pages and their test.
-            pub const ALL: &'static [$type] = &[$($type::$variant),*];
-        }
-        impl std::fmt::Display for $type {
-            fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-                f.write_str(self.word())
-            }
-        }
-    };
-}
-
-words!(State {
-    Starting = "starting",
-    Ready = "ready",
-    Degraded = "degraded",
-    Overloaded = "overloaded",
-    NoPrimary = "no-primary",
-    Blind = "blind",
-    Draining = "draining",
-    Maintenance = "maintenance",
-});
-words!(Reason {
-    Proven = "proven",
-    Trusted = "trusted",
-    Recovering = "recovering",
-    Starting = "starting",
-    Unproven = "unproven",
-    NoPrimary = "no-primary",
-    PrimaryLeft = "primary-left",
-    PrimarySilent = "primary-silent",
-    PrimaryGone = "primary-gone",
-    PrimaryDemoted = "primary-demoted",
-    WritesUnanswered = "writes-unanswered",
-    WritesHeld = "writes-held",
-    NoMembers = "no-members",
-    MembersSilent = "members-silent",
-    ReadsFailing = "reads-failing",
-    NoGroups = "no-groups",
-    Overloaded = "overloaded",
-    Blind = "blind",
-    Draining = "draining",
-    Replaced = "replaced",
-    Maintenance = "maintenance",
-});
-words!(Operation { Read = "read", Write = "write" });
-
-/// Reads or writes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Operation {
-    Read,
-    Write,
-}
-
-/// What a balancer asks for. All absent: the whole.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HealthQuery {
-    pub class: Option<String>,
-    pub group: Option<GroupId>,
-    pub operation: Option<Operation>,
-}
 
 /// Something that a balancer may send work for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capability {
+    /// Work may be sent.
     pub available: bool,
-    /// Able, but not in all its parts.
+    /// Available, but not in all of its parts.
     pub partial: bool,
+    /// Why it is available or not.
     pub reason: Reason,
-    /// Since when it is told as it is.
+    /// Since when it is reported as it is.
     pub since: Micros,
-    /// In per cent; 0 only where it is not able.
+    /// The balancer weight in per cent; 0 only if it is unavailable.
     pub weight_percent: u8,
 }
 
-#[derive(Clone, Debug, PartialEq, Serialize)]
+/// What is reported of one group.
+#[derive(Clone, Debug, PartialEq)]
 pub struct GroupVerdict {
+    /// The group.
     pub group: GroupId,
+    /// Its reads.
     pub read: Capability,
+    /// Its writes.
     pub write: Capability,
-    /// Who gave the last proof of being the primary, and when.
+    /// The server that last proved to be the primary.
     pub proven_primary: Option<ServerId>,
+    /// When it did.
     pub proven_at: Option<Micros>,
+    /// How many of its servers take work.
     pub working_servers: usize,
 }
 
+/// What is reported to balancers and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
+    /// The state of the proxy as a whole.
     pub state: State,
-    /// The whole: what a balancer hears that asks for nothing special.
+    /// The proxy as a whole: the answer to a query without any field.
     pub overall: Capability,
-    /// By number.
+    /// In ascending order of the groups' ids.
     pub groups: Vec<GroupVerdict>,
+    /// The classes of requests that may be asked for.
     pub classes: Vec<RequestClass>,
+    /// How groups are summed up for a class or an operation.
     pub aggregation: AggregationRule,
+    /// When discovery last responded.
     pub discovery_heard_at: Option<Micros>,
-    /// Smoothed, 0 to 1.
+    /// The proxy's pressure, smoothed, from 0 to 1.
     pub pressure: f64,
-    /// Requests without an attempt out.
+    /// Requests without an attempt in flight.
     pub queued: usize,
+    /// Open requests.
     pub in_progress: usize,
-    /// Places for clients.
+    /// Connections from clients that the proxy can hold.
     pub client_capacity: usize,
-    /// Facts left out because a table was full.
+    /// Entries of the endpoint list that were ignored because a table was full.
     pub ignored_servers: u64,
 }
 
-/// A change of what is told, for the log.
+/// A change of the verdict, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    State { from: State, to: State, reason: Reason },
-    Capability { group: GroupId, operation: Operation, available: bool, reason: Reason },
+    /// The overall state changed.
+    State {
+        /// The state before.
+        from: State,
+        /// The state now.
+        to: State,
+        /// Why.
+        reason: Reason,
+    },
+    /// A capability of a group became available or unavailable.
+    Capability {
+        /// The group.
+        group: GroupId,
+        /// Its reads or its writes.
+        operation: Operation,
+        /// Available now.
+        available: bool,
+        /// Why.
+        reason: Reason,
+    },
+}
+
+impl GroupVerdict {
+    /// The capability for one operation.
+    pub fn capability(&self, operation: Operation) -> Capability {
+        match operation {
+            Operation::Read => self.read,
+            Operation::Write => self.write,
+        }
+    }
+
+    /// Reads and writes together: available with either of them, partially without both.
+    fn combined(&self) -> Capability {
+        let (read, write) = (self.read, self.write);
+        match (read.available, write.available) {
+            (true, true) | (false, false) => read,
+            (true, false) => Capability { partial: true, reason: write.reason, since: write.since, ..read },
+            (false, true) => Capability { partial: true, reason: read.reason, since: read.since, ..write },
+        }
+    }
 }
 
 impl Verdict {
-    pub(crate) fn new(now: Micros, s: &HealthSettings) -> Verdict {
-        let whole = Capability {
-            available: false,
-            partial: false,
-            reason: Reason::Starting,
-            since: now,
-            weight_percent: 0,
-        };
+    pub(crate) fn new(now: Micros, settings: &HealthSettings) -> Verdict {
         Verdict {
             state: State::Starting,
-            overall: whole,
+            overall: Capability {
+                available: false,
+                partial: false,
+                reason: Reason::Starting,
+                since: now,
+                weight_percent: 0,
+            },
             groups: Vec::new(),
-            classes: s.classes.clone(),
-            aggregation: s.aggregation,
+            classes: settings.classes.clone(),
+            aggregation: settings.aggregation,
             discovery_heard_at: None,
             pressure: 0.0,
             queued: 0,
@@ -213,63 +133,60 @@
         }
     }
 
-    /// The answer to a question; none if it names what there is not.
-    pub fn capability(&self, question: &HealthQuery) -> Option<Capability> {
-        let kind = match &question.class {
-            None => question.operation,
-            Some(name) => {
-                let class = self.classes.iter().find(|c| c.name == *name)?;
-                let kind =
-                    if class.needs == RequiredServer::Primary { Operation::Write } else { Operation::Read };
-                if question.operation.is_some_and(|k| k != kind) {
-                    return None;
-                }
-                Some(kind)
-            }
+    /// The answer to a query; none if it names an unknown class or group, or an operation that isn't its class's.
+    pub fn capability(&self, query: &HealthQuery) -> Option<Capability> {
+        let operation = match &query.class {
+            None => query.operation,
+            Some(name) => Some(self.class_operation(name, query.operation)?),
         };
-        match (question.group, kind) {
+        match (query.group, operation) {
             (None, None) => Some(self.overall),
-            (None, Some(kind)) => Some(self.sum(kind)),
-            (Some(group), kind) => {
-                let at = self.groups.binary_search_by_key(&group, |g| g.group).ok()?;
-                let g = &self.groups[at];
-                Some(match kind {
-                    Some(Operation::Read) => g.read,
-                    Some(Operation::Write) => g.write,
-                    None => both(&g.read, &g.write),
-                })
+            (None, Some(operation)) => Some(self.aggregate(operation)),
+            (Some(id), operation) => {
+                let index = self.groups.binary_search_by_key(&id, |group| group.group).ok()?;
+                let group = &self.groups[index];
+                Some(operation.map_or_else(|| group.combined(), |operation| group.capability(operation)))
             }
         }
     }
 
-    /// A capability over all groups; its weight is in proportion to those that are able.
-    fn sum(&self, kind: Operation) -> Capability {
+    /// The operation that a class needs; none if there is no such class, or another operation is asked for.
+    fn class_operation(&self, name: &str, asked: Option<Operation>) -> Option<Operation> {
+        let class = self.classes.iter().find(|class| class.name == name)?;
+        let operation = match class.needs {
+            RequiredServer::Primary => Operation::Write,
+            RequiredServer::AnyMember => Operation::Read,
+        };
+        asked.is_none_or(|asked| asked == operation).then_some(operation)
+    }
+
+    /// An operation over all groups; its weight is in proportion to the groups that are available.
+    fn aggregate(&self, operation: Operation) -> Capability {
         if !self.overall.available {
             return Capability { weight_percent: 0, ..self.overall };
         }
-        let of = |g: &GroupVerdict| if kind == Operation::Read { g.read } else { g.write };
-        let able = self.groups.iter().filter(|g| of(g).available).count();
-        let all = self.groups.len();
+        let parts = || self.groups.iter().map(|group| group.capability(operation));
+        let total = self.groups.len();
+        let available = parts().filter(|part| part.available).count();
         let enough = match self.aggregation {
-            AggregationRule::AnyGroup => able > 0,
-            AggregationRule::AllGroups => able > 0 && able == all,
+            AggregationRule::AnyGroup => available > 0,
+            AggregationRule::AllGroups => available > 0 && available == total,
         };
-        // What is told of the sum is the worst of its parts, or the least sure where all are able.
-        let telling = self.groups.iter().map(of).filter(|c| able == all || !c.available);
-        let reason = telling.clone().map(|c| c.reason).max().unwrap_or(Reason::NoGroups);
-        let since = telling.map(|c| c.since).max().unwrap_or(self.overall.since);
-        let share = if all == 0 { 0.0 } else { able as f64 / all as f64 };
-        let weight =
-            if enough { (f64::from(self.overall.weight_percent) * share).round().max(1.0) as u8 } else { 0 };
-        Capability { available: enough, partial: enough && able < all, reason, since, weight_percent: weight }
+        // The reason is the most severe one among the unavailable groups, or among all if all are available.
+        let reported = || parts().filter(|part| available == total || !part.available);
+        let reason = reported().map(|part| part.reason).max().unwrap_or(Reason::NoGroups);
+        let since = reported().map(|part| part.since).max().unwrap_or(self.overall.since);
+        Capability {
+            available: enough,
+            partial: enough && available < total,
+            reason,
+            since,
+            weight_percent: if enough { self.proportional_weight(available, total) } else { 0 },
+        }
     }
-}
 
-/// A group's reads and writes together: able with either, in part without both.
-fn both(read: &Capability, write: &Capability) -> Capability {
-    match (read.available, write.available) {
-        (true, true) | (false, false) => *read,
-        (true, false) => Capability { partial: true, reason: write.reason, since: write.since, ..*read },
-        (false, true) => Capability { partial: true, reason: read.reason, since: read.since, ..*write },
+    fn proportional_weight(&self, available: usize, total: usize) -> u8 {
+        let fraction = if total == 0 { 0.0 } else { available as f64 / total as f64 };
+        (f64::from(self.overall.weight_percent) * fraction).round().max(1.0) as u8
     }
 }
--- /dev/null
+++ b/health/tests/agent_check.rs
@@ -0,0 +1,49 @@
+//! The agent-check connection: what a line asks for, however its bytes arrive.
+
+use birchreach_health::agent::{AgentCheckConnection, ParsedQuery};
+use birchreach_health::query::QueryError;
+use birchreach_health::{GroupId, HealthQuery, Operation};
+
+/// The query of a line. Arriving byte by byte it is the same query.
+fn query_of(line: &str) -> ParsedQuery {
+    let mut at_once = AgentCheckConnection::default();
+    let query = at_once.feed(line.as_bytes());
+    let mut split = AgentCheckConnection::default();
+    let pieces: Vec<ParsedQuery> = line.bytes().filter_map(|byte| split.feed(&[byte])).collect();
+    assert_eq!(query.iter().collect::<Vec<_>>(), pieces.iter().collect::<Vec<_>>());
+    assert_eq!(at_once.feed(b"more\n"), None, "one line is all that is read");
+    query.unwrap()
+}
+
+fn error_word(query: ParsedQuery) -> Result<HealthQuery, &'static str> {
+    query.map_err(QueryError::as_str)
+}
+
+#[test]
+fn lines_are_queries_or_refused_with_the_reason() {
+    let expected = |class: Option<&str>, group: Option<u32>, operation| {
+        Ok(HealthQuery { class: class.map(Into::into), group: group.map(GroupId), operation })
+    };
+    assert_eq!(query_of("\n"), expected(None, None, None));
+    assert_eq!(query_of("file-entry\r\n"), expected(Some("file-entry"), None, None));
+    assert_eq!(query_of("group=3\n"), expected(None, Some(3), None));
+    assert_eq!(query_of(" group=3, class=file-entry \n"), expected(Some("file-entry"), Some(3), None));
+    assert_eq!(query_of("write;group=0\n"), expected(None, Some(0), Some(Operation::Write)));
+    assert_eq!(error_word(query_of("group=x\n")), Err("group-is-no-number"));
+    assert_eq!(error_word(query_of("group=1 group=2\n")), Err("word-twice"));
+    assert_eq!(error_word(query_of("a b\n")), Err("word-twice"));
+    assert_eq!(error_word(query_of("port=1\n")), Err("unknown-word"));
+    let mut endless = AgentCheckConnection::default();
+    assert_eq!(endless.feed(&[b'x'; 4096]).map(error_word), Some(Err("line-too-long")));
+    let mut not_utf8 = AgentCheckConnection::default();
+    assert_eq!(not_utf8.feed(b"\xff\xfe\n").map(error_word), Some(Err("not-text")));
+    // Without the end of the line, what came is the query; nothing at all asks for the proxy as a whole.
+    let mut silent = AgentCheckConnection::default();
+    assert_eq!(silent.input_ended(), Some(expected(None, None, None)));
+    assert_eq!(silent.input_ended(), None);
+    let mut unfinished = AgentCheckConnection::default();
+    assert_eq!(
+        (unfinished.feed(b"file-entry"), unfinished.input_ended()),
+        (None, Some(expected(Some("file-entry"), None, None)))
+    );
+}
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -107,10 +107,10 @@
             self.ms(node, "lead-ms", &mut lead);
         }
         // What does not hold together is told where it is written, or else at the whole.
-        for fault in settings.errors() {
-            let written = |n: &NodeId| self.doc.get_attribute(*n, fault.option).is_some();
-            let at = parts.into_iter().flatten().find(written).unwrap_or(node);
-            self.fault(at, format!("{}: {}", fault.option, fault.message));
+        for error in settings.errors() {
+            let is_written = |node: &NodeId| self.doc.get_attribute(*node, error.option).is_some();
+            let at = parts.into_iter().flatten().find(is_written).unwrap_or(node);
+            self.fault(at, error.to_string());
         }
         if http.is_none() && agent.is_none() && grpc.is_none() {
             self.fault(node, "neither http, agent nor grpc: nobody could ask");
--- a/proxy/src/grpc.rs
+++ b/proxy/src/grpc.rs
@@ -333,7 +333,7 @@
     }
     let message = rest.get(..length)?;
     let request = HealthCheckRequest::decode(message).map_err(|_| ());
-    Some(request.map(|request| agent::parse_query(request.service.as_bytes())))
+    Some(request.map(|request| HealthQuery::parse(request.service.as_bytes())))
 }
 
 /// The status of what is asked for; none if there is no such thing.
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -155,10 +155,15 @@
         for change in changes {
             match change {
                 Change::State { from, to, reason } => {
-                    info!(event = "health", state = to.word(), was = from.word(), reason = reason.word());
+                    info!(
+                        event = "health",
+                        state = to.as_str(),
+                        was = from.as_str(),
+                        reason = reason.as_str()
+                    );
                 }
                 Change::Capability { group, operation: kind, available: able, reason } => {
-                    let (kind, reason) = (kind.word(), reason.word());
+                    let (kind, reason) = (kind.as_str(), reason.as_str());
                     info!(event = "health-claim", group = group.0, kind, able, reason);
                 }
             }
