--- /dev/null
+++ b/health/tests/wire_format.rs
@@ -0,0 +1,138 @@
+//! The bytes that balancers read, and the words in them, as a run of commit b41bd8a wrote them. Balancers'
+//! configurations and operators' scripts depend on each of them.
+
+use birchreach_health::agent::AgentCheckConnection;
+use birchreach_health::http::HttpCheckConnection;
+use birchreach_health::query::HealthQuery;
+use birchreach_health::*;
+
+/// A proxy with two groups: the primary of the first is proven, that of the second refuses connections.
+fn degraded_proxy() -> Monitor {
+    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
+    let classes =
+        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let mut monitor = Monitor::new(HealthSettings { classes, ..HealthSettings::default() }, 0);
+    for n in 0..2 {
+        let (server, group) = (ServerId(n), GroupId(n));
+        monitor
+            .handle_event(1_000, HealthEvent::ServerListed { server, group, primary: Some(true), up: true });
+    }
+    monitor.handle_event(1_000, HealthEvent::DiscoveryAnswered);
+    monitor.update(1_000);
+    let mut write = |now, server, outcome, role| {
+        monitor.handle_event(now, HealthEvent::RequestSent { server });
+        monitor.handle_event(now + 1_000, HealthEvent::RequestEnded { server, write: true, outcome, role });
+    };
+    write(2_000, ServerId(0), ProbeOutcome::Answered, Some(Role::Primary));
+    write(3_000, ServerId(1), ProbeOutcome::Refused, None);
+    let load = HealthEvent::Load { pressure: 0.25, in_progress: 3, queued: 2, client_capacity: 40 };
+    monitor.handle_event(4_000, load);
+    monitor.update(4_000);
+    monitor.update(700_000);
+    monitor
+}
+
+#[test]
+fn http_responses_have_their_recorded_bytes() {
+    let monitor = degraded_proxy();
+    let name = |server: ServerId| format!("s-{}", server.0);
+    for (path, recorded) in [
+        (
+            "/health",
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 873\r\nCache-Control: no-store\r\nx-envoy-degraded: true\r\n\r\n{\"state\":\"degraded\",\"able\":true,\"partial\":true,\"reason\":\"members-silent\",\"weight\":100,\"since_ms\":300,\"pressure\":0.001,\"in_progress\":3,\"held\":2,\"room\":40,\"discovery_ms\":999,\"ignored\":0,\"classes\":[{\"class\":\"file-entry\",\"able\":true,\"partial\":true,\"reason\":\"primary-gone\",\"weight\":50,\"since_ms\":300},{\"class\":\"tariff-lookup\",\"able\":true,\"partial\":true,\"reason\":\"members-silent\",\"weight\":50,\"since_ms\":300}],\"groups\":[{\"group\":0,\"members\":1,\"primary\":\"s-0\",\"proven_ms\":997,\"read\":{\"able\":true,\"partial\":false,\"reason\":\"proven\",\"weight\":100,\"since_ms\":999},\"write\":{\"able\":true,\"partial\":false,\"reason\":\"proven\",\"weight\":100,\"since_ms\":999}},{\"group\":1,\"members\":1,\"primary\":null,\"proven_ms\":null,\"read\":{\"able\":false,\"partial\":false,\"reason\":\"members-silent\",\"weight\":0,\"since_ms\":300},\"write\":{\"able\":false,\"partial\":false,\"reason\":\"primary-gone\",\"weight\":0,\"since_ms\":300}}]}\n",
+        ),
+        (
+            "/ready",
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 83\r\nCache-Control: no-store\r\nx-envoy-degraded: true\r\n\r\n{\"able\":true,\"partial\":true,\"reason\":\"members-silent\",\"weight\":100,\"since_ms\":300}\n",
+        ),
+        (
+            "/live",
+            "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 6\r\nCache-Control: no-store\r\n\r\nalive\n",
+        ),
+        (
+            "/class/file-entry",
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 80\r\nCache-Control: no-store\r\nx-envoy-degraded: true\r\n\r\n{\"able\":true,\"partial\":true,\"reason\":\"primary-gone\",\"weight\":50,\"since_ms\":300}\n",
+        ),
+        (
+            "/group/1",
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 83\r\nCache-Control: no-store\r\nRetry-After: 1\r\n\r\n{\"able\":false,\"partial\":false,\"reason\":\"members-silent\",\"weight\":0,\"since_ms\":300}\n",
+        ),
+        (
+            "/group/1/read",
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 83\r\nCache-Control: no-store\r\nRetry-After: 1\r\n\r\n{\"able\":false,\"partial\":false,\"reason\":\"members-silent\",\"weight\":0,\"since_ms\":300}\n",
+        ),
+        (
+            "/group/1/write",
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 81\r\nCache-Control: no-store\r\nRetry-After: 1\r\n\r\n{\"able\":false,\"partial\":false,\"reason\":\"primary-gone\",\"weight\":0,\"since_ms\":300}\n",
+        ),
+        (
+            "/none",
+            "HTTP/1.1 404 Not Found\r\nContent-Type: text/plain\r\nContent-Length: 19\r\nCache-Control: no-store\r\n\r\nno such capability\n",
+        ),
+    ] {
+        let mut connection = HttpCheckConnection::default();
+        connection.feed(format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n").as_bytes());
+        connection.process(1_000_000, monitor.verdict(), &name);
+        assert_eq!(String::from_utf8(connection.output).unwrap(), recorded, "{path}");
+    }
+}
+
+#[test]
+fn agent_check_replies_have_their_recorded_bytes() {
+    let monitor = degraded_proxy();
+    let reply = |query| agent::reply(&query, monitor.verdict(), Some(40));
+    for (line, recorded) in [
+        ("", "ready up 100% maxconn:40\n"),
+        ("file-entry", "ready up 50% maxconn:40\n"),
+        ("tariff-lookup", "ready up 50% maxconn:40\n"),
+        ("group=1 write", "ready down #primary-gone\n"),
+        ("group=1", "ready down #members-silent\n"),
+        ("group=0 class=file-entry", "ready up 100% maxconn:40\n"),
+        ("none", "ready down #no-such-capability\n"),
+        ("group=x", "ready down #group-is-no-number\n"),
+        ("a b", "ready down #word-twice\n"),
+        ("port=1", "ready down #unknown-word\n"),
+        ("é", "ready down #no-such-capability\n"),
+    ] {
+        let query = AgentCheckConnection::default().feed(format!("{line}\n").as_bytes()).unwrap();
+        assert_eq!(reply(query), recorded, "{line}");
+    }
+    let too_long = AgentCheckConnection::default().feed(&[b'x'; 4096]).unwrap();
+    assert_eq!(reply(too_long), "ready down #line-too-long\n");
+    assert_eq!(reply(HealthQuery::parse(b"\xff\xfe")), "ready down #not-text\n");
+}
+
+#[test]
+fn states_and_reasons_have_their_recorded_words() {
+    let states =
+        ["starting", "ready", "degraded", "overloaded", "no-primary", "blind", "draining", "maintenance"];
+    let reasons = [
+        "proven",
+        "trusted",
+        "recovering",
+        "starting",
+        "unproven",
+        "no-primary",
+        "primary-left",
+        "primary-silent",
+        "primary-gone",
+        "primary-demoted",
+        "writes-unanswered",
+        "writes-held",
+        "no-members",
+        "members-silent",
+        "reads-failing",
+        "no-groups",
+        "overloaded",
+        "blind",
+        "draining",
+        "replaced",
+        "maintenance",
+    ];
+    assert_eq!(State::ALL.iter().map(|state| state.as_str()).collect::<Vec<_>>(), states);
+    assert_eq!(Reason::ALL.iter().map(|reason| reason.as_str()).collect::<Vec<_>>(), reasons);
+    // In JSON and in the log they are the same words.
+    assert_eq!(serde_json::to_string(State::ALL).unwrap(), serde_json::to_string(&states).unwrap());
+    assert_eq!(serde_json::to_string(Reason::ALL).unwrap(), serde_json::to_string(&reasons).unwrap());
+    assert_eq!(Reason::ALL.iter().map(|reason| reason.to_string()).collect::<Vec<_>>(), reasons);
+}
