--- a/proxy/src/net/clients/admission.rs
+++ b/proxy/src/net/clients/admission.rs
@@ -1,9 +1,9 @@
 //! Who may come in: newcomers are accepted while there are places, and idle clients make room for them.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::super::test_hooks::{self, Point};
+use super::super::timer_events::TimerEvent;
 use super::client::{Client, NEWCOMER};
 use super::{Clients, spare};
 use crate::log::Quoted;
@@ -135,6 +135,7 @@
         slot.insert(Client {
             stream,
             peer,
+            number: self.admitted,
             machine: Frontend::default(),
             request: None,
             passing: None,
@@ -148,6 +149,7 @@
             unfinished: Some(context.now),
         });
         self.unclassified += 1;
+        self.admitted += 1;
         Some(key)
     }
 }
