--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -1,7 +1,7 @@
 //! Links to other proxies: what is learnt from them (`knowledge`), and who of them is there (`fleet`).
 
 use crate::reader::Reader;
-use birchreach_peer_state::{donor, join};
+use birchreach_peer_state::{provider, request_scheduler};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use uppsala::NodeId;
@@ -14,8 +14,8 @@
     pub line: usize,
     /// A file of keys that all have.
     pub key_file: PathBuf,
-    pub join: join::Settings,
-    pub donor: donor::Settings,
+    pub join: request_scheduler::RequestSettings,
+    pub donor: provider::ProviderSettings,
 }
 
 /// The view of the fleet.
@@ -36,8 +36,8 @@
 
 impl Reader<'_> {
     pub(crate) fn knowledge(&mut self, node: NodeId) -> Option<Knowledge> {
-        let mut join = join::Settings::default();
-        let mut donor = donor::Settings::default();
+        let mut join = request_scheduler::RequestSettings::default();
+        let mut donor = provider::ProviderSettings::default();
         join.donors = self.addresses(node, "donors").iter().map(ToString::to_string).collect();
         self.ms(node, "patience-ms", &mut join.patience);
         self.ms(node, "refresh-ms", &mut join.refresh);
--- a/peer-state/src/lib.rs
+++ b/peer-state/src/lib.rs
@@ -1,9 +1,9 @@
 //! What proxies may learn of servers from one another, weighed by age and origin: decisions without I/O or clock, and
 //! beside them the frames in which it travels and the snapshot in which it rests.
 //!
-//! [`Knowledge`] holds facts as they were seen ([`CoreEvent`]) and joins what others tell; [`advice`] says the few things that
-//! facts may be used for. [`join::Joiner`] decides whom a newcomer asks and how long its start waits;
-//! [`donor::Donor`] decides whom a running proxy answers, so that its clients lose nothing.
+//! [`PeerState`] holds facts as they were seen ([`Observation`]) and joins what others tell; [`advice`] says the few things that
+//! facts may be used for. [`request_scheduler::Joiner`] decides whom a newcomer asks and how long its start waits;
+//! [`provider::Donor`] decides whom a running proxy answers, so that its clients lose nothing.
 //!
 //! It owns facts, their ages and their origins. It never makes a primary, sends nothing, and knows no socket, no
 //! PostgreSQL and no type of another crate.
@@ -24,19 +24,19 @@
 
 pub mod advice;
 pub mod datagram;
-pub mod donor;
-pub mod exchange;
 mod facts;
 pub mod frame;
-pub mod join;
+pub mod full_exchange;
 mod keys;
+pub mod provider;
+pub mod request_scheduler;
 pub mod snapshot;
-pub mod talk;
-mod told;
+mod transfer;
+pub mod transfer_protocol;
 
-pub use facts::{CoreEvent, Facts, Knowledge, Listed, Role, Source};
-pub use keys::Hasher;
-pub use told::{Told, ToldFact, ToldServer};
+pub use facts::{Observation, ObservationSource, PeerState, Role, ServerFacts, ServerIncarnation};
+pub use keys::NameHasher;
+pub use transfer::{TransferPart, TransferredFact, TransferredServer};
 
 /// A span of time, or an instant on the holder's clock, in microseconds.
 pub type Micros = i64;
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -4,7 +4,7 @@
 use crate::observe::{CopyLocator, CoreEvent, Observer, ReadDescription};
 use birchreach::{Consistency, CopyCandidate, Micros, ServerId};
 use birchreach_hot_keys::{Database, Hot, Key, Need as Needs, Settings};
-use birchreach_peer_state::Hasher;
+use birchreach_peer_state::NameHasher;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
@@ -18,7 +18,7 @@
 /// What is known of hot keys; it listens to the core and advises it.
 pub struct Watch {
     pub hot: Hot,
-    hasher: Hasher,
+    hasher: NameHasher,
     listed: HashMap<ServerId, Listed>,
     changed: bool,
     /// Reads that guests served, and those for which they had no copy.
@@ -47,8 +47,8 @@
 }
 
 impl Watch {
-    pub fn new(settings: Settings, own: u64, hasher: Hasher, now: Micros) -> Watch {
-        let hot = Hot::new(settings, own, hasher.secret, now);
+    pub fn new(settings: Settings, own: u64, hasher: NameHasher, now: Micros) -> Watch {
+        let hot = Hot::new(settings, own, hasher.key_id, now);
         Watch { hot, hasher, listed: HashMap::new(), changed: false, served: 0, missed: 0 }
     }
 
@@ -70,7 +70,7 @@
     }
 
     pub fn key(&self, group: u32, key: &[u8]) -> Key {
-        Key { group, hash: self.hasher.number(group, key) }
+        Key { group, hash: self.hasher.hash(group, key) }
     }
 
     /// The keys that are hot, a line each, behind a line for the whole.
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -45,7 +45,7 @@
             }
             (Some(options), None) => {
                 let settings = settings(options, named, &self.core.consistencies());
-                let watch = shared(Watch::new(settings, boot, keys.hasher(b"hot keys"), self.now));
+                let watch = shared(Watch::new(settings, boot, keys.name_hasher(b"hot keys"), self.now));
                 self.core.subscribe(self.now, watch.clone());
                 self.core.add_copy_locator(watch.clone());
                 background.hot = Some(watch);
@@ -87,7 +87,7 @@
         }
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
-            let (hasher, classes) = (keys.hasher(b"split"), self.config.site.class_names.clone());
+            let (hasher, classes) = (keys.name_hasher(b"split"), self.config.site.class_names.clone());
             let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.now));
             self.core.subscribe(self.now, watch.clone());
             background.split = Some(watch);
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -9,7 +9,7 @@
 use crate::observe::Shared;
 use birchreach::Micros;
 use birchreach_membership::{Change, Fleet, Fresh, GossipReports, Refused, State, View};
-use birchreach_peer_state::datagram::{Datagrams, MOST};
+use birchreach_peer_state::datagram::{DatagramCodec, MAX_DATAGRAM_BYTES};
 use mio::net::UdpSocket;
 use mio::{Interest, Registry};
 use std::io::ErrorKind;
@@ -33,7 +33,7 @@
     gossip_reports: GossipReports,
     /// Reports that are new here, until their channels take them.
     fresh: Vec<Fresh>,
-    datagrams: Datagrams,
+    datagrams: DatagramCodec,
     metrics: Metrics,
     /// When the timer that is set goes off.
     armed: Micros,
@@ -95,7 +95,7 @@
     /// What came, a bounded number at once.
     pub fn ready(&mut self, now: Micros) {
         self.unread = false;
-        let mut buffer = [0; MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for n in 0.. {
             let Some(socket) = &self.socket else { return };
             if n == TURN {
@@ -114,7 +114,7 @@
 
     fn take(&mut self, now: Micros, bytes: &[u8]) {
         let (boot, payload) = match self.datagrams.open(now, bytes) {
-            Err(dropped) => return self.metrics.drop(dropped.word()),
+            Err(dropped) => return self.metrics.drop(dropped.as_str()),
             Ok(opened) => opened,
         };
         let mut machine = self.machine.borrow_mut();
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -8,7 +8,7 @@
 use crate::observe::shared;
 use birchreach::Micros;
 use birchreach_membership::{Fleet, GossipReports, Settings};
-use birchreach_peer_state::datagram::Datagrams;
+use birchreach_peer_state::datagram::DatagramCodec;
 use std::io::ErrorKind;
 
 impl Proxy {
@@ -45,7 +45,7 @@
             machine: machine.clone(),
             gossip_reports: GossipReports::new(boot, self.config.seed ^ boot.rotate_left(32)),
             fresh: Vec::new(),
-            datagrams: Datagrams::new(keys.clone(), boot),
+            datagrams: DatagramCodec::new(keys.clone(), boot),
             metrics: Metrics::new(),
             armed: Micros::MAX,
             unread: false,
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -38,8 +38,8 @@
         let drained = out.is_empty();
         let told = drained
             && match &link.ends {
-                Ends::Tells { machine, .. } => machine.over(),
-                Ends::View(machine) => machine.over(),
+                Ends::Tells { machine, .. } => machine.is_finished(),
+                Ends::View(machine) => machine.is_finished(),
                 Ends::Asks { .. } => false,
             };
         let broken = matches!(link.stream.take_error(), Ok(Some(_)) | Err(_));
@@ -49,7 +49,7 @@
             // What is left of the answer goes on when there is room.
             Next::Waits
                 if drained
-                    && matches!(&self.slots[key].ends, Ends::Tells { machine, .. } if machine.telling()) =>
+                    && matches!(&self.slots[key].ends, Ends::Tells { machine, .. } if machine.is_sending()) =>
             {
                 let serial = self.slots[key].serial;
                 context.timers.set(context.now + 1, TimerEvent::GossipSend(key, serial));
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -8,8 +8,8 @@
 use super::peer_protocol::{Next, nonce};
 use crate::observe::Shared;
 use birchreach_membership::Fleet;
-use birchreach_peer_state::exchange::{Exchange, Step};
 use birchreach_peer_state::frame::{Keys, Side};
+use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange};
 use mio::Registry;
 use mio::net::{TcpListener, TcpStream};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -46,7 +46,7 @@
     }
 
     /// Speaks from its own address, by which others may let it in.
-    pub(super) fn ask(&self, peer: SocketAddr) -> Result<(TcpStream, Box<Exchange>), &'static str> {
+    pub(super) fn ask(&self, peer: SocketAddr) -> Result<(TcpStream, Box<FullExchange>), &'static str> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, Some(Protocol::TCP));
         let socket = socket.map_err(|_| "no-socket")?;
         socket.set_nonblocking(true).map_err(|_| "no-socket")?;
@@ -59,29 +59,29 @@
             Err(_) => return Err("refused"),
         }
         let stream = TcpStream::from_std(socket.into());
-        Ok((stream, Box::new(Exchange::new(Side::Asker, self.keys.clone(), nonce()?))))
+        Ok((stream, Box::new(FullExchange::new(Side::Requester, self.keys.clone(), nonce()?))))
     }
 
-    pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<Exchange>)> {
+    pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<FullExchange>)> {
         let listener = self.listener.as_ref().filter(|_| self.waiting)?;
         let Ok((stream, peer)) = listener.accept() else {
             self.waiting = false;
             return None;
         };
-        Some((stream, peer, Box::new(Exchange::new(Side::Donor, self.keys.clone(), nonce().ok()?))))
+        Some((stream, peer, Box::new(FullExchange::new(Side::Provider, self.keys.clone(), nonce().ok()?))))
     }
 
     /// What the other end has told is taken, and this one tells in its turn.
-    pub(super) fn step(&self, context: &mut EventLoopContext, machine: &mut Exchange) -> Next {
+    pub(super) fn step(&self, context: &mut EventLoopContext, machine: &mut FullExchange) -> Next {
         loop {
-            match machine.step() {
+            match machine.next_event() {
                 Err(refused) => return Next::Refused(refused.to_string()),
                 Ok(None) => return Next::Waits,
-                Ok(Some(Step::Greeted)) => machine.tell(&self.machine.borrow().all()),
-                Ok(Some(Step::Whole(parts))) => {
-                    let asked = machine.told();
+                Ok(Some(ExchangeEvent::Connected)) => machine.send_parts(&self.machine.borrow().all()),
+                Ok(Some(ExchangeEvent::Complete(parts))) => {
+                    let asked = machine.has_sent();
                     if !asked {
-                        machine.tell(&self.machine.borrow().all());
+                        machine.send_parts(&self.machine.borrow().all());
                     }
                     let taken = self.machine.borrow_mut().take_all(context.now, &parts);
                     // What has changed by it is told and shown by the owner of the datagrams.
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -10,9 +10,9 @@
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use birchreach::Micros;
-use birchreach_peer_state::exchange::Exchange;
-use birchreach_peer_state::join::End;
-use birchreach_peer_state::talk::{Asker, Teller};
+use birchreach_peer_state::full_exchange::FullExchange;
+use birchreach_peer_state::request_scheduler::RequestOutcome;
+use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender};
 pub use membership_sync::MembershipSync;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry};
@@ -32,24 +32,24 @@
 enum Ends {
     /// This process asks, of whom and since when.
     Asks {
-        machine: Box<Asker>,
+        machine: Box<StateRequester>,
         donor: String,
         asked_at: Micros,
     },
     Tells {
-        machine: Box<Teller>,
+        machine: Box<StateSender>,
         serving: bool,
     },
     /// Both tell all that they know of the fleet.
-    View(Box<Exchange>),
+    View(Box<FullExchange>),
 }
 
 impl Ends {
     fn out(&mut self) -> &mut Vec<u8> {
         match self {
-            Ends::Asks { machine, .. } => &mut machine.out,
-            Ends::Tells { machine, .. } => &mut machine.out,
-            Ends::View(machine) => &mut machine.out,
+            Ends::Asks { machine, .. } => &mut machine.output,
+            Ends::Tells { machine, .. } => &mut machine.output,
+            Ends::View(machine) => &mut machine.output,
         }
     }
 }
@@ -94,7 +94,7 @@
 
     /// The start need not wait any more.
     pub fn ready(&self) -> bool {
-        self.state_transfer.as_ref().is_none_or(|lessons| lessons.joiner.ready())
+        self.state_transfer.as_ref().is_none_or(|lessons| lessons.joiner.is_startup_complete())
     }
 
     pub fn accept_ready(&mut self, source: Source) {
@@ -111,14 +111,19 @@
         old.into_iter().for_each(|key| self.end(context, key, Next::Over("silent")));
         self.accept(context);
         let mut next = context.now + 1_000_000;
-        let asked =
-            self.state_transfer.iter_mut().flat_map(|l| l.joiner.step(context.now)).collect::<Vec<_>>();
+        let asked = self
+            .state_transfer
+            .iter_mut()
+            .flat_map(|l| l.joiner.due_requests(context.now))
+            .collect::<Vec<_>>();
         for donor in asked {
             let ends = |machine| Ends::Asks { machine, donor: donor.clone(), asked_at: context.now };
             let Some(lessons) = &self.state_transfer else { break };
             let asks = lessons.ask(&donor).map(|(stream, peer, machine)| (stream, peer, ends(machine)));
             if let Err(why) = asks.and_then(|(stream, peer, ends)| self.link(context, stream, peer, ends)) {
-                self.state_transfer.iter_mut().for_each(|l| l.joiner.ended(context.now, &donor, End::Failed));
+                self.state_transfer
+                    .iter_mut()
+                    .for_each(|l| l.joiner.record_outcome(context.now, &donor, RequestOutcome::Failed));
                 info!(conn = "knowledge", peer = donor, reason = why);
             }
         }
@@ -130,7 +135,7 @@
 
     /// How much this process has to do for its clients.
     pub fn pressed(&mut self, pressure: f64) {
-        self.state_transfer.iter_mut().for_each(|lessons| lessons.donor.pressed(pressure));
+        self.state_transfer.iter_mut().for_each(|lessons| lessons.donor.set_load(pressure));
     }
 
     /// All that is known of the fleet is to be exchanged with a member.
@@ -198,8 +203,10 @@
         let whole = matches!(how, Next::Over("told" | "heard"));
         if let Some(lessons) = &mut self.state_transfer {
             match &link.ends {
-                Ends::Asks { donor, .. } if !whole => lessons.joiner.ended(context.now, donor, End::Failed),
-                Ends::Tells { serving: true, .. } => lessons.donor.done(whole),
+                Ends::Asks { donor, .. } if !whole => {
+                    lessons.joiner.record_outcome(context.now, donor, RequestOutcome::Failed)
+                }
+                Ends::Tells { serving: true, .. } => lessons.donor.finish(whole),
                 _ => {}
             }
         }
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -5,10 +5,10 @@
 use super::super::stream;
 use super::state_transfer::StateTransfer;
 use birchreach::Micros;
-use birchreach_peer_state::donor::Verdict;
 use birchreach_peer_state::frame::Nonce;
-use birchreach_peer_state::join::End;
-use birchreach_peer_state::talk::{Asker, Heard, Teller};
+use birchreach_peer_state::provider::Admission;
+use birchreach_peer_state::request_scheduler::RequestOutcome;
+use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
 use mio::net::TcpStream;
 
 /// What is read at once.
@@ -26,15 +26,15 @@
 /// What a donor says.
 pub(super) fn listen(
     context: &mut EventLoopContext,
-    machine: &mut Asker,
+    machine: &mut StateRequester,
     donor: &str,
     asked_at: Micros,
     lessons: &mut StateTransfer,
 ) -> Next {
     loop {
-        match machine.heard() {
+        match machine.next_event() {
             Ok(None) => return Next::Waits,
-            Ok(Some(Heard::Part(told))) => {
+            Ok(Some(TransferEvent::Part(told))) => {
                 // The decisions hear of positions; who is said to be a primary is asked.
                 let learnt = lessons.peer_knowledge.borrow_mut().hear(context.now, asked_at, &told);
                 for (uid, report) in learnt.reports {
@@ -42,12 +42,12 @@
                 }
                 learnt.ask.iter().for_each(|uid| context.core.check_role(context.now, uid));
             }
-            Ok(Some(Heard::Whole(named))) => {
-                lessons.joiner.ended(context.now, donor, End::Whole(named));
+            Ok(Some(TransferEvent::Complete(named))) => {
+                lessons.joiner.record_outcome(context.now, donor, RequestOutcome::Complete(named));
                 return Next::Over("heard");
             }
-            Ok(Some(Heard::Busy(wait))) => {
-                lessons.joiner.ended(context.now, donor, End::Busy(wait));
+            Ok(Some(TransferEvent::Busy(wait))) => {
+                lessons.joiner.record_outcome(context.now, donor, RequestOutcome::Busy(wait));
                 return Next::Over("heard");
             }
             Err(refused) => return Next::Refused(refused.to_string()),
@@ -58,25 +58,28 @@
 /// What an asker is told.
 pub(super) fn tell(
     context: &mut EventLoopContext,
-    machine: &mut Teller,
+    machine: &mut StateSender,
     serving: &mut bool,
     lessons: &mut StateTransfer,
     (key, serial): (usize, u64),
 ) -> Next {
-    match machine.asked() {
+    match machine.receive_request() {
         Err(refused) => return Next::Refused(refused.to_string()),
         Ok(false) => {}
-        Ok(true) => match lessons.donor.asked(context.now) {
-            Verdict::Busy(wait) => machine.put_off(wait),
-            Verdict::Serve => {
+        Ok(true) => match lessons.donor.admit(context.now) {
+            Admission::Busy(wait) => machine.send_busy(wait),
+            Admission::Serve => {
                 *serving = true;
-                machine.tell(lessons.peer_knowledge.borrow().knowledge.tell(context.now), &lessons.named);
+                machine.start_sending(
+                    lessons.peer_knowledge.borrow().knowledge.export_facts(context.now),
+                    &lessons.named,
+                );
             }
         },
     }
-    if machine.telling() && machine.out.is_empty() {
-        match lessons.donor.may_send(context.now, PART) {
-            Ok(()) => drop(machine.part()),
+    if machine.is_sending() && machine.output.is_empty() {
+        match lessons.donor.take_send_budget(context.now, PART) {
+            Ok(()) => drop(machine.send_next_part()),
             Err(at) => context.timers.set(at, TimerEvent::GossipSend(key, serial)),
         }
     }
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -6,10 +6,10 @@
 use crate::observe::Shared;
 use crate::peer_knowledge::PeerKnowledge;
 use birchreach::Micros;
-use birchreach_peer_state::donor::Donor;
 use birchreach_peer_state::frame::Keys;
-use birchreach_peer_state::join::{self, Joiner};
-use birchreach_peer_state::talk::{Asker, Teller};
+use birchreach_peer_state::provider::StateProvider;
+use birchreach_peer_state::request_scheduler::{self, RequestScheduler};
+use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender};
 use mio::Registry;
 use mio::net::{TcpListener, TcpStream};
 use std::net::SocketAddr;
@@ -20,8 +20,8 @@
     keys: Keys,
     /// What is known, which listens to the core.
     pub(super) peer_knowledge: Shared<PeerKnowledge>,
-    pub(super) joiner: Joiner,
-    pub(super) donor: Donor,
+    pub(super) joiner: RequestScheduler,
+    pub(super) donor: StateProvider,
     /// Whom askers are told of besides.
     pub(super) named: Vec<String>,
     pub(super) waiting: bool,
@@ -41,32 +41,35 @@
         if let Some(at) = listener.as_ref().and_then(|l| l.local_addr().ok()) {
             info!(event = "knowledge-listening", %at);
         }
-        let join = join::Settings { seed, ..options.join.clone() };
+        let join = request_scheduler::RequestSettings { seed, ..options.join.clone() };
         Ok(StateTransfer {
             listener,
             keys,
             peer_knowledge,
             named: join.donors.clone(),
-            joiner: Joiner::new(join, now),
-            donor: Donor::new(options.donor.clone(), now),
+            joiner: RequestScheduler::new(join, now),
+            donor: StateProvider::new(options.donor.clone(), now),
             waiting: true,
         })
     }
 
-    pub(super) fn ask(&self, donor: &str) -> Result<(TcpStream, SocketAddr, Box<Asker>), &'static str> {
+    pub(super) fn ask(
+        &self,
+        donor: &str,
+    ) -> Result<(TcpStream, SocketAddr, Box<StateRequester>), &'static str> {
         let peer: SocketAddr = donor.parse().map_err(|_| "no-address")?;
         let nonce = nonce()?;
         let stream = TcpStream::connect(peer).map_err(|_| "refused")?;
-        Ok((stream, peer, Box::new(Asker::new(self.keys.clone(), nonce))))
+        Ok((stream, peer, Box::new(StateRequester::new(self.keys.clone(), nonce))))
     }
 
     /// The next that wants to ask, if one waits.
-    pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<Teller>)> {
+    pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<StateSender>)> {
         let listener = self.listener.as_ref().filter(|_| self.waiting)?;
         let Ok((stream, peer)) = listener.accept() else {
             self.waiting = false;
             return None;
         };
-        Some((stream, peer, Box::new(Teller::new(self.keys.clone(), nonce().ok()?))))
+        Some((stream, peer, Box::new(StateSender::new(self.keys.clone(), nonce().ok()?))))
     }
 }
--- a/proxy/src/peer_knowledge.rs
+++ b/proxy/src/peer_knowledge.rs
@@ -5,7 +5,7 @@
 use crate::observe::{CoreEvent, Observer};
 use crate::reply::Reply;
 use birchreach::{LoadReport, Micros};
-use birchreach_peer_state::{Knowledge, Listed, Role, Source, Told, advice};
+use birchreach_peer_state::{ObservationSource, PeerState, Role, ServerIncarnation, TransferPart, advice};
 use std::collections::HashMap;
 
 /// A position seen longer ago is not handed on: the decisions date it by the moment at which they hear of it, and would
@@ -15,7 +15,7 @@
 const LEAST_TRUST: f64 = 0.05;
 
 pub struct PeerKnowledge {
-    pub knowledge: Knowledge,
+    pub knowledge: PeerState,
     /// Positions that the decisions have been told.
     told: HashMap<String, Micros>,
 }
@@ -30,40 +30,52 @@
 
 impl PeerKnowledge {
     pub fn new(observer: u64) -> PeerKnowledge {
-        PeerKnowledge { knowledge: Knowledge::new(observer), told: HashMap::new() }
+        PeerKnowledge { knowledge: PeerState::new(observer), told: HashMap::new() }
     }
 
     /// What a server said of itself, with an answer or a report.
     fn saw(&mut self, now: Micros, uid: &str, reply: &Reply) {
         let known = &mut self.knowledge;
         if let Some(note) = reply.status {
-            known.saw_role(now, uid, role(note.role), Source::Note);
+            known.record_role(now, uid, role(note.role), ObservationSource::ServerStatus);
             if let Some(position) = note.position {
-                known.saw_position(now, uid, position, (now - position).max(0), Source::Note);
+                known.record_position(
+                    now,
+                    uid,
+                    position,
+                    (now - position).max(0),
+                    ObservationSource::ServerStatus,
+                );
             }
         }
         if let Some(report) = reply.load_report {
             if let Some(told) = report.role {
-                known.saw_role(now, uid, role(told), Source::Report);
+                known.record_role(now, uid, role(told), ObservationSource::LoadReport);
             }
             if let Some(position) = report.position {
-                known.saw_position(now, uid, position, (now - position).max(0), Source::Report);
+                known.record_position(
+                    now,
+                    uid,
+                    position,
+                    (now - position).max(0),
+                    ObservationSource::LoadReport,
+                );
             }
         }
         let answered = reply.status.is_some() || reply.load_report.is_some();
         if answered || reply.connection_refused {
-            known.saw_health(now, uid, reply.connection_refused);
+            known.record_health(now, uid, reply.connection_refused);
         }
     }
 
     /// Takes what another tells, asked at this time.
-    pub fn hear(&mut self, now: Micros, asked_at: Micros, told: &Told) -> Learnt {
-        self.knowledge.hear(asked_at, told);
+    pub fn hear(&mut self, now: Micros, asked_at: Micros, told: &TransferPart) -> Learnt {
+        self.knowledge.apply_transfer(asked_at, told);
         let mut learnt = Learnt { reports: Vec::new(), ask: Vec::new() };
         let mut groups: Vec<u32> = Vec::new();
         for server in &told.servers {
             let uid = server.uid.as_str();
-            let heard = advice::position(&self.knowledge, uid).filter(|seen| seen.hops > 0);
+            let heard = advice::position(&self.knowledge, uid).filter(|seen| seen.hop_count > 0);
             let heard = heard.filter(|seen| seen.age(now) <= OLD);
             if let Some(seen) = heard
                 && self.told.get(uid).is_none_or(|before| *before < seen.value)
@@ -76,9 +88,11 @@
             }
         }
         for group in groups {
-            let first = advice::ask_first(&self.knowledge, group, now).into_iter().next();
+            let first = advice::primary_candidates(&self.knowledge, group, now).into_iter().next();
             // Who was seen so by this proxy itself need not be asked.
-            learnt.ask.extend(first.filter(|c| c.seen.hops > 0 && c.trust >= LEAST_TRUST).map(|c| c.uid));
+            learnt
+                .ask
+                .extend(first.filter(|c| c.seen.hop_count > 0 && c.trust >= LEAST_TRUST).map(|c| c.uid));
         }
         let listed = &self.knowledge;
         self.told.retain(|uid, _| listed.facts(uid).is_some());
@@ -91,9 +105,10 @@
         match seen {
             // Facts are kept of the servers that the list names, and of their present boots alone.
             CoreEvent::Listed { uid, group, started_ms: boot_ms, .. } => {
-                self.knowledge.listed(uid, Listed { boot_ms, group: group.0 });
+                self.knowledge
+                    .add_listed_server(uid, ServerIncarnation { started_ms: boot_ms, group: group.0 });
             }
-            CoreEvent::Unlisted { uid, .. } => self.knowledge.unlisted(uid),
+            CoreEvent::Unlisted { uid, .. } => self.knowledge.remove_listed_server(uid),
             CoreEvent::AttemptEnded { uid, reply, .. } => self.saw(now, uid, reply),
             _ => {}
         }
@@ -114,14 +129,14 @@
     #[test]
     fn young_positions_are_handed_on_once_and_old_ones_never() {
         let listed = |peer_knowledge: &mut PeerKnowledge| {
-            peer_knowledge.knowledge.listed("p", Listed { boot_ms: 0, group: 0 });
-            peer_knowledge.knowledge.listed("r", Listed { boot_ms: 0, group: 0 });
+            peer_knowledge.knowledge.add_listed_server("p", ServerIncarnation { started_ms: 0, group: 0 });
+            peer_knowledge.knowledge.add_listed_server("r", ServerIncarnation { started_ms: 0, group: 0 });
         };
         let mut donor = PeerKnowledge::new(1);
         listed(&mut donor);
-        donor.knowledge.saw_role(10_000_000, "p", Role::Primary, Source::Served);
-        donor.knowledge.saw_position(10_000_000, "r", 9_900_000, 100_000, Source::Note);
-        let told = |at| Told { servers: donor.knowledge.tell(at).collect() };
+        donor.knowledge.record_role(10_000_000, "p", Role::Primary, ObservationSource::ServedWrite);
+        donor.knowledge.record_position(10_000_000, "r", 9_900_000, 100_000, ObservationSource::ServerStatus);
+        let told = |at| TransferPart { servers: donor.knowledge.export_facts(at).collect() };
         let mut newcomer = PeerKnowledge::new(2);
         listed(&mut newcomer);
         let learnt = newcomer.hear(11_000_000, 11_000_000, &told(11_000_000));
@@ -130,7 +145,7 @@
         let again = newcomer.hear(11_100_000, 11_100_000, &told(11_100_000));
         assert!(again.reports.is_empty(), "the decisions have it");
         // What it has seen of the primary itself, it does not ask.
-        newcomer.knowledge.saw_role(11_200_000, "p", Role::Primary, Source::Note);
+        newcomer.knowledge.record_role(11_200_000, "p", Role::Primary, ObservationSource::ServerStatus);
         assert!(newcomer.hear(11_300_000, 11_300_000, &told(11_300_000)).ask.is_empty());
         let mut late = PeerKnowledge::new(3);
         listed(&mut late);
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -5,7 +5,7 @@
 use crate::observe::{CoreEvent, Observer};
 use crate::pg::health_check_query;
 use birchreach::{Micros, Role, ServerId};
-use birchreach_peer_state::Hasher;
+use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::judge::Parent;
 use birchreach_shard_split::{Ask, Definition, Flag, Look, RANGES, Settings, Split, Told, Verdict};
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 /// What is compared; it listens to the core.
 pub struct Watch {
     pub split: Split,
-    hasher: Hasher,
+    hasher: NameHasher,
     /// A number for each database's process: by its name and its last start.
     processes: HashMap<ServerId, u64>,
     /// Names of the classes, for flags.
@@ -37,13 +37,13 @@
 }
 
 impl Watch {
-    pub fn new(settings: Settings, own: u64, hasher: Hasher, classes: Vec<String>, now: Micros) -> Watch {
+    pub fn new(settings: Settings, own: u64, hasher: NameHasher, classes: Vec<String>, now: Micros) -> Watch {
         let split = Split::new(settings, own, now);
         Watch { split, hasher, processes: HashMap::new(), classes, told: None }
     }
 
     fn digest(&self, value: &[u8]) -> u64 {
-        self.hasher.number(0, value)
+        self.hasher.hash(0, value)
     }
 
     /// What an errand came to, as an answer to what was asked.
