--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -17,7 +17,7 @@
         let proxy = &mut self.proxies[n];
         proxy.hot.step(now);
         if let Some(said) = proxy.hot.say(now) {
-            proxy.gossip_reports.say(now, 1, said);
+            proxy.gossip_reports.publish(now, 1, said);
         }
         let refresh = proxy.hot.settings().refresh();
         for due in proxy.hot.due(now) {
@@ -39,14 +39,14 @@
         }
         let address = |n: usize| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7));
         let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(address).collect();
-        let Some((to, bytes)) = self.proxies[n].gossip_reports.due(now, &others) else { return };
+        let Some((to, bytes)) = self.proxies[n].gossip_reports.encode_gossip(now, &others) else { return };
         let to = (0..count).find(|o| address(*o) == to).unwrap_or(0);
         if self.cut && (n < count / 2) != (to < count / 2) {
             return;
         }
         let other = &mut self.proxies[to];
-        for f in other.gossip_reports.hear(now, count, |_| true, &bytes).unwrap_or_default() {
-            let _ = other.hot.hear(now, f.origin, f.number, f.age, &f.payload);
+        for f in other.gossip_reports.apply_gossip(now, count, |_| true, &bytes).unwrap_or_default() {
+            let _ = other.hot.hear(now, f.origin, f.sequence, f.age, &f.payload);
         }
     }
 
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -113,21 +113,21 @@
         }
         self.all[n].step(now);
         if let Some(said) = self.all[n].say(now) {
-            self.gossip_reports[n].say(now, 1, said);
+            self.gossip_reports[n].publish(now, 1, said);
         }
         for due in self.all[n].due(now) {
             self.due.entry(due.key).or_default().push((now, n));
         }
         let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(at).collect();
-        let Some((to, bytes)) = self.gossip_reports[n].due(now, &others) else { return };
+        let Some((to, bytes)) = self.gossip_reports[n].encode_gossip(now, &others) else { return };
         self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
         let to = (0..count).find(|o| at(*o) == to).unwrap_or(0);
         if (self.cut)(n, to) {
             return;
         }
-        let fresh = self.gossip_reports[to].hear(now, count, |_| true, &bytes).unwrap_or_default();
+        let fresh = self.gossip_reports[to].apply_gossip(now, count, |_| true, &bytes).unwrap_or_default();
         for f in fresh {
-            let _ = self.all[to].hear(now, f.origin, f.number, f.age, &f.payload);
+            let _ = self.all[to].hear(now, f.origin, f.sequence, f.age, &f.payload);
         }
     }
 
--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use birchreach_membership::{Change, Micros};
+use birchreach_membership::{MembershipChange, Micros};
 use common::{Net, SECOND, at};
 use std::time::Instant;
 
@@ -18,7 +18,7 @@
 /// Until no live one has any of these in its view; whether it calls itself settled is another matter.
 fn until_noticed(net: &mut Net, gone: &[usize]) -> Option<Micros> {
     let start = net.now;
-    let has = |net: &Net| net.live().any(|f| f.members().any(|m| gone.iter().any(|n| at(*n) == m.at)));
+    let has = |net: &Net| net.live().any(|f| f.members().any(|m| gone.iter().any(|n| at(*n) == m.address)));
     while has(net) {
         if net.now - start >= MOST {
             return None;
@@ -36,7 +36,7 @@
     let sent = |net: &Net| net.all.iter().fold((0, 0), |(n, b), p| (n + p.sent.0, b + p.sent.1));
     let (before, from) = (sent(&net), net.now);
     net.pass(60 * SECOND);
-    let gone = |c: &&(Micros, Change)| matches!(c.1, Change::Gone(_));
+    let gone = |c: &&(Micros, MembershipChange)| matches!(c.1, MembershipChange::Removed(_));
     let removed = net.all.iter().flat_map(|p| p.changes.iter().filter(gone)).count();
     let after = sent(&net);
     let each = |sum: u64| sum as f64 / count as f64 / ((net.now - from) as f64 / 1e6);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which proxies of one fleet are there, as one process sees it: decisions without I/O or clock.
 //!
-//! [`Fleet`] is fed datagrams that were opened ([`Fleet::heard`]) and the time ([`Fleet::step`]); it hands back payloads to be sealed and
-//! sent ([`Fleet::send`]), what has changed ([`Fleet::changes`]) and when to wake it ([`Fleet::next_change`]). Who is asked
+//! [`Membership`] is fed datagrams that were opened ([`Membership::heard`]) and the time ([`Membership::step`]); it hands back payloads to be sealed and
+//! sent ([`Membership::send`]), what has changed ([`Membership::changes`]) and when to wake it ([`Membership::next_change`]). Who is asked
 //! and who is taken for gone is decided by `foca` (SWIM); what a member is, who is tried again after a cut, whether the view is
 //! settled and whether this process is blind is decided here.
 //!
@@ -24,28 +24,28 @@
 
 #![forbid(unsafe_code)]
 
-mod exchange;
-mod gossip_reports;
-mod judge;
-mod machine;
 #[cfg(feature = "mutants")]
-pub mod mutant;
-mod names;
+pub mod faults;
+mod full_exchange;
+mod gossip_reports;
+mod known_addresses;
+mod membership;
 mod peer;
 mod swim;
 mod view;
+mod view_state;
 
-pub use exchange::{MOST_PARTS, PART};
-pub use gossip_reports::{Fresh, GossipReports, LIFE, MOST_REPORT};
-pub use machine::{Fleet, Refused, Settings};
-pub use peer::{MOST_NAME, Peer};
-pub use view::{Change, State, View};
+pub use full_exchange::{MAX_PART_BYTES, MAX_PARTS};
+pub use gossip_reports::{GossipReports, LIFETIME_INTERVALS, MAX_REPORT_BYTES, ReceivedReport};
+pub use membership::{Membership, MembershipSettings, PayloadError};
+pub use peer::{MAX_NAME_BYTES, Peer};
+pub use view::{MembershipChange, View, ViewState};
 
 /// Is this fault switched on? Never outside tests.
 macro_rules! faulty {
     ($which:ident) => {{
         #[cfg(feature = "mutants")]
-        let on = crate::mutant::is(crate::mutant::Mutant::$which);
+        let on = crate::faults::is(crate::faults::Fault::$which);
         #[cfg(not(feature = "mutants"))]
         let on = false;
         on
@@ -57,6 +57,6 @@
 pub type Micros = i64;
 
 /// The longest payload that a driver must carry.
-pub const PAYLOAD: usize = 1_300;
+pub const MAX_PAYLOAD_BYTES: usize = 1_300;
 /// Members, and names, that are kept.
-pub const MOST_MEMBERS: usize = 4_096;
+pub const MAX_MEMBERS: usize = 4_096;
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 /// The longest name, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Steps of the epoch stop doubling here.
-const MOST_DOUBLED: u32 = 40;
+const MAX_EPOCH_DOUBLINGS: u32 = 40;
 
 /// A member. Of two at one address the one of the later epoch counts; the boot tells processes apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -15,9 +15,9 @@
     #[serde(with = "short")]
     pub name: String,
     /// Where it hears.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// A random number of the process; 0 of one that is tried and not known.
-    pub boot: u64,
+    pub incarnation: u64,
     /// It begins as Unix time in milliseconds, and grows each time others held the process for gone.
     pub epoch: u64,
     /// How often that was.
@@ -26,8 +26,8 @@
 
 impl Peer {
     /// Whoever hears at this address.
-    pub fn somebody(at: SocketAddr) -> Peer {
-        Peer { name: String::new(), at, boot: 0, epoch: 0, renewals: 0 }
+    pub fn unknown_at(at: SocketAddr) -> Peer {
+        Peer { name: String::new(), address: at, incarnation: 0, epoch: 0, renewals: 0 }
     }
 }
 
@@ -36,17 +36,17 @@
 
     /// Others hold it for gone, or know a later epoch of its address, by how much is not said: each step is twice the one before.
     fn renew(&self) -> Option<Peer> {
-        let doubled = if crate::faulty!(StepsOfOne) { 0 } else { self.renewals.min(MOST_DOUBLED) };
+        let doubled = if crate::faulty!(StepsOfOne) { 0 } else { self.renewals.min(MAX_EPOCH_DOUBLINGS) };
         let epoch = self.epoch.saturating_add(1 << doubled);
         Some(Peer { epoch, renewals: self.renewals.saturating_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Peer) -> bool {
-        (self.epoch, self.boot) > (other.epoch, other.boot)
+        (self.epoch, self.incarnation) > (other.epoch, other.incarnation)
     }
 }
 
@@ -61,7 +61,7 @@
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
         let name = <&str>::deserialize(from)?;
         let printable = name.chars().all(|c| !c.is_control());
-        if name.len() > super::MOST_NAME || !printable {
+        if name.len() > super::MAX_NAME_BYTES || !printable {
             return Err(D::Error::custom("no name"));
         }
         Ok(name.to_string())
--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod scenes;
 pub mod schedule;
 
-use birchreach_membership::{Change, Fleet, Micros, Settings, State};
+use birchreach_membership::{Membership, MembershipChange, MembershipSettings, Micros, ViewState};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 pub struct Process {
     /// None: it is dead.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<Membership>,
     /// It is stopped, as by SIGSTOP: what comes waits.
     pub stopped: bool,
     waiting: Vec<(u64, Vec<u8>)>,
@@ -21,7 +21,7 @@
     /// When it is to be woken; other wakes of it are void.
     armed: Micros,
     pub sent: (u64, u64),
-    pub changes: Vec<(Micros, Change)>,
+    pub changes: Vec<(Micros, MembershipChange)>,
 }
 
 /// When it comes, its number, to whom, from which boot, and what.
@@ -80,16 +80,16 @@
 
     pub fn start_named(&mut self, n: usize, name: &str, clock: Micros) {
         let boot = self.rng.u64(1..);
-        let settings = Settings {
+        let settings = MembershipSettings {
             name: name.into(),
-            at: at(n),
-            boot,
+            address: at(n),
+            incarnation: boot,
             epoch: ((1_700_000_000 * SECOND + self.now + clock) / 1_000) as u64,
             seed: self.rng.u64(..),
             seeds: vec![at(0), at(1)],
-            named: self.named,
+            configured_members: self.named,
         };
-        let fleet = Some(Fleet::new(settings, self.now));
+        let fleet = Some(Membership::new(settings, self.now));
         let fresh = Process {
             fleet,
             stopped: false,
@@ -120,7 +120,7 @@
         }
         for (boot, payload) in std::mem::take(&mut self.all[n].waiting) {
             if let Some(fleet) = &mut self.all[n].fleet {
-                let _ = fleet.heard(self.now, boot, &payload);
+                let _ = fleet.receive(self.now, boot, &payload);
             }
         }
         self.flush(n);
@@ -131,7 +131,7 @@
         let p = &mut self.all[n];
         let Some(fleet) = &mut p.fleet else { return };
         let boot = p.boot;
-        while let Some((to, payload)) = fleet.send() {
+        while let Some((to, payload)) = fleet.next_payload() {
             p.sent = (p.sent.0 + 1, p.sent.1 + payload.len() as u64 + 55);
             let Some(&to) = self.by_address.get(&to) else { continue };
             if self.rng.f64() < self.loss || (self.cut)(n, to) {
@@ -141,10 +141,10 @@
             let due = self.now + self.rng.i64(200..5_000);
             self.under_way.push(Reverse((due, self.number, to, boot, payload)));
         }
-        if let Some(to) = fleet.exchange(self.now).and_then(|at| self.by_address.get(&at)) {
+        if let Some(to) = fleet.due_exchange(self.now).and_then(|at| self.by_address.get(&at)) {
             self.links.push(Reverse((self.now + self.rng.i64(1_000..20_000), n, *to)));
         }
-        p.changes.extend(fleet.changes().into_iter().map(|change| (self.now, change)));
+        p.changes.extend(fleet.take_changes().into_iter().map(|change| (self.now, change)));
         p.armed = if p.stopped { Micros::MAX } else { fleet.next_change().max(self.now + 1_000) };
         self.wakes.push(Reverse((p.armed, n)));
     }
@@ -155,7 +155,7 @@
         if p.stopped {
             p.waiting.push((boot, payload));
         } else if let Some(fleet) = &mut p.fleet {
-            let _ = fleet.heard(self.now, boot, &payload);
+            let _ = fleet.receive(self.now, boot, &payload);
             self.flush(to);
         }
     }
@@ -166,11 +166,11 @@
             return;
         }
         for (from, to) in [(a, b), (b, a)] {
-            let Some(told) = self.all[from].fleet.as_ref().map(Fleet::all) else { return };
+            let Some(told) = self.all[from].fleet.as_ref().map(Membership::export_members) else { return };
             self.exchanged.0 += 1;
             self.exchanged.1 += told.iter().map(|part| part.len() as u64 + 44).sum::<u64>();
             let Some(fleet) = &mut self.all[to].fleet else { return };
-            let _ = fleet.take_all(self.now, &told);
+            let _ = fleet.import_members(self.now, &told);
             self.flush(to);
         }
     }
@@ -203,14 +203,14 @@
         self.now = end;
     }
 
-    pub fn live(&self) -> impl Iterator<Item = &Fleet> {
+    pub fn live(&self) -> impl Iterator<Item = &Membership> {
         self.all.iter().filter(|p| !p.stopped).filter_map(|p| p.fleet.as_ref())
     }
 
     /// All that run see the same, and say that it is settled; of so many members.
     pub fn agreed(&self, members: usize) -> bool {
-        let views: Vec<_> = self.live().map(Fleet::view).collect();
-        let settled = |s: State| matches!(s, State::Settled { .. });
+        let views: Vec<_> = self.live().map(Membership::view).collect();
+        let settled = |s: ViewState| matches!(s, ViewState::Settled { .. });
         views.iter().all(|v| v.members == members && v.digest == views[0].digest && settled(v.state))
     }
 
--- a/membership/tests/common/scenes.rs
+++ b/membership/tests/common/scenes.rs
@@ -1,7 +1,7 @@
 //! What must hold, as scenes that say what went wrong: the tests want them to pass, and each mutant must make one fail.
 
 use super::{Net, SECOND, at};
-use birchreach_membership::{Change, Fleet, Micros, State};
+use birchreach_membership::{Membership, MembershipChange, Micros, ViewState};
 
 macro_rules! hold {
     ($what:expr) => { hold!($what, "{}", stringify!($what)) };
@@ -24,7 +24,7 @@
 }
 
 fn removals(net: &Net, well: impl Fn(usize) -> bool) -> usize {
-    let gone = |c: &&(Micros, Change)| matches!(&c.1, Change::Gone(p) if (0..net.all.len()).any(|n| at(n) == p.at && well(n)));
+    let gone = |c: &&(Micros, MembershipChange)| matches!(&c.1, MembershipChange::Removed(p) if (0..net.all.len()).any(|n| at(n) == p.address && well(n)));
     net.all.iter().flat_map(|p| p.changes.iter().filter(gone)).count()
 }
 
@@ -49,7 +49,7 @@
         net.cut = Box::new(move |_, b| b == count - 1);
         net.pass(20 * SECOND);
         let deaf = net.all[count - 1].fleet.as_ref().map(|f| f.view().state);
-        hold!(matches!(deaf, Some(State::Blind { .. })), "{deaf:?}");
+        hold!(matches!(deaf, Some(ViewState::Blind { .. })), "{deaf:?}");
         net.cut = Box::new(|_, _| false);
         net.until_agreed(count, 20 * SECOND).ok_or_else(|| format!("one-way cut, {count}, seed {seed}"))?;
         // One is stopped for 20 s and goes on.
@@ -60,9 +60,9 @@
         // One leaves politely: that is told, not found out.
         net.all[0].fleet.as_mut().unwrap().leave(net.now);
         net.pass(SECOND);
-        let left = net.live().skip(1).all(|f| f.members().all(|m| m.at != at(0)));
+        let left = net.live().skip(1).all(|f| f.members().all(|m| m.address != at(0)));
         hold!(left, "a goodbye is not heard by all at once, {count}, seed {seed}");
-        net.all[0].fleet.as_mut().unwrap().back(net.now);
+        net.all[0].fleet.as_mut().unwrap().rejoin(net.now);
         net.until_agreed(count, 20 * SECOND).ok_or_else(|| format!("back, {count}, seed {seed}"))?;
         net.all[0].fleet.as_mut().unwrap().leave(net.now);
         net.pass(SECOND / 10);
@@ -81,7 +81,7 @@
         net.kill(7);
         net.pass(10 * SECOND);
         same!(removals(&net, |n| n != 7), 0, "at {loss}, seed {seed}");
-        let noticed = net.live().filter(|f| f.members().all(|m| m.at != at(7))).count();
+        let noticed = net.live().filter(|f| f.members().all(|m| m.address != at(7))).count();
         same!(noticed, 39, "at {loss}, seed {seed}");
     }
     Ok(())
@@ -109,13 +109,13 @@
     for back in [0, -3_600 * SECOND] {
         let mut net = Net::started(10, 6);
         net.until_agreed(10, 20 * SECOND).ok_or("they do not agree")?;
-        let before = net.all[4].fleet.as_ref().unwrap().own().boot;
+        let before = net.all[4].fleet.as_ref().unwrap().own().incarnation;
         // At once, before anybody has missed it, and perhaps with a clock that went back.
         net.kill(4);
         net.start(4, back);
         net.until_agreed(10, 30 * SECOND).ok_or_else(|| format!("clock back by {back}"))?;
-        let now = net.all[4].fleet.as_ref().unwrap().own().boot;
-        let boots = |f: &Fleet| f.members().find(|m| m.at == at(4)).map(|m| m.boot);
+        let now = net.all[4].fleet.as_ref().unwrap().own().incarnation;
+        let boots = |f: &Membership| f.members().find(|m| m.address == at(4)).map(|m| m.incarnation);
         hold!(net.live().all(|f| boots(f).is_none_or(|boot| boot == now)) && before != now);
     }
     Ok(())
@@ -126,18 +126,18 @@
     net.start(0, 0);
     net.pass(4 * SECOND);
     let state = |net: &Net| net.all[0].fleet.as_ref().map(|f| f.view().state);
-    same!(state(&net), Some(State::Blind { since: 0 }));
+    same!(state(&net), Some(ViewState::Blind { since: 0 }));
     (1..3).for_each(|n| net.start(n, 0));
     net.until_agreed(3, 10 * SECOND).ok_or("they do not agree")?;
     net.cut = Box::new(|a, b| (a == 0) != (b == 0));
     let cut = net.now;
     net.pass(4 * SECOND);
     hold!(
-        matches!(state(&net), Some(State::Blind { since }) if since >= cut - SECOND && since <= cut + SECOND)
+        matches!(state(&net), Some(ViewState::Blind { since }) if since >= cut - SECOND && since <= cut + SECOND)
     );
     let mut alone = Net::started(1, 8);
     alone.pass(10 * SECOND);
-    same!(state(&alone), Some(State::Alone));
+    same!(state(&alone), Some(ViewState::Alone));
     Ok(())
 }
 
@@ -145,25 +145,25 @@
     let mut net = Net::started(4, 9);
     net.start_named(4, "p2", 0);
     net.pass(10 * SECOND);
-    hold!(net.live().all(|f| f.view().twins == ["p2"]), "by all, the twins too");
+    hold!(net.live().all(|f| f.view().name_conflicts == ["p2"]), "by all, the twins too");
     net.kill(4);
     net.pass(10 * SECOND);
-    hold!(net.live().all(|f| f.view().twins.is_empty()));
-    let told = |c: &(Micros, Change)| matches!(&c.1, Change::Twins(name, _) if name == "p2");
+    hold!(net.live().all(|f| f.view().name_conflicts.is_empty()));
+    let told = |c: &(Micros, MembershipChange)| matches!(&c.1, MembershipChange::NameConflict(name, _) if name == "p2");
     hold!(net.all[..4].iter().all(|p| p.changes.iter().filter(|c| told(c)).count() == 2));
     Ok(())
 }
 
 /// A peer that has the key and makes up members by the thousand.
 pub fn what_is_heard_is_bounded() -> Result<(), String> {
-    use birchreach_membership::{MOST_MEMBERS, Peer};
+    use birchreach_membership::{MAX_MEMBERS, Peer};
     use foca::{Codec, Header, Member, Message, PostcardCodec};
     let mut net = Net::started(2, 10);
     net.until_agreed(2, 10 * SECOND).ok_or("they do not agree")?;
     let peer = |n: u32| Peer {
         name: format!("liar{n}"),
-        at: std::net::SocketAddr::from(([11, (n >> 16) as u8, (n >> 8) as u8, n as u8], 1)),
-        boot: u64::from(n) + 1_000,
+        address: std::net::SocketAddr::from(([11, (n >> 16) as u8, (n >> 8) as u8, n as u8], 1)),
+        incarnation: u64::from(n) + 1_000,
         epoch: 1,
         renewals: 0,
     };
@@ -180,9 +180,9 @@
         net.hand(0, 1_000, data);
     }
     let fleet = net.all[0].fleet.as_ref().ok_or("dead")?;
-    let (members, names) = (fleet.members().count(), fleet.names());
+    let (members, names) = (fleet.members().count(), fleet.known_address_count());
     hold!(members > 100, "the scene tells nothing: {members}");
-    hold!(members <= MOST_MEMBERS && names <= MOST_MEMBERS + 2, "{members} members, {names} names");
+    hold!(members <= MAX_MEMBERS && names <= MAX_MEMBERS + 2, "{members} members, {names} names");
     Ok(())
 }
 
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -2,7 +2,7 @@
 //! come to one view.
 
 use super::{Net, SECOND};
-use birchreach_membership::{Fleet, Micros, State};
+use birchreach_membership::{Membership, Micros, ViewState};
 
 /// What happens to a fleet.
 #[derive(Clone, Debug)]
@@ -102,8 +102,8 @@
     fn hold(&self, net: &Net) -> Result<(), String> {
         let here = || net.live().filter(|f| !f.left());
         let sum: f64 = here().map(|f| 1.0 / f64::from(f.view().divisor())).sum();
-        let own = here().any(|f| f.members().any(|m| m.at == f.own().at));
-        let blind = here().any(|f| matches!(f.view().state, State::Alone));
+        let own = here().any(|f| f.members().any(|m| m.address == f.own().address));
+        let blind = here().any(|f| matches!(f.view().state, ViewState::Alone));
         if sum > 1.0 + 1e-9 || own || blind {
             return Err(format!("{self:?}: shares of {sum}, own {own}, alone {blind}, at {}", net.now));
         }
@@ -111,8 +111,8 @@
     }
 }
 
-fn views(net: &Net) -> Vec<(usize, u64, State)> {
-    let view = |f: &Fleet| (f.view().members, f.view().digest, f.view().state);
+fn views(net: &Net) -> Vec<(usize, u64, ViewState)> {
+    let view = |f: &Membership| (f.view().members, f.view().digest, f.view().state);
     net.live().map(view).collect()
 }
 
--- a/membership/tests/rumours.rs
+++ b/membership/tests/gossip_reports.rs
@@ -1,7 +1,7 @@
 //! Reports of members: each counts once, the newest alone, nearly all hear it, and what comes is bounded.
 
-use birchreach_membership::mutant::{Mutant, with};
-use birchreach_membership::{GossipReports, LIFE, MOST_REPORT, Micros};
+use birchreach_membership::faults::{Fault, with};
+use birchreach_membership::{GossipReports, LIFETIME_INTERVALS, MAX_REPORT_BYTES, Micros};
 use std::net::SocketAddr;
 
 const S: Micros = 1_000_000;
@@ -11,7 +11,7 @@
 }
 
 fn told(r: &mut GossipReports, now: Micros) -> Option<Vec<u8>> {
-    r.due(now, &[at(1)]).map(|(_, bytes)| bytes)
+    r.encode_gossip(now, &[at(1)]).map(|(_, bytes)| bytes)
 }
 
 #[test]
@@ -22,15 +22,15 @@
         let interval = GossipReports::interval(count);
         let (mut heard, mut datagrams) = (0, 0);
         for (n, r) in all.iter_mut().enumerate() {
-            r.say(0, 1, vec![n as u8; 110]);
+            r.publish(0, 1, vec![n as u8; 110]);
         }
         for now in (0..interval).step_by(50_000) {
             for n in 0..count {
                 let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(at).collect();
-                let Some((to, bytes)) = all[n].due(now, &others) else { continue };
+                let Some((to, bytes)) = all[n].encode_gossip(now, &others) else { continue };
                 datagrams += 1;
                 let to = (0..count).find(|o| at(*o) == to).unwrap();
-                heard += all[to].hear(now, count, |_| true, &bytes).unwrap().len();
+                heard += all[to].apply_gossip(now, count, |_| true, &bytes).unwrap().len();
             }
         }
         let share = heard as f64 / (count * (count - 1)) as f64;
@@ -42,13 +42,13 @@
 
 fn count_once() -> Result<(), String> {
     let (mut a, mut b) = (GossipReports::new(1, 1), GossipReports::new(2, 2));
-    a.say(0, 7, b"first".to_vec());
+    a.publish(0, 7, b"first".to_vec());
     let first = told(&mut a, 0).ok_or("nothing told")?;
-    a.say(S, 7, b"second".to_vec());
+    a.publish(S, 7, b"second".to_vec());
     let second = told(&mut a, S).ok_or("nothing told")?;
-    let mut hear = |now, bytes: &[u8]| b.hear(now, 2, |_| true, bytes).map_err(|e| format!("{e:?}"));
+    let mut hear = |now, bytes: &[u8]| b.apply_gossip(now, 2, |_| true, bytes).map_err(|e| format!("{e:?}"));
     let got = hear(S, &second)?;
-    if got.len() != 1 || got[0].payload != b"second" || got[0].origin != 1 || got[0].number != 2 {
+    if got.len() != 1 || got[0].payload != b"second" || got[0].origin != 1 || got[0].sequence != 2 {
         return Err(format!("{got:?}"));
     }
     // Twice, and one that was overtaken.
@@ -64,26 +64,29 @@
 #[test]
 fn reports_count_once() {
     count_once().unwrap();
-    assert!(with(Mutant::TakesTwice, count_once).is_err(), "the check finds nothing");
+    assert!(with(Fault::TakesTwice, count_once).is_err(), "the check finds nothing");
 }
 
 #[test]
 fn ages_add_up_and_run_out() {
     let (mut a, mut b, mut c) =
         (GossipReports::new(1, 1), GossipReports::new(2, 2), GossipReports::new(3, 3));
-    a.say(0, 7, b"word".to_vec());
+    a.publish(0, 7, b"word".to_vec());
     let word = told(&mut a, S / 2).unwrap();
     // A second under way, whose clock reads anything.
     let clock = 500 * S;
-    let got = b.hear(clock, 3, |_| true, &word).unwrap();
+    let got = b.apply_gossip(clock, 3, |_| true, &word).unwrap();
     assert!((S / 2..S).contains(&got[0].age), "{got:?}");
-    let life = GossipReports::interval(3) * LIFE;
+    let life = GossipReports::interval(3) * LIFETIME_INTERVALS;
     let again = told(&mut b, clock + 2 * S).unwrap();
-    let got = c.hear(0, 3, |_| true, &again).unwrap();
+    let got = c.apply_gossip(0, 3, |_| true, &again).unwrap();
     assert!((5 * S / 2..3 * S).contains(&got[0].age), "{got:?}");
     assert_eq!(told(&mut c, life), None, "it has run out, and is not handed on");
     let mut late = GossipReports::new(4, 4);
-    assert!(late.hear(0, 3, |origin| origin != 1, &word).unwrap().is_empty(), "its origin is no member");
+    assert!(
+        late.apply_gossip(0, 3, |origin| origin != 1, &word).unwrap().is_empty(),
+        "its origin is no member"
+    );
     assert_eq!(late.len(), 0);
 }
 
@@ -91,9 +94,9 @@
 fn noise_changes_nothing() {
     let mut rng = fastrand::Rng::with_seed(9);
     let (mut a, mut b) = (GossipReports::new(1, 1), GossipReports::new(2, 2));
-    a.say(0, 1, vec![7; MOST_REPORT + 1]);
+    a.publish(0, 1, vec![7; MAX_REPORT_BYTES + 1]);
     assert!(told(&mut a, 0).is_none(), "too long a report is none");
-    a.say(0, 1, vec![7; 300]);
+    a.publish(0, 1, vec![7; 300]);
     let good = told(&mut a, 0).unwrap();
     for _ in 0..20_000 {
         let mut bytes = good.clone();
@@ -103,12 +106,12 @@
         }
         bytes.truncate(rng.usize(..=bytes.len()));
         let member = rng.bool();
-        let _ = b.hear(0, 2, |_| member, &bytes);
+        let _ = b.apply_gossip(0, 2, |_| member, &bytes);
     }
     assert!(b.len() <= 16_384);
     let mut c = GossipReports::new(3, 3);
     for cut in 1..good.len() {
-        assert!(c.hear(0, 2, |_| true, &good[..cut]).is_err(), "{cut} bytes of it");
+        assert!(c.apply_gossip(0, 2, |_| true, &good[..cut]).is_err(), "{cut} bytes of it");
     }
     assert!(c.is_empty());
 }
@@ -116,12 +119,12 @@
 #[test]
 fn origins_are_bounded() {
     let (mut liar, mut b) = (GossipReports::new(1, 1), GossipReports::new(9, 2));
-    b.say(0, 1, b"own".to_vec());
+    b.publish(0, 1, b"own".to_vec());
     for n in 0..20_000u64 {
         liar = GossipReports::new(n + 10, 1);
-        liar.say(0, 1, b"x".to_vec());
+        liar.publish(0, 1, b"x".to_vec());
         let bytes = told(&mut liar, 0).unwrap();
-        b.hear(0, 2, |_| true, &bytes).unwrap();
+        b.apply_gossip(0, 2, |_| true, &bytes).unwrap();
     }
     assert!(b.len() <= 16_384 && told(&mut b, 0).is_some(), "{}", b.len());
     drop(liar);
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -1,7 +1,7 @@
 //! Payloads that members send each other, recorded from the release before: they are read as they were, and the same are written
 //! again. `recorded/payloads.txt` holds them, a name and its bytes in hexadecimal on each line.
 
-use birchreach_membership::{Fleet, GossipReports, Micros, Settings, State};
+use birchreach_membership::{GossipReports, Membership, MembershipSettings, Micros, ViewState};
 use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
@@ -29,33 +29,33 @@
     }
 }
 
-fn fleet(n: usize, now: Micros) -> Fleet {
-    let settings = Settings {
+fn fleet(n: usize, now: Micros) -> Membership {
+    let settings = MembershipSettings {
         name: ["proxy-a", "proxy-b"][n].into(),
-        at: address(n),
-        boot: 0x1000_0000_0000_0001 + n as u64,
+        address: address(n),
+        incarnation: 0x1000_0000_0000_0001 + n as u64,
         epoch: 1_700_000_000_000 + n as u64,
         seed: n as u64 + 1,
         seeds: vec![address(0)],
-        named: 2,
+        configured_members: 2,
     };
-    Fleet::new(settings, now)
+    Membership::new(settings, now)
 }
 
 /// The second joins the first; each is fed the recorded payloads of the other for five seconds.
 #[test]
 fn a_join_and_the_gossip_after_it_are_written_and_read_as_recorded() {
     let mut fleets = [fleet(0, 0), fleet(1, 0)];
-    let boots = [0, 1].map(|n| fleets[n].own().boot);
+    let boots = [0, 1].map(|n| fleets[n].own().incarnation);
     let mut sent = 0;
     for now in (0..5 * SECOND).step_by(100_000) {
         for n in [1, 0] {
             fleets[n].step(now);
-            while let Some((to, payload)) = fleets[n].send() {
+            while let Some((to, payload)) = fleets[n].next_payload() {
                 assert_eq!(to, address(1 - n));
                 let name = format!("gossip-{sent}-from-{n}");
                 assert_recorded(&name, &payload);
-                fleets[1 - n].heard(now, boots[n], &recorded(&name)).unwrap();
+                fleets[1 - n].receive(now, boots[n], &recorded(&name)).unwrap();
                 sent += 1;
             }
         }
@@ -64,38 +64,38 @@
     for fleet in &fleets {
         assert_eq!(fleet.view().members, 2);
         assert_recorded("digest-of-two", &fleet.view().digest.to_be_bytes());
-        assert!(matches!(fleet.view().state, State::Settled { .. }));
+        assert!(matches!(fleet.view().state, ViewState::Settled { .. }));
     }
     fleets[1].leave(5 * SECOND);
-    let (_, goodbye) = fleets[1].send().unwrap();
+    let (_, goodbye) = fleets[1].next_payload().unwrap();
     assert_recorded("goodbye", &goodbye);
-    fleets[0].heard(5 * SECOND, boots[1], &recorded("goodbye")).unwrap();
+    fleets[0].receive(5 * SECOND, boots[1], &recorded("goodbye")).unwrap();
     assert_eq!(fleets[0].members().count(), 0);
 }
 
 #[test]
 fn a_full_exchange_is_written_and_read_as_recorded() {
     let (mut first, second) = (fleet(0, 0), fleet(1, 0));
-    let parts = second.all();
+    let parts = second.export_members();
     assert_eq!(parts.len(), 1);
     assert_recorded("exchange", &parts[0]);
-    first.take_all(SECOND, &[recorded("exchange")]).unwrap();
+    first.import_members(SECOND, &[recorded("exchange")]).unwrap();
     let members: Vec<_> = first.members().cloned().collect();
     assert_eq!(members, [second.own().clone()]);
     assert_eq!(first.own().name, "proxy-a");
-    assert_recorded("exchange-of-two", &first.all().concat());
+    assert_recorded("exchange-of-two", &first.export_members().concat());
 }
 
 #[test]
 fn reports_are_written_and_read_as_recorded() {
     let (mut sender, mut receiver) = (GossipReports::new(0x2122_2324_2526_2728, 1), GossipReports::new(2, 2));
-    sender.say(0, 1, b"first channel".to_vec());
-    sender.say(SECOND, 200, vec![0, 255, 7]);
-    let (_, payload) = sender.due(SECOND + 1, &[address(0)]).unwrap();
+    sender.publish(0, 1, b"first channel".to_vec());
+    sender.publish(SECOND, 200, vec![0, 255, 7]);
+    let (_, payload) = sender.encode_gossip(SECOND + 1, &[address(0)]).unwrap();
     assert_recorded("reports", &payload);
-    let fresh = receiver.hear(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
+    let fresh = receiver.apply_gossip(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
     let mut fresh: Vec<_> =
-        fresh.into_iter().map(|r| (r.channel, r.origin, r.number, r.age, r.payload)).collect();
+        fresh.into_iter().map(|r| (r.channel, r.origin, r.sequence, r.age, r.payload)).collect();
     fresh.sort();
     let origin = 0x2122_2324_2526_2728;
     assert_eq!(
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What operators are shown of the fleet: the view in lines, and its figures as metrics. It owns the words; what is so is the fleet
 //! crate's to say.
 
-use birchreach_membership::{Fleet, Micros, State};
+use birchreach_membership::{Membership, Micros, ViewState};
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -73,10 +73,10 @@
     }
 
     /// All of it in the text form, without the line that ends it.
-    pub fn text(&self, fleet: &Fleet) -> String {
+    pub fn text(&self, fleet: &Membership) -> String {
         let view = fleet.view();
         self.members.set(i64::try_from(view.members).unwrap_or(i64::MAX));
-        self.settled.set(i64::from(matches!(view.state, State::Settled { .. })));
+        self.settled.set(i64::from(matches!(view.state, ViewState::Settled { .. })));
         let mut text = String::new();
         let _ = encode_registry(&mut text, &self.registry);
         text
@@ -84,31 +84,37 @@
 }
 
 /// The view, a line for the whole and one for each other member.
-pub fn lines(fleet: &Fleet, now: Micros) -> String {
+pub fn lines(fleet: &Membership, now: Micros) -> String {
     let view = fleet.view();
     let own = fleet.own();
     let since = match view.state {
-        State::Settled { since } | State::Blind { since } => format!(" for_ms={}", (now - since) / 1_000),
-        State::Moving | State::Alone => String::new(),
+        ViewState::Settled { since } | ViewState::Blind { since } => {
+            format!(" for_ms={}", (now - since) / 1_000)
+        }
+        ViewState::Changing | ViewState::Alone => String::new(),
     };
     let mut out = String::new();
     let _ = writeln!(
         out,
         "fleet state={}{since} members={} named={} divisor={} digest={:016x} name={} boot={:016x} epoch={}",
-        view.state.word(),
+        view.state.as_str(),
         view.members,
-        view.named,
+        view.configured_members,
         view.divisor(),
         view.digest,
         own.name,
-        own.boot,
+        own.incarnation,
         own.epoch
     );
-    for name in &view.twins {
+    for name in &view.name_conflicts {
         let _ = writeln!(out, "twins name={name}");
     }
     for m in fleet.members() {
-        let _ = writeln!(out, "member name={} at={} boot={:016x} epoch={}", m.name, m.at, m.boot, m.epoch);
+        let _ = writeln!(
+            out,
+            "member name={} at={} boot={:016x} epoch={}",
+            m.name, m.address, m.incarnation, m.epoch
+        );
     }
     out
 }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -15,7 +15,7 @@
 use crate::split;
 use birchreach::{GroupId, Micros, ServerId};
 use birchreach_background_tasks::{Kind, Scheduler, Task};
-use birchreach_membership::Fresh;
+use birchreach_membership::ReceivedReport;
 use copies::Copying;
 use dual_reads::Shadow;
 use std::collections::HashMap;
@@ -95,12 +95,13 @@
     }
 
     /// What other members tell.
-    pub fn hear(&mut self, now: Micros, fresh: Vec<Fresh>) {
+    pub fn hear(&mut self, now: Micros, fresh: Vec<ReceivedReport>) {
         for told in fresh {
             match (told.channel, &self.hot) {
                 (HOT, Some(watch)) => {
                     let mut watch = watch.borrow_mut();
-                    if let Err(why) = watch.hot.hear(now, told.origin, told.number, told.age, &told.payload) {
+                    if let Err(why) = watch.hot.hear(now, told.origin, told.sequence, told.age, &told.payload)
+                    {
                         self.metrics.refuse("hot", why.word());
                     }
                 }
@@ -111,9 +112,9 @@
         }
     }
 
-    fn hear_split(&self, now: Micros, told: &Fresh) {
+    fn hear_split(&self, now: Micros, told: &ReceivedReport) {
         let Some(watch) = &self.split else { return };
-        let heard = watch.borrow_mut().split.hear(now, told.origin, told.number, told.age, &told.payload);
+        let heard = watch.borrow_mut().split.hear(now, told.origin, told.sequence, told.age, &told.payload);
         if let Err(why) = heard {
             self.metrics.refuse("split", why.word());
         }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -36,7 +36,8 @@
     pub(in crate::net) fn start_background(&mut self) {
         let options = self.config.options.hot.clone();
         let (Some(fellows), Some(keys)) = (&self.fleet, &self.config.fleet_keys) else { return };
-        let (boot, named, divisor) = (fellows.boot(), fellows.view().named, fellows.view().divisor());
+        let (boot, named, divisor) =
+            (fellows.boot(), fellows.view().configured_members, fellows.view().divisor());
         let mut background =
             self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.now)));
         match (&options, background.hot.clone()) {
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -8,7 +8,9 @@
 use crate::log::Quoted;
 use crate::observe::Shared;
 use birchreach::Micros;
-use birchreach_membership::{Change, Fleet, Fresh, GossipReports, Refused, State, View};
+use birchreach_membership::{
+    GossipReports, Membership, MembershipChange, PayloadError, ReceivedReport, View, ViewState,
+};
 use birchreach_peer_state::datagram::{DatagramCodec, MAX_DATAGRAM_BYTES};
 use mio::net::UdpSocket;
 use mio::{Interest, Registry};
@@ -29,10 +31,10 @@
     socket: Option<UdpSocket>,
     listen: SocketAddr,
     registry: Registry,
-    machine: Shared<Fleet>,
+    machine: Shared<Membership>,
     gossip_reports: GossipReports,
     /// Reports that are new here, until their channels take them.
-    fresh: Vec<Fresh>,
+    fresh: Vec<ReceivedReport>,
     datagrams: DatagramCodec,
     metrics: Metrics,
     /// When the timer that is set goes off.
@@ -43,16 +45,6 @@
     left: bool,
 }
 
-fn refused(why: Refused) -> &'static str {
-    match why {
-        Refused::Form => "form",
-        Refused::Sender => "other-sender",
-        Refused::Own => "own",
-        Refused::TooMany => "too-many",
-        Refused::NotForUs => "not-for-us",
-    }
-}
-
 impl FleetMembership {
     fn open(&mut self) -> std::io::Result<()> {
         let mut socket = UdpSocket::bind(self.listen)?;
@@ -73,17 +65,17 @@
     }
 
     pub fn boot(&self) -> u64 {
-        self.machine.borrow().own().boot
+        self.machine.borrow().own().incarnation
     }
 
     /// What this process tells all others of itself, on a channel.
     pub fn say(&mut self, now: Micros, channel: u8, payload: Vec<u8>) {
-        self.gossip_reports.say(now, channel, payload);
+        self.gossip_reports.publish(now, channel, payload);
         self.flush(now);
     }
 
     /// Reports that are new here.
-    pub fn fresh(&mut self) -> Vec<Fresh> {
+    pub fn fresh(&mut self) -> Vec<ReceivedReport> {
         std::mem::take(&mut self.fresh)
     }
 
@@ -119,17 +111,19 @@
         };
         let mut machine = self.machine.borrow_mut();
         let taken = match payload.split_first() {
-            Some((&VIEW, payload)) => machine.heard(now, boot, payload),
+            Some((&VIEW, payload)) => machine.receive(now, boot, payload),
             Some((&REPORTS, payload)) => {
                 let members = machine.members().count() + 1;
-                let member = |origin| machine.members().any(|m| m.boot == origin);
-                self.gossip_reports.hear(now, members, member, payload).map(|new| self.fresh.extend(new))
+                let member = |origin| machine.members().any(|m| m.incarnation == origin);
+                self.gossip_reports
+                    .apply_gossip(now, members, member, payload)
+                    .map(|new| self.fresh.extend(new))
             }
             // Of a later version of the program.
-            _ => Err(Refused::Form),
+            _ => Err(PayloadError::Malformed),
         };
         match taken {
-            Err(why) => self.metrics.drop(refused(why)),
+            Err(why) => self.metrics.drop(why.as_str()),
             Ok(()) => self.metrics.count(Way::Taken, bytes.len()),
         }
     }
@@ -158,7 +152,7 @@
         if replaced {
             self.leave(now);
         } else if std::mem::take(&mut self.left) {
-            self.machine.borrow_mut().back(now);
+            self.machine.borrow_mut().rejoin(now);
             self.due(now);
         }
     }
@@ -174,16 +168,16 @@
 
     fn flush(&mut self, now: Micros) {
         loop {
-            let Some((to, payload)) = self.machine.borrow_mut().send() else { break };
+            let Some((to, payload)) = self.machine.borrow_mut().next_payload() else { break };
             self.send(to, VIEW, &payload);
         }
-        let members: Vec<SocketAddr> = self.machine.borrow().members().map(|m| m.at).collect();
+        let members: Vec<SocketAddr> = self.machine.borrow().members().map(|m| m.address).collect();
         if !self.left
-            && let Some((to, payload)) = self.gossip_reports.due(now, &members)
+            && let Some((to, payload)) = self.gossip_reports.encode_gossip(now, &members)
         {
             self.send(to, REPORTS, &payload);
         }
-        let changes = self.machine.borrow_mut().changes();
+        let changes = self.machine.borrow_mut().take_changes();
         for change in changes {
             self.tell(change);
         }
@@ -199,18 +193,26 @@
         }
     }
 
-    fn tell(&self, change: Change) {
+    fn tell(&self, change: MembershipChange) {
         match change {
-            Change::Up(peer) => info!(event = "fleet-up", name = %Quoted(peer.name), at = %peer.at),
-            Change::Gone(peer) => info!(event = "fleet-gone", name = %Quoted(peer.name), at = %peer.at),
-            Change::Renewed(epoch) => info!(event = "fleet-renewed", epoch),
-            Change::Twins(name, true) => warn!(event = "fleet-twins", name = %Quoted(name)),
-            Change::Twins(name, false) => info!(event = "fleet-twins-over", name = %Quoted(name)),
-            Change::State(state @ State::Blind { .. }) => warn!(event = "fleet", state = state.word()),
-            Change::State(state) => {
+            MembershipChange::Joined(peer) => {
+                info!(event = "fleet-up", name = %Quoted(peer.name), at = %peer.address)
+            }
+            MembershipChange::Removed(peer) => {
+                info!(event = "fleet-gone", name = %Quoted(peer.name), at = %peer.address)
+            }
+            MembershipChange::EpochRenewed(epoch) => info!(event = "fleet-renewed", epoch),
+            MembershipChange::NameConflict(name, true) => warn!(event = "fleet-twins", name = %Quoted(name)),
+            MembershipChange::NameConflict(name, false) => {
+                info!(event = "fleet-twins-over", name = %Quoted(name))
+            }
+            MembershipChange::State(state @ ViewState::Blind { .. }) => {
+                warn!(event = "fleet", state = state.as_str())
+            }
+            MembershipChange::State(state) => {
                 let view = self.machine.borrow().view();
                 let digest = format!("{:016x}", view.digest);
-                info!(event = "fleet", state = state.word(), members = view.members, digest);
+                info!(event = "fleet", state = state.as_str(), members = view.members, digest);
             }
         }
     }
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Metrics;
 use crate::observe::shared;
 use birchreach::Micros;
-use birchreach_membership::{Fleet, GossipReports, Settings};
+use birchreach_membership::{GossipReports, Membership, MembershipSettings};
 use birchreach_peer_state::datagram::DatagramCodec;
 use std::io::ErrorKind;
 
@@ -22,22 +22,22 @@
         getrandom::fill(&mut boot).map_err(|e| format!("no random numbers: {e}"))?;
         let boot = u64::from_be_bytes(boot);
         let name = self.config.name.clone();
-        if name.len() > birchreach_membership::MOST_NAME || name.chars().any(char::is_control) {
+        if name.len() > birchreach_membership::MAX_NAME_BYTES || name.chars().any(char::is_control) {
             return Err(format!(
                 "name: the fleet takes {} printable bytes at most",
-                birchreach_membership::MOST_NAME
+                birchreach_membership::MAX_NAME_BYTES
             ));
         }
-        let settings = Settings {
+        let settings = MembershipSettings {
             name,
-            at: options.advertise,
-            boot,
+            address: options.advertise,
+            incarnation: boot,
             epoch: u64::try_from(self.now / 1_000).unwrap_or(0),
             seed: self.config.seed ^ boot,
             seeds: options.peers.clone(),
-            named: options.named,
+            configured_members: options.named,
         };
-        let machine = shared(Fleet::new(settings, self.now));
+        let machine = shared(Membership::new(settings, self.now));
         let mut fellows = FleetMembership {
             socket: None,
             listen: options.listen,
@@ -81,7 +81,7 @@
     pub(in crate::net) fn with_fleet(&mut self, act: impl FnOnce(&mut FleetMembership, Micros)) {
         let Some(fellows) = &mut self.fleet else { return };
         act(fellows, self.now);
-        let exchange = fellows.machine.borrow_mut().exchange(self.now).filter(|_| fellows.speaks());
+        let exchange = fellows.machine.borrow_mut().due_exchange(self.now).filter(|_| fellows.speaks());
         if let Some(at) = fellows.wake(self.now) {
             self.timers.set(at, TimerEvent::Fleet);
         }
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -7,7 +7,7 @@
 use super::listen;
 use super::peer_protocol::{Next, nonce};
 use crate::observe::Shared;
-use birchreach_membership::Fleet;
+use birchreach_membership::Membership;
 use birchreach_peer_state::frame::{Keys, Side};
 use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange};
 use mio::Registry;
@@ -25,12 +25,12 @@
     /// Where others reach this process.
     own: SocketAddr,
     keys: Keys,
-    machine: Shared<Fleet>,
+    machine: Shared<Membership>,
     pub(super) waiting: bool,
 }
 
 impl MembershipSync {
-    pub fn new(own: SocketAddr, keys: Keys, machine: Shared<Fleet>) -> MembershipSync {
+    pub fn new(own: SocketAddr, keys: Keys, machine: Shared<Membership>) -> MembershipSync {
         MembershipSync { listener: None, own, keys, machine, waiting: false }
     }
 
@@ -77,17 +77,19 @@
             match machine.next_event() {
                 Err(refused) => return Next::Refused(refused.to_string()),
                 Ok(None) => return Next::Waits,
-                Ok(Some(ExchangeEvent::Connected)) => machine.send_parts(&self.machine.borrow().all()),
+                Ok(Some(ExchangeEvent::Connected)) => {
+                    machine.send_parts(&self.machine.borrow().export_members())
+                }
                 Ok(Some(ExchangeEvent::Complete(parts))) => {
                     let asked = machine.has_sent();
                     if !asked {
-                        machine.send_parts(&self.machine.borrow().all());
+                        machine.send_parts(&self.machine.borrow().export_members());
                     }
-                    let taken = self.machine.borrow_mut().take_all(context.now, &parts);
+                    let taken = self.machine.borrow_mut().import_members(context.now, &parts);
                     // What has changed by it is told and shown by the owner of the datagrams.
                     context.timers.set(context.now, TimerEvent::Fleet);
                     match taken {
-                        Err(why) => return Next::Refused(format!("{why:?}").to_lowercase()),
+                        Err(why) => return Next::Refused(why.as_str().to_string()),
                         Ok(()) if asked => return Next::Over("heard"),
                         Ok(()) => {}
                     }
