--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -7,7 +7,8 @@
 mod start;
 
 use super::event_loop_context::EventLoopContext;
-use super::pool::{Done, Pool};
+use super::pool::Pool;
+use crate::background_query::BackgroundQueryResult;
 use crate::core::Core;
 use crate::hot::Watch;
 use crate::metrics::Metrics;
@@ -158,7 +159,7 @@
             let (group, write) = what.place();
             core.background_candidate(GroupId(group), write, what.yields()).map(|server| server.0)
         };
-        let started = self.scheduler.start(context.now, divisor, |what| place(context.core, what));
+        let started = self.scheduler.start(context.now, divisor, |what| place(&context.core, what));
         for (number, task, database) in started {
             self.sent += 1;
             let texts = task.what.texts(self.boot.wrapping_add(self.sent));
@@ -168,7 +169,7 @@
     }
 
     /// BackgroundQueries that are over; those whose end was never told are given up.
-    fn ended(&mut self, now: Micros, done: Vec<Done>) {
+    fn ended(&mut self, now: Micros, done: Vec<BackgroundQueryResult>) {
         for done in done {
             self.scheduler.ended(done.number);
             let Some((what, _)) = self.out.remove(&done.number) else { continue };
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -3,12 +3,13 @@
 
 mod link_events;
 mod membership_sync;
+mod nonce;
 mod peer_protocol;
 mod state_transfer;
 
-use super::TimerEvent;
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
+use super::timer_events::TimerEvent;
 use birchreach::Micros;
 use birchreach_peer_state::full_exchange::FullExchange;
 use birchreach_peer_state::request_scheduler::RequestOutcome;
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -1,11 +1,10 @@
 //! What passes on a link: a donor's parts into what is known, and what is known to an asker, within the donor's budget.
 
-use super::super::TimerEvent;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
+use super::super::timer_events::TimerEvent;
 use super::state_transfer::StateTransfer;
 use birchreach::Micros;
-use birchreach_peer_state::frame::Nonce;
 use birchreach_peer_state::provider::Admission;
 use birchreach_peer_state::request_scheduler::RequestOutcome;
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
@@ -86,12 +85,6 @@
     Next::Waits
 }
 
-pub(super) fn nonce() -> Result<Nonce, &'static str> {
-    let mut nonce = [0; 16];
-    getrandom::fill(&mut nonce).map_err(|_| "no-random-numbers")?;
-    Ok(nonce)
-}
-
 /// Reads what there is, a piece at once.
 pub(super) fn take(
     stream: &mut TcpStream,
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -61,7 +61,7 @@
         match bound {
             Ok(listener) => self.listener = Some(listener),
             Err(e) => {
-                warn!(event = "no-meeting-place", path = %path.display(), error = %Quoted(e));
+                warn!(event = "handover-socket-unavailable", path = %path.display(), error = %Quoted(e));
             }
         }
     }
@@ -79,7 +79,7 @@
             {
                 self.successor =
                     Some(Link { stream, machine: HandoverProtocol::default(), word: None, yields: None });
-                info!(event = "successor-met");
+                info!(event = "successor-connected");
             }
         }
     }
@@ -90,7 +90,7 @@
         let slot = if predecessor { &mut self.predecessor } else { &mut self.successor };
         let Some(link) = slot else { return };
         let machine = &mut link.machine;
-        let read = stream::read(&mut link.stream, context.scratch, |bytes| {
+        let read = stream::read(&mut link.stream, &mut context.scratch, |bytes| {
             machine.feed(bytes);
             true
         });
@@ -106,10 +106,10 @@
         if read.is_err() || written.is_err() || !sound {
             let _ = context.registry.deregister(&mut link.stream);
             *slot = None;
-            info!(event = if predecessor { "predecessor-gone" } else { "successor-gone" });
+            info!(event = if predecessor { "predecessor-disconnected" } else { "successor-disconnected" });
             if !predecessor {
                 // It had taken the meeting place too.
-                self.listen(context.registry);
+                self.listen(&context.registry);
             }
         }
     }
