--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -8,8 +8,8 @@
 use crate::fleet::Metrics;
 use crate::observe::shared;
 use birchreach::Micros;
-use birchreach_membership::{Fleet, GossipReports, Settings};
-use birchreach_peer_state::datagram::Datagrams;
+use birchreach_membership::{GossipReports, Membership, MembershipSettings};
+use birchreach_peer_state::datagram::DatagramCodec;
 use std::io::ErrorKind;
 
 impl EventLoop {
@@ -23,22 +23,22 @@
         getrandom::fill(&mut boot).map_err(|e| format!("no random numbers: {e}"))?;
         let boot = u64::from_be_bytes(boot);
         let name = self.config.name.clone();
-        if name.len() > birchreach_membership::MOST_NAME || name.chars().any(char::is_control) {
+        if name.len() > birchreach_membership::MAX_NAME_BYTES || name.chars().any(char::is_control) {
             return Err(format!(
                 "name: the fleet takes {} printable bytes at most",
-                birchreach_membership::MOST_NAME
+                birchreach_membership::MAX_NAME_BYTES
             ));
         }
-        let settings = Settings {
+        let settings = MembershipSettings {
             name,
-            at: options.advertise,
-            boot,
+            address: options.advertise,
+            incarnation: boot,
             epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
             seed: self.config.seed ^ boot,
             seeds: options.peers.clone(),
-            named: options.named,
+            configured_members: options.named,
         };
-        let machine = shared(Fleet::new(settings, self.context.now));
+        let machine = shared(Membership::new(settings, self.context.now));
         let mut fellows = FleetMembership {
             socket: None,
             listen: options.listen,
@@ -46,7 +46,7 @@
             machine: machine.clone(),
             gossip_reports: GossipReports::new(boot, self.config.seed ^ boot.rotate_left(32)),
             fresh: Vec::new(),
-            datagrams: Datagrams::new(keys.clone(), boot),
+            datagrams: DatagramCodec::new(keys.clone(), boot),
             metrics: Metrics::new(),
             armed: Micros::MAX,
             unread: false,
@@ -91,7 +91,8 @@
     /// come of the call.
     pub(in crate::net) fn after_fleet(&mut self) {
         let Some(fellows) = &mut self.fleet else { return };
-        let exchange = fellows.machine.borrow_mut().exchange(self.context.now).filter(|_| fellows.speaks());
+        let exchange =
+            fellows.machine.borrow_mut().due_exchange(self.context.now).filter(|_| fellows.speaks());
         if let Some(at) = fellows.wake(self.context.now) {
             self.context.timers.set(at, TimerEvent::Fleet);
         }
