--- /dev/null
+++ b/proxy/src/grpc/call.rs
@@ -0,0 +1,171 @@
+//! One call on a connection: its request is received, then it is answered once (`Check`) or with each change (`Watch`).
+
+use super::message::{
+    InvalidRequest, MAX_REQUEST_BYTES, ServingStatus, StatusCode, parse_request, response_frame,
+    response_headers, send_answer, send_error, serving_status,
+};
+use birchreach_health::agent::ParsedQuery;
+use birchreach_health::{HealthQuery, Verdict};
+use bytes::Bytes;
+use h2::server::SendResponse;
+use h2::{RecvStream, SendStream};
+use http::{Method, Request, Response, StatusCode as HttpStatus};
+use std::task::{Context, Poll};
+
+/// The methods of the service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CallMethod {
+    Check,
+    Watch,
+}
+
+pub(super) enum Call {
+    Receiving(Receiving),
+    Watching(Watching),
+}
+
+/// A call whose request is not complete.
+pub(super) struct Receiving {
+    method: CallMethod,
+    body: RecvStream,
+    received: Vec<u8>,
+    respond: SendResponse<Bytes>,
+}
+
+/// A call that is sent each change of a status.
+pub(super) struct Watching {
+    query: HealthQuery,
+    last_sent: Option<ServingStatus>,
+    stream: SendStream<Bytes>,
+}
+
+/// What became of a call.
+pub(super) enum CallProgress {
+    /// It stays as it is.
+    Open,
+    /// It has sent something.
+    Sent,
+    /// It has been answered and ended.
+    Answered,
+    /// It has ended without an answer.
+    Ended,
+    /// It goes on as a watch.
+    Watches(Watching),
+}
+
+enum ReceivedBody {
+    Complete,
+    Incomplete,
+    TooLong,
+    Failed,
+}
+
+impl Call {
+    /// Begins a call; none if it is answered at once.
+    pub fn begin(request: Request<RecvStream>, mut respond: SendResponse<Bytes>) -> Option<Call> {
+        let (head, body) = request.into_parts();
+        let content_type = head.headers.get("content-type").and_then(|value| value.to_str().ok());
+        let is_grpc = content_type.is_some_and(|kind| kind.starts_with("application/grpc"));
+        if head.method != Method::POST || !is_grpc {
+            let mut response = Response::new(());
+            *response.status_mut() = HttpStatus::UNSUPPORTED_MEDIA_TYPE;
+            let _ = respond.send_response(response, true);
+            return None;
+        }
+        let method = match head.uri.path() {
+            "/grpc.health.v1.Health/Check" => CallMethod::Check,
+            "/grpc.health.v1.Health/Watch" => CallMethod::Watch,
+            _ => {
+                send_error(&mut respond, StatusCode::Unimplemented, "no such method");
+                return None;
+            }
+        };
+        Some(Call::Receiving(Receiving { method, body, received: Vec::new(), respond }))
+    }
+
+    pub fn is_watch(&self) -> bool {
+        matches!(self, Call::Watching(_))
+    }
+
+    /// Goes on as far as the peer allows.
+    pub fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
+        match self {
+            Call::Receiving(call) => call.advance(context, verdict),
+            Call::Watching(call) => call.advance(context, verdict),
+        }
+    }
+}
+
+impl Receiving {
+    fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
+        let body = self.receive(context);
+        match (body, parse_request(&self.received)) {
+            (ReceivedBody::Failed, _) => CallProgress::Ended,
+            (ReceivedBody::TooLong, _) => {
+                send_error(&mut self.respond, StatusCode::ResourceExhausted, "the request is too long");
+                CallProgress::Answered
+            }
+            (_, Some(Ok(query))) => self.answer(query, verdict),
+            (ReceivedBody::Incomplete, None) => CallProgress::Open,
+            (_, Some(Err(_)) | None) => {
+                send_error(&mut self.respond, StatusCode::InvalidArgument, InvalidRequest::MESSAGE);
+                CallProgress::Answered
+            }
+        }
+    }
+
+    /// Takes what has arrived of the request.
+    fn receive(&mut self, context: &mut Context) -> ReceivedBody {
+        loop {
+            match self.body.poll_data(context) {
+                Poll::Ready(Some(Ok(bytes))) => {
+                    // Fails only for more than was received.
+                    let _ = self.body.flow_control().release_capacity(bytes.len());
+                    if self.received.len() + bytes.len() > MAX_REQUEST_BYTES {
+                        return ReceivedBody::TooLong;
+                    }
+                    self.received.extend_from_slice(&bytes);
+                }
+                Poll::Ready(Some(Err(_))) => return ReceivedBody::Failed,
+                Poll::Ready(None) => return ReceivedBody::Complete,
+                Poll::Pending => return ReceivedBody::Incomplete,
+            }
+        }
+    }
+
+    fn answer(&mut self, query: ParsedQuery, verdict: &Verdict) -> CallProgress {
+        if self.method == CallMethod::Check {
+            send_answer(&mut self.respond, serving_status(&query, verdict));
+            return CallProgress::Answered;
+        }
+        let Ok(stream) = self.respond.send_response(response_headers(), false) else {
+            return CallProgress::Answered;
+        };
+        // A service that is unknown now may exist with later settings, so its watch stays open. A name that can't be
+        // parsed is watched as the empty class name, which is unknown too.
+        let query =
+            query.unwrap_or_else(|_| HealthQuery { class: Some(String::new()), ..HealthQuery::default() });
+        CallProgress::Watches(Watching { query, last_sent: None, stream })
+    }
+}
+
+impl Watching {
+    /// Sends the status if it is another than the one sent last. If the peer reads slowly, only the newest is sent.
+    fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
+        if self.stream.poll_reset(context).is_ready() {
+            return CallProgress::Ended;
+        }
+        let status =
+            serving_status(&Ok(self.query.clone()), verdict).unwrap_or(ServingStatus::ServiceUnknown);
+        if self.last_sent == Some(status) {
+            return CallProgress::Open;
+        }
+        let frame = response_frame(status);
+        self.stream.reserve_capacity(frame.len());
+        if self.stream.capacity() >= frame.len() && self.stream.send_data(frame, false).is_ok() {
+            self.last_sent = Some(status);
+            return CallProgress::Sent;
+        }
+        CallProgress::Open
+    }
+}
--- /dev/null
+++ b/proxy/src/grpc/mod.rs
@@ -0,0 +1,208 @@
+//! gRPC health v1 (`Check` and `Watch`) as a state machine that is fed bytes. h2 speaks HTTP/2 over a pipe in memory and
+//! is polled by the event loop itself, so that no other thread and no async runtime is needed.
+//!
+//! Service names are parsed like agent-check lines; the answers come from the verdict. Streams, headers, messages and
+//! buffers of a connection are bounded.
+
+mod call;
+mod message;
+mod pipe;
+
+use birchreach_health::Verdict;
+use bytes::Bytes;
+use call::{Call, CallProgress};
+use h2::server::{Builder, Connection, Handshake};
+use h2::{Ping, PingPong};
+use message::MAX_REQUEST_BYTES;
+use pipe::{MAX_BUFFERED_BYTES, Pipe, PipeEnd};
+use std::cell::RefCell;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker};
+
+/// Calls and watches open at once on a connection.
+const MAX_STREAMS: u32 = 16;
+const MAX_HEADER_BYTES: u32 = 8 << 10;
+const MAX_FRAME_BYTES: u32 = 16 << 10;
+const STREAM_WINDOW_BYTES: u32 = MAX_REQUEST_BYTES as u32 * 2;
+const CONNECTION_WINDOW_BYTES: u32 = 16 << 10;
+/// Bounds the work for one connection in one run of [`GrpcCheckConnection::process`].
+const MAX_ROUNDS: usize = 32;
+
+enum ConnectionState {
+    Handshake(Pin<Box<Handshake<PipeEnd, Bytes>>>),
+    Open(Box<Connection<PipeEnd, Bytes>>, Option<PingPong>),
+    Closed,
+}
+
+/// A balancer's connection.
+pub struct GrpcCheckConnection {
+    pipe: Rc<RefCell<Pipe>>,
+    state: ConnectionState,
+    calls: Vec<Call>,
+    activity: u64,
+}
+
+impl Default for GrpcCheckConnection {
+    fn default() -> GrpcCheckConnection {
+        let pipe = Rc::new(RefCell::new(Pipe::default()));
+        let handshake = Builder::new()
+            .max_concurrent_streams(MAX_STREAMS)
+            .max_header_list_size(MAX_HEADER_BYTES)
+            .max_frame_size(MAX_FRAME_BYTES)
+            .initial_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+            .max_send_buffer_size(MAX_BUFFERED_BYTES)
+            .max_concurrent_reset_streams(MAX_STREAMS as usize)
+            .max_pending_accept_reset_streams(MAX_STREAMS as usize)
+            .handshake(PipeEnd(pipe.clone()));
+        let state = ConnectionState::Handshake(Box::pin(handshake));
+        GrpcCheckConnection { pipe, state, calls: Vec::new(), activity: 0 }
+    }
+}
+
+/// What one round of processing may change; equal before and after, nothing was done.
+#[derive(PartialEq, Eq)]
+struct RoundState {
+    activity: u64,
+    calls: usize,
+    input: usize,
+    output: usize,
+}
+
+impl GrpcCheckConnection {
+    /// More input may be read.
+    pub fn wants_input(&self) -> bool {
+        self.pipe.borrow().input.len() < MAX_BUFFERED_BYTES
+    }
+
+    /// Takes input.
+    pub fn feed(&mut self, bytes: &[u8]) {
+        self.pipe.borrow_mut().input.extend(bytes);
+    }
+
+    /// The peer sends no more.
+    pub fn input_ended(&mut self) {
+        self.pipe.borrow_mut().input_ended = true;
+    }
+
+    /// The output that waits to be written. What can't be written goes to [`Self::return_output`].
+    pub fn take_output(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.pipe.borrow_mut().output)
+    }
+
+    /// The end of the taken output that could not be written.
+    pub fn return_output(&mut self, unwritten: &[u8]) {
+        self.pipe.borrow_mut().output.splice(..0, unwritten.iter().copied());
+    }
+
+    /// Output waits to be written.
+    pub fn has_output(&self) -> bool {
+        !self.pipe.borrow().output.is_empty()
+    }
+
+    /// The connection has ended.
+    pub fn is_finished(&self) -> bool {
+        matches!(self.state, ConnectionState::Closed)
+    }
+
+    /// Counts answers, watch messages and pongs, which show that the peer is there.
+    pub fn activity(&self) -> u64 {
+        self.activity
+    }
+
+    /// No call is open.
+    pub fn is_idle(&self) -> bool {
+        matches!(self.state, ConnectionState::Open(..)) && self.calls.is_empty()
+    }
+
+    /// A watch is open.
+    pub fn has_watches(&self) -> bool {
+        self.calls.iter().any(Call::is_watch)
+    }
+
+    /// Asks whether the peer is still there; its answer counts as activity.
+    pub fn ping(&mut self) {
+        if let ConnectionState::Open(_, Some(ping)) = &mut self.state {
+            // Fails if a ping is in flight already, which serves as well.
+            let _ = ping.send_ping(Ping::opaque());
+        }
+    }
+
+    /// Goes on as far as input and output allow. True if there may be more to do without either.
+    pub fn process(&mut self, verdict: &Verdict) -> bool {
+        let mut context = Context::from_waker(Waker::noop());
+        for _ in 0..MAX_ROUNDS {
+            let before = self.round_state();
+            self.poll_connection(&mut context);
+            if self.is_finished() {
+                self.calls.clear();
+                return false;
+            }
+            self.advance_calls(&mut context, verdict);
+            if before == self.round_state() {
+                return false;
+            }
+        }
+        true
+    }
+
+    fn round_state(&self) -> RoundState {
+        let pipe = self.pipe.borrow();
+        RoundState {
+            activity: self.activity,
+            calls: self.calls.len(),
+            input: pipe.input.len(),
+            output: pipe.output.len(),
+        }
+    }
+
+    fn poll_connection(&mut self, context: &mut Context) {
+        if let ConnectionState::Handshake(handshake) = &mut self.state {
+            self.state = match handshake.as_mut().poll(context) {
+                Poll::Pending => return,
+                Poll::Ready(Err(_)) => ConnectionState::Closed,
+                Poll::Ready(Ok(mut connection)) => {
+                    let ping = connection.ping_pong();
+                    ConnectionState::Open(Box::new(connection), ping)
+                }
+            };
+        }
+        while let ConnectionState::Open(connection, ping) = &mut self.state {
+            if let Some(ping) = ping
+                && ping.poll_pong(context).is_ready()
+            {
+                self.activity += 1;
+            }
+            match connection.poll_accept(context) {
+                Poll::Pending => return,
+                Poll::Ready(Some(Ok((request, respond)))) => match Call::begin(request, respond) {
+                    Some(call) => self.calls.push(call),
+                    None => self.activity += 1,
+                },
+                Poll::Ready(None | Some(Err(_))) => self.state = ConnectionState::Closed,
+            }
+        }
+    }
+
+    fn advance_calls(&mut self, context: &mut Context, verdict: &Verdict) {
+        let activity = &mut self.activity;
+        self.calls.retain_mut(|call| match call.advance(context, verdict) {
+            CallProgress::Open => true,
+            CallProgress::Ended => false,
+            CallProgress::Sent => {
+                *activity += 1;
+                true
+            }
+            CallProgress::Answered => {
+                *activity += 1;
+                false
+            }
+            CallProgress::Watches(watch) => {
+                *activity += 1;
+                *call = Call::Watching(watch);
+                true
+            }
+        });
+    }
+}
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -181,7 +181,7 @@
         let mut pinged = Vec::new();
         for (key, c) in &mut self.slots {
             if let Machine::Grpc(m) = &mut c.machine
-                && m.watches()
+                && m.has_watches()
                 && context.now - c.active >= grpc_idle / 2
             {
                 m.ping();
@@ -198,7 +198,9 @@
                 {
                     (idle, "idle")
                 }
-                Machine::Grpc(m) if m.events() > 0 && (m.idle() || m.watches()) && !m.has_out() => {
+                Machine::Grpc(m)
+                    if m.activity() > 0 && (m.is_idle() || m.has_watches()) && !m.has_output() =>
+                {
                     (grpc_idle, "idle")
                 }
                 _ => (check_listener, "silent"),
@@ -212,7 +214,7 @@
 
     /// Something is told otherwise from now on: who watches hears of it.
     pub fn changed(&mut self, context: &mut EventLoopContext) {
-        let watches = |c: &Caller| matches!(&c.machine, Machine::Grpc(m) if m.watches());
+        let watches = |c: &Caller| matches!(&c.machine, Machine::Grpc(m) if m.has_watches());
         let keys: Vec<usize> = self.slots.iter().filter(|(_, c)| watches(c)).map(|(key, _)| key).collect();
         keys.into_iter().for_each(|key| self.ready(context, key));
     }
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -63,12 +63,12 @@
 
 pub(super) fn serve_grpc(context: &mut EventLoopContext, c: &mut Caller, watch: Watched) -> Serve {
     let Machine::Grpc(machine) = &mut c.machine else { return Serve::Waits };
-    let before = machine.events();
-    let read = if machine.hungry() {
+    let before = machine.activity();
+    let read = if machine.wants_input() {
         let most = PIECE.min(context.scratch.len());
         stream::read(&mut c.stream, &mut context.scratch[..most], |bytes| {
             machine.feed(bytes);
-            machine.hungry()
+            machine.wants_input()
         })
     } else {
         Ok(false)
@@ -77,23 +77,23 @@
         return Serve::Over("reset");
     }
     if read.is_err() {
-        machine.ended();
+        machine.input_ended();
     }
     let now = context.now;
     let Some(watch) = watch else { return Serve::Over("off") };
-    let more = machine.run(watch.borrow_mut().verdict(now));
-    let out = machine.take_out();
+    let more = machine.process(watch.borrow_mut().verdict(now));
+    let out = machine.take_output();
     let Ok(at) = stream::write_some(&mut c.stream, &out) else { return Serve::Over("reset") };
-    machine.put_back(&out[at..]);
-    if machine.events() > before {
+    machine.return_output(&out[at..]);
+    if machine.activity() > before {
         c.active = now;
     }
-    if machine.over() {
+    if machine.is_finished() {
         return Serve::Over("closed");
     }
     // What did not fit into the output before may now.
     let unread = matches!(read, Ok(false)) || more || !out.is_empty();
-    if unread && !machine.has_out() { Serve::More } else { Serve::Waits }
+    if unread && !machine.has_output() { Serve::More } else { Serve::Waits }
 }
 
 pub(super) fn serve_agent(
