--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -1,8 +1,8 @@
 //! A copy on its way: the row is read twice at a replica of its home, on one connection, and written to each guest's group.
 
 use super::{Background, What};
+use crate::background_query::BackgroundQueryResult;
 use crate::hot::Watch;
-use crate::net::pool::Done;
 use crate::pg::copies;
 use birchreach::{AttemptOutcome, Micros, Role};
 use birchreach_background_tasks::{Kind, Task};
@@ -30,16 +30,16 @@
     pub fn texts(&self, id: u64) -> Vec<Vec<u8>> {
         match self {
             // The position that comes with the first answer is told before the second read is sent.
-            Copying::Read(due) => vec![copies::row(&due.text, due.key.group, id, 1_000); 2],
+            Copying::Read(due) => vec![copies::read_row(&due.text, due.key.group, id, 1_000); 2],
             Copying::Write { key, text, position, blob, .. } => {
-                vec![copies::write(key.group, text, *position, blob)]
+                vec![copies::write_copy(key.group, text, *position, blob)]
             }
         }
     }
 }
 
 impl Background {
-    pub(super) fn copied(&mut self, now: Micros, copying: Copying, done: &Done) {
+    pub(super) fn copied(&mut self, now: Micros, copying: Copying, done: &BackgroundQueryResult) {
         let Some(watch) = self.hot.clone() else { return };
         match copying {
             Copying::Read(due) => {
@@ -49,9 +49,9 @@
                 let position = |n: usize| note(n)?.position;
                 let value = done.replies.get(1).and_then(|reply| reply.value.as_ref());
                 let copy =
-                    value.filter(|_| done.whole).and_then(|v| taken(position(0), &v.bytes, position(1)));
+                    value.filter(|_| done.complete).and_then(|v| taken(position(0), &v.bytes, position(1)));
                 let nonsense = done.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error);
-                let long = copy.as_ref().is_some_and(|copy| copy.value.len() > copies::MOST);
+                let long = copy.as_ref().is_some_and(|copy| copy.value.len() > copies::MAX_COPY_BYTES);
                 if nonsense || long {
                     watch.borrow_mut().hot.spoilt(due.key, now + SPOILT);
                     return self.metrics.copy(if long { "long" } else { "unreadable" });
@@ -65,8 +65,8 @@
                 }
             }
             Copying::Write { key, guest, .. } => {
-                self.metrics.copy(if done.whole { "written" } else { "unwritten" });
-                if done.whole {
+                self.metrics.copy(if done.complete { "written" } else { "unwritten" });
+                if done.complete {
                     watch.borrow_mut().hot.written(now, key, guest);
                 }
             }
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -8,7 +8,7 @@
 use mio::Registry;
 
 /// The part of the loop's state that every owner may use. It is a field of the loop, so that a call such as
-/// `self.clients.sweep(&mut self.context)` borrows two fields that do not overlap.
+/// `self.clients.close_expired(&mut self.context)` borrows two fields that do not overlap.
 pub struct EventLoopContext {
     /// The time of this turn, or of its timers: all that one step does happens at one time.
     pub now: Micros,
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -9,6 +9,7 @@
 mod clients;
 mod commands;
 mod connection_limits;
+mod database_ids;
 mod discovery_connection;
 mod event_loop_context;
 mod fleet;
@@ -44,7 +45,6 @@
 use fleet::FleetMembership;
 use gossip::{Gossip, StateTransfer};
 use mio::{Events, Poll};
-pub use pool::Done;
 use pool::Pool;
 use process_handover::ProcessHandover;
 use reload::log_settings_warnings;
@@ -158,7 +158,7 @@
     }
     event_loop.step_gossip();
     if event_loop.handover.process_count() > 1 {
-        info!(event = "predecessor-met");
+        info!(event = "predecessor-connected");
     }
     event_loop.apply_process_count();
     event_loop.context.timers.set(now + SWEEP, TimerEvent::Sweep);
@@ -187,7 +187,7 @@
     /// Follows each call of gossip: clients wait while it still learns, and what the core now commands is carried out.
     fn after_gossip(&mut self) {
         let Some(gossip) = &self.gossip else { return };
-        self.clients.learning(!gossip.ready());
+        self.clients.set_awaiting_peer_state(!gossip.ready());
         self.carry_out();
     }
 
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -1,66 +1,88 @@
-//! A connection that is up gets its next query, or rests.
+//! Sends a task's query on a connection that is established.
 
+use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::timer_events::TimerEvent;
-use super::{Job, Pool, background_queries};
+use super::Pool;
+use super::background_queries::BACKGROUND_QUERY_TIMEOUT_MICROS;
+use super::close_reason::DatabaseCloseReason;
+use super::connection::{AttemptTask, ConnectionTask, QueryProgress};
 use crate::reply::Reply;
-use birchreach::AttemptOutcome;
+use birchreach::{AttemptOutcome, Micros};
+
+const MICROS_PER_MILLI: Micros = 1_000;
 
 impl Pool {
-    /// Writes the job's query to a connection that is up and idle.
-    pub(super) fn ask(&mut self, context: &mut EventLoopContext, key: usize, job: Job) {
-        let c = &mut self.slots[key];
-        match &job {
-            Job::Attempt { attempt, work, until, copy } => {
-                // Opening the connection took time: it may be over, or what was told since forbid the send.
-                if *until <= context.now || !context.core.may_still_send(context.now, *attempt) {
-                    self.settle(context, key);
-                    self.report(context, job, Reply::with_outcome(AttemptOutcome::NotSent));
-                    return;
-                }
-                let left_ms = u64::try_from((until - context.now) / 1000).unwrap_or(1).max(1);
-                match copy {
-                    false => c.machine.run(work, left_ms),
-                    true => c.machine.run_copy(
-                        work,
-                        left_ms,
-                        context.core.required_copy_position(context.now, *attempt),
-                    ),
+    /// Writes the task's query to a connection that is established and idle.
+    pub(super) fn send_query(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: ConnectionKey,
+        task: ConnectionTask,
+    ) {
+        match &task {
+            ConnectionTask::Attempt(attempt) => {
+                if !Self::may_send(context, attempt) {
+                    self.return_to_idle(context, key);
+                    return self.complete_task(context, task, Reply::with_outcome(AttemptOutcome::NotSent));
                 }
-                self.attempts.insert(*attempt, key);
+                self.queue_statement(context, key, attempt);
+            }
+            ConnectionTask::BackgroundQuery(query) => {
+                self.connections[key].protocol.send_background_query(query.current_statement());
+                self.start_query_timer(context, key, BACKGROUND_QUERY_TIMEOUT_MICROS);
             }
-            Job::BackgroundQuery(errand) => {
-                c.machine.errand(errand.text());
-                self.serial += 1;
-                c.turn = self.serial;
-                context
-                    .timers
-                    .set(context.now + background_queries::PATIENCE, TimerEvent::QueryTimeout(key, c.turn));
+            ConnectionTask::HealthCheck { .. } => {
+                self.connections[key].protocol.send_load_report_query();
+                self.start_query_timer(context, key, self.connect_timeout);
             }
-            Job::Probe { .. } | Job::Check { .. } => {
-                c.machine.probe();
-                self.serial += 1;
-                c.turn = self.serial;
-                let check = matches!(job, Job::Check { .. });
-                let timeout = if check { self.check_timeout } else { self.connect_timeout };
-                context.timers.set(context.now + timeout, TimerEvent::QueryTimeout(key, c.turn));
+            ConnectionTask::MonitorCheck { .. } => {
+                self.connections[key].protocol.send_load_report_query();
+                self.start_query_timer(context, key, self.monitor_check_timeout);
             }
         }
-        (c.job, c.asked, c.written) = (Some(job), true, false);
+        let connection = &mut self.connections[key];
+        connection.task = Some(task);
+        connection.query = QueryProgress::Queued;
         self.write(context, key);
     }
 
-    /// The connection has nothing to do: it waits for the next job.
-    pub(super) fn settle(&mut self, context: &mut EventLoopContext, key: usize) {
-        let c = &mut self.slots[key];
-        (c.job, c.asked, c.written, c.idle_since) = (None, false, false, context.now);
-        if !c.machine.clean() {
-            // More than its answer: nobody can tell any more which query the next bytes belong to.
-            self.close(context, key, "surplus");
-        } else if context.core.address(c.server) == Some(c.address) {
-            self.idle.entry(c.server).or_default().push(key);
+    /// Opening the connection took time: the deadline may have passed, and the core may know by now that the send is not allowed.
+    fn may_send(context: &EventLoopContext, task: &AttemptTask) -> bool {
+        task.deadline > context.now && context.core.may_still_send(context.now, task.attempt)
+    }
+
+    fn queue_statement(&mut self, context: &EventLoopContext, key: ConnectionKey, task: &AttemptTask) {
+        let protocol = &mut self.connections[key].protocol;
+        let left_ms = u64::try_from((task.deadline - context.now) / MICROS_PER_MILLI).unwrap_or(1).max(1);
+        if task.from_copy {
+            let position = context.core.required_copy_position(context.now, task.attempt);
+            protocol.send_copy_read(&task.statement, left_ms, position);
+        } else {
+            protocol.send_statement(&task.statement, left_ms);
+        }
+        self.attempt_connections.insert(task.attempt, key);
+    }
+
+    fn start_query_timer(&mut self, context: &mut EventLoopContext, key: ConnectionKey, timeout: Micros) {
+        self.last_query = self.last_query.next();
+        self.connections[key].query_serial = self.last_query;
+        context.timers.set(context.now + timeout, TimerEvent::QueryTimeout(key, self.last_query));
+    }
+
+    /// The connection has nothing to do: it waits for the next task, or is closed if it cannot serve one.
+    pub(super) fn return_to_idle(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
+        let connection = &mut self.connections[key];
+        connection.task = None;
+        connection.query = QueryProgress::NotQueued;
+        connection.idle_since = context.now;
+        if !connection.protocol.is_idle() {
+            // Nobody can tell which query the next bytes belong to.
+            self.close(context, key, DatabaseCloseReason::UnexpectedData);
+        } else if context.core.address(connection.server) == Some(connection.address) {
+            self.idle.entry(connection.server).or_default().push(key);
         } else {
-            self.close(context, key, "moved");
+            self.close(context, key, DatabaseCloseReason::Moved);
         }
     }
 }
