--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -67,7 +67,7 @@
             warn!(event = "health-probes-off", reason = "the settings do not allow probes");
         }
         let timeout = settings.probes.as_ref().map_or(0, |probes| probes.timeout);
-        self.pool.check_timeout(timeout);
+        self.pool.set_monitor_check_timeout(timeout);
         match &self.health.watch {
             Some(watch) => watch.borrow_mut().monitor.apply_settings(self.context.now, settings),
             None => {
@@ -155,10 +155,15 @@
         for change in changes {
             match change {
                 Change::State { from, to, reason } => {
-                    info!(event = "health", state = to.word(), was = from.word(), reason = reason.word());
+                    info!(
+                        event = "health",
+                        state = to.as_str(),
+                        was = from.as_str(),
+                        reason = reason.as_str()
+                    );
                 }
                 Change::Capability { group, operation: kind, available: able, reason } => {
-                    let (kind, reason) = (kind.word(), reason.word());
+                    let (kind, reason) = (kind.as_str(), reason.as_str());
                     info!(event = "health-claim", group = group.0, kind, able, reason);
                 }
             }
@@ -172,7 +177,7 @@
         }
         if !probes.is_empty() {
             for server in probes {
-                self.pool.check(&mut self.context, ServerId(server.0));
+                self.pool.start_monitor_check(&mut self.context, ServerId(server.0));
             }
             self.carry_out();
         }
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -1,5 +1,6 @@
 //! What timers are set for.
 
+use super::database_ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use crate::core::AttemptId;
 
 /// What a timer was set for.
@@ -7,9 +8,9 @@
 pub enum TimerEvent {
     Routing(u32),
     AttemptTimeout(AttemptId),
-    ConnectTimeout(usize, u64),
-    QueryTimeout(usize, u64),
-    ConnectionRested(usize, u64),
+    ConnectTimeout(ConnectionKey, ConnectionSerial),
+    QueryTimeout(ConnectionKey, QuerySerial),
+    ConnectionRested(ConnectionKey, ConnectionSerial),
     RetryAccept,
     /// A call to discovery is due, or a stage of one has had its time.
     Discovery(u64),
