--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -25,6 +25,7 @@
 
 use clap::Parser;
 use cli::{Cli, Command};
+use std::fmt::Display;
 use std::io::Write;
 
 fn main() {
@@ -33,10 +34,10 @@
         None | Some(Command::Serve) => {
             log::start(log_format, log_filter);
             // Before all else: until they are caught, signals end the process.
-            let signals = net::signals().unwrap_or_else(|message| quit(&message, 1));
+            let signals = net::signals().unwrap_or_else(|error| quit(&error, 1));
             let config = config::load(config::environment, options.as_deref());
             let config = config.unwrap_or_else(|message| quit(&message, 2));
-            net::run(config, options, signals).unwrap_or_else(|message| quit(&message, 1));
+            net::run(config, options, signals).unwrap_or_else(|error| quit(&error, 1));
         }
         Some(Command::Check(check)) => {
             let told = |name: &str| match &check.config {
@@ -73,7 +74,7 @@
     std::process::exit(code)
 }
 
-fn quit(message: &str, code: i32) -> ! {
+fn quit(message: &dyn Display, code: i32) -> ! {
     eprintln!("birchreach-proxy: {message}");
     std::process::exit(code)
 }
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -1,6 +1,7 @@
 //! The admin listener: its listener and callers. It has descriptors of its own, and silent callers make
 //! room for those who speak.
 
+use super::error::{EventLoopError, ListenError, ListenPurpose, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
@@ -14,7 +15,7 @@
 use tracing::info;
 
 /// Callers at once; one more, and the one that has been there longest goes.
-pub const MOST: usize = 8;
+pub const MAX_CONNECTIONS: usize = 8;
 /// A caller that finishes no call is sent away after this time.
 const SILENT: Micros = 5_000_000;
 /// Accepted in one turn of the loop at most, and what is read of one caller.
@@ -44,13 +45,15 @@
 
 impl AdminListener {
     /// Without an address there is no listener.
-    pub fn new(registry: &Registry, address: Option<SocketAddr>) -> Result<AdminListener, String> {
+    pub fn new(registry: &Registry, address: Option<SocketAddr>) -> Result<AdminListener, EventLoopError> {
         let mut admin = AdminListener { listener: None, slots: Slab::new(), waiting: false };
         if let Some(address) = address {
-            let bound = TcpListener::bind(address);
-            let mut listener = bound.map_err(|e| format!("listening for operators on {address}: {e}"))?;
+            let purpose = ListenPurpose::Operators;
+            let mut listener =
+                TcpListener::bind(address).map_err(|error| ListenError { purpose, address, error })?;
             let registered = registry.register(&mut listener, Source::Admin.token(), Interest::READABLE);
-            registered.map_err(|e| format!("watching {address}: {e}"))?;
+            let source = RegisteredSource::AdminListener(address);
+            registered.map_err(|error| EventLoopError::Register { source, error })?;
             admin.listener = Some(listener);
         }
         Ok(admin)
@@ -74,7 +77,7 @@
             let Some(listener) = self.listener.as_ref().filter(|_| self.waiting) else { return };
             match listener.accept() {
                 Ok((mut stream, _)) => {
-                    if self.slots.len() >= MOST {
+                    if self.slots.len() >= MAX_CONNECTIONS {
                         let oldest = self.slots.iter().min_by_key(|(_, c)| c.since).map(|(k, _)| k);
                         oldest.into_iter().for_each(|key| self.close(context, key, "shed"));
                     }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -2,6 +2,7 @@
 //! one process of this proxy yields to the next. The verdict is the monitor's.
 
 use super::EventLoop;
+use super::error::EventLoopError;
 use super::timer_events::TimerEvent;
 use crate::health::{self, Watch};
 use crate::observe::{Observer, Shared, shared};
@@ -40,7 +41,7 @@
 
 impl EventLoop {
     /// Balancers are told, where the options say so.
-    pub(super) fn start_health(&mut self) -> Result<(), String> {
+    pub(super) fn start_health(&mut self) -> Result<(), EventLoopError> {
         self.watch();
         let health = self.config.options.health.clone();
         let predecessor = self.handover.has_predecessor();
@@ -133,16 +134,14 @@
         let span = (self.context.now - self.health.ticked).max(1);
         let busy = 1.0 - self.health.slept as f64 / span as f64;
         (self.health.ticked, self.health.slept) = (self.context.now, 0);
-        let (for_clients, for_databases) = self.connection_limits();
-        let out = self.context.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
         let held = self.context.core.report_queued(self.context.now);
         let in_progress = self.context.core.open_request_count();
-        let pressure = busy.max(out);
+        let pressure = busy.max(self.database_connections_in_use());
         self.record_health_event(HealthEvent::Load {
             pressure,
             in_progress,
             queued: held,
-            client_capacity: for_clients,
+            client_capacity: self.connection_limits().clients,
         });
         self.context.timers.set(self.context.now + HEALTH_TICK, TimerEvent::HealthTick);
     }
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -1,5 +1,6 @@
 //! The listeners for balancers' checks: opened and closed with the options, or for another process of this proxy.
 
+use super::super::error::{ListenError, ListenPurpose};
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::{Checks, Kind};
@@ -48,15 +49,18 @@
 
 impl Checks {
     /// Opens what these options want and is not open; those in force are not touched.
-    pub fn open(&self, options: Option<&Health>) -> Result<Opened, String> {
+    pub fn open(&self, options: Option<&Health>) -> Result<Opened, ListenError> {
         let mut opened = Vec::new();
         for (kind, check_listener) in options.into_iter().flat_map(check_listeners) {
             if self.listening.iter().any(|l| l.kind == kind && l.address == check_listener.listen) {
                 continue;
             }
-            let failed =
-                |e| format!("listening for {} checks on {}: {e}", kind.word(), check_listener.listen);
-            let listener = listen(check_listener.listen, self.shared).map_err(failed)?;
+            let address = check_listener.listen;
+            let listener = listen(address, self.shared).map_err(|error| ListenError {
+                purpose: ListenPurpose::Checks(kind.word()),
+                address,
+                error,
+            })?;
             opened.push(Listening { kind, listener, address: check_listener.listen, waiting: true });
         }
         Ok(Opened(opened))
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -16,6 +16,7 @@
 use birchreach::Micros;
 use birchreach_health::{agent, http};
 use birchreach_options::Health;
+pub use listeners::Opened;
 use listeners::{Listening, check_listeners};
 use mio::Interest;
 use mio::net::TcpStream;
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -5,6 +5,7 @@
 mod expiry;
 mod input;
 
+use super::error::{EventLoopError, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::core::{Answer, AttemptId};
@@ -54,9 +55,14 @@
 }
 
 impl Clients {
-    pub fn new(registry: &Registry, mut listener: TcpListener, most: usize) -> Result<Clients, String> {
+    pub fn new(
+        registry: &Registry,
+        mut listener: TcpListener,
+        most: usize,
+    ) -> Result<Clients, EventLoopError> {
         let registered = registry.register(&mut listener, Source::Listener.token(), Interest::READABLE);
-        registered.map_err(|e| format!("watching the listener: {e}"))?;
+        let source = RegisteredSource::ClientListener;
+        registered.map_err(|error| EventLoopError::Register { source, error })?;
         Ok(Clients {
             listener: Some(listener),
             connections: Slab::new(),
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -1,63 +1,69 @@
-//! How descriptors are shared out: among the process's own, clients, databases and checks, and between two processes of one
-//! proxy.
+//! How descriptors are divided: among the process's own, clients, databases and checks, and between two processes of one proxy.
 
 use super::process_handover::ProcessHandover;
 use super::{EventLoop, admin, gossip};
 use crate::config::Config;
-use birchreach::Micros;
-use birchreach_settings::DeploymentSettings;
-
-/// Descriptors kept for the rest: standard streams, poll, signals, listeners, discovery, operators.
-const OWN_SOCKETS: usize = 16 + admin::MOST;
-/// Fewer would serve nobody; the own ones are seldom all in use.
-const LEAST_PLACES: usize = 8;
-/// Balancers that look in at the clients' listener, and ask nothing, hold no place of a client's: so many.
-const GUESTS: usize = 16;
-
-/// How many descriptors clients and databases of this process may hold: all but its own; half of that while
-/// another process is there; and while that one is leaving, all but what it still holds.
-pub(super) fn places(sockets: usize, checks: usize, twin: &ProcessHandover) -> (usize, usize) {
-    let processes = twin.process_count() as usize;
-    let free = sockets.saturating_sub((OWN_SOCKETS + checks) * processes);
-    let free = twin
-        .predecessor_descriptors()
-        .map_or(free / processes, |held| free.saturating_sub(held))
-        .max(LEAST_PLACES);
-    (free - free / 2, free / 2)
+
+/// Descriptors reserved for standard streams, poll, signals, listeners, discovery, the handover and operators.
+const OWN_DESCRIPTORS: usize = 16 + admin::MAX_CONNECTIONS;
+/// Fewer connections would serve nobody; the own descriptors are seldom all in use.
+const MIN_CONNECTIONS: usize = 8;
+/// Balancers that connect to the clients' listener without sending a request count as no clients, up to this number.
+const UNCLASSIFIED_CONNECTIONS: usize = 16;
+
+/// How many connections a process may hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ConnectionLimits {
+    /// To clients.
+    pub(super) clients: usize,
+    /// To databases.
+    pub(super) databases: usize,
 }
 
-/// Descriptors kept for balancers: their checks, and those that look in at the clients' listener.
-pub(super) fn reserve(config: &Config) -> usize {
-    let (knowledge, fleet) = (config.options.knowledge.is_some(), config.options.fleet.is_some());
-    let links = if knowledge || fleet { gossip::MOST + 1 } else { 0 };
-    // The fleet has a listener for links and one for datagrams.
-    config.options.descriptors() + guests(config) + links + 2 * usize::from(fleet)
+impl ConnectionLimits {
+    /// All but the process's own descriptors; half of that while another process is there; and while that one shuts down, all but
+    /// what it still holds.
+    pub(super) fn new(config: &Config, handover: &ProcessHandover) -> ConnectionLimits {
+        let processes = handover.process_count() as usize;
+        let reserved = (OWN_DESCRIPTORS + reserved_descriptors(config)) * processes;
+        let free = config.sockets.saturating_sub(reserved);
+        let free = match handover.predecessor_descriptors() {
+            Some(held) => free.saturating_sub(held),
+            None => free / processes,
+        };
+        let free = free.max(MIN_CONNECTIONS);
+        ConnectionLimits { clients: free - free / 2, databases: free / 2 }
+    }
 }
 
-pub(super) fn guests(config: &Config) -> usize {
-    if config.options.health.is_some() { GUESTS } else { 0 }
+/// Descriptors reserved for balancers' checks, for balancers at the clients' listener, and for other proxies.
+fn reserved_descriptors(config: &Config) -> usize {
+    let options = &config.options;
+    let links = if options.knowledge.is_some() || options.fleet.is_some() { gossip::MOST + 1 } else { 0 };
+    // The fleet has a listener for links and a socket for datagrams.
+    let fleet = if options.fleet.is_some() { 2 } else { 0 };
+    options.descriptors() + unclassified_allowance(config) + links + fleet
 }
 
-pub(super) fn longest_deadline(site: &DeploymentSettings) -> Micros {
-    site.routing.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0)
+/// So many connections that sent no request count as no clients.
+pub(super) fn unclassified_allowance(config: &Config) -> usize {
+    if config.options.health.is_some() { UNCLASSIFIED_CONNECTIONS } else { 0 }
 }
 
 impl EventLoop {
-    /// What this process may do beside others.
+    /// Divides descriptors and budgets anew after another process of this proxy came or went.
     pub(super) fn apply_process_count(&mut self) {
-        let (for_clients, for_databases) = self.connection_limits();
-        let replaced = self.handover.is_replaced();
+        let limits = self.connection_limits();
         self.context.core.set_process_count(self.context.now, self.handover.process_count());
-        self.pool.set_limit(&mut self.context, for_databases);
-        self.clients.set_unclassified_allowance(guests(&self.config));
-        self.clients.set_limit(&mut self.context, for_clients);
+        self.pool.set_limit(&mut self.context, limits.databases);
+        self.clients.set_unclassified_allowance(unclassified_allowance(&self.config));
+        self.clients.set_limit(&mut self.context, limits.clients);
         if !self.stopping {
-            self.clients.set_handing_over(replaced);
+            self.clients.set_handing_over(self.handover.is_replaced());
         }
     }
 
-    pub(super) fn connection_limits(&self) -> (usize, usize) {
-        let reserve = reserve(&self.config);
-        places(self.config.sockets, reserve, &self.handover)
+    pub(super) fn connection_limits(&self) -> ConnectionLimits {
+        ConnectionLimits::new(&self.config, &self.handover)
     }
 }
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -2,6 +2,7 @@
 
 use super::super::EventLoop;
 use super::super::admin::AdminReports;
+use super::super::error::{EventLoopError, ListenError, ListenPurpose};
 use super::super::gossip::MembershipSync;
 use super::super::timer_events::TimerEvent;
 use super::FleetMembership;
@@ -14,20 +15,19 @@
 
 impl EventLoop {
     /// The view of the fleet is kept, where the options say so.
-    pub(in crate::net) fn start_fleet(&mut self) -> Result<(), String> {
+    pub(in crate::net) fn start_fleet(&mut self) -> Result<(), EventLoopError> {
         let (Some(options), Some(keys)) = (&self.config.options.fleet, &self.config.fleet_keys) else {
             return Ok(());
         };
-        let failed = |e: std::io::Error| format!("listening for the fleet on {}: {e}", options.listen);
+        let address = options.listen;
+        let failed = |error| ListenError { purpose: ListenPurpose::Fleet, address, error };
         let mut boot = [0; 8];
-        getrandom::fill(&mut boot).map_err(|e| format!("no random numbers: {e}"))?;
+        getrandom::fill(&mut boot)?;
         let boot = u64::from_be_bytes(boot);
         let name = self.config.name.clone();
         if name.len() > birchreach_membership::MAX_NAME_BYTES || name.chars().any(char::is_control) {
-            return Err(format!(
-                "name: the fleet takes {} printable bytes at most",
-                birchreach_membership::MAX_NAME_BYTES
-            ));
+            let max_bytes = birchreach_membership::MAX_NAME_BYTES;
+            return Err(EventLoopError::FleetName { max_bytes });
         }
         let settings = MembershipSettings {
             name,
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -1,6 +1,7 @@
 //! Links over which two members of the fleet tell each other all that they know of it. Their listener has the number of the datagrams'
 //! address; what is told and believed is the fleet crate's to say.
 
+use super::super::error::ListenPurpose;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::super::timer_events::TimerEvent;
@@ -39,7 +40,7 @@
     /// next datagram.
     pub fn speak(&mut self, registry: &Registry, speaks: bool) {
         if speaks && self.listener.is_none() {
-            self.listener = listen(registry, self.own, Source::ViewListener, "the fleet").ok();
+            self.listener = listen(registry, self.own, Source::ViewListener, ListenPurpose::Fleet).ok();
             self.waiting = true;
         } else if !speaks && let Some(mut listener) = self.listener.take() {
             let _ = registry.deregister(&mut listener);
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -7,6 +7,7 @@
 mod peer_protocol;
 mod state_transfer;
 
+use super::error::{ListenError, ListenPurpose};
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::timer_events::TimerEvent;
@@ -72,9 +73,14 @@
 }
 
 /// A listener for other proxies.
-fn listen(registry: &Registry, at: SocketAddr, source: Source, what: &str) -> Result<TcpListener, String> {
-    let failed = |e| format!("listening for {what} on {at}: {e}");
-    let mut listener = TcpListener::bind(at).map_err(failed)?;
+fn listen(
+    registry: &Registry,
+    address: SocketAddr,
+    source: Source,
+    purpose: ListenPurpose,
+) -> Result<TcpListener, ListenError> {
+    let failed = |error| ListenError { purpose, address, error };
+    let mut listener = TcpListener::bind(address).map_err(failed)?;
     registry.register(&mut listener, source.token(), Interest::READABLE).map_err(failed)?;
     Ok(listener)
 }
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -1,5 +1,6 @@
 //! Links over which knowledge of databases travels: their listener, and whom this process asks.
 
+use super::super::error::{ListenError, ListenPurpose};
 use super::super::sources::Source;
 use super::listen;
 use super::nonce::nonce;
@@ -35,8 +36,8 @@
         peer_knowledge: Shared<PeerKnowledge>,
         seed: u64,
         now: Micros,
-    ) -> Result<StateTransfer, String> {
-        let open = |at| listen(registry, at, Source::GossipListener, "knowledge");
+    ) -> Result<StateTransfer, ListenError> {
+        let open = |at| listen(registry, at, Source::GossipListener, ListenPurpose::PeerState);
         let listener = options.listen.map(open).transpose()?;
         if let Some(at) = listener.as_ref().and_then(|l| l.local_addr().ok()) {
             info!(event = "knowledge-listening", %at);
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -45,7 +45,7 @@
             self.context.timers.set(self.context.now + linger, TimerEvent::CloseIdleClients);
             self.context
                 .timers
-                .set(self.context.now + linger + self.longest_deadline + LAST_CALL, TimerEvent::Exit);
+                .set(self.context.now + linger + self.longest_client_timeout + LAST_CALL, TimerEvent::Exit);
         }
     }
 
--- a/proxy/src/net/listener.rs
+++ b/proxy/src/net/listener.rs
@@ -1,20 +1,27 @@
-//! The clients' listening socket: taken over from the platform, or opened here.
+//! The clients' listening socket: handed over by the platform, or opened here.
 
+use super::error::{EventLoopError, ListenError, ListenPurpose};
 use mio::net::TcpListener;
 use std::net::SocketAddr;
-use std::os::fd::{FromRawFd, OwnedFd};
+use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-/// An inherited socket is shared with the platform and with other processes of this proxy: it is closed
-/// here, never shut down, and what waits in its queue belongs to whoever takes it.
-pub fn open(address: SocketAddr, inherited: Option<i32>) -> Result<TcpListener, String> {
-    let Some(fd) = inherited else {
-        return TcpListener::bind(address).map_err(|e| format!("listening on {address}: {e}"));
-    };
-    let failed = |e| format!("the inherited descriptor {fd}: {e}");
-    // SAFETY: called once, at the start; the platform handed this number to this process, and nothing else
-    // in it owns the descriptor. A number that is no socket's fails at the first call below.
-    let listener = std::net::TcpListener::from(unsafe { OwnedFd::from_raw_fd(fd) });
-    listener.local_addr().map_err(failed)?;
-    listener.set_nonblocking(true).map_err(failed)?;
+/// The listener for clients. An inherited socket is shared with the platform and with other processes of this proxy: it is closed
+/// here but never shut down, and the connections in its queue belong to whoever accepts them.
+pub(super) fn open(address: SocketAddr, inherited: Option<RawFd>) -> Result<TcpListener, EventLoopError> {
+    match inherited {
+        Some(descriptor) => {
+            adopt(descriptor).map_err(|error| EventLoopError::InheritedDescriptor { descriptor, error })
+        }
+        None => TcpListener::bind(address)
+            .map_err(|error| ListenError { purpose: ListenPurpose::Clients, address, error }.into()),
+    }
+}
+
+fn adopt(descriptor: RawFd) -> std::io::Result<TcpListener> {
+    // SAFETY: called once, at the start; the platform handed this number to this process, and nothing else in it owns the
+    // descriptor. A number that is not a socket's fails at the next call.
+    let listener = std::net::TcpListener::from(unsafe { OwnedFd::from_raw_fd(descriptor) });
+    listener.local_addr()?;
+    listener.set_nonblocking(true)?;
     Ok(TcpListener::from_std(listener))
 }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -1,68 +1,107 @@
-//! The configuration, read again at SIGHUP: taken whole or not at all.
+//! The configuration, read again at SIGHUP: applied as a whole or not at all.
 
 use super::EventLoop;
-use super::connection_limits::{guests, longest_deadline, places, reserve};
+use super::checks::Opened;
+use super::connection_limits::{ConnectionLimits, unclassified_allowance};
+use super::error::ListenError;
 use crate::config::{self, Config};
 use crate::log::Quoted;
+use birchreach::Micros;
+use birchreach_settings::DeploymentSettings;
+use std::fmt::{self, Display};
 use tracing::{info, warn};
 
-/// Doubts about one configuration that the log is told of; `check` prints all.
-const DOUBTS_TOLD: usize = 20;
+/// The most warnings about one configuration that are logged; the command `check` prints all.
+const MAX_LOGGED_WARNINGS: usize = 20;
 
-/// What the settings are likely not to mean, a line each.
+/// Logs what the settings probably do not mean, a line each.
 pub(super) fn log_settings_warnings(config: &Config) {
-    for doubt in config.doubts.iter().take(DOUBTS_TOLD) {
-        warn!(event = "settings-warning", about = %Quoted(doubt));
+    for warning in config.doubts.iter().take(MAX_LOGGED_WARNINGS) {
+        warn!(event = "settings-warning", about = %Quoted(warning));
+    }
+}
+
+/// The longest time that a client may wait for a response.
+pub(super) fn longest_client_timeout(settings: &DeploymentSettings) -> Micros {
+    settings.routing.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0)
+}
+
+/// Why the configuration that is in force stays.
+enum ReloadError {
+    Configuration(String),
+    Listen(ListenError),
+}
+
+impl Display for ReloadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReloadError::Configuration(message) => f.write_str(message),
+            ReloadError::Listen(error) => error.fmt(f),
+        }
     }
 }
 
 impl EventLoop {
-    /// Reads the configuration again, whole; of one that is bad nothing is taken. Discovery's address,
-    /// settings and limits change at once, in all places; the rest with a restart.
+    /// Reads the configuration again. Discovery's address, settings and limits change at once; the rest with a restart. An invalid
+    /// configuration changes nothing.
     pub(super) fn reload(&mut self) {
-        let mut new = match config::load(config::environment, self.options.as_deref())
-            .and_then(|new| self.config.succeeds(new))
-        {
-            Ok(new) => new,
-            Err(message) => {
-                self.context.core.stats.configuration_load_errors += 1;
-                return warn!(event = "reload-failed", error = %Quoted(message));
-            }
-        };
-        let opened = match self.checks.open(new.options.health.as_ref()) {
-            Ok(opened) => opened,
-            Err(message) => {
+        match self.load_successor() {
+            Ok((config, check_listeners)) => self.apply_configuration(config, check_listeners),
+            Err(error) => {
                 self.context.core.stats.configuration_load_errors += 1;
-                return warn!(event = "reload-failed", error = %Quoted(message));
+                warn!(event = "reload-failed", error = %Quoted(error));
             }
-        };
+        }
+    }
+
+    /// The new configuration, with the listeners that it needs in addition.
+    fn load_successor(&self) -> Result<(Config, Opened), ReloadError> {
+        let config = config::load(config::environment, self.options.as_deref())
+            .and_then(|config| self.config.succeeds(config))
+            .map_err(ReloadError::Configuration)?;
+        let check_listeners =
+            self.checks.open(config.options.health.as_ref()).map_err(ReloadError::Listen)?;
+        Ok((config, check_listeners))
+    }
+
+    fn apply_configuration(&mut self, mut new: Config, check_listeners: Opened) {
         self.context.core.stats.configuration_loads += 1;
-        let rest = self.config.differs(&new).join(",");
-        // Links among proxies wait for a restart, and count as they are until then.
-        (new.options.knowledge, new.keys) = (self.config.options.knowledge.clone(), self.config.keys.clone());
-        (new.options.fleet, new.fleet_keys) =
-            (self.config.options.fleet.clone(), self.config.fleet_keys.clone());
+        let needs_restart = self.config.differs(&new).join(",");
         let classes = new.site.class_names.join(",");
-        info!(event = "reloaded", discovery = %new.discovery, classes, "needs-restart" = rest);
+        info!(event = "reloaded", discovery = %new.discovery, classes, "needs-restart" = needs_restart);
         log_settings_warnings(&new);
-        // Requests that are open keep the deadlines that they came with.
-        self.longest_deadline = longest_deadline(&new.site).max(longest_deadline(&self.config.site));
-        let reserve = reserve(&new);
-        let (for_clients, for_databases) = places(new.sockets, reserve, &self.handover);
+        self.keep_until_restart(&mut new);
+        // Requests that are open keep the timeouts that they came with.
+        self.longest_client_timeout =
+            longest_client_timeout(&new.site).max(longest_client_timeout(&self.config.site));
+        self.apply_settings(&new);
+        self.config = new;
+        self.watch();
+        self.checks.take(&mut self.context, self.config.options.health.clone(), check_listeners);
+        self.start_background();
+        self.carry_out();
+    }
+
+    /// Takes over into a new configuration what changes only with a restart.
+    fn keep_until_restart(&self, new: &mut Config) {
+        let Config { name, listen, operator, inherited, options, keys, fleet_keys, .. } = &self.config;
+        new.name.clone_from(name);
+        (new.listen, new.operator, new.inherited) = (*listen, *operator, *inherited);
+        // Links among proxies count in the division of descriptors as they are until then.
+        new.options.knowledge.clone_from(&options.knowledge);
+        new.options.fleet.clone_from(&options.fleet);
+        new.keys.clone_from(keys);
+        new.fleet_keys.clone_from(fleet_keys);
+    }
+
+    fn apply_settings(&mut self, new: &Config) {
+        let limits = ConnectionLimits::new(new, &self.handover);
         self.context.core.settings(self.context.now, &new.site);
         self.pool.apply_settings(&new.site);
-        self.pool.set_limit(&mut self.context, for_databases);
-        self.clients.set_unclassified_allowance(guests(&new));
-        self.clients.set_limit(&mut self.context, for_clients);
+        self.pool.set_limit(&mut self.context, limits.databases);
+        self.clients.set_unclassified_allowance(unclassified_allowance(new));
+        self.clients.set_limit(&mut self.context, limits.clients);
         self.discovery.update_settings(&new.site.routing);
         self.discovery.set_address(&mut self.context, new.discovery);
-        let Config { name, listen, operator, inherited, .. } = &self.config;
-        let (name, listen, operator, inherited) = (name.clone(), *listen, *operator, *inherited);
-        self.config = Config { name, listen, operator, inherited, ..new };
-        self.watch();
-        let health = self.config.options.health.clone();
-        self.checks.take(&mut self.context, health, opened);
-        self.start_background();
-        self.carry_out();
     }
 }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -2,6 +2,7 @@
 //! left over and the timers that are due.
 
 use super::EventLoop;
+use super::error::EventLoopError;
 use super::sources::Source;
 use birchreach::Micros;
 use mio::Events;
@@ -13,7 +14,11 @@
 
 impl EventLoop {
     /// Waits for events or the next timer, and does all that is due.
-    pub(super) fn run_once(&mut self, events: &mut Events, signals: &mut Signals) -> Result<(), String> {
+    pub(super) fn run_once(
+        &mut self,
+        events: &mut Events,
+        signals: &mut Signals,
+    ) -> Result<(), EventLoopError> {
         self.wait(events)?;
         self.serve_priority_sources(events);
         for event in events.iter() {
@@ -32,12 +37,12 @@
         Ok(())
     }
 
-    fn wait(&mut self, events: &mut Events) -> Result<(), String> {
+    fn wait(&mut self, events: &mut Events) -> Result<(), EventLoopError> {
         let asleep = self.clock.now();
         let pressing = self.has_unfinished_work(asleep);
         let wait = if pressing { Some(Duration::ZERO) } else { self.context.timers.wait(asleep) };
         match self.poll.poll(events, wait) {
-            Err(e) if e.kind() != ErrorKind::Interrupted => return Err(format!("polling: {e}")),
+            Err(error) if error.kind() != ErrorKind::Interrupted => return Err(EventLoopError::Poll(error)),
             _ => {}
         }
         self.context.now = self.clock.now();
--- /dev/null
+++ b/proxy/src/net/start.rs
@@ -0,0 +1,151 @@
+//! The start of the event loop: listeners and connections are opened, and each part that the options name is started.
+
+use super::admin::AdminListener;
+use super::balancers::Balancers;
+use super::checks::Checks;
+use super::clients::Clients;
+use super::connection_limits::ConnectionLimits;
+use super::discovery_connection::DiscoveryConnection;
+use super::error::{EventLoopError, RegisteredSource};
+use super::event_loop_context::EventLoopContext;
+use super::gossip::StateTransfer;
+use super::pool::Pool;
+use super::process_handover::ProcessHandover;
+use super::reload::{log_settings_warnings, longest_client_timeout};
+use super::sources::Source;
+use super::timer_events::TimerEvent;
+use super::timers::{Clock, Timers};
+use super::{EventLoop, SWEEP_INTERVAL_MICROS, listener};
+use crate::config::Config;
+use crate::core::Core;
+use crate::discovery::EndpointUpdate;
+use crate::observe::shared;
+use crate::peer_knowledge::PeerKnowledge;
+use mio::{Interest, Poll};
+use signal_hook_mio::v1_0::Signals;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use tracing::info;
+
+/// The most that is read of a socket at once.
+const SCRATCH_BYTES: usize = 64 << 10;
+
+impl EventLoop {
+    /// Opens everything, and starts every part.
+    pub(super) fn start(
+        mut config: Config,
+        options: Option<PathBuf>,
+        signals: &mut Signals,
+    ) -> Result<EventLoop, EventLoopError> {
+        let poll = Poll::new().map_err(EventLoopError::OpenPoll)?;
+        let registered = poll.registry().register(signals, Source::Signals.token(), Interest::READABLE);
+        registered.map_err(|error| EventLoopError::Register { source: RegisteredSource::Signals, error })?;
+        let listener = listener::open(config.listen, config.inherited)?;
+        let address = listener.local_addr().map_err(EventLoopError::ListenerAddress)?;
+        let known_endpoints = config.known.take();
+        let known_revision = known_endpoints.as_ref().map(|update| update.revision);
+        let mut event_loop = EventLoop::open(poll, listener, address, known_revision, config, options)?;
+        event_loop.log_started(address);
+        event_loop.start_parts(known_endpoints)?;
+        Ok(event_loop)
+    }
+
+    fn open(
+        poll: Poll,
+        listener: mio::net::TcpListener,
+        address: SocketAddr,
+        known_revision: Option<u64>,
+        config: Config,
+        options: Option<PathBuf>,
+    ) -> Result<EventLoop, EventLoopError> {
+        let clock = Clock::new();
+        let now = clock.now();
+        let admin = AdminListener::new(poll.registry(), config.operator)?;
+        // Only a proxy that shares its listener can have another process beside it.
+        let shared_listener = config.inherited.is_some();
+        let handover = if shared_listener {
+            ProcessHandover::connect_or_listen(poll.registry(), address)
+        } else {
+            ProcessHandover::default()
+        };
+        let limits = ConnectionLimits::new(&config, &handover);
+        let registry = poll.registry().try_clone().map_err(EventLoopError::OpenPoll)?;
+        let core = Core::new(&config.site, config.seed, now);
+        let (settings, seed) = (&config.site.routing, config.seed);
+        Ok(EventLoop {
+            clock,
+            context: EventLoopContext {
+                now,
+                registry,
+                timers: Timers::new(),
+                core,
+                scratch: vec![0; SCRATCH_BYTES],
+            },
+            clients: Clients::new(poll.registry(), listener, limits.clients)?,
+            pool: Pool::new(&config.site, limits.databases),
+            discovery: DiscoveryConnection::new(config.discovery, known_revision, settings, seed),
+            admin,
+            checks: Checks::new(shared_listener),
+            gossip: None,
+            fleet: None,
+            background: None,
+            health: Balancers::default(),
+            handover,
+            longest_client_timeout: longest_client_timeout(&config.site),
+            config,
+            options,
+            stopping: false,
+            listener_closed: false,
+            clients_closed: false,
+            poll,
+        })
+    }
+
+    fn log_started(&self, address: SocketAddr) {
+        let Config { name, discovery, .. } = &self.config;
+        let operator = self.admin.address().map(tracing::field::display);
+        info!(event = "started", name, listen = %address, %discovery, operator);
+        log_settings_warnings(&self.config);
+    }
+
+    fn start_parts(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
+        let started_at = self.context.now;
+        self.start_health()?;
+        self.start_gossip()?;
+        self.start_fleet()?;
+        self.start_background();
+        if let Some(update) = known_endpoints {
+            self.update_endpoints(EndpointUpdate { complete: true, ..update });
+        }
+        self.step_gossip();
+        if self.handover.process_count() > 1 {
+            info!(event = "predecessor-connected");
+        }
+        self.apply_process_count();
+        self.context.timers.set(started_at + SWEEP_INTERVAL_MICROS, TimerEvent::Sweep);
+        self.discovery.start(&mut self.context);
+        Ok(())
+    }
+
+    /// Starts to request state from other proxies and to send it to them, where the options say so.
+    fn start_gossip(&mut self) -> Result<(), EventLoopError> {
+        let (Some(options), Some(keys)) = (&self.config.options.knowledge, &self.config.keys) else {
+            return Ok(());
+        };
+        // Each process observes for itself: what its predecessor observed reaches it at second hand.
+        let mut observer = [0; 8];
+        getrandom::fill(&mut observer)?;
+        let peer_knowledge = shared(PeerKnowledge::new(u64::from_be_bytes(observer)));
+        self.context.core.subscribe(self.context.now, peer_knowledge.clone());
+        let state_transfer = StateTransfer::new(
+            &self.context.registry,
+            options,
+            keys.clone(),
+            peer_knowledge,
+            self.config.seed,
+            self.context.now,
+        )?;
+        self.gossip.get_or_insert_default().learn(state_transfer);
+        Ok(())
+    }
+}
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -1,7 +1,7 @@
 //! Timers that are due, each handed to the owner that set it.
 
 use super::timer_events::TimerEvent;
-use super::{EventLoop, SWEEP};
+use super::{EventLoop, SWEEP_INTERVAL_MICROS};
 use tracing::info;
 
 impl EventLoop {
@@ -49,19 +49,24 @@
         }
     }
 
+    /// The fraction of the connections to databases that serve attempts.
+    pub(super) fn database_connections_in_use(&self) -> f64 {
+        let limit = self.connection_limits().databases.max(1);
+        self.context.core.attempts_in_flight() as f64 / limit as f64
+    }
+
     /// Closes what has been idle or silent for too long, and tells others how much this process holds and has to do.
     fn sweep(&mut self) {
         let context = &mut self.context;
         self.clients.close_expired(context);
         self.pool.close_expired(context);
-        context.timers.set(context.now + SWEEP, TimerEvent::Sweep);
+        context.timers.set(context.now + SWEEP_INTERVAL_MICROS, TimerEvent::Sweep);
         let descriptors = self.clients.len() + self.pool.len();
         self.admin.sweep(context);
         if self.stopping {
             self.handover.announce_stopping(context, descriptors);
         }
-        let (_, for_databases) = self.connection_limits();
-        let pressure = self.context.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
+        let pressure = self.database_connections_in_use();
         if let Some(gossip) = &mut self.gossip {
             gossip.pressed(pressure);
             self.after_gossip();
