--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -44,7 +44,7 @@
 }
 
 impl Reader<'_> {
-    fn span(&mut self, node: NodeId, name: &str, into: &mut Duration) {
+    fn read_duration(&mut self, node: NodeId, name: &str, into: &mut Duration) {
         if let Some(ms) = self.value(node, name) {
             *into = Duration::from_millis(ms);
         }
@@ -65,19 +65,19 @@
             all_per_s: 50.0,
             window: Duration::from_secs(10),
         };
-        self.number(node, "least", &mut split.least);
-        self.number(node, "processes", &mut split.processes);
-        self.number(node, "reads-per-s", &mut split.reads_per_s);
-        self.number(node, "all-per-s", &mut split.all_per_s);
-        self.span(node, "within-ms", &mut split.within);
-        self.span(node, "confirm-ms", &mut split.confirm);
-        self.span(node, "window-ms", &mut split.window);
+        self.read_number(node, "least", &mut split.least);
+        self.read_number(node, "processes", &mut split.processes);
+        self.read_number(node, "reads-per-s", &mut split.reads_per_s);
+        self.read_number(node, "all-per-s", &mut split.all_per_s);
+        self.read_duration(node, "within-ms", &mut split.within);
+        self.read_duration(node, "confirm-ms", &mut split.confirm);
+        self.read_duration(node, "window-ms", &mut split.window);
         if !fleet {
-            self.fault(node, "there is no element fleet: nobody tells what others have compared");
+            self.add_error(node, "there is no element fleet: nobody tells what others have compared");
         }
         let groups = [split.from, split.below, split.above];
         if (1..3).any(|n| groups[..n].contains(&groups[n])) {
-            self.fault(node, "from, below and above: expected three groups");
+            self.add_error(node, "from, below and above: expected three groups");
         }
         Some(split)
     }
@@ -93,14 +93,14 @@
             all_per_s: 100.0,
             window: Duration::from_secs(10),
         };
-        self.number(node, "copy-cost", &mut hot.copy_cost);
-        self.number(node, "guests", &mut hot.guests);
-        self.number(node, "copies-per-s", &mut hot.copies_per_s);
-        self.number(node, "reads-per-s", &mut hot.reads_per_s);
-        self.number(node, "all-per-s", &mut hot.all_per_s);
-        self.span(node, "window-ms", &mut hot.window);
+        self.read_number(node, "copy-cost", &mut hot.copy_cost);
+        self.read_number(node, "guests", &mut hot.guests);
+        self.read_number(node, "copies-per-s", &mut hot.copies_per_s);
+        self.read_number(node, "reads-per-s", &mut hot.reads_per_s);
+        self.read_number(node, "all-per-s", &mut hot.all_per_s);
+        self.read_duration(node, "window-ms", &mut hot.window);
         if !fleet {
-            self.fault(node, "there is no element fleet: nobody tells what others are asked for");
+            self.add_error(node, "there is no element fleet: nobody tells what others are asked for");
         }
         Some(hot)
     }
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -1,7 +1,7 @@
 //! What balancers are told, and where: the element `health`.
 
 use crate::reader::Reader;
-use crate::{Fault, meet};
+use crate::{OptionsError, addresses_overlap};
 use birchreach_health::{
     AggregationRule, HealthSettings, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings,
     SharedCausePolicy,
@@ -65,17 +65,17 @@
         let mut lead = 3_000_000;
         let http = self.child(node, "http").and_then(|node| {
             let mut http = Http { check_listener: self.check_listener(node)?, idle: 65_000_000 };
-            self.ms(node, "idle-ms", &mut http.idle);
+            self.read_milliseconds(node, "idle-ms", &mut http.idle);
             Some(http)
         });
         let grpc = self.child(node, "grpc").and_then(|node| {
             let mut grpc = Http { check_listener: self.check_listener(node)?, idle: 65_000_000 };
-            self.ms(node, "idle-ms", &mut grpc.idle);
+            self.read_milliseconds(node, "idle-ms", &mut grpc.idle);
             Some(grpc)
         });
         let agent = self.child(node, "agent").and_then(|node| {
             let mut agent = Agent { check_listener: self.check_listener(node)?, ask: 20_000, maxconn: false };
-            self.ms(node, "ask-ms", &mut agent.ask);
+            self.read_milliseconds(node, "ask-ms", &mut agent.ask);
             agent.maxconn = matches!(self.doc.get_attribute(node, "maxconn"), Some("true" | "1"));
             Some(agent)
         });
@@ -86,43 +86,48 @@
         }
         if let Some(node) = probes {
             let mut probing = ProbeSettings::default();
-            self.ms(node, "every-ms", &mut probing.interval);
-            self.ms(node, "suspect-ms", &mut probing.suspect_after);
-            self.ms(node, "timeout-ms", &mut probing.timeout);
-            self.number(node, "group-per-s", &mut probing.group_rate_per_s);
-            self.number(node, "whole-per-s", &mut probing.total_rate_per_s);
+            self.read_milliseconds(node, "every-ms", &mut probing.interval);
+            self.read_milliseconds(node, "suspect-ms", &mut probing.suspect_after);
+            self.read_milliseconds(node, "timeout-ms", &mut probing.timeout);
+            self.read_number(node, "group-per-s", &mut probing.group_rate_per_s);
+            self.read_number(node, "whole-per-s", &mut probing.total_rate_per_s);
             settings.probes = Some(probing);
         }
         if let Some(node) = weight {
             let w = &mut settings.weight;
-            self.number(node, "knee", &mut w.reduce_above);
-            self.number(node, "hot", &mut w.trim_above);
-            self.number(node, "least", &mut w.percent_at_full_pressure);
-            self.number(node, "up-per-s", &mut w.max_rise_factor_per_s);
-            self.number(node, "down-per-s", &mut w.max_fall_factor_per_s);
-            self.ms(node, "settle-ms", &mut w.settling_time);
-            self.number(node, "overload-at", &mut settings.overload_pressure);
+            self.read_number(node, "knee", &mut w.reduce_above);
+            self.read_number(node, "hot", &mut w.trim_above);
+            self.read_number(node, "least", &mut w.percent_at_full_pressure);
+            self.read_number(node, "up-per-s", &mut w.max_rise_factor_per_s);
+            self.read_number(node, "down-per-s", &mut w.max_fall_factor_per_s);
+            self.read_milliseconds(node, "settle-ms", &mut w.settling_time);
+            self.read_number(node, "overload-at", &mut settings.overload_pressure);
         }
         if let Some(node) = stopping {
-            self.ms(node, "lead-ms", &mut lead);
+            self.read_milliseconds(node, "lead-ms", &mut lead);
         }
         // What does not hold together is told where it is written, or else at the whole.
         for error in settings.errors() {
             let is_written = |node: &NodeId| self.doc.get_attribute(*node, error.option).is_some();
             let at = parts.into_iter().flatten().find(is_written).unwrap_or(node);
-            self.fault(at, error.to_string());
+            self.add_error(at, error.to_string());
         }
         if http.is_none() && agent.is_none() && grpc.is_none() {
-            self.fault(node, "neither http, agent nor grpc: nobody could ask");
+            self.add_error(node, "neither http, agent nor grpc: nobody could ask");
         }
         let health = Health { http, agent, grpc, settings, lead };
         let check_listeners: Vec<_> = health.check_listeners().collect();
         for (n, (element, check_listener)) in check_listeners.iter().enumerate() {
-            if let Some((other, _)) =
-                check_listeners[..n].iter().find(|(_, other)| meet(other.listen, check_listener.listen))
+            if let Some((other, _)) = check_listeners[..n]
+                .iter()
+                .find(|(_, other)| addresses_overlap(other.listen, check_listener.listen))
             {
                 let message = format!("listen: {} is used by {other} too", check_listener.listen);
-                self.faults.push(Fault { line: check_listener.line, element: (*element).into(), message });
+                self.errors.push(OptionsError {
+                    line: check_listener.line,
+                    element: (*element).into(),
+                    message,
+                });
             }
         }
         Some(health)
@@ -135,31 +140,31 @@
             callers: 64,
             silent: 2_000_000,
         };
-        self.number(node, "callers", &mut check_listener.callers);
-        self.ms(node, "silent-ms", &mut check_listener.silent);
+        self.read_number(node, "callers", &mut check_listener.callers);
+        self.read_milliseconds(node, "silent-ms", &mut check_listener.silent);
         Some(check_listener)
     }
 
     fn claims(&mut self, node: NodeId, s: &mut HealthSettings) {
-        self.word(
+        self.read_choice(
             node,
             "idle",
             [("trust", IdleGroupPolicy::TrustEndpointList), ("withdraw", IdleGroupPolicy::Withdraw)],
             &mut s.idle_groups,
         );
-        self.word(
+        self.read_choice(
             node,
             "shared",
             [("tell", SharedCausePolicy::StayInRotation), ("down", SharedCausePolicy::ReportDown)],
             &mut s.shared_causes,
         );
-        self.word(
+        self.read_choice(
             node,
             "overload",
             [("weight", OverloadPolicy::ReduceWeight), ("down", OverloadPolicy::ReportDown)],
             &mut s.overload,
         );
-        self.word(
+        self.read_choice(
             node,
             "sum",
             [("any", AggregationRule::AnyGroup), ("all", AggregationRule::AllGroups)],
@@ -176,7 +181,7 @@
             ("hang-ms", &mut s.silence_limit_unprobed),
             ("discovery-after-ms", &mut s.discovery_lost_after),
         ] {
-            self.ms(node, name, into);
+            self.read_milliseconds(node, name, into);
         }
     }
 }
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -1,169 +1,200 @@
-//! The options of our own, XML with a schema (`deploy/options.xsd`), read into typed values.
+//! Options of our own: XML with a schema (`deploy/options.xsd`), read into typed values.
 //!
-//! The schema judges names, types and ranges; what it cannot say (addresses used twice, sums of times) is checked here,
-//! on the same tree, so every fault has its line and element. A file is taken whole or not at all. It owns the form of
-//! the options; it never opens an address, and reads no file by itself.
+//! The schema checks names, types and ranges. What it cannot express, such as an address that is used twice, is checked here on the same
+//! tree, so that every error has its line and element. A file is applied as a whole or not at all. The crate opens no address and reads
+//! no file.
+#![forbid(unsafe_code)]
 
 mod background;
+mod error;
 mod health;
 mod links;
 mod reader;
 
 pub use background::{Hot, Split};
+pub use error::OptionsError;
 pub use health::{Agent, CheckListener, Health, Http};
 pub use links::{Fleet, Knowledge};
 use reader::Reader;
-use std::fmt;
 use std::net::SocketAddr;
-use uppsala::{XmlError, XsdValidator};
+use uppsala::{Document, XmlError, XsdValidator};
 
-/// The schema that the operators' editors use is the one that judges.
+/// The schema, which operators' editors use too.
 pub const SCHEMA: &str = include_str!("../../deploy/options.xsd");
-/// A file longer than this is no options file.
-pub const MOST_BYTES: usize = 256 << 10;
+/// A longer file is not read.
+pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// All absent: everything new is off.
+/// All options; what is absent is switched off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Options {
+    /// What load balancers are told.
     pub health: Option<Health>,
+    /// State learned from other proxies.
     pub knowledge: Option<Knowledge>,
+    /// The view of the fleet.
     pub fleet: Option<Fleet>,
+    /// Copies of hot keys.
     pub hot: Option<Hot>,
+    /// Comparison of dual reads while a group splits.
     pub split: Option<Split>,
 }
 
-/// Something wrong in the file.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    pub line: usize,
-    pub element: String,
-    pub message: String,
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "line {}: {}: {}", self.line, self.element, self.message)
+/// Reads the options.
+///
+/// # Errors
+/// Every error of the file, in the order of lines.
+pub fn parse(text: &str) -> Result<Options, Vec<OptionsError>> {
+    check_text(text)?;
+    let document = uppsala::parse(text).map_err(|error| vec![invalid_xml(error)])?;
+    let mut reader = Reader { doc: &document, errors: Vec::new() };
+    check_schema(&document, &mut reader)?;
+    let options = if reader.errors.is_empty() { reader.options() } else { Options::default() };
+    let mut errors = reader.errors;
+    if errors.is_empty() {
+        return Ok(options);
     }
+    errors.sort_by_key(|error| error.line);
+    Err(errors)
 }
 
-/// Reads the options; every fault comes out, in the order of lines.
-pub fn parse(text: &str) -> Result<Options, Vec<Fault>> {
-    let whole = |line, message: String| vec![Fault { line, element: "file".into(), message }];
-    if text.len() > MOST_BYTES {
-        return Err(whole(1, format!("longer than {MOST_BYTES} bytes")));
+fn check_text(text: &str) -> Result<(), Vec<OptionsError>> {
+    if text.len() > MAX_FILE_BYTES {
+        return Err(vec![OptionsError::in_file(1, format!("longer than {MAX_FILE_BYTES} bytes"))]);
     }
     if text.contains("<!DOCTYPE") {
-        return Err(whole(1, "a document type is not taken".into()));
+        return Err(vec![OptionsError::in_file(1, "a document type is not taken")]);
     }
-    let doc = uppsala::parse(text).map_err(|e| {
-        let (line, message) = match e {
-            XmlError::Parse(e) => (e.line, e.message),
-            XmlError::WellFormedness(e) => (e.line, e.message),
-            XmlError::Namespace(e) => (e.line, e.message),
-            other => (1, other.to_string()),
-        };
-        whole(line, format!("not XML: {message}"))
-    })?;
+    Ok(())
+}
+
+fn invalid_xml(error: XmlError) -> OptionsError {
+    let (line, message) = match error {
+        XmlError::Parse(error) => (error.line, error.message),
+        XmlError::WellFormedness(error) => (error.line, error.message),
+        XmlError::Namespace(error) => (error.line, error.message),
+        other => (1, other.to_string()),
+    };
+    OptionsError::in_file(line, format!("not XML: {message}"))
+}
+
+/// Adds the violations of the schema to the reader's errors.
+fn check_schema(document: &Document, reader: &mut Reader) -> Result<(), Vec<OptionsError>> {
     let schema = uppsala::parse(SCHEMA).and_then(|schema| XsdValidator::from_schema(&schema));
-    let schema = schema.map_err(|e| whole(1, format!("the schema: {e}")))?;
-    let mut reader = Reader { doc: &doc, faults: Vec::new() };
-    for error in schema.validate(&doc) {
-        let line = error.line.unwrap_or(1);
-        let node = reader.element_at(line, error.column.unwrap_or(1));
-        let (element, attribute) = (reader.name(node), reader.attribute(node, &error.message));
-        let message = format!("{attribute}{}", error.message);
-        // A value of the wrong type is out of its range too; that is not told beside it.
-        let again = |f: &Fault| f.line == line && !attribute.is_empty() && f.message.starts_with(&attribute);
-        if !reader.faults.iter().any(again) {
-            reader.faults.push(Fault { line, element, message });
+    let schema = schema.map_err(|error| vec![OptionsError::in_file(1, format!("the schema: {error}"))])?;
+    for violation in schema.validate(document) {
+        let line = violation.line.unwrap_or(1);
+        let node = reader.element_at(line, violation.column.unwrap_or(1));
+        let (element, attribute) = (reader.name(node), reader.attribute(node, &violation.message));
+        // A value of the wrong type is out of its range too, which is not reported beside it.
+        let is_reported = |error: &OptionsError| {
+            error.line == line && !attribute.is_empty() && error.message.starts_with(&attribute)
+        };
+        if !reader.errors.iter().any(is_reported) {
+            let message = format!("{attribute}{}", violation.message);
+            reader.errors.push(OptionsError { line, element, message });
         }
     }
-    let options = if reader.faults.is_empty() { reader.options() } else { Options::default() };
-    let mut faults = reader.faults;
-    if faults.is_empty() {
-        return Ok(options);
-    }
-    faults.sort_by_key(|fault| fault.line);
-    Err(faults)
+    Ok(())
 }
 
 impl Reader<'_> {
     fn options(&mut self) -> Options {
         let root = self.doc.document_element();
-        let part = |reader: &Self, name| root.and_then(|root| reader.child(root, name));
-        let health = part(self, "health").and_then(|node| self.health(node));
-        let knowledge = part(self, "knowledge").and_then(|node| self.knowledge(node));
-        let fleet = part(self, "fleet").and_then(|node| self.fleet(node));
-        let hot = part(self, "hot").and_then(|node| self.hot(node, fleet.is_some()));
-        let split = part(self, "split").and_then(|node| self.split(node, fleet.is_some()));
+        let element = |reader: &Self, name| root.and_then(|root| reader.child(root, name));
+        let health = element(self, "health").and_then(|node| self.health(node));
+        let knowledge = element(self, "knowledge").and_then(|node| self.knowledge(node));
+        let fleet = element(self, "fleet").and_then(|node| self.fleet(node));
+        let hot = element(self, "hot").and_then(|node| self.hot(node, fleet.is_some()));
+        let split = element(self, "split").and_then(|node| self.split(node, fleet.is_some()));
         let options = Options { health, knowledge, fleet, hot, split };
-        let clashes = options.links().filter_map(|(element, line, at)| {
-            let (other, _) =
-                options.check_listeners().find(|(_, check_listener)| meet(check_listener.listen, at))?;
-            let message = format!("listen: {at} is used by {other} too");
-            Some(Fault { line, element: element.into(), message })
-        });
-        self.faults.extend(clashes.collect::<Vec<_>>());
-        // Members of the fleet have links to each other at the number of their datagrams.
-        let links: Vec<_> = options.links().collect();
-        if let [(one, _, a), (other, line, b)] = links[..]
-            && meet(a, b)
-        {
-            let message = format!("listen: {b} is used by {one} too");
-            self.faults.push(Fault { line, element: other.into(), message });
-        }
+        self.errors.extend(options.internal_address_conflicts());
         options
     }
 }
 
+/// An address for links to other proxies, and the element that has it.
+struct LinkAddress {
+    element: &'static str,
+    line: usize,
+    address: SocketAddr,
+}
+
+impl LinkAddress {
+    fn conflict(&self, message: String) -> OptionsError {
+        OptionsError { line: self.line, element: self.element.into(), message }
+    }
+}
+
 impl Options {
-    /// Descriptors that are to be kept for what is switched on here: callers and listeners.
+    /// Descriptors to be reserved for what is switched on here: connections of balancers, and their listeners.
     pub fn descriptors(&self) -> usize {
-        self.check_listeners().map(|(_, check_listener)| check_listener.callers + 1).sum()
+        self.check_listeners().map(|(_, listener)| listener.callers + 1).sum()
     }
 
     fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
         self.health.iter().flat_map(Health::check_listeners)
     }
 
-    /// Where other proxies reach this one.
-    fn links(&self) -> impl Iterator<Item = (&'static str, usize, SocketAddr)> {
-        let knowledge = self.knowledge.as_ref().and_then(|k| Some(("knowledge", k.line, k.listen?)));
-        let fleet = self.fleet.as_ref().map(|f| ("fleet", f.line, f.listen));
-        knowledge.into_iter().chain(fleet)
+    fn link_addresses(&self) -> Vec<LinkAddress> {
+        let knowledge = self.knowledge.as_ref().and_then(|knowledge| {
+            let address = knowledge.listen?;
+            Some(LinkAddress { element: "knowledge", line: knowledge.line, address })
+        });
+        let fleet = self.fleet.as_ref();
+        let fleet =
+            fleet.map(|fleet| LinkAddress { element: "fleet", line: fleet.line, address: fleet.listen });
+        knowledge.into_iter().chain(fleet).collect()
     }
 
-    /// More descriptors than may be spared of so many.
-    pub fn too_many(&self, sockets: usize) -> Option<Fault> {
-        let (wanted, most) = (self.descriptors(), sockets / 2);
-        let (element, check_listener) = self
-            .check_listeners()
-            .max_by_key(|(_, check_listener)| check_listener.callers)
-            .filter(|_| wanted > most)?;
+    /// Addresses that are used twice within the options.
+    fn internal_address_conflicts(&self) -> Vec<OptionsError> {
+        let links = self.link_addresses();
+        let mut errors = Vec::new();
+        for link in &links {
+            let overlaps = |listener: &CheckListener| addresses_overlap(listener.listen, link.address);
+            if let Some((other, _)) = self.check_listeners().find(|(_, listener)| overlaps(listener)) {
+                errors.push(link.conflict(format!("listen: {} is used by {other} too", link.address)));
+            }
+        }
+        // Members of the fleet have links to each other at the port of their datagrams.
+        if let [first, second] = &links[..]
+            && addresses_overlap(first.address, second.address)
+        {
+            let message = format!("listen: {} is used by {} too", second.address, first.element);
+            errors.push(second.conflict(message));
+        }
+        errors
+    }
+
+    /// An error if checks would need more than half of this number of descriptors.
+    pub fn excess_descriptors(&self, sockets: usize) -> Option<OptionsError> {
+        let (wanted, max) = (self.descriptors(), sockets / 2);
+        if wanted <= max {
+            return None;
+        }
+        let (element, listener) = self.check_listeners().max_by_key(|(_, listener)| listener.callers)?;
         let message = format!("callers: {wanted} descriptors for checks are more than half of {sockets}");
-        Some(Fault { line: check_listener.line, element: element.into(), message })
+        Some(OptionsError { line: listener.line, element: element.into(), message })
     }
 
-    /// Addresses here that something else in the process uses already.
-    pub fn taken(&self, others: &[(&str, SocketAddr)]) -> Vec<Fault> {
-        let clash = |(element, check_listener): (&str, &CheckListener)| {
-            let (name, _) = others.iter().find(|(_, at)| meet(*at, check_listener.listen))?;
-            let message = format!("listen: {} is used as {name} already", check_listener.listen);
-            Some(Fault { line: check_listener.line, element: element.into(), message })
+    /// Addresses in the options that something else in the process uses. `others` has names and addresses.
+    pub fn address_conflicts(&self, others: &[(&str, SocketAddr)]) -> Vec<OptionsError> {
+        let user_of = |address: SocketAddr| {
+            let user = others.iter().find(|(_, other)| addresses_overlap(*other, address));
+            user.map(|(name, _)| format!("listen: {address} is used as {name} already"))
         };
-        let mut faults: Vec<Fault> = self.check_listeners().filter_map(clash).collect();
-        for (element, line, at) in self.links() {
-            if let Some((name, _)) = others.iter().find(|(_, other)| meet(*other, at)) {
-                let message = format!("listen: {at} is used as {name} already");
-                faults.push(Fault { line, element: element.into(), message });
-            }
-        }
-        faults
+        let checks = self.check_listeners().filter_map(|(element, listener)| {
+            let message = user_of(listener.listen)?;
+            Some(OptionsError { line: listener.line, element: element.into(), message })
+        });
+        let links = self.link_addresses();
+        let links = links.iter().filter_map(|link| Some(link.conflict(user_of(link.address)?)));
+        checks.chain(links).collect()
     }
 }
 
-/// Two sockets cannot listen on both.
-fn meet(a: SocketAddr, b: SocketAddr) -> bool {
-    let any = a.ip().is_unspecified() || b.ip().is_unspecified();
-    a.port() != 0 && a.port() == b.port() && (a.ip() == b.ip() || any)
+/// Whether two sockets could not listen on both addresses.
+fn addresses_overlap(a: SocketAddr, b: SocketAddr) -> bool {
+    let any_interface = a.ip().is_unspecified() || b.ip().is_unspecified();
+    a.port() != 0 && a.port() == b.port() && (a.ip() == b.ip() || any_interface)
 }
--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -39,14 +39,14 @@
         let mut join = request_scheduler::RequestSettings::default();
         let mut donor = provider::ProviderSettings::default();
         join.donors = self.addresses(node, "donors").iter().map(ToString::to_string).collect();
-        self.ms(node, "patience-ms", &mut join.patience);
-        self.ms(node, "refresh-ms", &mut join.refresh);
-        self.number(node, "at-once", &mut donor.at_once);
-        self.number(node, "bytes-per-s", &mut donor.bytes_per_s);
+        self.read_milliseconds(node, "patience-ms", &mut join.patience);
+        self.read_milliseconds(node, "refresh-ms", &mut join.refresh);
+        self.read_number(node, "at-once", &mut donor.at_once);
+        self.read_number(node, "bytes-per-s", &mut donor.bytes_per_s);
         let listen = self.value(node, "listen");
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
         if listen.is_none() && join.donors.is_empty() {
-            self.fault(node, "neither listen nor donors: nobody is asked, nobody can ask");
+            self.add_error(node, "neither listen nor donors: nobody is asked, nobody can ask");
         }
         Some(Knowledge { listen, line: self.doc.node_line(node), key_file, join, donor })
     }
@@ -58,7 +58,7 @@
             None => listen,
         };
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            self.fault(
+            self.add_error(
                 node,
                 format!("listen: others cannot reach {advertise}: name the address in advertise"),
             );
@@ -66,7 +66,7 @@
         let peers = self.addresses(node, "peers");
         let mut named =
             u32::try_from(peers.iter().filter(|at| **at != advertise).count()).unwrap_or(u32::MAX) + 1;
-        self.number(node, "named", &mut named);
+        self.read_number(node, "named", &mut named);
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
         Some(Fleet { listen, advertise, line: self.doc.node_line(node), key_file, peers, named })
     }
@@ -78,7 +78,7 @@
         for word in told.split_ascii_whitespace() {
             match word.parse::<SocketAddr>() {
                 Ok(at) => all.push(at),
-                Err(_) => self.fault(node, format!("{name}: '{word}' is no address and port")),
+                Err(_) => self.add_error(node, format!("{name}: '{word}' is no address and port")),
             }
         }
         all
--- a/options/src/reader.rs
+++ b/options/src/reader.rs
@@ -1,75 +1,87 @@
-//! Reading the tree: elements, attributes and their faults, each with its line.
+//! Access to the XML tree: elements and attributes, and errors with their lines.
 
-use crate::Fault;
+use crate::OptionsError;
 use birchreach_health::Micros;
 use std::str::FromStr;
 use uppsala::{Document, NodeId};
 
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+
+/// Reads values from a document that its schema has checked, and collects errors.
 pub(crate) struct Reader<'a> {
     pub(crate) doc: &'a Document<'a>,
-    pub(crate) faults: Vec<Fault>,
+    pub(crate) errors: Vec<OptionsError>,
 }
 
 impl Reader<'_> {
+    /// The name of an element.
     pub(crate) fn name(&self, node: NodeId) -> String {
-        self.doc.element(node).map_or_else(|| "file".into(), |e| e.name.local_name.to_string())
+        self.doc.element(node).map_or_else(|| "file".into(), |element| element.name.local_name.to_string())
     }
 
     /// The element that begins at this place, or the last one before it.
     pub(crate) fn element_at(&self, line: usize, column: usize) -> NodeId {
         let Some(root) = self.doc.document_element() else { return self.doc.root() };
-        let all = std::iter::once(root).chain(self.doc.descendants(root));
         let place = |node: &NodeId| (self.doc.node_line(*node), self.doc.node_column(*node));
-        let before =
-            all.filter(|node| self.doc.element(*node).is_some() && place(node) <= (line, column.max(1)));
+        let nodes = std::iter::once(root).chain(self.doc.descendants(root));
+        let elements = nodes.filter(|node| self.doc.element(*node).is_some());
+        let before = elements.filter(|node| place(node) <= (line, column.max(1)));
         before.max_by_key(place).unwrap_or(root)
     }
 
-    /// `name: ` of the attribute that a message speaks of, by the value that it quotes.
+    /// `name: ` of the attribute that a message is about, found by the value that the message quotes.
     pub(crate) fn attribute(&self, node: NodeId, message: &str) -> String {
         let value = message.split('\'').nth(1);
-        let attributes = self.doc.element(node).map_or(&[][..], |e| &e.attributes);
-        let found = attributes.iter().find(|a| Some(a.value.as_ref()) == value);
-        found.map_or_else(String::new, |a| format!("{}: ", a.name.local_name))
+        let attributes = self.doc.element(node).map_or(&[][..], |element| &element.attributes);
+        let found = attributes.iter().find(|attribute| Some(attribute.value.as_ref()) == value);
+        found.map_or_else(String::new, |attribute| format!("{}: ", attribute.name.local_name))
     }
 
-    pub(crate) fn fault(&mut self, node: NodeId, message: impl Into<String>) {
-        let fault =
-            Fault { line: self.doc.node_line(node), element: self.name(node), message: message.into() };
-        self.faults.push(fault);
+    /// Adds an error at an element.
+    pub(crate) fn add_error(&mut self, node: NodeId, message: impl Into<String>) {
+        let error = OptionsError {
+            line: self.doc.node_line(node),
+            element: self.name(node),
+            message: message.into(),
+        };
+        self.errors.push(error);
     }
 
+    /// The child element with this name.
     pub(crate) fn child(&self, node: NodeId, name: &str) -> Option<NodeId> {
-        let named = |child: &NodeId| self.doc.element(*child).is_some_and(|e| e.name.local_name == name);
-        self.doc.children_iter(node).find(named)
+        let is_named =
+            |child: &NodeId| self.doc.element(*child).is_some_and(|element| element.name.local_name == name);
+        self.doc.children_iter(node).find(is_named)
     }
 
-    /// An attribute's value; what the schema lets through and we cannot read is a fault all the same.
+    /// An attribute's value. One that the schema accepts and that cannot be read is an error too.
     pub(crate) fn value<T: FromStr>(&mut self, node: NodeId, name: &str) -> Option<T> {
         let text = self.doc.get_attribute(node, name)?.trim().to_string();
         let value = text.parse().ok();
         if value.is_none() {
-            self.fault(node, format!("{name}: '{text}' cannot be read"));
+            self.add_error(node, format!("{name}: '{text}' cannot be read"));
         }
         value
     }
 
-    pub(crate) fn ms(&mut self, node: NodeId, name: &str, into: &mut Micros) {
-        if let Some(ms) = self.value::<Micros>(node, name) {
-            *into = ms * 1000;
+    /// Reads a time in milliseconds, if the attribute is present.
+    pub(crate) fn read_milliseconds(&mut self, node: NodeId, name: &str, into: &mut Micros) {
+        if let Some(milliseconds) = self.value::<Micros>(node, name) {
+            *into = milliseconds * MICROS_PER_MILLISECOND;
         }
     }
 
-    pub(crate) fn number<T: FromStr>(&mut self, node: NodeId, name: &str, into: &mut T) {
+    /// Reads a number, if the attribute is present.
+    pub(crate) fn read_number<T: FromStr>(&mut self, node: NodeId, name: &str, into: &mut T) {
         if let Some(value) = self.value(node, name) {
             *into = value;
         }
     }
 
-    /// One of two words; the schema knows no other.
-    pub(crate) fn word<T>(&self, node: NodeId, name: &str, words: [(&str, T); 2], into: &mut T) {
-        let told = self.doc.get_attribute(node, name);
-        if let Some((_, value)) = words.into_iter().find(|(word, _)| told == Some(word)) {
+    /// Reads one of two words, if the attribute is present; the schema accepts no other.
+    pub(crate) fn read_choice<T>(&self, node: NodeId, name: &str, choices: [(&str, T); 2], into: &mut T) {
+        let word = self.doc.get_attribute(node, name);
+        if let Some((_, value)) = choices.into_iter().find(|(choice, _)| word == Some(choice)) {
             *into = value;
         }
     }
--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -76,9 +76,9 @@
 #[test]
 fn addresses_of_the_platform_are_not_taken_again() {
     let options = parse(EXAMPLE).unwrap();
-    let taken = options.taken(&[("listen", "127.0.0.1:5432".parse().unwrap())]);
+    let taken = options.address_conflicts(&[("listen", "127.0.0.1:5432".parse().unwrap())]);
     assert_eq!(taken, []);
-    let taken = options.taken(&[("operator", "127.0.0.1:7082".parse().unwrap())]);
+    let taken = options.address_conflicts(&[("operator", "127.0.0.1:7082".parse().unwrap())]);
     assert_eq!(taken[0].to_string(), "line 7: agent: listen: 127.0.0.1:7082 is used as operator already");
 }
 
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -154,7 +154,7 @@
         message,
     };
     let text = std::fs::read_to_string(path).map_err(|e| vec![fault(1, "file", e.to_string())])?;
-    let ours = |f: birchreach_options::Fault| fault(f.line, &f.element, f.message);
+    let ours = |f: birchreach_options::OptionsError| fault(f.line, &f.element, f.message);
     birchreach_options::parse(&text).map_err(|faults| faults.into_iter().map(ours).collect())
 }
 
@@ -163,12 +163,12 @@
     let options = options_alone(path)?;
     let mut others = vec![("listen", config.listen), ("discovery", config.discovery)];
     others.extend(config.operator.map(|at| ("operator", at)));
-    let mut taken = options.taken(&others);
-    taken.extend(options.too_many(config.sockets));
+    let mut taken = options.address_conflicts(&others);
+    taken.extend(options.excess_descriptors(config.sockets));
     if taken.is_empty() {
         return Ok(options);
     }
-    let ours = |f: birchreach_options::Fault| Fault {
+    let ours = |f: birchreach_options::OptionsError| Fault {
         file: path.into(),
         line: f.line,
         element: f.element,
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -54,7 +54,8 @@
         Some(Command::Health(health)) => {
             let options = options.map(|path| {
                 let text = std::fs::read_to_string(&path).map_err(|e| e.to_string());
-                let first = |faults: Vec<birchreach_options::Fault>| faults.first().map(ToString::to_string);
+                let first =
+                    |faults: Vec<birchreach_options::OptionsError>| faults.first().map(ToString::to_string);
                 let read = text
                     .and_then(|t| birchreach_options::parse(&t).map_err(|f| first(f).unwrap_or_default()));
                 read.unwrap_or_else(|why| {
