--- a/proxy/src/log/json.rs
+++ b/proxy/src/log/json.rs
@@ -6,13 +6,18 @@
 use tracing::Level;
 use tracing::field::{Field, Visit};
 
-/// The fields of an object that is being written.
+/// Room for an object that is seldom exceeded.
+const OBJECT_CAPACITY_BYTES: usize = 256;
+
+/// The fields of an object under construction.
 pub(super) type Json<'a> = JsonFields<<&'a mut serde_json::Serializer<Vec<u8>> as Serializer>::SerializeMap>;
 
+/// Serializes fields of an event as entries of a JSON object.
 pub(super) struct JsonFields<M>(M);
 
 impl<M: SerializeMap> JsonFields<M> {
     pub(super) fn entry<T: serde::Serialize + ?Sized>(&mut self, name: &str, value: &T) {
+        // Serializing to memory does not fail.
         let _ = self.0.serialize_entry(name, value);
     }
 }
@@ -21,34 +26,39 @@
     fn record_str(&mut self, field: &Field, value: &str) {
         self.entry(field.name(), value);
     }
+
     fn record_u64(&mut self, field: &Field, value: u64) {
         self.entry(field.name(), &value);
     }
+
     fn record_i64(&mut self, field: &Field, value: i64) {
         self.entry(field.name(), &value);
     }
+
     fn record_bool(&mut self, field: &Field, value: bool) {
         self.entry(field.name(), &value);
     }
+
     fn record_f64(&mut self, field: &Field, value: f64) {
         self.entry(field.name(), &value);
     }
+
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         let text = format!("{value:?}");
-        // What is quoted for people is a text like others here.
-        let bare =
-            text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).map(|_| serde_json::from_str(&text));
-        match bare {
-            Some(Ok(serde_json::Value::String(bare))) => self.entry(field.name(), &bare),
-            _ => self.entry(field.name(), &text),
+        // A text that is quoted for key=value lines is written without those quotes.
+        let is_quoted = text.len() > 1 && text.starts_with('"') && text.ends_with('"');
+        if is_quoted && let Ok(serde_json::Value::String(unquoted)) = serde_json::from_str(&text) {
+            self.entry(field.name(), &unquoted);
+        } else {
+            self.entry(field.name(), &text);
         }
     }
 }
 
 /// Appends an object with these fields, behind its time and level.
 pub(super) fn object(line: &mut String, level: Level, fields: impl FnOnce(&mut Json)) {
-    let mut out = serde_json::Serializer::new(Vec::with_capacity(256));
-    if let Ok(map) = out.serialize_map(None) {
+    let mut serializer = serde_json::Serializer::new(Vec::with_capacity(OBJECT_CAPACITY_BYTES));
+    if let Ok(map) = serializer.serialize_map(None) {
         let mut map = JsonFields(map);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         map.entry("time_ms", &(unix.as_millis() as u64));
@@ -56,5 +66,5 @@
         fields(&mut map);
         let _ = map.0.end();
     }
-    line.push_str(&String::from_utf8_lossy(&out.into_inner()));
+    line.push_str(&String::from_utf8_lossy(&serializer.into_inner()));
 }
--- /dev/null
+++ b/proxy/src/log/rate_limit.rs
@@ -0,0 +1,56 @@
+//! The bound on the number of log lines: a flood of ended connections must not cost the core that serves the others.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Instant;
+use tracing::{Event, Subscriber};
+use tracing_subscriber::layer::{Context, Layer};
+
+/// Lines per second in the long run.
+const LINES_PER_SECOND: f64 = 50.0;
+/// Lines at once.
+pub(super) const BURST_LINES: f64 = 200.0;
+
+/// A token bucket of lines.
+#[derive(Default)]
+pub(super) struct RateLimit {
+    last_line_at: Option<Instant>,
+    used_tokens: f64,
+}
+
+impl RateLimit {
+    /// Whether a line may be written now.
+    pub(super) fn allows(&mut self, now: Instant) -> bool {
+        let last = self.last_line_at.replace(now);
+        let elapsed = last.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+        self.used_tokens = (self.used_tokens - elapsed * LINES_PER_SECOND).max(0.0);
+        let allowed = self.used_tokens + 1.0 <= BURST_LINES;
+        if allowed {
+            self.used_tokens += 1.0;
+        }
+        allowed
+    }
+}
+
+/// The layer that lets a bounded number of lines through and counts the others.
+pub(super) struct RateLimitLayer {
+    limit: Mutex<RateLimit>,
+    dropped: Arc<AtomicU64>,
+}
+
+impl RateLimitLayer {
+    /// `dropped` counts the lines left out.
+    pub(super) fn new(dropped: Arc<AtomicU64>) -> RateLimitLayer {
+        RateLimitLayer { limit: Mutex::default(), dropped }
+    }
+}
+
+impl<S: Subscriber> Layer<S> for RateLimitLayer {
+    fn event_enabled(&self, _: &Event<'_>, _: Context<'_, S>) -> bool {
+        let allowed = self.limit.lock().is_ok_and(|mut limit| limit.allows(Instant::now()));
+        if !allowed {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
+        }
+        allowed
+    }
+}
