--- /dev/null
+++ b/proxy/src/net/clients/accept.rs
@@ -0,0 +1,100 @@
+//! Accepts clients.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::super::sources::Source;
+use super::super::timer_events::TimerEvent;
+use super::client::{Client, ShedClass};
+use super::close_reason::ClientCloseReason;
+use super::{Clients, open_spare_descriptor};
+use crate::log::Quoted;
+use birchreach::Micros;
+use mio::Interest;
+use mio::net::TcpStream;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use tracing::warn;
+
+/// Connections accepted in one turn of the loop at most: a flood must not starve the clients that are connected.
+const MAX_ACCEPTS_PER_TURN: usize = 32;
+/// How long accepting pauses when no connection can be taken. Trying again at once would spin.
+const ACCEPT_PAUSE_MICROS: Micros = 50_000;
+
+impl Clients {
+    /// The listener is ready.
+    pub fn listener_ready(&mut self) {
+        self.accept_pending = true;
+    }
+
+    /// The pause in accepting is over.
+    pub fn resume_accepting(&mut self) {
+        self.accept_paused = false;
+    }
+
+    /// There may be connections to accept, and nothing forbids it.
+    pub(super) fn can_accept(&self) -> bool {
+        self.accept_pending
+            && !self.accept_paused
+            && !self.handing_over
+            && !self.awaiting_peer_state
+            && self.listener.is_some()
+    }
+
+    /// Accepts what waits, as much of it as one turn takes.
+    pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if !self.can_accept() {
+                return;
+            }
+            let is_full = self.occupied_places() >= self.max_clients;
+            if is_full && !self.connections.iter().any(|(_, client)| client.can_be_shed()) {
+                // No client can make room: new ones wait in the listener's queue.
+                return self.pause_accepting(context);
+            }
+            let Some(listener) = &self.listener else { return };
+            match listener.accept() {
+                Ok((stream, peer)) => {
+                    let key = self.admit(context, stream, peer);
+                    self.make_room_for(context, key);
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                // The system has no descriptor, whether or not someone waits. With the spare one the next accept tells.
+                Err(_) if self.spare_descriptor.take().is_some() => continue,
+                Err(error) => {
+                    warn!(event = "accept-failed", error = %Quoted(error));
+                    self.shed(context, None, ShedClass::Newcomer);
+                    self.pause_accepting(context);
+                }
+            }
+            self.spare_descriptor = self.spare_descriptor.take().or_else(open_spare_descriptor);
+        }
+    }
+
+    fn pause_accepting(&mut self, context: &mut EventLoopContext) {
+        self.accept_paused = true;
+        context.timers.set(context.now + ACCEPT_PAUSE_MICROS, TimerEvent::RetryAccept);
+    }
+
+    fn admit(
+        &mut self,
+        context: &mut EventLoopContext,
+        mut stream: TcpStream,
+        peer: SocketAddr,
+    ) -> Option<usize> {
+        let _ = stream.set_nodelay(true);
+        let slot = self.connections.vacant_entry();
+        let key = slot.key();
+        let token = Source::Client(key).token();
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        if let Err(error) = context.registry.register(&mut stream, token, interest) {
+            let reason = ClientCloseReason::NoSocket.word();
+            warn!(conn = "client", %peer, reason, error = %Quoted(error));
+            return None;
+        }
+        slot.insert(Client::new(stream, peer, self.admitted, context.now));
+        self.unclassified_count += 1;
+        self.admitted += 1;
+        Some(key)
+    }
+}
--- /dev/null
+++ b/proxy/src/net/clients/answers.rs
@@ -0,0 +1,78 @@
+//! Answers to clients' requests, as a whole or in chunks.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::Clients;
+use super::client::{Client, StreamedValue};
+use super::close_reason::ClientCloseReason;
+use crate::core::{Answer, AttemptId};
+use birchreach::RequestId;
+
+impl Clients {
+    /// Sends the final answer to a client's request.
+    pub fn answer(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: usize,
+        request: RequestId,
+        answer: &Answer,
+    ) {
+        let Some(client) = self.connections.get_mut(key) else { return };
+        let Some(answered) = client.open_request.take_if(|open| open.id == request) else { return };
+        self.admission.release(&answered.statement);
+        client.answered_requests += 1;
+        client.close_when_idle = self.handing_over;
+        client.streamed_value = None;
+        client.protocol.answer(answer);
+        self.process_client(context, key);
+    }
+
+    /// A streamed value begins.
+    pub fn start_value(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: usize,
+        request: RequestId,
+        attempt: AttemptId,
+        length: usize,
+    ) {
+        if let Some(client) = self.client_with_request(key, request) {
+            client.streamed_value = Some(StreamedValue { attempt, chunk_unsent: true });
+            client.protocol.start_value(true, length);
+            self.process_client(context, key);
+        }
+    }
+
+    /// More of the value has arrived.
+    pub fn send_value_chunk(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: usize,
+        request: RequestId,
+        bytes: &[u8],
+    ) {
+        let Some(client) = self.client_with_request(key, request) else { return };
+        if let Some(value) = &mut client.streamed_value {
+            value.chunk_unsent = true;
+        }
+        client.protocol.out.raw(bytes);
+        self.process_client(context, key);
+    }
+
+    /// The rest of the value will not come. The connection is closed, which tells the client that the value is incomplete.
+    pub fn abort_value(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId) {
+        if self.client_with_request(key, request).is_some() {
+            self.close(context, key, ClientCloseReason::ResponseTruncated);
+        }
+    }
+
+    /// A streamed value of which the client has taken all that was received.
+    pub fn next_ready_for_more(&mut self) -> Option<AttemptId> {
+        self.ready_for_more.pop()
+    }
+
+    fn client_with_request(&mut self, key: usize, request: RequestId) -> Option<&mut Client> {
+        let has_request =
+            |client: &&mut Client| client.open_request.as_ref().is_some_and(|open| open.id == request);
+        self.connections.get_mut(key).filter(has_request)
+    }
+}
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -1,51 +1,58 @@
-//! The listener and the clients' connections.
+//! The clients' listener and connections: accepted, given turns, answered, and closed when they end, expire or make room for others.
 
-mod admission;
+mod accept;
+mod answers;
 mod client;
+mod close_reason;
 mod expiry;
-mod input;
+mod shed;
+mod shutdown;
+mod statement_admission;
+mod turn;
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
-use crate::core::{Answer, AttemptId};
-use birchreach::RequestId;
+use crate::core::AttemptId;
 use client::Client;
-use input::Admission;
+use close_reason::ClientCloseReason;
 use mio::net::TcpListener;
 use mio::{Interest, Registry};
 use slab::Slab;
-use std::collections::HashSet;
+use statement_admission::StatementAdmission;
 use std::fs::File;
 use tracing::{debug, info};
 
+/// The listener and all clients.
 pub struct Clients {
+    /// Until it is passed to another process, or closed.
     listener: Option<TcpListener>,
     connections: Slab<Client>,
-    /// So many have been let in so far.
+    /// How many clients have been accepted so far.
     admitted: u64,
-    admission: Admission,
+    admission: StatementAdmission,
     max_clients: usize,
-    /// Beyond so many, idle ones make room before all places are taken: clients that keep connections they do
-    /// not use have none left to open.
+    /// Beyond so many, idle ones make room before the limit is reached: clients that keep connections which they do not use leave
+    /// none to others.
     early_shed_threshold: usize,
-    /// So many unclassified hold no place of a client's; and how many there are.
+    /// So many clients that have made no request do not count.
     unclassified_allowance: usize,
+    /// Clients that have made no request.
     unclassified_count: usize,
-    /// More may wait to be accepted.
+    /// Connections may wait to be accepted.
     accept_pending: bool,
+    /// Until a timer is due.
     accept_paused: bool,
-    /// Connections close once they are idle: the proxy is stopping.
+    /// The proxy is stopping: connections are closed once they are idle.
     shutting_down: bool,
-    /// Another process takes the clients: each connection closes with its next answer.
+    /// Another process takes the clients: each connection is closed with its next answer.
     handing_over: bool,
-    /// The start waits for others to tell what they know.
+    /// Nobody is accepted until peers have sent what they know, or were given up.
     awaiting_peer_state: bool,
     /// Clients with more input than one turn takes.
     turn_incomplete: Vec<usize>,
-    /// Long values of which their clients have taken what there was.
+    /// Streamed values of which the clients have taken all that was received.
     ready_for_more: Vec<AttemptId>,
-    /// A descriptor kept in hand: when the system has none to give, it lets one more client in, and with
-    /// that tells whether any waits.
+    /// When the system has no descriptor to give, closing this one lets one more client in, which tells whether any waits.
     spare_descriptor: Option<File>,
 }
 
@@ -54,16 +61,21 @@
 }
 
 impl Clients {
-    pub fn new(registry: &Registry, mut listener: TcpListener, most: usize) -> Result<Clients, String> {
+    /// Takes over the listener. At most so many clients are accepted.
+    pub fn new(
+        registry: &Registry,
+        mut listener: TcpListener,
+        max_clients: usize,
+    ) -> Result<Clients, String> {
         let registered = registry.register(&mut listener, Source::Listener.token(), Interest::READABLE);
-        registered.map_err(|e| format!("watching the listener: {e}"))?;
+        registered.map_err(|error| format!("watching the listener: {error}"))?;
         Ok(Clients {
             listener: Some(listener),
             connections: Slab::new(),
             admitted: 0,
-            admission: Admission { open_request_ids: HashSet::new() },
-            max_clients: most,
-            early_shed_threshold: most * 2 / 5,
+            admission: StatementAdmission::default(),
+            max_clients,
+            early_shed_threshold: shed::early_shed_threshold(max_clients),
             unclassified_allowance: 0,
             unclassified_count: 0,
             accept_pending: false,
@@ -77,28 +89,30 @@
         })
     }
 
+    /// How many clients there are.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Another process takes the clients, or takes them no more: this one accepts nobody meanwhile, and sends each
-    /// client there behind its next answer.
-    pub fn set_handing_over(&mut self, give: bool) {
-        // Who came meanwhile and was not taken is told of no second time.
-        self.accept_pending |= self.handing_over && !give;
-        self.handing_over = give;
+    /// There are no clients.
+    pub fn is_empty(&self) -> bool {
+        self.connections.is_empty()
     }
 
-    /// Nobody is accepted while the start waits.
-    pub fn set_awaiting_peer_state(&mut self, learning: bool) {
-        self.awaiting_peer_state = learning;
+    /// Another process takes the clients, or takes them no more. Meanwhile this one accepts nobody, and closes each connection
+    /// behind its next answer, so that the client connects there.
+    pub fn set_handing_over(&mut self, handing_over: bool) {
+        // The listener is not reported again for those that came meanwhile and were not accepted.
+        self.accept_pending |= self.handing_over && !handing_over;
+        self.handing_over = handing_over;
     }
 
-    pub fn listener_ready(&mut self) {
-        self.accept_pending = true;
+    /// Nobody is accepted while the start waits for peers' state.
+    pub fn set_awaiting_peer_state(&mut self, awaiting: bool) {
+        self.awaiting_peer_state = awaiting;
     }
 
-    /// Something is left to do without any socket telling.
+    /// Something is left to do that no socket will report.
     pub fn has_pending_work(&self) -> bool {
         self.can_accept() || !self.turn_incomplete.is_empty()
     }
@@ -111,110 +125,37 @@
         self.accept(context);
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.connections.is_empty()
-    }
-
-    /// The connection's turn: it is read, run and written as far as that takes it.
+    /// Gives a client its turn: it is read, its commands are carried out, and its output is written, as far as one turn goes.
     pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: usize) {
-        if let Some(c) = self.connections.get_mut(key) {
-            c.protocol.start_turn();
+        if let Some(client) = self.connections.get_mut(key) {
+            client.protocol.start_turn();
             self.process_client(context, key);
         }
     }
 
-    /// The system tells that a client has closed its connection, whatever input may wait before that end.
+    /// The system reports that a client has closed its connection, whatever input may wait before that end.
     pub fn peer_closed(&mut self, key: usize) {
-        if let Some(c) = self.connections.get_mut(key) {
-            c.peer_closed = true;
-        }
-    }
-
-    /// A long value that has gone on as far as its client has taken it.
-    pub fn next_ready_for_more(&mut self) -> Option<AttemptId> {
-        self.ready_for_more.pop()
-    }
-
-    fn client_with_request(&mut self, key: usize, request: RequestId) -> Option<&mut Client> {
-        self.connections
-            .get_mut(key)
-            .filter(|c| c.open_request.as_ref().is_some_and(|(id, _)| *id == request))
-    }
-
-    /// A long value begins.
-    pub fn start_value(
-        &mut self,
-        context: &mut EventLoopContext,
-        key: usize,
-        request: RequestId,
-        attempt: AttemptId,
-        length: usize,
-    ) {
-        if let Some(c) = self.client_with_request(key, request) {
-            c.streaming = Some((attempt, true));
-            c.protocol.start_value(true, length);
-            self.process_client(context, key);
-        }
-    }
-
-    /// More of it has come.
-    pub fn send_value_chunk(
-        &mut self,
-        context: &mut EventLoopContext,
-        key: usize,
-        request: RequestId,
-        bytes: &[u8],
-    ) {
-        let Some(c) = self.client_with_request(key, request) else { return };
-        if let Some((_, fed)) = &mut c.streaming {
-            *fed = true;
+        if let Some(client) = self.connections.get_mut(key) {
+            client.peer_closed = true;
         }
-        c.protocol.out.raw(bytes);
-        self.process_client(context, key);
-    }
-
-    /// The rest of it will not come: the client is to see that it is not whole.
-    pub fn abort_value(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId) {
-        if self.client_with_request(key, request).is_some() {
-            self.close(context, key, "cut-short");
-        }
-    }
-
-    /// The answer to a client's request.
-    pub fn answer(
-        &mut self,
-        context: &mut EventLoopContext,
-        key: usize,
-        request: RequestId,
-        answer: &Answer,
-    ) {
-        let Some(c) = self.connections.get_mut(key) else { return };
-        let Some((_, work)) = c.open_request.take_if(|(id, _)| *id == request) else { return };
-        self.admission.open_request_ids.remove(work.id());
-        c.answered_requests += 1;
-        c.close_when_idle = self.handing_over;
-        c.streaming = None;
-        c.protocol.answer(answer);
-        self.process_client(context, key);
     }
 
     /// Closes the connection and logs why.
-    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) {
-        let mut c = self.connections.remove(key);
-        let _ = context.registry.deregister(&mut c.stream);
-        self.unclassified_count -= usize::from(c.unclassified);
-        let looked = self.unclassified_allowance > 0
-            && c.unclassified
-            && matches!(reason, "terminate" | "client-closed" | "client-reset");
-        if looked {
-            // Balancers look in by the hundred; other lines are not to be left out for theirs.
-            debug!(conn = "client", peer = %c.peer, answered = c.answered_requests, reason);
+    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: ClientCloseReason) {
+        let mut client = self.connections.remove(key);
+        let _ = context.registry.deregister(&mut client.stream);
+        self.unclassified_count -= usize::from(client.unclassified);
+        let may_be_balancer = self.unclassified_allowance > 0 && client.unclassified;
+        let (peer, answered, word) = (client.peer, client.answered_requests, reason.word());
+        if may_be_balancer && reason.is_by_client() {
+            // Balancers connect by the hundred: other lines are not to be suppressed for theirs.
+            debug!(conn = "client", %peer, answered, reason = word);
         } else {
-            info!(conn = "client", peer = %c.peer, answered = c.answered_requests, reason);
+            info!(conn = "client", %peer, answered, reason = word);
         }
-        if let Some((request, work)) = c.open_request {
-            self.admission.open_request_ids.remove(work.id());
-            context.core.client_disconnected(context.now, request);
+        if let Some(open) = client.open_request {
+            self.admission.release(&open.statement);
+            context.core.client_disconnected(context.now, open.id);
         }
     }
 }
--- /dev/null
+++ b/proxy/src/net/clients/shed.rs
@@ -0,0 +1,74 @@
+//! How many clients there may be, and which of them make room for others.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::super::test_hooks::{self, Point};
+use super::Clients;
+use super::client::ShedClass;
+use super::close_reason::ClientCloseReason;
+
+/// How many clients that turn out to be active are passed over to find one that makes room.
+const MAX_SHED_TRIES: usize = 32;
+
+/// Beyond this many clients idle ones make room, before the limit is reached.
+pub(super) fn early_shed_threshold(max_clients: usize) -> usize {
+    max_clients * 2 / 5
+}
+
+impl Clients {
+    /// Sets how many clients there may be. Those beyond make room, where they are idle.
+    pub fn set_limit(&mut self, context: &mut EventLoopContext, max_clients: usize) {
+        self.max_clients = max_clients;
+        self.early_shed_threshold = early_shed_threshold(max_clients);
+        for _ in self.max_clients..self.occupied_places() {
+            self.shed(context, None, ShedClass::Newcomer);
+        }
+    }
+
+    /// Sets how many clients without a request do not count, where balancers may connect only to look. Descriptors are reserved for
+    /// them.
+    pub fn set_unclassified_allowance(&mut self, allowance: usize) {
+        self.unclassified_allowance = allowance;
+    }
+
+    /// Databases lack descriptors that clients hold: one client makes room.
+    pub fn release_descriptor(&mut self, context: &mut EventLoopContext) {
+        self.shed(context, None, ShedClass::Newcomer);
+    }
+
+    /// How many clients there are, as the limit counts them.
+    pub(super) fn occupied_places(&self) -> usize {
+        self.connections.len() - self.unclassified_count.min(self.unclassified_allowance)
+    }
+
+    /// A new client counts: another one makes room, if need be. That happens afterwards, for only now it is known that one came.
+    pub(super) fn make_room_for(&mut self, context: &mut EventLoopContext, newcomer: Option<usize>) {
+        if self.occupied_places() > self.max_clients || self.spare_descriptor.is_none() {
+            self.shed(context, newcomer, ShedClass::Newcomer);
+        } else if self.occupied_places() > self.early_shed_threshold {
+            self.shed(context, newcomer, ShedClass::Idle);
+        }
+    }
+
+    /// Closes the client that makes room first, but not the newcomer, nor one of a later class.
+    pub(super) fn shed(
+        &mut self,
+        context: &mut EventLoopContext,
+        newcomer: Option<usize>,
+        last_class: ShedClass,
+    ) {
+        for _ in 0..MAX_SHED_TRIES {
+            let candidates =
+                self.connections.iter().filter(|(key, c)| Some(*key) != newcomer && c.can_be_shed());
+            let ranks = candidates.map(|(key, c)| (c.shed_rank(context.now), key));
+            let first = ranks.filter(|(rank, _)| rank.class <= last_class).min();
+            let Some((rank, key)) = first else { return };
+            test_hooks::at(Point::Shed);
+            // What has arrived meanwhile is read first: a request must not cross with the close.
+            self.handle_ready(context, key);
+            let Some(client) = self.connections.get(key) else { return };
+            if client.can_be_shed() && client.shed_rank(context.now) == rank {
+                return self.close(context, key, ClientCloseReason::Shed);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/net/clients/shutdown.rs
@@ -0,0 +1,45 @@
+//! How clients are passed to another process, and how all of them go when the process does.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::super::test_hooks::{self, Point};
+use super::Clients;
+use super::close_reason::ClientCloseReason;
+
+impl Clients {
+    /// Another process has the listening socket too, and accepts whoever waits. No client is accepted here any more, and each one is
+    /// closed behind its next answer, so that it connects there.
+    pub fn start_handover(&mut self, context: &mut EventLoopContext) {
+        self.close_listener(context);
+        self.handing_over = true;
+    }
+
+    /// Accepts and reads what has arrived, then nothing more, and closes each connection once that is answered. A client that sends
+    /// one command after the other would otherwise have one open when the process is killed.
+    pub fn shut_down(&mut self, context: &mut EventLoopContext) {
+        test_hooks::at(Point::Leave);
+        self.accept_pending = true;
+        self.accept_paused = false;
+        while self.can_accept() {
+            self.accept(context);
+        }
+        self.close_listener(context);
+        self.shutting_down = true;
+        let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
+        for key in keys {
+            self.handle_ready(context, key);
+            let Some(client) = self.connections.get_mut(key) else { continue };
+            client.protocol.stop_reading();
+            if client.protocol.is_in_startup() {
+                self.close(context, key, ClientCloseReason::Stopping);
+            } else {
+                self.process_client(context, key);
+            }
+        }
+    }
+
+    fn close_listener(&mut self, context: &mut EventLoopContext) {
+        if let Some(mut listener) = self.listener.take() {
+            let _ = context.registry.deregister(&mut listener);
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/net/clients/turn.rs
@@ -0,0 +1,247 @@
+//! A client's turn: its input is read and decoded, its statements become requests or are answered with an error, its answers are
+//! written.
+
+use super::super::event_loop_context::EventLoopContext;
+use super::super::statement_payload::StatementPayload;
+use super::super::stream::{self, Ended};
+use super::Clients;
+use super::client::{Client, CloseMode, Closing, OpenRequest};
+use super::close_reason::ClientCloseReason;
+use super::statement_admission::StatementAdmission;
+use crate::pg::frontend::ClientCommand;
+use crate::pg::statement::Statement;
+use birchreach::Micros;
+use std::net::Shutdown;
+
+/// Bytes read from one client before its input is decoded.
+const MAX_READ_BYTES: usize = 64 << 10;
+/// How often one turn reads, decodes and writes.
+const MAX_ROUNDS_PER_TURN: usize = 4;
+/// How long a client that has been told why it is closed may go on sending.
+const DRAIN_TIME_MICROS: Micros = 500_000;
+/// How much such a client may go on sending.
+const MAX_DRAINED_BYTES: usize = 1 << 20;
+
+/// What one reading of a client's socket came to.
+struct InputRead {
+    bytes: usize,
+    /// Nothing more has arrived. Else the socket does not say again that it is readable.
+    is_drained: bool,
+}
+
+/// What one round of a turn came to.
+enum Round {
+    /// There is more to do.
+    Again,
+    /// There is nothing more to do in this turn.
+    Done,
+    Close(ClientCloseReason),
+}
+
+impl Clients {
+    /// Gives the client its turn, and closes it if it is over.
+    pub(super) fn process_client(&mut self, context: &mut EventLoopContext, key: usize) {
+        let Some(client) = self.connections.get_mut(key) else { return };
+        let close_reason = client.process_turn(context, &mut self.admission, key);
+        let made_first_request = client.unclassified && client.open_request.is_some();
+        client.unclassified &= !made_first_request;
+        self.ready_for_more.extend(client.take_ready_for_more());
+        let has_request = client.open_request.is_some();
+        if let Some(reason) = close_reason {
+            self.close(context, key, reason);
+        } else if self.shutting_down && !has_request && client.protocol.all_input_answered() {
+            self.close(context, key, ClientCloseReason::Stopping);
+        } else if client.close_when_idle && !has_request && client.protocol.is_idle() {
+            self.close(context, key, ClientCloseReason::HandedOver);
+        } else if client.turn_incomplete {
+            self.turn_incomplete.push(key);
+        }
+        if made_first_request {
+            self.unclassified_count -= 1;
+            if self.unclassified_allowance > 0 {
+                self.make_room_for(context, Some(key));
+            }
+        }
+    }
+}
+
+impl Client {
+    /// The reason, if the connection is over.
+    fn process_turn(
+        &mut self,
+        context: &mut EventLoopContext,
+        admission: &mut StatementAdmission,
+        key: usize,
+    ) -> Option<ClientCloseReason> {
+        self.turn_incomplete = false;
+        let close_reason = if self.is_draining() {
+            self.drain_input(context)
+        } else {
+            self.process_input(context, admission, key)
+        };
+        let is_incomplete = self.open_request.is_none() && self.protocol.has_incomplete_message();
+        self.incomplete_since = is_incomplete.then(|| self.incomplete_since.unwrap_or(context.now));
+        close_reason
+    }
+
+    /// The reason, if the connection is over.
+    fn process_input(
+        &mut self,
+        context: &mut EventLoopContext,
+        admission: &mut StatementAdmission,
+        key: usize,
+    ) -> Option<ClientCloseReason> {
+        // A client that sends without end takes turns with the others.
+        for _ in 0..MAX_ROUNDS_PER_TURN {
+            match self.process_round(context, admission, key) {
+                Round::Again => {}
+                Round::Done => return None,
+                Round::Close(reason) => return Some(reason),
+            }
+        }
+        self.turn_incomplete = true;
+        None
+    }
+
+    fn process_round(
+        &mut self,
+        context: &mut EventLoopContext,
+        admission: &mut StatementAdmission,
+        key: usize,
+    ) -> Round {
+        let wants_input = self.closing.is_none() && self.protocol.wants_input();
+        if self.peer_closed && !wants_input {
+            // Its end stands behind input that is not read now, and would be noticed too late.
+            return Round::Close(self.close_reason_or(ClientCloseReason::ClientClosed));
+        }
+        let read = if wants_input { self.read_input(context) } else { Ok(InputRead::nothing()) };
+        let read = match read {
+            Ok(read) => read,
+            // The client has gone: nothing that it asked for begins now.
+            Err(ended) => return Round::Close(self.reason_of_end(ended)),
+        };
+        self.run_commands(context, admission, key);
+        match self.write_output(context, read.bytes > 0) {
+            Err(_) => return Round::Close(ClientCloseReason::ClientReset),
+            Ok(false) => return Round::Done,
+            Ok(true) => {}
+        }
+        if let Some(closing) = self.closing {
+            return self.finish_closing(context, closing);
+        }
+        // What was held back for a slow reader goes on. Input that was not read to its end must be asked for now, for the socket does
+        // not say again that it is readable.
+        self.run_commands(context, admission, key);
+        let more_may_have_arrived = !wants_input || !read.is_drained;
+        let has_unread_input = more_may_have_arrived && self.protocol.wants_input();
+        let has_output = self.closing.is_some() || !self.protocol.out.pending().is_empty();
+        if has_unread_input || has_output {
+            return Round::Again;
+        }
+        self.turn_incomplete = self.protocol.commands_deferred();
+        Round::Done
+    }
+
+    fn read_input(&mut self, context: &mut EventLoopContext) -> Result<InputRead, Ended> {
+        let mut bytes = 0;
+        let protocol = &mut self.protocol;
+        let now = context.now;
+        let is_drained = stream::read(&mut self.stream, &mut context.scratch, |received| {
+            bytes += received.len();
+            protocol.feed(now, received);
+            protocol.wants_input() && bytes < MAX_READ_BYTES
+        })?;
+        Ok(InputRead { bytes, is_drained })
+    }
+
+    /// Writes what waits to be written. True: all of it was.
+    fn write_output(&mut self, context: &EventLoopContext, was_read: bool) -> Result<bool, Ended> {
+        let bytes_before = self.protocol.out.pending().len();
+        let written = stream::write(&mut self.stream, &mut self.protocol.out);
+        if was_read || self.protocol.out.pending().len() < bytes_before {
+            self.last_active_at = context.now;
+        }
+        written
+    }
+
+    /// All is written to a client that is to be closed.
+    fn finish_closing(&mut self, context: &mut EventLoopContext, closing: Closing) -> Round {
+        if closing.mode != CloseMode::AfterFlush {
+            return Round::Close(closing.reason);
+        }
+        let _ = self.stream.shutdown(Shutdown::Write);
+        let until = context.now + DRAIN_TIME_MICROS;
+        let mode = CloseMode::Draining { until, max_bytes: MAX_DRAINED_BYTES };
+        self.closing = Some(Closing { mode, ..closing });
+        self.drain_input(context).map_or(Round::Done, Round::Close)
+    }
+
+    /// Drops what still arrives from one that has been told why it is closed. The reason, if the connection is over.
+    fn drain_input(&mut self, context: &mut EventLoopContext) -> Option<ClientCloseReason> {
+        let Some(Closing { reason, mode: CloseMode::Draining { max_bytes, .. } }) = &mut self.closing else {
+            return None;
+        };
+        let turn_bytes = (*max_bytes).min(MAX_READ_BYTES);
+        let mut left = turn_bytes;
+        let read = stream::read(&mut self.stream, &mut context.scratch, |received| {
+            left = left.saturating_sub(received.len());
+            left > 0
+        });
+        *max_bytes -= turn_bytes - left;
+        match read {
+            Err(_) => Some(*reason),
+            Ok(is_drained) => {
+                self.turn_incomplete = !is_drained && *max_bytes > 0;
+                None
+            }
+        }
+    }
+
+    /// Carries the client's commands out, until one has to be waited for.
+    fn run_commands(
+        &mut self,
+        context: &mut EventLoopContext,
+        admission: &mut StatementAdmission,
+        key: usize,
+    ) {
+        while self.open_request.is_none() && self.closing.is_none() {
+            let Some(command) = self.protocol.next_command(context.now) else { return };
+            match command {
+                ClientCommand::Close(reason) => self.end(reason.into(), CloseMode::Immediate),
+                ClientCommand::CloseWithError(reason) => self.end(reason.into(), CloseMode::AfterFlush),
+                ClientCommand::Run(statement, arrived_at) => {
+                    self.start_request(context, admission, key, statement, arrived_at);
+                }
+            }
+        }
+    }
+
+    fn end(&mut self, reason: ClientCloseReason, mode: CloseMode) {
+        self.closing = Some(Closing { reason, mode });
+    }
+
+    fn start_request(
+        &mut self,
+        context: &mut EventLoopContext,
+        admission: &mut StatementAdmission,
+        key: usize,
+        statement: Statement,
+        arrived_at: Micros,
+    ) {
+        match admission.admit(context, &statement, arrived_at) {
+            Err(error) => self.protocol.reject(error.sqlstate(), &error.to_string()),
+            Ok(request) => {
+                let statement = StatementPayload::new(statement);
+                let id = context.core.request(context.now, key, request, statement.clone());
+                self.open_request = Some(OpenRequest { id, statement });
+            }
+        }
+    }
+}
+
+impl InputRead {
+    /// The socket was not read.
+    fn nothing() -> InputRead {
+        InputRead { bytes: 0, is_drained: true }
+    }
+}
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -18,7 +18,7 @@
 use super::statement_payload::StatementPayload;
 use super::timer_events::TimerEvent;
 use crate::core::AttemptId;
-use crate::pg::report::LoadReportFormat;
+use crate::pg::load_report::LoadReportFormat;
 pub use background_queries::CompletedQuery;
 use birchreach::{LoadReportSource, Micros, ServerId};
 use birchreach_settings::DeploymentSettings;
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -2,47 +2,52 @@
 
 use super::{DecodeError, split_c_string, to_string_lossy};
 
-/// How a client begins.
+/// The first message of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Startup {
     /// `SSLRequest` or `GSSENCRequest`.
-    Encryption,
-    Cancel,
+    EncryptionRequest,
+    CancelRequest,
     /// Version 3 of this minor, with the protocol options that it names.
     Version3 {
         minor: u16,
         options: Vec<String>,
     },
-    Unsupported {
-        major: u16,
-    },
+    UnsupportedVersion,
 }
 
+/// Names of protocol options begin so.
+const PROTOCOL_OPTION_PREFIX: &[u8] = b"_pq_.";
+
 impl Startup {
     pub(super) fn decode(body: &[u8]) -> Result<Startup, DecodeError> {
-        let (version, mut rest) = body.split_at(4);
-        let (major, minor) =
-            (u16::from_be_bytes([version[0], version[1]]), u16::from_be_bytes([version[2], version[3]]));
+        let [major_high, major_low, minor_high, minor_low, parameters @ ..] = body else {
+            return Err(DecodeError::LengthTooSmall);
+        };
+        let major = u16::from_be_bytes([*major_high, *major_low]);
+        let minor = u16::from_be_bytes([*minor_high, *minor_low]);
         match (major, minor) {
-            (1234, 5679 | 5680) => return Ok(Startup::Encryption),
-            (1234, 5678) => return Ok(Startup::Cancel),
-            (3, _) => {}
-            _ => return Ok(Startup::Unsupported { major }),
+            (1234, 5679 | 5680) => Ok(Startup::EncryptionRequest),
+            (1234, 5678) => Ok(Startup::CancelRequest),
+            (3, _) => Ok(Startup::Version3 { minor, options: protocol_options(parameters)? }),
+            _ => Ok(Startup::UnsupportedVersion),
+        }
+    }
+}
+
+/// The names of the protocol options among a startup message's parameters.
+fn protocol_options(mut parameters: &[u8]) -> Result<Vec<String>, DecodeError> {
+    let mut options = Vec::new();
+    loop {
+        let (name, rest) = split_c_string(parameters).ok_or(DecodeError::UnterminatedStartup)?;
+        if name.is_empty() {
+            return Ok(options);
         }
-        let mut options = Vec::new();
-        loop {
-            let (name, after) =
-                split_c_string(rest).ok_or(DecodeError::Malformed("a startup message without its end"))?;
-            if name.is_empty() {
-                return Ok(Startup::Version3 { minor, options });
-            }
-            if name.starts_with(b"_pq_.") {
-                options.push(to_string_lossy(name));
-            }
-            let (_, after) =
-                split_c_string(after).ok_or(DecodeError::Malformed("a startup parameter without a value"))?;
-            rest = after;
+        if name.starts_with(PROTOCOL_OPTION_PREFIX) {
+            options.push(to_string_lossy(name));
         }
+        let (_value, rest) = split_c_string(rest).ok_or(DecodeError::StartupParameterWithoutValue)?;
+        parameters = rest;
     }
 }
 
@@ -50,7 +55,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClientMessage {
     Query(Vec<u8>),
-    /// A part of the extended protocol, or a function call: all that a Sync ends.
+    /// A part of the extended protocol, all of which a Sync ends.
     Extended,
     FunctionCall,
     Sync,
@@ -64,15 +69,15 @@
         Ok(match tag {
             b'Q' => match split_c_string(body) {
                 Some((query, [])) => ClientMessage::Query(query.to_vec()),
-                _ => return Err(DecodeError::Malformed("a query without its end")),
+                _ => return Err(DecodeError::UnterminatedQuery),
             },
             b'P' | b'B' | b'D' | b'E' | b'C' => ClientMessage::Extended,
             b'F' => ClientMessage::FunctionCall,
             b'S' => ClientMessage::Sync,
-            // The remains of a copy that never began are dropped, as PostgreSQL drops them.
+            // Messages of a copy that never began are dropped, as PostgreSQL drops them.
             b'H' | b'd' | b'c' | b'f' => ClientMessage::Flush,
             b'X' => ClientMessage::Terminate,
-            _ => return Err(DecodeError::Malformed("an unknown message")),
+            _ => return Err(DecodeError::UnknownMessage),
         })
     }
 }
--- a/proxy/src/pg/codec/encode.rs
+++ b/proxy/src/pg/codec/encode.rs
@@ -1,7 +1,26 @@
-//! Messages on their way out.
+//! Encodes messages.
 
 use super::ROW_HEADER_BYTES;
 use crate::outbox::Outbox;
+use crate::pg::sqlstate::SqlState;
+
+/// What follows an error.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Severity {
+    /// The command failed, and the next one may come.
+    Error,
+    /// The connection is closed.
+    Fatal,
+}
+
+impl Severity {
+    fn word(self) -> &'static str {
+        match self {
+            Severity::Error => "ERROR",
+            Severity::Fatal => "FATAL",
+        }
+    }
+}
 
 impl Outbox {
     fn message(&mut self, tag: u8, body: impl FnOnce(&mut Vec<u8>)) {
@@ -19,27 +38,27 @@
     }
 
     pub fn authentication_ok(&mut self) {
-        self.message(b'R', |b| b.extend_from_slice(&[0; 4]));
+        self.message(b'R', |body| body.extend_from_slice(&[0; 4]));
     }
 
     /// The newest minor version spoken, and the options that are not known.
     pub fn negotiate_version(&mut self, unknown: &[String]) {
-        self.message(b'v', |b| {
-            b.extend_from_slice(&[0; 4]);
-            b.extend_from_slice(&(unknown.len() as u32).to_be_bytes());
-            unknown.iter().for_each(|name| text(b, name));
+        self.message(b'v', |body| {
+            body.extend_from_slice(&[0; 4]);
+            body.extend_from_slice(&(unknown.len() as u32).to_be_bytes());
+            unknown.iter().for_each(|name| text(body, name));
         });
     }
 
     pub fn parameter_status(&mut self, name: &str, value: &str) {
-        self.message(b'S', |b| {
-            text(b, name);
-            text(b, value);
+        self.message(b'S', |body| {
+            text(body, name);
+            text(body, value);
         });
     }
 
     pub fn ready_for_query(&mut self) {
-        self.message(b'Z', |b| b.push(b'I'));
+        self.message(b'Z', |body| body.push(b'I'));
     }
 
     pub fn empty_query_response(&mut self) {
@@ -47,62 +66,73 @@
     }
 
     /// The description of one column, and the head of the one row, whose value follows.
-    pub fn row_head(&mut self, column: &str, binary: bool, value: usize) {
+    pub fn row_header(&mut self, column: &str, binary: bool, value_length: usize) {
         const BYTEA: u32 = 17;
-        self.message(b'T', |b| {
-            b.extend_from_slice(&1u16.to_be_bytes());
-            text(b, column);
-            b.extend_from_slice(&[0; 6]); // of no table
-            b.extend_from_slice(&BYTEA.to_be_bytes());
-            b.extend_from_slice(&(-1i16).to_be_bytes()); // of any length
-            b.extend_from_slice(&(-1i32).to_be_bytes());
-            b.extend_from_slice(&u16::from(binary).to_be_bytes());
+        self.message(b'T', |body| {
+            body.extend_from_slice(&1u16.to_be_bytes());
+            text(body, column);
+            body.extend_from_slice(&[0; 6]); // of no table
+            body.extend_from_slice(&BYTEA.to_be_bytes());
+            body.extend_from_slice(&(-1i16).to_be_bytes()); // of any length
+            body.extend_from_slice(&(-1i32).to_be_bytes());
+            body.extend_from_slice(&u16::from(binary).to_be_bytes());
         });
         self.raw(b"D");
-        self.raw(&((value + ROW_HEADER_BYTES - 1) as u32).to_be_bytes());
+        self.raw(&((value_length + ROW_HEADER_BYTES - 1) as u32).to_be_bytes());
         self.raw(&1u16.to_be_bytes());
-        self.raw(&(value as u32).to_be_bytes());
+        self.raw(&(value_length as u32).to_be_bytes());
     }
 
     pub fn command_complete(&mut self, tag: &str) {
-        self.message(b'C', |b| text(b, tag));
+        self.message(b'C', |body| text(body, tag));
     }
 
-    pub fn error(&mut self, severity: &str, code: &str, message: &str, detail: Option<&str>) {
-        self.message(b'E', |b| {
-            let fields =
-                [(b'S', Some(severity)), (b'V', Some(severity)), (b'C', Some(code)), (b'M', Some(message))];
-            for (tag, value) in fields.into_iter().chain([(b'D', detail)]) {
-                if let Some(value) = value {
-                    b.push(tag);
-                    text(b, value);
-                }
+    pub fn error(&mut self, severity: Severity, code: SqlState, message: &str, detail: Option<&str>) {
+        let severity = severity.word().as_bytes();
+        self.message(b'E', |body| {
+            field(body, b'S', severity);
+            field(body, b'V', severity);
+            field(body, b'C', code.as_bytes());
+            field(body, b'M', message.as_bytes());
+            if let Some(detail) = detail {
+                field(body, b'D', detail.as_bytes());
             }
-            b.push(0);
+            body.push(0);
         });
     }
 
     pub fn startup(&mut self, user: &str, database: &str) {
-        self.untagged(|b| {
-            b.extend_from_slice(&(3u32 << 16).to_be_bytes());
+        self.untagged(|body| {
+            body.extend_from_slice(&(3u32 << 16).to_be_bytes());
             [("user", user), ("database", database)].iter().for_each(|(name, value)| {
-                text(b, name);
-                text(b, value);
+                text(body, name);
+                text(body, value);
             });
-            b.push(0);
+            body.push(0);
         });
     }
 
     /// A simple query, in the parts that it is made of.
     pub fn query(&mut self, parts: &[&[u8]]) {
-        self.message(b'Q', |b| {
-            parts.iter().for_each(|part| b.extend_from_slice(part));
-            b.push(0);
+        self.message(b'Q', |body| {
+            parts.iter().for_each(|part| body.extend_from_slice(part));
+            body.push(0);
         });
     }
 }
 
-fn text(buf: &mut Vec<u8>, s: &str) {
-    buf.extend(s.bytes().filter(|b| *b != 0));
+/// A field of an error: its tag and its text.
+fn field(buf: &mut Vec<u8>, tag: u8, value: &[u8]) {
+    buf.push(tag);
+    bytes_with_end(buf, value);
+}
+
+fn text(buf: &mut Vec<u8>, text: &str) {
+    bytes_with_end(buf, text.as_bytes());
+}
+
+/// The bytes and the zero that ends them; none of them may be one.
+fn bytes_with_end(buf: &mut Vec<u8>, bytes: &[u8]) {
+    buf.extend(bytes.iter().filter(|byte| **byte != 0));
     buf.push(0);
 }
--- a/proxy/src/pg/codec/inbox.rs
+++ b/proxy/src/pg/codec/inbox.rs
@@ -1,27 +1,41 @@
-//! Bytes come in, whole messages come out.
+//! The bytes that were received, taken out message by message.
 
 use super::{
     ClientMessage, DecodeError, MAX_BUFFERED_VALUE_BYTES, MAX_QUERY_BYTES, MAX_SERVER_MESSAGE_BYTES,
     MAX_STREAMED_VALUE_BYTES, ROW_HEADER_BYTES, ServerMessage, Startup, read_u32,
 };
 use crate::outbox::KEPT;
+use std::ops::RangeInclusive;
 
 /// As PostgreSQL itself has it.
 const MAX_STARTUP_BYTES: usize = 10_000;
+/// The length and the version.
+const MIN_STARTUP_BYTES: usize = 8;
+const LENGTH_BYTES: usize = 4;
+/// A message's tag and length.
+const MESSAGE_HEADER_BYTES: usize = 5;
 /// Tags of the messages that a client or a database may send.
 const CLIENT_TAGS: &[u8] = b"QPBDECFSHdcfX";
 const SERVER_TAGS: &[u8] = b"RSZTDCIENAKv";
 
-/// What comes next, as the head of a long row.
+/// Whether a row too long to be buffered comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongRowHeader {
     Absent,
-    /// It may be one, but its head is not whole yet.
+    /// It may be one, but its header has not arrived in full.
     Incomplete,
+    /// Its one value has this length.
     Present(usize),
 }
 
-/// Bytes come in, whole messages come out.
+/// A message of a database, and the bytes that it took.
+#[derive(Debug, PartialEq, Eq)]
+pub struct ReceivedServerMessage {
+    pub message: ServerMessage,
+    pub bytes: usize,
+}
+
+/// The bytes that were received and not decoded.
 #[derive(Default)]
 pub struct Inbox {
     buf: Vec<u8>,
@@ -29,83 +43,63 @@
 }
 
 impl Inbox {
+    /// Takes bytes that were received.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buf.drain(..self.start);
         self.start = 0;
         self.buf.extend_from_slice(bytes);
     }
 
+    /// The bytes that wait to be decoded.
     pub fn unread(&self) -> &[u8] {
         &self.buf[self.start..]
     }
 
-    /// Bytes that wait to be decoded.
+    /// How many bytes wait to be decoded.
     pub fn len(&self) -> usize {
         self.buf.len() - self.start
     }
 
-    fn declared_length(&self, at: usize, least: usize, most: usize) -> Result<Option<usize>, DecodeError> {
-        let Some(raw) = self.buf.get(at..at + 4) else { return Ok(None) };
-        let length = raw.iter().fold(0usize, |n, b| n << 8 | usize::from(*b));
-        // Checked before anything is kept for it: a length is a claim, not a fact.
-        if length < least {
-            return Err(DecodeError::Malformed("a length too small"));
-        }
-        if length > most {
-            return Err(DecodeError::TooLong);
-        }
-        Ok(Some(length))
-    }
-
-    fn take(&mut self, from: usize, end: usize) -> Option<&[u8]> {
-        if self.buf.len() < end {
-            return None;
-        }
-        self.start = end;
-        Some(&self.buf[from..end])
+    /// The next message of a client after its first.
+    pub fn client_message(&mut self) -> Result<Option<ClientMessage>, DecodeError> {
+        let message = self.message(CLIENT_TAGS, MAX_QUERY_BYTES)?;
+        message.map(|(tag, body)| ClientMessage::decode(tag, body)).transpose()
     }
 
-    /// The next message: its tag and body. A tag that nobody sends is no message, whatever follows.
-    fn message(&mut self, tags: &[u8], most: usize) -> Result<Option<(u8, &[u8])>, DecodeError> {
-        let Some(&tag) = self.buf.get(self.start) else { return Ok(None) };
-        if !tags.contains(&tag) {
-            return Err(DecodeError::Malformed("an unknown message"));
-        }
-        let start = self.start + 1;
-        let Some(length) = self.declared_length(start, 4, most)? else { return Ok(None) };
-        Ok(self.take(start + 4, start + length).map(|body| (tag, body)))
+    /// The next message of a database.
+    pub fn server_message(&mut self) -> Result<Option<ReceivedServerMessage>, DecodeError> {
+        let Some((tag, body)) = self.message(SERVER_TAGS, MAX_SERVER_MESSAGE_BYTES)? else { return Ok(None) };
+        let bytes = body.len() + MESSAGE_HEADER_BYTES;
+        Ok(Some(ReceivedServerMessage { message: ServerMessage::decode(tag, body)?, bytes }))
     }
 
-    pub fn client_message(&mut self) -> Result<Option<ClientMessage>, DecodeError> {
-        let message = self.message(CLIENT_TAGS, MAX_QUERY_BYTES)?;
-        message.map(|(tag, body)| ClientMessage::decode(tag, body)).transpose()
+    /// The first message of a connection, which has no tag.
+    pub fn startup(&mut self) -> Result<Option<Startup>, DecodeError> {
+        let start = self.start;
+        let lengths = MIN_STARTUP_BYTES..=MAX_STARTUP_BYTES;
+        let Some(length) = self.declared_length(start, lengths)? else { return Ok(None) };
+        self.take(start + LENGTH_BYTES, start + length).map(Startup::decode).transpose()
     }
 
-    /// What has come of the body of a message that is not whole yet.
+    /// What has arrived of the body of a message that has not arrived in full.
     pub fn incomplete_body(&self) -> Option<&[u8]> {
-        self.buf.get(self.start + 5..)
+        self.buf.get(self.start + MESSAGE_HEADER_BYTES..)
     }
 
-    /// Takes the head of a long row, if that comes next, with the length of its one value. The value's bytes follow, and
-    /// `pass` hands them out as they come.
+    /// Takes the header of a long row, if that comes next, with the length of its one value. The value's bytes follow, and
+    /// `take_up_to` hands them out as they arrive.
     pub fn take_long_row_header(&mut self) -> LongRowHeader {
-        let (tag, head) = match &self.buf[self.start..] {
-            [tag, head @ ..] => (*tag, head),
-            [] => return LongRowHeader::Absent,
-        };
-        let Some(value) =
-            read_u32(head).and_then(|l| usize::try_from(l).ok()?.checked_sub(ROW_HEADER_BYTES - 1))
-        else {
+        let [tag, header @ ..] = &self.buf[self.start..] else { return LongRowHeader::Absent };
+        let around_value = ROW_HEADER_BYTES - 1;
+        let Some(value) = read_length(header).and_then(|length| length.checked_sub(around_value)) else {
             return LongRowHeader::Absent;
         };
-        if tag != b'D' || !(MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&value) {
+        if *tag != b'D' || !(MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&value) {
             return LongRowHeader::Absent;
         }
-        match head.get(4..ROW_HEADER_BYTES - 1) {
+        match header.get(LENGTH_BYTES..around_value) {
             None => LongRowHeader::Incomplete,
-            Some([0, 1, claim @ ..])
-                if read_u32(claim).and_then(|l| usize::try_from(l).ok()) == Some(value) =>
-            {
+            Some([0, 1, value_length @ ..]) if read_length(value_length) == Some(value) => {
                 self.start += ROW_HEADER_BYTES;
                 LongRowHeader::Present(value)
             }
@@ -113,25 +107,12 @@
         }
     }
 
-    /// What has come, `most` bytes of it at most.
-    pub fn take_up_to(&mut self, most: usize) -> Vec<u8> {
-        let piece = self.buf[self.start..].iter().copied().take(most).collect::<Vec<_>>();
-        self.start += piece.len();
+    /// Takes what has arrived, so many bytes of it at most.
+    pub fn take_up_to(&mut self, max_bytes: usize) -> Vec<u8> {
+        let taken: Vec<u8> = self.unread().iter().copied().take(max_bytes).collect();
+        self.start += taken.len();
         self.release_empty_buffer();
-        piece
-    }
-
-    /// The next message, and the bytes that it took.
-    pub fn server_message(&mut self) -> Result<Option<(ServerMessage, usize)>, DecodeError> {
-        let message = self.message(SERVER_TAGS, MAX_SERVER_MESSAGE_BYTES)?;
-        message.map(|(tag, body)| Ok((ServerMessage::decode(tag, body)?, body.len() + 5))).transpose()
-    }
-
-    /// The first message of a connection, which has no tag.
-    pub fn startup(&mut self) -> Result<Option<Startup>, DecodeError> {
-        let start = self.start;
-        let Some(length) = self.declared_length(start, 8, MAX_STARTUP_BYTES)? else { return Ok(None) };
-        self.take(start + 4, start + length).map(Startup::decode).transpose()
+        taken
     }
 
     /// Gives back a large buffer once it is empty.
@@ -142,4 +123,43 @@
             self.buf.shrink_to(KEPT);
         }
     }
+
+    /// The next message: its tag and body. An unknown tag is an error at once, whatever follows it.
+    fn message(&mut self, tags: &[u8], max_length: usize) -> Result<Option<(u8, &[u8])>, DecodeError> {
+        let Some(&tag) = self.buf.get(self.start) else { return Ok(None) };
+        if !tags.contains(&tag) {
+            return Err(DecodeError::UnknownMessage);
+        }
+        let start = self.start + 1;
+        let Some(length) = self.declared_length(start, LENGTH_BYTES..=max_length)? else { return Ok(None) };
+        Ok(self.take(start + LENGTH_BYTES, start + length).map(|body| (tag, body)))
+    }
+
+    /// The length that a message claims to have. It is checked before anything is kept for the message.
+    fn declared_length(
+        &self,
+        position: usize,
+        allowed: RangeInclusive<usize>,
+    ) -> Result<Option<usize>, DecodeError> {
+        let Some(length) = self.buf.get(position..).and_then(read_length) else { return Ok(None) };
+        if length < *allowed.start() {
+            return Err(DecodeError::LengthTooSmall);
+        }
+        if length > *allowed.end() {
+            return Err(DecodeError::TooLong);
+        }
+        Ok(Some(length))
+    }
+
+    fn take(&mut self, from: usize, end: usize) -> Option<&[u8]> {
+        if self.buf.len() < end {
+            return None;
+        }
+        self.start = end;
+        Some(&self.buf[from..end])
+    }
+}
+
+fn read_length(bytes: &[u8]) -> Option<usize> {
+    read_u32(bytes).and_then(|length| usize::try_from(length).ok())
 }
--- a/proxy/src/pg/codec/mod.rs
+++ b/proxy/src/pg/codec/mod.rs
@@ -2,35 +2,32 @@
 
 mod client;
 mod encode;
+mod error;
 mod inbox;
 mod server;
 
 pub use client::{ClientMessage, Startup};
+pub use encode::Severity;
+pub use error::DecodeError;
 pub use inbox::{Inbox, LongRowHeader};
 pub use server::ServerMessage;
 
-/// The longest message of a client: a value of 64 KiB in hex, and the statement round it.
+/// The longest message of a client: a value of 64 KiB in hex, and the statement around it.
 pub const MAX_QUERY_BYTES: usize = (128 << 10) + 4096;
 /// The longest value that a client may write.
 pub const MAX_CLIENT_VALUE_BYTES: usize = 64 << 10;
-/// The longest value of a database that is checked whole before any of it goes on, and the longest of all.
+/// The longest value of a database that is checked as a whole before any of it is forwarded.
 pub(super) const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
+/// The longest value of a database. One too long to be buffered is streamed.
 pub(super) const MAX_STREAMED_VALUE_BYTES: usize = 8 << 20;
-/// The longest message of a database that is taken whole: a value and what goes round it.
+/// The longest message of a database that is buffered: a value and what stands around it.
 pub const MAX_SERVER_MESSAGE_BYTES: usize = MAX_BUFFERED_VALUE_BYTES + 4096;
 /// What stands before the value of a row of one column: tag, length, number of columns, length of the value.
 pub(super) const ROW_HEADER_BYTES: usize = 11;
 
-/// What no stream of this protocol holds, or more than is taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DecodeError {
-    TooLong,
-    Malformed(&'static str),
-}
-
 /// Cuts a string off the front, up to its zero byte.
 pub(super) fn split_c_string(body: &[u8]) -> Option<(&[u8], &[u8])> {
-    let end = body.iter().position(|b| *b == 0)?;
+    let end = body.iter().position(|byte| *byte == 0)?;
     Some((&body[..end], &body[end + 1..]))
 }
 
@@ -38,6 +35,6 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-pub(super) fn read_u32(b: &[u8]) -> Option<u32> {
-    Some(u32::from_be_bytes(b.get(..4)?.try_into().ok()?))
+pub(super) fn read_u32(bytes: &[u8]) -> Option<u32> {
+    bytes.first_chunk::<4>().map(|first| u32::from_be_bytes(*first))
 }
--- a/proxy/src/pg/codec/server.rs
+++ b/proxy/src/pg/codec/server.rs
@@ -1,10 +1,12 @@
 //! What a database sends, as typed values.
 
 use super::{DecodeError, MAX_BUFFERED_VALUE_BYTES, read_u32, split_c_string, to_string_lossy};
+use crate::pg::sqlstate::SqlState;
 
 /// A database's message, as far as it matters here.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ServerMessage {
+    /// What the database wants as authentication; 0 is nothing more.
     Authentication(u32),
     ParameterStatus {
         name: String,
@@ -15,69 +17,69 @@
     RowDescription {
         binary: bool,
     },
-    /// A row of one column that holds a value.
+    /// The value of a row of one column.
     DataRow(Vec<u8>),
     CommandComplete,
     Error {
-        code: String,
+        code: SqlState,
     },
     /// Notices, key data and the like.
     Skipped,
 }
 
 impl ServerMessage {
-    /// Every byte of what an answer is made of must be accounted for: nothing of it goes on by halves.
+    /// Each byte of a message that becomes part of an answer must be accounted for, so that nothing is forwarded in part.
     pub(super) fn decode(tag: u8, body: &[u8]) -> Result<ServerMessage, DecodeError> {
-        let spoilt = DecodeError::Malformed("a message whose parts do not fit it");
+        let invalid = DecodeError::InvalidContents;
         Ok(match tag {
-            b'R' => ServerMessage::Authentication(read_u32(body).ok_or(spoilt)?),
-            // What a database says of itself beside the answer spoils no answer: unread, it tells nothing.
-            b'S' => match split_c_string(body).and_then(|(name, rest)| Some((name, split_c_string(rest)?.0)))
-            {
-                Some((name, value)) => ServerMessage::ParameterStatus {
-                    name: to_string_lossy(name),
-                    value: to_string_lossy(value),
-                },
-                None => ServerMessage::Skipped,
-            },
+            b'R' => ServerMessage::Authentication(read_u32(body).ok_or(invalid)?),
+            // A status that cannot be read does not invalidate the answer that it stands beside.
+            b'S' => parameter_status(body).unwrap_or(ServerMessage::Skipped),
             b'Z' => match body {
                 b"I" | b"T" | b"E" => ServerMessage::ReadyForQuery,
-                _ => return Err(spoilt),
+                _ => return Err(invalid),
             },
-            b'T' => ServerMessage::RowDescription { binary: description(body).ok_or(spoilt)? },
-            b'D' => ServerMessage::DataRow(value(body).ok_or(spoilt)?.to_vec()),
+            b'T' => ServerMessage::RowDescription { binary: column_is_binary(body).ok_or(invalid)? },
+            b'D' => ServerMessage::DataRow(column_value(body).ok_or(invalid)?.to_vec()),
             b'C' => match split_c_string(body) {
                 Some((_, [])) => ServerMessage::CommandComplete,
-                _ => return Err(spoilt),
+                _ => return Err(invalid),
             },
-            b'E' => ServerMessage::Error { code: code(body).ok_or(spoilt)? },
+            b'E' => ServerMessage::Error { code: error_code(body).ok_or(invalid)? },
             b'N' | b'A' | b'K' | b'v' => ServerMessage::Skipped,
-            _ => return Err(DecodeError::Malformed("a message out of place")),
+            _ => return Err(DecodeError::OutOfPlace),
         })
     }
 }
 
-/// The form of the one column that is described: whether it is binary.
-fn description(body: &[u8]) -> Option<bool> {
-    // Behind the name: table, column, type, length, modifier, and then the form.
-    let (_, field) = split_c_string(body.strip_prefix(&[0, 1])?)?;
-    let form = <[u8; 18]>::try_from(field).ok()?;
-    match form[16..] {
-        [0, form @ (0 | 1)] => Some(form == 1),
+fn parameter_status(body: &[u8]) -> Option<ServerMessage> {
+    let (name, rest) = split_c_string(body)?;
+    let (value, _) = split_c_string(rest)?;
+    Some(ServerMessage::ParameterStatus { name: to_string_lossy(name), value: to_string_lossy(value) })
+}
+
+/// Whether the one column that is described has values in binary form.
+fn column_is_binary(body: &[u8]) -> Option<bool> {
+    // Behind the name: table, column, type, length, modifier, and then the format.
+    let (_name, rest) = split_c_string(body.strip_prefix(&[0, 1])?)?;
+    let fields = <[u8; 18]>::try_from(rest).ok()?;
+    match fields[16..] {
+        [0, format @ (0 | 1)] => Some(format == 1),
         _ => None,
     }
 }
 
 /// The value of a row's one column, which fills the message to its end.
-fn value(body: &[u8]) -> Option<&[u8]> {
+fn column_value(body: &[u8]) -> Option<&[u8]> {
     let (length, value) = body.strip_prefix(&[0, 1])?.split_at_checked(4)?;
-    let fits = read_u32(length).and_then(|l| usize::try_from(l).ok()) == Some(value.len());
+    let fits = read_u32(length).and_then(|length| usize::try_from(length).ok()) == Some(value.len());
     (fits && value.len() <= MAX_BUFFERED_VALUE_BYTES).then_some(value)
 }
 
 /// The code among an error's fields.
-fn code(body: &[u8]) -> Option<String> {
-    let (mut code, mut rest) = (None, body);
+fn error_code(body: &[u8]) -> Option<SqlState> {
+    let mut code = None;
+    let mut rest = body;
     loop {
         match rest.split_first()? {
             (0, []) => return code,
@@ -85,8 +87,7 @@
             (tag, after) => {
                 let (field, next) = split_c_string(after)?;
                 if *tag == b'C' {
-                    let plain = field.len() == 5 && field.iter().all(u8::is_ascii_alphanumeric);
-                    code = Some(plain.then(|| to_string_lossy(field))?);
+                    code = Some(SqlState::parse(field)?);
                 }
                 rest = next;
             }
--- /dev/null
+++ b/proxy/src/pg/frontend/messages.rs
@@ -0,0 +1,110 @@
+//! What each message of a client means where it stands.
+
+use super::{ClientCommand, EndReason, Frontend, Phase, Progress};
+use crate::pg::codec::{ClientMessage, DecodeError, Severity, Startup};
+use crate::pg::sqlstate::SqlState;
+use crate::pg::statement::Statement;
+use birchreach::Micros;
+
+/// What clients are told of the server at their startup.
+const PARAMETERS: [(&str, &str); 6] = [
+    ("server_version", "16.0"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("DateStyle", "ISO, MDY"),
+    ("integer_datetimes", "on"),
+    ("standard_conforming_strings", "on"),
+];
+
+impl Frontend {
+    pub(super) fn process_startup(&mut self, now: Micros) -> Result<Progress, DecodeError> {
+        let bytes_before = self.inbox.len();
+        let message = self.inbox.startup()?;
+        self.take_arrival_time(bytes_before, now);
+        Ok(match message {
+            None => Progress::NeedsInput,
+            Some(Startup::EncryptionRequest) => {
+                // None is offered.
+                self.out.raw(b"N");
+                Progress::Continue
+            }
+            Some(Startup::CancelRequest) => {
+                // No keys are given out: a client that gives a request up closes its connection.
+                self.phase = Phase::Over;
+                Progress::Command(ClientCommand::Close(EndReason::CancelRequest))
+            }
+            Some(Startup::UnsupportedVersion) => {
+                self.fail(SqlState::NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
+                Progress::Command(ClientCommand::CloseWithError(EndReason::UnsupportedVersion))
+            }
+            Some(Startup::Version3 { minor, options }) => {
+                self.accept_startup(minor, &options);
+                Progress::Continue
+            }
+        })
+    }
+
+    fn accept_startup(&mut self, minor: u16, options: &[String]) {
+        if minor > 0 || !options.is_empty() {
+            self.out.negotiate_version(options);
+        }
+        self.out.authentication_ok();
+        for (name, value) in PARAMETERS {
+            self.out.parameter_status(name, value);
+        }
+        self.out.ready_for_query();
+        self.phase = Phase::Ready;
+    }
+
+    pub(super) fn process_message(&mut self, now: Micros) -> Result<Progress, DecodeError> {
+        let bytes_before = self.inbox.len();
+        let message = self.inbox.client_message()?;
+        let arrived_at = self.take_arrival_time(bytes_before, now);
+        let Some(message) = message else {
+            // A message that cannot become valid is rejected before it has arrived in full.
+            let may_become_valid = self.inbox.incomplete_body().is_none_or(Statement::may_become_valid);
+            return if may_become_valid { Ok(Progress::NeedsInput) } else { Err(DecodeError::TooLong) };
+        };
+        self.commands_received += 1;
+        self.commands_left_in_turn -= 1;
+        self.awaiting_rest_of_message = false;
+        Ok(match message {
+            ClientMessage::Terminate => {
+                self.phase = Phase::Over;
+                Progress::Command(ClientCommand::Close(EndReason::Terminate))
+            }
+            ClientMessage::Sync => {
+                self.phase = Phase::Ready;
+                self.out.ready_for_query();
+                Progress::Continue
+            }
+            _ if self.phase == Phase::SkippingUntilSync => Progress::Continue,
+            ClientMessage::Query(text) => self.process_query(text, arrived_at),
+            ClientMessage::Flush => Progress::Continue,
+            ClientMessage::Extended => {
+                let message = "only simple queries are taken";
+                self.out.error(Severity::Error, SqlState::NOT_SUPPORTED, message, None);
+                self.phase = Phase::SkippingUntilSync;
+                Progress::Continue
+            }
+            ClientMessage::FunctionCall => {
+                self.reject(SqlState::NOT_SUPPORTED, "function calls are not taken");
+                Progress::Continue
+            }
+        })
+    }
+
+    fn process_query(&mut self, text: Vec<u8>, arrived_at: Micros) -> Progress {
+        if text.trim_ascii().is_empty() {
+            self.out.empty_query_response();
+            self.out.ready_for_query();
+            return Progress::Continue;
+        }
+        let Some(statement) = Statement::parse(text) else {
+            self.reject(SqlState::SYNTAX_ERROR, "not a statement of the form that is taken here");
+            return Progress::Continue;
+        };
+        self.phase = Phase::AnswerPending { is_write: statement.is_write };
+        Progress::Command(ClientCommand::Run(statement, arrived_at))
+    }
+}
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -1,26 +1,30 @@
-//! What a client is told: values as they came, refusals, failures, errors.
+//! What a client is sent: values as they came, and errors.
 
 use super::{Frontend, Phase};
 use crate::core::Answer;
-use crate::pg::sqlstate;
+use crate::pg::codec::Severity;
+use crate::pg::sqlstate::SqlState;
+
+/// The name of the one column.
+const COLUMN: &str = "blob";
 
 impl Frontend {
     /// Answers the command with an error, and is ready for the next.
-    pub fn reject(&mut self, code: &str, message: &str) {
-        self.out.error("ERROR", code, message, None);
+    pub fn reject(&mut self, code: SqlState, message: &str) {
+        self.out.error(Severity::Error, code, message, None);
         self.out.ready_for_query();
         self.phase = Phase::Ready;
     }
 
     /// A value of this length begins.
     pub fn start_value(&mut self, binary: bool, length: usize) {
-        self.out.row_head("blob", binary, length);
+        self.out.row_header(COLUMN, binary, length);
     }
 
-    /// The final answer to the statement that was handed out.
+    /// Sends the final answer to the statement that was handed out.
     pub fn answer(&mut self, answer: &Answer) {
-        let Phase::Busy { write } = self.phase else { return };
-        let tag = if write { "INSERT 0 1" } else { "SELECT 1" };
+        let Phase::AnswerPending { is_write } = self.phase else { return };
+        let tag = if is_write { "INSERT 0 1" } else { "SELECT 1" };
         match answer {
             Answer::Served(value) => {
                 self.start_value(value.binary, value.bytes.len());
@@ -28,13 +32,15 @@
                 self.out.command_complete(tag);
             }
             Answer::Streamed => self.out.command_complete(tag),
-            Answer::Rejected { retry_after_ms: come_back_ms } => {
-                let detail = come_back_ms.map(|ms| ms.to_string());
+            Answer::Rejected { retry_after_ms } => {
+                let detail = retry_after_ms.map(|millis| millis.to_string());
                 let message = "not now; nothing ran, or a repeat is harmless";
-                self.out.error("ERROR", sqlstate::TOO_MANY_CONNECTIONS, message, detail.as_deref());
+                let code = SqlState::TOO_MANY_CONNECTIONS;
+                self.out.error(Severity::Error, code, message, detail.as_deref());
             }
             Answer::Failed => {
-                self.out.error("ERROR", sqlstate::SYSTEM_ERROR, "no answer; it may have run", None);
+                let message = "no answer; it may have run";
+                self.out.error(Severity::Error, SqlState::SYSTEM_ERROR, message, None);
             }
         }
         self.out.ready_for_query();
--- /dev/null
+++ b/proxy/src/pg/statement/mod.rs
@@ -0,0 +1,96 @@
+//! The two forms of statement that clients send. They are read strictly: a database would reject anything else as a breach of the
+//! protocol.
+
+mod error;
+mod parser;
+
+use crate::core::{RoutingRequest, session_id};
+use birchreach::{ClassId, Consistency, GroupId, Micros, RequestClass, SessionPositionSource};
+pub use error::StatementError;
+use std::ops::Range;
+
+/// A statement with its comment. The text is forwarded as it arrived, except for the wait.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Statement {
+    text: Vec<u8>,
+    /// Where the digits of the wait (`d`) stand.
+    deadline_range: Range<usize>,
+    id_range: Range<usize>,
+    /// Where the key between the quotes stands.
+    key_range: Range<usize>,
+    /// It is an insert, not a select.
+    pub is_write: bool,
+    /// The name of its class (`c`).
+    pub class: String,
+    /// How long the client waits, in milliseconds (`d`).
+    pub wait_ms: u32,
+    /// The group that the row is in (`cluster`).
+    pub group: u32,
+    /// The position that the read must see, as a Unix time in milliseconds (`after`).
+    pub read_after_ms: Option<i64>,
+}
+
+const WRITE_PREFIX: &[u8] = b"INSERT INTO rows (handle, blob) VALUES ('";
+/// The longest statement that holds no value.
+const MAX_VALUELESS_STATEMENT_BYTES: usize = 4096;
+/// Answers are due so long before the wait ends by the proxy's clock: the client's own clock started earlier.
+const CLIENT_CLOCK_MARGIN_MICROS: Micros = 10_000;
+const MICROS_PER_MILLI: Micros = 1_000;
+
+impl Statement {
+    /// Whether a statement that begins so may become a valid one. What will be rejected is not waited for.
+    pub fn may_become_valid(beginning: &[u8]) -> bool {
+        beginning.len() <= MAX_VALUELESS_STATEMENT_BYTES || beginning.starts_with(WRITE_PREFIX)
+    }
+
+    /// The client's id of the request (`id`).
+    pub fn id(&self) -> &[u8] {
+        &self.text[self.id_range.clone()]
+    }
+
+    /// The key of the row.
+    pub fn key(&self) -> &[u8] {
+        &self.text[self.key_range.clone()]
+    }
+
+    /// The comment before and behind the digits of the wait, with the blank before it.
+    pub fn comment_around_deadline(&self) -> (&[u8], &[u8]) {
+        let comment_start = self.key_range.end + 1;
+        (&self.text[comment_start..self.deadline_range.start], &self.text[self.deadline_range.end..])
+    }
+
+    /// The text before and behind the digits of the wait.
+    pub fn text_around_deadline(&self) -> (&[u8], &[u8]) {
+        (&self.text[..self.deadline_range.start], &self.text[self.deadline_range.end..])
+    }
+
+    /// The request that it makes, by the rules of its class. `waited` is the time since it arrived, which is part of the client's
+    /// wait.
+    pub fn routing_request(
+        &self,
+        class_id: ClassId,
+        class: &RequestClass,
+        position_source: SessionPositionSource,
+        waited: Micros,
+    ) -> Result<RoutingRequest, StatementError> {
+        if self.is_write != (class.consistency == Consistency::Write) {
+            return Err(StatementError::ClassMismatch);
+        }
+        let has_session = matches!(class.consistency, Consistency::Write | Consistency::Session);
+        let carries_position = class.consistency == Consistency::Session
+            && position_source == SessionPositionSource::FromRequest;
+        // The class bounds the wait, whatever the statement claims.
+        let wait = (Micros::from(self.wait_ms) * MICROS_PER_MILLI).min(class.client_timeout);
+        let margin = CLIENT_CLOCK_MARGIN_MICROS.min(wait / 10);
+        Ok(RoutingRequest {
+            class: class_id,
+            group: GroupId(self.group),
+            session: has_session.then(|| session_id(self.key())),
+            read_after_position: self
+                .read_after_ms
+                .filter(|_| carries_position)
+                .map(|ms| ms * MICROS_PER_MILLI),
+            timeout: (wait - margin - waited.max(0)).max(0),
+        })
+    }
+}
--- /dev/null
+++ b/proxy/src/pg/statement/parser.rs
@@ -0,0 +1,155 @@
+//! Takes the text of a statement apart.
+
+use super::{Statement, WRITE_PREFIX};
+use crate::pg::codec::MAX_CLIENT_VALUE_BYTES;
+use std::ops::Range;
+
+const READ_PREFIX: &[u8] = b"SELECT blob FROM rows WHERE handle = '";
+const MAX_KEY_BYTES: usize = 1024;
+const MAX_FIELD_BYTES: usize = 128;
+/// Numbers of so many digits fit every type that they are read into, and into a float without loss.
+const MAX_DIGITS: usize = 15;
+
+impl Statement {
+    /// Reads a statement. `None`: the text has neither of the two forms.
+    pub fn parse(text: Vec<u8>) -> Option<Statement> {
+        let mut parser = Parser { text: &text, position: 0 };
+        let is_write = if parser.accept(READ_PREFIX) {
+            false
+        } else {
+            parser.expect(WRITE_PREFIX)?;
+            true
+        };
+        let key_range = parser.key()?;
+        if is_write {
+            parser.hex_value()?;
+        } else {
+            parser.expect(b"'")?;
+        }
+        let fields = parser.comment()?;
+        parser.end()?;
+
+        let deadline_range = fields.wait?;
+        let wait_ms = u32::try_from(parser.number(&deadline_range)?).ok()?;
+        let group = u32::try_from(parser.number(&fields.group?)?).ok()?;
+        let read_after_ms = match fields.read_after {
+            None => None,
+            Some(range) => Some(i64::try_from(parser.number(&range)?).ok()?),
+        };
+        if fields.retry.is_some_and(|range| parser.number(&range).is_none()) {
+            return None;
+        }
+        let class = String::from_utf8(text[fields.class?].to_vec()).ok()?;
+        let id_range = fields.id?;
+        Some(Statement {
+            deadline_range,
+            id_range,
+            key_range,
+            is_write,
+            class,
+            wait_ms,
+            group,
+            read_after_ms,
+            text,
+        })
+    }
+}
+
+/// Where the values of a comment's fields stand, in the field's terms. The idempotency key is forwarded unread.
+#[derive(Default)]
+struct CommentFields {
+    id: Option<Range<usize>>,
+    class: Option<Range<usize>>,
+    wait: Option<Range<usize>>,
+    group: Option<Range<usize>>,
+    read_after: Option<Range<usize>>,
+    retry: Option<Range<usize>>,
+    idempotency_key: Option<Range<usize>>,
+}
+
+impl CommentFields {
+    /// The field with this name on the wire.
+    fn named(&mut self, name: &[u8]) -> Option<&mut Option<Range<usize>>> {
+        Some(match name {
+            b"id" => &mut self.id,
+            b"c" => &mut self.class,
+            b"d" => &mut self.wait,
+            b"cluster" => &mut self.group,
+            b"after" => &mut self.read_after,
+            b"r" => &mut self.retry,
+            b"k" => &mut self.idempotency_key,
+            _ => return None,
+        })
+    }
+}
+
+struct Parser<'a> {
+    text: &'a [u8],
+    position: usize,
+}
+
+impl Parser<'_> {
+    fn key(&mut self) -> Option<Range<usize>> {
+        self.take_run(|byte| byte.is_ascii_graphic() && byte != b'\'' && byte != b'\\', MAX_KEY_BYTES)
+    }
+
+    /// What stands behind the key of a write, to the comment.
+    fn hex_value(&mut self) -> Option<()> {
+        self.expect(b"', '\\x")?;
+        let empty = self.position..self.position;
+        let digits = self.take_run(|byte| byte.is_ascii_hexdigit(), usize::MAX).unwrap_or(empty);
+        if !digits.len().is_multiple_of(2) || digits.len() > 2 * MAX_CLIENT_VALUE_BYTES {
+            return None;
+        }
+        self.expect(b"') RETURNING blob")
+    }
+
+    fn comment(&mut self) -> Option<CommentFields> {
+        self.expect(b" /* ")?;
+        let mut fields = CommentFields::default();
+        loop {
+            let name = self.take_run(|byte| byte.is_ascii_lowercase(), MAX_FIELD_BYTES)?;
+            self.expect(b"=")?;
+            let value = self
+                .take_run(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte), MAX_FIELD_BYTES)?;
+            let field = fields.named(&self.text[name])?;
+            if field.replace(value).is_some() {
+                return None;
+            }
+            if !self.accept(b",") {
+                break;
+            }
+        }
+        self.expect(b" */")?;
+        Some(fields)
+    }
+
+    fn end(&self) -> Option<()> {
+        (self.position == self.text.len()).then_some(())
+    }
+
+    fn number(&self, range: &Range<usize>) -> Option<u64> {
+        let digits = &self.text[range.clone()];
+        let is_number = digits.len() <= MAX_DIGITS && digits.iter().all(u8::is_ascii_digit);
+        is_number.then(|| digits.iter().fold(0, |number, digit| number * 10 + u64::from(digit - b'0')))
+    }
+
+    /// Passes over these bytes if they come next.
+    fn accept(&mut self, bytes: &[u8]) -> bool {
+        let found = self.text[self.position..].starts_with(bytes);
+        self.position += if found { bytes.len() } else { 0 };
+        found
+    }
+
+    fn expect(&mut self, bytes: &[u8]) -> Option<()> {
+        self.accept(bytes).then_some(())
+    }
+
+    /// One byte or more of a kind, so many at most.
+    fn take_run(&mut self, is_of_kind: impl Fn(u8) -> bool, max_bytes: usize) -> Option<Range<usize>> {
+        let length = self.text[self.position..].iter().take_while(|byte| is_of_kind(**byte)).count();
+        let run = self.position..self.position + length;
+        self.position = run.end;
+        (1..=max_bytes).contains(&length).then_some(run)
+    }
+}
--- a/proxy/src/pg/tests/waits.rs
+++ b/proxy/src/pg/tests/arrival_times.rs
@@ -1,9 +1,9 @@
 //! A command's time runs from when its last byte came, however long it waited behind others.
 
-use super::super::arrivals::ArrivalTimes;
-use super::super::frontend::{ClientCommand, Frontend};
-use super::super::statement::Statement;
 use crate::core::{Answer, RoutingRequest};
+use crate::pg::arrival_times::ArrivalTimes;
+use crate::pg::frontend::{ClientCommand, Frontend};
+use crate::pg::statement::Statement;
 use birchreach::{ClassId, Consistency, Idempotency, Micros, RequestClass, SessionPositionSource};
 
 const MS: Micros = 1_000;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_a_command_waited_is_taken_off_its_patience() {
+fn what_a_command_waited_is_taken_off_its_timeout() {
     let class = RequestClass {
         consistency: Consistency::Any,
         idempotency: Idempotency::Idempotent,
@@ -64,15 +64,15 @@
     let (mut client, id) = (started(), ClassId(0));
     client.feed(0, &read("1", 900));
     let (statement, _) = run(&mut client, 0);
-    let patience = |waited| -> Micros {
-        let ask: RoutingRequest =
+    let timeout = |waited| -> Micros {
+        let request: RoutingRequest =
             statement.routing_request(id, &class, SessionPositionSource::FromRequest, waited).unwrap();
-        ask.timeout
+        request.timeout
     };
-    let whole = patience(0);
+    let whole = timeout(0);
     assert!((880 * MS..900 * MS).contains(&whole));
-    assert_eq!(patience(300 * MS), whole - 300 * MS);
-    assert_eq!(patience(5_000 * MS), 0, "its client has given it up");
+    assert_eq!(timeout(300 * MS), whole - 300 * MS);
+    assert_eq!(timeout(5_000 * MS), 0, "its client has given it up");
 }
 
 /// A message that comes byte by byte does not make the proxy keep a time for each.
--- a/proxy/src/pg/tests/mod.rs
+++ b/proxy/src/pg/tests/mod.rs
@@ -1,3 +1,5 @@
-//! What the machines of the protocol do, on times made by hand.
+//! The protocol's state machines and queries, with times made by hand.
 
-mod waits;
+mod arrival_times;
+mod commit_time_query;
+mod copies;
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -65,9 +65,10 @@
             }
             Ask::Parent => {
                 note(1)?;
-                let (since, value) = commit_time_query::parse_row_with_commit_time(done.replies.get(1)?)?;
-                let row = value.map(|v| self.digest(v));
-                Told::Parent { parent: Parent { row, since, seen: position(0)? }, process }
+                let row = commit_time_query::parse_row_with_commit_time(done.replies.get(1)?)?;
+                let digest = row.value.map(|value| self.digest(value));
+                let parent = Parent { row: digest, since: row.committed_at, seen: position(0)? };
+                Told::Parent { parent, process }
             }
         })
     }
--- a/proxy/tests/slow_reader.rs
+++ b/proxy/tests/slow_reader.rs
@@ -29,7 +29,7 @@
         slow.write_all(&[&b"Q"[..], &(text.len() as u32 + 4).to_be_bytes(), text.as_bytes()].concat())
             .unwrap();
     }
-    while process.line_now(&["conn=client", "reason=silent"]).is_none() {
+    while process.line_now(&["conn=client", "reason=unresponsive"]).is_none() {
         let served = other.read_key("tariff-lookup", 0, "long", 2500, None).unwrap();
         assert!(matches!(served, Reply::Served(_)), "{served:?}");
         std::thread::sleep(std::time::Duration::from_millis(50));
