--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -1,8 +1,8 @@
 //! A copy on its way: the row is read twice at a replica of its home, on one connection, and written to each guest's group.
 
 use super::{Background, What};
+use crate::background_query::BackgroundQueryResult;
 use crate::hot::Watch;
-use crate::net::pool::CompletedQuery;
 use crate::pg::copies;
 use birchreach::{AttemptOutcome, Micros, Role};
 use birchreach_background_tasks::{Kind, Task};
@@ -39,7 +39,7 @@
 }
 
 impl Background {
-    pub(super) fn copied(&mut self, now: Micros, copying: Copying, done: &CompletedQuery) {
+    pub(super) fn copied(&mut self, now: Micros, copying: Copying, done: &BackgroundQueryResult) {
         let Some(watch) = self.hot.clone() else { return };
         match copying {
             Copying::Read(due) => {
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -37,7 +37,8 @@
     pub(in crate::net) fn start_background(&mut self) {
         let options = self.config.options.hot.clone();
         let (Some(fellows), Some(keys)) = (&self.fleet, &self.config.fleet_keys) else { return };
-        let (boot, named, divisor) = (fellows.boot(), fellows.view().named, fellows.view().divisor());
+        let (boot, named, divisor) =
+            (fellows.boot(), fellows.view().configured_members, fellows.view().divisor());
         let mut background =
             self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.context.now)));
         match (&options, background.hot.clone()) {
@@ -46,7 +47,8 @@
             }
             (Some(options), None) => {
                 let settings = settings(options, named, &self.context.core.consistencies());
-                let watch = shared(Watch::new(settings, boot, keys.hasher(b"hot keys"), self.context.now));
+                let watch =
+                    shared(Watch::new(settings, boot, keys.name_hasher(b"hot keys"), self.context.now));
                 self.context.core.subscribe(self.context.now, watch.clone());
                 self.context.core.add_copy_locator(watch.clone());
                 background.hot = Some(watch);
@@ -88,7 +90,7 @@
         }
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
-            let (hasher, classes) = (keys.hasher(b"split"), self.config.site.class_names.clone());
+            let (hasher, classes) = (keys.name_hasher(b"split"), self.config.site.class_names.clone());
             let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.context.now));
             self.context.core.subscribe(self.context.now, watch.clone());
             background.split = Some(watch);
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -5,11 +5,12 @@
 use super::super::sources::Source;
 use super::super::timer_events::TimerEvent;
 use super::listen;
-use super::peer_protocol::{Next, nonce};
+use super::nonce::nonce;
+use super::peer_protocol::Next;
 use crate::observe::Shared;
-use birchreach_membership::Fleet;
-use birchreach_peer_state::exchange::{Exchange, Step};
+use birchreach_membership::Membership;
 use birchreach_peer_state::frame::{Keys, Side};
+use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange};
 use mio::Registry;
 use mio::net::{TcpListener, TcpStream};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -25,12 +26,12 @@
     /// Where others reach this process.
     own: SocketAddr,
     keys: Keys,
-    machine: Shared<Fleet>,
+    machine: Shared<Membership>,
     pub(super) waiting: bool,
 }
 
 impl MembershipSync {
-    pub fn new(own: SocketAddr, keys: Keys, machine: Shared<Fleet>) -> MembershipSync {
+    pub fn new(own: SocketAddr, keys: Keys, machine: Shared<Membership>) -> MembershipSync {
         MembershipSync { listener: None, own, keys, machine, waiting: false }
     }
 
@@ -46,7 +47,7 @@
     }
 
     /// Speaks from its own address, by which others may let it in.
-    pub(super) fn ask(&self, peer: SocketAddr) -> Result<(TcpStream, Box<Exchange>), &'static str> {
+    pub(super) fn ask(&self, peer: SocketAddr) -> Result<(TcpStream, Box<FullExchange>), &'static str> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, Some(Protocol::TCP));
         let socket = socket.map_err(|_| "no-socket")?;
         socket.set_nonblocking(true).map_err(|_| "no-socket")?;
@@ -59,35 +60,37 @@
             Err(_) => return Err("refused"),
         }
         let stream = TcpStream::from_std(socket.into());
-        Ok((stream, Box::new(Exchange::new(Side::Asker, self.keys.clone(), nonce()?))))
+        Ok((stream, Box::new(FullExchange::new(Side::Requester, self.keys.clone(), nonce()?))))
     }
 
-    pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<Exchange>)> {
+    pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<FullExchange>)> {
         let listener = self.listener.as_ref().filter(|_| self.waiting)?;
         let Ok((stream, peer)) = listener.accept() else {
             self.waiting = false;
             return None;
         };
-        Some((stream, peer, Box::new(Exchange::new(Side::Donor, self.keys.clone(), nonce().ok()?))))
+        Some((stream, peer, Box::new(FullExchange::new(Side::Provider, self.keys.clone(), nonce().ok()?))))
     }
 
     /// What the other end has told is taken, and this one tells in its turn.
-    pub(super) fn step(&self, context: &mut EventLoopContext, machine: &mut Exchange) -> Next {
+    pub(super) fn step(&self, context: &mut EventLoopContext, machine: &mut FullExchange) -> Next {
         loop {
-            match machine.step() {
+            match machine.next_event() {
                 Err(refused) => return Next::Refused(refused.to_string()),
                 Ok(None) => return Next::Waits,
-                Ok(Some(Step::Greeted)) => machine.tell(&self.machine.borrow().all()),
-                Ok(Some(Step::Whole(parts))) => {
-                    let asked = machine.told();
+                Ok(Some(ExchangeEvent::Connected)) => {
+                    machine.send_parts(&self.machine.borrow().export_members())
+                }
+                Ok(Some(ExchangeEvent::Complete(parts))) => {
+                    let asked = machine.has_sent();
                     if !asked {
-                        machine.tell(&self.machine.borrow().all());
+                        machine.send_parts(&self.machine.borrow().export_members());
                     }
-                    let taken = self.machine.borrow_mut().take_all(context.now, &parts);
+                    let taken = self.machine.borrow_mut().import_members(context.now, &parts);
                     // What has changed by it is told and shown by the owner of the datagrams.
                     context.timers.set(context.now, TimerEvent::Fleet);
                     match taken {
-                        Err(why) => return Next::Refused(format!("{why:?}").to_lowercase()),
+                        Err(why) => return Next::Refused(why.as_str().to_string()),
                         Ok(()) if asked => return Next::Over("heard"),
                         Ok(()) => {}
                     }
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -5,6 +5,7 @@
 use super::super::event_loop_context::EventLoopContext;
 use super::Pool;
 use super::connection::ConnectionTask;
+use crate::background_query::BackgroundQueryResult;
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
 
@@ -19,19 +20,6 @@
     replies: Vec<Reply>,
 }
 
-/// A background query that is over: a reply for each statement that ran; none ran after the first that failed.
-#[derive(Debug)]
-pub struct CompletedQuery {
-    /// The number that its owner gave it.
-    pub number: u64,
-    /// Where it ran.
-    pub server: ServerId,
-    /// In the order of the statements.
-    pub replies: Vec<Reply>,
-    /// All statements ran, and well.
-    pub complete: bool,
-}
-
 impl BackgroundQuery {
     pub fn current_statement(&self) -> &[u8] {
         self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
@@ -43,11 +31,11 @@
     }
 
     /// Takes the last reply.
-    pub fn complete(mut self, reply: Reply) -> CompletedQuery {
+    pub fn complete(mut self, reply: Reply) -> BackgroundQueryResult {
         self.replies.push(reply);
         let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
         let complete = all_succeeded && self.replies.len() == self.statements.len();
-        CompletedQuery { number: self.number, server: self.server, replies: self.replies, complete }
+        BackgroundQueryResult { number: self.number, server: self.server, replies: self.replies, complete }
     }
 }
 
@@ -70,7 +58,7 @@
     }
 
     /// Hands out the background queries that are over.
-    pub fn take_completed_queries(&mut self) -> Vec<CompletedQuery> {
+    pub fn take_completed_queries(&mut self) -> Vec<BackgroundQueryResult> {
         std::mem::take(&mut self.completed_queries)
     }
 
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -17,9 +17,9 @@
 use super::event_loop_context::EventLoopContext;
 use super::statement_payload::StatementPayload;
 use super::timer_events::TimerEvent;
+use crate::background_query::BackgroundQueryResult;
 use crate::core::AttemptId;
 use crate::pg::load_report::LoadReportFormat;
-pub use background_queries::CompletedQuery;
 use birchreach::{LoadReportSource, Micros, ServerId};
 use birchreach_settings::DeploymentSettings;
 use connection::{AttemptTask, ConnectionTask};
@@ -48,7 +48,7 @@
     monitor_check_timeout: Micros,
     idle_limit: Micros,
     load_report_format: LoadReportFormat,
-    completed_queries: Vec<CompletedQuery>,
+    completed_queries: Vec<BackgroundQueryResult>,
 }
 
 impl Pool {
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -1,11 +1,11 @@
 //! The proxy's values as the crate `split` has them: reads that were served, and what databases answer; and what operators are shown
 //! of it. It owns the words; what is compared and what a difference means is the crate's to say.
 
-use crate::net::CompletedQuery;
+use crate::background_query::BackgroundQueryResult;
 use crate::observe::{CoreEvent, Observer};
 use crate::pg::commit_time_query;
 use birchreach::{Micros, Role, ServerId};
-use birchreach_peer_state::Hasher;
+use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::judge::Parent;
 use birchreach_shard_split::{Ask, Definition, Flag, Look, RANGES, Settings, Split, Told, Verdict};
 use std::collections::HashMap;
@@ -14,7 +14,7 @@
 /// What is compared; it listens to the core.
 pub struct Watch {
     pub split: Split,
-    hasher: Hasher,
+    hasher: NameHasher,
     /// A number for each database's process: by its name and its last start.
     processes: HashMap<ServerId, u64>,
     /// Names of the classes, for flags.
@@ -37,21 +37,21 @@
 }
 
 impl Watch {
-    pub fn new(settings: Settings, own: u64, hasher: Hasher, classes: Vec<String>, now: Micros) -> Watch {
+    pub fn new(settings: Settings, own: u64, hasher: NameHasher, classes: Vec<String>, now: Micros) -> Watch {
         let split = Split::new(settings, own, now);
         Watch { split, hasher, processes: HashMap::new(), classes, told: None }
     }
 
     fn digest(&self, value: &[u8]) -> u64 {
-        self.hasher.number(0, value)
+        self.hasher.hash(0, value)
     }
 
     /// What an errand came to, as an answer to what was asked.
-    pub fn answer(&self, ask: Ask, done: &CompletedQuery) -> Told {
+    pub fn answer(&self, ask: Ask, done: &BackgroundQueryResult) -> Told {
         self.read(ask, done).filter(|_| done.complete).unwrap_or(Told::Nothing)
     }
 
-    fn read(&self, ask: Ask, done: &CompletedQuery) -> Option<Told> {
+    fn read(&self, ask: Ask, done: &BackgroundQueryResult) -> Option<Told> {
         // A primary may have been deposed and not know it: it claims the present, and answers from the past. A replica's position is that
         // of the log that it has applied.
         let note = |n: usize| done.replies.get(n)?.status.filter(|note| note.role == Role::Replica);
