--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -19,7 +19,7 @@
 use super::timer_events::TimerEvent;
 use crate::background_query::BackgroundQueryResult;
 use crate::core::AttemptId;
-use crate::pg::report::LoadReportFormat;
+use crate::pg::load_report::LoadReportFormat;
 use birchreach::{LoadReportSource, Micros, ServerId};
 use birchreach_settings::DeploymentSettings;
 use connection::{AttemptTask, ConnectionTask};
