--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -76,7 +76,8 @@
     }
     let metrics = ask(&one, "metrics");
     assert!(
-        metrics.contains("\nbirchreach_fleet_dropped_total{reason=\"no-datagram\"} 3") && metrics.ends_with("# EOF\n"),
+        metrics.contains("\nbirchreach_fleet_dropped_total{reason=\"no-datagram\"} 3")
+            && metrics.ends_with("# EOF\n"),
         "{metrics}"
     );
     assert_eq!((word(&one, "state="), word(&one, "members=")), ("blind".into(), "1".into()));
--- /dev/null
+++ b/tests/common/fixture.rs
@@ -0,0 +1,163 @@
+//! A router, a clock and its timers, driven by hand; by default with a primary and two replicas.
+
+use super::*;
+
+/// A router driven by hand.
+pub struct RouterFixture {
+    pub router: Router,
+    pub now: Micros,
+    /// Every action so far, with its time.
+    pub history: Vec<(Micros, Action)>,
+    timers: Vec<Micros>,
+    last_request: u64,
+}
+
+impl RouterFixture {
+    /// A router that knows the primary and both replicas.
+    pub fn new(settings: Settings) -> RouterFixture {
+        RouterFixture::seeded(settings, 1)
+    }
+
+    /// The same with a seed of its own: one of many.
+    pub fn seeded(settings: Settings, seed: u64) -> RouterFixture {
+        let mut fixture = RouterFixture::without_endpoints_seeded(settings, seed);
+        fixture.set_endpoints(&ready(ALL_SERVERS));
+        fixture
+    }
+
+    /// A router that has just started, at 100 s, and knows no server.
+    pub fn without_endpoints(settings: Settings) -> RouterFixture {
+        RouterFixture::without_endpoints_seeded(settings, 1)
+    }
+
+    fn without_endpoints_seeded(settings: Settings, seed: u64) -> RouterFixture {
+        let now = 100_000 * MS;
+        let mut actions = Vec::new();
+        let router = Router::new(settings, seed, now, &mut actions);
+        let mut fixture = RouterFixture { router, now, history: vec![], timers: vec![], last_request: 0 };
+        fixture.record(actions);
+        fixture
+    }
+
+    fn record(&mut self, actions: Vec<Action>) -> Vec<Action> {
+        for action in &actions {
+            if let Action::Timer { delay, .. } = action {
+                self.timers.push(self.now + delay);
+            }
+            self.history.push((self.now, action.clone()));
+        }
+        actions
+    }
+
+    /// Passes an event to the router.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.router.handle(self.now, event, &mut actions);
+        self.record(actions)
+    }
+
+    /// Passes a complete endpoint list to the router.
+    pub fn set_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
+        let list = EndpointList { complete: true, endpoints: endpoints.to_vec() };
+        self.handle(Event::EndpointsChanged(list))
+    }
+
+    /// Passes changed entries of the endpoint list to the router.
+    pub fn change_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
+        let list = EndpointList { complete: false, endpoints: endpoints.to_vec() };
+        self.handle(Event::EndpointsChanged(list))
+    }
+
+    /// Lets time pass; each timer expires when it is due.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+        let end = self.now + span;
+        let mut actions = Vec::new();
+        while let Some(&due_at) = self.timers.iter().filter(|at| **at <= end).min() {
+            self.timers.retain(|at| *at > due_at);
+            self.now = self.now.max(due_at);
+            actions.extend(self.handle(Event::Timer { id: 0 }));
+        }
+        self.now = end;
+        actions
+    }
+
+    /// A client sends a request of this class. Returns its id and the actions.
+    pub fn request(&mut self, class: u16) -> (u64, Vec<Action>) {
+        self.request_with(class, |_| {})
+    }
+
+    /// The same, after a change to the request.
+    pub fn request_with(&mut self, class: u16, change: impl FnOnce(&mut Request)) -> (u64, Vec<Action>) {
+        self.last_request += 1;
+        let mut request = Request {
+            id: RequestId(self.last_request),
+            class: ClassId(class),
+            group: GroupId(0),
+            tenant: TenantId(0),
+            timeout: 2_000 * MS,
+            session: None,
+            last_write_position: None,
+            copy_candidates: vec![],
+        };
+        change(&mut request);
+        let id = request.id.0;
+        (id, self.handle(Event::Request(request)))
+    }
+
+    /// An attempt ends; if it was served, so is its request.
+    pub fn complete_attempt(
+        &mut self,
+        request: u64,
+        attempt: u16,
+        server: u32,
+        outcome: AttemptOutcome,
+    ) -> Vec<Action> {
+        self.complete_attempt_with_status(request, attempt, server, outcome, None)
+    }
+
+    /// The same, with a status in the response.
+    pub fn complete_attempt_with_status(
+        &mut self,
+        request: u64,
+        attempt: u16,
+        server: u32,
+        outcome: AttemptOutcome,
+        status: Option<ServerStatus>,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptCompleted(AttemptResult {
+            request: RequestId(request),
+            attempt: AttemptNo(attempt),
+            server: ServerId(server),
+            outcome,
+            elapsed: 0,
+            request_finished: outcome == AttemptOutcome::Ok,
+            status,
+            load_report: None,
+        }))
+    }
+
+    /// Answers what these actions sent, each as this attempt of its request. Returns the actions that follow.
+    pub fn answer_sends(&mut self, attempt: u16, actions: &[Action]) -> Vec<Action> {
+        let sent = actions.iter().filter_map(|action| match action {
+            Action::Send { request, server, .. } => Some((request.0, server.0)),
+            _ => None,
+        });
+        sent.flat_map(|(request, server)| self.complete_attempt(request, attempt, server, AttemptOutcome::Ok))
+            .collect()
+    }
+
+    /// A health check ends without a load report.
+    pub fn complete_health_check(&mut self, server: u32, outcome: AttemptOutcome) -> Vec<Action> {
+        self.handle(Event::HealthCheckCompleted { server: ServerId(server), outcome, load_report: None })
+    }
+
+    /// A health check reports the role of a server and a position that is this far behind the present.
+    pub fn report_position(&mut self, server: u32, role: Role, behind: Micros) -> Vec<Action> {
+        let report = LoadReport { position: Some(self.now - behind), role: Some(role) };
+        self.handle(Event::HealthCheckCompleted {
+            server: ServerId(server),
+            outcome: AttemptOutcome::Ok,
+            load_report: Some(report),
+        })
+    }
+}
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -1,151 +1,174 @@
-//! Which replica may answer a read, and how that is found out.
+//! Freshness: which replica may answer a read, and how its position becomes known.
 
 mod common;
 use birchreach::*;
 use common::*;
 
 #[test]
-fn a_bounded_read_wants_a_proof_that_meets_its_bound() {
-    let mut rig = Rig::new(settings());
-    assert_eq!(sends(&rig.ask(BOUNDED).1), [P], "nothing is proven yet");
-    rig.stands(R1, Role::Replica, 250 * MS);
-    assert_eq!(sends(&rig.ask(BOUNDED).1), [R1]);
-    rig.pass(50 * MS);
-    assert_eq!(sends(&rig.ask(BOUNDED).1), [R1], "just inside the bound");
-    rig.pass(1);
-    assert_eq!(sends(&rig.ask(BOUNDED).1), [P], "just outside");
+fn a_bounded_read_needs_a_replica_that_is_proven_fresh_enough() {
+    let mut fixture = RouterFixture::new(settings());
+    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [PRIMARY], "nothing is proven yet");
+    fixture.report_position(REPLICA_1, Role::Replica, 250 * MS);
+    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [REPLICA_1]);
+    fixture.advance(50 * MS);
+    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [REPLICA_1], "just inside the bound");
+    fixture.advance(1);
+    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [PRIMARY], "just outside");
 }
 
 #[test]
-fn a_session_read_wants_a_proof_of_its_write() {
-    let mut rig = Rig::new(settings());
-    rig.stands(R2, Role::Replica, 0);
-    let at = rig.now;
-    assert_eq!(sends(&rig.ask_for(SESSION, |r| r.last_write_position = Some(at)).1), [R2]);
-    assert_eq!(sends(&rig.ask_for(SESSION, |r| r.last_write_position = Some(at + 1)).1), [P]);
-    assert_ne!(sends(&rig.ask(SESSION).1), [P], "without a write any replica will do");
+fn a_session_read_needs_a_replica_that_is_proven_to_have_its_write() {
+    let mut fixture = RouterFixture::new(settings());
+    fixture.report_position(REPLICA_2, Role::Replica, 0);
+    let reported = fixture.now;
+    let mut read_after_write_at = |position: Micros| {
+        let (_, actions) =
+            fixture.request_with(SESSION, |request| request.last_write_position = Some(position));
+        servers_sent_to(&actions)
+    };
+    assert_eq!(read_after_write_at(reported), [REPLICA_2]);
+    assert_eq!(read_after_write_at(reported + 1), [PRIMARY]);
+    let without_write = servers_sent_to(&fixture.request(SESSION).1);
+    assert_ne!(without_write, [PRIMARY], "without a write any replica will do");
 }
 
 #[test]
-fn remembered_writes_bind_the_session_even_when_the_client_has_left() {
-    let mut s = settings();
-    s.session_positions = SessionPositionSource::FromObservedWrites;
-    let mut rig = Rig::new(s);
-    rig.stands(R1, Role::Replica, 0);
-    rig.stands(R2, Role::Replica, 0);
-    let (id, _) = rig.ask_for(WRITE, |r| r.session = Some(SessionId(9)));
-    rig.feed(Event::ClientDisconnected { request: RequestId(id) });
-    let commit = rig.now + MS;
-    rig.pass(5 * MS);
-    rig.end_with(id, 0, P, AttemptOutcome::Ok, note(Role::Primary, commit));
-    assert_eq!(sends(&rig.ask_for(SESSION, |r| r.session = Some(SessionId(9))).1), [P]);
-    assert_ne!(sends(&rig.ask_for(SESSION, |r| r.session = Some(SessionId(8))).1), [P]);
+fn observed_writes_bind_the_session_even_if_the_client_has_disconnected() {
+    let mut settings = settings();
+    settings.session_positions = SessionPositionSource::FromObservedWrites;
+    let mut fixture = RouterFixture::new(settings);
+    fixture.report_position(REPLICA_1, Role::Replica, 0);
+    fixture.report_position(REPLICA_2, Role::Replica, 0);
+    let (id, _) = fixture.request_with(WRITE, |request| request.session = Some(SessionId(9)));
+    fixture.handle(Event::ClientDisconnected { request: RequestId(id) });
+    let committed_at = fixture.now + MS;
+    fixture.advance(5 * MS);
+    let committed = status(Role::Primary, committed_at);
+    fixture.complete_attempt_with_status(id, 0, PRIMARY, AttemptOutcome::Ok, committed);
+
+    let mut read_of_session = |session: u64| {
+        let (_, actions) =
+            fixture.request_with(SESSION, |request| request.session = Some(SessionId(session)));
+        servers_sent_to(&actions)
+    };
+    assert_eq!(read_of_session(9), [PRIMARY]);
+    assert_ne!(read_of_session(8), [PRIMARY]);
 }
 
 #[test]
-fn a_fresh_router_probes_a_group_at_its_first_read_only() {
-    let mut s = settings();
-    s.health_checks_allowed = true;
-    let mut rig = Rig::bare(s);
-    let probes = |got: &[Action]| got.iter().filter(|a| matches!(a, Action::HealthCheck { .. })).count();
-    let got = rig.list(&[P, R1, R2].map(|id| member(id, EndpointState::Ready)));
-    assert_eq!(probes(&got), 0, "hundreds of routers start at once");
-    assert!(probes(&rig.ask(BOUNDED).1) > 0);
+fn a_new_router_checks_a_group_at_its_first_read_only() {
+    let mut settings = settings();
+    settings.health_checks_allowed = true;
+    let mut fixture = RouterFixture::without_endpoints(settings);
+    let actions = fixture.set_endpoints(&ready(ALL_SERVERS));
+    assert_eq!(health_check_count(&actions), 0, "hundreds of proxies may start at the same time");
+    assert!(health_check_count(&fixture.request(BOUNDED).1) > 0);
 }
 
 #[test]
-fn where_servers_check_the_furthest_ahead_is_tried_before_the_primary() {
-    let mut s = settings();
-    s.stale_reads = StaleReadPolicy::Rejected;
-    let mut rig = Rig::new(s);
-    rig.stands(R1, Role::Replica, 900 * MS);
-    rig.stands(R2, Role::Replica, 800 * MS);
-    rig.pass(600 * MS);
-    let (id, got) = rig.ask(BOUNDED);
-    assert_eq!(sends(&got), [R2]);
-    let at = rig.now - 800 * MS;
-    assert_eq!(sends(&rig.end_with(id, 0, R2, AttemptOutcome::Ineligible, note(Role::Replica, at))), [R1]);
-    assert_eq!(sends(&rig.end_with(id, 1, R1, AttemptOutcome::Ineligible, note(Role::Replica, at))), [P]);
+fn where_servers_reject_stale_reads_the_most_advanced_is_tried_before_the_primary() {
+    let mut settings = settings();
+    settings.stale_reads = StaleReadPolicy::Rejected;
+    let mut fixture = RouterFixture::new(settings);
+    fixture.report_position(REPLICA_1, Role::Replica, 900 * MS);
+    fixture.report_position(REPLICA_2, Role::Replica, 800 * MS);
+    fixture.advance(600 * MS);
+    let (id, actions) = fixture.request(BOUNDED);
+    assert_eq!(servers_sent_to(&actions), [REPLICA_2]);
+
+    let behind = status(Role::Replica, fixture.now - 800 * MS);
+    let mut reject = |attempt, server| {
+        let outcome = AttemptOutcome::Ineligible;
+        servers_sent_to(&fixture.complete_attempt_with_status(id, attempt, server, outcome, behind))
+    };
+    assert_eq!(reject(0, REPLICA_2), [REPLICA_1]);
+    assert_eq!(reject(1, REPLICA_1), [PRIMARY]);
 }
 
+/// While a group lags, each read would otherwise be rejected by every replica first.
 #[test]
-fn a_replica_known_to_lag_too_far_is_tried_now_and_then_only() {
-    let mut s = settings();
-    s.stale_reads = StaleReadPolicy::Rejected;
-    let mut rig = Rig::new(s);
+fn a_replica_that_is_known_to_lag_too_far_is_not_tried_again_at_once() {
+    let mut settings = settings();
+    settings.stale_reads = StaleReadPolicy::Rejected;
+    let mut fixture = RouterFixture::new(settings);
     let mut tries = 0;
-    for i in 0..20 {
-        let (id, got) = rig.ask(BOUNDED);
-        let (mut server, mut attempt) = (sends(&got)[0], 0);
-        while server != P {
+    for index in 0..20 {
+        let (id, actions) = fixture.request(BOUNDED);
+        let mut server = servers_sent_to(&actions)[0];
+        let mut attempt = 0;
+        while server != PRIMARY {
             tries += 1;
-            let at = rig.now - 900 * MS;
-            let got = rig.end_with(id, attempt, server, AttemptOutcome::Ineligible, note(Role::Replica, at));
-            (server, attempt) = (sends(&got)[0], attempt + 1);
+            let behind = status(Role::Replica, fixture.now - 900 * MS);
+            let outcome = AttemptOutcome::Ineligible;
+            let actions = fixture.complete_attempt_with_status(id, attempt, server, outcome, behind);
+            server = servers_sent_to(&actions)[0];
+            attempt += 1;
         }
-        rig.pass(MS);
-        rig.end(id, attempt, P, AttemptOutcome::Ok);
-        assert!(i > 0 || tries == 2, "the first is tried at each");
+        fixture.advance(MS);
+        fixture.complete_attempt(id, attempt, PRIMARY, AttemptOutcome::Ok);
+        assert!(index > 0 || tries == 2, "the first read is tried at each replica");
     }
-    // Found in an incident: thousands of misses in seconds while a group lagged.
     assert_eq!(tries, 2);
 }
 
 #[test]
-fn a_read_asks_a_replica_for_its_position_before_it_falls_on_the_primary() {
-    let mut s = settings();
-    s.health_checks_allowed = true;
-    let mut rig = Rig::new(s);
-    let asked = |got: &[Action]| {
-        got.iter().find_map(|a| if let Action::HealthCheck { server } = a { Some(server.0) } else { None })
+fn a_read_queries_the_position_of_a_replica_before_it_falls_back_on_the_primary() {
+    let mut settings = settings();
+    settings.health_checks_allowed = true;
+    let mut fixture = RouterFixture::new(settings);
+    let checked_server = |actions: &[Action]| {
+        let server_of = |action: &Action| match action {
+            Action::HealthCheck { server } => Some(server.0),
+            _ => None,
+        };
+        actions.iter().find_map(server_of)
     };
-    let (id, got) = rig.ask(BOUNDED);
-    assert!(sends(&got).is_empty(), "it waits");
-    let first = asked(&got).expect("a probe");
-    assert_eq!(sends(&rig.stands(first, Role::Replica, 100 * MS)), [first]);
-    rig.end(id, 0, first, AttemptOutcome::Ok);
+    let (id, actions) = fixture.request(BOUNDED);
+    assert!(servers_sent_to(&actions).is_empty(), "it waits");
+    let first = checked_server(&actions).expect("a health check");
+    let actions = fixture.report_position(first, Role::Replica, 100 * MS);
+    assert_eq!(servers_sent_to(&actions), [first]);
+    fixture.complete_attempt(id, 0, first, AttemptOutcome::Ok);
 
-    rig.pass(1_000 * MS);
-    let (_, got) = rig.ask(BOUNDED);
-    let first = asked(&got).expect("a probe");
-    let got = rig.stands(first, Role::Replica, 400 * MS);
-    let second = asked(&got).expect("another where the first is behind");
+    fixture.advance(1_000 * MS);
+    let (_, actions) = fixture.request(BOUNDED);
+    let first = checked_server(&actions).expect("a health check");
+    let actions = fixture.report_position(first, Role::Replica, 400 * MS);
+    let second = checked_server(&actions).expect("another one where the first is behind");
     assert_ne!(first, second);
-    // The second never replies: the read waits for a part of its aim only.
-    assert_eq!(sends(&rig.pass(100 * MS)), [P]);
+    // The second never responds: the read waits for a part of its latency objective only.
+    assert_eq!(servers_sent_to(&fixture.advance(100 * MS)), [PRIMARY]);
+}
+
+/// Sends writes one after the other, each answered after this time.
+fn run_writes(fixture: &mut RouterFixture, count: usize, latency: Micros) {
+    for _ in 0..count {
+        let (id, _) = fixture.request(WRITE);
+        fixture.advance(latency);
+        fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
+    }
 }
 
 #[test]
-fn a_read_pays_no_probe_while_the_primary_is_seen_at_ease() {
-    let asks = |took: Micros| {
-        let mut rig = Rig::new(Settings { health_checks_allowed: true, ..settings() });
-        for _ in 0..20 {
-            let (id, _) = rig.ask(WRITE);
-            rig.pass(took);
-            rig.end(id, 0, P, AttemptOutcome::Ok);
-        }
-        rig.ask(BOUNDED).1.iter().any(|a| matches!(a, Action::HealthCheck { .. }))
+fn a_read_waits_for_no_position_query_while_the_primary_is_lightly_loaded() {
+    let queries_position = |latency: Micros| {
+        let mut fixture = RouterFixture::new(Settings { health_checks_allowed: true, ..settings() });
+        run_writes(&mut fixture, 20, latency);
+        health_check_count(&fixture.request(BOUNDED).1) > 0
     };
-    // Of an aim of 500 ms.
-    assert_eq!([50 * MS, 150 * MS].map(asks), [false, true]);
+    // The latency objective is 500 ms.
+    assert_eq!([50 * MS, 150 * MS].map(queries_position), [false, true]);
 }
 
 #[test]
-fn a_read_pays_a_probe_again_once_one_that_fell_back_was_late() {
-    let mut rig = Rig::new(Settings { health_checks_allowed: true, ..settings() });
-    for _ in 0..20 {
-        let (id, _) = rig.ask(WRITE);
-        rig.pass(MS);
-        rig.end(id, 0, P, AttemptOutcome::Ok);
-    }
-    let (id, got) = rig.ask(BOUNDED);
-    assert_eq!(sends(&got), [P]);
-    rig.pass(600 * MS);
-    rig.end(id, 0, P, AttemptOutcome::Ok);
-    for _ in 0..10 {
-        let (id, _) = rig.ask(WRITE);
-        rig.pass(MS);
-        rig.end(id, 0, P, AttemptOutcome::Ok);
-    }
-    assert!(rig.ask(BOUNDED).1.iter().any(|a| matches!(a, Action::HealthCheck { .. })));
+fn a_read_queries_the_position_again_after_one_that_fell_back_was_late() {
+    let mut fixture = RouterFixture::new(Settings { health_checks_allowed: true, ..settings() });
+    run_writes(&mut fixture, 20, MS);
+    let (id, actions) = fixture.request(BOUNDED);
+    assert_eq!(servers_sent_to(&actions), [PRIMARY]);
+    fixture.advance(600 * MS);
+    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
+
+    run_writes(&mut fixture, 10, MS);
+    assert!(health_check_count(&fixture.request(BOUNDED).1) > 0);
 }
--- /dev/null
+++ b/tests/invalid_input.rs
@@ -0,0 +1,129 @@
+//! Invalid or unusual input: no panic, no request without an answer, no false proof of a position.
+
+mod common;
+use birchreach::*;
+use common::*;
+
+#[test]
+fn an_empty_endpoint_list_queues_requests_and_answers_them_in_time() {
+    let mut fixture = RouterFixture::without_endpoints(settings());
+    fixture.set_endpoints(&[]);
+
+    let (id, actions) = fixture.request(WRITE);
+    assert!(servers_sent_to(&actions).is_empty());
+
+    let actions = fixture.advance(2_000 * MS);
+    assert!(is_rejected(&actions), "request {id}");
+    assert_eq!(fixture.router.open_request_count(), 0);
+}
+
+#[test]
+fn a_server_listed_in_two_groups_belongs_to_the_last() {
+    let mut fixture = RouterFixture::without_endpoints(settings());
+    let in_other_group = Endpoint { group: GroupId(1), ..endpoint(REPLICA_1, EndpointState::Ready) };
+    let [primary, replica] = ready([PRIMARY, REPLICA_1]);
+    fixture.set_endpoints(&[primary, replica, in_other_group]);
+
+    for _ in 0..10 {
+        let (id, actions) = fixture.request(ANY);
+        assert_eq!(servers_sent_to(&actions), [PRIMARY], "never a server of another group");
+        fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
+    }
+    let (_, actions) = fixture.request_with(ANY, |request| request.group = GroupId(1));
+    assert_eq!(servers_sent_to(&actions), [REPLICA_1]);
+}
+
+#[test]
+fn a_position_from_the_far_future_proves_nothing_beyond_the_present() {
+    let mut fixture = RouterFixture::new(settings());
+    fixture.report_position(REPLICA_1, Role::Replica, -3_600_000 * MS);
+    fixture.advance(400 * MS);
+
+    let (_, actions) = fixture.request(BOUNDED);
+    assert_eq!(servers_sent_to(&actions), [PRIMARY], "400 ms later it is too old for 300 ms");
+}
+
+#[test]
+fn zero_proxies_count_as_one_and_extreme_settings_do_not_panic() {
+    let mut settings = settings();
+    settings.proxy_count = 0;
+    settings.slow_start_window = 0;
+    settings.overload_window = 0;
+    settings.max_attempts = 0;
+    for class in &mut settings.classes {
+        class.latency_objective = 0;
+        class.priority_weight = f64::NAN;
+    }
+    let mut fixture = RouterFixture::new(settings);
+
+    for class in 0..9 {
+        let (id, _) = fixture.request(class);
+        fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
+    }
+    fixture.advance(5_000 * MS);
+    assert_eq!(fixture.router.open_request_count(), 0);
+}
+
+/// Guards against an initial value of 0 that stands for "in the past".
+#[test]
+fn a_clock_below_zero_is_as_good_as_any_other() {
+    let now = -1_000_000 * MS;
+    let mut actions = Vec::new();
+    let mut router = Router::new(settings(), 1, now, &mut actions);
+    let endpoints = ALL_SERVERS.map(|id| endpoint(id, EndpointState::Draining)).to_vec();
+    let list = EndpointList { complete: true, endpoints };
+    router.handle(now, Event::EndpointsChanged(list), &mut actions);
+
+    let request = Request {
+        id: RequestId(1),
+        class: ClassId(WRITE),
+        group: GroupId(0),
+        tenant: TenantId(0),
+        timeout: 2_000 * MS,
+        session: None,
+        last_write_position: None,
+        copy_candidates: vec![],
+    };
+    router.handle(now, Event::Request(request), &mut actions);
+
+    let delay_of = |action: &Action| match action {
+        Action::Timer { delay, .. } => Some(*delay),
+        _ => None,
+    };
+    let delay = actions.iter().find_map(delay_of).expect("a timer");
+    assert!(delay <= 200 * MS, "it is tried again soon, not after {delay} us");
+}
+
+#[test]
+fn a_slow_start_window_shorter_than_the_overload_window_does_not_panic() {
+    let mut settings = settings();
+    settings.slow_start_window = 1_000 * MS;
+    settings.overload_window = 1_500 * MS;
+    let mut fixture = RouterFixture::without_endpoints(settings);
+    let started_at = Some(fixture.now);
+    let endpoints = ready([PRIMARY, REPLICA_1]).map(|endpoint| Endpoint { started_at, ..endpoint });
+    fixture.set_endpoints(&endpoints);
+
+    let mut sent = 0;
+    for _ in 0..20 {
+        sent += servers_sent_to(&fixture.request(ANY).1).len();
+        sent += servers_sent_to(&fixture.advance(100 * MS)).len();
+    }
+    assert!(sent > 0, "servers in slow start get work where a group has no others");
+}
+
+/// If the lower position counted, the replica would appear to lag and attract the reads that any server may answer, two
+/// at a time.
+#[test]
+fn a_reported_position_that_goes_back_is_ignored() {
+    let mut fixture = RouterFixture::new(settings());
+    fixture.report_position(REPLICA_1, Role::Replica, 0);
+    fixture.report_position(REPLICA_2, Role::Replica, 0);
+    fixture.report_position(REPLICA_2, Role::Replica, 90_000 * MS);
+
+    let mut servers = [ANY, ANY, ANY].map(|class| servers_sent_to(&fixture.request(class).1)[0]);
+    servers[..2].sort();
+    assert_eq!(servers[..2], [REPLICA_1, REPLICA_2], "one each");
+    let bounded = servers_sent_to(&fixture.request(BOUNDED).1);
+    assert_eq!(bounded.len(), 1, "the position that was proven still holds");
+}
--- /dev/null
+++ b/tests/priorities.rs
@@ -0,0 +1,40 @@
+//! What load must not displace: writes, and queued requests with the highest priority weight.
+
+mod common;
+use birchreach::*;
+use common::*;
+
+#[test]
+fn reads_that_fall_back_reserve_a_part_of_the_primary_for_writes() {
+    let mut fixture = RouterFixture::new(settings());
+    fixture.report_position(PRIMARY, Role::Primary, 0);
+
+    // Nothing is known of the replicas: bounded reads fall back, up to half of the initial limit of four.
+    let reads: Vec<u32> = (0..6).flat_map(|_| servers_sent_to(&fixture.request(BOUNDED).1)).collect();
+    assert_eq!(reads, [PRIMARY, PRIMARY]);
+
+    let writes: Vec<u32> = (0..6).flat_map(|_| servers_sent_to(&fixture.request(WRITE).1)).collect();
+    assert_eq!(writes, [PRIMARY, PRIMARY], "the other half is for writes");
+}
+
+#[test]
+fn the_queued_write_with_the_highest_priority_weight_goes_first() {
+    let mut settings = settings();
+    let high_priority_class = settings.classes.len() as u16;
+    settings.classes.push(RequestClass { priority_weight: 9.0, ..settings.classes[0].clone() });
+    let mut fixture = RouterFixture::new(settings);
+    fixture.report_position(PRIMARY, Role::Primary, 0);
+    let in_flight: Vec<u64> = (0..4).map(|_| fixture.request(WRITE).0).collect();
+
+    assert!(servers_sent_to(&fixture.request(WRITE).1).is_empty(), "at the concurrency limit: queued");
+    let (high_priority, actions) = fixture.request(high_priority_class);
+    assert!(servers_sent_to(&actions).is_empty(), "queued too");
+    assert!(servers_sent_to(&fixture.request(WRITE).1).is_empty(), "and the one that came last");
+
+    let actions = fixture.complete_attempt(in_flight[0], 0, PRIMARY, AttemptOutcome::Ok);
+    let first_sent = actions.iter().find_map(|action| match action {
+        Action::Send { request, .. } => Some(request.0),
+        _ => None,
+    });
+    assert_eq!(first_sent, Some(high_priority));
+}
--- a/tests/property/recorded.rs
+++ b/tests/property/recorded.rs
@@ -6,8 +6,8 @@
 use super::*;
 use std::fmt::Write;
 
-const DAYS: u64 = 256;
-const STEPS_PER_DAY: usize = 200;
+const SEQUENCES: u64 = 256;
+const STEPS_PER_SEQUENCE: usize = 200;
 
 /// SplitMix64: the same numbers on every machine and with every version of a library.
 struct Numbers(u64);
@@ -40,14 +40,12 @@
     fn action(&mut self, at: Micros, action: &Action) {
         self.word(at);
         let words = match action {
-            Action::Send { request, server, timeout: patience } => {
-                [1, request.0 as i64, i64::from(server.0), *patience]
-            }
+            Action::Send { request, server, timeout } => [1, request.0 as i64, i64::from(server.0), *timeout],
             Action::Reject { request, retry_after } => [2, request.0 as i64, retry_after.unwrap_or(-1), 0],
             Action::Fail { request } => [3, request.0 as i64, 0, 0],
             Action::Cancel { request, attempt } => [4, request.0 as i64, i64::from(attempt.0), 0],
             Action::HealthCheck { server } => [5, i64::from(server.0), 0, 0],
-            Action::Timer { id, delay: after } => [6, i64::from(*id), *after, 0],
+            Action::Timer { id, delay } => [6, i64::from(*id), *delay, 0],
             Action::WatchEndpoints => [7, 0, 0, 0],
             Action::Log(_) => [9, 0, 0, 0],
         };
@@ -55,13 +53,13 @@
     }
 }
 
-fn recorded_days() -> String {
+fn digests() -> String {
     let mut lines = String::new();
-    for number in 0..DAYS {
+    for number in 0..SEQUENCES {
         let mut numbers = Numbers(number);
         let (bits, seed) = (numbers.next() as u32, numbers.next());
-        let steps: Vec<Step> = (0..STEPS_PER_DAY).map(|_| numbers.step()).collect();
-        let actions = day(bits, seed, &steps);
+        let steps: Vec<Step> = (0..STEPS_PER_SEQUENCE).map(|_| numbers.step()).collect();
+        let actions = run_sequence(bits, seed, &steps);
         let mut digest = Digest(0xcbf2_9ce4_8422_2325);
         actions.iter().for_each(|(at, action)| digest.action(*at, action));
         writeln!(lines, "{bits:08x} {} {:016x}", actions.len(), digest.0).unwrap();
@@ -72,9 +70,9 @@
 #[test]
 fn the_same_events_give_the_recorded_actions() {
     let recorded = include_str!("recorded.txt");
-    let played = recorded_days();
-    for (number, (recorded, played)) in recorded.lines().zip(played.lines()).enumerate() {
-        assert_eq!(recorded, played, "day {number}");
+    let computed = digests();
+    for (number, (recorded, computed)) in recorded.lines().zip(computed.lines()).enumerate() {
+        assert_eq!(recorded, computed, "sequence {number}");
     }
-    assert_eq!(recorded.lines().count(), played.lines().count());
+    assert_eq!(recorded.lines().count(), computed.lines().count());
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,185 +1,197 @@
-//! One final answer, no effect twice, no stale read: the rules at their edges.
+//! Rules that every request relies on: one final answer, no write run twice, no stale read.
 
 mod common;
 use birchreach::*;
 use common::*;
 
-fn finals(rig: &Rig, id: u64) -> usize {
-    let is = |a: &Action| match a {
+/// Number of final answers by the router for this request.
+fn final_answer_count(fixture: &RouterFixture, id: u64) -> usize {
+    let is_final_answer = |action: &Action| match action {
         Action::Reject { request, .. } | Action::Fail { request } => request.0 == id,
         _ => false,
     };
-    rig.all.iter().filter(|(_, a)| is(a)).count()
+    fixture.history.iter().filter(|(_, action)| is_final_answer(action)).count()
 }
 
 #[test]
-fn a_request_of_a_group_without_members_is_refused_in_time() {
-    let mut rig = Rig::bare(settings());
-    let (id, _) = rig.ask(ANY);
-    let deadline = rig.now + 2_000 * MS;
-    rig.pass(3_000 * MS);
-    assert_eq!(finals(&rig, id), 1);
-    let answered = rig.all.iter().find(|(_, a)| matches!(a, Action::Reject { .. }));
-    assert!(answered.is_some_and(|(at, _)| *at <= deadline));
-    assert_eq!(rig.router.open_request_count(), 0);
+fn a_request_for_a_group_without_members_is_rejected_in_time() {
+    let mut fixture = RouterFixture::without_endpoints(settings());
+    let (id, _) = fixture.request(ANY);
+    let deadline = fixture.now + 2_000 * MS;
+    fixture.advance(3_000 * MS);
+
+    assert_eq!(final_answer_count(&fixture, id), 1);
+    let rejection = fixture.history.iter().find(|(_, action)| matches!(action, Action::Reject { .. }));
+    assert!(rejection.is_some_and(|(at, _)| *at <= deadline));
+    assert_eq!(fixture.router.open_request_count(), 0);
 }
 
 #[test]
-fn nothing_goes_out_after_the_final_answer() {
-    let mut rig = Rig::new(settings());
-    let (id, _) = rig.ask(WRITE);
-    rig.pass(2_000 * MS);
-    rig.end(id, 0, P, AttemptOutcome::Timeout);
-    assert_eq!(finals(&rig, id), 1);
-    rig.pass(5_000 * MS);
-    rig.end(id, 0, P, AttemptOutcome::Ok);
-    assert_eq!(finals(&rig, id), 1);
-    let sent = rig.all.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count();
-    assert_eq!(sent, 1);
+fn nothing_is_sent_after_the_final_answer() {
+    let mut fixture = RouterFixture::new(settings());
+    let (id, _) = fixture.request(WRITE);
+    fixture.advance(2_000 * MS);
+    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Timeout);
+    assert_eq!(final_answer_count(&fixture, id), 1);
+
+    fixture.advance(5_000 * MS);
+    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
+    assert_eq!(final_answer_count(&fixture, id), 1);
+    let sends = fixture.history.iter().filter(|(_, action)| matches!(action, Action::Send { .. }));
+    assert_eq!(sends.count(), 1);
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_never_sent_again() {
-    for ending in [
+fn a_request_that_is_not_idempotent_and_may_have_run_fails_and_is_never_retried() {
+    for outcome in [
         AttemptOutcome::Error,
         AttemptOutcome::ConnectionReset,
         AttemptOutcome::Timeout,
         AttemptOutcome::Cancelled,
     ] {
-        let mut rig = Rig::new(settings());
-        let (id, _) = rig.ask(WRITE);
-        let got = rig.end(id, 0, P, ending);
-        assert!(failed(&got) && !refused(&got), "{ending:?}");
-        assert!(sends(&rig.pass(3_000 * MS)).is_empty());
+        let mut fixture = RouterFixture::new(settings());
+        let (id, _) = fixture.request(WRITE);
+        let actions = fixture.complete_attempt(id, 0, PRIMARY, outcome);
+        assert!(is_failed(&actions) && !is_rejected(&actions), "{outcome:?}");
+        assert!(servers_sent_to(&fixture.advance(3_000 * MS)).is_empty());
     }
 }
 
 #[test]
-fn a_keyed_request_is_sent_again_inside_its_window_only() {
-    let mut s = settings();
-    s.classes[0] = class(Consistency::Write, keyed());
-    let mut rig = Rig::new(s.clone());
-    let (id, _) = rig.ask(WRITE);
-    rig.pass(200 * MS);
-    let mut got = rig.end(id, 0, P, AttemptOutcome::Error);
-    got.extend(rig.pass(100 * MS));
-    assert_eq!(sends(&got), [P], "inside");
-
-    let mut rig = Rig::new(s);
-    let (id, _) = rig.ask(WRITE);
-    rig.now += 600 * MS;
-    let mut got = rig.end(id, 0, P, AttemptOutcome::Error);
-    got.extend(rig.pass(1_000 * MS));
-    assert!(sends(&got).is_empty() && failed(&got) && !refused(&got), "outside");
+fn a_request_with_an_idempotency_key_is_retried_within_the_window_only() {
+    let mut settings = settings();
+    settings.classes[WRITE as usize] = class(Consistency::Write, with_idempotency_key());
+
+    let mut fixture = RouterFixture::new(settings.clone());
+    let (id, _) = fixture.request(WRITE);
+    fixture.advance(200 * MS);
+    let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
+    actions.extend(fixture.advance(100 * MS));
+    assert_eq!(servers_sent_to(&actions), [PRIMARY], "inside");
+
+    let mut fixture = RouterFixture::new(settings);
+    let (id, _) = fixture.request(WRITE);
+    fixture.now += 600 * MS;
+    let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
+    actions.extend(fixture.advance(1_000 * MS));
+    assert!(servers_sent_to(&actions).is_empty(), "outside");
+    assert!(is_failed(&actions) && !is_rejected(&actions), "outside");
 }
 
 #[test]
-fn never_two_at_once_where_that_is_forbidden() {
-    let mut s = settings();
-    s.hedging_allowed = false;
-    let mut rig = Rig::new(s);
-    let (id, got) = rig.ask(ANY);
-    let first = sends(&got)[0];
-    let got = rig.pass(1_000 * MS);
-    assert!(sends(&got).is_empty());
-    assert!(got.contains(&Action::Cancel { request: RequestId(id), attempt: AttemptNo(0) }));
-    let got = rig.end(id, 0, first, AttemptOutcome::Cancelled);
-    assert_eq!(sends(&got).len(), 1);
-    assert_ne!(sends(&got)[0], first);
+fn without_hedging_a_request_never_has_two_attempts_in_flight() {
+    let mut settings = settings();
+    settings.hedging_allowed = false;
+    let mut fixture = RouterFixture::new(settings);
+    let (id, actions) = fixture.request(ANY);
+    let first = servers_sent_to(&actions)[0];
+
+    let actions = fixture.advance(1_000 * MS);
+    assert!(servers_sent_to(&actions).is_empty());
+    assert!(actions.contains(&Action::Cancel { request: RequestId(id), attempt: AttemptNo(0) }));
+
+    let actions = fixture.complete_attempt(id, 0, first, AttemptOutcome::Cancelled);
+    assert_eq!(servers_sent_to(&actions).len(), 1);
+    assert_ne!(servers_sent_to(&actions)[0], first);
 }
 
 #[test]
-fn an_old_report_of_a_primary_loses_to_a_newer_note_that_it_is_none() {
-    let mut rig = Rig::new(settings());
-    let claimed = rig.now - 10 * MS;
-    let (id, _) = rig.ask(WRITE);
-    let at = rig.now;
-    rig.end_with(id, 0, P, AttemptOutcome::Ineligible, note(Role::Replica, at - 900 * MS));
-    let report = LoadReport { position: Some(claimed), role: Some(Role::Primary) };
-    rig.feed(Event::HealthCheckCompleted {
-        server: ServerId(P),
+fn an_old_load_report_of_a_primary_yields_to_a_newer_status_that_it_is_none() {
+    let mut fixture = RouterFixture::new(settings());
+    let report_position = fixture.now - 10 * MS;
+    let (id, _) = fixture.request(WRITE);
+    let replica_status = status(Role::Replica, fixture.now - 900 * MS);
+    let outcome = AttemptOutcome::Ineligible;
+    fixture.complete_attempt_with_status(id, 0, PRIMARY, outcome, replica_status);
+
+    let report = LoadReport { position: Some(report_position), role: Some(Role::Primary) };
+    fixture.handle(Event::HealthCheckCompleted {
+        server: ServerId(PRIMARY),
         outcome: AttemptOutcome::Ok,
         load_report: Some(report),
     });
-    rig.pass(400 * MS);
-    assert!(!sends(&rig.ask(BOUNDED).1).contains(&P), "that would be a stale read");
+    fixture.advance(400 * MS);
+    let servers = servers_sent_to(&fixture.request(BOUNDED).1);
+    assert!(!servers.contains(&PRIMARY), "that would be a stale read");
 }
 
 #[test]
-fn odd_events_are_ignored() {
-    let mut rig = Rig::new(settings());
-    rig.end(77, 3, R1, AttemptOutcome::Ok);
-    rig.end(77, 3, 999, AttemptOutcome::Error);
-    rig.feed(Event::ClientDisconnected { request: RequestId(5_000) });
-    rig.feed(Event::ResponseStarted { request: RequestId(5_000), attempt: AttemptNo(0) });
-    rig.feed(Event::Timer { id: 12 });
-    rig.feed(Event::HealthCheckCompleted {
-        server: ServerId(999),
-        outcome: AttemptOutcome::Timeout,
-        load_report: None,
-    });
-    let mut list = [P, R1, R2].map(|id| member(id, EndpointState::Ready));
-    list[1].weight = f64::NAN;
-    list[2].weight = 0.0;
-    rig.list(&list);
-    assert!(refused(&rig.ask(99).1), "a class that does not exist");
-    assert_eq!(sends(&rig.ask(ANY).1).len(), 1);
-    let (id, _) = rig.ask_for(ANY, |r| r.timeout = -5);
-    rig.pass(MS);
-    assert_eq!(finals(&rig, id), 1);
+fn unexpected_events_are_ignored() {
+    let mut fixture = RouterFixture::new(settings());
+    fixture.complete_attempt(77, 3, REPLICA_1, AttemptOutcome::Ok);
+    fixture.complete_attempt(77, 3, 999, AttemptOutcome::Error);
+    fixture.handle(Event::ClientDisconnected { request: RequestId(5_000) });
+    fixture.handle(Event::ResponseStarted { request: RequestId(5_000), attempt: AttemptNo(0) });
+    fixture.handle(Event::Timer { id: 12 });
+    fixture.complete_health_check(999, AttemptOutcome::Timeout);
+    let mut endpoints = ready(ALL_SERVERS);
+    endpoints[1].weight = f64::NAN;
+    endpoints[2].weight = 0.0;
+    fixture.set_endpoints(&endpoints);
+
+    assert!(is_rejected(&fixture.request(99).1), "a class that does not exist");
+    assert_eq!(servers_sent_to(&fixture.request(ANY).1).len(), 1);
+    let (id, _) = fixture.request_with(ANY, |request| request.timeout = -5);
+    fixture.advance(MS);
+    assert_eq!(final_answer_count(&fixture, id), 1);
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut rig = Rig::new(settings());
-        for i in 0..200 {
-            let (id, got) = rig.ask(i % 4);
-            if let Some(server) = sends(&got).first() {
-                rig.pass(7 * MS);
-                rig.end(id, 0, *server, if i % 5 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Ok });
+        let mut fixture = RouterFixture::new(settings());
+        for index in 0..200 {
+            let (id, actions) = fixture.request(index % 4);
+            if let Some(server) = servers_sent_to(&actions).first() {
+                fixture.advance(7 * MS);
+                let outcome = if index % 5 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
+                fixture.complete_attempt(id, 0, *server, outcome);
             }
         }
-        rig.all
+        fixture.history
     };
     assert_eq!(run(), run());
 }
 
 #[test]
-fn a_fresh_read_never_goes_round_members_that_do_not_check() {
-    for (checks, round) in [(StaleReadPolicy::Served, false), (StaleReadPolicy::Rejected, true)] {
-        let mut s = settings();
-        s.stale_reads = checks;
-        s.classes[ANY as usize] = class(Consistency::Strong, Idempotency::Idempotent);
-        let mut rig = Rig::new(s);
-        let (id, got) = rig.ask(ANY);
-        assert_eq!(sends(&got), [P]);
-        let at = rig.now;
-        // The primary turns out to be none; a replica would answer with whatever it holds.
-        let mut got = rig.end_with(id, 0, P, AttemptOutcome::Ineligible, note(Role::Replica, at));
-        got.extend(rig.pass(500 * MS));
-        assert_eq!(!sends(&got).is_empty(), round, "{checks:?}");
+fn a_strong_read_is_tried_at_other_members_only_where_they_reject_it() {
+    for (stale_reads, is_tried) in [(StaleReadPolicy::Served, false), (StaleReadPolicy::Rejected, true)] {
+        let mut settings = settings();
+        settings.stale_reads = stale_reads;
+        settings.classes[ANY as usize] = class(Consistency::Strong, Idempotency::Idempotent);
+        let mut fixture = RouterFixture::new(settings);
+        let (id, actions) = fixture.request(ANY);
+        assert_eq!(servers_sent_to(&actions), [PRIMARY]);
+
+        // The server turns out not to be primary; a replica that does not check would answer with stale data.
+        let replica_status = status(Role::Replica, fixture.now);
+        let outcome = AttemptOutcome::Ineligible;
+        let mut actions = fixture.complete_attempt_with_status(id, 0, PRIMARY, outcome, replica_status);
+        actions.extend(fixture.advance(500 * MS));
+        assert_eq!(!servers_sent_to(&actions).is_empty(), is_tried, "{stale_reads:?}");
     }
 }
 
 #[test]
-fn what_no_server_has_had_is_refused_by_half_of_its_time_and_not_before_it_must() {
-    // No connection comes up, or there is nobody to send to at all.
-    for servers in [&[P][..], &[]] {
-        let mut rig = Rig::bare(settings());
-        rig.list(&servers.iter().map(|id| member(*id, EndpointState::Ready)).collect::<Vec<_>>());
-        let (id, got) = rig.ask(WRITE);
-        for _ in sends(&got) {
-            rig.end(id, 0, P, AttemptOutcome::ClosedBeforeExecution);
-            rig.list(&[]);
+fn a_request_that_reached_no_server_is_rejected_at_half_of_its_timeout_and_not_much_before() {
+    // No connection can be made, or there is no server.
+    for servers in [&[PRIMARY][..], &[]] {
+        let mut fixture = RouterFixture::without_endpoints(settings());
+        let endpoints = servers.iter().map(|id| endpoint(*id, EndpointState::Ready));
+        fixture.set_endpoints(&endpoints.collect::<Vec<_>>());
+        let (id, actions) = fixture.request(WRITE);
+        for _ in servers_sent_to(&actions) {
+            fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::ClosedBeforeExecution);
+            fixture.set_endpoints(&[]);
         }
-        assert!(!refused(&rig.pass(900 * MS)));
-        assert!(refused(&rig.pass(100 * MS)));
+        assert!(!is_rejected(&fixture.advance(900 * MS)));
+        assert!(is_rejected(&fixture.advance(100 * MS)));
     }
-    // One that a server turned away has been with it.
-    let mut rig = Rig::new(settings());
-    let (id, _) = rig.ask(WRITE);
-    rig.end(id, 0, P, AttemptOutcome::Overloaded);
-    rig.list(&[]);
-    assert!(!refused(&rig.pass(1_200 * MS)));
+
+    // A request that a server rejected has reached it.
+    let mut fixture = RouterFixture::new(settings());
+    let (id, _) = fixture.request(WRITE);
+    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Overloaded);
+    fixture.set_endpoints(&[]);
+    assert!(!is_rejected(&fixture.advance(1_200 * MS)));
 }
