--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -10,7 +10,7 @@
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
 /// Fraction of the latency objective that is the first estimate of latency and of its deviation.
 const INITIAL_LATENCY_FRACTION: f64 = 0.125;
-/// Minimum of a latency bound. A request that were looked at again without a delay would find nothing changed.
+/// Minimum of a latency bound: a request that is looked at again without a delay would find nothing changed.
 pub const MIN_WAKE_DELAY: Micros = 1_000;
 
 /// Moves a running mean towards a new sample.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -160,8 +160,8 @@
     pub slow_start_initial_fraction: f64,
     /// Slow start: time after which a server has its full capacity.
     pub slow_start_window: Micros,
-    /// A server in slow start fails when it gets more than this multiple of its present capacity
+    /// Slow start: a server fails that gets more than this multiple of its present capacity for the overload window.
     pub overload_factor: f64,
-    /// for this time.
+    /// Slow start: the time over which that overload is measured.
     pub overload_window: Micros,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,17 @@
-//! birchreach makes the decisions of a router before a primary and its replicas.
+//! Routing decisions of a proxy in front of a primary and its replicas.
 //!
-//! The module does no I/O: feed each [`Event`] with the time to [`Router::handle`] and carry out
-//! the [`Action`]s in order. It reads no clock and uses no threads; the same events with the same
-//! seed give the same actions.
+//! The crate does no I/O, reads no clock and starts no thread. Pass each [`Event`] with the present time to
+//! [`Router::handle`] and carry out the returned [`Action`]s in order. The same events with the same seed give the same
+//! actions. Start reading at `src/policy/mod.rs`, which lists the files by what they decide.
 //!
-//! What the caller guarantees: time never goes back; a request id is not used twice; every
-//! [`Action::Send`] is followed by exactly one [`Event::AttemptCompleted`]; every [`Action::Timer`] comes
-//! back as [`Event::Timer`] no earlier than it was due. Anything else is ignored safely.
+//! The caller guarantees that
+//!
+//! - time never goes back;
+//! - a request id is used once;
+//! - each [`Action::Send`] is followed by exactly one [`Event::AttemptCompleted`];
+//! - each [`Action::Timer`] is followed by an [`Event::Timer`], not earlier than requested.
+//!
+//! Events that refer to an unknown request, attempt or server are ignored.
 //!
 //! ```
 //! use birchreach::*;
@@ -67,31 +72,31 @@
 //!     copy_candidates: vec![],
 //! };
 //! router.handle(2_000, Event::Request(request), &mut actions);
-//! // The loop of a real router: do what each action says, and report back what came of it.
-//! let mut to_report = Vec::new();
+//! // A proxy carries out each action and reports the result as an event.
+//! let mut sent = Vec::new();
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { request, server, .. } => to_report.push((request, server)),
-//!         Action::Timer { .. } => {} // wake the module with Event::Timer after that time
+//!         Action::Send { request, server, .. } => sent.push((request, server)),
+//!         Action::Timer { .. } => {} // send Event::Timer after the delay
 //!         other => println!("{other:?}"),
 //!     }
 //! }
-//! assert_eq!(to_report, [(RequestId(1), ServerId(2))], "a read goes to the replica");
-//! for (request, server) in to_report {
+//! assert_eq!(sent, [(RequestId(1), ServerId(2))], "a read goes to the replica");
+//! for (request, server) in sent {
 //!     let result = AttemptResult {
 //!         request,
 //!         attempt: AttemptNo(0),
 //!         server,
 //!         outcome: AttemptOutcome::Ok,
 //!         elapsed: 30_000,
-//!         request_finished: true, // the router has passed the answer on
+//!         request_finished: true, // the answer was forwarded to the client
 //!         status: Some(ServerStatus { role: Role::Replica, position: Some(30_000) }),
 //!         load_report: None,
 //!     };
 //!     router.handle(32_000, Event::AttemptCompleted(result), &mut actions);
 //! }
 //! assert_eq!(router.open_request_count(), 0);
-//! // Shutting down: stop feeding requests, and go on until none is open.
+//! // Graceful shutdown: send no more request events, and continue until no request is open.
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
