--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -1,182 +1,201 @@
-//! What balancers are told, and where: the element `health`.
+//! What balancers are told, and where: the element `health`. The names of its attributes are mapped here to those of
+//! the settings.
 
 use crate::reader::Reader;
 use crate::{Fault, meet};
 use birchreach_health::{
     AggregationRule, HealthSettings, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings,
-    SharedCausePolicy,
+    SharedCausePolicy, WeightSettings,
 };
 use std::net::SocketAddr;
 use uppsala::NodeId;
 
+const DEFAULT_SHUTDOWN_NOTICE_MICROS: Micros = 3_000_000;
+const DEFAULT_IDLE_TIMEOUT_MICROS: Micros = 65_000_000;
+const DEFAULT_QUERY_TIMEOUT_MICROS: Micros = 20_000;
+const DEFAULT_SILENCE_TIMEOUT_MICROS: Micros = 2_000_000;
+const DEFAULT_MAX_CONNECTIONS: usize = 64;
+
 /// What balancers are told, and where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Health {
-    pub http: Option<Http>,
-    pub agent: Option<Agent>,
-    pub grpc: Option<Http>,
-    /// Classes and seed are the program's to fill in.
+pub struct HealthOptions {
+    /// HTTP checks.
+    pub http: Option<KeepAliveListener>,
+    /// Agent-checks.
+    pub agent: Option<AgentListener>,
+    /// gRPC checks.
+    pub grpc: Option<KeepAliveListener>,
+    /// The monitor's settings. Classes and seed are left for the program to fill in.
     pub settings: HealthSettings,
-    /// After SIGTERM, draining is told for so long before the listener closes.
-    pub lead: Micros,
+    /// After SIGTERM, draining is reported for this long before the proxy stops listening for clients.
+    pub shutdown_notice: Micros,
 }
 
-/// An address where balancers call.
+/// An address where balancers connect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckListener {
-    pub listen: SocketAddr,
-    /// Where that stands in the file.
+    /// The address.
+    pub address: SocketAddr,
+    /// The line of the file that has it.
     pub line: usize,
-    /// Callers at once.
-    pub callers: usize,
-    /// A call that is begun, or a reply that is not read, ends the connection after this time.
-    pub silent: Micros,
+    /// The most connections open at once.
+    pub max_connections: usize,
+    /// A connection that sends no complete request, or doesn't read its response, is closed after this time.
+    pub silence_timeout: Micros,
 }
 
+/// A listener whose connections may stay open between requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Http {
-    pub check_listener: CheckListener,
-    /// A connection may be kept between calls for so long.
-    pub idle: Micros,
+pub struct KeepAliveListener {
+    /// The listener.
+    pub listener: CheckListener,
+    /// A connection without requests is closed after this time.
+    pub idle_timeout: Micros,
 }
 
+/// The listener for agent-checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Agent {
-    pub check_listener: CheckListener,
-    /// A balancer that says nothing for so long asks for the whole.
-    pub ask: Micros,
-    /// Replies hold how many connections there is room for.
-    pub maxconn: bool,
+pub struct AgentListener {
+    /// The listener.
+    pub listener: CheckListener,
+    /// A balancer that sends nothing for this long asks for the proxy as a whole.
+    pub query_timeout: Micros,
+    /// Replies say how many connections the balancer may open.
+    pub reports_maxconn: bool,
 }
 
-impl Health {
-    /// Every address where balancers call, and the element that names it.
+impl HealthOptions {
+    /// Every address where balancers connect, with the name of its element.
     pub fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
-        let http = self.http.as_ref().map(|http| ("http", &http.check_listener));
-        let agent = self.agent.as_ref().map(|agent| ("agent", &agent.check_listener));
-        let grpc = self.grpc.as_ref().map(|grpc| ("grpc", &grpc.check_listener));
+        let http = self.http.as_ref().map(|http| ("http", &http.listener));
+        let agent = self.agent.as_ref().map(|agent| ("agent", &agent.listener));
+        let grpc = self.grpc.as_ref().map(|grpc| ("grpc", &grpc.listener));
         http.into_iter().chain(agent).chain(grpc)
     }
 }
 
 impl Reader<'_> {
-    pub(crate) fn health(&mut self, node: NodeId) -> Option<Health> {
-        let mut settings = HealthSettings::default();
-        let mut lead = 3_000_000;
-        let http = self.child(node, "http").and_then(|node| {
-            let mut http = Http { check_listener: self.check_listener(node)?, idle: 65_000_000 };
-            self.ms(node, "idle-ms", &mut http.idle);
-            Some(http)
-        });
-        let grpc = self.child(node, "grpc").and_then(|node| {
-            let mut grpc = Http { check_listener: self.check_listener(node)?, idle: 65_000_000 };
-            self.ms(node, "idle-ms", &mut grpc.idle);
-            Some(grpc)
-        });
-        let agent = self.child(node, "agent").and_then(|node| {
-            let mut agent = Agent { check_listener: self.check_listener(node)?, ask: 20_000, maxconn: false };
-            self.ms(node, "ask-ms", &mut agent.ask);
-            agent.maxconn = matches!(self.doc.get_attribute(node, "maxconn"), Some("true" | "1"));
-            Some(agent)
-        });
-        let parts = ["claims", "probes", "weight", "stopping"].map(|name| self.child(node, name));
-        let [claims, probes, weight, stopping] = parts;
-        if let Some(node) = claims {
-            self.claims(node, &mut settings);
+    pub(crate) fn health(&mut self, node: NodeId) -> Option<HealthOptions> {
+        let http = self.child(node, "http").and_then(|http| self.keep_alive_listener(http));
+        let grpc = self.child(node, "grpc").and_then(|grpc| self.keep_alive_listener(grpc));
+        let agent = self.child(node, "agent").and_then(|agent| self.agent_listener(agent));
+        let settings = self.health_settings(node);
+        let mut shutdown_notice = DEFAULT_SHUTDOWN_NOTICE_MICROS;
+        if let Some(stopping) = self.child(node, "stopping") {
+            self.ms(stopping, "lead-ms", &mut shutdown_notice);
         }
-        if let Some(node) = probes {
-            let mut probing = ProbeSettings::default();
-            self.ms(node, "every-ms", &mut probing.interval);
-            self.ms(node, "suspect-ms", &mut probing.suspect_after);
-            self.ms(node, "timeout-ms", &mut probing.timeout);
-            self.number(node, "group-per-s", &mut probing.group_rate_per_s);
-            self.number(node, "whole-per-s", &mut probing.total_rate_per_s);
-            settings.probes = Some(probing);
+        self.report_contradictions(node, &settings);
+        if http.is_none() && agent.is_none() && grpc.is_none() {
+            self.fault(node, "neither http, agent nor grpc: nobody could ask");
         }
-        if let Some(node) = weight {
-            let w = &mut settings.weight;
-            self.number(node, "knee", &mut w.reduce_above);
-            self.number(node, "hot", &mut w.trim_above);
-            self.number(node, "least", &mut w.percent_at_full_pressure);
-            self.number(node, "up-per-s", &mut w.max_rise_factor_per_s);
-            self.number(node, "down-per-s", &mut w.max_fall_factor_per_s);
-            self.ms(node, "settle-ms", &mut w.settling_time);
-            self.number(node, "overload-at", &mut settings.overload_pressure);
+        let health = HealthOptions { http, agent, grpc, settings, shutdown_notice };
+        self.report_shared_addresses(&health);
+        Some(health)
+    }
+
+    fn health_settings(&mut self, node: NodeId) -> HealthSettings {
+        let mut settings = HealthSettings::default();
+        if let Some(claims) = self.child(node, "claims") {
+            self.claims(claims, &mut settings);
+        }
+        if let Some(probes) = self.child(node, "probes") {
+            settings.probes = Some(self.probes(probes));
         }
-        if let Some(node) = stopping {
-            self.ms(node, "lead-ms", &mut lead);
+        if let Some(weight) = self.child(node, "weight") {
+            self.weight(weight, &mut settings.weight);
+            self.number(weight, "overload-at", &mut settings.overload_pressure);
         }
-        // What does not hold together is told where it is written, or else at the whole.
+        settings
+    }
+
+    /// A contradiction is reported at the element that has the option, or else at the whole.
+    fn report_contradictions(&mut self, node: NodeId, settings: &HealthSettings) {
+        let elements = ["claims", "probes", "weight", "stopping"].map(|name| self.child(node, name));
         for error in settings.errors() {
-            let is_written = |node: &NodeId| self.doc.get_attribute(*node, error.option).is_some();
-            let at = parts.into_iter().flatten().find(is_written).unwrap_or(node);
+            let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option).is_some();
+            let at = elements.into_iter().flatten().find(has_option).unwrap_or(node);
             self.fault(at, error.to_string());
         }
-        if http.is_none() && agent.is_none() && grpc.is_none() {
-            self.fault(node, "neither http, agent nor grpc: nobody could ask");
-        }
-        let health = Health { http, agent, grpc, settings, lead };
-        let check_listeners: Vec<_> = health.check_listeners().collect();
-        for (n, (element, check_listener)) in check_listeners.iter().enumerate() {
-            if let Some((other, _)) =
-                check_listeners[..n].iter().find(|(_, other)| meet(other.listen, check_listener.listen))
-            {
-                let message = format!("listen: {} is used by {other} too", check_listener.listen);
-                self.faults.push(Fault { line: check_listener.line, element: (*element).into(), message });
+    }
+
+    fn report_shared_addresses(&mut self, health: &HealthOptions) {
+        let listeners: Vec<_> = health.check_listeners().collect();
+        for (index, (element, listener)) in listeners.iter().enumerate() {
+            let mut earlier = listeners[..index].iter();
+            if let Some((other, _)) = earlier.find(|(_, other)| meet(other.address, listener.address)) {
+                let message = format!("listen: {} is used by {other} too", listener.address);
+                self.faults.push(Fault { line: listener.line, element: (*element).into(), message });
             }
         }
-        Some(health)
+    }
+
+    fn keep_alive_listener(&mut self, node: NodeId) -> Option<KeepAliveListener> {
+        let listener = self.check_listener(node)?;
+        let mut keep_alive = KeepAliveListener { listener, idle_timeout: DEFAULT_IDLE_TIMEOUT_MICROS };
+        self.ms(node, "idle-ms", &mut keep_alive.idle_timeout);
+        Some(keep_alive)
+    }
+
+    fn agent_listener(&mut self, node: NodeId) -> Option<AgentListener> {
+        let listener = self.check_listener(node)?;
+        let mut query_timeout = DEFAULT_QUERY_TIMEOUT_MICROS;
+        self.ms(node, "ask-ms", &mut query_timeout);
+        let reports_maxconn = matches!(self.doc.get_attribute(node, "maxconn"), Some("true" | "1"));
+        Some(AgentListener { listener, query_timeout, reports_maxconn })
     }
 
     fn check_listener(&mut self, node: NodeId) -> Option<CheckListener> {
-        let mut check_listener = CheckListener {
-            listen: self.value(node, "listen")?,
+        let mut listener = CheckListener {
+            address: self.value(node, "listen")?,
             line: self.doc.node_line(node),
-            callers: 64,
-            silent: 2_000_000,
+            max_connections: DEFAULT_MAX_CONNECTIONS,
+            silence_timeout: DEFAULT_SILENCE_TIMEOUT_MICROS,
         };
-        self.number(node, "callers", &mut check_listener.callers);
-        self.ms(node, "silent-ms", &mut check_listener.silent);
-        Some(check_listener)
+        self.number(node, "callers", &mut listener.max_connections);
+        self.ms(node, "silent-ms", &mut listener.silence_timeout);
+        Some(listener)
+    }
+
+    fn probes(&mut self, node: NodeId) -> ProbeSettings {
+        let mut probes = ProbeSettings::default();
+        self.ms(node, "every-ms", &mut probes.interval);
+        self.ms(node, "suspect-ms", &mut probes.suspect_after);
+        self.ms(node, "timeout-ms", &mut probes.timeout);
+        self.number(node, "group-per-s", &mut probes.group_rate_per_s);
+        self.number(node, "whole-per-s", &mut probes.total_rate_per_s);
+        probes
+    }
+
+    fn weight(&mut self, node: NodeId, weight: &mut WeightSettings) {
+        self.number(node, "knee", &mut weight.reduce_above);
+        self.number(node, "hot", &mut weight.trim_above);
+        self.number(node, "least", &mut weight.percent_at_full_pressure);
+        self.number(node, "up-per-s", &mut weight.max_rise_factor_per_s);
+        self.number(node, "down-per-s", &mut weight.max_fall_factor_per_s);
+        self.ms(node, "settle-ms", &mut weight.settling_time);
     }
 
-    fn claims(&mut self, node: NodeId, s: &mut HealthSettings) {
-        self.word(
-            node,
-            "idle",
-            [("trust", IdleGroupPolicy::TrustEndpointList), ("withdraw", IdleGroupPolicy::Withdraw)],
-            &mut s.idle_groups,
-        );
-        self.word(
-            node,
-            "shared",
-            [("tell", SharedCausePolicy::StayInRotation), ("down", SharedCausePolicy::ReportDown)],
-            &mut s.shared_causes,
-        );
-        self.word(
-            node,
-            "overload",
-            [("weight", OverloadPolicy::ReduceWeight), ("down", OverloadPolicy::ReportDown)],
-            &mut s.overload,
-        );
-        self.word(
-            node,
-            "sum",
-            [("any", AggregationRule::AnyGroup), ("all", AggregationRule::AllGroups)],
-            &mut s.aggregation,
-        );
-        for (name, into) in [
-            ("window-ms", &mut s.proof_window),
-            ("fall-ms", &mut s.withdraw_after),
-            ("rise-ms", &mut s.restore_after),
-            ("rise-most-ms", &mut s.restore_after_max),
-            ("hold-able-ms", &mut s.min_time_available),
-            ("hold-unable-ms", &mut s.min_time_unavailable),
-            ("hang-probed-ms", &mut s.silence_limit_probed),
-            ("hang-ms", &mut s.silence_limit_unprobed),
-            ("discovery-after-ms", &mut s.discovery_lost_after),
+    fn claims(&mut self, node: NodeId, settings: &mut HealthSettings) {
+        let idle = [("trust", IdleGroupPolicy::TrustEndpointList), ("withdraw", IdleGroupPolicy::Withdraw)];
+        let shared = [("tell", SharedCausePolicy::StayInRotation), ("down", SharedCausePolicy::ReportDown)];
+        let overload = [("weight", OverloadPolicy::ReduceWeight), ("down", OverloadPolicy::ReportDown)];
+        let sum = [("any", AggregationRule::AnyGroup), ("all", AggregationRule::AllGroups)];
+        self.word(node, "idle", idle, &mut settings.idle_groups);
+        self.word(node, "shared", shared, &mut settings.shared_causes);
+        self.word(node, "overload", overload, &mut settings.overload);
+        self.word(node, "sum", sum, &mut settings.aggregation);
+        for (name, setting) in [
+            ("window-ms", &mut settings.proof_window),
+            ("fall-ms", &mut settings.withdraw_after),
+            ("rise-ms", &mut settings.restore_after),
+            ("rise-most-ms", &mut settings.restore_after_max),
+            ("hold-able-ms", &mut settings.min_time_available),
+            ("hold-unable-ms", &mut settings.min_time_unavailable),
+            ("hang-probed-ms", &mut settings.silence_limit_probed),
+            ("hang-ms", &mut settings.silence_limit_unprobed),
+            ("discovery-after-ms", &mut settings.discovery_lost_after),
         ] {
-            self.ms(node, name, into);
+            self.ms(node, name, setting);
         }
     }
 }
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -10,7 +10,7 @@
 mod reader;
 
 pub use background::{Hot, Split};
-pub use health::{Agent, CheckListener, Health, Http};
+pub use health::{AgentListener, CheckListener, HealthOptions, KeepAliveListener};
 pub use links::{Fleet, Knowledge};
 use reader::Reader;
 use std::fmt;
@@ -25,7 +25,7 @@
 /// All absent: everything new is off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Options {
-    pub health: Option<Health>,
+    pub health: Option<HealthOptions>,
     pub knowledge: Option<Knowledge>,
     pub fleet: Option<Fleet>,
     pub hot: Option<Hot>,
@@ -99,7 +99,7 @@
         let options = Options { health, knowledge, fleet, hot, split };
         let clashes = options.links().filter_map(|(element, line, at)| {
             let (other, _) =
-                options.check_listeners().find(|(_, check_listener)| meet(check_listener.listen, at))?;
+                options.check_listeners().find(|(_, check_listener)| meet(check_listener.address, at))?;
             let message = format!("listen: {at} is used by {other} too");
             Some(Fault { line, element: element.into(), message })
         });
@@ -119,11 +119,11 @@
 impl Options {
     /// Descriptors that are to be kept for what is switched on here: callers and listeners.
     pub fn descriptors(&self) -> usize {
-        self.check_listeners().map(|(_, check_listener)| check_listener.callers + 1).sum()
+        self.check_listeners().map(|(_, check_listener)| check_listener.max_connections + 1).sum()
     }
 
     fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
-        self.health.iter().flat_map(Health::check_listeners)
+        self.health.iter().flat_map(HealthOptions::check_listeners)
     }
 
     /// Where other proxies reach this one.
@@ -138,7 +138,7 @@
         let (wanted, most) = (self.descriptors(), sockets / 2);
         let (element, check_listener) = self
             .check_listeners()
-            .max_by_key(|(_, check_listener)| check_listener.callers)
+            .max_by_key(|(_, check_listener)| check_listener.max_connections)
             .filter(|_| wanted > most)?;
         let message = format!("callers: {wanted} descriptors for checks are more than half of {sockets}");
         Some(Fault { line: check_listener.line, element: element.into(), message })
@@ -147,8 +147,8 @@
     /// Addresses here that something else in the process uses already.
     pub fn taken(&self, others: &[(&str, SocketAddr)]) -> Vec<Fault> {
         let clash = |(element, check_listener): (&str, &CheckListener)| {
-            let (name, _) = others.iter().find(|(_, at)| meet(*at, check_listener.listen))?;
-            let message = format!("listen: {} is used as {name} already", check_listener.listen);
+            let (name, _) = others.iter().find(|(_, at)| meet(*at, check_listener.address))?;
+            let message = format!("listen: {} is used as {name} already", check_listener.address);
             Some(Fault { line: check_listener.line, element: element.into(), message })
         };
         let mut faults: Vec<Fault> = self.check_listeners().filter_map(clash).collect();
--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -13,11 +13,11 @@
         health.settings,
         HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
     );
-    assert_eq!((health.http.unwrap().check_listener.callers, health.lead), (64, 3_000_000));
+    assert_eq!((health.http.unwrap().listener.max_connections, health.shutdown_notice), (64, 3_000_000));
     // What is left out is what it says.
     let short = "<birchreach-options><health><http listen='127.0.0.1:7081'/></health></birchreach-options>";
     let short = parse(short).unwrap().health.unwrap();
-    assert_eq!((short.settings, short.lead), (HealthSettings::default(), 3_000_000));
+    assert_eq!((short.settings, short.shutdown_notice), (HealthSettings::default(), 3_000_000));
     assert_eq!(parse("<birchreach-options/>"), Ok(Options::default()));
 }
 
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -19,7 +19,7 @@
 
 /// What the options and the platform's settings say together. Probes need the platform's leave.
 pub fn settings(
-    options: &birchreach_options::Health,
+    options: &birchreach_options::HealthOptions,
     site: &DeploymentSettings,
     seed: u64,
 ) -> HealthSettings {
--- a/proxy/src/health_command.rs
+++ b/proxy/src/health_command.rs
@@ -38,7 +38,7 @@
 }
 
 fn call(health: &Health, options: Option<&Options>) -> Result<(u16, String), String> {
-    let listed = || options?.health.as_ref()?.http.as_ref().map(|http| reachable(http.check_listener.listen));
+    let listed = || options?.health.as_ref()?.http.as_ref().map(|http| reachable(http.listener.address));
     let at = health.at.or_else(listed).ok_or("no address: give --at, or --options with an http element")?;
     let path = match (&health.class, health.group) {
         (None, None) => "/health".to_string(),
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -4,7 +4,7 @@
 use super::super::sources::Source;
 use super::{Checks, Kind};
 use birchreach::Micros;
-use birchreach_options::{CheckListener, Health};
+use birchreach_options::{CheckListener, HealthOptions};
 use mio::Interest;
 use mio::net::TcpListener;
 use std::net::SocketAddr;
@@ -26,10 +26,10 @@
 /// Listeners opened for options that are not in force yet.
 pub struct Opened(Vec<Listening>);
 
-pub(super) fn check_listeners(options: &Health) -> impl Iterator<Item = (Kind, &CheckListener)> {
-    let http = options.http.as_ref().map(|http| (Kind::Http, &http.check_listener));
-    let agent = options.agent.as_ref().map(|agent| (Kind::Agent, &agent.check_listener));
-    let grpc = options.grpc.as_ref().map(|grpc| (Kind::Grpc, &grpc.check_listener));
+pub(super) fn check_listeners(options: &HealthOptions) -> impl Iterator<Item = (Kind, &CheckListener)> {
+    let http = options.http.as_ref().map(|http| (Kind::Http, &http.listener));
+    let agent = options.agent.as_ref().map(|agent| (Kind::Agent, &agent.listener));
+    let grpc = options.grpc.as_ref().map(|grpc| (Kind::Grpc, &grpc.listener));
     http.into_iter().chain(agent).chain(grpc)
 }
 
@@ -48,27 +48,27 @@
 
 impl Checks {
     /// Opens what these options want and is not open; those in force are not touched.
-    pub fn open(&self, options: Option<&Health>) -> Result<Opened, String> {
+    pub fn open(&self, options: Option<&HealthOptions>) -> Result<Opened, String> {
         let mut opened = Vec::new();
         for (kind, check_listener) in options.into_iter().flat_map(check_listeners) {
-            if self.listening.iter().any(|l| l.kind == kind && l.address == check_listener.listen) {
+            if self.listening.iter().any(|l| l.kind == kind && l.address == check_listener.address) {
                 continue;
             }
             let failed =
-                |e| format!("listening for {} checks on {}: {e}", kind.word(), check_listener.listen);
-            let listener = listen(check_listener.listen, self.shared).map_err(failed)?;
-            opened.push(Listening { kind, listener, address: check_listener.listen, waiting: true });
+                |e| format!("listening for {} checks on {}: {e}", kind.word(), check_listener.address);
+            let listener = listen(check_listener.address, self.shared).map_err(failed)?;
+            opened.push(Listening { kind, listener, address: check_listener.address, waiting: true });
         }
         Ok(Opened(opened))
     }
 
     /// These options are in force from now on.
-    pub fn take(&mut self, context: &mut EventLoopContext, options: Option<Health>, opened: Opened) {
+    pub fn take(&mut self, context: &mut EventLoopContext, options: Option<HealthOptions>, opened: Opened) {
         let wanted = |l: &Listening| {
             options
                 .iter()
                 .flat_map(check_listeners)
-                .any(|(kind, check_listener)| kind == l.kind && check_listener.listen == l.address)
+                .any(|(kind, check_listener)| kind == l.kind && check_listener.address == l.address)
         };
         let (stay, mut go): (Vec<_>, Vec<_>) = self.listening.drain(..).partition(wanted);
         self.listening = stay;
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -15,7 +15,7 @@
 use crate::observe::Shared;
 use birchreach::Micros;
 use birchreach_health::{agent, http};
-use birchreach_options::Health;
+use birchreach_options::HealthOptions;
 use listeners::{Listening, check_listeners};
 use mio::Interest;
 use mio::net::TcpStream;
@@ -71,7 +71,7 @@
 pub struct Checks {
     /// Whose verdict is told.
     pub watch: Option<Shared<Watch>>,
-    options: Option<Health>,
+    options: Option<HealthOptions>,
     listening: Vec<Listening>,
     slots: Slab<Caller>,
     /// Callers with more to read or write than one turn takes.
@@ -112,7 +112,7 @@
     }
 
     fn admit(&mut self, context: &mut EventLoopContext, mut stream: TcpStream, kind: Kind) {
-        let Some(most) = self.check_listener(kind).map(|check_listener| check_listener.callers) else {
+        let Some(most) = self.check_listener(kind).map(|check_listener| check_listener.max_connections) else {
             return;
         };
         let of_kind = || self.slots.iter().filter(|(_, c)| c.kind == kind);
@@ -138,7 +138,7 @@
         if let Some(agent) =
             self.options.as_ref().and_then(|o| o.agent.as_ref()).filter(|_| kind == Kind::Agent)
         {
-            context.timers.set(context.now + agent.ask, TimerEvent::CheckTimeout(key, self.serial));
+            context.timers.set(context.now + agent.query_timeout, TimerEvent::CheckTimeout(key, self.serial));
         }
         // What was sent with the connect is there already.
         self.ready(context, key);
@@ -175,8 +175,8 @@
     pub fn sweep(&mut self, context: &mut EventLoopContext) {
         self.listening.iter_mut().for_each(|l| l.waiting = true);
         let Some(options) = &self.options else { return };
-        let idle = options.http.as_ref().map_or(0, |http| http.idle);
-        let grpc_idle = options.grpc.as_ref().map_or(0, |grpc| grpc.idle);
+        let idle = options.http.as_ref().map_or(0, |http| http.idle_timeout);
+        let grpc_idle = options.grpc.as_ref().map_or(0, |grpc| grpc.idle_timeout);
         // Watches may be still for long: their peers are asked whether they are there.
         let mut pinged = Vec::new();
         for (key, c) in &mut self.slots {
@@ -191,7 +191,7 @@
         let silent = |c: &Caller| {
             let check_listener = check_listeners(options)
                 .find(|(kind, _)| *kind == c.kind)
-                .map_or(0, |(_, check_listener)| check_listener.silent);
+                .map_or(0, |(_, check_listener)| check_listener.silence_timeout);
             let (long, reason) = match &c.machine {
                 Machine::Http(m)
                     if m.requests_answered() > 0 && !m.has_partial_request() && m.output.is_empty() =>
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -7,7 +7,7 @@
 use crate::observe::Shared;
 use birchreach::ServerId;
 use birchreach_health::agent;
-use birchreach_options::Health;
+use birchreach_options::HealthOptions;
 use std::net::Shutdown;
 
 /// What is read of one at once.
@@ -99,7 +99,7 @@
 pub(super) fn serve_agent(
     context: &mut EventLoopContext,
     c: &mut Caller,
-    options: Option<&Health>,
+    options: Option<&HealthOptions>,
     watch: Watched,
 ) -> Serve {
     let Machine::Agent(machine, reply) = &mut c.machine else { return Serve::Waits };
@@ -134,13 +134,13 @@
 pub(super) fn say(
     context: &mut EventLoopContext,
     asked: &agent::ParsedQuery,
-    options: Option<&Health>,
+    options: Option<&HealthOptions>,
     watch: Watched,
 ) -> Vec<u8> {
     let Some(watch) = watch else { return Vec::new() };
     let mut watch = watch.borrow_mut();
     let verdict = watch.verdict(context.now);
     let maxconn =
-        options.and_then(|o| o.agent.as_ref()).filter(|a| a.maxconn).map(|_| verdict.client_capacity);
+        options.and_then(|o| o.agent.as_ref()).filter(|a| a.reports_maxconn).map(|_| verdict.client_capacity);
     agent::reply(asked, verdict, maxconn).into_bytes()
 }
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -26,7 +26,7 @@
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.context.core.open_request_count());
             self.record_health_event(HealthEvent::Stopping);
-            let lead = self.config.options.health.as_ref().map_or(0, |health| health.lead);
+            let lead = self.config.options.health.as_ref().map_or(0, |health| health.shutdown_notice);
             if lead > 0 && !self.handover.is_replaced() {
                 return self.context.timers.set(self.context.now + lead, TimerEvent::StopListening);
             }
