--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use background::{Hot, Split};
 pub use error::OptionsError;
-pub use health::{Agent, CheckListener, Health, Http};
+pub use health::{AgentListener, CheckListener, HealthOptions, KeepAliveListener};
 pub use links::{Fleet, Knowledge};
 use reader::Reader;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Options {
     /// What load balancers are told.
-    pub health: Option<Health>,
+    pub health: Option<HealthOptions>,
     /// State learned from other proxies.
     pub knowledge: Option<Knowledge>,
     /// The view of the fleet.
@@ -128,11 +128,11 @@
 impl Options {
     /// Descriptors to be reserved for what is switched on here: connections of balancers, and their listeners.
     pub fn descriptors(&self) -> usize {
-        self.check_listeners().map(|(_, listener)| listener.callers + 1).sum()
+        self.check_listeners().map(|(_, listener)| listener.max_connections + 1).sum()
     }
 
     fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
-        self.health.iter().flat_map(Health::check_listeners)
+        self.health.iter().flat_map(HealthOptions::check_listeners)
     }
 
     fn link_addresses(&self) -> Vec<LinkAddress> {
@@ -151,7 +151,7 @@
         let links = self.link_addresses();
         let mut errors = Vec::new();
         for link in &links {
-            let overlaps = |listener: &CheckListener| addresses_overlap(listener.listen, link.address);
+            let overlaps = |listener: &CheckListener| addresses_overlap(listener.address, link.address);
             if let Some((other, _)) = self.check_listeners().find(|(_, listener)| overlaps(listener)) {
                 errors.push(link.conflict(format!("listen: {} is used by {other} too", link.address)));
             }
@@ -172,7 +172,8 @@
         if wanted <= max {
             return None;
         }
-        let (element, listener) = self.check_listeners().max_by_key(|(_, listener)| listener.callers)?;
+        let (element, listener) =
+            self.check_listeners().max_by_key(|(_, listener)| listener.max_connections)?;
         let message = format!("callers: {wanted} descriptors for checks are more than half of {sockets}");
         Some(OptionsError { line: listener.line, element: element.into(), message })
     }
@@ -184,7 +185,7 @@
             user.map(|(name, _)| format!("listen: {address} is used as {name} already"))
         };
         let checks = self.check_listeners().filter_map(|(element, listener)| {
-            let message = user_of(listener.listen)?;
+            let message = user_of(listener.address)?;
             Some(OptionsError { line: listener.line, element: element.into(), message })
         });
         let links = self.link_addresses();
