--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -1,23 +1,23 @@
-//! The operators' protocol: one line in, one reply out, and the connection is over. A machine that is fed
-//! bytes and knows no socket.
+//! The operators' protocol: one line in, one reply out, and the connection is closed. A state machine that is fed bytes and knows no
+//! socket.
 
 use crate::outbox::Outbox;
 
 /// The longest line that is read.
-const LINE: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 
-/// What an operator asks.
+/// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Does this process take clients?
+pub enum AdminCall {
+    /// Whether this process takes clients.
     Status,
     /// Its figures.
     Stats,
-    /// Which proxies are there, and how this one stands with them.
+    /// The members of the fleet, and how this proxy stands with them.
     Fleet,
-    /// Which keys are hot, and what is done about them.
+    /// The hot keys, and what is done about them.
     Hot,
-    /// What reads of a group that splits have come to beside its children's.
+    /// How the reads of a group that is split compare with those of its children.
     Split,
     /// The figures of subsystems, in the text form of Prometheus.
     Metrics,
@@ -28,7 +28,9 @@
 /// What an operator is answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminReply {
+    /// Yes, or done.
     Yes(&'static str),
+    /// No, with the reason.
     No(&'static str),
     /// No such call, or the subsystem that it is about is off.
     UnknownCall,
@@ -38,47 +40,48 @@
     Text(String),
 }
 
-/// A caller's connection.
+/// The protocol's state on one connection.
 #[derive(Default)]
-pub struct Caller {
+pub struct AdminProtocol {
     line: Vec<u8>,
-    done: bool,
-    pub out: Outbox,
+    answered: bool,
+    /// The reply.
+    pub outbox: Outbox,
 }
 
-impl Caller {
-    /// Takes bytes; a call comes out once its line is whole. What is no call is answered here.
-    pub fn feed(&mut self, bytes: &[u8]) -> Option<Call> {
-        if self.done {
-            // What comes behind the line is passed over.
+impl AdminProtocol {
+    /// Takes bytes; returns the call once its line is complete. A line that is no call is answered here.
+    pub fn feed(&mut self, bytes: &[u8]) -> Option<AdminCall> {
+        if self.answered {
+            // What follows the line is ignored.
             return None;
         }
-        let end = bytes.iter().position(|b| *b == b'\n');
-        let more = &bytes[..end.unwrap_or(bytes.len())];
-        if self.line.len() + more.len() > LINE {
+        let end = bytes.iter().position(|byte| *byte == b'\n');
+        let part_of_line = &bytes[..end.unwrap_or(bytes.len())];
+        if self.line.len() + part_of_line.len() > MAX_LINE_BYTES {
             self.answer(&AdminReply::No("the line is too long"));
             return None;
         }
-        self.line.extend_from_slice(more);
+        self.line.extend_from_slice(part_of_line);
         end?;
-        self.whole()
+        self.parse_line()
     }
 
-    /// The caller writes no more, which ends its line too.
-    pub fn ended(&mut self) -> Option<Call> {
-        if self.done || self.line.is_empty() { None } else { self.whole() }
+    /// The operator writes no more, which ends the line too.
+    pub fn input_ended(&mut self) -> Option<AdminCall> {
+        if self.answered || self.line.is_empty() { None } else { self.parse_line() }
     }
 
-    fn whole(&mut self) -> Option<Call> {
+    fn parse_line(&mut self) -> Option<AdminCall> {
         match self.line.trim_ascii() {
-            b"status" => return Some(Call::Status),
-            b"stats" => return Some(Call::Stats),
-            b"fleet" => return Some(Call::Fleet),
-            b"hot" => return Some(Call::Hot),
-            b"split" => return Some(Call::Split),
-            b"metrics" => return Some(Call::Metrics),
-            b"maintenance on" => return Some(Call::Maintenance(true)),
-            b"maintenance off" => return Some(Call::Maintenance(false)),
+            b"status" => return Some(AdminCall::Status),
+            b"stats" => return Some(AdminCall::Stats),
+            b"fleet" => return Some(AdminCall::Fleet),
+            b"hot" => return Some(AdminCall::Hot),
+            b"split" => return Some(AdminCall::Split),
+            b"metrics" => return Some(AdminCall::Metrics),
+            b"maintenance on" => return Some(AdminCall::Maintenance(true)),
+            b"maintenance off" => return Some(AdminCall::Maintenance(false)),
             b"" => self.answer(&AdminReply::No("an empty line; calls are: status, stats")),
             _ => self.answer(&AdminReply::UnknownCall),
         }
@@ -88,21 +91,21 @@
     /// Answers the call; nothing more is read.
     pub fn answer(&mut self, reply: &AdminReply) {
         match reply {
-            AdminReply::Yes(text) => self.reply(&format!("YES {text}\n")),
-            AdminReply::No(reason) => self.reply(&format!("NO {reason}\n")),
-            AdminReply::UnknownCall => self.reply("NO no such call; calls are: status, stats\n"),
-            AdminReply::Figures(lines) => self.reply(&format!("{lines}END\n")),
-            AdminReply::Text(text) => self.reply(text),
+            AdminReply::Yes(text) => self.write(&format!("YES {text}\n")),
+            AdminReply::No(reason) => self.write(&format!("NO {reason}\n")),
+            AdminReply::UnknownCall => self.write("NO no such call; calls are: status, stats\n"),
+            AdminReply::Figures(lines) => self.write(&format!("{lines}END\n")),
+            AdminReply::Text(text) => self.write(text),
         }
+        self.answered = true;
     }
 
-    fn reply(&mut self, text: &str) {
-        self.out.raw(text.as_bytes());
-        self.done = true;
+    fn write(&mut self, text: &str) {
+        self.outbox.raw(text.as_bytes());
     }
 
-    /// The reply is given.
-    pub fn done(&self) -> bool {
-        self.done
+    /// Whether the reply is in the outbox.
+    pub fn is_answered(&self) -> bool {
+        self.answered
     }
 }
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -1,11 +1,11 @@
-//! The admin listener: its listener and callers. It has descriptors of its own, and silent callers make
-//! room for those who speak.
+//! The operators' listener and connections. They have descriptors of their own, and connections that send nothing make room for
+//! others.
 
 use super::error::{EventLoopError, ListenError, ListenPurpose, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
-use crate::admin_protocol::{Call, Caller};
+use crate::admin_protocol::{AdminCall, AdminProtocol, AdminReply};
 use birchreach::Micros;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry};
@@ -14,15 +14,16 @@
 use std::net::{Shutdown, SocketAddr};
 use tracing::info;
 
-/// Callers at once; one more, and the one that has been there longest goes.
+/// Connections at once; one more, and the oldest is closed.
 pub const MAX_CONNECTIONS: usize = 8;
-/// A caller that finishes no call is sent away after this time.
-const SILENT: Micros = 5_000_000;
-/// Accepted in one turn of the loop at most, and what is read of one caller.
-const TURN: usize = 16;
-const READ_TURN: usize = 64 << 10;
+/// A connection that has not sent a call after this time is closed.
+const CALL_TIMEOUT_MICROS: Micros = 5_000_000;
+/// The most connections that are accepted in one turn of the loop.
+const ACCEPTS_PER_TURN: usize = 16;
+/// The most that is read of one connection in a turn.
+const READ_BYTES_PER_TURN: usize = 64 << 10;
 
-/// What subsystems have to tell; nothing of those that are off.
+/// What the subsystems report to operators; nothing of those that are off.
 #[derive(Default)]
 pub struct AdminReports {
     pub fleet: Option<String>,
@@ -31,27 +32,58 @@
     pub metrics: Option<String>,
 }
 
-struct Open {
+/// Why a connection was closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CloseReason {
+    /// It made room for a newer one.
+    Shed,
+    /// It was reset.
+    Reset,
+    /// The operator closed it without a call.
+    Closed,
+    /// Its reply is written.
+    Answered,
+    /// It sent no call in time.
+    Unresponsive,
+}
+
+impl CloseReason {
+    /// The word for the log.
+    fn word(self) -> &'static str {
+        match self {
+            CloseReason::Shed => "shed",
+            CloseReason::Reset => "reset",
+            CloseReason::Closed => "closed",
+            CloseReason::Answered => "answered",
+            CloseReason::Unresponsive => "unresponsive",
+        }
+    }
+}
+
+struct Connection {
     stream: TcpStream,
-    machine: Caller,
-    since: Micros,
+    protocol: AdminProtocol,
+    accepted_at: Micros,
 }
 
+/// The operators' listener and connections.
 pub struct AdminListener {
     listener: Option<TcpListener>,
-    slots: Slab<Open>,
-    waiting: bool,
+    connections: Slab<Connection>,
+    /// Connections may wait to be accepted.
+    accept_pending: bool,
 }
 
 impl AdminListener {
     /// Without an address there is no listener.
     pub fn new(registry: &Registry, address: Option<SocketAddr>) -> Result<AdminListener, EventLoopError> {
-        let mut admin = AdminListener { listener: None, slots: Slab::new(), waiting: false };
+        let mut admin = AdminListener { listener: None, connections: Slab::new(), accept_pending: false };
         if let Some(address) = address {
             let purpose = ListenPurpose::Operators;
             let mut listener =
                 TcpListener::bind(address).map_err(|error| ListenError { purpose, address, error })?;
-            let registered = registry.register(&mut listener, Source::Admin.token(), Interest::READABLE);
+            let registered =
+                registry.register(&mut listener, Source::AdminListener.token(), Interest::READABLE);
             let source = RegisteredSource::AdminListener(address);
             registered.map_err(|error| EventLoopError::Register { source, error })?;
             admin.listener = Some(listener);
@@ -59,59 +91,68 @@
         Ok(admin)
     }
 
+    /// The address that operators connect to, if there is one.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.local_addr().ok()
     }
 
+    /// Connections wait to be accepted.
     pub fn accept_ready(&mut self) {
-        self.waiting = true;
+        self.accept_pending = true;
     }
 
-    /// More may wait than one turn takes.
-    pub fn pressing(&self) -> bool {
-        self.waiting
+    /// Whether more may wait than one turn accepts.
+    pub fn has_pending_work(&self) -> bool {
+        self.accept_pending
     }
 
+    /// Accepts connections that wait.
     pub fn accept(&mut self, context: &mut EventLoopContext) {
-        for _ in 0..TURN {
-            let Some(listener) = self.listener.as_ref().filter(|_| self.waiting) else { return };
+        for _ in 0..ACCEPTS_PER_TURN {
+            let Some(listener) = self.listener.as_ref().filter(|_| self.accept_pending) else { return };
             match listener.accept() {
-                Ok((mut stream, _)) => {
-                    if self.slots.len() >= MAX_CONNECTIONS {
-                        let oldest = self.slots.iter().min_by_key(|(_, c)| c.since).map(|(k, _)| k);
-                        oldest.into_iter().for_each(|key| self.close(context, key, "shed"));
-                    }
-                    let slot = self.slots.vacant_entry();
-                    let token = Source::Operator(slot.key()).token();
-                    let wanted = Interest::READABLE | Interest::WRITABLE;
-                    if context.registry.register(&mut stream, token, wanted).is_ok() {
-                        slot.insert(Open { stream, machine: Caller::default(), since: context.now });
-                    }
-                }
+                Ok((stream, _)) => self.add(context, stream),
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // Those who wait are told of again with the next who comes, and looked for by the sweep.
-                Err(_) => self.waiting = false,
+                // Connections that wait are reported again with the next one, and looked for by the sweep.
+                Err(_) => self.accept_pending = false,
+            }
+        }
+    }
+
+    fn add(&mut self, context: &mut EventLoopContext, mut stream: TcpStream) {
+        if self.connections.len() >= MAX_CONNECTIONS {
+            let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.accepted_at);
+            if let Some((key, _)) = oldest {
+                self.close(context, key, CloseReason::Shed);
             }
         }
+        let slot = self.connections.vacant_entry();
+        let token = Source::Admin(slot.key()).token();
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        if context.registry.register(&mut stream, token, interest).is_ok() {
+            slot.insert(Connection { stream, protocol: AdminProtocol::default(), accepted_at: context.now });
+        }
     }
 
-    /// Reads what a caller says; its call is the loop's to answer.
-    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) -> Option<Call> {
-        let c = self.slots.get_mut(key)?;
-        let (machine, mut call, mut read) = (&mut c.machine, None, 0);
-        let drained = stream::read(&mut c.stream, &mut context.scratch, |bytes| {
-            read += bytes.len();
-            call = call.or_else(|| machine.feed(bytes));
-            read < READ_TURN
+    /// Reads a connection. A call that is returned is to be answered with [`AdminListener::answer`].
+    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) -> Option<AdminCall> {
+        let connection = self.connections.get_mut(key)?;
+        let protocol = &mut connection.protocol;
+        let mut call = None;
+        let mut read_bytes = 0;
+        let drained = stream::read(&mut connection.stream, &mut context.scratch, |bytes| {
+            read_bytes += bytes.len();
+            call = call.or_else(|| protocol.feed(bytes));
+            read_bytes < READ_BYTES_PER_TURN
         });
         if drained == Err(stream::Ended::Reset) {
-            self.close(context, key, "reset");
+            self.close(context, key, CloseReason::Reset);
             return None;
         }
         if drained.is_err() && call.is_none() {
-            call = c.machine.ended();
-            if call.is_none() && !c.machine.done() {
-                self.close(context, key, "closed");
+            call = connection.protocol.input_ended();
+            if call.is_none() && !connection.protocol.is_answered() {
+                self.close(context, key, CloseReason::Closed);
                 return None;
             }
         }
@@ -121,35 +162,44 @@
         call
     }
 
-    /// The caller's machine, for the reply; `write` sends it.
-    pub fn caller(&mut self, key: usize) -> Option<&mut Caller> {
-        self.slots.get_mut(key).map(|c| &mut c.machine)
+    /// Answers the connection's call.
+    pub fn answer(&mut self, context: &mut EventLoopContext, key: usize, reply: &AdminReply) {
+        if let Some(connection) = self.connections.get_mut(key) {
+            connection.protocol.answer(reply);
+            self.write(context, key);
+        }
     }
 
-    /// Writes what is to be said, and ends once all of it has gone.
-    pub fn write(&mut self, context: &mut EventLoopContext, key: usize) {
-        let Some(c) = self.slots.get_mut(key).filter(|c| c.machine.done()) else { return };
-        match stream::write(&mut c.stream, &mut c.machine.out) {
+    /// Writes the reply, if there is one, and closes the connection once all of it is written.
+    fn write(&mut self, context: &mut EventLoopContext, key: usize) {
+        let Some(connection) = self.connections.get_mut(key) else { return };
+        if !connection.protocol.is_answered() {
+            return;
+        }
+        match stream::write(&mut connection.stream, &mut connection.protocol.outbox) {
             Ok(false) => {}
             Ok(true) => {
-                let _ = c.stream.shutdown(Shutdown::Write);
-                self.close(context, key, "answered");
+                let _ = connection.stream.shutdown(Shutdown::Write);
+                self.close(context, key, CloseReason::Answered);
             }
-            Err(_) => self.close(context, key, "reset"),
+            Err(_) => self.close(context, key, CloseReason::Reset),
         }
     }
 
+    /// Closes connections that sent no call in time.
     pub fn sweep(&mut self, context: &mut EventLoopContext) {
-        self.waiting = self.listener.is_some();
-        let silent = self.slots.iter().filter(|(_, c)| context.now - c.since >= SILENT);
-        for key in silent.map(|(k, _)| k).collect::<Vec<_>>() {
-            self.close(context, key, "unresponsive");
+        self.accept_pending = self.listener.is_some();
+        let timed_out = |connection: &Connection| context.now - connection.accepted_at >= CALL_TIMEOUT_MICROS;
+        let unresponsive = self.connections.iter().filter(|(_, connection)| timed_out(connection));
+        let keys: Vec<usize> = unresponsive.map(|(key, _)| key).collect();
+        for key in keys {
+            self.close(context, key, CloseReason::Unresponsive);
         }
     }
 
-    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: &str) {
-        let mut c = self.slots.remove(key);
-        let _ = context.registry.deregister(&mut c.stream);
-        info!(conn = "operator", reason);
+    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
+        let mut connection = self.connections.remove(key);
+        let _ = context.registry.deregister(&mut connection.stream);
+        info!(conn = "operator", reason = reason.word());
     }
 }
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -40,7 +40,7 @@
     /// next datagram.
     pub fn speak(&mut self, registry: &Registry, speaks: bool) {
         if speaks && self.listener.is_none() {
-            self.listener = listen(registry, self.own, Source::ViewListener, ListenPurpose::Fleet).ok();
+            self.listener = listen(registry, self.own, Source::MembershipListener, ListenPurpose::Fleet).ok();
             self.waiting = true;
         } else if !speaks && let Some(mut listener) = self.listener.take() {
             let _ = registry.deregister(&mut listener);
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -106,7 +106,7 @@
 
     pub fn accept_ready(&mut self, source: Source) {
         match source {
-            Source::ViewListener => self.membership_sync.iter_mut().for_each(|v| v.waiting = true),
+            Source::MembershipListener => self.membership_sync.iter_mut().for_each(|v| v.waiting = true),
             _ => self.state_transfer.iter_mut().for_each(|l| l.waiting = true),
         }
     }
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -55,7 +55,7 @@
         let Some(path) = &self.path else { return };
         let _ = std::fs::remove_file(path);
         let bound = UnixListener::bind(path).and_then(|mut listener| {
-            registry.register(&mut listener, Source::Successors.token(), Interest::READABLE)?;
+            registry.register(&mut listener, Source::HandoverListener.token(), Interest::READABLE)?;
             Ok(listener)
         });
         match bound {
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -22,8 +22,8 @@
         self.wait(events)?;
         self.serve_priority_sources(events);
         for event in events.iter() {
-            let source = Source::of(event.token());
-            if !source.first() {
+            let source = Source::from_token(event.token());
+            if !source.has_priority() {
                 self.handle_event(source, event, signals);
             }
             self.carry_out();
@@ -52,14 +52,14 @@
 
     /// Something is left from the last turn that no socket will report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
-        self.clients.has_pending_work() || self.admin.pressing() || self.checks.pressing(now)
+        self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.pressing(now)
     }
 
     fn serve_priority_sources(&mut self, events: &Events) {
         for event in events.iter() {
-            match Source::of(event.token()) {
-                Source::Admin => self.admin.accept_ready(),
-                Source::Operator(key) => self.handle_admin(key),
+            match Source::from_token(event.token()) {
+                Source::AdminListener => self.admin.accept_ready(),
+                Source::Admin(key) => self.handle_admin(key),
                 source @ (Source::HttpListener | Source::AgentListener | Source::GrpcListener) => {
                     self.checks.accept_ready(source);
                 }
@@ -76,9 +76,11 @@
             Source::Listener => self.clients.listener_ready(),
             Source::Signals => self.handle_signals(signals),
             Source::Discovery => self.handle_discovery(),
-            Source::Successors | Source::Predecessor | Source::Successor => self.handle_handover(source),
+            Source::HandoverListener | Source::Predecessor | Source::Successor => {
+                self.handle_handover(source)
+            }
             Source::Fleet => self.handle_fleet(),
-            Source::GossipListener | Source::ViewListener => {
+            Source::GossipListener | Source::MembershipListener => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.accept_ready(source);
                     self.step_gossip();
@@ -98,8 +100,8 @@
             }
             Source::Database(key) => self.pool.handle_ready(&mut self.context, key),
             // `serve_priority_sources` has had them.
-            Source::Admin
-            | Source::Operator(_)
+            Source::AdminListener
+            | Source::Admin(_)
             | Source::HttpListener
             | Source::AgentListener
             | Source::GrpcListener
@@ -125,7 +127,7 @@
     /// Another process of this proxy came, spoke or went.
     fn handle_handover(&mut self, source: Source) {
         match source {
-            Source::Successors => self.handover.accept(&mut self.context),
+            Source::HandoverListener => self.handover.accept(&mut self.context),
             link => self.handover.ready(&mut self.context, link),
         }
         self.apply_process_count();
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -1,94 +1,103 @@
-//! What the loop waits for, as a table: each kind of source has tokens of its own, and its place in a turn.
+//! Sources of events, and the tokens by which the poll names them.
+
+#[cfg(test)]
+mod tests;
 
 use mio::Token;
 
-/// Something that becomes ready. A number is the place in its owner's slab.
+/// Something that becomes ready. A number is the key in its owner's slab.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The clients' listener, the signals, the connection to discovery, the operators' listener.
+    /// The clients' listener.
     Listener,
+    /// The signals.
     Signals,
+    /// The connection to discovery.
     Discovery,
-    Admin,
-    /// Where the next process meets this one, and the links to the one before and the one after.
-    Successors,
+    /// The operators' listener.
+    AdminListener,
+    /// Where the process that replaces this one connects.
+    HandoverListener,
+    /// The connection to the process that this one replaces.
     Predecessor,
+    /// The connection to the process that replaces this one.
     Successor,
-    /// The listeners for balancers' checks.
+    /// The listener for balancers' checks over HTTP.
     HttpListener,
+    /// The listener for balancers' agent checks.
     AgentListener,
+    /// The listener for balancers' checks over gRPC.
     GrpcListener,
-    /// The listener for other proxies.
+    /// The listener for proxies that request state.
     GossipListener,
     /// The listener for members of the fleet.
-    ViewListener,
-    /// Datagrams of other proxies.
+    MembershipListener,
+    /// The fleet's datagrams.
     Fleet,
+    /// A client.
     Client(usize),
+    /// A connection to a database.
     Database(usize),
-    Operator(usize),
+    /// An operator.
+    Admin(usize),
+    /// A balancer that checks this proxy.
     Check(usize),
+    /// A link to another proxy.
     Gossip(usize),
 }
 
-use Source::*;
-
 /// Sources of which there is one, by their tokens.
 const SINGLE: [Source; 13] = [
-    Listener,
-    Signals,
-    Discovery,
-    Admin,
-    Successors,
-    Predecessor,
-    Successor,
-    HttpListener,
-    AgentListener,
-    GrpcListener,
-    GossipListener,
-    ViewListener,
-    Fleet,
+    Source::Listener,
+    Source::Signals,
+    Source::Discovery,
+    Source::AdminListener,
+    Source::HandoverListener,
+    Source::Predecessor,
+    Source::Successor,
+    Source::HttpListener,
+    Source::AgentListener,
+    Source::GrpcListener,
+    Source::GossipListener,
+    Source::MembershipListener,
+    Source::Fleet,
 ];
-/// The others take turns behind them: place k of kind n has the token SINGLE + k * SLABS + n.
-const SLABS: [fn(usize) -> Source; 5] = [Client, Database, Operator, Check, Gossip];
+/// The others alternate behind them: key k of slab n has the token SINGLE + k * SLABS + n.
+const SLABS: [fn(usize) -> Source; 5] =
+    [Source::Client, Source::Database, Source::Admin, Source::Check, Source::Gossip];
 
 impl Source {
+    /// The token by which the poll names this source.
     pub fn token(self) -> Token {
-        let slab = |n: usize, key: usize| SINGLE.len() + key * SLABS.len() + n;
+        let slab = |slab: usize, key: usize| SINGLE.len() + key * SLABS.len() + slab;
         Token(match self {
-            Client(key) => slab(0, key),
-            Database(key) => slab(1, key),
-            Operator(key) => slab(2, key),
-            Check(key) => slab(3, key),
-            Gossip(key) => slab(4, key),
-            single => SINGLE.iter().position(|s| *s == single).unwrap_or(usize::MAX),
+            Source::Client(key) => slab(0, key),
+            Source::Database(key) => slab(1, key),
+            Source::Admin(key) => slab(2, key),
+            Source::Check(key) => slab(3, key),
+            Source::Gossip(key) => slab(4, key),
+            single => SINGLE.iter().position(|source| *source == single).unwrap_or(usize::MAX),
         })
     }
 
-    pub fn of(Token(token): Token) -> Source {
+    /// The source that the poll names by this token.
+    pub fn from_token(Token(token): Token) -> Source {
         SINGLE.get(token).copied().unwrap_or_else(|| {
-            let place = token - SINGLE.len();
-            SLABS[place % SLABS.len()](place / SLABS.len())
+            let slab_token = token - SINGLE.len();
+            SLABS[slab_token % SLABS.len()](slab_token / SLABS.len())
         })
     }
 
-    /// Operators and balancers come before all else, however many others are ready: they are few, and what they ask
-    /// matters most when there is much to do.
-    pub fn first(self) -> bool {
-        matches!(self, Admin | Operator(_) | HttpListener | AgentListener | GrpcListener | Check(_))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_source_has_a_token_of_its_own() {
-        let slabs = (0..100).flat_map(|key| SLABS.map(|slab| slab(key)));
-        let all: Vec<Source> = SINGLE.into_iter().chain(slabs).collect();
-        let tokens: std::collections::HashSet<Token> = all.iter().map(|s| s.token()).collect();
-        assert_eq!(tokens.len(), all.len());
-        assert!(all.iter().all(|s| Source::of(s.token()) == *s));
+    /// Operators and balancers are served before all others, however many are ready: they are few, and matter most under load.
+    pub fn has_priority(self) -> bool {
+        matches!(
+            self,
+            Source::AdminListener
+                | Source::Admin(_)
+                | Source::HttpListener
+                | Source::AgentListener
+                | Source::GrpcListener
+                | Source::Check(_)
+        )
     }
 }
