--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -38,14 +38,14 @@
     pub(crate) fn knowledge(&mut self, node: NodeId) -> Option<Knowledge> {
         let mut join = request_scheduler::RequestSettings::default();
         let mut donor = provider::ProviderSettings::default();
-        join.donors = self.addresses(node, "donors").iter().map(ToString::to_string).collect();
-        self.ms(node, "patience-ms", &mut join.patience);
-        self.ms(node, "refresh-ms", &mut join.refresh);
+        join.providers = self.addresses(node, "donors").iter().map(ToString::to_string).collect();
+        self.ms(node, "patience-ms", &mut join.startup_timeout);
+        self.ms(node, "refresh-ms", &mut join.refresh_interval);
         self.number(node, "at-once", &mut donor.at_once);
         self.number(node, "bytes-per-s", &mut donor.bytes_per_s);
         let listen = self.value(node, "listen");
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
-        if listen.is_none() && join.donors.is_empty() {
+        if listen.is_none() && join.providers.is_empty() {
             self.fault(node, "neither listen nor donors: nobody is asked, nobody can ask");
         }
         Some(Knowledge { listen, line: self.doc.node_line(node), key_file, join, donor })
--- a/peer-state/src/advice.rs
+++ b/peer-state/src/advice.rs
@@ -1,71 +1,73 @@
-//! The few things that facts may be used for. Each is a function of its own, and there is none besides: none sends a write
-//! to anybody.
+//! The decisions that peer state may influence, one function each, and no others. None of them leads to a write being sent to a
+//! server.
 
 use crate::{Micros, Observation, PeerState, ServerFacts};
 
-/// Own suspicion halves after this time; what was heard, sooner by half for each hop.
-const SUSPICION_HALVES: Micros = 4_000_000;
-/// Two sightings as primary within this time of one another contradict: one of the observers was cut off, or late.
-const CONTRADICTS: Micros = 2_000_000;
-/// A sighting as primary is worth half after this time, and for each hop.
-const TRUST_HALVES: Micros = 10_000_000;
+/// This proxy's own suspicion of a server halves in this time; a received one in half of it for each hop.
+const SUSPICION_HALF_LIFE: Micros = 4_000_000;
+/// Two observations as primary within this time contradict: one observer was partitioned or late.
+const CONTRADICTION_WINDOW: Micros = 2_000_000;
+/// The weight of an observation as primary halves in this time, and with each hop.
+const TRUST_HALF_LIFE: Micros = 10_000_000;
+/// The share of trust that is left when another server was observed as primary at the same time.
+const CONTRADICTED_TRUST: f64 = 0.5;
 
-/// A lower bound for the log position of the boot that the list names.
-pub fn position(knowledge: &PeerState, uid: &str) -> Option<Observation<Micros>> {
-    knowledge.facts(uid)?.position
+/// A lower bound for the log position of the incarnation that the endpoint list names.
+pub fn position(state: &PeerState, uid: &str) -> Option<Observation<Micros>> {
+    state.facts(uid)?.position
 }
 
-/// How far behind the present the replica may be by now, at the most that its last sighting tells: it may have stood still.
-pub fn max_replication_lag(knowledge: &PeerState, uid: &str, now: Micros) -> Option<Micros> {
-    let lag = knowledge.facts(uid)?.lag?;
+/// An upper bound for the replica's lag now: its replication may have stopped since the last observation.
+pub fn max_replication_lag(state: &PeerState, uid: &str, now: Micros) -> Option<Micros> {
+    let lag = state.facts(uid)?.lag?;
     Some(lag.value.saturating_add(lag.age(now)))
 }
 
-/// How likely it still is that something is wrong with it, 0 to 1.
-pub fn suspicion(knowledge: &PeerState, uid: &str, now: Micros) -> f64 {
-    let Some(seen) = knowledge.facts(uid).and_then(|f| f.suspect).filter(|s| s.value) else { return 0.0 };
-    decayed_weight(&seen, now, SUSPICION_HALVES >> seen.hop_count.min(4))
+/// How likely it is that the server is still faulty, 0 to 1.
+pub fn suspicion(state: &PeerState, uid: &str, now: Micros) -> f64 {
+    let suspect = state.facts(uid).and_then(|facts| facts.suspect);
+    let Some(seen) = suspect.filter(|seen| seen.value) else { return 0.0 };
+    decayed_weight(&seen, now, SUSPICION_HALF_LIFE >> seen.hop_count.min(4))
 }
 
-/// What a sighting is still worth.
-fn decayed_weight<T>(seen: &Observation<T>, now: Micros, halves: Micros) -> f64
-where
-    T: Copy + Ord,
-{
-    0.5f64.powf(seen.age(now) as f64 / halves.max(1) as f64 + f64::from(seen.hop_count))
+/// The weight of an observation by its age and hops, 0 to 1.
+fn decayed_weight<T: Copy + Ord>(seen: &Observation<T>, now: Micros, half_life: Micros) -> f64 {
+    0.5f64.powf(seen.age(now) as f64 / half_life.max(1) as f64 + f64::from(seen.hop_count))
 }
 
-/// The sighting as primary, unless a later one says that it is none.
+/// The observation as primary, unless a later one says that it is a replica.
 fn primary_observation(facts: &ServerFacts) -> Option<Observation<()>> {
     facts
         .primary
         .filter(|primary| facts.replica.is_none_or(|replica| replica.observed_at < primary.observed_at))
 }
 
-/// A server that may be asked whether it is the primary.
+/// A server that may be the primary.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
+    /// The server.
     pub uid: String,
     /// 0 to 1: by age, hops and contradiction.
     pub trust: f64,
+    /// The observation as primary.
     pub seen: Observation<()>,
 }
 
-/// Whom to *ask* whether it is the group's primary, the likeliest first. Not there: who was seen as a replica since, and who
-/// was seen as primary so long before another that it has been deposed.
-pub fn primary_candidates(knowledge: &PeerState, group: u32, now: Micros) -> Vec<Candidate> {
-    let of_group = knowledge.servers().filter(|(_, facts)| facts.group == group);
+/// Servers to *ask* whether they are the group's primary, the likeliest first. Left out are those observed as a replica since,
+/// and those whose observation as primary is so much older than another's that they have been replaced.
+pub fn primary_candidates(state: &PeerState, group: u32, now: Micros) -> Vec<Candidate> {
+    let of_group = state.servers().filter(|(_, facts)| facts.group == group);
     let mut seen: Vec<(&str, Observation<()>)> =
         of_group.filter_map(|(uid, facts)| Some((uid, primary_observation(facts)?))).collect();
     seen.sort_by_key(|(uid, s)| (std::cmp::Reverse(s.observed_at), *uid));
     let Some((_, newest)) = seen.first().copied() else { return Vec::new() };
-    seen.retain(|(_, s)| newest.observed_at - s.observed_at < CONTRADICTS);
-    let contradicted = if seen.len() > 1 { 0.5 } else { 1.0 };
+    seen.retain(|(_, s)| newest.observed_at - s.observed_at < CONTRADICTION_WINDOW);
+    let contradiction = if seen.len() > 1 { CONTRADICTED_TRUST } else { 1.0 };
     let candidate = |(uid, seen): (&str, Observation<()>)| Candidate {
         uid: uid.into(),
-        trust: decayed_weight(&seen, now, TRUST_HALVES)
-            * contradicted
-            * (1.0 - suspicion(knowledge, uid, now)),
+        trust: decayed_weight(&seen, now, TRUST_HALF_LIFE)
+            * contradiction
+            * (1.0 - suspicion(state, uid, now)),
         seen,
     };
     let mut candidates: Vec<Candidate> = seen.into_iter().map(candidate).collect();
@@ -73,13 +75,14 @@
     candidates
 }
 
-/// It was the primary, and is known not to be any more: nobody is to be led to it by what was heard.
-pub fn is_former_primary(knowledge: &PeerState, uid: &str) -> bool {
-    let Some(facts) = knowledge.facts(uid) else { return false };
+/// The server was the primary and is known not to be any longer.
+pub fn is_former_primary(state: &PeerState, uid: &str) -> bool {
+    let Some(facts) = state.facts(uid) else { return false };
     let Some(primary) = facts.primary else { return false };
-    let later = |other: &ServerFacts| {
-        primary_observation(other).is_some_and(|s| s.observed_at >= primary.observed_at + CONTRADICTS)
+    let replaces = |other: &ServerFacts| {
+        primary_observation(other)
+            .is_some_and(|seen| seen.observed_at >= primary.observed_at + CONTRADICTION_WINDOW)
     };
     primary_observation(facts).is_none()
-        || knowledge.servers().any(|(name, other)| name != uid && other.group == facts.group && later(other))
+        || state.servers().any(|(name, other)| name != uid && other.group == facts.group && replaces(other))
 }
--- a/peer-state/src/datagram.rs
+++ b/peer-state/src/datagram.rs
@@ -1,8 +1,8 @@
-//! Datagrams among proxies: a head, a payload, and a code by HMAC-SHA-256 under the keys of the frames. A machine without
-//! socket or clock; times are handed in.
+//! Datagrams among proxies: a header, a payload, and an HMAC-SHA-256 under the keys of the frames. Knows no socket and no clock;
+//! times are passed in.
 //!
-//! Each carries the boot of its sender and a count. A receiver takes no count of a boot twice, and none that is more than
-//! [`WINDOW`] behind the newest; each boot has a bucket of datagrams a second. What is refused changes nothing but a count.
+//! Each datagram carries the incarnation of its sender and a sequence number. A receiver accepts no number of an incarnation
+//! twice, and none that is [`REPLAY_WINDOW`] or more behind the newest; the rate of each incarnation is limited.
 
 use crate::Micros;
 use crate::frame::Keys;
@@ -10,37 +10,45 @@
 use sha2::Sha256;
 use std::collections::BTreeMap;
 
-/// The longest datagram, head and code included: it fits into one packet on any link.
+/// The longest datagram, header and code included: it is not fragmented on usual links.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 const MAGIC: [u8; 2] = *b"bd";
 const VERSION: u8 = 1;
-/// Magic, version, key, sender's boot, count.
-const HEAD: usize = 2 + 1 + 4 + 8 + 8;
-const CODE: usize = 32;
+const VERSION_AT: usize = 2;
+const KEY_ID_AT: usize = 3;
+const INCARNATION_AT: usize = 7;
+const SEQUENCE_AT: usize = 15;
+const HEADER_BYTES: usize = 23;
+/// An HMAC-SHA-256.
+const CODE_BYTES: usize = 32;
 /// The longest payload.
-pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEAD - CODE;
-/// How far behind the newest of its boot a datagram may come.
+pub const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - CODE_BYTES;
+/// A datagram this far behind the newest of its sender is rejected.
 pub const REPLAY_WINDOW: u64 = 64;
-/// Senders that are kept apart; the one heard longest ago goes first.
+/// Senders that are tracked; the one silent for longest is removed first.
 const MAX_SENDERS: usize = 4_096;
-/// What one sender may send in a second, and save up.
-const RATE: f64 = 400.0;
+/// Datagrams that are accepted from one sender in a second, and at most in a burst.
+const DATAGRAMS_PER_SECOND: f64 = 400.0;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DatagramError {
-    /// No datagram of ours, or cut short, or too long.
+    /// Not a datagram of this protocol, truncated, or too long.
     Malformed,
+    /// Another version of the protocol.
     Version,
+    /// It is sealed with a key that this side does not have.
     UnknownKey,
+    /// Forged or changed.
     WrongCode,
-    /// It came before, or far too late.
+    /// It was accepted before, or is too far behind.
     Replayed,
-    /// More than a sender may send.
+    /// Its sender exceeds the rate.
     RateLimited,
 }
 
 impl DatagramError {
+    /// The reason in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             DatagramError::Malformed => "no-datagram",
@@ -53,89 +61,122 @@
     }
 }
 
-/// What one boot of a sender has sent.
+impl std::fmt::Display for DatagramError {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        f.write_str(match self {
+            DatagramError::Malformed => "not a datagram of this protocol",
+            DatagramError::Version => "a datagram of another version",
+            DatagramError::UnknownKey => "a datagram sealed with an unknown key",
+            DatagramError::WrongCode => "a datagram with a wrong code",
+            DatagramError::Replayed => "a datagram that was accepted before or is too late",
+            DatagramError::RateLimited => "more datagrams than a sender may send",
+        })
+    }
+}
+
+impl std::error::Error for DatagramError {}
+
+/// What was received of one incarnation of a sender.
 struct Sender {
-    newest: u64,
-    /// Bit n: newest - n has come.
+    newest_sequence: u64,
+    /// Bit n: `newest_sequence - n` was received.
     received_bits: u64,
-    tokens: f64,
+    rate_tokens: f64,
     updated_at: Micros,
 }
 
-/// Seals what this boot sends, opens what comes.
+impl Sender {
+    fn new(sequence: u64, now: Micros) -> Sender {
+        Sender {
+            newest_sequence: sequence,
+            received_bits: 0,
+            rate_tokens: DATAGRAMS_PER_SECOND,
+            updated_at: now,
+        }
+    }
+
+    fn admit(&mut self, now: Micros, sequence: u64) -> Result<(), DatagramError> {
+        let seconds = (now - self.updated_at).max(0) as f64 / 1e6;
+        self.rate_tokens = (self.rate_tokens + seconds * DATAGRAMS_PER_SECOND).min(DATAGRAMS_PER_SECOND);
+        self.updated_at = now.max(self.updated_at);
+        if self.rate_tokens < 1.0 {
+            return Err(DatagramError::RateLimited);
+        }
+        if sequence > self.newest_sequence {
+            let shift = u32::try_from(sequence - self.newest_sequence).unwrap_or(u64::BITS);
+            self.received_bits = self.received_bits.checked_shl(shift).unwrap_or(0);
+            self.newest_sequence = sequence;
+        }
+        let behind = self.newest_sequence - sequence;
+        if behind >= REPLAY_WINDOW || self.received_bits & (1 << behind) != 0 {
+            return Err(DatagramError::Replayed);
+        }
+        self.received_bits |= 1 << behind;
+        self.rate_tokens -= 1.0;
+        Ok(())
+    }
+}
+
+/// Seals what this incarnation sends, and opens what it receives.
 pub struct DatagramCodec {
     keys: Keys,
     incarnation: u64,
-    datagrams_sealed: u64,
+    last_sequence: u64,
     senders: BTreeMap<u64, Sender>,
 }
 
 impl DatagramCodec {
-    pub fn new(keys: Keys, boot: u64) -> DatagramCodec {
-        DatagramCodec { keys, incarnation: boot, datagrams_sealed: 0, senders: BTreeMap::new() }
+    /// Nothing was sent or received. `incarnation` is random.
+    pub fn new(keys: Keys, incarnation: u64) -> DatagramCodec {
+        DatagramCodec { keys, incarnation, last_sequence: 0, senders: BTreeMap::new() }
     }
 
-    /// None for a payload that is too long.
+    /// The next datagram; none for a payload that is too long.
     pub fn seal(&mut self, payload: &[u8]) -> Option<Vec<u8>> {
-        let (id, secret) = self.keys.sealing_key();
+        let (key_id, secret) = self.keys.sealing_key();
         if payload.len() > MAX_PAYLOAD_BYTES {
             return None;
         }
-        self.datagrams_sealed += 1;
-        let mut datagram = Vec::with_capacity(HEAD + payload.len() + CODE);
+        self.last_sequence += 1;
+        let mut datagram = Vec::with_capacity(HEADER_BYTES + payload.len() + CODE_BYTES);
         datagram.extend(MAGIC);
         datagram.push(VERSION);
-        datagram.extend(id.to_be_bytes());
+        datagram.extend(key_id.to_be_bytes());
         datagram.extend(self.incarnation.to_be_bytes());
-        datagram.extend(self.datagrams_sealed.to_be_bytes());
+        datagram.extend(self.last_sequence.to_be_bytes());
         datagram.extend(payload);
         let code = Hmac::<Sha256>::new_from_slice(secret).ok()?.chain_update(&datagram);
         datagram.extend(code.finalize().into_bytes());
         Some(datagram)
     }
 
-    /// The sender's boot, and what it sent.
+    /// The sender's incarnation, and the payload.
     pub fn open<'a>(&mut self, now: Micros, datagram: &'a [u8]) -> Result<(u64, &'a [u8]), DatagramError> {
-        if datagram.len() > MAX_DATAGRAM_BYTES || datagram.len() < HEAD + CODE || datagram[..2] != MAGIC {
+        let is_possible_length = (HEADER_BYTES + CODE_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len());
+        if !is_possible_length || datagram[..MAGIC.len()] != MAGIC {
             return Err(DatagramError::Malformed);
         }
-        if datagram[2] != VERSION {
+        if datagram[VERSION_AT] != VERSION {
             return Err(DatagramError::Version);
         }
-        let (coded, code) = datagram.split_at(datagram.len() - CODE);
-        let word = |at: usize| coded[at..].first_chunk::<8>().map_or(0, |b| u64::from_be_bytes(*b));
-        let id = coded[3..].first_chunk::<4>().map_or(0, |b| u32::from_be_bytes(*b));
-        let secret = self.keys.get(id).ok_or(DatagramError::UnknownKey)?;
+        let (sealed, code) = datagram.split_at(datagram.len() - CODE_BYTES);
+        let u64_at = |at: usize| sealed[at..].first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes));
+        let key_id = sealed[KEY_ID_AT..].first_chunk().map_or(0, |bytes| u32::from_be_bytes(*bytes));
+        let secret = self.keys.get(key_id).ok_or(DatagramError::UnknownKey)?;
         let mac = Hmac::<Sha256>::new_from_slice(secret).map_err(|_| DatagramError::UnknownKey)?;
-        mac.chain_update(coded).verify_slice(code).map_err(|_| DatagramError::WrongCode)?;
-        let (boot, count) = (word(7), word(15));
-        self.admit(now, boot, count)?;
-        Ok((boot, &coded[HEAD..]))
+        mac.chain_update(sealed).verify_slice(code).map_err(|_| DatagramError::WrongCode)?;
+        let incarnation = u64_at(INCARNATION_AT);
+        self.sender(now, incarnation, u64_at(SEQUENCE_AT)).admit(now, u64_at(SEQUENCE_AT))?;
+        Ok((incarnation, &sealed[HEADER_BYTES..]))
     }
 
-    fn admit(&mut self, now: Micros, boot: u64, count: u64) -> Result<(), DatagramError> {
-        if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&boot) {
-            let oldest = self.senders.iter().min_by_key(|(_, s)| s.updated_at).map(|(boot, _)| *boot);
+    /// What was received of a sender; a new one takes the place of the one silent for longest.
+    fn sender(&mut self, now: Micros, incarnation: u64, sequence: u64) -> &mut Sender {
+        if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&incarnation) {
+            let oldest = self.senders.iter().min_by_key(|(_, sender)| sender.updated_at);
+            let oldest = oldest.map(|(incarnation, _)| *incarnation);
             oldest.map(|oldest| self.senders.remove(&oldest));
         }
-        let first = Sender { newest: count, received_bits: 0, tokens: RATE, updated_at: now };
-        let s = self.senders.entry(boot).or_insert(first);
-        s.tokens = (s.tokens + (now - s.updated_at).max(0) as f64 / 1e6 * RATE).min(RATE);
-        s.updated_at = now.max(s.updated_at);
-        if s.tokens < 1.0 {
-            return Err(DatagramError::RateLimited);
-        }
-        if count > s.newest {
-            s.received_bits =
-                s.received_bits.checked_shl(u32::try_from(count - s.newest).unwrap_or(64)).unwrap_or(0);
-            s.newest = count;
-        }
-        let behind = s.newest - count;
-        if behind >= REPLAY_WINDOW || s.received_bits & (1 << behind) != 0 {
-            return Err(DatagramError::Replayed);
-        }
-        s.received_bits |= 1 << behind;
-        s.tokens -= 1.0;
-        Ok(())
+        self.senders.entry(incarnation).or_insert_with(|| Sender::new(sequence, now))
     }
 }
--- /dev/null
+++ b/peer-state/src/frame/link.rs
@@ -0,0 +1,162 @@
+//! One connection's framing: seals and opens frames in order, each bound to both nonces.
+
+use super::{
+    CODE_BYTES, FrameError, FrameKind, HEADER_BYTES, Header, MAGIC, MAX_PAYLOAD_BYTES, NONCE_BYTES, Nonce,
+};
+use crate::keys::Keys;
+use hmac::{Hmac, KeyInit, Mac};
+use sha2::Sha256;
+
+/// Which side of a connection this is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Side {
+    /// It opened the connection and requests state.
+    Requester,
+    /// It accepted the connection.
+    Provider,
+}
+
+impl Side {
+    fn other(self) -> Side {
+        match self {
+            Side::Requester => Side::Provider,
+            Side::Provider => Side::Requester,
+        }
+    }
+}
+
+/// The framing of one connection.
+pub struct FrameLink {
+    side: Side,
+    keys: Keys,
+    own_nonce: Nonce,
+    peer_nonce: Option<Nonce>,
+    frames_sealed: u64,
+    frames_opened: u64,
+    input: Vec<u8>,
+    failed: bool,
+}
+
+impl FrameLink {
+    /// A new connection. `nonce` is random and used for this connection only.
+    pub fn new(side: Side, keys: Keys, nonce: Nonce) -> FrameLink {
+        FrameLink {
+            side,
+            keys,
+            own_nonce: nonce,
+            peer_nonce: None,
+            frames_sealed: 0,
+            frames_opened: 0,
+            input: Vec::new(),
+            failed: false,
+        }
+    }
+
+    /// The first frame to be sent.
+    pub fn hello(&mut self) -> Vec<u8> {
+        let nonce = self.own_nonce;
+        self.seal(FrameKind::Hello, &nonce)
+    }
+
+    /// The authentication of the frame with this number that `sender` seals.
+    fn code(
+        &self,
+        secret: &[u8],
+        sender: Side,
+        frame_number: u64,
+        header: &[u8],
+        payload: &[u8],
+    ) -> Option<Hmac<Sha256>> {
+        let mut code = Hmac::<Sha256>::new_from_slice(secret).ok()?;
+        let (requester_nonce, provider_nonce) = match self.side {
+            Side::Requester => (Some(self.own_nonce), self.peer_nonce),
+            Side::Provider => (self.peer_nonce, Some(self.own_nonce)),
+        };
+        // The peer's nonce is not known before its Hello, so that a Hello is bound to neither nonce.
+        let is_hello = frame_number == 0;
+        let nonces = if is_hello { [[0; NONCE_BYTES]; 2] } else { [requester_nonce?, provider_nonce?] };
+        code.update(&[u8::from(sender == Side::Provider)]);
+        code.update(&nonces[0]);
+        code.update(&nonces[1]);
+        code.update(&frame_number.to_be_bytes());
+        code.update(header);
+        code.update(payload);
+        Some(code)
+    }
+
+    /// The next frame with this payload. A payload that is too long, or sealed before both sides sent Hello, gives no bytes.
+    pub fn seal(&mut self, kind: FrameKind, payload: &[u8]) -> Vec<u8> {
+        let (key_id, secret) = self.keys.sealing_key();
+        if payload.len() > MAX_PAYLOAD_BYTES {
+            return Vec::new();
+        }
+        let mut frame = Header { kind, key_id, payload_bytes: payload.len() }.encode();
+        let Some(code) = self.code(secret, self.side, self.frames_sealed, &frame, payload) else {
+            return Vec::new();
+        };
+        frame.extend(payload);
+        frame.extend(code.finalize().into_bytes());
+        self.frames_sealed += 1;
+        frame
+    }
+
+    /// Takes bytes that were read.
+    pub fn feed(&mut self, bytes: &[u8]) {
+        if !self.failed {
+            self.input.extend_from_slice(bytes);
+        }
+    }
+
+    /// More input may be read.
+    pub fn wants_input(&self) -> bool {
+        !self.failed && self.input.len() < HEADER_BYTES + MAX_PAYLOAD_BYTES + CODE_BYTES
+    }
+
+    /// The next frame, once it is complete. After an error there are no more.
+    pub fn next_frame(&mut self) -> Result<Option<(FrameKind, Vec<u8>)>, FrameError> {
+        loop {
+            match self.open() {
+                Ok(Some((FrameKind::Hello, _))) => {}
+                Ok(other) => return Ok(other),
+                Err(error) => {
+                    self.failed = true;
+                    self.input = Vec::new();
+                    return Err(error);
+                }
+            }
+        }
+    }
+
+    /// The other side has sent its Hello: frames can be sealed now.
+    pub fn is_established(&self) -> bool {
+        self.peer_nonce.is_some()
+    }
+
+    fn open(&mut self) -> Result<Option<(FrameKind, Vec<u8>)>, FrameError> {
+        let begun = self.input.len().min(MAGIC.len());
+        if self.failed || self.input[..begun] != MAGIC[..begun] {
+            return Err(FrameError::NotAFrame);
+        }
+        let Some(header_bytes) = self.input.first_chunk::<HEADER_BYTES>().copied() else { return Ok(None) };
+        let Header { kind, key_id, payload_bytes } = Header::decode(&header_bytes)?;
+        if (kind == FrameKind::Hello) == self.peer_nonce.is_some() {
+            return Err(FrameError::OutOfOrder);
+        }
+        let secret = self.keys.get(key_id).ok_or(FrameError::UnknownKey)?;
+        let payload_end = HEADER_BYTES + payload_bytes;
+        let frame_end = payload_end + CODE_BYTES;
+        if self.input.len() < frame_end {
+            return Ok(None);
+        }
+        let payload = self.input[HEADER_BYTES..payload_end].to_vec();
+        let code = self.code(secret, self.side.other(), self.frames_opened, &header_bytes, &payload);
+        let code = code.ok_or(FrameError::OutOfOrder)?;
+        code.verify_slice(&self.input[payload_end..frame_end]).map_err(|_| FrameError::WrongCode)?;
+        self.input.drain(..frame_end);
+        self.frames_opened += 1;
+        if kind == FrameKind::Hello {
+            self.peer_nonce = payload.first_chunk().copied();
+        }
+        Ok(Some((kind, payload)))
+    }
+}
--- a/peer-state/src/full_exchange.rs
+++ b/peer-state/src/full_exchange.rs
@@ -1,20 +1,21 @@
-//! A full exchange over one link: both ends tell all that they have, in parts that are opaque here, the asker first. A machine fed
-//! bytes, over the same frames as all links.
+//! A full exchange over one link: both sides send everything they have, in parts that are opaque here, the requester first. Fed
+//! bytes, over the same frames as a state transfer.
 
 use crate::frame::{FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
 
-/// Parts that one end takes.
+/// Parts that one side accepts.
 pub const MAX_PARTS: usize = 16;
 
-/// How far it has come.
+/// How far the exchange has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeEvent {
-    /// Both have said hello; it is the asker's turn to tell.
+    /// Both sides have sent Hello; it is the requester's turn to send.
     Connected,
-    /// All that the other end has.
+    /// All parts of the other side.
     Complete(Vec<Vec<u8>>),
 }
 
+/// One side of a full exchange.
 pub struct FullExchange {
     link: FrameLink,
     side: Side,
@@ -27,13 +28,14 @@
 }
 
 impl FullExchange {
+    /// A new connection; the nonce is random.
     pub fn new(side: Side, keys: Keys, nonce: Nonce) -> FullExchange {
         let mut link = FrameLink::new(side, keys, nonce);
-        let out = link.hello();
+        let output = link.hello();
         FullExchange {
             link,
             side,
-            output: out,
+            output,
             connected: false,
             sent: false,
             received_parts: Vec::new(),
@@ -41,49 +43,48 @@
         }
     }
 
+    /// Takes bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.link.feed(bytes);
     }
 
+    /// More input may be read.
     pub fn wants_input(&self) -> bool {
         !self.received && self.link.wants_input()
     }
 
-    /// What has come of the other end's words, one step at a time.
+    /// The next thing that has happened, if any.
     pub fn next_event(&mut self) -> Result<Option<ExchangeEvent>, FrameError> {
+        let is_requester = self.side == Side::Requester;
         loop {
             let frame = self.link.next_frame()?;
-            if self.link.is_established()
-                && !std::mem::replace(&mut self.connected, true)
-                && self.side == Side::Requester
-            {
-                // What was read with the hello is kept: a donor speaks once it was told.
-                return if frame.is_some() {
-                    Err(FrameError::OutOfOrder)
-                } else {
-                    Ok(Some(ExchangeEvent::Connected))
+            let just_connected = self.link.is_established() && !std::mem::replace(&mut self.connected, true);
+            if just_connected && is_requester {
+                // The provider sends nothing but its Hello before the requester has sent its parts.
+                return match frame {
+                    Some(_) => Err(FrameError::OutOfOrder),
+                    None => Ok(Some(ExchangeEvent::Connected)),
                 };
             }
             let Some((kind, payload)) = frame else { return Ok(None) };
             match kind {
                 FrameKind::Unknown(_) => {}
-                _ if self.received || (self.side == Side::Requester && !self.sent) => {
-                    return Err(FrameError::OutOfOrder);
-                }
+                _ if self.received || (is_requester && !self.sent) => return Err(FrameError::OutOfOrder),
                 FrameKind::MembershipPart if self.received_parts.len() >= MAX_PARTS => {
                     return Err(FrameError::TooLong);
                 }
                 FrameKind::MembershipPart => self.received_parts.push(payload),
                 FrameKind::Last if payload.is_empty() => {
                     self.received = true;
-                    return Ok(Some(ExchangeEvent::Complete(std::mem::take(&mut self.received_parts))));
+                    let parts = std::mem::take(&mut self.received_parts);
+                    return Ok(Some(ExchangeEvent::Complete(parts)));
                 }
                 _ => return Err(FrameError::OutOfOrder),
             }
         }
     }
 
-    /// Tells all that this end has.
+    /// Sends everything that this side has.
     pub fn send_parts(&mut self, parts: &[Vec<u8>]) {
         for part in parts.iter().take(MAX_PARTS) {
             let frame = self.link.seal(FrameKind::MembershipPart, part);
@@ -94,12 +95,12 @@
         self.sent = true;
     }
 
-    /// This end has told all that it has.
+    /// This side has sent its parts.
     pub fn has_sent(&self) -> bool {
         self.sent
     }
 
-    /// Both have told all; the connection ends once the rest is written.
+    /// Both sides have sent their parts; the connection ends once the output is written.
     pub fn is_finished(&self) -> bool {
         self.sent && self.received
     }
--- a/peer-state/src/lib.rs
+++ b/peer-state/src/lib.rs
@@ -1,42 +1,50 @@
-//! What proxies may learn of servers from one another, weighed by age and origin: decisions without I/O or clock, and
-//! beside them the frames in which it travels and the snapshot in which it rests.
+//! State about database servers that proxies share with one another: merge rules without I/O or clock, the protocol that carries
+//! the state, and the snapshot that stores it.
 //!
-//! [`PeerState`] holds facts as they were seen ([`Observation`]) and joins what others tell; [`advice`] says the few things that
-//! facts may be used for. [`request_scheduler::Joiner`] decides whom a newcomer asks and how long its start waits;
-//! [`provider::Donor`] decides whom a running proxy answers, so that its clients lose nothing.
+//! [`PeerState`] holds what was observed of each server ([`Observation`]) and merges what other proxies send ([`TransferPart`]).
+//! [`advice`] lists the decisions that this state may influence. [`request_scheduler::RequestScheduler`] decides which peers a
+//! new proxy asks and how long its start waits for them; [`provider::StateProvider`] decides which requests a running proxy
+//! answers, so that its clients do not suffer from it.
 //!
-//! It owns facts, their ages and their origins. It never makes a primary, sends nothing, and knows no socket, no
-//! PostgreSQL and no type of another crate.
+//! This crate owns observations, their ages and their origins. It never elects a primary, sends nothing itself, and depends on
+//! no socket, no PostgreSQL and no type of another crate of this workspace: [`Micros`] and [`Role`] are defined here again so
+//! that the stored and sent formats do not change with the decision module's types (`proxy/src/peer_state.rs` maps them).
 //!
 //! Invariants, each with the test that holds it (`tests/`):
 //!
-//! 1. A join is commutative, associative and idempotent (`joins_are_a_semilattice`).
-//! 2. Nothing grows younger on its way (`ages_only_add_up`).
-//! 3. Nothing of another boot or group than the list's is used (`another_boot_is_another_server`).
-//! 4. A position that is given out was seen of that boot (`positions_were_seen`).
-//! 5. Who was seen as a replica after being seen as primary, or is older as primary than another, is not asked first
-//!    (`former_primaries_are_not_asked_first`).
-//! 6. What comes back to its observer is dropped (`own_words_do_not_come_back`).
-//! 7. A datagram is taken once, whole, under a key, and no sender's flood costs more than its bucket
-//!    (`datagrams_are_taken_once_and_whole`, `a_flood_of_good_datagrams_is_bounded`).
-//! 8. A full exchange comes whole, in its order, or not at all (`an_exchange_is_whole_or_nothing`).
-//! 9. Tables and messages are bounded whatever is told (`tables_are_bounded`, `noise_is_refused`).
+//! 1. A merge is commutative, associative and idempotent (`merges_are_a_semilattice`).
+//! 2. No observation gets younger on its way (`ages_only_add_up_and_positions_were_observed`).
+//! 3. Nothing of another server incarnation or group than the endpoint list's is used (`another_incarnation_is_another_server`).
+//! 4. A position that is handed out was observed of that incarnation (`ages_only_add_up_and_positions_were_observed`).
+//! 5. A server that was seen as a replica after being seen as primary, or whose sighting as primary is older than another's, is
+//!    not the first candidate (`former_primaries_are_not_the_first_candidates`).
+//! 6. What comes back to its observer is dropped (`own_observations_do_not_come_back`).
+//! 7. A datagram is accepted once, complete, under a valid key, and a sender that exceeds its rate is limited
+//!    (`datagrams_are_accepted_once_and_complete`, `a_flood_of_valid_datagrams_is_limited`).
+//! 8. A full exchange is complete and in order, or rejected (`a_full_exchange_is_complete_or_rejected`).
+//! 9. Tables and messages are bounded whatever is received (`tables_are_bounded`, `noise_is_rejected`).
+
+#![warn(missing_docs)]
 
 pub mod advice;
 pub mod datagram;
-mod facts;
 pub mod frame;
 pub mod full_exchange;
 mod keys;
+mod observation;
+mod peer_state;
 pub mod provider;
 pub mod request_scheduler;
+mod server_facts;
 pub mod snapshot;
 mod transfer;
 pub mod transfer_protocol;
 
-pub use facts::{Observation, ObservationSource, PeerState, Role, ServerFacts, ServerIncarnation};
-pub use keys::NameHasher;
+pub use keys::{KeysError, NameHasher};
+pub use observation::{Observation, ObservationSource, Role};
+pub use peer_state::PeerState;
+pub use server_facts::{ServerFacts, ServerIncarnation};
 pub use transfer::{TransferPart, TransferredFact, TransferredServer};
 
-/// A span of time, or an instant on the holder's clock, in microseconds.
+/// A span of time, or an instant on the local clock, in microseconds.
 pub type Micros = i64;
--- a/peer-state/src/provider.rs
+++ b/peer-state/src/provider.rs
@@ -1,57 +1,68 @@
-//! Whom a running proxy answers, and how fast, so that a hundred newcomers after a mass restart cost its clients nothing. Owns
-//! the budget; never says what is told.
+//! Which requests for state a running proxy answers, and how fast, so that many proxies starting at once do not slow down its
+//! clients. Owns the budget; what is sent is decided elsewhere.
 
 use crate::Micros;
 
+/// Limits of the answers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProviderSettings {
-    /// Askers answered at once; others are told when to come again.
+    /// Requests answered at once; further ones are rejected with a time to retry after.
     pub at_once: usize,
-    /// Bytes a second over all of them.
+    /// Bytes a second over all answers.
     pub bytes_per_s: u64,
-    /// Above this pressure (0 to 1) nothing is told at all.
-    pub pressure: f64,
+    /// At this load (0 to 1) or above nothing is sent.
+    pub max_load: f64,
 }
 
 impl Default for ProviderSettings {
     fn default() -> ProviderSettings {
-        ProviderSettings { at_once: 4, bytes_per_s: 1 << 20, pressure: 0.85 }
+        ProviderSettings { at_once: 4, bytes_per_s: 1 << 20, max_load: 0.85 }
     }
 }
 
-/// What to do with one that asks.
+/// What to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
+    /// Answer it.
     Serve,
-    /// Come again after this time.
+    /// Reject it; the requester retries after this time.
     Busy(Micros),
 }
 
-/// Bytes that may go at once: a whole frame.
-const BURST: f64 = 64.0 * 1024.0;
-/// What an asker that was put off is told to wait at least, and by how much more for each that was put off lately.
-const WAIT: Micros = 100_000;
+/// Bytes that may be sent at once: a complete frame.
+const BURST_BYTES: f64 = 64.0 * 1024.0;
+/// The shortest time to retry after. It grows by as much, divided among the requests answered at once, for each recent
+/// rejection, so that rejected requesters do not come back together.
+const RETRY_AFTER: Micros = 100_000;
+/// A send that the load forbids is tried again after this time.
+const OVERLOAD_PAUSE: Micros = 100_000;
+/// The shortest wait for the send budget.
+const MIN_BUDGET_WAIT: Micros = 1_000;
 
+/// The admission of requests and the send budget of one proxy.
 pub struct StateProvider {
     settings: ProviderSettings,
     active_transfers: usize,
     load: f64,
     send_budget_bytes: f64,
     send_budget_updated_at: Micros,
-    /// Askers put off, halved each second.
+    /// Rejected requests, halved each second.
     recently_rejected: f64,
     recently_rejected_at: Micros,
+    /// Transfers that ended completely.
     pub completed_transfers: u64,
+    /// Requests rejected.
     pub rejected_requests: u64,
 }
 
 impl StateProvider {
+    /// Nothing is being sent, and the budget is full.
     pub fn new(settings: ProviderSettings, now: Micros) -> StateProvider {
         StateProvider {
             settings,
             active_transfers: 0,
             load: 0.0,
-            send_budget_bytes: BURST,
+            send_budget_bytes: BURST_BYTES,
             send_budget_updated_at: now,
             recently_rejected: 0.0,
             recently_rejected_at: now,
@@ -60,14 +71,14 @@
         }
     }
 
-    /// How much the proxy has to do for its clients.
-    pub fn set_load(&mut self, pressure: f64) {
-        self.load = if pressure.is_finite() { pressure } else { 1.0 };
+    /// How busy the proxy is with its clients, 0 to 1.
+    pub fn set_load(&mut self, load: f64) {
+        self.load = if load.is_finite() { load } else { 1.0 };
     }
 
-    /// Somebody asks.
+    /// A request has come. One that is served ends by [`StateProvider::finish`].
     pub fn admit(&mut self, now: Micros) -> Admission {
-        if self.active_transfers < self.settings.at_once && self.load < self.settings.pressure {
+        if self.active_transfers < self.settings.at_once && self.load < self.settings.max_load {
             self.active_transfers += 1;
             return Admission::Serve;
         }
@@ -75,31 +86,30 @@
         let seconds = (now - self.recently_rejected_at).max(0) as f64 / 1e6;
         self.recently_rejected = self.recently_rejected * 0.5f64.powf(seconds) + 1.0;
         self.recently_rejected_at = now;
-        // They come back one after another, not together.
-        Admission::Busy(
-            WAIT + (WAIT as f64 * self.recently_rejected / self.settings.at_once.max(1) as f64) as Micros,
-        )
+        let per_slot = self.recently_rejected / self.settings.at_once.max(1) as f64;
+        Admission::Busy(RETRY_AFTER + (RETRY_AFTER as f64 * per_slot) as Micros)
     }
 
-    /// One that was served has all, or is gone.
-    pub fn finish(&mut self, whole: bool) {
+    /// A served request has its answer, or its connection is closed.
+    pub fn finish(&mut self, complete: bool) {
         self.active_transfers = self.active_transfers.saturating_sub(1);
-        self.completed_transfers += u64::from(whole);
+        self.completed_transfers += u64::from(complete);
     }
 
-    /// May so many bytes go now? Otherwise, when to ask again.
+    /// Takes so many bytes from the send budget; otherwise returns the time to try again at.
     pub fn take_send_budget(&mut self, now: Micros, bytes: usize) -> Result<(), Micros> {
         let seconds = (now - self.send_budget_updated_at).max(0) as f64 / 1e6;
         self.send_budget_updated_at = now;
-        self.send_budget_bytes =
-            (self.send_budget_bytes + seconds * self.settings.bytes_per_s as f64).min(BURST);
-        let wanted = (bytes as f64).min(BURST);
-        if self.load >= self.settings.pressure {
-            return Err(now + WAIT);
+        let refill = seconds * self.settings.bytes_per_s as f64;
+        self.send_budget_bytes = (self.send_budget_bytes + refill).min(BURST_BYTES);
+        if self.load >= self.settings.max_load {
+            return Err(now + OVERLOAD_PAUSE);
         }
+        let wanted = (bytes as f64).min(BURST_BYTES);
         if self.send_budget_bytes < wanted {
-            let wait = (wanted - self.send_budget_bytes) / self.settings.bytes_per_s.max(1) as f64 * 1e6;
-            return Err(now + (wait as Micros).max(1_000));
+            let missing = wanted - self.send_budget_bytes;
+            let wait = missing / self.settings.bytes_per_s.max(1) as f64 * 1e6;
+            return Err(now + (wait as Micros).max(MIN_BUDGET_WAIT));
         }
         self.send_budget_bytes -= wanted;
         Ok(())
--- a/peer-state/src/request_scheduler.rs
+++ b/peer-state/src/request_scheduler.rs
@@ -1,208 +1,222 @@
-//! Whom a newcomer asks, how long its start waits for that, and whom it asks again later. Owns the table of donors; never
-//! holds a start longer than its patience.
+//! Which peers a new proxy asks for state, how long its start waits for them, and which it asks again later. Owns the table of
+//! providers; a start never waits longer than its limit.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Donors known at once: those that were set, and those that others named.
-pub const MAX_PROVIDERS: usize = 64;
-
+/// Providers in the table: configured ones, and those that others named.
+const MAX_PROVIDERS: usize = 64;
+/// The longest address of a provider that another named.
+const MAX_ADDRESS_BYTES: usize = 64;
+/// The backoff after a first failure is up to twice this; it doubles with each further one.
+const BACKOFF_UNIT: Micros = 100_000;
+/// The longest backoff, and the longest time to retry after that is honoured.
+const MAX_BACKOFF: Micros = 30_000_000;
+/// The backoff stops doubling after so many failures.
+const MAX_BACKOFF_DOUBLINGS: u32 = 9;
+/// The shortest time to retry after that is honoured.
+const MIN_RETRY_AFTER: Micros = 10_000;
+/// A provider that is not configured is removed after so many failures in a row.
+const FAILURES_BEFORE_REMOVAL: u32 = 3;
+
+/// Whom to ask, and when.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestSettings {
-    /// Addresses, as the options have them.
-    pub donors: Vec<String>,
-    /// Asked at once at the start.
+    /// Addresses of configured providers.
+    pub providers: Vec<String>,
+    /// Requests in flight at once during the start.
     pub at_once: usize,
-    /// The start waits so long at most.
-    pub patience: Micros,
-    /// One donor is asked again about so often; 0 for never.
-    pub refresh: Micros,
-    /// An answer that is not whole after this time is given up.
-    pub timeout: Micros,
+    /// The longest time that the start waits for an answer.
+    pub startup_timeout: Micros,
+    /// The mean time between refreshes, each from one provider; 0 for none.
+    pub refresh_interval: Micros,
+    /// A request without a complete answer after this time has failed.
+    pub request_timeout: Micros,
+    /// Seeds the choice among providers and the jitter.
     pub seed: u64,
 }
 
 impl Default for RequestSettings {
     fn default() -> RequestSettings {
         RequestSettings {
-            donors: Vec::new(),
+            providers: Vec::new(),
             at_once: 3,
-            patience: 300_000,
-            refresh: 10_000_000,
-            timeout: 2_000_000,
+            startup_timeout: 300_000,
+            refresh_interval: 10_000_000,
+            request_timeout: 2_000_000,
             seed: 1,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum RequestState {
     Idle,
+    /// Since when.
     InFlight(Micros),
 }
 
 #[derive(Clone, Debug)]
 struct KnownProvider {
-    state: State,
-    /// Failures in a row, and when it may be asked again.
+    state: RequestState,
     consecutive_failures: u32,
+    /// When it may be asked again.
     eligible_at: Micros,
-    /// The options name it: others are forgotten first.
+    /// The options name it: it is never removed.
     configured: bool,
 }
 
-/// What became of an answer.
+impl KnownProvider {
+    fn new(now: Micros, configured: bool) -> KnownProvider {
+        KnownProvider { state: RequestState::Idle, consecutive_failures: 0, eligible_at: now, configured }
+    }
+}
+
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// All of it came, and it names other donors.
+    /// The answer is complete; addresses of other providers.
     Complete(Vec<String>),
-    /// It has no time now.
+    /// The provider rejected it; retry after this time.
     Busy(Micros),
+    /// No complete answer came.
     Failed,
 }
 
+/// The requests of one proxy.
 pub struct RequestScheduler {
     settings: RequestSettings,
     providers: BTreeMap<String, KnownProvider>,
     rng: fastrand::Rng,
-    started: Micros,
+    started_at: Micros,
     startup_complete: bool,
     refresh_at: Micros,
-    /// Whole answers so far.
-    pub completed_requests: u64,
+    completed_requests: u64,
 }
 
-/// The longest wait before a donor that failed is asked again, doubled from a tenth of a second.
-const LONGEST_WAIT: Micros = 30_000_000;
-
 impl RequestScheduler {
+    /// The proxy starts now.
     pub fn new(settings: RequestSettings, now: Micros) -> RequestScheduler {
-        let donor = |name: &String| {
-            (
-                name.clone(),
-                KnownProvider {
-                    state: State::Idle,
-                    consecutive_failures: 0,
-                    eligible_at: now,
-                    configured: true,
-                },
-            )
-        };
-        let donors: BTreeMap<_, _> = settings.donors.iter().take(MAX_PROVIDERS).map(donor).collect();
+        let configured = settings.providers.iter().take(MAX_PROVIDERS).cloned();
+        let providers: BTreeMap<_, _> =
+            configured.map(|address| (address, KnownProvider::new(now, true))).collect();
         RequestScheduler {
-            startup_complete: donors.is_empty(),
-            providers: donors,
+            startup_complete: providers.is_empty(),
+            providers,
             rng: fastrand::Rng::with_seed(settings.seed),
-            started: now,
+            started_at: now,
             refresh_at: now,
             completed_requests: 0,
             settings,
         }
     }
 
-    /// The start need not wait any more: somebody has told all, everybody failed, or the patience is over.
+    /// The start need not wait any longer: an answer is complete, all providers failed, or the time is over.
     pub fn is_startup_complete(&self) -> bool {
         self.startup_complete
     }
 
     fn in_flight_count(&self) -> usize {
-        self.providers.values().filter(|d| matches!(d.state, State::InFlight(_))).count()
+        self.providers.values().filter(|provider| matches!(provider.state, RequestState::InFlight(_))).count()
     }
 
-    /// Whom to ask now; each must come back through [`Joiner::ended`].
+    /// Providers to ask now; the end of each request is reported by [`RequestScheduler::record_outcome`].
     pub fn due_requests(&mut self, now: Micros) -> Vec<String> {
-        let late: Vec<String> = self
-            .providers
-            .iter()
-            .filter(|(_, d)| matches!(d.state, State::InFlight(at) if now - at >= self.settings.timeout))
-            .map(|(name, _)| name.clone())
-            .collect();
-        late.iter().for_each(|name| self.record_outcome(now, name, RequestOutcome::Failed));
-        self.startup_complete |= now - self.started >= self.settings.patience;
-        let starting = self.completed_requests == 0;
-        let most = if starting { self.settings.at_once } else { 1 };
-        if !starting && (self.settings.refresh == 0 || now < self.refresh_at) {
+        self.fail_overdue_requests(now);
+        self.startup_complete |= now - self.started_at >= self.settings.startup_timeout;
+        let is_starting = self.completed_requests == 0;
+        if !is_starting && (self.settings.refresh_interval == 0 || now < self.refresh_at) {
             return Vec::new();
         }
-        let mut able: Vec<String> = self
+        let max_in_flight = if is_starting { self.settings.at_once } else { 1 };
+        let mut chosen: Vec<String> = self
             .providers
             .iter()
-            .filter(|(_, d)| d.state == State::Idle && d.eligible_at <= now)
-            .map(|(name, _)| name.clone())
+            .filter(|(_, provider)| provider.state == RequestState::Idle && provider.eligible_at <= now)
+            .map(|(address, _)| address.clone())
             .collect();
-        // A hundred newcomers are not to ask the same three.
-        self.rng.shuffle(&mut able);
-        able.truncate(most.saturating_sub(self.in_flight_count()));
-        for name in &able {
-            if let Some(donor) = self.providers.get_mut(name) {
-                donor.state = State::InFlight(now);
+        // Proxies that start together are spread over the providers.
+        self.rng.shuffle(&mut chosen);
+        chosen.truncate(max_in_flight.saturating_sub(self.in_flight_count()));
+        for address in &chosen {
+            if let Some(provider) = self.providers.get_mut(address) {
+                provider.state = RequestState::InFlight(now);
             }
         }
-        if !starting && !able.is_empty() {
+        if !is_starting && !chosen.is_empty() {
             self.schedule_refresh(now);
         }
-        able
+        chosen
+    }
+
+    fn fail_overdue_requests(&mut self, now: Micros) {
+        let timeout = self.settings.request_timeout;
+        let is_overdue = |provider: &KnownProvider| matches!(provider.state, RequestState::InFlight(since) if now - since >= timeout);
+        let overdue: Vec<String> = self
+            .providers
+            .iter()
+            .filter(|(_, provider)| is_overdue(provider))
+            .map(|(address, _)| address.clone())
+            .collect();
+        overdue.iter().for_each(|address| self.record_outcome(now, address, RequestOutcome::Failed));
     }
 
     fn schedule_refresh(&mut self, now: Micros) {
-        let every = self.settings.refresh;
-        self.refresh_at = now + every / 2 + self.rng.i64(0..=every);
+        let interval = self.settings.refresh_interval;
+        self.refresh_at = now + interval / 2 + self.rng.i64(0..=interval);
     }
 
-    /// What became of a donor that was asked.
-    pub fn record_outcome(&mut self, now: Micros, name: &str, end: RequestOutcome) {
-        let Some(donor) = self.providers.get_mut(name) else { return };
-        donor.state = State::Idle;
-        match end {
+    /// A request has ended.
+    pub fn record_outcome(&mut self, now: Micros, address: &str, outcome: RequestOutcome) {
+        let Some(provider) = self.providers.get_mut(address) else { return };
+        provider.state = RequestState::Idle;
+        match outcome {
             RequestOutcome::Complete(named) => {
-                (donor.consecutive_failures, donor.eligible_at) = (0, now);
+                (provider.consecutive_failures, provider.eligible_at) = (0, now);
                 self.completed_requests += 1;
                 self.startup_complete = true;
                 self.schedule_refresh(now);
-                for name in named {
-                    if self.providers.len() < MAX_PROVIDERS && name.len() <= 64 {
-                        let new = KnownProvider {
-                            state: State::Idle,
-                            consecutive_failures: 0,
-                            eligible_at: now,
-                            configured: false,
-                        };
-                        self.providers.entry(name).or_insert(new);
-                    }
-                }
+                named.into_iter().for_each(|address| self.add_named_provider(now, address));
+            }
+            RequestOutcome::Busy(retry_after) => {
+                provider.eligible_at = now + retry_after.clamp(MIN_RETRY_AFTER, MAX_BACKOFF);
             }
-            RequestOutcome::Busy(wait) => donor.eligible_at = now + wait.clamp(10_000, LONGEST_WAIT),
             RequestOutcome::Failed => {
-                donor.consecutive_failures += 1;
-                let wait = (100_000 << donor.consecutive_failures.min(9)).min(LONGEST_WAIT);
-                donor.eligible_at = now + wait / 2 + self.rng.i64(0..=wait / 2);
-                if !donor.configured && donor.consecutive_failures >= 3 {
-                    self.providers.remove(name);
+                provider.consecutive_failures += 1;
+                let doublings = provider.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+                let backoff = (BACKOFF_UNIT << doublings).min(MAX_BACKOFF);
+                provider.eligible_at = now + backoff / 2 + self.rng.i64(0..=backoff / 2);
+                if !provider.configured && provider.consecutive_failures >= FAILURES_BEFORE_REMOVAL {
+                    self.providers.remove(address);
                 }
             }
         }
-        // With nobody left to hope for, waiting would be for nothing.
-        let hope = self.providers.values().any(|d| d.consecutive_failures == 0);
-        self.startup_complete |= !hope;
+        let any_may_answer = self.providers.values().any(|provider| provider.consecutive_failures == 0);
+        self.startup_complete |= !any_may_answer;
     }
 
-    /// When [`Joiner::step`] may have something to do, unless something ends first.
+    fn add_named_provider(&mut self, now: Micros, address: String) {
+        if self.providers.len() < MAX_PROVIDERS && address.len() <= MAX_ADDRESS_BYTES {
+            self.providers.entry(address).or_insert(KnownProvider::new(now, false));
+        }
+    }
+
+    /// When [`RequestScheduler::due_requests`] may have something to do, unless a request ends first.
     pub fn next_change(&self, now: Micros) -> Micros {
-        let patience = (!self.startup_complete).then_some(self.started + self.settings.patience);
-        let lost = self.providers.values().filter_map(|d| match d.state {
-            State::InFlight(at) => Some(at + self.settings.timeout),
-            State::Idle => None,
+        let startup_end = (!self.startup_complete).then_some(self.started_at + self.settings.startup_timeout);
+        let timeouts = self.providers.values().filter_map(|provider| match provider.state {
+            RequestState::InFlight(since) => Some(since + self.settings.request_timeout),
+            RequestState::Idle => None,
         });
-        let able = self.providers.values().filter(|d| d.state == State::Idle).map(|d| d.eligible_at).min();
-        let again = match able {
-            Some(from) if self.completed_requests > 0 && self.settings.refresh > 0 => {
-                Some(from.max(self.refresh_at))
-            }
-            Some(from) if self.completed_requests == 0 && self.in_flight_count() < self.settings.at_once => {
-                Some(from)
-            }
+        let idle = self.providers.values().filter(|provider| provider.state == RequestState::Idle);
+        let first_eligible = idle.map(|provider| provider.eligible_at).min();
+        let is_starting = self.completed_requests == 0;
+        let next_request = match first_eligible {
+            Some(at) if !is_starting && self.settings.refresh_interval > 0 => Some(at.max(self.refresh_at)),
+            Some(at) if is_starting && self.in_flight_count() < self.settings.at_once => Some(at),
             _ => None,
         };
-        lost.chain(patience).chain(again).min().map_or(Micros::MAX, |at| at.max(now + 1))
+        let next = timeouts.chain(startup_end).chain(next_request).min();
+        next.map_or(Micros::MAX, |at| at.max(now + 1))
     }
 }
--- a/peer-state/src/transfer.rs
+++ b/peer-state/src/transfer.rs
@@ -1,27 +1,33 @@
-//! Facts on their way: with ages instead of instants. Owns both directions of that; what is dropped on the way in is decided
-//! here.
+//! Facts as they are sent and stored: with ages instead of instants. Owns both directions of that translation, and what is
+//! dropped on the way in.
 
-use crate::Micros;
-use crate::facts::{MAX_SERVER_NAME_BYTES, Observation, ObservationSource, PeerState, ServerFacts};
+use crate::peer_state::{FULL_SLOW_START_PERMILLE, MAX_SERVER_NAME_BYTES};
+use crate::{Micros, Observation, ObservationSource, PeerState, ServerFacts};
 use serde::{Deserialize, Serialize};
 
-/// Beyond so many hops nothing is believed, nor told on.
-pub const MAX_HOPS: u8 = 3;
-/// What is older than this is worth no byte.
-pub const MAX_AGE: Micros = 600_000_000;
+/// Facts passed on this often are neither accepted nor sent.
+const MAX_HOPS: u8 = 3;
+/// Older facts are not sent.
+pub(crate) const MAX_AGE: Micros = 600_000_000;
 
-/// A sighting with its age at the teller, in milliseconds, rounded up.
+/// An observation with its age at the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferredFact<T> {
+    /// What was observed.
     pub value: T,
+    /// Its age in milliseconds, rounded up.
     pub age_ms: u32,
+    /// How many proxies passed it on before the sender.
     pub hop_count: u8,
+    /// How the observer learnt it.
     pub source: ObservationSource,
+    /// The proxy that observed it.
     pub observer: u64,
 }
 
-/// What is told of one server.
+/// What is sent of one server. The fields are those of [`ServerFacts`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[allow(missing_docs, reason = "the fields are documented at ServerFacts")]
 pub struct TransferredServer {
     pub uid: String,
     pub started_ms: u64,
@@ -35,14 +41,33 @@
     pub slow_start_permille: Option<TransferredFact<u16>>,
 }
 
-/// Part of what one proxy tells another.
+impl TransferredServer {
+    /// Every fact is older by so much.
+    pub(crate) fn add_age(&mut self, age_ms: u32) {
+        fn add<T>(fact: &mut Option<TransferredFact<T>>, age_ms: u32) {
+            if let Some(fact) = fact {
+                fact.age_ms = fact.age_ms.saturating_add(age_ms);
+            }
+        }
+        add(&mut self.position, age_ms);
+        add(&mut self.lag, age_ms);
+        add(&mut self.primary, age_ms);
+        add(&mut self.replica, age_ms);
+        add(&mut self.suspect, age_ms);
+        add(&mut self.latency, age_ms);
+        add(&mut self.slow_start_permille, age_ms);
+    }
+}
+
+/// A part of the state that one proxy sends another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferPart {
+    /// Servers in this part.
     pub servers: Vec<TransferredServer>,
 }
 
-fn out<T: Copy + Ord>(seen: Option<Observation<T>>, now: Micros) -> Option<TransferredFact<T>> {
-    let seen = seen.filter(|s| s.hop_count < MAX_HOPS && s.age(now) <= MAX_AGE)?;
+fn export<T: Copy + Ord>(seen: Option<Observation<T>>, now: Micros) -> Option<TransferredFact<T>> {
+    let seen = seen.filter(|seen| seen.hop_count < MAX_HOPS && seen.age(now) <= MAX_AGE)?;
     let age_ms = u32::try_from((seen.age(now) + 999) / 1000).ok()?;
     Some(TransferredFact {
         value: seen.value,
@@ -54,62 +79,67 @@
 }
 
 impl PeerState {
-    /// What is told of each server, in the order of their names.
+    /// What is sent of each server, by name.
     pub fn export_facts(&self, now: Micros) -> impl Iterator<Item = TransferredServer> {
-        self.servers().map(move |(uid, f)| TransferredServer {
+        self.servers().map(move |(uid, facts)| TransferredServer {
             uid: uid.into(),
-            started_ms: f.started_ms,
-            group: f.group,
-            position: out(f.position, now),
-            lag: out(f.lag, now),
-            primary: out(f.primary, now),
-            replica: out(f.replica, now),
-            suspect: out(f.suspect, now),
-            latency: out(f.latency, now),
-            slow_start_permille: out(f.slow_start_permille, now),
+            started_ms: facts.started_ms,
+            group: facts.group,
+            position: export(facts.position, now),
+            lag: export(facts.lag, now),
+            primary: export(facts.primary, now),
+            replica: export(facts.replica, now),
+            suspect: export(facts.suspect, now),
+            latency: export(facts.latency, now),
+            slow_start_permille: export(facts.slow_start_permille, now),
         })
     }
 
-    /// Takes what another tells. Ages count from the instant at which it was *asked*: what the way took makes all of it
-    /// older, never younger. What this proxy said itself is dropped, and so is what has come through too many.
-    pub fn apply_transfer(&mut self, asked_at: Micros, told: &TransferPart) {
-        for server in &told.servers {
+    /// Merges what another proxy sent. Ages count from the instant of the *request*, so that the time on the way makes facts
+    /// older, never younger. This proxy's own observations are dropped, and those that were passed on too often.
+    pub fn apply_transfer(&mut self, requested_at: Micros, part: &TransferPart) {
+        for server in &part.servers {
             if server.uid.len() > MAX_SERVER_NAME_BYTES {
                 self.dropped += 1;
                 continue;
             }
-            let mut kept = ServerFacts::new(server.started_ms, server.group);
-            kept.position = self.receive_fact(server.position, asked_at);
-            kept.lag = self.receive_fact(server.lag, asked_at).filter(|lag| lag.value >= 0);
-            kept.primary = self.receive_fact(server.primary, asked_at);
-            kept.replica = self.receive_fact(server.replica, asked_at);
-            kept.suspect = self.receive_fact(server.suspect, asked_at);
-            kept.latency = self.receive_fact(server.latency, asked_at).filter(|latency| latency.value >= 0);
-            kept.slow_start_permille =
-                self.receive_fact(server.slow_start_permille, asked_at).filter(|cold| cold.value <= 1000);
-            if !kept.is_empty() {
-                self.merge(&server.uid, &kept);
+            let facts = self.receive_server(server, requested_at);
+            if !facts.is_empty() {
+                self.merge(&server.uid, &facts);
             }
         }
     }
 
+    fn receive_server(&mut self, server: &TransferredServer, requested_at: Micros) -> ServerFacts {
+        let mut facts = ServerFacts::new(server.started_ms, server.group);
+        facts.position = self.receive_fact(server.position, requested_at);
+        facts.lag = self.receive_fact(server.lag, requested_at).filter(|lag| lag.value >= 0);
+        facts.primary = self.receive_fact(server.primary, requested_at);
+        facts.replica = self.receive_fact(server.replica, requested_at);
+        facts.suspect = self.receive_fact(server.suspect, requested_at);
+        facts.latency = self.receive_fact(server.latency, requested_at).filter(|latency| latency.value >= 0);
+        facts.slow_start_permille = self
+            .receive_fact(server.slow_start_permille, requested_at)
+            .filter(|remaining| remaining.value <= FULL_SLOW_START_PERMILLE);
+        facts
+    }
+
     fn receive_fact<T>(
         &mut self,
-        told: Option<TransferredFact<T>>,
-        asked_at: Micros,
+        fact: Option<TransferredFact<T>>,
+        requested_at: Micros,
     ) -> Option<Observation<T>> {
-        let told = told?;
-        if told.observer == self.observer || told.hop_count >= MAX_HOPS {
+        let fact = fact?;
+        if fact.observer == self.observer || fact.hop_count >= MAX_HOPS {
             self.dropped += 1;
             return None;
         }
-        let at = asked_at - Micros::from(told.age_ms) * 1000;
         Some(Observation {
-            value: told.value,
-            observed_at: at,
-            hop_count: told.hop_count + 1,
-            source: told.source,
-            observer: told.observer,
+            value: fact.value,
+            observed_at: requested_at - Micros::from(fact.age_ms) * 1000,
+            hop_count: fact.hop_count + 1,
+            source: fact.source,
+            observer: fact.observer,
         })
     }
 }
--- a/peer-state/src/transfer_protocol.rs
+++ b/peer-state/src/transfer_protocol.rs
@@ -1,5 +1,6 @@
-//! The two ends of a conversation, over frames: one asks, the other tells in parts. Machines fed bytes; what is said when is
-//! decided by [`crate::request_scheduler`] and [`crate::provider`], and bytes leave through `out`.
+//! The two sides of a state transfer, over frames: [`StateRequester`] requests, [`StateSender`] sends in parts. Both are fed bytes
+//! and leave what is to be written in `output`; which peer is asked and which request is answered is decided by
+//! [`crate::request_scheduler`] and [`crate::provider`].
 
 use crate::Micros;
 use crate::frame::{FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
@@ -7,31 +8,32 @@
 use serde::{Deserialize, Serialize};
 
 /// Servers in one part: with the longest names well under a frame.
-const PART: usize = 128;
-/// Parts that an asker takes from one donor: more than any list has.
-const MOST_PARTS: usize = 64;
-/// Other donors that are named, and the longest name of one.
-const MOST_NAMED: usize = 16;
-const MOST_ADDRESS: usize = 64;
-
-/// What ends an answer.
+const SERVERS_PER_PART: usize = 128;
+/// Parts that a requester accepts from one provider: more than the largest list needs.
+const MAX_PARTS: usize = 64;
+/// Other providers that an answer names, and the longest address of one.
+const MAX_NAMED_PROVIDERS: usize = 16;
+const MAX_ADDRESS_BYTES: usize = 64;
+
+/// The payload of the last frame.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Closing {
-    /// Other proxies that may be asked.
+    /// Addresses of other proxies that may be asked.
     providers: Vec<String>,
 }
 
-/// What an asker has heard.
+/// What a requester has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransferEvent {
+    /// A part of the state.
     Part(TransferPart),
-    /// That was all; and who else may be asked.
+    /// All parts have come; the addresses of other providers.
     Complete(Vec<String>),
-    /// It has no time: come again after this.
+    /// The provider rejected the request: retry after this time.
     Busy(Micros),
 }
 
-/// The end that asks.
+/// The side that requests state.
 pub struct StateRequester {
     link: FrameLink,
     /// Bytes to be written.
@@ -42,66 +44,71 @@
 }
 
 impl StateRequester {
+    /// A new connection; the nonce is random.
     pub fn new(keys: Keys, nonce: Nonce) -> StateRequester {
         let mut link = FrameLink::new(Side::Requester, keys, nonce);
-        let out = link.hello();
-        StateRequester { link, output: out, request_sent: false, parts_received: 0, finished: false }
+        let output = link.hello();
+        StateRequester { link, output, request_sent: false, parts_received: 0, finished: false }
     }
 
+    /// More input may be read.
     pub fn wants_input(&self) -> bool {
         !self.finished && self.link.wants_input()
     }
 
+    /// Takes bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         if !self.finished {
             self.link.feed(bytes);
         }
     }
 
-    /// The answer came whole, or it was put off: the connection is to be closed.
+    /// The answer is complete, or the request was rejected: the connection is to be closed.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// What has been heard, one thing at a time.
+    /// The next thing received, if any.
     pub fn next_event(&mut self) -> Result<Option<TransferEvent>, FrameError> {
         while !self.finished {
             let frame = self.link.next_frame()?;
             if self.link.is_established() && !std::mem::replace(&mut self.request_sent, true) {
-                let ask = self.link.seal(FrameKind::Request, &[]);
-                self.output.extend(ask);
+                let request = self.link.seal(FrameKind::Request, &[]);
+                self.output.extend(request);
             }
             let Some((kind, payload)) = frame else { return Ok(None) };
-            match kind {
-                FrameKind::Part => {
-                    self.parts_received += 1;
-                    if self.parts_received > MOST_PARTS {
-                        return Err(FrameError::TooLong);
-                    }
-                    return Ok(Some(TransferEvent::Part(decode(&payload)?)));
-                }
-                FrameKind::Last => {
-                    self.finished = true;
-                    let closing: Closing = decode(&payload)?;
-                    let mut donors = closing.providers;
-                    donors.retain(|name| name.len() <= MOST_ADDRESS);
-                    donors.truncate(MOST_NAMED);
-                    return Ok(Some(TransferEvent::Complete(donors)));
-                }
-                FrameKind::Busy => {
-                    self.finished = true;
-                    let ms: u32 = decode(&payload)?;
-                    return Ok(Some(TransferEvent::Busy(Micros::from(ms) * 1000)));
-                }
-                // An answer does not ask, and a kind of a later version is passed over.
-                FrameKind::Request | FrameKind::Hello | FrameKind::MembershipPart => {
-                    return Err(FrameError::OutOfOrder);
-                }
-                FrameKind::Unknown(_) => {}
+            if let Some(event) = self.receive(kind, &payload)? {
+                return Ok(Some(event));
             }
         }
         Ok(None)
     }
+
+    fn receive(&mut self, kind: FrameKind, payload: &[u8]) -> Result<Option<TransferEvent>, FrameError> {
+        match kind {
+            FrameKind::Part => {
+                self.parts_received += 1;
+                if self.parts_received > MAX_PARTS {
+                    return Err(FrameError::TooLong);
+                }
+                Ok(Some(TransferEvent::Part(decode(payload)?)))
+            }
+            FrameKind::Last => {
+                self.finished = true;
+                let Closing { mut providers } = decode(payload)?;
+                providers.retain(|address| address.len() <= MAX_ADDRESS_BYTES);
+                providers.truncate(MAX_NAMED_PROVIDERS);
+                Ok(Some(TransferEvent::Complete(providers)))
+            }
+            FrameKind::Busy => {
+                self.finished = true;
+                let retry_after_ms: u32 = decode(payload)?;
+                Ok(Some(TransferEvent::Busy(Micros::from(retry_after_ms) * 1000)))
+            }
+            FrameKind::Request | FrameKind::Hello | FrameKind::MembershipPart => Err(FrameError::OutOfOrder),
+            FrameKind::Unknown(_) => Ok(None),
+        }
+    }
 }
 
 fn decode<'a, T: Deserialize<'a>>(payload: &'a [u8]) -> Result<T, FrameError> {
@@ -112,40 +119,41 @@
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// The end that tells.
+/// The side that sends state.
 pub struct StateSender {
     link: FrameLink,
+    /// Bytes to be written.
     pub output: Vec<u8>,
-    /// What is still to be told, the last first; none before it was asked.
+    /// What is still to be sent, the last first; none before a request was answered.
     unsent_servers: Option<Vec<TransferredServer>>,
     providers: Vec<String>,
     finished: bool,
 }
 
 impl StateSender {
+    /// A new connection; the nonce is random.
     pub fn new(keys: Keys, nonce: Nonce) -> StateSender {
         let mut link = FrameLink::new(Side::Provider, keys, nonce);
-        let out = link.hello();
-        StateSender { link, output: out, unsent_servers: None, providers: Vec::new(), finished: false }
+        let output = link.hello();
+        StateSender { link, output, unsent_servers: None, providers: Vec::new(), finished: false }
     }
 
+    /// Takes bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.link.feed(bytes);
     }
 
+    /// More input may be read.
     pub fn wants_input(&self) -> bool {
         self.link.wants_input()
     }
 
-    /// True: it was asked, and [`Teller::tell`] or [`Teller::put_off`] is due.
+    /// True: a request has come, to be answered by [`StateSender::start_sending`] or [`StateSender::send_busy`].
     pub fn receive_request(&mut self) -> Result<bool, FrameError> {
         while let Some((kind, payload)) = self.link.next_frame()? {
+            let is_first = self.unsent_servers.is_none() && !self.finished;
             match kind {
-                FrameKind::Request
-                    if self.unsent_servers.is_none() && !self.finished && payload.is_empty() =>
-                {
-                    return Ok(true);
-                }
+                FrameKind::Request if is_first && payload.is_empty() => return Ok(true),
                 FrameKind::Unknown(_) => {}
                 _ => return Err(FrameError::OutOfOrder),
             }
@@ -153,43 +161,44 @@
         Ok(false)
     }
 
-    /// What is told from here on, part by part; and who else may be asked.
-    pub fn start_sending(&mut self, servers: impl Iterator<Item = TransferredServer>, donors: &[String]) {
-        let mut rest: Vec<TransferredServer> = servers.take(PART * MOST_PARTS).collect();
-        rest.reverse();
-        self.unsent_servers = Some(rest);
-        self.providers = donors.iter().take(MOST_NAMED).cloned().collect();
+    /// Answers the request: this state is sent part by part, and then the addresses of other providers.
+    pub fn start_sending(&mut self, servers: impl Iterator<Item = TransferredServer>, providers: &[String]) {
+        let mut unsent: Vec<TransferredServer> = servers.take(SERVERS_PER_PART * MAX_PARTS).collect();
+        unsent.reverse();
+        self.unsent_servers = Some(unsent);
+        self.providers = providers.iter().take(MAX_NAMED_PROVIDERS).cloned().collect();
     }
 
-    pub fn send_busy(&mut self, wait: Micros) {
-        let ms = u32::try_from(wait / 1000).unwrap_or(u32::MAX);
-        let frame = self.link.seal(FrameKind::Busy, &encode(&ms));
+    /// Rejects the request; the requester may retry after this time.
+    pub fn send_busy(&mut self, retry_after: Micros) {
+        let retry_after_ms = u32::try_from(retry_after / 1000).unwrap_or(u32::MAX);
+        let frame = self.link.seal(FrameKind::Busy, &encode(&retry_after_ms));
         self.output.extend(frame);
         self.finished = true;
     }
 
-    /// The next frame goes to `out`; its length, or none if all has been told.
+    /// Puts the next frame into `output` and returns its length; none if all has been sent.
     pub fn send_next_part(&mut self) -> Option<usize> {
-        let rest = self.unsent_servers.as_mut().filter(|_| !self.finished)?;
-        let frame = if rest.is_empty() {
+        let unsent = self.unsent_servers.as_mut().filter(|_| !self.finished)?;
+        let frame = if unsent.is_empty() {
             self.finished = true;
             let closing = Closing { providers: std::mem::take(&mut self.providers) };
             self.link.seal(FrameKind::Last, &encode(&closing))
         } else {
-            let from = rest.len().saturating_sub(PART);
-            let servers = rest.drain(from..).rev().collect();
+            let from = unsent.len().saturating_sub(SERVERS_PER_PART);
+            let servers = unsent.drain(from..).rev().collect();
             self.link.seal(FrameKind::Part, &encode(&TransferPart { servers }))
         };
         self.output.extend(&frame);
         Some(frame.len())
     }
 
-    /// All has been said; the connection ends once it is written.
+    /// All has been sent; the connection ends once it is written.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// It is telling.
+    /// A request was accepted and is not answered completely.
     pub fn is_sending(&self) -> bool {
         self.unsent_servers.is_some() && !self.finished
     }
--- a/peer-state/tests/ways.rs
+++ b/peer-state/tests/ways.rs
@@ -204,7 +204,7 @@
 fn joiner(donors: &[&str]) -> RequestScheduler {
     RequestScheduler::new(
         RequestSettings {
-            donors: donors.iter().map(|d| d.to_string()).collect(),
+            providers: donors.iter().map(|d| d.to_string()).collect(),
             ..RequestSettings::default()
         },
         0,
--- a/proxy/src/config/keys.rs
+++ b/proxy/src/config/keys.rs
@@ -27,5 +27,5 @@
             secret.ok_or_else(|| fault(n + 1, "the secret is not in pairs of hexadecimal digits".into()))?,
         ));
     }
-    Keys::new(keys).map_err(|why| fault(1, why.into()))
+    Keys::new(keys).map_err(|why| fault(1, why.to_string()))
 }
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -46,7 +46,7 @@
             listener,
             keys,
             peer_knowledge,
-            named: join.donors.clone(),
+            named: join.providers.clone(),
             joiner: RequestScheduler::new(join, now),
             donor: StateProvider::new(options.donor.clone(), now),
             waiting: true,
