--- a/peer-state/src/keys.rs
+++ b/peer-state/src/keys.rs
@@ -12,9 +12,9 @@
 /// Why a set of keys is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeysError {
-    /// None, or more than [`MAX_KEYS`].
+    /// None, or more than four.
     Count,
-    /// A secret of fewer than [`MIN_SECRET_BYTES`].
+    /// A secret of fewer than 16 bytes.
     ShortSecret,
     /// Two keys have one number.
     DuplicateNumber,
