--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use super::timer_events::TimerEvent;
 use crate::core::{Command, LogRecord};
-use crate::discovery::Update;
+use crate::discovery::EndpointUpdate;
 use crate::log::Quoted;
 use tracing::info;
 
@@ -13,9 +13,9 @@
         loop {
             if let Some(command) = self.context.core.next_command() {
                 self.carry_out_one(command);
-            } else if let Some(attempt) = self.clients.wants_data() {
+            } else if let Some(attempt) = self.clients.next_ready_for_more() {
                 // A client that has taken what there was of a long value gets more of it.
-                self.pool.more(&mut self.context, attempt);
+                self.pool.resume_reading(&mut self.context, attempt);
             } else {
                 return;
             }
@@ -26,20 +26,20 @@
         let context = &mut self.context;
         match command {
             Command::StartAttempt { attempt, server, payload, deadline, from_copy } => {
-                self.pool.start(context, attempt, server, payload, deadline, from_copy);
+                self.pool.start_attempt(context, attempt, server, payload, deadline, from_copy);
             }
-            Command::CancelAttempt { attempt } => self.pool.stop(context, attempt),
-            Command::HealthCheck { server } => self.pool.probe(context, server),
+            Command::CancelAttempt { attempt } => self.pool.cancel_attempt(context, attempt),
+            Command::HealthCheck { server } => self.pool.start_health_check(context, server),
             Command::Answer { client, request, answer } => {
                 self.clients.answer(context, client, request, &answer);
             }
             Command::BeginStream { client, request, attempt, length } => {
-                self.clients.begin(context, client, request, attempt, length);
+                self.clients.start_value(context, client, request, attempt, length);
             }
             Command::StreamChunk { client, request, bytes } => {
-                self.clients.piece(context, client, request, &bytes);
+                self.clients.send_value_chunk(context, client, request, &bytes);
             }
-            Command::AbortStream { client, request } => self.clients.broken(context, client, request),
+            Command::AbortStream { client, request } => self.clients.abort_value(context, client, request),
             Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
             Command::Log(LogRecord::RoutingNote(note)) => info!(event = "routing-note", note = %Quoted(note)),
             Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
@@ -49,11 +49,16 @@
     }
 
     /// Takes a newer endpoint list.
-    pub(super) fn update_endpoints(&mut self, update: Update) {
-        info!(event = "endpoint-list", rev = update.rev, all = update.all, lines = update.targets.len());
+    pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
+        info!(
+            event = "endpoint-list",
+            rev = update.revision,
+            all = update.complete,
+            lines = update.endpoints.len()
+        );
         let moved = self.context.core.update_endpoints(self.context.now, update);
         for server in moved {
-            self.pool.moved(&mut self.context, server);
+            self.pool.server_moved(&mut self.context, server);
         }
         self.carry_out();
     }
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -48,11 +48,11 @@
         let (for_clients, for_databases) = self.connection_limits();
         let replaced = self.handover.is_replaced();
         self.context.core.set_process_count(self.context.now, self.handover.process_count());
-        self.pool.limit(&mut self.context, for_databases);
-        self.clients.host(guests(&self.config));
-        self.clients.limit(&mut self.context, for_clients);
+        self.pool.set_limit(&mut self.context, for_databases);
+        self.clients.set_unclassified_allowance(guests(&self.config));
+        self.clients.set_limit(&mut self.context, for_clients);
         if !self.stopping {
-            self.clients.give_way(replaced);
+            self.clients.set_handing_over(replaced);
         }
     }
 
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -9,6 +9,7 @@
 mod clients;
 mod commands;
 mod connection_limits;
+mod database_ids;
 mod discovery_connection;
 mod event_loop_context;
 mod fleet;
@@ -29,7 +30,7 @@
 
 use crate::config::Config;
 use crate::core::Core;
-use crate::discovery::Update;
+use crate::discovery::EndpointUpdate;
 use crate::observe::shared;
 use crate::peer_knowledge::PeerKnowledge;
 use admin::AdminListener;
@@ -125,7 +126,7 @@
         pool: Pool::new(&config.site, for_databases),
         discovery: DiscoveryConnection::new(
             config.discovery,
-            known.as_ref().map(|known| known.rev),
+            known.as_ref().map(|known| known.revision),
             &config.site.routing,
             config.seed,
         ),
@@ -153,7 +154,7 @@
     event_loop.start_fleet()?;
     event_loop.start_background();
     if let Some(known) = known {
-        event_loop.update_endpoints(Update { all: true, ..known });
+        event_loop.update_endpoints(EndpointUpdate { complete: true, ..known });
     }
     event_loop.step_gossip();
     if event_loop.handover.process_count() > 1 {
@@ -186,7 +187,7 @@
     /// Follows each call of gossip: clients wait while it still learns, and what the core now commands is carried out.
     fn after_gossip(&mut self) {
         let Some(gossip) = &self.gossip else { return };
-        self.clients.learning(!gossip.ready());
+        self.clients.set_awaiting_peer_state(!gossip.ready());
         self.carry_out();
     }
 
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -25,7 +25,7 @@
         }
         self.continue_connections();
         self.handle_due_timers();
-        if self.pool.has_done() {
+        if self.pool.has_completed_queries() {
             self.run_background();
         }
         self.update_health();
@@ -47,7 +47,7 @@
 
     /// Something is left from the last turn that no socket will report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
-        self.clients.pressing() || self.admin.pressing() || self.checks.pressing(now)
+        self.clients.has_pending_work() || self.admin.pressing() || self.checks.pressing(now)
     }
 
     fn serve_priority_sources(&mut self, events: &Events) {
@@ -68,7 +68,7 @@
 
     fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
         match source {
-            Source::Listener => self.clients.accept_ready(),
+            Source::Listener => self.clients.listener_ready(),
             Source::Signals => self.handle_signals(signals),
             Source::Discovery => self.handle_discovery(),
             Source::Successors | Source::Predecessor | Source::Successor => self.handle_handover(source),
@@ -87,11 +87,11 @@
             }
             Source::Client(key) => {
                 if event.is_read_closed() || event.is_error() {
-                    self.clients.ended(key);
+                    self.clients.peer_closed(key);
                 }
-                self.clients.ready(&mut self.context, key);
+                self.clients.handle_ready(&mut self.context, key);
             }
-            Source::Database(key) => self.pool.ready(&mut self.context, key),
+            Source::Database(key) => self.pool.handle_ready(&mut self.context, key),
             // `serve_priority_sources` has had them.
             Source::Admin
             | Source::Operator(_)
@@ -141,12 +141,12 @@
     /// Goes on with clients where the last turn stopped, and closes idle ones where the system has no descriptor for
     /// connections to databases or to discovery.
     fn continue_connections(&mut self) {
-        self.clients.go_on(&mut self.context);
-        if self.pool.starved() {
-            self.clients.make_room(&mut self.context);
+        self.clients.continue_pending_work(&mut self.context);
+        if self.pool.take_descriptors_exhausted() {
+            self.clients.release_descriptor(&mut self.context);
         }
         if self.discovery.take_descriptors_exhausted() {
-            self.clients.make_room(&mut self.context);
+            self.clients.release_descriptor(&mut self.context);
         }
         self.carry_out();
     }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -10,11 +10,11 @@
         let context = &mut self.context;
         match due {
             TimerEvent::Routing(id) => context.core.timer_fired(context.now, id),
-            TimerEvent::AttemptTimeout(attempt) => self.pool.overdue(context, attempt),
-            TimerEvent::ConnectTimeout(key, serial) => self.pool.connect_overdue(context, key, serial),
-            TimerEvent::QueryTimeout(key, turn) => self.pool.probe_overdue(context, key, turn),
-            TimerEvent::ConnectionRested(key, serial) => self.pool.rested(context, key, serial),
-            TimerEvent::RetryAccept => self.clients.accept_again(),
+            TimerEvent::AttemptTimeout(attempt) => self.pool.attempt_timed_out(context, attempt),
+            TimerEvent::ConnectTimeout(key, serial) => self.pool.connect_timed_out(context, key, serial),
+            TimerEvent::QueryTimeout(key, turn) => self.pool.query_timed_out(context, key, turn),
+            TimerEvent::ConnectionRested(key, serial) => self.pool.connection_rested(context, key, serial),
+            TimerEvent::RetryAccept => self.clients.resume_accepting(),
             TimerEvent::Discovery(turn) => self.discovery.due(context, turn),
             TimerEvent::Sweep => self.sweep(),
             TimerEvent::CheckTimeout(key, serial) => self.checks.asked(context, key, serial),
@@ -52,8 +52,8 @@
     /// Closes what has been idle or silent for too long, and tells others how much this process holds and has to do.
     fn sweep(&mut self) {
         let context = &mut self.context;
-        self.clients.sweep(context);
-        self.pool.sweep(context);
+        self.clients.close_expired(context);
+        self.pool.close_expired(context);
         context.timers.set(context.now + SWEEP, TimerEvent::Sweep);
         let descriptors = self.clients.len() + self.pool.len();
         self.admin.sweep(context);
