--- /dev/null
+++ b/hot-keys/tests/recorded_bytes.rs
@@ -0,0 +1,51 @@
+//! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; equal
+//! sets of hot keys have the digest that an earlier version gives them.
+
+mod common;
+use birchreach_hot_keys::{Entry, Key, Report};
+use common::heard;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+fn entry(group: u32, hash: u64, milli: u32, hot: bool) -> Entry {
+    Entry { key: Key { group, hash }, milli, hot }
+}
+
+fn assert_recorded(report: &Report, recorded: &str) {
+    assert_eq!(hex(&report.encode()), recorded);
+    assert_eq!(Report::decode(&from_hex(recorded)).as_ref(), Ok(report));
+}
+
+#[test]
+fn a_report_without_keys_has_the_recorded_bytes() {
+    assert_recorded(&Report { secret: 0, digest: 0, entries: Vec::new() }, "000000");
+}
+
+#[test]
+fn a_report_of_keys_has_the_recorded_bytes() {
+    let entries = vec![
+        entry(0, 0, 0, false),
+        entry(3, 0x0123_4567_89ab_cdef, 450_000, true),
+        entry(u32::MAX, u64::MAX, 1_000_000_000, false),
+    ];
+    let recorded = "0790e4d0b287d3aeeefe01030000000003ef9bafcdf8acd19101d0bb1b01ffffffff0fffffffffffffffffff018094ebdc0300";
+    assert_recorded(&Report { secret: 7, digest: 0xfedc_ba98_7654_3210, entries }, recorded);
+}
+
+#[test]
+fn a_set_of_hot_keys_has_the_recorded_digest() {
+    let entries = vec![entry(2, 0x0123_4567_89ab_cdef, 450_000, true), entry(4, 0xfeed, 300_000, true)];
+    let reports: Vec<_> = (1..=4).map(|origin| (origin, entries.clone())).collect();
+
+    let hot = heard(9, 4, &reports, false);
+
+    assert_eq!(hot.keys().count(), 2);
+    assert_eq!(format!("{:016x}", hot.digest()), "7ad2573fb164c46a");
+}
--- /dev/null
+++ b/shard-split/tests/recorded_bytes.rs
@@ -0,0 +1,62 @@
+//! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
+//! and definitions have the hashes that an earlier version gives them, in reports, flags and log lines.
+
+use birchreach_shard_split::{Definition, RANGES, Report};
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+fn assert_recorded(report: &Report, recorded: &str) {
+    assert_eq!(hex(&report.encode()), recorded);
+    assert_eq!(Report::decode(&from_hex(recorded)).as_ref(), Ok(report));
+}
+
+#[test]
+fn a_report_without_comparisons_has_the_recorded_bytes() {
+    let recorded = concat!(
+        "004000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
+        "00000000000000000000000000000000000000",
+    );
+    assert_recorded(&Report { definition: 0, compared: vec![0; RANGES], flags: Vec::new() }, recorded);
+}
+
+#[test]
+fn a_report_of_comparisons_and_flags_has_the_recorded_bytes() {
+    let compared = (0..RANGES as u32).map(|range| range * range * 1_000).collect();
+    let flags = vec![(0, 0, 1), (1, 7, 300), (2, 63, u32::MAX)];
+    let recorded = concat!(
+        "ef9bafcdf8acd191014000e807a01fa846807da8c301a09902e8fe0280f403e8f804a08d06a8b10780e508a8a80aa0fb",
+        "0be8dd0d80d00fe8d111a0e313a8841680b518a8f51aa0c51de8a420809423e89226a0a129a8bf2c80ed2fa8aa33a0f7",
+        "36e8d33a80c03ee8bb42a0c746a8e24a808d4fa8c753a09158e8ea5c80d461e8cc66a0d56ba8ed70809576a8cc7ba093",
+        "8101e8e9860180d08c01e8c59201a0cb9801a8e09e018085a501a8b9ab01a0fdb101e8d0b80180b4bf01e8a6c601a0a9",
+        "cd01a8bbd40180dddb01a88ee301a0cfea01e89ff201030000010107ac02023fffffffff0f",
+    );
+    assert_recorded(&Report { definition: 0x0123_4567_89ab_cdef, compared, flags }, recorded);
+}
+
+#[test]
+fn definitions_have_the_recorded_digests() {
+    let digest = |from, below, above, at| {
+        let definition = Definition { from, below, above, at };
+        format!("{:016x}", definition.digest())
+    };
+    assert_eq!(digest(0, 1, 2, 1 << 31), "67d9e9a838b6c520");
+    assert_eq!(digest(7, 300, 70_000, 0x1234_5678), "dd562d5dc7971fc4");
+}
+
+#[test]
+fn keys_have_the_recorded_hashes_and_ranges() {
+    let hashed = |key: &[u8]| {
+        let hash = Definition::hash(key);
+        format!("{hash:08x} {}", Definition::range(hash))
+    };
+    assert_eq!(hashed(b""), "e3b0c442 56");
+    assert_eq!(hashed(b"key-0"), "d5ead6fd 53");
+    assert_eq!(hashed("Žluťoučký".as_bytes()), "64e6f4a0 25");
+}
