--- a/background-tasks/src/mutant.rs
+++ b/background-tasks/src/faults.rs
@@ -4,33 +4,33 @@
 
 /// Each breaks one invariant of the crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
+pub enum Fault {
     /// A part of a budget is rounded up.
-    RoundsUp,
+    RoundsQuotaUp,
     /// A new boot spends at once.
-    SpendsAtOnce,
+    StartsWithoutDelay,
     /// The window begins anew at fixed times.
     FixedWindows,
     /// The oldest first, whatever its kind.
-    OldestFirst,
+    IgnoresPriority,
     /// What is late starts all the same.
-    StartsTheLate,
+    StartsExpiredTasks,
     /// Waiting tasks are not counted.
-    TakesAll,
+    AcceptsAllTasks,
 }
 
 thread_local! {
-    static ON: Cell<Option<Mutant>> = const { Cell::new(None) };
+    static ON: Cell<Option<Fault>> = const { Cell::new(None) };
 }
 
 /// Runs something with a fault.
-pub fn with<T>(mutant: Mutant, run: impl FnOnce() -> T) -> T {
-    ON.set(Some(mutant));
+pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
+    ON.set(Some(fault));
     let done = run();
     ON.set(None);
     done
 }
 
-pub(crate) fn is(mutant: Mutant) -> bool {
-    ON.get() == Some(mutant)
+pub(crate) fn is(fault: Fault) -> bool {
+    ON.get() == Some(fault)
 }
--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -17,19 +17,19 @@
 
 #![forbid(unsafe_code)]
 
+mod budget;
 #[cfg(feature = "mutants")]
-pub mod mutant;
-mod rights;
+pub mod faults;
 mod scheduler;
 
-pub use rights::Budget;
+pub use budget::Budget;
 pub use scheduler::{Counts, Scheduler, Task};
 
 /// Is this fault switched on? Never outside tests.
 macro_rules! faulty {
     ($which:ident) => {{
         #[cfg(feature = "mutants")]
-        let on = crate::mutant::is(crate::mutant::Mutant::$which);
+        let on = crate::faults::is(crate::faults::Fault::$which);
         #[cfg(not(feature = "mutants"))]
         let on = false;
         on
@@ -42,23 +42,23 @@
 
 /// What a task is, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum TaskKind {
     /// A row is read at home, to be copied.
-    Read,
+    RowRead,
     /// A copy is written to a guest.
-    Copy,
+    CopyWrite,
     /// A read that is compared with an answer.
-    Shadow,
+    DualRead,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 3] = [Kind::Read, Kind::Copy, Kind::Shadow];
+impl TaskKind {
+    pub const ALL: [TaskKind; 3] = [TaskKind::RowRead, TaskKind::CopyWrite, TaskKind::DualRead];
 
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Read => "read",
-            Kind::Copy => "copy",
-            Kind::Shadow => "shadow",
+            TaskKind::RowRead => "read",
+            TaskKind::CopyWrite => "copy",
+            TaskKind::DualRead => "shadow",
         }
     }
 }
--- a/background-tasks/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -1,13 +1,13 @@
 //! Budgets hold in the sum, the urgent go first, the late never start, tables are bounded; and each check finds its fault.
 
-use birchreach_background_tasks::mutant::{Mutant, with};
-use birchreach_background_tasks::{Budget, Kind, Micros, Scheduler, Task};
+use birchreach_background_tasks::faults::{Fault, with};
+use birchreach_background_tasks::{Budget, Micros, Scheduler, Task, TaskKind};
 
 const S: Micros = 1_000_000;
 const BUDGET: Budget = Budget { database_per_s: 6.5, all_per_s: 11.0, window: 4 * S };
 
-fn task(kind: Kind, what: u32, drop_at: Micros) -> Task<u32> {
-    Task { kind, drop_at, what }
+fn task(kind: TaskKind, what: u32, drop_at: Micros) -> Task<u32> {
+    Task { kind, expires_at: drop_at, payload: what }
 }
 
 /// The most starts in any window, at one database and in all.
@@ -27,17 +27,17 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = rng.usize(1..8);
         let mut all: Vec<Scheduler<u32>> =
-            (0..count).map(|_| Scheduler::new(&[(Kind::Copy, BUDGET)], 0)).collect();
+            (0..count).map(|_| Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], 0)).collect();
         let mut starts = Vec::new();
         for now in (0..40 * S).step_by(40_000) {
             for one in &mut all {
                 if rng.u8(..) == 0 {
-                    *one = Scheduler::new(&[(Kind::Copy, BUDGET)], now);
+                    *one = Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], now);
                 }
-                one.submit(task(Kind::Copy, rng.u32(..3), now + S));
-                for (number, _, database) in one.start(now, count as u32, |what| Some(*what)) {
+                one.submit(task(TaskKind::CopyWrite, rng.u32(..3), now + S));
+                for (number, _, database) in one.start_due(now, count as u32, |what| Some(*what)) {
                     starts.push((now, database));
-                    one.ended(number);
+                    one.finish(number);
                 }
             }
         }
@@ -54,35 +54,42 @@
 }
 
 fn urgent_first() -> Result<(), String> {
-    let budgets: Vec<_> = Kind::ALL.map(|kind| (kind, BUDGET)).to_vec();
+    let budgets: Vec<_> = TaskKind::ALL.map(|kind| (kind, BUDGET)).to_vec();
     let mut s = Scheduler::new(&budgets, -10 * S);
-    for (n, kind) in [Kind::Shadow, Kind::Copy, Kind::Read, Kind::Copy, Kind::Read].into_iter().enumerate() {
+    for (n, kind) in
+        [TaskKind::DualRead, TaskKind::CopyWrite, TaskKind::RowRead, TaskKind::CopyWrite, TaskKind::RowRead]
+            .into_iter()
+            .enumerate()
+    {
         s.submit(task(kind, n as u32, S));
     }
-    let order: Vec<u32> = s.start(0, 1, |what| Some(*what)).iter().map(|(_, t, _)| t.what).collect();
+    let order: Vec<u32> = s.start_due(0, 1, |what| Some(*what)).iter().map(|(_, t, _)| t.payload).collect();
     if order == [2, 4, 1, 3, 0] { Ok(()) } else { Err(format!("{order:?}")) }
 }
 
 fn late_never() -> Result<(), String> {
-    let mut s = Scheduler::new(&[(Kind::Copy, BUDGET)], -10 * S);
-    s.submit(task(Kind::Copy, 1, S));
-    s.submit(task(Kind::Copy, 2, 3 * S));
+    let mut s = Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], -10 * S);
+    s.submit(task(TaskKind::CopyWrite, 1, S));
+    s.submit(task(TaskKind::CopyWrite, 2, 3 * S));
     // No place for any of them, until one is late.
-    if !s.start(S / 2, 1, |_| None).is_empty() {
+    if !s.start_due(S / 2, 1, |_| None).is_empty() {
         return Err("it starts nowhere".into());
     }
-    let started: Vec<u32> = s.start(2 * S, 1, |what| Some(*what)).iter().map(|(_, t, _)| t.what).collect();
-    let late = s.counts(Kind::Copy).late;
+    let started: Vec<u32> =
+        s.start_due(2 * S, 1, |what| Some(*what)).iter().map(|(_, t, _)| t.payload).collect();
+    let late = s.counts(TaskKind::CopyWrite).expired;
     if started == [2] && late == 1 { Ok(()) } else { Err(format!("{started:?}, {late} late")) }
 }
 
 fn bounded() -> Result<(), String> {
-    let mut s =
-        Scheduler::new(&[(Kind::Copy, Budget { database_per_s: 1e6, all_per_s: 1e6, window: S })], -10 * S);
-    let taken = (0..10_000).filter(|n| s.submit(task(Kind::Copy, *n, S))).count();
-    let started = s.start(0, 1, |what| Some(*what)).len();
-    let two = s.start(0, 1, |_| Some(7)).len();
-    let holds = taken == 256 && s.waiting() <= 256 && started == 8 && two == 0;
+    let mut s = Scheduler::new(
+        &[(TaskKind::CopyWrite, Budget { database_per_s: 1e6, all_per_s: 1e6, window: S })],
+        -10 * S,
+    );
+    let taken = (0..10_000).filter(|n| s.submit(task(TaskKind::CopyWrite, *n, S))).count();
+    let started = s.start_due(0, 1, |what| Some(*what)).len();
+    let two = s.start_due(0, 1, |_| Some(7)).len();
+    let holds = taken == 256 && s.waiting_count() <= 256 && started == 8 && two == 0;
     if holds { Ok(()) } else { Err(format!("{taken} taken, {started} started, then {two}")) }
 }
 
@@ -109,32 +116,32 @@
 #[test]
 fn each_fault_is_caught() {
     type Check = fn() -> Result<(), String>;
-    let all: [(Mutant, Check); 6] = [
-        (Mutant::RoundsUp, sums_hold),
-        (Mutant::SpendsAtOnce, sums_hold),
-        (Mutant::FixedWindows, sums_hold),
-        (Mutant::OldestFirst, urgent_first),
-        (Mutant::StartsTheLate, late_never),
-        (Mutant::TakesAll, bounded),
+    let all: [(Fault, Check); 6] = [
+        (Fault::RoundsQuotaUp, sums_hold),
+        (Fault::StartsWithoutDelay, sums_hold),
+        (Fault::FixedWindows, sums_hold),
+        (Fault::IgnoresPriority, urgent_first),
+        (Fault::StartsExpiredTasks, late_never),
+        (Fault::AcceptsAllTasks, bounded),
     ];
-    for (mutant, check) in all {
-        assert!(with(mutant, check).is_err(), "{mutant:?} was not caught");
+    for (fault, check) in all {
+        assert!(with(fault, check).is_err(), "{fault:?} was not caught");
     }
 }
 
 #[test]
 fn a_changed_budget_waits_a_window_and_the_same_one_goes_on() {
-    let mut s = Scheduler::new(&[(Kind::Copy, BUDGET)], -10 * S);
-    s.budgets(&[(Kind::Copy, BUDGET)], 0);
-    s.submit(task(Kind::Copy, 1, 20 * S));
-    assert_eq!(s.start(0, 1, |_| Some(1)).len(), 1);
-    s.ended(1);
+    let mut s = Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], -10 * S);
+    s.set_budgets(&[(TaskKind::CopyWrite, BUDGET)], 0);
+    s.submit(task(TaskKind::CopyWrite, 1, 20 * S));
+    assert_eq!(s.start_due(0, 1, |_| Some(1)).len(), 1);
+    s.finish(1);
     let other = Budget { database_per_s: 1.0, ..BUDGET };
-    s.budgets(&[(Kind::Copy, other)], S);
-    s.submit(task(Kind::Copy, 2, 20 * S));
-    assert_eq!(s.start(4 * S, 1, |_| Some(1)).len(), 0);
-    assert_eq!(s.start(5 * S, 1, |_| Some(1)).len(), 1);
-    s.budgets(&[], 6 * S);
-    s.submit(task(Kind::Copy, 3, 20 * S));
-    assert_eq!(s.start(19 * S, 1, |_| Some(2)).len(), 0, "a kind without a budget never starts");
+    s.set_budgets(&[(TaskKind::CopyWrite, other)], S);
+    s.submit(task(TaskKind::CopyWrite, 2, 20 * S));
+    assert_eq!(s.start_due(4 * S, 1, |_| Some(1)).len(), 0);
+    assert_eq!(s.start_due(5 * S, 1, |_| Some(1)).len(), 1);
+    s.set_budgets(&[], 6 * S);
+    s.submit(task(TaskKind::CopyWrite, 3, 20 * S));
+    assert_eq!(s.start_due(19 * S, 1, |_| Some(2)).len(), 0, "a kind without a budget never starts");
 }
--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -4,7 +4,7 @@
 use super::servers::{Call, Job};
 use super::world::{Happens, Mode, WAY, World};
 use birchreach::*;
-use birchreach_background_tasks::{Kind, Task};
+use birchreach_background_tasks::{Task, TaskKind};
 use std::net::SocketAddr;
 
 impl World {
@@ -21,20 +21,24 @@
         }
         let refresh = proxy.hot.settings().refresh();
         for due in proxy.hot.due(now) {
-            proxy.scheduler.submit(Task { kind: Kind::Read, drop_at: now + refresh, what: What::Read(due) });
+            proxy.scheduler.submit(Task {
+                kind: TaskKind::RowRead,
+                expires_at: now + refresh,
+                payload: What::Read(due),
+            });
         }
         let router = &proxy.router;
         let place = |what: &What| match what {
             What::Read(due) => router.background_candidate(GroupId(due.key.group), false, false).map(|s| s.0),
             What::Copy { group, .. } => router.background_candidate(GroupId(*group), true, true).map(|s| s.0),
         };
-        let started = proxy.scheduler.start(now, count as u32, place);
+        let started = proxy.scheduler.start_due(now, count as u32, place);
         for (number, task, database) in started {
-            let job = match &task.what {
+            let job = match &task.payload {
                 What::Read(_) => Job::Read,
                 What::Copy { position, .. } => Job::CopyWrite(*position),
             };
-            self.proxies[n].errands.insert(number, (task.what, 0, i64::from(database)));
+            self.proxies[n].errands.insert(number, (task.payload, 0, i64::from(database)));
             self.at(now + WAY, Happens::Arrives(database, Call { proxy: n, what: Err(number), job }));
         }
         let address = |n: usize| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7));
@@ -63,15 +67,19 @@
             }
             What::Read(due) => {
                 let proxy = &mut self.proxies[n];
-                proxy.scheduler.ended(number);
+                proxy.scheduler.finish(number);
                 let refresh = proxy.hot.settings().refresh();
                 for (guest, group) in due.guests.iter().filter(|_| ending == AttemptOutcome::Ok) {
                     let what = What::Copy { guest: *guest, group: *group, position: of };
-                    proxy.scheduler.submit(Task { kind: Kind::Copy, drop_at: now + refresh, what });
+                    proxy.scheduler.submit(Task {
+                        kind: TaskKind::CopyWrite,
+                        expires_at: now + refresh,
+                        payload: what,
+                    });
                 }
             }
             What::Copy { guest, group, position } => {
-                self.proxies[n].scheduler.ended(number);
+                self.proxies[n].scheduler.finish(number);
                 if ending == AttemptOutcome::Ok {
                     self.copies[0] += 1;
                     self.servers.copied(now, group, position);
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -7,7 +7,7 @@
     Idempotency, LoadReportSource, RequestClass, Router, ServerId, SessionPositionSource, Settings,
     StaleReadPolicy, ZoneId,
 };
-use birchreach_background_tasks::{Budget, Kind, Scheduler};
+use birchreach_background_tasks::{Budget, Scheduler, TaskKind};
 use birchreach_hot_keys::{Database, Due, Hot, Key, Need as Needs};
 use birchreach_membership::GossipReports;
 use std::collections::HashMap;
@@ -99,7 +99,7 @@
         hot.fleet(proxies, GossipReports::interval(proxies));
         let budget = |per_s| Budget { database_per_s: per_s, all_per_s: 60.0, window: 10_000_000 };
         // A fleet that has run for long: nothing is left of what an earlier boot may have spent.
-        let budgets = [(Kind::Read, budget(30.0)), (Kind::Copy, budget(30.0))];
+        let budgets = [(TaskKind::RowRead, budget(30.0)), (TaskKind::CopyWrite, budget(30.0))];
         let scheduler = Scheduler::new(&budgets, now - 20_000_000);
         let gossip_reports = GossipReports::new(n as u64 + 1, seed ^ 0xabc);
         Proxy { router, hot, gossip_reports, scheduler, errands: HashMap::new(), actions }
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -84,8 +84,9 @@
     }
 
     pub fn scheduled(&self, kind: &'static str, counts: Counts) {
-        let Counts { started, ended, late, crowded } = counts;
-        for (end, n) in [("started", started), ("ended", ended), ("late", late), ("crowded", crowded)] {
+        let Counts { started, finished, expired, rejected } = counts;
+        for (end, n) in [("started", started), ("ended", finished), ("late", expired), ("crowded", rejected)]
+        {
             set(&self.scheduled.get_or_create(&Of { kind, end }), n);
         }
     }
--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -5,7 +5,7 @@
 use crate::hot::Watch;
 use crate::pg::copies;
 use birchreach::{AttemptOutcome, Micros, Role};
-use birchreach_background_tasks::{Kind, Task};
+use birchreach_background_tasks::{Task, TaskKind};
 use birchreach_hot_keys::copy::taken;
 use birchreach_hot_keys::{Due, Key};
 use tracing::info;
@@ -61,7 +61,11 @@
                     let (key, text, blob) = (due.key, due.text.clone(), copy.value.clone());
                     let position = copy.position;
                     let what = What::Copy(Copying::Write { key, text, guest, group, position, blob });
-                    self.scheduler.submit(Task { kind: Kind::Copy, drop_at: now + refresh, what });
+                    self.scheduler.submit(Task {
+                        kind: TaskKind::CopyWrite,
+                        expires_at: now + refresh,
+                        payload: what,
+                    });
                 }
             }
             Copying::Write { key, guest, .. } => {
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -4,7 +4,7 @@
 use crate::background_query::BackgroundQueryResult;
 use crate::pg::{commit_time_query, copies};
 use birchreach::Micros;
-use birchreach_background_tasks::{Kind, Task};
+use birchreach_background_tasks::{Task, TaskKind};
 use birchreach_shard_split::{Ask, Told, Verdict};
 use tracing::{info, warn};
 
@@ -44,7 +44,7 @@
 impl Background {
     /// What is to be compared, as tasks.
     pub(super) fn compare(&mut self, now: Micros, heard: usize, interval: Micros) {
-        for what in self.scheduler.dropped() {
+        for what in self.scheduler.take_expired() {
             if let What::Shadow(shadow) = what {
                 self.unasked(now, &shadow);
             }
@@ -66,7 +66,11 @@
         for (number, ask, text, group) in asks {
             let shadow = Shadow { number, start, ask, text, group };
             let what = What::Shadow(shadow.clone());
-            if !self.scheduler.submit(Task { kind: Kind::Shadow, drop_at: now + PATIENCE, what }) {
+            if !self.scheduler.submit(Task {
+                kind: TaskKind::DualRead,
+                expires_at: now + PATIENCE,
+                payload: what,
+            }) {
                 self.unasked(now, &shadow);
             }
         }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -15,7 +15,7 @@
 use crate::observe::Shared;
 use crate::split;
 use birchreach::{GroupId, Micros, ServerId};
-use birchreach_background_tasks::{Kind, Scheduler, Task};
+use birchreach_background_tasks::{Scheduler, Task, TaskKind};
 use birchreach_membership::ReceivedReport;
 use copies::Copying;
 use dual_reads::Shadow;
@@ -141,8 +141,11 @@
         }
         let refresh = watch.hot.settings().refresh();
         for due in watch.hot.due(now) {
-            let task =
-                Task { kind: Kind::Read, drop_at: now + refresh, what: What::Copy(Copying::Read(due)) };
+            let task = Task {
+                kind: TaskKind::RowRead,
+                expires_at: now + refresh,
+                payload: What::Copy(Copying::Read(due)),
+            };
             self.scheduler.submit(task);
         }
     }
@@ -159,11 +162,11 @@
             let (group, write) = what.place();
             core.background_candidate(GroupId(group), write, what.yields()).map(|server| server.0)
         };
-        let started = self.scheduler.start(context.now, divisor, |what| place(&context.core, what));
+        let started = self.scheduler.start_due(context.now, divisor, |what| place(&context.core, what));
         for (number, task, database) in started {
             self.sent += 1;
-            let texts = task.what.texts(self.boot.wrapping_add(self.sent));
-            self.out.insert(number, (task.what, context.now));
+            let texts = task.payload.texts(self.boot.wrapping_add(self.sent));
+            self.out.insert(number, (task.payload, context.now));
             pool.start_background_query(context, number, ServerId(database), texts);
         }
     }
@@ -171,7 +174,7 @@
     /// BackgroundQueries that are over; those whose end was never told are given up.
     fn ended(&mut self, now: Micros, done: Vec<BackgroundQueryResult>) {
         for done in done {
-            self.scheduler.ended(done.number);
+            self.scheduler.finish(done.number);
             let Some((what, _)) = self.out.remove(&done.number) else { continue };
             match what {
                 What::Copy(copying) => self.copied(now, copying, &done),
@@ -181,7 +184,7 @@
         let lost: Vec<u64> =
             self.out.iter().filter(|(_, (_, at))| now - at >= AT_MOST).map(|(number, _)| *number).collect();
         for number in lost {
-            self.scheduler.ended(number);
+            self.scheduler.finish(number);
             if let Some((What::Shadow(shadow), _)) = self.out.remove(&number) {
                 self.compared(now, &shadow, None);
             }
@@ -192,7 +195,7 @@
     fn next_change(&self, now: Micros) -> Micros {
         let hot = self.hot.as_ref().map_or(Micros::MAX, |watch| watch.borrow().hot.next_change(now));
         // What waits for room, or for its part of a budget, is looked at again.
-        let waits = if self.scheduler.waiting() > 0 { now + 20_000 } else { Micros::MAX };
+        let waits = if self.scheduler.waiting_count() > 0 { now + 20_000 } else { Micros::MAX };
         let split = self.split.as_ref().map_or(Micros::MAX, |watch| watch.borrow().split.next_change(now));
         hot.min(split).min(waits).min(now + STOPPED / 2).max(now + 1_000)
     }
--- a/proxy/src/net/background/show.rs
+++ b/proxy/src/net/background/show.rs
@@ -2,7 +2,7 @@
 
 use super::Background;
 use birchreach::Micros;
-use birchreach_background_tasks::Kind;
+use birchreach_background_tasks::TaskKind;
 
 impl Background {
     pub fn hot_lines(&self, now: Micros, divisor: u32) -> Option<String> {
@@ -13,19 +13,23 @@
     /// The scheduler, a line for each kind.
     fn scheduler_lines(&self, divisor: u32) -> String {
         let mut out = String::new();
-        for kind in Kind::ALL {
-            let Some((one, all)) = self.scheduler.parts(kind, divisor) else { continue };
+        for kind in TaskKind::ALL {
+            let Some((one, all)) = self.scheduler.quotas(kind, divisor) else { continue };
             let c = self.scheduler.counts(kind);
             out += &format!(
                 "background kind={} started={} ended={} late={} crowded={} part_at_one={one} part_in_all={all}\n",
-                kind.word(),
+                kind.as_str(),
                 c.started,
-                c.ended,
-                c.late,
-                c.crowded
+                c.finished,
+                c.expired,
+                c.rejected
             );
         }
-        out + &format!("background waiting={} out={}\n", self.scheduler.waiting(), self.scheduler.out())
+        out + &format!(
+            "background waiting={} out={}\n",
+            self.scheduler.waiting_count(),
+            self.scheduler.running_count()
+        )
     }
 
     pub fn split_lines(&self, heard: usize, divisor: u32) -> Option<String> {
@@ -34,8 +38,8 @@
     }
 
     pub fn metrics(&self, heard: usize) -> String {
-        for kind in Kind::ALL {
-            self.metrics.scheduled(kind.word(), self.scheduler.counts(kind));
+        for kind in TaskKind::ALL {
+            self.metrics.scheduled(kind.as_str(), self.scheduler.counts(kind));
         }
         if let Some(watch) = &self.hot {
             let watch = watch.borrow();
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -7,7 +7,7 @@
 use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split;
 use birchreach::Micros;
-use birchreach_background_tasks::{Budget, Kind};
+use birchreach_background_tasks::{Budget, TaskKind};
 use birchreach_membership::GossipReports;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,18 +16,18 @@
 fn budgets(
     hot: Option<&birchreach_options::Hot>,
     split: Option<&birchreach_options::Split>,
-) -> Vec<(Kind, Budget)> {
+) -> Vec<(TaskKind, Budget)> {
     let mut all = Vec::new();
     if let Some(hot) = hot {
         let window = Micros::try_from(hot.window.as_micros()).unwrap_or(Micros::MAX);
         let budget = |database_per_s| Budget { database_per_s, all_per_s: hot.all_per_s, window };
-        all.push((Kind::Read, budget(hot.reads_per_s)));
-        all.push((Kind::Copy, budget(hot.copies_per_s)));
+        all.push((TaskKind::RowRead, budget(hot.reads_per_s)));
+        all.push((TaskKind::CopyWrite, budget(hot.copies_per_s)));
     }
     if let Some(split) = split {
         let window = Micros::try_from(split.window.as_micros()).unwrap_or(Micros::MAX);
         let (database_per_s, all_per_s) = (split.reads_per_s, split.all_per_s);
-        all.push((Kind::Shadow, Budget { database_per_s, all_per_s, window }));
+        all.push((TaskKind::DualRead, Budget { database_per_s, all_per_s, window }));
     }
     all
 }
@@ -64,11 +64,11 @@
         }
         self.start_split(&mut background, boot, named);
         let split = self.config.options.split.as_ref();
-        background.scheduler.budgets(&budgets(options.as_ref(), split), self.context.now);
-        for kind in Kind::ALL {
-            if let Some((0, _) | (_, 0)) = background.scheduler.parts(kind, divisor) {
+        background.scheduler.set_budgets(&budgets(options.as_ref(), split), self.context.now);
+        for kind in TaskKind::ALL {
+            if let Some((0, _) | (_, 0)) = background.scheduler.quotas(kind, divisor) {
                 // Rounded down, so that the sum holds: nothing of it is ever done.
-                warn!(event = "no-budget", kind = kind.word(), processes = divisor);
+                warn!(event = "no-budget", kind = kind.as_str(), processes = divisor);
             }
         }
         if !background.idle() {
