--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -101,7 +101,7 @@
     }
 
     fn write(&mut self, text: &str) {
-        self.outbox.raw(text.as_bytes());
+        self.outbox.append(text.as_bytes());
     }
 
     /// Whether the reply is in the outbox.
--- a/proxy/src/handover_protocol.rs
+++ b/proxy/src/handover_protocol.rs
@@ -1,67 +1,83 @@
-//! What two processes of one proxy tell each other while one replaces the other: lines, as a machine that is fed
-//! bytes.
+//! The protocol between two processes of one proxy while one replaces the other: lines of text, as a state machine that is fed bytes.
+
+#[cfg(test)]
+mod tests;
 
 use crate::outbox::Outbox;
+use std::error::Error;
+use std::fmt::{self, Display};
 
 /// The longest line.
-const LINE: usize = 64;
+const MAX_LINE_BYTES: usize = 64;
 
-/// What the other process says.
+/// What one process tells the other. The words on the wire are older than these names and stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverMessage {
-    /// The newer one takes clients.
+    /// `serving`: the newer process takes clients.
     Serving,
-    /// The older one was told to stop, and still holds so many descriptors.
+    /// `leaving N`: the older process is stopping, and still holds so many descriptors.
     Stopping(usize),
-    /// The older one takes no new work from this time on: microseconds of the system's clock, which both read.
+    /// `yields T`: the older process takes no new work from this time on, in Unix microseconds of the system's clock, which both
+    /// processes read.
     StopsAcceptingAt(i64),
 }
 
-/// What it says makes no sense.
+/// A line that is no message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidMessage;
 
+impl Display for InvalidMessage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str("not a message between processes of one proxy")
+    }
+}
+
+impl Error for InvalidMessage {}
+
+/// The protocol's state on one connection.
 #[derive(Default)]
 pub struct HandoverProtocol {
     input: Vec<u8>,
-    pub out: Outbox,
+    /// Messages to the other process.
+    pub outbox: Outbox,
 }
 
 impl HandoverProtocol {
+    /// Takes bytes of the other process.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// The next word, once its line is whole.
+    /// The next message, once its line is complete.
     pub fn next_message(&mut self) -> Result<Option<HandoverMessage>, InvalidMessage> {
-        let Some(end) = self.input.iter().position(|b| *b == b'\n') else {
-            return if self.input.len() > LINE { Err(InvalidMessage) } else { Ok(None) };
+        let Some(end) = self.input.iter().position(|byte| *byte == b'\n') else {
+            return if self.input.len() > MAX_LINE_BYTES { Err(InvalidMessage) } else { Ok(None) };
         };
         let line: Vec<u8> = self.input.drain(..=end).collect();
-        let line = std::str::from_utf8(&line).map_err(|_| InvalidMessage)?.trim_end();
-        match line.split_once(' ') {
-            None if line == "serving" => Ok(Some(HandoverMessage::Serving)),
-            Some(("yields", at)) => {
-                at.parse().map(|at| Some(HandoverMessage::StopsAcceptingAt(at))).map_err(|_| InvalidMessage)
-            }
-            Some(("leaving", held)) => {
-                held.parse().map(|n| Some(HandoverMessage::Stopping(n))).map_err(|_| InvalidMessage)
-            }
-            _ => Err(InvalidMessage),
-        }
+        let line = std::str::from_utf8(&line).map_err(|_| InvalidMessage)?;
+        parse(line.trim_end()).map(Some)
     }
 
-    pub fn send(&mut self, word: HandoverMessage) {
-        self.out.raw(
-            match word {
-                HandoverMessage::Serving => "serving\n".to_string(),
-                HandoverMessage::Stopping(held) => format!("leaving {held}\n"),
-                HandoverMessage::StopsAcceptingAt(at) => format!("yields {at}\n"),
-            }
-            .as_bytes(),
-        );
+    /// Puts a message into the outbox.
+    pub fn send(&mut self, message: HandoverMessage) {
+        let line = match message {
+            HandoverMessage::Serving => "serving\n".to_string(),
+            HandoverMessage::Stopping(descriptors) => format!("leaving {descriptors}\n"),
+            HandoverMessage::StopsAcceptingAt(unix_micros) => format!("yields {unix_micros}\n"),
+        };
+        self.outbox.append(line.as_bytes());
     }
 }
 
-#[cfg(test)]
-mod tests;
+fn parse(line: &str) -> Result<HandoverMessage, InvalidMessage> {
+    match line.split_once(' ') {
+        None if line == "serving" => Ok(HandoverMessage::Serving),
+        Some(("leaving", descriptors)) => {
+            descriptors.parse().map(HandoverMessage::Stopping).map_err(|_| InvalidMessage)
+        }
+        Some(("yields", unix_micros)) => {
+            unix_micros.parse().map(HandoverMessage::StopsAcceptingAt).map_err(|_| InvalidMessage)
+        }
+        _ => Err(InvalidMessage),
+    }
+}
--- a/proxy/src/handover_protocol/tests.rs
+++ b/proxy/src/handover_protocol/tests.rs
@@ -18,7 +18,7 @@
     for (message, line) in MESSAGES {
         let mut sender = HandoverProtocol::default();
         sender.send(message);
-        assert_eq!(sender.out.pending(), line, "{message:?}");
+        assert_eq!(sender.outbox.pending(), line, "{message:?}");
     }
 }
 
@@ -48,7 +48,7 @@
     }
     let mut receiver = HandoverProtocol::default();
     let mut received = Vec::new();
-    for byte in sender.out.pending() {
+    for byte in sender.outbox.pending() {
         receiver.feed(&[*byte]);
         received.extend(receiver.next_message().unwrap());
     }
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -54,7 +54,7 @@
         if let Some(value) = &mut client.streamed_value {
             value.chunk_unsent = true;
         }
-        client.protocol.out.raw(bytes);
+        client.protocol.out.append(bytes);
         self.process_client(context, key);
     }
 
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -108,7 +108,7 @@
         self.polled_at = context.now;
         self.long_poll = self.watch.is_long_poll();
         if self.stream.is_some() {
-            self.outbox.raw(&self.watch.next_request());
+            self.outbox.append(&self.watch.next_request());
             self.enter(context, PollState::Requested, self.watch.response_timeout());
         } else {
             let Ok(stream) = self.connect(context) else {
@@ -117,7 +117,7 @@
             };
             self.stream = Some(stream);
             self.outbox = Outbox::default();
-            self.outbox.raw(&self.watch.next_request());
+            self.outbox.append(&self.watch.next_request());
             self.enter(context, PollState::Connecting, CONNECT_TIMEOUT_MICROS);
         }
         self.write(context);
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -1,27 +1,71 @@
-//! The process that this one replaces, and the one that replaces this: they meet at a Unix socket in `$TMPDIR`,
-//! so that limits and budgets cover both.
+//! The handover between two processes of one proxy: the one that this process replaces, and the one that replaces it. They connect at
+//! a Unix socket in `$TMPDIR`, so that limits and budgets cover both.
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
 use crate::config::hash;
-use crate::handover_protocol::{HandoverMessage, HandoverProtocol};
+use crate::handover_protocol::{HandoverMessage, HandoverProtocol, InvalidMessage};
 use crate::log::Quoted;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry};
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
+/// A connection to another process, and what that one said.
 struct Link {
     stream: UnixStream,
-    machine: HandoverProtocol,
-    /// It takes clients, or was told to stop and holds so much.
-    word: Option<HandoverMessage>,
-    /// When the predecessor takes no new work any more, on the system's clock.
-    yields: Option<i64>,
+    protocol: HandoverProtocol,
+    /// A successor takes clients.
+    is_serving: bool,
+    /// A predecessor is stopping, and holds so many descriptors.
+    descriptors_when_stopping: Option<usize>,
+    /// When a predecessor takes no new work any more, in Unix microseconds.
+    stops_accepting_at: Option<i64>,
 }
 
+impl Link {
+    /// A link on a connection that is registered.
+    fn new(stream: UnixStream) -> Link {
+        Link {
+            stream,
+            protocol: HandoverProtocol::default(),
+            is_serving: false,
+            descriptors_when_stopping: None,
+            stops_accepting_at: None,
+        }
+    }
+
+    /// Reads and writes as far as it goes. Returns whether the link is still of use.
+    fn exchange(&mut self, scratch: &mut [u8]) -> bool {
+        let protocol = &mut self.protocol;
+        let read = stream::read(&mut self.stream, scratch, |bytes| {
+            protocol.feed(bytes);
+            true
+        });
+        let applied = self.apply_messages();
+        let written = stream::write(&mut self.stream, &mut self.protocol.outbox);
+        read.is_ok() && applied.is_ok() && written.is_ok()
+    }
+
+    fn apply_messages(&mut self) -> Result<(), InvalidMessage> {
+        while let Some(message) = self.protocol.next_message()? {
+            match message {
+                HandoverMessage::Serving => {
+                    (self.is_serving, self.descriptors_when_stopping) = (true, None);
+                }
+                HandoverMessage::Stopping(descriptors) => {
+                    (self.is_serving, self.descriptors_when_stopping) = (false, Some(descriptors));
+                }
+                HandoverMessage::StopsAcceptingAt(at) => self.stops_accepting_at = Some(at),
+            }
+        }
+        Ok(())
+    }
+}
+
+/// The connections to other processes of this proxy. The default has none, for a proxy that shares its listener with nobody.
 #[derive(Default)]
 pub struct ProcessHandover {
     path: Option<PathBuf>,
@@ -31,27 +75,19 @@
 }
 
 impl ProcessHandover {
-    /// Looks for a process that serves at this address, and says that this one does now; then waits for the next.
+    /// Connects to the process that serves at this address, if there is one, and tells it that this one serves now; then listens for
+    /// the next.
     pub fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", hash(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
-        let mut twin = ProcessHandover { path: Some(path.clone()), ..ProcessHandover::default() };
-        // Refused, or not there: nobody serves, whatever file was left behind.
-        if let Ok(mut stream) = UnixStream::connect(&path)
-            && registry
-                .register(&mut stream, Source::Predecessor.token(), Interest::READABLE | Interest::WRITABLE)
-                .is_ok()
-        {
-            let mut machine = HandoverProtocol::default();
-            machine.send(HandoverMessage::Serving);
-            twin.predecessor = Some(Link { stream, machine, word: None, yields: None });
-        }
-        twin.listen(registry);
-        twin
+        let predecessor = connect(registry, &path);
+        let mut handover = ProcessHandover { path: Some(path), predecessor, ..ProcessHandover::default() };
+        handover.listen(registry);
+        handover
     }
 
-    /// Takes the place where the next process looks. Without it, that one is not known to this.
-    pub fn listen(&mut self, registry: &Registry) {
+    /// Listens where the next process connects. Without that, neither process knows of the other.
+    fn listen(&mut self, registry: &Registry) {
         let Some(path) = &self.path else { return };
         let _ = std::fs::remove_file(path);
         let bound = UnixListener::bind(path).and_then(|mut listener| {
@@ -60,100 +96,106 @@
         });
         match bound {
             Ok(listener) => self.listener = Some(listener),
-            Err(e) => {
-                warn!(event = "handover-socket-unavailable", path = %path.display(), error = %Quoted(e));
+            Err(error) => {
+                warn!(event = "handover-socket-unavailable", path = %path.display(), error = %Quoted(error));
             }
         }
     }
 
-    /// Someone came: the newest is the successor.
+    /// Other processes have connected: the newest is the successor.
     pub fn accept(&mut self, context: &mut EventLoopContext) {
         while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
-            if let Some(mut old) = self.successor.take() {
-                let _ = context.registry.deregister(&mut old.stream);
+            if let Some(mut older) = self.successor.take() {
+                let _ = context.registry.deregister(&mut older.stream);
             }
-            if context
-                .registry
-                .register(&mut stream, Source::Successor.token(), Interest::READABLE | Interest::WRITABLE)
-                .is_ok()
-            {
-                self.successor =
-                    Some(Link { stream, machine: HandoverProtocol::default(), word: None, yields: None });
+            if register(&context.registry, &mut stream, Source::Successor) {
+                self.successor = Some(Link::new(stream));
                 info!(event = "successor-connected");
             }
         }
     }
 
-    /// Reads and writes one of the links.
-    pub fn ready(&mut self, context: &mut EventLoopContext, link: Source) {
-        let predecessor = link == Source::Predecessor;
-        let slot = if predecessor { &mut self.predecessor } else { &mut self.successor };
-        let Some(link) = slot else { return };
-        let machine = &mut link.machine;
-        let read = stream::read(&mut link.stream, &mut context.scratch, |bytes| {
-            machine.feed(bytes);
-            true
-        });
-        let sound = loop {
-            match link.machine.next_message() {
-                Ok(None) => break true,
-                Ok(Some(HandoverMessage::StopsAcceptingAt(at))) => link.yields = Some(at),
-                Ok(word) => link.word = word,
-                Err(_) => break false,
-            }
-        };
-        let written = stream::write(&mut link.stream, &mut link.machine.out);
-        if read.is_err() || written.is_err() || !sound {
-            let _ = context.registry.deregister(&mut link.stream);
-            *slot = None;
-            info!(event = if predecessor { "predecessor-disconnected" } else { "successor-disconnected" });
-            if !predecessor {
-                // It had taken the meeting place too.
-                self.listen(&context.registry);
-            }
+    /// The predecessor's link is ready.
+    pub fn predecessor_ready(&mut self, context: &mut EventLoopContext) {
+        if disconnected(&mut self.predecessor, context) {
+            info!(event = "predecessor-disconnected");
         }
     }
 
-    /// Tells the successor how much this process still holds.
-    pub fn announce_stopping(&mut self, context: &mut EventLoopContext, held: usize) {
-        if let Some(successor) = &mut self.successor {
-            successor.machine.send(HandoverMessage::Stopping(held));
-            self.ready(context, Source::Successor);
+    /// The successor's link is ready.
+    pub fn successor_ready(&mut self, context: &mut EventLoopContext) {
+        if disconnected(&mut self.successor, context) {
+            info!(event = "successor-disconnected");
+            // It listened in the place of this process.
+            self.listen(&context.registry);
         }
     }
 
-    /// Tells the successor when this process takes no new work any more, on the system's clock.
-    pub fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, unix: i64) {
+    /// Tells the successor how many descriptors this process still holds.
+    pub fn announce_stopping(&mut self, context: &mut EventLoopContext, descriptors: usize) {
+        self.send_to_successor(context, HandoverMessage::Stopping(descriptors));
+    }
+
+    /// Tells the successor when this process takes no new work any more, in Unix microseconds.
+    pub fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, at: i64) {
+        self.send_to_successor(context, HandoverMessage::StopsAcceptingAt(at));
+    }
+
+    fn send_to_successor(&mut self, context: &mut EventLoopContext, message: HandoverMessage) {
         if let Some(successor) = &mut self.successor {
-            successor.machine.send(HandoverMessage::StopsAcceptingAt(unix));
-            self.ready(context, Source::Successor);
+            successor.protocol.send(message);
+            self.successor_ready(context);
         }
     }
 
-    /// What the predecessor said of that.
+    /// When the predecessor takes no new work any more, in Unix microseconds, if it said so.
     pub fn predecessor_stops_accepting_at(&self) -> Option<i64> {
-        self.predecessor.as_ref()?.yields
+        self.predecessor.as_ref()?.stops_accepting_at
     }
 
+    /// Whether the process that this one replaces is still there.
     pub fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Another process takes the clients now.
+    /// Whether another process takes the clients now.
     pub fn is_replaced(&self) -> bool {
-        self.successor.as_ref().is_some_and(|successor| successor.word == Some(HandoverMessage::Serving))
+        self.successor.as_ref().is_some_and(|successor| successor.is_serving)
     }
 
-    /// How many processes there are, this one among them.
+    /// How many processes of this proxy there are, this one included.
     pub fn process_count(&self) -> u32 {
         1 + u32::from(self.predecessor.is_some()) + u32::from(self.successor.is_some())
     }
 
-    /// What the predecessor, told to stop, still holds; it opens nothing beyond that.
+    /// How many descriptors a predecessor that is stopping still holds; it opens no more.
     pub fn predecessor_descriptors(&self) -> Option<usize> {
-        match self.predecessor.as_ref()?.word {
-            Some(HandoverMessage::Stopping(held)) => Some(held),
-            _ => None,
-        }
+        self.predecessor.as_ref()?.descriptors_when_stopping
+    }
+}
+
+/// Where the connection is refused, or no socket is there, no process serves.
+fn connect(registry: &Registry, path: &Path) -> Option<Link> {
+    let mut stream = UnixStream::connect(path).ok()?;
+    if !register(registry, &mut stream, Source::Predecessor) {
+        return None;
+    }
+    let mut link = Link::new(stream);
+    link.protocol.send(HandoverMessage::Serving);
+    Some(link)
+}
+
+fn register(registry: &Registry, stream: &mut UnixStream, source: Source) -> bool {
+    registry.register(stream, source.token(), Interest::READABLE | Interest::WRITABLE).is_ok()
+}
+
+/// Reads and writes a link, if there is one, and removes it if it is of no more use. Returns whether it was removed.
+fn disconnected(link: &mut Option<Link>, context: &mut EventLoopContext) -> bool {
+    let Some(open) = link else { return false };
+    if open.exchange(&mut context.scratch) {
+        return false;
     }
+    let _ = context.registry.deregister(&mut open.stream);
+    *link = None;
+    true
 }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -128,7 +128,8 @@
     fn handle_handover(&mut self, source: Source) {
         match source {
             Source::HandoverListener => self.handover.accept(&mut self.context),
-            link => self.handover.ready(&mut self.context, link),
+            Source::Predecessor => self.handover.predecessor_ready(&mut self.context),
+            _ => self.handover.successor_ready(&mut self.context),
         }
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
--- a/proxy/src/outbox.rs
+++ b/proxy/src/outbox.rs
@@ -1,35 +1,39 @@
-//! Bytes on their way out, of whatever protocol.
+//! Output that waits to be written, of any protocol.
 
+/// What an idle connection keeps of a buffer's capacity.
+pub const IDLE_BUFFER_BYTES: usize = 4096;
+
+/// Output that waits to be written.
 #[derive(Default)]
 pub struct Outbox {
-    buf: Vec<u8>,
-    at: usize,
+    bytes: Vec<u8>,
+    /// So many of them are written.
+    written: usize,
 }
 
-/// What an idle connection keeps of its buffers.
-pub const KEPT: usize = 4096;
-
 impl Outbox {
+    /// What is not written yet.
     pub fn pending(&self) -> &[u8] {
-        &self.buf[self.at..]
+        &self.bytes[self.written..]
     }
 
     /// So much of what was pending has been written.
-    pub fn advance(&mut self, n: usize) {
-        self.at = (self.at + n).min(self.buf.len());
-        if self.at == self.buf.len() {
-            self.at = 0;
-            self.buf.clear();
-            self.buf.shrink_to(KEPT);
+    pub fn advance(&mut self, count: usize) {
+        self.written = (self.written + count).min(self.bytes.len());
+        if self.written == self.bytes.len() {
+            self.written = 0;
+            self.bytes.clear();
+            self.bytes.shrink_to(IDLE_BUFFER_BYTES);
         }
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
-        self.buf.extend_from_slice(bytes);
+    /// Adds output.
+    pub fn append(&mut self, bytes: &[u8]) {
+        self.bytes.extend_from_slice(bytes);
     }
 
-    /// Where an encoder appends; what stands there already must stay.
-    pub fn end(&mut self) -> &mut Vec<u8> {
-        &mut self.buf
+    /// The buffer, for an encoder that appends to it. What is in it must stay.
+    pub fn buffer(&mut self) -> &mut Vec<u8> {
+        &mut self.bytes
     }
 }
--- a/proxy/src/pg/codec/encode.rs
+++ b/proxy/src/pg/codec/encode.rs
@@ -24,12 +24,12 @@
 
 impl Outbox {
     fn message(&mut self, tag: u8, body: impl FnOnce(&mut Vec<u8>)) {
-        self.raw(&[tag]);
+        self.append(&[tag]);
         self.untagged(body);
     }
 
     fn untagged(&mut self, body: impl FnOnce(&mut Vec<u8>)) {
-        let buf = self.end();
+        let buf = self.buffer();
         let start = buf.len();
         buf.extend_from_slice(&[0; 4]);
         body(buf);
@@ -77,10 +77,10 @@
             body.extend_from_slice(&(-1i32).to_be_bytes());
             body.extend_from_slice(&u16::from(binary).to_be_bytes());
         });
-        self.raw(b"D");
-        self.raw(&((value_length + ROW_HEADER_BYTES - 1) as u32).to_be_bytes());
-        self.raw(&1u16.to_be_bytes());
-        self.raw(&(value_length as u32).to_be_bytes());
+        self.append(b"D");
+        self.append(&((value_length + ROW_HEADER_BYTES - 1) as u32).to_be_bytes());
+        self.append(&1u16.to_be_bytes());
+        self.append(&(value_length as u32).to_be_bytes());
     }
 
     pub fn command_complete(&mut self, tag: &str) {
--- a/proxy/src/pg/codec/inbox.rs
+++ b/proxy/src/pg/codec/inbox.rs
@@ -4,7 +4,7 @@
     ClientMessage, DecodeError, MAX_BUFFERED_VALUE_BYTES, MAX_QUERY_BYTES, MAX_SERVER_MESSAGE_BYTES,
     MAX_STREAMED_VALUE_BYTES, ROW_HEADER_BYTES, ServerMessage, Startup, read_u32,
 };
-use crate::outbox::KEPT;
+use crate::outbox::IDLE_BUFFER_BYTES;
 use std::ops::RangeInclusive;
 
 /// As PostgreSQL itself has it.
@@ -120,7 +120,7 @@
         if self.start == self.buf.len() {
             self.start = 0;
             self.buf.clear();
-            self.buf.shrink_to(KEPT);
+            self.buf.shrink_to(IDLE_BUFFER_BYTES);
         }
     }
 
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -25,7 +25,7 @@
             None => Progress::NeedsInput,
             Some(Startup::EncryptionRequest) => {
                 // None is offered.
-                self.out.raw(b"N");
+                self.out.append(b"N");
                 Progress::Continue
             }
             Some(Startup::CancelRequest) => {
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -28,7 +28,7 @@
         match answer {
             Answer::Served(value) => {
                 self.start_value(value.binary, value.bytes.len());
-                self.out.raw(&value.bytes);
+                self.out.append(&value.bytes);
                 self.out.command_complete(tag);
             }
             Answer::Streamed => self.out.command_complete(tag),
