--- a/proxy/src/cli.rs
+++ b/proxy/src/cli.rs
@@ -1,4 +1,7 @@
-//! The command line: what to do, and how to log. It owns the words and their help; never the work itself.
+//! The command line: which command, and how to log. It defines the words and their help; the commands are carried out elsewhere.
+
+#[cfg(test)]
+mod tests;
 
 use crate::log::Format;
 use clap::{Args, Parser, Subcommand};
@@ -73,23 +76,3 @@
     #[arg(long, value_name = "MS", default_value_t = 2000, value_parser = clap::value_parser!(u64).range(1..=60_000))]
     pub timeout: u64,
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use clap::CommandFactory;
-
-    #[test]
-    fn the_words_hold_together() {
-        Cli::command().debug_assert();
-        let serve = Cli::parse_from(["birchreach-proxy"]);
-        assert!(serve.command.is_none() && serve.options.is_none());
-        let health =
-            ["birchreach-proxy", "health", "--at", "127.0.0.1:1", "--group", "3", "--log-format", "json"];
-        let Cli { command: Some(Command::Health(health)), log_format, .. } = Cli::parse_from(health) else {
-            panic!()
-        };
-        assert_eq!((health.group, health.timeout, log_format), (Some(3), 2000, Format::Json));
-        assert!(Cli::try_parse_from(["birchreach-proxy", "--log-filter", "birchreach_proxy=loud"]).is_err());
-    }
-}
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -1,5 +1,8 @@
-//! How the process ends: told to stop, it serves who still arrives, closes whoever is idle, and ends when nothing is owed.
-//! It owns the times of that order; whom to close when is the clients' owner's to do.
+//! The graceful shutdown: connections that still arrive are served, idle clients are closed, and the process ends once no request is
+//! open. It owns the times of these steps; which client is closed when is decided by the clients' owner.
+
+#[cfg(test)]
+mod tests;
 
 use super::EventLoop;
 use super::timer_events::TimerEvent;
@@ -7,49 +10,52 @@
 use birchreach_health::HealthEvent;
 use tracing::info;
 
-/// After SIGTERM connections still arrive for so long at the most; they are served.
-const NEWCOMERS: Micros = 400_000;
-/// What is taken later may not have its whole deadline before SIGKILL: that comes the longest deadline and this after
-/// SIGTERM, or later.
-const LAST_TAKEN: Micros = 700_000;
-/// Idle clients are closed then, well after the one and well before the other.
-const LINGER: Micros = NEWCOMERS + (LAST_TAKEN - NEWCOMERS) / 2;
-/// Where another process has the listener too, nobody new arrives here: idle clients have this time to ask once
-/// more, for an answer and the end behind it cross with no request.
-const HANDOVER: Micros = 600_000;
-/// Beyond the longest deadline, clients have gone: nothing more is owed to anyone.
-const LAST_CALL: Micros = 1_500_000;
+/// Connections still arrive for at most this time after SIGTERM, and are served.
+const ARRIVALS_MICROS: Micros = 400_000;
+/// A request that is accepted later than this after SIGTERM may not have its whole timeout before SIGKILL: that comes the longest
+/// timeout and this time after SIGTERM, or later.
+const LAST_ACCEPTED_MICROS: Micros = 700_000;
+/// When idle clients are closed: well after the one and well before the other.
+const CLOSE_IDLE_AFTER_MICROS: Micros = ARRIVALS_MICROS + (LAST_ACCEPTED_MICROS - ARRIVALS_MICROS) / 2;
+/// The same where another process has the listener too, so that no new client arrives here. Idle clients have this time to send
+/// another request, for which they get a response with the end of the connection behind it: those cross with no request.
+const CLOSE_IDLE_AFTER_HANDOVER_MICROS: Micros = 600_000;
+/// When the process exits, this time after the longest timeout of a request that was accepted: no client still waits.
+const EXIT_AFTER_LONGEST_TIMEOUT_MICROS: Micros = 1_500_000;
 
 impl EventLoop {
-    /// Told to stop. Where balancers are told of it, they have a while to go elsewhere first; told again, it leaves.
+    /// Begins the shutdown. Where balancers check this proxy they first have some time to send clients elsewhere; a second signal ends
+    /// that time.
     pub(super) fn stop(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.context.core.open_request_count());
             self.record_health_event(HealthEvent::Stopping);
-            let lead = self.config.options.health.as_ref().map_or(0, |health| health.shutdown_notice);
-            if lead > 0 && !self.handover.is_replaced() {
-                return self.context.timers.set(self.context.now + lead, TimerEvent::StopListening);
+            let notice = self.config.options.health.as_ref().map_or(0, |health| health.shutdown_notice);
+            if notice > 0 && !self.handover.is_replaced() {
+                return self.context.timers.set(self.context.now + notice, TimerEvent::StopListening);
             }
         }
         self.stop_listening();
     }
 
+    /// Sets the times at which idle clients are closed and the process exits.
     pub(super) fn stop_listening(&mut self) {
-        if !std::mem::replace(&mut self.listener_closed, true) {
-            let linger = if self.config.inherited.is_some() {
-                self.clients.start_handover(&mut self.context);
-                HANDOVER
-            } else {
-                LINGER
-            };
-            self.context.timers.set(self.context.now + linger, TimerEvent::CloseIdleClients);
-            self.context
-                .timers
-                .set(self.context.now + linger + self.longest_client_timeout + LAST_CALL, TimerEvent::Exit);
+        if std::mem::replace(&mut self.listener_closed, true) {
+            return;
         }
+        let close_idle_after = if self.config.inherited.is_some() {
+            self.clients.start_handover(&mut self.context);
+            CLOSE_IDLE_AFTER_HANDOVER_MICROS
+        } else {
+            CLOSE_IDLE_AFTER_MICROS
+        };
+        let close_idle_at = self.context.now + close_idle_after;
+        let exit_at = close_idle_at + self.longest_client_timeout + EXIT_AFTER_LONGEST_TIMEOUT_MICROS;
+        self.context.timers.set(close_idle_at, TimerEvent::CloseIdleClients);
+        self.context.timers.set(exit_at, TimerEvent::Exit);
     }
 
-    /// The last idle clients go now; who has a request in hand goes with its answer.
+    /// Closes idle clients; each of the others is closed with its response.
     pub(super) fn close_idle_clients(&mut self) {
         self.clients.shut_down(&mut self.context);
         if let Some(fleet) = &mut self.fleet {
@@ -59,18 +65,3 @@
         self.clients_closed = true;
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Whoever arrives is taken, and whatever is taken has its whole deadline before the process may be killed, with a
-    /// tenth of a second to spare for a loop that shares its core.
-    #[test]
-    fn what_is_taken_after_sigterm_has_its_deadline_before_the_kill() {
-        let spare = 100_000;
-        assert!((NEWCOMERS + spare..=LAST_TAKEN - spare).contains(&LINGER), "{LINGER}");
-        // With the listener handed over nobody arrives here: only the kill bounds that.
-        assert!((0..=LAST_TAKEN - spare).contains(&HANDOVER), "{HANDOVER}");
-    }
-}
--- /dev/null
+++ b/proxy/src/net/graceful_shutdown/tests.rs
@@ -0,0 +1,20 @@
+//! The times of the shutdown against those of SIGTERM and SIGKILL.
+
+use super::*;
+
+/// For a loop that shares its processor core.
+const MARGIN_MICROS: Micros = 100_000;
+
+/// Each connection that arrives is accepted, and each request that is accepted has its whole timeout before the process may be
+/// killed.
+#[test]
+fn a_request_accepted_after_sigterm_has_its_timeout_before_sigkill() {
+    let latest = LAST_ACCEPTED_MICROS - MARGIN_MICROS;
+
+    let without_handover = CLOSE_IDLE_AFTER_MICROS;
+    assert!((ARRIVALS_MICROS + MARGIN_MICROS..=latest).contains(&without_handover), "{without_handover}");
+
+    // With the listener handed over no connection arrives here: only SIGKILL bounds the time.
+    let with_handover = CLOSE_IDLE_AFTER_HANDOVER_MICROS;
+    assert!((0..=latest).contains(&with_handover), "{with_handover}");
+}
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -76,8 +76,17 @@
             Source::Listener => self.clients.listener_ready(),
             Source::Signals => self.handle_signals(signals),
             Source::Discovery => self.handle_discovery(),
-            Source::HandoverListener | Source::Predecessor | Source::Successor => {
-                self.handle_handover(source)
+            Source::HandoverListener => {
+                self.handover.accept(&mut self.context);
+                self.after_handover();
+            }
+            Source::Predecessor => {
+                self.handover.predecessor_ready(&mut self.context);
+                self.after_handover();
+            }
+            Source::Successor => {
+                self.handover.successor_ready(&mut self.context);
+                self.after_handover();
             }
             Source::Fleet => self.handle_fleet(),
             Source::GossipListener | Source::MembershipListener => {
@@ -124,13 +133,8 @@
         }
     }
 
-    /// Another process of this proxy came, spoke or went.
-    fn handle_handover(&mut self, source: Source) {
-        match source {
-            Source::HandoverListener => self.handover.accept(&mut self.context),
-            Source::Predecessor => self.handover.predecessor_ready(&mut self.context),
-            _ => self.handover.successor_ready(&mut self.context),
-        }
+    /// Another process of this proxy has connected, sent a message or disconnected.
+    fn after_handover(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
             fleet.replaced(self.context.now, self.handover.is_replaced());
--- a/proxy/src/net/stream.rs
+++ b/proxy/src/net/stream.rs
@@ -1,17 +1,19 @@
-//! Reading and writing one socket as far as it goes just now.
+//! Reads and writes one socket as far as it goes without waiting.
 
 use crate::outbox::Outbox;
 use std::io::{ErrorKind, Read, Write};
 
-/// How a connection ended, as far as the socket tells.
+/// How a connection ended, as far as the socket reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
+    /// The other side closed it.
     Closed,
+    /// It was reset, or failed in another way.
     Reset,
 }
 
-/// Reads what has come, a piece at a time, until `take` wants no more. True: nothing more has come; else
-/// the socket will not say again that it is readable.
+/// Reads what has come, a piece at a time, until `take` returns false. Returns whether all of it was read; if not, the poll does not
+/// report the socket as readable again.
 pub fn read(
     stream: &mut impl Read,
     scratch: &mut [u8],
@@ -20,8 +22,8 @@
     loop {
         match stream.read(scratch) {
             Ok(0) => return Err(Ended::Closed),
-            Ok(n) => {
-                if !take(&scratch[..n]) {
+            Ok(count) => {
+                if !take(&scratch[..count]) {
                     return Ok(false);
                 }
             }
@@ -32,24 +34,24 @@
     }
 }
 
-/// Writes what waits. True: all of it has gone.
+/// Writes what is pending as far as it goes. Returns whether all of it is written.
 pub fn write(stream: &mut impl Write, out: &mut Outbox) -> Result<bool, Ended> {
     let written = write_some(stream, out.pending())?;
     out.advance(written);
     Ok(out.pending().is_empty())
 }
 
-/// Writes as much of it as goes just now.
+/// Writes bytes as far as it goes. Returns how many are written.
 pub fn write_some(stream: &mut impl Write, bytes: &[u8]) -> Result<usize, Ended> {
-    let mut at = 0;
-    while at < bytes.len() {
-        match stream.write(&bytes[at..]) {
+    let mut written = 0;
+    while written < bytes.len() {
+        match stream.write(&bytes[written..]) {
             Ok(0) => return Err(Ended::Reset),
-            Ok(n) => at += n,
+            Ok(count) => written += count,
             Err(e) if e.kind() == ErrorKind::WouldBlock => break,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(_) => return Err(Ended::Reset),
         }
     }
-    Ok(at)
+    Ok(written)
 }
--- a/proxy/src/net/timers.rs
+++ b/proxy/src/net/timers.rs
@@ -1,56 +1,71 @@
-//! Times at which the loop has something to do, and the clock that they are read on.
+//! The clock, and the times at which the loop has something to do.
 
 use birchreach::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The one clock: Unix time at the start, and what has passed since. It never goes back, and every
-/// time on the sockets is one of its own.
+/// The one clock: Unix time at the start, and what has passed since. It never goes back, and it alone gives the times that the loop
+/// compares.
 pub struct Clock {
-    start: Instant,
-    unix: Micros,
+    started: Instant,
+    started_unix: Micros,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: micros(unix) }
+        Clock { started: Instant::now(), started_unix: micros(unix) }
     }
 
+    /// The time.
     pub fn now(&self) -> Micros {
-        self.unix + micros(self.start.elapsed())
+        self.started_unix + micros(self.started.elapsed())
     }
 }
 
+/// A span too long for the type becomes one that can still be added to another without overflow.
 fn micros(span: Duration) -> Micros {
     Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX / 4)
 }
 
-/// Due times, soonest first; those of equal time in the order they were set. None is taken back:
-/// what a time was set for may be over by then, and whoever set it looks.
+/// A timer that is set. The order of the fields is that in which timers become due: those of equal time in the order in which they
+/// were set.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Timer<T> {
+    due_at: Micros,
+    serial: u64,
+    event: T,
+}
+
+/// Timers, the soonest first. None is ever cancelled: whoever set it checks whether it still means anything.
 pub struct Timers<T> {
-    heap: BinaryHeap<Reverse<(Micros, u64, T)>>,
-    set: u64,
+    heap: BinaryHeap<Reverse<Timer<T>>>,
+    last_serial: u64,
 }
 
 impl<T: Ord> Timers<T> {
+    /// None are set.
     pub fn new() -> Timers<T> {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers { heap: BinaryHeap::new(), last_serial: 0 }
     }
 
-    pub fn set(&mut self, at: Micros, what: T) {
-        self.set += 1;
-        self.heap.push(Reverse((at, self.set, what)));
+    /// Sets a timer for an event.
+    pub fn set(&mut self, due_at: Micros, event: T) {
+        self.last_serial += 1;
+        self.heap.push(Reverse(Timer { due_at, serial: self.last_serial, event }));
     }
 
+    /// Removes the next timer that is due.
     pub fn due(&mut self, now: Micros) -> Option<T> {
-        self.heap.peek().filter(|Reverse(t)| t.0 <= now)?;
-        self.heap.pop().map(|Reverse((_, _, what))| what)
+        self.heap.peek().filter(|Reverse(timer)| timer.due_at <= now)?;
+        self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
-    /// How long until the next, if there is one.
+    /// How long until the next timer is due, if one is set.
     pub fn wait(&self, now: Micros) -> Option<Duration> {
-        self.heap.peek().map(|Reverse(t)| Duration::from_micros(u64::try_from(t.0 - now).unwrap_or(0)))
+        let Reverse(timer) = self.heap.peek()?;
+        Some(Duration::from_micros(u64::try_from(timer.due_at - now).unwrap_or(0)))
     }
 }
