--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -32,6 +32,7 @@
     pub mode: CloseMode,
 }
 
+/// How a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
     Immediate,
@@ -65,6 +66,7 @@
     number: u64,
 }
 
+/// One client's connection.
 pub(super) struct Client {
     pub stream: TcpStream,
     pub peer: SocketAddr,
@@ -72,6 +74,7 @@
     pub number: u64,
     pub protocol: Frontend,
     pub open_request: Option<OpenRequest>,
+    /// Set while the answer to the open request is being forwarded in chunks.
     pub streamed_value: Option<StreamedValue>,
     pub answered_requests: u64,
     /// It has made no request yet: it may be a balancer that only looks whether the process lives.
@@ -81,6 +84,7 @@
     /// There is more to read or write than one turn takes.
     pub turn_incomplete: bool,
     pub closing: Option<Closing>,
+    /// When it last sent something or took something of its output.
     pub last_active_at: Micros,
     /// It was answered after the handover began: it is closed once it is idle.
     pub close_when_idle: bool,
@@ -89,6 +93,7 @@
 }
 
 impl Client {
+    /// A client that has just been accepted.
     pub fn new(stream: TcpStream, peer: SocketAddr, number: u64, now: Micros) -> Client {
         Client {
             stream,
@@ -114,6 +119,7 @@
         self.is_draining() || (self.open_request.is_none() && self.closing.is_none() && is_idle)
     }
 
+    /// It has been told why it is closed, and may go on sending for a while.
     pub fn is_draining(&self) -> bool {
         matches!(self.closing, Some(Closing { mode: CloseMode::Draining { .. }, .. }))
     }
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -21,6 +21,7 @@
 }
 
 impl BackgroundQuery {
+    /// The statement that comes after those that have replies.
     pub fn current_statement(&self) -> &[u8] {
         self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
     }
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -50,6 +50,7 @@
     Written,
 }
 
+/// One connection to a database.
 pub(super) struct Connection {
     pub stream: TcpStream,
     pub protocol: Backend,
@@ -62,7 +63,9 @@
     /// The startup exchange is complete.
     pub established: bool,
     pub task: Option<ConnectionTask>,
+    /// How far the task's query has gone.
     pub query: QueryProgress,
+    /// When it became idle, if it is.
     pub idle_since: Micros,
     /// When more of a streamed value came, or reading it was resumed.
     pub last_progress_at: Micros,
@@ -71,6 +74,7 @@
 }
 
 impl Connection {
+    /// A connection that the system has started to open.
     pub fn new(
         stream: TcpStream,
         protocol: Backend,
@@ -105,6 +109,7 @@
         self.established && self.query == QueryProgress::NotQueued
     }
 
+    /// The attempt that it carries, if its task is one.
     pub fn attempt(&self) -> Option<AttemptId> {
         match &self.task {
             Some(ConnectionTask::Attempt(task)) => Some(task.attempt),
--- a/proxy/src/net/pool/connection_table.rs
+++ b/proxy/src/net/pool/connection_table.rs
@@ -5,26 +5,32 @@
 use slab::Slab;
 use std::ops::{Index, IndexMut};
 
+/// Connections by key, as a slab has them.
 #[derive(Default)]
 pub(super) struct ConnectionTable(Slab<Connection>);
 
 impl ConnectionTable {
+    /// How many connections there are.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Whether a connection has this key.
     pub fn contains(&self, key: ConnectionKey) -> bool {
         self.0.contains(key.0)
     }
 
+    /// The connection with this key, if there is one.
     pub fn get(&self, key: ConnectionKey) -> Option<&Connection> {
         self.0.get(key.0)
     }
 
+    /// The connection with this key, if there is one.
     pub fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
         self.0.get_mut(key.0)
     }
 
+    /// All connections with their keys.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &Connection)> {
         self.0.iter().map(|(slot, connection)| (ConnectionKey(slot), connection))
     }
@@ -34,10 +40,12 @@
         ConnectionKey(self.0.vacant_key())
     }
 
+    /// Keeps a connection under a free key.
     pub fn insert(&mut self, connection: Connection) -> ConnectionKey {
         ConnectionKey(self.0.insert(connection))
     }
 
+    /// Takes out a connection that is known to be there.
     pub fn remove(&mut self, key: ConnectionKey) -> Connection {
         self.0.remove(key.0)
     }
--- a/proxy/src/pg/backend/messages.rs
+++ b/proxy/src/pg/backend/messages.rs
@@ -11,6 +11,7 @@
 const MAX_REPLY_BYTES: usize = 2 * MAX_SERVER_MESSAGE_BYTES;
 
 impl Backend {
+    /// Takes a message of so many bytes. An error is a message that does not belong where it stands.
     pub(super) fn handle_message(
         &mut self,
         message: ServerMessage,
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -20,6 +20,7 @@
 const PROTOCOL_OPTION_PREFIX: &[u8] = b"_pq_.";
 
 impl Startup {
+    /// Decodes the body of the first message.
     pub(super) fn decode(body: &[u8]) -> Result<Startup, DecodeError> {
         let [major_high, major_low, minor_high, minor_low, parameters @ ..] = body else {
             return Err(DecodeError::LengthTooSmall);
@@ -65,6 +66,7 @@
 }
 
 impl ClientMessage {
+    /// Decodes the body of a message with this tag.
     pub(super) fn decode(tag: u8, body: &[u8]) -> Result<ClientMessage, DecodeError> {
         Ok(match tag {
             b'Q' => match split_c_string(body) {
--- a/proxy/src/pg/codec/encode.rs
+++ b/proxy/src/pg/codec/encode.rs
@@ -37,6 +37,7 @@
         buf[start..start + 4].copy_from_slice(&length.to_be_bytes());
     }
 
+    /// The client may go on without authentication.
     pub fn authentication_ok(&mut self) {
         self.message(b'R', |body| body.extend_from_slice(&[0; 4]));
     }
@@ -50,6 +51,7 @@
         });
     }
 
+    /// A setting that clients are told of.
     pub fn parameter_status(&mut self, name: &str, value: &str) {
         self.message(b'S', |body| {
             text(body, name);
@@ -57,10 +59,12 @@
         });
     }
 
+    /// The next query may come; no transaction is open.
     pub fn ready_for_query(&mut self) {
         self.message(b'Z', |body| body.push(b'I'));
     }
 
+    /// The answer to a query without a statement.
     pub fn empty_query_response(&mut self) {
         self.message(b'I', |_| {});
     }
@@ -83,10 +87,12 @@
         self.raw(&(value_length as u32).to_be_bytes());
     }
 
+    /// The end of a statement's result, with the command tag.
     pub fn command_complete(&mut self, tag: &str) {
         self.message(b'C', |body| text(body, tag));
     }
 
+    /// An error, with a detail where there is one.
     pub fn error(&mut self, severity: Severity, code: SqlState, message: &str, detail: Option<&str>) {
         let severity = severity.word().as_bytes();
         self.message(b'E', |body| {
@@ -101,6 +107,7 @@
         });
     }
 
+    /// The first message to a database.
     pub fn startup(&mut self, user: &str, database: &str) {
         self.untagged(|body| {
             body.extend_from_slice(&(3u32 << 16).to_be_bytes());
--- a/proxy/src/pg/codec/inbox.rs
+++ b/proxy/src/pg/codec/inbox.rs
@@ -32,6 +32,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct ReceivedServerMessage {
     pub message: ServerMessage,
+    /// With its tag and length.
     pub bytes: usize,
 }
 
--- a/proxy/src/pg/codec/mod.rs
+++ b/proxy/src/pg/codec/mod.rs
@@ -31,10 +31,12 @@
     Some((&body[..end], &body[end + 1..]))
 }
 
+/// The text, with a mark for each byte that is no UTF-8.
 pub(super) fn to_string_lossy(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
+/// The number that the first four bytes are.
 pub(super) fn read_u32(bytes: &[u8]) -> Option<u32> {
     bytes.first_chunk::<4>().map(|first| u32::from_be_bytes(*first))
 }
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -17,6 +17,7 @@
 ];
 
 impl Frontend {
+    /// Takes the first message, or one that asks for encryption before it.
     pub(super) fn process_startup(&mut self, now: Micros) -> Result<Progress, DecodeError> {
         let bytes_before = self.inbox.len();
         let message = self.inbox.startup()?;
@@ -56,6 +57,7 @@
         self.phase = Phase::Ready;
     }
 
+    /// Takes a message after the startup.
     pub(super) fn process_message(&mut self, now: Micros) -> Result<Progress, DecodeError> {
         let bytes_before = self.inbox.len();
         let message = self.inbox.client_message()?;
--- a/proxy/src/pg/partial_reply.rs
+++ b/proxy/src/pg/partial_reply.rs
@@ -36,8 +36,10 @@
     pub bytes: usize,
     /// Bytes of a streamed value that have not arrived.
     pub value_bytes_remaining: usize,
+    /// The value of the one row, unless it is streamed.
     pub value: Option<Value>,
     pub error: Option<SqlState>,
+    /// The server's role and position, as it stated them beside the reply.
     pub role: Option<Role>,
     pub position: Option<Micros>,
     /// The load report that came beside the reply.
