--- /dev/null
+++ b/proxy/src/config/check.rs
@@ -0,0 +1,74 @@
+//! The command `check`: every fault and every warning of a configuration and its options.
+
+use super::error::ConfigFault;
+use super::json_location::locate;
+use super::key_file::read_key_file;
+use super::options::{parse_options, read_options};
+use super::parse::parse;
+use super::{CONFIG_VARIABLE, Config};
+use std::path::{Path, PathBuf};
+
+/// What is wrong, and what is probably not meant.
+#[derive(Debug, Default)]
+pub struct CheckReport {
+    /// Faults of both files. With one, the configuration is not applied.
+    pub faults: Vec<ConfigFault>,
+    /// Warnings about the configuration.
+    pub warnings: Vec<ConfigFault>,
+}
+
+/// Checks both files.
+pub fn check(variable: impl Fn(&str) -> Option<String>, options: Option<&Path>) -> CheckReport {
+    let mut report = CheckReport::default();
+    let Some(file) = variable(CONFIG_VARIABLE).map(PathBuf::from) else {
+        let unset = "not set: it must name the configuration file".to_string();
+        report.faults.push(fault_of_file(Path::new(CONFIG_VARIABLE), unset));
+        return report;
+    };
+    let config = report.check_config(&file, variable);
+    if let Some(options) = options {
+        report.check_options(options, config.as_ref());
+    }
+    report
+}
+
+impl CheckReport {
+    fn check_config(&mut self, file: &Path, variable: impl Fn(&str) -> Option<String>) -> Option<Config> {
+        let text = match std::fs::read_to_string(file) {
+            Ok(text) => text,
+            Err(error) => {
+                self.faults.push(fault_of_file(file, error.to_string()));
+                return None;
+            }
+        };
+        match parse(&text, variable) {
+            Ok(config) => {
+                self.warnings.extend(config.warnings.iter().map(|warning| locate(file, &text, warning)));
+                Some(config)
+            }
+            Err(faults) => {
+                self.faults.extend(faults.iter().map(|fault| locate(file, &text, fault)));
+                None
+            }
+        }
+    }
+
+    /// Without a configuration the options are checked by themselves.
+    fn check_options(&mut self, file: &Path, config: Option<&Config>) {
+        let options = match config {
+            Some(config) => read_options(file, config),
+            None => parse_options(file),
+        };
+        self.faults.extend(options.err().unwrap_or_default());
+        let named = parse_options(file).unwrap_or_default();
+        let key_files =
+            [named.knowledge.map(|knowledge| knowledge.key_file), named.fleet.map(|fleet| fleet.key_file)];
+        for key_file in key_files.into_iter().flatten() {
+            self.faults.extend(read_key_file(&key_file).err());
+        }
+    }
+}
+
+fn fault_of_file(file: &Path, message: String) -> ConfigFault {
+    ConfigFault { file: file.into(), line: 1, element: "file".into(), message }
+}
--- a/proxy/src/config/place.rs
+++ b/proxy/src/config/json_location.rs
@@ -1,10 +1,10 @@
-//! Where a fault of the JSON stands: its line, found by the path of keys that its message begins with.
+//! The line of a fault in JSON, found by the path of keys that its message begins with.
 
-use super::Fault;
+use super::error::ConfigFault;
 use std::path::Path;
 
-/// Finds where a fault of the JSON stands: its message begins with the path of keys.
-pub(super) fn located(file: &Path, text: &str, message: &str) -> Fault {
+/// Finds the line and the element of a message that begins with the path of keys.
+pub(super) fn locate(file: &Path, text: &str, message: &str) -> ConfigFault {
     let mut element = Vec::new();
     let mut rest = message;
     while let Some((key, more)) = rest.split_once(": ").filter(|(key, _)| !key.contains(' ')) {
@@ -15,14 +15,14 @@
         |at: usize| 1 + text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count();
     let line = match serde_json::from_str::<serde::de::IgnoredAny>(text) {
         Err(e) => e.line(),
-        Ok(_) => place(text, &element.join(".")).map_or(1, line_of),
+        Ok(_) => value_offset(text, &element.join(".")).map_or(1, line_of),
     };
     let element = if element.is_empty() { "file".into() } else { element.join(": ") };
-    Fault { file: file.into(), line, element, message: rest.into() }
+    ConfigFault { file: file.into(), line, element, message: rest.into() }
 }
 
 /// Where the value of `a.b[2].c` begins, or the last part of the path that is there.
-fn place(text: &str, path: &str) -> Option<usize> {
+fn value_offset(text: &str, path: &str) -> Option<usize> {
     use jsonc_parser::ast::Value as Node;
     use jsonc_parser::common::Ranged;
     let ast = jsonc_parser::parse_to_ast(text, &Default::default(), &Default::default()).ok()?;
--- /dev/null
+++ b/proxy/src/config/options.rs
@@ -0,0 +1,31 @@
+//! The options file, read by itself or beside a configuration.
+
+use super::Config;
+use super::error::ConfigFault;
+use birchreach_options::{Options, OptionsError};
+use std::path::Path;
+
+/// The options, which must not conflict with the configuration.
+pub(super) fn read_options(file: &Path, config: &Config) -> Result<Options, Vec<ConfigFault>> {
+    let options = parse_options(file)?;
+    let mut addresses = vec![("listen", config.listen_address), ("discovery", config.discovery_address)];
+    addresses.extend(config.admin_address.map(|address| ("operator", address)));
+    let mut conflicts = options.address_conflicts(&addresses);
+    conflicts.extend(options.excess_descriptors(config.max_descriptors));
+    if conflicts.is_empty() { Ok(options) } else { Err(faults(file, conflicts)) }
+}
+
+/// The options by themselves.
+pub(super) fn parse_options(file: &Path) -> Result<Options, Vec<ConfigFault>> {
+    let text = std::fs::read_to_string(file).map_err(|error| {
+        let message = error.to_string();
+        vec![ConfigFault { file: file.into(), line: 1, element: "file".into(), message }]
+    })?;
+    birchreach_options::parse(&text).map_err(|errors| faults(file, errors))
+}
+
+fn faults(file: &Path, errors: Vec<OptionsError>) -> Vec<ConfigFault> {
+    let fault =
+        |OptionsError { line, element, message }| ConfigFault { file: file.into(), line, element, message };
+    errors.into_iter().map(fault).collect()
+}
--- /dev/null
+++ b/proxy/src/config/successor.rs
@@ -0,0 +1,71 @@
+//! A configuration beside the one in force: whether it may take its place, and what of it waits for a restart.
+
+use super::Config;
+use super::error::ConfigError;
+use serde_json::Value;
+
+/// The lists of settings that have one value for each class.
+const LISTS_BY_CLASS: [&str; 2] = ["class_read", "max_age_ms"];
+
+impl Config {
+    /// Checks that another configuration may take this one's place. What the settings in force have it must have too: that cannot be
+    /// expected of a first one.
+    pub fn check_successor(&self, new: &Config) -> Result<(), ConfigError> {
+        if let Some(path) = first_missing_key(&self.raw, &new.raw, "") {
+            return Err(ConfigError::KeyAbsent(path));
+        }
+        for key in LISTS_BY_CLASS {
+            let list = new.raw.pointer(&format!("/settings/extra/{key}")).and_then(Value::as_array);
+            if list.is_some_and(|list| list.len() != new.deployment.class_names.len()) {
+                return Err(ConfigError::NotOneForEachClass(key));
+            }
+        }
+        Ok(())
+    }
+
+    /// What another configuration changes that takes effect with a restart only. `known` and `seed` are for the start alone.
+    pub fn changes_needing_restart(&self, new: &Config) -> Vec<&'static str> {
+        let (old_options, new_options) = (&self.options, &new.options);
+        let fleet = (&old_options.fleet, &self.fleet_keys) != (&new_options.fleet, &new.fleet_keys);
+        let gossip =
+            (&old_options.knowledge, &self.gossip_keys) != (&new_options.knowledge, &new.gossip_keys);
+        let changes = [
+            ("name", self.name != new.name),
+            ("listen", self.listen_address != new.listen_address),
+            ("operator", self.admin_address != new.admin_address),
+            ("fleet", fleet),
+            ("knowledge", gossip),
+        ];
+        changes.into_iter().filter_map(|(key, changed)| changed.then_some(key)).collect()
+    }
+}
+
+/// The first key of `old` that `new` lacks, or has with a value of another kind. Lists may be of other lengths, but each of their
+/// objects has the keys that all objects of the old list have.
+fn first_missing_key(old: &Value, new: &Value, path: &str) -> Option<String> {
+    match (old, new) {
+        (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, value)| {
+            let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+            match new.get(key) {
+                None => Some(path),
+                Some(new) => first_missing_key(value, new, &path),
+            }
+        }),
+        (Value::Array(old), Value::Array(new)) => {
+            let common = common_keys(old)?;
+            let mut elements = new.iter().enumerate();
+            elements.find_map(|(index, new)| first_missing_key(&common, new, &format!("{path}[{index}]")))
+        }
+        (Value::Null, _) => None,
+        _ if std::mem::discriminant(old) == std::mem::discriminant(new) => None,
+        _ => Some(path.to_string()),
+    }
+}
+
+/// The keys that all objects of a list have, with the values of the first one.
+fn common_keys(list: &[Value]) -> Option<Value> {
+    let objects: Vec<_> = list.iter().filter_map(Value::as_object).collect();
+    let (first, rest) = objects.split_first()?;
+    let common = first.iter().filter(|(key, _)| rest.iter().all(|object| object.contains_key(*key)));
+    Some(common.map(|(key, value)| (key.clone(), value.clone())).collect())
+}
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -1,7 +1,7 @@
 //! Requests from their arrival to their one final answer.
 
 use super::{Answer, Command, Core, PendingRequest, RequestPayload, RoutingRequest};
-use crate::config::hash;
+use crate::hash::fnv1a;
 use crate::observe::CoreEvent;
 use crate::stats::RequestResult;
 use birchreach::*;
@@ -86,5 +86,5 @@
 
 /// The id of a session, from its name.
 pub fn session_id(name: &[u8]) -> u64 {
-    hash(name)
+    fnv1a(name)
 }
--- /dev/null
+++ b/proxy/src/health_command/tests.rs
@@ -0,0 +1,43 @@
+//! The answer of a proxy about its health, as people read it.
+
+use super::report::text;
+use serde_json::{Value, json};
+
+/// An answer about the whole proxy, with each kind of value that a line shows.
+fn whole_proxy() -> Value {
+    json!({
+        "state": "degraded", "able": true, "partial": true, "weight": 40, "reason": "pressure", "since_ms": 1234.0,
+        "pressure": 0.85, "in_progress": 12, "held": 3, "room": 20, "discovery_ms": 350,
+        "classes": [
+            {"class": "file-entry", "able": true, "weight": 100, "reason": "ok", "since_ms": 60000},
+            {"class": "tail", "able": false, "weight": 0, "reason": "no-server"},
+        ],
+        "groups": [{
+            "group": 7,
+            "read": {"able": true, "weight": 100, "reason": "ok", "since_ms": 2000},
+            "write": {"able": false, "weight": 0, "reason": "no-primary", "since_ms": 10},
+            "primary": "db-1", "proven_ms": 90, "members": 3,
+        }],
+    })
+}
+
+#[test]
+fn the_whole_proxy_has_a_line_for_each_class_and_two_for_each_group() {
+    let lines = [
+        "degraded: able in part, weight 40%, pressure, for 1.2 s",
+        "pressure 0.85, 12 in progress (3 held), places for 20 clients, discovery heard 0.3 s ago",
+        "class file-entry           yes      100%  ok                 60.0 s",
+        "class tail                 no         0%  no-server          -",
+        "group 7     read           yes      100%  ok                 2.0 s      3 members",
+        "group 7     write          no         0%  no-primary         0.0 s      primary db-1, proven 0.1 s ago",
+    ];
+
+    assert_eq!(text(&whole_proxy()), lines.join("\n") + "\n");
+}
+
+#[test]
+fn one_class_alone_has_one_line() {
+    let answer = json!({"able": true, "weight": 100, "reason": "ok", "since_ms": 500});
+
+    assert_eq!(text(&answer), "able yes, weight 100%, ok, for 0.5 s\n");
+}
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -63,7 +63,7 @@
             *replicas.entry(l.group).or_default() += usize::from(!l.primary);
         }
         // A number of the name alone: the same at all, whatever secret they speak with.
-        let name = |l: &Listed| crate::config::hash(l.uid.as_bytes());
+        let name = |l: &Listed| crate::hash::fnv1a(l.uid.as_bytes());
         let databases = up().map(|(id, l)| Database { number: id.0, group: l.group, name: name(l) });
         let databases = databases.collect();
         self.hot.list(databases, replicas);
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -9,6 +9,7 @@
 mod fleet;
 mod grpc;
 mod handover_protocol;
+mod hash;
 mod health;
 mod health_command;
 mod hot;
@@ -25,57 +26,66 @@
 
 use clap::Parser;
 use cli::{Cli, Command};
+use config::CheckReport;
 use std::fmt::Display;
 use std::io::Write;
+use std::path::Path;
+
+/// Exit codes of the proxy and of the command `check`.
+const FAILED: i32 = 1;
+const INVALID_CONFIGURATION: i32 = 2;
 
 fn main() {
     let Cli { options, log_format, log_filter, command } = Cli::parse();
+    let options = options.as_deref();
     match command {
         None | Some(Command::Serve) => {
             log::start(log_format, log_filter);
-            // Before all else: until they are caught, signals end the process.
-            let signals = net::signals().unwrap_or_else(|error| quit(&error, 1));
-            let config = config::load(config::environment, options.as_deref());
-            let config = config.unwrap_or_else(|message| quit(&message, 2));
-            net::run(config, options, signals).unwrap_or_else(|error| quit(&error, 1));
-        }
-        Some(Command::Check(check)) => {
-            let told = |name: &str| match &check.config {
-                Some(path) if name == "RELAY_CONFIG" => path.to_str().map(Into::into),
-                _ => config::environment(name),
-            };
-            let (faults, doubts) = config::check(told, options.as_deref());
-            let mut text: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
-            text.extend(doubts.iter().map(|doubt| format!("doubt: {doubt}\n")));
-            if faults.is_empty() {
-                text.push_str("no faults\n");
-            }
-            finish(if faults.is_empty() { 0 } else { 2 }, &text);
-        }
-        Some(Command::Health(health)) => {
-            let options = options.map(|path| {
-                let text = std::fs::read_to_string(&path).map_err(|e| e.to_string());
-                let first =
-                    |faults: Vec<birchreach_options::OptionsError>| faults.first().map(ToString::to_string);
-                let read = text
-                    .and_then(|t| birchreach_options::parse(&t).map_err(|f| first(f).unwrap_or_default()));
-                read.unwrap_or_else(|why| {
-                    quit(&format!("{}: {why}", path.display()), health_command::UNREACHED)
-                })
-            });
-            let (code, text) = health_command::ask(&health, options.as_ref());
-            finish(code, &text);
+            serve(options);
         }
+        Some(Command::Check(arguments)) => check(&arguments, options),
+        Some(Command::Health(arguments)) => health(&arguments, options),
+    }
+}
+
+fn serve(options: Option<&Path>) {
+    // Before all else: until they are caught, signals end the process.
+    let signals = net::signals().unwrap_or_else(|error| quit(&error, FAILED));
+    let config = config::load(config::environment, options)
+        .unwrap_or_else(|error| quit(&error, INVALID_CONFIGURATION));
+    net::run(config, options.map(Path::to_path_buf), signals).unwrap_or_else(|error| quit(&error, FAILED));
+}
+
+fn check(arguments: &cli::Check, options: Option<&Path>) {
+    let variable = |name: &str| match &arguments.config {
+        Some(path) if name == config::CONFIG_VARIABLE => path.to_str().map(Into::into),
+        _ => config::environment(name),
+    };
+    let CheckReport { faults, warnings } = config::check(variable, options);
+    let mut text: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
+    text.extend(warnings.iter().map(|warning| format!("doubt: {warning}\n")));
+    if faults.is_empty() {
+        text.push_str("no faults\n");
     }
+    finish(if faults.is_empty() { 0 } else { INVALID_CONFIGURATION }, &text);
+}
+
+fn health(arguments: &cli::Health, options: Option<&Path>) {
+    let options = options.map(|file| match health_command::read_options(file) {
+        Ok(options) => options,
+        Err(error) => quit(&error, health_command::UNREACHED),
+    });
+    let (code, text) = health_command::run(arguments, options.as_ref());
+    finish(code, &text);
 }
 
-/// Prints and ends; whoever reads no further does not change the verdict.
+/// Prints and ends; a reader that stops reading does not change the exit code.
 fn finish(code: i32, text: &str) -> ! {
     let _ = std::io::stdout().write_all(text.as_bytes());
     std::process::exit(code)
 }
 
-fn quit(message: &dyn Display, code: i32) -> ! {
-    eprintln!("birchreach-proxy: {message}");
+fn quit(error: &dyn Display, code: i32) -> ! {
+    eprintln!("birchreach-proxy: {error}");
     std::process::exit(code)
 }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -90,7 +90,7 @@
         }
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
-            let (hasher, classes) = (keys.name_hasher(b"split"), self.config.site.class_names.clone());
+            let (hasher, classes) = (keys.name_hasher(b"split"), self.config.deployment.class_names.clone());
             let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.context.now));
             self.context.core.subscribe(self.context.now, watch.clone());
             background.split = Some(watch);
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -63,7 +63,7 @@
             self.checks.watch = None;
             return;
         };
-        let settings = health::settings(options, &self.config.site, self.config.seed);
+        let settings = health::settings(options, &self.config.deployment, self.config.seed);
         if options.settings.probes.is_some() && settings.probes.is_none() {
             warn!(event = "health-probes-off", reason = "the settings do not allow probes");
         }
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -26,7 +26,7 @@
     pub(super) fn new(config: &Config, handover: &ProcessHandover) -> ConnectionLimits {
         let processes = handover.process_count() as usize;
         let reserved = (OWN_DESCRIPTORS + reserved_descriptors(config)) * processes;
-        let free = config.sockets.saturating_sub(reserved);
+        let free = config.max_descriptors.saturating_sub(reserved);
         let free = match handover.predecessor_descriptors() {
             Some(held) => free.saturating_sub(held),
             None => free / processes,
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -55,7 +55,7 @@
         };
         match fellows.open() {
             // The process that this one replaces still has it.
-            Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited.is_some() => {}
+            Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
             other => other.map_err(failed)?,
         }
         let views = MembershipSync::new(options.listen, keys.clone(), machine);
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -43,7 +43,7 @@
         if std::mem::replace(&mut self.listener_closed, true) {
             return;
         }
-        let close_idle_after = if self.config.inherited.is_some() {
+        let close_idle_after = if self.config.inherited_descriptor.is_some() {
             self.clients.start_handover(&mut self.context);
             CLOSE_IDLE_AFTER_HANDOVER_MICROS
         } else {
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -4,8 +4,8 @@
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
-use crate::config::hash;
 use crate::handover_protocol::{HandoverMessage, HandoverProtocol, InvalidMessage};
+use crate::hash::fnv1a;
 use crate::log::Quoted;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry};
@@ -78,7 +78,7 @@
     /// Connects to the process that serves at this address, if there is one, and tells it that this one serves now; then listens for
     /// the next.
     pub fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
-        let name = format!("birchreach-{:016x}.sock", hash(address.to_string().as_bytes()));
+        let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
         let predecessor = connect(registry, &path);
         let mut handover = ProcessHandover { path: Some(path), predecessor, ..ProcessHandover::default() };
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -4,7 +4,7 @@
 use super::checks::Opened;
 use super::connection_limits::{ConnectionLimits, unclassified_allowance};
 use super::error::ListenError;
-use crate::config::{self, Config};
+use crate::config::{self, Config, ConfigError};
 use crate::log::Quoted;
 use birchreach::Micros;
 use birchreach_settings::DeploymentSettings;
@@ -16,7 +16,7 @@
 
 /// Logs what the settings probably do not mean, a line each.
 pub(super) fn log_settings_warnings(config: &Config) {
-    for warning in config.doubts.iter().take(MAX_LOGGED_WARNINGS) {
+    for warning in config.warnings.iter().take(MAX_LOGGED_WARNINGS) {
         warn!(event = "settings-warning", about = %Quoted(warning));
     }
 }
@@ -28,14 +28,14 @@
 
 /// Why the configuration that is in force stays.
 enum ReloadError {
-    Configuration(String),
+    Configuration(ConfigError),
     Listen(ListenError),
 }
 
 impl Display for ReloadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReloadError::Configuration(message) => f.write_str(message),
+            ReloadError::Configuration(error) => error.fmt(f),
             ReloadError::Listen(error) => error.fmt(f),
         }
     }
@@ -56,9 +56,9 @@
 
     /// The new configuration, with the listeners that it needs in addition.
     fn load_successor(&self) -> Result<(Config, Opened), ReloadError> {
-        let config = config::load(config::environment, self.options.as_deref())
-            .and_then(|config| self.config.succeeds(config))
-            .map_err(ReloadError::Configuration)?;
+        let config =
+            config::load(config::environment, self.options.as_deref()).map_err(ReloadError::Configuration)?;
+        self.config.check_successor(&config).map_err(ReloadError::Configuration)?;
         let check_listeners =
             self.checks.open(config.options.health.as_ref()).map_err(ReloadError::Listen)?;
         Ok((config, check_listeners))
@@ -66,14 +66,14 @@
 
     fn apply_configuration(&mut self, mut new: Config, check_listeners: Opened) {
         self.context.core.stats.configuration_loads += 1;
-        let needs_restart = self.config.differs(&new).join(",");
-        let classes = new.site.class_names.join(",");
-        info!(event = "reloaded", discovery = %new.discovery, classes, "needs-restart" = needs_restart);
+        let needs_restart = self.config.changes_needing_restart(&new).join(",");
+        let classes = new.deployment.class_names.join(",");
+        info!(event = "reloaded", discovery = %new.discovery_address, classes, "needs-restart" = needs_restart);
         log_settings_warnings(&new);
         self.keep_until_restart(&mut new);
         // Requests that are open keep the timeouts that they came with.
         self.longest_client_timeout =
-            longest_client_timeout(&new.site).max(longest_client_timeout(&self.config.site));
+            longest_client_timeout(&new.deployment).max(longest_client_timeout(&self.config.deployment));
         self.apply_settings(&new);
         self.config = new;
         self.watch();
@@ -84,24 +84,26 @@
 
     /// Takes over into a new configuration what changes only with a restart.
     fn keep_until_restart(&self, new: &mut Config) {
-        let Config { name, listen, operator, inherited, options, keys, fleet_keys, .. } = &self.config;
-        new.name.clone_from(name);
-        (new.listen, new.operator, new.inherited) = (*listen, *operator, *inherited);
+        let old = &self.config;
+        new.name.clone_from(&old.name);
+        new.listen_address = old.listen_address;
+        new.admin_address = old.admin_address;
+        new.inherited_descriptor = old.inherited_descriptor;
         // Links among proxies count in the division of descriptors as they are until then.
-        new.options.knowledge.clone_from(&options.knowledge);
-        new.options.fleet.clone_from(&options.fleet);
-        new.keys.clone_from(keys);
-        new.fleet_keys.clone_from(fleet_keys);
+        new.options.knowledge.clone_from(&old.options.knowledge);
+        new.options.fleet.clone_from(&old.options.fleet);
+        new.gossip_keys.clone_from(&old.gossip_keys);
+        new.fleet_keys.clone_from(&old.fleet_keys);
     }
 
     fn apply_settings(&mut self, new: &Config) {
         let limits = ConnectionLimits::new(new, &self.handover);
-        self.context.core.settings(self.context.now, &new.site);
-        self.pool.apply_settings(&new.site);
+        self.context.core.settings(self.context.now, &new.deployment);
+        self.pool.apply_settings(&new.deployment);
         self.pool.set_limit(&mut self.context, limits.databases);
         self.clients.set_unclassified_allowance(unclassified_allowance(new));
         self.clients.set_limit(&mut self.context, limits.clients);
-        self.discovery.update_settings(&new.site.routing);
-        self.discovery.set_address(&mut self.context, new.discovery);
+        self.discovery.update_settings(&new.deployment.routing);
+        self.discovery.set_address(&mut self.context, new.discovery_address);
     }
 }
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -40,9 +40,9 @@
         let poll = Poll::new().map_err(EventLoopError::OpenPoll)?;
         let registered = poll.registry().register(signals, Source::Signals.token(), Interest::READABLE);
         registered.map_err(|error| EventLoopError::Register { source: RegisteredSource::Signals, error })?;
-        let listener = listener::open(config.listen, config.inherited)?;
+        let listener = listener::open(config.listen_address, config.inherited_descriptor)?;
         let address = listener.local_addr().map_err(EventLoopError::ListenerAddress)?;
-        let known_endpoints = config.known.take();
+        let known_endpoints = config.known_endpoints.take();
         let known_revision = known_endpoints.as_ref().map(|update| update.revision);
         let mut event_loop = EventLoop::open(poll, listener, address, known_revision, config, options)?;
         event_loop.log_started(address);
@@ -60,9 +60,9 @@
     ) -> Result<EventLoop, EventLoopError> {
         let clock = Clock::new();
         let now = clock.now();
-        let admin = AdminListener::new(poll.registry(), config.operator)?;
+        let admin = AdminListener::new(poll.registry(), config.admin_address)?;
         // Only a proxy that shares its listener can have another process beside it.
-        let shared_listener = config.inherited.is_some();
+        let shared_listener = config.inherited_descriptor.is_some();
         let handover = if shared_listener {
             ProcessHandover::connect_or_listen(poll.registry(), address)
         } else {
@@ -70,8 +70,8 @@
         };
         let limits = ConnectionLimits::new(&config, &handover);
         let registry = poll.registry().try_clone().map_err(EventLoopError::OpenPoll)?;
-        let core = Core::new(&config.site, config.seed, now);
-        let (settings, seed) = (&config.site.routing, config.seed);
+        let core = Core::new(&config.deployment, config.seed, now);
+        let (settings, seed) = (&config.deployment.routing, config.seed);
         Ok(EventLoop {
             clock,
             context: EventLoopContext {
@@ -82,8 +82,8 @@
                 scratch: vec![0; SCRATCH_BYTES],
             },
             clients: Clients::new(poll.registry(), listener, limits.clients)?,
-            pool: Pool::new(&config.site, limits.databases),
-            discovery: DiscoveryConnection::new(config.discovery, known_revision, settings, seed),
+            pool: Pool::new(&config.deployment, limits.databases),
+            discovery: DiscoveryConnection::new(config.discovery_address, known_revision, settings, seed),
             admin,
             checks: Checks::new(shared_listener),
             gossip: None,
@@ -91,7 +91,7 @@
             background: None,
             health: Balancers::default(),
             handover,
-            longest_client_timeout: longest_client_timeout(&config.site),
+            longest_client_timeout: longest_client_timeout(&config.deployment),
             config,
             options,
             stopping: false,
@@ -102,9 +102,9 @@
     }
 
     fn log_started(&self, address: SocketAddr) {
-        let Config { name, discovery, .. } = &self.config;
+        let Config { name, discovery_address, .. } = &self.config;
         let operator = self.admin.address().map(tracing::field::display);
-        info!(event = "started", name, listen = %address, %discovery, operator);
+        info!(event = "started", name, listen = %address, discovery = %discovery_address, operator);
         log_settings_warnings(&self.config);
     }
 
@@ -129,7 +129,7 @@
 
     /// Starts to request state from other proxies and to send it to them, where the options say so.
     fn start_gossip(&mut self) -> Result<(), EventLoopError> {
-        let (Some(options), Some(keys)) = (&self.config.options.knowledge, &self.config.keys) else {
+        let (Some(options), Some(keys)) = (&self.config.options.knowledge, &self.config.gossip_keys) else {
             return Ok(());
         };
         // Each process observes for itself: what its predecessor observed reaches it at second hand.
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -145,7 +145,7 @@
     fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
         match seen {
             CoreEvent::Listed { server, uid, started_ms: boot_ms, .. } => {
-                let process = crate::config::hash(format!("{uid} {boot_ms}").as_bytes());
+                let process = crate::hash::fnv1a(format!("{uid} {boot_ms}").as_bytes());
                 self.processes.insert(server, process);
             }
             CoreEvent::Unlisted { server, .. } => drop(self.processes.remove(&server)),
