--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -15,12 +15,12 @@
         }
         let (now, count) = (self.now, self.proxies.len());
         let proxy = &mut self.proxies[n];
-        proxy.hot.step(now);
-        if let Some(said) = proxy.hot.say(now) {
+        proxy.hot.update(now);
+        if let Some(said) = proxy.hot.report_if_due(now) {
             proxy.gossip_reports.publish(now, 1, said);
         }
-        let refresh = proxy.hot.settings().refresh();
-        for due in proxy.hot.due(now) {
+        let refresh = proxy.hot.settings().refresh_interval();
+        for due in proxy.hot.due_copies(now) {
             proxy.scheduler.submit(Task {
                 kind: TaskKind::RowRead,
                 expires_at: now + refresh,
@@ -50,7 +50,7 @@
         }
         let other = &mut self.proxies[to];
         for f in other.gossip_reports.apply_gossip(now, count, |_| true, &bytes).unwrap_or_default() {
-            let _ = other.hot.hear(now, f.origin, f.sequence, f.age, &f.payload);
+            let _ = other.hot.receive_report(now, f.origin, f.sequence, f.age, &f.payload);
         }
     }
 
@@ -68,8 +68,8 @@
             What::Read(due) => {
                 let proxy = &mut self.proxies[n];
                 proxy.scheduler.finish(number);
-                let refresh = proxy.hot.settings().refresh();
-                for (guest, group) in due.guests.iter().filter(|_| ending == AttemptOutcome::Ok) {
+                let refresh = proxy.hot.settings().refresh_interval();
+                for (guest, group) in due.holders.iter().filter(|_| ending == AttemptOutcome::Ok) {
                     let what = What::Copy { guest: *guest, group: *group, position: of };
                     proxy.scheduler.submit(Task {
                         kind: TaskKind::CopyWrite,
@@ -83,7 +83,7 @@
                 if ending == AttemptOutcome::Ok {
                     self.copies[0] += 1;
                     self.servers.copied(now, group, position);
-                    self.proxies[n].hot.written(now, HOT, guest);
+                    self.proxies[n].hot.record_copy_written(now, HOT, guest);
                 }
             }
         }
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -8,7 +8,7 @@
     StaleReadPolicy, ZoneId,
 };
 use birchreach_background_tasks::{Budget, Scheduler, TaskKind};
-use birchreach_hot_keys::{Database, Due, Hot, Key, Need as Needs};
+use birchreach_hot_keys::{CopyRequirement as Needs, Database, DueCopy, HotKeyTracker, Key};
 use birchreach_membership::GossipReports;
 use std::collections::HashMap;
 
@@ -20,13 +20,13 @@
 /// Work that no client waits for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    Read(Due),
+    Read(DueCopy),
     Copy { guest: u32, group: u32, position: i64 },
 }
 
 pub struct Proxy {
     pub router: Router,
-    pub hot: Hot,
+    pub hot: HotKeyTracker,
     pub gossip_reports: GossipReports,
     pub scheduler: Scheduler<What>,
     pub errands: HashMap<u64, (What, u8, i64)>,
@@ -86,17 +86,17 @@
         let list = EndpointList { complete: true, endpoints: members.collect() };
         router.handle(now, Event::EndpointsChanged(list), &mut actions);
         let hot = birchreach_hot_keys::Settings {
-            bears: BEARS,
-            copy_cost: 2.0,
-            most_guests: 3,
-            named: proxies as u32,
-            needs: vec![Needs::Bounded(800_000), Needs::Current],
+            database_reads_per_s: BEARS,
+            copy_cost_reads: 2.0,
+            max_copies: 3,
+            configured_members: proxies as u32,
+            class_requirements: vec![Needs::MaxAge(800_000), Needs::Current],
         };
-        let mut hot = Hot::new(hot, n as u64 + 1, 1, now);
-        let database = |id| Database { number: id, group: id / MEMBERS, name: u64::from(id) * 7 + 1 };
+        let mut hot = HotKeyTracker::new(hot, n as u64 + 1, 1, now);
+        let database = |id| Database { server: id, group: id / MEMBERS, name_hash: u64::from(id) * 7 + 1 };
         let replicas = (0..GROUPS).map(|g| (g, MEMBERS as usize - 1)).collect();
-        hot.list((0..GROUPS * MEMBERS).map(database).collect(), replicas);
-        hot.fleet(proxies, GossipReports::interval(proxies));
+        hot.update_databases((0..GROUPS * MEMBERS).map(database).collect(), replicas);
+        hot.set_fleet(proxies, GossipReports::interval(proxies));
         let budget = |per_s| Budget { database_per_s: per_s, all_per_s: 60.0, window: 10_000_000 };
         // A fleet that has run for long: nothing is left of what an earlier boot may have spent.
         let budgets = [(TaskKind::RowRead, budget(30.0)), (TaskKind::CopyWrite, budget(30.0))];
@@ -111,8 +111,8 @@
         match mode {
             Mode::Off => Vec::new(),
             Mode::On => {
-                self.hot.read(now, key, b"hot");
-                self.hot.guests(now, key).into_iter().map(|(id, at)| (ServerId(id), at)).collect()
+                self.hot.record_read(now, key, b"hot");
+                self.hot.copy_candidates(now, key).into_iter().map(|(id, at)| (ServerId(id), at)).collect()
             }
             // It knows: the same number of guests, of other groups, with copies of the present.
             Mode::Oracle => [4, 7, 10].map(|id| (ServerId(id), now)).to_vec(),
--- a/benches/src/gain/world.rs
+++ b/benches/src/gain/world.rs
@@ -196,7 +196,7 @@
             && matches!(ending, AttemptOutcome::Ok | AttemptOutcome::Ineligible)
         {
             let copy = self.servers.copy(self.now, server).filter(|_| ending == AttemptOutcome::Ok);
-            self.proxies[n].hot.answered(self.now, HOT, server, copy);
+            self.proxies[n].hot.record_answer(self.now, HOT, server, copy);
         }
         if ending == AttemptOutcome::Ok {
             let (aim, worth) = if open.class == WRITES { (750_000, 6.0) } else { (300_000, 3.0) };
--- a/hot-keys/examples/measure.rs
+++ b/hot-keys/examples/measure.rs
@@ -16,7 +16,7 @@
     let clock = Instant::now();
     let mut net = Net::new(count, seed);
     let (k, lukewarm) = (key(2, 1), key(2, 2));
-    let threshold = settings(count).threshold(2);
+    let threshold = settings(count).hot_threshold(2);
     let crowd = |net: &mut Net, hot: f64| {
         net.asked =
             (0..100).map(|n| (key(2, 100 + n), 4.0)).chain([(k, hot), (lukewarm, 0.4 * threshold)]).collect();
@@ -33,10 +33,10 @@
     for _ in 0..120 {
         net.pass(S / 2);
         for hot in &net.all {
-            let rate = hot.keys().find(|(other, _)| *other == k).map_or(0.0, |(_, h)| h.rate);
+            let rate = hot.hot_keys().find(|(other, _)| *other == k).map_or(0.0, |(_, h)| h.reads_per_s);
             errors.push(rate / (3.0 * threshold));
             differ += usize::from(hot.digest() != net.all[0].digest());
-            wrong += hot.keys().filter(|(other, _)| *other != k).count();
+            wrong += hot.hot_keys().filter(|(other, _)| *other != k).count();
             looks += 1;
         }
     }
--- a/hot-keys/src/copy.rs
+++ b/hot-keys/src/copy.rs
@@ -14,20 +14,20 @@
 ///
 /// The second read was sent after that position was told, so its value holds all that was committed up to it. What came with the
 /// second answer may have been told after its row was read, and is not used.
-pub fn taken<V>(told: Option<Micros>, value: V, told_with_it: Option<Micros>) -> Option<Copy<V>> {
-    let position = if crate::faulty!(PositionOfTheAnswer) { told_with_it } else { told };
+pub fn copy_from_reads<V>(told: Option<Micros>, value: V, told_with_it: Option<Micros>) -> Option<Copy<V>> {
+    let position = if crate::faulty!(UsesLaterPosition) { told_with_it } else { told };
     position.map(|position| Copy { value, position })
 }
 
 /// What a guest has after a copy arrived: the newer position stands, so that copies may come late, twice and from several at once.
-pub fn joined<V>(kept: Option<Copy<V>>, come: Copy<V>) -> Copy<V> {
+pub fn newer_copy<V>(kept: Option<Copy<V>>, come: Copy<V>) -> Copy<V> {
     match kept {
-        Some(kept) if kept.position >= come.position && !crate::faulty!(LastWriteStands) => kept,
+        Some(kept) if kept.position >= come.position && !crate::faulty!(KeepsLastWrite) => kept,
         _ => come,
     }
 }
 
 /// The position that a read needs: none that must be current has any, and no copy will do.
-pub fn serves<V>(kept: Option<&Copy<V>>, needed: Micros) -> bool {
-    kept.is_some_and(|kept| kept.position >= needed || crate::faulty!(AnswersForAny))
+pub fn can_serve<V>(kept: Option<&Copy<V>>, needed: Micros) -> bool {
+    kept.is_some_and(|kept| kept.position >= needed || crate::faulty!(ServesAnyPosition))
 }
--- a/hot-keys/src/guests.rs
+++ b/hot-keys/src/copy_holders.rs
@@ -6,21 +6,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Database {
     /// The holder's own number for it.
-    pub number: u32,
+    pub server: u32,
     pub group: u32,
     /// A number that is the same at every process, from its name in the list.
-    pub name: u64,
+    pub name_hash: u64,
 }
 
 /// The first so many by their lots, of other groups than home and no two of one.
-pub fn guests(key: Key, of: &[Database], most: usize) -> Vec<Database> {
-    let lot = |d: &Database| mix(mix(key.hash ^ u64::from(key.group)) ^ d.name);
+pub fn copy_holders(key: Key, of: &[Database], most: usize) -> Vec<Database> {
+    let lot = |d: &Database| mix(mix(key.hash ^ u64::from(key.group)) ^ d.name_hash);
     let mut all: Vec<&Database> =
-        of.iter().filter(|d| d.group != key.group || crate::faulty!(GuestsAnywhere)).collect();
-    all.sort_by_key(|d| (std::cmp::Reverse(lot(d)), d.name));
+        of.iter().filter(|d| d.group != key.group || crate::faulty!(PlacesCopiesAnywhere)).collect();
+    all.sort_by_key(|d| (std::cmp::Reverse(lot(d)), d.name_hash));
     let mut taken: Vec<Database> = Vec::new();
     for d in all {
-        if taken.len() < most && (crate::faulty!(GuestsAnywhere) || taken.iter().all(|t| t.group != d.group))
+        if taken.len() < most
+            && (crate::faulty!(PlacesCopiesAnywhere) || taken.iter().all(|t| t.group != d.group))
         {
             taken.push(*d);
         }
--- a/hot-keys/src/mutant.rs
+++ b/hot-keys/src/faults.rs
@@ -4,46 +4,46 @@
 
 /// Each breaks one invariant of the crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
+pub enum Fault {
     /// Reports what the counter says, its error too.
-    ReportsTheError,
+    IncludesCounterError,
     /// A key comes into the sketch at its first occurrence.
-    NoDoorkeeper,
+    SkipsDoorkeeper,
     /// Between the thresholds the own word decides.
-    OwnWordDecides,
+    TrustsOnlyItself,
     /// An origin's word counts whole.
-    WordsCountWhole,
+    CountsOriginsUnbounded,
     /// No least stay.
-    LeavesAtOnce,
+    SkipsMinimumStay,
     /// Guests may be of one group, and of home.
-    GuestsAnywhere,
+    PlacesCopiesAnywhere,
     /// A copy answers for any position.
-    AnswersForAny,
+    ServesAnyPosition,
     /// The later of two copies that arrive stands, whatever its position.
-    LastWriteStands,
+    KeepsLastWrite,
     /// The position that came with the value is the copy's.
-    PositionOfTheAnswer,
+    UsesLaterPosition,
     /// Any reporter's slot is every reporter's.
-    EverySlot,
+    ClaimsEverySlot,
 }
 
 thread_local! {
-    static ON: Cell<Option<Mutant>> = const { Cell::new(None) };
+    static ON: Cell<Option<Fault>> = const { Cell::new(None) };
 }
 
 /// Runs something with a fault.
-pub fn with<T>(mutant: Mutant, run: impl FnOnce() -> T) -> T {
-    ON.set(Some(mutant));
+pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
+    ON.set(Some(fault));
     let done = run();
     ON.set(None);
     done
 }
 
 /// For checkers that look from several threads.
-pub fn set(mutant: Option<Mutant>) {
-    ON.set(mutant);
+pub fn set(fault: Option<Fault>) {
+    ON.set(fault);
 }
 
-pub(crate) fn is(mutant: Mutant) -> bool {
-    ON.get() == Some(mutant)
+pub(crate) fn is(fault: Fault) -> bool {
+    ON.get() == Some(fault)
 }
--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -22,32 +22,32 @@
 
 #![forbid(unsafe_code)]
 
-mod agree;
 pub mod copy;
-mod due;
-mod guests;
-mod learnt;
-mod machine;
+mod copy_ages;
+mod copy_holders;
 #[cfg(feature = "mutants")]
-pub mod mutant;
+pub mod faults;
+mod refresh;
 mod reports;
 mod set;
 mod settings;
 mod sketch;
+mod tracker;
+mod update;
 
-pub use due::Due;
-pub use guests::Database;
-pub use machine::{Hot, HotKey};
-pub use reports::{Entry, MOST_ENTRIES, Refused, Report};
-pub use set::{Hotness, derive};
-pub use settings::{Cost, Need, Settings};
-pub use sketch::Sketch;
+pub use copy_holders::Database;
+pub use refresh::DueCopy;
+pub use reports::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+pub use set::{Hotness, derive_hot_set};
+pub use settings::{CopyCost, CopyRequirement, Settings};
+pub use sketch::ReadSketch;
+pub use tracker::{HotKey, HotKeyTracker};
 
 /// Is this fault switched on? Never outside tests.
 macro_rules! faulty {
     ($which:ident) => {{
         #[cfg(feature = "mutants")]
-        let on = crate::mutant::is(crate::mutant::Mutant::$which);
+        let on = crate::faults::is(crate::faults::Fault::$which);
         #[cfg(not(feature = "mutants"))]
         let on = false;
         on
--- a/hot-keys/src/reports.rs
+++ b/hot-keys/src/reports.rs
@@ -5,50 +5,50 @@
 use std::collections::BTreeMap;
 
 /// Keys in one report.
-pub const MOST_ENTRIES: usize = 16;
+pub const MAX_REPORT_ENTRIES: usize = 16;
 /// Origins whose reports are kept.
-const MOST_ORIGINS: usize = 4_096;
+const MAX_ORIGINS: usize = 4_096;
 /// No process serves more.
-const MOST_MILLI: u32 = 1_000_000_000;
+const MAX_READS_PER_1000_S: u32 = 1_000_000_000;
 
 /// A key, and how much of it one process is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ReportEntry {
     pub key: Key,
     /// Reads in a thousand seconds.
-    pub milli: u32,
+    pub reads_per_1000_s: u32,
     /// It holds the key for hot.
-    pub hot: bool,
+    pub is_hot: bool,
 }
 
 /// What one process tells. `secret`: the number of the secret that its hashes are under.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    pub secret: u32,
+    pub secret_id: u32,
     /// Equal at all that hold the same keys for hot.
-    pub digest: u64,
-    pub entries: Vec<Entry>,
+    pub set_digest: u64,
+    pub entries: Vec<ReportEntry>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ReportError {
     /// It cannot be read, or holds more than a report may.
-    Form,
+    Malformed,
     /// Its hashes are under another secret: keys are being changed.
-    Secret,
+    OtherSecret,
     /// Something newer of its origin was heard.
-    Old,
+    Outdated,
     /// More origins than are kept.
-    TooMany,
+    TooManyOrigins,
 }
 
-impl Refused {
-    pub fn word(self) -> &'static str {
+impl ReportError {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Refused::Form => "form",
-            Refused::Secret => "other-secret",
-            Refused::Old => "old",
-            Refused::TooMany => "too-many",
+            ReportError::Malformed => "form",
+            ReportError::OtherSecret => "other-secret",
+            ReportError::Outdated => "old",
+            ReportError::TooManyOrigins => "too-many",
         }
     }
 }
@@ -58,34 +58,38 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn decode(bytes: &[u8]) -> Result<Report, Refused> {
-        let report: Report = postcard::from_bytes(bytes).map_err(|_| Refused::Form)?;
-        let twice =
-            report.entries.iter().enumerate().any(|(n, e)| {
-                report.entries[..n].iter().any(|other| other.key == e.key) || e.milli > MOST_MILLI
-            });
-        if twice || report.entries.len() > MOST_ENTRIES { Err(Refused::Form) } else { Ok(report) }
+    pub fn decode(bytes: &[u8]) -> Result<Report, ReportError> {
+        let report: Report = postcard::from_bytes(bytes).map_err(|_| ReportError::Malformed)?;
+        let twice = report.entries.iter().enumerate().any(|(n, e)| {
+            report.entries[..n].iter().any(|other| other.key == e.key)
+                || e.reads_per_1000_s > MAX_READS_PER_1000_S
+        });
+        if twice || report.entries.len() > MAX_REPORT_ENTRIES {
+            Err(ReportError::Malformed)
+        } else {
+            Ok(report)
+        }
     }
 }
 
 /// The newest report of an origin, and when it was made, on this process's clock.
 #[derive(Clone, Debug)]
-pub struct Told {
-    pub number: u64,
-    pub made: Micros,
+pub struct ReceivedReport {
+    pub sequence: u64,
+    pub made_at: Micros,
     pub report: Report,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    by_origin: BTreeMap<u64, Told>,
+    by_origin: BTreeMap<u64, ReceivedReport>,
 }
 
 impl Reports {
-    pub fn hear(&mut self, origin: u64, told: Told) -> Result<(), Refused> {
+    pub fn record(&mut self, origin: u64, told: ReceivedReport) -> Result<(), ReportError> {
         match self.by_origin.get(&origin) {
-            Some(known) if known.number >= told.number => return Err(Refused::Old),
-            None if self.by_origin.len() >= MOST_ORIGINS => return Err(Refused::TooMany),
+            Some(known) if known.sequence >= told.sequence => return Err(ReportError::Outdated),
+            None if self.by_origin.len() >= MAX_ORIGINS => return Err(ReportError::TooManyOrigins),
             _ => {}
         }
         self.by_origin.insert(origin, told);
@@ -93,11 +97,11 @@
     }
 
     /// Drops what has faded away.
-    pub fn forget(&mut self, now: Micros, life: Micros) {
-        self.by_origin.retain(|_, told| now - told.made < life);
+    pub fn remove_expired(&mut self, now: Micros, life: Micros) {
+        self.by_origin.retain(|_, told| now - told.made_at < life);
     }
 
-    pub fn origins(&self) -> impl Iterator<Item = (u64, &Told)> {
+    pub fn newest(&self) -> impl Iterator<Item = (u64, &ReceivedReport)> {
         self.by_origin.iter().map(|(origin, told)| (*origin, told))
     }
 
@@ -107,7 +111,7 @@
 
     /// Origins that report a key, in their order.
     pub fn reporters(&self, key: Key) -> impl Iterator<Item = u64> {
-        let has = move |told: &Told| told.report.entries.iter().any(|e| e.key == key);
+        let has = move |told: &ReceivedReport| told.report.entries.iter().any(|e| e.key == key);
         self.by_origin.iter().filter(move |(_, told)| has(told)).map(|(origin, _)| *origin)
     }
 }
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -5,35 +5,35 @@
 use std::collections::BTreeMap;
 
 /// Keys that are hot at once, at the most.
-pub const MOST_HOT: usize = 32;
+pub const MAX_HOT_KEYS: usize = 32;
 
 /// What is known of a hot key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hotness {
     /// Reads a second over all that report it, whatever each one's word counts for.
-    pub rate: f64,
+    pub reads_per_s: f64,
     /// How many guests it should have.
-    pub guests: usize,
+    pub wanted_copies: usize,
 }
 
 #[derive(Default)]
-struct Sum {
+struct KeyTotals {
     /// What counts for the threshold, and what was told.
-    sure: f64,
-    rate: f64,
+    counted_per_s: f64,
+    reported_per_s: f64,
     reporters: usize,
-    hot: usize,
+    hot_reporters: usize,
 }
 
 /// What one origin's word counts for at the most: half of the threshold where three or more are named, so that nobody makes a key
 /// hot alone.
-fn most_of_one(settings: &Settings, threshold: f64) -> f64 {
-    let whole = settings.named < 3 || crate::faulty!(WordsCountWhole);
+fn max_counted_per_origin(settings: &Settings, threshold: f64) -> f64 {
+    let whole = settings.configured_members < 3 || crate::faulty!(CountsOriginsUnbounded);
     if whole { f64::INFINITY } else { threshold / 2.0 }
 }
 
 /// `replicas`: how many the group of a key has. `own`: the origin that derives; its word counts as all others' do.
-pub fn derive(
+pub fn derive_hot_set(
     settings: &Settings,
     reports: &Reports,
     now: Micros,
@@ -41,35 +41,36 @@
     own: u64,
     replicas: impl Fn(u32) -> usize,
 ) -> BTreeMap<Key, Hotness> {
-    let mut sums: BTreeMap<Key, Sum> = BTreeMap::new();
+    let mut sums: BTreeMap<Key, KeyTotals> = BTreeMap::new();
     let mut thresholds: BTreeMap<u32, f64> = BTreeMap::new();
-    for (origin, told) in reports.origins() {
-        let counts = weight(now - told.made, life);
+    for (origin, told) in reports.newest() {
+        let counts = weight(now - told.made_at, life);
         for entry in &told.report.entries {
             let group = entry.key.group;
-            let threshold = *thresholds.entry(group).or_insert_with(|| settings.threshold(replicas(group)));
+            let threshold =
+                *thresholds.entry(group).or_insert_with(|| settings.hot_threshold(replicas(group)));
             let sum = sums.entry(entry.key).or_default();
-            let rate = f64::from(entry.milli) / 1_000.0;
-            sum.sure += counts * rate.min(most_of_one(settings, threshold));
-            sum.rate += counts * rate;
-            let heard = !crate::faulty!(OwnWordDecides) || origin == own;
+            let rate = f64::from(entry.reads_per_1000_s) / 1_000.0;
+            sum.counted_per_s += counts * rate.min(max_counted_per_origin(settings, threshold));
+            sum.reported_per_s += counts * rate;
+            let heard = !crate::faulty!(TrustsOnlyItself) || origin == own;
             sum.reporters += usize::from(heard);
-            sum.hot += usize::from(heard && entry.hot);
+            sum.hot_reporters += usize::from(heard && entry.is_hot);
         }
     }
     let mut hot: Vec<(Key, Hotness)> = sums
         .into_iter()
         .filter(|(key, sum)| {
             let threshold = thresholds.get(&key.group).copied().unwrap_or(f64::INFINITY);
-            let held = 2 * sum.hot >= sum.reporters && sum.hot > 0;
-            sum.sure > threshold || (sum.sure > threshold / 2.0 && held)
+            let held = 2 * sum.hot_reporters >= sum.reporters && sum.hot_reporters > 0;
+            sum.counted_per_s > threshold || (sum.counted_per_s > threshold / 2.0 && held)
         })
         .map(|(key, sum)| {
-            let guests = settings.cost(sum.rate, replicas(key.group)).guests;
-            (key, Hotness { rate: sum.rate, guests })
+            let guests = settings.cost(sum.reported_per_s, replicas(key.group)).copies;
+            (key, Hotness { reads_per_s: sum.reported_per_s, wanted_copies: guests })
         })
         .collect();
-    hot.sort_by(|a, b| b.1.rate.total_cmp(&a.1.rate).then(a.0.cmp(&b.0)));
-    hot.truncate(MOST_HOT);
+    hot.sort_by(|a, b| b.1.reads_per_s.total_cmp(&a.1.reads_per_s).then(a.0.cmp(&b.0)));
+    hot.truncate(MAX_HOT_KEYS);
     hot.into_iter().collect()
 }
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! Many processes' machines on virtual time, with reports that go round by the fleet's own machine; reads come as drawn.
 #![allow(dead_code)]
 
-use birchreach_hot_keys::{Database, Entry, Hot, Key, Micros, Need, Report, Settings};
+use birchreach_hot_keys::{
+    CopyRequirement, Database, HotKeyTracker, Key, Micros, Report, ReportEntry, Settings,
+};
 use birchreach_membership::GossipReports;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,11 +13,16 @@
 
 pub fn settings(named: usize) -> Settings {
     Settings {
-        bears: 100.0,
-        copy_cost: 2.0,
-        most_guests: 3,
-        named: named as u32,
-        needs: vec![Need::Bounded(800_000), Need::Session, Need::Any, Need::Current],
+        database_reads_per_s: 100.0,
+        copy_cost_reads: 2.0,
+        max_copies: 3,
+        configured_members: named as u32,
+        class_requirements: vec![
+            CopyRequirement::MaxAge(800_000),
+            CopyRequirement::Session,
+            CopyRequirement::Any,
+            CopyRequirement::Current,
+        ],
     }
 }
 
@@ -26,17 +33,21 @@
 pub fn databases(groups: u32) -> Vec<Database> {
     let of = |group| (0..=REPLICAS as u32).map(move |n| (group, n));
     let all = (0..groups).flat_map(of).enumerate();
-    all.map(|(number, (group, n))| Database { number: number as u32, group, name: u64::from(group * 97 + n) })
-        .collect()
+    all.map(|(number, (group, n))| Database {
+        server: number as u32,
+        group,
+        name_hash: u64::from(group * 97 + n),
+    })
+    .collect()
 }
 
-pub fn listed(hot: &mut Hot, groups: u32) {
-    hot.list(databases(groups), (0..groups).map(|g| (g, REPLICAS)).collect::<BTreeMap<_, _>>());
+pub fn listed(hot: &mut HotKeyTracker, groups: u32) {
+    hot.update_databases(databases(groups), (0..groups).map(|g| (g, REPLICAS)).collect::<BTreeMap<_, _>>());
 }
 
 pub struct Net {
     pub now: Micros,
-    pub all: Vec<Hot>,
+    pub all: Vec<HotKeyTracker>,
     gossip_reports: Vec<GossipReports>,
     pub rng: fastrand::Rng,
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
@@ -60,8 +71,8 @@
         let now = 1_000 * S;
         let mut rng = fastrand::Rng::with_seed(seed);
         let one = |n: usize| {
-            let mut hot = Hot::new(settings(count), n as u64 + 1, 1, now);
-            hot.fleet(count, GossipReports::interval(count));
+            let mut hot = HotKeyTracker::new(settings(count), n as u64 + 1, 1, now);
+            hot.set_fleet(count, GossipReports::interval(count));
             listed(&mut hot, 6);
             hot
         };
@@ -109,13 +120,13 @@
         let (now, count) = (self.now, self.all.len());
         for (key, rate) in self.asked.clone() {
             let reads = self.poisson(rate * self.shares[n] * STEP as f64 / 1e6);
-            (0..reads).for_each(|_| self.all[n].read(now, key, b"text"));
+            (0..reads).for_each(|_| self.all[n].record_read(now, key, b"text"));
         }
-        self.all[n].step(now);
-        if let Some(said) = self.all[n].say(now) {
+        self.all[n].update(now);
+        if let Some(said) = self.all[n].report_if_due(now) {
             self.gossip_reports[n].publish(now, 1, said);
         }
-        for due in self.all[n].due(now) {
+        for due in self.all[n].due_copies(now) {
             self.due.entry(due.key).or_default().push((now, n));
         }
         let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(at).collect();
@@ -127,7 +138,7 @@
         }
         let fresh = self.gossip_reports[to].apply_gossip(now, count, |_| true, &bytes).unwrap_or_default();
         for f in fresh {
-            let _ = self.all[to].hear(now, f.origin, f.sequence, f.age, &f.payload);
+            let _ = self.all[to].receive_report(now, f.origin, f.sequence, f.age, &f.payload);
         }
     }
 
@@ -137,7 +148,7 @@
     }
 
     pub fn hold(&self, key: Key) -> usize {
-        self.all.iter().filter(|h| h.keys().any(|(k, _)| k == key)).count()
+        self.all.iter().filter(|h| h.hot_keys().any(|(k, _)| k == key)).count()
     }
 
     /// Until all hold it, or none does; in seconds.
@@ -155,18 +166,18 @@
 }
 
 /// What others report, as the machine of one hears it.
-pub fn heard(own: u64, named: usize, reports: &[(u64, Vec<Entry>)], order: bool) -> Hot {
-    let mut hot = Hot::new(settings(named), own, 1, 0);
-    hot.fleet(named, S);
+pub fn heard(own: u64, named: usize, reports: &[(u64, Vec<ReportEntry>)], order: bool) -> HotKeyTracker {
+    let mut hot = HotKeyTracker::new(settings(named), own, 1, 0);
+    hot.set_fleet(named, S);
     listed(&mut hot, 6);
     let mut all: Vec<_> = reports.to_vec();
     if order {
         all.reverse();
     }
     for (origin, entries) in all {
-        let bytes = Report { secret: 1, digest: 0, entries }.encode();
-        let _ = hot.hear(S, origin, 1, 0, &bytes);
+        let bytes = Report { secret_id: 1, set_digest: 0, entries }.encode();
+        let _ = hot.receive_report(S, origin, 1, 0, &bytes);
     }
-    hot.step(S);
+    hot.update(S);
     hot
 }
--- a/hot-keys/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -2,8 +2,8 @@
 //! from several at once, answers tell a position from after their value, and anybody pauses anywhere. The transition functions are
 //! the crate's own.
 
-use birchreach_hot_keys::copy::{Copy, joined, serves, taken};
-use birchreach_hot_keys::mutant::{self, Mutant};
+use birchreach_hot_keys::copy::{Copy, can_serve, copy_from_reads, newer_copy};
+use birchreach_hot_keys::faults::{self, Fault};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
@@ -55,7 +55,7 @@
     Asks(i64),
 }
 
-struct Rules(Option<Mutant>);
+struct Rules(Option<Fault>);
 
 impl Model for Rules {
     type State = State;
@@ -95,7 +95,7 @@
     }
 
     fn next_state(&self, s: &State, step: Step) -> Option<State> {
-        mutant::set(self.0);
+        faults::set(self.0);
         let mut s = s.clone();
         match step {
             Step::Commit => s.committed += 1,
@@ -107,18 +107,18 @@
             }
             Step::Answers(c) => {
                 let Copier::Read { replica, told, value } = s.copiers[c] else { return None };
-                s.wire.extend(taken(Some(told), value, Some(s.applied[replica])));
+                s.wire.extend(copy_from_reads(Some(told), value, Some(s.applied[replica])));
                 s.copiers[c] = Copier::Rests;
             }
             Step::Arrives(copy) => {
                 let before = s.guest.as_ref().map(|kept| kept.position);
-                let after = joined(s.guest.take(), copy);
+                let after = newer_copy(s.guest.take(), copy);
                 s.back |= before.is_some_and(|before| after.position < before);
                 s.guest = Some(after);
             }
             Step::Loses => s.guest = None,
             Step::Asks(needed) => {
-                let answered = s.guest.as_ref().filter(|kept| serves(Some(kept), needed));
+                let answered = s.guest.as_ref().filter(|kept| can_serve(Some(kept), needed));
                 s.stale |= answered.is_some_and(|kept| kept.value < needed);
             }
         }
@@ -136,13 +136,13 @@
     }
 }
 
-fn broken(mutant: Option<Mutant>) -> Vec<&'static str> {
+fn broken(fault: Option<Fault>) -> Vec<&'static str> {
     let checker =
-        Rules(mutant).checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-    assert!(mutant.is_some() || checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
+        Rules(fault).checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    assert!(fault.is_some() || checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
     let found = checker.discoveries();
     let never = ["no read is staler than what it needs", "a guest's copy never goes back"];
-    assert!(mutant.is_some() || found.contains_key("a current copy arrives"), "it shows nothing");
+    assert!(fault.is_some() || found.contains_key("a current copy arrives"), "it shows nothing");
     never.into_iter().filter(|name| found.contains_key(name)).collect()
 }
 
@@ -153,7 +153,7 @@
 
 #[test]
 fn each_fault_of_copies_is_caught() {
-    assert_eq!(broken(Some(Mutant::PositionOfTheAnswer)), ["no read is staler than what it needs"]);
-    assert_eq!(broken(Some(Mutant::AnswersForAny)), ["no read is staler than what it needs"]);
-    assert_eq!(broken(Some(Mutant::LastWriteStands)), ["a guest's copy never goes back"]);
+    assert_eq!(broken(Some(Fault::UsesLaterPosition)), ["no read is staler than what it needs"]);
+    assert_eq!(broken(Some(Fault::ServesAnyPosition)), ["no read is staler than what it needs"]);
+    assert_eq!(broken(Some(Fault::KeepsLastWrite)), ["a guest's copy never goes back"]);
 }
--- a/hot-keys/tests/recorded_bytes.rs
+++ b/hot-keys/tests/recorded_bytes.rs
@@ -2,7 +2,7 @@
 //! sets of hot keys have the digest that an earlier version gives them.
 
 mod common;
-use birchreach_hot_keys::{Entry, Key, Report};
+use birchreach_hot_keys::{Key, Report, ReportEntry};
 use common::heard;
 
 fn hex(bytes: &[u8]) -> String {
@@ -14,8 +14,8 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-fn entry(group: u32, hash: u64, milli: u32, hot: bool) -> Entry {
-    Entry { key: Key { group, hash }, milli, hot }
+fn entry(group: u32, hash: u64, milli: u32, hot: bool) -> ReportEntry {
+    ReportEntry { key: Key { group, hash }, reads_per_1000_s: milli, is_hot: hot }
 }
 
 fn assert_recorded(report: &Report, recorded: &str) {
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_report_without_keys_has_the_recorded_bytes() {
-    assert_recorded(&Report { secret: 0, digest: 0, entries: Vec::new() }, "000000");
+    assert_recorded(&Report { secret_id: 0, set_digest: 0, entries: Vec::new() }, "000000");
 }
 
 #[test]
@@ -36,7 +36,7 @@
         entry(u32::MAX, u64::MAX, 1_000_000_000, false),
     ];
     let recorded = "0790e4d0b287d3aeeefe01030000000003ef9bafcdf8acd19101d0bb1b01ffffffff0fffffffffffffffffff018094ebdc0300";
-    assert_recorded(&Report { secret: 7, digest: 0xfedc_ba98_7654_3210, entries }, recorded);
+    assert_recorded(&Report { secret_id: 7, set_digest: 0xfedc_ba98_7654_3210, entries }, recorded);
 }
 
 #[test]
@@ -46,6 +46,6 @@
 
     let hot = heard(9, 4, &reports, false);
 
-    assert_eq!(hot.keys().count(), 2);
+    assert_eq!(hot.hot_keys().count(), 2);
     assert_eq!(format!("{:016x}", hot.digest()), "7ad2573fb164c46a");
 }
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -3,7 +3,7 @@
 
 use crate::observe::{CopyLocator, CoreEvent, Observer, ReadDescription};
 use birchreach::{Consistency, CopyCandidate, Micros, ServerId};
-use birchreach_hot_keys::{Database, Hot, Key, Need as Needs, Settings};
+use birchreach_hot_keys::{CopyRequirement as Needs, Database, HotKeyTracker, Key, Settings};
 use birchreach_peer_state::NameHasher;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -17,7 +17,7 @@
 
 /// What is known of hot keys; it listens to the core and advises it.
 pub struct Watch {
-    pub hot: Hot,
+    pub hot: HotKeyTracker,
     hasher: NameHasher,
     listed: HashMap<ServerId, Listed>,
     changed: bool,
@@ -29,7 +29,7 @@
 fn needs(need: Consistency) -> Needs {
     match need {
         Consistency::Write | Consistency::Strong => Needs::Current,
-        Consistency::BoundedStaleness(age) => Needs::Bounded(age),
+        Consistency::BoundedStaleness(age) => Needs::MaxAge(age),
         Consistency::Session => Needs::Session,
         Consistency::Any => Needs::Any,
     }
@@ -38,17 +38,17 @@
 /// The options as the crate has them.
 pub fn settings(options: &birchreach_options::Hot, named: u32, classes: &[Consistency]) -> Settings {
     Settings {
-        bears: options.bears,
-        copy_cost: options.copy_cost,
-        most_guests: options.guests,
-        named,
-        needs: classes.iter().copied().map(needs).collect(),
+        database_reads_per_s: options.bears,
+        copy_cost_reads: options.copy_cost,
+        max_copies: options.guests,
+        configured_members: named,
+        class_requirements: classes.iter().copied().map(needs).collect(),
     }
 }
 
 impl Watch {
     pub fn new(settings: Settings, own: u64, hasher: NameHasher, now: Micros) -> Watch {
-        let hot = Hot::new(settings, own, hasher.key_id, now);
+        let hot = HotKeyTracker::new(settings, own, hasher.key_id, now);
         Watch { hot, hasher, listed: HashMap::new(), changed: false, served: 0, missed: 0 }
     }
 
@@ -64,9 +64,9 @@
         }
         // A number of the name alone: the same at all, whatever secret they speak with.
         let name = |l: &Listed| crate::config::hash(l.uid.as_bytes());
-        let databases = up().map(|(id, l)| Database { number: id.0, group: l.group, name: name(l) });
+        let databases = up().map(|(id, l)| Database { server: id.0, group: l.group, name_hash: name(l) });
         let databases = databases.collect();
-        self.hot.list(databases, replicas);
+        self.hot.update_databases(databases, replicas);
     }
 
     pub fn key(&self, group: u32, key: &[u8]) -> Key {
@@ -75,28 +75,28 @@
 
     /// The keys that are hot, a line each, behind a line for the whole.
     pub fn lines(&self, now: Micros) -> String {
-        let (agreed, of) = self.hot.agreed();
+        let (agreed, of) = self.hot.agreement();
         let mut out = String::new();
         let _ = writeln!(
             out,
             "hot keys={} digest={:016x} agreed={agreed} of={of} changes={} refresh_ms={} served={} missed={}",
-            self.hot.keys().count(),
+            self.hot.hot_keys().count(),
             self.hot.digest(),
             self.hot.changes,
-            self.hot.settings().refresh() / 1_000,
+            self.hot.settings().refresh_interval() / 1_000,
             self.served,
             self.missed
         );
-        for (key, hot) in self.hot.keys() {
-            let name = |d: &Database| self.listed.get(&ServerId(d.number)).map_or("?", |l| l.uid.as_str());
-            let guests: Vec<&str> = hot.guests.iter().map(name).collect();
+        for (key, hot) in self.hot.hot_keys() {
+            let name = |d: &Database| self.listed.get(&ServerId(d.server)).map_or("?", |l| l.uid.as_str());
+            let guests: Vec<&str> = hot.copy_holders.iter().map(name).collect();
             let _ = writeln!(
                 out,
                 "key group={} hash={:016x} rate={:.1} for_ms={} guests={}",
                 key.group,
                 key.hash,
-                hot.rate,
-                (now - hot.since) / 1_000,
+                hot.reads_per_s,
+                (now - hot.hot_since) / 1_000,
                 guests.join(",")
             );
         }
@@ -117,7 +117,7 @@
                 self.served += u64::from(position.is_some());
                 self.missed += u64::from(position.is_none());
                 let key = self.key(group.0, key);
-                self.hot.answered(now, key, server.0, position);
+                self.hot.record_answer(now, key, server.0, position);
             }
             _ => {}
         }
@@ -130,9 +130,9 @@
             return Vec::new();
         }
         let key = self.key(asked.group.0, asked.key);
-        self.hot.read(now, key, asked.key);
+        self.hot.record_read(now, key, asked.key);
         let candidate =
             |(server, likely_position)| CopyCandidate { server: ServerId(server), likely_position };
-        self.hot.guests(now, key).into_iter().map(candidate).collect()
+        self.hot.copy_candidates(now, key).into_iter().map(candidate).collect()
     }
 }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -101,9 +101,10 @@
             match (told.channel, &self.hot) {
                 (HOT, Some(watch)) => {
                     let mut watch = watch.borrow_mut();
-                    if let Err(why) = watch.hot.hear(now, told.origin, told.sequence, told.age, &told.payload)
+                    if let Err(why) =
+                        watch.hot.receive_report(now, told.origin, told.sequence, told.age, &told.payload)
                     {
-                        self.metrics.refuse("hot", why.word());
+                        self.metrics.refuse("hot", why.as_str());
                     }
                 }
                 (SPLIT, _) if self.split.is_some() => self.hear_split(now, &told),
@@ -123,7 +124,7 @@
 
     /// What this process tells, if it is time.
     fn say(&mut self, now: Micros) -> Vec<(u8, Vec<u8>)> {
-        let hot = self.hot.as_ref().and_then(|watch| watch.borrow_mut().hot.say(now));
+        let hot = self.hot.as_ref().and_then(|watch| watch.borrow_mut().hot.report_if_due(now));
         let split = self.split.as_ref().and_then(|watch| watch.borrow_mut().split.say(now));
         hot.map(|said| (HOT, said)).into_iter().chain(split.map(|said| (SPLIT, said))).collect()
     }
@@ -134,13 +135,13 @@
         let Some(shared) = self.hot.clone() else { return };
         let mut watch = shared.borrow_mut();
         watch.relist();
-        watch.hot.fleet(members, interval);
-        let before: Vec<_> = watch.hot.keys().map(|(key, _)| key).collect();
-        if watch.hot.step(now) {
+        watch.hot.set_fleet(members, interval);
+        let before: Vec<_> = watch.hot.hot_keys().map(|(key, _)| key).collect();
+        if watch.hot.update(now) {
             copies::tell_changes(&watch, &before);
         }
-        let refresh = watch.hot.settings().refresh();
-        for due in watch.hot.due(now) {
+        let refresh = watch.hot.settings().refresh_interval();
+        for due in watch.hot.due_copies(now) {
             let task = Task {
                 kind: TaskKind::RowRead,
                 expires_at: now + refresh,
--- a/proxy/src/net/background/show.rs
+++ b/proxy/src/net/background/show.rs
@@ -43,9 +43,9 @@
         }
         if let Some(watch) = &self.hot {
             let watch = watch.borrow();
-            let (agreed, of) = watch.hot.agreed();
+            let (agreed, of) = watch.hot.agreement();
             self.metrics.hot(
-                watch.hot.keys().count(),
+                watch.hot.hot_keys().count(),
                 watch.hot.changes,
                 watch.served,
                 watch.missed,
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -43,7 +43,11 @@
             self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.context.now)));
         match (&options, background.hot.clone()) {
             (Some(options), Some(watch)) => {
-                watch.borrow_mut().hot.set(settings(options, named, &self.context.core.consistencies()));
+                watch.borrow_mut().hot.update_settings(settings(
+                    options,
+                    named,
+                    &self.context.core.consistencies(),
+                ));
             }
             (Some(options), None) => {
                 let settings = settings(options, named, &self.context.core.consistencies());
