--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -104,12 +104,13 @@
         let (clean, lacking) = match verdict {
             Verdict::Clean => (1, 0),
             Verdict::Dirty(_) => (-1, 0),
-            Verdict::NotYet(lacks) => (0, lacks.compared),
+            Verdict::Incomplete(lacks) => (0, lacks.ranges_below_comparisons),
         };
         self.clean.set(clean);
         self.lacking.set(i64::try_from(lacking).unwrap_or(i64::MAX));
-        let ends = [("begun", c.begun), ("agreed", c.agreed), ("late", c.late), ("unsure", c.unsure)];
-        let more = [("silent", c.silent), ("flagged", c.flagged), ("crowded", c.crowded)];
+        let ends =
+            [("begun", c.started), ("agreed", c.agreed), ("late", c.lagging), ("unsure", c.inconclusive)];
+        let more = [("silent", c.unanswered), ("flagged", c.confirmed), ("crowded", c.rejected)];
         for (end, n) in ends.into_iter().chain(more) {
             set(&self.compared.get_or_create(&Of { kind: "read", end }), n);
         }
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -5,7 +5,7 @@
 use crate::pg::{commit_time_query, copies};
 use birchreach::Micros;
 use birchreach_background_tasks::{Task, TaskKind};
-use birchreach_shard_split::{Ask, Told, Verdict};
+use birchreach_shard_split::{ComparisonQuery, QueryResult, Verdict};
 use tracing::{info, warn};
 
 /// Questions that are handed to the scheduler at once.
@@ -18,7 +18,7 @@
     /// Which comparison, of which start of this subsystem: another definition has other ones.
     number: u64,
     start: u64,
-    ask: Ask,
+    ask: ComparisonQuery,
     text: Vec<u8>,
     group: u32,
 }
@@ -31,10 +31,10 @@
     pub fn texts(&self, id: u64) -> Vec<Vec<u8>> {
         let row = || copies::read_row(&self.text, self.group, id, 1_000);
         match self.ask {
-            Ask::Glance(_) => vec![row()],
+            ComparisonQuery::SingleRead(_) => vec![row()],
             // Positions are told with answers: one before the read that counts, one with it.
-            Ask::Look(_) => vec![row(); 2],
-            Ask::Parent => {
+            ComparisonQuery::Sample(_) => vec![row(); 2],
+            ComparisonQuery::SampleParent => {
                 vec![row(), commit_time_query::read_row_with_commit_time(&self.text, self.group, id, 1_000)]
             }
         }
@@ -53,15 +53,15 @@
         let start = self.started;
         let asks = {
             let mut watch = shared.borrow_mut();
-            watch.split.pace(interval);
+            watch.split.set_report_interval(interval);
             match watch.turned(heard) {
                 Some(verdict @ Verdict::Dirty([missing, extra, differs])) => {
-                    warn!(event = "split", verdict = verdict.word(), missing, extra, differs);
+                    warn!(event = "split", verdict = verdict.as_str(), missing, extra, differs);
                 }
-                Some(verdict) => info!(event = "split", verdict = verdict.word()),
+                Some(verdict) => info!(event = "split", verdict = verdict.as_str()),
                 None => {}
             }
-            watch.split.ask(now, AT_ONCE)
+            watch.split.due_queries(now, AT_ONCE)
         };
         for (number, ask, text, group) in asks {
             let shadow = Shadow { number, start, ask, text, group };
@@ -78,7 +78,7 @@
 
     fn unasked(&self, now: Micros, shadow: &Shadow) {
         if let Some(watch) = self.split.as_ref().filter(|_| shadow.start == self.started) {
-            watch.borrow_mut().split.unasked(now, shadow.number);
+            watch.borrow_mut().split.postpone(now, shadow.number);
         }
     }
 
@@ -86,9 +86,9 @@
     pub(super) fn compared(&self, now: Micros, shadow: &Shadow, done: Option<&BackgroundQueryResult>) {
         let Some(watch) = self.split.as_ref().filter(|_| shadow.start == self.started) else { return };
         let mut watch = watch.borrow_mut();
-        let told = done.map_or(Told::Nothing, |done| watch.answer(shadow.ask, done));
-        if let Some(flag) = watch.split.told(now, shadow.number, told) {
-            let range = birchreach_shard_split::Definition::range(flag.hash);
+        let told = done.map_or(QueryResult::NoAnswer, |done| watch.answer(shadow.ask, done));
+        if let Some(flag) = watch.split.record_result(now, shadow.number, told) {
+            let range = birchreach_shard_split::Definition::range(flag.key_hash);
             warn!(event = "split-flag", flag = %crate::log::Quoted(watch.flag(range, &flag)));
         }
     }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -116,16 +116,17 @@
 
     fn hear_split(&self, now: Micros, told: &ReceivedReport) {
         let Some(watch) = &self.split else { return };
-        let heard = watch.borrow_mut().split.hear(now, told.origin, told.sequence, told.age, &told.payload);
+        let heard =
+            watch.borrow_mut().split.receive_report(now, told.origin, told.sequence, told.age, &told.payload);
         if let Err(why) = heard {
-            self.metrics.refuse("split", why.word());
+            self.metrics.refuse("split", why.as_str());
         }
     }
 
     /// What this process tells, if it is time.
     fn say(&mut self, now: Micros) -> Vec<(u8, Vec<u8>)> {
         let hot = self.hot.as_ref().and_then(|watch| watch.borrow_mut().hot.report_if_due(now));
-        let split = self.split.as_ref().and_then(|watch| watch.borrow_mut().split.say(now));
+        let split = self.split.as_ref().and_then(|watch| watch.borrow_mut().split.report_if_due(now));
         hot.map(|said| (HOT, said)).into_iter().chain(split.map(|said| (SPLIT, said))).collect()
     }
 
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -1,11 +1,11 @@
 //! One comparison on its way: the client's answer, the children's first answers, then, if they differ, close looks; and the same again
 //! after a while, before it is a fault.
 
-use crate::judge::{Look, Outcome, Parent, Row, outcome};
-use crate::{Micros, Sort};
+use crate::judge::{Outcome, ParentSample, PositionSample, Row, judge};
+use crate::{DifferenceKind, Micros};
 
 /// Close looks at one key before it is dropped as unsure.
-pub const MOST_ROUNDS: u8 = 6;
+pub const MAX_RETRIES: u8 = 6;
 
 /// Which child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -18,208 +18,214 @@
 
 /// What is to be asked for a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ask {
+pub enum ComparisonQuery {
     /// A child, once.
-    Glance(Child),
+    SingleRead(Child),
     /// A child, twice on one connection.
-    Look(Child),
+    Sample(Child),
     /// A replica of the parent, twice on one connection, the second time with the time of the row's commit.
-    Parent,
+    SampleParent,
 }
 
 /// What came back. `process`: a number for the database's process, the same as long as it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    Glance {
+pub enum QueryResult {
+    SingleRead {
         row: Row,
         position: Option<Micros>,
     },
-    Look {
-        look: Look,
+    Sample {
+        look: PositionSample,
         process: u64,
     },
-    Parent {
-        parent: Parent,
+    ParentSample {
+        parent: ParentSample,
         process: u64,
     },
     /// No answer, or one that tells too little.
-    Nothing,
+    NoAnswer,
 }
 
 /// Where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum ComparisonStage {
     /// First answers: of the owner, then of the other.
-    Owner,
-    Other,
+    ReadOwner,
+    ReadOther,
     /// A close look at a child that differed, and then at the parent.
-    Close(Child),
-    Parent(Child, Look, u64),
+    SampleChild(Child),
+    SampleParent(Child, PositionSample, u64),
     /// A difference was found: again at this time, with the same processes.
-    Waits(Found),
+    AwaitConfirmation(Difference),
 }
 
 /// A difference, by a child's and the parent's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Found {
+pub(crate) struct Difference {
     pub child: Child,
-    pub parent: Parent,
-    pub look: Look,
+    pub parent: ParentSample,
+    pub sample: PositionSample,
     pub processes: (u64, u64),
     /// When it was found first.
-    pub at: Micros,
+    pub found_at: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Comparison {
     pub class: u16,
-    pub hash: u32,
-    pub text: Vec<u8>,
+    pub key_hash: u32,
+    pub key_bytes: Vec<u8>,
     /// A's answer.
-    pub row: Row,
-    pub stage: Stage,
+    pub parent_row: Row,
+    pub stage: ComparisonStage,
     /// What is asked is out; else it is to be asked from this time on.
-    pub out: bool,
-    pub next: Micros,
-    pub rounds: u8,
+    pub query_in_flight: bool,
+    pub query_at: Micros,
+    pub retries: u8,
     /// The first time that it differed, if it did.
-    pub first: Option<Found>,
-    pub begun: Micros,
+    pub first_difference: Option<Difference>,
+    pub started_at: Micros,
 }
 
 /// What became of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum ComparisonEnd {
     Agrees,
-    Late,
-    Unsure,
+    Lagging,
+    Inconclusive,
     /// A child or the parent gave no answer that tells enough.
-    Silent,
-    Flag(Found, Sort),
+    Unanswered,
+    Confirmed(Difference, DifferenceKind),
 }
 
 /// Pauses between looks that were late or unsure.
-const AGAIN: Micros = 300_000;
+const RETRY_STEP_MICROS: Micros = 300_000;
 
 impl Comparison {
-    pub fn ask(&self) -> Ask {
+    pub fn query(&self) -> ComparisonQuery {
         match self.stage {
-            Stage::Owner => Ask::Glance(Child::Owner),
-            Stage::Other => Ask::Glance(Child::Other),
-            Stage::Close(child) => Ask::Look(child),
-            Stage::Parent(..) => Ask::Parent,
-            Stage::Waits(found) => Ask::Look(found.child),
+            ComparisonStage::ReadOwner => ComparisonQuery::SingleRead(Child::Owner),
+            ComparisonStage::ReadOther => ComparisonQuery::SingleRead(Child::Other),
+            ComparisonStage::SampleChild(child) => ComparisonQuery::Sample(child),
+            ComparisonStage::SampleParent(..) => ComparisonQuery::SampleParent,
+            ComparisonStage::AwaitConfirmation(found) => ComparisonQuery::Sample(found.child),
         }
     }
 
     /// Takes an answer. `confirm`: after how long a difference is looked at again.
-    pub fn told(&mut self, now: Micros, told: Told, confirm: Micros) -> Option<End> {
-        self.out = false;
-        self.next = now;
+    pub fn record_result(
+        &mut self,
+        now: Micros,
+        told: QueryResult,
+        confirm: Micros,
+    ) -> Option<ComparisonEnd> {
+        self.query_in_flight = false;
+        self.query_at = now;
         match (self.stage.clone(), told) {
-            (_, Told::Nothing) => self.again(now, End::Silent),
-            (Stage::Owner, Told::Glance { row, position }) => {
-                if row == self.row {
-                    self.stage = Stage::Other;
+            (_, QueryResult::NoAnswer) => self.retry(now, ComparisonEnd::Unanswered),
+            (ComparisonStage::ReadOwner, QueryResult::SingleRead { row, position }) => {
+                if row == self.parent_row {
+                    self.stage = ComparisonStage::ReadOther;
                     return None;
                 }
                 if position.is_none() {
-                    return Some(End::Silent);
+                    return Some(ComparisonEnd::Unanswered);
                 }
-                self.stage = Stage::Close(Child::Owner);
+                self.stage = ComparisonStage::SampleChild(Child::Owner);
                 None
             }
-            (Stage::Other, Told::Glance { row, .. }) => {
+            (ComparisonStage::ReadOther, QueryResult::SingleRead { row, .. }) => {
                 if row.is_none() {
-                    return Some(End::Agrees);
+                    return Some(ComparisonEnd::Agrees);
                 }
-                self.stage = Stage::Close(Child::Other);
+                self.stage = ComparisonStage::SampleChild(Child::Other);
                 None
             }
-            (Stage::Close(child), Told::Look { look, process }) => {
-                self.stage = Stage::Parent(child, look, process);
+            (ComparisonStage::SampleChild(child), QueryResult::Sample { look, process }) => {
+                self.stage = ComparisonStage::SampleParent(child, look, process);
                 None
             }
-            (Stage::Waits(found), Told::Look { look, process }) => {
-                self.stage = Stage::Parent(found.child, look, process);
+            (ComparisonStage::AwaitConfirmation(found), QueryResult::Sample { look, process }) => {
+                self.stage = ComparisonStage::SampleParent(found.child, look, process);
                 None
             }
-            (Stage::Parent(child, look, process), Told::Parent { parent, process: of_parent }) => {
-                self.weigh(now, child, look, parent, (process, of_parent), confirm)
-            }
+            (
+                ComparisonStage::SampleParent(child, look, process),
+                QueryResult::ParentSample { parent, process: of_parent },
+            ) => self.compare_samples(now, child, look, parent, (process, of_parent), confirm),
             // An answer to something else than was asked.
-            _ => Some(End::Silent),
+            _ => Some(ComparisonEnd::Unanswered),
         }
     }
 
-    fn weigh(
+    fn compare_samples(
         &mut self,
         now: Micros,
         child: Child,
-        look: Look,
-        parent: Parent,
+        look: PositionSample,
+        parent: ParentSample,
         processes: (u64, u64),
         confirm: Micros,
-    ) -> Option<End> {
-        let found = Found { child, parent, look, processes, at: now };
+    ) -> Option<ComparisonEnd> {
+        let found = Difference { child, parent, sample: look, processes, found_at: now };
         // Whoever is not to have the row agrees if it has none, whatever the parent has.
         let how = match child {
-            Child::Owner => outcome(parent, look),
+            Child::Owner => judge(parent, look),
             Child::Other if look.row.is_none() => Outcome::Agrees,
             // It is not to have it at any time, whatever happens to the parent's.
             Child::Other => Outcome::Differs,
         };
         match how {
-            Outcome::Agrees => Some(End::Agrees),
-            Outcome::Late => self.again(now, End::Late),
-            Outcome::Unsure => self.again(now, End::Unsure),
-            Outcome::Differs if crate::faulty!(NeverFlags) => Some(End::Unsure),
+            Outcome::Agrees => Some(ComparisonEnd::Agrees),
+            Outcome::Lagging => self.retry(now, ComparisonEnd::Lagging),
+            Outcome::Inconclusive => self.retry(now, ComparisonEnd::Inconclusive),
+            Outcome::Differs if crate::faulty!(NeverConfirms) => Some(ComparisonEnd::Inconclusive),
             Outcome::Differs => {
                 let sort = match child {
-                    Child::Other => Sort::Extra,
-                    Child::Owner if look.row.is_none() => Sort::Missing,
-                    Child::Owner => Sort::Differs,
+                    Child::Other => DifferenceKind::Extra,
+                    Child::Owner if look.row.is_none() => DifferenceKind::Missing,
+                    Child::Owner => DifferenceKind::Differs,
                 };
-                match self.first {
-                    _ if crate::faulty!(FlagsAtOnce) => Some(End::Flag(found, sort)),
+                match self.first_difference {
+                    _ if crate::faulty!(SkipsConfirmation) => Some(ComparisonEnd::Confirmed(found, sort)),
                     // Again, and nothing was another in between: it lasts.
                     Some(first)
-                        if (first.processes == processes || crate::faulty!(ForgetsProcesses))
+                        if (first.processes == processes || crate::faulty!(IgnoresRestarts))
                             && first.child == child
-                            && now - first.at >= confirm =>
+                            && now - first.found_at >= confirm =>
                     {
-                        Some(End::Flag(found, sort))
+                        Some(ComparisonEnd::Confirmed(found, sort))
                     }
                     // Another process than the first time: a restart or a failover, and it begins anew.
                     Some(first) if first.processes != processes || first.child != child => {
-                        self.first = Some(found);
-                        self.wait(found, now + confirm)
+                        self.first_difference = Some(found);
+                        self.await_confirmation(found, now + confirm)
                     }
-                    Some(first) => self.wait(first, first.at + confirm),
+                    Some(first) => self.await_confirmation(first, first.found_at + confirm),
                     None => {
-                        self.first = Some(found);
-                        self.wait(found, now + confirm)
+                        self.first_difference = Some(found);
+                        self.await_confirmation(found, now + confirm)
                     }
                 }
             }
         }
     }
 
-    fn wait(&mut self, found: Found, at: Micros) -> Option<End> {
-        self.rounds += 1;
-        (self.stage, self.next) = (Stage::Waits(found), at);
-        (self.rounds > MOST_ROUNDS).then_some(End::Unsure)
+    fn await_confirmation(&mut self, found: Difference, at: Micros) -> Option<ComparisonEnd> {
+        self.retries += 1;
+        (self.stage, self.query_at) = (ComparisonStage::AwaitConfirmation(found), at);
+        (self.retries > MAX_RETRIES).then_some(ComparisonEnd::Inconclusive)
     }
 
     /// The same question again, after a pause; some times.
-    fn again(&mut self, now: Micros, end: End) -> Option<End> {
-        self.rounds += 1;
-        self.next = now + AGAIN * Micros::from(self.rounds);
+    fn retry(&mut self, now: Micros, end: ComparisonEnd) -> Option<ComparisonEnd> {
+        self.retries += 1;
+        self.query_at = now + RETRY_STEP_MICROS * Micros::from(self.retries);
         self.stage = match self.stage.clone() {
-            Stage::Parent(child, ..) => Stage::Close(child),
-            Stage::Waits(found) => Stage::Close(found.child),
+            ComparisonStage::SampleParent(child, ..) => ComparisonStage::SampleChild(child),
+            ComparisonStage::AwaitConfirmation(found) => ComparisonStage::SampleChild(found.child),
             other => other,
         };
-        (self.rounds > MOST_ROUNDS).then_some(end)
+        (self.retries > MAX_RETRIES).then_some(end)
     }
 }
--- a/shard-split/src/definition.rs
+++ b/shard-split/src/definition.rs
@@ -8,10 +8,10 @@
 /// A group and its children: keys whose hash is below `at` are to be B's, all others C's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Definition {
-    pub from: u32,
-    pub below: u32,
-    pub above: u32,
-    pub at: u32,
+    pub parent: u32,
+    pub lower_child: u32,
+    pub upper_child: u32,
+    pub split_at: u32,
 }
 
 impl Definition {
@@ -28,7 +28,7 @@
     /// The same at all that compare the same.
     pub fn digest(&self) -> u64 {
         let mut hash = Sha256::new();
-        for part in [self.from, self.below, self.above, self.at, RANGES as u32] {
+        for part in [self.parent, self.lower_child, self.upper_child, self.split_at, RANGES as u32] {
             hash.update(part.to_be_bytes());
         }
         hash.finalize().first_chunk::<8>().map_or(0, |b| u64::from_be_bytes(*b))
@@ -36,6 +36,10 @@
 
     /// The children of a key: whose it is, and whose it is not.
     pub fn children(&self, hash: u32) -> (u32, u32) {
-        if hash < self.at { (self.below, self.above) } else { (self.above, self.below) }
+        if hash < self.split_at {
+            (self.lower_child, self.upper_child)
+        } else {
+            (self.upper_child, self.lower_child)
+        }
     }
 }
--- a/shard-split/src/mutant.rs
+++ b/shard-split/src/faults.rs
@@ -4,44 +4,44 @@
 
 /// Each breaks one invariant of the crate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutant {
+pub enum Fault {
     /// A row that changed since the child's position is held against it.
-    IgnoresChanges,
+    IgnoresCommitTime,
     /// A's look need not have reached what the child had.
-    IgnoresAhead,
+    IgnoresLaterCommits,
     /// What differs is a flag at once.
-    FlagsAtOnce,
+    SkipsConfirmation,
     /// The second time may be with other processes.
-    ForgetsProcesses,
+    IgnoresRestarts,
     /// What differs is dropped as unsure.
-    NeverFlags,
+    NeverConfirms,
     /// A report counts each time it comes.
     CountsTwice,
     /// Reports of another definition count.
     MixesDefinitions,
     /// Clean is said of what is heard.
-    CleanWhileCutOff,
+    CleanWhileMembersMissing,
     /// Nothing is dropped.
-    KeepsAll,
+    KeepsEverything,
 }
 
 thread_local! {
-    static ON: Cell<Option<Mutant>> = const { Cell::new(None) };
+    static ON: Cell<Option<Fault>> = const { Cell::new(None) };
 }
 
 /// Runs something with a fault.
-pub fn with<T>(mutant: Mutant, run: impl FnOnce() -> T) -> T {
-    ON.set(Some(mutant));
+pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
+    ON.set(Some(fault));
     let done = run();
     ON.set(None);
     done
 }
 
 /// For checkers that look from several threads.
-pub fn set(mutant: Option<Mutant>) {
-    ON.set(mutant);
+pub fn set(fault: Option<Fault>) {
+    ON.set(fault);
 }
 
-pub(crate) fn is(mutant: Mutant) -> bool {
-    ON.get() == Some(mutant)
+pub(crate) fn is(fault: Fault) -> bool {
+    ON.get() == Some(fault)
 }
--- a/shard-split/src/flag.rs
+++ b/shard-split/src/flag.rs
@@ -5,60 +5,60 @@
 
 /// What a flag is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Sort {
+pub enum DifferenceKind {
     Missing,
     Extra,
     Differs,
 }
 
-impl Sort {
-    pub fn word(self) -> &'static str {
+impl DifferenceKind {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Sort::Missing => "missing",
-            Sort::Extra => "extra",
-            Sort::Differs => "differs",
+            DifferenceKind::Missing => "missing",
+            DifferenceKind::Extra => "extra",
+            DifferenceKind::Differs => "differs",
         }
     }
 }
 
 /// A fault that was found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flag {
-    pub sort: Sort,
+pub struct ConfirmedDifference {
+    pub kind: DifferenceKind,
     /// The class of the read, as its owner numbers it, and the child's group.
     pub class: u16,
-    pub group: u32,
-    pub hash: u32,
+    pub child_group: u32,
+    pub key_hash: u32,
     /// Digests of the parent's and the child's row.
     pub rows: (Row, Row),
     /// The parent's row was last committed then, and the child was between these positions.
     pub since: Micros,
     pub child: (Micros, Micros),
-    pub at: Micros,
+    pub confirmed_at: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub definition: Definition,
     /// Comparisons of each range, within this time, by so many processes.
-    pub least: u32,
-    pub within: Micros,
-    pub processes: usize,
+    pub min_comparisons: u32,
+    pub coverage_window: Micros,
+    pub min_processes: usize,
     /// A difference has to last for so long.
-    pub confirm: Micros,
+    pub confirmation_delay: Micros,
     /// How many there are by the options.
-    pub named: usize,
+    pub configured_members: usize,
 }
 
 /// What became of comparisons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    pub begun: u64,
+    pub started: u64,
     pub agreed: u64,
-    pub late: u64,
-    pub unsure: u64,
-    pub silent: u64,
-    pub flagged: u64,
+    pub lagging: u64,
+    pub inconclusive: u64,
+    pub unanswered: u64,
+    pub confirmed: u64,
     /// Reads that were not compared, for there was no room.
-    pub crowded: u64,
+    pub rejected: u64,
 }
--- a/shard-split/src/judge.rs
+++ b/shard-split/src/judge.rs
@@ -7,48 +7,52 @@
 
 /// A child was read twice on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Look {
+pub struct PositionSample {
     /// What the second read gave.
     pub row: Row,
     /// The position told with the first answer: the second read has all up to it.
-    pub low: Micros,
+    pub position_before: Micros,
     /// The position told with the second: the second read has nothing beyond it.
-    pub high: Micros,
+    pub position_after: Micros,
 }
 
 /// A replica of the group that splits, read twice on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Parent {
+pub struct ParentSample {
     pub row: Row,
     /// When that row was last committed.
-    pub since: Micros,
+    pub committed_at: Micros,
     /// The position told with the first answer, before the second read.
-    pub seen: Micros,
+    pub position: Micros,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     Agrees,
     /// The child is behind the parent's row: nothing is said of it yet.
-    Late,
+    Lagging,
     /// The row changed while it was looked at, or may have.
-    Unsure,
+    Inconclusive,
     /// The parent had this row all the while in which the child can have had its own, and they are not the same.
     Differs,
 }
 
 /// A child that is to have the row.
-pub fn outcome(parent: Parent, child: Look) -> Outcome {
+pub fn judge(parent: ParentSample, child: PositionSample) -> Outcome {
     if parent.row == child.row {
         return Outcome::Agrees;
     }
-    if child.low < parent.since && !crate::faulty!(IgnoresChanges) {
+    if child.position_before < parent.committed_at && !crate::faulty!(IgnoresCommitTime) {
         // It need not have it yet; if its row is older than the parent's, that is a lag.
-        return if child.high < parent.since { Outcome::Late } else { Outcome::Unsure };
+        return if child.position_after < parent.committed_at {
+            Outcome::Lagging
+        } else {
+            Outcome::Inconclusive
+        };
     }
     // A later commit may have reached the child before the parent was looked at.
-    if child.high > parent.seen && !crate::faulty!(IgnoresAhead) {
-        return Outcome::Unsure;
+    if child.position_after > parent.position && !crate::faulty!(IgnoresLaterCommits) {
+        return Outcome::Inconclusive;
     }
     Outcome::Differs
 }
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -21,26 +21,26 @@
 mod compare;
 mod coverage;
 mod definition;
+#[cfg(feature = "mutants")]
+pub mod faults;
 mod flag;
 pub mod judge;
-mod machine;
-#[cfg(feature = "mutants")]
-pub mod mutant;
 mod verdict;
+mod verifier;
 
-pub use compare::{Ask, Child, Told};
-pub use coverage::{Refused, Report};
+pub use compare::{Child, ComparisonQuery, QueryResult};
+pub use coverage::{Report, ReportError};
 pub use definition::{Definition, RANGES};
-pub use flag::{Counts, Flag, Settings, Sort};
-pub use judge::{Look, Outcome, Row};
-pub use machine::Split;
-pub use verdict::{Lacks, Verdict};
+pub use flag::{ConfirmedDifference, Counts, DifferenceKind, Settings};
+pub use judge::{Outcome, PositionSample, Row};
+pub use verdict::{IncompleteReason, Verdict};
+pub use verifier::SplitVerifier;
 
 /// Is this fault switched on? Never outside tests.
 macro_rules! faulty {
     ($which:ident) => {{
         #[cfg(feature = "mutants")]
-        let on = crate::mutant::is(crate::mutant::Mutant::$which);
+        let on = crate::faults::is(crate::faults::Fault::$which);
         #[cfg(not(feature = "mutants"))]
         let on = false;
         on
--- a/shard-split/src/verdict.rs
+++ b/shard-split/src/verdict.rs
@@ -5,12 +5,12 @@
 
 /// What is missing before it can be clean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lacks {
+pub struct IncompleteReason {
     /// Ranges with too few comparisons, and with too few processes that made them.
-    pub compared: usize,
-    pub seen_by: usize,
+    pub ranges_below_comparisons: usize,
+    pub ranges_below_processes: usize,
     /// Processes that are named and not heard.
-    pub unheard: usize,
+    pub silent_members: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,34 +18,40 @@
     Clean,
     /// Flags by sort: missing, extra, differs.
     Dirty([u32; 3]),
-    NotYet(Lacks),
+    Incomplete(IncompleteReason),
 }
 
 impl Verdict {
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Verdict::Clean => "clean",
             Verdict::Dirty(_) => "dirty",
-            Verdict::NotYet(_) => "not-yet",
+            Verdict::Incomplete(_) => "not-yet",
         }
     }
 }
 
 /// `heard`: processes that this one hears, itself too, of so many that are named.
 pub fn verdict(coverage: &Coverage, least: u32, processes: usize, heard: usize, named: usize) -> Verdict {
-    let flags = coverage.flags();
+    let flags = coverage.difference_counts();
     if flags.iter().any(|n| *n > 0) {
         return Verdict::Dirty(flags);
     }
-    let of = (0..RANGES).map(|range| coverage.of(range));
-    let lacks = Lacks {
-        compared: of.clone().filter(|(compared, _)| *compared < least).count(),
-        seen_by: of.filter(|(_, seen_by)| *seen_by < processes).count(),
-        unheard: if crate::faulty!(CleanWhileCutOff) { 0 } else { named.saturating_sub(heard) },
+    let of = (0..RANGES).map(|range| coverage.range_coverage(range));
+    let lacks = IncompleteReason {
+        ranges_below_comparisons: of.clone().filter(|(compared, _)| *compared < least).count(),
+        ranges_below_processes: of.filter(|(_, seen_by)| *seen_by < processes).count(),
+        silent_members: if crate::faulty!(CleanWhileMembersMissing) {
+            0
+        } else {
+            named.saturating_sub(heard)
+        },
     };
-    if lacks == (Lacks { compared: 0, seen_by: 0, unheard: 0 }) {
+    if lacks
+        == (IncompleteReason { ranges_below_comparisons: 0, ranges_below_processes: 0, silent_members: 0 })
+    {
         Verdict::Clean
     } else {
-        Verdict::NotYet(lacks)
+        Verdict::Incomplete(lacks)
     }
 }
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,19 +1,29 @@
 //! A parent, two children that follow it late, clients that read and write, and processes that compare: on virtual time, from a seed.
 #![allow(dead_code)]
 
-use birchreach_shard_split::judge::Parent;
-use birchreach_shard_split::{Ask, Child, Definition, Flag, Look, Micros, Settings, Sort, Split, Told};
+use birchreach_shard_split::judge::ParentSample;
+use birchreach_shard_split::{
+    Child, ComparisonQuery, ConfirmedDifference, Definition, DifferenceKind, Micros, PositionSample,
+    QueryResult, Settings, SplitVerifier,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
 
 pub fn definition() -> Definition {
-    Definition { from: 0, below: 1, above: 2, at: 1 << 31 }
+    Definition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
 }
 
 pub fn settings(named: usize) -> Settings {
-    Settings { definition: definition(), least: 2, within: 600 * S, processes: 1, confirm: 3 * S, named }
+    Settings {
+        definition: definition(),
+        min_comparisons: 2,
+        coverage_window: 600 * S,
+        min_processes: 1,
+        confirmation_delay: 3 * S,
+        configured_members: named,
+    }
 }
 
 pub fn key(n: usize) -> Vec<u8> {
@@ -53,17 +63,18 @@
     parent: u64,
     children: [(Micros, Micros, u64); 2],
     pub faults: BTreeMap<usize, Fault>,
-    pub all: Vec<Split>,
+    pub all: Vec<SplitVerifier>,
     /// Answers on their way: when, to whom, which, what.
-    under_way: Vec<(Micros, usize, u64, Told)>,
-    pub flags: Vec<Flag>,
+    under_way: Vec<(Micros, usize, u64, QueryResult)>,
+    pub flags: Vec<ConfirmedDifference>,
     pub asked: u64,
 }
 
 impl World {
     pub fn new(seed: u64, processes: usize, keys: usize, trouble: Trouble) -> World {
         let now = 1_000_000 * S;
-        let all = (0..processes).map(|n| Split::new(settings(processes), n as u64 + 1, now)).collect();
+        let all =
+            (0..processes).map(|n| SplitVerifier::new(settings(processes), n as u64 + 1, now)).collect();
         let log = (0..keys).map(|n| (n, vec![(0, n as u64)])).collect();
         World {
             now,
@@ -125,9 +136,9 @@
                     // A replica of the parent may answer from a little ago.
                     let position = self.now - 1 - self.rng.i64(0..30 * MS);
                     let (_, value) = self.at(k, position, false);
-                    self.all[n].served(self.now, 0, &key(k), Some(value));
+                    self.all[n].record_read(self.now, 0, &key(k), Some(value));
                 }
-                for (number, ask, text, _) in self.all[n].ask(self.now, 4) {
+                for (number, ask, text, _) in self.all[n].due_queries(self.now, 4) {
                     self.asked += 1;
                     let told = self.answer(ask, &text);
                     let after = self.rng.i64(2 * MS..200 * MS);
@@ -136,7 +147,7 @@
             }
             let now = self.now;
             for (_, n, number, told) in self.under_way.extract_if(.., |u| u.0 <= now).collect::<Vec<_>>() {
-                self.flags.extend(self.all[n].told(now, number, told));
+                self.flags.extend(self.all[n].record_result(now, number, told));
             }
             self.tell();
         }
@@ -171,30 +182,33 @@
     }
 
     /// What a database answers: positions are told at other times than rows are read.
-    fn answer(&mut self, ask: Ask, text: &[u8]) -> Told {
+    fn answer(&mut self, ask: ComparisonQuery, text: &[u8]) -> QueryResult {
         let n = (0..self.keys).find(|n| key(*n) == text).unwrap_or(0);
         if self.rng.f64() < self.trouble.lost {
-            return Told::Nothing;
+            return QueryResult::NoAnswer;
         }
         let (owner, other) = definition().children(Definition::hash(text));
         let of = |child| if child == Child::Owner { owner as usize - 1 } else { other as usize - 1 };
         let now = self.now;
         let (a, b) = (self.rng.i64(0..40 * MS), self.rng.i64(0..40 * MS));
         match ask {
-            Ask::Glance(child) => {
+            ComparisonQuery::SingleRead(child) => {
                 let row = self.child_row(n, of(child), now);
-                Told::Glance { row, position: Some(self.position(of(child), now + a)) }
+                QueryResult::SingleRead { row, position: Some(self.position(of(child), now + a)) }
             }
-            Ask::Look(child) => {
+            ComparisonQuery::Sample(child) => {
                 let low = self.position(of(child), now);
                 let row = self.child_row(n, of(child), now + a);
                 let high = self.position(of(child), now + a + b);
-                Told::Look { look: Look { row, low, high }, process: self.children[of(child)].2 }
+                QueryResult::Sample {
+                    look: PositionSample { row, position_before: low, position_after: high },
+                    process: self.children[of(child)].2,
+                }
             }
-            Ask::Parent => {
+            ComparisonQuery::SampleParent => {
                 let (since, value) = self.at(n, now, false);
-                Told::Parent {
-                    parent: Parent { row: Some(value), since, seen: now - 1 - a },
+                QueryResult::ParentSample {
+                    parent: ParentSample { row: Some(value), committed_at: since, position: now - 1 - a },
                     process: self.parent,
                 }
             }
@@ -204,26 +218,26 @@
     /// Counters go to all that hear.
     fn tell(&mut self) {
         for n in 0..self.all.len() {
-            let Some(said) = self.all[n].say(self.now) else { continue };
+            let Some(said) = self.all[n].report_if_due(self.now) else { continue };
             let number = self.now as u64;
             for other in (0..self.all.len()).filter(|o| *o != n) {
-                let _ = self.all[other].hear(self.now, n as u64 + 1, number, 0, &said);
+                let _ = self.all[other].receive_report(self.now, n as u64 + 1, number, 0, &said);
             }
         }
     }
 
     /// Keys with a fault that were flagged, by hash; and flags of keys that have none, or of another sort.
-    pub fn found(&self) -> (BTreeSet<usize>, Vec<&Flag>) {
+    pub fn found(&self) -> (BTreeSet<usize>, Vec<&ConfirmedDifference>) {
         let (mut found, mut wrong) = (BTreeSet::new(), Vec::new());
         for f in &self.flags {
-            let n = (0..self.keys).find(|n| Definition::hash(&key(*n)) == f.hash);
+            let n = (0..self.keys).find(|n| Definition::hash(&key(*n)) == f.key_hash);
             let sort = n.and_then(|n| self.faults.get(&n)).map(|fault| match fault {
-                Fault::Missing => Sort::Missing,
-                Fault::Extra => Sort::Extra,
-                Fault::Other => Sort::Differs,
+                Fault::Missing => DifferenceKind::Missing,
+                Fault::Extra => DifferenceKind::Extra,
+                Fault::Other => DifferenceKind::Differs,
             });
             match (n, sort) {
-                (Some(n), Some(sort)) if sort == f.sort => {
+                (Some(n), Some(sort)) if sort == f.kind => {
                     found.insert(n);
                 }
                 _ => wrong.push(f),
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -1,8 +1,8 @@
 //! The rule of comparison, model-checked: a writer whose values go and come back, a parent that may lag itself (deposed, or a replica), two
 //! children that lag, and a comparer that pauses anywhere between a position that it was told and the read behind it. The rule is the crate's own.
 
-use birchreach_shard_split::judge::{Look, Outcome, Parent, outcome};
-use birchreach_shard_split::mutant::{self, Mutant};
+use birchreach_shard_split::faults::{self, Fault};
+use birchreach_shard_split::judge::{Outcome, ParentSample, PositionSample, judge};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const COMMITS: usize = 4;
@@ -21,9 +21,9 @@
         low: usize,
         row: u64,
     },
-    Looked(usize, Look),
+    Looked(usize, PositionSample),
     /// Told the parent's position; what is read of it comes next.
-    CoreEvent(usize, Look, usize),
+    CoreEvent(usize, PositionSample, usize),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -53,7 +53,7 @@
 }
 
 struct Rules {
-    mutant: Option<Mutant>,
+    fault: Option<Fault>,
     /// The second child has another row than it should.
     faulty: bool,
 }
@@ -100,7 +100,7 @@
     }
 
     fn next_state(&self, s: &State, step: Step) -> Option<State> {
-        mutant::set(self.mutant);
+        faults::set(self.fault);
         let mut s = s.clone();
         match (step, s.stage.clone()) {
             (Step::Commit(value), _) => s.log.push(value),
@@ -112,17 +112,25 @@
                 s.stage = Stage::Row { child, low, row };
             }
             (Step::Told, Stage::Row { child, low, row }) => {
-                let look = Look { row: Some(row), low: low as i64, high: s.applied[child] as i64 };
+                let look = PositionSample {
+                    row: Some(row),
+                    position_before: low as i64,
+                    position_after: s.applied[child] as i64,
+                };
                 s.stage = Stage::Looked(child, look);
             }
             (Step::Ask, Stage::Looked(child, look)) => s.stage = Stage::CoreEvent(child, look, s.parent),
             (Step::Answer, Stage::CoreEvent(child, look, seen)) => {
                 let at = s.parent as i64;
-                let parent = Parent { row: s.log.get(s.parent).copied(), since: at, seen: seen as i64 };
-                let how = outcome(parent, look);
+                let parent = ParentSample {
+                    row: s.log.get(s.parent).copied(),
+                    committed_at: at,
+                    position: seen as i64,
+                };
+                let how = judge(parent, look);
                 let faulty = self.faulty && child == 1;
                 s.false_flag |= how == Outcome::Differs && !faulty;
-                let at_rest = look.low as usize == s.log.len() - 1 && seen == s.log.len() - 1;
+                let at_rest = look.position_before as usize == s.log.len() - 1 && seen == s.log.len() - 1;
                 s.overlooked |= faulty && at_rest && how != Outcome::Differs;
                 s.found |= how == Outcome::Differs;
                 s.stage = Stage::Rests;
@@ -141,12 +149,12 @@
     }
 }
 
-fn broken(mutant: Option<Mutant>, faulty: bool) -> Vec<&'static str> {
-    let rules = Rules { mutant, faulty };
+fn broken(fault: Option<Fault>, faulty: bool) -> Vec<&'static str> {
+    let rules = Rules { fault, faulty };
     let checker = rules.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
-    assert!(mutant.is_some() || checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
-    assert!(mutant.is_some() || found.contains_key("a fault is found"), "it shows nothing");
+    assert!(fault.is_some() || checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
+    assert!(fault.is_some() || found.contains_key("a fault is found"), "it shows nothing");
     ["no false flag", "what lasts is found"].into_iter().filter(|name| found.contains_key(name)).collect()
 }
 
@@ -158,6 +166,6 @@
 
 #[test]
 fn each_fault_of_the_rule_is_caught() {
-    assert_eq!(broken(Some(Mutant::IgnoresChanges), false), ["no false flag"]);
-    assert_eq!(broken(Some(Mutant::IgnoresAhead), false), ["no false flag"]);
+    assert_eq!(broken(Some(Fault::IgnoresCommitTime), false), ["no false flag"]);
+    assert_eq!(broken(Some(Fault::IgnoresLaterCommits), false), ["no false flag"]);
 }
--- a/shard-split/tests/noise.rs
+++ b/shard-split/tests/noise.rs
@@ -1,16 +1,19 @@
 //! What cannot be read changes nothing, and what has enough is asked seldom.
 
 mod common;
-use birchreach_shard_split::{Definition, RANGES, Report, Split};
+use birchreach_shard_split::{Definition, RANGES, Report, SplitVerifier};
 use common::{S, Trouble, World, definition, key, settings};
 
 #[test]
 fn noise_changes_nothing() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let report =
-        Report { definition: definition().digest(), compared: vec![300; RANGES], flags: vec![(1, 2, 3)] };
+    let report = Report {
+        definition_digest: definition().digest(),
+        compared: vec![300; RANGES],
+        differences: vec![(1, 2, 3)],
+    };
     let good = report.encode();
-    let mut split = Split::new(settings(2), 1, 0);
+    let mut split = SplitVerifier::new(settings(2), 1, 0);
     for n in 0..50_000u64 {
         let mut bytes = good.clone();
         for _ in 0..rng.usize(1..4) {
@@ -18,16 +21,16 @@
             bytes[at] = rng.u8(..);
         }
         bytes.truncate(rng.usize(..=bytes.len()));
-        let _ = split.hear(S, rng.u64(..), n, 0, &bytes);
+        let _ = split.receive_report(S, rng.u64(..), n, 0, &bytes);
     }
-    assert!(split.origins() <= 4_096);
+    assert!(split.origin_count() <= 4_096);
     for cut in 0..good.len() {
         assert!(Report::decode(&good[..cut]).is_err(), "{cut} bytes of it");
     }
     let bad = |report: Report| Report::decode(&report.encode()).is_err();
     assert!(bad(Report { compared: vec![1; RANGES + 1], ..report.clone() }));
-    assert!(bad(Report { flags: vec![(3, 0, 1)], ..report.clone() }));
-    assert!(bad(Report { flags: vec![(0, RANGES as u8, 1)], ..report }));
+    assert!(bad(Report { differences: vec![(3, 0, 1)], ..report.clone() }));
+    assert!(bad(Report { differences: vec![(0, RANGES as u8, 1)], ..report }));
 }
 
 #[test]
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -23,7 +23,10 @@
         "004000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000",
         "00000000000000000000000000000000000000",
     );
-    assert_recorded(&Report { definition: 0, compared: vec![0; RANGES], flags: Vec::new() }, recorded);
+    assert_recorded(
+        &Report { definition_digest: 0, compared: vec![0; RANGES], differences: Vec::new() },
+        recorded,
+    );
 }
 
 #[test]
@@ -37,13 +40,16 @@
         "8101e8e9860180d08c01e8c59201a0cb9801a8e09e018085a501a8b9ab01a0fdb101e8d0b80180b4bf01e8a6c601a0a9",
         "cd01a8bbd40180dddb01a88ee301a0cfea01e89ff201030000010107ac02023fffffffff0f",
     );
-    assert_recorded(&Report { definition: 0x0123_4567_89ab_cdef, compared, flags }, recorded);
+    assert_recorded(
+        &Report { definition_digest: 0x0123_4567_89ab_cdef, compared, differences: flags },
+        recorded,
+    );
 }
 
 #[test]
 fn definitions_have_the_recorded_digests() {
     let digest = |from, below, above, at| {
-        let definition = Definition { from, below, above, at };
+        let definition = Definition { parent: from, lower_child: below, upper_child: above, split_at: at };
         format!("{:016x}", definition.digest())
     };
     assert_eq!(digest(0, 1, 2, 1 << 31), "67d9e9a838b6c520");
--- a/shard-split/tests/split.rs
+++ b/shard-split/tests/split.rs
@@ -1,8 +1,8 @@
 //! What is flagged, what is covered, and what is said of it; and each check finds its fault.
 
 mod common;
-use birchreach_shard_split::mutant::{Mutant, with};
-use birchreach_shard_split::{Definition, Lacks, RANGES, Report, Split, Verdict};
+use birchreach_shard_split::faults::{Fault as InjectedFault, with};
+use birchreach_shard_split::{Definition, IncompleteReason, RANGES, Report, SplitVerifier, Verdict};
 use common::{Fault, S, Trouble, World, definition, key, settings};
 
 type Held = Result<(), String>;
@@ -56,38 +56,45 @@
 
 fn counts_once() -> Held {
     let of = |n: u32| {
-        let report = Report { definition: definition().digest(), compared: vec![n; RANGES], flags: vec![] };
+        let report = Report {
+            definition_digest: definition().digest(),
+            compared: vec![n; RANGES],
+            differences: vec![],
+        };
         report.encode()
     };
     // By origin, number: each order, some twice.
     let told = [(2u64, 1u64, 5u32), (2, 2, 7), (3, 1, 1), (2, 2, 7), (3, 1, 1), (2, 1, 5)];
     let orders: [[usize; 6]; 3] = [[0, 1, 2, 3, 4, 5], [5, 4, 3, 2, 1, 0], [1, 0, 2, 5, 3, 4]];
     for order in orders {
-        let mut split = Split::new(settings(3), 1, 0);
+        let mut split = SplitVerifier::new(settings(3), 1, 0);
         for (origin, number, n) in order.map(|i| told[i]) {
-            let _ = split.hear(S, origin, number, 0, &of(n));
+            let _ = split.receive_report(S, origin, number, 0, &of(n));
         }
-        hold!(split.covered(0) == (8, 2), "{order:?}: {:?}", split.covered(0));
+        hold!(split.coverage(0) == (8, 2), "{order:?}: {:?}", split.coverage(0));
     }
     Ok(())
 }
 
 fn definitions_do_not_mix() -> Held {
-    let other = Definition { at: 1 << 30, ..definition() };
-    let report = Report { definition: other.digest(), compared: vec![9; RANGES], flags: vec![(0, 3, 1)] };
-    let mut split = Split::new(settings(2), 1, 0);
-    hold!(split.hear(S, 2, 1, 0, &report.encode()).is_err(), "it is taken");
-    hold!(split.covered(0) == (0, 0) && !matches!(split.verdict(2), Verdict::Dirty(_)), "it counts");
+    let other = Definition { split_at: 1 << 30, ..definition() };
+    let report =
+        Report { definition_digest: other.digest(), compared: vec![9; RANGES], differences: vec![(0, 3, 1)] };
+    let mut split = SplitVerifier::new(settings(2), 1, 0);
+    hold!(split.receive_report(S, 2, 1, 0, &report.encode()).is_err(), "it is taken");
+    hold!(split.coverage(0) == (0, 0) && !matches!(split.verdict(2), Verdict::Dirty(_)), "it counts");
     Ok(())
 }
 
 fn clean_is_of_all() -> Held {
-    let of =
-        |compared: Vec<u32>| Report { definition: definition().digest(), compared, flags: vec![] }.encode();
+    let of = |compared: Vec<u32>| {
+        Report { definition_digest: definition().digest(), compared, differences: vec![] }.encode()
+    };
     let new = |compared: &dyn Fn(usize) -> u32| {
-        let mut split = Split::new(birchreach_shard_split::Settings { processes: 2, ..settings(3) }, 1, 0);
+        let mut split =
+            SplitVerifier::new(birchreach_shard_split::Settings { min_processes: 2, ..settings(3) }, 1, 0);
         for origin in 2..=4 {
-            let _ = split.hear(S, origin, 1, 0, &of((0..RANGES).map(compared).collect()));
+            let _ = split.receive_report(S, origin, 1, 0, &of((0..RANGES).map(compared).collect()));
         }
         split
     };
@@ -97,22 +104,38 @@
         new(&|_| 1).verdict(3)
     );
     let one_lacks = new(&|range| u32::from(range != 7)).verdict(3);
-    hold!(one_lacks == Verdict::NotYet(Lacks { compared: 1, seen_by: 1, unheard: 0 }), "{one_lacks:?}");
+    hold!(
+        one_lacks
+            == Verdict::Incomplete(IncompleteReason {
+                ranges_below_comparisons: 1,
+                ranges_below_processes: 1,
+                silent_members: 0
+            }),
+        "{one_lacks:?}"
+    );
     let cut_off = new(&|_| 9).verdict(2);
-    hold!(cut_off == Verdict::NotYet(Lacks { compared: 0, seen_by: 0, unheard: 1 }), "{cut_off:?}");
+    hold!(
+        cut_off
+            == Verdict::Incomplete(IncompleteReason {
+                ranges_below_comparisons: 0,
+                ranges_below_processes: 0,
+                silent_members: 1
+            }),
+        "{cut_off:?}"
+    );
     // What was compared long ago does not count.
-    let mut split = Split::new(settings(1), 1, 0);
+    let mut split = SplitVerifier::new(settings(1), 1, 0);
     let mut world = World::new(1, 1, 600, Trouble::default());
     world.pass(60 * S, 200.0);
     hold!(world.all[0].verdict(1) == Verdict::Clean, "{:?}", world.all[0].verdict(1));
     world.pass(700 * S, 0.0);
     hold!(
-        matches!(world.all[0].verdict(1), Verdict::NotYet(l) if l.compared == RANGES),
+        matches!(world.all[0].verdict(1), Verdict::Incomplete(l) if l.ranges_below_comparisons == RANGES),
         "{:?}",
         world.all[0].verdict(1)
     );
     hold!(
-        split.say(2 * S).is_some() && matches!(split.verdict(1), Verdict::NotYet(_)),
+        split.report_if_due(2 * S).is_some() && matches!(split.verdict(1), Verdict::Incomplete(_)),
         "nothing was compared"
     );
     Ok(())
@@ -123,37 +146,48 @@
     world.faults.extend((0..3_000).map(|n| (n, Fault::Other)));
     world.pass(120 * S, 400.0);
     let split = &world.all[0];
-    let flags = split.flags().count();
+    let flags = split.differences().count();
     hold!(flags > 100, "it shows nothing: {flags}");
-    hold!(split.under_way() <= 64 && flags <= 4 * RANGES, "{} under way, {flags} flags", split.under_way());
-    let mut liar = Split::new(settings(2), 1, 0);
+    hold!(
+        split.comparison_count() <= 64 && flags <= 4 * RANGES,
+        "{} under way, {flags} flags",
+        split.comparison_count()
+    );
+    let mut liar = SplitVerifier::new(settings(2), 1, 0);
     let report =
-        Report { definition: definition().digest(), compared: vec![1; RANGES], flags: vec![] }.encode();
+        Report { definition_digest: definition().digest(), compared: vec![1; RANGES], differences: vec![] }
+            .encode();
     (2..10_000).for_each(|origin| {
-        let _ = liar.hear(S, origin, 1, 0, &report);
+        let _ = liar.receive_report(S, origin, 1, 0, &report);
     });
-    hold!(liar.origins() <= 4_096, "{} origins", liar.origins());
+    hold!(liar.origin_count() <= 4_096, "{} origins", liar.origin_count());
     Ok(())
 }
 
 /// The same difference twice is none where a process was another the second time: a restart or a failover lies between.
 fn processes_stay() -> Held {
-    use birchreach_shard_split::judge::Parent;
-    use birchreach_shard_split::{Ask, Look, Told};
-    let mut split = Split::new(settings(1), 1, 0);
+    use birchreach_shard_split::judge::ParentSample;
+    use birchreach_shard_split::{ComparisonQuery, PositionSample, QueryResult};
+    let mut split = SplitVerifier::new(settings(1), 1, 0);
     let (low, high, seen) = (10 * S, 11 * S, 12 * S);
-    split.served(0, 0, &key(1), Some(1));
-    let flag = |split: &mut Split, now, child, parent| {
+    split.record_read(0, 0, &key(1), Some(1));
+    let flag = |split: &mut SplitVerifier, now, child, parent| {
         let mut flag = None;
-        while let Some((number, ask, ..)) = split.ask(now, 1).pop() {
+        while let Some((number, ask, ..)) = split.due_queries(now, 1).pop() {
             let told = match ask {
-                Ask::Glance(_) => Told::Glance { row: Some(2), position: Some(low) },
-                Ask::Look(_) => Told::Look { look: Look { row: Some(2), low, high }, process: child },
-                Ask::Parent => {
-                    Told::Parent { parent: Parent { row: Some(1), since: S, seen }, process: parent }
+                ComparisonQuery::SingleRead(_) => {
+                    QueryResult::SingleRead { row: Some(2), position: Some(low) }
                 }
+                ComparisonQuery::Sample(_) => QueryResult::Sample {
+                    look: PositionSample { row: Some(2), position_before: low, position_after: high },
+                    process: child,
+                },
+                ComparisonQuery::SampleParent => QueryResult::ParentSample {
+                    parent: ParentSample { row: Some(1), committed_at: S, position: seen },
+                    process: parent,
+                },
             };
-            flag = split.told(now, number, told);
+            flag = split.record_result(now, number, told);
         }
         flag
     };
@@ -201,17 +235,17 @@
 
 #[test]
 fn each_fault_is_caught() {
-    let all: [(Mutant, fn() -> Held); 8] = [
-        (Mutant::IgnoresChanges, only_faults),
-        (Mutant::FlagsAtOnce, only_faults),
-        (Mutant::ForgetsProcesses, processes_stay),
-        (Mutant::NeverFlags, faults_are_found),
-        (Mutant::CountsTwice, counts_once),
-        (Mutant::MixesDefinitions, definitions_do_not_mix),
-        (Mutant::CleanWhileCutOff, clean_is_of_all),
-        (Mutant::KeepsAll, bounded),
+    let all: [(InjectedFault, fn() -> Held); 8] = [
+        (InjectedFault::IgnoresCommitTime, only_faults),
+        (InjectedFault::SkipsConfirmation, only_faults),
+        (InjectedFault::IgnoresRestarts, processes_stay),
+        (InjectedFault::NeverConfirms, faults_are_found),
+        (InjectedFault::CountsTwice, counts_once),
+        (InjectedFault::MixesDefinitions, definitions_do_not_mix),
+        (InjectedFault::CleanWhileMembersMissing, clean_is_of_all),
+        (InjectedFault::KeepsEverything, bounded),
     ];
-    for (mutant, check) in all {
-        assert!(with(mutant, check).is_err(), "{mutant:?} was not caught");
+    for (fault, check) in all {
+        assert!(with(fault, check).is_err(), "{fault:?} was not caught");
     }
 }
