--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -7,7 +7,7 @@
 use crate::observe::Shared;
 use birchreach::ServerId;
 use birchreach_health::agent;
-use birchreach_options::Health;
+use birchreach_options::HealthOptions;
 use std::net::Shutdown;
 
 /// What is read of one at once.
@@ -63,12 +63,12 @@
 
 pub(super) fn serve_grpc(context: &mut EventLoopContext, c: &mut Caller, watch: Watched) -> Serve {
     let Machine::Grpc(machine) = &mut c.machine else { return Serve::Waits };
-    let before = machine.events();
-    let read = if machine.hungry() {
+    let before = machine.activity();
+    let read = if machine.wants_input() {
         let most = PIECE.min(context.scratch.len());
         stream::read(&mut c.stream, &mut context.scratch[..most], |bytes| {
             machine.feed(bytes);
-            machine.hungry()
+            machine.wants_input()
         })
     } else {
         Ok(false)
@@ -77,29 +77,29 @@
         return Serve::Over("reset");
     }
     if read.is_err() {
-        machine.ended();
+        machine.input_ended();
     }
     let now = context.now;
     let Some(watch) = watch else { return Serve::Over("off") };
-    let more = machine.run(watch.borrow_mut().verdict(now));
-    let out = machine.take_out();
+    let more = machine.process(watch.borrow_mut().verdict(now));
+    let out = machine.take_output();
     let Ok(at) = stream::write_some(&mut c.stream, &out) else { return Serve::Over("reset") };
-    machine.put_back(&out[at..]);
-    if machine.events() > before {
+    machine.return_output(&out[at..]);
+    if machine.activity() > before {
         c.active = now;
     }
-    if machine.over() {
+    if machine.is_finished() {
         return Serve::Over("closed");
     }
     // What did not fit into the output before may now.
     let unread = matches!(read, Ok(false)) || more || !out.is_empty();
-    if unread && !machine.has_out() { Serve::More } else { Serve::Waits }
+    if unread && !machine.has_output() { Serve::More } else { Serve::Waits }
 }
 
 pub(super) fn serve_agent(
     context: &mut EventLoopContext,
     c: &mut Caller,
-    options: Option<&Health>,
+    options: Option<&HealthOptions>,
     watch: Watched,
 ) -> Serve {
     let Machine::Agent(machine, reply) = &mut c.machine else { return Serve::Waits };
@@ -134,13 +134,13 @@
 pub(super) fn say(
     context: &mut EventLoopContext,
     asked: &agent::ParsedQuery,
-    options: Option<&Health>,
+    options: Option<&HealthOptions>,
     watch: Watched,
 ) -> Vec<u8> {
     let Some(watch) = watch else { return Vec::new() };
     let mut watch = watch.borrow_mut();
     let verdict = watch.verdict(context.now);
     let maxconn =
-        options.and_then(|o| o.agent.as_ref()).filter(|a| a.maxconn).map(|_| verdict.client_capacity);
+        options.and_then(|o| o.agent.as_ref()).filter(|a| a.reports_maxconn).map(|_| verdict.client_capacity);
     agent::reply(asked, verdict, maxconn).into_bytes()
 }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -73,12 +73,11 @@
             },
             ComparisonQuery::SampleParent => {
                 note(1)?;
-                let (since, value) = commit_time_query::parse_row_with_commit_time(done.replies.get(1)?)?;
-                let row = value.map(|v| self.digest(v));
-                QueryResult::ParentSample {
-                    parent: ParentSample { row, committed_at: since, position: position(0)? },
-                    process,
-                }
+                let row = commit_time_query::parse_row_with_commit_time(done.replies.get(1)?)?;
+                let digest = row.value.map(|value| self.digest(value));
+                let parent =
+                    ParentSample { row: digest, committed_at: row.committed_at, position: position(0)? };
+                QueryResult::ParentSample { parent, process }
             }
         })
     }
