--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -1,5 +1,5 @@
-//! Between the core and the health crate: the proxy's values as facts, and the settings of both put together. It owns
-//! the translation and no decision; the verdict is the monitor's.
+//! Connects the core with the health crate: translates core events and settings into those of the health monitor. It
+//! makes no decision of its own.
 
 use crate::observe::{CoreEvent, Observer};
 use crate::reply::Reply;
@@ -8,54 +8,67 @@
 use birchreach_health::{
     Change, HealthEvent, HealthSettings, Monitor, ProbeOutcome, RequestClass, RequiredServer,
 };
+use birchreach_options::HealthOptions;
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
 
-/// The monitor, and what it was told last of the groups' held writes.
-pub struct Watch {
+/// Feeds the health monitor from the core's events.
+pub struct HealthObserver {
+    /// The monitor.
     pub monitor: Monitor,
-    held: BTreeMap<health::GroupId, Micros>,
+    /// Since when each group's oldest write is queued, as the monitor was told last.
+    writes_queued_since: BTreeMap<health::GroupId, Micros>,
 }
 
-/// What the options and the platform's settings say together. Probes need the platform's leave.
-pub fn settings(
-    options: &birchreach_options::HealthOptions,
-    site: &DeploymentSettings,
-    seed: u64,
-) -> HealthSettings {
-    let needs = |need: &Consistency| match need {
+/// What the event loop must do after an update of the monitor.
+pub struct HealthUpdate {
+    /// When the next update is due, unless an event comes first.
+    pub next_update_at: Micros,
+    /// Changes of the verdict, for the log.
+    pub changes: Vec<Change>,
+    /// Servers to probe now.
+    pub probes: Vec<ServerId>,
+}
+
+/// The monitor's settings from the options and the deployment's settings. Probes are sent only if both allow them.
+pub fn monitor_settings(options: &HealthOptions, site: &DeploymentSettings, seed: u64) -> HealthSettings {
+    let names = site.class_names.iter();
+    let classes = names
+        .zip(&site.routing.classes)
+        .map(|(name, class)| RequestClass { name: name.clone(), needs: required_server(&class.consistency) });
+    let mut settings = HealthSettings { classes: classes.collect(), seed, ..options.settings.clone() };
+    settings.probes = settings.probes.filter(|_| site.routing.health_checks_allowed);
+    settings
+}
+
+fn required_server(consistency: &Consistency) -> RequiredServer {
+    match consistency {
         Consistency::Write | Consistency::Strong => RequiredServer::Primary,
         Consistency::Session | Consistency::BoundedStaleness(_) | Consistency::Any => {
             RequiredServer::AnyMember
         }
-    };
-    let classes = site.class_names.iter().zip(&site.routing.classes);
-    let classes =
-        classes.map(|(name, class)| RequestClass { name: name.clone(), needs: needs(&class.consistency) });
-    let mut settings = HealthSettings { classes: classes.collect(), seed, ..options.settings.clone() };
-    settings.probes = settings.probes.filter(|_| site.routing.health_checks_allowed);
-    settings
+    }
 }
 
-fn group(id: GroupId) -> health::GroupId {
+fn group_id(id: GroupId) -> health::GroupId {
     health::GroupId(id.0)
 }
 
-fn server(id: ServerId) -> health::ServerId {
+fn server_id(id: ServerId) -> health::ServerId {
     health::ServerId(id.0)
 }
 
-/// How an attempt ended, as far as it tells of the server.
-fn how(reply: &Reply) -> ProbeOutcome {
+/// What the end of an attempt tells of its server.
+fn probe_outcome(reply: &Reply) -> ProbeOutcome {
     match reply.outcome {
-        // Each of these was said by the server itself.
+        // The server itself has answered each of these.
         AttemptOutcome::Ok
         | AttemptOutcome::Error
         | AttemptOutcome::Overloaded
         | AttemptOutcome::Ineligible => ProbeOutcome::Answered,
         AttemptOutcome::Timeout => ProbeOutcome::Unanswered,
         AttemptOutcome::ConnectFailed if reply.connection_refused => ProbeOutcome::Refused,
-        // A machine that does not answer a connect is judged like one that breaks connections: by some in a row.
+        // A connect without any answer counts like a reset: only several in a row are evidence.
         AttemptOutcome::ConnectFailed
         | AttemptOutcome::ClosedBeforeExecution
         | AttemptOutcome::ConnectionReset => ProbeOutcome::Reset,
@@ -64,86 +77,95 @@
     }
 }
 
-/// What the server said that it is: in a note, in a report, or by what it did with a write.
-fn role(reply: &Reply, write: bool) -> Option<health::Role> {
-    let told = reply.status.map(|n| n.role).or_else(|| reply.load_report.and_then(|r| r.role));
-    let done = match reply.outcome {
+/// The role that the server reported, or else the one that it showed by serving or rejecting a write.
+fn reported_role(reply: &Reply, write: bool) -> Option<health::Role> {
+    let in_status = reply.status.map(|status| status.role);
+    let in_load_report = || reply.load_report.and_then(|report| report.role);
+    let shown = match reply.outcome {
         AttemptOutcome::Ok if write => Some(Role::Primary),
         AttemptOutcome::Ineligible if write => Some(Role::Replica),
         _ => None,
     };
-    Some(match told.or(done)? {
+    Some(match in_status.or_else(in_load_report).or(shown)? {
         Role::Primary => health::Role::Primary,
         Role::Replica => health::Role::Replica,
     })
 }
 
-impl Watch {
-    pub fn new(settings: HealthSettings, now: Micros) -> Watch {
-        Watch { monitor: Monitor::new(settings, now), held: BTreeMap::new() }
+impl HealthObserver {
+    /// An observer with a monitor that starts now.
+    pub fn new(settings: HealthSettings, now: Micros) -> HealthObserver {
+        HealthObserver { monitor: Monitor::new(settings, now), writes_queued_since: BTreeMap::new() }
     }
 
     /// The verdict as of now.
     pub fn verdict(&mut self, now: Micros) -> &health::Verdict {
-        self.step(now);
+        self.update_if_due(now);
         self.monitor.verdict()
     }
 
-    /// When the verdict may change next, what has changed, and who is to be probed now.
-    pub fn news(&mut self, now: Micros) -> (Micros, Vec<Change>, Vec<health::ServerId>) {
-        self.step(now);
-        (self.monitor.next_change(), self.monitor.take_changes(), self.monitor.take_probes())
+    /// Updates the monitor if that is due, and takes what the event loop must do.
+    pub fn update(&mut self, now: Micros) -> HealthUpdate {
+        self.update_if_due(now);
+        let probes = self.monitor.take_probes();
+        HealthUpdate {
+            next_update_at: self.monitor.next_change(),
+            changes: self.monitor.take_changes(),
+            probes: probes.into_iter().map(|server| ServerId(server.0)).collect(),
+        }
     }
 
-    fn step(&mut self, now: Micros) {
+    fn update_if_due(&mut self, now: Micros) {
         if self.monitor.next_change() <= now {
             self.monitor.update(now);
         }
     }
 
-    /// Since when each group's oldest write is held; groups that are not named have none.
-    fn held(&mut self, now: Micros, held: &[(GroupId, Micros)]) {
+    /// Takes the queued writes, each with its group and since when it is queued. Groups that aren't named have none.
+    fn record_queued_writes(&mut self, now: Micros, writes: &[(GroupId, Micros)]) {
         let mut oldest: BTreeMap<health::GroupId, Micros> = BTreeMap::new();
-        for (of, since) in held {
-            let at = oldest.entry(group(*of)).or_insert(*since);
+        for (group, since) in writes {
+            let at = oldest.entry(group_id(*group)).or_insert(*since);
             *at = (*since).min(*at);
         }
-        for group in self.held.keys().filter(|g| !oldest.contains_key(g)) {
+        for group in self.writes_queued_since.keys().filter(|group| !oldest.contains_key(group)) {
             self.monitor.handle_event(now, HealthEvent::WritesQueued { group: *group, since: None });
         }
         for (group, since) in &oldest {
             self.monitor.handle_event(now, HealthEvent::WritesQueued { group: *group, since: Some(*since) });
         }
-        self.held = oldest;
+        self.writes_queued_since = oldest;
     }
 }
 
-impl Observer for Watch {
-    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
-        let fact = match seen {
-            CoreEvent::Listed { server: id, group: of, primary, up, .. } => {
-                HealthEvent::ServerListed { server: server(id), group: group(of), primary, up }
+impl Observer for HealthObserver {
+    fn on_event(&mut self, now: Micros, event: CoreEvent<'_>) {
+        let event = match event {
+            CoreEvent::Listed { server, group, primary, up, .. } => {
+                HealthEvent::ServerListed { server: server_id(server), group: group_id(group), primary, up }
             }
-            CoreEvent::Unlisted { server: id, .. } => HealthEvent::ServerUnlisted { server: server(id) },
-            CoreEvent::AttemptSent { server: id } => HealthEvent::RequestSent { server: server(id) },
-            CoreEvent::AttemptEnded { server: id, write, reply, .. } => HealthEvent::RequestEnded {
-                server: server(id),
+            CoreEvent::Unlisted { server, .. } => HealthEvent::ServerUnlisted { server: server_id(server) },
+            CoreEvent::AttemptSent { server } => HealthEvent::RequestSent { server: server_id(server) },
+            CoreEvent::AttemptEnded { server, write, reply, .. } => HealthEvent::RequestEnded {
+                server: server_id(server),
                 write,
-                outcome: how(reply),
-                role: role(reply, write),
+                outcome: probe_outcome(reply),
+                role: reported_role(reply, write),
             },
-            CoreEvent::MonitorCheckEnded { server: id, reply } => {
-                HealthEvent::ProbeEnded { server: server(id), outcome: how(reply), role: role(reply, false) }
-            }
-            CoreEvent::ServerAlive { server: id } => HealthEvent::ServerAlive { server: server(id) },
-            CoreEvent::ReadFinished { group: of, served } => {
-                HealthEvent::ReadEnded { group: group(of), served }
+            CoreEvent::MonitorCheckEnded { server, reply } => HealthEvent::ProbeEnded {
+                server: server_id(server),
+                outcome: probe_outcome(reply),
+                role: reported_role(reply, false),
+            },
+            CoreEvent::ServerAlive { server } => HealthEvent::ServerAlive { server: server_id(server) },
+            CoreEvent::ReadFinished { group, served } => {
+                HealthEvent::ReadEnded { group: group_id(group), served }
             }
             CoreEvent::DiscoveryAnswered => HealthEvent::DiscoveryAnswered,
-            CoreEvent::QueuedWrites { writes } => return self.held(now, writes),
-            // Of no concern to balancers.
+            CoreEvent::QueuedWrites { writes } => return self.record_queued_writes(now, writes),
+            // The others don't concern the proxy's health.
             _ => return,
         };
-        self.monitor.handle_event(now, fact);
+        self.monitor.handle_event(now, event);
     }
 }
--- a/proxy/src/net/admin_calls.rs
+++ b/proxy/src/net/admin_calls.rs
@@ -41,6 +41,6 @@
     }
 
     fn has_balancers(&self) -> bool {
-        self.health.watch.is_some()
+        self.health.observer.is_some()
     }
 }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -1,200 +1,223 @@
-//! What balancers are told, as far as the loop has to do with it: the monitor's times and probes, the load, and at which instant
-//! one process of this proxy yields to the next. The verdict is the monitor's.
+//! The event loop's part in health reporting: the monitor's timers and probes, the load, and the time at which one
+//! process of this proxy hands over to the next.
 
 use super::EventLoop;
+use super::checks::ListenError;
 use super::timer_events::TimerEvent;
-use crate::health::{self, Watch};
+use crate::health::{self, HealthObserver, HealthUpdate};
 use crate::observe::{Observer, Shared, shared};
-use birchreach::{Micros, ServerId};
+use birchreach::Micros;
 use birchreach_health::{Change, HealthEvent};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// How often the monitor is told of the load.
-const HEALTH_TICK: Micros = 250_000;
-/// One process yields to the next so long after it said so: the word has arrived by then, and both act at one instant.
-const YIELD: Micros = 20_000;
-/// One that replaces another waits so long for that word; an older program does not say it.
-const NO_WORD: Micros = 1_000_000;
-/// It listens for checks a little before it answers them, so that nobody finds the address closed.
-const EARLY: Micros = 10_000;
+/// How often the load is reported to the monitor.
+const LOAD_INTERVAL_MICROS: Micros = 250_000;
+/// The handover happens this long after it is announced, so that the announcement has arrived and both processes act
+/// at the same time.
+const HANDOVER_DELAY_MICROS: Micros = 20_000;
+/// A process that replaces another waits this long for the announcement, which earlier releases don't send.
+const ANNOUNCEMENT_TIMEOUT_MICROS: Micros = 1_000_000;
+/// It opens its check listeners this long before it answers, so that no balancer finds the address closed.
+const LISTEN_AHEAD_MICROS: Micros = 10_000;
 
-/// What balancers are told, as far as the loop has to do with it.
+/// The state of health reporting.
 #[derive(Default)]
-pub(super) struct Balancers {
-    /// What they are told, where they are told anything; it listens to the core.
-    pub watch: Option<Shared<Watch>>,
-    /// When the timer that is set goes off, if one is.
-    pub timer: Option<Micros>,
-    pub ticking: bool,
-    pub ticked: Micros,
-    /// How long the loop has slept since.
+pub(super) struct HealthReporting {
+    /// Keeps the verdict, if the options have a health element. It is subscribed to the core.
+    pub observer: Option<Shared<HealthObserver>>,
+    /// When the timer for the monitor's next update is due, if one is set.
+    pub update_timer: Option<Micros>,
+    /// The timer for the next load report is set.
+    load_timer_set: bool,
+    load_reported_at: Micros,
+    /// How long the loop has slept since the last load report.
     pub slept: Micros,
-    /// This process has told the next when it yields; it was told when the one before does.
-    pub yielding: bool,
-    pub ready_at: Micros,
-    pub yields_heard: bool,
+    /// This process has announced its handover to the next one.
+    pub handing_over: bool,
+    /// This process isn't ready before this time.
+    ready_at: Micros,
+    /// It is known when the predecessor hands over.
+    handover_time_known: bool,
 }
 
 impl EventLoop {
-    /// Balancers are told, where the options say so.
-    pub(super) fn start_health(&mut self) -> Result<(), String> {
-        self.watch();
-        let health = self.config.options.health.clone();
-        let predecessor = self.handover.has_predecessor();
-        // The one that this process replaces answers until it yields.
-        let opened = self.checks.open(if predecessor { None } else { health.as_ref() })?;
-        self.checks.take(&mut self.context, health, opened);
-        if predecessor {
-            self.ready_from(self.context.now + NO_WORD);
+    /// Starts health reporting, if the options have a health element.
+    pub(super) fn start_health(&mut self) -> Result<(), ListenError> {
+        self.configure_health();
+        let options = self.config.options.health.clone();
+        let has_predecessor = self.handover.has_predecessor();
+        // The predecessor answers balancers until the handover.
+        let opened = self.checks.open(if has_predecessor { None } else { options.as_ref() })?;
+        self.checks.apply_options(&mut self.context, options, opened);
+        if has_predecessor {
+            self.set_ready_at(self.context.now + ANNOUNCEMENT_TIMEOUT_MICROS);
         }
         Ok(())
     }
 
-    /// Has a monitor with the settings that are in force, or none.
-    pub(super) fn watch(&mut self) {
+    /// Starts, reconfigures or ends the monitor as the configuration in force says.
+    pub(super) fn configure_health(&mut self) {
         let Some(options) = &self.config.options.health else {
-            if let Some(watch) = self.health.watch.take() {
-                self.context.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
+            if let Some(observer) = self.health.observer.take() {
+                self.context.core.unsubscribe(&(observer as Rc<RefCell<dyn Observer>>));
             }
-            self.checks.watch = None;
+            self.checks.observer = None;
             return;
         };
-        let settings = health::settings(options, &self.config.site, self.config.seed);
+        let now = self.context.now;
+        let settings = health::monitor_settings(options, &self.config.site, self.config.seed);
         if options.settings.probes.is_some() && settings.probes.is_none() {
             warn!(event = "health-probes-off", reason = "the settings do not allow probes");
         }
-        let timeout = settings.probes.as_ref().map_or(0, |probes| probes.timeout);
-        self.pool.set_monitor_check_timeout(timeout);
-        match &self.health.watch {
-            Some(watch) => watch.borrow_mut().monitor.apply_settings(self.context.now, settings),
+        let probe_timeout = settings.probes.as_ref().map_or(0, |probes| probes.timeout);
+        self.pool.set_monitor_check_timeout(probe_timeout);
+        match &self.health.observer {
+            Some(observer) => observer.borrow_mut().monitor.apply_settings(now, settings),
             None => {
-                let watch = shared(Watch::new(settings, self.context.now));
-                self.context.core.subscribe(self.context.now, watch.clone());
-                self.checks.watch = Some(watch.clone());
-                self.health.watch = Some(watch);
+                let observer = shared(HealthObserver::new(settings, now));
+                self.context.core.subscribe(now, observer.clone());
+                self.checks.observer = Some(observer.clone());
+                self.health.observer = Some(observer);
             }
         }
-        if !std::mem::replace(&mut self.health.ticking, true) {
-            (self.health.ticked, self.health.slept) = (self.context.now, 0);
-            self.context.timers.set(self.context.now + HEALTH_TICK, TimerEvent::HealthTick);
+        if !std::mem::replace(&mut self.health.load_timer_set, true) {
+            self.health.load_reported_at = now;
+            self.health.slept = 0;
+            self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
         }
     }
 
-    /// This process is not to be called ready before then.
-    fn ready_from(&mut self, at: Micros) {
+    fn set_ready_at(&mut self, at: Micros) {
         self.health.ready_at = at;
         self.record_health_event(HealthEvent::ReadyAt(at));
-        self.checks.not_before(at);
-        self.context.timers.set(at - EARLY, TimerEvent::OpenCheckListeners);
+        self.checks.accept_from(at);
+        self.context.timers.set(at - LISTEN_AHEAD_MICROS, TimerEvent::OpenCheckListeners);
     }
 
-    /// One process of this proxy yields to the next at an instant that both know, so that balancers never find both
-    /// down, nor both up for new work.
+    /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both
+    /// unavailable, nor both available.
     pub(super) fn negotiate_handover(&mut self) {
-        if self.health.watch.is_none() {
+        if self.health.observer.is_none() {
             return;
         }
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let unix = i64::try_from(unix.as_micros()).unwrap_or(i64::MAX);
+        let unix_now = unix_micros();
+        self.announce_handover(unix_now);
+        self.await_handover(unix_now);
+    }
+
+    /// Announces the handover to a process that replaces this one, or revokes it when that process has gone.
+    fn announce_handover(&mut self, unix_now: Micros) {
         let replaced = self.handover.is_replaced();
-        if replaced != self.health.yielding {
-            self.health.yielding = replaced;
-            let at = replaced.then_some(self.context.now + YIELD);
-            self.record_health_event(HealthEvent::HandoverAt(at));
-            match at {
-                Some(at) => {
-                    self.handover.announce_stop_accepting(&mut self.context, unix + YIELD);
-                    self.context.timers.set(at, TimerEvent::StopAcceptingChecks);
-                }
-                None => self.checks.reopen(&mut self.context),
+        if replaced == self.health.handing_over {
+            return;
+        }
+        self.health.handing_over = replaced;
+        let handover_at = replaced.then_some(self.context.now + HANDOVER_DELAY_MICROS);
+        self.record_health_event(HealthEvent::HandoverAt(handover_at));
+        match handover_at {
+            Some(at) => {
+                let unix_at = unix_now + HANDOVER_DELAY_MICROS;
+                self.handover.announce_stop_accepting(&mut self.context, unix_at);
+                self.context.timers.set(at, TimerEvent::StopAcceptingChecks);
             }
+            None => self.checks.reopen_listeners(&mut self.context),
         }
-        if self.health.ready_at > self.context.now && !self.health.yields_heard {
-            let left = match self.handover.predecessor_stops_accepting_at() {
-                Some(at) => (at - unix).clamp(0, NO_WORD),
-                None if self.handover.has_predecessor() => return,
-                None => 0,
-            };
-            self.health.yields_heard = true;
-            self.ready_from(self.context.now + left);
+    }
+
+    /// Gets ready at the time that the predecessor announces, or at once if it has gone.
+    fn await_handover(&mut self, unix_now: Micros) {
+        if self.health.ready_at <= self.context.now || self.health.handover_time_known {
+            return;
         }
+        let time_left = match self.handover.predecessor_stops_accepting_at() {
+            Some(at) => (at - unix_now).clamp(0, ANNOUNCEMENT_TIMEOUT_MICROS),
+            None if self.handover.has_predecessor() => return,
+            None => 0,
+        };
+        self.health.handover_time_known = true;
+        self.set_ready_at(self.context.now + time_left);
     }
 
-    /// What this process has to carry: the share of the time that its loop did not sleep, and of the descriptors for
-    /// databases that have something out.
+    /// Reports the load to the monitor. The pressure is the greater of two fractions: of the time that the loop did not
+    /// sleep, and of the connections for databases that have an attempt in flight.
     pub(super) fn report_load(&mut self) {
-        if self.health.watch.is_none() {
-            self.health.ticking = false;
+        if self.health.observer.is_none() {
+            self.health.load_timer_set = false;
             return;
         }
-        let span = (self.context.now - self.health.ticked).max(1);
-        let busy = 1.0 - self.health.slept as f64 / span as f64;
-        (self.health.ticked, self.health.slept) = (self.context.now, 0);
+        let now = self.context.now;
+        let elapsed = (now - self.health.load_reported_at).max(1);
+        let busy = 1.0 - self.health.slept as f64 / elapsed as f64;
+        self.health.load_reported_at = now;
+        self.health.slept = 0;
         let (for_clients, for_databases) = self.connection_limits();
-        let out = self.context.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
-        let held = self.context.core.report_queued(self.context.now);
+        let in_flight = self.context.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
+        let queued = self.context.core.report_queued(now);
         let in_progress = self.context.core.open_request_count();
-        let pressure = busy.max(out);
         self.record_health_event(HealthEvent::Load {
-            pressure,
+            pressure: busy.max(in_flight),
             in_progress,
-            queued: held,
+            queued,
             client_capacity: for_clients,
         });
-        self.context.timers.set(self.context.now + HEALTH_TICK, TimerEvent::HealthTick);
+        self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
     }
 
-    /// Looks at what balancers are told, if it may have changed; sends the probes that are due.
+    /// Updates the verdict if it may have changed, and sends the probes that are due.
     pub(super) fn update_health(&mut self) {
-        let Some(watch) = &self.health.watch else { return };
-        let (next, changes, probes) = watch.borrow_mut().news(self.context.now);
-        let changed = !changes.is_empty();
-        for change in changes {
-            match change {
-                Change::State { from, to, reason } => {
-                    info!(
-                        event = "health",
-                        state = to.as_str(),
-                        was = from.as_str(),
-                        reason = reason.as_str()
-                    );
-                }
-                Change::Capability { group, operation: kind, available: able, reason } => {
-                    let (kind, reason) = (kind.as_str(), reason.as_str());
-                    info!(event = "health-claim", group = group.0, kind, able, reason);
-                }
-            }
+        let Some(observer) = &self.health.observer else { return };
+        let HealthUpdate { next_update_at, changes, probes } = observer.borrow_mut().update(self.context.now);
+        if !changes.is_empty() {
+            changes.iter().for_each(log_change);
+            self.checks.notify_watches(&mut self.context);
         }
-        if changed {
-            self.checks.changed(&mut self.context);
-        }
-        if self.health.timer.is_none_or(|at| next < at) {
-            self.health.timer = Some(next);
-            self.context.timers.set(next, TimerEvent::HealthChange);
+        if self.health.update_timer.is_none_or(|at| next_update_at < at) {
+            self.health.update_timer = Some(next_update_at);
+            self.context.timers.set(next_update_at, TimerEvent::HealthChange);
         }
         if !probes.is_empty() {
             for server in probes {
-                self.pool.start_monitor_check(&mut self.context, ServerId(server.0));
+                self.pool.start_monitor_check(&mut self.context, server);
             }
             self.carry_out();
         }
     }
 
-    /// Something that the core does not see.
-    pub(super) fn record_health_event(&self, fact: HealthEvent) {
-        if let Some(watch) = &self.health.watch {
-            watch.borrow_mut().monitor.handle_event(self.context.now, fact);
+    /// Tells the monitor of an event that the core doesn't see.
+    pub(super) fn record_health_event(&self, event: HealthEvent) {
+        if let Some(observer) = &self.health.observer {
+            observer.borrow_mut().monitor.handle_event(self.context.now, event);
         }
     }
 
-    /// Checks listen again if they may and do not.
+    /// Closes check connections that are due, and opens check listeners that should be open and aren't.
     pub(super) fn reopen_check_listeners(&mut self) {
-        self.checks.sweep(&mut self.context);
-        if self.checks.lacks() && !self.health.yielding && self.context.now >= self.health.ready_at - EARLY {
-            self.checks.reopen(&mut self.context);
+        self.checks.close_inactive(&mut self.context);
+        let may_listen = self.context.now >= self.health.ready_at - LISTEN_AHEAD_MICROS;
+        if self.checks.lacks_listener() && !self.health.handing_over && may_listen {
+            self.checks.reopen_listeners(&mut self.context);
+        }
+    }
+}
+
+fn log_change(change: &Change) {
+    match *change {
+        Change::State { from, to, reason } => {
+            let (state, was, reason) = (to.as_str(), from.as_str(), reason.as_str());
+            info!(event = "health", state, was, reason);
+        }
+        Change::Capability { group, operation, available, reason } => {
+            let (kind, able, reason) = (operation.as_str(), available, reason.as_str());
+            info!(event = "health-claim", group = group.0, kind, able, reason);
         }
     }
 }
+
+/// The time of day, by which two processes agree on an instant.
+fn unix_micros() -> Micros {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    i64::try_from(since_epoch.as_micros()).unwrap_or(i64::MAX)
+}
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -1,163 +1,189 @@
-//! The listeners for balancers' checks: opened and closed with the options, or for another process of this proxy.
+//! The listeners for balancers' checks: opened and closed as the options say, and for another process of this proxy.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
-use super::{Checks, Kind};
+use super::HealthCheckServer;
+use super::connection::{CheckCloseReason, CheckProtocol, wanted_listeners};
+use crate::log::Quoted;
 use birchreach::Micros;
-use birchreach_options::{CheckListener, HealthOptions};
+use birchreach_options::HealthOptions;
 use mio::Interest;
 use mio::net::TcpListener;
+use std::fmt;
+use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Accepted in one turn of the loop at most, by each listener.
-const TURN: usize = 64;
-/// The queue of connections not yet accepted.
-const BACKLOG: i32 = 1024;
-
-pub(super) struct Listening {
-    pub(super) kind: Kind,
-    pub(super) listener: TcpListener,
-    pub(super) address: SocketAddr,
-    /// More may wait to be accepted.
-    pub(super) waiting: bool,
+/// The most connections accepted of one listener in one turn.
+const MAX_ACCEPTED_PER_TURN: usize = 64;
+/// The length of the queue of connections that aren't accepted yet.
+const LISTEN_BACKLOG: i32 = 1024;
+
+pub(super) struct OpenListener {
+    protocol: CheckProtocol,
+    socket: TcpListener,
+    address: SocketAddr,
+    /// Connections may wait to be accepted.
+    pub(super) may_have_waiting: bool,
 }
 
-/// Listeners opened for options that are not in force yet.
-pub struct Opened(Vec<Listening>);
+/// Listeners opened for options that aren't in force yet.
+pub struct OpenedListeners(Vec<OpenListener>);
 
-pub(super) fn check_listeners(options: &HealthOptions) -> impl Iterator<Item = (Kind, &CheckListener)> {
-    let http = options.http.as_ref().map(|http| (Kind::Http, &http.listener));
-    let agent = options.agent.as_ref().map(|agent| (Kind::Agent, &agent.listener));
-    let grpc = options.grpc.as_ref().map(|grpc| (Kind::Grpc, &grpc.listener));
-    http.into_iter().chain(agent).chain(grpc)
+/// A listener could not be opened.
+#[derive(Debug)]
+pub struct ListenError {
+    protocol: CheckProtocol,
+    address: SocketAddr,
+    source: io::Error,
 }
 
-fn listen(address: SocketAddr, shared: bool) -> std::io::Result<TcpListener> {
+impl fmt::Display for ListenError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let ListenError { protocol, address, source } = self;
+        write!(f, "listening for {protocol} checks on {address}: {source}")
+    }
+}
+
+impl std::error::Error for ListenError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        Some(&self.source)
+    }
+}
+
+fn listen(address: SocketAddr, shares_address: bool) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    if shared {
+    if shares_address {
         socket.set_reuse_port(true)?;
     }
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(TcpListener::from_std(socket.into()))
 }
 
-impl Checks {
-    /// Opens what these options want and is not open; those in force are not touched.
-    pub fn open(&self, options: Option<&HealthOptions>) -> Result<Opened, String> {
+impl HealthCheckServer {
+    /// Opens the listeners that these options ask for and that aren't open; those in force stay as they are.
+    pub fn open(&self, options: Option<&HealthOptions>) -> Result<OpenedListeners, ListenError> {
         let mut opened = Vec::new();
-        for (kind, check_listener) in options.into_iter().flat_map(check_listeners) {
-            if self.listening.iter().any(|l| l.kind == kind && l.address == check_listener.address) {
+        for (protocol, wanted) in options.into_iter().flat_map(wanted_listeners) {
+            let address = wanted.address;
+            let is_open = |open: &OpenListener| open.protocol == protocol && open.address == address;
+            if self.listeners.iter().any(is_open) {
                 continue;
             }
-            let failed =
-                |e| format!("listening for {} checks on {}: {e}", kind.word(), check_listener.address);
-            let listener = listen(check_listener.address, self.shared).map_err(failed)?;
-            opened.push(Listening { kind, listener, address: check_listener.address, waiting: true });
+            let socket = listen(address, self.shares_addresses).map_err(|source| ListenError {
+                protocol,
+                address,
+                source,
+            })?;
+            opened.push(OpenListener { protocol, socket, address, may_have_waiting: true });
         }
-        Ok(Opened(opened))
+        Ok(OpenedListeners(opened))
     }
 
-    /// These options are in force from now on.
-    pub fn take(&mut self, context: &mut EventLoopContext, options: Option<HealthOptions>, opened: Opened) {
-        let wanted = |l: &Listening| {
-            options
-                .iter()
-                .flat_map(check_listeners)
-                .any(|(kind, check_listener)| kind == l.kind && check_listener.address == l.address)
+    /// Puts these options in force, with the listeners that were opened for them.
+    pub fn apply_options(
+        &mut self,
+        context: &mut EventLoopContext,
+        options: Option<HealthOptions>,
+        opened: OpenedListeners,
+    ) {
+        let is_wanted = |open: &OpenListener| {
+            let mut wanted = options.iter().flat_map(wanted_listeners);
+            wanted.any(|(protocol, wanted)| protocol == open.protocol && wanted.address == open.address)
         };
-        let (stay, mut go): (Vec<_>, Vec<_>) = self.listening.drain(..).partition(wanted);
-        self.listening = stay;
-        for l in &mut go {
-            let _ = context.registry.deregister(&mut l.listener);
-        }
-        drop(go);
-        for mut l in opened.0 {
-            if let Err(e) =
-                context.registry.register(&mut l.listener, l.kind.source().token(), Interest::READABLE)
-            {
-                warn!(event = "health-failed", error = %crate::log::Quoted(e));
-                continue;
-            }
-            let at = l.listener.local_addr().unwrap_or(l.address);
-            info!(event = "health-listening", kind = l.kind.word(), at = %at);
-            self.listening.push(l);
+        let (kept, unwanted): (Vec<_>, Vec<_>) = self.listeners.drain(..).partition(is_wanted);
+        self.listeners = kept;
+        unwanted.into_iter().for_each(|listener| close_listener(context, listener));
+        for listener in opened.0 {
+            self.register(context, listener);
         }
         if options.is_none() {
-            let keys: Vec<usize> = self.slots.iter().map(|(key, _)| key).collect();
-            keys.into_iter().for_each(|key| self.close(context, key, "off"));
+            let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
+            keys.into_iter().for_each(|key| self.close(context, key, CheckCloseReason::Off));
         }
         self.options = options;
     }
 
+    fn register(&mut self, context: &mut EventLoopContext, mut listener: OpenListener) {
+        let token = listener.protocol.source().token();
+        if let Err(error) = context.registry.register(&mut listener.socket, token, Interest::READABLE) {
+            warn!(event = "health-failed", error = %Quoted(error));
+            return;
+        }
+        let at = listener.socket.local_addr().unwrap_or(listener.address);
+        info!(event = "health-listening", kind = listener.protocol.as_str(), at = %at);
+        self.listeners.push(listener);
+    }
+
     /// Opens the listeners again that were closed for another process.
-    pub fn reopen(&mut self, context: &mut EventLoopContext) {
+    pub fn reopen_listeners(&mut self, context: &mut EventLoopContext) {
         match self.open(self.options.as_ref()) {
             Ok(opened) => {
                 let options = self.options.take();
-                self.take(context, options, opened);
+                self.apply_options(context, options, opened);
             }
-            Err(e) => warn!(event = "health-failed", error = %crate::log::Quoted(e)),
+            Err(error) => warn!(event = "health-failed", error = %Quoted(error)),
         }
     }
 
-    /// Another process answers from now on where it listens too; whoever is connected here hears on.
+    /// Closes the listeners where another process listens too and answers from now on. Connections stay open.
     pub fn stop_listening(&mut self, context: &mut EventLoopContext) {
-        if self.shared {
-            self.listening.iter_mut().for_each(|l| l.waiting = true);
-            self.accept(context);
-            for mut l in self.listening.drain(..) {
-                let _ = context.registry.deregister(&mut l.listener);
-            }
+        if !self.shares_addresses {
+            return;
         }
+        self.listeners.iter_mut().for_each(|listener| listener.may_have_waiting = true);
+        self.accept(context);
+        self.listeners.drain(..).for_each(|listener| close_listener(context, listener));
     }
 
-    /// Some listener that the options want is not open.
-    pub fn lacks(&self) -> bool {
-        self.options.as_ref().is_some_and(|o| check_listeners(o).count() > self.listening.len())
+    /// Some listener that the options ask for isn't open.
+    pub fn lacks_listener(&self) -> bool {
+        let wanted = self.options.iter().flat_map(wanted_listeners).count();
+        wanted > self.listeners.len()
     }
 
-    /// Nobody is to be accepted before this time.
-    pub fn not_before(&mut self, from: Micros) {
-        self.from = from;
+    /// No connection is accepted before this time.
+    pub fn accept_from(&mut self, at: Micros) {
+        self.accepts_from = at;
     }
 
-    pub fn accept_ready(&mut self, source: Source) {
-        self.listening.iter_mut().filter(|l| l.kind.source() == source).for_each(|l| l.waiting = true);
+    /// A listener has connections to accept.
+    pub fn listener_ready(&mut self, source: Source) {
+        let ready = self.listeners.iter_mut().filter(|listener| listener.protocol.source() == source);
+        ready.for_each(|listener| listener.may_have_waiting = true);
     }
 
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
-        if context.now < self.from {
+        if context.now < self.accepts_from {
             return;
         }
-        for at in 0..self.listening.len() {
-            for _ in 0..TURN {
-                let l = &mut self.listening[at];
-                if !l.waiting {
+        for index in 0..self.listeners.len() {
+            for _ in 0..MAX_ACCEPTED_PER_TURN {
+                let listener = &mut self.listeners[index];
+                if !listener.may_have_waiting {
                     break;
                 }
-                match l.listener.accept() {
+                match listener.socket.accept() {
                     Ok((stream, _)) => {
-                        let kind = l.kind;
-                        self.admit(context, stream, kind);
+                        let protocol = listener.protocol;
+                        self.add(context, stream, protocol);
                     }
-                    Err(e) => {
-                        use std::io::ErrorKind::{ConnectionAborted, Interrupted};
-                        // Those who wait are told of again with the next who comes, and looked for by the sweep.
-                        l.waiting = matches!(e.kind(), ConnectionAborted | Interrupted);
+                    // After other errors, the next connection or `close_inactive` makes it try again.
+                    Err(error) => {
+                        listener.may_have_waiting =
+                            matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted);
                     }
                 }
             }
         }
     }
+}
 
-    pub(super) fn check_listener(&self, kind: Kind) -> Option<&CheckListener> {
-        check_listeners(self.options.as_ref()?)
-            .find(|(k, _)| *k == kind)
-            .map(|(_, check_listener)| check_listener)
-    }
+fn close_listener(context: &mut EventLoopContext, mut listener: OpenListener) {
+    // Closing the socket deregisters it as well.
+    let _ = context.registry.deregister(&mut listener.socket);
 }
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -1,146 +1,186 @@
-//! A caller's turn: what it asks is read, and answered with the monitor's verdict of this moment.
+//! One turn of a balancer's connection: its requests are read, and answered from the verdict as of now.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
-use super::{Caller, Machine};
-use crate::health::Watch;
+use super::connection::{CheckCloseReason, CheckConnection, ProtocolState};
+use crate::grpc::GrpcCheckConnection;
+use crate::health::HealthObserver;
 use crate::observe::Shared;
 use birchreach::ServerId;
-use birchreach_health::agent;
+use birchreach_health::agent::{self, AgentCheckConnection, ParsedQuery};
+use birchreach_health::http::HttpCheckConnection;
 use birchreach_options::HealthOptions;
+use mio::net::TcpStream;
 use std::net::Shutdown;
 
-/// What is read of one at once.
-const PIECE: usize = 8 << 10;
+/// The most that is read of one connection at once.
+const MAX_READ_BYTES: usize = 8 << 10;
 
-/// Whose verdict is told, where anything is.
-type Watched<'a> = Option<&'a Shared<Watch>>;
+/// How a connection goes on after its turn.
+pub(super) enum Progress {
+    /// It is to be closed.
+    Finished(CheckCloseReason),
+    /// It has more to do, of which the socket will not tell.
+    MoreToDo,
+    /// It waits for its socket.
+    WaitsForSocket,
+}
 
-pub(super) enum Serve {
-    Over(&'static str),
-    /// More than one turn takes.
-    More,
-    Waits,
+/// What all connections answer from.
+#[derive(Clone, Copy)]
+pub(super) struct AnswerSource<'a> {
+    pub(super) options: Option<&'a HealthOptions>,
+    pub(super) observer: Option<&'a Shared<HealthObserver>>,
 }
 
-pub(super) fn serve_http(context: &mut EventLoopContext, c: &mut Caller, watch: Watched) -> Serve {
-    let Machine::Http(machine) = &mut c.machine else { return Serve::Waits };
-    let before = (machine.requests_answered(), machine.output.len());
-    let read = if machine.wants_input() {
-        let most = PIECE.min(context.scratch.len());
-        stream::read(&mut c.stream, &mut context.scratch[..most], |bytes| {
-            machine.feed(bytes);
-            machine.wants_input()
+/// Serves a connection as far as its socket and one turn allow.
+pub(super) fn serve(
+    context: &mut EventLoopContext,
+    connection: &mut CheckConnection,
+    source: AnswerSource,
+) -> Progress {
+    let (stream, state) = (&mut connection.stream, &mut connection.state);
+    let now = context.now;
+    let (progress, was_active) = match (state, source.observer) {
+        (ProtocolState::Http(http), Some(observer)) => serve_http(context, stream, http, observer),
+        (ProtocolState::Grpc(grpc), Some(observer)) => serve_grpc(context, stream, grpc, observer),
+        (ProtocolState::Agent { line, reply }, Some(_)) => {
+            (serve_agent(context, stream, line, reply, source), false)
+        }
+        (_, None) => (Progress::Finished(CheckCloseReason::Off), false),
+    };
+    if was_active {
+        connection.active_at = now;
+    }
+    progress
+}
+
+/// Also tells whether the connection was active. Bytes that complete no request don't count: else a client could keep
+/// its place for ever.
+fn serve_http(
+    context: &mut EventLoopContext,
+    stream: &mut TcpStream,
+    http: &mut HttpCheckConnection,
+    observer: &Shared<HealthObserver>,
+) -> (Progress, bool) {
+    let answered_before = http.requests_answered();
+    let read = if http.wants_input() {
+        let length = MAX_READ_BYTES.min(context.scratch.len());
+        stream::read(stream, &mut context.scratch[..length], |bytes| {
+            http.feed(bytes);
+            http.wants_input()
         })
     } else {
         Ok(false)
     };
-    let now = context.now;
     let core = &context.core;
-    let Some(watch) = watch else { return Serve::Over("off") };
     let name = |server: birchreach_health::ServerId| core.server_name(ServerId(server.0)).to_string();
-    let all = machine.process(now, watch.borrow_mut().verdict(now), &name);
-    let waiting = machine.output.len();
-    let written = stream::write_some(&mut c.stream, &machine.output).map(|n| machine.output_written(n));
-    // Bytes that make no call whole do not keep a caller: it could go on so for ever.
-    if machine.requests_answered() > before.0 || machine.output.len() < waiting {
-        c.active = now;
-    }
-    if machine.is_finished() {
-        let _ = c.stream.shutdown(Shutdown::Write);
-        return Serve::Over("answered");
+    let all_answered = http.process(context.now, observer.borrow_mut().verdict(context.now), &name);
+    let pending = http.output.len();
+    let written = stream::write_some(stream, &http.output).map(|length| http.output_written(length));
+    let was_active = http.requests_answered() > answered_before || http.output.len() < pending;
+    if http.is_finished() {
+        let _ = stream.shutdown(Shutdown::Write);
+        return (Progress::Finished(CheckCloseReason::Answered), was_active);
     }
-    match (read, written) {
-        (_, Err(_)) | (Err(stream::Ended::Reset), _) => Serve::Over("reset"),
-        (Err(stream::Ended::Closed), _) => {
-            Serve::Over(if machine.has_partial_request() { "cut-short" } else { "closed" })
+    let progress = match (read, written) {
+        (_, Err(_)) | (Err(stream::Ended::Reset), _) => Progress::Finished(CheckCloseReason::Reset),
+        (Err(stream::Ended::Closed), _) if http.has_partial_request() => {
+            Progress::Finished(CheckCloseReason::CutShort)
         }
-        // The socket tells once it takes more; of what was not read, or not answered yet, nobody tells again.
-        (Ok(drained), _) if (drained && all) || !machine.output.is_empty() => Serve::Waits,
-        _ => Serve::More,
-    }
+        (Err(stream::Ended::Closed), _) => Progress::Finished(CheckCloseReason::Closed),
+        // The socket tells when it takes more output. It doesn't tell again of input that was left unread or unanswered.
+        (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => Progress::WaitsForSocket,
+        _ => Progress::MoreToDo,
+    };
+    (progress, was_active)
 }
 
-pub(super) fn serve_grpc(context: &mut EventLoopContext, c: &mut Caller, watch: Watched) -> Serve {
-    let Machine::Grpc(machine) = &mut c.machine else { return Serve::Waits };
-    let before = machine.activity();
-    let read = if machine.wants_input() {
-        let most = PIECE.min(context.scratch.len());
-        stream::read(&mut c.stream, &mut context.scratch[..most], |bytes| {
-            machine.feed(bytes);
-            machine.wants_input()
+/// Also tells whether the connection was active.
+fn serve_grpc(
+    context: &mut EventLoopContext,
+    stream: &mut TcpStream,
+    grpc: &mut GrpcCheckConnection,
+    observer: &Shared<HealthObserver>,
+) -> (Progress, bool) {
+    let activity_before = grpc.activity();
+    let read = if grpc.wants_input() {
+        let length = MAX_READ_BYTES.min(context.scratch.len());
+        stream::read(stream, &mut context.scratch[..length], |bytes| {
+            grpc.feed(bytes);
+            grpc.wants_input()
         })
     } else {
         Ok(false)
     };
     if read == Err(stream::Ended::Reset) {
-        return Serve::Over("reset");
+        return (Progress::Finished(CheckCloseReason::Reset), false);
     }
     if read.is_err() {
-        machine.input_ended();
+        grpc.input_ended();
     }
-    let now = context.now;
-    let Some(watch) = watch else { return Serve::Over("off") };
-    let more = machine.process(watch.borrow_mut().verdict(now));
-    let out = machine.take_output();
-    let Ok(at) = stream::write_some(&mut c.stream, &out) else { return Serve::Over("reset") };
-    machine.return_output(&out[at..]);
-    if machine.activity() > before {
-        c.active = now;
-    }
-    if machine.is_finished() {
-        return Serve::Over("closed");
+    let more_to_process = grpc.process(observer.borrow_mut().verdict(context.now));
+    let output = grpc.take_output();
+    let Ok(written) = stream::write_some(stream, &output) else {
+        return (Progress::Finished(CheckCloseReason::Reset), false);
+    };
+    grpc.return_output(&output[written..]);
+    let was_active = grpc.activity() > activity_before;
+    if grpc.is_finished() {
+        return (Progress::Finished(CheckCloseReason::Closed), was_active);
     }
-    // What did not fit into the output before may now.
-    let unread = matches!(read, Ok(false)) || more || !out.is_empty();
-    if unread && !machine.has_output() { Serve::More } else { Serve::Waits }
+    // Written output makes room for more, of which no socket tells.
+    let may_go_on = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
+    let progress =
+        if may_go_on && !grpc.has_output() { Progress::MoreToDo } else { Progress::WaitsForSocket };
+    (progress, was_active)
 }
 
-pub(super) fn serve_agent(
+fn serve_agent(
     context: &mut EventLoopContext,
-    c: &mut Caller,
-    options: Option<&HealthOptions>,
-    watch: Watched,
-) -> Serve {
-    let Machine::Agent(machine, reply) = &mut c.machine else { return Serve::Waits };
-    let mut asked = None;
-    let read = stream::read(&mut c.stream, &mut context.scratch, |bytes| {
-        asked = asked.take().or_else(|| machine.feed(bytes));
-        asked.is_none()
+    stream: &mut TcpStream,
+    line: &mut AgentCheckConnection,
+    reply: &mut Option<Vec<u8>>,
+    source: AnswerSource,
+) -> Progress {
+    let mut query = None;
+    let read = stream::read(stream, &mut context.scratch, |bytes| {
+        query = query.take().or_else(|| line.feed(bytes));
+        query.is_none()
     });
     if reply.is_none() {
         if read == Err(stream::Ended::Closed) {
-            asked = asked.or_else(|| machine.input_ended());
+            query = query.or_else(|| line.input_ended());
         }
-        *reply = asked.map(|asked| say(context, &asked, options, watch));
+        *reply = query.map(|query| agent_reply(context, &query, source));
     }
-    let Some(bytes) = reply else {
-        return if read.is_err() { Serve::Over("reset") } else { Serve::Waits };
+    let Some(unwritten) = reply else {
+        return if read.is_err() {
+            Progress::Finished(CheckCloseReason::Reset)
+        } else {
+            Progress::WaitsForSocket
+        };
     };
-    match stream::write_some(&mut c.stream, bytes) {
-        Err(_) => Serve::Over("reset"),
-        Ok(n) if n < bytes.len() => {
-            bytes.drain(..n);
-            Serve::Waits
+    match stream::write_some(stream, unwritten) {
+        Err(_) => Progress::Finished(CheckCloseReason::Reset),
+        Ok(written) if written < unwritten.len() => {
+            unwritten.drain(..written);
+            Progress::WaitsForSocket
         }
         Ok(_) => {
-            let _ = c.stream.shutdown(Shutdown::Write);
-            Serve::Over("answered")
+            let _ = stream.shutdown(Shutdown::Write);
+            Progress::Finished(CheckCloseReason::Answered)
         }
     }
 }
 
-/// The reply to an agent-check.
-pub(super) fn say(
-    context: &mut EventLoopContext,
-    asked: &agent::ParsedQuery,
-    options: Option<&HealthOptions>,
-    watch: Watched,
-) -> Vec<u8> {
-    let Some(watch) = watch else { return Vec::new() };
-    let mut watch = watch.borrow_mut();
-    let verdict = watch.verdict(context.now);
-    let maxconn =
-        options.and_then(|o| o.agent.as_ref()).filter(|a| a.reports_maxconn).map(|_| verdict.client_capacity);
-    agent::reply(asked, verdict, maxconn).into_bytes()
+/// The reply to an agent-check; empty while health reporting is off.
+pub(super) fn agent_reply(context: &EventLoopContext, query: &ParsedQuery, source: AnswerSource) -> Vec<u8> {
+    let Some(observer) = source.observer else { return Vec::new() };
+    let mut observer = observer.borrow_mut();
+    let verdict = observer.verdict(context.now);
+    let reports_maxconn =
+        source.options.and_then(|options| options.agent.as_ref()).is_some_and(|agent| agent.reports_maxconn);
+    let max_connections = reports_maxconn.then_some(verdict.client_capacity);
+    agent::reply(query, verdict, max_connections).into_bytes()
 }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -35,9 +35,9 @@
 use crate::peer_knowledge::PeerKnowledge;
 use admin::AdminListener;
 use background::Background;
-use balancers::Balancers;
+use balancers::HealthReporting;
 use birchreach::Micros;
-use checks::Checks;
+use checks::HealthCheckServer;
 use clients::Clients;
 use connection_limits::{longest_deadline, places, reserve};
 use discovery_connection::DiscoveryConnection;
@@ -72,11 +72,11 @@
     pool: Pool,
     discovery: DiscoveryConnection,
     admin: AdminListener,
-    checks: Checks,
+    checks: HealthCheckServer,
     gossip: Option<Gossip>,
     fleet: Option<FleetMembership>,
     background: Option<Box<Background>>,
-    health: Balancers,
+    health: HealthReporting,
     handover: ProcessHandover,
     config: Config,
     /// The options' file, to be read again.
@@ -131,11 +131,11 @@
             config.seed,
         ),
         admin,
-        checks: Checks::new(shared),
+        checks: HealthCheckServer::new(shared),
         gossip: None,
         fleet: None,
         background: None,
-        health: Balancers::default(),
+        health: HealthReporting::default(),
         handover: twin,
         longest_deadline: longest_deadline(&config.site),
         config,
@@ -149,7 +149,7 @@
     let operator = event_loop.admin.address().map(tracing::field::display);
     info!(event = "started", name, %listen, %discovery, operator);
     log_settings_warnings(&event_loop.config);
-    event_loop.start_health()?;
+    event_loop.start_health().map_err(|error| error.to_string())?;
     event_loop.start_gossip()?;
     event_loop.start_fleet()?;
     event_loop.start_background();
@@ -165,7 +165,7 @@
     event_loop.discovery.start(&mut event_loop.context);
     let mut events = Events::with_capacity(EVENTS);
     while !(event_loop.clients_closed && event_loop.clients.is_empty()) {
-        let most = if event_loop.health.watch.is_some() { CHECKED_EVENTS } else { EVENTS };
+        let most = if event_loop.health.observer.is_some() { CHECKED_EVENTS } else { EVENTS };
         if events.capacity() != most {
             events = Events::with_capacity(most);
         }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -59,9 +59,9 @@
         let Config { name, listen, operator, inherited, .. } = &self.config;
         let (name, listen, operator, inherited) = (name.clone(), *listen, *operator, *inherited);
         self.config = Config { name, listen, operator, inherited, ..new };
-        self.watch();
+        self.configure_health();
         let health = self.config.options.health.clone();
-        self.checks.take(&mut self.context, health, opened);
+        self.checks.apply_options(&mut self.context, health, opened);
         self.start_background();
         self.carry_out();
     }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -47,7 +47,7 @@
 
     /// Something is left from the last turn that no socket will report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
-        self.clients.has_pending_work() || self.admin.pressing() || self.checks.pressing(now)
+        self.clients.has_pending_work() || self.admin.pressing() || self.checks.has_unfinished_work(now)
     }
 
     fn serve_priority_sources(&mut self, events: &Events) {
@@ -56,14 +56,14 @@
                 Source::Admin => self.admin.accept_ready(),
                 Source::Operator(key) => self.handle_admin(key),
                 source @ (Source::HttpListener | Source::AgentListener | Source::GrpcListener) => {
-                    self.checks.accept_ready(source);
+                    self.checks.listener_ready(source);
                 }
-                Source::Check(key) => self.checks.ready(&mut self.context, key),
+                Source::Check(key) => self.checks.serve(&mut self.context, key),
                 _ => {}
             }
         }
         self.admin.accept(&mut self.context);
-        self.checks.go_on(&mut self.context);
+        self.checks.continue_work(&mut self.context);
     }
 
     fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -17,18 +17,20 @@
             TimerEvent::RetryAccept => self.clients.resume_accepting(),
             TimerEvent::Discovery(turn) => self.discovery.due(context, turn),
             TimerEvent::Sweep => self.sweep(),
-            TimerEvent::CheckTimeout(key, serial) => self.checks.asked(context, key, serial),
+            TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
             // `update_health` at the end of the turn does the rest.
-            TimerEvent::HealthChange => self.health.timer = self.health.timer.filter(|at| *at > context.now),
+            TimerEvent::HealthChange => {
+                self.health.update_timer = self.health.update_timer.filter(|at| *at > context.now)
+            }
             TimerEvent::HealthTick => self.report_load(),
             TimerEvent::StopAcceptingChecks => {
-                if self.health.yielding {
+                if self.health.handing_over {
                     self.checks.stop_listening(context);
                 }
             }
             TimerEvent::OpenCheckListeners => {
-                if self.checks.lacks() {
-                    self.checks.reopen(context);
+                if self.checks.lacks_listener() {
+                    self.checks.reopen_listeners(context);
                 }
             }
             TimerEvent::Gossip => self.step_gossip(),
--- a/proxy/tests/health.rs
+++ b/proxy/tests/health.rs
@@ -256,7 +256,7 @@
     kept.read_to_string(&mut all).unwrap();
     assert_eq!((all.matches("HTTP/1.1 200 ").count(), all.matches("HTTP/1.1 404 ").count()), (999, 1));
     until("silent callers are sent away", || {
-        proxy.log().iter().any(|l| l.contains("conn=check") && l.contains("silent"))
+        proxy.log().iter().any(|l| l.contains("conn=check") && l.contains("unresponsive"))
     });
     // The log's limit may have passed over the first of them.
     let mut more = Vec::new();
