--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -2,7 +2,7 @@
 //! the settings.
 
 use crate::reader::Reader;
-use crate::{Fault, meet};
+use crate::{OptionsError, addresses_overlap};
 use birchreach_health::{
     AggregationRule, HealthSettings, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings,
     SharedCausePolicy, WeightSettings,
@@ -82,11 +82,11 @@
         let settings = self.health_settings(node);
         let mut shutdown_notice = DEFAULT_SHUTDOWN_NOTICE_MICROS;
         if let Some(stopping) = self.child(node, "stopping") {
-            self.ms(stopping, "lead-ms", &mut shutdown_notice);
+            self.read_milliseconds(stopping, "lead-ms", &mut shutdown_notice);
         }
         self.report_contradictions(node, &settings);
         if http.is_none() && agent.is_none() && grpc.is_none() {
-            self.fault(node, "neither http, agent nor grpc: nobody could ask");
+            self.add_error(node, "neither http, agent nor grpc: nobody could ask");
         }
         let health = HealthOptions { http, agent, grpc, settings, shutdown_notice };
         self.report_shared_addresses(&health);
@@ -103,7 +103,7 @@
         }
         if let Some(weight) = self.child(node, "weight") {
             self.weight(weight, &mut settings.weight);
-            self.number(weight, "overload-at", &mut settings.overload_pressure);
+            self.read_number(weight, "overload-at", &mut settings.overload_pressure);
         }
         settings
     }
@@ -114,7 +114,7 @@
         for error in settings.errors() {
             let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option).is_some();
             let at = elements.into_iter().flatten().find(has_option).unwrap_or(node);
-            self.fault(at, error.to_string());
+            self.add_error(at, error.to_string());
         }
     }
 
@@ -122,9 +122,11 @@
         let listeners: Vec<_> = health.check_listeners().collect();
         for (index, (element, listener)) in listeners.iter().enumerate() {
             let mut earlier = listeners[..index].iter();
-            if let Some((other, _)) = earlier.find(|(_, other)| meet(other.address, listener.address)) {
+            if let Some((other, _)) =
+                earlier.find(|(_, other)| addresses_overlap(other.address, listener.address))
+            {
                 let message = format!("listen: {} is used by {other} too", listener.address);
-                self.faults.push(Fault { line: listener.line, element: (*element).into(), message });
+                self.errors.push(OptionsError { line: listener.line, element: (*element).into(), message });
             }
         }
     }
@@ -132,14 +134,14 @@
     fn keep_alive_listener(&mut self, node: NodeId) -> Option<KeepAliveListener> {
         let listener = self.check_listener(node)?;
         let mut keep_alive = KeepAliveListener { listener, idle_timeout: DEFAULT_IDLE_TIMEOUT_MICROS };
-        self.ms(node, "idle-ms", &mut keep_alive.idle_timeout);
+        self.read_milliseconds(node, "idle-ms", &mut keep_alive.idle_timeout);
         Some(keep_alive)
     }
 
     fn agent_listener(&mut self, node: NodeId) -> Option<AgentListener> {
         let listener = self.check_listener(node)?;
         let mut query_timeout = DEFAULT_QUERY_TIMEOUT_MICROS;
-        self.ms(node, "ask-ms", &mut query_timeout);
+        self.read_milliseconds(node, "ask-ms", &mut query_timeout);
         let reports_maxconn = matches!(self.doc.get_attribute(node, "maxconn"), Some("true" | "1"));
         Some(AgentListener { listener, query_timeout, reports_maxconn })
     }
@@ -151,28 +153,28 @@
             max_connections: DEFAULT_MAX_CONNECTIONS,
             silence_timeout: DEFAULT_SILENCE_TIMEOUT_MICROS,
         };
-        self.number(node, "callers", &mut listener.max_connections);
-        self.ms(node, "silent-ms", &mut listener.silence_timeout);
+        self.read_number(node, "callers", &mut listener.max_connections);
+        self.read_milliseconds(node, "silent-ms", &mut listener.silence_timeout);
         Some(listener)
     }
 
     fn probes(&mut self, node: NodeId) -> ProbeSettings {
         let mut probes = ProbeSettings::default();
-        self.ms(node, "every-ms", &mut probes.interval);
-        self.ms(node, "suspect-ms", &mut probes.suspect_after);
-        self.ms(node, "timeout-ms", &mut probes.timeout);
-        self.number(node, "group-per-s", &mut probes.group_rate_per_s);
-        self.number(node, "whole-per-s", &mut probes.total_rate_per_s);
+        self.read_milliseconds(node, "every-ms", &mut probes.interval);
+        self.read_milliseconds(node, "suspect-ms", &mut probes.suspect_after);
+        self.read_milliseconds(node, "timeout-ms", &mut probes.timeout);
+        self.read_number(node, "group-per-s", &mut probes.group_rate_per_s);
+        self.read_number(node, "whole-per-s", &mut probes.total_rate_per_s);
         probes
     }
 
     fn weight(&mut self, node: NodeId, weight: &mut WeightSettings) {
-        self.number(node, "knee", &mut weight.reduce_above);
-        self.number(node, "hot", &mut weight.trim_above);
-        self.number(node, "least", &mut weight.percent_at_full_pressure);
-        self.number(node, "up-per-s", &mut weight.max_rise_factor_per_s);
-        self.number(node, "down-per-s", &mut weight.max_fall_factor_per_s);
-        self.ms(node, "settle-ms", &mut weight.settling_time);
+        self.read_number(node, "knee", &mut weight.reduce_above);
+        self.read_number(node, "hot", &mut weight.trim_above);
+        self.read_number(node, "least", &mut weight.percent_at_full_pressure);
+        self.read_number(node, "up-per-s", &mut weight.max_rise_factor_per_s);
+        self.read_number(node, "down-per-s", &mut weight.max_fall_factor_per_s);
+        self.read_milliseconds(node, "settle-ms", &mut weight.settling_time);
     }
 
     fn claims(&mut self, node: NodeId, settings: &mut HealthSettings) {
@@ -180,10 +182,10 @@
         let shared = [("tell", SharedCausePolicy::StayInRotation), ("down", SharedCausePolicy::ReportDown)];
         let overload = [("weight", OverloadPolicy::ReduceWeight), ("down", OverloadPolicy::ReportDown)];
         let sum = [("any", AggregationRule::AnyGroup), ("all", AggregationRule::AllGroups)];
-        self.word(node, "idle", idle, &mut settings.idle_groups);
-        self.word(node, "shared", shared, &mut settings.shared_causes);
-        self.word(node, "overload", overload, &mut settings.overload);
-        self.word(node, "sum", sum, &mut settings.aggregation);
+        self.read_choice(node, "idle", idle, &mut settings.idle_groups);
+        self.read_choice(node, "shared", shared, &mut settings.shared_causes);
+        self.read_choice(node, "overload", overload, &mut settings.overload);
+        self.read_choice(node, "sum", sum, &mut settings.aggregation);
         for (name, setting) in [
             ("window-ms", &mut settings.proof_window),
             ("fall-ms", &mut settings.withdraw_after),
@@ -195,7 +197,7 @@
             ("hang-ms", &mut settings.silence_limit_unprobed),
             ("discovery-after-ms", &mut settings.discovery_lost_after),
         ] {
-            self.ms(node, name, setting);
+            self.read_milliseconds(node, name, setting);
         }
     }
 }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -15,7 +15,7 @@
             TimerEvent::QueryTimeout(key, turn) => self.pool.query_timed_out(context, key, turn),
             TimerEvent::ConnectionRested(key, serial) => self.pool.connection_rested(context, key, serial),
             TimerEvent::RetryAccept => self.clients.resume_accepting(),
-            TimerEvent::Discovery(turn) => self.discovery.due(context, turn),
+            TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
             TimerEvent::Sweep => self.sweep(),
             TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
             // `update_health` at the end of the turn does the rest.
