--- /dev/null
+++ b/health/tests/verdicts/primary_faults.rs
@@ -0,0 +1,163 @@
+//! Faults of a group's primary: it is unresponsive, missing, or only slow.
+
+use crate::support::{MILLISECOND, SECOND, probing, simulated_proxy};
+use birchreach_health::*;
+
+/// Writes are withdrawn within 2 s and reads stay. The endpoint list alone doesn't restore writes, a proof does.
+#[test]
+fn an_unresponsive_primary_is_reported_in_time_and_only_a_proof_restores_it() {
+    // Given a group with a proven primary
+    let mut proxy = simulated_proxy(1, HealthSettings::default());
+    proxy.write(0, 5 * MILLISECOND);
+    assert_eq!(proxy.agent_reply("file-entry"), "ready up 100%\n");
+    // When the primary stops responding
+    let hung = proxy.now;
+    proxy.send(0);
+    proxy.advance(1900 * MILLISECOND, |_| None);
+    // Then only writes to its group are unavailable, within 2 s
+    assert!(proxy.now - hung < 2 * SECOND);
+    assert_eq!(proxy.agent_reply("file-entry"), "ready down #primary-silent\n");
+    assert_eq!(proxy.agent_reply("tariff-lookup"), "ready up 100%\n");
+    assert_eq!(proxy.agent_reply(""), "ready up 100%\n", "the cause is shared: the proxy stays in rotation");
+    assert!(proxy.http_get("/class/file-entry/group/0").starts_with("HTTP/1.1 503 "));
+    assert!(proxy.http_get("/ready").contains("x-envoy-degraded: true"));
+    // When the endpoint list names another primary, seconds later, then writes stay unavailable
+    proxy.advance(4 * SECOND, |_| None);
+    proxy.handle(HealthEvent::ServerListed {
+        server: ServerId(0),
+        group: GroupId(0),
+        primary: Some(false),
+        up: true,
+    });
+    proxy.handle(HealthEvent::ServerListed {
+        server: ServerId(1),
+        group: GroupId(0),
+        primary: Some(true),
+        up: true,
+    });
+    proxy.advance(20 * SECOND, |_| None);
+    assert_eq!(proxy.agent_reply("group=0 write"), "ready down #primary-silent\n");
+    // When that server proves to be the primary, then writes are restored after a delay
+    proxy.send(1);
+    proxy.end(1, false, ProbeOutcome::Answered, Some(Role::Primary));
+    proxy.advance(50 * MILLISECOND, |_| None);
+    assert_eq!(
+        proxy.agent_reply("file-entry"),
+        "ready down #recovering\n",
+        "it must stay available for a while first"
+    );
+    proxy.advance(2 * SECOND, |_| None);
+    assert_eq!(proxy.agent_reply("file-entry"), "ready up 100%\n");
+}
+
+#[test]
+fn a_missing_primary_is_reported_for_its_group_and_operation() {
+    // Given four groups with proven primaries
+    let mut proxy = simulated_proxy(4, HealthSettings::default());
+    for group in 0..4 {
+        proxy.write(group * 10, 5 * MILLISECOND);
+    }
+    // When one primary refuses connections, then its group has no writes and the sum has less weight
+    proxy.send(20);
+    proxy.end(20, true, ProbeOutcome::Refused, None);
+    proxy.advance(SECOND, |_| None);
+    assert_eq!(proxy.agent_reply("group=2 write"), "ready down #primary-gone\n");
+    assert_eq!(proxy.agent_reply("group=1 write"), "ready up 100%\n");
+    assert_eq!(proxy.agent_reply("group=2"), "ready up 100%\n");
+    assert_eq!(proxy.agent_reply("file-entry"), "ready up 75%\n");
+    assert_eq!(proxy.agent_reply(""), "ready up 100%\n");
+    assert_eq!(proxy.monitor.verdict().state, State::Degraded);
+    // When all primaries do, then no group has writes, but the proxy stays in rotation
+    for group in [0, 1, 3] {
+        proxy.send(group * 10);
+        proxy.end(group * 10, true, ProbeOutcome::Refused, None);
+    }
+    proxy.advance(SECOND, |_| None);
+    assert_eq!(proxy.monitor.verdict().state, State::NoPrimary);
+    assert_eq!(proxy.agent_reply("file-entry"), "ready down #primary-gone\n");
+    assert_eq!(proxy.agent_reply("tariff-lookup"), "ready up 100%\n");
+    assert_eq!(proxy.agent_reply(""), "ready up 100%\n", "otherwise no proxy would be left to the balancer");
+    // Unless the settings say otherwise, for a balancer of writes alone
+    let mut strict = simulated_proxy(
+        1,
+        HealthSettings { shared_causes: SharedCausePolicy::ReportDown, ..HealthSettings::default() },
+    );
+    strict.write(0, MILLISECOND);
+    strict.send(0);
+    strict.end(0, true, ProbeOutcome::Refused, None);
+    strict.advance(SECOND, |_| None);
+    assert_eq!(strict.agent_reply(""), "ready down #primary-gone\n");
+}
+
+/// Silent for 300 ms of every second; then for 1.9 s of every 3.1 s.
+#[test]
+fn an_intermittently_silent_primary_causes_few_transitions() {
+    // Given a primary with short silences, then nothing is withdrawn
+    let mut proxy = simulated_proxy(1, HealthSettings::default());
+    proxy.write(0, 5 * MILLISECOND);
+    proxy.count_capability_changes();
+    for _ in 0..60 {
+        proxy.send(0);
+        proxy.advance(300 * MILLISECOND, |_| None);
+        proxy.end(0, true, ProbeOutcome::Answered, Some(Role::Primary));
+        for _ in 0..7 {
+            proxy.write(0, 100 * MILLISECOND);
+        }
+    }
+    assert_eq!(proxy.count_capability_changes(), 0);
+    // Given one with long silences, then the restore delay grows and bounds the transitions
+    let mut proxy = simulated_proxy(1, HealthSettings::default());
+    proxy.write(0, 5 * MILLISECOND);
+    proxy.count_capability_changes();
+    for _ in 0..60 {
+        proxy.send(0);
+        proxy.advance(1900 * MILLISECOND, |_| None);
+        proxy.end(0, true, ProbeOutcome::Unanswered, None);
+        proxy.write(0, 5 * MILLISECOND);
+        proxy.advance(1200 * MILLISECOND, |_| None);
+    }
+    let changes = proxy.count_capability_changes();
+    assert!((2..=16).contains(&changes), "{changes} in three minutes");
+}
+
+/// With probes, requests may take any time; without, up to the silence limit.
+#[test]
+fn slow_requests_withdraw_nothing() {
+    // Given probes, when requests take longer than any limit, then nothing is withdrawn
+    let mut proxy = simulated_proxy(1, probing());
+    proxy.write(0, 5 * MILLISECOND);
+    proxy.count_capability_changes();
+    for _ in 0..20 {
+        proxy.send(0);
+        proxy.advance(8 * SECOND, |server| {
+            Some(if server == ServerId(0) { Role::Primary } else { Role::Replica })
+        });
+        proxy.end(0, true, ProbeOutcome::Answered, Some(Role::Primary));
+    }
+    assert_eq!(proxy.count_capability_changes(), 0);
+    // Given none, when requests take just less than the silence limit, then nothing is withdrawn
+    let mut proxy = simulated_proxy(1, HealthSettings::default());
+    proxy.count_capability_changes();
+    for _ in 0..50 {
+        proxy.write(0, 1600 * MILLISECOND);
+    }
+    assert_eq!(proxy.count_capability_changes(), 0);
+}
+
+#[test]
+fn probes_prove_idle_groups_and_find_unresponsive_primaries() {
+    // Given idle groups and servers that answer probes, then writes stay available
+    let role_of =
+        |server: ServerId| Some(if server.0.is_multiple_of(10) { Role::Primary } else { Role::Replica });
+    let mut proxy =
+        simulated_proxy(4, HealthSettings { idle_groups: IdleGroupPolicy::Withdraw, ..probing() });
+    proxy.advance(60 * SECOND, role_of);
+    assert_eq!(proxy.agent_reply("file-entry"), "ready up 100%\n", "without any request from clients");
+    proxy.count_capability_changes();
+    proxy.advance(60 * SECOND, role_of);
+    assert_eq!(proxy.count_capability_changes(), 0);
+    // When no server answers any more, then writes are withdrawn without any request in flight
+    proxy.handle(HealthEvent::DiscoveryAnswered);
+    proxy.advance(8 * SECOND, |_| None);
+    assert_eq!(proxy.agent_reply("file-entry"), "ready down #primary-silent\n");
+}
--- /dev/null
+++ b/health/tests/verdicts/support.rs
@@ -0,0 +1,107 @@
+//! A proxy in virtual time.
+
+use birchreach_health::agent::{self, AgentCheckConnection};
+use birchreach_health::http::HttpCheckConnection;
+use birchreach_health::*;
+
+pub const MILLISECOND: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
+
+pub struct SimulatedProxy {
+    pub now: Micros,
+    pub monitor: Monitor,
+}
+
+/// A proxy with some groups. Group g has the primary 10 g and the replica 10 g + 1.
+pub fn simulated_proxy(groups: u32, settings: HealthSettings) -> SimulatedProxy {
+    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
+    let classes =
+        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let settings = HealthSettings { classes, ..settings };
+    assert_eq!(settings.errors(), []);
+    let start = 100 * SECOND;
+    let mut proxy = SimulatedProxy { now: start, monitor: Monitor::new(settings, start) };
+    for group in 0..groups {
+        for (server, primary) in [(group * 10, true), (group * 10 + 1, false)] {
+            proxy.handle(HealthEvent::ServerListed {
+                server: ServerId(server),
+                group: GroupId(group),
+                primary: Some(primary),
+                up: true,
+            });
+        }
+    }
+    proxy
+}
+
+/// Settings with probes.
+pub fn probing() -> HealthSettings {
+    HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
+}
+
+impl SimulatedProxy {
+    pub fn handle(&mut self, event: HealthEvent) {
+        self.monitor.handle_event(self.now, event);
+        if self.monitor.next_change() <= self.now {
+            self.monitor.update(self.now);
+        }
+    }
+
+    /// Lets time pass. A probe sent meanwhile is answered at once if `role_of` has a role for its server, else never.
+    pub fn advance(&mut self, span: Micros, role_of: impl Fn(ServerId) -> Option<Role>) {
+        let until = self.now + span;
+        while self.monitor.next_change() <= until {
+            self.now = self.monitor.next_change();
+            self.monitor.update(self.now);
+            for server in self.monitor.take_probes() {
+                if let Some(role) = role_of(server) {
+                    let (outcome, role) = (ProbeOutcome::Answered, Some(role));
+                    self.handle(HealthEvent::ProbeEnded { server, outcome, role });
+                }
+            }
+        }
+        self.now = until;
+    }
+
+    /// Sends an attempt to a server.
+    pub fn send(&mut self, server: u32) {
+        self.handle(HealthEvent::RequestSent { server: ServerId(server) });
+    }
+
+    /// Ends an attempt.
+    pub fn end(&mut self, server: u32, write: bool, outcome: ProbeOutcome, role: Option<Role>) {
+        self.handle(HealthEvent::RequestEnded { server: ServerId(server), write, outcome, role });
+    }
+
+    /// Sends a write that the primary serves after this time.
+    pub fn write(&mut self, server: u32, duration: Micros) {
+        self.send(server);
+        self.advance(duration, |_| None);
+        self.end(server, true, ProbeOutcome::Answered, Some(Role::Primary));
+    }
+
+    /// The reply to an agent-check with this line.
+    pub fn agent_reply(&self, line: &str) -> String {
+        let query = AgentCheckConnection::default().feed(format!("{line}\n").as_bytes()).unwrap();
+        agent::reply(&query, self.monitor.verdict(), None)
+    }
+
+    /// The response to a GET of this path.
+    pub fn http_get(&self, path: &str) -> String {
+        self.http_exchange(&format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n"))
+    }
+
+    /// What a connection answers to this input.
+    pub fn http_exchange(&self, input: &str) -> String {
+        let mut connection = HttpCheckConnection::default();
+        connection.feed(input.as_bytes());
+        connection.process(self.now, self.monitor.verdict(), &|server| format!("s-{}", server.0));
+        String::from_utf8(connection.output).unwrap()
+    }
+
+    /// How many capabilities changed since the last call.
+    pub fn count_capability_changes(&mut self) -> usize {
+        let changes = self.monitor.take_changes();
+        changes.iter().filter(|change| matches!(change, Change::Capability { .. })).count()
+    }
+}
