--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -15,11 +15,11 @@
 //! Invariants, each with the test that holds it (in `tests/`):
 //!
 //! 1. A write capability is reported with a proof in the window, or with [`IdleGroupPolicy::TrustEndpointList`] while
-//!    no evidence contradicts it (`history_invariants.rs`).
-//! 2. A capability is withdrawn only for a cause that held at that time (`history_invariants.rs`).
-//! 3. A capability that evidence withdrew comes back only by a later proof (`history_invariants.rs`).
+//!    no evidence contradicts it (`histories/`).
+//! 2. A capability is withdrawn only for a cause that held at that time (`histories/`).
+//! 3. A capability that evidence withdrew comes back only by a later proof (`histories/`).
 //! 4. The rate of transitions is bounded by the minimum time in each state (`transitions_are_bounded`).
-//! 5. A cause that all proxies share doesn't change the overall weight (`history_invariants.rs`).
+//! 5. A cause that all proxies share doesn't change the overall weight (`histories/`).
 //! 6. The weight changes by a bounded factor per second, and is 0 only where the proxy as a whole is unavailable
 //!    (`weight_moves_boundedly`).
 //! 7. Probes stay within their budgets (`probes_stay_within_their_budget`).
--- /dev/null
+++ b/health/tests/histories/history.rs
@@ -0,0 +1,196 @@
+//! A seeded history: random events at random times, told to a monitor and noted in the account.
+
+use crate::account::{Account, WriteChange};
+use birchreach_health::{
+    Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor, Operation, ProbeOutcome,
+    ProbeSettings, RequestClass, RequiredServer, Role, ServerId,
+};
+
+/// Steps of a history, each with one to three events.
+pub const STEPS: usize = 120;
+
+pub struct History {
+    pub seed: u64,
+    pub rng: fastrand::Rng,
+    now: Micros,
+    pub settings: HealthSettings,
+    pub monitor: Monitor,
+    pub account: Account,
+    /// Every change of the verdict, with its time.
+    pub changes: Vec<(Micros, Change)>,
+    /// Every probe, with its time and server.
+    pub probes: Vec<(Micros, u32)>,
+}
+
+/// Every second seed has probes, and every fourth withdraws idle groups.
+fn settings(seed: u64) -> HealthSettings {
+    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
+    let classes =
+        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let probes = seed.is_multiple_of(2).then(ProbeSettings::default);
+    let idle_groups = if probes.is_some() && seed.is_multiple_of(4) {
+        IdleGroupPolicy::Withdraw
+    } else {
+        IdleGroupPolicy::TrustEndpointList
+    };
+    let settings = HealthSettings { classes, probes, idle_groups, seed, ..HealthSettings::default() };
+    assert_eq!(settings.errors(), []);
+    settings
+}
+
+impl History {
+    pub fn new(seed: u64) -> History {
+        let settings = settings(seed);
+        let start = 1_000_000;
+        let mut history = History {
+            seed,
+            rng: fastrand::Rng::with_seed(seed),
+            now: start,
+            monitor: Monitor::new(settings.clone(), start),
+            account: Account::new(seed, settings.clone()),
+            settings,
+            changes: Vec::new(),
+            probes: Vec::new(),
+        };
+        for server in 0..history.rng.u32(2..7) {
+            history.list(server, server % 2, server < 2, true);
+        }
+        history.update();
+        history
+    }
+
+    /// Plays the whole history.
+    pub fn play(mut self) -> History {
+        for _ in 0..STEPS {
+            let is_long = self.rng.u8(0..8) == 0;
+            let span = if is_long { self.rng.i64(0..4_000_000) } else { self.rng.i64(0..60_000) };
+            self.advance(span);
+            for _ in 0..self.rng.u8(1..4) {
+                self.random_event();
+            }
+            if self.monitor.next_change() <= self.now {
+                self.update();
+            }
+            self.account.check_verdict(self.now, self.monitor.verdict());
+        }
+        self
+    }
+
+    /// Lets time pass; the monitor is updated when it asks to be.
+    pub fn advance(&mut self, span: Micros) {
+        let until = self.now + span;
+        while self.monitor.next_change() <= until {
+            let next = self.monitor.next_change();
+            assert!(next > self.now, "seed {}: it asks for updates without end", self.seed);
+            self.now = next;
+            self.update();
+        }
+        self.now = until;
+    }
+
+    pub fn update(&mut self) {
+        let now = self.now;
+        self.monitor.update(now);
+        for server in self.monitor.take_probes() {
+            let record = self.account.server(server.0);
+            record.probes_in_flight = 1;
+            record.sent_at = Some(now);
+            self.probes.push((now, server.0));
+        }
+        for change in self.monitor.take_changes() {
+            self.changes.push((now, change));
+            if let Change::Capability { group, operation: Operation::Write, available, reason } = change {
+                self.account.check_change(WriteChange { at: now, group: group.0, available, reason });
+            }
+        }
+    }
+
+    /// Lets something happen to a random server or its group.
+    pub fn random_event(&mut self) {
+        let server = self.rng.u32(0..self.account.servers.len() as u32);
+        let group = self.account.servers[&server].group;
+        match self.rng.u8(0..20) {
+            0 => {
+                let (accepts_work, primary) = (self.rng.u8(0..4) > 0, self.rng.u8(0..3) == 0);
+                self.list(server, group, primary, accepts_work);
+            }
+            1 => self.begin_or_end_queueing(group),
+            2 => self.handle(HealthEvent::DiscoveryAnswered),
+            3 => {
+                self.account.record_sign_of_life(self.now, server);
+                self.handle(HealthEvent::ServerAlive { server: ServerId(server) });
+            }
+            4 | 5 => {
+                let served = self.rng.bool();
+                self.handle(HealthEvent::ReadEnded { group: GroupId(group), served });
+            }
+            _ => self.send_or_end(server),
+        }
+    }
+
+    fn handle(&mut self, event: HealthEvent) {
+        self.monitor.handle_event(self.now, event);
+    }
+
+    fn list(&mut self, server: u32, group: u32, primary: bool, accepts_work: bool) {
+        let record = self.account.servers.entry(server).or_default();
+        record.group = group;
+        record.listed_as_primary = primary;
+        record.accepts_work = accepts_work;
+        self.handle(HealthEvent::ServerListed {
+            server: ServerId(server),
+            group: GroupId(group),
+            primary: Some(primary),
+            up: accepts_work,
+        });
+    }
+
+    fn begin_or_end_queueing(&mut self, group: u32) {
+        let was_queued = self.account.queued_since.remove(&group).is_some();
+        let since = if was_queued { None } else { Some(self.now) };
+        self.account.queued_since.extend(since.map(|at| (group, at)));
+        self.handle(HealthEvent::WritesQueued { group: GroupId(group), since });
+    }
+
+    fn send_or_end(&mut self, server: u32) {
+        let now = self.now;
+        let record = self.account.server(server);
+        if record.probes_in_flight > 0 && self.rng.bool() {
+            record.probes_in_flight -= 1;
+            self.end_attempt(server, false, true);
+        } else if record.requests_in_flight > 0 && self.rng.u8(0..3) > 0 {
+            record.requests_in_flight -= 1;
+            let write = self.rng.bool();
+            self.end_attempt(server, write, false);
+        } else {
+            record.requests_in_flight += 1;
+            record.sent_at = Some(now);
+            self.handle(HealthEvent::RequestSent { server: ServerId(server) });
+        }
+    }
+
+    fn end_attempt(&mut self, server: u32, write: bool, is_probe: bool) {
+        let outcome = match self.rng.u8(0..10) {
+            0..4 => ProbeOutcome::Answered,
+            4 | 5 => ProbeOutcome::Unanswered,
+            6 => ProbeOutcome::Refused,
+            7 => ProbeOutcome::Reset,
+            8 => ProbeOutcome::Cancelled,
+            _ => ProbeOutcome::NotSent,
+        };
+        let reports_role = outcome == ProbeOutcome::Answered && self.rng.u8(0..4) > 0;
+        let role = reports_role.then(|| {
+            // Sometimes the endpoint list is wrong.
+            let is_primary = self.account.servers[&server].listed_as_primary != (self.rng.u8(0..8) == 0);
+            if is_primary { Role::Primary } else { Role::Replica }
+        });
+        self.account.record_outcome(self.now, server, write, outcome);
+        self.account.record_role(self.now, server, role);
+        let server = ServerId(server);
+        self.handle(if is_probe {
+            HealthEvent::ProbeEnded { server, outcome, role }
+        } else {
+            HealthEvent::RequestEnded { server, write, outcome, role }
+        });
+    }
+}
--- /dev/null
+++ b/health/tests/histories/main.rs
@@ -0,0 +1,117 @@
+//! The crate's invariants (see its documentation) over seeded histories. A seed that fails is printed, and fails again.
+
+mod account;
+mod history;
+
+use birchreach_health::{Change, GroupId, Micros, Operation};
+use history::{History, STEPS};
+use std::collections::HashMap;
+
+const HISTORIES: u64 = 10_000;
+/// The probes that may be sent at once, to all groups and to one.
+const TOTAL_BURST: f64 = 8.0;
+const GROUP_BURST: f64 = 3.0;
+
+/// Invariants 1, 2, 3 and 5 are checked during a history, 4 and 7 at its end.
+#[test]
+fn histories_of_events_keep_the_invariants() {
+    let (mut changes, mut withdrawals, mut probes) = (0, 0, 0);
+    for seed in 0..HISTORIES {
+        // When a history is played, the account checks each change and verdict
+        let history = History::new(seed).play();
+        // Then transitions and probes are bounded
+        transitions_are_bounded(&history);
+        probes_stay_within_their_budget(&history);
+        let is_withdrawal =
+            |(_, change): &&(Micros, Change)| matches!(change, Change::Capability { available: false, .. });
+        changes += history.changes.len();
+        withdrawals += history.changes.iter().filter(is_withdrawal).count();
+        probes += history.probes.len();
+    }
+    println!("{HISTORIES} histories: {changes} changes, {withdrawals} withdrawals, {probes} probes");
+    assert!(
+        withdrawals > HISTORIES as usize / 2 && probes > 0,
+        "histories in which nothing happens show nothing"
+    );
+}
+
+/// The last transition of a capability.
+#[derive(Clone, Copy)]
+struct Transition {
+    at: Micros,
+    earlier_withdrawals: u32,
+}
+
+fn transitions_are_bounded(history: &History) {
+    let settings = &history.settings;
+    let mut last: HashMap<(GroupId, bool), Transition> = HashMap::new();
+    for &(at, change) in &history.changes {
+        let Change::Capability { group, operation, available, .. } = change else { continue };
+        let key = (group, operation == Operation::Write);
+        let before =
+            last.get(&key).copied().unwrap_or(Transition { at: Micros::MIN / 2, earlier_withdrawals: 0 });
+        let min_time = if available {
+            settings.min_time_unavailable.max(settings.restore_after)
+        } else {
+            settings.min_time_available
+        };
+        let is_first = before.earlier_withdrawals == 0 && available;
+        assert!(is_first || at - before.at >= min_time, "seed {}: changed too soon at {at}", history.seed);
+        let earlier_withdrawals = before.earlier_withdrawals + u32::from(!available);
+        last.insert(key, Transition { at, earlier_withdrawals });
+    }
+}
+
+fn probes_stay_within_their_budget(history: &History) {
+    let Some(settings) = &history.settings.probes else { return assert!(history.probes.is_empty()) };
+    let total: Vec<Micros> = history.probes.iter().map(|(at, _)| *at).collect();
+    check_rate(history.seed, &total, settings.total_rate_per_s, TOTAL_BURST);
+    for group in 0..2 {
+        let in_group = |(_, server): &&(Micros, u32)| history.account.servers[server].group == group;
+        let times: Vec<Micros> = history.probes.iter().filter(in_group).map(|(at, _)| *at).collect();
+        check_rate(history.seed, &times, settings.group_rate_per_s, GROUP_BURST);
+    }
+}
+
+/// In every interval there are no more probes than the burst and the rate allow.
+fn check_rate(seed: u64, times: &[Micros], rate_per_s: f64, burst: f64) {
+    for (first, from) in times.iter().enumerate() {
+        for (further, to) in times[first..].iter().enumerate() {
+            let allowed = burst + rate_per_s * (to - from) as f64 / 1e6;
+            assert!((further + 1) as f64 <= allowed + 1e-6, "seed {seed}: probes beyond the budget");
+        }
+    }
+}
+
+/// Invariant 8: updates at other times than the monitor asks for change nothing.
+#[test]
+fn sleepers_miss_nothing() {
+    for seed in (1..2_000).step_by(2) {
+        // Given two equal histories
+        let mut sleeper = History::new(seed);
+        let mut restless = History::new(seed);
+        let mut odd_times = fastrand::Rng::with_seed(!seed);
+        for _ in 0..STEPS {
+            let span = sleeper.rng.i64(0..400_000);
+            assert_eq!(restless.rng.i64(0..400_000), span);
+            // When one is updated only at the times that the monitor asks for, and the other more often
+            sleeper.advance(span);
+            let mut left = span;
+            for _ in 0..odd_times.u8(0..4) {
+                let part = odd_times.i64(0..=left);
+                restless.advance(part);
+                restless.update();
+                left -= part;
+            }
+            restless.advance(left);
+            for history in [&mut sleeper, &mut restless] {
+                history.random_event();
+                history.update();
+            }
+            // Then both report the same
+            assert_eq!(sleeper.changes, restless.changes, "seed {seed}");
+            let (a, b) = (sleeper.monitor.verdict(), restless.monitor.verdict());
+            assert_eq!((a.state, a.overall, &a.groups), (b.state, b.overall, &b.groups), "seed {seed}");
+        }
+    }
+}
