--- /dev/null
+++ b/proxy/tests/health/crowds.rs
@@ -0,0 +1,135 @@
+//! Many connections at once, of balancers and of clients.
+
+use crate::support::{agent, http, rig, until};
+use birchreach_test_support::balancer::{Check, check};
+use birchreach_test_support::client::{Client, Reply};
+use birchreach_test_support::process::PATIENCE;
+use birchreach_test_support::rig::Rig;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
+use std::time::Duration;
+
+/// Check connections that send nothing, read nothing or send noise, and clients that fill every place.
+#[test]
+fn a_crowd_of_connections_does_not_keep_balancers_from_their_answer() {
+    // Given a crowd of clients and misbehaving checks
+    let mut rig = rig(5, 1);
+    rig.sockets = 200;
+    let proxy = rig.start_with_doors(1, 40, "").unwrap();
+    let clients = proxy.clients().unwrap();
+    let crowd: Vec<TcpStream> = (0..300).filter_map(|_| TcpStream::connect(clients).ok()).collect();
+    let (at, agents) = (proxy.checks("http").unwrap(), proxy.checks("agent").unwrap());
+    let mut misbehaving: Vec<TcpStream> = Vec::new();
+    for n in 0..120 {
+        let mut stream = TcpStream::connect(if n % 2 == 0 { at } else { agents }).unwrap();
+        let bytes: Vec<u8> = match n % 6 {
+            0 => b"GET /health HTTP/1.1\r\nHost: p\r\n\r\n".repeat(2000),
+            1 => vec![b'x'; 100_000],
+            2 => b"GET /ready HTT".to_vec(),
+            3 => b"\xff\xfe\n".to_vec(),
+            _ => Vec::new(),
+        };
+        let _ = stream.set_nonblocking(true);
+        let _ = stream.write(&bytes);
+        misbehaving.push(stream);
+    }
+    // Then every check is answered
+    for _ in 0..200 {
+        assert!(agent(&proxy, "file-entry").up && http(&proxy, "/ready").up && http(&proxy, "/live").up);
+    }
+    assert!(crowd.len() > 100, "a crowd that did not come shows nothing");
+    // Then a connection may be kept for several requests
+    let mut kept = TcpStream::connect(at).unwrap();
+    let mut reply = [0; 15];
+    for _ in 0..3 {
+        kept.write_all(b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n").unwrap();
+        let mut response = Vec::new();
+        while !response.ends_with(b"\r\n\r\n") {
+            let n = kept.read(&mut reply).unwrap();
+            assert!(n > 0);
+            response.extend_from_slice(&reply[..n]);
+        }
+    }
+    // And many pipelined requests are all answered, in their order
+    kept.write_all(
+        &[b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n".repeat(999), b"HEAD /none HTTP/1.0\r\n\r\n".to_vec()]
+            .concat(),
+    )
+    .unwrap();
+    let mut all = String::new();
+    kept.read_to_string(&mut all).unwrap();
+    assert_eq!((all.matches("HTTP/1.1 200 ").count(), all.matches("HTTP/1.1 404 ").count()), (999, 1));
+    // And connections without a complete request are closed
+    until("unresponsive connections are closed", || {
+        proxy.log().iter().any(|line| line.contains("conn=check") && line.contains("unresponsive"))
+    });
+    // And connections beyond the limit are shed; the log's own limit may have suppressed the first of them
+    let mut more = Vec::new();
+    until("connections beyond the limit are shed", || {
+        more.extend((0..64).map_while(|_| TcpStream::connect(at).ok()));
+        proxy.log().iter().any(|line| line.contains("conn=check") && line.contains("shed"))
+    });
+    // When the crowd has gone, then clients are served again
+    drop(more);
+    drop((misbehaving, crowd));
+    until("clients are served again", || {
+        let mut client = Client::connect(clients).ok();
+        client
+            .as_mut()
+            .and_then(|client| client.write("file-entry", 0, 3000).ok())
+            .is_some_and(|reply| matches!(reply, Reply::Served(_)))
+    });
+}
+
+/// Balancers that check by PostgreSQL's startup message take no client's place and don't flood the log. A restart under a
+/// flood of checks is over as soon as the process serves.
+#[test]
+fn startup_checks_cost_no_place_and_floods_do_not_delay_a_restart() {
+    // Given a proxy
+    let mut rig = rig(8, 1);
+    rig.sockets = 200;
+    let at = (rig.free().unwrap(), rig.free().unwrap());
+    let options = Rig::options(at.0, at.1, 32, "");
+    let proxy = rig.start(1, Some(&options), None).unwrap();
+    let clients = proxy.clients().unwrap();
+    let served = |client: &mut Client| matches!(client.read("tariff-lookup", 0, 2500), Ok(Reply::Served(_)));
+    // As many idle clients as may stay: 2 in 5 of the 47 places that are left beside all that is reserved.
+    let mut held: Vec<Client> = (0..18).map(|_| Client::connect(clients).unwrap()).collect();
+    assert!(held.iter_mut().all(served));
+    // When many connections only send the startup message
+    for n in 0..400 {
+        let mut greeting = Client::connect(clients).unwrap();
+        if n % 2 == 0 {
+            let _ = greeting.goodbye();
+        }
+    }
+    // Then no client has lost its connection, and the log is short
+    assert!(held.iter_mut().all(served), "all of them have their connection still");
+    let log = proxy.log();
+    assert!(!log.iter().any(|line| line.contains("reason=shed")));
+    assert!(log.iter().filter(|line| line.contains("conn=client")).count() < 10, "{}", log.len());
+    // When the process restarts under a flood of checks, then it is ready and serves clients
+    let over = AtomicBool::new(false);
+    thread::scope(|scope| {
+        for n in 0..40 {
+            let over = &over;
+            scope.spawn(move || {
+                while !over.load(Ordering::Relaxed) {
+                    let how =
+                        if n % 2 == 0 { Check::Http("/ready".into()) } else { Check::Agent(String::new()) };
+                    let _ = check(if n % 2 == 0 { at.0 } else { at.1 }, &how, Duration::from_secs(2));
+                }
+            });
+        }
+        drop(proxy);
+        let again = rig.start(2, Some(&options), None).unwrap();
+        until("it is ready under the flood", || {
+            check(at.1, &Check::Agent("file-entry".into()), PATIENCE).is_ok_and(|told| told.up)
+        });
+        let mut client = Client::connect(again.clients().unwrap()).unwrap();
+        assert!(served(&mut client));
+        over.store(true, Ordering::Relaxed);
+    });
+}
