--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -2,7 +2,7 @@
 //! process of this proxy hands over to the next.
 
 use super::EventLoop;
-use super::checks::ListenError;
+use super::error::EventLoopError;
 use super::timer_events::TimerEvent;
 use crate::health::{self, HealthObserver, HealthUpdate};
 use crate::observe::{Observer, Shared, shared};
@@ -45,7 +45,7 @@
 
 impl EventLoop {
     /// Starts health reporting, if the options have a health element.
-    pub(super) fn start_health(&mut self) -> Result<(), ListenError> {
+    pub(super) fn start_health(&mut self) -> Result<(), EventLoopError> {
         self.configure_health();
         let options = self.config.options.health.clone();
         let has_predecessor = self.handover.has_predecessor();
@@ -153,15 +153,13 @@
         let busy = 1.0 - self.health.slept as f64 / elapsed as f64;
         self.health.load_reported_at = now;
         self.health.slept = 0;
-        let (for_clients, for_databases) = self.connection_limits();
-        let in_flight = self.context.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
         let queued = self.context.core.report_queued(now);
         let in_progress = self.context.core.open_request_count();
         self.record_health_event(HealthEvent::Load {
-            pressure: busy.max(in_flight),
+            pressure: busy.max(self.database_connections_in_use()),
             in_progress,
             queued,
-            client_capacity: for_clients,
+            client_capacity: self.connection_limits().clients,
         });
         self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
     }
--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -7,7 +7,6 @@
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_options::{CheckListener, HealthOptions};
 use mio::net::TcpStream;
-use std::fmt;
 
 /// The protocol of a listener and its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,12 +36,6 @@
     }
 }
 
-impl fmt::Display for CheckProtocol {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(self.as_str())
-    }
-}
-
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CheckCloseReason {
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -1,5 +1,6 @@
 //! The listeners for balancers' checks: opened and closed as the options say, and for another process of this proxy.
 
+use super::super::error::{ListenError, ListenPurpose};
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::HealthCheckServer;
@@ -9,7 +10,6 @@
 use birchreach_options::HealthOptions;
 use mio::Interest;
 use mio::net::TcpListener;
-use std::fmt;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use tracing::{info, warn};
@@ -30,27 +30,6 @@
 /// Listeners opened for options that aren't in force yet.
 pub struct OpenedListeners(Vec<OpenListener>);
 
-/// A listener could not be opened.
-#[derive(Debug)]
-pub struct ListenError {
-    protocol: CheckProtocol,
-    address: SocketAddr,
-    source: io::Error,
-}
-
-impl fmt::Display for ListenError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let ListenError { protocol, address, source } = self;
-        write!(f, "listening for {protocol} checks on {address}: {source}")
-    }
-}
-
-impl std::error::Error for ListenError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        Some(&self.source)
-    }
-}
-
 fn listen(address: SocketAddr, shares_address: bool) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
@@ -74,10 +53,11 @@
             if self.listeners.iter().any(is_open) {
                 continue;
             }
-            let socket = listen(address, self.shares_addresses).map_err(|source| ListenError {
-                protocol,
+            let purpose = ListenPurpose::Checks(protocol.as_str());
+            let socket = listen(address, self.shares_addresses).map_err(|error| ListenError {
+                purpose,
                 address,
-                source,
+                error,
             })?;
             opened.push(OpenListener { protocol, socket, address, may_have_waiting: true });
         }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -16,8 +16,8 @@
 use birchreach::Micros;
 use birchreach_options::HealthOptions;
 use connection::{CheckCloseReason, CheckConnection, CheckProtocol, ProtocolState, listener_options};
-pub use listeners::ListenError;
 use listeners::OpenListener;
+pub use listeners::OpenedListeners;
 use mio::Interest;
 use mio::net::TcpStream;
 use serve::{AnswerSource, Progress, agent_reply, serve};
@@ -60,7 +60,7 @@
     }
 
     /// Something is left to do of which no socket will tell.
-    pub fn has_unfinished_work(&self, now: Micros) -> bool {
+    pub fn has_pending_work(&self, now: Micros) -> bool {
         let may_accept = now >= self.accepts_from;
         !self.unfinished.is_empty() || (may_accept && self.listeners.iter().any(|it| it.may_have_waiting))
     }
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -10,6 +10,7 @@
 mod statement_admission;
 mod turn;
 
+use super::error::{EventLoopError, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::core::AttemptId;
@@ -66,9 +67,10 @@
         registry: &Registry,
         mut listener: TcpListener,
         max_clients: usize,
-    ) -> Result<Clients, String> {
+    ) -> Result<Clients, EventLoopError> {
         let registered = registry.register(&mut listener, Source::Listener.token(), Interest::READABLE);
-        registered.map_err(|error| format!("watching the listener: {error}"))?;
+        let source = RegisteredSource::ClientListener;
+        registered.map_err(|error| EventLoopError::Register { source, error })?;
         Ok(Clients {
             listener: Some(listener),
             connections: Slab::new(),
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -2,6 +2,7 @@
 //! left over and the timers that are due.
 
 use super::EventLoop;
+use super::error::EventLoopError;
 use super::sources::Source;
 use birchreach::Micros;
 use mio::Events;
@@ -13,12 +14,16 @@
 
 impl EventLoop {
     /// Waits for events or the next timer, and does all that is due.
-    pub(super) fn run_once(&mut self, events: &mut Events, signals: &mut Signals) -> Result<(), String> {
+    pub(super) fn run_once(
+        &mut self,
+        events: &mut Events,
+        signals: &mut Signals,
+    ) -> Result<(), EventLoopError> {
         self.wait(events)?;
         self.serve_priority_sources(events);
         for event in events.iter() {
-            let source = Source::of(event.token());
-            if !source.first() {
+            let source = Source::from_token(event.token());
+            if !source.has_priority() {
                 self.handle_event(source, event, signals);
             }
             self.carry_out();
@@ -32,12 +37,12 @@
         Ok(())
     }
 
-    fn wait(&mut self, events: &mut Events) -> Result<(), String> {
+    fn wait(&mut self, events: &mut Events) -> Result<(), EventLoopError> {
         let asleep = self.clock.now();
         let pressing = self.has_unfinished_work(asleep);
         let wait = if pressing { Some(Duration::ZERO) } else { self.context.timers.wait(asleep) };
         match self.poll.poll(events, wait) {
-            Err(e) if e.kind() != ErrorKind::Interrupted => return Err(format!("polling: {e}")),
+            Err(error) if error.kind() != ErrorKind::Interrupted => return Err(EventLoopError::Poll(error)),
             _ => {}
         }
         self.context.now = self.clock.now();
@@ -47,14 +52,14 @@
 
     /// Something is left from the last turn that no socket will report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
-        self.clients.has_pending_work() || self.admin.pressing() || self.checks.has_unfinished_work(now)
+        self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.has_pending_work(now)
     }
 
     fn serve_priority_sources(&mut self, events: &Events) {
         for event in events.iter() {
-            match Source::of(event.token()) {
-                Source::Admin => self.admin.accept_ready(),
-                Source::Operator(key) => self.handle_admin(key),
+            match Source::from_token(event.token()) {
+                Source::AdminListener => self.admin.accept_ready(),
+                Source::Admin(key) => self.handle_admin(key),
                 source @ (Source::HttpListener | Source::AgentListener | Source::GrpcListener) => {
                     self.checks.listener_ready(source);
                 }
@@ -71,9 +76,11 @@
             Source::Listener => self.clients.listener_ready(),
             Source::Signals => self.handle_signals(signals),
             Source::Discovery => self.handle_discovery(),
-            Source::Successors | Source::Predecessor | Source::Successor => self.handle_handover(source),
+            Source::HandoverListener | Source::Predecessor | Source::Successor => {
+                self.handle_handover(source)
+            }
             Source::Fleet => self.handle_fleet(),
-            Source::GossipListener | Source::ViewListener => {
+            Source::GossipListener | Source::MembershipListener => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.accept_ready(source);
                     self.step_gossip();
@@ -93,8 +100,8 @@
             }
             Source::Database(key) => self.pool.handle_ready(&mut self.context, key),
             // `serve_priority_sources` has had them.
-            Source::Admin
-            | Source::Operator(_)
+            Source::AdminListener
+            | Source::Admin(_)
             | Source::HttpListener
             | Source::AgentListener
             | Source::GrpcListener
@@ -120,8 +127,9 @@
     /// Another process of this proxy came, spoke or went.
     fn handle_handover(&mut self, source: Source) {
         match source {
-            Source::Successors => self.handover.accept(&mut self.context),
-            link => self.handover.ready(&mut self.context, link),
+            Source::HandoverListener => self.handover.accept(&mut self.context),
+            Source::Predecessor => self.handover.predecessor_ready(&mut self.context),
+            _ => self.handover.successor_ready(&mut self.context),
         }
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
