--- a/proxy/tests/grpc.rs
+++ b/proxy/tests/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC health on a real process: h2's client, polled by hand over a loopback socket.
+//! gRPC health on a real process, with h2's client polled by hand over a loopback socket.
 
 use birchreach_test_support::process::PATIENCE;
 use birchreach_test_support::rig::Rig;
@@ -15,10 +15,10 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A socket that does not block, asked again and again.
+/// A nonblocking socket, polled again and again.
 struct Socket(TcpStream);
 
-fn ready<T>(result: std::io::Result<T>) -> Poll<std::io::Result<T>> {
+fn to_poll<T>(result: std::io::Result<T>) -> Poll<std::io::Result<T>> {
     match result {
         Err(e) if e.kind() == ErrorKind::WouldBlock => Poll::Pending,
         other => Poll::Ready(other),
@@ -28,13 +28,13 @@
 impl AsyncRead for Socket {
     fn poll_read(mut self: Pin<&mut Self>, _: &mut Context, buf: &mut ReadBuf) -> Poll<std::io::Result<()>> {
         let mut bytes = vec![0; buf.remaining().min(4096)];
-        ready(self.0.read(&mut bytes)).map(|read| read.map(|n| buf.put_slice(&bytes[..n])))
+        to_poll(self.0.read(&mut bytes)).map(|read| read.map(|n| buf.put_slice(&bytes[..n])))
     }
 }
 
 impl AsyncWrite for Socket {
     fn poll_write(mut self: Pin<&mut Self>, _: &mut Context, bytes: &[u8]) -> Poll<std::io::Result<usize>> {
-        ready(self.0.write(bytes))
+        to_poll(self.0.write(bytes))
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<std::io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -50,25 +50,25 @@
 }
 
 impl Client {
-    fn connect(at: SocketAddr) -> Client {
-        let stream = TcpStream::connect(at).unwrap();
+    fn connect(address: SocketAddr) -> Client {
+        let stream = TcpStream::connect(address).unwrap();
         stream.set_nonblocking(true).unwrap();
         let mut handshake = pin!(h2::client::handshake(Socket(stream)));
-        let (send, connection) = wait(|cx| handshake.as_mut().poll(cx)).unwrap();
+        let (send, connection) = wait(|context| handshake.as_mut().poll(context)).unwrap();
         Client { send, connection }
     }
 
     fn wait<T>(&mut self, mut poll: impl FnMut(&mut Context) -> Poll<T>) -> T {
-        wait(|cx| {
-            let _ = Pin::new(&mut self.connection).poll(cx);
-            poll(cx)
+        wait(|context| {
+            let _ = Pin::new(&mut self.connection).poll(context);
+            poll(context)
         })
     }
 
-    /// Sends a message to a method; headers and body of the reply.
-    fn call(&mut self, method: &str, message: &[u8], kind: &str) -> (HeaderMap, RecvStream) {
+    /// Sends a message to a method. Returns headers and body of the response.
+    fn call(&mut self, method: &str, message: &[u8], content_type: &str) -> (HeaderMap, RecvStream) {
         let request = Request::post(format!("http://proxy/grpc.health.v1.Health/{method}"))
-            .header("content-type", kind)
+            .header("content-type", content_type)
             .header("te", "trailers")
             .body(())
             .unwrap();
@@ -77,40 +77,43 @@
         frame.extend((message.len() as u32).to_be_bytes());
         frame.extend(message);
         body.send_data(frame.into(), true).unwrap();
-        let response = self.wait(|cx| Pin::new(&mut reply).poll(cx)).unwrap();
+        let response = self.wait(|context| Pin::new(&mut reply).poll(context)).unwrap();
         let (head, body) = response.into_parts();
         (head.headers, body)
     }
 
-    /// The status of a service, or the code of the refusal.
+    /// The serving status of a service, or gRPC's status code if there is none.
     fn check(&mut self, service: &str) -> Result<u8, String> {
-        let (headers, mut body) = self.call("Check", &named(service), "application/grpc");
+        let (headers, mut body) = self.call("Check", &request_for(service), "application/grpc");
         if let Some(code) = headers.get("grpc-status") {
             return Err(code.to_str().unwrap().into());
         }
         let status = self.next(&mut body).unwrap();
-        let trailers = self.wait(|cx| body.poll_trailers(cx)).unwrap().unwrap();
+        let trailers = self.wait(|context| body.poll_trailers(context)).unwrap().unwrap();
         assert_eq!(trailers["grpc-status"], "0");
         Ok(status)
     }
 
+    /// The serving status in the next message of a response.
     fn next(&mut self, body: &mut RecvStream) -> Option<u8> {
-        let bytes = self.wait(|cx| body.poll_data(cx))?.unwrap();
+        let bytes = self.wait(|context| body.poll_data(context))?.unwrap();
         body.flow_control().release_capacity(bytes.len()).unwrap();
-        assert_eq!(bytes[..6], [0, 0, 0, 0, 2, 8], "one message with one number");
+        assert_eq!(bytes[..6], [0, 0, 0, 0, 2, 8], "one message with one field");
         Some(bytes[6])
     }
 }
 
-fn named(service: &str) -> Vec<u8> {
+/// A request message for a service.
+fn request_for(service: &str) -> Vec<u8> {
     [&[10, service.len() as u8], service.as_bytes()].concat()
 }
 
+/// Polls until it is ready.
 fn wait<T>(mut poll: impl FnMut(&mut Context) -> Poll<T>) -> T {
     let start = Instant::now();
-    let mut cx = Context::from_waker(Waker::noop());
+    let mut context = Context::from_waker(Waker::noop());
     loop {
-        if let Poll::Ready(value) = poll(&mut cx) {
+        if let Poll::Ready(value) = poll(&mut context) {
             return value;
         }
         assert!(start.elapsed() < PATIENCE, "no reply");
@@ -119,7 +122,8 @@
 }
 
 #[test]
-fn checks_and_watches_tell_what_the_others_tell() {
+fn checks_and_watches_report_the_verdict() {
+    // Given a proxy with two healthy groups
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("grpc");
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let rig = Rig::new(2, [127, 88, 100, 1], program, &folder).unwrap();
@@ -129,13 +133,14 @@
         rig.own()
     );
     let proxy = rig.start(1, Some(&options), None).unwrap();
-    let at = proxy.checks("grpc").unwrap();
-    let mut client = Client::connect(at);
+    let address = proxy.checks("grpc").unwrap();
+    let mut client = Client::connect(address);
     let start = Instant::now();
     while client.check("file-entry") != Ok(1) {
         assert!(start.elapsed() < PATIENCE);
         thread::sleep(Duration::from_millis(20));
     }
+    // Then every service is serving, and invalid calls get their status code
     for service in ["", "group=1 write", "tariff-lookup", "file-entry group=0"] {
         assert_eq!(client.check(service), Ok(1), "{service}");
     }
@@ -144,32 +149,33 @@
     assert_eq!(headers["grpc-status"], "12");
     let (headers, _) = client.call("Check", &[0xff; 9], "application/grpc");
     assert_eq!(headers["grpc-status"], "3");
-    let (headers, _) = client.call("Check", &named("x").repeat(700), "application/grpc");
+    let (headers, _) = client.call("Check", &request_for("x").repeat(700), "application/grpc");
     assert_eq!(headers["grpc-status"], "8");
-    let (headers, _) = client.call("Check", &named(""), "text/plain");
+    let (headers, _) = client.call("Check", &request_for(""), "text/plain");
     assert!(headers.get("grpc-status").is_none());
-    // Noise, silence, and a peer that is gone cost their own connection only.
+    // When other connections send noise or nothing, or end, then they are closed
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff", b""] {
-        let mut stream = TcpStream::connect(at).unwrap();
+        let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.write_all(bytes).unwrap();
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
     }
-    // Nor does the one that was still for so long have a place any more.
-    let mut client = Client::connect(at);
+    // And the first one was idle for too long meanwhile, so a new one is opened
+    let mut client = Client::connect(address);
     assert_eq!(client.check("file-entry"), Ok(1));
-    // A watch hears each change, and outlives the time for which a connection may rest.
-    let (_, mut watch) = client.call("Watch", &named("group=1 write"), "application/grpc");
+    // Given watches on a connection, when it is idle for longer than the limit, then pings keep it open
+    let (_, mut watch) = client.call("Watch", &request_for("group=1 write"), "application/grpc");
     assert_eq!(client.next(&mut watch), Some(1));
-    let (_, mut nothing) = client.call("Watch", &named("none"), "application/grpc");
-    assert_eq!(client.next(&mut nothing), Some(3));
-    let still = Instant::now();
-    while still.elapsed() < Duration::from_millis(1500) {
-        // Pings are answered.
+    let (_, mut unknown) = client.call("Watch", &request_for("none"), "application/grpc");
+    assert_eq!(client.next(&mut unknown), Some(3));
+    let idle_since = Instant::now();
+    while idle_since.elapsed() < Duration::from_millis(1500) {
+        // Polling the connection answers pings.
         let _ = Pin::new(&mut client.connection).poll(&mut Context::from_waker(Waker::noop()));
         thread::sleep(Duration::from_millis(5));
     }
+    // When the primary stops responding, responds again, and the proxy shuts down, then the watch is sent each change
     rig.groups[1].primary.hang(true);
     assert_eq!(client.next(&mut watch), Some(2));
     rig.groups[1].primary.hang(false);
