--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -33,9 +33,9 @@
 use crate::config::Config;
 use admin::AdminListener;
 use background::Background;
-use balancers::Balancers;
+use balancers::HealthReporting;
 use birchreach::Micros;
-use checks::Checks;
+use checks::HealthCheckServer;
 use clients::Clients;
 use discovery_connection::DiscoveryConnection;
 use error::EventLoopError;
@@ -67,11 +67,11 @@
     pool: Pool,
     discovery: DiscoveryConnection,
     admin: AdminListener,
-    checks: Checks,
+    checks: HealthCheckServer,
     gossip: Option<Gossip>,
     fleet: Option<FleetMembership>,
     background: Option<Box<Background>>,
-    health: Balancers,
+    health: HealthReporting,
     handover: ProcessHandover,
     config: Config,
     /// The options' file, to be read again.
@@ -112,7 +112,7 @@
     }
 
     fn events_per_turn(&self) -> usize {
-        if self.health.watch.is_some() { EVENTS_PER_TURN_WITH_CHECKS } else { EVENTS_PER_TURN }
+        if self.health.observer.is_some() { EVENTS_PER_TURN_WITH_CHECKS } else { EVENTS_PER_TURN }
     }
 
     /// Gossip's timer is due, or another proxy wants to connect.
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -1,8 +1,8 @@
 //! The start of the event loop: listeners and connections are opened, and each part that the options name is started.
 
 use super::admin::AdminListener;
-use super::balancers::Balancers;
-use super::checks::Checks;
+use super::balancers::HealthReporting;
+use super::checks::HealthCheckServer;
 use super::clients::Clients;
 use super::connection_limits::ConnectionLimits;
 use super::discovery_connection::DiscoveryConnection;
@@ -85,11 +85,11 @@
             pool: Pool::new(&config.site, limits.databases),
             discovery: DiscoveryConnection::new(config.discovery, known_revision, settings, seed),
             admin,
-            checks: Checks::new(shared_listener),
+            checks: HealthCheckServer::new(shared_listener),
             gossip: None,
             fleet: None,
             background: None,
-            health: Balancers::default(),
+            health: HealthReporting::default(),
             handover,
             longest_client_timeout: longest_client_timeout(&config.site),
             config,
