--- a/background-tasks/src/budget.rs
+++ b/background-tasks/src/budget.rs
@@ -1,6 +1,7 @@
 //! What one process may spend of a budget that all share: its part of each window, counted start by start.
 
 use crate::Micros;
+use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How much of a kind may be started over all processes.
@@ -17,7 +18,7 @@
     /// What one of so many may start in a window. Rounded down: where it comes to none, nothing starts.
     fn quota(per_s: f64, window: Micros, divisor: u32) -> usize {
         let whole = per_s * window as f64 / 1e6 / f64::from(divisor.max(1));
-        if crate::faulty!(RoundsQuotaUp) { whole.ceil() as usize } else { whole as usize }
+        if fault_injected!(RoundsQuotaUp) { whole.ceil() as usize } else { whole as usize }
     }
 
     /// Parts for a database and for all.
@@ -40,7 +41,7 @@
 
 impl BudgetUsage {
     pub fn new(budget: Budget, now: Micros) -> BudgetUsage {
-        let from = if crate::faulty!(StartsWithoutDelay) { now } else { now + budget.window };
+        let from = if fault_injected!(StartsWithoutDelay) { now } else { now + budget.window };
         BudgetUsage {
             budget,
             usable_from: from,
@@ -56,7 +57,7 @@
     fn forget_old_starts(&mut self, now: Micros) {
         let window = self.budget.window;
         let old = |at: &Micros| {
-            if crate::faulty!(FixedWindows) {
+            if fault_injected!(FixedWindows) {
                 at.div_euclid(window) < now.div_euclid(window)
             } else {
                 now - *at > window
--- a/background-tasks/src/faults.rs
+++ b/background-tasks/src/faults.rs
@@ -1,36 +1,16 @@
-//! One-line faults that tests switch on to see that the checkers catch them; compiled for tests alone.
+//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
 
-use std::cell::Cell;
-
-/// Each breaks one invariant of the crate.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// A part of a budget is rounded up.
+birchreach_fault_injection::declare_faults! {
+    /// A process's quota of a budget is rounded up.
     RoundsQuotaUp,
-    /// A new boot spends at once.
+    /// A new incarnation uses its quota at once.
     StartsWithoutDelay,
-    /// The window begins anew at fixed times.
+    /// Windows begin at fixed times, so that two quotas fit into one span of a window's length.
     FixedWindows,
-    /// The oldest first, whatever its kind.
+    /// The oldest task starts first, whatever its kind.
     IgnoresPriority,
-    /// What is late starts all the same.
+    /// Expired tasks are started.
     StartsExpiredTasks,
-    /// Waiting tasks are not counted.
+    /// The queue is unbounded.
     AcceptsAllTasks,
 }
-
-thread_local! {
-    static ON: Cell<Option<Fault>> = const { Cell::new(None) };
-}
-
-/// Runs something with a fault.
-pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
-    ON.set(Some(fault));
-    let done = run();
-    ON.set(None);
-    done
-}
-
-pub(crate) fn is(fault: Fault) -> bool {
-    ON.get() == Some(fault)
-}
--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -18,25 +18,12 @@
 #![forbid(unsafe_code)]
 
 mod budget;
-#[cfg(feature = "mutants")]
 pub mod faults;
 mod scheduler;
 
 pub use budget::Budget;
 pub use scheduler::{Counts, Scheduler, Task};
 
-/// Is this fault switched on? Never outside tests.
-macro_rules! faulty {
-    ($which:ident) => {{
-        #[cfg(feature = "mutants")]
-        let on = crate::faults::is(crate::faults::Fault::$which);
-        #[cfg(not(feature = "mutants"))]
-        let on = false;
-        on
-    }};
-}
-pub(crate) use faulty;
-
 /// A span of time, or an instant on the holder's clock, in microseconds.
 pub type Micros = i64;
 
--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -2,6 +2,7 @@
 
 use crate::budget::{Budget, BudgetUsage};
 use crate::{Micros, TaskKind};
+use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeMap;
 
 /// Tasks that wait at once; one more is dropped.
@@ -65,12 +66,12 @@
 
     /// False: too many wait.
     pub fn submit(&mut self, task: Task<T>) -> bool {
-        if self.waiting.len() >= MAX_WAITING_TASKS && !crate::faulty!(AcceptsAllTasks) {
+        if self.waiting.len() >= MAX_WAITING_TASKS && !fault_injected!(AcceptsAllTasks) {
             self.counts.entry(task.kind).or_default().rejected += 1;
             return false;
         }
         self.last_task_id += 1;
-        let urgent = if crate::faulty!(IgnoresPriority) { TaskKind::RowRead } else { task.kind };
+        let urgent = if fault_injected!(IgnoresPriority) { TaskKind::RowRead } else { task.kind };
         self.waiting.insert((urgent, self.last_task_id), task);
         true
     }
@@ -86,7 +87,7 @@
         let late: Vec<(TaskKind, u64)> = self
             .waiting
             .iter()
-            .filter(|(_, task)| task.expires_at <= now && !crate::faulty!(StartsExpiredTasks))
+            .filter(|(_, task)| task.expires_at <= now && !fault_injected!(StartsExpiredTasks))
             .map(|(key, _)| *key)
             .collect();
         for key in late {
--- a/hot-keys/src/copy_holders.rs
+++ b/hot-keys/src/copy_holders.rs
@@ -1,6 +1,7 @@
 //! Which databases are a key's guests: by rendezvous over the list, so that whoever has the same list chooses the same, connected or not.
 
 use crate::{Key, mix};
+use birchreach_fault_injection::fault_injected;
 
 /// A database of the list that may be a guest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -16,12 +17,12 @@
 pub fn copy_holders(key: Key, of: &[Database], most: usize) -> Vec<Database> {
     let lot = |d: &Database| mix(mix(key.hash ^ u64::from(key.group)) ^ d.name_hash);
     let mut all: Vec<&Database> =
-        of.iter().filter(|d| d.group != key.group || crate::faulty!(PlacesCopiesAnywhere)).collect();
+        of.iter().filter(|d| d.group != key.group || fault_injected!(PlacesCopiesAnywhere)).collect();
     all.sort_by_key(|d| (std::cmp::Reverse(lot(d)), d.name_hash));
     let mut taken: Vec<Database> = Vec::new();
     for d in all {
         if taken.len() < most
-            && (crate::faulty!(PlacesCopiesAnywhere) || taken.iter().all(|t| t.group != d.group))
+            && (fault_injected!(PlacesCopiesAnywhere) || taken.iter().all(|t| t.group != d.group))
         {
             taken.push(*d);
         }
--- a/hot-keys/src/faults.rs
+++ b/hot-keys/src/faults.rs
@@ -1,49 +1,24 @@
-//! One-line faults that tests switch on to see that the checkers catch them; compiled for tests alone.
+//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
 
-use std::cell::Cell;
-
-/// Each breaks one invariant of the crate.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Reports what the counter says, its error too.
+birchreach_fault_injection::declare_faults! {
+    /// A reported rate includes the counter's possible error.
     IncludesCounterError,
-    /// A key comes into the sketch at its first occurrence.
+    /// A key is counted from its first read on.
     SkipsDoorkeeper,
-    /// Between the thresholds the own word decides.
+    /// Between the two thresholds a process decides by its own report.
     TrustsOnlyItself,
-    /// An origin's word counts whole.
+    /// One origin's report counts without an upper bound.
     CountsOriginsUnbounded,
-    /// No least stay.
+    /// A key is dropped as soon as its rate falls.
     SkipsMinimumStay,
-    /// Guests may be of one group, and of home.
+    /// Copies may be placed in the key's own group, and twice in one group.
     PlacesCopiesAnywhere,
-    /// A copy answers for any position.
+    /// A copy is served whatever position is needed.
     ServesAnyPosition,
-    /// The later of two copies that arrive stands, whatever its position.
+    /// The copy that arrived last is kept, whatever its position.
     KeepsLastWrite,
-    /// The position that came with the value is the copy's.
+    /// A copy gets the position that came with its value in place of the one before.
     UsesLaterPosition,
-    /// Any reporter's slot is every reporter's.
+    /// Each reporter of a key takes every refresh slot.
     ClaimsEverySlot,
 }
-
-thread_local! {
-    static ON: Cell<Option<Fault>> = const { Cell::new(None) };
-}
-
-/// Runs something with a fault.
-pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
-    ON.set(Some(fault));
-    let done = run();
-    ON.set(None);
-    done
-}
-
-/// For checkers that look from several threads.
-pub fn set(fault: Option<Fault>) {
-    ON.set(fault);
-}
-
-pub(crate) fn is(fault: Fault) -> bool {
-    ON.get() == Some(fault)
-}
--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -25,7 +25,6 @@
 pub mod copy;
 mod copy_ages;
 mod copy_holders;
-#[cfg(feature = "mutants")]
 pub mod faults;
 mod refresh;
 mod reports;
@@ -43,18 +42,6 @@
 pub use sketch::ReadSketch;
 pub use tracker::{HotKey, HotKeyTracker};
 
-/// Is this fault switched on? Never outside tests.
-macro_rules! faulty {
-    ($which:ident) => {{
-        #[cfg(feature = "mutants")]
-        let on = crate::faults::is(crate::faults::Fault::$which);
-        #[cfg(not(feature = "mutants"))]
-        let on = false;
-        on
-    }};
-}
-pub(crate) use faulty;
-
 /// A span of time, or an instant on the holder's clock, in microseconds. Instants are counted as Unix time, by which positions are told.
 pub type Micros = i64;
 
--- a/hot-keys/src/refresh.rs
+++ b/hot-keys/src/refresh.rs
@@ -2,6 +2,7 @@
 //! agree for anything that must hold: a slot that is taken twice costs a copy, one that is taken by nobody makes copies older.
 
 use crate::{Key, Micros, mix};
+use birchreach_fault_injection::fault_injected;
 
 /// A copy to be renewed, and where to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,5 +31,5 @@
     let mut all = reporters.map(lot).peekable();
     let own = lot(own);
     let known = all.peek().is_some();
-    known && all.all(|other| other <= own || crate::faulty!(ClaimsEverySlot))
+    known && all.all(|other| other <= own || fault_injected!(ClaimsEverySlot))
 }
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -2,6 +2,7 @@
 
 use crate::reports::{Reports, weight};
 use crate::{Key, Micros, Settings};
+use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeMap;
 
 /// Keys that are hot at once, at the most.
@@ -28,7 +29,7 @@
 /// What one origin's word counts for at the most: half of the threshold where three or more are named, so that nobody makes a key
 /// hot alone.
 fn max_counted_per_origin(settings: &Settings, threshold: f64) -> f64 {
-    let whole = settings.configured_members < 3 || crate::faulty!(CountsOriginsUnbounded);
+    let whole = settings.configured_members < 3 || fault_injected!(CountsOriginsUnbounded);
     if whole { f64::INFINITY } else { threshold / 2.0 }
 }
 
@@ -53,7 +54,7 @@
             let rate = f64::from(entry.reads_per_1000_s) / 1_000.0;
             sum.counted_per_s += counts * rate.min(max_counted_per_origin(settings, threshold));
             sum.reported_per_s += counts * rate;
-            let heard = !crate::faulty!(TrustsOnlyItself) || origin == own;
+            let heard = !fault_injected!(TrustsOnlyItself) || origin == own;
             sum.reporters += usize::from(heard);
             sum.hot_reporters += usize::from(heard && entry.is_hot);
         }
--- a/hot-keys/src/sketch.rs
+++ b/hot-keys/src/sketch.rs
@@ -2,6 +2,7 @@
 //! time, behind a doorkeeper that lets a key in when it comes a second time.
 
 use crate::{Key, Micros, mix};
+use birchreach_fault_injection::fault_injected;
 use std::collections::HashMap;
 
 /// Counters; a key whose share of all reads is over 1 in so many has one.
@@ -93,7 +94,7 @@
             counter.count += 1.0;
             return;
         }
-        if !self.doorkeeper.check_and_insert(now, key) && !crate::faulty!(SkipsDoorkeeper) {
+        if !self.doorkeeper.check_and_insert(now, key) && !fault_injected!(SkipsDoorkeeper) {
             return;
         }
         let mut error = 0.0;
@@ -111,7 +112,7 @@
         // A young sketch has not had the time to fill: its mean is over what it has seen.
         let filled =
             1.0 - (-((now - self.started_at).max(DECAY_STEP_MICROS) as f64) / DECAY_MICROS as f64).exp();
-        let sure = if crate::faulty!(IncludesCounterError) { c.count } else { c.count - c.error };
+        let sure = if fault_injected!(IncludesCounterError) { c.count } else { c.count - c.error };
         sure.max(0.0) / (DECAY_MICROS as f64 / 1e6) / filled
     }
 
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -5,6 +5,7 @@
 use crate::set::{Hotness, MAX_HOT_KEYS, derive_hot_set};
 use crate::tracker::{DERIVE_INTERVAL_MICROS, HotKey, HotKeyTracker, MIN_HOT_MICROS};
 use crate::{Key, Micros};
+use birchreach_fault_injection::fault_injected;
 
 impl HotKeyTracker {
     /// Derives the set, if it is time. True: it has changed.
@@ -45,7 +46,7 @@
         }
         let stays = |k: &HotKey| {
             now - k.confirmed_at < 2 * DERIVE_INTERVAL_MICROS
-                || (now - k.hot_since < MIN_HOT_MICROS && !crate::faulty!(SkipsMinimumStay))
+                || (now - k.hot_since < MIN_HOT_MICROS && !fault_injected!(SkipsMinimumStay))
         };
         self.hot_keys.retain(|_, k| stays(k));
         self.enforce_limit();
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -3,6 +3,7 @@
 
 use crate::judge::{Outcome, ParentSample, PositionSample, Row, judge};
 use crate::{DifferenceKind, Micros};
+use birchreach_fault_injection::fault_injected;
 
 /// Close looks at one key before it is dropped as unsure.
 pub const MAX_RETRIES: u8 = 6;
@@ -179,7 +180,7 @@
             Outcome::Agrees => Some(ComparisonEnd::Agrees),
             Outcome::Lagging => self.retry(now, ComparisonEnd::Lagging),
             Outcome::Inconclusive => self.retry(now, ComparisonEnd::Inconclusive),
-            Outcome::Differs if crate::faulty!(NeverConfirms) => Some(ComparisonEnd::Inconclusive),
+            Outcome::Differs if fault_injected!(NeverConfirms) => Some(ComparisonEnd::Inconclusive),
             Outcome::Differs => {
                 let sort = match child {
                     Child::Other => DifferenceKind::Extra,
@@ -187,10 +188,10 @@
                     Child::Owner => DifferenceKind::Differs,
                 };
                 match self.first_difference {
-                    _ if crate::faulty!(SkipsConfirmation) => Some(ComparisonEnd::Confirmed(found, sort)),
+                    _ if fault_injected!(SkipsConfirmation) => Some(ComparisonEnd::Confirmed(found, sort)),
                     // Again, and nothing was another in between: it lasts.
                     Some(first)
-                        if (first.processes == processes || crate::faulty!(IgnoresRestarts))
+                        if (first.processes == processes || fault_injected!(IgnoresRestarts))
                             && first.child == child
                             && now - first.found_at >= confirm =>
                     {
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -1,6 +1,7 @@
 //! What each process has compared, by range, and what it has flagged: counters of each origin, of which the newest count.
 
 use crate::{Definition, Micros, RANGES};
+use birchreach_fault_injection::fault_injected;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -78,12 +79,12 @@
         made: Micros,
         report: Report,
     ) -> Result<(), ReportError> {
-        if report.definition_digest != definition.digest() && !crate::faulty!(MixesDefinitions) {
+        if report.definition_digest != definition.digest() && !fault_injected!(MixesDefinitions) {
             return Err(ReportError::OtherDefinition);
         }
         match self.by_origin.get(&origin) {
             Some(known) if known.sequence >= number => {
-                self.injected_excess += u32::from(crate::faulty!(CountsTwice));
+                self.injected_excess += u32::from(fault_injected!(CountsTwice));
                 return Err(ReportError::Outdated);
             }
             None if self.by_origin.len() >= MAX_ORIGINS => return Err(ReportError::TooManyOrigins),
--- a/shard-split/src/faults.rs
+++ b/shard-split/src/faults.rs
@@ -1,47 +1,22 @@
-//! One-line faults that tests switch on to see that the checkers catch them; compiled for tests alone.
+//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
 
-use std::cell::Cell;
-
-/// Each breaks one invariant of the crate.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// A row that changed since the child's position is held against it.
+birchreach_fault_injection::declare_faults! {
+    /// A row committed after the child's position counts as a difference.
     IgnoresCommitTime,
-    /// A's look need not have reached what the child had.
+    /// The parent's sample need not have reached the child's position.
     IgnoresLaterCommits,
-    /// What differs is a flag at once.
+    /// A difference is confirmed the first time it is seen.
     SkipsConfirmation,
-    /// The second time may be with other processes.
+    /// A difference may be confirmed by other database processes.
     IgnoresRestarts,
-    /// What differs is dropped as unsure.
+    /// Every difference ends as inconclusive.
     NeverConfirms,
-    /// A report counts each time it comes.
+    /// A report counts each time it is received.
     CountsTwice,
     /// Reports of another definition count.
     MixesDefinitions,
-    /// Clean is said of what is heard.
+    /// The verdict is clean although configured members are not heard from.
     CleanWhileMembersMissing,
-    /// Nothing is dropped.
+    /// Comparisons and differences are kept without bound.
     KeepsEverything,
 }
-
-thread_local! {
-    static ON: Cell<Option<Fault>> = const { Cell::new(None) };
-}
-
-/// Runs something with a fault.
-pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
-    ON.set(Some(fault));
-    let done = run();
-    ON.set(None);
-    done
-}
-
-/// For checkers that look from several threads.
-pub fn set(fault: Option<Fault>) {
-    ON.set(fault);
-}
-
-pub(crate) fn is(fault: Fault) -> bool {
-    ON.get() == Some(fault)
-}
--- a/shard-split/src/judge.rs
+++ b/shard-split/src/judge.rs
@@ -1,6 +1,7 @@
 //! When a difference between a child and the group that splits is a fault, and when it proves nothing.
 
 use crate::Micros;
+use birchreach_fault_injection::fault_injected;
 
 /// A digest of a value, or that there is no row.
 pub type Row = Option<u64>;
@@ -42,7 +43,7 @@
     if parent.row == child.row {
         return Outcome::Agrees;
     }
-    if child.position_before < parent.committed_at && !crate::faulty!(IgnoresCommitTime) {
+    if child.position_before < parent.committed_at && !fault_injected!(IgnoresCommitTime) {
         // It need not have it yet; if its row is older than the parent's, that is a lag.
         return if child.position_after < parent.committed_at {
             Outcome::Lagging
@@ -51,7 +52,7 @@
         };
     }
     // A later commit may have reached the child before the parent was looked at.
-    if child.position_after > parent.position && !crate::faulty!(IgnoresLaterCommits) {
+    if child.position_after > parent.position && !fault_injected!(IgnoresLaterCommits) {
         return Outcome::Inconclusive;
     }
     Outcome::Differs
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -21,7 +21,6 @@
 mod compare;
 mod coverage;
 mod definition;
-#[cfg(feature = "mutants")]
 pub mod faults;
 mod flag;
 pub mod judge;
@@ -36,17 +35,5 @@
 pub use verdict::{IncompleteReason, Verdict};
 pub use verifier::SplitVerifier;
 
-/// Is this fault switched on? Never outside tests.
-macro_rules! faulty {
-    ($which:ident) => {{
-        #[cfg(feature = "mutants")]
-        let on = crate::faults::is(crate::faults::Fault::$which);
-        #[cfg(not(feature = "mutants"))]
-        let on = false;
-        on
-    }};
-}
-pub(crate) use faulty;
-
 /// A span of time, or an instant on the holder's clock, in microseconds. Instants are counted as Unix time, by which positions are told.
 pub type Micros = i64;
--- a/shard-split/src/verdict.rs
+++ b/shard-split/src/verdict.rs
@@ -2,6 +2,7 @@
 
 use crate::RANGES;
 use crate::coverage::Coverage;
+use birchreach_fault_injection::fault_injected;
 
 /// What is missing before it can be clean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +42,7 @@
     let lacks = IncompleteReason {
         ranges_below_comparisons: of.clone().filter(|(compared, _)| *compared < least).count(),
         ranges_below_processes: of.filter(|(_, seen_by)| *seen_by < processes).count(),
-        silent_members: if crate::faulty!(CleanWhileMembersMissing) {
+        silent_members: if fault_injected!(CleanWhileMembersMissing) {
             0
         } else {
             named.saturating_sub(heard)
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -7,6 +7,7 @@
 use crate::judge::Row;
 use crate::verdict::{Verdict, verdict};
 use crate::{Child, Micros};
+use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Comparisons under way; a read beyond them is not compared.
@@ -71,7 +72,7 @@
         if own || (covered && !self.reads_seen.is_multiple_of(COVERED_RANGE_SAMPLING)) {
             return;
         }
-        if self.comparisons.len() >= MAX_COMPARISONS && !crate::faulty!(KeepsEverything) {
+        if self.comparisons.len() >= MAX_COMPARISONS && !fault_injected!(KeepsEverything) {
             self.counts.rejected += 1;
             return;
         }
@@ -156,7 +157,7 @@
                 // The newest of each key.
                 kept.retain(|f| (f.key_hash, f.kind) != (hash, sort));
                 kept.push_back(flag.clone());
-                if kept.len() > MAX_DIFFERENCES_PER_RANGE && !crate::faulty!(KeepsEverything) {
+                if kept.len() > MAX_DIFFERENCES_PER_RANGE && !fault_injected!(KeepsEverything) {
                     kept.pop_front();
                 }
                 return Some(flag);
