--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -1,5 +1,6 @@
 //! The listeners for balancers' checks: opened and closed with the options, or for another process of this proxy.
 
+use super::super::error::{ListenError, ListenPurpose};
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::{Checks, Kind};
@@ -48,16 +49,17 @@
 
 impl Checks {
     /// Opens what these options want and is not open; those in force are not touched.
-    pub fn open(&self, options: Option<&HealthOptions>) -> Result<Opened, String> {
+    pub fn open(&self, options: Option<&HealthOptions>) -> Result<Opened, ListenError> {
         let mut opened = Vec::new();
         for (kind, check_listener) in options.into_iter().flat_map(check_listeners) {
             if self.listening.iter().any(|l| l.kind == kind && l.address == check_listener.address) {
                 continue;
             }
-            let failed =
-                |e| format!("listening for {} checks on {}: {e}", kind.word(), check_listener.address);
-            let listener = listen(check_listener.address, self.shared).map_err(failed)?;
-            opened.push(Listening { kind, listener, address: check_listener.address, waiting: true });
+            let address = check_listener.address;
+            let purpose = ListenPurpose::Checks(kind.word());
+            let listener =
+                listen(address, self.shared).map_err(|error| ListenError { purpose, address, error })?;
+            opened.push(Listening { kind, listener, address, waiting: true });
         }
         Ok(Opened(opened))
     }
