--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -22,38 +22,25 @@
 
 #![forbid(unsafe_code)]
 
-mod agree;
 pub mod copy;
-mod due;
-mod guests;
-mod learnt;
-mod machine;
-#[cfg(feature = "mutants")]
-pub mod mutant;
+mod copy_ages;
+mod copy_holders;
+pub mod faults;
+mod refresh;
 mod reports;
 mod set;
 mod settings;
 mod sketch;
+mod tracker;
+mod update;
 
-pub use due::Due;
-pub use guests::Database;
-pub use machine::{Hot, HotKey};
-pub use reports::{Entry, MOST_ENTRIES, Refused, Report};
-pub use set::{Hotness, derive};
-pub use settings::{Cost, Need, Settings};
-pub use sketch::Sketch;
-
-/// Is this fault switched on? Never outside tests.
-macro_rules! faulty {
-    ($which:ident) => {{
-        #[cfg(feature = "mutants")]
-        let on = crate::mutant::is(crate::mutant::Mutant::$which);
-        #[cfg(not(feature = "mutants"))]
-        let on = false;
-        on
-    }};
-}
-pub(crate) use faulty;
+pub use copy_holders::Database;
+pub use refresh::DueCopy;
+pub use reports::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+pub use set::{Hotness, derive_hot_set};
+pub use settings::{CopyCost, CopyRequirement, Settings};
+pub use sketch::ReadSketch;
+pub use tracker::{HotKey, HotKeyTracker};
 
 /// A span of time, or an instant on the holder's clock, in microseconds. Instants are counted as Unix time, by which positions are told.
 pub type Micros = i64;
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -52,7 +52,7 @@
 
     /// Something is left from the last turn that no socket will report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
-        self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.pressing(now)
+        self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.has_pending_work(now)
     }
 
     fn serve_priority_sources(&mut self, events: &Events) {
@@ -61,14 +61,14 @@
                 Source::AdminListener => self.admin.accept_ready(),
                 Source::Admin(key) => self.handle_admin(key),
                 source @ (Source::HttpListener | Source::AgentListener | Source::GrpcListener) => {
-                    self.checks.accept_ready(source);
+                    self.checks.listener_ready(source);
                 }
-                Source::Check(key) => self.checks.ready(&mut self.context, key),
+                Source::Check(key) => self.checks.serve(&mut self.context, key),
                 _ => {}
             }
         }
         self.admin.accept(&mut self.context);
-        self.checks.go_on(&mut self.context);
+        self.checks.continue_work(&mut self.context);
     }
 
     fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
--- /dev/null
+++ b/shard-split/src/faults.rs
@@ -0,0 +1,22 @@
+//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
+
+birchreach_fault_injection::declare_faults! {
+    /// A row committed after the child's position counts as a difference.
+    IgnoresCommitTime,
+    /// The parent's sample need not have reached the child's position.
+    IgnoresLaterCommits,
+    /// A difference is confirmed the first time it is seen.
+    SkipsConfirmation,
+    /// A difference may be confirmed by other database processes.
+    IgnoresRestarts,
+    /// Every difference ends as inconclusive.
+    NeverConfirms,
+    /// A report counts each time it is received.
+    CountsTwice,
+    /// Reports of another definition count.
+    MixesDefinitions,
+    /// The verdict is clean although configured members are not heard from.
+    CleanWhileMembersMissing,
+    /// Comparisons and differences are kept without bound.
+    KeepsEverything,
+}
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -21,32 +21,19 @@
 mod compare;
 mod coverage;
 mod definition;
+pub mod faults;
 mod flag;
 pub mod judge;
-mod machine;
-#[cfg(feature = "mutants")]
-pub mod mutant;
 mod verdict;
+mod verifier;
 
-pub use compare::{Ask, Child, Told};
-pub use coverage::{Refused, Report};
+pub use compare::{Child, ComparisonQuery, QueryResult};
+pub use coverage::{Report, ReportError};
 pub use definition::{Definition, RANGES};
-pub use flag::{Counts, Flag, Settings, Sort};
-pub use judge::{Look, Outcome, Row};
-pub use machine::Split;
-pub use verdict::{Lacks, Verdict};
-
-/// Is this fault switched on? Never outside tests.
-macro_rules! faulty {
-    ($which:ident) => {{
-        #[cfg(feature = "mutants")]
-        let on = crate::mutant::is(crate::mutant::Mutant::$which);
-        #[cfg(not(feature = "mutants"))]
-        let on = false;
-        on
-    }};
-}
-pub(crate) use faulty;
+pub use flag::{ConfirmedDifference, Counts, DifferenceKind, Settings};
+pub use judge::{Outcome, PositionSample, Row};
+pub use verdict::{IncompleteReason, Verdict};
+pub use verifier::SplitVerifier;
 
 /// A span of time, or an instant on the holder's clock, in microseconds. Instants are counted as Unix time, by which positions are told.
 pub type Micros = i64;
