--- a/proxy/tests/grpc.rs
+++ b/proxy/tests/grpc.rs
@@ -101,6 +101,15 @@
         assert_eq!(bytes[..6], [0, 0, 0, 0, 2, 8], "one message with one field");
         Some(bytes[6])
     }
+
+    /// Sends no request for this time, but answers pings.
+    fn stay_idle(&mut self, span: Duration) {
+        let idle_since = Instant::now();
+        while idle_since.elapsed() < span {
+            let _ = Pin::new(&mut self.connection).poll(&mut Context::from_waker(Waker::noop()));
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
 }
 
 /// A request message for a service.
@@ -121,6 +130,30 @@
     }
 }
 
+/// Calls that are invalid or name something unknown get their status code.
+fn check_invalid_calls(client: &mut Client) {
+    assert_eq!(client.check("none"), Err("5".into()));
+    let (headers, _) = client.call("List", &[], "application/grpc");
+    assert_eq!(headers["grpc-status"], "12");
+    let (headers, _) = client.call("Check", &[0xff; 9], "application/grpc");
+    assert_eq!(headers["grpc-status"], "3");
+    let (headers, _) = client.call("Check", &request_for("x").repeat(700), "application/grpc");
+    assert_eq!(headers["grpc-status"], "8");
+    let (headers, _) = client.call("Check", &request_for(""), "text/plain");
+    assert!(headers.get("grpc-status").is_none());
+}
+
+/// Waits for each connection to be closed.
+fn send_noise(address: SocketAddr) {
+    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff", b""] {
+        let mut stream = TcpStream::connect(address).unwrap();
+        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.write_all(bytes).unwrap();
+        let mut rest = Vec::new();
+        let _ = stream.read_to_end(&mut rest);
+    }
+}
+
 #[test]
 fn checks_and_watches_report_the_verdict() {
     // Given a proxy with two healthy groups
@@ -144,23 +177,9 @@
     for service in ["", "group=1 write", "tariff-lookup", "file-entry group=0"] {
         assert_eq!(client.check(service), Ok(1), "{service}");
     }
-    assert_eq!(client.check("none"), Err("5".into()));
-    let (headers, _) = client.call("List", &[], "application/grpc");
-    assert_eq!(headers["grpc-status"], "12");
-    let (headers, _) = client.call("Check", &[0xff; 9], "application/grpc");
-    assert_eq!(headers["grpc-status"], "3");
-    let (headers, _) = client.call("Check", &request_for("x").repeat(700), "application/grpc");
-    assert_eq!(headers["grpc-status"], "8");
-    let (headers, _) = client.call("Check", &request_for(""), "text/plain");
-    assert!(headers.get("grpc-status").is_none());
+    check_invalid_calls(&mut client);
     // When other connections send noise or nothing, or end, then they are closed
-    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff", b""] {
-        let mut stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.write_all(bytes).unwrap();
-        let mut rest = Vec::new();
-        let _ = stream.read_to_end(&mut rest);
-    }
+    send_noise(address);
     // And the first one was idle for too long meanwhile, so a new one is opened
     let mut client = Client::connect(address);
     assert_eq!(client.check("file-entry"), Ok(1));
@@ -169,12 +188,7 @@
     assert_eq!(client.next(&mut watch), Some(1));
     let (_, mut unknown) = client.call("Watch", &request_for("none"), "application/grpc");
     assert_eq!(client.next(&mut unknown), Some(3));
-    let idle_since = Instant::now();
-    while idle_since.elapsed() < Duration::from_millis(1500) {
-        // Polling the connection answers pings.
-        let _ = Pin::new(&mut client.connection).poll(&mut Context::from_waker(Waker::noop()));
-        thread::sleep(Duration::from_millis(5));
-    }
+    client.stay_idle(Duration::from_millis(1500));
     // When the primary stops responding, responds again, and the proxy shuts down, then the watch is sent each change
     rig.groups[1].primary.hang(true);
     assert_eq!(client.next(&mut watch), Some(2));
--- a/proxy/tests/health/crowds.rs
+++ b/proxy/tests/health/crowds.rs
@@ -6,24 +6,16 @@
 use birchreach_test_support::process::PATIENCE;
 use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::Duration;
 
-/// Check connections that send nothing, read nothing or send noise, and clients that fill every place.
-#[test]
-fn a_crowd_of_connections_does_not_keep_balancers_from_their_answer() {
-    // Given a crowd of clients and misbehaving checks
-    let mut rig = rig(5, 1);
-    rig.sockets = 200;
-    let proxy = rig.start_with_doors(1, 40, "").unwrap();
-    let clients = proxy.clients().unwrap();
-    let crowd: Vec<TcpStream> = (0..300).filter_map(|_| TcpStream::connect(clients).ok()).collect();
-    let (at, agents) = (proxy.checks("http").unwrap(), proxy.checks("agent").unwrap());
+/// Connections that send too much, noise, half a request or nothing, and read nothing.
+fn misbehaving_checks(http: SocketAddr, agent: SocketAddr) -> Vec<TcpStream> {
     let mut misbehaving: Vec<TcpStream> = Vec::new();
     for n in 0..120 {
-        let mut stream = TcpStream::connect(if n % 2 == 0 { at } else { agents }).unwrap();
+        let mut stream = TcpStream::connect(if n % 2 == 0 { http } else { agent }).unwrap();
         let bytes: Vec<u8> = match n % 6 {
             0 => b"GET /health HTTP/1.1\r\nHost: p\r\n\r\n".repeat(2000),
             1 => vec![b'x'; 100_000],
@@ -35,13 +27,12 @@
         let _ = stream.write(&bytes);
         misbehaving.push(stream);
     }
-    // Then every check is answered
-    for _ in 0..200 {
-        assert!(agent(&proxy, "file-entry").up && http(&proxy, "/ready").up && http(&proxy, "/live").up);
-    }
-    assert!(crowd.len() > 100, "a crowd that did not come shows nothing");
-    // Then a connection may be kept for several requests
-    let mut kept = TcpStream::connect(at).unwrap();
+    misbehaving
+}
+
+/// A connection that is kept for several requests.
+fn check_kept_connection(http: SocketAddr) {
+    let mut kept = TcpStream::connect(http).unwrap();
     let mut reply = [0; 15];
     for _ in 0..3 {
         kept.write_all(b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n").unwrap();
@@ -52,7 +43,7 @@
             response.extend_from_slice(&reply[..n]);
         }
     }
-    // And many pipelined requests are all answered, in their order
+    // Many pipelined requests are all answered, in their order.
     kept.write_all(
         &[b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n".repeat(999), b"HEAD /none HTTP/1.0\r\n\r\n".to_vec()]
             .concat(),
@@ -61,6 +52,26 @@
     let mut all = String::new();
     kept.read_to_string(&mut all).unwrap();
     assert_eq!((all.matches("HTTP/1.1 200 ").count(), all.matches("HTTP/1.1 404 ").count()), (999, 1));
+}
+
+/// Check connections that send nothing, read nothing or send noise, and clients that fill every place.
+#[test]
+fn a_crowd_of_connections_does_not_keep_balancers_from_their_answer() {
+    // Given a crowd of clients and misbehaving checks
+    let mut rig = rig(5, 1);
+    rig.sockets = 200;
+    let proxy = rig.start_with_doors(1, 40, "").unwrap();
+    let clients = proxy.clients().unwrap();
+    let crowd: Vec<TcpStream> = (0..300).filter_map(|_| TcpStream::connect(clients).ok()).collect();
+    let (at, agents) = (proxy.checks("http").unwrap(), proxy.checks("agent").unwrap());
+    let misbehaving = misbehaving_checks(at, agents);
+    // Then every check is answered
+    for _ in 0..200 {
+        assert!(agent(&proxy, "file-entry").up && http(&proxy, "/ready").up && http(&proxy, "/live").up);
+    }
+    assert!(crowd.len() > 100, "a crowd that did not come shows nothing");
+    // Then a connection may be kept for several requests, also pipelined ones
+    check_kept_connection(at);
     // And connections without a complete request are closed
     until("unresponsive connections are closed", || {
         proxy.log().iter().any(|line| line.contains("conn=check") && line.contains("unresponsive"))
--- a/proxy/tests/health/support.rs
+++ b/proxy/tests/health/support.rs
@@ -12,29 +12,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
+pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
 
 /// A rig with its own loopback network and folder, by its number.
-pub fn rig(n: u8, groups: u32) -> Rig {
+pub(crate) fn rig(n: u8, groups: u32) -> Rig {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("health-{n}"));
     Rig::new(groups, [127, 88, n, 1], Path::new(PROGRAM), &folder).unwrap()
 }
 
 /// Probes with short intervals.
-pub const PROBES: &str = "<probes every-ms='500' suspect-ms='300' timeout-ms='400'/>";
+pub(crate) const PROBES: &str = "<probes every-ms='500' suspect-ms='300' timeout-ms='400'/>";
 
 /// The reply to an agent-check with this line.
-pub fn agent(process: &Process, line: &str) -> Told {
+pub(crate) fn agent(process: &Process, line: &str) -> Told {
     check(process.checks("agent").unwrap(), &Check::Agent(line.into()), PATIENCE).unwrap()
 }
 
 /// The response to an HTTP check of this path.
-pub fn http(process: &Process, path: &str) -> Told {
+pub(crate) fn http(process: &Process, path: &str) -> Told {
     check(process.checks("http").unwrap(), &Check::Http(path.into()), PATIENCE).unwrap()
 }
 
 /// Waits until the condition holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub(crate) fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
         assert!(start.elapsed() < PATIENCE, "never: {what}");
@@ -43,13 +43,13 @@
 }
 
 /// Clients that write and read in all groups until it is dropped, whatever fails meanwhile.
-pub struct Traffic {
+pub(crate) struct Traffic {
     stopped: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<(u64, u64)>>,
 }
 
 impl Traffic {
-    pub fn start(address: SocketAddr, groups: u32, clients: u32) -> Traffic {
+    pub(crate) fn start(address: SocketAddr, groups: u32, clients: u32) -> Traffic {
         let stopped = Arc::new(AtomicBool::new(false));
         let start_client = |n: u32| {
             let stopped = stopped.clone();
@@ -82,7 +82,7 @@
     }
 
     /// Ends the clients. Returns how many requests were served and lost.
-    pub fn stop(mut self) -> (u64, u64) {
+    pub(crate) fn stop(mut self) -> (u64, u64) {
         self.stopped.store(true, Ordering::Relaxed);
         let ended = self.threads.drain(..).map(|thread| thread.join().unwrap());
         ended.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
@@ -96,7 +96,7 @@
 }
 
 /// The reply to an operator's call.
-pub fn operator(proxy: &Process, call: &str) -> String {
+pub(crate) fn operator(proxy: &Process, call: &str) -> String {
     let mut stream = TcpStream::connect(proxy.operators().unwrap()).unwrap();
     writeln!(stream, "{call}").unwrap();
     let mut reply = String::new();
