--- a/benches/src/fleet.rs
+++ b/benches/src/fleet.rs
@@ -37,7 +37,7 @@
                     server: ServerId(0),
                     group: GroupId(0),
                     primary: Some(true),
-                    up: true,
+                    accepts_work: true,
                 },
             );
             m
--- a/health/src/connectivity.rs
+++ b/health/src/connectivity.rs
@@ -17,16 +17,21 @@
 }
 
 impl Connectivity {
-    pub fn new(now: Micros) -> Connectivity {
+    pub(crate) fn new(now: Micros) -> Connectivity {
         Connectivity { discovery_heard_at: None, started_at: now, reported: ReportedCapability::new(now) }
     }
 
-    pub fn is_available(&self) -> bool {
+    pub(crate) fn is_available(&self) -> bool {
         self.reported.available
     }
 
     /// Computes the connectivity as of now. Returns when it may change next without an event.
-    pub fn update(&mut self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Option<Micros> {
+    pub(crate) fn update(
+        &mut self,
+        now: Micros,
+        servers: &Servers,
+        settings: &HealthSettings,
+    ) -> Option<Micros> {
         let discovery_lost_at =
             self.discovery_heard_at.unwrap_or(self.started_at) + settings.discovery_lost_after;
         let discovery_lost = now >= discovery_lost_at;
--- a/health/src/event.rs
+++ b/health/src/event.rs
@@ -31,7 +31,7 @@
         /// Whether it is the primary, if the list says.
         primary: Option<bool>,
         /// It takes new work.
-        up: bool,
+        accepts_work: bool,
     },
     /// The endpoint list no longer has the server.
     ServerUnlisted {
--- a/health/src/evidence.rs
+++ b/health/src/evidence.rs
@@ -52,7 +52,7 @@
 }
 
 impl ServerEvidence {
-    pub fn new(now: Micros, group: GroupId) -> ServerEvidence {
+    pub(crate) fn new(now: Micros, group: GroupId) -> ServerEvidence {
         ServerEvidence {
             group,
             accepts_work: true,
@@ -72,7 +72,7 @@
     }
 
     /// An attempt or a probe was sent.
-    pub fn record_sent(&mut self, now: Micros) {
+    pub(crate) fn record_sent(&mut self, now: Micros) {
         if self.in_flight == 0 && now - self.last_in_flight_at >= SILENCE_EXPIRES_MICROS {
             // Silence is summed over consecutive attempts only. A capability withdrawn for it stays withdrawn.
             self.earlier_silence = 0;
@@ -83,7 +83,7 @@
         self.last_in_flight_at = now;
     }
 
-    pub fn record_sign_of_life(&mut self, now: Micros) {
+    pub(crate) fn record_sign_of_life(&mut self, now: Micros) {
         self.last_heard_at = Some(now);
         self.earlier_silence = 0;
         self.unreachable = false;
@@ -93,7 +93,7 @@
     }
 
     /// An attempt or a probe was answered, possibly with an error.
-    pub fn record_answer(&mut self, now: Micros, write: bool) {
+    pub(crate) fn record_answer(&mut self, now: Micros, write: bool) {
         self.end_in_flight(now);
         self.record_sign_of_life(now);
         if write {
@@ -101,7 +101,7 @@
         }
     }
 
-    pub fn record_timeout(&mut self, now: Micros, write: bool) {
+    pub(crate) fn record_timeout(&mut self, now: Micros, write: bool) {
         self.end_in_flight(now);
         if write {
             self.consecutive_write_timeouts = self.consecutive_write_timeouts.saturating_add(1);
@@ -110,16 +110,16 @@
     }
 
     /// An attempt or a probe was cancelled or never sent: no evidence, but the silence until then counts.
-    pub fn record_cancelled(&mut self, now: Micros) {
+    pub(crate) fn record_cancelled(&mut self, now: Micros) {
         self.end_in_flight(now);
     }
 
-    pub fn record_refused(&mut self, now: Micros) {
+    pub(crate) fn record_refused(&mut self, now: Micros) {
         self.end_in_flight(now);
         self.unreachable = true;
     }
 
-    pub fn record_reset(&mut self, now: Micros) {
+    pub(crate) fn record_reset(&mut self, now: Micros) {
         self.end_in_flight(now);
         self.consecutive_resets = self.consecutive_resets.saturating_add(1);
         if self.consecutive_resets >= MAX_CONSECUTIVE_RESETS {
@@ -138,22 +138,22 @@
     }
 
     /// For how long it has been silent with something in flight.
-    pub fn silence(&self, now: Micros) -> Micros {
+    pub(crate) fn silence(&self, now: Micros) -> Micros {
         self.earlier_silence + self.silent_since.map_or(0, |since| now - since)
     }
 
     /// It refuses or resets connections.
-    pub fn is_unreachable(&self) -> bool {
+    pub(crate) fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
     /// A sign of life would change what is known of it.
-    pub fn is_in_doubt(&self) -> bool {
+    pub(crate) fn is_in_doubt(&self) -> bool {
         self.owes_response || self.unreachable
     }
 
     /// What speaks against its taking writes.
-    pub fn failure(&self, now: Micros, settings: &HealthSettings) -> Option<FailureEvidence> {
+    pub(crate) fn failure(&self, now: Micros, settings: &HealthSettings) -> Option<FailureEvidence> {
         if self.unreachable {
             Some(FailureEvidence::Unreachable)
         } else if self.silence(now) >= settings.silence_limit() {
@@ -168,7 +168,7 @@
     }
 
     /// It is not expected to serve reads either.
-    pub fn is_unusable_for_reads(&self, now: Micros, settings: &HealthSettings) -> bool {
+    pub(crate) fn is_unusable_for_reads(&self, now: Micros, settings: &HealthSettings) -> bool {
         let recent = self.in_flight > 0 || now - self.last_in_flight_at < SILENCE_EXPIRES_MICROS;
         recent
             && matches!(
@@ -178,7 +178,7 @@
     }
 
     /// When the passing of time alone will change `failure` or `is_unusable_for_reads`.
-    pub fn next_change(&self, now: Micros, settings: &HealthSettings) -> Option<Micros> {
+    pub(crate) fn next_change(&self, now: Micros, settings: &HealthSettings) -> Option<Micros> {
         let unresponsive_at = self.silence_reaches_at(now, settings.silence_limit());
         let usable_at = (self.in_flight == 0 && self.is_unusable_for_reads(now, settings))
             .then_some(self.last_in_flight_at + SILENCE_EXPIRES_MICROS);
@@ -189,7 +189,7 @@
     }
 
     /// When its silence will reach this length, if it goes on; none if it has.
-    pub fn silence_reaches_at(&self, now: Micros, limit: Micros) -> Option<Micros> {
+    pub(crate) fn silence_reaches_at(&self, now: Micros, limit: Micros) -> Option<Micros> {
         let since = self.silent_since?;
         (self.silence(now) < limit).then_some(since + limit - self.earlier_silence)
     }
--- a/health/src/group.rs
+++ b/health/src/group.rs
@@ -45,7 +45,7 @@
 }
 
 impl GroupState {
-    pub fn new(now: Micros) -> GroupState {
+    pub(crate) fn new(now: Micros) -> GroupState {
         GroupState {
             write: ReportedCapability::new(now),
             read: ReportedCapability::new(now),
@@ -59,13 +59,13 @@
     }
 
     /// The evidence about those of its servers that take work.
-    pub fn working<'a>(&'a self, servers: &'a Servers) -> impl Iterator<Item = &'a ServerEvidence> {
+    pub(crate) fn working<'a>(&'a self, servers: &'a Servers) -> impl Iterator<Item = &'a ServerEvidence> {
         let members = self.members.iter().filter_map(|id| servers.get(id));
         members.map(|server| &server.evidence).filter(|evidence| evidence.accepts_work)
     }
 
     /// A server of this group has reported its role.
-    pub fn record_role(&mut self, now: Micros, server: ServerId, role: Role) -> UpdateUrgency {
+    pub(crate) fn record_role(&mut self, now: Micros, server: ServerId, role: Role) -> UpdateUrgency {
         let known = self.primary_proof.is_some_and(|proof| proof.server == server);
         match role {
             Role::Primary => {
@@ -83,7 +83,7 @@
     }
 
     /// Computes both capabilities as of now. Returns when they may change next without an event.
-    pub fn update(
+    pub(crate) fn update(
         &mut self,
         now: Micros,
         group: GroupId,
--- a/health/src/http/request.rs
+++ b/health/src/http/request.rs
@@ -43,7 +43,7 @@
 
 impl Request {
     /// The request of a complete head, or the status that refuses it.
-    pub fn from_head(head: &httparse::Request) -> Result<Request, Status> {
+    pub(super) fn from_head(head: &httparse::Request) -> Result<Request, Status> {
         let target = head.path.unwrap_or_default();
         if target.len() > MAX_TARGET_BYTES {
             return Err(Status::UriTooLong);
@@ -74,7 +74,7 @@
     }
 
     /// Answers from the verdict.
-    pub fn answer(&self, now: Micros, verdict: &Verdict, names: ServerNames) -> Response {
+    pub(super) fn answer(&self, now: Micros, verdict: &Verdict, names: ServerNames) -> Response {
         if self.method == Method::Options {
             return Response { headers: vec![ALLOW], ..Response::new(Status::NoContent, "") };
         }
--- a/health/src/http/response.rs
+++ b/health/src/http/response.rs
@@ -47,12 +47,12 @@
 }
 
 impl Response {
-    pub fn new(status: Status, body: impl Into<Cow<'static, str>>) -> Response {
+    pub(super) fn new(status: Status, body: impl Into<Cow<'static, str>>) -> Response {
         Response { status, headers: Vec::new(), body: body.into() }
     }
 
     /// The answer to what is no valid request.
-    pub fn error(status: Status) -> Response {
+    pub(super) fn error(status: Status) -> Response {
         let mut response = Response::new(status, status.phrase());
         if status == Status::MethodNotAllowed {
             response.headers.push(ALLOW);
@@ -61,7 +61,7 @@
     }
 
     /// Appends the response to the output.
-    pub fn write(&self, output: &mut Vec<u8>, closing: bool, head_only: bool) {
+    pub(super) fn write(&self, output: &mut Vec<u8>, closing: bool, head_only: bool) {
         let mut append = |parts: &[&str]| {
             parts.iter().for_each(|part| output.extend_from_slice(part.as_bytes()));
         };
--- a/health/src/hysteresis.rs
+++ b/health/src/hysteresis.rs
@@ -18,11 +18,11 @@
 }
 
 impl Observation {
-    pub fn available(reason: Reason) -> Observation {
+    pub(crate) fn available(reason: Reason) -> Observation {
         Observation { available: true, reason }
     }
 
-    pub fn unavailable(reason: Reason) -> Observation {
+    pub(crate) fn unavailable(reason: Reason) -> Observation {
         Observation { available: false, reason }
     }
 }
@@ -44,7 +44,7 @@
 }
 
 impl ReportedCapability {
-    pub fn new(now: Micros) -> ReportedCapability {
+    pub(crate) fn new(now: Micros) -> ReportedCapability {
         ReportedCapability {
             available: false,
             reason: Reason::Starting,
@@ -57,7 +57,7 @@
     }
 
     /// Takes the observation of this moment. True if `available` is reported differently from now on.
-    pub fn observe(&mut self, now: Micros, observed: Observation, settings: &HealthSettings) -> bool {
+    pub(crate) fn observe(&mut self, now: Micros, observed: Observation, settings: &HealthSettings) -> bool {
         let Observation { available, reason } = observed;
         if available == self.available {
             self.opposite_since = None;
@@ -83,7 +83,7 @@
     }
 
     /// When the opposite will be reported, if it goes on being observed.
-    pub fn changes_at(&self, settings: &HealthSettings) -> Option<Micros> {
+    pub(crate) fn changes_at(&self, settings: &HealthSettings) -> Option<Micros> {
         let opposite_since = self.opposite_since?;
         if self.never_available {
             return Some(opposite_since);
--- a/health/src/monitor/events.rs
+++ b/health/src/monitor/events.rs
@@ -12,8 +12,8 @@
     /// Takes an event; the verdict follows with the next update.
     pub fn handle_event(&mut self, now: Micros, event: HealthEvent) {
         match event {
-            HealthEvent::ServerListed { server, group, primary, up } => {
-                self.list_server(now, server, group, primary, up);
+            HealthEvent::ServerListed { server, group, primary, accepts_work } => {
+                self.list_server(now, server, group, primary, accepts_work);
             }
             HealthEvent::ServerUnlisted { server } => {
                 self.table.remove(server);
--- a/health/src/overall.rs
+++ b/health/src/overall.rs
@@ -28,7 +28,7 @@
 }
 
 impl ProxyHealth {
-    pub fn new(now: Micros) -> ProxyHealth {
+    pub(crate) fn new(now: Micros) -> ProxyHealth {
         ProxyHealth {
             list_received: false,
             ready_at: now,
@@ -42,7 +42,12 @@
     }
 
     /// Computes connectivity and overload as of now. Returns when the overall state may change next without an event.
-    pub fn update(&mut self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Option<Micros> {
+    pub(crate) fn update(
+        &mut self,
+        now: Micros,
+        servers: &Servers,
+        settings: &HealthSettings,
+    ) -> Option<Micros> {
         let connectivity = self.connectivity.update(now, servers, settings);
         let observed = if self.weight.pressure() >= settings.overload_pressure {
             Observation::unavailable(Reason::Overloaded)
--- a/health/src/probe_budget.rs
+++ b/health/src/probe_budget.rs
@@ -33,12 +33,12 @@
 }
 
 impl ProbeBudget {
-    pub fn new(now: Micros) -> ProbeBudget {
+    pub(crate) fn new(now: Micros) -> ProbeBudget {
         ProbeBudget { total: TokenBucket::full(now, TOTAL_BURST), groups: BTreeMap::new() }
     }
 
     /// Takes a token of both buckets for one probe. False if either has none.
-    pub fn take(&mut self, now: Micros, group: GroupId, settings: &ProbeSettings) -> bool {
+    pub(crate) fn take(&mut self, now: Micros, group: GroupId, settings: &ProbeSettings) -> bool {
         self.total.refill(now, settings.total_rate_per_s, TOTAL_BURST);
         let bucket = self.groups.entry(group).or_insert(TokenBucket::full(now, GROUP_BURST));
         bucket.refill(now, settings.group_rate_per_s, GROUP_BURST);
@@ -50,7 +50,7 @@
         true
     }
 
-    pub fn remove_group(&mut self, group: GroupId) {
+    pub(crate) fn remove_group(&mut self, group: GroupId) {
         self.groups.remove(&group);
     }
 }
--- a/health/src/probe_scheduler.rs
+++ b/health/src/probe_scheduler.rs
@@ -74,7 +74,7 @@
 }
 
 impl ProbeScheduler {
-    pub fn new(now: Micros, seed: u64) -> ProbeScheduler {
+    pub(crate) fn new(now: Micros, seed: u64) -> ProbeScheduler {
         ProbeScheduler {
             budget: ProbeBudget::new(now),
             rng: fastrand::Rng::with_seed(seed),
@@ -82,16 +82,16 @@
         }
     }
 
-    pub fn take_requested(&mut self) -> Vec<ServerId> {
+    pub(crate) fn take_requested(&mut self) -> Vec<ServerId> {
         std::mem::take(&mut self.requested)
     }
 
-    pub fn remove_group(&mut self, group: GroupId) {
+    pub(crate) fn remove_group(&mut self, group: GroupId) {
         self.budget.remove_group(group);
     }
 
     /// Requests the probes that are due. Returns when it must run next.
-    pub fn schedule(
+    pub(crate) fn schedule(
         &mut self,
         now: Micros,
         table: &mut ServerTable,
--- a/health/src/read_window.rs
+++ b/health/src/read_window.rs
@@ -25,14 +25,14 @@
 }
 
 impl ReadWindow {
-    pub fn record(&mut self, now: Micros, served: bool) {
+    pub(crate) fn record(&mut self, now: Micros, served: bool) {
         self.advance(now);
         self.intervals[0].served += u64::from(served);
         self.intervals[0].finished += 1;
     }
 
     /// Nearly all reads of the window were rejected or failed.
-    pub fn is_failing(&mut self, now: Micros) -> bool {
+    pub(crate) fn is_failing(&mut self, now: Micros) -> bool {
         self.advance(now);
         let served: u64 = self.intervals.iter().map(|interval| interval.served).sum();
         let finished: u64 = self.intervals.iter().map(|interval| interval.finished).sum();
--- a/health/src/server_table.rs
+++ b/health/src/server_table.rs
@@ -34,7 +34,7 @@
 
 impl ServerTable {
     /// Takes what the endpoint list says of a server.
-    pub fn list(
+    pub(crate) fn list(
         &mut self,
         now: Micros,
         id: ServerId,
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    pub fn remove(&mut self, id: ServerId) {
+    pub(crate) fn remove(&mut self, id: ServerId) {
         self.leave_group(id);
         self.servers.remove(&id);
     }
@@ -82,7 +82,7 @@
     }
 
     /// Counts the working members of each group. Removes groups without members and returns them.
-    pub fn refresh_groups(&mut self) -> Vec<GroupId> {
+    pub(crate) fn refresh_groups(&mut self) -> Vec<GroupId> {
         let servers = &self.servers;
         let mut removed = Vec::new();
         self.groups.retain(|id, group| {
--- a/health/src/weight.rs
+++ b/health/src/weight.rs
@@ -31,12 +31,12 @@
 }
 
 impl Weight {
-    pub fn new(now: Micros) -> Weight {
+    pub(crate) fn new(now: Micros) -> Weight {
         Weight { log_weight: MAX_PERCENT.ln(), log_trim: 0.0, pressure: 0.0, updated_at: now }
     }
 
     /// Takes the pressure (0 to 1) of the time since the last call.
-    pub fn record_pressure(&mut self, now: Micros, pressure: f64, settings: &WeightSettings) {
+    pub(crate) fn record_pressure(&mut self, now: Micros, pressure: f64, settings: &WeightSettings) {
         let seconds = (now - self.updated_at).max(0) as f64 / 1e6;
         self.updated_at = now;
         let pressure = if pressure.is_finite() { pressure.clamp(0.0, 1.0) } else { 1.0 };
@@ -68,12 +68,12 @@
     }
 
     /// The smoothed pressure, from 0 to 1.
-    pub fn pressure(&self) -> f64 {
+    pub(crate) fn pressure(&self) -> f64 {
         self.pressure
     }
 
     /// The weight in per cent, 1 at least.
-    pub fn percent(&self) -> u8 {
+    pub(crate) fn percent(&self) -> u8 {
         self.log_weight.exp().round().clamp(1.0, MAX_PERCENT) as u8
     }
 }
--- a/health/tests/fleet.rs
+++ b/health/tests/fleet.rs
@@ -45,7 +45,10 @@
 fn monitor(settings: HealthSettings) -> Monitor {
     let mut monitor = Monitor::new(settings, 0);
     let (server, group) = (ServerId(0), GroupId(0));
-    monitor.handle_event(0, HealthEvent::ServerListed { server, group, primary: Some(true), up: true });
+    monitor.handle_event(
+        0,
+        HealthEvent::ServerListed { server, group, primary: Some(true), accepts_work: true },
+    );
     monitor
 }
 
--- a/health/tests/histories/account.rs
+++ b/health/tests/histories/account.rs
@@ -10,7 +10,7 @@
 
 /// What is known of a server.
 #[derive(Clone, Default)]
-pub struct ServerRecord {
+pub(crate) struct ServerRecord {
     pub group: u32,
     pub accepts_work: bool,
     pub listed_as_primary: bool,
@@ -36,14 +36,14 @@
 
 /// A change of a group's write capability.
 #[derive(Clone, Copy)]
-pub struct WriteChange {
+pub(crate) struct WriteChange {
     pub at: Micros,
     pub group: u32,
     pub available: bool,
     pub reason: Reason,
 }
 
-pub struct Account {
+pub(crate) struct Account {
     seed: u64,
     settings: HealthSettings,
     pub servers: HashMap<u32, ServerRecord>,
@@ -56,7 +56,7 @@
 }
 
 impl Account {
-    pub fn new(seed: u64, settings: HealthSettings) -> Account {
+    pub(crate) fn new(seed: u64, settings: HealthSettings) -> Account {
         Account {
             seed,
             settings,
@@ -67,18 +67,18 @@
         }
     }
 
-    pub fn server(&mut self, server: u32) -> &mut ServerRecord {
+    pub(crate) fn server(&mut self, server: u32) -> &mut ServerRecord {
         self.servers.get_mut(&server).unwrap()
     }
 
-    pub fn record_sign_of_life(&mut self, now: Micros, server: u32) {
+    pub(crate) fn record_sign_of_life(&mut self, now: Micros, server: u32) {
         let record = self.server(server);
         record.heard_at = Some(now);
         record.refused_at = None;
         record.consecutive_resets = 0;
     }
 
-    pub fn record_outcome(&mut self, now: Micros, server: u32, write: bool, outcome: ProbeOutcome) {
+    pub(crate) fn record_outcome(&mut self, now: Micros, server: u32, write: bool, outcome: ProbeOutcome) {
         let record = self.server(server);
         match outcome {
             ProbeOutcome::Unanswered if write => record.write_timeouts += 1,
@@ -96,7 +96,7 @@
         }
     }
 
-    pub fn record_role(&mut self, now: Micros, server: u32, role: Option<Role>) {
+    pub(crate) fn record_role(&mut self, now: Micros, server: u32, role: Option<Role>) {
         let record = self.server(server);
         record.reported_role = role.or(record.reported_role);
         let group = record.group;
@@ -114,7 +114,7 @@
     }
 
     /// Invariants 2 and 3: a withdrawal has its cause, and one for evidence ends by a later proof alone.
-    pub fn check_change(&mut self, change: WriteChange) {
+    pub(crate) fn check_change(&mut self, change: WriteChange) {
         let WriteChange { at, group, available, reason } = change;
         if available {
             if let Some(withdrawal) = self.withdrawals.remove(&group) {
@@ -165,7 +165,7 @@
     }
 
     /// Invariants 1 and 5, and that an unavailable capability has no weight.
-    pub fn check_verdict(&self, now: Micros, verdict: &Verdict) {
+    pub(crate) fn check_verdict(&self, now: Micros, verdict: &Verdict) {
         let (seed, settings) = (self.seed, &self.settings);
         let delay = settings.withdraw_after + settings.min_time_available;
         for group in &verdict.groups {
--- a/health/tests/histories/history.rs
+++ b/health/tests/histories/history.rs
@@ -7,9 +7,9 @@
 };
 
 /// Steps of a history, each with one to three events.
-pub const STEPS: usize = 120;
+pub(crate) const STEPS: usize = 120;
 
-pub struct History {
+pub(crate) struct History {
     pub seed: u64,
     pub rng: fastrand::Rng,
     now: Micros,
@@ -39,7 +39,7 @@
 }
 
 impl History {
-    pub fn new(seed: u64) -> History {
+    pub(crate) fn new(seed: u64) -> History {
         let settings = settings(seed);
         let start = 1_000_000;
         let mut history = History {
@@ -60,7 +60,7 @@
     }
 
     /// Plays the whole history.
-    pub fn play(mut self) -> History {
+    pub(crate) fn play(mut self) -> History {
         for _ in 0..STEPS {
             let is_long = self.rng.u8(0..8) == 0;
             let span = if is_long { self.rng.i64(0..4_000_000) } else { self.rng.i64(0..60_000) };
@@ -77,7 +77,7 @@
     }
 
     /// Lets time pass; the monitor is updated when it asks to be.
-    pub fn advance(&mut self, span: Micros) {
+    pub(crate) fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.monitor.next_change() <= until {
             let next = self.monitor.next_change();
@@ -88,7 +88,7 @@
         self.now = until;
     }
 
-    pub fn update(&mut self) {
+    pub(crate) fn update(&mut self) {
         let now = self.now;
         self.monitor.update(now);
         for server in self.monitor.take_probes() {
@@ -106,7 +106,7 @@
     }
 
     /// Lets something happen to a random server or its group.
-    pub fn random_event(&mut self) {
+    pub(crate) fn random_event(&mut self) {
         let server = self.rng.u32(0..self.account.servers.len() as u32);
         let group = self.account.servers[&server].group;
         match self.rng.u8(0..20) {
@@ -141,7 +141,7 @@
             server: ServerId(server),
             group: GroupId(group),
             primary: Some(primary),
-            up: accepts_work,
+            accepts_work,
         });
     }
 
--- a/health/tests/verdicts/primary_faults.rs
+++ b/health/tests/verdicts/primary_faults.rs
@@ -27,13 +27,13 @@
         server: ServerId(0),
         group: GroupId(0),
         primary: Some(false),
-        up: true,
+        accepts_work: true,
     });
     proxy.handle(HealthEvent::ServerListed {
         server: ServerId(1),
         group: GroupId(0),
         primary: Some(true),
-        up: true,
+        accepts_work: true,
     });
     proxy.advance(20 * SECOND, |_| None);
     assert_eq!(proxy.agent_reply("group=0 write"), "ready down #primary-silent\n");
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -4,16 +4,16 @@
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::*;
 
-pub const MILLISECOND: Micros = 1_000;
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const MILLISECOND: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 
-pub struct SimulatedProxy {
+pub(crate) struct SimulatedProxy {
     pub now: Micros,
     pub monitor: Monitor,
 }
 
 /// A proxy with some groups. Group g has the primary 10 g and the replica 10 g + 1.
-pub fn simulated_proxy(groups: u32, settings: HealthSettings) -> SimulatedProxy {
+pub(crate) fn simulated_proxy(groups: u32, settings: HealthSettings) -> SimulatedProxy {
     let class = |name: &str, needs| RequestClass { name: name.into(), needs };
     let classes =
         vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
@@ -27,7 +27,7 @@
                 server: ServerId(server),
                 group: GroupId(group),
                 primary: Some(primary),
-                up: true,
+                accepts_work: true,
             });
         }
     }
@@ -35,12 +35,12 @@
 }
 
 /// Settings with probes.
-pub fn probing() -> HealthSettings {
+pub(crate) fn probing() -> HealthSettings {
     HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
 }
 
 impl SimulatedProxy {
-    pub fn handle(&mut self, event: HealthEvent) {
+    pub(crate) fn handle(&mut self, event: HealthEvent) {
         self.monitor.handle_event(self.now, event);
         if self.monitor.next_change() <= self.now {
             self.monitor.update(self.now);
@@ -48,7 +48,7 @@
     }
 
     /// Lets time pass. A probe sent meanwhile is answered at once if `role_of` has a role for its server, else never.
-    pub fn advance(&mut self, span: Micros, role_of: impl Fn(ServerId) -> Option<Role>) {
+    pub(crate) fn advance(&mut self, span: Micros, role_of: impl Fn(ServerId) -> Option<Role>) {
         let until = self.now + span;
         while self.monitor.next_change() <= until {
             self.now = self.monitor.next_change();
@@ -64,35 +64,35 @@
     }
 
     /// Sends an attempt to a server.
-    pub fn send(&mut self, server: u32) {
+    pub(crate) fn send(&mut self, server: u32) {
         self.handle(HealthEvent::RequestSent { server: ServerId(server) });
     }
 
     /// Ends an attempt.
-    pub fn end(&mut self, server: u32, write: bool, outcome: ProbeOutcome, role: Option<Role>) {
+    pub(crate) fn end(&mut self, server: u32, write: bool, outcome: ProbeOutcome, role: Option<Role>) {
         self.handle(HealthEvent::RequestEnded { server: ServerId(server), write, outcome, role });
     }
 
     /// Sends a write that the primary serves after this time.
-    pub fn write(&mut self, server: u32, duration: Micros) {
+    pub(crate) fn write(&mut self, server: u32, duration: Micros) {
         self.send(server);
         self.advance(duration, |_| None);
         self.end(server, true, ProbeOutcome::Answered, Some(Role::Primary));
     }
 
     /// The reply to an agent-check with this line.
-    pub fn agent_reply(&self, line: &str) -> String {
+    pub(crate) fn agent_reply(&self, line: &str) -> String {
         let query = AgentCheckConnection::default().feed(format!("{line}\n").as_bytes()).unwrap();
         agent::reply(&query, self.monitor.verdict(), None)
     }
 
     /// The response to a GET of this path.
-    pub fn http_get(&self, path: &str) -> String {
+    pub(crate) fn http_get(&self, path: &str) -> String {
         self.http_exchange(&format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n"))
     }
 
     /// What a connection answers to this input.
-    pub fn http_exchange(&self, input: &str) -> String {
+    pub(crate) fn http_exchange(&self, input: &str) -> String {
         let mut connection = HttpCheckConnection::default();
         connection.feed(input.as_bytes());
         connection.process(self.now, self.monitor.verdict(), &|server| format!("s-{}", server.0));
@@ -100,7 +100,7 @@
     }
 
     /// How many capabilities changed since the last call.
-    pub fn count_capability_changes(&mut self) -> usize {
+    pub(crate) fn count_capability_changes(&mut self) -> usize {
         let changes = self.monitor.take_changes();
         changes.iter().filter(|change| matches!(change, Change::Capability { .. })).count()
     }
--- a/health/tests/wire_format.rs
+++ b/health/tests/wire_format.rs
@@ -14,8 +14,10 @@
     let mut monitor = Monitor::new(HealthSettings { classes, ..HealthSettings::default() }, 0);
     for n in 0..2 {
         let (server, group) = (ServerId(n), GroupId(n));
-        monitor
-            .handle_event(1_000, HealthEvent::ServerListed { server, group, primary: Some(true), up: true });
+        monitor.handle_event(
+            1_000,
+            HealthEvent::ServerListed { server, group, primary: Some(true), accepts_work: true },
+        );
     }
     monitor.handle_event(1_000, HealthEvent::DiscoveryAnswered);
     monitor.update(1_000);
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -141,9 +141,12 @@
 impl Observer for HealthObserver {
     fn on_event(&mut self, now: Micros, event: CoreEvent<'_>) {
         let event = match event {
-            CoreEvent::Listed { server, group, primary, up, .. } => {
-                HealthEvent::ServerListed { server: server_id(server), group: group_id(group), primary, up }
-            }
+            CoreEvent::Listed { server, group, primary, up, .. } => HealthEvent::ServerListed {
+                server: server_id(server),
+                group: group_id(group),
+                primary,
+                accepts_work: up,
+            },
             CoreEvent::Unlisted { server, .. } => HealthEvent::ServerUnlisted { server: server_id(server) },
             CoreEvent::AttemptSent { server } => HealthEvent::RequestSent { server: server_id(server) },
             CoreEvent::AttemptEnded { server, write, reply, .. } => HealthEvent::RequestEnded {
