--- a/background-tasks/src/budget.rs
+++ b/background-tasks/src/budget.rs
@@ -1,70 +1,96 @@
-//! What one process may spend of a budget that all share: its part of each window, counted start by start.
+//! How many tasks of a kind one process may start: its quota of a budget that all processes share, counted over a sliding window.
 
 use crate::Micros;
 use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How much of a kind may be started over all processes.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// How many tasks of a kind may start over all processes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// At one database, and at all together, in a second.
+    /// Starts at one database in a second.
     pub database_per_s: f64,
+    /// Starts at all databases together in a second.
     pub all_per_s: f64,
-    /// The bound holds in any span of this length.
+    /// Both bounds hold in any span of this length.
     pub window: Micros,
 }
 
+/// How many tasks one process may start in a window.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Quota {
+    /// At one database.
+    pub per_database: usize,
+    /// At all databases together.
+    pub total: usize,
+}
+
+impl Quota {
+    /// Whether nothing can ever start.
+    pub fn is_empty(self) -> bool {
+        self.per_database == 0 || self.total == 0
+    }
+}
+
 impl Budget {
-    /// What one of so many may start in a window. Rounded down: where it comes to none, nothing starts.
-    fn quota(per_s: f64, window: Micros, divisor: u32) -> usize {
-        let whole = per_s * window as f64 / 1e6 / f64::from(divisor.max(1));
-        if fault_injected!(RoundsQuotaUp) { whole.ceil() as usize } else { whole as usize }
+    /// What one of so many processes may start in a window: rounded down, so that the sum holds. It may come to nothing.
+    pub fn quota(&self, divisor: u32) -> Quota {
+        Quota {
+            per_database: self.share(self.database_per_s, divisor),
+            total: self.share(self.all_per_s, divisor),
+        }
     }
 
-    /// Parts for a database and for all.
-    pub fn quotas(&self, divisor: u32) -> (usize, usize) {
-        (
-            Budget::quota(self.database_per_s, self.window, divisor),
-            Budget::quota(self.all_per_s, self.window, divisor),
-        )
+    fn share(&self, per_s: f64, divisor: u32) -> usize {
+        let share = per_s * self.window as f64 / MICROS_PER_SECOND / f64::from(divisor.max(1));
+        if fault_injected!(RoundsQuotaUp) { share.ceil() as usize } else { share as usize }
     }
 }
 
-/// Starts within the last window.
-pub struct BudgetUsage {
+/// The starts of one kind within the last window.
+pub(crate) struct BudgetUsage {
     budget: Budget,
-    /// A boot before this one may have spent up to then.
+    /// Until then an earlier incarnation may have used the quota.
     usable_from: Micros,
     starts: VecDeque<Micros>,
     starts_by_database: BTreeMap<u32, VecDeque<Micros>>,
 }
 
 impl BudgetUsage {
-    pub fn new(budget: Budget, now: Micros) -> BudgetUsage {
-        let from = if fault_injected!(StartsWithoutDelay) { now } else { now + budget.window };
-        BudgetUsage {
-            budget,
-            usable_from: from,
-            starts: VecDeque::new(),
-            starts_by_database: BTreeMap::new(),
-        }
+    pub(crate) fn new(budget: Budget, now: Micros) -> BudgetUsage {
+        let usable_from = if fault_injected!(StartsWithoutDelay) { now } else { now + budget.window };
+        BudgetUsage { budget, usable_from, starts: VecDeque::new(), starts_by_database: BTreeMap::new() }
     }
 
-    pub fn budget(&self) -> Budget {
+    pub(crate) fn budget(&self) -> Budget {
         self.budget
     }
 
+    /// Whether one more task may start at this database now.
+    pub(crate) fn allows_start(&mut self, now: Micros, database: u32, divisor: u32) -> bool {
+        self.forget_old_starts(now);
+        let quota = self.budget.quota(divisor);
+        let at_database = self.starts_by_database.get(&database).map_or(0, VecDeque::len);
+        now >= self.usable_from && at_database < quota.per_database && self.starts.len() < quota.total
+    }
+
+    pub(crate) fn record_start(&mut self, now: Micros, database: u32) {
+        self.starts.push_back(now);
+        self.starts_by_database.entry(database).or_default().push_back(now);
+    }
+
     fn forget_old_starts(&mut self, now: Micros) {
         let window = self.budget.window;
-        let old = |at: &Micros| {
+        let is_old = |started_at: &Micros| {
             if fault_injected!(FixedWindows) {
-                at.div_euclid(window) < now.div_euclid(window)
+                started_at.div_euclid(window) < now.div_euclid(window)
             } else {
-                now - *at > window
+                now - *started_at > window
             }
         };
         let forget = |starts: &mut VecDeque<Micros>| {
-            while starts.front().is_some_and(old) {
+            while starts.front().is_some_and(is_old) {
                 starts.pop_front();
             }
         };
@@ -72,17 +98,4 @@
         self.starts_by_database.values_mut().for_each(forget);
         self.starts_by_database.retain(|_, starts| !starts.is_empty());
     }
-
-    /// May one more start at this database?
-    pub fn allows_start(&mut self, now: Micros, database: u32, divisor: u32) -> bool {
-        self.forget_old_starts(now);
-        let (one, all) = self.budget.quotas(divisor);
-        let there = self.starts_by_database.get(&database).map_or(0, VecDeque::len);
-        now >= self.usable_from && there < one && self.starts.len() < all
-    }
-
-    pub fn record_start(&mut self, now: Micros, database: u32) {
-        self.starts.push_back(now);
-        self.starts_by_database.entry(database).or_default().push_back(now);
-    }
 }
--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -1,46 +1,54 @@
-//! One scheduler for work that no client waits for: copies, their renewal, reads that are compared. Decisions without I/O or clock.
+//! One scheduler for work that no client waits for: rows that are read for copying, copies that are written, reads that are compared.
 //!
-//! [`Scheduler`] takes tasks ([`Scheduler::submit`]), says which may start now and where ([`Scheduler::start`]), and hears that they
-//! are over ([`Scheduler::ended`]). Where a task may go is asked of its caller, who asks the decision module: clients' work goes
-//! first there, and a cold database is left alone. How much may go is decided here.
+//! It decides which task starts next and how many may start. Where a task may run is decided by its caller, who asks the decision
+//! module: clients' requests have precedence there, and a database in slow start is left alone. It does no I/O and reads no clock.
 //!
-//! A budget holds over all processes and in any window: each keeps to its part, rounded down, by a divisor that is never less than the
-//! number of processes there may be; and a new boot, which has forgotten what the one before spent, waits a whole window.
+//! [`Scheduler::submit`] queues a task, [`Scheduler::start_due`] says which tasks start now and where, [`Scheduler::finish`] takes note
+//! that one is over.
 //!
-//! Invariants, each with the test that holds it (`tests/`):
+//! A budget is a rate over all processes of the fleet, in any span of its window's length. Each process keeps to its quota of it,
+//! rounded down, by a divisor that is never less than the number of processes there may be. A new incarnation does not know what the
+//! one before it started, and waits for a whole window.
 //!
-//! 1. In no window does a database, nor do all, get more of a kind than the budget, whatever number of processes up to the divisor starts
-//!    tasks, restarts or is stopped between (`sums_hold_in_every_window`).
-//! 2. Of two kinds that wait the more urgent starts first, and of one kind the older (`the_urgent_go_first`).
-//! 3. What has waited too long never starts (`the_late_never_start`).
-//! 4. Tasks that wait and tasks that are out are bounded (`tables_are_bounded`).
+//! Invariants, each with the test that holds it (`tests/scheduler.rs`):
+//!
+//! 1. In no window does a database, nor do all together, get more tasks of a kind than the budget, whatever number of processes up to
+//!    the divisor starts tasks, restarts or is suspended in between (`budgets_hold_over_all_processes_in_every_window`).
+//! 2. Of two kinds the more urgent starts first, and of one kind the older task (`urgent_kinds_start_first`).
+//! 3. An expired task never starts (`expired_tasks_never_start`).
+//! 4. Queued and running tasks are bounded (`queued_and_running_tasks_are_bounded`).
+//!
+//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
 
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod budget;
 pub mod faults;
 mod scheduler;
 
-pub use budget::Budget;
-pub use scheduler::{Counts, Scheduler, Task};
+pub use budget::{Budget, Quota};
+pub use scheduler::{Counts, MAX_QUEUED_TASKS, MAX_RUNNING_TASKS, Scheduler, StartedTask, Task};
 
-/// A span of time, or an instant on the holder's clock, in microseconds.
+/// A span of time, or an instant on the caller's clock, in microseconds.
 pub type Micros = i64;
 
-/// What a task is, the most urgent first.
+/// What a task does; the most urgent kind first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TaskKind {
-    /// A row is read at home, to be copied.
+    /// Reads a row in its own group, to be copied.
     RowRead,
-    /// A copy is written to a guest.
+    /// Writes a copy of a row to a database of another group.
     CopyWrite,
-    /// A read that is compared with an answer.
+    /// Reads a row a second time, to be compared with an answer that a client got.
     DualRead,
 }
 
 impl TaskKind {
+    /// All kinds, the most urgent first.
     pub const ALL: [TaskKind; 3] = [TaskKind::RowRead, TaskKind::CopyWrite, TaskKind::DualRead];
 
+    /// The kind as operators see it, in metrics and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             TaskKind::RowRead => "read",
--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -1,53 +1,82 @@
-//! Tasks that wait, tasks that are out, and which starts next.
+//! The queue of tasks, the tasks that run, and which one starts next.
 
-use crate::budget::{Budget, BudgetUsage};
+use crate::budget::{Budget, BudgetUsage, Quota};
 use crate::{Micros, TaskKind};
 use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeMap;
 
-/// Tasks that wait at once; one more is dropped.
-pub const MAX_WAITING_TASKS: usize = 256;
-/// Tasks that are out at once, in all and at one database.
+/// Tasks that are queued at once; a further one is rejected.
+pub const MAX_QUEUED_TASKS: usize = 256;
+/// Tasks that run at once, at all databases together.
 pub const MAX_RUNNING_TASKS: usize = 8;
+/// Tasks that run at once at one database.
 const MAX_RUNNING_PER_DATABASE: usize = 1;
 
-/// Something to be done.
+/// Work to be done once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Task<T> {
+    /// What it does, which gives its priority and budget.
     pub kind: TaskKind,
-    /// It is of no use if it starts later.
+    /// From this instant on it is of no use and never starts.
     pub expires_at: Micros,
+    /// The caller's own description of it.
     pub payload: T,
 }
 
+/// A task that starts now.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StartedTask<T> {
+    /// The scheduler's number for it, by which it is reported as finished.
+    pub id: u64,
+    /// The task.
+    pub task: Task<T>,
+    /// Where it runs.
+    pub database: u32,
+}
+
 /// What became of the tasks of a kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Were started.
     pub started: u64,
+    /// Are over, whatever came of them.
     pub finished: u64,
-    /// Waited too long, or found too many waiting.
+    /// Were queued for too long.
     pub expired: u64,
+    /// Were not queued, as the queue was full.
     pub rejected: u64,
 }
 
+/// The place of a task in the queue: urgent kinds first, and the oldest first within a kind.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuePosition {
+    kind: TaskKind,
+    id: u64,
+}
+
+struct RunningTask {
+    kind: TaskKind,
+    database: u32,
+}
+
+/// Queues tasks and says which of them start now.
 pub struct Scheduler<T> {
     usage: BTreeMap<TaskKind, BudgetUsage>,
-    waiting: BTreeMap<(TaskKind, u64), Task<T>>,
-    /// By number: what is out, and where.
-    running: BTreeMap<u64, (TaskKind, u32)>,
+    queue: BTreeMap<QueuePosition, Task<T>>,
+    running: BTreeMap<u64, RunningTask>,
     last_task_id: u64,
-    /// Tasks that waited too long, until their owner takes them.
+    /// Payloads of expired tasks, until the caller takes them.
     expired: Vec<T>,
     counts: BTreeMap<TaskKind, Counts>,
 }
 
-impl<T: Clone> Scheduler<T> {
-    /// A kind without a budget never starts.
+impl<T> Scheduler<T> {
+    /// A scheduler of these kinds; tasks of a kind without a budget never start.
     pub fn new(budgets: &[(TaskKind, Budget)], now: Micros) -> Scheduler<T> {
-        let rights = budgets.iter().map(|(kind, budget)| (*kind, BudgetUsage::new(*budget, now)));
+        let usage = budgets.iter().map(|(kind, budget)| (*kind, BudgetUsage::new(*budget, now)));
         Scheduler {
-            usage: rights.collect(),
-            waiting: BTreeMap::new(),
+            usage: usage.collect(),
+            queue: BTreeMap::new(),
             running: BTreeMap::new(),
             last_task_id: 0,
             expired: Vec::new(),
@@ -55,95 +84,104 @@
         }
     }
 
-    /// Budgets change; a kind whose budget is the same goes on as it is, another one waits a window.
+    /// Replaces the budgets. A kind whose budget is unchanged goes on; a kind with a new one waits for a window.
     pub fn set_budgets(&mut self, budgets: &[(TaskKind, Budget)], now: Micros) {
-        self.usage.retain(|kind, rights| budgets.iter().any(|b| *b == (*kind, rights.budget())));
+        self.usage.retain(|kind, usage| budgets.contains(&(*kind, usage.budget())));
         for (kind, budget) in budgets {
             self.usage.entry(*kind).or_insert_with(|| BudgetUsage::new(*budget, now));
         }
-        self.waiting.retain(|(kind, _), _| self.usage.contains_key(kind));
+        self.queue.retain(|position, _| self.usage.contains_key(&position.kind));
     }
 
-    /// False: too many wait.
+    /// Queues a task; false if the queue is full.
     pub fn submit(&mut self, task: Task<T>) -> bool {
-        if self.waiting.len() >= MAX_WAITING_TASKS && !fault_injected!(AcceptsAllTasks) {
+        if self.queue.len() >= MAX_QUEUED_TASKS && !fault_injected!(AcceptsAllTasks) {
             self.counts.entry(task.kind).or_default().rejected += 1;
             return false;
         }
         self.last_task_id += 1;
-        let urgent = if fault_injected!(IgnoresPriority) { TaskKind::RowRead } else { task.kind };
-        self.waiting.insert((urgent, self.last_task_id), task);
+        let kind = if fault_injected!(IgnoresPriority) { TaskKind::RowRead } else { task.kind };
+        self.queue.insert(QueuePosition { kind, id: self.last_task_id }, task);
         true
     }
 
-    /// What may start now: each with its number and the database that it goes to. `place`: where a task may go, if anywhere, by the
-    /// decision module; `divisor`: no fewer processes than there may be.
+    /// The tasks that start now. `place` says at which database a task may run, if at any; `divisor` is no less than the number of
+    /// processes that share the budgets.
     pub fn start_due(
         &mut self,
         now: Micros,
         divisor: u32,
         mut place: impl FnMut(&T) -> Option<u32>,
-    ) -> Vec<(u64, Task<T>, u32)> {
-        let late: Vec<(TaskKind, u64)> = self
-            .waiting
-            .iter()
-            .filter(|(_, task)| task.expires_at <= now && !fault_injected!(StartsExpiredTasks))
-            .map(|(key, _)| *key)
-            .collect();
-        for key in late {
-            if let Some(task) = self.waiting.remove(&key) {
-                self.counts.entry(task.kind).or_default().expired += 1;
-                self.expired.push(task.payload);
-            }
-        }
+    ) -> Vec<StartedTask<T>> {
+        self.remove_expired(now);
+        let positions: Vec<QueuePosition> = self.queue.keys().copied().collect();
         let mut started = Vec::new();
-        let keys: Vec<(TaskKind, u64)> = self.waiting.keys().copied().collect();
-        for key in keys {
+        for position in positions {
             if self.running.len() >= MAX_RUNNING_TASKS {
                 break;
             }
-            let Some(task) = self.waiting.get(&key) else { continue };
-            let Some(rights) = self.usage.get_mut(&task.kind) else { continue };
-            let Some(database) = place(&task.payload) else { continue };
-            let there = self.running.values().filter(|(_, at)| *at == database).count();
-            if there >= MAX_RUNNING_PER_DATABASE || !rights.allows_start(now, database, divisor) {
-                continue;
-            }
-            rights.record_start(now, database);
-            if let Some(task) = self.waiting.remove(&key) {
-                self.counts.entry(task.kind).or_default().started += 1;
-                self.running.insert(key.1, (task.kind, database));
-                started.push((key.1, task, database));
-            }
+            started.extend(self.try_start(now, divisor, position, &mut place));
         }
         started
     }
 
-    /// Tasks that waited too long, since this was asked last.
+    fn try_start(
+        &mut self,
+        now: Micros,
+        divisor: u32,
+        position: QueuePosition,
+        place: &mut impl FnMut(&T) -> Option<u32>,
+    ) -> Option<StartedTask<T>> {
+        let task = self.queue.get(&position)?;
+        let usage = self.usage.get_mut(&task.kind)?;
+        let database = place(&task.payload)?;
+        let running_there = self.running.values().filter(|running| running.database == database).count();
+        if running_there >= MAX_RUNNING_PER_DATABASE || !usage.allows_start(now, database, divisor) {
+            return None;
+        }
+        usage.record_start(now, database);
+        let task = self.queue.remove(&position)?;
+        self.counts.entry(task.kind).or_default().started += 1;
+        self.running.insert(position.id, RunningTask { kind: task.kind, database });
+        Some(StartedTask { id: position.id, task, database })
+    }
+
+    fn remove_expired(&mut self, now: Micros) {
+        let is_expired = |task: &Task<T>| task.expires_at <= now && !fault_injected!(StartsExpiredTasks);
+        for (_, task) in self.queue.extract_if(.., |_, task| is_expired(task)) {
+            self.counts.entry(task.kind).or_default().expired += 1;
+            self.expired.push(task.payload);
+        }
+    }
+
+    /// The payloads of tasks that expired since the last call.
     pub fn take_expired(&mut self) -> Vec<T> {
         std::mem::take(&mut self.expired)
     }
 
-    /// A task is over, however it went.
-    pub fn finish(&mut self, number: u64) {
-        if let Some((kind, _)) = self.running.remove(&number) {
-            self.counts.entry(kind).or_default().finished += 1;
+    /// Takes note that a task is over, whatever came of it; an unknown id is ignored.
+    pub fn finish(&mut self, id: u64) {
+        if let Some(task) = self.running.remove(&id) {
+            self.counts.entry(task.kind).or_default().finished += 1;
         }
     }
 
+    /// What became of the tasks of a kind since the start.
     pub fn counts(&self, kind: TaskKind) -> Counts {
         self.counts.get(&kind).copied().unwrap_or_default()
     }
 
-    /// What one process may start of a kind in a window, at one database and at all.
-    pub fn quotas(&self, kind: TaskKind, divisor: u32) -> Option<(usize, usize)> {
-        self.usage.get(&kind).map(|rights| rights.budget().quotas(divisor))
+    /// What one process may start of a kind in a window; none for a kind without a budget.
+    pub fn quota(&self, kind: TaskKind, divisor: u32) -> Option<Quota> {
+        self.usage.get(&kind).map(|usage| usage.budget().quota(divisor))
     }
 
-    pub fn waiting_count(&self) -> usize {
-        self.waiting.len()
+    /// Tasks that are queued.
+    pub fn queued_count(&self) -> usize {
+        self.queue.len()
     }
 
+    /// Tasks that run.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
--- a/background-tasks/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -1,147 +1,172 @@
-//! Budgets hold in the sum, the urgent go first, the late never start, tables are bounded; and each check finds its fault.
+//! Budgets hold over all processes, urgent tasks start first, expired ones never, tables are bounded; and each check finds the fault
+//! that breaks what it holds.
 
 use birchreach_background_tasks::faults::{Fault, with};
 use birchreach_background_tasks::{Budget, Micros, Scheduler, Task, TaskKind};
 
-const S: Micros = 1_000_000;
-const BUDGET: Budget = Budget { database_per_s: 6.5, all_per_s: 11.0, window: 4 * S };
+const SECOND: Micros = 1_000_000;
+const BUDGET: Budget = Budget { database_per_s: 6.5, all_per_s: 11.0, window: 4 * SECOND };
+/// What the budget comes to in a window: 6.5 x 4 and 11 x 4 starts.
+const MAX_AT_ONE_DATABASE: usize = 26;
+const MAX_IN_ALL: usize = 44;
 
-fn task(kind: TaskKind, what: u32, drop_at: Micros) -> Task<u32> {
-    Task { kind, expires_at: drop_at, payload: what }
+type CheckResult = Result<(), String>;
+
+fn task(kind: TaskKind, payload: u32, expires_at: Micros) -> Task<u32> {
+    Task { kind, expires_at, payload }
+}
+
+/// A scheduler whose kinds have been usable for a while.
+fn ready_scheduler(budgets: &[(TaskKind, Budget)]) -> Scheduler<u32> {
+    Scheduler::new(budgets, -10 * SECOND)
+}
+
+/// The payloads of the tasks that start now, each at the database of the number in its payload.
+fn started_payloads(scheduler: &mut Scheduler<u32>, now: Micros) -> Vec<u32> {
+    let started = scheduler.start_due(now, 1, |payload| Some(*payload));
+    started.into_iter().map(|started| started.task.payload).collect()
 }
 
-/// The most starts in any window, at one database and in all.
-fn most(starts: &[(Micros, u32)]) -> (usize, usize) {
-    let within = |at: Micros, database: Option<u32>| {
-        let there = |s: &&(Micros, u32)| database.is_none_or(|d| d == s.1);
-        starts.iter().filter(there).filter(|s| (at..at + BUDGET.window).contains(&s.0)).count()
+/// The most starts in any window, at one database and in all; `starts` are instants and databases.
+fn most_in_a_window(starts: &[(Micros, u32)]) -> (usize, usize) {
+    let within = |from: Micros, database: Option<u32>| {
+        let there = |start: &&(Micros, u32)| database.is_none_or(|database| database == start.1);
+        let window = from..from + BUDGET.window;
+        starts.iter().filter(there).filter(|start| window.contains(&start.0)).count()
     };
-    let one = starts.iter().map(|(at, d)| within(*at, Some(*d))).max().unwrap_or(0);
-    (one, starts.iter().map(|(at, _)| within(*at, None)).max().unwrap_or(0))
+    let at_one = starts.iter().map(|(at, database)| within(*at, Some(*database))).max();
+    let in_all = starts.iter().map(|(at, _)| within(*at, None)).max();
+    (at_one.unwrap_or(0), in_all.unwrap_or(0))
+}
+
+/// The starts of so many processes, each of which wants more than the budget has, and restarts now and then.
+fn starts_of_greedy_processes(rng: &mut fastrand::Rng, count: usize) -> Vec<(Micros, u32)> {
+    let fresh = |now| Scheduler::<u32>::new(&[(TaskKind::CopyWrite, BUDGET)], now);
+    let mut schedulers: Vec<_> = (0..count).map(|_| fresh(0)).collect();
+    let mut starts = Vec::new();
+    for now in (0..40 * SECOND).step_by(40_000) {
+        for scheduler in &mut schedulers {
+            if rng.u8(..) == 0 {
+                *scheduler = fresh(now);
+            }
+            scheduler.submit(task(TaskKind::CopyWrite, rng.u32(..3), now + SECOND));
+            for started in scheduler.start_due(now, count as u32, |payload| Some(*payload)) {
+                starts.push((now, started.database));
+                scheduler.finish(started.id);
+            }
+        }
+    }
+    starts
 }
 
-/// As many as the divisor says, each of which wants more than there is, is killed at any time and starts anew, or is stopped between the
-/// look and the act.
-fn sums_hold() -> Result<(), String> {
+fn check_budgets_over_processes() -> CheckResult {
     for seed in 0..30 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = rng.usize(1..8);
-        let mut all: Vec<Scheduler<u32>> =
-            (0..count).map(|_| Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], 0)).collect();
-        let mut starts = Vec::new();
-        for now in (0..40 * S).step_by(40_000) {
-            for one in &mut all {
-                if rng.u8(..) == 0 {
-                    *one = Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], now);
-                }
-                one.submit(task(TaskKind::CopyWrite, rng.u32(..3), now + S));
-                for (number, _, database) in one.start_due(now, count as u32, |what| Some(*what)) {
-                    starts.push((now, database));
-                    one.finish(number);
-                }
-            }
+        let (at_one, in_all) = most_in_a_window(&starts_of_greedy_processes(&mut rng, count));
+        if at_one > MAX_AT_ONE_DATABASE || in_all > MAX_IN_ALL {
+            return Err(format!("seed {seed}, {count} processes: {at_one} at one database, {in_all} in all"));
         }
-        let (one, whole) = most(&starts);
-        // 6.5 x 4 and 11 x 4.
-        if one > 26 || whole > 44 {
-            return Err(format!("seed {seed}, {count} processes: {one} at one, {whole} in all"));
-        }
-        if count == 1 && (one < 15 || whole < 40) {
-            return Err(format!("hardly anything starts: {one}, {whole}"));
+        if count == 1 && (at_one < 15 || in_all < 40) {
+            return Err(format!("hardly anything starts: {at_one}, {in_all}"));
         }
     }
     Ok(())
 }
 
-fn urgent_first() -> Result<(), String> {
-    let budgets: Vec<_> = TaskKind::ALL.map(|kind| (kind, BUDGET)).to_vec();
-    let mut s = Scheduler::new(&budgets, -10 * S);
-    for (n, kind) in
-        [TaskKind::DualRead, TaskKind::CopyWrite, TaskKind::RowRead, TaskKind::CopyWrite, TaskKind::RowRead]
-            .into_iter()
-            .enumerate()
-    {
-        s.submit(task(kind, n as u32, S));
+fn check_priorities() -> CheckResult {
+    let mut scheduler = ready_scheduler(&TaskKind::ALL.map(|kind| (kind, BUDGET)));
+    let kinds =
+        [TaskKind::DualRead, TaskKind::CopyWrite, TaskKind::RowRead, TaskKind::CopyWrite, TaskKind::RowRead];
+    for (payload, kind) in kinds.into_iter().enumerate() {
+        scheduler.submit(task(kind, payload as u32, SECOND));
     }
-    let order: Vec<u32> = s.start_due(0, 1, |what| Some(*what)).iter().map(|(_, t, _)| t.payload).collect();
+    let order = started_payloads(&mut scheduler, 0);
     if order == [2, 4, 1, 3, 0] { Ok(()) } else { Err(format!("{order:?}")) }
 }
 
-fn late_never() -> Result<(), String> {
-    let mut s = Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], -10 * S);
-    s.submit(task(TaskKind::CopyWrite, 1, S));
-    s.submit(task(TaskKind::CopyWrite, 2, 3 * S));
-    // No place for any of them, until one is late.
-    if !s.start_due(S / 2, 1, |_| None).is_empty() {
-        return Err("it starts nowhere".into());
+fn check_expiry() -> CheckResult {
+    let mut scheduler = ready_scheduler(&[(TaskKind::CopyWrite, BUDGET)]);
+    scheduler.submit(task(TaskKind::CopyWrite, 1, SECOND));
+    scheduler.submit(task(TaskKind::CopyWrite, 2, 3 * SECOND));
+    if !scheduler.start_due(SECOND / 2, 1, |_| None).is_empty() {
+        return Err("a task without a place starts".into());
     }
-    let started: Vec<u32> =
-        s.start_due(2 * S, 1, |what| Some(*what)).iter().map(|(_, t, _)| t.payload).collect();
-    let late = s.counts(TaskKind::CopyWrite).expired;
-    if started == [2] && late == 1 { Ok(()) } else { Err(format!("{started:?}, {late} late")) }
+    let started = started_payloads(&mut scheduler, 2 * SECOND);
+    let expired = scheduler.counts(TaskKind::CopyWrite).expired;
+    if started == [2] && expired == 1 { Ok(()) } else { Err(format!("{started:?}, {expired} expired")) }
 }
 
-fn bounded() -> Result<(), String> {
-    let mut s = Scheduler::new(
-        &[(TaskKind::CopyWrite, Budget { database_per_s: 1e6, all_per_s: 1e6, window: S })],
-        -10 * S,
-    );
-    let taken = (0..10_000).filter(|n| s.submit(task(TaskKind::CopyWrite, *n, S))).count();
-    let started = s.start_due(0, 1, |what| Some(*what)).len();
-    let two = s.start_due(0, 1, |_| Some(7)).len();
-    let holds = taken == 256 && s.waiting_count() <= 256 && started == 8 && two == 0;
-    if holds { Ok(()) } else { Err(format!("{taken} taken, {started} started, then {two}")) }
+fn check_bounds() -> CheckResult {
+    let ample = Budget { database_per_s: 1e6, all_per_s: 1e6, window: SECOND };
+    let mut scheduler = ready_scheduler(&[(TaskKind::CopyWrite, ample)]);
+    let accepted =
+        (0..10_000).filter(|payload| scheduler.submit(task(TaskKind::CopyWrite, *payload, SECOND))).count();
+    let started = scheduler.start_due(0, 1, |payload| Some(*payload)).len();
+    let further = scheduler.start_due(0, 1, |_| Some(7)).len();
+    let holds = accepted == 256 && scheduler.queued_count() <= 256 && started == 8 && further == 0;
+    if holds { Ok(()) } else { Err(format!("{accepted} accepted, {started} started, then {further}")) }
 }
 
 #[test]
-fn sums_hold_in_every_window() {
-    sums_hold().unwrap();
+fn budgets_hold_over_all_processes_in_every_window() {
+    check_budgets_over_processes().unwrap();
 }
 
 #[test]
-fn the_urgent_go_first() {
-    urgent_first().unwrap();
+fn urgent_kinds_start_first() {
+    check_priorities().unwrap();
 }
 
 #[test]
-fn the_late_never_start() {
-    late_never().unwrap();
+fn expired_tasks_never_start() {
+    check_expiry().unwrap();
 }
 
 #[test]
-fn tables_are_bounded() {
-    bounded().unwrap();
+fn queued_and_running_tasks_are_bounded() {
+    check_bounds().unwrap();
 }
 
 #[test]
-fn each_fault_is_caught() {
-    type Check = fn() -> Result<(), String>;
-    let all: [(Fault, Check); 6] = [
-        (Fault::RoundsQuotaUp, sums_hold),
-        (Fault::StartsWithoutDelay, sums_hold),
-        (Fault::FixedWindows, sums_hold),
-        (Fault::IgnoresPriority, urgent_first),
-        (Fault::StartsExpiredTasks, late_never),
-        (Fault::AcceptsAllTasks, bounded),
+fn each_injected_fault_is_found() {
+    let checks: [(Fault, fn() -> CheckResult); 6] = [
+        (Fault::RoundsQuotaUp, check_budgets_over_processes),
+        (Fault::StartsWithoutDelay, check_budgets_over_processes),
+        (Fault::FixedWindows, check_budgets_over_processes),
+        (Fault::IgnoresPriority, check_priorities),
+        (Fault::StartsExpiredTasks, check_expiry),
+        (Fault::AcceptsAllTasks, check_bounds),
     ];
-    for (fault, check) in all {
-        assert!(with(fault, check).is_err(), "{fault:?} was not caught");
+    for (fault, check) in checks {
+        assert!(with(fault, check).is_err(), "{fault:?} was not found");
     }
 }
 
 #[test]
-fn a_changed_budget_waits_a_window_and_the_same_one_goes_on() {
-    let mut s = Scheduler::new(&[(TaskKind::CopyWrite, BUDGET)], -10 * S);
-    s.set_budgets(&[(TaskKind::CopyWrite, BUDGET)], 0);
-    s.submit(task(TaskKind::CopyWrite, 1, 20 * S));
-    assert_eq!(s.start_due(0, 1, |_| Some(1)).len(), 1);
-    s.finish(1);
+fn a_changed_budget_waits_for_a_window_and_an_unchanged_one_goes_on() {
+    // Given a kind that is usable.
+    let mut scheduler = ready_scheduler(&[(TaskKind::CopyWrite, BUDGET)]);
+
+    // When the same budget is set again, it goes on.
+    scheduler.set_budgets(&[(TaskKind::CopyWrite, BUDGET)], 0);
+    scheduler.submit(task(TaskKind::CopyWrite, 1, 20 * SECOND));
+    assert_eq!(scheduler.start_due(0, 1, |_| Some(1)).len(), 1);
+    scheduler.finish(1);
+
+    // When another one is set, it waits for a window.
     let other = Budget { database_per_s: 1.0, ..BUDGET };
-    s.set_budgets(&[(TaskKind::CopyWrite, other)], S);
-    s.submit(task(TaskKind::CopyWrite, 2, 20 * S));
-    assert_eq!(s.start_due(4 * S, 1, |_| Some(1)).len(), 0);
-    assert_eq!(s.start_due(5 * S, 1, |_| Some(1)).len(), 1);
-    s.set_budgets(&[], 6 * S);
-    s.submit(task(TaskKind::CopyWrite, 3, 20 * S));
-    assert_eq!(s.start_due(19 * S, 1, |_| Some(2)).len(), 0, "a kind without a budget never starts");
+    scheduler.set_budgets(&[(TaskKind::CopyWrite, other)], SECOND);
+    scheduler.submit(task(TaskKind::CopyWrite, 2, 20 * SECOND));
+    assert_eq!(scheduler.start_due(4 * SECOND, 1, |_| Some(1)).len(), 0);
+    assert_eq!(scheduler.start_due(5 * SECOND, 1, |_| Some(1)).len(), 1);
+
+    // When none is set, nothing starts.
+    scheduler.set_budgets(&[], 6 * SECOND);
+    scheduler.submit(task(TaskKind::CopyWrite, 3, 20 * SECOND));
+    assert_eq!(
+        scheduler.start_due(19 * SECOND, 1, |_| Some(2)).len(),
+        0,
+        "a kind without a budget never starts"
+    );
 }
--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -4,7 +4,7 @@
 use super::servers::{Call, Job};
 use super::world::{Happens, Mode, WAY, World};
 use birchreach::*;
-use birchreach_background_tasks::{Task, TaskKind};
+use birchreach_background_tasks::{StartedTask, Task, TaskKind};
 use std::net::SocketAddr;
 
 impl World {
@@ -33,7 +33,7 @@
             What::Copy { group, .. } => router.background_candidate(GroupId(*group), true, true).map(|s| s.0),
         };
         let started = proxy.scheduler.start_due(now, count as u32, place);
-        for (number, task, database) in started {
+        for StartedTask { id: number, task, database } in started {
             let job = match &task.payload {
                 What::Read(_) => Job::Read,
                 What::Copy { position, .. } => Job::CopyWrite(*position),
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -15,7 +15,7 @@
 use crate::observe::Shared;
 use crate::split;
 use birchreach::{GroupId, Micros, ServerId};
-use birchreach_background_tasks::{Scheduler, Task, TaskKind};
+use birchreach_background_tasks::{Scheduler, StartedTask, Task, TaskKind};
 use birchreach_membership::ReceivedReport;
 use copies::Copying;
 use dual_reads::Shadow;
@@ -165,7 +165,7 @@
             core.background_candidate(GroupId(group), write, what.yields()).map(|server| server.0)
         };
         let started = self.scheduler.start_due(context.now, divisor, |what| place(&context.core, what));
-        for (number, task, database) in started {
+        for StartedTask { id: number, task, database } in started {
             self.sent += 1;
             let texts = task.payload.texts(self.boot.wrapping_add(self.sent));
             self.out.insert(number, (task.payload, context.now));
@@ -197,7 +197,7 @@
     fn next_change(&self, now: Micros) -> Micros {
         let hot = self.hot.as_ref().map_or(Micros::MAX, |watch| watch.borrow().hot.next_change(now));
         // What waits for room, or for its part of a budget, is looked at again.
-        let waits = if self.scheduler.waiting_count() > 0 { now + 20_000 } else { Micros::MAX };
+        let waits = if self.scheduler.queued_count() > 0 { now + 20_000 } else { Micros::MAX };
         let split = self.split.as_ref().map_or(Micros::MAX, |watch| watch.borrow().split.next_change(now));
         hot.min(split).min(waits).min(now + STOPPED / 2).max(now + 1_000)
     }
--- a/proxy/src/net/background/show.rs
+++ b/proxy/src/net/background/show.rs
@@ -14,20 +14,22 @@
     fn scheduler_lines(&self, divisor: u32) -> String {
         let mut out = String::new();
         for kind in TaskKind::ALL {
-            let Some((one, all)) = self.scheduler.quotas(kind, divisor) else { continue };
+            let Some(quota) = self.scheduler.quota(kind, divisor) else { continue };
             let c = self.scheduler.counts(kind);
             out += &format!(
-                "background kind={} started={} ended={} late={} crowded={} part_at_one={one} part_in_all={all}\n",
+                "background kind={} started={} ended={} late={} crowded={} part_at_one={} part_in_all={}\n",
                 kind.as_str(),
                 c.started,
                 c.finished,
                 c.expired,
-                c.rejected
+                c.rejected,
+                quota.per_database,
+                quota.total
             );
         }
         out + &format!(
             "background waiting={} out={}\n",
-            self.scheduler.waiting_count(),
+            self.scheduler.queued_count(),
             self.scheduler.running_count()
         )
     }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -7,7 +7,7 @@
 use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split;
 use birchreach::Micros;
-use birchreach_background_tasks::{Budget, TaskKind};
+use birchreach_background_tasks::{Budget, Quota, TaskKind};
 use birchreach_membership::GossipReports;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -70,7 +70,7 @@
         let split = self.config.options.split.as_ref();
         background.scheduler.set_budgets(&budgets(options.as_ref(), split), self.context.now);
         for kind in TaskKind::ALL {
-            if let Some((0, _) | (_, 0)) = background.scheduler.quotas(kind, divisor) {
+            if background.scheduler.quota(kind, divisor).is_some_and(Quota::is_empty) {
                 // Rounded down, so that the sum holds: nothing of it is ever done.
                 warn!(event = "no-budget", kind = kind.as_str(), processes = divisor);
             }
