--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -1,7 +1,7 @@
 //! The configuration, read again at SIGHUP: applied as a whole or not at all.
 
 use super::EventLoop;
-use super::checks::Opened;
+use super::checks::OpenedListeners;
 use super::connection_limits::{ConnectionLimits, unclassified_allowance};
 use super::error::ListenError;
 use crate::config::{self, Config};
@@ -55,7 +55,7 @@
     }
 
     /// The new configuration, with the listeners that it needs in addition.
-    fn load_successor(&self) -> Result<(Config, Opened), ReloadError> {
+    fn load_successor(&self) -> Result<(Config, OpenedListeners), ReloadError> {
         let config = config::load(config::environment, self.options.as_deref())
             .and_then(|config| self.config.succeeds(config))
             .map_err(ReloadError::Configuration)?;
@@ -64,7 +64,7 @@
         Ok((config, check_listeners))
     }
 
-    fn apply_configuration(&mut self, mut new: Config, check_listeners: Opened) {
+    fn apply_configuration(&mut self, mut new: Config, check_listeners: OpenedListeners) {
         self.context.core.stats.configuration_loads += 1;
         let needs_restart = self.config.differs(&new).join(",");
         let classes = new.site.class_names.join(",");
@@ -76,8 +76,8 @@
             longest_client_timeout(&new.site).max(longest_client_timeout(&self.config.site));
         self.apply_settings(&new);
         self.config = new;
-        self.watch();
-        self.checks.take(&mut self.context, self.config.options.health.clone(), check_listeners);
+        self.configure_health();
+        self.checks.apply_options(&mut self.context, self.config.options.health.clone(), check_listeners);
         self.start_background();
         self.carry_out();
     }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -52,7 +52,7 @@
 
     /// Something is left from the last turn that no socket will report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
-        self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.pressing(now)
+        self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.has_pending_work(now)
     }
 
     fn serve_priority_sources(&mut self, events: &Events) {
@@ -61,14 +61,14 @@
                 Source::AdminListener => self.admin.accept_ready(),
                 Source::Admin(key) => self.handle_admin(key),
                 source @ (Source::HttpListener | Source::AgentListener | Source::GrpcListener) => {
-                    self.checks.accept_ready(source);
+                    self.checks.listener_ready(source);
                 }
-                Source::Check(key) => self.checks.ready(&mut self.context, key),
+                Source::Check(key) => self.checks.serve(&mut self.context, key),
                 _ => {}
             }
         }
         self.admin.accept(&mut self.context);
-        self.checks.go_on(&mut self.context);
+        self.checks.continue_work(&mut self.context);
     }
 
     fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
@@ -76,8 +76,17 @@
             Source::Listener => self.clients.listener_ready(),
             Source::Signals => self.handle_signals(signals),
             Source::Discovery => self.handle_discovery(),
-            Source::HandoverListener | Source::Predecessor | Source::Successor => {
-                self.handle_handover(source)
+            Source::HandoverListener => {
+                self.handover.accept(&mut self.context);
+                self.after_handover();
+            }
+            Source::Predecessor => {
+                self.handover.predecessor_ready(&mut self.context);
+                self.after_handover();
+            }
+            Source::Successor => {
+                self.handover.successor_ready(&mut self.context);
+                self.after_handover();
             }
             Source::Fleet => self.handle_fleet(),
             Source::GossipListener | Source::MembershipListener => {
@@ -124,13 +133,8 @@
         }
     }
 
-    /// Another process of this proxy came, spoke or went.
-    fn handle_handover(&mut self, source: Source) {
-        match source {
-            Source::HandoverListener => self.handover.accept(&mut self.context),
-            Source::Predecessor => self.handover.predecessor_ready(&mut self.context),
-            _ => self.handover.successor_ready(&mut self.context),
-        }
+    /// Another process of this proxy has connected, sent a message or disconnected.
+    fn after_handover(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
             fleet.replaced(self.context.now, self.handover.is_replaced());
