--- a/benches/src/cost.rs
+++ b/benches/src/cost.rs
@@ -1,4 +1,4 @@
-//! What checks cost, what requests lose by them, and what a log line costs: modes take turns within one run.
+//! What balancer checks cost the proxy, what requests lose by them, and what a log line costs. Modes take turns within one run.
 
 use crate::{Done, Times};
 use birchreach_test_support::balancer::{Check, check};
@@ -15,135 +15,195 @@
 
 const SLICE: Duration = Duration::from_secs(3);
 const CLIENTS: u32 = 8;
+/// Calls of which the mean cost is taken.
+const CALLS: u64 = 20_000;
+const POLLERS: usize = 20;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// What is still under way after the last call belongs to it.
+const SETTLING_TIME: Duration = Duration::from_millis(50);
+const RESPONSE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Requests for a while: how many a second, and how long each took.
-fn load(at: SocketAddr, long: Duration) -> Times {
-    let until = Instant::now() + long;
-    let all = Mutex::new(Times::default());
-    thread::scope(|scope| {
-        for n in 0..CLIENTS {
-            let all = &all;
-            scope.spawn(move || {
-                let Ok(mut client) = Client::connect(at) else { return };
-                let mut own = Times::default();
-                while Instant::now() < until {
-                    let start = Instant::now();
-                    let reply = match n % 4 {
-                        0 => client.write("file-entry", n % 2, 3000),
-                        _ => client.read("tariff-lookup", n % 2, 2500),
-                    };
-                    if reply.is_err() {
-                        return;
-                    }
-                    own.add(start.elapsed());
-                }
-                all.lock().unwrap_or_else(|e| e.into_inner()).join(&own);
-            });
-        }
-    });
-    all.into_inner().unwrap_or_else(|e| e.into_inner())
+/// How the proxy is checked while it serves requests.
+#[derive(Clone, Copy, PartialEq)]
+enum Mode {
+    ChecksOff,
+    NotPolled,
+    Polled,
 }
 
-/// CPU microseconds of the process for each of so many calls.
-fn each(process: &Process, n: u64, mut call: impl FnMut()) -> f64 {
-    let before = process.cpu().unwrap_or_default();
-    (0..n).for_each(|_| call());
-    // What is still under way there belongs to it.
-    thread::sleep(Duration::from_millis(50));
-    micros(process, before) / n as f64
+const MODES: [(Mode, &str); 3] = [
+    (Mode::ChecksOff, "checks off"),
+    (Mode::NotPolled, "checks on, nobody asks"),
+    (Mode::Polled, "polled hard (200 a second)"),
+];
+
+/// Requests and processor time of a mode.
+#[derive(Default)]
+struct Cost {
+    times: Times,
+    cpu_micros: f64,
 }
 
-/// CPU microseconds of the process since then.
-fn micros(process: &Process, before: Duration) -> f64 {
-    process.cpu().unwrap_or_default().saturating_sub(before).as_secs_f64() * 1e6
+/// Addresses of the check listeners.
+#[derive(Clone, Copy)]
+struct CheckAddresses {
+    http: SocketAddr,
+    agent: SocketAddr,
 }
 
+/// Measures checks, and requests beside them, and prints tables.
 pub fn run(program: &Path, folder: &Path, rounds: u32) -> Done {
     let rig = Rig::new(2, [127, 93, 0, 1], program, folder)?;
-    let off = rig.start(1, None, None)?;
-    let on = rig.start_with_doors(2, 64, "")?;
-    let clients = |p: &Process| p.clients().ok_or("no clients");
-    let (http, agent) = (on.checks("http").ok_or("no http")?, on.checks("agent").ok_or("no agent")?);
+    let without_checks = rig.start(1, None, None)?;
+    let with_checks = rig.start_with_doors(2, 64, "")?;
+    let addresses = CheckAddresses {
+        http: with_checks.checks("http").ok_or("no http")?,
+        agent: with_checks.checks("agent").ok_or("no agent")?,
+    };
+    print_check_costs(&with_checks, addresses)?;
+    let mut costs: Vec<Cost> = MODES.iter().map(|_| Cost::default()).collect();
+    for round in 0..rounds as usize {
+        for turn in 0..MODES.len() {
+            // Each mode is first, second and last in turn.
+            let index = (turn + round) % MODES.len();
+            let mode = MODES[index].0;
+            let process = if mode == Mode::ChecksOff { &without_checks } else { &with_checks };
+            let cost = measure_slice(process, mode, addresses)?;
+            costs[index].times.join(&cost.times);
+            costs[index].cpu_micros += cost.cpu_micros;
+        }
+    }
+    print_request_costs(&costs, rounds);
+    Ok(())
+}
 
+fn print_check_costs(process: &Process, addresses: CheckAddresses) -> Done {
+    let CheckAddresses { http, agent } = addresses;
     println!("| check | CPU of the proxy, us each |\n| --- | --- |");
-    let n = 20_000;
-    let one = each(&on, n, || drop(check(http, &Check::Http("/ready".into()), PATIENCE)));
-    println!("| HTTP `/ready`, a connection each | {one:.1} |");
-    let one = each(&on, n, || drop(check(agent, &Check::Agent("file-entry".into()), PATIENCE)));
-    println!("| agent-check `file-entry`, a connection each | {one:.1} |");
-    let mut kept = TcpStream::connect(http)?;
-    kept.set_nodelay(true)?;
-    for (path, length) in [("/ready", None), ("/health", None)] {
-        let mut length: Option<usize> = length;
-        let one = each(&on, n, || {
-            let call = format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n");
-            let _ = kept.write_all(call.as_bytes());
-            let mut got = Vec::new();
-            let mut buf = [0; 16 << 10];
-            // The replies' ages differ by digits, so each is read to its own end.
-            while length.is_none_or(|_| true) {
-                let Ok(more @ 1..) = kept.read(&mut buf) else { return };
-                got.extend_from_slice(&buf[..more]);
-                let Some(head) = got.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
-                let text = String::from_utf8_lossy(&got[..head]).to_ascii_lowercase();
-                let body =
-                    text.split("content-length: ").nth(1).and_then(|t| t.split("\r\n").next()?.parse().ok());
-                length = body;
-                if body.is_some_and(|body: usize| got.len() >= head + 4 + body) {
-                    return;
-                }
-            }
+    let cost = mean_cpu(process, CALLS, || drop(check(http, &Check::Http("/ready".into()), PATIENCE)));
+    println!("| HTTP `/ready`, a connection each | {cost:.1} |");
+    let cost = mean_cpu(process, CALLS, || drop(check(agent, &Check::Agent("file-entry".into()), PATIENCE)));
+    println!("| agent-check `file-entry`, a connection each | {cost:.1} |");
+    let mut connection = TcpStream::connect(http)?;
+    connection.set_nodelay(true)?;
+    for path in ["/ready", "/health"] {
+        let request = format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n");
+        let cost = mean_cpu(process, CALLS, || {
+            let _ = connection.write_all(request.as_bytes());
+            read_response(&mut connection);
         });
-        println!("| HTTP `{path}` on a kept connection | {one:.1} |");
+        println!("| HTTP `{path}` on a kept connection | {cost:.1} |");
     }
+    Ok(())
+}
 
-    let modes = ["checks off", "checks on, nobody asks", "polled hard (200 a second)"];
-    let mut sums: Vec<(Times, f64)> = modes.iter().map(|_| (Times::default(), 0.0)).collect();
-    for round in 0..rounds {
-        for k in 0..modes.len() {
-            // Each mode is first, second and last in turn.
-            let mode = (k + round as usize) % modes.len();
-            let process = if mode == 0 { &off } else { &on };
-            let at = clients(process)?;
-            let over = AtomicBool::new(false);
-            let (times, cpu) = thread::scope(|scope| {
-                if mode == 2 {
-                    for n in 0..20 {
-                        let over = &over;
-                        scope.spawn(move || {
-                            while !over.load(Ordering::Relaxed) {
-                                let _ = match n % 2 {
-                                    0 => check(http, &Check::Http("/ready".into()), PATIENCE),
-                                    _ => check(agent, &Check::Agent("file-entry".into()), PATIENCE),
-                                };
-                                thread::sleep(Duration::from_millis(100));
-                            }
-                        });
-                    }
-                }
-                let before = process.cpu().unwrap_or_default();
-                let times = load(at, SLICE);
-                over.store(true, Ordering::Relaxed);
-                (times, micros(process, before))
+/// Reads one HTTP response to its end, by its Content-Length.
+fn read_response(connection: &mut TcpStream) {
+    let mut response = Vec::new();
+    let mut buffer = [0; RESPONSE_BUFFER_BYTES];
+    loop {
+        let Ok(read @ 1..) = connection.read(&mut buffer) else { return };
+        response.extend_from_slice(&buffer[..read]);
+        let Some(head_length) = response.windows(4).position(|window| window == b"\r\n\r\n") else {
+            continue;
+        };
+        let head = String::from_utf8_lossy(&response[..head_length]).to_ascii_lowercase();
+        let length = head.split("content-length: ").nth(1).and_then(|rest| rest.split("\r\n").next());
+        let length: Option<usize> = length.and_then(|digits| digits.parse().ok());
+        if length.is_some_and(|length| response.len() >= head_length + 4 + length) {
+            return;
+        }
+    }
+}
+
+/// Requests for the time of a slice, beside what the mode has of checks.
+fn measure_slice(process: &Process, mode: Mode, addresses: CheckAddresses) -> Result<Cost, &'static str> {
+    let clients = process.clients().ok_or("no clients")?;
+    let stop = AtomicBool::new(false);
+    Ok(thread::scope(|scope| {
+        let stop = &stop;
+        let pollers = if mode == Mode::Polled { POLLERS } else { 0 };
+        for poller in 0..pollers {
+            scope.spawn(move || poll(poller, addresses, stop));
+        }
+        let before = process.cpu().unwrap_or_default();
+        let times = request_for(clients, SLICE);
+        stop.store(true, Ordering::Relaxed);
+        Cost { times, cpu_micros: cpu_micros_since(process, before) }
+    }))
+}
+
+fn poll(poller: usize, addresses: CheckAddresses, stop: &AtomicBool) {
+    while !stop.load(Ordering::Relaxed) {
+        let _ = match poller % 2 {
+            0 => check(addresses.http, &Check::Http("/ready".into()), PATIENCE),
+            _ => check(addresses.agent, &Check::Agent("file-entry".into()), PATIENCE),
+        };
+        thread::sleep(POLL_INTERVAL);
+    }
+}
+
+/// The times of requests by all clients within a span.
+fn request_for(address: SocketAddr, span: Duration) -> Times {
+    let until = Instant::now() + span;
+    let all_times = Mutex::new(Times::default());
+    thread::scope(|scope| {
+        for client in 0..CLIENTS {
+            let all_times = &all_times;
+            scope.spawn(move || {
+                let Some(times) = request_until(client, address, until) else { return };
+                all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).join(&times);
             });
-            sums[mode].0.join(&times);
-            sums[mode].1 += cpu;
         }
+    });
+    all_times.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner())
+}
+
+/// The times of one client's requests; none if its connection broke.
+fn request_until(number: u32, address: SocketAddr, until: Instant) -> Option<Times> {
+    let mut client = Client::connect(address).ok()?;
+    let mut times = Times::default();
+    while Instant::now() < until {
+        let start = Instant::now();
+        let reply = match number % 4 {
+            0 => client.write("file-entry", number % 2, 3_000),
+            _ => client.read("tariff-lookup", number % 2, 2_500),
+        };
+        reply.ok()?;
+        times.add(start.elapsed());
     }
+    Some(times)
+}
+
+fn print_request_costs(costs: &[Cost], rounds: u32) {
     println!(
         "\n| requests, {CLIENTS} clients, {rounds} rounds of {} s | a second | n | median ms | 99th ms | most ms | CPU us each |",
         SLICE.as_secs()
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for (name, (times, cpu)) in modes.iter().zip(&sums) {
-        let rate = times.count() as f64 / (SLICE.as_secs_f64() * f64::from(rounds));
-        println!("| {name} | {rate:.0} | {} | {:.1} |", times.row(), cpu / times.count() as f64);
+    for ((_, name), cost) in MODES.iter().zip(costs) {
+        let count = cost.times.count() as f64;
+        let rate = count / (SLICE.as_secs_f64() * f64::from(rounds));
+        println!("| {name} | {rate:.0} | {} | {:.1} |", cost.times.row(), cost.cpu_micros / count);
     }
-    Ok(())
 }
 
-/// Clients that come and go, each with a line in the log: beyond the limit it is dropped, up to it it is written.
+/// Mean CPU microseconds of the process for each of so many calls.
+fn mean_cpu(process: &Process, calls: u64, mut call: impl FnMut()) -> f64 {
+    let before = process.cpu().unwrap_or_default();
+    (0..calls).for_each(|_| call());
+    thread::sleep(SETTLING_TIME);
+    cpu_micros_since(process, before) / calls as f64
+}
+
+fn cpu_micros_since(process: &Process, before: Duration) -> f64 {
+    process.cpu().unwrap_or_default().saturating_sub(before).as_secs_f64() * 1e6
+}
+
+/// Clients that connect and leave, each with a line in the log: within the rate limit it is written, beyond it it is dropped.
 pub fn lines(program: &Path, against: &Path, folder: &Path, rounds: u32) -> Done {
+    /// The rate limit gives back its burst within this time.
+    const PAUSE: Duration = Duration::from_secs(5);
     let against = std::fs::canonicalize(against)?;
     let rigs = [
         ("before", Rig::new(1, [127, 94, 0, 1], &against, &folder.join("a"))?),
@@ -155,13 +215,12 @@
     );
     for round in 0..rounds {
         for (process, (name, _)) in processes.iter().zip(&rigs) {
-            let at = process.clients().ok_or("no clients")?;
-            let come = || drop(TcpStream::connect(at));
-            // A pause gives the limit its 200 lines back.
-            thread::sleep(Duration::from_secs(5));
-            let written = each(process, 200, come);
-            let _ = each(process, 3000, come);
-            let dropped = each(process, 10_000, come);
+            let address = process.clients().ok_or("no clients")?;
+            let connect = || drop(TcpStream::connect(address));
+            thread::sleep(PAUSE);
+            let written = mean_cpu(process, 200, connect);
+            let _ = mean_cpu(process, 3_000, connect);
+            let dropped = mean_cpu(process, 10_000, connect);
             println!("| {name} | {round} | {written:.1} | {dropped:.1} |");
         }
     }
--- a/benches/src/crowd.rs
+++ b/benches/src/crowd.rs
@@ -1,4 +1,4 @@
-//! Answers to balancers while 1,000 clients crowd the proxy, 200 checkers poll, and 50 of them say or read nothing.
+//! Responses to balancers while 1,000 clients crowd the proxy and 200 checkers poll it, 50 of which send or read nothing.
 
 use crate::{Done, Times};
 use birchreach_test_support::balancer::{Check, check};
@@ -6,103 +6,138 @@
 use birchreach_test_support::process::PATIENCE;
 use birchreach_test_support::rig::Rig;
 use std::io::Write;
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const THREADS: usize = 50;
-const EACH: usize = 20;
+const CLIENT_THREADS: usize = 50;
+const CLIENTS_PER_THREAD: usize = 20;
 const CHECKERS: usize = 200;
-const RUDE: usize = 50;
+const MISBEHAVING_CHECKERS: usize = 50;
+const GROUPS: usize = 4;
+const MAX_CHECK_CONNECTIONS: u32 = 128;
+const MISBEHAVING_PAUSE: Duration = Duration::from_secs(3);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Checkers begin one after the other, this far apart.
+const CHECKER_STAGGER_MS: u64 = 5;
+/// Requests that a misbehaving checker sends without reading a response.
+const UNREAD_REQUESTS: usize = 4_000;
 
+/// Where the proxy listens.
+#[derive(Clone, Copy)]
+struct Addresses {
+    clients: SocketAddr,
+    http: SocketAddr,
+    agent: SocketAddr,
+}
+
+/// What the threads counted.
+#[derive(Default)]
+struct Counts {
+    served: AtomicU64,
+    answered_otherwise: AtomicU64,
+    checks_without_response: AtomicU64,
+    http_times: Mutex<Times>,
+    agent_times: Mutex<Times>,
+}
+
+/// Runs the measurement and prints its tables.
 pub fn run(program: &Path, folder: &Path, seconds: u64) -> Done {
-    let rig = Rig::new(4, [127, 92, 0, 1], program, folder)?;
-    let proxy = rig.start_with_doors(1, 128, "")?;
-    let (clients, http) = (proxy.clients().ok_or("no clients")?, proxy.checks("http").ok_or("no http")?);
-    let agent = proxy.checks("agent").ok_or("no agent")?;
+    let rig = Rig::new(GROUPS as u32, [127, 92, 0, 1], program, folder)?;
+    let proxy = rig.start_with_doors(1, MAX_CHECK_CONNECTIONS, "")?;
+    let addresses = Addresses {
+        clients: proxy.clients().ok_or("no clients")?,
+        http: proxy.checks("http").ok_or("no http")?,
+        agent: proxy.checks("agent").ok_or("no agent")?,
+    };
     let until = Instant::now() + Duration::from_secs(seconds);
-    let (served, failed, missed) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-    let times = Mutex::new((Times::default(), Times::default()));
+    let counts = Counts::default();
     thread::scope(|scope| {
-        for n in 0..THREADS {
-            let (served, failed) = (&served, &failed);
-            scope.spawn(move || {
-                // Each of its connections asks in its turn, and is made again when the proxy sheds it.
-                let mut held: Vec<Option<Client>> = (0..EACH).map(|_| None).collect();
-                while Instant::now() < until {
-                    for (k, slot) in held.iter_mut().enumerate() {
-                        let Some(client) = slot else {
-                            *slot = Client::connect(clients).ok();
-                            continue;
-                        };
-                        let group = ((n + k) % 4) as u32;
-                        let reply = match k % 4 {
-                            0 => client.write("file-entry", group, 3000),
-                            _ => client.read("tariff-lookup", group, 2500),
-                        };
-                        match reply {
-                            Ok(Reply::Served(_)) => drop(served.fetch_add(1, Ordering::Relaxed)),
-                            Ok(Reply::Error(_)) => drop(failed.fetch_add(1, Ordering::Relaxed)),
-                            Err(_) => *slot = None,
-                        }
-                    }
-                }
-            });
+        let counts = &counts;
+        for thread in 0..CLIENT_THREADS {
+            scope.spawn(move || run_clients(thread, addresses.clients, until, counts));
         }
-        for n in 0..RUDE {
-            scope.spawn(move || {
-                while Instant::now() < until {
-                    let Ok(mut stream) = TcpStream::connect(if n % 2 == 0 { http } else { agent }) else {
-                        continue;
-                    };
-                    // Says nothing, or asks much and reads nothing.
-                    let _ = stream.set_nonblocking(true);
-                    if n % 4 == 0 {
-                        let _ = stream.write(&b"GET /health HTTP/1.1\r\nHost: p\r\n\r\n".repeat(4000));
-                    }
-                    thread::sleep(Duration::from_secs(3));
-                }
-            });
+        for checker in 0..MISBEHAVING_CHECKERS {
+            scope.spawn(move || misbehave(checker, addresses, until));
         }
-        for n in 0..CHECKERS - RUDE {
-            let (times, missed) = (&times, &missed);
-            scope.spawn(move || {
-                let (how, at) = match n % 2 {
-                    0 => (Check::Http("/ready".into()), http),
-                    _ => (Check::Agent("file-entry".into()), agent),
-                };
-                let mut own = Times::default();
-                thread::sleep(Duration::from_millis(5 * n as u64));
-                while Instant::now() < until {
-                    let start = Instant::now();
-                    match check(at, &how, PATIENCE) {
-                        Ok(_) => own.add(start.elapsed()),
-                        Err(_) => drop(missed.fetch_add(1, Ordering::Relaxed)),
-                    }
-                    thread::sleep(Duration::from_millis(500));
-                }
-                let mut times = times.lock().unwrap_or_else(|e| e.into_inner());
-                if n % 2 == 0 { times.0.join(&own) } else { times.1.join(&own) }
-            });
+        for checker in 0..CHECKERS - MISBEHAVING_CHECKERS {
+            scope.spawn(move || run_checks(checker, addresses, until, counts));
         }
     });
-    let times = times.into_inner().unwrap_or_else(|e| e.into_inner());
+    let memory_kib = proxy.memory().unwrap_or(0);
+    print_tables(counts, seconds, rig.sockets, memory_kib);
+    Ok(())
+}
+
+/// Each connection makes a request in its turn, and is made again when the proxy sheds it.
+fn run_clients(thread: usize, address: SocketAddr, until: Instant, counts: &Counts) {
+    let mut clients: Vec<Option<Client>> = (0..CLIENTS_PER_THREAD).map(|_| None).collect();
+    while Instant::now() < until {
+        for (index, slot) in clients.iter_mut().enumerate() {
+            let Some(client) = slot else {
+                *slot = Client::connect(address).ok();
+                continue;
+            };
+            let group = ((thread + index) % GROUPS) as u32;
+            let reply = match index % 4 {
+                0 => client.write("file-entry", group, 3_000),
+                _ => client.read("tariff-lookup", group, 2_500),
+            };
+            match reply {
+                Ok(Reply::Served(_)) => drop(counts.served.fetch_add(1, Ordering::Relaxed)),
+                Ok(Reply::Error(_)) => drop(counts.answered_otherwise.fetch_add(1, Ordering::Relaxed)),
+                Err(_) => *slot = None,
+            }
+        }
+    }
+}
+
+/// Connects again and again; sends nothing, or many requests whose responses it does not read.
+fn misbehave(checker: usize, addresses: Addresses, until: Instant) {
+    let address = if checker.is_multiple_of(2) { addresses.http } else { addresses.agent };
+    while Instant::now() < until {
+        let Ok(mut stream) = TcpStream::connect(address) else { continue };
+        let _ = stream.set_nonblocking(true);
+        if checker.is_multiple_of(4) {
+            let _ = stream.write(&b"GET /health HTTP/1.1\r\nHost: p\r\n\r\n".repeat(UNREAD_REQUESTS));
+        }
+        thread::sleep(MISBEHAVING_PAUSE);
+    }
+}
+
+fn run_checks(checker: usize, addresses: Addresses, until: Instant, counts: &Counts) {
+    let (kind, address, all_times) = match checker % 2 {
+        0 => (Check::Http("/ready".into()), addresses.http, &counts.http_times),
+        _ => (Check::Agent("file-entry".into()), addresses.agent, &counts.agent_times),
+    };
+    let mut times = Times::default();
+    thread::sleep(Duration::from_millis(CHECKER_STAGGER_MS * checker as u64));
+    while Instant::now() < until {
+        let start = Instant::now();
+        match check(address, &kind, PATIENCE) {
+            Ok(_) => times.add(start.elapsed()),
+            Err(_) => drop(counts.checks_without_response.fetch_add(1, Ordering::Relaxed)),
+        }
+        thread::sleep(CHECK_INTERVAL);
+    }
+    all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).join(&times);
+}
+
+fn print_tables(counts: Counts, seconds: u64, sockets: u32, memory_kib: u64) {
+    let times = |times: Mutex<Times>| times.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
     println!(
-        "{} clients on {} places: {} requests served, {} answered otherwise, in {seconds} s; {} of {CHECKERS} checkers \
-         rude; resident memory {} KiB\n",
-        THREADS * EACH,
-        rig.sockets,
-        served.load(Ordering::Relaxed),
-        failed.load(Ordering::Relaxed),
-        RUDE,
-        proxy.memory().unwrap_or(0)
+        "{} clients on {sockets} descriptors: {} requests served, {} answered otherwise, in {seconds} s; {} of {CHECKERS} \
+         checkers misbehave; resident memory {memory_kib} KiB\n",
+        CLIENT_THREADS * CLIENTS_PER_THREAD,
+        counts.served.load(Ordering::Relaxed),
+        counts.answered_otherwise.load(Ordering::Relaxed),
+        MISBEHAVING_CHECKERS,
     );
     println!("| checks | n | median ms | 99th ms | most ms |\n| --- | --- | --- | --- | --- |");
-    println!("| HTTP `/ready`, a connection each | {} |", times.0.row());
-    println!("| agent-check `file-entry` | {} |", times.1.row());
-    println!("\nchecks without an answer: {}", missed.load(Ordering::Relaxed));
-    Ok(())
+    println!("| HTTP `/ready`, a connection each | {} |", times(counts.http_times).row());
+    println!("| agent-check `file-entry` | {} |", times(counts.agent_times).row());
+    println!("\nchecks without a response: {}", counts.checks_without_response.load(Ordering::Relaxed));
 }
--- a/benches/src/view.rs
+++ b/benches/src/view.rs
@@ -9,14 +9,15 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const MOST: Duration = Duration::from_secs(90);
+/// A view that has not settled by then is reported as such.
+const MAX_WAIT: Duration = Duration::from_secs(90);
 const QUIET: Duration = Duration::from_secs(30);
 
 fn until(mut holds: impl FnMut() -> bool) -> String {
     let start = Instant::now();
     while !holds() {
-        if start.elapsed() > MOST {
-            return format!("not in {}", MOST.as_secs());
+        if start.elapsed() > MAX_WAIT {
+            return format!("not in {}", MAX_WAIT.as_secs());
         }
         sleep(Duration::from_millis(50));
     }
@@ -38,8 +39,8 @@
     all.iter().map(of).sum()
 }
 
-fn gone(all: &[Process]) -> usize {
-    all.iter().flat_map(Process::log).filter(|l| l.contains("event=fleet-gone")).count()
+fn removals(all: &[Process]) -> usize {
+    all.iter().flat_map(Process::log).filter(|l| l.contains("event=fleet-member-removed")).count()
 }
 
 pub fn run(program: &Path, folder: &Path, processes: usize, seed: u64) -> Done {
@@ -54,11 +55,11 @@
         let join = agreed(&all);
         let cpu = |all: &[Process]| all.iter().filter_map(Process::cpu).sum::<Duration>().as_secs_f64();
         let bytes = |all: &[Process]| sum(all, "birchreach_fleet_bytes_total{way=\"Sent\"}");
-        let (before, sent, removed) = (cpu(&all), bytes(&all), gone(&all));
+        let (before, sent, removed) = (cpu(&all), bytes(&all), removals(&all));
         sleep(QUIET);
         let each = |sum: f64| sum / processes as f64 / QUIET.as_secs_f64();
         let (cpu, sent, removed) =
-            (each(cpu(&all) - before) * 100.0, each(bytes(&all) - sent), gone(&all) - removed);
+            (each(cpu(&all) - before) * 100.0, each(bytes(&all) - sent), removals(&all) - removed);
         let one = processes / 2;
         all[one].signal("KILL");
         let others: Vec<&Process> =
