--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -26,9 +26,13 @@
 /// What the subsystems report to operators; nothing of those that are off.
 #[derive(Default)]
 pub struct AdminReports {
+    /// The members of the fleet.
     pub fleet: Option<String>,
+    /// Hot keys.
     pub hot: Option<String>,
+    /// The comparison of a group that is split with its children.
     pub split: Option<String>,
+    /// Figures in the text form of Prometheus.
     pub metrics: Option<String>,
 }
 
--- a/proxy/src/net/admin_calls.rs
+++ b/proxy/src/net/admin_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, answered from what the loop's parts report.
+//! Operators' calls, answered with what the parts of the loop report.
 
 use super::EventLoop;
 use crate::admin_protocol::{AdminCall, AdminReply};
@@ -17,6 +17,7 @@
         }
     }
 
+    /// What a call is answered with.
     fn admin_reply(&self, call: AdminCall) -> AdminReply {
         let report = |report: Option<String>| report.map_or(AdminReply::UnknownCall, AdminReply::Figures);
         match call {
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Whether balancers check this proxy.
     fn has_balancers(&self) -> bool {
         self.health.observer.is_some()
     }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -146,7 +146,7 @@
         slot.insert(CheckConnection::new(stream, protocol, self.last_serial, context.now));
         let agent = self.options.as_ref().and_then(|options| options.agent.as_ref());
         if let Some(agent) = agent.filter(|_| protocol == CheckProtocol::Agent) {
-            let timeout = TimerEvent::CheckTimeout(key, self.last_serial);
+            let timeout = TimerEvent::CheckTimeout { key, serial: self.last_serial };
             context.timers.set(context.now + agent.query_timeout, timeout);
         }
         // A request that came with the connect may be there already.
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -1,6 +1,7 @@
 //! The core's commands, carried out on the connections.
 
 use super::EventLoop;
+use super::statement_payload::StatementPayload;
 use super::timer_events::TimerEvent;
 use crate::core::{Command, LogRecord};
 use crate::discovery::EndpointUpdate;
@@ -8,7 +9,7 @@
 use tracing::info;
 
 impl EventLoop {
-    /// Carries out what the core commands, and what follows from that, until nothing is left.
+    /// Carries out the core's commands, and those that follow from them, until none is left.
     pub(super) fn carry_out(&mut self) {
         loop {
             if let Some(command) = self.context.core.next_command() {
@@ -22,7 +23,8 @@
         }
     }
 
-    fn carry_out_one(&mut self, command: Command<super::statement_payload::StatementPayload>) {
+    /// Carries out one command.
+    fn carry_out_one(&mut self, command: Command<StatementPayload>) {
         let context = &mut self.context;
         match command {
             Command::StartAttempt { attempt, server, payload, deadline, from_copy } => {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Takes a newer endpoint list.
+    /// Applies an update of the endpoint list, and what it changes.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         info!(
             event = "endpoint-list",
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -63,6 +63,7 @@
         }
     }
 
+    /// The limits of the configuration in force.
     pub(super) fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits::new(&self.config, &self.handover)
     }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -96,7 +96,7 @@
     fn enter(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
         self.state_serial += 1;
-        context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
+        context.timers.set(context.now + timeout, TimerEvent::Discovery { state_serial: self.state_serial });
     }
 
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -10,11 +10,13 @@
 /// The part of the loop's state that every owner may use. It is a field of the loop, so that a call such as
 /// `self.clients.close_expired(&mut self.context)` borrows two fields that do not overlap.
 pub struct EventLoopContext {
-    /// The time of this turn, or of its timers: all that one step does happens at one time.
+    /// The time, read once for the events of a turn and once for its timers.
     pub now: Micros,
-    /// A clone of the poll's registry.
+    /// Where sockets are registered with the poll: a clone of its registry.
     pub registry: Registry,
+    /// Timers of all owners.
     pub timers: Timers<TimerEvent>,
+    /// The requests that are open, and the decisions on them.
     pub core: Core<StatementPayload>,
     /// Where sockets are read into. Nothing is kept in it between two calls.
     pub scratch: Vec<u8>,
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -52,7 +52,7 @@
                     && matches!(&self.slots[key].ends, Ends::Tells { machine, .. } if machine.is_sending()) =>
             {
                 let serial = self.slots[key].serial;
-                context.timers.set(context.now + 1, TimerEvent::GossipSend(key, serial));
+                context.timers.set(context.now + 1, TimerEvent::GossipSend { key, serial });
             }
             Next::Waits => {}
             over => self.end(context, key, over),
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -79,7 +79,7 @@
     if machine.is_sending() && machine.output.is_empty() {
         match lessons.donor.take_send_budget(context.now, PART) {
             Ok(()) => drop(machine.send_next_part()),
-            Err(at) => context.timers.set(at, TimerEvent::GossipSend(key, serial)),
+            Err(at) => context.timers.set(at, TimerEvent::GossipSend { key, serial }),
         }
     }
     Next::Waits
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -28,7 +28,9 @@
 
 /// Why the configuration that is in force stays.
 enum ReloadError {
+    /// The configuration or the options are faulty, or lack what is in force.
     Configuration(ConfigError),
+    /// A listener that they name could not be opened.
     Listen(ListenError),
 }
 
@@ -64,6 +66,7 @@
         Ok((config, check_listeners))
     }
 
+    /// Makes a configuration the one in force.
     fn apply_configuration(&mut self, mut new: Config, check_listeners: OpenedListeners) {
         self.context.core.stats.configuration_loads += 1;
         let needs_restart = self.config.changes_needing_restart(&new).join(",");
@@ -96,6 +99,7 @@
         new.fleet_keys.clone_from(&old.fleet_keys);
     }
 
+    /// Passes settings and limits on to the parts that have them.
     fn apply_settings(&mut self, new: &Config) {
         let limits = ConnectionLimits::new(new, &self.handover);
         self.context.core.settings(self.context.now, &new.deployment);
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -1,5 +1,5 @@
-//! One turn of the loop: wait, serve operators and balancers first, then all others in the order of their events, then what is
-//! left over and the timers that are due.
+//! One turn of the loop: it waits, serves operators and balancers first and then all others in the order of their events, continues
+//! what the last turn left, and handles timers that are due.
 
 use super::EventLoop;
 use super::error::EventLoopError;
@@ -37,24 +37,26 @@
         Ok(())
     }
 
+    /// Waits for events until the next timer is due, and reads the clock.
     fn wait(&mut self, events: &mut Events) -> Result<(), EventLoopError> {
-        let asleep = self.clock.now();
-        let pressing = self.has_unfinished_work(asleep);
-        let wait = if pressing { Some(Duration::ZERO) } else { self.context.timers.wait(asleep) };
-        match self.poll.poll(events, wait) {
+        let waiting_since = self.clock.now();
+        let has_work = self.has_unfinished_work(waiting_since);
+        let timeout = if has_work { Some(Duration::ZERO) } else { self.context.timers.wait(waiting_since) };
+        match self.poll.poll(events, timeout) {
             Err(error) if error.kind() != ErrorKind::Interrupted => return Err(EventLoopError::Poll(error)),
             _ => {}
         }
         self.context.now = self.clock.now();
-        self.health.slept += if pressing { 0 } else { self.context.now - asleep };
+        self.health.slept += if has_work { 0 } else { self.context.now - waiting_since };
         Ok(())
     }
 
-    /// Something is left from the last turn that no socket will report again.
+    /// Whether something is left from the last turn that the poll does not report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
         self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.has_pending_work(now)
     }
 
+    /// Serves operators and balancers.
     fn serve_priority_sources(&mut self, events: &Events) {
         for event in events.iter() {
             match Source::from_token(event.token()) {
@@ -71,6 +73,7 @@
         self.checks.continue_work(&mut self.context);
     }
 
+    /// Serves one of the other sources.
     fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
         match source {
             Source::Listener => self.clients.listener_ready(),
@@ -108,7 +111,7 @@
                 self.clients.handle_ready(&mut self.context, key);
             }
             Source::Database(key) => self.pool.handle_ready(&mut self.context, key),
-            // `serve_priority_sources` has had them.
+            // Served by `serve_priority_sources`.
             Source::AdminListener
             | Source::Admin(_)
             | Source::HttpListener
@@ -118,6 +121,7 @@
         }
     }
 
+    /// SIGHUP reloads; the others begin a graceful shutdown.
     fn handle_signals(&mut self, signals: &mut Signals) {
         for signal in signals.pending() {
             match signal {
@@ -127,6 +131,7 @@
         }
     }
 
+    /// Reads discovery, and applies an update of the endpoint list.
     fn handle_discovery(&mut self) {
         if let Some(update) = self.discovery.ready(&mut self.context) {
             self.update_endpoints(update);
@@ -143,6 +148,7 @@
         self.negotiate_handover();
     }
 
+    /// Reads the datagrams of the fleet.
     fn handle_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.ready(self.context.now);
@@ -150,8 +156,8 @@
         }
     }
 
-    /// Goes on with clients where the last turn stopped, and closes idle ones where the system has no descriptor for
-    /// connections to databases or to discovery.
+    /// Continues with clients where the last turn stopped, and closes idle ones where the system had no descriptor for connections to
+    /// databases or to discovery.
     fn continue_connections(&mut self) {
         self.clients.continue_pending_work(&mut self.context);
         if self.pool.take_descriptors_exhausted() {
@@ -163,6 +169,7 @@
         self.carry_out();
     }
 
+    /// Handles the timers that are due, at a time read after the events.
     fn handle_due_timers(&mut self) {
         self.context.now = self.clock.now();
         while let Some(due) = self.context.timers.due(self.context.now) {
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -50,6 +50,7 @@
         Ok(event_loop)
     }
 
+    /// Opens the listeners, and makes the parts that always exist.
     fn open(
         poll: Poll,
         listener: mio::net::TcpListener,
@@ -101,6 +102,7 @@
         })
     }
 
+    /// Logs the addresses, and warnings about the settings.
     fn log_started(&self, address: SocketAddr) {
         let Config { name, discovery_address, .. } = &self.config;
         let operator = self.admin.address().map(tracing::field::display);
@@ -108,6 +110,7 @@
         log_settings_warnings(&self.config);
     }
 
+    /// Starts the parts, those that the options name among them, and applies the list known from before the start.
     fn start_parts(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
         let started_at = self.context.now;
         self.start_health()?;
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -5,19 +5,19 @@
 use tracing::info;
 
 impl EventLoop {
-    /// Hands a due timer to its owner. No timer is ever taken back: each owner checks whether its own still means anything.
+    /// Hands a due timer to its owner. No timer is ever cancelled: each owner checks whether its own still means anything.
     pub(super) fn handle_timer(&mut self, due: TimerEvent) {
         let context = &mut self.context;
         match due {
             TimerEvent::Routing(id) => context.core.timer_fired(context.now, id),
             TimerEvent::AttemptTimeout(attempt) => self.pool.attempt_timed_out(context, attempt),
             TimerEvent::ConnectTimeout(key, serial) => self.pool.connect_timed_out(context, key, serial),
-            TimerEvent::QueryTimeout(key, turn) => self.pool.query_timed_out(context, key, turn),
+            TimerEvent::QueryTimeout(key, serial) => self.pool.query_timed_out(context, key, serial),
             TimerEvent::ConnectionRested(key, serial) => self.pool.connection_rested(context, key, serial),
             TimerEvent::RetryAccept => self.clients.resume_accepting(),
-            TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
+            TimerEvent::Discovery { state_serial } => self.discovery.timed_out(context, state_serial),
             TimerEvent::Sweep => self.sweep(),
-            TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
+            TimerEvent::CheckTimeout { key, serial } => self.checks.query_timed_out(context, key, serial),
             // `update_health` at the end of the turn does the rest.
             TimerEvent::HealthChange => {
                 self.health.update_timer = self.health.update_timer.filter(|at| *at > context.now)
@@ -34,7 +34,7 @@
                 }
             }
             TimerEvent::Gossip => self.step_gossip(),
-            TimerEvent::GossipSend(key, serial) => {
+            TimerEvent::GossipSend { key, serial } => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.go_on(context, key, serial);
                     self.after_gossip();
@@ -57,7 +57,8 @@
         self.context.core.attempts_in_flight() as f64 / limit as f64
     }
 
-    /// Closes what has been idle or silent for too long, and tells others how much this process holds and has to do.
+    /// Closes connections that have been idle or unresponsive for too long, and tells other processes and proxies how loaded this one
+    /// is.
     fn sweep(&mut self) {
         let context = &mut self.context;
         self.clients.close_expired(context);
