--- a/proxy/tests/stopping.rs
+++ b/proxy/tests/stopping.rs
@@ -1,49 +1,70 @@
-//! SIGTERM under clients that go on sending, on every connection that stays open, until the process is gone.
+//! SIGTERM under clients that keep sending, on every connection that stays open, until the process has ended.
 
 use birchreach_test_support::client::{Client, Reply};
 use birchreach_test_support::rig::Rig;
+use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::time::Duration;
 
-/// Whatever reached a database has its answer: a write that ran while its client heard the connection end would be one that
-/// was taken and lost. What the proxy had not read crosses with the end, and ran nowhere.
+const CLIENTS: usize = 8;
+/// Writes that are answered before SIGTERM.
+const WRITES_BEFORE_SIGTERM: usize = 200;
+/// How long a write takes at the database, so that some are in flight at SIGTERM.
+const WRITE_DELAY: Duration = Duration::from_millis(3);
+const DEADLINE_MS: u32 = 3000;
+
+/// What the clients have seen, and whether the process has ended.
+#[derive(Default)]
+struct Clients {
+    answered_writes: AtomicUsize,
+    process_ended: AtomicBool,
+}
+
+impl Clients {
+    /// Writes on one connection after another, until nobody listens or the process has ended.
+    fn keep_writing(&self, address: SocketAddr) {
+        while let Ok(mut client) = Client::connect(address) {
+            while let Ok(reply) = client.write("file-entry", 0, DEADLINE_MS) {
+                let answered = matches!(reply, Reply::Served(_));
+                self.answered_writes.fetch_add(usize::from(answered), Ordering::Relaxed);
+            }
+            if self.process_ended.load(Ordering::Relaxed) {
+                break;
+            }
+        }
+    }
+}
+
+/// Whatever reached a database has its answer: a write that was executed while its client saw the connection end would be lost. What
+/// the proxy had not read crosses with that end, and was executed nowhere.
 #[test]
 fn clients_that_never_stop_sending_lose_nothing_and_do_not_keep_the_process() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stopping");
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let rig = Rig::new(1, [127, 88, 220, 1], program, &folder).unwrap();
-    rig.groups[0].primary.delay("file-entry", std::time::Duration::from_millis(3));
+    rig.groups[0].primary.delay("file-entry", WRITE_DELAY);
     let mut process = rig.start(1, None, None).unwrap();
-    let at = process.clients().unwrap();
-    let (served, over) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let code = std::thread::scope(|scope| {
-        for _ in 0..8 {
-            scope.spawn(|| {
-                // A connection that ends is replaced for as long as anybody listens.
-                while let Ok(mut client) = Client::connect(at) {
-                    while let Ok(reply) = client.write("file-entry", 0, 3000) {
-                        served.fetch_add(usize::from(matches!(reply, Reply::Served(_))), Ordering::Relaxed);
-                    }
-                    if over.load(Ordering::Relaxed) {
-                        break;
-                    }
-                }
-            });
+    let address = process.clients().unwrap();
+    let clients = Clients::default();
+
+    let exit_code = std::thread::scope(|scope| {
+        for _ in 0..CLIENTS {
+            scope.spawn(|| clients.keep_writing(address));
         }
-        while served.load(Ordering::Relaxed) < 200 {
-            std::thread::sleep(std::time::Duration::from_millis(1));
+        while clients.answered_writes.load(Ordering::Relaxed) < WRITES_BEFORE_SIGTERM {
+            std::thread::sleep(Duration::from_millis(1));
         }
         process.signal("TERM");
-        let code = process.ended();
-        over.store(true, Ordering::Relaxed);
-        code
+        let exit_code = process.ended();
+        clients.process_ended.store(true, Ordering::Relaxed);
+        exit_code
     });
-    assert_eq!(code, Some(0));
-    process.line(&["event=stopped open=0"]).expect("it does not end by its last call");
-    assert_eq!(rig.groups[0].rows.doubles(), 0);
-    assert_eq!(
-        rig.groups[0].rows.writes(),
-        served.load(Ordering::Relaxed),
-        "each write that ran was heard of"
-    );
+
+    assert_eq!(exit_code, Some(0));
+    process.line(&["event=stopped open=0"]).expect("it ends before its last timer");
+    let rows = &rig.groups[0].rows;
+    assert_eq!(rows.doubles(), 0);
+    let answered = clients.answered_writes.load(Ordering::Relaxed);
+    assert_eq!(rows.writes(), answered, "each write that was executed was answered");
 }
