--- a/proxy/src/discovery/tests/responses.rs
+++ b/proxy/src/discovery/tests/responses.rs
@@ -1,6 +1,7 @@
 //! Responses in every form that HTTP has, and such that are not endpoint lists.
 
 use super::super::error::PollError;
+use super::super::list::{Access, EndpointUpdate, ListedEndpoint, ListedState};
 use super::super::watch::{EndpointWatch, PollResponse};
 
 const LIST: &str = r#"{"rev":43,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"up"}]}"#;
@@ -89,3 +90,38 @@
     let (_, result) = feed(&text.replace("false", "true ").replace("true ,", "true, "));
     assert!(matches!(result, Ok(Some(PollResponse::Updated(update))) if update.revision == 40));
 }
+
+/// Each name of the list's JSON, literally: discovery's names are not ours.
+#[test]
+fn every_key_of_the_list_is_read() {
+    let list = r#"{"rev":43,"all":false,"targets":[
+        {"uid":"s","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"draining","capacity_hint":2.5,"boot_ms":1700000000123,
+         "access":"writer"},
+        {"uid":"t","state":"removed","access":"reader"}]}"#;
+
+    let update: EndpointUpdate = serde_json::from_str(list).unwrap();
+
+    let first = ListedEndpoint {
+        uid: "s".into(),
+        endpoint: "127.0.0.1:1".into(),
+        zone: "a".into(),
+        group: 3,
+        state: ListedState::Draining,
+        weight: 2.5,
+        started_unix_ms: 1_700_000_000_123.0,
+        access: Some(Access::Writer),
+    };
+    let second = ListedEndpoint {
+        uid: "t".into(),
+        endpoint: String::new(),
+        zone: String::new(),
+        group: 0,
+        state: ListedState::Removed,
+        weight: 1.0,
+        started_unix_ms: 0.0,
+        access: Some(Access::Reader),
+    };
+    assert_eq!((first.started_ms(), second.started_ms()), (Some(1_700_000_000_123), None));
+    assert_eq!((first.is_primary(), second.is_primary()), (Some(true), Some(false)));
+    assert_eq!(update, EndpointUpdate { revision: 43, complete: false, endpoints: vec![first, second] });
+}
