--- a/proxy/src/cli.rs
+++ b/proxy/src/cli.rs
@@ -46,20 +46,20 @@
     Serve,
     /// Read configuration and options, print every fault with file, line and element; exit 2 if there is one.
     /// Doubts, such as keys that nothing knows, are printed too and do no harm
-    Check(Check),
+    Check(CheckArguments),
     /// Ask a running proxy how it is; exit 0 if it is able, 1 if not, 2 if it was not reached
-    Health(Health),
+    Health(HealthArguments),
 }
 
 #[derive(Args, Debug)]
-pub struct Check {
+pub struct CheckArguments {
     /// The platform's configuration; $RELAY_CONFIG if left out
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 }
 
 #[derive(Args, Debug)]
-pub struct Health {
+pub struct HealthArguments {
     /// The proxy's HTTP health address; that of the options file if left out
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub at: Option<SocketAddr>,
--- a/proxy/src/health_command.rs
+++ b/proxy/src/health_command.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::cli::Health;
+use crate::cli::HealthArguments;
 use birchreach_options::Options;
 pub use error::HealthCommandError;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -29,7 +29,7 @@
 }
 
 /// Returns the exit code and what to print.
-pub fn run(arguments: &Health, options: Option<&Options>) -> (i32, String) {
+pub fn run(arguments: &HealthArguments, options: Option<&Options>) -> (i32, String) {
     match ask(arguments, options) {
         Ok((code, text)) => (code, text),
         Err(error) => (UNREACHED, error.to_string()),
@@ -46,7 +46,7 @@
     })
 }
 
-fn ask(arguments: &Health, options: Option<&Options>) -> Result<(i32, String), HealthCommandError> {
+fn ask(arguments: &HealthArguments, options: Option<&Options>) -> Result<(i32, String), HealthCommandError> {
     let Answer { status, body } = request(arguments, options)?;
     let code = match status {
         STATUS_ABLE => ABLE,
@@ -60,7 +60,7 @@
     Ok((code, report::text(&answer)))
 }
 
-fn request(arguments: &Health, options: Option<&Options>) -> Result<Answer, HealthCommandError> {
+fn request(arguments: &HealthArguments, options: Option<&Options>) -> Result<Answer, HealthCommandError> {
     let configured = || options?.health.as_ref()?.http.as_ref().map(|http| reachable(http.listener.address));
     let address = arguments.at.or_else(configured).ok_or(HealthCommandError::NoAddress)?;
     let failed = |error| HealthCommandError::Request { address, error };
@@ -76,7 +76,7 @@
     Ok(Answer { status: response.status().as_u16(), body: body.map_err(failed)? })
 }
 
-fn path(arguments: &Health) -> String {
+fn path(arguments: &HealthArguments) -> String {
     match (&arguments.class, arguments.group) {
         (None, None) => "/health".to_string(),
         (Some(class), None) => format!("/class/{}", escape(class)),
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -56,7 +56,7 @@
     net::run(config, options.map(Path::to_path_buf), signals).unwrap_or_else(|error| quit(&error, FAILED));
 }
 
-fn check(arguments: &cli::Check, options: Option<&Path>) {
+fn check(arguments: &cli::CheckArguments, options: Option<&Path>) {
     let variable = |name: &str| match &arguments.config {
         Some(path) if name == config::CONFIG_VARIABLE => path.to_str().map(Into::into),
         _ => config::environment(name),
@@ -70,7 +70,7 @@
     finish(if faults.is_empty() { 0 } else { INVALID_CONFIGURATION }, &text);
 }
 
-fn health(arguments: &cli::Health, options: Option<&Path>) {
+fn health(arguments: &cli::HealthArguments, options: Option<&Path>) {
     let options = options.map(|file| match health_command::read_options(file) {
         Ok(options) => options,
         Err(error) => quit(&error, health_command::UNREACHED),
