--- a/proxy/src/background_query.rs
+++ b/proxy/src/background_query.rs
@@ -1,16 +1,56 @@
-//! What statements came to that no client waits for, handed from the connections to whoever sent them.
+//! Statements that no client waits for, run one after the other on one connection, and what they came to. The connections to databases
+//! run them; whoever sent them takes the result.
 
 use crate::reply::Reply;
-use birchreach::ServerId;
+use birchreach::{AttemptOutcome, ServerId};
+
+/// Statements, and the replies so far.
+pub struct BackgroundQuery {
+    number: u64,
+    server: ServerId,
+    statements: Vec<Vec<u8>>,
+    replies: Vec<Reply>,
+}
 
 /// A query that is over.
 #[derive(Debug)]
 pub struct BackgroundQueryResult {
     /// The sender's number for it.
     pub number: u64,
+    /// Where it ran.
     pub server: ServerId,
     /// A reply for each statement that ran; after the first that failed none did.
     pub replies: Vec<Reply>,
     /// All statements ran, and each succeeded.
     pub complete: bool,
 }
+
+impl BackgroundQuery {
+    /// Statements for a server, in this order, under the sender's number.
+    pub fn new(number: u64, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
+        BackgroundQuery { number, server, statements, replies: Vec::new() }
+    }
+
+    /// The statement that comes after those that have replies.
+    pub fn current_statement(&self) -> &[u8] {
+        self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
+    }
+
+    /// Whether another statement follows the one that came to this reply.
+    pub fn continues_after(&self, reply: &Reply) -> bool {
+        reply.outcome == AttemptOutcome::Ok && self.replies.len() + 1 < self.statements.len()
+    }
+
+    /// Takes the reply to the current statement, which another one follows.
+    pub fn add_reply(&mut self, reply: Reply) {
+        self.replies.push(reply);
+    }
+
+    /// Takes the last reply.
+    pub fn complete(mut self, reply: Reply) -> BackgroundQueryResult {
+        self.replies.push(reply);
+        let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
+        let complete = all_succeeded && self.replies.len() == self.statements.len();
+        BackgroundQueryResult { number: self.number, server: self.server, replies: self.replies, complete }
+    }
+}
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -5,41 +5,13 @@
 use super::super::event_loop_context::EventLoopContext;
 use super::Pool;
 use super::connection::ConnectionTask;
-use crate::background_query::BackgroundQueryResult;
+use crate::background_query::{BackgroundQuery, BackgroundQueryResult};
 use crate::reply::Reply;
-use birchreach::{AttemptOutcome, Micros, ServerId};
+use birchreach::{Micros, ServerId};
 
 /// A later reply to one statement is of no more use to the owner.
 pub(super) const BACKGROUND_QUERY_TIMEOUT_MICROS: Micros = 2_000_000;
 
-/// Statements, and the replies so far.
-pub(super) struct BackgroundQuery {
-    number: u64,
-    server: ServerId,
-    statements: Vec<Vec<u8>>,
-    replies: Vec<Reply>,
-}
-
-impl BackgroundQuery {
-    /// The statement that comes after those that have replies.
-    pub fn current_statement(&self) -> &[u8] {
-        self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
-    }
-
-    /// Another statement follows the one that came to this reply.
-    fn continues_after(&self, reply: &Reply) -> bool {
-        reply.outcome == AttemptOutcome::Ok && self.replies.len() + 1 < self.statements.len()
-    }
-
-    /// Takes the last reply.
-    pub fn complete(mut self, reply: Reply) -> BackgroundQueryResult {
-        self.replies.push(reply);
-        let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
-        let complete = all_succeeded && self.replies.len() == self.statements.len();
-        BackgroundQueryResult { number: self.number, server: self.server, replies: self.replies, complete }
-    }
-}
-
 impl Pool {
     /// Runs statements at a server, in this order.
     pub fn start_background_query(
@@ -49,7 +21,7 @@
         server: ServerId,
         statements: Vec<Vec<u8>>,
     ) {
-        let query = BackgroundQuery { number, server, statements, replies: Vec::new() };
+        let query = BackgroundQuery::new(number, server, statements);
         self.dispatch(context, server, ConnectionTask::BackgroundQuery(query));
     }
 
@@ -75,7 +47,7 @@
             ConnectionTask::BackgroundQuery(mut query)
                 if query.continues_after(&reply) && self.connections[key].protocol.is_idle() =>
             {
-                query.replies.push(reply);
+                query.add_reply(reply);
                 self.send_query(context, key, ConnectionTask::BackgroundQuery(query));
                 None
             }
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -2,7 +2,7 @@
 
 use super::super::database_ids::{ConnectionSerial, QuerySerial};
 use super::super::statement_payload::StatementPayload;
-use super::background_queries::BackgroundQuery;
+use crate::background_query::BackgroundQuery;
 use crate::core::AttemptId;
 use crate::pg::backend::Backend;
 use birchreach::{Micros, ServerId};
