--- a/benches/src/hangs.rs
+++ b/benches/src/hangs.rs
@@ -1,10 +1,12 @@
-//! From the hang of a primary to the changed answer, as balancers read it; and claims withdrawn where nothing hung.
+//! The time from when a primary stops responding to the changed answer, as balancers read it; and how often writes are
+//! withdrawn where nothing stopped responding.
 
 use crate::{Done, Times};
 use birchreach_test_support::balancer::{Balancer, Check, Rules, check};
 use birchreach_test_support::client::Client;
 use birchreach_test_support::process::{PATIENCE, Process};
 use birchreach_test_support::rig::Rig;
+use std::error::Error;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -12,79 +14,113 @@
 use std::time::{Duration, Instant};
 
 const GROUPS: usize = 8;
-/// So that one group can hang often: each rise is not to be slower than the one before.
+/// A primary stops responding many times: the restore delay must not grow each time.
 const CLAIMS: &str = "<claims rise-most-ms='1000'/>";
 const PROBES: &str =
     "<probes every-ms='600' suspect-ms='300' timeout-ms='400' group-per-s='10' whole-per-s='80'/>";
+/// How often the balancer checks, and how many checks in a row change its mind.
+const BALANCER_RULES: Rules =
+    Rules { every: Duration::from_millis(500), timeout: PATIENCE, rise: 1, fall: 2 };
 
-struct Case {
+/// A measurement of how soon a hang is reported.
+struct HangCase {
     name: &'static str,
     options: String,
     traffic: bool,
 }
 
+/// A run without any hang.
+struct CalmCase {
+    name: &'static str,
+    classes: &'static [&'static str],
+    /// How long the database takes for a request of the class `heavy`.
+    heavy_ms: u64,
+    options: &'static str,
+}
+
+const CALM_CASES: [CalmCase; 5] = [
+    CalmCase { name: "calm, probes", classes: &["file-entry"], heavy_ms: 0, options: PROBES },
+    CalmCase { name: "calm, no probes", classes: &["file-entry"], heavy_ms: 0, options: "" },
+    CalmCase { name: "heavy only (4 s each), probes", classes: &["heavy"], heavy_ms: 4000, options: PROBES },
+    CalmCase { name: "heavy only (1.5 s each), no probes", classes: &["heavy"], heavy_ms: 1500, options: "" },
+    CalmCase {
+        name: "heavy (4 s) beside others, no probes",
+        classes: &["heavy", "file-entry"],
+        heavy_ms: 4000,
+        options: "",
+    },
+];
+
+/// Times from the hang of a primary.
+#[derive(Default)]
+struct ReactionTimes {
+    /// To the first answer that reports it.
+    reported: Times,
+    /// To the balancer's taking the server out.
+    acted: Times,
+}
+
 pub fn run(program: &Path, folder: &Path, hangs: usize, calm: u64, seed: u64) -> Done {
     println!(
         "| hangs, {GROUPS} groups | n | median ms | 99th ms | most ms |\n| --- | --- | --- | --- | --- |"
     );
-    for (n, case) in [
-        Case { name: "traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: true },
-        Case { name: "traffic, no probes", options: CLAIMS.into(), traffic: true },
-        Case { name: "no traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: false },
-    ]
-    .into_iter()
-    .enumerate()
-    {
-        let rig = Rig::new(GROUPS as u32, [127, 90, n as u8, 1], program, folder)?;
+    let cases = [
+        HangCase { name: "traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: true },
+        HangCase { name: "traffic, no probes", options: CLAIMS.into(), traffic: true },
+        HangCase { name: "no traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: false },
+    ];
+    for (number, case) in cases.into_iter().enumerate() {
+        let rig = Rig::new(GROUPS as u32, [127, 90, number as u8, 1], program, folder)?;
         let proxy = rig.start_with_doors(1, 64, &case.options)?;
-        let (told, acted) = hang(&rig, &proxy, &case, hangs, seed)?;
-        println!("| {}: told | {} |", case.name, told.row());
-        println!("| {}: a balancer acts (every 500 ms, fall 2) | {} |", case.name, acted.row());
+        let times = measure_hangs(&rig, &proxy, &case, hangs, seed)?;
+        println!("| {}: told | {} |", case.name, times.reported.row());
+        println!("| {}: a balancer acts (every 500 ms, fall 2) | {} |", case.name, times.acted.row());
     }
     println!("\n| run of {calm} s | requests served | write claims withdrawn |\n| --- | --- | --- |");
-    for (n, (name, class, delay, options)) in [
-        ("calm, probes", "file-entry", 0, PROBES),
-        ("calm, no probes", "file-entry", 0, ""),
-        ("heavy only (4 s each), probes", "heavy", 4000, PROBES),
-        ("heavy only (1.5 s each), no probes", "heavy", 1500, ""),
-        ("heavy (4 s) beside others, no probes", "both", 4000, ""),
-    ]
-    .into_iter()
-    .enumerate()
-    {
-        let rig = Rig::new(GROUPS as u32, [127, 91, n as u8, 1], program, folder)?;
-        for group in &rig.groups {
-            group.primary.delay("heavy", Duration::from_millis(delay));
-        }
-        let proxy = rig.start_with_doors(1, 64, options)?;
-        let until = Instant::now() + Duration::from_secs(calm);
-        let served = AtomicUsize::new(0);
-        let clients = proxy.clients().ok_or("it does not serve")?;
-        // What is withdrawn after the last write came is no part of the run.
-        let withdrawn = thread::scope(|scope| {
-            for group in 0..GROUPS {
-                let served = &served;
-                let both = if class == "both" { vec!["heavy", "file-entry"] } else { vec![class] };
-                for class in both {
-                    scope.spawn(move || write_until(clients, class, group as u32, until, served));
-                }
-            }
-            thread::sleep(until.saturating_duration_since(Instant::now()));
-            proxy.log().iter().filter(|l| l.contains("kind=write able=false")).count()
-        });
-        println!("| {name} | {} | {withdrawn} |", served.load(Ordering::Relaxed));
+    for (number, case) in CALM_CASES.iter().enumerate() {
+        let rig = Rig::new(GROUPS as u32, [127, 91, number as u8, 1], program, folder)?;
+        let (served, withdrawn) = count_withdrawals(&rig, case, Duration::from_secs(calm))?;
+        println!("| {} | {served} | {withdrawn} |", case.name);
     }
     Ok(())
 }
 
-fn write_until(at: SocketAddr, class: &str, group: u32, until: Instant, served: &AtomicUsize) {
+/// Requests served and withdrawals of writes in a run without a hang.
+fn count_withdrawals(
+    rig: &Rig,
+    case: &CalmCase,
+    duration: Duration,
+) -> Result<(usize, usize), Box<dyn Error>> {
+    for group in &rig.groups {
+        group.primary.delay("heavy", Duration::from_millis(case.heavy_ms));
+    }
+    let proxy = rig.start_with_doors(1, 64, case.options)?;
+    let until = Instant::now() + duration;
+    let served = AtomicUsize::new(0);
+    let clients = proxy.clients().ok_or("it does not serve")?;
+    // The log is read at the end of the time, while clients still finish their last write: what is withdrawn later is no
+    // part of the run.
+    let withdrawn = thread::scope(|scope| {
+        for group in 0..GROUPS {
+            for class in case.classes {
+                let served = &served;
+                scope.spawn(move || write_until(clients, class, group as u32, until, served));
+            }
+        }
+        thread::sleep(until.saturating_duration_since(Instant::now()));
+        proxy.log().iter().filter(|line| line.contains("kind=write able=false")).count()
+    });
+    Ok((served.load(Ordering::Relaxed), withdrawn))
+}
+
+fn write_until(address: SocketAddr, class: &str, group: u32, until: Instant, served: &AtomicUsize) {
     let mut client = None;
     while Instant::now() < until {
-        let Some(c) = &mut client else {
-            client = Client::connect(at).ok();
+        let Some(connected) = &mut client else {
+            client = Client::connect(address).ok();
             continue;
         };
-        match c.write(class, group, 8000) {
+        match connected.write(class, group, 8000) {
             Ok(_) => drop(served.fetch_add(1, Ordering::Relaxed)),
             Err(_) => client = None,
         }
@@ -92,73 +128,88 @@
     }
 }
 
-fn hang(rig: &Rig, proxy: &Process, case: &Case, hangs: usize, seed: u64) -> Result<(Times, Times), String> {
+fn measure_hangs(
+    rig: &Rig,
+    proxy: &Process,
+    case: &HangCase,
+    hangs: usize,
+    seed: u64,
+) -> Result<ReactionTimes, String> {
     let clients = proxy.clients().ok_or("it does not serve")?;
-    let at = proxy.checks("http").ok_or("no checks")?;
-    let agents = proxy.checks("agent").ok_or("no checks")?;
-    let over = AtomicBool::new(false);
-    let ask = |group: usize| {
-        check(at, &Check::Http(format!("/group/{group}/write")), PATIENCE).is_ok_and(|told| told.up)
-    };
-    let mut told = Times::default();
-    let mut acted = Times::default();
+    let stopped = AtomicBool::new(false);
     let cycles = hangs.div_ceil(GROUPS);
+    let mut times = ReactionTimes::default();
     thread::scope(|scope| {
         if case.traffic {
-            for n in 0..GROUPS * 2 {
-                let over = &over;
-                let served = Box::leak(Box::new(AtomicUsize::new(0)));
-                scope.spawn(move || {
-                    while !over.load(Ordering::Relaxed) {
-                        let until = Instant::now() + Duration::from_millis(200);
-                        write_until(clients, "file-entry", (n / 2) as u32, until, served);
-                    }
-                });
+            for number in 0..GROUPS * 2 {
+                let stopped = &stopped;
+                scope.spawn(move || write_until_stopped(clients, (number / 2) as u32, stopped));
             }
         }
-        let one = |group: usize| -> Result<(Times, Times), String> {
-            let mut rng = fastrand::Rng::with_seed(seed + group as u64);
-            let rules = Rules { every: Duration::from_millis(500), timeout: PATIENCE, rise: 1, fall: 2 };
-            let balancer =
-                Balancer::start(&[(agents, clients)], &Check::Agent(format!("group={group} write")), &rules);
-            let (mut told, mut acted) = (Times::default(), Times::default());
-            for _ in 0..cycles {
-                let start = Instant::now();
-                while !ask(group) || !balancer.wait(0, true, Duration::ZERO) {
-                    if start.elapsed() > 3 * PATIENCE {
-                        return Err(format!("group {group} does not come back"));
-                    }
-                    thread::sleep(Duration::from_millis(10));
-                }
-                thread::sleep(Duration::from_millis(600 + rng.u64(0..800)));
-                let start = Instant::now();
-                rig.groups[group].primary.hang(true);
-                while ask(group) {
-                    if start.elapsed() > PATIENCE {
-                        return Err(format!("group {group}: a hang was never told"));
-                    }
-                    thread::sleep(Duration::from_millis(5));
-                }
-                told.add(start.elapsed());
-                balancer.wait(0, false, PATIENCE);
-                acted.add(start.elapsed());
-                rig.groups[group].primary.hang(false);
-            }
-            Ok((told, acted))
-        };
-        let threads: Vec<_> = (0..GROUPS).map(|group| scope.spawn(move || one(group))).collect();
+        let measure = |group| hang_repeatedly(rig, proxy, group, cycles, seed + group as u64);
+        let threads: Vec<_> = (0..GROUPS).map(|group| scope.spawn(move || measure(group))).collect();
         let mut failed = None;
         for thread in threads {
             match thread.join().map_err(|_| "a thread panicked".to_string()).flatten() {
-                Ok((t, a)) => {
-                    told.join(&t);
-                    acted.join(&a);
+                Ok(of_group) => {
+                    times.reported.join(&of_group.reported);
+                    times.acted.join(&of_group.acted);
                 }
-                Err(e) => failed = Some(e),
+                Err(error) => failed = Some(error),
             }
         }
-        over.store(true, Ordering::Relaxed);
+        stopped.store(true, Ordering::Relaxed);
         failed.map_or(Ok(()), Err)
     })?;
-    Ok((told, acted))
+    Ok(times)
+}
+
+fn write_until_stopped(clients: SocketAddr, group: u32, stopped: &AtomicBool) {
+    let served = AtomicUsize::new(0);
+    while !stopped.load(Ordering::Relaxed) {
+        let until = Instant::now() + Duration::from_millis(200);
+        write_until(clients, "file-entry", group, until, &served);
+    }
+}
+
+/// Lets the primary of a group hang again and again, each time after its writes are available.
+fn hang_repeatedly(
+    rig: &Rig,
+    proxy: &Process,
+    group: usize,
+    cycles: usize,
+    seed: u64,
+) -> Result<ReactionTimes, String> {
+    let clients = proxy.clients().ok_or("it does not serve")?;
+    let http = proxy.checks("http").ok_or("no checks")?;
+    let agent = proxy.checks("agent").ok_or("no checks")?;
+    let is_available =
+        || check(http, &Check::Http(format!("/group/{group}/write")), PATIENCE).is_ok_and(|told| told.up);
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let balancer =
+        Balancer::start(&[(agent, clients)], &Check::Agent(format!("group={group} write")), &BALANCER_RULES);
+    let mut times = ReactionTimes::default();
+    for _ in 0..cycles {
+        let start = Instant::now();
+        while !is_available() || !balancer.wait(0, true, Duration::ZERO) {
+            if start.elapsed() > 3 * PATIENCE {
+                return Err(format!("group {group} does not come back"));
+            }
+            thread::sleep(Duration::from_millis(10));
+        }
+        thread::sleep(Duration::from_millis(600 + rng.u64(0..800)));
+        let start = Instant::now();
+        rig.groups[group].primary.hang(true);
+        while is_available() {
+            if start.elapsed() > PATIENCE {
+                return Err(format!("group {group}: a hang was never told"));
+            }
+            thread::sleep(Duration::from_millis(5));
+        }
+        times.reported.add(start.elapsed());
+        balancer.wait(0, false, PATIENCE);
+        times.acted.add(start.elapsed());
+        rig.groups[group].primary.hang(false);
+    }
+    Ok(times)
 }
