--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -68,7 +68,7 @@
             return;
         };
         let now = self.context.now;
-        let settings = health::monitor_settings(options, &self.config.site, self.config.seed);
+        let settings = health::monitor_settings(options, &self.config.deployment, self.config.seed);
         if options.settings.probes.is_some() && settings.probes.is_none() {
             warn!(event = "health-probes-off", reason = "the settings do not allow probes");
         }
