--- a/health/src/words.rs
+++ b/health/src/words.rs
@@ -123,8 +123,14 @@
     /// True where responses, or their absence, contradict the endpoint list. The list alone doesn't revoke such a
     /// reason.
     pub(crate) fn is_evidence(self) -> bool {
-        use Reason::*;
-        matches!(self, PrimarySilent | PrimaryGone | PrimaryDemoted | WritesUnanswered | WritesHeld)
+        matches!(
+            self,
+            Reason::PrimarySilent
+                | Reason::PrimaryGone
+                | Reason::PrimaryDemoted
+                | Reason::WritesUnanswered
+                | Reason::WritesHeld
+        )
     }
 
     /// True where the proxy leaves the rotation deliberately, for longer than a fault would last.
--- a/health/tests/verdicts/own_faults.rs
+++ b/health/tests/verdicts/own_faults.rs
@@ -1,7 +1,7 @@
 //! Faults of the proxy itself: maintenance, handover, shutdown, loss of all connectivity, and overload.
 
 use crate::support::{MILLISECOND, SECOND, SimulatedProxy, simulated_proxy};
-use birchreach_health::*;
+use birchreach_health::{HealthEvent, HealthSettings, OverloadPolicy, ProbeOutcome, State};
 
 #[test]
 fn planned_withdrawals_and_startup_concern_every_capability() {
--- a/health/tests/verdicts/primary_faults.rs
+++ b/health/tests/verdicts/primary_faults.rs
@@ -1,7 +1,10 @@
 //! Faults of a group's primary: it is unresponsive, missing, or only slow.
 
 use crate::support::{MILLISECOND, SECOND, probing, simulated_proxy};
-use birchreach_health::*;
+use birchreach_health::{
+    GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, ProbeOutcome, Role, ServerId, SharedCausePolicy,
+    State,
+};
 
 /// Writes are withdrawn within 2 s and reads stay. The endpoint list alone doesn't restore writes, a proof does.
 #[test]
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -2,7 +2,10 @@
 
 use birchreach_health::agent::{self, AgentCheckConnection};
 use birchreach_health::http::HttpCheckConnection;
-use birchreach_health::*;
+use birchreach_health::{
+    Change, GroupId, HealthEvent, HealthSettings, Micros, Monitor, ProbeOutcome, ProbeSettings, RequestClass,
+    RequiredServer, Role, ServerId,
+};
 
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
--- a/health/tests/wire_format.rs
+++ b/health/tests/wire_format.rs
@@ -4,7 +4,10 @@
 use birchreach_health::agent::AgentCheckConnection;
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::query::HealthQuery;
-use birchreach_health::*;
+use birchreach_health::{
+    GroupId, HealthEvent, HealthSettings, Monitor, ProbeOutcome, Reason, RequestClass, RequiredServer, Role,
+    ServerId, State, agent,
+};
 
 /// A proxy with two groups: the primary of the first is proven, that of the second refuses connections.
 fn degraded_proxy() -> Monitor {
