--- a/benches/src/hangs.rs
+++ b/benches/src/hangs.rs
@@ -1,10 +1,12 @@
-//! From the hang of a primary to the changed response that balancers read, and claims withdrawn where nothing hung.
+//! The time from when a primary stops responding to the changed answer, as balancers read it; and how often writes are
+//! withdrawn where nothing stopped responding.
 
 use crate::{Done, Times};
 use birchreach_test_support::balancer::{Balancer, Check, Rules, check};
 use birchreach_test_support::client::Client;
 use birchreach_test_support::process::{PATIENCE, Process};
 use birchreach_test_support::rig::Rig;
+use std::error::Error;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -12,50 +14,62 @@
 use std::time::{Duration, Instant};
 
 const GROUPS: usize = 8;
-const WRITERS_PER_GROUP: usize = 2;
-/// One group hangs often, and its claim must not be restored later each time.
+/// A primary stops responding many times: the restore delay must not grow each time.
 const CLAIMS: &str = "<claims rise-most-ms='1000'/>";
 const PROBES: &str =
     "<probes every-ms='600' suspect-ms='300' timeout-ms='400' group-per-s='10' whole-per-s='80'/>";
-const WRITE_TIMEOUT_MS: u32 = 8_000;
-const WRITE_INTERVAL: Duration = Duration::from_millis(20);
-/// Writers look this often whether the run is over.
-const WRITE_SLICE: Duration = Duration::from_millis(200);
-const BALANCER_INTERVAL: Duration = Duration::from_millis(500);
-const HANG_POLL: Duration = Duration::from_millis(5);
-const RECOVERY_POLL: Duration = Duration::from_millis(10);
-/// A group rests at least this long, and up to the random part longer, before it hangs again.
-const REST: Duration = Duration::from_millis(600);
-const MAX_RANDOM_REST_MS: u64 = 800;
+/// How often the balancer checks, and how many checks in a row change its mind.
+const BALANCER_RULES: Rules =
+    Rules { every: Duration::from_millis(500), timeout: PATIENCE, rise: 1, fall: 2 };
 
-/// A run with hangs.
+/// A measurement of how soon a hang is reported.
 struct HangCase {
     name: &'static str,
     options: String,
     traffic: bool,
 }
 
-/// A run without hangs.
+/// A run without any hang.
 struct CalmCase {
     name: &'static str,
     classes: &'static [&'static str],
-    heavy_delay: Duration,
+    /// How long the database takes for a request of the class `heavy`.
+    heavy_ms: u64,
     options: &'static str,
 }
 
-/// Times from a hang to the changed response, and to a balancer that acts on it.
+const CALM_CASES: [CalmCase; 5] = [
+    CalmCase { name: "calm, probes", classes: &["file-entry"], heavy_ms: 0, options: PROBES },
+    CalmCase { name: "calm, no probes", classes: &["file-entry"], heavy_ms: 0, options: "" },
+    CalmCase { name: "heavy only (4 s each), probes", classes: &["heavy"], heavy_ms: 4000, options: PROBES },
+    CalmCase { name: "heavy only (1.5 s each), no probes", classes: &["heavy"], heavy_ms: 1500, options: "" },
+    CalmCase {
+        name: "heavy (4 s) beside others, no probes",
+        classes: &["heavy", "file-entry"],
+        heavy_ms: 4000,
+        options: "",
+    },
+];
+
+/// Times from the hang of a primary.
 #[derive(Default)]
-struct HangTimes {
+struct ReactionTimes {
+    /// To the first answer that reports it.
     reported: Times,
+    /// To the balancer's taking the server out.
     acted: Times,
 }
 
-/// Runs the measurement and prints its tables.
 pub fn run(program: &Path, folder: &Path, hangs: usize, calm: u64, seed: u64) -> Done {
     println!(
         "| hangs, {GROUPS} groups | n | median ms | 99th ms | most ms |\n| --- | --- | --- | --- | --- |"
     );
-    for (number, case) in hang_cases().into_iter().enumerate() {
+    let cases = [
+        HangCase { name: "traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: true },
+        HangCase { name: "traffic, no probes", options: CLAIMS.into(), traffic: true },
+        HangCase { name: "no traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: false },
+    ];
+    for (number, case) in cases.into_iter().enumerate() {
         let rig = Rig::new(GROUPS as u32, [127, 90, number as u8, 1], program, folder)?;
         let proxy = rig.start_with_doors(1, 64, &case.options)?;
         let times = measure_hangs(&rig, &proxy, &case, hangs, seed)?;
@@ -63,52 +77,29 @@
         println!("| {}: a balancer acts (every 500 ms, fall 2) | {} |", case.name, times.acted.row());
     }
     println!("\n| run of {calm} s | requests served | write claims withdrawn |\n| --- | --- | --- |");
-    for (number, case) in calm_cases().into_iter().enumerate() {
+    for (number, case) in CALM_CASES.iter().enumerate() {
         let rig = Rig::new(GROUPS as u32, [127, 91, number as u8, 1], program, folder)?;
-        let (served, withdrawn) = measure_calm(&rig, &case, Duration::from_secs(calm))?;
+        let (served, withdrawn) = count_withdrawals(&rig, case, Duration::from_secs(calm))?;
         println!("| {} | {served} | {withdrawn} |", case.name);
     }
     Ok(())
 }
 
-fn hang_cases() -> [HangCase; 3] {
-    [
-        HangCase { name: "traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: true },
-        HangCase { name: "traffic, no probes", options: CLAIMS.into(), traffic: true },
-        HangCase { name: "no traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: false },
-    ]
-}
-
-fn calm_cases() -> [CalmCase; 5] {
-    let case = |name, classes, heavy_delay_ms, options| CalmCase {
-        name,
-        classes,
-        heavy_delay: Duration::from_millis(heavy_delay_ms),
-        options,
-    };
-    [
-        case("calm, probes", &["file-entry"], 0, PROBES),
-        case("calm, no probes", &["file-entry"], 0, ""),
-        case("heavy only (4 s each), probes", &["heavy"], 4_000, PROBES),
-        case("heavy only (1.5 s each), no probes", &["heavy"], 1_500, ""),
-        case("heavy (4 s) beside others, no probes", &["heavy", "file-entry"], 4_000, ""),
-    ]
-}
-
-/// How many requests were served, and how many write claims withdrawn, in a run without hangs.
-fn measure_calm(
+/// Requests served and withdrawals of writes in a run without a hang.
+fn count_withdrawals(
     rig: &Rig,
     case: &CalmCase,
-    span: Duration,
-) -> Result<(usize, usize), Box<dyn std::error::Error>> {
+    duration: Duration,
+) -> Result<(usize, usize), Box<dyn Error>> {
     for group in &rig.groups {
-        group.primary.delay("heavy", case.heavy_delay);
+        group.primary.delay("heavy", Duration::from_millis(case.heavy_ms));
     }
     let proxy = rig.start_with_doors(1, 64, case.options)?;
-    let until = Instant::now() + span;
+    let until = Instant::now() + duration;
     let served = AtomicUsize::new(0);
     let clients = proxy.clients().ok_or("it does not serve")?;
-    // Claims withdrawn after the last write was sent are no part of the run.
+    // The log is read at the end of the time, while clients still finish their last write: what is withdrawn later is no
+    // part of the run.
     let withdrawn = thread::scope(|scope| {
         for group in 0..GROUPS {
             for class in case.classes {
@@ -129,11 +120,11 @@
             client = Client::connect(address).ok();
             continue;
         };
-        match connected.write(class, group, WRITE_TIMEOUT_MS) {
+        match connected.write(class, group, 8000) {
             Ok(_) => drop(served.fetch_add(1, Ordering::Relaxed)),
             Err(_) => client = None,
         }
-        thread::sleep(WRITE_INTERVAL);
+        thread::sleep(Duration::from_millis(20));
     }
 }
 
@@ -143,97 +134,82 @@
     case: &HangCase,
     hangs: usize,
     seed: u64,
-) -> Result<HangTimes, String> {
+) -> Result<ReactionTimes, String> {
     let clients = proxy.clients().ok_or("it does not serve")?;
-    let watch = GroupWatch {
-        rig,
-        clients,
-        http: proxy.checks("http").ok_or("no checks")?,
-        agent: proxy.checks("agent").ok_or("no checks")?,
-    };
-    let stop = AtomicBool::new(false);
-    let served = AtomicUsize::new(0);
+    let stopped = AtomicBool::new(false);
     let cycles = hangs.div_ceil(GROUPS);
+    let mut times = ReactionTimes::default();
     thread::scope(|scope| {
-        let (watch, stop, served) = (&watch, &stop, &served);
-        let writers = if case.traffic { GROUPS * WRITERS_PER_GROUP } else { 0 };
-        for writer in 0..writers {
-            let group = (writer / WRITERS_PER_GROUP) as u32;
-            scope.spawn(move || {
-                while !stop.load(Ordering::Relaxed) {
-                    write_until(clients, "file-entry", group, Instant::now() + WRITE_SLICE, served);
-                }
-            });
+        if case.traffic {
+            for number in 0..GROUPS * 2 {
+                let stopped = &stopped;
+                scope.spawn(move || write_until_stopped(clients, (number / 2) as u32, stopped));
+            }
         }
-        let hang_group = |group| move || watch.hang_repeatedly(group, cycles, seed);
-        let threads: Vec<_> = (0..GROUPS).map(|group| scope.spawn(hang_group(group))).collect();
-        let mut all = Ok(HangTimes::default());
+        let measure = |group| hang_repeatedly(rig, proxy, group, cycles, seed + group as u64);
+        let threads: Vec<_> = (0..GROUPS).map(|group| scope.spawn(move || measure(group))).collect();
+        let mut failed = None;
         for thread in threads {
-            let times = thread.join().map_err(|_| "a thread panicked".to_string()).flatten();
-            all = all.and_then(|all| Ok(all.joined(&times?)));
+            match thread.join().map_err(|_| "a thread panicked".to_string()).flatten() {
+                Ok(of_group) => {
+                    times.reported.join(&of_group.reported);
+                    times.acted.join(&of_group.acted);
+                }
+                Err(error) => failed = Some(error),
+            }
         }
-        stop.store(true, Ordering::Relaxed);
-        all
-    })
+        stopped.store(true, Ordering::Relaxed);
+        failed.map_or(Ok(()), Err)
+    })?;
+    Ok(times)
 }
 
-impl HangTimes {
-    fn joined(mut self, other: &HangTimes) -> HangTimes {
-        self.reported.join(&other.reported);
-        self.acted.join(&other.acted);
-        self
+fn write_until_stopped(clients: SocketAddr, group: u32, stopped: &AtomicBool) {
+    let served = AtomicUsize::new(0);
+    while !stopped.load(Ordering::Relaxed) {
+        let until = Instant::now() + Duration::from_millis(200);
+        write_until(clients, "file-entry", group, until, &served);
     }
 }
 
-/// What is needed to watch the groups of a rig through a proxy.
-struct GroupWatch<'a> {
-    rig: &'a Rig,
-    clients: SocketAddr,
-    http: SocketAddr,
-    agent: SocketAddr,
-}
-
-impl GroupWatch<'_> {
-    fn claims_writes(&self, group: usize) -> bool {
-        let query = Check::Http(format!("/group/{group}/write"));
-        check(self.http, &query, PATIENCE).is_ok_and(|reply| reply.up)
-    }
-
-    /// Has the primary of a group hang so often, and takes the time until that is reported.
-    fn hang_repeatedly(&self, group: usize, cycles: usize, seed: u64) -> Result<HangTimes, String> {
-        let mut rng = fastrand::Rng::with_seed(seed + group as u64);
-        let rules = Rules { every: BALANCER_INTERVAL, timeout: PATIENCE, rise: 1, fall: 2 };
-        let query = Check::Agent(format!("group={group} write"));
-        let balancer = Balancer::start(&[(self.agent, self.clients)], &query, &rules);
-        let mut times = HangTimes::default();
-        let primary = &self.rig.groups[group].primary;
-        for _ in 0..cycles {
-            self.wait_until_up(group, &balancer)?;
-            thread::sleep(REST + Duration::from_millis(rng.u64(0..MAX_RANDOM_REST_MS)));
-            let start = Instant::now();
-            primary.hang(true);
-            while self.claims_writes(group) {
-                if start.elapsed() > PATIENCE {
-                    return Err(format!("group {group}: a hang was never reported"));
-                }
-                thread::sleep(HANG_POLL);
-            }
-            times.reported.add(start.elapsed());
-            balancer.wait(0, false, PATIENCE);
-            times.acted.add(start.elapsed());
-            primary.hang(false);
-        }
-        Ok(times)
-    }
-
-    fn wait_until_up(&self, group: usize, balancer: &Balancer) -> Result<(), String> {
+/// Lets the primary of a group hang again and again, each time after its writes are available.
+fn hang_repeatedly(
+    rig: &Rig,
+    proxy: &Process,
+    group: usize,
+    cycles: usize,
+    seed: u64,
+) -> Result<ReactionTimes, String> {
+    let clients = proxy.clients().ok_or("it does not serve")?;
+    let http = proxy.checks("http").ok_or("no checks")?;
+    let agent = proxy.checks("agent").ok_or("no checks")?;
+    let is_available =
+        || check(http, &Check::Http(format!("/group/{group}/write")), PATIENCE).is_ok_and(|told| told.up);
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let balancer =
+        Balancer::start(&[(agent, clients)], &Check::Agent(format!("group={group} write")), &BALANCER_RULES);
+    let mut times = ReactionTimes::default();
+    for _ in 0..cycles {
         let start = Instant::now();
-        while !self.claims_writes(group) || !balancer.wait(0, true, Duration::ZERO) {
+        while !is_available() || !balancer.wait(0, true, Duration::ZERO) {
             if start.elapsed() > 3 * PATIENCE {
                 return Err(format!("group {group} does not come back"));
             }
-            thread::sleep(RECOVERY_POLL);
+            thread::sleep(Duration::from_millis(10));
+        }
+        thread::sleep(Duration::from_millis(600 + rng.u64(0..800)));
+        let start = Instant::now();
+        rig.groups[group].primary.hang(true);
+        while is_available() {
+            if start.elapsed() > PATIENCE {
+                return Err(format!("group {group}: a hang was never told"));
+            }
+            thread::sleep(Duration::from_millis(5));
         }
-        Ok(())
+        times.reported.add(start.elapsed());
+        balancer.wait(0, false, PATIENCE);
+        times.acted.add(start.elapsed());
+        rig.groups[group].primary.hang(false);
     }
+    Ok(times)
 }
