--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -69,8 +69,8 @@
                 let proxy = &mut self.proxies[n];
                 proxy.scheduler.finish(number);
                 let refresh = proxy.hot.settings().refresh_interval();
-                for (guest, group) in due.holders.iter().filter(|_| ending == AttemptOutcome::Ok) {
-                    let what = What::Copy { guest: *guest, group: *group, position: of };
+                for holder in due.holders.iter().filter(|_| ending == AttemptOutcome::Ok) {
+                    let what = What::Copy { holder: holder.server, group: holder.group, position: of };
                     proxy.scheduler.submit(Task {
                         kind: TaskKind::CopyWrite,
                         expires_at: now + refresh,
@@ -78,12 +78,12 @@
                     });
                 }
             }
-            What::Copy { guest, group, position } => {
+            What::Copy { holder, group, position } => {
                 self.proxies[n].scheduler.finish(number);
                 if ending == AttemptOutcome::Ok {
                     self.copies[0] += 1;
                     self.servers.copied(now, group, position);
-                    self.proxies[n].hot.record_copy_written(now, HOT, guest);
+                    self.proxies[n].hot.record_copy_written(now, HOT, holder);
                 }
             }
         }
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
     Read(DueCopy),
-    Copy { guest: u32, group: u32, position: i64 },
+    Copy { holder: u32, group: u32, position: i64 },
 }
 
 pub struct Proxy {
@@ -112,7 +112,11 @@
             Mode::Off => Vec::new(),
             Mode::On => {
                 self.hot.record_read(now, key, b"hot");
-                self.hot.copy_candidates(now, key).into_iter().map(|(id, at)| (ServerId(id), at)).collect()
+                self.hot
+                    .copy_candidates(now, key)
+                    .into_iter()
+                    .map(|copy| (ServerId(copy.server), copy.likely_position))
+                    .collect()
             }
             // It knows: the same number of guests, of other groups, with copies of the present.
             Mode::Oracle => [4, 7, 10].map(|id| (ServerId(id), now)).to_vec(),
--- a/hot-keys/examples/measure.rs
+++ b/hot-keys/examples/measure.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Net, S, key, settings};
+use common::{Fleet, SECOND, key, settings};
 use std::time::Instant;
 
 fn seconds(took: Option<f64>) -> String {
@@ -14,39 +14,39 @@
 
 fn row(count: usize, seed: u64) {
     let clock = Instant::now();
-    let mut net = Net::new(count, seed);
+    let mut fleet = Fleet::new(count, seed);
     let (k, lukewarm) = (key(2, 1), key(2, 2));
     let threshold = settings(count).hot_threshold(2);
-    let crowd = |net: &mut Net, hot: f64| {
-        net.asked =
+    let crowd = |fleet: &mut Fleet, hot: f64| {
+        fleet.reads_per_s =
             (0..100).map(|n| (key(2, 100 + n), 4.0)).chain([(k, hot), (lukewarm, 0.4 * threshold)]).collect();
     };
-    crowd(&mut net, 0.0);
-    net.pass(20 * S);
-    crowd(&mut net, 3.0 * threshold);
-    let found = net.until(k, true, 120 * S);
-    net.pass(10 * S);
+    crowd(&mut fleet, 0.0);
+    fleet.pass(20 * SECOND);
+    crowd(&mut fleet, 3.0 * threshold);
+    let found = fleet.pass_until(k, true, 120 * SECOND);
+    fleet.pass(10 * SECOND);
     // What each sums up of the key, over a minute.
     let (mut errors, mut differ, mut looks, mut wrong) = (Vec::new(), 0usize, 0usize, 0usize);
-    let sent = net.sent;
-    let from = net.now;
+    let sent_before = fleet.sent_bytes;
+    let from = fleet.now;
     for _ in 0..120 {
-        net.pass(S / 2);
-        for hot in &net.all {
+        fleet.pass(SECOND / 2);
+        for hot in &fleet.trackers {
             let rate = hot.hot_keys().find(|(other, _)| *other == k).map_or(0.0, |(_, h)| h.reads_per_s);
             errors.push(rate / (3.0 * threshold));
-            differ += usize::from(hot.digest() != net.all[0].digest());
+            differ += usize::from(hot.digest() != fleet.trackers[0].digest());
             wrong += hot.hot_keys().filter(|(other, _)| *other != k).count();
             looks += 1;
         }
     }
-    let span = (net.now - from) as f64 / 1e6;
-    let bytes = (net.sent.1 - sent.1) as f64 / count as f64 / span;
+    let span = (fleet.now - from) as f64 / 1e6;
+    let bytes = (fleet.sent_bytes - sent_before) as f64 / count as f64 / span;
     errors.sort_by(f64::total_cmp);
     let at = |share: f64| errors[((errors.len() - 1) as f64 * share) as usize];
-    let changes = net.all.iter().map(|h| h.changes).max().unwrap_or(0);
-    crowd(&mut net, 0.0);
-    let gone = net.until(k, false, 120 * S);
+    let changes = fleet.trackers.iter().map(|h| h.change_count()).max().unwrap_or(0);
+    crowd(&mut fleet, 0.0);
+    let gone = fleet.pass_until(k, false, 120 * SECOND);
     println!(
         "| {count} | {seed} | {} | {} | {:.2} | {:.2}, {:.2} | {:.1}% | {wrong} | {changes} | {bytes:.0} | {:.0} |",
         seconds(found),
--- a/hot-keys/src/copy_ages.rs
+++ b/hot-keys/src/copy_ages.rs
@@ -1,81 +1,95 @@
-//! What this process has seen of copies: how far behind a guest's copy of a key usually is, and guests that had none.
+//! What this process has learned about copies: how old each holder's copy of a key is likely to be, and which holders had none.
 
 use crate::{Key, Micros};
 use std::collections::HashMap;
 
-/// Pauses after a guest that had no copy, or none new enough: doubled with each miss in a row.
+/// How long a holder is not asked after a miss; doubled with each further miss in a row, up to the maximum.
 const INITIAL_BACKOFF_MICROS: Micros = 200_000;
 const MAX_BACKOFF_MICROS: Micros = 6_400_000;
-/// Weight of an older, shorter lag against a new one.
+/// Doublings after which the backoff is at its maximum anyway; it keeps the shift in range.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// The weight of the older age in the average when a newer copy is seen.
 const AGE_SMOOTHING: f64 = 0.8;
-/// Pairs that are remembered.
+/// Pairs of key and holder that are remembered; the one that was updated first makes room.
 const MAX_PAIRS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
 struct CopyAge {
-    /// How far behind the present its copy was when it answered; a longer one counts at once, a shorter one by and by.
+    /// How old the copy was when it served a read. An older copy counts at once, a newer one is averaged in.
     age: Micros,
     consecutive_misses: u32,
     retry_at: Micros,
     updated_at: Micros,
 }
 
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Pair {
+    key: Key,
+    holder: u32,
+}
+
+/// The ages of copies, by key and holder.
 #[derive(Default)]
-pub struct CopyAges(HashMap<(Key, u32), CopyAge>);
+pub(crate) struct CopyAges(HashMap<Pair, CopyAge>);
 
 impl CopyAges {
-    /// How far behind a guest's copy is likely to be now; none while it is not to be tried. `usual`: before anything was seen.
-    pub fn expected_age(&self, now: Micros, key: Key, guest: u32, usual: Micros) -> Option<Micros> {
-        match self.0.get(&(key, guest)) {
-            Some(known) if known.retry_at > now => None,
-            Some(known) => Some(known.age),
-            None => Some(usual),
+    /// How old a holder's copy is likely to be, `default_age` if none was seen yet; none while the holder is not to be asked.
+    pub(crate) fn expected_age(
+        &self,
+        now: Micros,
+        key: Key,
+        holder: u32,
+        default_age: Micros,
+    ) -> Option<Micros> {
+        match self.0.get(&Pair { key, holder }) {
+            Some(copy) if copy.retry_at > now => None,
+            Some(copy) => Some(copy.age),
+            None => Some(default_age),
         }
     }
 
-    /// It answered from a copy with this position.
-    pub fn record_hit(&mut self, now: Micros, key: Key, guest: u32, position: Micros) {
-        let lag = (now - position).max(0);
-        let known = self.entry(now, key, guest, lag);
-        known.age =
-            lag.max((known.age as f64 * AGE_SMOOTHING + lag as f64 * (1.0 - AGE_SMOOTHING)) as Micros);
-        (known.consecutive_misses, known.retry_at, known.updated_at) = (0, now, now);
+    /// A holder served a read from a copy with this position.
+    pub(crate) fn record_hit(&mut self, now: Micros, key: Key, holder: u32, position: Micros) {
+        let age = (now - position).max(0);
+        let copy = self.entry(now, key, holder, age);
+        let average = copy.age as f64 * AGE_SMOOTHING + age as f64 * (1.0 - AGE_SMOOTHING);
+        copy.age = age.max(average as Micros);
+        copy.consecutive_misses = 0;
+        copy.retry_at = now;
+        copy.updated_at = now;
     }
 
-    /// It had none that was new enough.
-    pub fn record_miss(&mut self, now: Micros, key: Key, guest: u32, usual: Micros) {
-        let known = self.entry(now, key, guest, usual);
-        let pause = (INITIAL_BACKOFF_MICROS << known.consecutive_misses.min(16)).min(MAX_BACKOFF_MICROS);
-        (known.consecutive_misses, known.retry_at, known.updated_at) =
-            (known.consecutive_misses.saturating_add(1), now + pause, now);
+    /// A holder had no copy that was recent enough.
+    pub(crate) fn record_miss(&mut self, now: Micros, key: Key, holder: u32, default_age: Micros) {
+        let copy = self.entry(now, key, holder, default_age);
+        let doublings = copy.consecutive_misses.min(MAX_BACKOFF_DOUBLINGS);
+        copy.retry_at = now + (INITIAL_BACKOFF_MICROS << doublings).min(MAX_BACKOFF_MICROS);
+        copy.consecutive_misses = copy.consecutive_misses.saturating_add(1);
+        copy.updated_at = now;
     }
 
-    /// A copy was written there: it is to be tried again.
-    pub fn record_written(&mut self, now: Micros, key: Key, guest: u32) {
-        if let Some(known) = self.0.get_mut(&(key, guest)) {
-            known.retry_at = known.retry_at.min(now + INITIAL_BACKOFF_MICROS);
+    /// A copy was written to the holder: it is asked again soon.
+    pub(crate) fn record_written(&mut self, now: Micros, key: Key, holder: u32) {
+        if let Some(copy) = self.0.get_mut(&Pair { key, holder }) {
+            copy.retry_at = copy.retry_at.min(now + INITIAL_BACKOFF_MICROS);
         }
     }
 
-    fn entry(&mut self, now: Micros, key: Key, guest: u32, lag: Micros) -> &mut CopyAge {
-        if self.0.len() >= MAX_PAIRS && !self.0.contains_key(&(key, guest)) {
-            let oldest = self.0.iter().min_by_key(|(_, known)| known.updated_at).map(|(pair, _)| *pair);
+    fn entry(&mut self, now: Micros, key: Key, holder: u32, age: Micros) -> &mut CopyAge {
+        let pair = Pair { key, holder };
+        if self.0.len() >= MAX_PAIRS && !self.0.contains_key(&pair) {
+            let oldest = self.0.iter().min_by_key(|(_, copy)| copy.updated_at).map(|(pair, _)| *pair);
             oldest.map(|pair| self.0.remove(&pair));
         }
-        self.0.entry((key, guest)).or_insert(CopyAge {
-            age: lag,
-            consecutive_misses: 0,
-            retry_at: now,
-            updated_at: now,
-        })
+        self.0.entry(pair).or_insert(CopyAge { age, consecutive_misses: 0, retry_at: now, updated_at: now })
     }
 
-    /// Only pairs of these keys are of use.
-    pub fn retain_keys(&mut self, hot: impl Fn(Key) -> bool) {
-        self.0.retain(|(key, _), _| hot(*key));
+    /// Forgets all other keys.
+    pub(crate) fn retain_keys(&mut self, is_hot: impl Fn(Key) -> bool) {
+        self.0.retain(|pair, _| is_hot(pair.key));
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 }
--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -1,32 +1,40 @@
-//! Keys that draw more reads than their group bears: found from rates that all processes tell one another, agreed on as a function of
-//! what was told, and copied to databases of other groups. Decisions without I/O or clock.
+//! Keys that get more reads than their group can serve: found from rates that all processes report to one another, and copied to
+//! databases of other groups.
 //!
-//! [`Hot`] counts reads ([`Hot::read`]), says what to tell others ([`Hot::say`]) and takes what they tell ([`Hot::hear`]); it says which
-//! guests may have a copy of a key that is new enough ([`Hot::guests`]), which copies are to be refreshed now ([`Hot::due`]), and learns
-//! what became of either. [`copy`] is what a copy is and when it may answer.
+//! [`HotKeyTracker`] decides which keys are hot, which databases hold their copies, which process refreshes a copy now, and which
+//! copies are likely to be recent enough for a read. It counts reads ([`HotKeyTracker::record_read`]), makes this process's report
+//! ([`HotKeyTracker::report_if_due`]), takes those of others ([`HotKeyTracker::receive_report`]) and learns from answers
+//! ([`HotKeyTracker::record_answer`]). Module [`copy`] defines what a copy is and when it may serve a read.
 //!
-//! It owns rates, the set and what is known of copies. It sends nothing, asks nobody at the time of a read, and knows no socket, no
-//! PostgreSQL and no type of another crate. No freshness rests on anything here but [`copy::serves`].
+//! The crate does no I/O, reads no clock, and knows neither PostgreSQL nor a type of another subsystem. The freshness of a read rests on
+//! [`copy::can_serve`] alone: everything else here is a hint about where to try.
 //!
 //! Invariants, each with the test that holds it (`tests/`):
 //!
-//! 1. What a process reports of a key is never more than the truth, whatever else is asked (`a_report_is_never_more_than_the_truth`,
-//!    `floods_move_nothing`).
-//! 2. Equal reports make equal sets (`equal_reports_make_equal_sets`).
-//! 3. One origin alone makes no key hot where three are named, and any number makes no more than the most (`liars_are_bounded`).
-//! 4. A key that became hot stays so for the least stay (`sets_do_not_flap`).
-//! 5. Guests are of other groups than home, no two of one group, and the same from equal lists (`guests_are_elsewhere`).
-//! 6. A copy answers only for a position that it has (`copies_prove_themselves`, and the model in `tests/model.rs`).
-//! 7. Tables are bounded and what is told is taken whole or not at all (`noise_changes_nothing`).
-//! 8. A slot of a key is one reporter's, and somebody's (`each_slot_is_one_reporters`).
+//! 1. A process reports no rate above the true one, whatever other keys are read (`a_reported_rate_is_never_above_the_true_one`,
+//!    `keys_read_once_displace_nothing`).
+//! 2. Equal reports give equal sets (`equal_reports_give_equal_sets`).
+//! 3. One origin alone makes no key hot where three or more processes are configured, and no number of origins makes more keys hot than
+//!    the limit (`false_reports_are_bounded`).
+//! 4. A key that became hot stays so for a minimum time (`sets_do_not_flap`).
+//! 5. Copies are held outside the key's group, no two of them in one group, and by the same databases for equal lists
+//!    (`copies_are_held_by_other_groups`).
+//! 6. A copy serves a read only if it has the position that the read needs (`copies_prove_their_position`, and the model in
+//!    `tests/model.rs`).
+//! 7. Tables are bounded, and a report is taken in full or not at all (`malformed_reports_change_nothing`).
+//! 8. Nearly every refresh slot of a key is taken by one of its reporters (`each_refresh_slot_has_one_owner`).
+//!
+//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
 
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod copy;
 mod copy_ages;
 mod copy_holders;
 pub mod faults;
 mod refresh;
+mod reporting;
 mod reports;
 mod set;
 mod settings;
@@ -36,23 +44,25 @@
 
 pub use copy_holders::Database;
 pub use refresh::DueCopy;
+pub use reporting::ReportAgreement;
 pub use reports::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
-pub use set::{Hotness, derive_hot_set};
 pub use settings::{CopyCost, CopyRequirement, Settings};
 pub use sketch::ReadSketch;
-pub use tracker::{HotKey, HotKeyTracker};
+pub use tracker::{CopyCandidate, HotKey, HotKeyTracker, TableSizes};
 
-/// A span of time, or an instant on the holder's clock, in microseconds. Instants are counted as Unix time, by which positions are told.
+/// A span of time, or an instant on the caller's clock, in microseconds. Instants are Unix time, as positions are.
 pub type Micros = i64;
 
-/// A key of a group, by its keyed hash: nobody without the secret can make two keys that meet.
+/// A key of a group, by its keyed hash: without the secret nobody can construct two keys with one hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Key {
+    /// The group that the key belongs to.
     pub group: u32,
+    /// The keyed hash of the key's bytes.
     pub hash: u64,
 }
 
-/// Spreads the bits of a number over all of it.
+/// Distributes the bits of a number over all of it (the finalizer of SplitMix64).
 pub(crate) fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/hot-keys/src/refresh.rs
+++ b/hot-keys/src/refresh.rs
@@ -1,35 +1,48 @@
-//! Whose turn it is to renew a key's copies: time is cut into slots, and a slot is the reporter's with the highest lot. Clocks need not
-//! agree for anything that must hold: a slot that is taken twice costs a copy, one that is taken by nobody makes copies older.
+//! Which process refreshes the copies of a key now. Time is divided into slots of a refresh interval, and each slot belongs to the
+//! reporter of the key that rendezvous hashing selects. Nothing that must hold depends on clocks or reports that agree: a slot with two
+//! owners costs a copy more, a slot with none makes copies older.
 
-use crate::{Key, Micros, mix};
+use crate::{Database, Key, Micros, mix};
 use birchreach_fault_injection::fault_injected;
 
-/// A copy to be renewed, and where to.
+/// A key whose copies this process refreshes now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueCopy {
+    /// The key.
     pub key: Key,
+    /// The key's bytes, to be sent to databases.
     pub key_bytes: Vec<u8>,
-    /// The guests' numbers, and their groups, whose primaries take the copy.
-    pub holders: Vec<(u32, u32)>,
+    /// The databases that hold its copies; a copy is written to the primaries of their groups.
+    pub holders: Vec<Database>,
 }
 
-/// The slot of a time; keys' slots do not all begin at once.
-pub fn slot_at(now: Micros, key: Key, interval: Micros) -> i64 {
+/// How far a key's slots are shifted, so that the slots of all keys do not begin at once.
+fn slot_offset(key: Key, interval: Micros) -> Micros {
+    (mix(key.hash) % interval as u64) as Micros
+}
+
+/// The number of a key's slot at an instant.
+pub(crate) fn slot_at(now: Micros, key: Key, interval: Micros) -> i64 {
     let interval = interval.max(1);
-    (now + (mix(key.hash) % interval as u64) as i64).div_euclid(interval)
+    (now + slot_offset(key, interval)).div_euclid(interval)
 }
 
 /// When the next slot of a key begins.
-pub fn next_slot_at(now: Micros, key: Key, interval: Micros) -> Micros {
+pub(crate) fn next_slot_at(now: Micros, key: Key, interval: Micros) -> Micros {
     let interval = interval.max(1);
-    (slot_at(now, key, interval) + 1) * interval - (mix(key.hash) % interval as u64) as i64
+    (slot_at(now, key, interval) + 1) * interval - slot_offset(key, interval)
 }
 
-/// Is this slot of the key this origin's?
-pub fn is_own_slot(slot: i64, key: Key, own: u64, reporters: impl Iterator<Item = u64>) -> bool {
-    let lot = |origin: u64| (mix(mix(origin ^ key.hash) ^ slot as u64), origin);
-    let mut all = reporters.map(lot).peekable();
-    let own = lot(own);
-    let known = all.peek().is_some();
-    known && all.all(|other| other <= own || fault_injected!(ClaimsEverySlot))
+/// Whether a slot of the key belongs to this origin, which is none of them where nobody reports the key.
+pub(crate) fn is_own_slot(
+    slot: i64,
+    key: Key,
+    own_origin: u64,
+    reporters: impl Iterator<Item = u64>,
+) -> bool {
+    let weight = |origin: u64| (mix(mix(origin ^ key.hash) ^ slot as u64), origin);
+    let own_weight = weight(own_origin);
+    let mut weights = reporters.map(weight).peekable();
+    let is_reported = weights.peek().is_some();
+    is_reported && weights.all(|other| other <= own_weight || fault_injected!(ClaimsEverySlot))
 }
--- /dev/null
+++ b/hot-keys/src/reporting.rs
@@ -0,0 +1,100 @@
+//! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
+
+use crate::reports::{MAX_REPORT_ENTRIES, ReceivedReport, Report, ReportEntry, ReportError};
+use crate::tracker::HotKeyTracker;
+use crate::{Key, Micros, mix};
+
+/// A key is reported from this fraction of the rate that would make it hot if all processes read it alike.
+const REPORT_THRESHOLD_FRACTION: f64 = 0.25;
+/// How many keys are looked at for a report: some may be below the threshold.
+const REPORT_CANDIDATES: usize = MAX_REPORT_ENTRIES * 4;
+/// A report counts for so many report intervals.
+const REPORT_LIFETIME_INTERVALS: Micros = 4;
+
+/// How many other processes have the same hot set by their newest reports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReportAgreement {
+    /// Those with an equal set.
+    pub agreeing: usize,
+    /// All from which a report is kept.
+    pub reporting: usize,
+}
+
+impl HotKeyTracker {
+    /// Takes a report of another process, which is a member of the fleet. `sequence` increases with each report of an origin, `age` is
+    /// how long ago it was made.
+    ///
+    /// # Errors
+    ///
+    /// The reason why it is not taken; nothing has changed then.
+    pub fn receive_report(
+        &mut self,
+        now: Micros,
+        origin: u64,
+        sequence: u64,
+        age: Micros,
+        bytes: &[u8],
+    ) -> Result<(), ReportError> {
+        let report = Report::decode(bytes)?;
+        if report.secret_id != self.secret_id {
+            return Err(ReportError::OtherSecret);
+        }
+        self.reports.record(origin, ReceivedReport { sequence, made_at: now - age.max(0), report })
+    }
+
+    /// This process's report, once in each report interval.
+    pub fn report_if_due(&mut self, now: Micros) -> Option<Vec<u8>> {
+        if now - self.last_report_at < self.report_interval {
+            return None;
+        }
+        self.last_report_at = now;
+        let entries = self.report_entries(now);
+        self.last_sequence += 1;
+        let report = Report { secret_id: self.secret_id, set_digest: self.digest(), entries };
+        let bytes = report.encode();
+        let received = ReceivedReport { sequence: self.last_sequence, made_at: now, report };
+        // Where reports of too many origins are kept, the set is derived without the own one; the others still get it.
+        let _ = self.reports.record(self.own_origin, received);
+        Some(bytes)
+    }
+
+    fn report_entries(&mut self, now: Micros) -> Vec<ReportEntry> {
+        let top_keys = self.sketch.top_keys(now, REPORT_CANDIDATES);
+        let entry = |(key, reads_per_s): (Key, f64)| {
+            let is_hot = self.hot_keys.contains_key(&key);
+            let is_reported = is_hot || reads_per_s >= self.report_threshold(key.group);
+            is_reported.then_some(ReportEntry {
+                key,
+                reads_per_1000_s: (reads_per_s * 1_000.0) as u32,
+                is_hot,
+            })
+        };
+        top_keys.into_iter().filter_map(entry).take(MAX_REPORT_ENTRIES).collect()
+    }
+
+    fn report_threshold(&self, group: u32) -> f64 {
+        let replicas = self.replicas.get(&group).copied().unwrap_or(1);
+        REPORT_THRESHOLD_FRACTION * self.settings.hot_threshold(replicas) / self.members as f64
+    }
+
+    pub(crate) fn report_lifetime(&self) -> Micros {
+        REPORT_LIFETIME_INTERVALS * self.report_interval
+    }
+
+    /// A digest of the hot set, equal at all processes that have equal sets.
+    pub fn digest(&self) -> u64 {
+        let of_key = |key: &Key| mix(key.hash ^ mix(u64::from(key.group) + 1));
+        self.hot_keys.keys().fold(0, |digest, key| digest ^ of_key(key))
+    }
+
+    /// How many of the other processes have this set.
+    pub fn agreement(&self) -> ReportAgreement {
+        let own_digest = self.digest();
+        let mut agreement = ReportAgreement { agreeing: 0, reporting: 0 };
+        for (_, received) in self.reports.newest().filter(|(origin, _)| *origin != self.own_origin) {
+            agreement.reporting += 1;
+            agreement.agreeing += usize::from(received.report.set_digest == own_digest);
+        }
+        agreement
+    }
+}
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -1,77 +1,114 @@
-//! The set of hot keys, as a function of what was reported and nothing else: whoever has heard the same holds the same.
+//! The set of hot keys as a function of the reports and nothing else: processes that received equal reports derive equal sets.
 
-use crate::reports::{Reports, weight};
+use crate::reports::{Report, Reports, weight};
 use crate::{Key, Micros, Settings};
 use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeMap;
 
-/// Keys that are hot at once, at the most.
-pub const MAX_HOT_KEYS: usize = 32;
+/// Keys that are hot at once.
+pub(crate) const MAX_HOT_KEYS: usize = 32;
+/// From so many configured processes on no single report makes a key hot.
+const MIN_PROCESSES_FOR_BOUND: u32 = 3;
 
-/// What is known of a hot key.
+/// What the reports say of a hot key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hotness {
-    /// Reads a second over all that report it, whatever each one's word counts for.
-    pub reads_per_s: f64,
-    /// How many guests it should have.
-    pub wanted_copies: usize,
+pub(crate) struct Hotness {
+    /// Reads a second over all origins that report it, without the bound on each origin.
+    pub(crate) reads_per_s: f64,
+    /// How many copies it should have.
+    pub(crate) wanted_copies: usize,
+}
+
+/// What is derived for, beside the reports.
+pub(crate) struct Derivation<'a> {
+    pub(crate) settings: &'a Settings,
+    pub(crate) now: Micros,
+    /// How long a report counts.
+    pub(crate) report_lifetime: Micros,
+    /// The origin that derives the set; its report counts as all others do.
+    pub(crate) own_origin: u64,
+    /// How many replicas each group has.
+    pub(crate) replicas: &'a BTreeMap<u32, usize>,
 }
 
 #[derive(Default)]
 struct KeyTotals {
-    /// What counts for the threshold, and what was told.
+    /// What is compared with the threshold: each origin counts up to a bound.
     counted_per_s: f64,
     reported_per_s: f64,
     reporters: usize,
+    /// Reporters that have the key in their hot set.
     hot_reporters: usize,
 }
 
-/// What one origin's word counts for at the most: half of the threshold where three or more are named, so that nobody makes a key
-/// hot alone.
-fn max_counted_per_origin(settings: &Settings, threshold: f64) -> f64 {
-    let whole = settings.configured_members < 3 || fault_injected!(CountsOriginsUnbounded);
-    if whole { f64::INFINITY } else { threshold / 2.0 }
+impl KeyTotals {
+    /// A key is hot above the threshold; above half of it, if half of its reporters have it in their sets.
+    fn is_hot(&self, threshold: f64) -> bool {
+        let is_kept = 2 * self.hot_reporters >= self.reporters && self.hot_reporters > 0;
+        self.counted_per_s > threshold || (self.counted_per_s > threshold / 2.0 && is_kept)
+    }
 }
 
-/// `replicas`: how many the group of a key has. `own`: the origin that derives; its word counts as all others' do.
-pub fn derive_hot_set(
-    settings: &Settings,
-    reports: &Reports,
-    now: Micros,
-    life: Micros,
-    own: u64,
-    replicas: impl Fn(u32) -> usize,
-) -> BTreeMap<Key, Hotness> {
-    let mut sums: BTreeMap<Key, KeyTotals> = BTreeMap::new();
-    let mut thresholds: BTreeMap<u32, f64> = BTreeMap::new();
-    for (origin, told) in reports.newest() {
-        let counts = weight(now - told.made_at, life);
-        for entry in &told.report.entries {
+impl Derivation<'_> {
+    /// The hot keys: those whose rates reach the thresholds, at most [`MAX_HOT_KEYS`], the highest rates first.
+    pub(crate) fn hot_set(&self, reports: &Reports) -> BTreeMap<Key, Hotness> {
+        let mut thresholds: BTreeMap<u32, f64> = BTreeMap::new();
+        let totals = self.totals(reports, &mut thresholds);
+        let threshold = |key: &Key| thresholds.get(&key.group).copied().unwrap_or(f64::INFINITY);
+        let mut hot: Vec<(Key, Hotness)> = totals
+            .into_iter()
+            .filter(|(key, totals)| totals.is_hot(threshold(key)))
+            .map(|(key, totals)| (key, self.hotness(key, totals.reported_per_s)))
+            .collect();
+        hot.sort_by(|a, b| b.1.reads_per_s.total_cmp(&a.1.reads_per_s).then(a.0.cmp(&b.0)));
+        hot.truncate(MAX_HOT_KEYS);
+        hot.into_iter().collect()
+    }
+
+    fn totals(&self, reports: &Reports, thresholds: &mut BTreeMap<u32, f64>) -> BTreeMap<Key, KeyTotals> {
+        let mut totals = BTreeMap::new();
+        for (origin, received) in reports.newest() {
+            let report_weight = weight(self.now - received.made_at, self.report_lifetime);
+            self.add_report(origin, report_weight, &received.report, thresholds, &mut totals);
+        }
+        totals
+    }
+
+    fn add_report(
+        &self,
+        origin: u64,
+        report_weight: f64,
+        report: &Report,
+        thresholds: &mut BTreeMap<u32, f64>,
+        totals: &mut BTreeMap<Key, KeyTotals>,
+    ) {
+        for entry in &report.entries {
             let group = entry.key.group;
             let threshold =
-                *thresholds.entry(group).or_insert_with(|| settings.hot_threshold(replicas(group)));
-            let sum = sums.entry(entry.key).or_default();
+                *thresholds.entry(group).or_insert_with(|| self.settings.hot_threshold(self.replicas(group)));
             let rate = f64::from(entry.reads_per_1000_s) / 1_000.0;
-            sum.counted_per_s += counts * rate.min(max_counted_per_origin(settings, threshold));
-            sum.reported_per_s += counts * rate;
-            let heard = !fault_injected!(TrustsOnlyItself) || origin == own;
-            sum.reporters += usize::from(heard);
-            sum.hot_reporters += usize::from(heard && entry.is_hot);
+            let key_totals: &mut KeyTotals = totals.entry(entry.key).or_default();
+            key_totals.counted_per_s += report_weight * rate.min(self.max_counted_per_origin(threshold));
+            key_totals.reported_per_s += report_weight * rate;
+            let counts = !fault_injected!(TrustsOnlyItself) || origin == self.own_origin;
+            key_totals.reporters += usize::from(counts);
+            key_totals.hot_reporters += usize::from(counts && entry.is_hot);
         }
     }
-    let mut hot: Vec<(Key, Hotness)> = sums
-        .into_iter()
-        .filter(|(key, sum)| {
-            let threshold = thresholds.get(&key.group).copied().unwrap_or(f64::INFINITY);
-            let held = 2 * sum.hot_reporters >= sum.reporters && sum.hot_reporters > 0;
-            sum.counted_per_s > threshold || (sum.counted_per_s > threshold / 2.0 && held)
-        })
-        .map(|(key, sum)| {
-            let guests = settings.cost(sum.reported_per_s, replicas(key.group)).copies;
-            (key, Hotness { reads_per_s: sum.reported_per_s, wanted_copies: guests })
-        })
-        .collect();
-    hot.sort_by(|a, b| b.1.reads_per_s.total_cmp(&a.1.reads_per_s).then(a.0.cmp(&b.0)));
-    hot.truncate(MAX_HOT_KEYS);
-    hot.into_iter().collect()
+
+    fn hotness(&self, key: Key, reads_per_s: f64) -> Hotness {
+        let wanted_copies = self.settings.cost(reads_per_s, self.replicas(key.group)).copies;
+        Hotness { reads_per_s, wanted_copies }
+    }
+
+    /// The rate up to which one origin's report counts: half of the threshold where three or more processes are configured, so that no
+    /// process makes a key hot alone.
+    fn max_counted_per_origin(&self, threshold: f64) -> f64 {
+        let is_unbounded = self.settings.configured_members < MIN_PROCESSES_FOR_BOUND;
+        if is_unbounded || fault_injected!(CountsOriginsUnbounded) { f64::INFINITY } else { threshold / 2.0 }
+    }
+
+    fn replicas(&self, group: u32) -> usize {
+        self.replicas.get(&group).copied().unwrap_or(1)
+    }
 }
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -1,71 +1,83 @@
-//! The set as it is held here: derived anew from what was reported, with a least stay.
+//! The tracker's set of hot keys: derived from the reports at intervals, with a minimum time for which a key stays hot.
 
 use crate::copy_holders::copy_holders;
 use crate::refresh;
-use crate::set::{Hotness, MAX_HOT_KEYS, derive_hot_set};
-use crate::tracker::{DERIVE_INTERVAL_MICROS, HotKey, HotKeyTracker, MIN_HOT_MICROS};
+use crate::set::{Derivation, Hotness, MAX_HOT_KEYS};
+use crate::tracker::{HotKey, HotKeyTracker};
 use crate::{Key, Micros};
 use birchreach_fault_injection::fault_injected;
+use std::cmp::Ordering;
+use std::collections::BTreeSet;
+
+/// A key that became hot stays so for this long, in which its copies are refreshed and read several times.
+const MIN_HOT_MICROS: Micros = 10_000_000;
+/// How often the set is derived.
+pub(crate) const DERIVE_INTERVAL_MICROS: Micros = 250_000;
+/// A key that reports made hot within this time is in the set without regard to the minimum time: one derivation may be missed.
+const CONFIRMATION_MICROS: Micros = 2 * DERIVE_INTERVAL_MICROS;
 
 impl HotKeyTracker {
-    /// Derives the set, if it is time. True: it has changed.
+    /// Derives the set, if it is time. True if the set has changed.
     pub fn update(&mut self, now: Micros) -> bool {
         if now - self.last_derived_at < DERIVE_INTERVAL_MICROS {
             return false;
         }
         self.last_derived_at = now;
         self.reports.remove_expired(now, self.report_lifetime());
-        let replicas = |group: u32| self.replicas.get(&group).copied().unwrap_or(1);
-        let derived = derive_hot_set(
-            &self.settings,
-            &self.reports,
+        let before: BTreeSet<Key> = self.hot_keys.keys().copied().collect();
+        let derivation = Derivation {
+            settings: &self.settings,
             now,
-            self.report_lifetime(),
-            self.own_origin,
-            replicas,
-        );
-        let before: Vec<Key> = self.hot_keys.keys().copied().collect();
-        for (key, Hotness { reads_per_s: rate, wanted_copies: wanted }) in derived {
-            let slot = refresh::slot_at(now, key, self.settings.refresh_interval());
-            let fresh = HotKey {
-                reads_per_s: rate,
-                hot_since: now,
-                confirmed_at: now,
-                copy_holders: Vec::new(),
-                wanted_copies: 0,
-                last_slot: slot,
-            };
-            let hot = self.hot_keys.entry(key).or_insert(fresh);
-            // More guests at once, fewer once the key has been hot for its stay: copies are there.
-            let fewer = wanted < hot.wanted_copies && now - hot.hot_since < MIN_HOT_MICROS;
-            (hot.reads_per_s, hot.confirmed_at) = (rate, now);
-            if wanted != hot.wanted_copies && !fewer {
-                hot.wanted_copies = wanted;
-                hot.copy_holders = copy_holders(key, &self.databases, wanted);
-            }
+            report_lifetime: self.report_lifetime(),
+            own_origin: self.own_origin,
+            replicas: &self.replicas,
+        };
+        for (key, hotness) in derivation.hot_set(&self.reports) {
+            self.confirm(now, key, hotness);
         }
-        let stays = |k: &HotKey| {
-            now - k.confirmed_at < 2 * DERIVE_INTERVAL_MICROS
-                || (now - k.hot_since < MIN_HOT_MICROS && !fault_injected!(SkipsMinimumStay))
+        let stays = |hot_key: &HotKey| {
+            let is_young = now - hot_key.hot_since < MIN_HOT_MICROS && !fault_injected!(SkipsMinimumStay);
+            is_young || now - hot_key.confirmed_at < CONFIRMATION_MICROS
         };
-        self.hot_keys.retain(|_, k| stays(k));
+        self.hot_keys.retain(|_, hot_key| stays(hot_key));
         self.enforce_limit();
-        let after: Vec<Key> = self.hot_keys.keys().copied().collect();
-        let changed = before.iter().filter(|k| !after.contains(k)).count()
-            + after.iter().filter(|k| !before.contains(k)).count();
-        self.changes += changed as u64;
-        self.copy_ages.retain_keys(|key| self.hot_keys.contains_key(&key));
-        self.uncopyable_until.retain(|key, until| now < *until && self.hot_keys.contains_key(key));
-        changed > 0
+        let after: BTreeSet<Key> = self.hot_keys.keys().copied().collect();
+        let changes = before.symmetric_difference(&after).count();
+        self.change_count += changes as u64;
+        self.copy_ages.retain_keys(|key| after.contains(&key));
+        self.uncopyable_until.retain(|key, until| now < *until && after.contains(key));
+        changes > 0
+    }
+
+    /// The reports make this key hot: it enters the set, or stays in it.
+    fn confirm(&mut self, now: Micros, key: Key, hotness: Hotness) {
+        let Hotness { reads_per_s, wanted_copies } = hotness;
+        let last_slot = refresh::slot_at(now, key, self.settings.refresh_interval());
+        let hot_key = self.hot_keys.entry(key).or_insert(HotKey {
+            reads_per_s,
+            hot_since: now,
+            confirmed_at: now,
+            copy_holders: Vec::new(),
+            wanted_copies: 0,
+            last_slot,
+        });
+        hot_key.reads_per_s = reads_per_s;
+        hot_key.confirmed_at = now;
+        // More copies at once; fewer only after the minimum time, as those that are there have been paid for.
+        let is_fewer_too_early =
+            wanted_copies < hot_key.wanted_copies && now - hot_key.hot_since < MIN_HOT_MICROS;
+        if wanted_copies != hot_key.wanted_copies && !is_fewer_too_early {
+            hot_key.wanted_copies = wanted_copies;
+            hot_key.copy_holders = copy_holders(key, &self.databases, wanted_copies);
+        }
     }
 
-    /// Those that only stay make room first, the least asked for first.
+    /// Keys that only stay for the minimum time make room first, and of those that are left the one with the lowest rate.
     fn enforce_limit(&mut self) {
         while self.hot_keys.len() > MAX_HOT_KEYS {
             let least = self.hot_keys.iter().min_by(|a, b| {
-                (a.1.confirmed_at, a.1.reads_per_s)
-                    .partial_cmp(&(b.1.confirmed_at, b.1.reads_per_s))
-                    .unwrap_or(std::cmp::Ordering::Equal)
+                let rank = |hot_key: &HotKey| (hot_key.confirmed_at, hot_key.reads_per_s);
+                rank(a.1).partial_cmp(&rank(b.1)).unwrap_or(Ordering::Equal)
             });
             let Some(least) = least.map(|(key, _)| *key) else { return };
             self.hot_keys.remove(&least);
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Many processes' machines on virtual time, with reports that go round by the fleet's own machine; reads come as drawn.
+//! A fleet of trackers on virtual time, whose reports travel by the fleet's own gossip; reads arrive at random.
 #![allow(dead_code)]
 
 use birchreach_hot_keys::{
@@ -8,15 +8,19 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
+/// Replicas of each group.
 pub const REPLICAS: usize = 2;
+/// Groups of the endpoint list.
+pub const GROUPS: u32 = 6;
 
-pub fn settings(named: usize) -> Settings {
+/// Databases that serve 100 reads a second, and classes of every requirement.
+pub fn settings(configured: usize) -> Settings {
     Settings {
         database_reads_per_s: 100.0,
         copy_cost_reads: 2.0,
         max_copies: 3,
-        configured_members: named as u32,
+        configured_members: configured as u32,
         class_requirements: vec![
             CopyRequirement::MaxAge(800_000),
             CopyRequirement::Session,
@@ -26,10 +30,12 @@
     }
 }
 
+/// The nth key of a group.
 pub fn key(group: u32, n: u64) -> Key {
     Key { group, hash: n.wrapping_mul(0x9e37_79b9_7f4a_7c15) }
 }
 
+/// The databases of an endpoint list.
 pub fn databases(groups: u32) -> Vec<Database> {
     let of = |group| (0..=REPLICAS as u32).map(move |n| (group, n));
     let all = (0..groups).flat_map(of).enumerate();
@@ -41,60 +47,67 @@
     .collect()
 }
 
-pub fn listed(hot: &mut HotKeyTracker, groups: u32) {
-    hot.update_databases(databases(groups), (0..groups).map(|g| (g, REPLICAS)).collect::<BTreeMap<_, _>>());
+/// Gives a tracker the endpoint list.
+fn list_databases(tracker: &mut HotKeyTracker) {
+    let replicas: BTreeMap<u32, usize> = (0..GROUPS).map(|group| (group, REPLICAS)).collect();
+    tracker.update_databases(databases(GROUPS), replicas);
 }
 
-pub struct Net {
+/// Trackers that report to one another.
+pub struct Fleet {
     pub now: Micros,
-    pub all: Vec<HotKeyTracker>,
+    pub trackers: Vec<HotKeyTracker>,
     gossip_reports: Vec<GossipReports>,
     pub rng: fastrand::Rng,
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// Reports sent, and their bytes.
-    pub sent: (u64, u64),
-    /// Read a second of each key, and by what share of them each process is asked.
-    pub asked: Vec<(Key, f64)>,
-    pub shares: Vec<f64>,
-    /// Of all processes and moments: renewals that were due, by key.
-    pub due: BTreeMap<Key, Vec<(Micros, usize)>>,
+    /// Whether datagrams from one process to another are lost.
+    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// Datagrams sent, and their bytes.
+    pub sent_datagrams: u64,
+    pub sent_bytes: u64,
+    /// Reads a second of each key over all processes.
+    pub reads_per_s: Vec<(Key, f64)>,
+    /// The fraction of the reads that each process gets.
+    read_shares: Vec<f64>,
+    /// By key: when a refresh was due, and at which process.
+    pub refreshes: BTreeMap<Key, Vec<(Micros, usize)>>,
 }
 
-fn at(n: usize) -> SocketAddr {
+fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7000))
 }
 
-const STEP: Micros = 50_000;
+const STEP_MICROS: Micros = 50_000;
 
-impl Net {
-    pub fn new(count: usize, seed: u64) -> Net {
-        let now = 1_000 * S;
+impl Fleet {
+    pub fn new(count: usize, seed: u64) -> Fleet {
+        let now = 1_000 * SECOND;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let one = |n: usize| {
-            let mut hot = HotKeyTracker::new(settings(count), n as u64 + 1, 1, now);
-            hot.set_fleet(count, GossipReports::interval(count));
-            listed(&mut hot, 6);
-            hot
+        let tracker = |n: usize| {
+            let mut tracker = HotKeyTracker::new(settings(count), n as u64 + 1, 1, now);
+            tracker.set_fleet(count, GossipReports::interval(count));
+            list_databases(&mut tracker);
+            tracker
         };
-        // Some get several times the mean.
+        // Some processes get several times the mean.
         let shares: Vec<f64> = (0..count).map(|_| 0.2 - rng.f64().ln()).collect();
         let sum: f64 = shares.iter().sum();
-        Net {
+        Fleet {
             now,
-            all: (0..count).map(one).collect(),
+            trackers: (0..count).map(tracker).collect(),
             gossip_reports: (0..count)
                 .map(|n| GossipReports::new(n as u64 + 1, seed ^ (n as u64 + 7)))
                 .collect(),
             rng,
-            cut: Box::new(|_, _| false),
-            sent: (0, 0),
-            asked: Vec::new(),
-            shares: shares.into_iter().map(|s| s / sum).collect(),
-            due: BTreeMap::new(),
+            is_cut: Box::new(|_, _| false),
+            sent_datagrams: 0,
+            sent_bytes: 0,
+            reads_per_s: Vec::new(),
+            read_shares: shares.into_iter().map(|s| s / sum).collect(),
+            refreshes: BTreeMap::new(),
         }
     }
 
-    /// How many come in a time in which so many come in the mean.
+    /// How many events happen where `mean` happen on average.
     fn poisson(&mut self, mean: f64) -> usize {
         let (mut n, mut left) = (0, mean);
         loop {
@@ -106,78 +119,92 @@
         }
     }
 
+    /// Passes time in small steps.
     pub fn pass(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
-            self.now += STEP;
-            for n in 0..self.all.len() {
-                self.turn(n);
+            self.now += STEP_MICROS;
+            for n in 0..self.trackers.len() {
+                self.step(n);
             }
         }
     }
 
-    fn turn(&mut self, n: usize) {
-        let (now, count) = (self.now, self.all.len());
-        for (key, rate) in self.asked.clone() {
-            let reads = self.poisson(rate * self.shares[n] * STEP as f64 / 1e6);
-            (0..reads).for_each(|_| self.all[n].record_read(now, key, b"text"));
+    fn step(&mut self, n: usize) {
+        let (now, count) = (self.now, self.trackers.len());
+        for (key, rate) in self.reads_per_s.clone() {
+            let reads = self.poisson(rate * self.read_shares[n] * STEP_MICROS as f64 / 1e6);
+            (0..reads).for_each(|_| self.trackers[n].record_read(now, key, b"text"));
         }
-        self.all[n].update(now);
-        if let Some(said) = self.all[n].report_if_due(now) {
+        self.trackers[n].update(now);
+        if let Some(said) = self.trackers[n].report_if_due(now) {
             self.gossip_reports[n].publish(now, 1, said);
         }
-        for due in self.all[n].due_copies(now) {
-            self.due.entry(due.key).or_default().push((now, n));
+        for due in self.trackers[n].due_copies(now) {
+            self.refreshes.entry(due.key).or_default().push((now, n));
         }
-        let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(at).collect();
+        let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(address).collect();
         let Some((to, bytes)) = self.gossip_reports[n].encode_gossip(now, &others) else { return };
-        self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
-        let to = (0..count).find(|o| at(*o) == to).unwrap_or(0);
-        if (self.cut)(n, to) {
+        self.sent_datagrams += 1;
+        self.sent_bytes += bytes.len() as u64;
+        let to = (0..count).find(|o| address(*o) == to).unwrap_or(0);
+        if (self.is_cut)(n, to) {
             return;
         }
-        let fresh = self.gossip_reports[to].apply_gossip(now, count, |_| true, &bytes).unwrap_or_default();
-        for f in fresh {
-            let _ = self.all[to].receive_report(now, f.origin, f.sequence, f.age, &f.payload);
+        let reports = self.gossip_reports[to].apply_gossip(now, count, |_| true, &bytes).unwrap_or_default();
+        for report in reports {
+            let _ = self.trackers[to].receive_report(
+                now,
+                report.origin,
+                report.sequence,
+                report.age,
+                &report.payload,
+            );
         }
     }
 
-    /// All hold the same keys for hot.
-    pub fn agreed(&self) -> bool {
-        self.all.iter().all(|h| h.digest() == self.all[0].digest())
+    /// Whether all have the same hot set.
+    pub fn has_one_set(&self) -> bool {
+        self.trackers.iter().all(|h| h.digest() == self.trackers[0].digest())
     }
 
-    pub fn hold(&self, key: Key) -> usize {
-        self.all.iter().filter(|h| h.hot_keys().any(|(k, _)| k == key)).count()
+    /// How many have the key in their hot set.
+    pub fn holding_count(&self, key: Key) -> usize {
+        self.trackers.iter().filter(|h| h.hot_keys().any(|(k, _)| k == key)).count()
     }
 
-    /// Until all hold it, or none does; in seconds.
-    pub fn until(&mut self, key: Key, held: bool, most: Micros) -> Option<f64> {
+    /// Passes time until all have the key in their set (`hot`), or none; the seconds that it took, none if longer than `max`.
+    pub fn pass_until(&mut self, key: Key, hot: bool, max: Micros) -> Option<f64> {
         let start = self.now;
-        let wanted = if held { self.all.len() } else { 0 };
-        while self.hold(key) != wanted {
-            if self.now - start > most {
+        let wanted = if hot { self.trackers.len() } else { 0 };
+        while self.holding_count(key) != wanted {
+            if self.now - start > max {
                 return None;
             }
-            self.pass(STEP);
+            self.pass(STEP_MICROS);
         }
         Some((self.now - start) as f64 / 1e6)
     }
 }
 
-/// What others report, as the machine of one hears it.
-pub fn heard(own: u64, named: usize, reports: &[(u64, Vec<ReportEntry>)], order: bool) -> HotKeyTracker {
-    let mut hot = HotKeyTracker::new(settings(named), own, 1, 0);
-    hot.set_fleet(named, S);
-    listed(&mut hot, 6);
+/// A tracker of its own origin that has received these reports, in their order or reversed, and derived its set.
+pub fn tracker_with_reports(
+    own: u64,
+    configured: usize,
+    reports: &[(u64, Vec<ReportEntry>)],
+    reversed: bool,
+) -> HotKeyTracker {
+    let mut tracker = HotKeyTracker::new(settings(configured), own, 1, 0);
+    tracker.set_fleet(configured, SECOND);
+    list_databases(&mut tracker);
     let mut all: Vec<_> = reports.to_vec();
-    if order {
+    if reversed {
         all.reverse();
     }
     for (origin, entries) in all {
         let bytes = Report { secret_id: 1, set_digest: 0, entries }.encode();
-        let _ = hot.receive_report(S, origin, 1, 0, &bytes);
+        let _ = tracker.receive_report(SECOND, origin, 1, 0, &bytes);
     }
-    hot.update(S);
-    hot
+    tracker.update(SECOND);
+    tracker
 }
--- a/hot-keys/tests/recorded_bytes.rs
+++ b/hot-keys/tests/recorded_bytes.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use birchreach_hot_keys::{Key, Report, ReportEntry};
-use common::heard;
+use common::tracker_with_reports;
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -44,7 +44,7 @@
     let entries = vec![entry(2, 0x0123_4567_89ab_cdef, 450_000, true), entry(4, 0xfeed, 300_000, true)];
     let reports: Vec<_> = (1..=4).map(|origin| (origin, entries.clone())).collect();
 
-    let hot = heard(9, 4, &reports, false);
+    let hot = tracker_with_reports(9, 4, &reports, false);
 
     assert_eq!(hot.hot_keys().count(), 2);
     assert_eq!(format!("{:016x}", hot.digest()), "7ad2573fb164c46a");
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -1,138 +1,177 @@
-//! The proxy's values as the crate `hot` has them: reads that come, databases of the list, answers of guests; and what operators are
-//! shown of it. It owns the words; which keys are hot, and who has copies, is the crate's to say.
+//! Hot keys in the proxy: translates the core's events, the endpoint list and the options into the values of crate `hot-keys`, and its
+//! state into the lines of the admin call `hot`. Which keys are hot and which databases have copies is decided in the crate.
 
 use crate::observe::{CopyLocator, CoreEvent, Observer, ReadDescription};
 use birchreach::{Consistency, CopyCandidate, Micros, ServerId};
-use birchreach_hot_keys::{CopyRequirement as Needs, Database, HotKeyTracker, Key, Settings};
+use birchreach_hot_keys::{CopyRequirement, Database, HotKey, HotKeyTracker, Key, Settings};
 use birchreach_peer_state::NameHasher;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
-struct Listed {
+const MICROS_PER_MILLI: Micros = 1_000;
+
+struct ListedServer {
     uid: String,
     group: u32,
     primary: bool,
     up: bool,
 }
 
-/// What is known of hot keys; it listens to the core and advises it.
-pub struct Watch {
-    pub hot: HotKeyTracker,
+/// The tracker of hot keys as an observer of the core, and the locator of its copies.
+pub struct HotKeyObserver {
+    /// The decisions.
+    pub tracker: HotKeyTracker,
     hasher: NameHasher,
-    listed: HashMap<ServerId, Listed>,
-    changed: bool,
-    /// Reads that guests served, and those for which they had no copy.
-    pub served: u64,
-    pub missed: u64,
+    listed: HashMap<ServerId, ListedServer>,
+    list_changed: bool,
+    copy_hits: u64,
+    copy_misses: u64,
+}
+
+/// How often holders of copies had a copy that was recent enough, and how often they had none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CopyReadCounts {
+    /// Reads served from copies.
+    pub hits: u64,
+    /// Reads for which the holder had no copy, or an old one.
+    pub misses: u64,
 }
 
-fn needs(need: Consistency) -> Needs {
-    match need {
-        Consistency::Write | Consistency::Strong => Needs::Current,
-        Consistency::BoundedStaleness(age) => Needs::MaxAge(age),
-        Consistency::Session => Needs::Session,
-        Consistency::Any => Needs::Any,
+fn copy_requirement(consistency: Consistency) -> CopyRequirement {
+    match consistency {
+        Consistency::Write | Consistency::Strong => CopyRequirement::Current,
+        Consistency::BoundedStaleness(age) => CopyRequirement::MaxAge(age),
+        Consistency::Session => CopyRequirement::Session,
+        Consistency::Any => CopyRequirement::Any,
     }
 }
 
-/// The options as the crate has them.
-pub fn settings(options: &birchreach_options::Hot, named: u32, classes: &[Consistency]) -> Settings {
+/// The crate's settings from the options, the number of configured processes and the classes of requests.
+pub fn settings(
+    options: &birchreach_options::Hot,
+    configured_members: u32,
+    classes: &[Consistency],
+) -> Settings {
     Settings {
         database_reads_per_s: options.bears,
         copy_cost_reads: options.copy_cost,
         max_copies: options.guests,
-        configured_members: named,
-        class_requirements: classes.iter().copied().map(needs).collect(),
+        configured_members,
+        class_requirements: classes.iter().copied().map(copy_requirement).collect(),
     }
 }
 
-impl Watch {
-    pub fn new(settings: Settings, own: u64, hasher: NameHasher, now: Micros) -> Watch {
-        let hot = HotKeyTracker::new(settings, own, hasher.key_id, now);
-        Watch { hot, hasher, listed: HashMap::new(), changed: false, served: 0, missed: 0 }
+impl HotKeyObserver {
+    /// An observer that has seen nothing; `own_origin` is this process's number in reports.
+    pub fn new(settings: Settings, own_origin: u64, hasher: NameHasher, now: Micros) -> HotKeyObserver {
+        HotKeyObserver {
+            tracker: HotKeyTracker::new(settings, own_origin, hasher.key_id, now),
+            hasher,
+            listed: HashMap::new(),
+            list_changed: false,
+            copy_hits: 0,
+            copy_misses: 0,
+        }
     }
 
-    /// Tells the crate of the list, if it has changed.
-    pub fn relist(&mut self) {
-        if !std::mem::take(&mut self.changed) {
+    /// Hands the endpoint list to the tracker, if it has changed.
+    pub fn apply_list_changes(&mut self) {
+        if !std::mem::take(&mut self.list_changed) {
             return;
         }
-        let up = || self.listed.iter().filter(|(_, l)| l.up);
         let mut replicas: BTreeMap<u32, usize> = BTreeMap::new();
-        for (_, l) in up() {
-            *replicas.entry(l.group).or_default() += usize::from(!l.primary);
+        let mut databases = Vec::new();
+        for (id, server) in self.listed.iter().filter(|(_, server)| server.up) {
+            *replicas.entry(server.group).or_default() += usize::from(!server.primary);
+            // A hash of the name alone: the same at all processes, whichever key file they use.
+            let name_hash = crate::config::hash(server.uid.as_bytes());
+            databases.push(Database { server: id.0, group: server.group, name_hash });
         }
-        // A number of the name alone: the same at all, whatever secret they speak with.
-        let name = |l: &Listed| crate::config::hash(l.uid.as_bytes());
-        let databases = up().map(|(id, l)| Database { server: id.0, group: l.group, name_hash: name(l) });
-        let databases = databases.collect();
-        self.hot.update_databases(databases, replicas);
+        self.tracker.update_databases(databases, replicas);
     }
 
-    pub fn key(&self, group: u32, key: &[u8]) -> Key {
-        Key { group, hash: self.hasher.hash(group, key) }
+    /// The number of a key, by a hash that nobody outside the fleet can compute.
+    fn key(&self, group: u32, key_bytes: &[u8]) -> Key {
+        Key { group, hash: self.hasher.hash(group, key_bytes) }
     }
 
-    /// The keys that are hot, a line each, behind a line for the whole.
-    pub fn lines(&self, now: Micros) -> String {
-        let (agreed, of) = self.hot.agreement();
-        let mut out = String::new();
+    /// How often copies served.
+    pub fn copy_read_counts(&self) -> CopyReadCounts {
+        CopyReadCounts { hits: self.copy_hits, misses: self.copy_misses }
+    }
+
+    /// The answer to the admin call `hot`: a line for the set, and one for each hot key.
+    pub fn status_lines(&self, now: Micros) -> String {
+        let agreement = self.tracker.agreement();
+        let mut lines = String::new();
         let _ = writeln!(
-            out,
-            "hot keys={} digest={:016x} agreed={agreed} of={of} changes={} refresh_ms={} served={} missed={}",
-            self.hot.hot_keys().count(),
-            self.hot.digest(),
-            self.hot.changes,
-            self.hot.settings().refresh_interval() / 1_000,
-            self.served,
-            self.missed
+            lines,
+            "hot keys={} digest={:016x} agreed={} of={} changes={} refresh_ms={} served={} missed={}",
+            self.tracker.hot_keys().count(),
+            self.tracker.digest(),
+            agreement.agreeing,
+            agreement.reporting,
+            self.tracker.change_count(),
+            self.tracker.settings().refresh_interval() / MICROS_PER_MILLI,
+            self.copy_hits,
+            self.copy_misses
         );
-        for (key, hot) in self.hot.hot_keys() {
-            let name = |d: &Database| self.listed.get(&ServerId(d.server)).map_or("?", |l| l.uid.as_str());
-            let guests: Vec<&str> = hot.copy_holders.iter().map(name).collect();
-            let _ = writeln!(
-                out,
-                "key group={} hash={:016x} rate={:.1} for_ms={} guests={}",
-                key.group,
-                key.hash,
-                hot.reads_per_s,
-                (now - hot.hot_since) / 1_000,
-                guests.join(",")
-            );
+        for (key, hot_key) in self.tracker.hot_keys() {
+            let _ = writeln!(lines, "{}", self.key_line(now, key, hot_key));
         }
-        out
+        lines
+    }
+
+    fn key_line(&self, now: Micros, key: Key, hot_key: &HotKey) -> String {
+        let uid = |holder: &Database| {
+            self.listed.get(&ServerId(holder.server)).map_or("?", |server| server.uid.as_str())
+        };
+        let holders: Vec<&str> = hot_key.copy_holders.iter().map(uid).collect();
+        format!(
+            "key group={} hash={:016x} rate={:.1} for_ms={} guests={}",
+            key.group,
+            key.hash,
+            hot_key.reads_per_s,
+            (now - hot_key.hot_since) / MICROS_PER_MILLI,
+            holders.join(",")
+        )
     }
 }
 
-impl Observer for Watch {
-    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
-        match seen {
+impl Observer for HotKeyObserver {
+    fn on_event(&mut self, now: Micros, event: CoreEvent<'_>) {
+        match event {
             CoreEvent::Listed { server, uid, group, primary, up, .. } => {
-                let listed = Listed { uid: uid.into(), group: group.0, primary: primary == Some(true), up };
-                self.listed.insert(server, listed);
-                self.changed = true;
+                let primary = primary == Some(true);
+                self.listed.insert(server, ListedServer { uid: uid.into(), group: group.0, primary, up });
+                self.list_changed = true;
             }
-            CoreEvent::Unlisted { server, .. } => self.changed |= self.listed.remove(&server).is_some(),
+            CoreEvent::Unlisted { server, .. } => self.list_changed |= self.listed.remove(&server).is_some(),
             CoreEvent::CopyRead { group, key, server, position } => {
-                self.served += u64::from(position.is_some());
-                self.missed += u64::from(position.is_none());
+                self.copy_hits += u64::from(position.is_some());
+                self.copy_misses += u64::from(position.is_none());
                 let key = self.key(group.0, key);
-                self.hot.record_answer(now, key, server.0, position);
+                self.tracker.record_answer(now, key, server.0, position);
             }
             _ => {}
         }
     }
 }
 
-impl CopyLocator for Watch {
-    fn locate_copies(&mut self, now: Micros, asked: &ReadDescription<'_>) -> Vec<CopyCandidate> {
-        if needs(asked.consistency) == Needs::Current {
+impl CopyLocator for HotKeyObserver {
+    fn locate_copies(&mut self, now: Micros, read: &ReadDescription<'_>) -> Vec<CopyCandidate> {
+        if copy_requirement(read.consistency) == CopyRequirement::Current {
             return Vec::new();
         }
-        let key = self.key(asked.group.0, asked.key);
-        self.hot.record_read(now, key, asked.key);
-        let candidate =
-            |(server, likely_position)| CopyCandidate { server: ServerId(server), likely_position };
-        self.hot.copy_candidates(now, key).into_iter().map(candidate).collect()
+        let key = self.key(read.group.0, read.key);
+        self.tracker.record_read(now, key, read.key);
+        let candidates = self.tracker.copy_candidates(now, key);
+        candidates
+            .into_iter()
+            .map(|candidate| CopyCandidate {
+                server: ServerId(candidate.server),
+                likely_position: candidate.likely_position,
+            })
+            .collect()
     }
 }
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,6 +1,8 @@
 //! Figures of work that no client waits for, and of what it is done for: each is named once, here.
 
+use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::Counts;
+use birchreach_hot_keys::HotKeyTracker;
 use birchreach_shard_split::{self as split, Verdict};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode_registry;
@@ -91,11 +93,13 @@
         }
     }
 
-    pub fn hot(&self, keys: usize, changes: u64, served: u64, missed: u64, differ: usize) {
-        self.keys.set(i64::try_from(keys).unwrap_or(i64::MAX));
-        self.differ.set(i64::try_from(differ).unwrap_or(i64::MAX));
-        set(&self.changes, changes);
-        for (end, n) in [("served", served), ("missed", missed)] {
+    pub fn hot(&self, tracker: &HotKeyTracker, copy_reads: CopyReadCounts) {
+        let agreement = tracker.agreement();
+        let differing = agreement.reporting - agreement.agreeing;
+        self.keys.set(i64::try_from(tracker.hot_keys().count()).unwrap_or(i64::MAX));
+        self.differ.set(i64::try_from(differing).unwrap_or(i64::MAX));
+        set(&self.changes, tracker.change_count());
+        for (end, n) in [("served", copy_reads.hits), ("missed", copy_reads.misses)] {
             set(&self.reads.get_or_create(&Of { kind: "guest", end }), n);
         }
     }
--- a/proxy/src/net/background/copies.rs
+++ b/proxy/src/net/background/copies.rs
@@ -2,7 +2,7 @@
 
 use super::{Background, What};
 use crate::background_query::BackgroundQueryResult;
-use crate::hot::Watch;
+use crate::hot::HotKeyObserver;
 use crate::pg::copies;
 use birchreach::{AttemptOutcome, Micros, Role};
 use birchreach_background_tasks::{Task, TaskKind};
@@ -43,7 +43,7 @@
         let Some(watch) = self.hot.clone() else { return };
         match copying {
             Copying::Read(due) => {
-                let refresh = watch.borrow().hot.settings().refresh_interval();
+                let refresh = watch.borrow().tracker.settings().refresh_interval();
                 // Of a replica: a primary may have been deposed and not know it, and claims the present.
                 let note = |n: usize| done.replies.get(n)?.status.filter(|note| note.role == Role::Replica);
                 let position = |n: usize| note(n)?.position;
@@ -54,14 +54,21 @@
                 let nonsense = done.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error);
                 let long = copy.as_ref().is_some_and(|copy| copy.value.len() > copies::MAX_COPY_BYTES);
                 if nonsense || long {
-                    watch.borrow_mut().hot.mark_uncopyable(due.key, now + SPOILT);
+                    watch.borrow_mut().tracker.mark_uncopyable(due.key, now + SPOILT);
                     return self.metrics.copy(if long { "long" } else { "unreadable" });
                 }
                 let Some(copy) = copy else { return self.metrics.copy("unread") };
-                for (guest, group) in due.holders {
+                for holder in due.holders {
                     let (key, text, blob) = (due.key, due.key_bytes.clone(), copy.value.clone());
                     let position = copy.position;
-                    let what = What::Copy(Copying::Write { key, text, guest, group, position, blob });
+                    let what = What::Copy(Copying::Write {
+                        key,
+                        text,
+                        guest: holder.server,
+                        group: holder.group,
+                        position,
+                        blob,
+                    });
                     self.scheduler.submit(Task {
                         kind: TaskKind::CopyWrite,
                         expires_at: now + refresh,
@@ -72,7 +79,7 @@
             Copying::Write { key, guest, .. } => {
                 self.metrics.copy(if done.complete { "written" } else { "unwritten" });
                 if done.complete {
-                    watch.borrow_mut().hot.record_copy_written(now, key, guest);
+                    watch.borrow_mut().tracker.record_copy_written(now, key, guest);
                 }
             }
         }
@@ -80,12 +87,12 @@
 }
 
 /// Keys that have become hot, and those that are no more.
-pub(super) fn tell_changes(watch: &Watch, before: &[Key]) {
-    for (key, hot) in watch.hot.hot_keys().filter(|(key, _)| !before.contains(key)) {
+pub(super) fn tell_changes(watch: &HotKeyObserver, before: &[Key]) {
+    for (key, hot) in watch.tracker.hot_keys().filter(|(key, _)| !before.contains(key)) {
         let (hash, rate) = (format!("{:016x}", key.hash), format!("{:.1}", hot.reads_per_s));
         info!(event = "hot-key", group = key.group, hash, rate, guests = hot.copy_holders.len());
     }
-    for key in before.iter().filter(|key| watch.hot.hot_keys().all(|(other, _)| other != **key)) {
+    for key in before.iter().filter(|key| watch.tracker.hot_keys().all(|(other, _)| other != **key)) {
         info!(event = "hot-key-over", group = key.group, hash = format!("{:016x}", key.hash));
     }
 }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -10,7 +10,7 @@
 use super::pool::Pool;
 use crate::background_query::BackgroundQueryResult;
 use crate::core::Core;
-use crate::hot::Watch;
+use crate::hot::HotKeyObserver;
 use crate::metrics::Metrics;
 use crate::observe::Shared;
 use crate::split;
@@ -66,7 +66,7 @@
     /// Ids of statements that no client sent: by this boot and a count.
     boot: u64,
     sent: u64,
-    hot: Option<Shared<Watch>>,
+    hot: Option<Shared<HotKeyObserver>>,
     split: Option<Shared<split::Watch>>,
     /// How often a comparison was started: answers to an earlier one are not its.
     started: u64,
@@ -102,7 +102,7 @@
                 (HOT, Some(watch)) => {
                     let mut watch = watch.borrow_mut();
                     if let Err(why) =
-                        watch.hot.receive_report(now, told.origin, told.sequence, told.age, &told.payload)
+                        watch.tracker.receive_report(now, told.origin, told.sequence, told.age, &told.payload)
                     {
                         self.metrics.refuse("hot", why.as_str());
                     }
@@ -125,7 +125,7 @@
 
     /// What this process tells, if it is time.
     fn say(&mut self, now: Micros) -> Vec<(u8, Vec<u8>)> {
-        let hot = self.hot.as_ref().and_then(|watch| watch.borrow_mut().hot.report_if_due(now));
+        let hot = self.hot.as_ref().and_then(|watch| watch.borrow_mut().tracker.report_if_due(now));
         let split = self.split.as_ref().and_then(|watch| watch.borrow_mut().split.report_if_due(now));
         hot.map(|said| (HOT, said)).into_iter().chain(split.map(|said| (SPLIT, said))).collect()
     }
@@ -135,14 +135,14 @@
         self.compare(now, members, interval);
         let Some(shared) = self.hot.clone() else { return };
         let mut watch = shared.borrow_mut();
-        watch.relist();
-        watch.hot.set_fleet(members, interval);
-        let before: Vec<_> = watch.hot.hot_keys().map(|(key, _)| key).collect();
-        if watch.hot.update(now) {
+        watch.apply_list_changes();
+        watch.tracker.set_fleet(members, interval);
+        let before: Vec<_> = watch.tracker.hot_keys().map(|(key, _)| key).collect();
+        if watch.tracker.update(now) {
             copies::tell_changes(&watch, &before);
         }
-        let refresh = watch.hot.settings().refresh_interval();
-        for due in watch.hot.due_copies(now) {
+        let refresh = watch.tracker.settings().refresh_interval();
+        for due in watch.tracker.due_copies(now) {
             let task = Task {
                 kind: TaskKind::RowRead,
                 expires_at: now + refresh,
@@ -195,7 +195,7 @@
     }
 
     fn next_change(&self, now: Micros) -> Micros {
-        let hot = self.hot.as_ref().map_or(Micros::MAX, |watch| watch.borrow().hot.next_change(now));
+        let hot = self.hot.as_ref().map_or(Micros::MAX, |watch| watch.borrow().tracker.next_change(now));
         // What waits for room, or for its part of a budget, is looked at again.
         let waits = if self.scheduler.queued_count() > 0 { now + 20_000 } else { Micros::MAX };
         let split = self.split.as_ref().map_or(Micros::MAX, |watch| watch.borrow().split.next_change(now));
--- a/proxy/src/net/background/show.rs
+++ b/proxy/src/net/background/show.rs
@@ -7,7 +7,7 @@
 impl Background {
     pub fn hot_lines(&self, now: Micros, divisor: u32) -> Option<String> {
         let watch = self.hot.as_ref()?;
-        Some(watch.borrow().lines(now) + &self.scheduler_lines(divisor))
+        Some(watch.borrow().status_lines(now) + &self.scheduler_lines(divisor))
     }
 
     /// The scheduler, a line for each kind.
@@ -45,14 +45,7 @@
         }
         if let Some(watch) = &self.hot {
             let watch = watch.borrow();
-            let (agreed, of) = watch.hot.agreement();
-            self.metrics.hot(
-                watch.hot.hot_keys().count(),
-                watch.hot.changes,
-                watch.served,
-                watch.missed,
-                of - agreed,
-            );
+            self.metrics.hot(&watch.tracker, watch.copy_read_counts());
         }
         if let Some(watch) = &self.split {
             let watch = watch.borrow();
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -1,7 +1,7 @@
 //! How the loop comes by work that no client waits for, and how it lends it what it needs.
 
 use super::Background;
-use crate::hot::{Watch, settings};
+use crate::hot::{HotKeyObserver, settings};
 use crate::net::EventLoop;
 use crate::net::timer_events::TimerEvent;
 use crate::observe::{CopyLocator, Observer, Shared, shared};
@@ -43,7 +43,7 @@
             self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.context.now)));
         match (&options, background.hot.clone()) {
             (Some(options), Some(watch)) => {
-                watch.borrow_mut().hot.update_settings(settings(
+                watch.borrow_mut().tracker.update_settings(settings(
                     options,
                     named,
                     &self.context.core.consistencies(),
@@ -51,8 +51,12 @@
             }
             (Some(options), None) => {
                 let settings = settings(options, named, &self.context.core.consistencies());
-                let watch =
-                    shared(Watch::new(settings, boot, keys.name_hasher(b"hot keys"), self.context.now));
+                let watch = shared(HotKeyObserver::new(
+                    settings,
+                    boot,
+                    keys.name_hasher(b"hot keys"),
+                    self.context.now,
+                ));
                 self.context.core.subscribe(self.context.now, watch.clone());
                 self.context.core.add_copy_locator(watch.clone());
                 background.hot = Some(watch);
