--- a/benches/src/cost.rs
+++ b/benches/src/cost.rs
@@ -1,9 +1,9 @@
 //! What balancer checks cost the proxy, what requests lose by them, and what a log line costs. Modes take turns within one run.
 
 use crate::{Done, Times};
-use birchreach_test_support::balancer::{Check, check};
+use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::Client;
-use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -55,10 +55,10 @@
 pub fn run(program: &Path, folder: &Path, rounds: u32) -> Done {
     let rig = Rig::new(2, [127, 93, 0, 1], program, folder)?;
     let without_checks = rig.start(1, None, None)?;
-    let with_checks = rig.start_with_doors(2, 64, "")?;
+    let with_checks = rig.start_with_checks(2, 64, "")?;
     let addresses = CheckAddresses {
-        http: with_checks.checks("http").ok_or("no http")?,
-        agent: with_checks.checks("agent").ok_or("no agent")?,
+        http: with_checks.check_address("http").ok_or("no http")?,
+        agent: with_checks.check_address("agent").ok_or("no agent")?,
     };
     print_check_costs(&with_checks, addresses)?;
     let mut costs: Vec<Cost> = MODES.iter().map(|_| Cost::default()).collect();
@@ -80,9 +80,10 @@
 fn print_check_costs(process: &Process, addresses: CheckAddresses) -> Done {
     let CheckAddresses { http, agent } = addresses;
     println!("| check | CPU of the proxy, us each |\n| --- | --- |");
-    let cost = mean_cpu(process, CALLS, || drop(check(http, &Check::Http("/ready".into()), PATIENCE)));
+    let cost = mean_cpu(process, CALLS, || drop(run_check(http, &Check::Http("/ready".into()), MAX_WAIT)));
     println!("| HTTP `/ready`, a connection each | {cost:.1} |");
-    let cost = mean_cpu(process, CALLS, || drop(check(agent, &Check::Agent("file-entry".into()), PATIENCE)));
+    let cost =
+        mean_cpu(process, CALLS, || drop(run_check(agent, &Check::Agent("file-entry".into()), MAX_WAIT)));
     println!("| agent-check `file-entry`, a connection each | {cost:.1} |");
     let mut connection = TcpStream::connect(http)?;
     connection.set_nodelay(true)?;
@@ -118,7 +119,7 @@
 
 /// Requests for the time of a slice, beside what the mode has of checks.
 fn measure_slice(process: &Process, mode: Mode, addresses: CheckAddresses) -> Result<Cost, &'static str> {
-    let clients = process.clients().ok_or("no clients")?;
+    let clients = process.client_address().ok_or("no clients")?;
     let stop = AtomicBool::new(false);
     Ok(thread::scope(|scope| {
         let stop = &stop;
@@ -126,7 +127,7 @@
         for poller in 0..pollers {
             scope.spawn(move || poll(poller, addresses, stop));
         }
-        let before = process.cpu().unwrap_or_default();
+        let before = process.cpu_time().unwrap_or_default();
         let times = request_for(clients, SLICE);
         stop.store(true, Ordering::Relaxed);
         Cost { times, cpu_micros: cpu_micros_since(process, before) }
@@ -136,8 +137,8 @@
 fn poll(poller: usize, addresses: CheckAddresses, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
         let _ = match poller % 2 {
-            0 => check(addresses.http, &Check::Http("/ready".into()), PATIENCE),
-            _ => check(addresses.agent, &Check::Agent("file-entry".into()), PATIENCE),
+            0 => run_check(addresses.http, &Check::Http("/ready".into()), MAX_WAIT),
+            _ => run_check(addresses.agent, &Check::Agent("file-entry".into()), MAX_WAIT),
         };
         thread::sleep(POLL_INTERVAL);
     }
@@ -190,14 +191,14 @@
 
 /// Mean CPU microseconds of the process for each of so many calls.
 fn mean_cpu(process: &Process, calls: u64, mut call: impl FnMut()) -> f64 {
-    let before = process.cpu().unwrap_or_default();
+    let before = process.cpu_time().unwrap_or_default();
     (0..calls).for_each(|_| call());
     thread::sleep(SETTLING_TIME);
     cpu_micros_since(process, before) / calls as f64
 }
 
 fn cpu_micros_since(process: &Process, before: Duration) -> f64 {
-    process.cpu().unwrap_or_default().saturating_sub(before).as_secs_f64() * 1e6
+    process.cpu_time().unwrap_or_default().saturating_sub(before).as_secs_f64() * 1e6
 }
 
 /// Clients that connect and leave, each with a line in the log: within the rate limit it is written, beyond it it is dropped.
@@ -215,7 +216,7 @@
     );
     for round in 0..rounds {
         for (process, (name, _)) in processes.iter().zip(&rigs) {
-            let address = process.clients().ok_or("no clients")?;
+            let address = process.client_address().ok_or("no clients")?;
             let connect = || drop(TcpStream::connect(address));
             thread::sleep(PAUSE);
             let written = mean_cpu(process, 200, connect);
--- a/benches/src/crowd.rs
+++ b/benches/src/crowd.rs
@@ -1,9 +1,9 @@
 //! Responses to balancers while 1,000 clients crowd the proxy and 200 checkers poll it, 50 of which send or read nothing.
 
 use crate::{Done, Times};
-use birchreach_test_support::balancer::{Check, check};
+use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::{Client, Reply};
-use birchreach_test_support::process::PATIENCE;
+use birchreach_test_support::process::MAX_WAIT;
 use birchreach_test_support::rig::Rig;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -47,11 +47,11 @@
 /// Runs the measurement and prints its tables.
 pub fn run(program: &Path, folder: &Path, seconds: u64) -> Done {
     let rig = Rig::new(GROUPS as u32, [127, 92, 0, 1], program, folder)?;
-    let proxy = rig.start_with_doors(1, MAX_CHECK_CONNECTIONS, "")?;
+    let proxy = rig.start_with_checks(1, MAX_CHECK_CONNECTIONS, "")?;
     let addresses = Addresses {
-        clients: proxy.clients().ok_or("no clients")?,
-        http: proxy.checks("http").ok_or("no http")?,
-        agent: proxy.checks("agent").ok_or("no agent")?,
+        clients: proxy.client_address().ok_or("no clients")?,
+        http: proxy.check_address("http").ok_or("no http")?,
+        agent: proxy.check_address("agent").ok_or("no agent")?,
     };
     let until = Instant::now() + Duration::from_secs(seconds);
     let counts = Counts::default();
@@ -67,8 +67,8 @@
             scope.spawn(move || run_checks(checker, addresses, until, counts));
         }
     });
-    let memory_kib = proxy.memory().unwrap_or(0);
-    print_tables(counts, seconds, rig.sockets, memory_kib);
+    let memory_kib = proxy.resident_memory_kib().unwrap_or(0);
+    print_tables(counts, seconds, rig.max_descriptors, memory_kib);
     Ok(())
 }
 
@@ -117,7 +117,7 @@
     thread::sleep(Duration::from_millis(CHECKER_STAGGER_MS * checker as u64));
     while Instant::now() < until {
         let start = Instant::now();
-        match check(address, &kind, PATIENCE) {
+        match run_check(address, &kind, MAX_WAIT) {
             Ok(_) => times.add(start.elapsed()),
             Err(_) => drop(counts.checks_without_response.fetch_add(1, Ordering::Relaxed)),
         }
--- a/benches/src/hangs.rs
+++ b/benches/src/hangs.rs
@@ -2,9 +2,9 @@
 //! withdrawn where nothing stopped responding.
 
 use crate::{Done, Times};
-use birchreach_test_support::balancer::{Balancer, Check, Rules, check};
+use birchreach_test_support::balancer::{Balancer, Check, CheckPolicy, run_check};
 use birchreach_test_support::client::Client;
-use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::rig::Rig;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 const PROBES: &str =
     "<probes every-ms='600' suspect-ms='300' timeout-ms='400' group-per-s='10' whole-per-s='80'/>";
 /// How often the balancer checks, and how many checks in a row change its mind.
-const BALANCER_RULES: Rules =
-    Rules { every: Duration::from_millis(500), timeout: PATIENCE, rise: 1, fall: 2 };
+const BALANCER_RULES: CheckPolicy =
+    CheckPolicy { interval: Duration::from_millis(500), timeout: MAX_WAIT, rise: 1, fall: 2 };
 
 /// A measurement of how soon a hang is reported.
 struct HangCase {
@@ -71,7 +71,7 @@
     ];
     for (number, case) in cases.into_iter().enumerate() {
         let rig = Rig::new(GROUPS as u32, [127, 90, number as u8, 1], program, folder)?;
-        let proxy = rig.start_with_doors(1, 64, &case.options)?;
+        let proxy = rig.start_with_checks(1, 64, &case.options)?;
         let times = measure_hangs(&rig, &proxy, &case, hangs, seed)?;
         println!("| {}: told | {} |", case.name, times.reported.row());
         println!("| {}: a balancer acts (every 500 ms, fall 2) | {} |", case.name, times.acted.row());
@@ -92,12 +92,12 @@
     duration: Duration,
 ) -> Result<(usize, usize), Box<dyn Error>> {
     for group in &rig.groups {
-        group.primary.delay("heavy", Duration::from_millis(case.heavy_ms));
+        group.primary.set_delay("heavy", Duration::from_millis(case.heavy_ms));
     }
-    let proxy = rig.start_with_doors(1, 64, case.options)?;
+    let proxy = rig.start_with_checks(1, 64, case.options)?;
     let until = Instant::now() + duration;
     let served = AtomicUsize::new(0);
-    let clients = proxy.clients().ok_or("it does not serve")?;
+    let clients = proxy.client_address().ok_or("it does not serve")?;
     // The log is read at the end of the time, while clients still finish their last write: what is withdrawn later is no
     // part of the run.
     let withdrawn = thread::scope(|scope| {
@@ -135,7 +135,7 @@
     hangs: usize,
     seed: u64,
 ) -> Result<ReactionTimes, String> {
-    let clients = proxy.clients().ok_or("it does not serve")?;
+    let clients = proxy.client_address().ok_or("it does not serve")?;
     let stopped = AtomicBool::new(false);
     let cycles = hangs.div_ceil(GROUPS);
     let mut times = ReactionTimes::default();
@@ -180,36 +180,36 @@
     cycles: usize,
     seed: u64,
 ) -> Result<ReactionTimes, String> {
-    let clients = proxy.clients().ok_or("it does not serve")?;
-    let http = proxy.checks("http").ok_or("no checks")?;
-    let agent = proxy.checks("agent").ok_or("no checks")?;
+    let clients = proxy.client_address().ok_or("it does not serve")?;
+    let http = proxy.check_address("http").ok_or("no checks")?;
+    let agent = proxy.check_address("agent").ok_or("no checks")?;
     let is_available =
-        || check(http, &Check::Http(format!("/group/{group}/write")), PATIENCE).is_ok_and(|told| told.up);
+        || run_check(http, &Check::Http(format!("/group/{group}/write")), MAX_WAIT).is_ok_and(|told| told.up);
     let mut rng = fastrand::Rng::with_seed(seed);
     let balancer =
         Balancer::start(&[(agent, clients)], &Check::Agent(format!("group={group} write")), &BALANCER_RULES);
     let mut times = ReactionTimes::default();
     for _ in 0..cycles {
         let start = Instant::now();
-        while !is_available() || !balancer.wait(0, true, Duration::ZERO) {
-            if start.elapsed() > 3 * PATIENCE {
+        while !is_available() || !balancer.wait_for_state(0, true, Duration::ZERO) {
+            if start.elapsed() > 3 * MAX_WAIT {
                 return Err(format!("group {group} does not come back"));
             }
             thread::sleep(Duration::from_millis(10));
         }
         thread::sleep(Duration::from_millis(600 + rng.u64(0..800)));
         let start = Instant::now();
-        rig.groups[group].primary.hang(true);
+        rig.groups[group].primary.set_hung(true);
         while is_available() {
-            if start.elapsed() > PATIENCE {
+            if start.elapsed() > MAX_WAIT {
                 return Err(format!("group {group}: a hang was never told"));
             }
             thread::sleep(Duration::from_millis(5));
         }
         times.reported.add(start.elapsed());
-        balancer.wait(0, false, PATIENCE);
+        balancer.wait_for_state(0, false, MAX_WAIT);
         times.acted.add(start.elapsed());
-        rig.groups[group].primary.hang(false);
+        rig.groups[group].primary.set_hung(false);
     }
     Ok(times)
 }
--- a/benches/src/view.rs
+++ b/benches/src/view.rs
@@ -2,9 +2,9 @@
 //! removed though they are well, and processor time and bytes of each.
 
 use crate::Done;
-use birchreach_test_support::fleet::{Fleet, ask, settled, word};
+use birchreach_test_support::fleet::{Fleet, admin_call, check_settled, fleet_value};
 use birchreach_test_support::process::Process;
-use birchreach_test_support::relay::Rules;
+use birchreach_test_support::relay::NetworkFaults;
 use std::path::Path;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -26,13 +26,13 @@
 
 fn agreed(all: &[Process]) -> String {
     let all: Vec<&Process> = all.iter().collect();
-    until(|| settled(all.len(), &all).is_ok())
+    until(|| check_settled(all.len(), &all).is_ok())
 }
 
 /// A figure of all processes' metrics.
 fn sum(all: &[Process], name: &str) -> f64 {
     let of = |p: &Process| {
-        let text = ask(p, "metrics");
+        let text = admin_call(p, "metrics");
         let value = text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse::<f64>().ok());
         value.unwrap_or(0.0)
     };
@@ -50,10 +50,10 @@
     );
     for (n, loss) in [0.0, 0.05, 0.2].into_iter().enumerate() {
         let fleet = Fleet::new(processes, [127, 91, n as u8, 1], program, folder, seed)?;
-        fleet.relays.set(Rules { loss, ..Rules::default() });
+        fleet.relays.set_faults(NetworkFaults { loss_fraction: loss, ..NetworkFaults::default() });
         let mut all = (0..processes).map(|n| fleet.start(n, None)).collect::<Result<Vec<_>, _>>()?;
         let join = agreed(&all);
-        let cpu = |all: &[Process]| all.iter().filter_map(Process::cpu).sum::<Duration>().as_secs_f64();
+        let cpu = |all: &[Process]| all.iter().filter_map(Process::cpu_time).sum::<Duration>().as_secs_f64();
         let bytes = |all: &[Process]| sum(all, "birchreach_fleet_bytes_total{way=\"Sent\"}");
         let (before, sent, removed) = (cpu(&all), bytes(&all), removals(&all));
         sleep(QUIET);
@@ -65,12 +65,15 @@
         let others: Vec<&Process> =
             all.iter().enumerate().filter(|(n, _)| *n != one).map(|(_, p)| p).collect();
         let short = (processes - 1).to_string();
-        let crash = until(|| others.iter().all(|p| word(p, "members=") == short));
+        let crash = until(|| others.iter().all(|p| fleet_value(p, "members=") == short));
         all[one] = fleet.start(one, None)?;
         let back = agreed(&all);
-        fleet.relays.set(Rules { loss, ..Rules::halves(processes / 2, processes) });
+        fleet.relays.set_faults(NetworkFaults {
+            loss_fraction: loss,
+            ..NetworkFaults::partition(processes / 2, processes)
+        });
         sleep(QUIET);
-        fleet.relays.set(Rules { loss, ..Rules::default() });
+        fleet.relays.set_faults(NetworkFaults { loss_fraction: loss, ..NetworkFaults::default() });
         let heal = agreed(&all);
         all[one].signal("STOP");
         sleep(Duration::from_secs(20));
--- a/example/local-cluster/src/main.rs
+++ b/example/local-cluster/src/main.rs
@@ -5,8 +5,8 @@
 //! for real use.
 
 use birchreach_test_support::database::Database;
-use birchreach_test_support::discovery::{Discovery, Line};
-use birchreach_test_support::process::{Process, Setup};
+use birchreach_test_support::discovery::{Discovery, ListedDatabase};
+use birchreach_test_support::process::{Process, ProcessSettings};
 use clap::Parser;
 use serde_json::{Value, json};
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -74,12 +74,12 @@
         let rows = Arc::default();
         let primary = Database::start(loopback(PRIMARY_PORT), true, &rows, true)?;
         let replica = Database::start(loopback(REPLICA_PORT), false, &rows, true)?;
-        let listed = |uid: &str, primary, database: &Database| Line {
+        let listed = |uid: &str, primary, database: &Database| ListedDatabase {
             uid: uid.into(),
             endpoint: database.address(),
             group: 0,
             state: "up",
-            boot_ms: 0,
+            started_at_ms: 0,
             primary,
         };
         let list = vec![listed("local-primary", true, &primary), listed("local-replica", false, &replica)];
@@ -118,16 +118,16 @@
     fn start(&self, number: u16) -> io::Result<Process> {
         let name = proxy_name(number);
         let options = self.options(number);
-        let mut process = Process::start(&Setup {
+        let mut process = Process::start(&ProcessSettings {
             program: &self.program,
             folder: &self.folder,
             name: &name,
             config: &self.configuration(number)?,
             options: (self.count > 1).then_some(&options),
-            inherited: None,
-            descriptors: None,
+            inherited_listener: None,
+            max_descriptors: None,
         })?;
-        let serving = process.serves();
+        let serving = process.wait_until_serving();
         serving.ok_or_else(|| io::Error::other(format!("{name} does not serve: {:?}", process.log())))?;
         Ok(process)
     }
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! The view of the fleet on real processes, with relays between them: cuts, kills, stops, restarts, and what is no datagram of ours.
 
-use birchreach_test_support::fleet::{Fleet, ask, settled, word};
-use birchreach_test_support::process::{PATIENCE, Process};
-use birchreach_test_support::relay::Rules;
+use birchreach_test_support::fleet::{Fleet, admin_call, check_settled, fleet_value};
+use birchreach_test_support::process::{MAX_WAIT, Process};
+use birchreach_test_support::relay::NetworkFaults;
 use birchreach_test_support::schedule::Schedule;
 use std::net::{TcpListener, UdpSocket};
 use std::path::Path;
@@ -16,8 +16,8 @@
 
 fn settle(what: &str, members: usize, all: &[&Process]) {
     let start = Instant::now();
-    while let Err(views) = settled(members, all) {
-        assert!(start.elapsed() < 2 * PATIENCE, "{what}: {views}");
+    while let Err(views) = check_settled(members, all) {
+        assert!(start.elapsed() < 2 * MAX_WAIT, "{what}: {views}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -29,22 +29,27 @@
     let of = |all: &[Process], which: std::ops::Range<usize>| -> Vec<u32> {
         which.map(|n| all[n].pid()).collect()
     };
-    let views = |all: &[Process]| all.iter().map(|p| word(p, "boot=")).collect::<Vec<_>>();
+    let views = |all: &[Process]| all.iter().map(|p| fleet_value(p, "boot=")).collect::<Vec<_>>();
     settle("join", 5, &all.iter().collect::<Vec<_>>());
     // Two against three, with datagrams that come twice, late, in another order, and spoilt.
-    let rules = Rules { twice: 0.1, spoilt: 0.05, delay: Duration::from_millis(30), ..Rules::halves(2, 5) };
-    fleet.relays.set(rules.clone());
+    let rules = NetworkFaults {
+        duplicate_fraction: 0.1,
+        corrupt_fraction: 0.05,
+        max_delay: Duration::from_millis(30),
+        ..NetworkFaults::partition(2, 5)
+    };
+    fleet.relays.set_faults(rules.clone());
     settle("the two", 2, &all[..2].iter().collect::<Vec<_>>());
     settle("the three", 3, &all[2..].iter().collect::<Vec<_>>());
-    assert_eq!(word(&all[0], "divisor="), "5", "two never act as if they were all");
-    fleet.relays.set(Rules { cut: Default::default(), ..rules });
+    assert_eq!(fleet_value(&all[0], "divisor="), "5", "two never act as if they were all");
+    fleet.relays.set_faults(NetworkFaults { blocked: Default::default(), ..rules });
     settle("heal", 5, &all.iter().collect::<Vec<_>>());
     // One is stopped until all others hold it for gone, and goes on.
     all[4].signal("STOP");
     settle("stop", 4, &all[..4].iter().collect::<Vec<_>>());
     all[4].signal("CONT");
     settle("go on", 5, &all.iter().collect::<Vec<_>>());
-    all[4].line(&["event=fleet-renewed"]).expect("it was held for gone");
+    all[4].wait_for_log_line(&["event=fleet-renewed"]).expect("it was held for gone");
     // One is killed and starts anew under its name, with an empty memory.
     let (before, pids) = (views(&all), of(&all, 0..5));
     all[1].signal("KILL");
@@ -60,32 +65,32 @@
 fn strangers_change_nothing_and_a_lone_one_says_blind() {
     let fleet = fleet(2, 3);
     let one = fleet.start(0, None).unwrap();
-    one.line(&["event=fleet ", "state=blind"]).expect("it hears nobody");
-    let socket = UdpSocket::bind((fleet.rig.own(), 0)).unwrap();
+    one.wait_for_log_line(&["event=fleet ", "state=blind"]).expect("it hears nobody");
+    let socket = UdpSocket::bind((fleet.rig.loopback_address(), 0)).unwrap();
     for bytes in [
         &b""[..],
         b"bd",
         &[b'b'; 1_401],
         b"bd\x01\0\0\0\x01 and what else there may be, for long enough to be a datagram of ours",
     ] {
-        socket.send_to(bytes, fleet.relays.behind[0]).unwrap();
+        socket.send_to(bytes, fleet.relays.process_addresses[0]).unwrap();
     }
     let start = Instant::now();
-    while !ask(&one, "metrics").contains("reason=\"wrong-code\"} 1") {
-        assert!(start.elapsed() < PATIENCE, "{}", ask(&one, "metrics"));
+    while !admin_call(&one, "metrics").contains("reason=\"wrong-code\"} 1") {
+        assert!(start.elapsed() < MAX_WAIT, "{}", admin_call(&one, "metrics"));
     }
-    let metrics = ask(&one, "metrics");
+    let metrics = admin_call(&one, "metrics");
     assert!(
         metrics.contains("\nbirchreach_fleet_dropped_total{reason=\"no-datagram\"} 3")
             && metrics.ends_with("# EOF\n"),
         "{metrics}"
     );
-    assert_eq!((word(&one, "state="), word(&one, "members=")), ("blind".into(), "1".into()));
+    assert_eq!((fleet_value(&one, "state="), fleet_value(&one, "members=")), ("blind".into(), "1".into()));
     // Without the options none of it is there.
     let plain = fleet.rig.start(9, None, None).unwrap();
     assert!(
-        ask(&plain, "fleet").starts_with("NO no such call")
-            && ask(&plain, "metrics").starts_with("NO no such call")
+        admin_call(&plain, "fleet").starts_with("NO no such call")
+            && admin_call(&plain, "metrics").starts_with("NO no such call")
     );
     // Two copies of one configuration: both are there, and it is told.
     let two = fleet.start(1, None).unwrap();
@@ -95,24 +100,24 @@
 #[test]
 fn of_two_processes_of_one_proxy_one_speaks() {
     let fleet = fleet(3, 3);
-    let shared = TcpListener::bind((fleet.rig.own(), 0)).unwrap();
+    let shared = TcpListener::bind((fleet.rig.loopback_address(), 0)).unwrap();
     let mut predecessor = fleet.start(0, Some(&shared)).unwrap();
     let (one, two) = (fleet.start(1, None).unwrap(), fleet.start(2, None).unwrap());
     settle("join", 3, &[&predecessor, &one, &two]);
-    let before = word(&predecessor, "boot=");
+    let before = fleet_value(&predecessor, "boot=");
     // The successor comes beside it, under the same name and at the same address: the predecessor says goodbye, and the successor is there.
     let successor = fleet.start(0, Some(&shared)).unwrap();
-    successor.line(&["event=fleet-listening"]).expect("the predecessor gives the address up");
+    successor.wait_for_log_line(&["event=fleet-listening"]).expect("the predecessor gives the address up");
     settle("handover", 3, &[&successor, &one, &two]);
-    assert_ne!(word(&successor, "boot="), before);
+    assert_ne!(fleet_value(&successor, "boot="), before);
     // The successor dies instead: the predecessor is there again, under a new epoch.
     drop(successor);
     settle("back", 3, &[&predecessor, &one, &two]);
-    assert_eq!(word(&predecessor, "boot="), before);
+    assert_eq!(fleet_value(&predecessor, "boot="), before);
     let successor = fleet.start(0, Some(&shared)).unwrap();
     settle("the next", 3, &[&successor, &one, &two]);
     predecessor.signal("TERM");
-    assert_eq!(predecessor.ended(), Some(0));
+    assert_eq!(predecessor.wait_for_exit(), Some(0));
     settle("and on", 3, &[&successor, &one, &two]);
     assert!(
         [&one, &two].iter().all(|p| !p.log().iter().any(|l| l.contains("event=fleet-twins"))),
@@ -125,9 +130,9 @@
 fn a_schedule_from_a_seed_settles() {
     let fleet = fleet(5, 4);
     let mut all: Vec<Option<Process>> = (0..4).map(|n| fleet.start(n, None).ok()).collect();
-    let schedule = Schedule::draw(3, 4, 6, Duration::from_secs(5));
+    let schedule = Schedule::generate(3, 4, 6, Duration::from_secs(5));
     schedule.play(&fleet, &mut all).unwrap();
-    schedule.mend(&fleet, &mut all, 2 * PATIENCE).unwrap();
+    schedule.recover(&fleet, &mut all, 2 * MAX_WAIT).unwrap();
     let links = |p: &Process| p.log().iter().any(|l| l.contains("conn=fleet") && l.contains("reason=heard"));
     assert!(all.iter().flatten().any(links), "nobody has told another all that it knows");
 }
--- a/proxy/tests/grpc.rs
+++ b/proxy/tests/grpc.rs
@@ -1,6 +1,6 @@
 //! gRPC health on a real process, with h2's client polled by hand over a loopback socket.
 
-use birchreach_test_support::process::PATIENCE;
+use birchreach_test_support::process::MAX_WAIT;
 use birchreach_test_support::rig::Rig;
 use bytes::Bytes;
 use h2::RecvStream;
@@ -125,7 +125,7 @@
         if let Poll::Ready(value) = poll(&mut context) {
             return value;
         }
-        assert!(start.elapsed() < PATIENCE, "no reply");
+        assert!(start.elapsed() < MAX_WAIT, "no reply");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -147,7 +147,7 @@
 fn send_noise(address: SocketAddr) {
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff", b""] {
         let mut stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
         stream.write_all(bytes).unwrap();
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
@@ -163,14 +163,14 @@
     let options = format!(
         "<birchreach-options><health><grpc listen='{}:0' callers='8' idle-ms='600'/>\
          <probes every-ms='500' suspect-ms='300' timeout-ms='400'/></health></birchreach-options>",
-        rig.own()
+        rig.loopback_address()
     );
     let proxy = rig.start(1, Some(&options), None).unwrap();
-    let address = proxy.checks("grpc").unwrap();
+    let address = proxy.check_address("grpc").unwrap();
     let mut client = Client::connect(address);
     let start = Instant::now();
     while client.check("file-entry") != Ok(1) {
-        assert!(start.elapsed() < PATIENCE);
+        assert!(start.elapsed() < MAX_WAIT);
         thread::sleep(Duration::from_millis(20));
     }
     // Then every service is serving, and invalid calls get their status code
@@ -190,9 +190,9 @@
     assert_eq!(client.next(&mut unknown), Some(3));
     client.stay_idle(Duration::from_millis(1500));
     // When the primary stops responding, responds again, and the proxy shuts down, then the watch is sent each change
-    rig.groups[1].primary.hang(true);
+    rig.groups[1].primary.set_hung(true);
     assert_eq!(client.next(&mut watch), Some(2));
-    rig.groups[1].primary.hang(false);
+    rig.groups[1].primary.set_hung(false);
     assert_eq!(client.next(&mut watch), Some(1));
     proxy.signal("TERM");
     assert_eq!(client.next(&mut watch), Some(2));
--- a/proxy/tests/health/crowds.rs
+++ b/proxy/tests/health/crowds.rs
@@ -1,9 +1,9 @@
 //! Many connections at once, of balancers and of clients.
 
 use crate::support::{agent, http, rig, until};
-use birchreach_test_support::balancer::{Check, check};
+use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::{Client, Reply};
-use birchreach_test_support::process::PATIENCE;
+use birchreach_test_support::process::MAX_WAIT;
 use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -59,11 +59,11 @@
 fn a_crowd_of_connections_does_not_keep_balancers_from_their_answer() {
     // Given a crowd of clients and misbehaving checks
     let mut rig = rig(5, 1);
-    rig.sockets = 200;
-    let proxy = rig.start_with_doors(1, 40, "").unwrap();
-    let clients = proxy.clients().unwrap();
+    rig.max_descriptors = 200;
+    let proxy = rig.start_with_checks(1, 40, "").unwrap();
+    let clients = proxy.client_address().unwrap();
     let crowd: Vec<TcpStream> = (0..300).filter_map(|_| TcpStream::connect(clients).ok()).collect();
-    let (at, agents) = (proxy.checks("http").unwrap(), proxy.checks("agent").unwrap());
+    let (at, agents) = (proxy.check_address("http").unwrap(), proxy.check_address("agent").unwrap());
     let misbehaving = misbehaving_checks(at, agents);
     // Then every check is answered
     for _ in 0..200 {
@@ -100,11 +100,11 @@
 fn startup_checks_cost_no_place_and_floods_do_not_delay_a_restart() {
     // Given a proxy
     let mut rig = rig(8, 1);
-    rig.sockets = 200;
-    let at = (rig.free().unwrap(), rig.free().unwrap());
-    let options = Rig::options(at.0, at.1, 32, "");
+    rig.max_descriptors = 200;
+    let at = (rig.free_address().unwrap(), rig.free_address().unwrap());
+    let options = Rig::health_options(at.0, at.1, 32, "");
     let proxy = rig.start(1, Some(&options), None).unwrap();
-    let clients = proxy.clients().unwrap();
+    let clients = proxy.client_address().unwrap();
     let served = |client: &mut Client| matches!(client.read("tariff-lookup", 0, 2500), Ok(Reply::Served(_)));
     // As many idle clients as may stay: 2 in 5 of the 47 places that are left beside all that is reserved.
     let mut held: Vec<Client> = (0..18).map(|_| Client::connect(clients).unwrap()).collect();
@@ -113,7 +113,7 @@
     for n in 0..400 {
         let mut greeting = Client::connect(clients).unwrap();
         if n % 2 == 0 {
-            let _ = greeting.goodbye();
+            let _ = greeting.send_terminate();
         }
     }
     // Then no client has lost its connection, and the log is short
@@ -130,16 +130,16 @@
                 while !over.load(Ordering::Relaxed) {
                     let how =
                         if n % 2 == 0 { Check::Http("/ready".into()) } else { Check::Agent(String::new()) };
-                    let _ = check(if n % 2 == 0 { at.0 } else { at.1 }, &how, Duration::from_secs(2));
+                    let _ = run_check(if n % 2 == 0 { at.0 } else { at.1 }, &how, Duration::from_secs(2));
                 }
             });
         }
         drop(proxy);
         let again = rig.start(2, Some(&options), None).unwrap();
         until("it is ready under the flood", || {
-            check(at.1, &Check::Agent("file-entry".into()), PATIENCE).is_ok_and(|told| told.up)
+            run_check(at.1, &Check::Agent("file-entry".into()), MAX_WAIT).is_ok_and(|told| told.up)
         });
-        let mut client = Client::connect(again.clients().unwrap()).unwrap();
+        let mut client = Client::connect(again.client_address().unwrap()).unwrap();
         assert!(served(&mut client));
         over.store(true, Ordering::Relaxed);
     });
--- a/proxy/tests/health/operations.rs
+++ b/proxy/tests/health/operations.rs
@@ -1,9 +1,9 @@
 //! What operators do: change options, ask for the health, set maintenance, check a configuration.
 
 use crate::support::{PROGRAM, agent, operator, rig, until};
-use birchreach_test_support::balancer::{Check, check};
+use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::{Client, Reply};
-use birchreach_test_support::process::PATIENCE;
+use birchreach_test_support::process::MAX_WAIT;
 use birchreach_test_support::rig::Rig;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -14,28 +14,28 @@
 fn options_change_at_sighup() {
     // Given a proxy that answers checks
     let rig = rig(6, 1);
-    let (a, b, c) = (rig.free().unwrap(), rig.free().unwrap(), rig.free().unwrap());
-    let proxy = rig.start(1, Some(&Rig::options(a, b, 64, "")), None).unwrap();
-    let ask = |at: SocketAddr| check(at, &Check::Http("/ready".into()), PATIENCE);
+    let (a, b, c) = (rig.free_address().unwrap(), rig.free_address().unwrap(), rig.free_address().unwrap());
+    let proxy = rig.start(1, Some(&Rig::health_options(a, b, 64, "")), None).unwrap();
+    let ask = |at: SocketAddr| run_check(at, &Check::Http("/ready".into()), MAX_WAIT);
     until("it is ready", || ask(a).is_ok_and(|told| told.up));
     // When new options are contradictory, then nothing changes
     let config = rig.config(1);
-    proxy.reload(&config, &Rig::options(c, c, 64, "")).unwrap();
-    proxy.line(&["event=reload-failed", ":4: agent", "used by http too"]).unwrap();
+    proxy.reload(&config, &Rig::health_options(c, c, 64, "")).unwrap();
+    proxy.wait_for_log_line(&["event=reload-failed", ":4: agent", "used by http too"]).unwrap();
     assert!(ask(a).unwrap().up && ask(c).is_err());
     // When an address is in use elsewhere, then nothing changes either
-    let taken = TcpListener::bind((rig.own(), 0)).unwrap();
-    proxy.reload(&config, &Rig::options(taken.local_addr().unwrap(), b, 64, "")).unwrap();
-    proxy.line(&["event=reload-failed", "listening for http checks"]).unwrap();
+    let taken = TcpListener::bind((rig.loopback_address(), 0)).unwrap();
+    proxy.reload(&config, &Rig::health_options(taken.local_addr().unwrap(), b, 64, "")).unwrap();
+    proxy.wait_for_log_line(&["event=reload-failed", "listening for http checks"]).unwrap();
     assert!(ask(a).unwrap().up);
     // When the options are valid, then the listener moves
-    proxy.reload(&config, &Rig::options(c, b, 64, "<claims sum='all'/>")).unwrap();
+    proxy.reload(&config, &Rig::health_options(c, b, 64, "<claims sum='all'/>")).unwrap();
     until("it moves", || ask(c).is_ok_and(|told| told.up) && ask(a).is_err());
     // When there is no health element, then reporting is off until there is one again
     proxy.reload(&config, "<birchreach-options/>").unwrap();
     until("it is off", || ask(c).is_err());
     assert!(operator(&proxy, "maintenance on").starts_with("NO no such call"));
-    proxy.reload(&config, &Rig::options(a, b, 64, "")).unwrap();
+    proxy.reload(&config, &Rig::health_options(a, b, 64, "")).unwrap();
     until("it is on again", || ask(a).is_ok_and(|told| told.up));
 }
 
@@ -49,8 +49,8 @@
 fn operators_ask_and_set_maintenance() {
     // Given a proxy, then the program tells its health
     let rig = rig(7, 2);
-    let proxy = rig.start_with_doors(1, 64, "").unwrap();
-    let at = proxy.checks("http").unwrap().to_string();
+    let proxy = rig.start_with_checks(1, 64, "").unwrap();
+    let at = proxy.check_address("http").unwrap().to_string();
     until("it is ready", || run(&["health", "--at", &at]).0 == Some(0));
     let (_, text) = run(&["health", "--at", &at]);
     assert!(text.starts_with("ready: able yes, weight 100%") && text.contains("class file-entry"), "{text}");
@@ -64,7 +64,7 @@
     let (code, text) = run(&["health", "--at", &at]);
     assert!(code == Some(1) && text.starts_with("maintenance: able no"), "{text}");
     // And clients that come all the same are served
-    let mut client = Client::connect(proxy.clients().unwrap()).unwrap();
+    let mut client = Client::connect(proxy.client_address().unwrap()).unwrap();
     assert!(matches!(client.read("tariff-lookup", 0, 2500).unwrap(), Reply::Served(_)));
     // When maintenance is over, then the proxy is up again
     assert!(operator(&proxy, "maintenance off").starts_with("YES"));
@@ -96,7 +96,7 @@
     std::fs::write(json, valid).unwrap();
     std::fs::write(
         xml,
-        Rig::options("127.0.0.1:6433".parse().unwrap(), "127.0.0.1:1".parse().unwrap(), 4, ""),
+        Rig::health_options("127.0.0.1:6433".parse().unwrap(), "127.0.0.1:1".parse().unwrap(), 4, ""),
     )
     .unwrap();
     let (code, text) = run(&["check", "--config", json, "--options", xml]);
--- a/proxy/tests/health/support.rs
+++ b/proxy/tests/health/support.rs
@@ -1,8 +1,8 @@
 //! Proxies on scripted databases, and what balancers and operators ask them.
 
-use birchreach_test_support::balancer::{Check, Told, check};
+use birchreach_test_support::balancer::{Check, CheckAnswer, run_check};
 use birchreach_test_support::client::{Client, Reply};
-use birchreach_test_support::process::{PATIENCE, Process};
+use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -24,20 +24,20 @@
 pub(crate) const PROBES: &str = "<probes every-ms='500' suspect-ms='300' timeout-ms='400'/>";
 
 /// The reply to an agent-check with this line.
-pub(crate) fn agent(process: &Process, line: &str) -> Told {
-    check(process.checks("agent").unwrap(), &Check::Agent(line.into()), PATIENCE).unwrap()
+pub(crate) fn agent(process: &Process, line: &str) -> CheckAnswer {
+    run_check(process.check_address("agent").unwrap(), &Check::Agent(line.into()), MAX_WAIT).unwrap()
 }
 
 /// The response to an HTTP check of this path.
-pub(crate) fn http(process: &Process, path: &str) -> Told {
-    check(process.checks("http").unwrap(), &Check::Http(path.into()), PATIENCE).unwrap()
+pub(crate) fn http(process: &Process, path: &str) -> CheckAnswer {
+    run_check(process.check_address("http").unwrap(), &Check::Http(path.into()), MAX_WAIT).unwrap()
 }
 
 /// Waits until the condition holds.
 pub(crate) fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+        assert!(start.elapsed() < MAX_WAIT, "never: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -97,7 +97,7 @@
 
 /// The reply to an operator's call.
 pub(crate) fn operator(proxy: &Process, call: &str) -> String {
-    let mut stream = TcpStream::connect(proxy.operators().unwrap()).unwrap();
+    let mut stream = TcpStream::connect(proxy.admin_address().unwrap()).unwrap();
     writeln!(stream, "{call}").unwrap();
     let mut reply = String::new();
     stream.read_to_string(&mut reply).unwrap();
--- a/proxy/tests/hot.rs
+++ b/proxy/tests/hot.rs
@@ -1,12 +1,12 @@
 //! Hot keys on several real processes before groups that lie like databases do, with faults between them: found by all, served from
 //! copies, never stale, never over the budget.
 
-use birchreach_test_support::fleet::{ask, settled};
+use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::judge::{Read, claims, cold, doubles, stale, windows};
 use birchreach_test_support::groups::traffic::{Habit, Told, Traffic};
 use birchreach_test_support::groups::{Group, Load, Site, What};
-use birchreach_test_support::process::{PATIENCE, Process};
-use birchreach_test_support::relay::Rules;
+use birchreach_test_support::process::{MAX_WAIT, Process};
+use birchreach_test_support::relay::NetworkFaults;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -33,9 +33,9 @@
         let groups = Site::groups(4, 3, own, 20, &load).unwrap();
         let site = Site::new(groups, count, own, program, &folder, u64::from(n), more).unwrap();
         let all: Vec<Option<Process>> = (0..count).map(|n| Some(site.start(n).unwrap())).collect();
-        let proxies = Arc::new(Mutex::new(all.iter().map(|p| p.as_ref()?.clients()).collect()));
+        let proxies = Arc::new(Mutex::new(all.iter().map(|p| p.as_ref()?.client_address()).collect()));
         let rig = Rig { site, all, proxies };
-        rig.until("join", || settled(count, &rig.running()).is_ok());
+        rig.until("join", || check_settled(count, &rig.running()).is_ok());
         rig
     }
 
@@ -46,8 +46,9 @@
     fn until(&self, what: &str, mut holds: impl FnMut() -> bool) {
         let start = Instant::now();
         while !holds() {
-            let said: Vec<String> = self.running().iter().map(|p| ask(p, "hot") + &ask(p, "fleet")).collect();
-            assert!(start.elapsed() < 2 * PATIENCE, "{what}: {said:#?}");
+            let said: Vec<String> =
+                self.running().iter().map(|p| admin_call(p, "hot") + &admin_call(p, "fleet")).collect();
+            assert!(start.elapsed() < 2 * MAX_WAIT, "{what}: {said:#?}");
             sleep(Duration::from_millis(50));
         }
     }
@@ -55,13 +56,13 @@
     /// All hold so many keys for hot.
     fn hold(&self, keys: usize) -> bool {
         let word = format!("hot keys={keys} ");
-        self.running().iter().all(|p| ask(p, "hot").starts_with(&word))
+        self.running().iter().all(|p| admin_call(p, "hot").starts_with(&word))
     }
 
     /// Reads that guests served, over all.
     fn served(&self) -> u64 {
         let of = |p: &&Process| {
-            let text = ask(p, "hot");
+            let text = admin_call(p, "hot");
             text.split_whitespace().find_map(|w| w.strip_prefix("served=")?.parse::<u64>().ok()).unwrap_or(0)
         };
         self.running().iter().map(of).sum()
@@ -82,7 +83,7 @@
     fn restart(&mut self, n: usize) {
         self.all[n] = None;
         self.all[n] = Some(self.site.start(n).unwrap());
-        self.proxies.lock().unwrap()[n] = self.all[n].as_ref().and_then(Process::clients);
+        self.proxies.lock().unwrap()[n] = self.all[n].as_ref().and_then(Process::client_address);
     }
 
     /// What databases and clients recorded, held against what must be.
@@ -149,18 +150,22 @@
     guests.with(|s| s.learns(old));
     rig.site.tell();
     // Halves are cut while it is hot; one is stopped in the middle of things, and goes on.
-    rig.site.fleet.relays.set(Rules { twice: 0.1, delay: Duration::from_millis(40), ..Rules::halves(2, 5) });
+    rig.site.fleet.relays.set_faults(NetworkFaults {
+        duplicate_fraction: 0.1,
+        max_delay: Duration::from_millis(40),
+        ..NetworkFaults::partition(2, 5)
+    });
     rig.all[4].as_ref().unwrap().signal("STOP");
     sleep(Duration::from_secs(3));
     rig.all[4].as_ref().unwrap().signal("CONT");
-    rig.site.fleet.relays.set(Rules::default());
+    rig.site.fleet.relays.set_faults(NetworkFaults::default());
     // One is killed and forgets what it spent; guests lose their copies and come back cold.
     rig.restart(1);
     for group in 1..4 {
         let member = (primary(&rig.site.groups[group]) + 1) % 3;
         rig.site.restart(group, member, 500);
     }
-    rig.until("settled", || settled(5, &rig.running()).is_ok());
+    rig.until("settled", || check_settled(5, &rig.running()).is_ok());
     let before = rig.served();
     rig.until("hot again", || rig.hold(1) && rig.served() > before + 100);
     let told = traffic.stop();
@@ -180,12 +185,12 @@
     let rig = Rig::new(2, 3, HOT);
     let traffic = rig.traffic(30.0);
     rig.until("hot", || rig.hold(1) && rig.served() > 20);
-    let options = |n: usize, more: &str| rig.site.fleet.options(n).replace(HOT, more);
+    let options = |n: usize, more: &str| rig.site.fleet.options_xml(n).replace(HOT, more);
     let config = |n: usize| rig.site.fleet.rig.config(n as u64 + 1);
     for (n, p) in rig.running().iter().enumerate() {
         p.reload(&config(n), &options(n, "")).unwrap();
     }
-    rig.until("off", || rig.running().iter().all(|p| ask(p, "hot").starts_with("NO ")));
+    rig.until("off", || rig.running().iter().all(|p| admin_call(p, "hot").starts_with("NO ")));
     traffic.take();
     sleep(Duration::from_secs(1));
     let off = traffic.take();
@@ -206,7 +211,7 @@
     rig.until("hot", || rig.hold(1) && rig.served() > 50);
     rig.all.iter_mut().for_each(|p| *p = None);
     (0..3).for_each(|n| rig.restart(n));
-    rig.until("join", || settled(3, &rig.running()).is_ok());
+    rig.until("join", || check_settled(3, &rig.running()).is_ok());
     rig.until("hot again", || rig.hold(1) && rig.served() > 50);
     rig.judge(&traffic.stop());
 }
--- a/proxy/tests/ready.rs
+++ b/proxy/tests/ready.rs
@@ -22,8 +22,8 @@
 
         for process in started {
             let process = process.join().unwrap().unwrap();
-            let mut balancer = Client::connect(process.clients().unwrap()).unwrap();
-            balancer.run("").unwrap();
+            let mut balancer = Client::connect(process.client_address().unwrap()).unwrap();
+            balancer.run_statement("").unwrap();
         }
     });
 }
--- a/proxy/tests/slow_reader.rs
+++ b/proxy/tests/slow_reader.rs
@@ -14,7 +14,7 @@
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let rig = Rig::new(1, [127, 88, 221, 1], program, &folder).unwrap();
     let process = rig.start(1, None, None).unwrap();
-    let at = process.clients().unwrap();
+    let at = process.client_address().unwrap();
     let mut other = Client::connect(at).unwrap();
     let written = other.write_key("file-entry", 0, "long", &"ab".repeat(30_000), 3000).unwrap();
     assert!(matches!(written, Reply::Served(_)), "{written:?}");
@@ -29,10 +29,14 @@
         slow.write_all(&[&b"Q"[..], &(text.len() as u32 + 4).to_be_bytes(), text.as_bytes()].concat())
             .unwrap();
     }
-    while process.line_now(&["conn=client", "reason=unresponsive"]).is_none() {
+    while process.find_log_line(&["conn=client", "reason=unresponsive"]).is_none() {
         let served = other.read_key("tariff-lookup", 0, "long", 2500, None).unwrap();
         assert!(matches!(served, Reply::Served(_)), "{served:?}");
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    assert!(process.memory().is_some_and(|kib| kib < 64 << 10), "{:?} KiB", process.memory());
+    assert!(
+        process.resident_memory_kib().is_some_and(|kib| kib < 64 << 10),
+        "{:?} KiB",
+        process.resident_memory_kib()
+    );
 }
--- a/proxy/tests/split.rs
+++ b/proxy/tests/split.rs
@@ -1,11 +1,11 @@
 //! Reads compared while a group splits, on several real processes: faults alone are flagged, all of them, and a verdict is of all.
 
-use birchreach_test_support::fleet::{ask, settled};
+use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::judge::{cold, windows};
 use birchreach_test_support::groups::traffic::{Habit, Traffic};
 use birchreach_test_support::groups::{Change, Group, Load, Planted, Site, What, now_ms};
-use birchreach_test_support::process::{PATIENCE, Process};
-use birchreach_test_support::relay::Rules;
+use birchreach_test_support::process::{MAX_WAIT, Process};
+use birchreach_test_support::relay::NetworkFaults;
 use sha2::{Digest, Sha256};
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -68,8 +68,8 @@
         let site = Site::new(groups, count, own, program, &folder, u64::from(n), SPLIT).unwrap();
         let all: Vec<Process> = (0..count).map(|n| site.start(n).unwrap()).collect();
         let mut rig = Rig { site, all, traffic: None, keys };
-        rig.until("join", |rig| settled(count, &rig.all.iter().collect::<Vec<_>>()).is_ok());
-        let proxies = Arc::new(Mutex::new(rig.all.iter().map(Process::clients).collect()));
+        rig.until("join", |rig| check_settled(count, &rig.all.iter().collect::<Vec<_>>()).is_ok());
+        let proxies = Arc::new(Mutex::new(rig.all.iter().map(Process::client_address).collect()));
         // Each client writes a key of its own, and reads all.
         let reads = |n: usize| {
             let mut reads: Vec<(String, f64)> = rig.keys.iter().map(|key| (key.clone(), 1.0)).collect();
@@ -86,14 +86,14 @@
     fn until(&self, what: &str, mut holds: impl FnMut(&Rig) -> bool) {
         let start = Instant::now();
         while !holds(self) {
-            let said: Vec<String> = self.all.iter().map(|p| ask(p, "split")).collect();
-            assert!(start.elapsed() < 3 * PATIENCE, "{what}: {said:#?}");
+            let said: Vec<String> = self.all.iter().map(|p| admin_call(p, "split")).collect();
+            assert!(start.elapsed() < 3 * MAX_WAIT, "{what}: {said:#?}");
             sleep(Duration::from_millis(100));
         }
     }
 
     fn verdicts(&self, word: &str) -> bool {
-        self.all.iter().all(|p| ask(p, "split").starts_with(&format!("split verdict={word} ")))
+        self.all.iter().all(|p| admin_call(p, "split").starts_with(&format!("split verdict={word} ")))
     }
 
     /// Flags in all logs, by sort and hash.
@@ -149,11 +149,11 @@
     second.with(|s| s.fail_over(1 - s.primary, now_ms(), true));
     rig.site.tell();
     // One is cut off, and knows that it does not speak for all; one is stopped in the middle of its looks.
-    rig.site.fleet.relays.set(Rules::halves(1, 4));
+    rig.site.fleet.relays.set_faults(NetworkFaults::partition(1, 4));
     rig.all[2].signal("STOP");
-    rig.until("cut off", |rig| ask(&rig.all[0], "split").contains("verdict=not-yet"));
+    rig.until("cut off", |rig| admin_call(&rig.all[0], "split").contains("verdict=not-yet"));
     rig.all[2].signal("CONT");
-    rig.site.fleet.relays.set(Rules::default());
+    rig.site.fleet.relays.set_faults(NetworkFaults::default());
     rig.until("clean again", |rig| rig.verdicts("clean"));
     assert_eq!(rig.flags(), Vec::<String>::new());
     rig.judge();
@@ -175,9 +175,9 @@
     }
     planted.sort();
     // One of three hears nobody while they are found, and still says what it knows.
-    rig.site.fleet.relays.set(Rules::halves(1, 3));
+    rig.site.fleet.relays.set_faults(NetworkFaults::partition(1, 3));
     rig.until("found", |rig| rig.flags() == planted);
-    rig.site.fleet.relays.set(Rules::default());
+    rig.site.fleet.relays.set_faults(NetworkFaults::default());
     rig.until("dirty", |rig| rig.verdicts("dirty"));
     assert_eq!(rig.flags(), planted);
     rig.judge();
@@ -189,22 +189,23 @@
     let mut rig = Rig::new(3, 3);
     rig.until("clean", |rig| rig.verdicts("clean"));
     let reload = |rig: &Rig, n: usize, split: &str| {
-        let options = rig.site.fleet.options(n).replace(SPLIT, split);
+        let options = rig.site.fleet.options_xml(n).replace(SPLIT, split);
         rig.all[n].reload(&rig.site.fleet.rig.config(n as u64 + 1), &options).unwrap();
     };
     reload(&rig, 0, &SPLIT.replace("2147483648", "1073741824"));
     rig.until("apart", |rig| {
-        rig.all
-            .iter()
-            .all(|p| ask(p, "split").contains("verdict=not-yet") || ask(p, "split").contains("verdict=dirty"))
+        rig.all.iter().all(|p| {
+            admin_call(p, "split").contains("verdict=not-yet")
+                || admin_call(p, "split").contains("verdict=dirty")
+        })
     });
-    let metrics = ask(&rig.all[1], "metrics");
+    let metrics = admin_call(&rig.all[1], "metrics");
     assert!(metrics.contains("kind=\"split\",end=\"other-definition\""), "{metrics}");
     // By its definition the children have other keys than they should: it alone finds that.
-    rig.until("by its definition", |rig| ask(&rig.all[0], "split").contains("verdict=dirty"));
-    assert!(rig.all[1..].iter().all(|p| !ask(p, "split").contains("verdict=dirty")));
+    rig.until("by its definition", |rig| admin_call(&rig.all[0], "split").contains("verdict=dirty"));
+    assert!(rig.all[1..].iter().all(|p| !admin_call(p, "split").contains("verdict=dirty")));
     reload(&rig, 0, "");
-    rig.until("off", |rig| ask(&rig.all[0], "split").starts_with("NO "));
+    rig.until("off", |rig| admin_call(&rig.all[0], "split").starts_with("NO "));
     reload(&rig, 0, SPLIT);
     rig.until("clean again", |rig| rig.verdicts("clean"));
     rig.judge();
--- a/proxy/tests/stopping.rs
+++ b/proxy/tests/stopping.rs
@@ -43,9 +43,9 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stopping");
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let rig = Rig::new(1, [127, 88, 220, 1], program, &folder).unwrap();
-    rig.groups[0].primary.delay("file-entry", WRITE_DELAY);
+    rig.groups[0].primary.set_delay("file-entry", WRITE_DELAY);
     let mut process = rig.start(1, None, None).unwrap();
-    let address = process.clients().unwrap();
+    let address = process.client_address().unwrap();
     let clients = Clients::default();
 
     let exit_code = std::thread::scope(|scope| {
@@ -56,15 +56,15 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         process.signal("TERM");
-        let exit_code = process.ended();
+        let exit_code = process.wait_for_exit();
         clients.process_ended.store(true, Ordering::Relaxed);
         exit_code
     });
 
     assert_eq!(exit_code, Some(0));
-    process.line(&["event=stopped open=0"]).expect("it ends before its last timer");
+    process.wait_for_log_line(&["event=stopped open=0"]).expect("it ends before its last timer");
     let rows = &rig.groups[0].rows;
-    assert_eq!(rows.doubles(), 0);
+    assert_eq!(rows.duplicate_count(), 0);
     let answered = clients.answered_writes.load(Ordering::Relaxed);
-    assert_eq!(rows.writes(), answered, "each write that was executed was answered");
+    assert_eq!(rows.write_count(), answered, "each write that was executed was answered");
 }
--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -20,14 +20,14 @@
 
 /// An answer: may it be sent work, and with what weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct CheckAnswer {
     pub up: bool,
     pub weight: u32,
     pub text: String,
 }
 
 /// One check, on a connection of its own.
-pub fn check(address: SocketAddr, how: &Check, timeout: Duration) -> io::Result<Told> {
+pub fn run_check(address: SocketAddr, how: &Check, timeout: Duration) -> io::Result<CheckAnswer> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
     match how {
@@ -46,13 +46,13 @@
             let words: Vec<&str> = text.split([' ', ',', '\r', '\n']).collect();
             let weight = words.iter().find_map(|w| w.strip_suffix('%')).and_then(|w| w.parse().ok());
             let down = ["down", "drain", "maint", "fail", "stopped"].iter().any(|w| words.contains(w));
-            Told { up: words.contains(&"up") && !down, weight: weight.unwrap_or(100), text }
+            CheckAnswer { up: words.contains(&"up") && !down, weight: weight.unwrap_or(100), text }
         }
         Check::Http(_) => {
             let up = text.starts_with("HTTP/1.1 200 ");
             let weight =
                 text.split("\"weight\":").nth(1).and_then(|w| w.split([',', '}']).next()?.parse().ok());
-            Told { up, weight: weight.unwrap_or(100), text }
+            CheckAnswer { up, weight: weight.unwrap_or(100), text }
         }
     };
     Ok(told)
@@ -61,20 +61,20 @@
 /// A proxy as the balancer has it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub checks: SocketAddr,
-    pub clients: SocketAddr,
+    pub check_address: SocketAddr,
+    pub client_address: SocketAddr,
     pub up: bool,
     pub weight: u32,
-    pub active: u32,
+    pub active_connections: u32,
     /// Answers in a row that say otherwise.
-    against: u32,
+    contrary_answers: u32,
     /// When its state changed last.
-    pub since: Instant,
+    pub changed_at: Instant,
 }
 
 #[derive(Clone, Debug)]
-pub struct Rules {
-    pub every: Duration,
+pub struct CheckPolicy {
+    pub interval: Duration,
     pub timeout: Duration,
     pub rise: u32,
     pub fall: u32,
@@ -93,44 +93,44 @@
 pub struct Balancer {
     servers: Arc<Mutex<Vec<Server>>>,
     changes: Arc<Mutex<Vec<Change>>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Balancer {
     /// Begins to poll; each server in its turn within the interval. It begins by trusting nobody.
-    pub fn start(servers: &[(SocketAddr, SocketAddr)], how: &Check, rules: &Rules) -> Balancer {
+    pub fn start(servers: &[(SocketAddr, SocketAddr)], how: &Check, rules: &CheckPolicy) -> Balancer {
         let server = |&(checks, clients): &(SocketAddr, SocketAddr)| Server {
-            checks,
-            clients,
+            check_address: checks,
+            client_address: clients,
             up: false,
             weight: 0,
-            active: 0,
-            against: 0,
-            since: Instant::now(),
+            active_connections: 0,
+            contrary_answers: 0,
+            changed_at: Instant::now(),
         };
         let balancer = Balancer {
             servers: Arc::new(Mutex::new(servers.iter().map(server).collect())),
             changes: Arc::default(),
-            over: Arc::default(),
+            stopped: Arc::default(),
         };
         for n in 0..servers.len() {
             let (own, how, rules) = (balancer.clone(), how.clone(), rules.clone());
-            let offset = rules.every * n as u32 / servers.len() as u32;
+            let offset = rules.interval * n as u32 / servers.len() as u32;
             thread::spawn(move || {
                 thread::sleep(offset);
-                while !own.over.load(Ordering::Relaxed) {
+                while !own.stopped.load(Ordering::Relaxed) {
                     let start = Instant::now();
                     own.poll(n, &how, &rules);
-                    thread::sleep(rules.every.saturating_sub(start.elapsed()));
+                    thread::sleep(rules.interval.saturating_sub(start.elapsed()));
                 }
             });
         }
         balancer
     }
 
-    fn poll(&self, n: usize, how: &Check, rules: &Rules) {
-        let address = lock(&self.servers)[n].checks;
-        let told = check(address, how, rules.timeout);
+    fn poll(&self, n: usize, how: &Check, rules: &CheckPolicy) {
+        let address = lock(&self.servers)[n].check_address;
+        let told = run_check(address, how, rules.timeout);
         let mut servers = lock(&self.servers);
         let server = &mut servers[n];
         let (up, text) = match told {
@@ -142,12 +142,12 @@
             Err(e) => (false, e.to_string()),
         };
         if up == server.up {
-            server.against = 0;
+            server.contrary_answers = 0;
             return;
         }
-        server.against += 1;
-        if server.against >= if up { rules.rise } else { rules.fall } {
-            (server.up, server.against, server.since) = (up, 0, Instant::now());
+        server.contrary_answers += 1;
+        if server.contrary_answers >= if up { rules.rise } else { rules.fall } {
+            (server.up, server.contrary_answers, server.changed_at) = (up, 0, Instant::now());
             lock(&self.changes).push(Change { at: Instant::now(), server: n, up, text });
         }
     }
@@ -161,22 +161,22 @@
     }
 
     /// Whom the next connection goes to; give it back with [`Balancer::done`].
-    pub fn choose(&self) -> Option<usize> {
+    pub fn choose_server(&self) -> Option<usize> {
         let mut servers = lock(&self.servers);
-        let load = |s: &Server| f64::from(s.active + 1) / f64::from(s.weight.max(1));
+        let load = |s: &Server| f64::from(s.active_connections + 1) / f64::from(s.weight.max(1));
         let up = servers.iter().enumerate().filter(|(_, s)| s.up);
         let least = up.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b))).map(|(n, _)| n)?;
-        servers[least].active += 1;
+        servers[least].active_connections += 1;
         Some(least)
     }
 
-    pub fn done(&self, n: usize) {
+    pub fn release_server(&self, n: usize) {
         let mut servers = lock(&self.servers);
-        servers[n].active = servers[n].active.saturating_sub(1);
+        servers[n].active_connections = servers[n].active_connections.saturating_sub(1);
     }
 
     /// Waits until it holds a server to be up, or down. False: not in this time.
-    pub fn wait(&self, n: usize, up: bool, long: Duration) -> bool {
+    pub fn wait_for_state(&self, n: usize, up: bool, long: Duration) -> bool {
         let start = Instant::now();
         while lock(&self.servers)[n].up != up {
             if start.elapsed() > long {
@@ -191,8 +191,8 @@
 impl Drop for Balancer {
     fn drop(&mut self) {
         // The threads hold the others.
-        if Arc::strong_count(&self.over) <= 1 + lock(&self.servers).len() {
-            self.over.store(true, Ordering::Relaxed);
+        if Arc::strong_count(&self.stopped) <= 1 + lock(&self.servers).len() {
+            self.stopped.store(true, Ordering::Relaxed);
         }
     }
 }
--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -27,20 +27,20 @@
         let body = [&196_608u32.to_be_bytes()[..], b"user\0api\0database\0ledger\0\0"].concat();
         stream.write_all(&[&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat())?;
         let mut client = Client { stream };
-        client.until_ready()?;
+        client.read_reply()?;
         Ok(client)
     }
 
     pub fn read(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
         let id = IDS.fetch_add(1, Ordering::Relaxed);
-        self.run(&format!(
+        self.run_statement(&format!(
             "SELECT blob FROM rows WHERE handle = '7f3a' /* id={id:016x},c={class},d={wait_ms},cluster={group} */"
         ))
     }
 
     pub fn write(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
         let id = IDS.fetch_add(1, Ordering::Relaxed);
-        self.run(&format!(
+        self.run_statement(&format!(
             "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f03') RETURNING blob \
              /* id={id:016x},c={class},d={wait_ms},cluster={group} */"
         ))
@@ -57,7 +57,7 @@
     ) -> io::Result<Reply> {
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         let after = after.map_or(String::new(), |at| format!(",after={at}"));
-        self.run(&format!(
+        self.run_statement(&format!(
             "SELECT blob FROM rows WHERE handle = '{key}' /* id={id:016x},c={class},d={wait_ms},cluster={group}{after} */"
         ))
     }
@@ -71,28 +71,28 @@
         wait_ms: u32,
     ) -> io::Result<Reply> {
         let id = IDS.fetch_add(1, Ordering::Relaxed);
-        self.run(&format!(
+        self.run_statement(&format!(
             "INSERT INTO rows (handle, blob) VALUES ('{key}', '\\x{hex}') RETURNING blob \
              /* id={id:016x},c={class},d={wait_ms},cluster={group} */"
         ))
     }
 
     /// Says that it leaves.
-    pub fn goodbye(&mut self) -> io::Result<()> {
+    pub fn send_terminate(&mut self) -> io::Result<()> {
         self.stream.write_all(b"X\0\0\0\x04")
     }
 
     /// One statement, and its whole answer.
-    pub fn run(&mut self, text: &str) -> io::Result<Reply> {
+    pub fn run_statement(&mut self, text: &str) -> io::Result<Reply> {
         let mut message = vec![b'Q'];
         message.extend((text.len() as u32 + 5).to_be_bytes());
         message.extend(text.as_bytes());
         message.push(0);
         self.stream.write_all(&message)?;
-        self.until_ready()
+        self.read_reply()
     }
 
-    fn until_ready(&mut self) -> io::Result<Reply> {
+    fn read_reply(&mut self) -> io::Result<Reply> {
         let mut reply = Reply::Served(Vec::new());
         loop {
             let mut head = [0; 5];
--- a/test-support/src/database.rs
+++ b/test-support/src/database.rs
@@ -12,44 +12,44 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// How often a blocked thread looks whether its database is still alive.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[derive(Clone, Debug)]
-struct Mode {
-    up: bool,
+struct Behavior {
+    available: bool,
     hung: bool,
     primary: bool,
     /// How long statements of a class take.
-    delays: HashMap<String, Duration>,
+    delay_by_class: HashMap<String, Duration>,
 }
 
 /// What a group's databases share: rows, and how often each request's id was written.
 #[derive(Default)]
 pub struct Rows {
     rows: Mutex<HashMap<String, String>>,
-    written: Mutex<HashMap<String, u32>>,
+    executions_by_request: Mutex<HashMap<String, u32>>,
 }
 
 impl Rows {
     /// Requests that were written.
-    pub fn writes(&self) -> usize {
-        lock(&self.written).len()
+    pub fn write_count(&self) -> usize {
+        lock(&self.executions_by_request).len()
     }
 
     /// Requests that were written more than once.
-    pub fn doubles(&self) -> usize {
-        lock(&self.written).values().filter(|n| **n > 1).count()
+    pub fn duplicate_count(&self) -> usize {
+        lock(&self.executions_by_request).values().filter(|n| **n > 1).count()
     }
 }
 
 struct Inner {
     address: SocketAddr,
-    mode: Mutex<Mode>,
+    behavior: Mutex<Behavior>,
     changed: Condvar,
     rows: Arc<Rows>,
-    asked: AtomicU64,
+    statement_count: AtomicU64,
     /// Prints each statement.
-    talks: bool,
+    prints_statements: bool,
 }
 
 /// A handle to one; it ends with the process.
@@ -60,14 +60,15 @@
     /// Starts one; with port 0 at a free port.
     pub fn start(address: SocketAddr, primary: bool, rows: &Arc<Rows>, talks: bool) -> io::Result<Database> {
         let listener = TcpListener::bind(address)?;
-        let mode = Mutex::new(Mode { up: true, hung: false, primary, delays: HashMap::new() });
+        let mode =
+            Mutex::new(Behavior { available: true, hung: false, primary, delay_by_class: HashMap::new() });
         let inner = Inner {
             address: listener.local_addr()?,
-            mode,
+            behavior: mode,
             changed: Condvar::new(),
             rows: rows.clone(),
-            asked: AtomicU64::new(0),
-            talks,
+            statement_count: AtomicU64::new(0),
+            prints_statements: talks,
         };
         let database = Database(Arc::new(inner));
         let own = database.clone();
@@ -80,44 +81,44 @@
     }
 
     /// Statements that came, probes too.
-    pub fn asked(&self) -> u64 {
-        self.0.asked.load(Ordering::Relaxed)
+    pub fn statement_count(&self) -> u64 {
+        self.0.statement_count.load(Ordering::Relaxed)
     }
 
-    fn set(&self, change: impl FnOnce(&mut Mode)) {
-        change(&mut lock(&self.0.mode));
+    fn change_behavior(&self, change: impl FnOnce(&mut Behavior)) {
+        change(&mut lock(&self.0.behavior));
         self.0.changed.notify_all();
     }
 
     /// It accepts and answers nothing, until told otherwise.
-    pub fn hang(&self, hung: bool) {
-        self.set(|mode| mode.hung = hung);
+    pub fn set_hung(&self, hung: bool) {
+        self.change_behavior(|mode| mode.hung = hung);
     }
 
     /// Its connections break and new ones are refused; and back.
-    pub fn up(&self, up: bool) {
-        self.set(|mode| mode.up = up);
+    pub fn set_available(&self, up: bool) {
+        self.change_behavior(|mode| mode.available = up);
     }
 
-    pub fn primary(&self, primary: bool) {
-        self.set(|mode| mode.primary = primary);
+    pub fn set_primary(&self, primary: bool) {
+        self.change_behavior(|mode| mode.primary = primary);
     }
 
     /// Statements of this class take so long.
-    pub fn delay(&self, class: &str, delay: Duration) {
-        self.set(|mode| {
-            mode.delays.insert(class.into(), delay);
+    pub fn set_delay(&self, class: &str, delay: Duration) {
+        self.change_behavior(|mode| {
+            mode.delay_by_class.insert(class.into(), delay);
         });
     }
 
-    fn is_up(&self) -> bool {
-        lock(&self.0.mode).up
+    fn is_available(&self) -> bool {
+        lock(&self.0.behavior).available
     }
 
     fn accept(&self, first: TcpListener) {
         let mut listener = Some(first);
         loop {
-            if !self.is_up() {
+            if !self.is_available() {
                 listener = None;
             } else if listener.is_none() {
                 listener = TcpListener::bind(self.0.address).ok();
@@ -129,75 +130,76 @@
                     thread::spawn(move || own.serve(stream));
                 }
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Waits until it does not hang. False: it died meanwhile.
-    fn awake(&self) -> bool {
-        let mut mode = lock(&self.0.mode);
-        while mode.hung && mode.up {
+    fn wait_while_hung(&self) -> bool {
+        let mut mode = lock(&self.0.behavior);
+        while mode.hung && mode.available {
             mode = self.0.changed.wait(mode).unwrap_or_else(|e| e.into_inner());
         }
-        mode.up
+        mode.available
     }
 
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LOOK))?;
-        self.body(&mut stream)?;
+        stream.set_read_timeout(Some(POLL_INTERVAL))?;
+        self.read_body(&mut stream)?;
         let ready = message(b'Z', b"I");
-        if self.awake() {
+        if self.wait_while_hung() {
             stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())?;
         }
-        while self.is_up() {
+        while self.is_available() {
             let mut tag = [0];
-            self.fill(&mut stream, &mut tag)?;
-            let body = self.body(&mut stream)?;
+            self.read_exactly(&mut stream, &mut tag)?;
+            let body = self.read_body(&mut stream)?;
             if tag[0] != b'Q' {
                 return Ok(());
             }
             let query = String::from_utf8_lossy(&body).trim_end_matches('\0').to_string();
-            self.0.asked.fetch_add(1, Ordering::Relaxed);
+            self.0.statement_count.fetch_add(1, Ordering::Relaxed);
             let class = field(&query, "c=").unwrap_or_default();
-            let delay = lock(&self.0.mode).delays.get(&class).copied();
+            let delay = lock(&self.0.behavior).delay_by_class.get(&class).copied();
             delay.into_iter().for_each(thread::sleep);
-            if !self.awake() {
+            if !self.wait_while_hung() {
                 break;
             }
-            let answer = self.answer(&query);
+            let answer = self.answer_statement(&query);
             stream.write_all(&[answer, ready.clone()].concat())?;
         }
         Ok(())
     }
 
     /// Reads all of it, however long that takes, while the database lives.
-    fn fill(&self, stream: &mut TcpStream, into: &mut [u8]) -> io::Result<()> {
+    fn read_exactly(&self, stream: &mut TcpStream, into: &mut [u8]) -> io::Result<()> {
         let mut at = 0;
         while at < into.len() {
             match stream.read(&mut into[at..]) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 Ok(n) => at += n,
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) && self.is_up() => {
-                }
+                Err(e)
+                    if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+                        && self.is_available() => {}
                 Err(e) => return Err(e),
             }
         }
         Ok(())
     }
 
-    fn body(&self, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
+    fn read_body(&self, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
         let mut length = [0; 4];
-        self.fill(stream, &mut length)?;
+        self.read_exactly(stream, &mut length)?;
         let mut body = vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(1 << 20)];
-        self.fill(stream, &mut body)?;
+        self.read_exactly(stream, &mut body)?;
         Ok(body)
     }
 
-    fn answer(&self, query: &str) -> Vec<u8> {
-        let primary = lock(&self.0.mode).primary;
-        if self.0.talks {
+    fn answer_statement(&self, query: &str) -> Vec<u8> {
+        let primary = lock(&self.0.behavior).primary;
+        if self.0.prints_statements {
             println!("{}: {query}", if primary { "primary" } else { "replica" });
         }
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
@@ -210,7 +212,7 @@
             [handle, blob, ..] => {
                 lock(&self.0.rows.rows).insert(handle.to_string(), blob.to_string());
                 let id = field(query, "id=").unwrap_or_default();
-                *lock(&self.0.rows.written).entry(id).or_default() += 1;
+                *lock(&self.0.rows.executions_by_request).entry(id).or_default() += 1;
                 row(blob)
             }
             [handle] => row(lock(&self.0.rows.rows).get(handle).map_or("(no such row)", |blob| blob)),
--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -10,21 +10,21 @@
 
 /// A line of the list.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct ListedDatabase {
     pub uid: String,
     pub endpoint: SocketAddr,
     pub group: u32,
     pub state: &'static str,
     pub primary: bool,
     /// When its process started, in milliseconds of Unix time; 0: long ago.
-    pub boot_ms: i64,
+    pub started_at_ms: i64,
 }
 
 #[derive(Default)]
 struct Inner {
-    list: Mutex<(u64, Vec<Line>)>,
+    databases: Mutex<(u64, Vec<ListedDatabase>)>,
     changed: Condvar,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
 #[derive(Clone)]
@@ -35,18 +35,18 @@
 
 impl Discovery {
     /// Starts it; with port 0 at a free port.
-    pub fn start(address: SocketAddr, list: Vec<Line>) -> io::Result<Discovery> {
+    pub fn start(address: SocketAddr, list: Vec<ListedDatabase>) -> io::Result<Discovery> {
         let listener = TcpListener::bind(address)?;
         let discovery = Discovery { inner: Arc::default(), address: listener.local_addr()? };
-        discovery.set(list);
+        discovery.set_databases(list);
         let own = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if own.inner.over.load(Ordering::Relaxed) {
+                if own.inner.stopped.load(Ordering::Relaxed) {
                     return;
                 }
                 let own = own.clone();
-                thread::spawn(move || own.serve(&stream));
+                thread::spawn(move || own.answer_requests(&stream));
             }
         });
         Ok(discovery)
@@ -58,25 +58,25 @@
 
     /// It takes no more calls; those that wait end with their time.
     pub fn stop(&self) {
-        self.inner.over.store(true, Ordering::Relaxed);
+        self.inner.stopped.store(true, Ordering::Relaxed);
         let _ = TcpStream::connect(self.address);
     }
 
     /// The list is this from now on.
-    pub fn set(&self, list: Vec<Line>) {
-        let mut held = lock(&self.inner.list);
+    pub fn set_databases(&self, list: Vec<ListedDatabase>) {
+        let mut held = lock(&self.inner.databases);
         *held = (held.0 + 1, list);
         self.inner.changed.notify_all();
     }
 
     /// Changes some lines of it.
-    pub fn change(&self, act: impl FnOnce(&mut Vec<Line>)) {
-        let mut list = lock(&self.inner.list).1.clone();
+    pub fn change_databases(&self, act: impl FnOnce(&mut Vec<ListedDatabase>)) {
+        let mut list = lock(&self.inner.databases).1.clone();
         act(&mut list);
-        self.set(list);
+        self.set_databases(list);
     }
 
-    fn serve(&self, stream: &TcpStream) -> io::Result<()> {
+    fn answer_requests(&self, stream: &TcpStream) -> io::Result<()> {
         let mut lines = BufReader::new(stream.try_clone()?).lines();
         while let Some(call) = lines.next().transpose()? {
             while lines.next().transpose()?.is_some_and(|header| !header.is_empty()) {}
@@ -85,7 +85,7 @@
                 rest.split(['&', ' ']).next()?.parse().ok()
             };
             let until = number("hold_ms=").map(|ms| Instant::now() + Duration::from_millis(ms));
-            let mut held = lock(&self.inner.list);
+            let mut held = lock(&self.inner.databases);
             while let Some(left) = until.and_then(|at| at.checked_duration_since(Instant::now()))
                 && number("from=") == Some(held.0)
             {
@@ -93,7 +93,7 @@
             }
             let (rev, list) = held.clone();
             drop(held);
-            let targets: Vec<String> = list.iter().map(Line::json).collect();
+            let targets: Vec<String> = list.iter().map(ListedDatabase::json).collect();
             let body = if number("from=") == Some(rev) {
                 format!(r#"{{"rev":{rev},"all":false,"targets":[]}}"#)
             } else {
@@ -106,9 +106,9 @@
     }
 }
 
-impl Line {
+impl ListedDatabase {
     fn json(&self) -> String {
-        let Line { uid, endpoint, group, state, primary, boot_ms } = self;
+        let ListedDatabase { uid, endpoint, group, state, primary, started_at_ms: boot_ms } = self;
         let access = if *primary { "writer" } else { "reader" };
         format!(
             r#"{{"uid":"{uid}","endpoint":"{endpoint}","az":"a","pod_group":{group},"state":"{state}","access":"{access}","boot_ms":{boot_ms}}}"#
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -5,7 +5,7 @@
 use super::sql::{Statement, parse};
 use super::state::{Change, Entry, Planted, Record, What};
 use crate::lock;
-use crate::wire::{bytes, message, row, row_of};
+use crate::wire::{decode_hex, message, row, row_of};
 use std::thread;
 
 /// By then a start is known to all that hear discovery, and what was on its way is over.
@@ -72,7 +72,7 @@
                 let found = self.row(member, &key);
                 self.work(member);
                 match found {
-                    Some((value, _)) => row_of(&bytes(&value)),
+                    Some((value, _)) => row_of(&decode_hex(&value)),
                     None if background => message(b'C', b"SELECT 0\0"),
                     None => row("(no such row)"),
                 }
@@ -83,7 +83,7 @@
                 self.work(member);
                 match found {
                     // Rounded up, as the statement has it.
-                    Some((value, at)) => row_of(&[&(at + 1).to_be_bytes()[..], &bytes(&value)].concat()),
+                    Some((value, at)) => row_of(&[&(at + 1).to_be_bytes()[..], &decode_hex(&value)].concat()),
                     None => message(b'C', b"SELECT 0\0"),
                 }
             }
@@ -96,7 +96,7 @@
                 }
                 copy.map_or_else(
                     || row_of(&[]),
-                    |(at, value)| row_of(&[&at.to_be_bytes()[..], &bytes(&value)].concat()),
+                    |(at, value)| row_of(&[&at.to_be_bytes()[..], &decode_hex(&value)].concat()),
                 )
             }
             Statement::Write { key, value, id } => {
@@ -106,7 +106,7 @@
                 let done = self.with(|s| s.commit(member, now_ms(), &id, change));
                 match done {
                     None => refused("25006"),
-                    Some(at) => return self.note(member, row_of(&bytes(&value)), Some(at)),
+                    Some(at) => return self.note(member, row_of(&decode_hex(&value)), Some(at)),
                 }
             }
             Statement::CopyWrite(change) => {
--- a/test-support/src/groups/draw.rs
+++ b/test-support/src/groups/draw.rs
@@ -32,7 +32,7 @@
 
 pub fn draw(seed: u64) -> (Schedule, Vec<(Duration, Trouble)>) {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5ca1ab1e);
-    let schedule = Schedule::draw(seed, PLACES, rng.usize(2..8), FAULTS);
+    let schedule = Schedule::generate(seed, PLACES, rng.usize(2..8), FAULTS);
     let mut troubles: Vec<(Duration, Trouble)> = (0..rng.usize(2..7))
         .map(|_| {
             let (group, member) = (rng.usize(..4), rng.usize(..3));
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -35,7 +35,7 @@
     pub(super) load: Load,
     pub(super) source: Option<Source>,
     /// Its threads end.
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
 /// A handle to a group; it ends with the process.
@@ -62,7 +62,7 @@
             changed,
             load,
             source,
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         }));
         for (n, listener) in listeners.into_iter().enumerate() {
             let own = group.clone();
@@ -88,11 +88,11 @@
 
     /// Its threads end, and its connections with them.
     pub fn stop(&self) {
-        self.0.over.store(true, Ordering::Relaxed);
+        self.0.stopped.store(true, Ordering::Relaxed);
     }
 
     fn up(&self, member: usize) -> bool {
-        !self.0.over.load(Ordering::Relaxed) && lock(&self.0.state).members[member].up
+        !self.0.stopped.load(Ordering::Relaxed) && lock(&self.0.state).members[member].up
     }
 
     fn born(&self, member: usize) -> i64 {
@@ -101,7 +101,7 @@
 
     fn accept(&self, member: usize, first: TcpListener) {
         let mut listener = Some(first);
-        while !self.0.over.load(Ordering::Relaxed) {
+        while !self.0.stopped.load(Ordering::Relaxed) {
             if !self.up(member) {
                 listener = None;
             } else if listener.is_none() {
@@ -123,7 +123,7 @@
         loop {
             let state = lock(&self.0.state);
             let m = &state.members[member];
-            if !m.up || !m.hung || self.0.over.load(Ordering::Relaxed) {
+            if !m.up || !m.hung || self.0.stopped.load(Ordering::Relaxed) {
                 return m.up;
             }
             drop(state);
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -5,7 +5,7 @@
 use super::judge::{Read, claims, cold, doubles, stale, windows};
 use super::traffic::{Habit, Told, Traffic};
 use super::{Change, Group, Load, Planted, Site, What, now_ms};
-use crate::fleet::settled;
+use crate::fleet::check_settled;
 use crate::process::Process;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -95,13 +95,13 @@
     let mut all: Vec<Option<Process>> =
         (0..PLACES).map(|n| site.start(n).map(Some)).collect::<Result<_, _>>().map_err(io)?;
     let start = Instant::now();
-    while settled(PLACES, &all.iter().flatten().collect::<Vec<_>>()).is_err() {
+    while check_settled(PLACES, &all.iter().flatten().collect::<Vec<_>>()).is_err() {
         if start.elapsed() > MEND {
             return Err(told("no join".into()));
         }
         sleep(Duration::from_millis(50));
     }
-    let proxies = Arc::new(Mutex::new(all.iter().map(|p| p.as_ref()?.clients()).collect::<Vec<_>>()));
+    let proxies = Arc::new(Mutex::new(all.iter().map(|p| p.as_ref()?.client_address()).collect::<Vec<_>>()));
     let reads = |n: usize| {
         let mut reads: Vec<(String, f64)> = keys.iter().map(|key| (key.clone(), 1.0)).collect();
         // The first key is written; the third is hot.
@@ -129,14 +129,14 @@
             }
         });
         let start = Instant::now();
-        for (at, act) in &schedule.acts {
+        for (at, act) in &schedule.actions {
             sleep(at.saturating_sub(start.elapsed()));
-            if let Some(n) = act.ends() {
+            if let Some(n) = act.ended_process() {
                 killed[n] = true;
                 lines.extend(all[n].iter().flat_map(Process::log));
             }
-            schedule.act(&site.fleet, &mut all, act)?;
-            let now: Vec<Option<SocketAddr>> = all.iter().map(|p| p.as_ref()?.clients()).collect();
+            schedule.apply(&site.fleet, &mut all, act)?;
+            let now: Vec<Option<SocketAddr>> = all.iter().map(|p| p.as_ref()?.client_address()).collect();
             *crate::lock(&proxies) = now;
         }
         sleep(FAULTS.saturating_sub(start.elapsed()));
@@ -144,8 +144,8 @@
     })
     .map_err(io)?;
     heal(&site);
-    schedule.mend(&site.fleet, &mut all, MEND)?;
-    *crate::lock(&proxies) = all.iter().map(|p| p.as_ref()?.clients()).collect();
+    schedule.recover(&site.fleet, &mut all, MEND)?;
+    *crate::lock(&proxies) = all.iter().map(|p| p.as_ref()?.client_address()).collect();
     sleep(Duration::from_secs(3));
     let said: Vec<Told> = traffic.into_iter().map(Traffic::stop).collect();
     lines.extend(all.iter().flatten().flat_map(Process::log));
--- a/test-support/src/groups/site.rs
+++ b/test-support/src/groups/site.rs
@@ -2,7 +2,7 @@
 
 use super::member::{Group, Load};
 use super::now_ms;
-use crate::discovery::{Discovery, Line};
+use crate::discovery::{Discovery, ListedDatabase};
 use crate::fleet::Fleet;
 use crate::process::Process;
 use std::io;
@@ -33,8 +33,8 @@
     ) -> io::Result<Site> {
         let discovery = Discovery::start(SocketAddr::new(IpAddr::from(own), 0), lines(&groups))?;
         let mut fleet = Fleet::new(places, own, program, folder, seed)?;
-        fleet.more = more.into();
-        fleet.rig.site = Some((discovery.address(), settings(places)));
+        fleet.extra_options = more.into();
+        fleet.rig.external_discovery = Some((discovery.address(), settings(places)));
         Ok(Site { groups, discovery, fleet })
     }
 
@@ -66,7 +66,7 @@
 
     /// Discovery names the primaries that there are.
     pub fn tell(&self) {
-        self.discovery.set(lines(&self.groups));
+        self.discovery.set_databases(lines(&self.groups));
     }
 }
 
@@ -78,20 +78,20 @@
 }
 
 /// The list as it should be: who is up, and who is primary.
-pub fn lines(groups: &[Group]) -> Vec<Line> {
+pub fn lines(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut all = Vec::new();
     for (n, group) in groups.iter().enumerate() {
         let (primary, state) = group
             .with(|s| (s.primary, s.members.iter().map(|m| (m.up, m.born, m.copies)).collect::<Vec<_>>()));
         for (member, (_, born, copies)) in state.into_iter().enumerate().filter(|(_, (up, ..))| *up) {
-            all.push(Line {
+            all.push(ListedDatabase {
                 // A database from a copy is another one.
                 uid: format!("s-{n}-{member}-{copies}"),
                 endpoint: group.address(member),
                 group: n as u32,
                 state: "up",
                 primary: member == primary,
-                boot_ms: born,
+                started_at_ms: born,
             });
         }
     }
--- a/test-support/src/links.rs
+++ b/test-support/src/links.rs
@@ -2,7 +2,7 @@
 //! network is cut; who speaks is told by the address that the connection comes from.
 
 use crate::lock;
-use crate::relay::Rules;
+use crate::relay::NetworkFaults;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,77 +10,77 @@
 use std::thread;
 use std::time::Duration;
 
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What each copying thread needs to know.
 #[derive(Clone)]
-struct Way {
+struct LinkDirection {
     from: Option<usize>,
     to: usize,
-    rules: Arc<Mutex<Rules>>,
-    over: Arc<AtomicBool>,
+    faults: Arc<Mutex<NetworkFaults>>,
+    stopped: Arc<AtomicBool>,
 }
 
-impl Way {
-    fn back(&self) -> Way {
-        Way { from: Some(self.to), to: self.from.unwrap_or(usize::MAX), ..self.clone() }
+impl LinkDirection {
+    fn reversed(&self) -> LinkDirection {
+        LinkDirection { from: Some(self.to), to: self.from.unwrap_or(usize::MAX), ..self.clone() }
     }
 
-    fn cut(&self) -> bool {
-        let rules = lock(&self.rules);
-        self.from.is_some_and(|from| rules.cut.contains(&(from, self.to)))
+    fn is_blocked(&self) -> bool {
+        let rules = lock(&self.faults);
+        self.from.is_some_and(|from| rules.blocked.contains(&(from, self.to)))
     }
 }
 
 /// Passes links on to the process of a place.
-pub(crate) fn relay(
+pub(crate) fn relay_links(
     to: usize,
     listener: TcpListener,
     behind: Vec<SocketAddr>,
-    rules: Arc<Mutex<Rules>>,
+    rules: Arc<Mutex<NetworkFaults>>,
     over: Arc<AtomicBool>,
 ) {
     let _ = listener.set_nonblocking(true);
     thread::spawn(move || {
         while !over.load(Ordering::Relaxed) {
             let Ok((asker, peer)) = listener.accept() else {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             };
             let from = behind.iter().position(|at| at.ip() == peer.ip());
-            let way = Way { from, to, rules: rules.clone(), over: over.clone() };
+            let way = LinkDirection { from, to, faults: rules.clone(), stopped: over.clone() };
             let at = behind[to];
-            thread::spawn(move || join(asker, at, &way));
+            thread::spawn(move || connect_link(asker, at, &way));
         }
     });
 }
 
-fn join(asker: TcpStream, at: SocketAddr, way: &Way) -> Option<()> {
+fn connect_link(asker: TcpStream, at: SocketAddr, way: &LinkDirection) -> Option<()> {
     asker.set_nonblocking(false).ok()?;
     // Nobody answers a call that does not arrive.
-    while way.cut() || way.back().cut() {
-        if way.over.load(Ordering::Relaxed) {
+    while way.is_blocked() || way.reversed().is_blocked() {
+        if way.stopped.load(Ordering::Relaxed) {
             return None;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     let donor = TcpStream::connect(at).ok()?;
-    let (back, ends) = (way.back(), (donor.try_clone().ok()?, asker.try_clone().ok()?));
-    thread::spawn(move || copy(ends.0, ends.1, &back));
-    copy(asker, donor, way);
+    let (back, ends) = (way.reversed(), (donor.try_clone().ok()?, asker.try_clone().ok()?));
+    thread::spawn(move || copy_bytes(ends.0, ends.1, &back));
+    copy_bytes(asker, donor, way);
     Some(())
 }
 
 /// Until either end is over; while the way is cut nothing passes.
-fn copy(mut from: TcpStream, mut to: TcpStream, way: &Way) {
-    let _ = from.set_read_timeout(Some(LOOK));
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, way: &LinkDirection) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = [0; 16 << 10];
-    while !way.over.load(Ordering::Relaxed) {
+    while !way.stopped.load(Ordering::Relaxed) {
         match from.read(&mut buffer) {
             Ok(0) => break,
             Ok(n) => {
-                while way.cut() && !way.over.load(Ordering::Relaxed) {
-                    thread::sleep(LOOK);
+                while way.is_blocked() && !way.stopped.load(Ordering::Relaxed) {
+                    thread::sleep(POLL_INTERVAL);
                 }
                 if to.write_all(&buffer[..n]).is_err() {
                     break;
@@ -91,7 +91,7 @@
         }
     }
     let _ = to.shutdown(Shutdown::Write);
-    if way.over.load(Ordering::Relaxed) {
+    if way.stopped.load(Ordering::Relaxed) {
         let _ = from.shutdown(Shutdown::Both);
     }
 }
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -12,68 +12,83 @@
 
 /// What happens to datagrams on their way.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct NetworkFaults {
     /// Nothing passes from one to another.
-    pub cut: HashSet<(usize, usize)>,
+    pub blocked: HashSet<(usize, usize)>,
     /// Shares that are lost, come twice, or are spoilt.
-    pub loss: f64,
-    pub twice: f64,
-    pub spoilt: f64,
+    pub loss_fraction: f64,
+    pub duplicate_fraction: f64,
+    pub corrupt_fraction: f64,
     /// Each takes up to so long, so that some overtake others.
-    pub delay: Duration,
+    pub max_delay: Duration,
 }
 
-impl Rules {
+impl NetworkFaults {
     /// Two sides, neither of which hears the other.
-    pub fn halves(of: usize, count: usize) -> Rules {
+    pub fn partition(of: usize, count: usize) -> NetworkFaults {
         let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
-        Rules { cut: pairs.filter(|(a, b)| (*a < of) != (*b < of)).collect(), ..Rules::default() }
+        NetworkFaults {
+            blocked: pairs.filter(|(a, b)| (*a < of) != (*b < of)).collect(),
+            ..NetworkFaults::default()
+        }
     }
 }
 
 /// The relays before so many processes.
 pub struct Relays {
     /// Where each is reached, and where it listens.
-    pub before: Vec<SocketAddr>,
-    pub behind: Vec<SocketAddr>,
-    pub rules: Arc<Mutex<Rules>>,
-    over: Arc<AtomicBool>,
+    pub relay_addresses: Vec<SocketAddr>,
+    pub process_addresses: Vec<SocketAddr>,
+    pub faults: Arc<Mutex<NetworkFaults>>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Relays {
     /// `own`: a loopback address that nobody else uses; the processes' own ones follow it by ten.
     pub fn start(count: usize, own: IpAddr, seed: u64) -> io::Result<Relays> {
         // Datagrams and links come to one number.
-        let listeners = (0..count).map(|_| pair((own, 0).into())).collect::<io::Result<Vec<_>>>()?;
+        let listeners = (0..count).map(|_| bind_pair((own, 0).into())).collect::<io::Result<Vec<_>>>()?;
         let before =
             listeners.iter().map(|(datagrams, _)| datagrams.local_addr()).collect::<io::Result<Vec<_>>>()?;
         // Ports that are free now, all held until all are known.
-        let place = |n: usize| SocketAddr::new(nth(own, 10 + n), 0);
-        let held = (0..count).map(|n| pair(place(n))).collect::<io::Result<Vec<_>>>()?;
+        let place = |n: usize| SocketAddr::new(nth_address(own, 10 + n), 0);
+        let held = (0..count).map(|n| bind_pair(place(n))).collect::<io::Result<Vec<_>>>()?;
         let behind =
             held.iter().map(|(datagrams, _)| datagrams.local_addr()).collect::<io::Result<Vec<_>>>()?;
-        let relays = Relays { before, behind, rules: Arc::default(), over: Arc::default() };
+        let relays = Relays {
+            relay_addresses: before,
+            process_addresses: behind,
+            faults: Arc::default(),
+            stopped: Arc::default(),
+        };
         for (n, (socket, links)) in listeners.into_iter().enumerate() {
             socket.set_read_timeout(Some(Duration::from_millis(2)))?;
-            let (behind, rules, over) = (relays.behind.clone(), relays.rules.clone(), relays.over.clone());
+            let (behind, rules, over) =
+                (relays.process_addresses.clone(), relays.faults.clone(), relays.stopped.clone());
             let rng = fastrand::Rng::with_seed(seed + n as u64);
-            thread::spawn(move || pass(n, &socket, &behind, &rules, &over, rng));
-            crate::links::relay(n, links, relays.behind.clone(), relays.rules.clone(), relays.over.clone());
+            thread::spawn(move || relay_datagrams(n, &socket, &behind, &rules, &over, rng));
+            crate::links::relay_links(
+                n,
+                links,
+                relays.process_addresses.clone(),
+                relays.faults.clone(),
+                relays.stopped.clone(),
+            );
         }
         Ok(relays)
     }
 
-    pub fn rules(&self) -> Rules {
-        lock(&self.rules).clone()
+    pub fn faults(&self) -> NetworkFaults {
+        lock(&self.faults).clone()
     }
 
-    pub fn set(&self, rules: Rules) {
-        *lock(&self.rules) = rules;
+    pub fn set_faults(&self, rules: NetworkFaults) {
+        *lock(&self.faults) = rules;
     }
 }
 
 /// A socket for datagrams and one for links at the same number.
-fn pair(at: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
+fn bind_pair(at: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
     let mut tries = 0;
     loop {
         let datagrams = UdpSocket::bind(at)?;
@@ -86,7 +101,7 @@
 }
 
 /// The address so many after this one.
-pub fn nth(own: IpAddr, n: usize) -> IpAddr {
+pub fn nth_address(own: IpAddr, n: usize) -> IpAddr {
     match own {
         IpAddr::V4(own) => Ipv4Addr::from(u32::from(own).wrapping_add(n as u32)).into(),
         other => other,
@@ -95,15 +110,15 @@
 
 impl Drop for Relays {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-fn pass(
+fn relay_datagrams(
     to: usize,
     socket: &UdpSocket,
     behind: &[SocketAddr],
-    rules: &Mutex<Rules>,
+    rules: &Mutex<NetworkFaults>,
     over: &AtomicBool,
     mut rng: fastrand::Rng,
 ) {
@@ -113,14 +128,14 @@
         if let Ok((length, source)) = socket.recv_from(&mut buffer) {
             let rules = lock(rules).clone();
             let from = behind.iter().position(|at| *at == source);
-            let cut = from.is_some_and(|from| rules.cut.contains(&(from, to)));
-            if !cut && rng.f64() >= rules.loss {
+            let cut = from.is_some_and(|from| rules.blocked.contains(&(from, to)));
+            if !cut && rng.f64() >= rules.loss_fraction {
                 let mut bytes = buffer[..length].to_vec();
-                if rng.f64() < rules.spoilt && length > 0 {
+                if rng.f64() < rules.corrupt_fraction && length > 0 {
                     bytes[rng.usize(..length)] ^= 1 << rng.u8(..8);
                 }
-                for _ in 0..1 + usize::from(rng.f64() < rules.twice) {
-                    waiting.push((Instant::now() + rules.delay.mul_f64(rng.f64()), bytes.clone()));
+                for _ in 0..1 + usize::from(rng.f64() < rules.duplicate_fraction) {
+                    waiting.push((Instant::now() + rules.max_delay.mul_f64(rng.f64()), bytes.clone()));
                 }
             }
         }
--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -1,8 +1,8 @@
 //! Groups of databases with discovery before them, and the files that let a proxy find them.
 
 use crate::database::{Database, Rows};
-use crate::discovery::{Discovery, Line};
-use crate::process::{Process, Setup};
+use crate::discovery::{Discovery, ListedDatabase};
+use crate::process::{Process, ProcessSettings};
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -19,11 +19,11 @@
     pub discovery: Discovery,
     folder: PathBuf,
     program: PathBuf,
-    own: IpAddr,
+    loopback_address: IpAddr,
     /// Descriptors that a proxy is told it may hold.
-    pub sockets: u32,
+    pub max_descriptors: u32,
     /// Another discovery and other settings than this rig's own.
-    pub site: Option<(SocketAddr, String)>,
+    pub external_discovery: Option<(SocketAddr, String)>,
 }
 
 impl Rig {
@@ -39,29 +39,29 @@
             Ok(Group { primary, replica: Database::start(free, false, &rows, false)?, rows })
         };
         let groups = (0..groups).map(group).collect::<io::Result<Vec<Group>>>()?;
-        let discovery = Discovery::start(free, lines(&groups))?;
+        let discovery = Discovery::start(free, listed_databases(&groups))?;
         Ok(Rig {
             groups,
             discovery,
             folder: folder.into(),
             program: program.into(),
-            own,
-            sockets: 1024,
-            site: None,
+            loopback_address: own,
+            max_descriptors: 1024,
+            external_discovery: None,
         })
     }
 
     /// An address at a port that is free now.
-    pub fn free(&self) -> io::Result<SocketAddr> {
-        TcpListener::bind((self.own, 0))?.local_addr()
+    pub fn free_address(&self) -> io::Result<SocketAddr> {
+        TcpListener::bind((self.loopback_address, 0))?.local_addr()
     }
 
-    pub fn own(&self) -> IpAddr {
-        self.own
+    pub fn loopback_address(&self) -> IpAddr {
+        self.loopback_address
     }
 
     pub fn config(&self, seed: u64) -> String {
-        let (discovery, settings) = match &self.site {
+        let (discovery, settings) = match &self.external_discovery {
             Some((discovery, settings)) => (*discovery, settings.clone()),
             None => (self.discovery.address(), settings()),
         };
@@ -70,13 +70,13 @@
  "seed": "{seed:016x}", "limits": {{"sockets": {sockets}}},
  "known": {{"rev": 0, "all": true, "targets": []}},
  "settings": {settings}}}"#,
-            own = self.own,
-            sockets = self.sockets,
+            own = self.loopback_address,
+            sockets = self.max_descriptors,
         )
     }
 
     /// Options with both listeners at these addresses, and whatever else stands within `health`.
-    pub fn options(http: SocketAddr, agent: SocketAddr, callers: u32, more: &str) -> String {
+    pub fn health_options(http: SocketAddr, agent: SocketAddr, callers: u32, more: &str) -> String {
         format!(
             "<birchreach-options>\n<health>\n<http listen='{http}' callers='{callers}'/>\n\
              <agent listen='{agent}' callers='{callers}'/>\n{more}\n</health>\n</birchreach-options>"
@@ -90,51 +90,51 @@
         options: Option<&str>,
         inherited: Option<&TcpListener>,
     ) -> io::Result<Process> {
-        let setup = Setup {
+        let setup = ProcessSettings {
             program: &self.program,
             folder: &self.folder,
             name: &format!("p{n}"),
             config: &self.config(n),
             options,
-            inherited,
-            descriptors: Some(self.sockets + 64),
+            inherited_listener: inherited,
+            max_descriptors: Some(self.max_descriptors + 64),
         };
         let mut process = Process::start(&setup)?;
         process
-            .serves()
+            .wait_until_serving()
             .ok_or_else(|| io::Error::other(format!("it does not serve: {:?}", process.log())))?;
         Ok(process)
     }
 
     /// One with both listeners at free ports of its own.
-    pub fn start_with_doors(&self, n: u64, callers: u32, more: &str) -> io::Result<Process> {
-        let free = SocketAddr::new(self.own, 0);
-        self.start(n, Some(&Rig::options(free, free, callers, more)), None)
+    pub fn start_with_checks(&self, n: u64, callers: u32, more: &str) -> io::Result<Process> {
+        let free = SocketAddr::new(self.loopback_address, 0);
+        self.start(n, Some(&Rig::health_options(free, free, callers, more)), None)
     }
 
     /// The replica of a group takes over. `told`: discovery says so too.
     pub fn fail_over(&self, group: usize, told: bool) {
         let g = &self.groups[group];
-        g.primary.primary(false);
-        g.replica.primary(true);
+        g.primary.set_primary(false);
+        g.replica.set_primary(true);
         if told {
-            self.tell(group, g.replica.address());
+            self.announce_primary(group, g.replica.address());
         }
     }
 
     /// The group's primary is its first one again, and it lives.
     pub fn restore(&self, group: usize) {
         let g = &self.groups[group];
-        g.replica.primary(false);
-        g.primary.primary(true);
-        g.primary.up(true);
-        g.primary.hang(false);
-        self.tell(group, g.primary.address());
+        g.replica.set_primary(false);
+        g.primary.set_primary(true);
+        g.primary.set_available(true);
+        g.primary.set_hung(false);
+        self.announce_primary(group, g.primary.address());
     }
 
     /// Discovery names this one as the group's primary.
-    pub fn tell(&self, group: usize, primary: SocketAddr) {
-        self.discovery.change(|lines| {
+    pub fn announce_primary(&self, group: usize, primary: SocketAddr) {
+        self.discovery.change_databases(|lines| {
             for line in lines.iter_mut().filter(|l| l.group as usize == group) {
                 line.primary = line.endpoint == primary;
             }
@@ -142,13 +142,13 @@
     }
 }
 
-fn lines(groups: &[Group]) -> Vec<Line> {
+fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut lines = Vec::new();
     for (n, g) in groups.iter().enumerate() {
         for (database, primary) in [(&g.primary, true), (&g.replica, false)] {
             let uid = format!("s-{n}{}", if primary { "p" } else { "r" });
             let (endpoint, group) = (database.address(), n as u32);
-            lines.push(Line { uid, endpoint, group, state: "up", primary, boot_ms: 0 });
+            lines.push(ListedDatabase { uid, endpoint, group, state: "up", primary, started_at_ms: 0 });
         }
     }
     lines
--- a/test-support/src/schedule.rs
+++ b/test-support/src/schedule.rs
@@ -1,41 +1,41 @@
 //! Schedules of faults on a fleet of processes: data from a seed, which is printed when one fails and plays the same again.
 
-use crate::fleet::{Fleet, settled};
+use crate::fleet::{Fleet, check_settled};
 use crate::process::Process;
-use crate::relay::Rules;
+use crate::relay::NetworkFaults;
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// What happens.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum FaultAction {
     Kill(usize),
     /// Under its name, with an empty memory.
     Start(usize),
-    Stop(usize),
-    GoOn(usize),
-    Halves(usize),
+    Pause(usize),
+    Resume(usize),
+    Partition(usize),
     /// It hears nobody; or nobody hears it.
-    Deaf(usize),
-    Mute(usize),
-    Heal,
+    BlockInbound(usize),
+    BlockOutbound(usize),
+    HealNetwork,
     /// Datagrams are lost, come twice, late and spoilt.
-    Noise(f64),
+    DatagramFaults(f64),
 }
 
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
-    pub places: usize,
-    pub acts: Vec<(Duration, Act)>,
+    pub process_count: usize,
+    pub actions: Vec<(Duration, FaultAction)>,
 }
 
-impl Act {
+impl FaultAction {
     /// The place whose process ends by it, if one does.
-    pub fn ends(&self) -> Option<usize> {
+    pub fn ended_process(&self) -> Option<usize> {
         match self {
-            Act::Kill(n) | Act::Start(n) => Some(*n),
+            FaultAction::Kill(n) | FaultAction::Start(n) => Some(*n),
             _ => None,
         }
     }
@@ -43,78 +43,84 @@
 
 impl Schedule {
     /// So many acts within so long.
-    pub fn draw(seed: u64, places: usize, acts: usize, within: Duration) -> Schedule {
+    pub fn generate(seed: u64, places: usize, acts: usize, within: Duration) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut acts: Vec<(Duration, Act)> = (0..acts)
+        let mut acts: Vec<(Duration, FaultAction)> = (0..acts)
             .map(|_| {
                 let n = rng.usize(..places);
                 let act = match rng.u8(..10) {
-                    0 | 1 => Act::Kill(n),
-                    2 => Act::Start(n),
-                    3 => Act::Stop(n),
-                    4 => Act::GoOn(n),
-                    5 => Act::Halves(rng.usize(1..places)),
-                    6 => Act::Deaf(n),
-                    7 => Act::Mute(n),
-                    8 => Act::Heal,
-                    _ => Act::Noise([0.0, 0.05, 0.2][rng.usize(..3)]),
+                    0 | 1 => FaultAction::Kill(n),
+                    2 => FaultAction::Start(n),
+                    3 => FaultAction::Pause(n),
+                    4 => FaultAction::Resume(n),
+                    5 => FaultAction::Partition(rng.usize(1..places)),
+                    6 => FaultAction::BlockInbound(n),
+                    7 => FaultAction::BlockOutbound(n),
+                    8 => FaultAction::HealNetwork,
+                    _ => FaultAction::DatagramFaults([0.0, 0.05, 0.2][rng.usize(..3)]),
                 };
                 (within.mul_f64(rng.f64()), act)
             })
             .collect();
         acts.sort_by_key(|(at, _)| *at);
-        Schedule { seed, places, acts }
+        Schedule { seed, process_count: places, actions: acts }
     }
 
     /// Plays it on processes that run; `none` stands where one was killed.
     pub fn play(&self, fleet: &Fleet, all: &mut [Option<Process>]) -> io::Result<()> {
         let start = Instant::now();
-        for (at, act) in &self.acts {
+        for (at, act) in &self.actions {
             thread::sleep(at.saturating_sub(start.elapsed()));
-            self.act(fleet, all, act)?;
+            self.apply(fleet, all, act)?;
         }
         Ok(())
     }
 
-    pub fn act(&self, fleet: &Fleet, all: &mut [Option<Process>], act: &Act) -> io::Result<()> {
+    pub fn apply(&self, fleet: &Fleet, all: &mut [Option<Process>], act: &FaultAction) -> io::Result<()> {
         let signal = |all: &[Option<Process>], n: usize, name| {
             all[n].iter().for_each(|process| process.signal(name));
         };
         let cut = |pairs: &dyn Fn(usize, usize) -> bool| {
-            let all = (0..self.places).flat_map(|a| (0..self.places).map(move |b| (a, b)));
+            let all = (0..self.process_count).flat_map(|a| (0..self.process_count).map(move |b| (a, b)));
             let cut = all.filter(|(a, b)| a != b && pairs(*a, *b)).collect();
-            let rules = fleet.relays.rules();
-            fleet.relays.set(Rules { cut, ..rules });
+            let rules = fleet.relays.faults();
+            fleet.relays.set_faults(NetworkFaults { blocked: cut, ..rules });
         };
         match *act {
-            Act::Kill(n) => all[n] = None,
-            Act::Start(n) => {
+            FaultAction::Kill(n) => all[n] = None,
+            FaultAction::Start(n) => {
                 all[n] = None;
                 all[n] = Some(fleet.start(n, None)?);
             }
-            Act::Stop(n) => signal(all, n, "STOP"),
-            Act::GoOn(n) => signal(all, n, "CONT"),
-            Act::Halves(of) => cut(&|a, b| (a < of) != (b < of)),
-            Act::Deaf(n) => cut(&|_, b| b == n),
-            Act::Mute(n) => cut(&|a, _| a == n),
-            Act::Heal => cut(&|_, _| false),
-            Act::Noise(share) => {
-                let rules = fleet.relays.rules();
+            FaultAction::Pause(n) => signal(all, n, "STOP"),
+            FaultAction::Resume(n) => signal(all, n, "CONT"),
+            FaultAction::Partition(of) => cut(&|a, b| (a < of) != (b < of)),
+            FaultAction::BlockInbound(n) => cut(&|_, b| b == n),
+            FaultAction::BlockOutbound(n) => cut(&|a, _| a == n),
+            FaultAction::HealNetwork => cut(&|_, _| false),
+            FaultAction::DatagramFaults(share) => {
+                let rules = fleet.relays.faults();
                 let delay = Duration::from_secs_f64(share);
-                fleet.relays.set(Rules { loss: share, twice: share, spoilt: share, delay, ..rules });
+                fleet.relays.set_faults(NetworkFaults {
+                    loss_fraction: share,
+                    duplicate_fraction: share,
+                    corrupt_fraction: share,
+                    max_delay: delay,
+                    ..rules
+                });
             }
         }
         Ok(())
     }
 
     /// All is well again and whoever was lost is there: they come to one view within so long, or it is told what they say.
-    pub fn mend(
+    pub fn recover(
         &self,
         fleet: &Fleet,
         all: &mut [Option<Process>],
         most: Duration,
     ) -> Result<Duration, String> {
-        fleet.relays.set(Rules::default());
+        fleet.relays.set_faults(NetworkFaults::default());
         for (n, place) in all.iter_mut().enumerate() {
             match place {
                 Some(process) => process.signal("CONT"),
@@ -124,7 +130,7 @@
         let start = Instant::now();
         let running: Vec<&Process> = all.iter().flatten().collect();
         loop {
-            match settled(self.places, &running) {
+            match check_settled(self.process_count, &running) {
                 Ok(()) => return Ok(start.elapsed()),
                 Err(views) if start.elapsed() > most => return Err(format!("{self:?}: {views}")),
                 Err(_) => thread::sleep(Duration::from_millis(50)),
--- a/test-support/src/wire.rs
+++ b/test-support/src/wire.rs
@@ -18,7 +18,7 @@
 }
 
 /// The bytes that hexadecimal digits stand for.
-pub(crate) fn bytes(hex: &str) -> Vec<u8> {
+pub(crate) fn decode_hex(hex: &str) -> Vec<u8> {
     let pair = |at: usize| u8::from_str_radix(hex.get(at..at + 2)?, 16).ok();
     (0..hex.len()).step_by(2).filter_map(pair).collect()
 }
