--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on several processes with hot keys and a split, many side by side; each that fails is printed whole.
 
 use crate::Done;
-use birchreach_test_support::groups::play::{Summary, play};
+use birchreach_test_support::groups::play::{Summary, play_schedule};
 use sha2::{Digest, Sha256};
 use std::path::Path;
 use std::sync::Mutex;
@@ -33,8 +33,15 @@
                     }
                     // Addresses that nobody else uses meanwhile.
                     let own = [127, 70 + place as u8, (seed % 250) as u8, 1];
-                    let done =
-                        play(seed, own, program, &folder.join(format!("seed-{seed}")), hash, below, above);
+                    let done = play_schedule(
+                        seed,
+                        own,
+                        program,
+                        &folder.join(format!("seed-{seed}")),
+                        hash,
+                        below,
+                        above,
+                    );
                     let _ = std::fs::remove_dir_all(folder.join(format!("seed-{seed}")));
                     let mut sums = sums.lock().unwrap_or_else(|e| e.into_inner());
                     match done {
@@ -59,16 +66,16 @@
         well.len() + failed.len(),
         failed.len(),
         sum(&|s| s.served),
-        sum(&|s| s.refused),
+        sum(&|s| s.rejected),
         sum(&|s| s.failed),
-        sum(&|s| s.broken),
-        sum(&|s| s.checked as u64),
-        sum(&|s| s.claims as u64),
+        sum(&|s| s.disconnected),
+        sum(&|s| s.checked_reads as u64),
+        sum(&|s| s.checked_copies as u64),
         sum(&|s| s.copy_reads as u64),
         sum(&|s| s.copy_writes as u64),
-        sum(&|s| s.shadows as u64),
-        sum(&|s| s.planted as u64),
-        sum(&|s| s.flags as u64)
+        sum(&|s| s.dual_reads as u64),
+        sum(&|s| s.planted_differences as u64),
+        sum(&|s| s.reported_differences as u64)
     );
     if failed.is_empty() { Ok(()) } else { Err(format!("{} failed", failed.len()).into()) }
 }
--- a/proxy/tests/hot.rs
+++ b/proxy/tests/hot.rs
@@ -2,9 +2,12 @@
 //! copies, never stale, never over the budget.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
-use birchreach_test_support::groups::judge::{Read, claims, cold, doubles, stale, windows};
-use birchreach_test_support::groups::traffic::{Habit, Told, Traffic};
-use birchreach_test_support::groups::{Group, Load, Site, What};
+use birchreach_test_support::groups::judge::{
+    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    check_single_execution,
+};
+use birchreach_test_support::groups::traffic::{Traffic, TrafficProfile, TrafficResult};
+use birchreach_test_support::groups::{CapacityModel, ClusterRig, Group, StatementKind};
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::relay::NetworkFaults;
 use std::net::SocketAddr;
@@ -18,7 +21,7 @@
 const MOST: usize = 20 + 5;
 
 struct Rig {
-    site: Site,
+    site: ClusterRig,
     all: Vec<Option<Process>>,
     proxies: Arc<Mutex<Vec<Option<SocketAddr>>>>,
 }
@@ -29,9 +32,14 @@
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
         let own = [127, 87, n, 1];
         let (work, cold) = (Duration::from_millis(3), Duration::from_secs(3));
-        let load = Load { at_once: 2, work, cold_share: 0.3, cold };
-        let groups = Site::groups(4, 3, own, 20, &load).unwrap();
-        let site = Site::new(groups, count, own, program, &folder, u64::from(n), more).unwrap();
+        let load = CapacityModel {
+            max_concurrent: 2,
+            statement_time: work,
+            slow_start_initial_fraction: 0.3,
+            slow_start_window: cold,
+        };
+        let groups = ClusterRig::groups(4, 3, own, 20, &load).unwrap();
+        let site = ClusterRig::new(groups, count, own, program, &folder, u64::from(n), more).unwrap();
         let all: Vec<Option<Process>> = (0..count).map(|n| Some(site.start(n).unwrap())).collect();
         let proxies = Arc::new(Mutex::new(all.iter().map(|p| p.as_ref()?.client_address()).collect()));
         let rig = Rig { site, all, proxies };
@@ -70,13 +78,13 @@
 
     fn traffic(&self, rate: f64) -> Traffic {
         let reads = vec![("hot".to_string(), rate), ("cool".to_string(), 1.0)];
-        let habit = |n| Habit {
+        let habit = |n| TrafficProfile {
             group: 0,
-            reads: reads.clone(),
-            sessions: 0.3,
-            writes: if n < 2 { 2.0 } else { 0.0 },
+            read_rates: reads.clone(),
+            session_fraction: 0.3,
+            write_rate: if n < 2 { 2.0 } else { 0.0 },
         };
-        let habits: Vec<(usize, Habit)> = (0..self.all.len()).map(|n| (n, habit(n))).collect();
+        let habits: Vec<(usize, TrafficProfile)> = (0..self.all.len()).map(|n| (n, habit(n))).collect();
         Traffic::start(&self.proxies, &self.site.groups, &habits, 1)
     }
 
@@ -87,33 +95,37 @@
     }
 
     /// What databases and clients recorded, held against what must be.
-    fn judge(&self, told: &Told) {
+    fn judge(&self, told: &TrafficResult) {
         let (mut checked, mut highest, mut copies) = (0, 0, 0);
-        let home = self.site.groups[0].with(|s| (s.log.clone(), s.lost.clone()));
+        let home = self.site.groups[0].with_state(|s| (s.log.clone(), s.lost_commits.clone()));
         for (n, group) in self.site.groups.iter().enumerate() {
             let of = told.reads.iter().filter(|(group, _)| *group == n as u32).map(|(_, read)| read.clone());
-            let reads: Vec<Read> = of.collect();
-            group.with(|s| {
-                checked += stale(&reads, &s.log, &s.lost).unwrap();
-                copies += claims(&s.log, 0, &home.0, &home.1).unwrap();
-                highest =
-                    highest.max(windows(&s.records, 2_000, MOST, |what| *what == What::CopyWrite).unwrap());
-                let home = |what: &What| *what == What::Read { background: true };
+            let reads: Vec<ServedRead> = of.collect();
+            group.with_state(|s| {
+                checked += check_freshness(&reads, &s.log, &s.lost_commits).unwrap();
+                copies += check_copies(&s.log, 0, &home.0, &home.1).unwrap();
+                highest = highest.max(
+                    check_rate_limit(&s.records, 2_000, MOST, |what| *what == StatementKind::CopyWrite)
+                        .unwrap(),
+                );
+                let home = |what: &StatementKind| *what == StatementKind::Read { background: true };
                 // Each copy reads its row twice.
-                windows(&s.records, 2_000, 2 * MOST, home).unwrap();
-                cold(&s.records, |what| matches!(what, What::CopyWrite | What::Read { background: true }))
-                    .unwrap();
+                check_rate_limit(&s.records, 2_000, 2 * MOST, home).unwrap();
+                check_none_while_warming_up(&s.records, |what| {
+                    matches!(what, StatementKind::CopyWrite | StatementKind::Read { background: true })
+                })
+                .unwrap();
             });
         }
         let states: Vec<_> = self
             .site
             .groups
             .iter()
-            .map(|g| g.with(|s| (s.records.clone(), s.log.clone(), s.lost.clone())))
+            .map(|g| g.with_state(|s| (s.records.clone(), s.log.clone(), s.lost_commits.clone())))
             .collect();
         let records: Vec<_> = states.iter().map(|s| s.0.as_slice()).collect();
         let logs: Vec<_> = states.iter().flat_map(|s| [s.1.as_slice(), s.2.as_slice()]).collect();
-        doubles(&records, &logs).unwrap();
+        check_single_execution(&records, &logs).unwrap();
         assert!(
             checked > 200 && highest > 0 && copies > 0,
             "{checked} reads, at most {highest} copies: it shows nothing"
@@ -122,7 +134,7 @@
 }
 
 fn primary(group: &Group) -> usize {
-    group.with(|s| s.primary)
+    group.with_state(|s| s.primary)
 }
 
 #[test]
@@ -133,7 +145,7 @@
     // All replicas of the guests' groups fall behind: what they have of copies is older than anybody thinks.
     let lags = |lag: i64| {
         for group in &rig.site.groups[1..] {
-            group.with(|s| s.members.iter_mut().for_each(|m| m.lag = lag));
+            group.with_state(|s| s.members.iter_mut().for_each(|m| m.lag_ms = lag));
         }
     };
     lags(4_000);
@@ -142,13 +154,13 @@
     // Its primary fails over, and the new one lacks the last writes; in a guest's group the old one does not know it for a while.
     let home = rig.site.groups[0].clone();
     let now = birchreach_test_support::groups::now_ms;
-    home.with(|s| s.fail_over((s.primary + 1) % 3, now(), true));
+    home.with_state(|s| s.fail_over((s.primary + 1) % 3, now(), true));
     let guests = rig.site.groups[1].clone();
     let old = primary(&guests);
-    guests.with(|s| s.fail_over((old + 1) % 3, now(), false));
+    guests.with_state(|s| s.fail_over((old + 1) % 3, now(), false));
     sleep(Duration::from_secs(1));
-    guests.with(|s| s.learns(old));
-    rig.site.tell();
+    guests.with_state(|s| s.notify_deposed(old));
+    rig.site.update_discovery();
     // Halves are cut while it is hot; one is stopped in the middle of things, and goes on.
     rig.site.fleet.relays.set_faults(NetworkFaults {
         duplicate_fraction: 0.1,
@@ -171,10 +183,10 @@
     let told = traffic.stop();
     rig.judge(&told);
     assert!(
-        told.worth() > 0.5,
+        told.served_fraction() > 0.5,
         "{} of {}",
         told.served,
-        told.served + told.refused + told.failed + told.broken
+        told.served + told.rejected + told.failed + told.disconnected
     );
     rig.until("cold", || rig.hold(0));
 }
@@ -191,10 +203,10 @@
         p.reload(&config(n), &options(n, "")).unwrap();
     }
     rig.until("off", || rig.running().iter().all(|p| admin_call(p, "hot").starts_with("NO ")));
-    traffic.take();
+    traffic.take_result();
     sleep(Duration::from_secs(1));
-    let off = traffic.take();
-    assert!(off.worth() > 0.5 && off.served > 0, "{off:?}");
+    let off = traffic.take_result();
+    assert!(off.served_fraction() > 0.5 && off.served > 0, "{off:?}");
     for (n, p) in rig.running().iter().enumerate() {
         p.reload(&config(n), &options(n, HOT)).unwrap();
     }
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on four processes with hot keys and a split: the same ones each time. Thousands more are played by
 //! `birchreach-measure schedules`; a seed that failed there once stands here for good.
 
-use birchreach_test_support::groups::play::{Summary, play};
+use birchreach_test_support::groups::play::{Summary, play_schedule};
 use sha2::{Digest, Sha256};
 use std::path::Path;
 
@@ -21,7 +21,7 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("schedule-{seed}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let own = [127, 85, (seed % 250) as u8, 1];
-    play(seed, own, program, &folder, hash, below, above).unwrap_or_else(|why| panic!("{why}"))
+    play_schedule(seed, own, program, &folder, hash, below, above).unwrap_or_else(|why| panic!("{why}"))
 }
 
 /// 7: a child's primary is deposed and does not know it; 31: a process is stopped while a database starts anew.
@@ -32,6 +32,6 @@
         all.into_iter().map(|one| one.join().unwrap()).collect()
     });
     let sum = |of: fn(&Summary) -> usize| sums.iter().map(of).sum::<usize>();
-    assert!(sum(|s| s.checked) > 500 && sum(|s| s.claims) > 10, "it shows nothing: {sums:?}");
-    assert!(sum(|s| s.shadows) > 100 && sum(|s| s.copy_reads) > 10, "it shows nothing: {sums:?}");
+    assert!(sum(|s| s.checked_reads) > 500 && sum(|s| s.checked_copies) > 10, "it shows nothing: {sums:?}");
+    assert!(sum(|s| s.dual_reads) > 100 && sum(|s| s.copy_reads) > 10, "it shows nothing: {sums:?}");
 }
--- a/proxy/tests/split.rs
+++ b/proxy/tests/split.rs
@@ -1,9 +1,11 @@
 //! Reads compared while a group splits, on several real processes: faults alone are flagged, all of them, and a verdict is of all.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
-use birchreach_test_support::groups::judge::{cold, windows};
-use birchreach_test_support::groups::traffic::{Habit, Traffic};
-use birchreach_test_support::groups::{Change, Group, Load, Planted, Site, What, now_ms};
+use birchreach_test_support::groups::judge::{check_none_while_warming_up, check_rate_limit};
+use birchreach_test_support::groups::traffic::{Traffic, TrafficProfile};
+use birchreach_test_support::groups::{
+    CapacityModel, Change, ClusterRig, Group, PlantedDifference, StatementKind, now_ms,
+};
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::relay::NetworkFaults;
 use sha2::{Digest, Sha256};
@@ -41,7 +43,7 @@
 }
 
 struct Rig {
-    site: Site,
+    site: ClusterRig,
     all: Vec<Process>,
     traffic: Option<Traffic>,
     keys: Vec<String>,
@@ -54,7 +56,12 @@
         let own = [127, 86, n, 1];
         let at = SocketAddr::new(IpAddr::from(own), 0);
         let (work, cold) = (Duration::from_millis(1), Duration::from_secs(2));
-        let load = Load { at_once: 4, work, cold_share: 0.3, cold };
+        let load = CapacityModel {
+            max_concurrent: 4,
+            statement_time: work,
+            slow_start_initial_fraction: 0.3,
+            slow_start_window: cold,
+        };
         let parent = Group::start(at, 3, 20, load.clone(), None).unwrap();
         let child = |own: fn(&str) -> bool| {
             Group::start(at, 2, 30, load.clone(), Some((parent.clone(), own))).unwrap()
@@ -63,9 +70,9 @@
         let keys = keys();
         for (n, key) in keys.iter().enumerate() {
             let change = Change::Row { key: key.clone(), value: format!("{n:04x}") };
-            parent.with(|s| s.commit(0, now_ms() - 10_000, "", change));
+            parent.with_state(|s| s.commit(0, now_ms() - 10_000, "", change));
         }
-        let site = Site::new(groups, count, own, program, &folder, u64::from(n), SPLIT).unwrap();
+        let site = ClusterRig::new(groups, count, own, program, &folder, u64::from(n), SPLIT).unwrap();
         let all: Vec<Process> = (0..count).map(|n| site.start(n).unwrap()).collect();
         let mut rig = Rig { site, all, traffic: None, keys };
         rig.until("join", |rig| check_settled(count, &rig.all.iter().collect::<Vec<_>>()).is_ok());
@@ -76,8 +83,10 @@
             reads.swap(0, n * 5);
             reads
         };
-        let habits: Vec<(usize, Habit)> = (0..count)
-            .map(|n| (n, Habit { group: 0, reads: reads(n), sessions: 0.0, writes: 3.0 }))
+        let habits: Vec<(usize, TrafficProfile)> = (0..count)
+            .map(|n| {
+                (n, TrafficProfile { group: 0, read_rates: reads(n), session_fraction: 0.0, write_rate: 3.0 })
+            })
             .collect();
         rig.traffic = Some(Traffic::start(&proxies, &rig.site.groups, &habits, 7));
         rig
@@ -115,16 +124,26 @@
     /// Clients were served by the parent alone, and children within the budget.
     fn judge(&mut self) {
         let told = self.traffic.take().unwrap().stop();
-        assert!(told.worth() > 0.5 && told.served > 200, "{} served, {} refused", told.served, told.refused);
+        assert!(
+            told.served_fraction() > 0.5 && told.served > 200,
+            "{} served, {} refused",
+            told.served,
+            told.rejected
+        );
         for child in &self.site.groups[1..] {
-            child.with(|s| {
-                let clients =
-                    s.records.iter().filter(|r| matches!(r.what, What::Read { background: false })).count();
+            child.with_state(|s| {
+                let clients = s
+                    .records
+                    .iter()
+                    .filter(|r| matches!(r.statement, StatementKind::Read { background: false }))
+                    .count();
                 assert_eq!(clients, 0, "a client's read went to a child");
-                let shadow = |what: &What| matches!(what, What::Read { background: true } | What::Look);
+                let shadow = |what: &StatementKind| {
+                    matches!(what, StatementKind::Read { background: true } | StatementKind::PositionRead)
+                };
                 // A look reads twice; and what was on its way from before a stop.
-                let most = windows(&s.records, 1_000, 2 * 60 + 8, shadow).unwrap();
-                cold(&s.records, shadow).unwrap();
+                let most = check_rate_limit(&s.records, 1_000, 2 * 60 + 8, shadow).unwrap();
+                check_none_while_warming_up(&s.records, shadow).unwrap();
                 assert!(most > 0);
             });
         }
@@ -137,17 +156,17 @@
     rig.until("clean", |rig| rig.verdicts("clean"));
     let [parent, first, second] = [0, 1, 2].map(|n| rig.site.groups[n].clone());
     // The parent loses its last writes in a failover; its children have them for a second longer.
-    parent.with(|s| s.fail_over(1, now_ms(), true));
-    rig.site.tell();
+    parent.with_state(|s| s.fail_over(1, now_ms(), true));
+    rig.site.update_discovery();
     sleep(Duration::from_secs(2));
     // A child that lags, and one that begins anew from an old copy.
-    first.with(|s| s.members.iter_mut().for_each(|m| m.lag = 2_500));
-    let replica = (second.with(|s| s.primary) + 1) % 2;
+    first.with_state(|s| s.members.iter_mut().for_each(|m| m.lag_ms = 2_500));
+    let replica = (second.with_state(|s| s.primary) + 1) % 2;
     rig.site.restart(2, replica, 8_000);
     sleep(Duration::from_secs(3));
-    first.with(|s| s.members.iter_mut().for_each(|m| m.lag = 30));
-    second.with(|s| s.fail_over(1 - s.primary, now_ms(), true));
-    rig.site.tell();
+    first.with_state(|s| s.members.iter_mut().for_each(|m| m.lag_ms = 30));
+    second.with_state(|s| s.fail_over(1 - s.primary, now_ms(), true));
+    rig.site.update_discovery();
     // One is cut off, and knows that it does not speak for all; one is stopped in the middle of its looks.
     rig.site.fleet.relays.set_faults(NetworkFaults::partition(1, 4));
     rig.all[2].signal("STOP");
@@ -166,11 +185,11 @@
     for (n, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
         let (owner, other) = if below(key) { (1, 2) } else { (2, 1) };
         let (group, fault, sort) = match n % 3 {
-            0 => (owner, Planted::Missing, "missing"),
-            1 => (other, Planted::Extra, "extra"),
-            _ => (owner, Planted::Other("ffff".into()), "differs"),
+            0 => (owner, PlantedDifference::Missing, "missing"),
+            1 => (other, PlantedDifference::Extra, "extra"),
+            _ => (owner, PlantedDifference::OtherValue("ffff".into()), "differs"),
         };
-        rig.site.groups[group].with(|s| s.planted.insert(key.clone(), fault));
+        rig.site.groups[group].with_state(|s| s.planted_differences.insert(key.clone(), fault));
         planted.push(format!("{sort} {:08x}", hash(key)));
     }
     planted.sort();
--- a/test-support/src/groups/judge.rs
+++ b/test-support/src/groups/judge.rs
@@ -1,24 +1,24 @@
 //! Judges: what databases and clients recorded, held against what must be. Pure functions; each rejects a history in `tests/judges.rs`.
 
-use super::state::{Change, Entry, Record, What};
+use super::state::{Change, Entry, Record, StatementKind};
 use std::collections::HashMap;
 
 /// A read that was served, as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Read {
+pub struct ServedRead {
     pub key: String,
     /// All that was committed up to then had to be seen.
-    pub needed: i64,
+    pub required_position_ms: i64,
     pub value: String,
 }
 
 /// No read saw less than it had to. `lost`: commits that a failover took back, which may have been seen before.
-pub fn stale(reads: &[Read], log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
+pub fn check_freshness(reads: &[ServedRead], log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
     let mut by_key: HashMap<&str, Vec<(i64, &str, bool)>> = HashMap::new();
     for (entries, kept) in [(log, true), (lost, false)] {
         for e in entries {
             if let Change::Row { key, value } = &e.change {
-                by_key.entry(key).or_default().push((e.at, value, kept));
+                by_key.entry(key).or_default().push((e.committed_at_ms, value, kept));
             }
         }
     }
@@ -27,7 +27,7 @@
     for read in reads {
         let Some(all) = by_key.get(read.key.as_str()) else { continue };
         // The newest that is kept and had to be seen, or anything later.
-        let least = all.iter().rposition(|(at, _, kept)| *kept && *at <= read.needed);
+        let least = all.iter().rposition(|(at, _, kept)| *kept && *at <= read.required_position_ms);
         let Some(least) = least else { continue };
         checked += 1;
         if !all[least..].iter().any(|(_, value, _)| *value == read.value) {
@@ -39,26 +39,31 @@
 }
 
 /// Each copy holds all that was committed at home up to its position, whoever made it and whether it was read or not.
-pub fn claims(copies: &[Entry], home: u32, log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
+pub fn check_copies(copies: &[Entry], home: u32, log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
     let mut reads = Vec::new();
     for e in copies {
-        if let Change::Copy { home: of, key, at, value } = &e.change
+        if let Change::Copy { home: of, key, position_ms: at, value } = &e.change
             && *of == home
         {
-            reads.push(Read { key: key.clone(), needed: *at, value: value.clone() });
+            reads.push(ServedRead { key: key.clone(), required_position_ms: *at, value: value.clone() });
         }
     }
-    stale(&reads, log, lost)
+    check_freshness(&reads, log, lost)
 }
 
 /// No write was run twice, by its id.
-pub fn doubles(records: &[&[Record]], logs: &[&[Entry]]) -> Result<usize, String> {
+pub fn check_single_execution(records: &[&[Record]], logs: &[&[Entry]]) -> Result<usize, String> {
     let mut runs: HashMap<&str, usize> = HashMap::new();
     for e in logs.iter().copied().flatten().filter(|e| !e.id.is_empty()) {
         *runs.entry(&e.id).or_default() += 1;
     }
     let twice = runs.iter().find(|(_, n)| **n > 1);
-    let asked = records.iter().copied().flatten().filter(|r| matches!(r.what, What::Write { .. })).count();
+    let asked = records
+        .iter()
+        .copied()
+        .flatten()
+        .filter(|r| matches!(r.statement, StatementKind::Write { .. }))
+        .count();
     match twice {
         Some((id, n)) => Err(format!("{id} ran {n} times")),
         None => Ok(asked),
@@ -66,15 +71,15 @@
 }
 
 /// In no window of so many milliseconds did a member of a group get more of something than so many. The most that one got.
-pub fn windows(
+pub fn check_rate_limit(
     records: &[Record],
     window: i64,
     most: usize,
-    of: impl Fn(&What) -> bool,
+    of: impl Fn(&StatementKind) -> bool,
 ) -> Result<usize, String> {
     let mut by_member: HashMap<usize, Vec<i64>> = HashMap::new();
-    for r in records.iter().filter(|r| of(&r.what)) {
-        by_member.entry(r.member).or_default().push(r.at);
+    for r in records.iter().filter(|r| of(&r.statement)) {
+        by_member.entry(r.member).or_default().push(r.received_at_ms);
     }
     let mut highest = 0;
     for (member, mut times) in by_member {
@@ -91,8 +96,11 @@
 }
 
 /// Nothing of a kind came while a member was cold.
-pub fn cold(records: &[Record], of: impl Fn(&What) -> bool) -> Result<(), String> {
-    match records.iter().find(|r| r.cold && of(&r.what)) {
+pub fn check_none_while_warming_up(
+    records: &[Record],
+    of: impl Fn(&StatementKind) -> bool,
+) -> Result<(), String> {
+    match records.iter().find(|r| r.warming_up && of(&r.statement)) {
         Some(r) => Err(format!("a cold member got {r:?}")),
         None => Ok(()),
     }
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -10,30 +10,30 @@
 use std::thread;
 use std::time::Duration;
 
-pub(super) const LOOK: Duration = Duration::from_millis(2);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// What a member bears.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct CapacityModel {
     /// Statements at once, and how long one takes.
-    pub at_once: usize,
-    pub work: Duration,
+    pub max_concurrent: usize,
+    pub statement_time: Duration,
     /// It starts with this share of that, and has all of it after so long.
-    pub cold_share: f64,
-    pub cold: Duration,
+    pub slow_start_initial_fraction: f64,
+    pub slow_start_window: Duration,
 }
 
 /// Rows of another group's log, for keys of which this says so.
-pub type Source = (Group, fn(&str) -> bool);
+pub type ParentLog = (Group, fn(&str) -> bool);
 
 pub(super) struct Inner {
     pub(super) addresses: Vec<SocketAddr>,
     pub(super) state: Mutex<State>,
     /// Statements that each member has in hand.
-    pub(super) busy: Mutex<Vec<usize>>,
+    pub(super) in_flight: Mutex<Vec<usize>>,
     pub(super) changed: Condvar,
-    pub(super) load: Load,
-    pub(super) source: Option<Source>,
+    pub(super) capacity: CapacityModel,
+    pub(super) parent_log: Option<ParentLog>,
     /// Its threads end.
     stopped: AtomicBool,
 }
@@ -47,8 +47,8 @@
         address: SocketAddr,
         members: usize,
         lag: i64,
-        load: Load,
-        source: Option<Source>,
+        load: CapacityModel,
+        source: Option<ParentLog>,
     ) -> io::Result<Group> {
         let listeners = (0..members).map(|_| TcpListener::bind(address)).collect::<io::Result<Vec<_>>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
@@ -58,10 +58,10 @@
         let group = Group(Arc::new(Inner {
             addresses,
             state,
-            busy,
+            in_flight: busy,
             changed,
-            load,
-            source,
+            capacity: load,
+            parent_log: source,
             stopped: AtomicBool::new(false),
         }));
         for (n, listener) in listeners.into_iter().enumerate() {
@@ -80,7 +80,7 @@
     }
 
     /// Looks at the state, or changes it.
-    pub fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
+    pub fn with_state<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
         let done = act(&mut lock(&self.0.state));
         self.0.changed.notify_all();
         done
@@ -91,18 +91,18 @@
         self.0.stopped.store(true, Ordering::Relaxed);
     }
 
-    fn up(&self, member: usize) -> bool {
-        !self.0.stopped.load(Ordering::Relaxed) && lock(&self.0.state).members[member].up
+    fn is_running(&self, member: usize) -> bool {
+        !self.0.stopped.load(Ordering::Relaxed) && lock(&self.0.state).members[member].running
     }
 
-    fn born(&self, member: usize) -> i64 {
-        lock(&self.0.state).members[member].born
+    fn started_at_ms(&self, member: usize) -> i64 {
+        lock(&self.0.state).members[member].started_at_ms
     }
 
     fn accept(&self, member: usize, first: TcpListener) {
         let mut listener = Some(first);
         while !self.0.stopped.load(Ordering::Relaxed) {
-            if !self.up(member) {
+            if !self.is_running(member) {
                 listener = None;
             } else if listener.is_none() {
                 listener = TcpListener::bind(self.0.addresses[member]).ok();
@@ -114,46 +114,46 @@
                     thread::spawn(move || own.serve(member, stream));
                 }
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Waits until it does not hang. False: it died meanwhile.
-    fn awake(&self, member: usize) -> bool {
+    fn wait_while_hung(&self, member: usize) -> bool {
         loop {
             let state = lock(&self.0.state);
             let m = &state.members[member];
-            if !m.up || !m.hung || self.0.stopped.load(Ordering::Relaxed) {
-                return m.up;
+            if !m.running || !m.hung || self.0.stopped.load(Ordering::Relaxed) {
+                return m.running;
             }
             drop(state);
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     fn serve(&self, member: usize, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LOOK))?;
-        self.body(member, &mut stream)?;
+        stream.set_read_timeout(Some(POLL_INTERVAL))?;
+        self.read_body(member, &mut stream)?;
         let ready = message(b'Z', b"I");
-        if self.awake(member) {
+        if self.wait_while_hung(member) {
             stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())?;
         }
-        let born = self.born(member);
-        while self.up(member) && self.born(member) == born {
+        let born = self.started_at_ms(member);
+        while self.is_running(member) && self.started_at_ms(member) == born {
             let mut tag = [0];
-            self.fill(member, &mut stream, &mut tag)?;
-            let body = self.body(member, &mut stream)?;
+            self.read_exactly(member, &mut stream, &mut tag)?;
+            let body = self.read_body(member, &mut stream)?;
             if tag[0] != b'Q' {
                 return Ok(());
             }
             let query = String::from_utf8_lossy(&body).trim_end_matches('\0').to_string();
-            if !self.awake(member) {
+            if !self.wait_while_hung(member) {
                 break;
             }
-            let answer = self.answer(member, &query);
-            if !self.awake(member) || self.born(member) != born {
+            let answer = self.answer_statement(member, &query);
+            if !self.wait_while_hung(member) || self.started_at_ms(member) != born {
                 break;
             }
             stream.write_all(&[answer, ready.clone()].concat())?;
@@ -162,26 +162,26 @@
     }
 
     /// Reads all of it, however long that takes, while the member lives.
-    fn fill(&self, member: usize, stream: &mut TcpStream, into: &mut [u8]) -> io::Result<()> {
+    fn read_exactly(&self, member: usize, stream: &mut TcpStream, into: &mut [u8]) -> io::Result<()> {
         let mut at = 0;
         while at < into.len() {
             match stream.read(&mut into[at..]) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
                 Ok(n) => at += n,
                 Err(e)
-                    if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) && self.up(member) => {
-                }
+                    if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+                        && self.is_running(member) => {}
                 Err(e) => return Err(e),
             }
         }
         Ok(())
     }
 
-    fn body(&self, member: usize, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
+    fn read_body(&self, member: usize, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
         let mut length = [0; 4];
-        self.fill(member, stream, &mut length)?;
+        self.read_exactly(member, stream, &mut length)?;
         let mut body = vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(1 << 20)];
-        self.fill(member, stream, &mut body)?;
+        self.read_exactly(member, stream, &mut body)?;
         Ok(body)
     }
 }
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -12,9 +12,9 @@
 mod state;
 pub mod traffic;
 
-pub use member::{Group, Load};
-pub use site::Site;
-pub use state::{Change, Entry, Planted, Record, State, What};
+pub use member::{CapacityModel, Group};
+pub use site::ClusterRig;
+pub use state::{Change, Entry, PlantedDifference, Record, State, StatementKind};
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/test-support/src/groups/site.rs
+++ b/test-support/src/groups/site.rs
@@ -1,6 +1,6 @@
 //! Several groups with discovery before them, and a fleet of proxies that know of one another.
 
-use super::member::{Group, Load};
+use super::member::{CapacityModel, Group};
 use super::now_ms;
 use crate::discovery::{Discovery, ListedDatabase};
 use crate::fleet::Fleet;
@@ -12,15 +12,15 @@
 use std::time::Duration;
 
 /// How long a member that ends is away.
-const DOWN: Duration = Duration::from_millis(300);
+const RESTART_TIME: Duration = Duration::from_millis(300);
 
-pub struct Site {
+pub struct ClusterRig {
     pub groups: Vec<Group>,
     pub discovery: Discovery,
     pub fleet: Fleet,
 }
 
-impl Site {
+impl ClusterRig {
     /// `more`: elements of the options beside the fleet's.
     pub fn new(
         groups: Vec<Group>,
@@ -30,12 +30,12 @@
         folder: &Path,
         seed: u64,
         more: &str,
-    ) -> io::Result<Site> {
-        let discovery = Discovery::start(SocketAddr::new(IpAddr::from(own), 0), lines(&groups))?;
+    ) -> io::Result<ClusterRig> {
+        let discovery = Discovery::start(SocketAddr::new(IpAddr::from(own), 0), listed_databases(&groups))?;
         let mut fleet = Fleet::new(places, own, program, folder, seed)?;
         fleet.extra_options = more.into();
         fleet.rig.external_discovery = Some((discovery.address(), settings(places)));
-        Ok(Site { groups, discovery, fleet })
+        Ok(ClusterRig { groups, discovery, fleet })
     }
 
     /// Groups of so many members each, none of which follows another.
@@ -44,7 +44,7 @@
         members: usize,
         own: [u8; 4],
         lag: i64,
-        load: &Load,
+        load: &CapacityModel,
     ) -> io::Result<Vec<Group>> {
         let at = SocketAddr::new(IpAddr::from(own), 0);
         (0..count).map(|_| Group::start(at, members, lag, load.clone(), None)).collect()
@@ -57,20 +57,20 @@
     /// A member ends, is out of the list for a moment, and comes back cold: from where it stood, or as another database from a copy so
     /// old, by another name.
     pub fn restart(&self, group: usize, member: usize, back: i64) {
-        self.groups[group].with(|s| s.members[member].up = false);
-        self.tell();
-        thread::sleep(DOWN);
-        self.groups[group].with(|s| s.restart(member, now_ms(), back));
-        self.tell();
+        self.groups[group].with_state(|s| s.members[member].running = false);
+        self.update_discovery();
+        thread::sleep(RESTART_TIME);
+        self.groups[group].with_state(|s| s.restart(member, now_ms(), back));
+        self.update_discovery();
     }
 
     /// Discovery names the primaries that there are.
-    pub fn tell(&self) {
-        self.discovery.set_databases(lines(&self.groups));
+    pub fn update_discovery(&self) {
+        self.discovery.set_databases(listed_databases(&self.groups));
     }
 }
 
-impl Drop for Site {
+impl Drop for ClusterRig {
     fn drop(&mut self) {
         self.groups.iter().for_each(Group::stop);
         self.discovery.stop();
@@ -78,11 +78,15 @@
 }
 
 /// The list as it should be: who is up, and who is primary.
-pub fn lines(groups: &[Group]) -> Vec<ListedDatabase> {
+pub fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut all = Vec::new();
     for (n, group) in groups.iter().enumerate() {
-        let (primary, state) = group
-            .with(|s| (s.primary, s.members.iter().map(|m| (m.up, m.born, m.copies)).collect::<Vec<_>>()));
+        let (primary, state) = group.with_state(|s| {
+            (
+                s.primary,
+                s.members.iter().map(|m| (m.running, m.started_at_ms, m.restore_count)).collect::<Vec<_>>(),
+            )
+        });
         for (member, (_, born, copies)) in state.into_iter().enumerate().filter(|(_, (up, ..))| *up) {
             all.push(ListedDatabase {
                 // A database from a copy is another one.
--- a/test-support/src/groups/sql.rs
+++ b/test-support/src/groups/sql.rs
@@ -16,11 +16,11 @@
     CopyRead {
         home: u32,
         key: String,
-        at: i64,
+        min_position_ms: i64,
     },
     CopyWrite(Change),
     /// A row with the time of its last commit.
-    Look {
+    PositionRead {
         key: String,
     },
     Usage,
@@ -33,37 +33,37 @@
     comment.split([',', ' ']).find_map(|f| f.strip_prefix(name))
 }
 
-fn between<'a>(text: &'a str, start: &str, end: &str) -> Option<&'a str> {
+fn text_between<'a>(text: &'a str, start: &str, end: &str) -> Option<&'a str> {
     let (_, rest) = text.split_once(start)?;
     Some(rest.split_once(end)?.0)
 }
 
 pub fn parse(query: &str) -> Statement {
-    read(query).unwrap_or(Statement::Unknown)
+    parse_known(query).unwrap_or(Statement::Unknown)
 }
 
-fn read(query: &str) -> Option<Statement> {
+fn parse_known(query: &str) -> Option<Statement> {
     let quoted: Vec<&str> = query.split('\'').skip(1).step_by(2).collect();
     let key = || quoted.first().map(|key| key.to_string());
     if query == "SHOW usage" {
         Some(Statement::Usage)
     } else if query.starts_with("SELECT coalesce((SELECT int8send(at) || blob FROM copies") {
-        let home = between(query, "home = ", " AND")?.parse().ok()?;
-        let at = between(query, "at >= ", ")")?.parse().ok()?;
-        Some(Statement::CopyRead { home, key: key()?, at })
+        let home = text_between(query, "home = ", " AND")?.parse().ok()?;
+        let at = text_between(query, "at >= ", ")")?.parse().ok()?;
+        Some(Statement::CopyRead { home, key: key()?, min_position_ms: at })
     } else if query.starts_with("INSERT INTO copies ") {
         if !query.contains("ON CONFLICT (home, handle) DO UPDATE")
             || !query.contains("WHERE copies.at < excluded.at")
         {
             return None;
         }
-        let mut values = between(query, "VALUES (", ")")?.split(", ");
+        let mut values = text_between(query, "VALUES (", ")")?.split(", ");
         let home = values.next()?.parse().ok()?;
         let at = values.nth(1)?.parse().ok()?;
         let value = quoted.get(1)?.trim_start_matches("\\x").to_string();
-        Some(Statement::CopyWrite(Change::Copy { home, key: key()?, at, value }))
+        Some(Statement::CopyWrite(Change::Copy { home, key: key()?, position_ms: at, value }))
     } else if query.starts_with("SELECT int8send(") {
-        Some(Statement::Look { key: key()? })
+        Some(Statement::PositionRead { key: key()? })
     } else if query.starts_with("SELECT blob FROM rows") {
         Some(Statement::Read { key: key()?, background: field(query, "c=") == Some("background") })
     } else if query.starts_with("INSERT INTO rows") {
--- a/test-support/tests/judges.rs
+++ b/test-support/tests/judges.rs
@@ -1,14 +1,21 @@
 //! A judge that never rejected anything has shown nothing: each has a history here that it must reject, and one that it must not.
 
-use birchreach_test_support::groups::judge::{Read, claims, cold, doubles, stale, windows};
-use birchreach_test_support::groups::{Change, Entry, Record, State, What};
+use birchreach_test_support::groups::judge::{
+    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    check_single_execution,
+};
+use birchreach_test_support::groups::{Change, Entry, Record, State, StatementKind};
 
 fn entry(at: i64, key: &str, value: &str) -> Entry {
-    Entry { at, id: format!("{key}{at}"), change: Change::Row { key: key.into(), value: value.into() } }
+    Entry {
+        committed_at_ms: at,
+        id: format!("{key}{at}"),
+        change: Change::Row { key: key.into(), value: value.into() },
+    }
 }
 
-fn read(needed: i64, value: &str) -> Read {
-    Read { key: "k".into(), needed, value: value.into() }
+fn read(needed: i64, value: &str) -> ServedRead {
+    ServedRead { key: "k".into(), required_position_ms: needed, value: value.into() }
 }
 
 #[test]
@@ -16,46 +23,55 @@
     let log = [entry(10, "k", "a"), entry(20, "k", "b"), entry(30, "other", "c")];
     let lost = [entry(25, "k", "lost")];
     assert_eq!(
-        stale(&[read(5, "x"), read(15, "a"), read(15, "b"), read(20, "b"), read(24, "lost")], &log, &lost),
+        check_freshness(
+            &[read(5, "x"), read(15, "a"), read(15, "b"), read(20, "b"), read(24, "lost")],
+            &log,
+            &lost
+        ),
         Ok(4)
     );
-    assert!(stale(&[read(20, "a")], &log, &lost).is_err(), "its write was committed at 20");
-    assert!(stale(&[read(30, "a")], &log, &lost).is_err());
-    assert_eq!(stale(&[read(30, "b")], &log, &lost), Ok(1), "the lost write need not be seen");
+    assert!(check_freshness(&[read(20, "a")], &log, &lost).is_err(), "its write was committed at 20");
+    assert!(check_freshness(&[read(30, "a")], &log, &lost).is_err());
+    assert_eq!(check_freshness(&[read(30, "b")], &log, &lost), Ok(1), "the lost write need not be seen");
 }
 
 #[test]
 fn copies_that_claim_too_much_are_found() {
     let log = [entry(10, "k", "a"), entry(20, "k", "b")];
     let copy = |at, value: &str| Entry {
-        at: 100,
+        committed_at_ms: 100,
         id: String::new(),
-        change: Change::Copy { home: 0, key: "k".into(), at, value: value.into() },
+        change: Change::Copy { home: 0, key: "k".into(), position_ms: at, value: value.into() },
     };
-    assert_eq!(claims(&[copy(19, "a"), copy(19, "b"), copy(25, "b")], 0, &log, &[]), Ok(3));
-    assert!(claims(&[copy(20, "a")], 0, &log, &[]).is_err());
-    assert_eq!(claims(&[copy(20, "a")], 1, &log, &[]), Ok(0), "of another home");
+    assert_eq!(check_copies(&[copy(19, "a"), copy(19, "b"), copy(25, "b")], 0, &log, &[]), Ok(3));
+    assert!(check_copies(&[copy(20, "a")], 0, &log, &[]).is_err());
+    assert_eq!(check_copies(&[copy(20, "a")], 1, &log, &[]), Ok(0), "of another home");
 }
 
 #[test]
 fn doubles_are_found() {
     let log = [entry(10, "k", "a"), entry(20, "k", "b")];
-    assert_eq!(doubles(&[], &[&log]), Ok(0));
+    assert_eq!(check_single_execution(&[], &[&log]), Ok(0));
     let twice = [entry(10, "k", "a")];
-    assert!(doubles(&[], &[&log, &twice]).is_err(), "in another group, or lost and run again");
+    assert!(check_single_execution(&[], &[&log, &twice]).is_err(), "in another group, or lost and run again");
 }
 
 #[test]
 fn windows_over_the_bound_are_found() {
-    let at = |at, member| Record { at, member, what: What::CopyWrite, cold: false };
+    let at = |at, member| Record {
+        received_at_ms: at,
+        member,
+        statement: StatementKind::CopyWrite,
+        warming_up: false,
+    };
     let records = [at(0, 0), at(900, 0), at(1000, 0), at(1800, 0), at(500, 1)];
-    let copies = |what: &What| *what == What::CopyWrite;
-    assert_eq!(windows(&records, 1000, 3, copies), Ok(3));
-    assert!(windows(&records, 1000, 2, copies).is_err(), "900, 1000 and 1800");
-    assert_eq!(windows(&records, 1000, 0, |what| *what == What::Look), Ok(0));
-    assert_eq!(cold(&records, copies), Ok(()));
-    let chilled = [Record { cold: true, ..at(0, 0) }];
-    assert!(cold(&chilled, copies).is_err());
+    let copies = |what: &StatementKind| *what == StatementKind::CopyWrite;
+    assert_eq!(check_rate_limit(&records, 1000, 3, copies), Ok(3));
+    assert!(check_rate_limit(&records, 1000, 2, copies).is_err(), "900, 1000 and 1800");
+    assert_eq!(check_rate_limit(&records, 1000, 0, |what| *what == StatementKind::PositionRead), Ok(0));
+    assert_eq!(check_none_while_warming_up(&records, copies), Ok(()));
+    let chilled = [Record { warming_up: true, ..at(0, 0) }];
+    assert!(check_none_while_warming_up(&chilled, copies).is_err());
 }
 
 /// What stand-in groups answer is what such databases would.
@@ -73,7 +89,8 @@
     assert_eq!(s.position(0, 1_020), 1_019);
     assert_eq!(s.commit(0, 1_020, "w4", row("k", "04")), Some(1_020));
     // A copy: the newer position stands.
-    let copy = |at, value: &str| Change::Copy { home: 7, key: "c".into(), at, value: value.into() };
+    let copy =
+        |at, value: &str| Change::Copy { home: 7, key: "c".into(), position_ms: at, value: value.into() };
     s.commit(0, 1_030, "", copy(500, "0a"));
     s.commit(0, 1_031, "", copy(400, "0b"));
     assert_eq!(s.copy(0, 1_040, 7, "c"), Some((500, "0a".into())));
@@ -81,13 +98,13 @@
     // Failover to one that lacks the last write: it is lost; a deposed one that does not know it claims the present.
     assert_eq!(s.position(2, 1_060), 1_009);
     s.fail_over(2, 1_060, false);
-    assert_eq!(s.lost.iter().map(|e| e.at).collect::<Vec<_>>(), [1_020, 1_030, 1_031]);
+    assert_eq!(s.lost_commits.iter().map(|e| e.committed_at_ms).collect::<Vec<_>>(), [1_020, 1_030, 1_031]);
     assert_eq!(s.row(None, 2, 1_070, "k"), Some(("02".into(), 1_001)));
-    assert_eq!((s.claims(0), s.claims(2), s.position(0, 2_000)), (true, true, 1_999));
+    assert_eq!((s.claims_primary(0), s.claims_primary(2), s.position(0, 2_000)), (true, true, 1_999));
     assert_eq!(s.row(None, 0, 2_000, "k").map(|r| r.0), Some("04".into()));
     assert_eq!(s.commit(0, 2_000, "w5", row("k", "05")), None);
-    s.learns(0);
-    assert!(!s.claims(0));
+    s.notify_deposed(0);
+    assert!(!s.claims_primary(0));
     s.restart(1, 3_000, 2_000);
     assert!(s.position(1, 3_000) < 1_000, "from an old copy");
     assert!(s.position(1, 3_600) >= 3_549, "what it lacks it has made good");
