--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -1,52 +1,66 @@
-//! A client: one connection, one statement at a time.
+//! A client of the proxy: one connection, one statement at a time.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// What a request came to.
+/// How long connecting may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// How long a reply may take; longer than any deadline that tests send.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// PostgreSQL's protocol version 3.0, as the startup message has it.
+const PROTOCOL_VERSION: u32 = 196_608;
+
+/// Bound on the body of one message.
+const MAX_MESSAGE_BYTES: usize = 1 << 24;
+
+/// Where the value begins in a row of one column: after the column count (2 bytes) and the value's length (4 bytes).
+const ROW_VALUE_OFFSET: usize = 6;
+
+/// The result of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
+    /// Served, with the value of the only row; empty without one.
     Served(Vec<u8>),
-    /// With this SQLSTATE.
+    /// Failed, with this SQLSTATE.
     Error(String),
 }
 
+/// A connection that is ready for statements.
 pub struct Client {
     stream: TcpStream,
 }
 
-static IDS: AtomicU64 = AtomicU64::new(1);
+/// The next request id; ids are unique within a test process.
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
 impl Client {
+    /// Connects and completes the startup exchange.
     pub fn connect(address: SocketAddr) -> io::Result<Client> {
-        let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(5))?;
+        let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(Duration::from_secs(20)))?;
-        let body = [&196_608u32.to_be_bytes()[..], b"user\0api\0database\0ledger\0\0"].concat();
+        stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
+        let body = [&PROTOCOL_VERSION.to_be_bytes()[..], b"user\0api\0database\0ledger\0\0"].concat();
         stream.write_all(&[&(body.len() as u32 + 4).to_be_bytes()[..], &body].concat())?;
         let mut client = Client { stream };
         client.read_reply()?;
         Ok(client)
     }
 
+    /// Reads the row that [`Client::write`] writes.
     pub fn read(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
-        let id = IDS.fetch_add(1, Ordering::Relaxed);
-        self.run_statement(&format!(
-            "SELECT blob FROM rows WHERE handle = '7f3a' /* id={id:016x},c={class},d={wait_ms},cluster={group} */"
-        ))
+        self.read_key(class, group, "7f3a", wait_ms, None)
     }
 
+    /// Writes a fixed row.
     pub fn write(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
-        let id = IDS.fetch_add(1, Ordering::Relaxed);
-        self.run_statement(&format!(
-            "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f03') RETURNING blob \
-             /* id={id:016x},c={class},d={wait_ms},cluster={group} */"
-        ))
+        self.write_key(class, group, "7f3a", "9f03", wait_ms)
     }
 
-    /// A read of a key; `after`: the position that it has to see, in milliseconds.
+    /// Reads the row of a key. `after`: the position that the read has to see, in milliseconds.
     pub fn read_key(
         &mut self,
         class: &str,
@@ -55,13 +69,14 @@
         wait_ms: u32,
         after: Option<i64>,
     ) -> io::Result<Reply> {
-        let id = IDS.fetch_add(1, Ordering::Relaxed);
+        let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
         let after = after.map_or(String::new(), |at| format!(",after={at}"));
         self.run_statement(&format!(
             "SELECT blob FROM rows WHERE handle = '{key}' /* id={id:016x},c={class},d={wait_ms},cluster={group}{after} */"
         ))
     }
 
+    /// Writes the row of a key, with its value in hexadecimal digits.
     pub fn write_key(
         &mut self,
         class: &str,
@@ -70,19 +85,19 @@
         hex: &str,
         wait_ms: u32,
     ) -> io::Result<Reply> {
-        let id = IDS.fetch_add(1, Ordering::Relaxed);
+        let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
         self.run_statement(&format!(
             "INSERT INTO rows (handle, blob) VALUES ('{key}', '\\x{hex}') RETURNING blob \
              /* id={id:016x},c={class},d={wait_ms},cluster={group} */"
         ))
     }
 
-    /// Says that it leaves.
+    /// Sends the message that ends a session in order.
     pub fn send_terminate(&mut self) -> io::Result<()> {
         self.stream.write_all(b"X\0\0\0\x04")
     }
 
-    /// One statement, and its whole answer.
+    /// Runs one statement and reads its complete reply.
     pub fn run_statement(&mut self, text: &str) -> io::Result<Reply> {
         let mut message = vec![b'Q'];
         message.extend((text.len() as u32 + 5).to_be_bytes());
@@ -92,24 +107,28 @@
         self.read_reply()
     }
 
+    /// Reads messages until the server is ready for the next statement.
     fn read_reply(&mut self) -> io::Result<Reply> {
         let mut reply = Reply::Served(Vec::new());
         loop {
             let mut head = [0; 5];
             self.stream.read_exact(&mut head)?;
             let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-            let mut body = vec![0; length.saturating_sub(4).min(1 << 24)];
+            let mut body = vec![0; length.saturating_sub(4).min(MAX_MESSAGE_BYTES)];
             self.stream.read_exact(&mut body)?;
             match head[0] {
-                b'D' => reply = Reply::Served(body.get(6..).unwrap_or_default().to_vec()),
-                b'E' => {
-                    let fields = body.split(|b| *b == 0);
-                    let code = fields.filter_map(|f| f.strip_prefix(b"C")).next().unwrap_or_default();
-                    reply = Reply::Error(String::from_utf8_lossy(code).into());
-                }
+                b'D' => reply = Reply::Served(body.get(ROW_VALUE_OFFSET..).unwrap_or_default().to_vec()),
+                b'E' => reply = Reply::Error(sqlstate(&body)),
                 b'Z' => return Ok(reply),
                 _ => {}
             }
         }
     }
 }
+
+/// The SQLSTATE field of an error message's body.
+fn sqlstate(body: &[u8]) -> String {
+    let mut fields = body.split(|byte| *byte == 0);
+    let code = fields.find_map(|field| field.strip_prefix(b"C")).unwrap_or_default();
+    String::from_utf8_lossy(code).into()
+}
--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of databases and the watch on it, over HTTP/1.1. What the script says counts as told at once.
+//! A discovery service: the endpoint list and the long poll on it, over HTTP/1.1. A change by the test is visible at once.
 
 use crate::lock;
 use std::io::{self, BufRead, BufReader, Write};
@@ -8,25 +8,38 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A line of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedDatabase {
+    /// Identity of the database; a database restored from a copy has another one.
     pub uid: String,
+    /// Where it listens.
     pub endpoint: SocketAddr,
+    /// The group that it belongs to.
     pub group: u32,
+    /// Its state, in discovery's word for it.
     pub state: &'static str,
+    /// Whether it is listed as the group's primary.
     pub primary: bool,
-    /// When its process started, in milliseconds of Unix time; 0: long ago.
+    /// When its process started, in milliseconds of Unix time; 0 if that was long ago.
     pub started_at_ms: i64,
 }
 
+/// The list with the number of its revision.
+#[derive(Clone, Debug, Default)]
+struct EndpointList {
+    revision: u64,
+    databases: Vec<ListedDatabase>,
+}
+
 #[derive(Default)]
 struct Inner {
-    databases: Mutex<(u64, Vec<ListedDatabase>)>,
+    list: Mutex<EndpointList>,
     changed: Condvar,
     stopped: AtomicBool,
 }
 
+/// A handle to a running discovery service; it ends with the process or with [`Discovery::stop`].
 #[derive(Clone)]
 pub struct Discovery {
     inner: Arc<Inner>,
@@ -34,84 +47,102 @@
 }
 
 impl Discovery {
-    /// Starts it; with port 0 at a free port.
-    pub fn start(address: SocketAddr, list: Vec<ListedDatabase>) -> io::Result<Discovery> {
+    /// Starts the service with a list; port 0 takes a free port.
+    pub fn start(address: SocketAddr, databases: Vec<ListedDatabase>) -> io::Result<Discovery> {
         let listener = TcpListener::bind(address)?;
         let discovery = Discovery { inner: Arc::default(), address: listener.local_addr()? };
-        discovery.set_databases(list);
-        let own = discovery.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                if own.inner.stopped.load(Ordering::Relaxed) {
-                    return;
-                }
-                let own = own.clone();
-                thread::spawn(move || own.answer_requests(&stream));
-            }
-        });
+        discovery.set_databases(databases);
+        let service = discovery.clone();
+        thread::spawn(move || service.accept(&listener));
         Ok(discovery)
     }
 
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// It takes no more calls; those that wait end with their time.
+    /// Stops accepting connections; polls that are waiting end when their time is over.
     pub fn stop(&self) {
         self.inner.stopped.store(true, Ordering::Relaxed);
+        // The accepting thread notices the flag at its next connection.
         let _ = TcpStream::connect(self.address);
     }
 
-    /// The list is this from now on.
-    pub fn set_databases(&self, list: Vec<ListedDatabase>) {
-        let mut held = lock(&self.inner.databases);
-        *held = (held.0 + 1, list);
+    /// Replaces the list.
+    pub fn set_databases(&self, databases: Vec<ListedDatabase>) {
+        let mut list = lock(&self.inner.list);
+        *list = EndpointList { revision: list.revision + 1, databases };
         self.inner.changed.notify_all();
     }
 
-    /// Changes some lines of it.
-    pub fn change_databases(&self, act: impl FnOnce(&mut Vec<ListedDatabase>)) {
-        let mut list = lock(&self.inner.databases).1.clone();
-        act(&mut list);
-        self.set_databases(list);
+    /// Changes some entries of the list.
+    pub fn change_databases(&self, change: impl FnOnce(&mut Vec<ListedDatabase>)) {
+        let mut databases = lock(&self.inner.list).databases.clone();
+        change(&mut databases);
+        self.set_databases(databases);
     }
 
-    fn answer_requests(&self, stream: &TcpStream) -> io::Result<()> {
+    fn accept(&self, listener: &TcpListener) {
+        for stream in listener.incoming().flatten() {
+            if self.inner.stopped.load(Ordering::Relaxed) {
+                return;
+            }
+            let service = self.clone();
+            thread::spawn(move || service.answer_requests(&stream));
+        }
+    }
+
+    fn answer_requests(&self, mut stream: &TcpStream) -> io::Result<()> {
         let mut lines = BufReader::new(stream.try_clone()?).lines();
-        while let Some(call) = lines.next().transpose()? {
+        while let Some(request) = lines.next().transpose()? {
             while lines.next().transpose()?.is_some_and(|header| !header.is_empty()) {}
-            let number = |name: &str| -> Option<u64> {
-                let (_, rest) = call.split_once(name)?;
-                rest.split(['&', ' ']).next()?.parse().ok()
-            };
-            let until = number("hold_ms=").map(|ms| Instant::now() + Duration::from_millis(ms));
-            let mut held = lock(&self.inner.databases);
-            while let Some(left) = until.and_then(|at| at.checked_duration_since(Instant::now()))
-                && number("from=") == Some(held.0)
-            {
-                held = self.inner.changed.wait_timeout(held, left).map_or_else(|e| e.into_inner().0, |w| w.0);
-            }
-            let (rev, list) = held.clone();
-            drop(held);
-            let targets: Vec<String> = list.iter().map(ListedDatabase::json).collect();
-            let body = if number("from=") == Some(rev) {
-                format!(r#"{{"rev":{rev},"all":false,"targets":[]}}"#)
-            } else {
-                format!(r#"{{"rev":{rev},"all":true,"targets":[{}]}}"#, targets.join(","))
-            };
-            let mut stream = stream;
+            let known_revision = query_parameter(&request, "from=");
+            let wait = query_parameter(&request, "hold_ms=").map(Duration::from_millis);
+            let list = self.wait_for_change(known_revision, wait);
+            let body = list.to_json(known_revision);
             write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
         }
         Ok(())
     }
+
+    /// The list, once it differs from the known revision or the wait is over.
+    fn wait_for_change(&self, known_revision: Option<u64>, wait: Option<Duration>) -> EndpointList {
+        let until = wait.map(|wait| Instant::now() + wait);
+        let mut list = lock(&self.inner.list);
+        while let Some(left) = until.and_then(|at| at.checked_duration_since(Instant::now()))
+            && known_revision == Some(list.revision)
+        {
+            list = self.inner.changed.wait_timeout(list, left).map_or_else(|e| e.into_inner().0, |w| w.0);
+        }
+        list.clone()
+    }
+}
+
+/// The number after `name` (with its `=`) in the request line.
+fn query_parameter(request: &str, name: &str) -> Option<u64> {
+    let (_, rest) = request.split_once(name)?;
+    rest.split(['&', ' ']).next()?.parse().ok()
+}
+
+impl EndpointList {
+    /// The answer to a poll: without entries if the known revision is the current one.
+    fn to_json(&self, known_revision: Option<u64>) -> String {
+        let revision = self.revision;
+        if known_revision == Some(revision) {
+            return format!(r#"{{"rev":{revision},"all":false,"targets":[]}}"#);
+        }
+        let targets: Vec<String> = self.databases.iter().map(ListedDatabase::to_json).collect();
+        format!(r#"{{"rev":{revision},"all":true,"targets":[{}]}}"#, targets.join(","))
+    }
 }
 
 impl ListedDatabase {
-    fn json(&self) -> String {
-        let ListedDatabase { uid, endpoint, group, state, primary, started_at_ms: boot_ms } = self;
+    fn to_json(&self) -> String {
+        let ListedDatabase { uid, endpoint, group, state, primary, started_at_ms } = self;
         let access = if *primary { "writer" } else { "reader" };
         format!(
-            r#"{{"uid":"{uid}","endpoint":"{endpoint}","az":"a","pod_group":{group},"state":"{state}","access":"{access}","boot_ms":{boot_ms}}}"#
+            r#"{{"uid":"{uid}","endpoint":"{endpoint}","az":"a","pod_group":{group},"state":"{state}","access":"{access}","boot_ms":{started_at_ms}}}"#
         )
     }
 }
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -1,6 +1,10 @@
-//! Test partners of the proxy, on loopback addresses: scripted databases and discovery, a balancer that reads health,
-//! clients, and the built program as a child. Threads and blocking sockets: they are to be plain, not fast. Nothing
-//! here is meant for real use, and none of it knows anything of the proxy's code.
+//! Test doubles for everything a proxy talks to, on loopback addresses: scripted databases, discovery, a load balancer
+//! that runs health checks, clients, a network with faults, and the built program as a child process.
+//!
+//! They use threads and blocking sockets, because simple code matters more here than speed. Nothing here is meant for
+//! production, and nothing here depends on the proxy's code.
+
+#![warn(missing_docs)]
 
 pub mod balancer;
 pub mod client;
@@ -17,7 +21,7 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-/// A lock that a panicked thread held is as good as any here.
+/// Locks a mutex, even if a thread panicked while it held it: each holder leaves the data consistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/test-support/src/process.rs
+++ b/test-support/src/process.rs
@@ -1,4 +1,4 @@
-//! The built program as a child of a test, with files of its own.
+//! The built program as a child process of a test, with its own configuration and options files.
 
 use crate::lock;
 use std::io::{BufRead, BufReader};
@@ -10,24 +10,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than any machine stalls; nothing waits for it unless it fails.
+/// Upper bound of every wait: longer than a loaded test machine stalls, and reached only when a test fails.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
+/// How often a wait looks again.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// What a process may still log in the moment after its start is awaited, so that tests see all of it.
+const START_SETTLE_TIME: Duration = Duration::from_millis(10);
+
 /// What a process is started with.
 pub struct ProcessSettings<'a> {
+    /// The executable.
     pub program: &'a Path,
-    /// A folder that is there.
+    /// An existing folder for the process's files.
     pub folder: &'a Path,
+    /// Name of the files within the folder, without their endings.
     pub name: &'a str,
+    /// Text of the configuration file.
     pub config: &'a str,
-    /// Without it the process has no options.
+    /// Text of the options file; without it the process runs without options.
     pub options: Option<&'a str>,
-    /// The clients' listening socket, where the platform holds it.
+    /// The listening socket for clients, if the process inherits it instead of binding its own.
     pub inherited_listener: Option<&'a TcpListener>,
-    /// Descriptors that the system gives it.
+    /// The limit on open file descriptors (`ulimit -n`), if it is not the test's own.
     pub max_descriptors: Option<u32>,
 }
 
+/// A running process; dropping it kills it.
 pub struct Process {
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
@@ -43,20 +53,21 @@
 }
 
 impl Process {
-    pub fn start(setup: &ProcessSettings) -> std::io::Result<Process> {
-        let file = |ending: &str| setup.folder.join(format!("{}.{ending}", setup.name));
-        let (config, options, tmp) = (file("json"), file("xml"), setup.folder.join("tmp"));
+    /// Writes the files and starts the program.
+    pub fn start(settings: &ProcessSettings) -> std::io::Result<Process> {
+        let file = |ending: &str| settings.folder.join(format!("{}.{ending}", settings.name));
+        let (config, options, tmp) = (file("json"), file("xml"), settings.folder.join("tmp"));
         std::fs::create_dir_all(&tmp)?;
-        std::fs::write(&config, setup.config)?;
-        let mut shell = setup.max_descriptors.map_or(String::new(), |n| format!("ulimit -n {n}; "));
-        shell += &format!("exec '{}'", setup.program.display());
-        if let Some(text) = setup.options {
+        std::fs::write(&config, settings.config)?;
+        let mut shell = settings.max_descriptors.map_or(String::new(), |n| format!("ulimit -n {n}; "));
+        shell += &format!("exec '{}'", settings.program.display());
+        if let Some(text) = settings.options {
             std::fs::write(&options, text)?;
             shell += &format!(" --options '{}'", options.display());
         }
         let mut command = Command::new("/bin/sh");
         command.env("RELAY_CONFIG", &config).env("TMPDIR", &tmp).stderr(Stdio::piped()).stdin(Stdio::null());
-        if let Some(listener) = setup.inherited_listener {
+        if let Some(listener) = settings.inherited_listener {
             shell += " 3<&0 </dev/null";
             command.stdin(Stdio::from(OwnedFd::from(listener.try_clone()?))).env("RELAY_INHERITED_FD", "3");
         }
@@ -71,20 +82,22 @@
         Ok(Process { child, log, config, options })
     }
 
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
+    /// All lines that it has logged so far.
     pub fn log(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
 
-    /// The first line so far that has all of these words.
+    /// The first log line so far that contains all of these words.
     pub fn find_log_line(&self, words: &[&str]) -> Option<String> {
         lock(&self.log).iter().find(|line| words.iter().all(|w| line.contains(w))).cloned()
     }
 
-    /// The first line with all of these words, once it is there.
+    /// Waits for the first log line that contains all of these words; `None` after [`MAX_WAIT`].
     pub fn wait_for_log_line(&self, words: &[&str]) -> Option<String> {
         let start = Instant::now();
         loop {
@@ -94,44 +107,48 @@
             if start.elapsed() > MAX_WAIT {
                 return None;
             }
-            thread::sleep(Duration::from_millis(2));
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
+    /// The address in the value of `key` (with its `=`) in the first log line that contains these words.
     fn logged_address(&self, words: &[&str], key: &str) -> Option<SocketAddr> {
         self.wait_for_log_line(words)?.split(' ').find_map(|w| w.strip_prefix(key))?.parse().ok()
     }
 
-    /// Where clients connect, once it serves; none if it ends before.
+    /// Waits until it accepts clients and returns their address; `None` if it exits before.
     pub fn wait_until_serving(&mut self) -> Option<SocketAddr> {
         loop {
             let started = lock(&self.log).iter().any(|l| l.contains("event=started"));
             if started || matches!(self.child.try_wait(), Ok(Some(_)) | Err(_)) {
-                thread::sleep(Duration::from_millis(10));
+                thread::sleep(START_SETTLE_TIME);
                 return if started { self.client_address() } else { None };
             }
-            thread::sleep(Duration::from_millis(2));
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
+    /// The address that clients connect to.
     pub fn client_address(&self) -> Option<SocketAddr> {
         self.logged_address(&["event=started"], "listen=")
     }
 
+    /// The address of the admin listener.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.logged_address(&["event=started"], "operator=")
     }
 
-    /// Where checks of a kind, `http` or `agent`, are answered.
+    /// The address of the health check listener of a kind, `http` or `agent`.
     pub fn check_address(&self, kind: &str) -> Option<SocketAddr> {
         self.logged_address(&["event=health-listening", &format!("kind={kind}")], "at=")
     }
 
+    /// Sends a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
     }
 
-    /// Replaces the files' texts and has them read again.
+    /// Replaces both files and makes the process read them again (SIGHUP).
     pub fn reload(&self, config: &str, options: &str) -> std::io::Result<()> {
         std::fs::write(&self.config, config)?;
         std::fs::write(&self.options, options)?;
@@ -139,25 +156,25 @@
         Ok(())
     }
 
-    /// Its exit code, once it has ended.
+    /// Waits for its exit and returns the exit code; `None` after [`MAX_WAIT`] or if a signal ended it.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < MAX_WAIT {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
-            thread::sleep(Duration::from_millis(2));
+            thread::sleep(POLL_INTERVAL);
         }
         None
     }
 
-    /// Time on a processor so far; the program has one thread.
+    /// Processor time used so far. The program has one thread, so one thread's figure is complete.
     pub fn cpu_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid())).ok()?;
         Some(Duration::from_nanos(stat.split(' ').next()?.parse().ok()?))
     }
 
-    /// Resident memory, in KiB.
+    /// Resident memory in KiB.
     pub fn resident_memory_kib(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).ok()?;
         status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().split(' ').next()?.parse().ok()
--- a/test-support/src/wire.rs
+++ b/test-support/src/wire.rs
@@ -1,15 +1,17 @@
-//! PostgreSQL's messages as far as test databases need them.
+//! The part of PostgreSQL's protocol that test databases need: building messages.
 
+/// A message with its type byte and length.
 pub(crate) fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
     [&[tag], &length[..], body].concat()
 }
 
-/// A result of one row with one column, said to be in binary form as databases have it.
+/// A result of one row with one text column.
 pub(crate) fn row(value: &str) -> Vec<u8> {
     row_of(value.as_bytes())
 }
 
+/// A result of one row with one column, in binary format as the real databases send it.
 pub(crate) fn row_of(value: &[u8]) -> Vec<u8> {
     let length = (value.len() as u32).to_be_bytes();
     let column = [&[0, 1][..], b"blob\0", &[0; 6], &[0, 0, 0, 17], &[255; 6], &[0, 1]].concat();
@@ -17,7 +19,7 @@
     [message(b'T', &column), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
-/// The bytes that hexadecimal digits stand for.
+/// Decodes hexadecimal digits; pairs that are none are left out.
 pub(crate) fn decode_hex(hex: &str) -> Vec<u8> {
     let pair = |at: usize| u8::from_str_radix(hex.get(at..at + 2)?, 16).ok();
     (0..hex.len()).step_by(2).filter_map(pair).collect()
