--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -1,5 +1,6 @@
-//! A balancer as common ones are, by their public manuals: it polls each proxy by agent-check or HTTP, believes a change
-//! after `fall` or `rise` answers in a row, and shares out by weighted least connections.
+//! A load balancer with the behaviour that common ones document: it polls each proxy by agent-check or HTTP, accepts a
+//! change of state after `fall` or `rise` equal answers in a row, and distributes connections by weighted least
+//! connections.
 
 use crate::lock;
 use std::io::{self, Read, Write};
@@ -9,28 +10,56 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How it asks.
+/// The weight of a proxy whose answer names none, in percent.
+const DEFAULT_WEIGHT: u32 = 100;
+
+/// Agent-check's words that take a server out of rotation.
+const AGENT_DOWN_WORDS: [&str; 5] = ["down", "drain", "maint", "fail", "stopped"];
+
+/// How often [`Balancer::wait_for_state`] looks again.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+
+/// The kind of health check.
 #[derive(Clone, Debug)]
 pub enum Check {
-    /// The line that is sent first.
+    /// Agent-check, with the line that is sent first.
     Agent(String),
-    /// The path that is asked for.
+    /// HTTP, with the path.
     Http(String),
 }
 
-/// An answer: may it be sent work, and with what weight.
+/// The answer to a health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckAnswer {
+    /// Whether the proxy may be sent connections.
     pub up: bool,
+    /// Its weight in percent.
     pub weight: u32,
+    /// The complete answer.
     pub text: String,
 }
 
-/// One check, on a connection of its own.
-pub fn run_check(address: SocketAddr, how: &Check, timeout: Duration) -> io::Result<CheckAnswer> {
+impl CheckAnswer {
+    fn from_agent(text: String) -> CheckAnswer {
+        let words: Vec<&str> = text.split([' ', ',', '\r', '\n']).collect();
+        let weight = words.iter().find_map(|word| word.strip_suffix('%')).and_then(|word| word.parse().ok());
+        let down = AGENT_DOWN_WORDS.iter().any(|word| words.contains(word));
+        CheckAnswer { up: words.contains(&"up") && !down, weight: weight.unwrap_or(DEFAULT_WEIGHT), text }
+    }
+
+    fn from_http(text: String) -> CheckAnswer {
+        let up = text.starts_with("HTTP/1.1 200 ");
+        let after_name = text.split("\"weight\":").nth(1);
+        let weight = after_name.and_then(|rest| rest.split([',', '}']).next()?.parse().ok());
+        CheckAnswer { up, weight: weight.unwrap_or(DEFAULT_WEIGHT), text }
+    }
+}
+
+/// Runs one health check on a connection of its own.
+pub fn run_check(address: SocketAddr, check: &Check, timeout: Duration) -> io::Result<CheckAnswer> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
-    match how {
+    match check {
         Check::Agent(line) => writeln!(stream, "{line}")?,
         Check::Http(path) => {
             write!(stream, "GET {path} HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n")?;
@@ -41,54 +70,78 @@
     if text.is_empty() {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    let told = match how {
-        Check::Agent(_) => {
-            let words: Vec<&str> = text.split([' ', ',', '\r', '\n']).collect();
-            let weight = words.iter().find_map(|w| w.strip_suffix('%')).and_then(|w| w.parse().ok());
-            let down = ["down", "drain", "maint", "fail", "stopped"].iter().any(|w| words.contains(w));
-            CheckAnswer { up: words.contains(&"up") && !down, weight: weight.unwrap_or(100), text }
-        }
-        Check::Http(_) => {
-            let up = text.starts_with("HTTP/1.1 200 ");
-            let weight =
-                text.split("\"weight\":").nth(1).and_then(|w| w.split([',', '}']).next()?.parse().ok());
-            CheckAnswer { up, weight: weight.unwrap_or(100), text }
-        }
-    };
-    Ok(told)
+    Ok(match check {
+        Check::Agent(_) => CheckAnswer::from_agent(text),
+        Check::Http(_) => CheckAnswer::from_http(text),
+    })
 }
 
-/// A proxy as the balancer has it.
+/// A proxy as the balancer sees it.
 #[derive(Clone, Debug)]
 pub struct Server {
+    /// Where its health checks go.
     pub check_address: SocketAddr,
+    /// Where its clients go.
     pub client_address: SocketAddr,
+    /// Whether it is in rotation.
     pub up: bool,
+    /// Its weight in percent.
     pub weight: u32,
+    /// Connections that it has now.
     pub active_connections: u32,
-    /// Answers in a row that say otherwise.
+    /// Answers in a row that contradict `up`.
     contrary_answers: u32,
     /// When its state changed last.
     pub changed_at: Instant,
 }
 
+impl Server {
+    /// A server that is out of rotation until its checks succeed.
+    fn new(check_address: SocketAddr, client_address: SocketAddr) -> Server {
+        Server {
+            check_address,
+            client_address,
+            up: false,
+            weight: 0,
+            active_connections: 0,
+            contrary_answers: 0,
+            changed_at: Instant::now(),
+        }
+    }
+
+    /// Active connections for each unit of weight, if it had one more.
+    fn load(&self) -> f64 {
+        f64::from(self.active_connections + 1) / f64::from(self.weight.max(1))
+    }
+}
+
+/// How often checks run and how many equal answers change a server's state.
 #[derive(Clone, Debug)]
 pub struct CheckPolicy {
+    /// Time between two checks of one server.
     pub interval: Duration,
+    /// How long a check may take.
     pub timeout: Duration,
+    /// Successes in a row that bring a server into rotation.
     pub rise: u32,
+    /// Failures in a row that take it out.
     pub fall: u32,
 }
 
 /// A change of a server's state, as the balancer sees it.
 #[derive(Clone, Debug)]
 pub struct Change {
+    /// When.
     pub at: Instant,
+    /// The server's index.
     pub server: usize,
+    /// Its new state.
     pub up: bool,
+    /// The answer, or the error, that completed the change.
     pub text: String,
 }
 
+/// A handle to a running balancer; its checks end when the last handle of the test is dropped.
 #[derive(Clone)]
 pub struct Balancer {
     servers: Arc<Mutex<Vec<Server>>>,
@@ -97,92 +150,97 @@
 }
 
 impl Balancer {
-    /// Begins to poll; each server in its turn within the interval. It begins by trusting nobody.
-    pub fn start(servers: &[(SocketAddr, SocketAddr)], how: &Check, rules: &CheckPolicy) -> Balancer {
-        let server = |&(checks, clients): &(SocketAddr, SocketAddr)| Server {
-            check_address: checks,
-            client_address: clients,
-            up: false,
-            weight: 0,
-            active_connections: 0,
-            contrary_answers: 0,
-            changed_at: Instant::now(),
-        };
+    /// Starts polling servers, given as (check address, client address). Their checks are spread over the interval; all
+    /// begin out of rotation.
+    pub fn start(servers: &[(SocketAddr, SocketAddr)], check: &Check, policy: &CheckPolicy) -> Balancer {
+        let new_servers = servers
+            .iter()
+            .map(|(check_address, client_address)| Server::new(*check_address, *client_address));
         let balancer = Balancer {
-            servers: Arc::new(Mutex::new(servers.iter().map(server).collect())),
+            servers: Arc::new(Mutex::new(new_servers.collect())),
             changes: Arc::default(),
             stopped: Arc::default(),
         };
-        for n in 0..servers.len() {
-            let (own, how, rules) = (balancer.clone(), how.clone(), rules.clone());
-            let offset = rules.interval * n as u32 / servers.len() as u32;
+        for server in 0..servers.len() {
+            let (poller, check, policy) = (balancer.clone(), check.clone(), policy.clone());
+            let offset = policy.interval * server as u32 / servers.len() as u32;
             thread::spawn(move || {
                 thread::sleep(offset);
-                while !own.stopped.load(Ordering::Relaxed) {
-                    let start = Instant::now();
-                    own.poll(n, &how, &rules);
-                    thread::sleep(rules.interval.saturating_sub(start.elapsed()));
-                }
+                poller.poll_until_stopped(server, &check, &policy);
             });
         }
         balancer
     }
 
-    fn poll(&self, n: usize, how: &Check, rules: &CheckPolicy) {
-        let address = lock(&self.servers)[n].check_address;
-        let told = run_check(address, how, rules.timeout);
+    fn poll_until_stopped(&self, server: usize, check: &Check, policy: &CheckPolicy) {
+        while !self.stopped.load(Ordering::Relaxed) {
+            let start = Instant::now();
+            self.poll(server, check, policy);
+            thread::sleep(policy.interval.saturating_sub(start.elapsed()));
+        }
+    }
+
+    fn poll(&self, index: usize, check: &Check, policy: &CheckPolicy) {
+        let address = lock(&self.servers)[index].check_address;
+        let answer = run_check(address, check, policy.timeout);
         let mut servers = lock(&self.servers);
-        let server = &mut servers[n];
-        let (up, text) = match told {
-            Ok(told) => {
-                // Weights are taken at once, as balancers do.
-                server.weight = told.weight;
-                (told.up, told.text)
+        let server = &mut servers[index];
+        let (up, text) = match answer {
+            Ok(answer) => {
+                // Only the state is debounced: balancers apply weights at once.
+                server.weight = answer.weight;
+                (answer.up, answer.text)
             }
-            Err(e) => (false, e.to_string()),
+            Err(error) => (false, error.to_string()),
         };
         if up == server.up {
             server.contrary_answers = 0;
             return;
         }
         server.contrary_answers += 1;
-        if server.contrary_answers >= if up { rules.rise } else { rules.fall } {
-            (server.up, server.contrary_answers, server.changed_at) = (up, 0, Instant::now());
-            lock(&self.changes).push(Change { at: Instant::now(), server: n, up, text });
+        let needed = if up { policy.rise } else { policy.fall };
+        if server.contrary_answers >= needed {
+            server.up = up;
+            server.contrary_answers = 0;
+            server.changed_at = Instant::now();
+            lock(&self.changes).push(Change { at: Instant::now(), server: index, up, text });
         }
     }
 
+    /// All servers as they are now.
     pub fn servers(&self) -> Vec<Server> {
         lock(&self.servers).clone()
     }
 
+    /// All changes of state so far.
     pub fn changes(&self) -> Vec<Change> {
         lock(&self.changes).clone()
     }
 
-    /// Whom the next connection goes to; give it back with [`Balancer::done`].
+    /// The server for the next connection, if one is up; return it with [`Balancer::release_server`].
     pub fn choose_server(&self) -> Option<usize> {
         let mut servers = lock(&self.servers);
-        let load = |s: &Server| f64::from(s.active_connections + 1) / f64::from(s.weight.max(1));
-        let up = servers.iter().enumerate().filter(|(_, s)| s.up);
-        let least = up.min_by(|(_, a), (_, b)| load(a).total_cmp(&load(b))).map(|(n, _)| n)?;
-        servers[least].active_connections += 1;
-        Some(least)
+        let up = servers.iter().enumerate().filter(|(_, server)| server.up);
+        let (chosen, _) = up.min_by(|(_, a), (_, b)| a.load().total_cmp(&b.load()))?;
+        servers[chosen].active_connections += 1;
+        Some(chosen)
     }
 
-    pub fn release_server(&self, n: usize) {
+    /// A connection to this server has ended.
+    pub fn release_server(&self, server: usize) {
         let mut servers = lock(&self.servers);
-        servers[n].active_connections = servers[n].active_connections.saturating_sub(1);
+        let active_connections = &mut servers[server].active_connections;
+        *active_connections = active_connections.saturating_sub(1);
     }
 
-    /// Waits until it holds a server to be up, or down. False: not in this time.
-    pub fn wait_for_state(&self, n: usize, up: bool, long: Duration) -> bool {
+    /// Waits until the balancer has a server in this state; false if it does not within the timeout.
+    pub fn wait_for_state(&self, server: usize, up: bool, timeout: Duration) -> bool {
         let start = Instant::now();
-        while lock(&self.servers)[n].up != up {
-            if start.elapsed() > long {
+        while lock(&self.servers)[server].up != up {
+            if start.elapsed() > timeout {
                 return false;
             }
-            thread::sleep(Duration::from_millis(1));
+            thread::sleep(POLL_INTERVAL);
         }
         true
     }
@@ -190,7 +248,7 @@
 
 impl Drop for Balancer {
     fn drop(&mut self) {
-        // The threads hold the others.
+        // Each polling thread holds one handle, so this is the last one of the test.
         if Arc::strong_count(&self.stopped) <= 1 + lock(&self.servers).len() {
             self.stopped.store(true, Ordering::Relaxed);
         }
--- a/test-support/src/database.rs
+++ b/test-support/src/database.rs
@@ -1,5 +1,5 @@
-//! A database: a primary or a replica by its script, which may be slow, hang (it accepts and answers nothing), die and
-//! come back. Rows are shared by a group, and replicas have every write at once.
+//! A scripted database, primary or replica, which can be slow, hang (it accepts connections and answers nothing), go down
+//! and come back. A group's databases share their rows, so replicas have every write at once.
 
 use crate::lock;
 use crate::wire::{message, row};
@@ -11,32 +11,38 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How often a blocked thread looks whether its database is still alive.
+/// How often a blocked thread looks whether its database is still available.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
+/// Bound on the body of one message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+
+/// How a database behaves now.
 #[derive(Clone, Debug)]
 struct Behavior {
+    /// Whether it accepts connections; otherwise they break.
     available: bool,
+    /// Whether it leaves everything unanswered.
     hung: bool,
     primary: bool,
-    /// How long statements of a class take.
+    /// How long statements of a request class take.
     delay_by_class: HashMap<String, Duration>,
 }
 
-/// What a group's databases share: rows, and how often each request's id was written.
+/// What a group's databases share: the rows, and how often each request's write was executed.
 #[derive(Default)]
 pub struct Rows {
-    rows: Mutex<HashMap<String, String>>,
+    value_by_key: Mutex<HashMap<String, String>>,
     executions_by_request: Mutex<HashMap<String, u32>>,
 }
 
 impl Rows {
-    /// Requests that were written.
+    /// Requests whose write was executed.
     pub fn write_count(&self) -> usize {
         lock(&self.executions_by_request).len()
     }
 
-    /// Requests that were written more than once.
+    /// Requests whose write was executed more than once.
     pub fn duplicate_count(&self) -> usize {
         lock(&self.executions_by_request).values().filter(|n| **n > 1).count()
     }
@@ -48,39 +54,45 @@
     changed: Condvar,
     rows: Arc<Rows>,
     statement_count: AtomicU64,
-    /// Prints each statement.
+    /// Whether it prints each statement.
     prints_statements: bool,
 }
 
-/// A handle to one; it ends with the process.
+/// A handle to a running database; its threads end with the test process.
 #[derive(Clone)]
 pub struct Database(Arc<Inner>);
 
 impl Database {
-    /// Starts one; with port 0 at a free port.
-    pub fn start(address: SocketAddr, primary: bool, rows: &Arc<Rows>, talks: bool) -> io::Result<Database> {
+    /// Starts a database; port 0 takes a free port.
+    pub fn start(
+        address: SocketAddr,
+        primary: bool,
+        rows: &Arc<Rows>,
+        prints_statements: bool,
+    ) -> io::Result<Database> {
         let listener = TcpListener::bind(address)?;
-        let mode =
+        let behavior =
             Mutex::new(Behavior { available: true, hung: false, primary, delay_by_class: HashMap::new() });
         let inner = Inner {
             address: listener.local_addr()?,
-            behavior: mode,
+            behavior,
             changed: Condvar::new(),
             rows: rows.clone(),
             statement_count: AtomicU64::new(0),
-            prints_statements: talks,
+            prints_statements,
         };
         let database = Database(Arc::new(inner));
-        let own = database.clone();
-        thread::spawn(move || own.accept(listener));
+        let server = database.clone();
+        thread::spawn(move || server.accept(listener));
         Ok(database)
     }
 
+    /// Where it listens.
     pub fn address(&self) -> SocketAddr {
         self.0.address
     }
 
-    /// Statements that came, probes too.
+    /// Statements received so far, health checks included.
     pub fn statement_count(&self) -> u64 {
         self.0.statement_count.load(Ordering::Relaxed)
     }
@@ -90,24 +102,25 @@
         self.0.changed.notify_all();
     }
 
-    /// It accepts and answers nothing, until told otherwise.
+    /// Hung, it accepts connections and answers nothing.
     pub fn set_hung(&self, hung: bool) {
-        self.change_behavior(|mode| mode.hung = hung);
+        self.change_behavior(|behavior| behavior.hung = hung);
     }
 
-    /// Its connections break and new ones are refused; and back.
-    pub fn set_available(&self, up: bool) {
-        self.change_behavior(|mode| mode.available = up);
+    /// Unavailable, its connections break and new ones are refused.
+    pub fn set_available(&self, available: bool) {
+        self.change_behavior(|behavior| behavior.available = available);
     }
 
+    /// Whether it takes writes and reports to be the primary.
     pub fn set_primary(&self, primary: bool) {
-        self.change_behavior(|mode| mode.primary = primary);
+        self.change_behavior(|behavior| behavior.primary = primary);
     }
 
-    /// Statements of this class take so long.
+    /// Sets how long statements of a request class take.
     pub fn set_delay(&self, class: &str, delay: Duration) {
-        self.change_behavior(|mode| {
-            mode.delay_by_class.insert(class.into(), delay);
+        self.change_behavior(|behavior| {
+            behavior.delay_by_class.insert(class.into(), delay);
         });
     }
 
@@ -126,21 +139,21 @@
             if let Some(listener) = &listener {
                 let _ = listener.set_nonblocking(true);
                 while let Ok((stream, _)) = listener.accept() {
-                    let own = self.clone();
-                    thread::spawn(move || own.serve(stream));
+                    let server = self.clone();
+                    thread::spawn(move || server.serve(stream));
                 }
             }
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until it does not hang. False: it died meanwhile.
+    /// Waits until it does not hang; false if it is unavailable.
     fn wait_while_hung(&self) -> bool {
-        let mut mode = lock(&self.0.behavior);
-        while mode.hung && mode.available {
-            mode = self.0.changed.wait(mode).unwrap_or_else(|e| e.into_inner());
+        let mut behavior = lock(&self.0.behavior);
+        while behavior.hung && behavior.available {
+            behavior = self.0.changed.wait(behavior).unwrap_or_else(|e| e.into_inner());
         }
-        mode.available
+        behavior.available
     }
 
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
@@ -161,7 +174,7 @@
             }
             let query = String::from_utf8_lossy(&body).trim_end_matches('\0').to_string();
             self.0.statement_count.fetch_add(1, Ordering::Relaxed);
-            let class = field(&query, "c=").unwrap_or_default();
+            let class = comment_field(&query, "c=").unwrap_or_default();
             let delay = lock(&self.0.behavior).delay_by_class.get(&class).copied();
             delay.into_iter().for_each(thread::sleep);
             if !self.wait_while_hung() {
@@ -173,13 +186,13 @@
         Ok(())
     }
 
-    /// Reads all of it, however long that takes, while the database lives.
-    fn read_exactly(&self, stream: &mut TcpStream, into: &mut [u8]) -> io::Result<()> {
-        let mut at = 0;
-        while at < into.len() {
-            match stream.read(&mut into[at..]) {
+    /// Fills the buffer, however long that takes, while the database is available.
+    fn read_exactly(&self, stream: &mut TcpStream, buffer: &mut [u8]) -> io::Result<()> {
+        let mut filled = 0;
+        while filled < buffer.len() {
+            match stream.read(&mut buffer[filled..]) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-                Ok(n) => at += n,
+                Ok(length) => filled += length,
                 Err(e)
                     if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
                         && self.is_available() => {}
@@ -189,14 +202,17 @@
         Ok(())
     }
 
+    /// Reads a message from its length on and returns the body.
     fn read_body(&self, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
         let mut length = [0; 4];
         self.read_exactly(stream, &mut length)?;
-        let mut body = vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(1 << 20)];
+        let mut body =
+            vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(MAX_MESSAGE_BYTES)];
         self.read_exactly(stream, &mut body)?;
         Ok(body)
     }
 
+    /// The messages that answer a statement, up to the one that says that it is ready for the next.
     fn answer_statement(&self, query: &str) -> Vec<u8> {
         let primary = lock(&self.0.behavior).primary;
         if self.0.prints_statements {
@@ -210,12 +226,12 @@
             }
             [_, _, ..] if !primary => message(b'E', b"SERROR\0C25006\0Mthis is no primary\0\0"),
             [handle, blob, ..] => {
-                lock(&self.0.rows.rows).insert(handle.to_string(), blob.to_string());
-                let id = field(query, "id=").unwrap_or_default();
+                lock(&self.0.rows.value_by_key).insert(handle.to_string(), blob.to_string());
+                let id = comment_field(query, "id=").unwrap_or_default();
                 *lock(&self.0.rows.executions_by_request).entry(id).or_default() += 1;
                 row(blob)
             }
-            [handle] => row(lock(&self.0.rows.rows).get(handle).map_or("(no such row)", |blob| blob)),
+            [handle] => row(lock(&self.0.rows.value_by_key).get(handle).map_or("(no such row)", |blob| blob)),
             [] => message(b'E', b"SERROR\0C42601\0Mnot a statement that is known here\0\0"),
         };
         let role = format!("server_role\0{}\0", if primary { "writer" } else { "reader" });
@@ -224,9 +240,9 @@
     }
 }
 
-/// A value from the statement's comment.
-fn field(query: &str, name: &str) -> Option<String> {
+/// The value after `name` (with its `=`) in the statement's comment.
+fn comment_field(query: &str, name: &str) -> Option<String> {
     let comment = query.split("/* ").nth(1)?;
     let mut fields = comment.split([',', ' ']);
-    fields.find_map(|f| f.strip_prefix(name)).map(Into::into)
+    fields.find_map(|field| field.strip_prefix(name)).map(Into::into)
 }
--- a/test-support/src/fleet.rs
+++ b/test-support/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes of the program that know of one another, with a relay before each, and what their listeners say of it.
+//! A fleet of proxy processes that know one another, with a relay in front of each; and what their admin listeners report.
 
 use crate::process::{MAX_WAIT, Process};
 use crate::relay::Relays;
@@ -8,28 +8,44 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
+/// The key file of all members: the key's number and its 16 bytes.
+const KEY_FILE_TEXT: &str = "1 000102030405060708090a0b0c0d0e0f\n";
+
+/// Only its owner may read a key file.
+const KEY_FILE_MODE: u32 = 0o600;
+
+/// The rig and relays that a fleet's processes are started with.
 pub struct Fleet {
+    /// Databases, discovery and files.
     pub rig: Rig,
+    /// The network among the processes.
     pub relays: Relays,
     key_file: String,
-    /// Elements of the options beside this one.
+    /// Further elements of the options file, beside `fleet`.
     pub extra_options: String,
 }
 
 impl Fleet {
-    /// Of so many places; nobody is there yet.
-    pub fn new(count: usize, own: [u8; 4], program: &Path, folder: &Path, seed: u64) -> io::Result<Fleet> {
-        let rig = Rig::new(1, own, program, folder)?;
-        let keys = folder.join("keys");
-        std::fs::write(&keys, "1 000102030405060708090a0b0c0d0e0f\n")?;
-        std::fs::set_permissions(&keys, std::fs::Permissions::from_mode(0o600))?;
-        let relays = Relays::start(count, rig.loopback_address(), seed)?;
-        Ok(Fleet { rig, relays, key_file: keys.to_string_lossy().into(), extra_options: String::new() })
+    /// A fleet for so many processes, none of which is started. `loopback_address`: see [`Rig::new`].
+    pub fn new(
+        process_count: usize,
+        loopback_address: [u8; 4],
+        program: &Path,
+        folder: &Path,
+        seed: u64,
+    ) -> io::Result<Fleet> {
+        let rig = Rig::new(1, loopback_address, program, folder)?;
+        let key_file = folder.join("keys");
+        std::fs::write(&key_file, KEY_FILE_TEXT)?;
+        std::fs::set_permissions(&key_file, std::fs::Permissions::from_mode(KEY_FILE_MODE))?;
+        let relays = Relays::start(process_count, rig.loopback_address(), seed)?;
+        Ok(Fleet { rig, relays, key_file: key_file.to_string_lossy().into(), extra_options: String::new() })
     }
 
-    /// The options of a place's process.
-    pub fn options_xml(&self, n: usize) -> String {
-        let (listen, advertise) = (self.relays.process_addresses[n], self.relays.relay_addresses[n]);
+    /// The options file's text for a process.
+    pub fn options_xml(&self, process: usize) -> String {
+        let listen = self.relays.process_addresses[process];
+        let advertise = self.relays.relay_addresses[process];
         let peers: Vec<String> = self.relays.relay_addresses.iter().map(ToString::to_string).collect();
         format!(
             "<birchreach-options><fleet listen='{listen}' advertise='{advertise}' key-file='{}' peers='{}'/>{}</birchreach-options>",
@@ -39,42 +55,62 @@
         )
     }
 
-    /// Starts the process of a place. `shared`: the clients' listening socket, where another process of its proxy has it too.
-    pub fn start(&self, n: usize, shared: Option<&TcpListener>) -> io::Result<Process> {
-        self.rig.start(n as u64 + 1, Some(&self.options_xml(n)), shared)
+    /// Starts a process. `shared_listener`: the listening socket for clients, if another process of the same proxy has it
+    /// too.
+    pub fn start(&self, process: usize, shared_listener: Option<&TcpListener>) -> io::Result<Process> {
+        self.rig.start(process as u64 + 1, Some(&self.options_xml(process)), shared_listener)
     }
 }
 
-/// What the admin listener of a process answers; empty if it does not.
+/// The answer of a process's admin listener to a call; empty if there is none.
 pub fn admin_call(process: &Process, call: &str) -> String {
-    let told = || {
-        let mut stream = TcpStream::connect(process.admin_address()?).ok()?;
-        stream.set_read_timeout(Some(MAX_WAIT)).ok()?;
-        writeln!(stream, "{call}").ok()?;
-        let _ = stream.shutdown(Shutdown::Write);
-        let mut text = String::new();
-        stream.read_to_string(&mut text).ok()?;
-        Some(text)
-    };
-    told().unwrap_or_default()
+    try_admin_call(process, call).unwrap_or_default()
 }
 
-/// A value of the view, `key` with its `=`.
+fn try_admin_call(process: &Process, call: &str) -> Option<String> {
+    let mut stream = TcpStream::connect(process.admin_address()?).ok()?;
+    stream.set_read_timeout(Some(MAX_WAIT)).ok()?;
+    writeln!(stream, "{call}").ok()?;
+    let _ = stream.shutdown(Shutdown::Write);
+    let mut text = String::new();
+    stream.read_to_string(&mut text).ok()?;
+    Some(text)
+}
+
+/// The value after `key` (with its `=`) in a process's answer to the admin call `fleet`; empty without one.
 pub fn fleet_value(process: &Process, key: &str) -> String {
-    let text = admin_call(process, "fleet");
-    text.split_whitespace().find_map(|w| w.strip_prefix(key)).unwrap_or_default().to_string()
+    value_after(&admin_call(process, "fleet"), key)
+}
+
+fn value_after(text: &str, key: &str) -> String {
+    text.split_whitespace().find_map(|word| word.strip_prefix(key)).unwrap_or_default().to_string()
+}
+
+/// One process's view of the fleet, in the words of its admin listener.
+#[derive(Debug)]
+struct FleetView {
+    state: String,
+    members: String,
+    digest: String,
+}
+
+impl FleetView {
+    fn of(process: &Process) -> FleetView {
+        let text = admin_call(process, "fleet");
+        FleetView {
+            state: value_after(&text, "state="),
+            members: value_after(&text, "members="),
+            digest: value_after(&text, "digest="),
+        }
+    }
 }
 
-/// All of these say that the fleet is settled, of so many, and mean the same. Otherwise, what they say.
-pub fn check_settled(members: usize, all: &[&Process]) -> Result<(), String> {
-    let one = |p: &&Process| {
-        let text = admin_call(p, "fleet");
-        let word =
-            |key| text.split_whitespace().find_map(|w| w.strip_prefix(key)).unwrap_or_default().to_string();
-        (word("state="), word("members="), word("digest="))
+/// Checks that all of these processes report a settled fleet of so many members, and the same one. The error holds what
+/// they report.
+pub fn check_settled(member_count: usize, processes: &[&Process]) -> Result<(), String> {
+    let views: Vec<FleetView> = processes.iter().map(|process| FleetView::of(process)).collect();
+    let is_settled = |view: &FleetView| {
+        view.state == "settled" && view.members == member_count.to_string() && view.digest == views[0].digest
     };
-    let views: Vec<_> = all.iter().map(one).collect();
-    let well =
-        |v: &(String, String, String)| v.0 == "settled" && v.1 == members.to_string() && v.2 == views[0].2;
-    if views.iter().all(well) { Ok(()) } else { Err(format!("{views:?}")) }
+    if views.iter().all(is_settled) { Ok(()) } else { Err(format!("{views:?}")) }
 }
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -10,6 +10,7 @@
 use super::{CapacityModel, Change, ClusterRig, Group, PlantedDifference, StatementKind, now_ms};
 use crate::fleet::check_settled;
 use crate::process::Process;
+use crate::schedule::TimedAction;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -142,8 +143,8 @@
             }
         });
         let start = Instant::now();
-        for (at, act) in &schedule.actions {
-            sleep(at.saturating_sub(start.elapsed()));
+        for TimedAction { after, action: act } in &schedule.actions {
+            sleep(after.saturating_sub(start.elapsed()));
             if let Some(n) = act.ended_process() {
                 killed[n] = true;
                 lines.extend(all[n].iter().flat_map(Process::log));
--- a/test-support/src/groups/site.rs
+++ b/test-support/src/groups/site.rs
@@ -5,6 +5,7 @@
 use crate::discovery::{Discovery, ListedDatabase};
 use crate::fleet::Fleet;
 use crate::process::Process;
+use crate::rig::ExternalDiscovery;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -34,7 +35,8 @@
         let discovery = Discovery::start(SocketAddr::new(IpAddr::from(own), 0), listed_databases(&groups))?;
         let mut fleet = Fleet::new(places, own, program, folder, seed)?;
         fleet.extra_options = more.into();
-        fleet.rig.external_discovery = Some((discovery.address(), settings(places)));
+        fleet.rig.external_discovery =
+            Some(ExternalDiscovery { address: discovery.address(), settings: settings(places) });
         Ok(ClusterRig { groups, discovery, fleet })
     }
 
--- a/test-support/src/links.rs
+++ b/test-support/src/links.rs
@@ -1,88 +1,92 @@
-//! Relays for links (TCP) among processes, under the rules of the relays for datagrams: what is cut stays open and silent, as when a
-//! network is cut; who speaks is told by the address that the connection comes from.
+//! Relays for links (TCP connections) among processes, under the same faults as datagrams. A blocked link stays open and
+//! silent, as in a network partition. The sender is known by the address that its connection comes from.
 
-use crate::lock;
-use crate::relay::NetworkFaults;
+use crate::relay::RelayContext;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
 
+/// How often a blocked or idle link looks whether that has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What each copying thread needs to know.
+/// Size of a copying thread's buffer.
+const BUFFER_BYTES: usize = 16 << 10;
+
+/// One direction of a link.
 #[derive(Clone)]
 struct LinkDirection {
+    /// The sending process; `None` if it is none of the fleet's.
     from: Option<usize>,
-    to: usize,
-    faults: Arc<Mutex<NetworkFaults>>,
-    stopped: Arc<AtomicBool>,
+    /// The receiving process; `None` likewise.
+    to: Option<usize>,
+    context: RelayContext,
 }
 
 impl LinkDirection {
     fn reversed(&self) -> LinkDirection {
-        LinkDirection { from: Some(self.to), to: self.from.unwrap_or(usize::MAX), ..self.clone() }
+        LinkDirection { from: self.to, to: self.from, context: self.context.clone() }
     }
 
     fn is_blocked(&self) -> bool {
-        let rules = lock(&self.faults);
-        self.from.is_some_and(|from| rules.blocked.contains(&(from, self.to)))
+        match (self.from, self.to) {
+            (Some(from), Some(to)) => self.context.is_blocked(from, to),
+            _ => false,
+        }
+    }
+
+    fn is_stopped(&self) -> bool {
+        self.context.is_stopped()
     }
 }
 
-/// Passes links on to the process of a place.
-pub(crate) fn relay_links(
-    to: usize,
-    listener: TcpListener,
-    behind: Vec<SocketAddr>,
-    rules: Arc<Mutex<NetworkFaults>>,
-    over: Arc<AtomicBool>,
-) {
+/// Relays links to a process until the relays are stopped.
+pub(crate) fn relay_links(to: usize, listener: TcpListener, context: RelayContext) {
     let _ = listener.set_nonblocking(true);
     thread::spawn(move || {
-        while !over.load(Ordering::Relaxed) {
-            let Ok((asker, peer)) = listener.accept() else {
+        while !context.is_stopped() {
+            let Ok((client, peer)) = listener.accept() else {
                 thread::sleep(POLL_INTERVAL);
                 continue;
             };
-            let from = behind.iter().position(|at| at.ip() == peer.ip());
-            let way = LinkDirection { from, to, faults: rules.clone(), stopped: over.clone() };
-            let at = behind[to];
-            thread::spawn(move || connect_link(asker, at, &way));
+            let from = context.process_addresses.iter().position(|address| address.ip() == peer.ip());
+            let direction = LinkDirection { from, to: Some(to), context: context.clone() };
+            let address = context.process_addresses[to];
+            thread::spawn(move || connect_link(client, address, &direction));
         }
     });
 }
 
-fn connect_link(asker: TcpStream, at: SocketAddr, way: &LinkDirection) -> Option<()> {
-    asker.set_nonblocking(false).ok()?;
-    // Nobody answers a call that does not arrive.
-    while way.is_blocked() || way.reversed().is_blocked() {
-        if way.stopped.load(Ordering::Relaxed) {
+/// Connects an accepted link to the process once neither direction is blocked, and copies both ways.
+fn connect_link(client: TcpStream, address: SocketAddr, direction: &LinkDirection) -> Option<()> {
+    client.set_nonblocking(false).ok()?;
+    while direction.is_blocked() || direction.reversed().is_blocked() {
+        if direction.is_stopped() {
             return None;
         }
         thread::sleep(POLL_INTERVAL);
     }
-    let donor = TcpStream::connect(at).ok()?;
-    let (back, ends) = (way.reversed(), (donor.try_clone().ok()?, asker.try_clone().ok()?));
-    thread::spawn(move || copy_bytes(ends.0, ends.1, &back));
-    copy_bytes(asker, donor, way);
+    let server = TcpStream::connect(address).ok()?;
+    let reversed = direction.reversed();
+    let server_reader = server.try_clone().ok()?;
+    let client_writer = client.try_clone().ok()?;
+    thread::spawn(move || copy_bytes(server_reader, client_writer, &reversed));
+    copy_bytes(client, server, direction);
     Some(())
 }
 
-/// Until either end is over; while the way is cut nothing passes.
-fn copy_bytes(mut from: TcpStream, mut to: TcpStream, way: &LinkDirection) {
+/// Copies until either end closes; waits while the direction is blocked.
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, direction: &LinkDirection) {
     let _ = from.set_read_timeout(Some(POLL_INTERVAL));
-    let mut buffer = [0; 16 << 10];
-    while !way.stopped.load(Ordering::Relaxed) {
+    let mut buffer = [0; BUFFER_BYTES];
+    while !direction.is_stopped() {
         match from.read(&mut buffer) {
             Ok(0) => break,
-            Ok(n) => {
-                while way.is_blocked() && !way.stopped.load(Ordering::Relaxed) {
+            Ok(length) => {
+                while direction.is_blocked() && !direction.is_stopped() {
                     thread::sleep(POLL_INTERVAL);
                 }
-                if to.write_all(&buffer[..n]).is_err() {
+                if to.write_all(&buffer[..length]).is_err() {
                     break;
                 }
             }
@@ -91,7 +95,7 @@
         }
     }
     let _ = to.shutdown(Shutdown::Write);
-    if way.stopped.load(Ordering::Relaxed) {
+    if direction.is_stopped() {
         let _ = from.shutdown(Shutdown::Both);
     }
 }
--- a/test-support/src/process.rs
+++ b/test-support/src/process.rs
@@ -16,7 +16,7 @@
 /// How often a wait looks again.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a process may still log in the moment after its start is awaited, so that tests see all of it.
+/// Pause after the start was logged or the exit was seen, so that log lines written with it have arrived.
 const START_SETTLE_TIME: Duration = Duration::from_millis(10);
 
 /// What a process is started with.
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -1,6 +1,7 @@
-//! Relays among processes, for datagrams (here) and links (`links.rs`): one before each of them, which cuts, loses, delays, repeats and spoils what passes, by
-//! rules that a test changes as it goes and a seed.
+//! The network among processes: a relay in front of each, for datagrams (here) and for links (TCP, `links.rs`). Relays
+//! block, lose, delay, duplicate and corrupt what passes, by faults that a test changes as it runs, and by a seed.
 
+use crate::links::relay_links;
 use crate::lock;
 use std::collections::HashSet;
 use std::io;
@@ -10,138 +11,207 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What happens to datagrams on their way.
+/// How far the processes' loopback addresses are from the relays' own.
+const PROCESS_ADDRESS_OFFSET: usize = 10;
+
+/// How long a relay waits for a datagram before it looks at those that it delays.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// How often another port is tried where TCP's port of the same number is in use.
+const MAX_BIND_RETRIES: u32 = 50;
+
+/// Longest datagram that is relayed.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+
+/// What happens to traffic on its way.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkFaults {
-    /// Nothing passes from one to another.
+    /// Pairs of processes (from, to) between which nothing passes in this direction.
     pub blocked: HashSet<(usize, usize)>,
-    /// Shares that are lost, come twice, or are spoilt.
+    /// The fraction of datagrams that is lost.
     pub loss_fraction: f64,
+    /// The fraction of datagrams that arrives twice.
     pub duplicate_fraction: f64,
+    /// The fraction of datagrams in which a bit is changed.
     pub corrupt_fraction: f64,
-    /// Each takes up to so long, so that some overtake others.
+    /// The longest delay of a datagram; each has its own, so that some arrive out of order.
     pub max_delay: Duration,
 }
 
 impl NetworkFaults {
-    /// Two sides, neither of which hears the other.
-    pub fn partition(of: usize, count: usize) -> NetworkFaults {
-        let pairs = (0..count).flat_map(|a| (0..count).map(move |b| (a, b)));
-        NetworkFaults {
-            blocked: pairs.filter(|(a, b)| (*a < of) != (*b < of)).collect(),
-            ..NetworkFaults::default()
-        }
+    /// Separates the processes below `first` from the others.
+    pub fn partition(first: usize, process_count: usize) -> NetworkFaults {
+        let blocked = blocked_pairs(process_count, |from, to| (from < first) != (to < first));
+        NetworkFaults { blocked, ..NetworkFaults::default() }
+    }
+}
+
+/// The pairs of processes (from, to) that this selects.
+pub(crate) fn blocked_pairs(
+    process_count: usize,
+    is_blocked: impl Fn(usize, usize) -> bool,
+) -> HashSet<(usize, usize)> {
+    let all = (0..process_count).flat_map(|from| (0..process_count).map(move |to| (from, to)));
+    all.filter(|(from, to)| is_blocked(*from, *to)).collect()
+}
+
+/// What a relay's threads share with the test.
+#[derive(Clone)]
+pub(crate) struct RelayContext {
+    /// The address of each process.
+    pub(crate) process_addresses: Vec<SocketAddr>,
+    pub(crate) faults: Arc<Mutex<NetworkFaults>>,
+    pub(crate) stopped: Arc<AtomicBool>,
+}
+
+impl RelayContext {
+    pub(crate) fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
+    }
+
+    pub(crate) fn is_blocked(&self, from: usize, to: usize) -> bool {
+        lock(&self.faults).blocked.contains(&(from, to))
     }
 }
 
-/// The relays before so many processes.
+/// The relays in front of a fleet's processes; they end when this is dropped.
 pub struct Relays {
-    /// Where each is reached, and where it listens.
+    /// Where others reach each process: its relay.
     pub relay_addresses: Vec<SocketAddr>,
+    /// Where each process listens.
     pub process_addresses: Vec<SocketAddr>,
+    /// The faults that hold now.
     pub faults: Arc<Mutex<NetworkFaults>>,
     stopped: Arc<AtomicBool>,
 }
 
 impl Relays {
-    /// `own`: a loopback address that nobody else uses; the processes' own ones follow it by ten.
-    pub fn start(count: usize, own: IpAddr, seed: u64) -> io::Result<Relays> {
-        // Datagrams and links come to one number.
-        let listeners = (0..count).map(|_| bind_pair((own, 0).into())).collect::<io::Result<Vec<_>>>()?;
-        let before =
-            listeners.iter().map(|(datagrams, _)| datagrams.local_addr()).collect::<io::Result<Vec<_>>>()?;
-        // Ports that are free now, all held until all are known.
-        let place = |n: usize| SocketAddr::new(nth_address(own, 10 + n), 0);
-        let held = (0..count).map(|n| bind_pair(place(n))).collect::<io::Result<Vec<_>>>()?;
-        let behind =
-            held.iter().map(|(datagrams, _)| datagrams.local_addr()).collect::<io::Result<Vec<_>>>()?;
-        let relays = Relays {
-            relay_addresses: before,
-            process_addresses: behind,
-            faults: Arc::default(),
-            stopped: Arc::default(),
+    /// Starts a relay for each process. `loopback_address`: an address that nobody else uses, with those that follow it:
+    /// processes listen from the tenth after it.
+    pub fn start(process_count: usize, loopback_address: IpAddr, seed: u64) -> io::Result<Relays> {
+        let bind_relay = |_| PortPair::bind((loopback_address, 0).into());
+        let relay_ports = (0..process_count).map(bind_relay).collect::<io::Result<Vec<_>>>()?;
+        let relay_addresses = relay_ports.iter().map(PortPair::address).collect::<io::Result<Vec<_>>>()?;
+        // These ports are free now; all are held until all are known, so that they differ.
+        let reserve = |process| {
+            let address = nth_address(loopback_address, PROCESS_ADDRESS_OFFSET + process);
+            PortPair::bind(SocketAddr::new(address, 0))
         };
-        for (n, (socket, links)) in listeners.into_iter().enumerate() {
-            socket.set_read_timeout(Some(Duration::from_millis(2)))?;
-            let (behind, rules, over) =
-                (relays.process_addresses.clone(), relays.faults.clone(), relays.stopped.clone());
-            let rng = fastrand::Rng::with_seed(seed + n as u64);
-            thread::spawn(move || relay_datagrams(n, &socket, &behind, &rules, &over, rng));
-            crate::links::relay_links(
-                n,
-                links,
-                relays.process_addresses.clone(),
-                relays.faults.clone(),
-                relays.stopped.clone(),
-            );
+        let reserved_ports = (0..process_count).map(reserve).collect::<io::Result<Vec<_>>>()?;
+        let process_addresses =
+            reserved_ports.iter().map(PortPair::address).collect::<io::Result<Vec<_>>>()?;
+        let relays =
+            Relays { relay_addresses, process_addresses, faults: Arc::default(), stopped: Arc::default() };
+        for (process, ports) in relay_ports.into_iter().enumerate() {
+            ports.datagrams.set_read_timeout(Some(POLL_INTERVAL))?;
+            let rng = fastrand::Rng::with_seed(seed + process as u64);
+            let context = relays.context();
+            thread::spawn(move || relay_datagrams(process, &ports.datagrams, &context, rng));
+            relay_links(process, ports.links, relays.context());
         }
         Ok(relays)
     }
 
+    fn context(&self) -> RelayContext {
+        RelayContext {
+            process_addresses: self.process_addresses.clone(),
+            faults: self.faults.clone(),
+            stopped: self.stopped.clone(),
+        }
+    }
+
+    /// The faults that hold now.
     pub fn faults(&self) -> NetworkFaults {
         lock(&self.faults).clone()
     }
 
-    pub fn set_faults(&self, rules: NetworkFaults) {
-        *lock(&self.faults) = rules;
+    /// Replaces the faults.
+    pub fn set_faults(&self, faults: NetworkFaults) {
+        *lock(&self.faults) = faults;
     }
 }
 
-/// A socket for datagrams and one for links at the same number.
-fn bind_pair(at: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
-    let mut tries = 0;
-    loop {
-        let datagrams = UdpSocket::bind(at)?;
-        match TcpListener::bind(datagrams.local_addr()?) {
-            Ok(links) => return Ok((datagrams, links)),
-            Err(e) if tries >= 50 => return Err(e),
-            Err(_) => tries += 1,
+impl Drop for Relays {
+    fn drop(&mut self) {
+        self.stopped.store(true, Ordering::Relaxed);
+    }
+}
+
+/// A UDP and a TCP socket with the same port number.
+struct PortPair {
+    datagrams: UdpSocket,
+    links: TcpListener,
+}
+
+impl PortPair {
+    /// Binds both; with port 0 to a number that is free for both.
+    fn bind(address: SocketAddr) -> io::Result<PortPair> {
+        let mut retries = 0;
+        loop {
+            let datagrams = UdpSocket::bind(address)?;
+            match TcpListener::bind(datagrams.local_addr()?) {
+                Ok(links) => return Ok(PortPair { datagrams, links }),
+                Err(e) if retries >= MAX_BIND_RETRIES => return Err(e),
+                Err(_) => retries += 1,
+            }
         }
     }
+
+    fn address(&self) -> io::Result<SocketAddr> {
+        self.datagrams.local_addr()
+    }
 }
 
-/// The address so many after this one.
-pub fn nth_address(own: IpAddr, n: usize) -> IpAddr {
-    match own {
-        IpAddr::V4(own) => Ipv4Addr::from(u32::from(own).wrapping_add(n as u32)).into(),
+/// The address that is `n` after this one.
+pub fn nth_address(first: IpAddr, n: usize) -> IpAddr {
+    match first {
+        IpAddr::V4(first) => Ipv4Addr::from(u32::from(first).wrapping_add(n as u32)).into(),
         other => other,
     }
 }
 
-impl Drop for Relays {
-    fn drop(&mut self) {
-        self.stopped.store(true, Ordering::Relaxed);
-    }
+/// A datagram that is on its way.
+struct DelayedDatagram {
+    due: Instant,
+    bytes: Vec<u8>,
 }
 
-fn relay_datagrams(
-    to: usize,
-    socket: &UdpSocket,
-    behind: &[SocketAddr],
-    rules: &Mutex<NetworkFaults>,
-    over: &AtomicBool,
-    mut rng: fastrand::Rng,
-) {
-    let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
-    let mut buffer = [0; 2048];
-    while !over.load(Ordering::Relaxed) {
+/// Relays datagrams to a process until the relays are stopped.
+fn relay_datagrams(to: usize, socket: &UdpSocket, context: &RelayContext, mut rng: fastrand::Rng) {
+    let mut delayed: Vec<DelayedDatagram> = Vec::new();
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    while !context.is_stopped() {
         if let Ok((length, source)) = socket.recv_from(&mut buffer) {
-            let rules = lock(rules).clone();
-            let from = behind.iter().position(|at| *at == source);
-            let cut = from.is_some_and(|from| rules.blocked.contains(&(from, to)));
-            if !cut && rng.f64() >= rules.loss_fraction {
-                let mut bytes = buffer[..length].to_vec();
-                if rng.f64() < rules.corrupt_fraction && length > 0 {
-                    bytes[rng.usize(..length)] ^= 1 << rng.u8(..8);
-                }
-                for _ in 0..1 + usize::from(rng.f64() < rules.duplicate_fraction) {
-                    waiting.push((Instant::now() + rules.max_delay.mul_f64(rng.f64()), bytes.clone()));
-                }
+            let from = context.process_addresses.iter().position(|address| *address == source);
+            let faults = lock(&context.faults).clone();
+            if !from.is_some_and(|from| faults.blocked.contains(&(from, to))) {
+                apply_faults(&buffer[..length], &faults, &mut rng, &mut delayed);
             }
         }
         let now = Instant::now();
-        for (_, bytes) in waiting.extract_if(.., |(at, _)| *at <= now) {
-            let _ = socket.send_to(&bytes, behind[to]);
+        for datagram in delayed.extract_if(.., |datagram| datagram.due <= now) {
+            let _ = socket.send_to(&datagram.bytes, context.process_addresses[to]);
         }
     }
 }
+
+/// Puts a datagram on its way: never, once or twice.
+fn apply_faults(
+    datagram: &[u8],
+    faults: &NetworkFaults,
+    rng: &mut fastrand::Rng,
+    delayed: &mut Vec<DelayedDatagram>,
+) {
+    if rng.f64() < faults.loss_fraction {
+        return;
+    }
+    let mut bytes = datagram.to_vec();
+    if rng.f64() < faults.corrupt_fraction && !bytes.is_empty() {
+        bytes[rng.usize(..datagram.len())] ^= 1 << rng.u8(..8);
+    }
+    let copies = if rng.f64() < faults.duplicate_fraction { 2 } else { 1 };
+    for _ in 0..copies {
+        let due = Instant::now() + faults.max_delay.mul_f64(rng.f64());
+        delayed.push(DelayedDatagram { due, bytes: bytes.clone() });
+    }
+}
--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -1,4 +1,4 @@
-//! Groups of databases with discovery before them, and the files that let a proxy find them.
+//! A test rig: groups of databases, the discovery service that lists them, and the files that let proxies find them.
 
 use crate::database::{Database, Rows};
 use crate::discovery::{Discovery, ListedDatabase};
@@ -8,156 +8,183 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
+/// A group of two databases.
 pub struct Group {
+    /// The primary, until a failover.
     pub primary: Database,
+    /// The replica, until a failover.
     pub replica: Database,
+    /// Their rows.
     pub rows: Arc<Rows>,
 }
 
+/// Descriptors that the system grants a process beyond its configured limit.
+const EXTRA_DESCRIPTORS: u32 = 64;
+
+/// Another discovery service and other settings for a rig's proxies.
+pub struct ExternalDiscovery {
+    /// Where the service listens.
+    pub address: SocketAddr,
+    /// The configuration's `settings`, as JSON.
+    pub settings: String,
+}
+
+/// Databases, discovery and files for proxies.
 pub struct Rig {
+    /// The groups of databases.
     pub groups: Vec<Group>,
+    /// The discovery service.
     pub discovery: Discovery,
     folder: PathBuf,
     program: PathBuf,
     loopback_address: IpAddr,
-    /// Descriptors that a proxy is told it may hold.
+    /// The limit on descriptors in a proxy's configuration.
     pub max_descriptors: u32,
-    /// Another discovery and other settings than this rig's own.
-    pub external_discovery: Option<(SocketAddr, String)>,
+    /// Used instead of this rig's own discovery and settings.
+    pub external_discovery: Option<ExternalDiscovery>,
 }
 
 impl Rig {
-    /// `own` is a loopback address that nobody else uses meanwhile; the folder is made anew.
-    pub fn new(groups: u32, own: [u8; 4], program: &Path, folder: &Path) -> io::Result<Rig> {
+    /// `loopback_address`: one that nobody else uses meanwhile. The folder is deleted and created.
+    pub fn new(
+        group_count: u32,
+        loopback_address: [u8; 4],
+        program: &Path,
+        folder: &Path,
+    ) -> io::Result<Rig> {
         let _ = std::fs::remove_dir_all(folder);
         std::fs::create_dir_all(folder)?;
-        let own = IpAddr::from(own);
-        let free = SocketAddr::new(own, 0);
-        let group = |_| {
+        let loopback_address = IpAddr::from(loopback_address);
+        let free = SocketAddr::new(loopback_address, 0);
+        let new_group = |_| {
             let rows = Arc::default();
             let primary = Database::start(free, true, &rows, false)?;
             Ok(Group { primary, replica: Database::start(free, false, &rows, false)?, rows })
         };
-        let groups = (0..groups).map(group).collect::<io::Result<Vec<Group>>>()?;
+        let groups = (0..group_count).map(new_group).collect::<io::Result<Vec<Group>>>()?;
         let discovery = Discovery::start(free, listed_databases(&groups))?;
         Ok(Rig {
             groups,
             discovery,
             folder: folder.into(),
             program: program.into(),
-            loopback_address: own,
+            loopback_address,
             max_descriptors: 1024,
             external_discovery: None,
         })
     }
 
-    /// An address at a port that is free now.
+    /// An address with a port that is free now.
     pub fn free_address(&self) -> io::Result<SocketAddr> {
         TcpListener::bind((self.loopback_address, 0))?.local_addr()
     }
 
+    /// The rig's loopback address.
     pub fn loopback_address(&self) -> IpAddr {
         self.loopback_address
     }
 
+    /// The configuration file's text for the proxy `p{seed}`.
     pub fn config(&self, seed: u64) -> String {
         let (discovery, settings) = match &self.external_discovery {
-            Some((discovery, settings)) => (*discovery, settings.clone()),
+            Some(external) => (external.address, external.settings.clone()),
             None => (self.discovery.address(), settings()),
         };
         format!(
-            r#"{{"name": "p{seed}", "listen": "{own}:0", "discovery": "{discovery}", "operator": "{own}:0",
+            r#"{{"name": "p{seed}", "listen": "{address}:0", "discovery": "{discovery}", "operator": "{address}:0",
  "seed": "{seed:016x}", "limits": {{"sockets": {sockets}}},
  "known": {{"rev": 0, "all": true, "targets": []}},
  "settings": {settings}}}"#,
-            own = self.loopback_address,
+            address = self.loopback_address,
             sockets = self.max_descriptors,
         )
     }
 
-    /// Options with both listeners at these addresses, and whatever else stands within `health`.
-    pub fn health_options(http: SocketAddr, agent: SocketAddr, callers: u32, more: &str) -> String {
+    /// Options with both health check listeners, and further elements within `health`.
+    pub fn health_options(http: SocketAddr, agent: SocketAddr, callers: u32, extra: &str) -> String {
         format!(
             "<birchreach-options>\n<health>\n<http listen='{http}' callers='{callers}'/>\n\
-             <agent listen='{agent}' callers='{callers}'/>\n{more}\n</health>\n</birchreach-options>"
+             <agent listen='{agent}' callers='{callers}'/>\n{extra}\n</health>\n</birchreach-options>"
         )
     }
 
-    /// Starts a proxy and waits until it serves.
+    /// Starts the proxy `p{n}` and waits until it accepts clients.
     pub fn start(
         &self,
         n: u64,
         options: Option<&str>,
-        inherited: Option<&TcpListener>,
+        inherited_listener: Option<&TcpListener>,
     ) -> io::Result<Process> {
-        let setup = ProcessSettings {
+        let settings = ProcessSettings {
             program: &self.program,
             folder: &self.folder,
             name: &format!("p{n}"),
             config: &self.config(n),
             options,
-            inherited_listener: inherited,
-            max_descriptors: Some(self.max_descriptors + 64),
+            inherited_listener,
+            max_descriptors: Some(self.max_descriptors + EXTRA_DESCRIPTORS),
         };
-        let mut process = Process::start(&setup)?;
+        let mut process = Process::start(&settings)?;
         process
             .wait_until_serving()
             .ok_or_else(|| io::Error::other(format!("it does not serve: {:?}", process.log())))?;
         Ok(process)
     }
 
-    /// One with both listeners at free ports of its own.
-    pub fn start_with_checks(&self, n: u64, callers: u32, more: &str) -> io::Result<Process> {
+    /// Starts a proxy with both health check listeners at free ports.
+    pub fn start_with_checks(&self, n: u64, callers: u32, extra: &str) -> io::Result<Process> {
         let free = SocketAddr::new(self.loopback_address, 0);
-        self.start(n, Some(&Rig::health_options(free, free, callers, more)), None)
+        self.start(n, Some(&Rig::health_options(free, free, callers, extra)), None)
     }
 
-    /// The replica of a group takes over. `told`: discovery says so too.
-    pub fn fail_over(&self, group: usize, told: bool) {
-        let g = &self.groups[group];
-        g.primary.set_primary(false);
-        g.replica.set_primary(true);
-        if told {
-            self.announce_primary(group, g.replica.address());
+    /// The replica of a group becomes its primary. `announced`: discovery lists it so, too.
+    pub fn fail_over(&self, group: usize, announced: bool) {
+        let Group { primary, replica, .. } = &self.groups[group];
+        primary.set_primary(false);
+        replica.set_primary(true);
+        if announced {
+            self.announce_primary(group, replica.address());
         }
     }
 
-    /// The group's primary is its first one again, and it lives.
+    /// The group's first primary is the primary again, available and not hung.
     pub fn restore(&self, group: usize) {
-        let g = &self.groups[group];
-        g.replica.set_primary(false);
-        g.primary.set_primary(true);
-        g.primary.set_available(true);
-        g.primary.set_hung(false);
-        self.announce_primary(group, g.primary.address());
+        let Group { primary, replica, .. } = &self.groups[group];
+        replica.set_primary(false);
+        primary.set_primary(true);
+        primary.set_available(true);
+        primary.set_hung(false);
+        self.announce_primary(group, primary.address());
     }
 
-    /// Discovery names this one as the group's primary.
+    /// Makes discovery list this database as the group's primary.
     pub fn announce_primary(&self, group: usize, primary: SocketAddr) {
-        self.discovery.change_databases(|lines| {
-            for line in lines.iter_mut().filter(|l| l.group as usize == group) {
-                line.primary = line.endpoint == primary;
+        self.discovery.change_databases(|databases| {
+            for database in databases.iter_mut().filter(|database| database.group as usize == group) {
+                database.primary = database.endpoint == primary;
             }
         });
     }
 }
 
+/// All databases as discovery lists them at the start.
 fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
-    let mut lines = Vec::new();
-    for (n, g) in groups.iter().enumerate() {
-        for (database, primary) in [(&g.primary, true), (&g.replica, false)] {
+    let mut listed = Vec::new();
+    for (n, Group { primary, replica, .. }) in groups.iter().enumerate() {
+        for (database, primary) in [(primary, true), (replica, false)] {
             let uid = format!("s-{n}{}", if primary { "p" } else { "r" });
             let (endpoint, group) = (database.address(), n as u32);
-            lines.push(ListedDatabase { uid, endpoint, group, state: "up", primary, started_at_ms: 0 });
+            listed.push(ListedDatabase { uid, endpoint, group, state: "up", primary, started_at_ms: 0 });
         }
     }
-    lines
+    listed
 }
 
+/// The configuration's `settings`, with three request classes.
 fn settings() -> String {
-    let class = |name: &str, worth: f64, deadline: f64, idem: &str| {
+    let class = |name: &str, priority_weight: f64, deadline_ms: f64, idempotency: &str| {
         format!(
-            r#"{{"name": "{name}", "credit": {worth}, "deadline_ms": {deadline}, "goal_time_ms": 750.0, "idempotency": "{idem}", "late_worth": 0.5}}"#
+            r#"{{"name": "{name}", "credit": {priority_weight}, "deadline_ms": {deadline_ms}, "goal_time_ms": 750.0, "idempotency": "{idempotency}", "late_worth": 0.5}}"#
         )
     };
     let classes = [
--- a/test-support/src/schedule.rs
+++ b/test-support/src/schedule.rs
@@ -1,140 +1,180 @@
-//! Schedules of faults on a fleet of processes: data from a seed, which is printed when one fails and plays the same again.
+//! Schedules of faults on a fleet of processes. They are data drawn from a seed, which is printed when a run fails and
+//! gives the same schedule again.
 
 use crate::fleet::{Fleet, check_settled};
 use crate::process::Process;
-use crate::relay::NetworkFaults;
+use crate::relay::{NetworkFaults, blocked_pairs};
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What happens.
+/// How often recovery is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The fault fractions that [`FaultAction::DatagramFaults`] is drawn from.
+const DATAGRAM_FAULT_FRACTIONS: [f64; 3] = [0.0, 0.05, 0.2];
+
+/// A fault, or the end of one. Numbers are indices of processes.
 #[derive(Clone, Debug)]
 pub enum FaultAction {
+    /// Kills a process.
     Kill(usize),
-    /// Under its name, with an empty memory.
+    /// Starts a process (killing its predecessor) under the same name, without its state.
     Start(usize),
+    /// Stops a process from running (SIGSTOP).
     Pause(usize),
+    /// Lets a paused process run again (SIGCONT).
     Resume(usize),
+    /// Separates the processes below this index from the others.
     Partition(usize),
-    /// It hears nobody; or nobody hears it.
+    /// A process receives nothing.
     BlockInbound(usize),
+    /// Nothing that a process sends arrives.
     BlockOutbound(usize),
+    /// Everything arrives again.
     HealNetwork,
-    /// Datagrams are lost, come twice, late and spoilt.
+    /// This fraction of datagrams is lost, duplicated and corrupted, with a delay of up to as many seconds.
     DatagramFaults(f64),
 }
 
+/// A fault and its time from the schedule's start.
+#[derive(Clone, Debug)]
+pub struct TimedAction {
+    /// Time from the start.
+    pub after: Duration,
+    /// What happens then.
+    pub action: FaultAction,
+}
+
+/// Faults in the order of their times.
 #[derive(Clone, Debug)]
 pub struct Schedule {
+    /// What the schedule was drawn from.
     pub seed: u64,
+    /// Processes of the fleet.
     pub process_count: usize,
-    pub actions: Vec<(Duration, FaultAction)>,
+    /// The faults, by time.
+    pub actions: Vec<TimedAction>,
 }
 
 impl FaultAction {
-    /// The place whose process ends by it, if one does.
+    /// The process whose present incarnation this ends, if it ends one.
     pub fn ended_process(&self) -> Option<usize> {
         match self {
-            FaultAction::Kill(n) | FaultAction::Start(n) => Some(*n),
+            FaultAction::Kill(process) | FaultAction::Start(process) => Some(*process),
             _ => None,
         }
     }
+
+    fn generate(rng: &mut fastrand::Rng, process_count: usize) -> FaultAction {
+        // Drawn for each kind of fault, used or not: a seed's schedule depends on the order of draws.
+        let process = rng.usize(..process_count);
+        match rng.u8(..10) {
+            0 | 1 => FaultAction::Kill(process),
+            2 => FaultAction::Start(process),
+            3 => FaultAction::Pause(process),
+            4 => FaultAction::Resume(process),
+            5 => FaultAction::Partition(rng.usize(1..process_count)),
+            6 => FaultAction::BlockInbound(process),
+            7 => FaultAction::BlockOutbound(process),
+            8 => FaultAction::HealNetwork,
+            _ => {
+                let index = rng.usize(..DATAGRAM_FAULT_FRACTIONS.len());
+                FaultAction::DatagramFaults(DATAGRAM_FAULT_FRACTIONS[index])
+            }
+        }
+    }
 }
 
 impl Schedule {
-    /// So many acts within so long.
-    pub fn generate(seed: u64, places: usize, acts: usize, within: Duration) -> Schedule {
+    /// Draws so many actions within a period.
+    pub fn generate(seed: u64, process_count: usize, action_count: usize, period: Duration) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut acts: Vec<(Duration, FaultAction)> = (0..acts)
-            .map(|_| {
-                let n = rng.usize(..places);
-                let act = match rng.u8(..10) {
-                    0 | 1 => FaultAction::Kill(n),
-                    2 => FaultAction::Start(n),
-                    3 => FaultAction::Pause(n),
-                    4 => FaultAction::Resume(n),
-                    5 => FaultAction::Partition(rng.usize(1..places)),
-                    6 => FaultAction::BlockInbound(n),
-                    7 => FaultAction::BlockOutbound(n),
-                    8 => FaultAction::HealNetwork,
-                    _ => FaultAction::DatagramFaults([0.0, 0.05, 0.2][rng.usize(..3)]),
-                };
-                (within.mul_f64(rng.f64()), act)
-            })
-            .collect();
-        acts.sort_by_key(|(at, _)| *at);
-        Schedule { seed, process_count: places, actions: acts }
+        let mut timed_action = |_| {
+            let action = FaultAction::generate(&mut rng, process_count);
+            TimedAction { after: period.mul_f64(rng.f64()), action }
+        };
+        let mut actions: Vec<TimedAction> = (0..action_count).map(&mut timed_action).collect();
+        actions.sort_by_key(|timed| timed.after);
+        Schedule { seed, process_count, actions }
     }
 
-    /// Plays it on processes that run; `none` stands where one was killed.
-    pub fn play(&self, fleet: &Fleet, all: &mut [Option<Process>]) -> io::Result<()> {
+    /// Applies all actions at their times to running processes; `None` stands where one was killed.
+    pub fn play(&self, fleet: &Fleet, processes: &mut [Option<Process>]) -> io::Result<()> {
         let start = Instant::now();
-        for (at, act) in &self.actions {
-            thread::sleep(at.saturating_sub(start.elapsed()));
-            self.apply(fleet, all, act)?;
+        for TimedAction { after, action } in &self.actions {
+            thread::sleep(after.saturating_sub(start.elapsed()));
+            self.apply(fleet, processes, action)?;
         }
         Ok(())
     }
 
-    pub fn apply(&self, fleet: &Fleet, all: &mut [Option<Process>], act: &FaultAction) -> io::Result<()> {
-        let signal = |all: &[Option<Process>], n: usize, name| {
-            all[n].iter().for_each(|process| process.signal(name));
-        };
-        let cut = |pairs: &dyn Fn(usize, usize) -> bool| {
-            let all = (0..self.process_count).flat_map(|a| (0..self.process_count).map(move |b| (a, b)));
-            let cut = all.filter(|(a, b)| a != b && pairs(*a, *b)).collect();
-            let rules = fleet.relays.faults();
-            fleet.relays.set_faults(NetworkFaults { blocked: cut, ..rules });
-        };
-        match *act {
-            FaultAction::Kill(n) => all[n] = None,
-            FaultAction::Start(n) => {
-                all[n] = None;
-                all[n] = Some(fleet.start(n, None)?);
-            }
-            FaultAction::Pause(n) => signal(all, n, "STOP"),
-            FaultAction::Resume(n) => signal(all, n, "CONT"),
-            FaultAction::Partition(of) => cut(&|a, b| (a < of) != (b < of)),
-            FaultAction::BlockInbound(n) => cut(&|_, b| b == n),
-            FaultAction::BlockOutbound(n) => cut(&|a, _| a == n),
-            FaultAction::HealNetwork => cut(&|_, _| false),
-            FaultAction::DatagramFaults(share) => {
-                let rules = fleet.relays.faults();
-                let delay = Duration::from_secs_f64(share);
-                fleet.relays.set_faults(NetworkFaults {
-                    loss_fraction: share,
-                    duplicate_fraction: share,
-                    corrupt_fraction: share,
-                    max_delay: delay,
-                    ..rules
-                });
+    /// Applies one action.
+    pub fn apply(
+        &self,
+        fleet: &Fleet,
+        processes: &mut [Option<Process>],
+        action: &FaultAction,
+    ) -> io::Result<()> {
+        match *action {
+            FaultAction::Kill(process) => processes[process] = None,
+            FaultAction::Start(process) => {
+                // The old process ends before the new one takes its addresses.
+                processes[process] = None;
+                processes[process] = Some(fleet.start(process, None)?);
             }
+            FaultAction::Pause(process) => signal(&processes[process], "STOP"),
+            FaultAction::Resume(process) => signal(&processes[process], "CONT"),
+            FaultAction::Partition(first) => self.block(fleet, |from, to| (from < first) != (to < first)),
+            FaultAction::BlockInbound(process) => self.block(fleet, |_, to| to == process),
+            FaultAction::BlockOutbound(process) => self.block(fleet, |from, _| from == process),
+            FaultAction::HealNetwork => self.block(fleet, |_, _| false),
+            FaultAction::DatagramFaults(fraction) => fleet.relays.set_faults(NetworkFaults {
+                loss_fraction: fraction,
+                duplicate_fraction: fraction,
+                corrupt_fraction: fraction,
+                max_delay: Duration::from_secs_f64(fraction),
+                ..fleet.relays.faults()
+            }),
         }
         Ok(())
     }
 
-    /// All is well again and whoever was lost is there: they come to one view within so long, or it is told what they say.
+    /// Blocks exactly the pairs (from, to) that this selects.
+    fn block(&self, fleet: &Fleet, is_blocked: impl Fn(usize, usize) -> bool) {
+        let blocked = blocked_pairs(self.process_count, |from, to| from != to && is_blocked(from, to));
+        fleet.relays.set_faults(NetworkFaults { blocked, ..fleet.relays.faults() });
+    }
+
+    /// Ends all faults and starts the processes that are missing. Returns how long they took to agree on the fleet; the
+    /// error holds the schedule and what they report if they do not within the limit.
     pub fn recover(
         &self,
         fleet: &Fleet,
-        all: &mut [Option<Process>],
-        most: Duration,
+        processes: &mut [Option<Process>],
+        limit: Duration,
     ) -> Result<Duration, String> {
         fleet.relays.set_faults(NetworkFaults::default());
-        for (n, place) in all.iter_mut().enumerate() {
+        for (index, place) in processes.iter_mut().enumerate() {
             match place {
                 Some(process) => process.signal("CONT"),
-                None => *place = Some(fleet.start(n, None).map_err(|e| e.to_string())?),
+                None => *place = Some(fleet.start(index, None).map_err(|e| e.to_string())?),
             }
         }
         let start = Instant::now();
-        let running: Vec<&Process> = all.iter().flatten().collect();
+        let running: Vec<&Process> = processes.iter().flatten().collect();
         loop {
             match check_settled(self.process_count, &running) {
                 Ok(()) => return Ok(start.elapsed()),
-                Err(views) if start.elapsed() > most => return Err(format!("{self:?}: {views}")),
-                Err(_) => thread::sleep(Duration::from_millis(50)),
+                Err(views) if start.elapsed() > limit => return Err(format!("{self:?}: {views}")),
+                Err(_) => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 }
+
+fn signal(process: &Option<Process>, name: &str) {
+    if let Some(process) = process {
+        process.signal(name);
+    }
+}
