--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -1,136 +1,157 @@
-//! What a member answers, from the group's state, behind its queue; and the record of it.
+//! How a member answers statements: it records each, waits for capacity, and answers from the group's state.
 
+use super::history::{Change, Entry, PlantedDifference, Record, StatementKind};
 use super::member::{Group, POLL_INTERVAL};
 use super::now_ms;
 use super::sql::{Statement, parse};
-use super::state::{Change, Entry, PlantedDifference, Record, StatementKind};
 use crate::lock;
 use crate::wire::{decode_hex, message, row, row_of};
 use std::thread;
 
-/// By then a start is known to all that hear discovery, and what was on its way is over.
+/// By then all proxies that reach discovery know of a restart, and statements that were on their way have arrived. What
+/// arrives earlier is not counted as sent to a member that is warming up.
 const START_KNOWN_AFTER_MS: i64 = 500;
 
 impl Group {
-    /// A place among those that it has, and its work; a cold one is slower.
+    /// Waits until the member has capacity for a statement, and takes the time for it: longer while it warms up.
     fn do_work(&self, member: usize) {
-        let load = &self.0.capacity;
-        let mut busy = lock(&self.0.in_flight);
-        while busy[member] >= load.max_concurrent {
-            busy =
-                self.0.changed.wait_timeout(busy, POLL_INTERVAL).map_or_else(|e| e.into_inner().0, |w| w.0);
+        let capacity = &self.0.capacity;
+        let mut in_flight = lock(&self.0.in_flight);
+        while in_flight[member] >= capacity.max_concurrent {
+            let waited = self.0.changed.wait_timeout(in_flight, POLL_INTERVAL);
+            in_flight = waited.map_or_else(|e| e.into_inner().0, |w| w.0);
         }
-        busy[member] += 1;
-        drop(busy);
-        let age = now_ms() - lock(&self.0.state).members[member].started_at_ms;
-        let risen = (age as f64 / load.slow_start_window.as_millis().max(1) as f64).clamp(0.0, 1.0);
-        let share = load.slow_start_initial_fraction + (1.0 - load.slow_start_initial_fraction) * risen;
-        thread::sleep(load.statement_time.div_f64(share.max(0.01)));
+        in_flight[member] += 1;
+        drop(in_flight);
+        let speed = capacity.speed(now_ms() - self.started_at_ms(member));
+        thread::sleep(capacity.statement_time.div_f64(speed));
         lock(&self.0.in_flight)[member] -= 1;
         self.0.changed.notify_all();
     }
 
-    fn record(&self, member: usize, what: StatementKind) {
+    fn record(&self, member: usize, statement: StatementKind) {
         let now = now_ms();
         let mut state = lock(&self.0.state);
-        let age = now - state.members[member].started_at_ms;
-        let cold =
-            (START_KNOWN_AFTER_MS..self.0.capacity.slow_start_window.as_millis() as i64).contains(&age);
-        state.records.push(Record { received_at_ms: now, member, statement: what, warming_up: cold });
+        let age_ms = now - state.members[member].started_at_ms;
+        let slow_start_ms = self.0.capacity.slow_start_window.as_millis() as i64;
+        let warming_up = (START_KNOWN_AFTER_MS..slow_start_ms).contains(&age_ms);
+        state.records.push(Record { received_at_ms: now, member, statement, warming_up });
     }
 
-    /// The rows of the group that this one follows.
+    /// The rows of the group that this one follows, if it follows one.
     fn parent_rows(&self) -> Option<Vec<Entry>> {
-        self.0.parent_log.as_ref().map(|(group, _)| lock(&group.0.state).replicated_log(now_ms()))
+        self.0.parent_log.as_ref().map(|(parent, _)| lock(&parent.0.state).replicated_log(now_ms()))
     }
 
+    /// A row as the member has it, with the time of its commit.
     fn visible_row(&self, member: usize, key: &str) -> Option<(String, i64)> {
         let log = self.parent_rows();
         let mut state = lock(&self.0.state);
         let planted = state.planted_differences.get(key).cloned();
-        let own = self.0.parent_log.as_ref().is_none_or(|(_, own)| own(key));
+        let is_owned = self.0.parent_log.as_ref().is_none_or(|(_, owns)| owns(key));
         match planted {
             Some(PlantedDifference::Missing) => None,
             Some(PlantedDifference::OtherValue(value)) => Some((value, 0)),
             Some(PlantedDifference::Extra) => state.row(log.as_deref(), member, now_ms(), key),
-            None if own => state.row(log.as_deref(), member, now_ms(), key),
+            None if is_owned => state.row(log.as_deref(), member, now_ms(), key),
             None => None,
         }
     }
 
+    /// The messages that answer a statement, up to the one that says that it is ready for the next.
     pub(super) fn answer_statement(&self, member: usize, query: &str) -> Vec<u8> {
-        let refused = |code: &str| message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes());
-        let statement = parse(query);
-        let answer = match statement {
-            Statement::Unknown => refused("42601"),
-            Statement::Usage => {
-                self.record(member, StatementKind::HealthCheck);
-                let (claims, at) =
-                    self.with_state(|s| (s.claims_primary(member), s.position(member, now_ms())));
-                row(&format!("x0={}.{:03},x1={}", at / 1000, at % 1000, u8::from(claims)))
+        let messages = match parse(query) {
+            Statement::Unknown => error("42601"),
+            Statement::Usage => self.answer_usage(member),
+            Statement::Read { key, background } => self.answer_read(member, &key, background),
+            Statement::PositionRead { key } => self.answer_position_read(member, &key),
+            Statement::CopyRead { home, key, min_position_ms } => {
+                self.answer_copy_read(member, home, &key, min_position_ms)
             }
-            Statement::Read { key, background } => {
-                self.record(member, StatementKind::Read { background });
-                // The row is read before, its position told after the work.
-                let found = self.visible_row(member, &key);
-                self.do_work(member);
-                match found {
-                    Some((value, _)) => row_of(&decode_hex(&value)),
-                    None if background => message(b'C', b"SELECT 0\0"),
-                    None => row("(no such row)"),
-                }
-            }
-            Statement::PositionRead { key } => {
-                self.record(member, StatementKind::PositionRead);
-                let found = self.visible_row(member, &key);
-                self.do_work(member);
-                match found {
-                    // Rounded up, as the statement has it.
-                    Some((value, at)) => row_of(&[&(at + 1).to_be_bytes()[..], &decode_hex(&value)].concat()),
-                    None => message(b'C', b"SELECT 0\0"),
-                }
-            }
-            Statement::CopyRead { home, key, min_position_ms: at } => {
-                let copy = self.with_state(|s| s.copy(member, now_ms(), home, &key));
-                let copy = copy.filter(|(position, _)| *position >= at);
-                self.record(member, StatementKind::CopyRead { served: copy.is_some() });
-                if copy.is_some() {
-                    self.do_work(member);
-                }
-                copy.map_or_else(
-                    || row_of(&[]),
-                    |(at, value)| row_of(&[&at.to_be_bytes()[..], &decode_hex(&value)].concat()),
-                )
-            }
-            Statement::Write { key, value, id } => {
-                self.record(member, StatementKind::Write { id: id.clone() });
-                self.do_work(member);
-                let change = Change::Row { key, value: value.clone() };
-                let done = self.with_state(|s| s.commit(member, now_ms(), &id, change));
-                match done {
-                    None => refused("25006"),
-                    Some(at) => {
-                        return self.with_parameter_status(member, row_of(&decode_hex(&value)), Some(at));
-                    }
-                }
-            }
-            Statement::CopyWrite(change) => {
-                self.record(member, StatementKind::CopyWrite);
+            Statement::Write { key, value, id } => return self.answer_write(member, key, value, id),
+            Statement::CopyWrite(change) => self.answer_copy_write(member, change),
+        };
+        self.with_parameter_status(member, messages, None)
+    }
+
+    fn answer_usage(&self, member: usize) -> Vec<u8> {
+        self.record(member, StatementKind::HealthCheck);
+        let (claims, at_ms) =
+            self.with_state(|state| (state.claims_primary(member), state.position(member, now_ms())));
+        row(&format!("x0={}.{:03},x1={}", at_ms / 1000, at_ms % 1000, u8::from(claims)))
+    }
+
+    fn answer_read(&self, member: usize, key: &str, background: bool) -> Vec<u8> {
+        self.record(member, StatementKind::Read { background });
+        // The row is read before the work, the position reported after it: the position may be newer than the row.
+        let found = self.visible_row(member, key);
+        self.do_work(member);
+        match found {
+            Some((value, _)) => row_of(&decode_hex(&value)),
+            None if background => message(b'C', b"SELECT 0\0"),
+            None => row("(no such row)"),
+        }
+    }
+
+    fn answer_position_read(&self, member: usize, key: &str) -> Vec<u8> {
+        self.record(member, StatementKind::PositionRead);
+        let found = self.visible_row(member, key);
+        self.do_work(member);
+        match found {
+            // The statement rounds the time up.
+            Some((value, committed_at_ms)) => row_of(&position_and_value(committed_at_ms + 1, &value)),
+            None => message(b'C', b"SELECT 0\0"),
+        }
+    }
+
+    fn answer_copy_read(&self, member: usize, home: u32, key: &str, min_position_ms: i64) -> Vec<u8> {
+        let copy = self.with_state(|state| state.copy(member, now_ms(), home, key));
+        let copy = copy.filter(|(position_ms, _)| *position_ms >= min_position_ms);
+        self.record(member, StatementKind::CopyRead { served: copy.is_some() });
+        match copy {
+            Some((position_ms, value)) => {
                 self.do_work(member);
-                match self.with_state(|s| s.commit(member, now_ms(), "", change)) {
-                    None => refused("25006"),
-                    Some(_) => message(b'C', b"INSERT 0 1\0"),
-                }
+                row_of(&position_and_value(position_ms, &value))
             }
-        };
-        self.with_parameter_status(member, answer, None)
+            None => row_of(&[]),
+        }
+    }
+
+    fn answer_write(&self, member: usize, key: String, value: String, id: String) -> Vec<u8> {
+        self.record(member, StatementKind::Write { id: id.clone() });
+        self.do_work(member);
+        let change = Change::Row { key, value: value.clone() };
+        match self.with_state(|state| state.commit(member, now_ms(), &id, change)) {
+            None => self.with_parameter_status(member, error("25006"), None),
+            Some(at_ms) => self.with_parameter_status(member, row_of(&decode_hex(&value)), Some(at_ms)),
+        }
     }
 
-    /// What stands beside an answer: role and position, or a write's commit.
-    fn with_parameter_status(&self, member: usize, answer: Vec<u8>, commit: Option<i64>) -> Vec<u8> {
-        let (claims, at) = self.with_state(|s| (s.claims_primary(member), s.position(member, now_ms())));
+    fn answer_copy_write(&self, member: usize, change: Change) -> Vec<u8> {
+        self.record(member, StatementKind::CopyWrite);
+        self.do_work(member);
+        match self.with_state(|state| state.commit(member, now_ms(), "", change)) {
+            None => error("25006"),
+            Some(_) => message(b'C', b"INSERT 0 1\0"),
+        }
+    }
+
+    /// Adds the messages that report a member's role and position; after a write, the position is its commit.
+    fn with_parameter_status(&self, member: usize, messages: Vec<u8>, commit_ms: Option<i64>) -> Vec<u8> {
+        let (claims, at_ms) =
+            self.with_state(|state| (state.claims_primary(member), state.position(member, now_ms())));
         let role = format!("server_role\0{}\0", if claims { "writer" } else { "reader" });
-        let clock = format!("commit_clock\0{}\0", commit.unwrap_or(at));
-        [answer, message(b'S', role.as_bytes()), message(b'S', clock.as_bytes())].concat()
+        let clock = format!("commit_clock\0{}\0", commit_ms.unwrap_or(at_ms));
+        [messages, message(b'S', role.as_bytes()), message(b'S', clock.as_bytes())].concat()
     }
 }
+
+/// An error message with this SQLSTATE.
+fn error(sqlstate: &str) -> Vec<u8> {
+    message(b'E', format!("SERROR\0C{sqlstate}\0Mno\0\0").as_bytes())
+}
+
+/// A position as 8 bytes, then the value.
+fn position_and_value(position_ms: i64, value: &str) -> Vec<u8> {
+    [&position_ms.to_be_bytes()[..], &decode_hex(value)].concat()
+}
--- /dev/null
+++ b/test-support/src/groups/database_faults.rs
@@ -0,0 +1,109 @@
+//! Faults of databases, drawn from a seed beside a schedule of faults of processes.
+
+use super::play::{FAULT_PERIOD, PROCESS_COUNT};
+use super::{ClusterRig, now_ms};
+use crate::schedule::Schedule;
+use std::time::Duration;
+
+/// Groups of the rig that faults are drawn for, and members of each.
+pub(super) const GROUP_COUNT: usize = 4;
+pub(super) const MEMBER_COUNT: usize = 3;
+
+/// Replication lag without a fault.
+pub(super) const NORMAL_LAG_MS: i64 = 30;
+
+/// Replication lags that [`DatabaseFault::Lag`] is drawn from.
+const LAGS_MS: [i64; 3] = [30, 1_500, 4_000];
+
+/// Oldest copy that a database is restored from.
+const MAX_BEHIND_MS: i64 = 6_000;
+
+/// Keeps these draws apart from those of the schedule, which has the same seed.
+const SEED_MASK: u64 = 0x5ca1ab1e;
+
+/// A fault of a database, or the end of one. Groups and members are indices.
+#[derive(Clone, Debug)]
+pub enum DatabaseFault {
+    /// Another member becomes the primary. The old one is notified, or it keeps reporting to be the primary.
+    FailOver { group: usize, new_primary: usize, old_primary_notified: bool },
+    /// All members of a group apply their log so late.
+    Lag { group: usize, lag_ms: i64 },
+    /// A member restarts from a copy so old.
+    Restart { group: usize, member: usize, behind_ms: i64 },
+    /// A member begins or ceases to leave everything unanswered.
+    Hang { group: usize, member: usize, hung: bool },
+}
+
+/// A fault and its time from the start.
+#[derive(Clone, Debug)]
+pub struct TimedDatabaseFault {
+    pub after: Duration,
+    pub fault: DatabaseFault,
+}
+
+impl DatabaseFault {
+    fn generate(rng: &mut fastrand::Rng) -> DatabaseFault {
+        // Both are drawn for each kind of fault, used or not: a seed's faults depend on the order of draws.
+        let (group, member) = (rng.usize(..GROUP_COUNT), rng.usize(..MEMBER_COUNT));
+        match rng.u8(..5) {
+            0 => DatabaseFault::FailOver { group, new_primary: member, old_primary_notified: rng.bool() },
+            1 => DatabaseFault::Lag { group, lag_ms: LAGS_MS[rng.usize(..LAGS_MS.len())] },
+            2 | 3 => DatabaseFault::Restart { group, member, behind_ms: rng.i64(0..MAX_BEHIND_MS) },
+            _ => DatabaseFault::Hang { group, member, hung: rng.bool() },
+        }
+    }
+}
+
+/// Draws the faults of processes and those of databases.
+pub fn generate_faults(seed: u64) -> (Schedule, Vec<TimedDatabaseFault>) {
+    let mut rng = fastrand::Rng::with_seed(seed ^ SEED_MASK);
+    let schedule = Schedule::generate(seed, PROCESS_COUNT, rng.usize(2..8), FAULT_PERIOD);
+    let fault_count = rng.usize(2..7);
+    let mut timed_fault = |_| {
+        let fault = DatabaseFault::generate(&mut rng);
+        TimedDatabaseFault { after: FAULT_PERIOD.mul_f64(rng.f64()), fault }
+    };
+    let mut faults: Vec<TimedDatabaseFault> = (0..fault_count).map(&mut timed_fault).collect();
+    faults.sort_by_key(|timed| timed.after);
+    (schedule, faults)
+}
+
+pub(super) fn apply_database_fault(rig: &ClusterRig, fault: &DatabaseFault) {
+    match *fault {
+        DatabaseFault::FailOver { group, new_primary, old_primary_notified } => {
+            rig.groups[group]
+                .with_state(|state| state.fail_over(new_primary, now_ms(), old_primary_notified));
+            rig.update_discovery();
+        }
+        DatabaseFault::Lag { group, lag_ms } => rig.groups[group]
+            .with_state(|state| state.members.iter_mut().for_each(|member| member.lag_ms = lag_ms)),
+        DatabaseFault::Restart { group, member, behind_ms } => {
+            // A primary that ends is replaced.
+            rig.groups[group].with_state(|state| {
+                if state.primary == member {
+                    state.fail_over((member + 1) % MEMBER_COUNT, now_ms(), true);
+                }
+            });
+            rig.restart(group, member, behind_ms);
+        }
+        DatabaseFault::Hang { group, member, hung } => {
+            rig.groups[group].with_state(|state| state.members[member].hung = hung)
+        }
+    }
+}
+
+/// Ends all faults of databases.
+pub(super) fn clear_database_faults(rig: &ClusterRig) {
+    for group in &rig.groups {
+        group.with_state(|state| {
+            for index in 0..state.members.len() {
+                state.notify_deposed(index);
+                let member = &mut state.members[index];
+                member.hung = false;
+                member.running = true;
+                member.lag_ms = NORMAL_LAG_MS;
+            }
+        });
+    }
+    rig.update_discovery();
+}
--- a/test-support/src/groups/judge.rs
+++ b/test-support/src/groups/judge.rs
@@ -1,107 +1,126 @@
-//! Judges: what databases and clients recorded, held against what must be. Pure functions; each rejects a history in `tests/judges.rs`.
+//! Checks on recorded histories: what databases and clients recorded, against the guarantees that proxies give. Pure
+//! functions; `tests/judges.rs` has a history for each that it must reject.
 
-use super::state::{Change, Entry, Record, StatementKind};
+use super::history::{Change, Entry, Record, StatementKind};
 use std::collections::HashMap;
 
 /// A read that was served, as its client saw it.
 #[derive(Clone, Debug)]
 pub struct ServedRead {
+    /// The key that was read.
     pub key: String,
-    /// All that was committed up to then had to be seen.
+    /// The read has to see everything that was committed up to then.
     pub required_position_ms: i64,
+    /// The value that it got.
     pub value: String,
 }
 
-/// No read saw less than it had to. `lost`: commits that a failover took back, which may have been seen before.
-pub fn check_freshness(reads: &[ServedRead], log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
-    let mut by_key: HashMap<&str, Vec<(i64, &str, bool)>> = HashMap::new();
-    for (entries, kept) in [(log, true), (lost, false)] {
-        for e in entries {
-            if let Change::Row { key, value } = &e.change {
-                by_key.entry(key).or_default().push((e.committed_at_ms, value, kept));
+/// A value that a key had.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct CommittedValue<'a> {
+    committed_at_ms: i64,
+    value: &'a str,
+    /// Whether no failover lost the commit.
+    durable: bool,
+}
+
+fn values_by_key<'a>(log: &'a [Entry], lost: &'a [Entry]) -> HashMap<&'a str, Vec<CommittedValue<'a>>> {
+    let mut by_key: HashMap<&str, Vec<CommittedValue>> = HashMap::new();
+    for (entries, durable) in [(log, true), (lost, false)] {
+        for Entry { committed_at_ms, change, .. } in entries {
+            if let Change::Row { key, value } = change {
+                let committed = CommittedValue { committed_at_ms: *committed_at_ms, value, durable };
+                by_key.entry(key).or_default().push(committed);
             }
         }
     }
-    by_key.values_mut().for_each(|all| all.sort_unstable());
+    by_key.values_mut().for_each(|values| values.sort_unstable());
+    by_key
+}
+
+/// Checks that no read saw less than it had to. `lost`: commits that a failover took back, which reads may have seen
+/// before. Returns how many reads were checked: those that had to see a commit.
+pub fn check_freshness(reads: &[ServedRead], log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
+    let by_key = values_by_key(log, lost);
     let mut checked = 0;
     for read in reads {
-        let Some(all) = by_key.get(read.key.as_str()) else { continue };
-        // The newest that is kept and had to be seen, or anything later.
-        let least = all.iter().rposition(|(at, _, kept)| *kept && *at <= read.required_position_ms);
-        let Some(least) = least else { continue };
+        let Some(values) = by_key.get(read.key.as_str()) else { continue };
+        // The newest durable value that had to be seen; any later one is right, too.
+        let is_required =
+            |value: &CommittedValue| value.durable && value.committed_at_ms <= read.required_position_ms;
+        let Some(required) = values.iter().rposition(is_required) else { continue };
         checked += 1;
-        if !all[least..].iter().any(|(_, value, _)| *value == read.value) {
-            let seen = all.iter().rfind(|(_, value, _)| *value == read.value);
-            return Err(format!("{read:?}: had to see {:?}, saw {seen:?}", all[least]));
+        if !values[required..].iter().any(|value| value.value == read.value) {
+            let seen = values.iter().rfind(|value| value.value == read.value);
+            return Err(format!("{read:?}: had to see {:?}, saw {seen:?}", values[required]));
         }
     }
     Ok(checked)
 }
 
-/// Each copy holds all that was committed at home up to its position, whoever made it and whether it was read or not.
+/// Checks that each copy in `copies` of a row of the group `home` holds everything that was committed there up to the
+/// copy's position, whoever made the copy and whether it was read or not. Returns how many were checked.
 pub fn check_copies(copies: &[Entry], home: u32, log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
     let mut reads = Vec::new();
-    for e in copies {
-        if let Change::Copy { home: of, key, position_ms: at, value } = &e.change
-            && *of == home
+    for entry in copies {
+        if let Change::Copy { home: copied_from, key, position_ms, value } = &entry.change
+            && *copied_from == home
         {
-            reads.push(ServedRead { key: key.clone(), required_position_ms: *at, value: value.clone() });
+            let (key, value) = (key.clone(), value.clone());
+            reads.push(ServedRead { key, required_position_ms: *position_ms, value });
         }
     }
     check_freshness(&reads, log, lost)
 }
 
-/// No write was run twice, by its id.
+/// Checks that no request's write was executed twice, by its id. Returns how many writes were received.
 pub fn check_single_execution(records: &[&[Record]], logs: &[&[Entry]]) -> Result<usize, String> {
-    let mut runs: HashMap<&str, usize> = HashMap::new();
-    for e in logs.iter().copied().flatten().filter(|e| !e.id.is_empty()) {
-        *runs.entry(&e.id).or_default() += 1;
+    let mut executions: HashMap<&str, usize> = HashMap::new();
+    for entry in logs.iter().copied().flatten().filter(|entry| !entry.id.is_empty()) {
+        *executions.entry(&entry.id).or_default() += 1;
     }
-    let twice = runs.iter().find(|(_, n)| **n > 1);
-    let asked = records
-        .iter()
-        .copied()
-        .flatten()
-        .filter(|r| matches!(r.statement, StatementKind::Write { .. }))
-        .count();
-    match twice {
-        Some((id, n)) => Err(format!("{id} ran {n} times")),
-        None => Ok(asked),
+    if let Some((id, count)) = executions.iter().find(|(_, count)| **count > 1) {
+        return Err(format!("{id} was executed {count} times"));
     }
+    let is_write = |record: &&Record| matches!(record.statement, StatementKind::Write { .. });
+    Ok(records.iter().copied().flatten().filter(is_write).count())
 }
 
-/// In no window of so many milliseconds did a member of a group get more of something than so many. The most that one got.
+/// Checks that no member received more than `limit` statements of a kind in any window of `window_ms`. Returns the highest
+/// count.
 pub fn check_rate_limit(
     records: &[Record],
-    window: i64,
-    most: usize,
-    of: impl Fn(&StatementKind) -> bool,
+    window_ms: i64,
+    limit: usize,
+    is_counted: impl Fn(&StatementKind) -> bool,
 ) -> Result<usize, String> {
-    let mut by_member: HashMap<usize, Vec<i64>> = HashMap::new();
-    for r in records.iter().filter(|r| of(&r.statement)) {
-        by_member.entry(r.member).or_default().push(r.received_at_ms);
+    let mut times_by_member: HashMap<usize, Vec<i64>> = HashMap::new();
+    for record in records.iter().filter(|record| is_counted(&record.statement)) {
+        times_by_member.entry(record.member).or_default().push(record.received_at_ms);
     }
     let mut highest = 0;
-    for (member, mut times) in by_member {
+    for (member, mut times) in times_by_member {
         times.sort_unstable();
-        for (n, at) in times.iter().enumerate() {
-            let within = times[n..].iter().take_while(|t| **t < at + window).count();
-            highest = highest.max(within);
-            if within > most {
-                return Err(format!("member {member}: {within} within {window} ms of {at}, {most} allowed"));
+        for (n, start) in times.iter().enumerate() {
+            let count = times[n..].iter().take_while(|time| **time < start + window_ms).count();
+            highest = highest.max(count);
+            if count > limit {
+                return Err(format!(
+                    "member {member}: {count} within {window_ms} ms of {start}, {limit} allowed"
+                ));
             }
         }
     }
     Ok(highest)
 }
 
-/// Nothing of a kind came while a member was cold.
+/// Checks that no member received statements of a kind while it was warming up.
 pub fn check_none_while_warming_up(
     records: &[Record],
-    of: impl Fn(&StatementKind) -> bool,
+    is_excluded: impl Fn(&StatementKind) -> bool,
 ) -> Result<(), String> {
-    match records.iter().find(|r| r.warming_up && of(&r.statement)) {
-        Some(r) => Err(format!("a cold member got {r:?}")),
+    match records.iter().find(|record| record.warming_up && is_excluded(&record.statement)) {
+        Some(record) => Err(format!("a member received {record:?} while it was warming up")),
         None => Ok(()),
     }
 }
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -1,6 +1,7 @@
-//! A group's members on sockets: each takes so many statements at once, for so long each, and answers from the group's state.
+//! The members of a group, on sockets. Each executes a limited number of statements at once and answers from the group's
+//! state.
 
-use super::state::State;
+use super::state::{Member, State};
 use crate::lock;
 use crate::wire::message;
 use std::io::{self, ErrorKind, Read, Write};
@@ -10,83 +11,103 @@
 use std::thread;
 use std::time::Duration;
 
+/// How often a blocked thread looks whether its member still runs.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a member bears.
+/// Bound on the body of one message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+
+/// Lowest speed, so that no statement takes forever.
+const MIN_SPEED: f64 = 0.01;
+
+/// What a member can do.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
-    /// Statements at once, and how long one takes.
+    /// Statements that it executes at once; others wait.
     pub max_concurrent: usize,
+    /// How long a statement takes at full speed.
     pub statement_time: Duration,
-    /// It starts with this share of that, and has all of it after so long.
+    /// Its speed right after a start, as a fraction of full speed.
     pub slow_start_initial_fraction: f64,
+    /// How long it takes to reach full speed, in a straight line.
     pub slow_start_window: Duration,
 }
 
-/// Rows of another group's log, for keys of which this says so.
+impl CapacityModel {
+    /// The fraction of full speed that a member has at this age.
+    pub(super) fn speed(&self, age_ms: i64) -> f64 {
+        let window_ms = self.slow_start_window.as_millis().max(1) as f64;
+        let progress = (age_ms as f64 / window_ms).clamp(0.0, 1.0);
+        let initial = self.slow_start_initial_fraction;
+        (initial + (1.0 - initial) * progress).max(MIN_SPEED)
+    }
+}
+
+/// The group whose rows this one follows, and the keys that it takes from there.
 pub type ParentLog = (Group, fn(&str) -> bool);
 
 pub(super) struct Inner {
     pub(super) addresses: Vec<SocketAddr>,
     pub(super) state: Mutex<State>,
-    /// Statements that each member has in hand.
+    /// Statements that each member executes now.
     pub(super) in_flight: Mutex<Vec<usize>>,
     pub(super) changed: Condvar,
     pub(super) capacity: CapacityModel,
     pub(super) parent_log: Option<ParentLog>,
-    /// Its threads end.
+    /// Set when the members' threads have to end.
     stopped: AtomicBool,
 }
 
-/// A handle to a group; it ends with the process.
+/// A handle to a running group; it ends with the process or with [`Group::stop`].
 #[derive(Clone)]
 pub struct Group(pub(super) Arc<Inner>);
 
 impl Group {
+    /// Starts a group whose first member is the primary; port 0 takes free ports. `lag_ms`: how late replicas apply the log.
     pub fn start(
         address: SocketAddr,
-        members: usize,
-        lag: i64,
-        load: CapacityModel,
-        source: Option<ParentLog>,
+        member_count: usize,
+        lag_ms: i64,
+        capacity: CapacityModel,
+        parent_log: Option<ParentLog>,
     ) -> io::Result<Group> {
-        let listeners = (0..members).map(|_| TcpListener::bind(address)).collect::<io::Result<Vec<_>>>()?;
+        let listeners =
+            (0..member_count).map(|_| TcpListener::bind(address)).collect::<io::Result<Vec<_>>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
-        let state = Mutex::new(State::new(members, lag));
-        let busy = Mutex::new(vec![0; members]);
-        let changed = Condvar::new();
         let group = Group(Arc::new(Inner {
             addresses,
-            state,
-            in_flight: busy,
-            changed,
-            capacity: load,
-            parent_log: source,
+            state: Mutex::new(State::new(member_count, lag_ms)),
+            in_flight: Mutex::new(vec![0; member_count]),
+            changed: Condvar::new(),
+            capacity,
+            parent_log,
             stopped: AtomicBool::new(false),
         }));
-        for (n, listener) in listeners.into_iter().enumerate() {
-            let own = group.clone();
-            thread::spawn(move || own.accept(n, listener));
+        for (member, listener) in listeners.into_iter().enumerate() {
+            let server = group.clone();
+            thread::spawn(move || server.accept(member, listener));
         }
         Ok(group)
     }
 
+    /// Where a member listens.
     pub fn address(&self, member: usize) -> SocketAddr {
         self.0.addresses[member]
     }
 
+    /// How many members the group has.
     pub fn members(&self) -> usize {
         self.0.addresses.len()
     }
 
-    /// Looks at the state, or changes it.
+    /// Reads or changes the group's state.
     pub fn with_state<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
-        let done = act(&mut lock(&self.0.state));
+        let result = act(&mut lock(&self.0.state));
         self.0.changed.notify_all();
-        done
+        result
     }
 
-    /// Its threads end, and its connections with them.
+    /// Ends the members' threads, and their connections with them.
     pub fn stop(&self) {
         self.0.stopped.store(true, Ordering::Relaxed);
     }
@@ -95,7 +116,8 @@
         !self.0.stopped.load(Ordering::Relaxed) && lock(&self.0.state).members[member].running
     }
 
-    fn started_at_ms(&self, member: usize) -> i64 {
+    /// When a member's process started, in milliseconds of Unix time; 0 if that was before the test.
+    pub(super) fn started_at_ms(&self, member: usize) -> i64 {
         lock(&self.0.state).members[member].started_at_ms
     }
 
@@ -110,21 +132,21 @@
             if let Some(listener) = &listener {
                 let _ = listener.set_nonblocking(true);
                 while let Ok((stream, _)) = listener.accept() {
-                    let own = self.clone();
-                    thread::spawn(move || own.serve(member, stream));
+                    let server = self.clone();
+                    thread::spawn(move || server.serve(member, stream));
                 }
             }
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until it does not hang. False: it died meanwhile.
+    /// Waits until the member does not hang; false if it does not run.
     fn wait_while_hung(&self, member: usize) -> bool {
         loop {
             let state = lock(&self.0.state);
-            let m = &state.members[member];
-            if !m.running || !m.hung || self.0.stopped.load(Ordering::Relaxed) {
-                return m.running;
+            let Member { running, hung, .. } = state.members[member];
+            if !running || !hung || self.0.stopped.load(Ordering::Relaxed) {
+                return running;
             }
             drop(state);
             thread::sleep(POLL_INTERVAL);
@@ -140,8 +162,8 @@
         if self.wait_while_hung(member) {
             stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())?;
         }
-        let born = self.started_at_ms(member);
-        while self.is_running(member) && self.started_at_ms(member) == born {
+        let started_at_ms = self.started_at_ms(member);
+        while self.is_running(member) && self.started_at_ms(member) == started_at_ms {
             let mut tag = [0];
             self.read_exactly(member, &mut stream, &mut tag)?;
             let body = self.read_body(member, &mut stream)?;
@@ -153,7 +175,7 @@
                 break;
             }
             let answer = self.answer_statement(member, &query);
-            if !self.wait_while_hung(member) || self.started_at_ms(member) != born {
+            if !self.wait_while_hung(member) || self.started_at_ms(member) != started_at_ms {
                 break;
             }
             stream.write_all(&[answer, ready.clone()].concat())?;
@@ -161,13 +183,13 @@
         Ok(())
     }
 
-    /// Reads all of it, however long that takes, while the member lives.
-    fn read_exactly(&self, member: usize, stream: &mut TcpStream, into: &mut [u8]) -> io::Result<()> {
-        let mut at = 0;
-        while at < into.len() {
-            match stream.read(&mut into[at..]) {
+    /// Fills the buffer, however long that takes, while the member runs.
+    fn read_exactly(&self, member: usize, stream: &mut TcpStream, buffer: &mut [u8]) -> io::Result<()> {
+        let mut filled = 0;
+        while filled < buffer.len() {
+            match stream.read(&mut buffer[filled..]) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-                Ok(n) => at += n,
+                Ok(length) => filled += length,
                 Err(e)
                     if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
                         && self.is_running(member) => {}
@@ -177,10 +199,12 @@
         Ok(())
     }
 
+    /// Reads a message from its length on and returns the body.
     fn read_body(&self, member: usize, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
         let mut length = [0; 4];
         self.read_exactly(member, stream, &mut length)?;
-        let mut body = vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(1 << 20)];
+        let mut body =
+            vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(MAX_MESSAGE_BYTES)];
         self.read_exactly(member, stream, &mut body)?;
         Ok(body)
     }
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -1,20 +1,25 @@
-//! Groups of databases that are worth lying to: a log with positions, replicas that apply it late, failover that loses the last
-//! writes, cold starts, queues, hangs, copies of others' rows, children that follow a group that splits; each run is recorded, by
-//! which judges look at what proxies did.
+//! Groups of databases with the behaviour that proxies have to cope with: a log with positions, replicas that apply it late,
+//! failover that loses the last writes, slow starts, queues, hangs, copies of other groups' rows, and children that follow
+//! a group that splits. Each statement is recorded; checks on these records show what proxies did.
 
 mod answers;
-mod draw;
+mod cluster_rig;
+mod database_faults;
+mod history;
 pub mod judge;
 mod member;
 pub mod play;
-mod site;
+mod run;
+mod run_checks;
 mod sql;
 mod state;
 pub mod traffic;
+mod traffic_client;
 
+pub use cluster_rig::ClusterRig;
+pub use history::{Change, Entry, PlantedDifference, Record, StatementKind};
 pub use member::{CapacityModel, Group};
-pub use site::ClusterRig;
-pub use state::{Change, Entry, PlantedDifference, Record, State, StatementKind};
+pub use state::State;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- /dev/null
+++ b/test-support/src/groups/run_checks.rs
@@ -0,0 +1,146 @@
+//! What a finished run has to fulfil: every check on its histories, logs and replies.
+
+use super::judge::{
+    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    check_single_execution,
+};
+use super::play::{COPIES_PER_SECOND, DUAL_READS_PER_SECOND, MAX_DELAYED_STATEMENTS, Summary};
+use super::traffic::TrafficResult;
+use super::{Entry, Group, Record, StatementKind};
+use std::collections::BTreeSet;
+
+/// The window of the background budgets in the run's options.
+const BUDGET_WINDOW_MS: i64 = 1_000;
+
+/// Position and row are read separately for a comparison and for a copy.
+const READS_PER_BACKGROUND_TASK: usize = 2;
+
+/// The group that is split and whose rows are copied.
+const HOME_GROUP: usize = 0;
+
+/// What a run left behind.
+pub(super) struct FinishedRun<'a> {
+    pub groups: &'a [Group],
+    /// The replies that the clients of each process got.
+    pub traffic: &'a [TrafficResult],
+    /// Whether each process was killed or restarted.
+    pub killed: &'a [bool],
+    /// Log lines of all processes.
+    pub log_lines: &'a [String],
+    /// The planted differences, as logs report them.
+    pub planted: &'a BTreeSet<String>,
+    /// Whether a former primary of the home group was not notified of a failover.
+    pub stale_primary: bool,
+}
+
+/// What a group recorded.
+struct GroupHistory {
+    records: Vec<Record>,
+    log: Vec<Entry>,
+    lost_commits: Vec<Entry>,
+}
+
+impl GroupHistory {
+    fn of(group: &Group) -> GroupHistory {
+        group.with_state(|state| GroupHistory {
+            records: state.records.clone(),
+            log: state.log.clone(),
+            lost_commits: state.lost_commits.clone(),
+        })
+    }
+}
+
+impl FinishedRun<'_> {
+    /// Runs all checks.
+    pub(super) fn check(&self) -> Result<Summary, String> {
+        let mut summary = Summary { planted_differences: self.planted.len(), ..Summary::default() };
+        self.check_connections(&mut summary)?;
+        let histories: Vec<GroupHistory> = self.groups.iter().map(GroupHistory::of).collect();
+        for (group, history) in histories.iter().enumerate() {
+            self.check_reads(group, history, &mut summary)?;
+            let home = &histories[HOME_GROUP];
+            summary.checked_copies +=
+                check_copies(&history.log, HOME_GROUP as u32, &home.log, &home.lost_commits)?;
+            check_background_statements(group, &history.records, &mut summary)?;
+        }
+        let records: Vec<&[Record]> = histories.iter().map(|history| history.records.as_slice()).collect();
+        let logs: Vec<&[Entry]> =
+            histories.iter().flat_map(|history| [&history.log[..], &history.lost_commits[..]]).collect();
+        check_single_execution(&records, &logs)?;
+        self.check_log_lines(&mut summary)?;
+        Ok(summary)
+    }
+
+    /// Connections broke only at processes that were killed.
+    fn check_connections(&self, summary: &mut Summary) -> Result<(), String> {
+        for (result, killed) in self.traffic.iter().zip(self.killed) {
+            summary.served += result.served;
+            summary.rejected += result.rejected;
+            summary.failed += result.failed;
+            summary.disconnected += result.disconnected;
+            if result.disconnected > 0 && !killed {
+                return Err(format!("{} requests lost at a proxy that was not killed", result.disconnected));
+            }
+        }
+        Ok(())
+    }
+
+    /// Reads of a group were fresh enough.
+    fn check_reads(&self, group: usize, history: &GroupHistory, summary: &mut Summary) -> Result<(), String> {
+        // A former primary that was not notified reports the present position, so proxies cannot know that its rows are
+        // old. Copies of such rows are checked all the same.
+        if self.stale_primary {
+            return Ok(());
+        }
+        let all_reads = self.traffic.iter().flat_map(|result| &result.reads);
+        let of_group = all_reads.filter(|(read_group, _)| *read_group as usize == group);
+        let reads: Vec<ServedRead> = of_group.map(|(_, read)| read.clone()).collect();
+        summary.checked_reads += check_freshness(&reads, &history.log, &history.lost_commits)?;
+        Ok(())
+    }
+
+    /// Every reported difference was planted, and no process panicked.
+    fn check_log_lines(&self, summary: &mut Summary) -> Result<(), String> {
+        for line in self.log_lines.iter().filter(|line| line.contains("event=split-flag")) {
+            let reported = format!("{} {}", log_value(line, "sort="), log_value(line, "hash="));
+            if !self.planted.contains(&reported) {
+                return Err(format!("a difference that was not planted: {line}"));
+            }
+            summary.reported_differences += 1;
+        }
+        match self.log_lines.iter().find(|line| line.contains("panicked")) {
+            Some(panic) => Err(panic.clone()),
+            None => Ok(()),
+        }
+    }
+}
+
+/// Background statements kept their budgets and avoided members that were warming up.
+fn check_background_statements(
+    group: usize,
+    records: &[Record],
+    summary: &mut Summary,
+) -> Result<(), String> {
+    let is_copy = |statement: &StatementKind| *statement == StatementKind::CopyWrite;
+    let is_dual_read = |statement: &StatementKind| {
+        matches!(statement, StatementKind::Read { background: true } | StatementKind::PositionRead)
+    };
+    check_rate_limit(records, BUDGET_WINDOW_MS, COPIES_PER_SECOND + MAX_DELAYED_STATEMENTS, is_copy)?;
+    // Rows are read for copies in their home group alone.
+    let copies = if group == HOME_GROUP { COPIES_PER_SECOND } else { 0 };
+    let tasks = copies + DUAL_READS_PER_SECOND + MAX_DELAYED_STATEMENTS;
+    check_rate_limit(records, BUDGET_WINDOW_MS, READS_PER_BACKGROUND_TASK * tasks, is_dual_read)?;
+    check_none_while_warming_up(records, |statement| is_copy(statement) || is_dual_read(statement))?;
+    let count = |is_counted: &dyn Fn(&StatementKind) -> bool| {
+        records.iter().filter(|record| is_counted(&record.statement)).count()
+    };
+    summary.copy_reads += count(&|statement| *statement == StatementKind::CopyRead { served: true });
+    summary.copy_writes += count(&is_copy);
+    summary.dual_reads += count(&is_dual_read);
+    Ok(())
+}
+
+/// The value after `key` (with its `=`) in a log line; empty without one.
+fn log_value(line: &str, key: &str) -> String {
+    line.split([' ', '"']).find_map(|word| word.strip_prefix(key)).unwrap_or_default().to_string()
+}
--- a/test-support/src/groups/sql.rs
+++ b/test-support/src/groups/sql.rs
@@ -1,43 +1,39 @@
-//! The statements that a member understands: those of clients, and those that proxies send by themselves.
+//! Parsing of the statements that a member knows: those of clients, and those that proxies send on their own account.
 
-use super::state::Change;
+use super::history::Change;
 
+/// A parsed statement.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Statement {
-    Read {
-        key: String,
-        background: bool,
-    },
-    Write {
-        key: String,
-        value: String,
-        id: String,
-    },
-    CopyRead {
-        home: u32,
-        key: String,
-        min_position_ms: i64,
-    },
+    /// A read of a row, by a client or (`background`) by a proxy.
+    Read { key: String, background: bool },
+    /// A client's write; `id` is its request's.
+    Write { key: String, value: String, id: String },
+    /// A read of the copy of another group's row, if the copy is that new.
+    CopyRead { home: u32, key: String, min_position_ms: i64 },
+    /// A write of such a copy.
     CopyWrite(Change),
-    /// A row with the time of its last commit.
-    PositionRead {
-        key: String,
-    },
+    /// A read of a row with the time of its last commit.
+    PositionRead { key: String },
+    /// The health check that reads usage figures.
     Usage,
+    /// Anything else.
     Unknown,
 }
 
-/// A value from the statement's comment.
+/// The value after `name` (with its `=`) in the statement's comment.
 pub fn field<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let comment = query.split("/* ").nth(1)?;
-    comment.split([',', ' ']).find_map(|f| f.strip_prefix(name))
+    comment.split([',', ' ']).find_map(|field| field.strip_prefix(name))
 }
 
+/// What stands between the first `start` and the next `end`.
 fn text_between<'a>(text: &'a str, start: &str, end: &str) -> Option<&'a str> {
     let (_, rest) = text.split_once(start)?;
     Some(rest.split_once(end)?.0)
 }
 
+/// Parses a statement.
 pub fn parse(query: &str) -> Statement {
     parse_known(query).unwrap_or(Statement::Unknown)
 }
@@ -49,8 +45,8 @@
         Some(Statement::Usage)
     } else if query.starts_with("SELECT coalesce((SELECT int8send(at) || blob FROM copies") {
         let home = text_between(query, "home = ", " AND")?.parse().ok()?;
-        let at = text_between(query, "at >= ", ")")?.parse().ok()?;
-        Some(Statement::CopyRead { home, key: key()?, min_position_ms: at })
+        let min_position_ms = text_between(query, "at >= ", ")")?.parse().ok()?;
+        Some(Statement::CopyRead { home, key: key()?, min_position_ms })
     } else if query.starts_with("INSERT INTO copies ") {
         if !query.contains("ON CONFLICT (home, handle) DO UPDATE")
             || !query.contains("WHERE copies.at < excluded.at")
@@ -59,9 +55,9 @@
         }
         let mut values = text_between(query, "VALUES (", ")")?.split(", ");
         let home = values.next()?.parse().ok()?;
-        let at = values.nth(1)?.parse().ok()?;
+        let position_ms = values.nth(1)?.parse().ok()?;
         let value = quoted.get(1)?.trim_start_matches("\\x").to_string();
-        Some(Statement::CopyWrite(Change::Copy { home, key: key()?, position_ms: at, value }))
+        Some(Statement::CopyWrite(Change::Copy { home, key: key()?, position_ms, value }))
     } else if query.starts_with("SELECT int8send(") {
         Some(Statement::PositionRead { key: key()? })
     } else if query.starts_with("SELECT blob FROM rows") {
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -1,138 +1,110 @@
-//! A group's data as values: what is committed when, how far each member is, and what it answers from that. No socket, no clock.
+//! The state of a group as values: its log, how far each member has applied it, and what each member sees of it. No socket,
+//! no clock.
 
+use super::history::{Change, Entry, PlantedDifference, Record};
 use std::collections::HashMap;
 
-/// What a commit changes.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    Row {
-        key: String,
-        value: String,
-    },
-    /// A copy of another group's row, with its position there.
-    Copy {
-        home: u32,
-        key: String,
-        position_ms: i64,
-        value: String,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
-    pub committed_at_ms: i64,
-    pub id: String,
-    pub change: Change,
-}
-
-/// A fault that a child of a split has from its making.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlantedDifference {
-    Missing,
-    /// It has the row although it is the other's.
-    Extra,
-    OtherValue(String),
-}
-
-/// What a member was asked.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StatementKind {
-    Write { id: String },
-    Read { background: bool },
-    CopyRead { served: bool },
-    CopyWrite,
-    PositionRead,
-    HealthCheck,
-}
-
-/// When, whom, and what; `cold`: the member had just started.
-#[derive(Clone, Debug)]
-pub struct Record {
-    pub received_at_ms: i64,
-    pub member: usize,
-    pub statement: StatementKind,
-    pub warming_up: bool,
-}
-
+/// The state of one member.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// Whether its process runs.
     pub running: bool,
+    /// Whether it leaves everything unanswered.
     pub hung: bool,
-    /// How long it takes until the log is applied here, and how far it has come at least.
+    /// How long it takes until it has applied a commit.
     pub lag_ms: i64,
+    /// The newest position that it reported; positions never go back.
     position_ms: i64,
-    /// When its process started, if that was lately, and how far behind it began.
+    /// When its process started; 0 if that was before the test.
     pub started_at_ms: i64,
+    /// How old the copy was that it was restored from.
     restored_behind_ms: i64,
-    /// How often it was made anew from a copy.
+    /// How often it was restored from a copy.
     pub restore_count: u32,
-    /// It was deposed and does not know it: it answers from up to here, and claims the present.
-    deposed_at_ms: Option<i64>,
-    /// Copies that came before are lost.
+    /// Set for a former primary that was not notified of the failover: it answers from its state up to this position, and
+    /// reports the present one.
+    frozen_position_ms: Option<i64>,
+    /// Copies from before this time are lost.
     copies_since_ms: i64,
 }
 
+/// For how long after a failover those who follow a group's log still see the commits that the failover lost.
+const LOST_COMMITS_VISIBLE_MS: i64 = 1_000;
+
+/// How much faster than time passes a restored member makes good what it lacks, beyond keeping up.
+const CATCH_UP_FACTOR: i64 = 4;
+
+/// The state of a group.
 #[derive(Clone, Debug)]
 pub struct State {
+    /// Commits, in the order of their times.
     pub log: Vec<Entry>,
-    /// Commits that a failover has lost.
+    /// Commits that failovers have lost.
     pub lost_commits: Vec<Entry>,
+    /// When the last failover was.
     lost_at_ms: i64,
+    /// The members.
     pub members: Vec<Member>,
+    /// The primary's index.
     pub primary: usize,
+    /// Differences to the parent group, by key.
     pub planted_differences: HashMap<String, PlantedDifference>,
+    /// All statements that members received.
     pub records: Vec<Record>,
 }
 
 impl State {
-    pub fn new(members: usize, lag: i64) -> State {
+    /// A group without commits, whose first member is the primary.
+    pub fn new(member_count: usize, lag_ms: i64) -> State {
         let member = Member {
             running: true,
             hung: false,
-            lag_ms: lag,
+            lag_ms,
             position_ms: 0,
             started_at_ms: 0,
             restored_behind_ms: 0,
             restore_count: 0,
-            deposed_at_ms: None,
+            frozen_position_ms: None,
             copies_since_ms: i64::MIN,
         };
         State {
             log: Vec::new(),
             lost_commits: Vec::new(),
             lost_at_ms: i64::MIN / 2,
-            members: vec![member; members],
+            members: vec![member; member_count],
             primary: 0,
             planted_differences: HashMap::new(),
             records: Vec::new(),
         }
     }
 
-    /// It says that it takes writes.
+    /// Whether a member reports to be the primary.
     pub fn claims_primary(&self, member: usize) -> bool {
-        self.primary == member || self.members[member].deposed_at_ms.is_some()
+        self.primary == member || self.members[member].frozen_position_ms.is_some()
     }
 
-    /// What a member says of how far it is. Whatever commits later has a later time.
+    /// The position that a member reports. Whatever commits later has a later time.
     pub fn position(&mut self, member: usize, now: i64) -> i64 {
-        let last = self.log.last().map_or(0, |e| e.committed_at_ms);
-        let m = &mut self.members[member];
-        // One that began behind catches up at five times the pace of time.
-        let behind = (m.restored_behind_ms - 4 * (now - m.started_at_ms)).max(0);
-        let there = if self.primary == member { last.max(now - 1) } else { now - 1 - m.lag_ms - behind };
-        if m.deposed_at_ms.is_some() {
+        let last_commit_ms = self.log.last().map_or(0, |entry| entry.committed_at_ms);
+        let is_primary = self.primary == member;
+        let member = &mut self.members[member];
+        let caught_up_ms = CATCH_UP_FACTOR * (now - member.started_at_ms);
+        let behind_ms = (member.restored_behind_ms - caught_up_ms).max(0);
+        let applied_ms =
+            if is_primary { last_commit_ms.max(now - 1) } else { now - 1 - member.lag_ms - behind_ms };
+        if member.frozen_position_ms.is_some() {
             return now - 1;
         }
-        m.position_ms = m.position_ms.max(there);
-        m.position_ms
+        member.position_ms = member.position_ms.max(applied_ms);
+        member.position_ms
     }
 
-    /// What it answers from: a deposed one from what it had.
+    /// The position that a member answers from.
     fn visible_position(&mut self, member: usize, now: i64) -> i64 {
-        self.members[member].deposed_at_ms.unwrap_or_else(|| self.position(member, now))
+        self.members[member].frozen_position_ms.unwrap_or_else(|| self.position(member, now))
     }
 
-    /// A row as a member has it, and when it was committed. `log`: of whom it takes its rows, if of another group.
+    /// A row as a member sees it, with the time of its commit. `log`: that of the parent group, if the group follows one.
     pub fn row(
         &mut self,
         log: Option<&[Entry]>,
@@ -140,81 +112,92 @@
         now: i64,
         key: &str,
     ) -> Option<(String, i64)> {
-        let seen = self.visible_position(member, now);
-        let deposed = self.members[member].deposed_at_ms.is_some();
-        let of = |e: &&Entry| {
-            matches!(&e.change, Change::Row { key: other, .. } if other == key) && e.committed_at_ms <= seen
+        let visible_ms = self.visible_position(member, now);
+        let is_stale_primary = self.members[member].frozen_position_ms.is_some();
+        let is_visible = |entry: &&Entry| {
+            entry.committed_at_ms <= visible_ms
+                && matches!(&entry.change, Change::Row { key: other, .. } if other == key)
         };
-        let entries = log.unwrap_or(&self.log).iter().chain(self.lost_commits.iter().filter(|_| deposed));
-        let newest = entries.filter(of).max_by_key(|e| e.committed_at_ms);
-        newest.map(|e| match &e.change {
-            Change::Row { value, .. } | Change::Copy { value, .. } => (value.clone(), e.committed_at_ms),
+        let lost_commits = self.lost_commits.iter().filter(|_| is_stale_primary);
+        let entries = log.unwrap_or(&self.log).iter().chain(lost_commits);
+        let newest = entries.filter(is_visible).max_by_key(|entry| entry.committed_at_ms);
+        newest.map(|entry| match &entry.change {
+            Change::Row { value, .. } | Change::Copy { value, .. } => (value.clone(), entry.committed_at_ms),
         })
     }
 
-    /// What those who follow this group's log have of it: for a second after a failover also what that has lost.
+    /// The log as groups that follow it have it: shortly after a failover with the commits that it lost.
     pub fn replicated_log(&self, now: i64) -> Vec<Entry> {
-        let lost = self.lost_commits.iter().filter(|_| now - self.lost_at_ms < 1_000);
-        let mut all: Vec<Entry> = self.log.iter().chain(lost).cloned().collect();
-        all.sort_by_key(|e| e.committed_at_ms);
-        all
+        let lost_commits =
+            self.lost_commits.iter().filter(|_| now - self.lost_at_ms < LOST_COMMITS_VISIBLE_MS);
+        let mut entries: Vec<Entry> = self.log.iter().chain(lost_commits).cloned().collect();
+        entries.sort_by_key(|entry| entry.committed_at_ms);
+        entries
     }
 
-    /// A copy as a member has it, with its position at home.
+    /// The newest copy of another group's row that a member sees, with its position there.
     pub fn copy(&mut self, member: usize, now: i64, home: u32, key: &str) -> Option<(i64, String)> {
-        let seen = self.visible_position(member, now);
-        let from = self.members[member].copies_since_ms;
-        let mut kept: Option<(i64, String)> = None;
-        for e in self.log.iter().filter(|e| e.committed_at_ms <= seen && e.committed_at_ms >= from) {
-            if let Change::Copy { home: h, key: k, position_ms: at, value } = &e.change
-                && (*h, k.as_str()) == (home, key)
-                && kept.as_ref().is_none_or(|(old, _)| old < at)
+        let visible_ms = self.visible_position(member, now);
+        let visible = self.members[member].copies_since_ms..=visible_ms;
+        let mut newest: Option<(i64, String)> = None;
+        for entry in self.log.iter().filter(|entry| visible.contains(&entry.committed_at_ms)) {
+            if let Change::Copy { home: entry_home, key: entry_key, position_ms, value } = &entry.change
+                && *entry_home == home
+                && entry_key == key
+                && newest.as_ref().is_none_or(|(newest_ms, _)| newest_ms < position_ms)
             {
-                kept = Some((*at, value.clone()));
+                newest = Some((*position_ms, value.clone()));
             }
         }
-        kept
+        newest
     }
 
-    /// A commit at the primary; none elsewhere.
+    /// Commits a change at the primary and returns its time; other members commit nothing.
     pub fn commit(&mut self, member: usize, now: i64, id: &str, change: Change) -> Option<i64> {
-        if self.primary != member || self.members[member].deposed_at_ms.is_some() {
+        if self.primary != member || self.members[member].frozen_position_ms.is_some() {
             return None;
         }
-        let at = self.log.last().map_or(now, |e| now.max(e.committed_at_ms + 1));
-        self.log.push(Entry { committed_at_ms: at, id: id.into(), change });
-        Some(at)
+        let committed_at_ms = self.log.last().map_or(now, |entry| now.max(entry.committed_at_ms + 1));
+        self.log.push(Entry { committed_at_ms, id: id.into(), change });
+        Some(committed_at_ms)
     }
 
-    /// Another member takes over with what it has; what it has not is lost. `knows`: the old one knows.
-    pub fn fail_over(&mut self, to: usize, now: i64, knows: bool) {
+    /// Another member becomes the primary, with the commits that it has applied; all later ones are lost. The old primary
+    /// is notified, or it keeps reporting to be the primary.
+    pub fn fail_over(&mut self, to: usize, now: i64, old_primary_notified: bool) {
         let old = self.primary;
         if to == old {
             return;
         }
-        let (has, frozen) = (self.position(to, now), self.position(old, now));
-        let (kept, lost) = self.log.drain(..).partition(|e| e.committed_at_ms <= has);
+        let applied_ms = self.position(to, now);
+        let old_position_ms = self.position(old, now);
+        let (kept, lost): (Vec<Entry>, Vec<Entry>) =
+            self.log.drain(..).partition(|entry| entry.committed_at_ms <= applied_ms);
         self.log = kept;
-        self.lost_commits.extend::<Vec<Entry>>(lost);
+        self.lost_commits.extend(lost);
         self.lost_at_ms = now;
         self.primary = to;
-        self.members[to].deposed_at_ms = None;
-        self.members[old].deposed_at_ms = (!knows).then_some(frozen);
-        self.members[old].position_ms = self.members[old].position_ms.min(has);
+        self.members[to].frozen_position_ms = None;
+        self.members[old].frozen_position_ms = (!old_primary_notified).then_some(old_position_ms);
+        self.members[old].position_ms = self.members[old].position_ms.min(applied_ms);
     }
 
-    /// The deposed one learns it.
+    /// Notifies a former primary of the failover.
     pub fn notify_deposed(&mut self, member: usize) {
-        self.members[member].deposed_at_ms = None;
+        self.members[member].frozen_position_ms = None;
     }
 
-    /// A new process: cold; `back`: from a copy so old, which it makes good at its lag; its copies are gone.
-    pub fn restart(&mut self, member: usize, now: i64, back: i64) {
-        let position = self.position(member, now) - back;
-        let m = &mut self.members[member];
-        (m.started_at_ms, m.restored_behind_ms, m.position_ms, m.copies_since_ms) =
-            (now, back, position, now);
-        (m.running, m.hung) = (true, false);
-        m.restore_count += u32::from(back > 0);
+    /// Starts a member's process again, without its copies of other groups' rows. `behind_ms` above 0: it is restored from a
+    /// copy so old, and catches up.
+    pub fn restart(&mut self, member: usize, now: i64, behind_ms: i64) {
+        let position_ms = self.position(member, now) - behind_ms;
+        let member = &mut self.members[member];
+        member.started_at_ms = now;
+        member.restored_behind_ms = behind_ms;
+        member.position_ms = position_ms;
+        member.copies_since_ms = now;
+        member.running = true;
+        member.hung = false;
+        member.restore_count += u32::from(behind_ms > 0);
     }
 }
--- /dev/null
+++ b/test-support/src/groups/traffic_client.rs
@@ -0,0 +1,183 @@
+//! One client of a fleet's traffic.
+
+use super::judge::ServedRead;
+use super::traffic::{ProxyAddresses, TrafficProfile, TrafficResult};
+use super::{Change, Group, now_ms};
+use crate::client::{Client, Reply};
+use crate::lock;
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// The bound on the age of reads outside of sessions; the class `status-check` has it in the rig's settings.
+const BOUNDED_READ_AGE_MS: i64 = 800;
+
+/// Deadlines that clients send, by the kind of request.
+const WRITE_DEADLINE_MS: u32 = 2500;
+const SESSION_READ_DEADLINE_MS: u32 = 1500;
+const BOUNDED_READ_DEADLINE_MS: u32 = 1200;
+
+/// Longest sleep before a client looks whether it was stopped or has a write to send; also the pause after a failed
+/// connect.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Reads that are later than this are skipped, so that no burst follows a pause.
+const MAX_READ_DELAY: Duration = Duration::from_millis(200);
+
+/// Longest time between two requests of one kind, in seconds; also what a rate of zero gives.
+const MAX_INTERVAL_SECONDS: f64 = 60.0;
+
+/// The next value that is written; each is written once, so that its commit can be found.
+static NEXT_VALUE: AtomicU64 = AtomicU64::new(1);
+
+/// One client: a request at a time, on a connection that is made again when it breaks.
+pub(super) struct TrafficClient {
+    proxies: Arc<ProxyAddresses>,
+    proxy: usize,
+    group: Group,
+    profile: TrafficProfile,
+    result: Arc<Mutex<TrafficResult>>,
+    rng: fastrand::Rng,
+    connection: Option<Client>,
+    /// When each key is read next, by its index in the profile.
+    read_due: BTreeMap<usize, Instant>,
+    write_due: Instant,
+    /// When the last write was committed.
+    last_write_ms: Option<i64>,
+}
+
+impl TrafficClient {
+    pub(super) fn new(
+        proxies: Arc<ProxyAddresses>,
+        proxy: usize,
+        group: Group,
+        profile: TrafficProfile,
+        result: Arc<Mutex<TrafficResult>>,
+        rng: fastrand::Rng,
+    ) -> TrafficClient {
+        TrafficClient {
+            proxies,
+            proxy,
+            group,
+            profile,
+            result,
+            rng,
+            connection: None,
+            read_due: BTreeMap::new(),
+            write_due: Instant::now(),
+            last_write_ms: None,
+        }
+    }
+
+    /// Sends requests until the flag is set; at once done if the profile has no key.
+    pub(super) fn run(&mut self, stopped: &AtomicBool) {
+        if self.profile.read_rates.is_empty() {
+            return;
+        }
+        self.write_due = Instant::now();
+        for n in 0..self.profile.read_rates.len() {
+            let due = Instant::now() + self.draw_interval(self.profile.read_rates[n].1);
+            self.read_due.insert(n, due);
+        }
+        while !stopped.load(Ordering::Relaxed) {
+            let Some(mut connection) = self.connection.take().or_else(|| self.connect()) else {
+                thread::sleep(POLL_INTERVAL);
+                continue;
+            };
+            let result = self.run_next_request(&mut connection);
+            // A connection that failed is dropped.
+            self.connection = result.ok().map(|()| connection);
+        }
+    }
+
+    fn connect(&self) -> Option<Client> {
+        let address = lock(&self.proxies)[self.proxy]?;
+        Client::connect(address).ok()
+    }
+
+    /// An exponentially distributed time between requests of this rate.
+    fn draw_interval(&mut self, rate: f64) -> Duration {
+        let seconds = -self.rng.f64().max(1e-9).ln() / rate.max(1e-6);
+        Duration::from_secs_f64(seconds.min(MAX_INTERVAL_SECONDS))
+    }
+
+    /// Sends the write or read that is due, or waits a moment for it. An error: the connection broke.
+    fn run_next_request(&mut self, connection: &mut Client) -> std::io::Result<()> {
+        if self.profile.write_rate > 0.0 && Instant::now() >= self.write_due {
+            return self.write(connection);
+        }
+        let next = self.read_due.iter().min_by_key(|(_, due)| **due).map(|(n, due)| (*n, *due));
+        let Some((n, due)) = next else { return Ok(()) };
+        thread::sleep(due.saturating_duration_since(Instant::now()).min(POLL_INTERVAL));
+        if Instant::now() < due {
+            return Ok(());
+        }
+        self.read(connection, n, due)
+    }
+
+    fn write(&mut self, connection: &mut Client) -> std::io::Result<()> {
+        self.write_due = Instant::now() + self.draw_interval(self.profile.write_rate);
+        let value = format!("{:016x}", NEXT_VALUE.fetch_add(1, Ordering::Relaxed));
+        let key = &self.profile.read_rates[0].0;
+        let reply = connection.write_key("file-entry", self.profile.group, key, &value, WRITE_DEADLINE_MS);
+        lock(&self.result).writes += 1;
+        if let Reply::Served(_) = reply? {
+            self.last_write_ms = commit_time_ms(&self.group, &value).or(self.last_write_ms);
+        }
+        Ok(())
+    }
+
+    fn read(&mut self, connection: &mut Client, n: usize, due: Instant) -> std::io::Result<()> {
+        let (key, rate) = self.profile.read_rates[n].clone();
+        let earliest = Instant::now() - MAX_READ_DELAY;
+        let next_due = due.max(earliest) + self.draw_interval(rate);
+        self.read_due.insert(n, next_due);
+        // Only the first key is written, so only its reads can belong to the session.
+        let in_session =
+            n == 0 && self.last_write_ms.is_some() && self.rng.f64() < self.profile.session_fraction;
+        let after = self.last_write_ms.filter(|_| in_session);
+        let (class, deadline_ms) = match in_session {
+            true => ("own-draft", SESSION_READ_DEADLINE_MS),
+            false => ("status-check", BOUNDED_READ_DEADLINE_MS),
+        };
+        let (sent_ms, start) = (now_ms(), Instant::now());
+        let reply = connection.read_key(class, self.profile.group, &key, deadline_ms, after);
+        let required_position_ms = after.unwrap_or(sent_ms - BOUNDED_READ_AGE_MS);
+        self.record_read(key, required_position_ms, start.elapsed(), reply)
+    }
+
+    fn record_read(
+        &self,
+        key: String,
+        required_position_ms: i64,
+        duration: Duration,
+        reply: std::io::Result<Reply>,
+    ) -> std::io::Result<()> {
+        let mut result = lock(&self.result);
+        match reply {
+            Ok(Reply::Served(value)) => {
+                result.served += 1;
+                result.read_times_micros.push(duration.as_micros() as u64);
+                let value: String = value.iter().map(|byte| format!("{byte:02x}")).collect();
+                result.reads.push((self.profile.group, ServedRead { key, required_position_ms, value }));
+            }
+            Ok(Reply::Error(code)) if matches!(code.as_str(), "53300" | "57P03") => result.rejected += 1,
+            Ok(Reply::Error(_)) => result.failed += 1,
+            Err(error) => {
+                result.disconnected += 1;
+                return Err(error);
+            }
+        }
+        Ok(())
+    }
+}
+
+/// When a value was committed, if it is still in the log.
+fn commit_time_ms(group: &Group, value: &str) -> Option<i64> {
+    let writes_value = |change: &Change| matches!(change, Change::Row { value: other, .. } if other == value);
+    group.with_state(|state| {
+        state.log.iter().rfind(|entry| writes_value(&entry.change)).map(|entry| entry.committed_at_ms)
+    })
+}
