--- a/test-support/tests/judges.rs
+++ b/test-support/tests/judges.rs
@@ -1,4 +1,5 @@
-//! A judge that never rejected anything has shown nothing: each has a history here that it must reject, and one that it must not.
+//! A check that never rejects anything shows nothing: for each there is a history here that it has to reject, and one that
+//! it has to accept.
 
 use birchreach_test_support::groups::judge::{
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
@@ -30,13 +31,13 @@
         ),
         Ok(4)
     );
-    assert!(check_freshness(&[read(20, "a")], &log, &lost).is_err(), "its write was committed at 20");
+    assert!(check_freshness(&[read(20, "a")], &log, &lost).is_err(), "b was committed at 20");
     assert!(check_freshness(&[read(30, "a")], &log, &lost).is_err());
     assert_eq!(check_freshness(&[read(30, "b")], &log, &lost), Ok(1), "the lost write need not be seen");
 }
 
 #[test]
-fn copies_that_claim_too_much_are_found() {
+fn copies_behind_their_position_are_found() {
     let log = [entry(10, "k", "a"), entry(20, "k", "b")];
     let copy = |at, value: &str| Entry {
         committed_at_ms: 100,
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn doubles_are_found() {
+fn repeated_executions_are_found() {
     let log = [entry(10, "k", "a"), entry(20, "k", "b")];
     assert_eq!(check_single_execution(&[], &[&log]), Ok(0));
     let twice = [entry(10, "k", "a")];
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn windows_over_the_bound_are_found() {
+fn rates_over_the_limit_and_statements_to_warming_members_are_found() {
     let at = |at, member| Record {
         received_at_ms: at,
         member,
@@ -70,42 +71,53 @@
     assert!(check_rate_limit(&records, 1000, 2, copies).is_err(), "900, 1000 and 1800");
     assert_eq!(check_rate_limit(&records, 1000, 0, |what| *what == StatementKind::PositionRead), Ok(0));
     assert_eq!(check_none_while_warming_up(&records, copies), Ok(()));
-    let chilled = [Record { warming_up: true, ..at(0, 0) }];
-    assert!(check_none_while_warming_up(&chilled, copies).is_err());
+    let while_warming_up = [Record { warming_up: true, ..at(0, 0) }];
+    assert!(check_none_while_warming_up(&while_warming_up, copies).is_err());
 }
 
-/// What stand-in groups answer is what such databases would.
+/// The databases' model: commits, replicas that lag, copies, failover and restart.
 #[test]
-fn a_group_keeps_its_log() {
-    let mut s = State::new(3, 50);
+fn a_group_answers_from_its_log() {
+    let mut state = State::new(3, 50);
     let row = |key: &str, value: &str| Change::Row { key: key.into(), value: value.into() };
-    assert_eq!(s.commit(0, 1_000, "w1", row("k", "01")), Some(1_000));
-    assert_eq!(s.commit(0, 1_000, "w2", row("k", "02")), Some(1_001));
-    assert_eq!(s.commit(1, 1_000, "w3", row("k", "03")), None, "a replica takes no write");
-    assert_eq!(s.row(None, 0, 1_010, "k"), Some(("02".into(), 1_001)));
-    assert_eq!((s.row(None, 1, 1_010, "k"), s.position(1, 1_010)), (None, 959));
-    assert_eq!(s.row(None, 1, 1_051, "k"), Some(("01".into(), 1_000)), "all up to its position, and no more");
-    // Positions never go back, and a position that was told holds whatever is committed later.
-    assert_eq!(s.position(0, 1_020), 1_019);
-    assert_eq!(s.commit(0, 1_020, "w4", row("k", "04")), Some(1_020));
-    // A copy: the newer position stands.
+    assert_eq!(state.commit(0, 1_000, "w1", row("k", "01")), Some(1_000));
+    assert_eq!(state.commit(0, 1_000, "w2", row("k", "02")), Some(1_001));
+    assert_eq!(state.commit(1, 1_000, "w3", row("k", "03")), None, "a replica takes no write");
+    assert_eq!(state.row(None, 0, 1_010, "k"), Some(("02".into(), 1_001)));
+    assert_eq!((state.row(None, 1, 1_010, "k"), state.position(1, 1_010)), (None, 959));
+    assert_eq!(
+        state.row(None, 1, 1_051, "k"),
+        Some(("01".into(), 1_000)),
+        "all up to its position, and no more"
+    );
+    // Positions never go back, and whatever is committed later has a later time than a reported position.
+    assert_eq!(state.position(0, 1_020), 1_019);
+    assert_eq!(state.commit(0, 1_020, "w4", row("k", "04")), Some(1_020));
+    // Of two copies the one with the newer position counts.
     let copy =
         |at, value: &str| Change::Copy { home: 7, key: "c".into(), position_ms: at, value: value.into() };
-    s.commit(0, 1_030, "", copy(500, "0a"));
-    s.commit(0, 1_031, "", copy(400, "0b"));
-    assert_eq!(s.copy(0, 1_040, 7, "c"), Some((500, "0a".into())));
-    assert_eq!(s.copy(1, 1_040, 7, "c"), None, "not applied there yet");
-    // Failover to one that lacks the last write: it is lost; a deposed one that does not know it claims the present.
-    assert_eq!(s.position(2, 1_060), 1_009);
-    s.fail_over(2, 1_060, false);
-    assert_eq!(s.lost_commits.iter().map(|e| e.committed_at_ms).collect::<Vec<_>>(), [1_020, 1_030, 1_031]);
-    assert_eq!(s.row(None, 2, 1_070, "k"), Some(("02".into(), 1_001)));
-    assert_eq!((s.claims_primary(0), s.claims_primary(2), s.position(0, 2_000)), (true, true, 1_999));
-    assert_eq!(s.row(None, 0, 2_000, "k").map(|r| r.0), Some("04".into()));
-    assert_eq!(s.commit(0, 2_000, "w5", row("k", "05")), None);
-    s.notify_deposed(0);
-    assert!(!s.claims_primary(0));
-    s.restart(1, 3_000, 2_000);
-    assert!(s.position(1, 3_000) < 1_000, "from an old copy");
-    assert!(s.position(1, 3_600) >= 3_549, "what it lacks it has made good");
+    state.commit(0, 1_030, "", copy(500, "0a"));
+    state.commit(0, 1_031, "", copy(400, "0b"));
+    assert_eq!(state.copy(0, 1_040, 7, "c"), Some((500, "0a".into())));
+    assert_eq!(state.copy(1, 1_040, 7, "c"), None, "not applied there yet");
+    // Failover to a member that lacks the last commits loses them; a former primary that is not notified reports the present
+    // position.
+    assert_eq!(state.position(2, 1_060), 1_009);
+    state.fail_over(2, 1_060, false);
+    assert_eq!(
+        state.lost_commits.iter().map(|e| e.committed_at_ms).collect::<Vec<_>>(),
+        [1_020, 1_030, 1_031]
+    );
+    assert_eq!(state.row(None, 2, 1_070, "k"), Some(("02".into(), 1_001)));
+    assert_eq!(
+        (state.claims_primary(0), state.claims_primary(2), state.position(0, 2_000)),
+        (true, true, 1_999)
+    );
+    assert_eq!(state.row(None, 0, 2_000, "k").map(|r| r.0), Some("04".into()));
+    assert_eq!(state.commit(0, 2_000, "w5", row("k", "05")), None);
+    state.notify_deposed(0);
+    assert!(!state.claims_primary(0));
+    state.restart(1, 3_000, 2_000);
+    assert!(state.position(1, 3_000) < 1_000, "from an old copy");
+    assert!(state.position(1, 3_600) >= 3_549, "it has caught up");
 }
