--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Latency estimates of all classes, by index.
+/// Latency estimates of all classes, by [`ClassId`].
 pub struct LatencyEstimates(Vec<LatencyEstimate>);
 
 impl LatencyEstimates {
@@ -62,18 +62,18 @@
     }
 
     /// Records the latency of an attempt of the class.
-    pub fn record(&mut self, class: usize, latency: Micros) {
-        self.0[class].record(latency as f64);
+    pub fn record(&mut self, class: ClassId, latency: Micros) {
+        self.0[class.index()].record(latency as f64);
     }
 
     /// The mean latency of a class.
-    pub fn mean(&self, class: usize) -> Micros {
-        self.0[class].mean as Micros
+    pub fn mean(&self, class: ClassId) -> Micros {
+        self.0[class.index()].mean as Micros
     }
 
     /// The mean latency of a class plus a number of mean deviations.
-    pub fn upper_bound(&self, class: usize, deviations: f64) -> Micros {
-        let LatencyEstimate { mean, mean_deviation } = self.0[class];
+    pub fn upper_bound(&self, class: ClassId, deviations: f64) -> Micros {
+        let LatencyEstimate { mean, mean_deviation } = self.0[class.index()];
         ((mean + deviations * mean_deviation) as Micros).max(MIN_WAKE_DELAY)
     }
 }
--- a/src/estimates/tests.rs
+++ b/src/estimates/tests.rs
@@ -15,16 +15,19 @@
 fn means_follow_samples_and_a_changed_class_starts_again() {
     let before = [class(800_000), class(400_000)];
     let mut estimates = LatencyEstimates::new(&before);
-    assert_eq!((estimates.mean(0), estimates.upper_bound(0, 2.0)), (100_000, 300_000));
+    assert_eq!((estimates.mean(ClassId(0)), estimates.upper_bound(ClassId(0), 2.0)), (100_000, 300_000));
 
-    (0..200).for_each(|_| estimates.record(0, 20_000));
-    assert!((20_000..20_100).contains(&estimates.mean(0)) && estimates.upper_bound(0, 4.0) < 22_000);
+    (0..200).for_each(|_| estimates.record(ClassId(0), 20_000));
+    assert!(
+        (20_000..20_100).contains(&estimates.mean(ClassId(0)))
+            && estimates.upper_bound(ClassId(0), 4.0) < 22_000
+    );
 
     let after = [class(800_000), class(1_600_000), class(8_000)];
     estimates.apply_classes(&before, &after);
-    assert!(estimates.mean(0) < 20_100, "it is the same class");
-    assert_eq!((estimates.mean(1), estimates.mean(2)), (200_000, 1_000));
+    assert!(estimates.mean(ClassId(0)) < 20_100, "it is the same class");
+    assert_eq!((estimates.mean(ClassId(1)), estimates.mean(ClassId(2))), (200_000, 1_000));
 
-    (0..200).for_each(|_| estimates.record(2, 0));
-    assert_eq!(estimates.upper_bound(2, 4.0), MIN_WAKE_DELAY, "never at once");
+    (0..200).for_each(|_| estimates.record(ClassId(2), 0));
+    assert_eq!(estimates.upper_bound(ClassId(2), 4.0), MIN_WAKE_DELAY, "never at once");
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,6 +27,13 @@
 /// Index into [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub u16);
+
+impl ClassId {
+    pub(crate) fn index(self) -> usize {
+        usize::from(self.0)
+    }
+}
+
 /// Index into [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub u16);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -37,7 +37,7 @@
         if self.pending.contains_key(&request.id) {
             return;
         }
-        let Some(class) = self.settings.classes.get(request.class.0 as usize) else {
+        let Some(class) = self.settings.classes.get(request.class.index()) else {
             return actions.push(Action::Reject { request: request.id, retry_after: None });
         };
         let is_write = class.consistency == Consistency::Write;
@@ -55,12 +55,12 @@
     }
 
     fn pending_request(&mut self, request: Request) -> PendingRequest {
-        let class = &self.settings.classes[request.class.0 as usize];
+        let class = &self.settings.classes[request.class.index()];
         let timeout = request.timeout.max(0);
         let is_late_answer_useful = class.late_weight_fraction > 0.0;
         let useful_for = if is_late_answer_useful { timeout } else { timeout.min(class.latency_objective) };
         PendingRequest {
-            class: request.class.0 as usize,
+            class: request.class,
             group: request.group,
             session: request.session,
             required_session_position: self.session_position_for(&request),
@@ -116,7 +116,8 @@
         attempt: &InFlightAttempt,
         outcome: AttemptOutcome,
     ) {
-        let RequestClass { consistency, latency_objective, .. } = self.settings.classes[attempt.class];
+        let RequestClass { consistency, latency_objective, .. } =
+            self.settings.classes[attempt.class.index()];
         let is_late = attempt.latency(self.now) > latency_objective;
         let shows_load =
             matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Timeout | AttemptOutcome::Overloaded);
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -60,7 +60,7 @@
         }
         let Some(status) = result.status else { return };
         self.record_status(attempt.server, status);
-        let is_write = self.settings.classes[attempt.class].consistency == Consistency::Write;
+        let is_write = self.settings.classes[attempt.class.index()].consistency == Consistency::Write;
         let is_committed = is_write && result.outcome == AttemptOutcome::Ok;
         if let (true, Some(session), Some(position)) = (is_committed, attempt.session, status.position) {
             self.record_session_write(session, position);
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -145,7 +145,7 @@
         let sample = LimitSample {
             outcome,
             latency: attempt.latency(self.now),
-            latency_objective: self.settings.classes[attempt.class].latency_objective,
+            latency_objective: self.settings.classes[attempt.class.index()].latency_objective,
             mean_latency: self.latencies.mean(attempt.class),
         };
         if let Some(server) = self.servers.get_mut(&attempt.server) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -135,6 +135,6 @@
     }
 
     fn class_of(&self, request: &PendingRequest) -> &RequestClass {
-        &self.settings.classes[request.class]
+        &self.settings.classes[request.class.index()]
     }
 }
--- a/src/policy/overdue_attempts.rs
+++ b/src/policy/overdue_attempts.rs
@@ -98,10 +98,10 @@
     }
 
     /// Whether attempts in flight may be cancelled to be sent again to another server.
-    fn may_replace_attempts(&self, class: usize) -> bool {
+    fn may_replace_attempts(&self, class: ClassId) -> bool {
         !self.settings.hedging_allowed
             && self.settings.cancellation_allowed
-            && self.settings.classes[class].idempotency == Idempotency::Idempotent
+            && self.settings.classes[class.index()].idempotency == Idempotency::Idempotent
             && self.retry_budget.can_spend(1.0)
     }
 }
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -12,8 +12,7 @@
 
 /// A request without a final answer.
 pub(super) struct PendingRequest {
-    /// Index into [`Settings::classes`].
-    pub class: usize,
+    pub class: ClassId,
     pub group: GroupId,
     /// The session of a write or of a session read.
     pub session: Option<SessionId>,
@@ -56,8 +55,7 @@
 pub(super) struct InFlightAttempt {
     pub server: ServerId,
     pub sent_at: Micros,
-    /// Index into [`Settings::classes`].
-    pub class: usize,
+    pub class: ClassId,
     pub session: Option<SessionId>,
     /// It no longer counts as in flight at its server: it was presumed lost, or its response has started.
     pub released: bool,
--- a/src/policy/required_position.rs
+++ b/src/policy/required_position.rs
@@ -48,7 +48,7 @@
 
     /// The position of the last write of the request's session, for a session read.
     pub(super) fn session_position_for(&self, request: &Request) -> Option<Micros> {
-        let class = &self.settings.classes[request.class.0 as usize];
+        let class = &self.settings.classes[request.class.index()];
         if class.consistency != Consistency::Session {
             return None;
         }
