--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -46,6 +46,10 @@
     Failed,
 }
 
+/// Names the client connection that a request came from, in the tables of the front end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ClientKey(pub usize);
+
 /// Identifies an attempt: its request and its number within the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
@@ -71,13 +75,13 @@
     /// Check the health of a server.
     HealthCheck { server: ServerId },
     /// Give a client its answer.
-    Answer { client: usize, request: RequestId, answer: Answer },
+    Answer { client: ClientKey, request: RequestId, answer: Answer },
     /// A long value begins. Chunks follow, then [`Answer::Streamed`] or [`Command::AbortStream`].
-    BeginStream { client: usize, request: RequestId, attempt: AttemptId, length: usize },
+    BeginStream { client: ClientKey, request: RequestId, attempt: AttemptId, length: usize },
     /// The next bytes of a long value.
-    StreamChunk { client: usize, request: RequestId, bytes: Vec<u8> },
+    StreamChunk { client: ClientKey, request: RequestId, bytes: Vec<u8> },
     /// The rest of a long value will not come.
-    AbortStream { client: usize, request: RequestId },
+    AbortStream { client: ClientKey, request: RequestId },
     /// Call [`super::Core::timer_fired`] at this time.
     SetTimer { id: u32, at: Micros },
     /// Write a line to the log.
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -18,7 +18,7 @@
 use birchreach::*;
 use birchreach_settings::DeploymentSettings;
 use classes::ClassTable;
-pub use command::{Answer, AttemptId, Command, LogRecord, RequestPayload, RoutingRequest};
+pub use command::{Answer, AttemptId, ClientKey, Command, LogRecord, RequestPayload, RoutingRequest};
 use endpoints::ServerTable;
 pub use requests::session_id;
 use std::cell::RefCell;
@@ -30,7 +30,7 @@
 
 /// A request without a final answer.
 struct PendingRequest<P> {
-    client: usize,
+    client: ClientKey,
     class: ClassId,
     group: GroupId,
     payload: P,
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -1,6 +1,6 @@
 //! Requests from their arrival to their one final answer.
 
-use super::{Answer, Command, Core, PendingRequest, RequestPayload, RoutingRequest};
+use super::{Answer, ClientKey, Command, Core, PendingRequest, RequestPayload, RoutingRequest};
 use crate::hash::fnv1a;
 use crate::observe::CoreEvent;
 use crate::stats::RequestResult;
@@ -8,7 +8,13 @@
 
 impl<P: RequestPayload> Core<P> {
     /// Takes a client's request. `client` is given back with its answer.
-    pub fn request(&mut self, now: Micros, client: usize, request: RoutingRequest, payload: P) -> RequestId {
+    pub fn request(
+        &mut self,
+        now: Micros,
+        client: ClientKey,
+        request: RoutingRequest,
+        payload: P,
+    ) -> RequestId {
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
         let RoutingRequest { class, group, session, read_after_position, timeout } = request;
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -6,6 +6,7 @@
 use super::client::{Client, ShedClass};
 use super::close_reason::ClientCloseReason;
 use super::{Clients, open_spare_descriptor};
+use crate::core::ClientKey;
 use crate::log::Quoted;
 use birchreach::Micros;
 use mio::Interest;
@@ -81,11 +82,11 @@
         context: &mut EventLoopContext,
         mut stream: TcpStream,
         peer: SocketAddr,
-    ) -> Option<usize> {
+    ) -> Option<ClientKey> {
         let _ = stream.set_nodelay(true);
         let slot = self.connections.vacant_entry();
-        let key = slot.key();
-        let token = Source::Client(key).token();
+        let key = ClientKey(slot.key());
+        let token = Source::Client(key.0).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = context.registry.register(&mut stream, token, interest) {
             let reason = ClientCloseReason::NoSocket.word();
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -4,7 +4,7 @@
 use super::Clients;
 use super::client::{Client, StreamedValue};
 use super::close_reason::ClientCloseReason;
-use crate::core::{Answer, AttemptId};
+use crate::core::{Answer, AttemptId, ClientKey};
 use birchreach::RequestId;
 
 impl Clients {
@@ -12,11 +12,11 @@
     pub fn answer(
         &mut self,
         context: &mut EventLoopContext,
-        key: usize,
+        key: ClientKey,
         request: RequestId,
         answer: &Answer,
     ) {
-        let Some(client) = self.connections.get_mut(key) else { return };
+        let Some(client) = self.connections.get_mut(key.0) else { return };
         let Some(answered) = client.open_request.take_if(|open| open.id == request) else { return };
         self.admission.release(&answered.statement);
         client.answered_requests += 1;
@@ -30,7 +30,7 @@
     pub fn start_value(
         &mut self,
         context: &mut EventLoopContext,
-        key: usize,
+        key: ClientKey,
         request: RequestId,
         attempt: AttemptId,
         length: usize,
@@ -46,7 +46,7 @@
     pub fn send_value_chunk(
         &mut self,
         context: &mut EventLoopContext,
-        key: usize,
+        key: ClientKey,
         request: RequestId,
         bytes: &[u8],
     ) {
@@ -59,7 +59,7 @@
     }
 
     /// The rest of the value will not come. The connection is closed, which tells the client that the value is incomplete.
-    pub fn abort_value(&mut self, context: &mut EventLoopContext, key: usize, request: RequestId) {
+    pub fn abort_value(&mut self, context: &mut EventLoopContext, key: ClientKey, request: RequestId) {
         if self.client_with_request(key, request).is_some() {
             self.close(context, key, ClientCloseReason::ResponseTruncated);
         }
@@ -70,9 +70,9 @@
         self.ready_for_more.pop()
     }
 
-    fn client_with_request(&mut self, key: usize, request: RequestId) -> Option<&mut Client> {
+    fn client_with_request(&mut self, key: ClientKey, request: RequestId) -> Option<&mut Client> {
         let has_request =
             |client: &&mut Client| client.open_request.as_ref().is_some_and(|open| open.id == request);
-        self.connections.get_mut(key).filter(has_request)
+        self.connections.get_mut(key.0).filter(has_request)
     }
 }
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -5,6 +5,7 @@
 use super::Clients;
 use super::client::{Client, CloseMode, Closing};
 use super::close_reason::ClientCloseReason;
+use crate::core::ClientKey;
 use birchreach::Micros;
 
 /// A client that does not read its answers is closed after this time, which is longer than any deadline.
@@ -48,8 +49,8 @@
     /// They could take all connections otherwise.
     pub fn close_expired(&mut self, context: &mut EventLoopContext) {
         let is_expired = |client: &Client| client.expiry_reason(context.now).is_some();
-        let expired: Vec<usize> =
-            self.connections.iter().filter(|(_, client)| is_expired(client)).map(|(key, _)| key).collect();
+        let expired = self.connections.iter().filter(|(_, client)| is_expired(client));
+        let expired: Vec<ClientKey> = expired.map(|(key, _)| ClientKey(key)).collect();
         for key in expired {
             test_hooks::at(Point::Sweep);
             // What has arrived meanwhile is read first: a request must not cross with the close.
@@ -58,8 +59,8 @@
         }
     }
 
-    fn close_if_expired(&mut self, context: &mut EventLoopContext, key: usize) {
-        let Some(client) = self.connections.get_mut(key) else { return };
+    fn close_if_expired(&mut self, context: &mut EventLoopContext, key: ClientKey) {
+        let Some(client) = self.connections.get_mut(key.0) else { return };
         match client.expiry_reason(context.now) {
             Some(reason @ ClientCloseReason::IncompleteMessage) if client.closing.is_none() => {
                 client.protocol.fail_incomplete_message();
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -13,7 +13,7 @@
 use super::error::{EventLoopError, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
-use crate::core::AttemptId;
+use crate::core::{AttemptId, ClientKey};
 use client::Client;
 use close_reason::ClientCloseReason;
 use mio::net::TcpListener;
@@ -50,7 +50,7 @@
     /// Nobody is accepted until peers have sent what they know, or were given up.
     awaiting_peer_state: bool,
     /// Clients with more input than one turn takes.
-    turn_incomplete: Vec<usize>,
+    turn_incomplete: Vec<ClientKey>,
     /// Streamed values of which the clients have taken all that was received.
     ready_for_more: Vec<AttemptId>,
     /// When the system has no descriptor to give, closing this one lets one more client in, which tells whether any waits.
@@ -128,23 +128,23 @@
     }
 
     /// Gives a client its turn: it is read, its commands are carried out, and its output is written, as far as one turn goes.
-    pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: usize) {
-        if let Some(client) = self.connections.get_mut(key) {
+    pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: ClientKey) {
+        if let Some(client) = self.connections.get_mut(key.0) {
             client.protocol.start_turn();
             self.process_client(context, key);
         }
     }
 
     /// The system reports that a client has closed its connection, whatever input may wait before that end.
-    pub fn peer_closed(&mut self, key: usize) {
-        if let Some(client) = self.connections.get_mut(key) {
+    pub fn peer_closed(&mut self, key: ClientKey) {
+        if let Some(client) = self.connections.get_mut(key.0) {
             client.peer_closed = true;
         }
     }
 
     /// Closes the connection and logs why.
-    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: ClientCloseReason) {
-        let mut client = self.connections.remove(key);
+    fn close(&mut self, context: &mut EventLoopContext, key: ClientKey, reason: ClientCloseReason) {
+        let mut client = self.connections.remove(key.0);
         let _ = context.registry.deregister(&mut client.stream);
         self.unclassified_count -= usize::from(client.unclassified);
         let may_be_balancer = self.unclassified_allowance > 0 && client.unclassified;
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -5,6 +5,7 @@
 use super::Clients;
 use super::client::ShedClass;
 use super::close_reason::ClientCloseReason;
+use crate::core::ClientKey;
 
 /// How many clients that turn out to be active are passed over to find one that makes room.
 const MAX_SHED_TRIES: usize = 32;
@@ -41,7 +42,7 @@
     }
 
     /// A new client counts: another one makes room, if need be. That happens afterwards, for only now it is known that one came.
-    pub(super) fn make_room_for(&mut self, context: &mut EventLoopContext, newcomer: Option<usize>) {
+    pub(super) fn make_room_for(&mut self, context: &mut EventLoopContext, newcomer: Option<ClientKey>) {
         if self.occupied_places() > self.max_clients || self.spare_descriptor.is_none() {
             self.shed(context, newcomer, ShedClass::Newcomer);
         } else if self.occupied_places() > self.early_shed_threshold {
@@ -53,19 +54,19 @@
     pub(super) fn shed(
         &mut self,
         context: &mut EventLoopContext,
-        newcomer: Option<usize>,
+        newcomer: Option<ClientKey>,
         last_class: ShedClass,
     ) {
         for _ in 0..MAX_SHED_TRIES {
-            let candidates =
-                self.connections.iter().filter(|(key, c)| Some(*key) != newcomer && c.can_be_shed());
-            let ranks = candidates.map(|(key, c)| (c.shed_rank(context.now), key));
+            let clients = self.connections.iter().map(|(key, client)| (ClientKey(key), client));
+            let candidates = clients.filter(|(key, client)| Some(*key) != newcomer && client.can_be_shed());
+            let ranks = candidates.map(|(key, client)| (client.shed_rank(context.now), key));
             let first = ranks.filter(|(rank, _)| rank.class <= last_class).min();
             let Some((rank, key)) = first else { return };
             test_hooks::at(Point::Shed);
             // What has arrived meanwhile is read first: a request must not cross with the close.
             self.handle_ready(context, key);
-            let Some(client) = self.connections.get(key) else { return };
+            let Some(client) = self.connections.get(key.0) else { return };
             if client.can_be_shed() && client.shed_rank(context.now) == rank {
                 return self.close(context, key, ClientCloseReason::Shed);
             }
--- a/proxy/src/net/clients/shutdown.rs
+++ b/proxy/src/net/clients/shutdown.rs
@@ -4,6 +4,7 @@
 use super::super::test_hooks::{self, Point};
 use super::Clients;
 use super::close_reason::ClientCloseReason;
+use crate::core::ClientKey;
 
 impl Clients {
     /// Another process has the listening socket too, and accepts whoever waits. No client is accepted here any more, and each one is
@@ -24,10 +25,10 @@
         }
         self.close_listener(context);
         self.shutting_down = true;
-        let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
+        let keys: Vec<ClientKey> = self.connections.iter().map(|(key, _)| ClientKey(key)).collect();
         for key in keys {
             self.handle_ready(context, key);
-            let Some(client) = self.connections.get_mut(key) else { continue };
+            let Some(client) = self.connections.get_mut(key.0) else { continue };
             client.protocol.stop_reading();
             if client.protocol.is_in_startup() {
                 self.close(context, key, ClientCloseReason::Stopping);
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -8,6 +8,7 @@
 use super::client::{Client, CloseMode, Closing, OpenRequest};
 use super::close_reason::ClientCloseReason;
 use super::statement_admission::StatementAdmission;
+use crate::core::ClientKey;
 use crate::pg::frontend::ClientCommand;
 use crate::pg::statement::Statement;
 use birchreach::Micros;
@@ -40,8 +41,8 @@
 
 impl Clients {
     /// Gives the client its turn, and closes it if it is over.
-    pub(super) fn process_client(&mut self, context: &mut EventLoopContext, key: usize) {
-        let Some(client) = self.connections.get_mut(key) else { return };
+    pub(super) fn process_client(&mut self, context: &mut EventLoopContext, key: ClientKey) {
+        let Some(client) = self.connections.get_mut(key.0) else { return };
         let close_reason = client.process_turn(context, &mut self.admission, key);
         let made_first_request = client.unclassified && client.open_request.is_some();
         client.unclassified &= !made_first_request;
@@ -71,7 +72,7 @@
         &mut self,
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
-        key: usize,
+        key: ClientKey,
     ) -> Option<ClientCloseReason> {
         self.turn_incomplete = false;
         let close_reason = if self.is_draining() {
@@ -89,7 +90,7 @@
         &mut self,
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
-        key: usize,
+        key: ClientKey,
     ) -> Option<ClientCloseReason> {
         // A client that sends without end takes turns with the others.
         for _ in 0..MAX_ROUNDS_PER_TURN {
@@ -107,7 +108,7 @@
         &mut self,
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
-        key: usize,
+        key: ClientKey,
     ) -> Round {
         let wants_input = self.closing.is_none() && self.protocol.wants_input();
         if self.peer_closed && !wants_input {
@@ -202,7 +203,7 @@
         &mut self,
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
-        key: usize,
+        key: ClientKey,
     ) {
         while self.open_request.is_none() && self.closing.is_none() {
             let Some(command) = self.protocol.next_command(context.now) else { return };
@@ -224,7 +225,7 @@
         &mut self,
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
-        key: usize,
+        key: ClientKey,
         statement: Statement,
         arrived_at: Micros,
     ) {
