--- a/membership/src/gossip_reports.rs
+++ b/membership/src/gossip_reports.rs
@@ -1,9 +1,9 @@
-//! What each member tells all others of itself, in small reports: the newest of each origin counts, once, and one that is not renewed
-//! runs out. Who is told next, and how often, is decided here; what a report means is its channel's business.
+//! Small reports of each member to all others: the newest of each origin counts, once, and one that is not renewed expires. Which
+//! member a report is sent to next, and how often, is decided here; what a report means is its channel's business.
 //!
-//! Push gossip: whoever has a new report tells it to [`TELLINGS`] members drawn at random, so that all but a few in a thousand have it after
-//! some log n rounds; who was missed has the next one. Datagrams a second are bounded whatever the fleet's size; what grows with it is
-//! the time after which a report is renewed ([`GossipReports::interval`]).
+//! Push gossip: a member with a new report sends it to [`SENDS_PER_REPORT`] members drawn at random, so that all but a few in a
+//! thousand have it after some log n rounds; those it missed get the next one. The datagrams a second are bounded whatever the
+//! fleet's size; the interval at which a report is renewed grows with it ([`GossipReports::interval`]).
 
 use crate::swim::PayloadError;
 use crate::{MAX_PAYLOAD_BYTES, Micros};
@@ -13,30 +13,37 @@
 
 /// The longest report.
 pub const MAX_REPORT_BYTES: usize = 1_000;
-/// How often each member tells a report: 1 - e^-5 of a fleet hear it, whoever is told by whom.
+/// How often each member sends a report: 1 - e^-5 of a fleet receive it.
 const SENDS_PER_REPORT: u32 = 5;
-/// A datagram each so often: twenty a second, 26 KB, at the most.
+/// The shortest time between two datagrams of one member: 20 a second, 26 KB, at most.
 const SEND_INTERVAL: Micros = 50_000;
-/// How long all members' reports take, for each member, at that pace: five tellings of a report of 130 bytes at ten a datagram.
+/// The time that sending one member's report takes each member at that rate: five times a report of 130 bytes, ten to a
+/// datagram.
 const INTERVAL_PER_MEMBER: Micros = 25_000;
 const MIN_INTERVAL: Micros = 1_000_000;
-/// A report that is not renewed counts for so many intervals.
+/// A report that is not renewed expires after so many intervals.
 pub const LIFETIME_INTERVALS: Micros = 4;
-/// Origins that are remembered, over all channels, and how long the number of one that fell silent is.
+/// Reports that are kept, over all origins and channels.
 const MAX_REPORTS: usize = 16_384;
+/// For this time an expired report is kept for its sequence number when there are too many.
 const SEQUENCE_EXPIRES_AFTER: Micros = 600_000_000;
 
-/// A report that is new here.
+/// A report that was received and is new.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedReport {
+    /// What it is about.
     pub channel: u8,
+    /// The incarnation that published it.
     pub origin: u64,
+    /// Counts the reports of this origin on this channel.
     pub sequence: u64,
-    /// How long ago its origin made it, at least.
+    /// How long ago it was published, at least.
     pub age: Micros,
+    /// Its content.
     pub payload: Vec<u8>,
 }
 
+/// A report in a datagram.
 #[derive(Serialize, Deserialize)]
 struct EncodedReport<'a> {
     channel: u8,
@@ -46,156 +53,170 @@
     payload: &'a [u8],
 }
 
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ReportKey {
+    channel: u8,
+    origin: u64,
+}
+
 struct KnownReport {
     sequence: u64,
-    /// When it was made, on this process's clock: later than truly, never sooner.
+    /// On the local clock: later than it truly was, never sooner.
     created_at: Micros,
     payload: Vec<u8>,
     times_sent: u32,
 }
 
+/// The reports that one process knows and sends on.
 pub struct GossipReports {
     own_incarnation: u64,
     rng: fastrand::Rng,
-    reports: BTreeMap<(u8, u64), KnownReport>,
+    reports: BTreeMap<ReportKey, KnownReport>,
     next_send_at: Micros,
 }
 
 impl GossipReports {
-    /// `own`: this process's boot.
-    pub fn new(own: u64, seed: u64) -> GossipReports {
+    /// No report is known.
+    pub fn new(own_incarnation: u64, seed: u64) -> GossipReports {
         GossipReports {
-            own_incarnation: own,
+            own_incarnation,
             rng: fastrand::Rng::with_seed(seed),
             reports: BTreeMap::new(),
             next_send_at: 0,
         }
     }
 
-    /// How often each of so many members should say something new; it counts for [`LIFE`] times that.
+    /// How often each of so many members should renew its report; it expires after [`LIFETIME_INTERVALS`] of these.
     pub fn interval(members: usize) -> Micros {
-        (INTERVAL_PER_MEMBER * Micros::try_from(members).unwrap_or(Micros::MAX / INTERVAL_PER_MEMBER))
-            .max(MIN_INTERVAL)
+        let members = Micros::try_from(members).unwrap_or(Micros::MAX / INTERVAL_PER_MEMBER);
+        (INTERVAL_PER_MEMBER * members).max(MIN_INTERVAL)
     }
 
-    /// This process's newest report on a channel. One that is too long is not told.
+    fn lifetime(members: usize) -> Micros {
+        GossipReports::interval(members) * LIFETIME_INTERVALS
+    }
+
+    /// Replaces this process's report on a channel. One that is too long is not sent.
     pub fn publish(&mut self, now: Micros, channel: u8, payload: Vec<u8>) {
-        if payload.len() <= MAX_REPORT_BYTES {
-            let number = self.reports.get(&(channel, self.own_incarnation)).map_or(1, |r| r.sequence + 1);
-            self.reports.insert(
-                (channel, self.own_incarnation),
-                KnownReport { sequence: number, created_at: now, payload, times_sent: 0 },
-            );
+        if payload.len() > MAX_REPORT_BYTES {
+            return;
         }
+        let key = ReportKey { channel, origin: self.own_incarnation };
+        let sequence = self.reports.get(&key).map_or(1, |report| report.sequence + 1);
+        self.reports.insert(key, KnownReport { sequence, created_at: now, payload, times_sent: 0 });
     }
 
-    /// What came from another, of origins that are members: what is new of it, whole or not at all.
+    /// Takes a datagram of another member and returns the reports in it that are new and whose origin is a member; a malformed
+    /// one changes nothing.
     pub fn apply_gossip(
         &mut self,
         now: Micros,
         members: usize,
-        member: impl Fn(u64) -> bool,
+        is_member: impl Fn(u64) -> bool,
         bytes: &[u8],
     ) -> Result<Vec<ReceivedReport>, PayloadError> {
-        let mut lines = Vec::new();
-        let mut rest = bytes;
-        while !rest.is_empty() {
-            let (line, left): (EncodedReport, &[u8]) =
-                postcard::take_from_bytes(rest).map_err(|_| PayloadError::Malformed)?;
-            if line.payload.len() > MAX_REPORT_BYTES || left.len() >= rest.len() {
-                return Err(PayloadError::Malformed);
-            }
-            lines.push(line);
-            rest = left;
-        }
-        let life = GossipReports::interval(members) * LIFETIME_INTERVALS;
-        let mut fresh = Vec::new();
-        for EncodedReport { channel, origin, sequence: number, age_ms, payload } in lines {
+        let lifetime = GossipReports::lifetime(members);
+        let mut new_reports = Vec::new();
+        for EncodedReport { channel, origin, sequence, age_ms, payload } in decode(bytes)? {
             let age = Micros::from(age_ms) * 1_000;
-            let key = (channel, origin);
-            let newer = self.reports.get(&key).is_none_or(|r| r.sequence < number);
-            if origin == self.own_incarnation
-                || age > life
-                || !newer && !crate::faulty!(TakesTwice)
-                || !member(origin)
-            {
+            let key = ReportKey { channel, origin };
+            let is_newer = self.reports.get(&key).is_none_or(|report| report.sequence < sequence);
+            let is_duplicate = !is_newer && !crate::faulty!(DuplicatesCounted);
+            if origin == self.own_incarnation || age > lifetime || is_duplicate || !is_member(origin) {
                 continue;
             }
             self.evict_if_full(now, key);
             let payload = payload.to_vec();
-            let gossip_report = KnownReport {
-                sequence: number,
-                created_at: now - age,
-                payload: payload.clone(),
-                times_sent: 0,
-            };
-            self.reports.insert(key, gossip_report);
-            fresh.push(ReceivedReport { channel, origin, sequence: number, age, payload });
+            let created_at = now - age;
+            let report = KnownReport { sequence, created_at, payload: payload.clone(), times_sent: 0 };
+            self.reports.insert(key, report);
+            new_reports.push(ReceivedReport { channel, origin, sequence, age, payload });
         }
-        Ok(fresh)
+        Ok(new_reports)
     }
 
-    /// Whoever is remembered longest goes, where there are too many.
-    fn evict_if_full(&mut self, now: Micros, key: (u8, u64)) {
-        if self.reports.len() >= MAX_REPORTS && !self.reports.contains_key(&key) {
-            self.reports
-                .retain(|k, r| k.1 == self.own_incarnation || now - r.created_at < SEQUENCE_EXPIRES_AFTER);
-            let others = self.reports.iter().filter(|(k, _)| k.1 != self.own_incarnation);
-            let oldest = others.min_by_key(|(_, r)| r.created_at).map(|(k, _)| *k);
-            oldest.filter(|_| self.reports.len() >= MAX_REPORTS).map(|k| self.reports.remove(&k));
+    /// Makes room for a new report where there are too many: the oldest of another origin is removed.
+    fn evict_if_full(&mut self, now: Micros, key: ReportKey) {
+        if self.reports.len() < MAX_REPORTS || self.reports.contains_key(&key) {
+            return;
         }
+        let own = self.own_incarnation;
+        self.reports
+            .retain(|key, report| key.origin == own || now - report.created_at < SEQUENCE_EXPIRES_AFTER);
+        let others = self.reports.iter().filter(|(key, _)| key.origin != own);
+        let oldest = others.min_by_key(|(_, report)| report.created_at).map(|(key, _)| *key);
+        oldest.filter(|_| self.reports.len() >= MAX_REPORTS).map(|key| self.reports.remove(&key));
     }
 
-    /// What is to be told now, and to whom.
+    /// The next datagram and its recipient, if one is due: the reports sent least often first, of these the newest.
     pub fn encode_gossip(&mut self, now: Micros, members: &[SocketAddr]) -> Option<(SocketAddr, Vec<u8>)> {
         if now < self.next_send_at || members.is_empty() {
             return None;
         }
-        let life = GossipReports::interval(members.len() + 1) * LIFETIME_INTERVALS;
-        let live = |r: &KnownReport| r.times_sent < SENDS_PER_REPORT && now - r.created_at < life;
-        let mut lines: Vec<((u32, Micros), (u8, u64))> = self
-            .reports
-            .iter()
-            .filter(|(_, r)| live(r))
-            .map(|(k, r)| ((r.times_sent, -r.created_at), *k))
-            .collect();
-        if lines.is_empty() {
+        let lifetime = GossipReports::lifetime(members.len() + 1);
+        let is_due =
+            |report: &KnownReport| report.times_sent < SENDS_PER_REPORT && now - report.created_at < lifetime;
+        let due = self.reports.iter().filter(|(_, report)| is_due(report));
+        let mut due: Vec<((u32, Micros), ReportKey)> =
+            due.map(|(key, report)| ((report.times_sent, -report.created_at), *key)).collect();
+        if due.is_empty() {
             return None;
         }
         self.next_send_at = now + SEND_INTERVAL;
-        lines.sort_unstable();
+        due.sort_unstable();
         let mut bytes = Vec::with_capacity(MAX_PAYLOAD_BYTES);
-        for (_, key) in lines {
-            let Some(r) = self.reports.get_mut(&key) else { continue };
-            let age_ms = u32::try_from((now - r.created_at) / 1_000 + 1).unwrap_or(u32::MAX);
-            let line = EncodedReport {
-                channel: key.0,
-                origin: key.1,
-                sequence: r.sequence,
-                age_ms,
-                payload: &r.payload,
-            };
-            let Ok(line) = postcard::to_stdvec(&line) else { continue };
-            if bytes.len() + line.len() < MAX_PAYLOAD_BYTES {
-                bytes.extend(line);
-                r.times_sent += 1;
+        for (_, key) in due {
+            let Some(report) = self.reports.get_mut(&key) else { continue };
+            let Some(encoded) = encode(now, key, report) else { continue };
+            if bytes.len() + encoded.len() < MAX_PAYLOAD_BYTES {
+                bytes.extend(encoded);
+                report.times_sent += 1;
             }
         }
         Some((members[self.rng.usize(..members.len())], bytes))
     }
 
-    /// When there may be something to tell.
+    /// When a datagram may be due.
     pub fn next_change(&self, now: Micros) -> Micros {
-        let new = self.reports.values().any(|r| r.times_sent < SENDS_PER_REPORT);
-        if new { self.next_send_at.max(now) } else { Micros::MAX }
+        let any_unsent = self.reports.values().any(|report| report.times_sent < SENDS_PER_REPORT);
+        if any_unsent { self.next_send_at.max(now) } else { Micros::MAX }
     }
 
-    /// Reports that are remembered, for the operators.
+    /// Reports that are kept.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
+    /// No report is kept.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 }
+
+/// All reports of a datagram, or an error.
+fn decode(mut bytes: &[u8]) -> Result<Vec<EncodedReport<'_>>, PayloadError> {
+    let mut reports = Vec::new();
+    while !bytes.is_empty() {
+        let (report, rest): (EncodedReport, &[u8]) =
+            postcard::take_from_bytes(bytes).map_err(|_| PayloadError::Malformed)?;
+        if report.payload.len() > MAX_REPORT_BYTES || rest.len() >= bytes.len() {
+            return Err(PayloadError::Malformed);
+        }
+        reports.push(report);
+        bytes = rest;
+    }
+    Ok(reports)
+}
+
+/// The age is rounded up, so that no report gets younger on its way.
+fn encode(now: Micros, key: ReportKey, report: &KnownReport) -> Option<Vec<u8>> {
+    let age_ms = u32::try_from((now - report.created_at) / 1_000 + 1).unwrap_or(u32::MAX);
+    let encoded = EncodedReport {
+        channel: key.channel,
+        origin: key.origin,
+        sequence: report.sequence,
+        age_ms,
+        payload: &report.payload,
+    };
+    postcard::to_stdvec(&encoded).ok()
+}
--- a/membership/src/known_addresses.rs
+++ b/membership/src/known_addresses.rs
@@ -1,85 +1,91 @@
-//! Addresses that were named in the options or heard of, so that two halves of a cut fleet find each other again although each has
-//! given the other up: whoever is not in the view is tried in turn, so many a second.
+//! Addresses from the options and of former members. Those outside the view are retried in turn, so that two halves of a
+//! partitioned fleet find each other again although each has removed the other.
 
 use crate::{MAX_MEMBERS, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// How often somebody is tried, and how many at once: two a second, whatever the fleet's size.
+/// Addresses are retried at this interval, and so many at once, whatever the fleet's size.
 const RETRY_INTERVAL: Micros = 1_000_000;
 const ADDRESSES_PER_RETRY: usize = 2;
-/// A name that was not heard of for so long is forgotten; one of the options never is.
+/// An address that no member had for this time is removed; a configured one never is.
 const EXPIRES_AFTER: Micros = 24 * 3_600_000_000;
 
-pub struct KnownAddresses {
+/// The addresses that one process knows.
+pub(crate) struct KnownAddresses {
     configured: BTreeSet<SocketAddr>,
-    /// When each was heard of last.
+    /// When a member was last there.
     last_seen_at: BTreeMap<SocketAddr, Micros>,
     rotation: VecDeque<SocketAddr>,
     next_retry_at: Micros,
 }
 
 impl KnownAddresses {
-    pub fn new(named: impl IntoIterator<Item = SocketAddr>, now: Micros) -> KnownAddresses {
-        let named: BTreeSet<SocketAddr> = named.into_iter().take(MAX_MEMBERS).collect();
+    pub(crate) fn new(configured: impl IntoIterator<Item = SocketAddr>, now: Micros) -> KnownAddresses {
+        let configured: BTreeSet<SocketAddr> = configured.into_iter().take(MAX_MEMBERS).collect();
         KnownAddresses {
             last_seen_at: BTreeMap::new(),
-            rotation: named.iter().copied().collect(),
-            configured: named,
+            rotation: configured.iter().copied().collect(),
+            configured,
             next_retry_at: now,
         }
     }
 
-    /// A member hears there. Of too many the one heard of longest ago goes.
-    pub fn record(&mut self, now: Micros, at: SocketAddr) {
-        if self.last_seen_at.insert(at, now).is_some() || self.configured.contains(&at) {
+    /// A member is there. Beyond the limit the address seen longest ago is removed.
+    pub(crate) fn record(&mut self, now: Micros, address: SocketAddr) {
+        if self.last_seen_at.insert(address, now).is_some() || self.configured.contains(&address) {
             return;
         }
-        self.rotation.push_back(at);
+        self.rotation.push_back(address);
         if self.last_seen_at.len() > MAX_MEMBERS {
-            let oldest = self.last_seen_at.iter().min_by_key(|(_, heard)| **heard).map(|(at, _)| *at);
-            oldest.into_iter().for_each(|at| self.forget(at));
+            let oldest = self.last_seen_at.iter().min_by_key(|(_, seen_at)| **seen_at);
+            let oldest = oldest.map(|(address, _)| *address);
+            oldest.into_iter().for_each(|address| self.remove(address));
         }
     }
 
-    fn forget(&mut self, at: SocketAddr) {
-        self.last_seen_at.remove(&at);
-        if !self.configured.contains(&at) {
-            self.rotation.retain(|other| *other != at);
+    fn remove(&mut self, address: SocketAddr) {
+        self.last_seen_at.remove(&address);
+        if !self.configured.contains(&address) {
+            self.rotation.retain(|other| *other != address);
         }
     }
 
-    pub fn next_change(&self) -> Micros {
+    fn remove_expired(&mut self, now: Micros) {
+        let expired = self.last_seen_at.iter().filter(|(_, seen_at)| now - **seen_at >= EXPIRES_AFTER);
+        let expired: Vec<SocketAddr> = expired.map(|(address, _)| *address).collect();
+        expired.into_iter().for_each(|address| self.remove(address));
+    }
+
+    pub(crate) fn next_change(&self) -> Micros {
         self.next_retry_at
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.rotation.len()
     }
 
-    /// Whom to try now, of those that are not in the view.
-    pub fn due(&mut self, now: Micros, there: impl Fn(SocketAddr) -> bool) -> Vec<SocketAddr> {
+    /// Addresses to be retried now, of those outside the view.
+    pub(crate) fn due(&mut self, now: Micros, in_view: impl Fn(SocketAddr) -> bool) -> Vec<SocketAddr> {
         if now < self.next_retry_at {
             return Vec::new();
         }
         self.next_retry_at = now + RETRY_INTERVAL;
-        if crate::faulty!(NobodyIsTriedAgain) && now > 10 * RETRY_INTERVAL {
+        if crate::faulty!(NoAddressRetries) && now > 10 * RETRY_INTERVAL {
             return Vec::new();
         }
-        let old = |(at, heard): (&SocketAddr, &Micros)| (now - heard >= EXPIRES_AFTER).then_some(*at);
-        let old: Vec<SocketAddr> = self.last_seen_at.iter().filter_map(old).collect();
-        old.into_iter().for_each(|at| self.forget(at));
-        let mut tried = Vec::new();
+        self.remove_expired(now);
+        let mut due = Vec::new();
         for _ in 0..self.rotation.len() {
-            let Some(at) = self.rotation.pop_front() else { break };
-            self.rotation.push_back(at);
-            if !there(at) {
-                tried.push(at);
+            let Some(address) = self.rotation.pop_front() else { break };
+            self.rotation.push_back(address);
+            if !in_view(address) {
+                due.push(address);
             }
-            if tried.len() >= ADDRESSES_PER_RETRY {
+            if due.len() >= ADDRESSES_PER_RETRY {
                 break;
             }
         }
-        tried
+        due
     }
 }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,28 +1,33 @@
-//! Which proxies of one fleet are there, as one process sees it: decisions without I/O or clock.
+//! The membership of one fleet of proxies, as one process sees it: decisions without I/O or clock.
 //!
-//! [`Membership`] is fed datagrams that were opened ([`Membership::heard`]) and the time ([`Membership::step`]); it hands back payloads to be sealed and
-//! sent ([`Membership::send`]), what has changed ([`Membership::changes`]) and when to wake it ([`Membership::next_change`]). Who is asked
-//! and who is taken for gone is decided by `foca` (SWIM); what a member is, who is tried again after a cut, whether the view is
-//! settled and whether this process is blind is decided here.
+//! [`Membership`] is fed opened datagrams ([`Membership::receive`]) and the time ([`Membership::step`]); it returns payloads to be
+//! sealed and sent ([`Membership::next_payload`]), changes ([`Membership::take_changes`]) and when to wake it
+//! ([`Membership::next_change`]). Which member is probed and when one counts as failed is decided by `foca` (SWIM); what identifies
+//! a member, which addresses are retried after a partition, whether the view is settled and whether this process is partitioned
+//! from all others is decided here. [`GossipReports`] spreads small reports of each member to all others.
 //!
-//! It owns the members, their names, and what was heard of their views. It is never a proof that another process has stopped,
-//! and nothing that may exist only once may rest on it; it knows no socket, no key and no type of another crate.
+//! This crate owns the members, their addresses, and what was received of their views. A view never proves that another
+//! process has stopped, and nothing that may exist only once may depend on it. It depends on no socket, no key and no type of
+//! another crate of this workspace, so [`Micros`] is defined here again.
 //!
 //! Invariants, each with the test that holds it (`tests/`):
 //!
-//! 1. Members that hear each other come to one view, after joins, crashes, a cut into halves, a one-way cut, a stop, with seeds
-//!    that are gone (`the_view_settles_again`).
-//! 2. No member that lives and is heard is removed, at up to 5% of datagrams lost (`nobody_well_is_removed`).
-//! 3. What divides by the number of members never makes two halves more than the whole (`halves_never_add_up_to_more`).
-//! 4. A restart supersedes, also with a clock that went back; late words of an earlier boot do not bring it back for good
-//!    (`a_restart_supersedes`).
-//! 5. One that hears nobody says blind, and one that is alone by its options does not (`blind_is_said`).
-//! 6. Members, names, and changes that wait are bounded whatever is heard (`what_is_heard_is_bounded`).
-//! 7. Two of one name are told apart and told (`twins_are_told`).
-//! 8. Of each origin the newest report counts, once, however often and late it comes (`reports_count_once`); nearly all members have
-//!    each within an interval (`reports_go_round`).
+//! 1. Members that receive from each other come to one view, after joins, crashes, a partition into halves, a one-way partition
+//!    and a pause, also with seeds that are down (`the_view_settles_again`).
+//! 2. No live member that is received from is removed, at up to 5% of datagrams lost (`no_live_member_is_removed`).
+//! 3. Quotas divided by the number of members never add up to more than the whole over two partitions
+//!    (`quotas_of_partitions_never_exceed_the_whole`).
+//! 4. A restarted member replaces its former incarnation, also with a clock that went back; late messages of the former one do
+//!    not bring it back for good (`a_restart_replaces_the_former_incarnation`).
+//! 5. A member that receives nothing reports itself blind, and one that is alone by its options does not
+//!    (`a_partitioned_member_reports_itself_blind`).
+//! 6. Members, addresses and pending changes are bounded whatever is received (`what_is_received_is_bounded`).
+//! 7. Two members with one name are kept apart and reported (`name_conflicts_are_reported`).
+//! 8. Of each origin the newest report counts, once, however often and late it comes (`reports_count_once`); nearly all members
+//!    have each within an interval (`reports_reach_nearly_all_members`).
 
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 #[cfg(feature = "mutants")]
 pub mod faults;
@@ -37,11 +42,12 @@
 
 pub use full_exchange::{MAX_PART_BYTES, MAX_PARTS};
 pub use gossip_reports::{GossipReports, LIFETIME_INTERVALS, MAX_REPORT_BYTES, ReceivedReport};
-pub use membership::{Membership, MembershipSettings, PayloadError};
+pub use membership::{Membership, MembershipSettings};
 pub use peer::{MAX_NAME_BYTES, Peer};
+pub use swim::PayloadError;
 pub use view::{MembershipChange, View, ViewState};
 
-/// Is this fault switched on? Never outside tests.
+/// Whether this fault is injected; never outside tests.
 macro_rules! faulty {
     ($which:ident) => {{
         #[cfg(feature = "mutants")]
@@ -53,10 +59,10 @@
 }
 pub(crate) use faulty;
 
-/// A span of time, or an instant on the holder's clock, in microseconds.
+/// A span of time, or an instant on the local clock, in microseconds.
 pub type Micros = i64;
 
-/// The longest payload that a driver must carry.
+/// The longest payload that the transport must carry.
 pub const MAX_PAYLOAD_BYTES: usize = 1_300;
-/// Members, and names, that are kept.
+/// Members, and addresses, that are kept.
 pub const MAX_MEMBERS: usize = 4_096;
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,48 +1,55 @@
-//! The machine: foca under our identities, with names that are tried, digests that travel, and a view that says what it knows.
+//! The membership itself: `foca` under our identities, with retried addresses, digests of views, and a view that says how sure it
+//! is.
 
 use crate::full_exchange::ExchangeSchedule;
 use crate::known_addresses::KnownAddresses;
-pub use crate::swim::PayloadError;
-use crate::swim::{DIGEST_BYTES, FocaOutput, Timer, config, validate};
+use crate::swim::{DIGEST_BYTES, FocaOutput, PayloadError, Timer, config, validate};
 use crate::view::{MembershipChange, View, ViewState};
 use crate::{MAX_MEMBERS, Micros, Peer};
+use foca::OwnedNotification::{MemberDown, MemberUp, Rejoin, Rename};
 use foca::{Foca, NoCustomBroadcast, PostcardCodec};
 use rand::SeedableRng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// Changes that wait to be taken.
+/// Changes that wait to be taken; beyond this the oldest is dropped.
 const MAX_CHANGES: usize = 1_024;
-/// What foca may have set for later; far more than it needs for so many members.
+/// Timers of foca's; far more than it needs for so many members.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
-/// What a process brings with it.
+/// What a process starts with.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
+    /// Its name in the configuration.
     pub name: String,
     /// Where others reach it.
     pub address: SocketAddr,
-    /// A random number, and Unix time in milliseconds.
+    /// A random number.
     pub incarnation: u64,
+    /// Unix time in milliseconds.
     pub epoch: u64,
+    /// Seeds the choice among members.
     pub seed: u64,
-    /// Addresses of others by the options, and how many there are in all.
+    /// Addresses of others by the options.
     pub seeds: Vec<SocketAddr>,
+    /// Members by the options, this one included.
     pub configured_members: u32,
 }
 
+/// The membership of the fleet as one process sees it.
 pub struct Membership {
     pub(crate) foca: Foca<Peer, PostcardCodec, rand::rngs::SmallRng, NoCustomBroadcast>,
     output: FocaOutput,
     /// By due time; those of one time in foca's own order.
     timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     known_addresses: KnownAddresses,
+    /// Other live members.
     pub(crate) members: BTreeMap<SocketAddr, Peer>,
     pub(crate) name_conflicts: BTreeSet<String>,
     digest: u64,
     pub(crate) configured_members: u32,
-    /// When the view, or that of one that was heard, was last another; when somebody was last heard.
+    /// When the view last changed, or another member last had a different one.
     pub(crate) view_changed_at: Micros,
     pub(crate) last_received_at: Micros,
     pub(crate) started_at: Micros,
@@ -53,27 +60,22 @@
 }
 
 impl Membership {
+    /// The process starts now.
     pub fn new(settings: MembershipSettings, now: Micros) -> Membership {
-        let MembershipSettings {
-            name,
-            address: at,
-            incarnation: boot,
-            epoch,
-            seed,
-            seeds,
-            configured_members: named,
-        } = settings;
-        let own = Peer { name, address: at, incarnation: boot.max(1), epoch, renewals: 0 };
+        let MembershipSettings { name, address, incarnation, epoch, seed, seeds, configured_members } =
+            settings;
+        let own = Peer { name, address, incarnation: incarnation.max(1), epoch, renewals: 0 };
         let rng = rand::rngs::SmallRng::seed_from_u64(seed);
-        let mut fleet = Membership {
-            known_addresses: KnownAddresses::new(seeds.into_iter().filter(|seed| *seed != at), now),
+        let others = seeds.into_iter().filter(|seed| *seed != address);
+        let mut membership = Membership {
+            known_addresses: KnownAddresses::new(others, now),
             foca: Foca::new(own, config(), rng, PostcardCodec),
             output: FocaOutput::default(),
             timers: BinaryHeap::new(),
             members: BTreeMap::new(),
             name_conflicts: BTreeSet::new(),
             digest: 0,
-            configured_members: named,
+            configured_members,
             view_changed_at: now,
             last_received_at: now,
             started_at: now,
@@ -82,21 +84,22 @@
             exchange_schedule: ExchangeSchedule::default(),
             left: false,
         };
-        fleet.digest = fleet.compute_digest();
-        fleet.step(now);
-        fleet
+        membership.digest = membership.compute_digest();
+        membership.step(now);
+        membership
     }
 
-    /// Who this process is, at present.
+    /// This process's identity at present.
     pub fn own(&self) -> &Peer {
         self.foca.identity()
     }
 
-    /// Others that are there.
+    /// Other live members.
     pub fn members(&self) -> impl Iterator<Item = &Peer> {
         self.members.values()
     }
 
+    /// What this process sees now.
     pub fn view(&self) -> View {
         View {
             state: self.state,
@@ -107,20 +110,24 @@
         }
     }
 
-    /// Takes what came from a boot, opened.
-    pub fn receive(&mut self, now: Micros, boot: u64, payload: &[u8]) -> Result<(), PayloadError> {
-        let (theirs, data) = payload.split_first_chunk::<DIGEST_BYTES>().ok_or(PayloadError::Malformed)?;
-        let (known, kept) = (|at| self.members.contains_key(&at), self.foca.iter_membership_state().len());
-        let header = validate(self.foca.identity(), boot, data, kept, known)?;
-        let done = self.foca.handle_data(data, &mut self.output);
-        done.map_err(|_| PayloadError::Malformed)?;
+    /// Takes an opened datagram of a sender.
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        sender_incarnation: u64,
+        payload: &[u8],
+    ) -> Result<(), PayloadError> {
+        let (digest, data) = payload.split_first_chunk::<DIGEST_BYTES>().ok_or(PayloadError::Malformed)?;
+        let kept = self.foca.iter_membership_state().len();
+        let is_known = |address| self.members.contains_key(&address);
+        let header = validate(self.foca.identity(), sender_incarnation, data, kept, is_known)?;
+        self.foca.handle_data(data, &mut self.output).map_err(|_| PayloadError::Malformed)?;
         self.last_received_at = now;
         self.apply_output(now);
-        // Whoever announces itself, or is held for gone, has a view that does not count yet.
-        let counts =
-            self.members.get(&header.src.address).is_some_and(|m| m.incarnation == header.src.incarnation);
-        if counts {
-            let same = u64::from_be_bytes(*theirs) == self.digest;
+        // The view of a sender that only announces itself, or counts as failed, is not compared yet.
+        let sender = self.members.get(&header.src.address);
+        if sender.is_some_and(|member| member.incarnation == header.src.incarnation) {
+            let same = u64::from_be_bytes(*digest) == self.digest;
             self.view_changed_at = if same { self.view_changed_at } else { now };
             self.exchange_schedule.record_digest(now, header.src.address, same);
         }
@@ -128,30 +135,30 @@
         Ok(())
     }
 
-    /// What is due: probes, suspicions, names to be tried.
+    /// Does what is due: probes, suspicions, retried addresses.
     pub fn step(&mut self, now: Micros) {
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, timer))) = self.timers.pop() else { break };
-            // A probe that a long stop has cut in two is begun anew by foca itself.
+            // An error means that the process was paused during a probe; foca then begins a new one.
             let _ = self.foca.handle_timer(timer, &mut self.output);
             self.apply_output(now);
         }
         if !self.left {
             let members = &self.members;
-            for at in self.known_addresses.due(now, |at| members.contains_key(&at)) {
-                let _ = self.foca.announce(Peer::unknown_at(at), &mut self.output);
+            for address in self.known_addresses.due(now, |address| members.contains_key(&address)) {
+                let _ = self.foca.announce(Peer::unknown_at(address), &mut self.output);
             }
         }
         self.apply_output(now);
         self.update_state(now);
     }
 
-    /// It has said goodbye.
+    /// This process has left.
     pub fn left(&self) -> bool {
         self.left
     }
 
-    /// Says goodbye; nothing is said after.
+    /// Leaves: the others are notified, and nothing is sent after.
     pub fn leave(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.left, true) {
             let _ = self.foca.leave_cluster(&mut self.output);
@@ -160,7 +167,7 @@
         }
     }
 
-    /// Whoever was to take its place did not: it is there again, under a new epoch.
+    /// The process that was to replace this one did not: this one joins again under a new epoch.
     pub fn rejoin(&mut self, now: Micros) {
         if std::mem::take(&mut self.left)
             && let Some(renewed) = foca::Identity::renew(self.foca.identity())
@@ -170,6 +177,7 @@
         }
     }
 
+    /// When [`Membership::step`] is due, if nothing is received.
     pub fn next_change(&self) -> Micros {
         let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
         timer
@@ -178,17 +186,18 @@
             .min(self.exchange_schedule.next_change())
     }
 
-    /// What is to be sealed and sent, and where.
+    /// The next payload to be sealed and sent, and its recipient.
     pub fn next_payload(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let (to, data) = self.output.datagrams.pop_front()?;
         Some((to, [&self.digest.to_be_bytes()[..], &data].concat()))
     }
 
+    /// What has changed since the last call.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         self.changes.drain(..).collect()
     }
 
-    /// Names that are kept, for the operators.
+    /// Addresses that are retried when they are outside the view.
     pub fn known_address_count(&self) -> usize {
         self.known_addresses.len()
     }
@@ -200,19 +209,19 @@
         self.changes.push_back(change);
     }
 
-    /// Takes what a full exchange brought.
+    /// Merges what a full exchange brought.
     pub(crate) fn apply_members(
         &mut self,
         now: Micros,
-        told: Vec<foca::Member<Peer>>,
+        received: Vec<foca::Member<Peer>>,
     ) -> Result<(), PayloadError> {
-        let done = self.foca.apply_many(told.into_iter(), true, &mut self.output);
+        let result = self.foca.apply_many(received.into_iter(), true, &mut self.output);
         self.apply_output(now);
         self.update_state(now);
-        done.map_err(|_| PayloadError::Malformed)
+        result.map_err(|_| PayloadError::Malformed)
     }
 
-    /// Takes what foca wants done.
+    /// Does what foca asks for.
     fn apply_output(&mut self, now: Micros) {
         for (timer, after) in std::mem::take(&mut self.output.timers) {
             if self.timers.len() < MAX_TIMERS {
@@ -220,34 +229,12 @@
                 self.timers.push(Reverse((now.saturating_add(after), timer)));
             }
         }
-        let told = std::mem::take(&mut self.output.notifications);
-        if told.is_empty() {
+        let notifications = std::mem::take(&mut self.output.notifications);
+        if notifications.is_empty() {
             return;
         }
-        use foca::OwnedNotification::{MemberDown, MemberUp, Rejoin, Rename};
-        for told in told {
-            match told {
-                MemberUp(peer) => {
-                    self.known_addresses.record(now, peer.address);
-                    if self.members.is_empty() {
-                        self.exchange_schedule.record_first_member(now, peer.address);
-                    }
-                    self.members.insert(peer.address, peer.clone());
-                    self.push_change(MembershipChange::Joined(peer));
-                }
-                MemberDown(peer) => {
-                    self.members.remove(&peer.address);
-                    self.push_change(MembershipChange::Removed(peer));
-                }
-                Rename(before, after) if self.members.contains_key(&before.address) => {
-                    self.members.insert(after.address, after.clone());
-                    if before.incarnation != after.incarnation {
-                        self.push_change(MembershipChange::Joined(after));
-                    }
-                }
-                Rejoin(own) => self.push_change(MembershipChange::EpochRenewed(own.epoch)),
-                _ => {}
-            }
+        for notification in notifications {
+            self.apply_notification(now, notification);
         }
         let digest = self.compute_digest();
         if std::mem::replace(&mut self.digest, digest) != digest {
@@ -255,4 +242,29 @@
         }
         self.update_name_conflicts();
     }
+
+    fn apply_notification(&mut self, now: Micros, notification: foca::OwnedNotification<Peer>) {
+        match notification {
+            MemberUp(peer) => {
+                self.known_addresses.record(now, peer.address);
+                if self.members.is_empty() {
+                    self.exchange_schedule.record_first_member(now, peer.address);
+                }
+                self.members.insert(peer.address, peer.clone());
+                self.push_change(MembershipChange::Joined(peer));
+            }
+            MemberDown(peer) => {
+                self.members.remove(&peer.address);
+                self.push_change(MembershipChange::Removed(peer));
+            }
+            Rename(before, after) if self.members.contains_key(&before.address) => {
+                self.members.insert(after.address, after.clone());
+                if before.incarnation != after.incarnation {
+                    self.push_change(MembershipChange::Joined(after));
+                }
+            }
+            Rejoin(own) => self.push_change(MembershipChange::EpochRenewed(own.epoch)),
+            _ => {}
+        }
+    }
 }
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -1,43 +1,45 @@
-//! Who a member is: name, address, boot and epoch.
+//! The identity of a member: name, address, incarnation and epoch.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// The longest name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Steps of the epoch stop doubling here.
+/// The step of the epoch stops doubling here.
 const MAX_EPOCH_DOUBLINGS: u32 = 40;
 
-/// A member. Of two at one address the one of the later epoch counts; the boot tells processes apart.
+/// A member. Of two at one address the one of the later epoch counts; the incarnation tells processes apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
     /// The proxy's name in its configuration.
-    #[serde(with = "short")]
+    #[serde(with = "checked_name")]
     pub name: String,
-    /// Where it hears.
+    /// Where it receives datagrams.
     pub address: SocketAddr,
-    /// A random number of the process; 0 of one that is tried and not known.
+    /// A random number of the process; 0 where only the address is known.
     pub incarnation: u64,
-    /// It begins as Unix time in milliseconds, and grows each time others held the process for gone.
+    /// Starts as Unix time in milliseconds, and grows each time others considered the process failed.
     pub epoch: u64,
-    /// How often that was.
+    /// How often the epoch was renewed.
     pub renewals: u32,
 }
 
 impl Peer {
-    /// Whoever hears at this address.
-    pub fn unknown_at(at: SocketAddr) -> Peer {
-        Peer { name: String::new(), address: at, incarnation: 0, epoch: 0, renewals: 0 }
+    /// Whichever process receives at this address.
+    pub fn unknown_at(address: SocketAddr) -> Peer {
+        Peer { name: String::new(), address, incarnation: 0, epoch: 0, renewals: 0 }
     }
 }
 
 impl foca::Identity for Peer {
     type Addr = SocketAddr;
 
-    /// Others hold it for gone, or know a later epoch of its address, by how much is not said: each step is twice the one before.
+    /// Others consider this process failed, or know a later epoch of its address; by how much is not known, so that each step
+    /// is twice the one before.
     fn renew(&self) -> Option<Peer> {
-        let doubled = if crate::faulty!(StepsOfOne) { 0 } else { self.renewals.min(MAX_EPOCH_DOUBLINGS) };
-        let epoch = self.epoch.saturating_add(1 << doubled);
+        let doublings =
+            if crate::faulty!(EpochStepsOfOne) { 0 } else { self.renewals.min(MAX_EPOCH_DOUBLINGS) };
+        let epoch = self.epoch.saturating_add(1 << doublings);
         Some(Peer { epoch, renewals: self.renewals.saturating_add(1), ..self.clone() })
     }
 
@@ -50,8 +52,8 @@
     }
 }
 
-/// Names that are too long are no names.
-mod short {
+/// Rejects names that are too long or hold control characters.
+mod checked_name {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
     pub fn serialize<S: Serializer>(name: &str, to: S) -> Result<S::Ok, S::Error> {
@@ -60,9 +62,9 @@
 
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
         let name = <&str>::deserialize(from)?;
-        let printable = name.chars().all(|c| !c.is_control());
-        if name.len() > super::MAX_NAME_BYTES || !printable {
-            return Err(D::Error::custom("no name"));
+        let is_printable = name.chars().all(|c| !c.is_control());
+        if name.len() > super::MAX_NAME_BYTES || !is_printable {
+            return Err(D::Error::custom("invalid name"));
         }
         Ok(name.to_string())
     }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,4 +1,5 @@
-//! foca under our identities: how it is set, what it wants done, and a look at what came before any of it counts.
+//! `foca` under our identities: its configuration, the output it asks for, and the validation of a payload before any of it
+//! counts.
 
 use crate::{MAX_MEMBERS, MAX_PAYLOAD_BYTES, Peer};
 use foca::{Codec, Config, Header, Member, Message, Notification, PeriodicParams, PostcardCodec};
@@ -7,26 +8,42 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The digest that goes before each payload of foca's.
-pub const DIGEST_BYTES: usize = 8;
+/// The sender's digest, which precedes each payload of foca's.
+pub(crate) const DIGEST_BYTES: usize = 8;
+const PROBE_PERIOD: Duration = Duration::from_millis(500);
+const PROBE_ROUND_TRIP: Duration = Duration::from_millis(200);
+const INDIRECT_PROBES: usize = 3;
+/// How often an update is gossiped. About ten times reach thousands of members; the rest is for a failure of seven members in
+/// ten, when most recipients of an update are down.
+const MAX_TRANSMISSIONS: u8 = 33;
+const SUSPICION_PERIOD: Duration = Duration::from_millis(2_000);
+/// With the fault that removes suspects.
+const FAULTY_SUSPICION_PERIOD: Duration = Duration::from_millis(1);
+/// A failed member's record is kept for this time.
+const REMOVE_DOWN_AFTER: Duration = Duration::from_secs(600);
+/// A member is asked for its members at this interval, which repairs what gossip missed.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(2_000);
+const ANNOUNCE_RECIPIENTS: usize = 1;
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
+const GOSSIP_RECIPIENTS: usize = 3;
 
-/// Why what came was not taken.
+/// Why a payload was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadError {
-    /// It cannot be read.
+    /// It cannot be decoded.
     Malformed,
-    /// Its sender says that it is another boot than the one that sealed it.
+    /// It names another incarnation as its sender than the one that sealed it.
     WrongSender,
-    /// It is from this process, or one that says so.
+    /// It claims to come from this process.
     FromSelf,
     /// It names more members than are kept.
     TooManyMembers,
-    /// It is for an earlier boot or epoch of this process.
+    /// It is for another incarnation or epoch of this process.
     WrongRecipient,
 }
 
 impl PayloadError {
-    /// The word for logs and metrics.
+    /// The reason in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             PayloadError::Malformed => "form",
@@ -52,19 +69,19 @@
 
 impl std::error::Error for PayloadError {}
 
-pub type Timer = foca::Timer<Peer>;
+pub(crate) type Timer = foca::Timer<Peer>;
 
-/// What foca wants done.
+/// What foca asks for.
 #[derive(Default)]
-pub struct FocaOutput {
-    pub datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
-    pub timers: Vec<(Timer, Duration)>,
-    pub notifications: Vec<foca::OwnedNotification<Peer>>,
+pub(crate) struct FocaOutput {
+    pub(crate) datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
+    pub(crate) timers: Vec<(Timer, Duration)>,
+    pub(crate) notifications: Vec<foca::OwnedNotification<Peer>>,
 }
 
 impl foca::Runtime<Peer> for &mut FocaOutput {
-    fn notify(&mut self, told: Notification<'_, Peer>) {
-        self.notifications.push(told.to_owned());
+    fn notify(&mut self, notification: Notification<'_, Peer>) {
+        self.notifications.push(notification.to_owned());
     }
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
@@ -76,63 +93,65 @@
     }
 }
 
-fn params(every: u64, members: usize) -> Option<PeriodicParams> {
-    let num_members = NonZeroUsize::new(members)?;
-    Some(PeriodicParams { frequency: Duration::from_millis(every), num_members })
+const fn nonzero(n: usize) -> NonZeroUsize {
+    NonZeroUsize::MIN.saturating_add(n - 1)
 }
 
-pub fn config() -> Config {
+fn periodic(frequency: Duration, recipients: usize) -> Option<PeriodicParams> {
+    Some(PeriodicParams { frequency, num_members: nonzero(recipients) })
+}
+
+pub(crate) fn config() -> Config {
+    let remove_suspects = crate::faulty!(SuspectsRemovedAtOnce);
     Config {
-        probe_period: Duration::from_millis(500),
-        probe_rtt: Duration::from_millis(200),
-        num_indirect_probes: NonZeroUsize::MIN.saturating_add(2),
-        // Ten tellings reach all of thousands; with seven in ten gone only three in ten of those told are there to hear.
-        max_transmissions: NonZeroU8::MIN.saturating_add(32),
-        suspect_to_down_after: Duration::from_millis(if crate::faulty!(SuspectsAreGone) { 1 } else { 2_000 }),
-        remove_down_after: Some(Duration::from_secs(600)),
-        max_packet_size: NonZeroUsize::MIN.saturating_add(MAX_PAYLOAD_BYTES - DIGEST_BYTES - 1),
+        probe_period: PROBE_PERIOD,
+        probe_rtt: PROBE_ROUND_TRIP,
+        num_indirect_probes: nonzero(INDIRECT_PROBES),
+        max_transmissions: NonZeroU8::MIN.saturating_add(MAX_TRANSMISSIONS - 1),
+        suspect_to_down_after: if remove_suspects { FAULTY_SUSPICION_PERIOD } else { SUSPICION_PERIOD },
+        remove_down_after: Some(REMOVE_DOWN_AFTER),
+        max_packet_size: nonzero(MAX_PAYLOAD_BYTES - DIGEST_BYTES),
         notify_down_members: true,
-        // A feed of another's members now and then mends what gossip missed.
-        periodic_announce: params(2_000, 1),
-        // Names are tried here, by their own turn.
+        periodic_announce: periodic(ANNOUNCE_INTERVAL, ANNOUNCE_RECIPIENTS),
+        // KnownAddresses retries them.
         periodic_announce_to_down_members: None,
-        periodic_gossip: params(200, 3),
+        periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_RECIPIENTS),
     }
 }
 
-/// A look at all of it before any of it counts: it is for this boot and epoch, from the boot that sealed it, whole, and names no
-/// more members than are kept. `known`: those at this address count already.
-pub fn validate(
+/// Checks a payload before any of it counts: it is for this incarnation and epoch, from the incarnation that sealed it, complete,
+/// and names no more members than are kept. `kept` members are in the table, and `is_known` tells their addresses.
+pub(crate) fn validate(
     own: &Peer,
-    boot: u64,
+    sender_incarnation: u64,
     mut data: &[u8],
     kept: usize,
-    known: impl Fn(SocketAddr) -> bool,
+    is_known: impl Fn(SocketAddr) -> bool,
 ) -> Result<Header<Peer>, PayloadError> {
     let header: Header<Peer> = PostcardCodec.decode_header(&mut data).map_err(|_| PayloadError::Malformed)?;
-    if header.src.incarnation != boot {
+    if header.src.incarnation != sender_incarnation {
         return Err(PayloadError::WrongSender);
     }
     if header.src.address == own.address || header.src.incarnation == own.incarnation {
         return Err(PayloadError::FromSelf);
     }
-    if header.dst != *own && !(header.message == Message::Announce && header.dst.address == own.address) {
+    let is_announce_here = header.message == Message::Announce && header.dst.address == own.address;
+    if header.dst != *own && !is_announce_here {
         return Err(PayloadError::WrongRecipient);
     }
-    let mut all = kept + 1;
+    let mut members = kept + 1;
     if let Some((count, mut rest)) = data.split_first_chunk::<2>() {
         for _ in 0..u16::from_be_bytes(*count) {
             let member: Member<Peer> =
                 PostcardCodec.decode_member(&mut rest).map_err(|_| PayloadError::Malformed)?;
-            all += usize::from(!known(member.id().address));
+            members += usize::from(!is_known(member.id().address));
         }
         if !rest.is_empty() {
             return Err(PayloadError::Malformed);
         }
     }
-    if all > MAX_MEMBERS && !crate::faulty!(TakesAll) {
-        Err(PayloadError::TooManyMembers)
-    } else {
-        Ok(header)
+    if members > MAX_MEMBERS && !crate::faulty!(NoMemberLimit) {
+        return Err(PayloadError::TooManyMembers);
     }
+    Ok(header)
 }
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,22 +1,29 @@
-//! What a process says of its fleet, and what of that has changed.
+//! What a process reports of its fleet, and what of that has changed.
 
 use crate::{Micros, Peer};
 use sha2::{Digest, Sha256};
 
-/// How it stands with the fleet.
+/// How sure a process is of its view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewState {
-    /// It is the only one by its options, and has heard of nobody.
+    /// It is the only member by its options, and has received from no other.
     Alone,
-    /// It hears nobody: whatever it says, it says for itself.
-    Blind { since: Micros },
-    /// Members come or go, or a member that it hears has another view.
+    /// It receives from nobody: its view may be of its own partition only.
+    Blind {
+        /// When it last received.
+        since: Micros,
+    },
+    /// Members join or leave, or another member has a different view.
     Changing,
-    /// Nothing has changed since then, and nobody heard since had another view.
-    Settled { since: Micros },
+    /// Nothing has changed, and no member has had a different view.
+    Settled {
+        /// Since when.
+        since: Micros,
+    },
 }
 
 impl ViewState {
+    /// The state in logs and in the answers to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             ViewState::Alone => "alone",
@@ -27,43 +34,47 @@
     }
 }
 
-/// What one process sees, now.
+/// What one process sees now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
+    /// How sure it is.
     pub state: ViewState,
-    /// The same at all that see the same members of the same boots.
+    /// Equal at all processes that see the same incarnations.
     pub digest: u64,
-    /// Members that are there, this one too.
+    /// Members in the view, this one included.
     pub members: usize,
-    /// How many the options say there are.
+    /// Members that the options name, this one included.
     pub configured_members: u32,
-    /// Names of which two processes are there.
+    /// Names that two members have.
     pub name_conflicts: Vec<String>,
 }
 
 impl View {
-    /// What must hold in the sum over the fleet is divided by this: the larger of named and seen.
+    /// A quota of the whole fleet is divided by this: the larger of the configured and the seen number of members.
     pub fn divisor(&self) -> u32 {
-        let named = if crate::faulty!(DividesBySeen) { 0 } else { self.configured_members };
-        named.max(u32::try_from(self.members).unwrap_or(u32::MAX)).max(1)
+        let configured = if crate::faulty!(DivisorIgnoresOptions) { 0 } else { self.configured_members };
+        configured.max(u32::try_from(self.members).unwrap_or(u32::MAX)).max(1)
     }
 }
 
-/// Something to be told.
+/// Something that changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A member is there; it was not, or was another boot.
+    /// A member is new, or has restarted.
     Joined(Peer),
-    /// A member was not heard for long enough, by it and by others that it asked, or has said goodbye.
+    /// A member failed, as this process and others that it asked see it, or has left.
     Removed(Peer),
-    /// Others held this process for gone: it goes on under a new epoch.
+    /// Others considered this process failed: it continues under a new epoch.
     EpochRenewed(u64),
-    /// Two processes of one name are there; or no more.
-    NameConflict(String, bool),
+    /// Two members have this name.
+    NameConflict(String),
+    /// No two members have this name any longer.
+    NameConflictResolved(String),
+    /// The state of the view.
     State(ViewState),
 }
 
-/// Order-free over the members, equal for equal sets.
+/// Independent of the order of members, and equal for equal sets.
 pub(crate) fn digest<'a>(members: impl Iterator<Item = &'a Peer>) -> u64 {
     let mut sorted: Vec<&Peer> = members.collect();
     sorted.sort_unstable();
@@ -74,5 +85,5 @@
         hash.update(peer.address.to_string().as_bytes());
         hash.update(peer.incarnation.to_be_bytes());
     }
-    hash.finalize().first_chunk::<8>().map_or(0, |b| u64::from_be_bytes(*b))
+    hash.finalize().first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes))
 }
--- a/membership/tests/common/scenes.rs
+++ b/membership/tests/common/scenes.rs
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-pub fn nobody_well_is_removed() -> Result<(), String> {
+pub fn no_live_member_is_removed() -> Result<(), String> {
     for (loss, seed) in [(0.0, 1), (0.05, 2), (0.05, 3)] {
         let mut net = Net::started(40, seed);
         net.loss = loss;
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-pub fn halves_never_add_up_to_more() -> Result<(), String> {
+pub fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
     let mut net = Net::started(20, 5);
     net.until_agreed(20, 20 * SECOND).ok_or("they do not agree")?;
     net.cut = Box::new(|a, b| (a < 7) != (b < 7));
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-pub fn a_restart_supersedes() -> Result<(), String> {
+pub fn a_restart_replaces_the_former_incarnation() -> Result<(), String> {
     for back in [0, -3_600 * SECOND] {
         let mut net = Net::started(10, 6);
         net.until_agreed(10, 20 * SECOND).ok_or("they do not agree")?;
@@ -121,7 +121,7 @@
     Ok(())
 }
 
-pub fn blind_is_said() -> Result<(), String> {
+pub fn a_partitioned_member_reports_itself_blind() -> Result<(), String> {
     let mut net = Net::new(3, 7);
     net.start(0, 0);
     net.pass(4 * SECOND);
@@ -141,7 +141,7 @@
     Ok(())
 }
 
-pub fn twins_are_told() -> Result<(), String> {
+pub fn name_conflicts_are_reported() -> Result<(), String> {
     let mut net = Net::started(4, 9);
     net.start_named(4, "p2", 0);
     net.pass(10 * SECOND);
@@ -149,13 +149,13 @@
     net.kill(4);
     net.pass(10 * SECOND);
     hold!(net.live().all(|f| f.view().name_conflicts.is_empty()));
-    let told = |c: &(Micros, MembershipChange)| matches!(&c.1, MembershipChange::NameConflict(name, _) if name == "p2");
+    let told = |c: &(Micros, MembershipChange)| matches!(&c.1, MembershipChange::NameConflict(name) | MembershipChange::NameConflictResolved(name) if name == "p2");
     hold!(net.all[..4].iter().all(|p| p.changes.iter().filter(|c| told(c)).count() == 2));
     Ok(())
 }
 
 /// A peer that has the key and makes up members by the thousand.
-pub fn what_is_heard_is_bounded() -> Result<(), String> {
+pub fn what_is_received_is_bounded() -> Result<(), String> {
     use birchreach_membership::{MAX_MEMBERS, Peer};
     use foca::{Codec, Header, Member, Message, PostcardCodec};
     let mut net = Net::started(2, 10);
@@ -187,7 +187,7 @@
 }
 
 /// One that joins a fleet that is settled knows all of it, and all of it knows the newcomer, without a round of gossip for each.
-pub fn a_join_is_told_at_once() -> Result<(), String> {
+pub fn a_join_is_known_to_all_at_once() -> Result<(), String> {
     let mut net = Net::started(120, 11);
     net.until_agreed(120, 20 * SECOND).ok_or("they do not agree")?;
     net.kill(7);
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn reports_go_round() {
+fn reports_reach_nearly_all_members() {
     for (count, seed) in [(5, 1), (40, 2), (300, 3)] {
         let mut all: Vec<GossipReports> =
             (0..count).map(|n| GossipReports::new(n as u64 + 1, seed * 1_000 + n as u64)).collect();
@@ -64,11 +64,11 @@
 #[test]
 fn reports_count_once() {
     count_once().unwrap();
-    assert!(with(Fault::TakesTwice, count_once).is_err(), "the check finds nothing");
+    assert!(with(Fault::DuplicatesCounted, count_once).is_err(), "the check finds nothing");
 }
 
 #[test]
-fn ages_add_up_and_run_out() {
+fn ages_add_up_and_reports_expire() {
     let (mut a, mut b, mut c) =
         (GossipReports::new(1, 1), GossipReports::new(2, 2), GossipReports::new(3, 3));
     a.publish(0, 7, b"word".to_vec());
--- a/membership/tests/membership_view.rs
+++ b/membership/tests/membership_view.rs
@@ -9,38 +9,38 @@
 }
 
 #[test]
-fn nobody_well_is_removed() {
-    scenes::nobody_well_is_removed().unwrap();
+fn no_live_member_is_removed() {
+    scenes::no_live_member_is_removed().unwrap();
 }
 
 #[test]
-fn halves_never_add_up_to_more() {
-    scenes::halves_never_add_up_to_more().unwrap();
+fn quotas_of_partitions_never_exceed_the_whole() {
+    scenes::quotas_of_partitions_never_exceed_the_whole().unwrap();
 }
 
 #[test]
-fn a_restart_supersedes() {
-    scenes::a_restart_supersedes().unwrap();
+fn a_restart_replaces_the_former_incarnation() {
+    scenes::a_restart_replaces_the_former_incarnation().unwrap();
 }
 
 #[test]
-fn blind_is_said() {
-    scenes::blind_is_said().unwrap();
+fn a_partitioned_member_reports_itself_blind() {
+    scenes::a_partitioned_member_reports_itself_blind().unwrap();
 }
 
 #[test]
-fn twins_are_told() {
-    scenes::twins_are_told().unwrap();
+fn name_conflicts_are_reported() {
+    scenes::name_conflicts_are_reported().unwrap();
 }
 
 #[test]
-fn what_is_heard_is_bounded() {
-    scenes::what_is_heard_is_bounded().unwrap();
+fn what_is_received_is_bounded() {
+    scenes::what_is_received_is_bounded().unwrap();
 }
 
 #[test]
-fn a_join_is_told_at_once() {
-    scenes::a_join_is_told_at_once().unwrap();
+fn a_join_is_known_to_all_at_once() {
+    scenes::a_join_is_known_to_all_at_once().unwrap();
 }
 
 #[test]
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -202,8 +202,8 @@
                 info!(event = "fleet-gone", name = %Quoted(peer.name), at = %peer.address)
             }
             MembershipChange::EpochRenewed(epoch) => info!(event = "fleet-renewed", epoch),
-            MembershipChange::NameConflict(name, true) => warn!(event = "fleet-twins", name = %Quoted(name)),
-            MembershipChange::NameConflict(name, false) => {
+            MembershipChange::NameConflict(name) => warn!(event = "fleet-twins", name = %Quoted(name)),
+            MembershipChange::NameConflictResolved(name) => {
                 info!(event = "fleet-twins-over", name = %Quoted(name))
             }
             MembershipChange::State(state @ ViewState::Blind { .. }) => {
