--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -36,7 +36,7 @@
             epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
             seed: self.config.seed ^ boot,
             seeds: options.peers.clone(),
-            configured_members: options.named,
+            configured_members: options.configured_members,
         };
         let machine = shared(Membership::new(settings, self.context.now));
         let mut fellows = FleetMembership {
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -30,7 +30,7 @@
 impl StateTransfer {
     pub fn new(
         registry: &Registry,
-        options: &birchreach_options::Knowledge,
+        options: &birchreach_options::PeerStateOptions,
         keys: Keys,
         peer_knowledge: Shared<PeerKnowledge>,
         seed: u64,
@@ -41,14 +41,14 @@
         if let Some(at) = listener.as_ref().and_then(|l| l.local_addr().ok()) {
             info!(event = "knowledge-listening", %at);
         }
-        let join = request_scheduler::RequestSettings { seed, ..options.join.clone() };
+        let join = request_scheduler::RequestSettings { seed, ..options.requests.clone() };
         Ok(StateTransfer {
             listener,
             keys,
             peer_knowledge,
             named: join.providers.clone(),
             joiner: RequestScheduler::new(join, now),
-            donor: StateProvider::new(options.donor.clone(), now),
+            donor: StateProvider::new(options.provider.clone(), now),
             waiting: true,
         })
     }
