--- a/benches/src/view.rs
+++ b/benches/src/view.rs
@@ -39,7 +39,7 @@
 }
 
 fn gone(all: &[Process]) -> usize {
-    all.iter().flat_map(Process::log).filter(|l| l.contains("event=fleet-gone")).count()
+    all.iter().flat_map(Process::log).filter(|l| l.contains("event=fleet-member-removed")).count()
 }
 
 pub fn run(program: &Path, folder: &Path, processes: usize, seed: u64) -> Done {
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -17,7 +17,7 @@
 mod net;
 mod observe;
 mod outbox;
-mod peer_knowledge;
+mod peer_state;
 mod pg;
 mod reply;
 mod split;
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -29,7 +29,7 @@
 /// Descriptors kept for balancers: their checks, and those that look in at the clients' listener.
 pub(super) fn reserve(config: &Config) -> usize {
     let (knowledge, fleet) = (config.options.knowledge.is_some(), config.options.fleet.is_some());
-    let links = if knowledge || fleet { gossip::MOST + 1 } else { 0 };
+    let links = if knowledge || fleet { gossip::MAX_LINKS + 1 } else { 0 };
     // The fleet has a listener for links and one for datagrams.
     config.options.descriptors() + guests(config) + links + 2 * usize::from(fleet)
 }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -196,15 +196,15 @@
     fn tell(&self, change: MembershipChange) {
         match change {
             MembershipChange::Joined(peer) => {
-                info!(event = "fleet-up", name = %Quoted(peer.name), at = %peer.address)
+                info!(event = "fleet-member-joined", name = %Quoted(peer.name), at = %peer.address)
             }
             MembershipChange::Removed(peer) => {
-                info!(event = "fleet-gone", name = %Quoted(peer.name), at = %peer.address)
+                info!(event = "fleet-member-removed", name = %Quoted(peer.name), at = %peer.address)
             }
-            MembershipChange::EpochRenewed(epoch) => info!(event = "fleet-renewed", epoch),
-            MembershipChange::NameConflict(name) => warn!(event = "fleet-twins", name = %Quoted(name)),
+            MembershipChange::EpochRenewed(epoch) => info!(event = "fleet-epoch-renewed", epoch),
+            MembershipChange::NameConflict(name) => warn!(event = "fleet-name-conflict", name = %Quoted(name)),
             MembershipChange::NameConflictResolved(name) => {
-                info!(event = "fleet-twins-over", name = %Quoted(name))
+                info!(event = "fleet-name-conflict-resolved", name = %Quoted(name))
             }
             MembershipChange::State(state @ ViewState::Blind { .. }) => {
                 warn!(event = "fleet", state = state.as_str())
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -59,7 +59,7 @@
             other => other.map_err(failed)?,
         }
         let views = MembershipSync::new(options.listen, keys.clone(), machine);
-        self.gossip.get_or_insert_default().view(views);
+        self.gossip.get_or_insert_default().set_membership_sync(views);
         self.fleet = Some(fellows);
         self.fleet_due();
         Ok(())
@@ -98,13 +98,13 @@
         }
         let (speaks, fresh) = (fellows.speaks(), fellows.fresh());
         if let Some(gossip) = &mut self.gossip {
-            gossip.speak(&self.context.registry, speaks);
+            gossip.set_active(&self.context.registry, speaks);
         }
         if let Some(background) = &mut self.background {
             background.hear(self.context.now, fresh);
         }
         if let (Some(peer), Some(gossip)) = (exchange, &mut self.gossip) {
-            gossip.exchange(&mut self.context, peer);
+            gossip.begin_exchange(&mut self.context, peer);
             self.after_gossip();
         }
     }
--- /dev/null
+++ b/proxy/src/net/gossip/link.rs
@@ -0,0 +1,71 @@
+//! One link to another proxy: its connection, and the role that this process has on it.
+
+use birchreach::Micros;
+use birchreach_peer_state::full_exchange::FullExchange;
+use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender};
+use mio::net::TcpStream;
+use std::net::SocketAddr;
+
+/// What this process does on a link.
+pub(super) enum LinkRole {
+    /// Requests state from a provider.
+    RequestsState { requester: Box<StateRequester>, provider: String, requested_at: Micros },
+    /// Sends state to a requester.
+    SendsState {
+        sender: Box<StateSender>,
+        /// The request was admitted: it takes one of the places of [`birchreach_peer_state::provider::StateProvider`].
+        admitted: bool,
+    },
+    /// Exchanges all members with another member of the fleet.
+    ExchangesMembers(Box<FullExchange>),
+}
+
+impl LinkRole {
+    /// What kind of connection it is, in the log.
+    pub(super) fn connection_kind(&self) -> &'static str {
+        match self {
+            LinkRole::RequestsState { .. } | LinkRole::SendsState { .. } => "peer-state",
+            LinkRole::ExchangesMembers(_) => "fleet",
+        }
+    }
+
+    pub(super) fn feed(&mut self, bytes: &[u8]) {
+        match self {
+            LinkRole::RequestsState { requester, .. } => requester.feed(bytes),
+            LinkRole::SendsState { sender, .. } => sender.feed(bytes),
+            LinkRole::ExchangesMembers(exchange) => exchange.feed(bytes),
+        }
+    }
+
+    /// Bytes to be written.
+    pub(super) fn output(&mut self) -> &mut Vec<u8> {
+        match self {
+            LinkRole::RequestsState { requester, .. } => &mut requester.output,
+            LinkRole::SendsState { sender, .. } => &mut sender.output,
+            LinkRole::ExchangesMembers(exchange) => &mut exchange.output,
+        }
+    }
+
+    /// Once the output is written, this side has nothing more to send. A requester's link ends with the answer instead.
+    pub(super) fn has_sent_everything(&self) -> bool {
+        match self {
+            LinkRole::RequestsState { .. } => false,
+            LinkRole::SendsState { sender, .. } => sender.is_finished(),
+            LinkRole::ExchangesMembers(exchange) => exchange.is_finished(),
+        }
+    }
+
+    /// A part of the answer is still to be put into the output.
+    pub(super) fn is_sending(&self) -> bool {
+        matches!(self, LinkRole::SendsState { sender, .. } if sender.is_sending())
+    }
+}
+
+/// A link in its slot. The serial tells it from an earlier link in the same slot.
+pub(super) struct PeerLink {
+    pub(super) stream: TcpStream,
+    pub(super) role: LinkRole,
+    pub(super) peer: SocketAddr,
+    pub(super) serial: u64,
+    pub(super) opened_at: Micros,
+}
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -1,61 +1,73 @@
-//! A link's turn: what has come is taken, what is to be said is written, and it goes on or ends.
+//! A link's turn: what has come is read and processed, the output is written, and the link stays open or ends.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
 use super::super::timer_events::TimerEvent;
-use super::peer_protocol::{self, Next, take};
-use super::{Ends, Gossip};
+use super::Gossip;
+use super::close_reason::{CloseReason, LinkStep};
+use super::link::{LinkRole, PeerLink};
+use super::peer_protocol::{self, LinkId};
+
+/// Bytes that are read at once.
+const READ_BYTES: usize = 16 << 10;
 
 impl Gossip {
-    /// A link's turn.
-    pub fn ready_link(&mut self, context: &mut EventLoopContext, key: usize) {
-        let Some(link) = self.slots.get_mut(key) else { return };
-        let read = match &mut link.ends {
-            Ends::Asks { machine, .. } => take(&mut link.stream, context, |b| machine.feed(b)),
-            Ends::Tells { machine, .. } => take(&mut link.stream, context, |b| machine.feed(b)),
-            Ends::View(machine) => take(&mut link.stream, context, |b| machine.feed(b)),
-        };
-        let next = match (&mut link.ends, &mut self.state_transfer, &mut self.membership_sync) {
-            (Ends::Asks { machine, donor, asked_at }, Some(lessons), _) => {
-                peer_protocol::listen(context, machine, donor, *asked_at, lessons)
+    /// A link's connection is readable or writable.
+    pub fn process_link(&mut self, context: &mut EventLoopContext, key: usize) {
+        let Some(link) = self.links.get_mut(key) else { return };
+        let id = LinkId { key, serial: link.serial };
+        let read_failed = read_input(link, context).is_err();
+        let step = match (&mut link.role, &mut self.state_transfer, &self.membership_sync) {
+            (LinkRole::RequestsState { requester, provider, requested_at }, Some(transfer), _) => {
+                peer_protocol::receive_state(context, requester, provider, *requested_at, transfer)
             }
-            (Ends::Tells { machine, serving }, Some(lessons), _) => {
-                peer_protocol::tell(context, machine, serving, lessons, (key, link.serial))
+            (LinkRole::SendsState { sender, admitted }, Some(transfer), _) => {
+                peer_protocol::answer_request(context, sender, admitted, transfer, id)
             }
-            (Ends::View(machine), _, Some(views)) => views.step(context, machine),
-            _ => Next::Over("closed"),
+            (LinkRole::ExchangesMembers(exchange), _, Some(sync)) => sync.process_exchange(context, exchange),
+            _ => LinkStep::Close(CloseReason::Closed),
         };
-        let out = link.ends.out();
-        let connected = link.stream.peer_addr().is_ok();
-        let written = if connected { stream::write_some(&mut link.stream, out) } else { Ok(0) };
-        let gone = match written {
-            Ok(n) => {
-                out.drain(..n);
-                false
+        let write_failed = write_output(link).is_err();
+        let is_written = link.role.output().is_empty();
+        let has_failed =
+            read_failed || write_failed || matches!(link.stream.take_error(), Ok(Some(_)) | Err(_));
+        match step {
+            LinkStep::Close(reason) => self.close_link(context, key, reason),
+            LinkStep::Continue if is_written && link.role.has_sent_everything() => {
+                self.close_link(context, key, CloseReason::Sent);
             }
-            Err(_) => true,
-        };
-        let drained = out.is_empty();
-        let told = drained
-            && match &link.ends {
-                Ends::Tells { machine, .. } => machine.is_finished(),
-                Ends::View(machine) => machine.is_finished(),
-                Ends::Asks { .. } => false,
-            };
-        let broken = matches!(link.stream.take_error(), Ok(Some(_)) | Err(_));
-        match next {
-            Next::Waits if told => self.end(context, key, Next::Over("told")),
-            Next::Waits if gone || broken || read.is_err() => self.end(context, key, Next::Over("closed")),
-            // What is left of the answer goes on when there is room.
-            Next::Waits
-                if drained
-                    && matches!(&self.slots[key].ends, Ends::Tells { machine, .. } if machine.is_sending()) =>
-            {
-                let serial = self.slots[key].serial;
-                context.timers.set(context.now + 1, TimerEvent::GossipSend(key, serial));
+            LinkStep::Continue if has_failed => self.close_link(context, key, CloseReason::Closed),
+            LinkStep::Continue if is_written && link.role.is_sending() => {
+                context.timers.set(context.now + 1, TimerEvent::GossipSend(key, id.serial));
             }
-            Next::Waits => {}
-            over => self.end(context, key, over),
+            LinkStep::Continue => {}
         }
     }
 }
+
+fn is_connected(link: &PeerLink) -> bool {
+    link.stream.peer_addr().is_ok()
+}
+
+fn read_input(link: &mut PeerLink, context: &mut EventLoopContext) -> Result<(), stream::Ended> {
+    if !is_connected(link) {
+        return Ok(());
+    }
+    let PeerLink { stream, role, .. } = link;
+    let read_bytes = READ_BYTES.min(context.scratch.len());
+    let done = stream::read(stream, &mut context.scratch[..read_bytes], |bytes| {
+        role.feed(bytes);
+        true
+    });
+    done.map(drop)
+}
+
+fn write_output(link: &mut PeerLink) -> Result<(), stream::Ended> {
+    if !is_connected(link) {
+        return Ok(());
+    }
+    let output = link.role.output();
+    let written = stream::write_some(&mut link.stream, output)?;
+    link.role.output().drain(..written);
+    Ok(())
+}
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -1,14 +1,14 @@
-//! Links over which two members of the fleet tell each other all that they know of it. Their listener has the number of the datagrams'
-//! address; what is told and believed is the fleet crate's to say.
+//! Full exchanges of the membership with other members of the fleet: their listener, and this process's connections. The listener
+//! has the port of the datagrams' address; what is sent and accepted is decided by [`Membership`].
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::super::timer_events::TimerEvent;
-use super::listen;
+use super::close_reason::{CloseReason, LinkError, LinkStep};
+use super::listener::listen;
 use super::nonce::nonce;
-use super::peer_protocol::Next;
 use crate::observe::Shared;
-use birchreach_membership::Membership;
+use birchreach_membership::{Membership, PayloadError};
 use birchreach_peer_state::frame::{Keys, Side};
 use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange};
 use mio::Registry;
@@ -17,88 +17,102 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Such links at once, both ways: what each may make a process keep is some half a megabyte.
-pub const MOST: usize = 6;
+/// Such links at once, in both directions. Each may hold some half a megabyte.
+pub(super) const MAX_EXCHANGES: usize = 6;
+/// A connection that is not established at once: `EINPROGRESS`.
+const IN_PROGRESS: i32 = 115;
 
+/// The listener and the connections of full exchanges.
 pub struct MembershipSync {
     /// None: another process of this proxy has the listener.
     listener: Option<TcpListener>,
     /// Where others reach this process.
-    own: SocketAddr,
+    own_address: SocketAddr,
     keys: Keys,
-    machine: Shared<Membership>,
-    pub(super) waiting: bool,
+    membership: Shared<Membership>,
+    /// The listener may have connections.
+    pub(super) accept_pending: bool,
 }
 
 impl MembershipSync {
-    pub fn new(own: SocketAddr, keys: Keys, machine: Shared<Membership>) -> MembershipSync {
-        MembershipSync { listener: None, own, keys, machine, waiting: false }
+    /// The listener opens with [`MembershipSync::set_active`].
+    pub fn new(own_address: SocketAddr, keys: Keys, membership: Shared<Membership>) -> MembershipSync {
+        MembershipSync { listener: None, own_address, keys, membership, accept_pending: false }
     }
 
-    /// The listener is open while this process speaks for the proxy. Where another still has the address, it is tried again with the
-    /// next datagram.
-    pub fn speak(&mut self, registry: &Registry, speaks: bool) {
-        if speaks && self.listener.is_none() {
-            self.listener = listen(registry, self.own, Source::ViewListener, "the fleet").ok();
-            self.waiting = true;
-        } else if !speaks && let Some(mut listener) = self.listener.take() {
+    /// The listener is open while this process represents the proxy in the fleet. Where another process still has the address,
+    /// it is tried again with the next datagram.
+    pub fn set_active(&mut self, registry: &Registry, active: bool) {
+        if active && self.listener.is_none() {
+            self.listener = listen(registry, self.own_address, Source::ViewListener, "the fleet").ok();
+            self.accept_pending = true;
+        } else if !active && let Some(mut listener) = self.listener.take() {
             let _ = registry.deregister(&mut listener);
         }
     }
 
-    /// Speaks from its own address, by which others may let it in.
-    pub(super) fn ask(&self, peer: SocketAddr) -> Result<(TcpStream, Box<FullExchange>), &'static str> {
+    /// Begins a connection to a member, from this process's own address, which the member may use to admit it.
+    pub(super) fn connect(&self, peer: SocketAddr) -> Result<(TcpStream, Box<FullExchange>), LinkError> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, Some(Protocol::TCP));
-        let socket = socket.map_err(|_| "no-socket")?;
-        socket.set_nonblocking(true).map_err(|_| "no-socket")?;
-        if !self.own.ip().is_unspecified() {
-            socket.bind(&SocketAddr::new(self.own.ip(), 0).into()).map_err(|_| "no-socket")?;
+        let socket = socket.map_err(|_| LinkError::NoSocket)?;
+        socket.set_nonblocking(true).map_err(|_| LinkError::NoSocket)?;
+        let own_ip = self.own_address.ip();
+        if !own_ip.is_unspecified() {
+            socket.bind(&SocketAddr::new(own_ip, 0).into()).map_err(|_| LinkError::NoSocket)?;
         }
         match socket.connect(&peer.into()) {
             Ok(()) => {}
             Err(e) if e.raw_os_error() == Some(IN_PROGRESS) || e.kind() == ErrorKind::WouldBlock => {}
-            Err(_) => return Err("refused"),
+            Err(_) => return Err(LinkError::Refused),
         }
         let stream = TcpStream::from_std(socket.into());
         Ok((stream, Box::new(FullExchange::new(Side::Requester, self.keys.clone(), nonce()?))))
     }
 
+    /// The next connection of a member, if one waits.
     pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<FullExchange>)> {
-        let listener = self.listener.as_ref().filter(|_| self.waiting)?;
+        let listener = self.listener.as_ref().filter(|_| self.accept_pending)?;
         let Ok((stream, peer)) = listener.accept() else {
-            self.waiting = false;
+            self.accept_pending = false;
             return None;
         };
         Some((stream, peer, Box::new(FullExchange::new(Side::Provider, self.keys.clone(), nonce().ok()?))))
     }
 
-    /// What the other end has told is taken, and this one tells in its turn.
-    pub(super) fn step(&self, context: &mut EventLoopContext, machine: &mut FullExchange) -> Next {
+    /// Merges what the other side has sent, and sends this process's members in its turn.
+    pub(super) fn process_exchange(
+        &self,
+        context: &mut EventLoopContext,
+        exchange: &mut FullExchange,
+    ) -> LinkStep {
         loop {
-            match machine.next_event() {
-                Err(refused) => return Next::Refused(refused.to_string()),
-                Ok(None) => return Next::Waits,
-                Ok(Some(ExchangeEvent::Connected)) => {
-                    machine.send_parts(&self.machine.borrow().export_members())
-                }
+            match exchange.next_event() {
+                Err(error) => return LinkStep::Close(CloseReason::Frame(error)),
+                Ok(None) => return LinkStep::Continue,
+                Ok(Some(ExchangeEvent::Connected)) => self.send_members(exchange),
                 Ok(Some(ExchangeEvent::Complete(parts))) => {
-                    let asked = machine.has_sent();
-                    if !asked {
-                        machine.send_parts(&self.machine.borrow().export_members());
+                    let sent_first = exchange.has_sent();
+                    if !sent_first {
+                        self.send_members(exchange);
                     }
-                    let taken = self.machine.borrow_mut().import_members(context.now, &parts);
-                    // What has changed by it is told and shown by the owner of the datagrams.
-                    context.timers.set(context.now, TimerEvent::Fleet);
-                    match taken {
-                        Err(why) => return Next::Refused(why.as_str().to_string()),
-                        Ok(()) if asked => return Next::Over("heard"),
+                    match self.import_members(context, &parts) {
+                        Err(error) => return LinkStep::Close(CloseReason::Members(error)),
+                        Ok(()) if sent_first => return LinkStep::Close(CloseReason::Received),
                         Ok(()) => {}
                     }
                 }
             }
         }
     }
-}
 
-/// A connection that is not up at once: `EINPROGRESS`.
-const IN_PROGRESS: i32 = 115;
+    fn send_members(&self, exchange: &mut FullExchange) {
+        exchange.send_parts(&self.membership.borrow().export_members());
+    }
+
+    /// Changes that result are logged, and gossip sent, by the owner of the datagrams, whose timer is set.
+    fn import_members(&self, context: &mut EventLoopContext, parts: &[Vec<u8>]) -> Result<(), PayloadError> {
+        let result = self.membership.borrow_mut().import_members(context.now, parts);
+        context.timers.set(context.now, TimerEvent::Fleet);
+        result
+    }
+}
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -1,7 +1,11 @@
-//! The links to other proxies: over some knowledge travels, over others all that is known of the fleet. It moves bytes and keeps
-//! times; whom to ask, whom to answer and what to believe is decided by the knowledge and fleet crates.
+//! Links to other proxies: some transfer state, others exchange the members of the fleet. Moves bytes and keeps times; whom to
+//! ask, which request to answer and what to accept is decided by the crates `birchreach-peer-state` and
+//! `birchreach-membership`.
 
+mod close_reason;
+mod link;
 mod link_events;
+mod listener;
 mod membership_sync;
 mod nonce;
 mod peer_protocol;
@@ -11,213 +15,192 @@
 use super::sources::Source;
 use super::timer_events::TimerEvent;
 use birchreach::Micros;
-use birchreach_peer_state::full_exchange::FullExchange;
 use birchreach_peer_state::request_scheduler::RequestOutcome;
-use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender};
+use close_reason::{CloseReason, LinkError};
+use link::{LinkRole, PeerLink};
 pub use membership_sync::MembershipSync;
-use mio::net::{TcpListener, TcpStream};
+use mio::net::TcpStream;
 use mio::{Interest, Registry};
-use peer_protocol::Next;
 use slab::Slab;
 pub use state_transfer::StateTransfer;
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Links at once, both ways; one more is not taken.
-pub const MOST: usize = 24;
-/// A link that has not come to its end by then is cut.
-const LIFE: Micros = 5_000_000;
-/// Accepted in one turn, and read at once.
-const TURN: usize = 16;
-
-enum Ends {
-    /// This process asks, of whom and since when.
-    Asks {
-        machine: Box<StateRequester>,
-        donor: String,
-        asked_at: Micros,
-    },
-    Tells {
-        machine: Box<StateSender>,
-        serving: bool,
-    },
-    /// Both tell all that they know of the fleet.
-    View(Box<FullExchange>),
-}
-
-impl Ends {
-    fn out(&mut self) -> &mut Vec<u8> {
-        match self {
-            Ends::Asks { machine, .. } => &mut machine.output,
-            Ends::Tells { machine, .. } => &mut machine.output,
-            Ends::View(machine) => &mut machine.output,
-        }
-    }
-}
-
-struct Link {
-    stream: TcpStream,
-    ends: Ends,
-    peer: SocketAddr,
-    serial: u64,
-    since: Micros,
-}
+/// Links at once, in both directions; a further one is closed.
+pub const MAX_LINKS: usize = 24;
+/// A link that has not ended after this time is closed.
+const LINK_TIMEOUT: Micros = 5_000_000;
+/// Connections that are accepted in one turn.
+const ACCEPTS_PER_TURN: usize = 16;
+/// The timer is set at least this often.
+const MAX_STEP_INTERVAL: Micros = 1_000_000;
 
+/// All links, and what they are for.
 #[derive(Default)]
 pub struct Gossip {
-    slots: Slab<Link>,
+    links: Slab<PeerLink>,
     state_transfer: Option<StateTransfer>,
     membership_sync: Option<MembershipSync>,
-    serial: u64,
-}
-
-/// A listener for other proxies.
-fn listen(registry: &Registry, at: SocketAddr, source: Source, what: &str) -> Result<TcpListener, String> {
-    let failed = |e| format!("listening for {what} on {at}: {e}");
-    let mut listener = TcpListener::bind(at).map_err(failed)?;
-    registry.register(&mut listener, source.token(), Interest::READABLE).map_err(failed)?;
-    Ok(listener)
+    last_serial: u64,
 }
 
 impl Gossip {
-    pub fn learn(&mut self, lessons: StateTransfer) {
-        self.state_transfer = Some(lessons);
+    /// State is transferred from now on.
+    pub fn set_state_transfer(&mut self, state_transfer: StateTransfer) {
+        self.state_transfer = Some(state_transfer);
     }
 
-    pub fn view(&mut self, views: MembershipSync) {
-        self.membership_sync = Some(views);
+    /// Members are exchanged from now on.
+    pub fn set_membership_sync(&mut self, membership_sync: MembershipSync) {
+        self.membership_sync = Some(membership_sync);
     }
 
-    /// This process speaks for the proxy in the fleet, or another does.
-    pub fn speak(&mut self, registry: &Registry, speaks: bool) {
-        self.membership_sync.iter_mut().for_each(|views| views.speak(registry, speaks));
+    /// This process represents the proxy in the fleet, or another does.
+    pub fn set_active(&mut self, registry: &Registry, active: bool) {
+        if let Some(sync) = &mut self.membership_sync {
+            sync.set_active(registry, active);
+        }
     }
 
-    /// The start need not wait any more.
-    pub fn ready(&self) -> bool {
-        self.state_transfer.as_ref().is_none_or(|lessons| lessons.joiner.is_startup_complete())
+    /// The start need not wait for other proxies' state any longer.
+    pub fn is_startup_complete(&self) -> bool {
+        self.state_transfer.as_ref().is_none_or(|transfer| transfer.requests.is_startup_complete())
     }
 
+    /// A listener has connections.
     pub fn accept_ready(&mut self, source: Source) {
         match source {
-            Source::ViewListener => self.membership_sync.iter_mut().for_each(|v| v.waiting = true),
-            _ => self.state_transfer.iter_mut().for_each(|l| l.waiting = true),
+            Source::ViewListener => {
+                self.membership_sync.iter_mut().for_each(|sync| sync.accept_pending = true);
+            }
+            _ => self.state_transfer.iter_mut().for_each(|transfer| transfer.accept_pending = true),
         }
     }
 
-    /// What is due: links to be accepted, donors to be asked, links that have had their time.
+    /// Does what is due: closes links that have timed out, accepts connections, sends requests.
     pub fn step(&mut self, context: &mut EventLoopContext) {
-        let old: Vec<usize> =
-            self.slots.iter().filter(|(_, l)| context.now - l.since >= LIFE).map(|(key, _)| key).collect();
-        old.into_iter().for_each(|key| self.end(context, key, Next::Over("silent")));
+        self.close_timed_out_links(context);
         self.accept(context);
-        let mut next = context.now + 1_000_000;
-        let asked = self
-            .state_transfer
-            .iter_mut()
-            .flat_map(|l| l.joiner.due_requests(context.now))
-            .collect::<Vec<_>>();
-        for donor in asked {
-            let ends = |machine| Ends::Asks { machine, donor: donor.clone(), asked_at: context.now };
-            let Some(lessons) = &self.state_transfer else { break };
-            let asks = lessons.ask(&donor).map(|(stream, peer, machine)| (stream, peer, ends(machine)));
-            if let Err(why) = asks.and_then(|(stream, peer, ends)| self.link(context, stream, peer, ends)) {
-                self.state_transfer
-                    .iter_mut()
-                    .for_each(|l| l.joiner.record_outcome(context.now, &donor, RequestOutcome::Failed));
-                info!(conn = "knowledge", peer = donor, reason = why);
+        self.send_due_requests(context);
+        let next_step = context.now + MAX_STEP_INTERVAL;
+        let next_request = self.state_transfer.as_ref().map(|t| t.requests.next_change(context.now));
+        context.timers.set(next_request.map_or(next_step, |at| at.min(next_step)), TimerEvent::Gossip);
+    }
+
+    fn close_timed_out_links(&mut self, context: &mut EventLoopContext) {
+        let is_timed_out = |link: &PeerLink| context.now - link.opened_at >= LINK_TIMEOUT;
+        let timed_out: Vec<usize> =
+            self.links.iter().filter(|(_, link)| is_timed_out(link)).map(|(key, _)| key).collect();
+        timed_out.into_iter().for_each(|key| self.close_link(context, key, CloseReason::Unresponsive));
+    }
+
+    fn send_due_requests(&mut self, context: &mut EventLoopContext) {
+        let Some(transfer) = &mut self.state_transfer else { return };
+        for provider in transfer.requests.due_requests(context.now) {
+            if let Err(reason) = self.send_request(context, &provider) {
+                if let Some(transfer) = &mut self.state_transfer {
+                    transfer.requests.record_outcome(context.now, &provider, RequestOutcome::Failed);
+                }
+                info!(conn = "peer-state", peer = provider, %reason);
             }
         }
-        if let Some(lessons) = &self.state_transfer {
-            next = next.min(lessons.joiner.next_change(context.now));
-        }
-        context.timers.set(next, TimerEvent::Gossip);
     }
 
-    /// How much this process has to do for its clients.
-    pub fn pressed(&mut self, pressure: f64) {
-        self.state_transfer.iter_mut().for_each(|lessons| lessons.donor.set_load(pressure));
+    fn send_request(&mut self, context: &mut EventLoopContext, provider: &str) -> Result<(), LinkError> {
+        let Some(transfer) = &self.state_transfer else { return Ok(()) };
+        let (stream, peer, requester) = transfer.connect(provider)?;
+        let requested_at = context.now;
+        let role = LinkRole::RequestsState { requester, provider: provider.into(), requested_at };
+        self.open_link(context, stream, peer, role)
     }
 
-    /// All that is known of the fleet is to be exchanged with a member.
-    pub fn exchange(&mut self, context: &mut EventLoopContext, peer: SocketAddr) {
-        let Some(views) = &self.membership_sync else { return };
-        let linked = views.ask(peer).and_then(|(stream, machine)| {
-            let ends = Ends::View(machine);
-            self.link(context, stream, peer, ends)
+    /// How busy this process is with its clients, 0 to 1.
+    pub fn set_load(&mut self, load: f64) {
+        if let Some(transfer) = &mut self.state_transfer {
+            transfer.provider.set_load(load);
+        }
+    }
+
+    /// Begins a full exchange with a member.
+    pub fn begin_exchange(&mut self, context: &mut EventLoopContext, peer: SocketAddr) {
+        let Some(sync) = &self.membership_sync else { return };
+        let opened = sync.connect(peer).and_then(|(stream, exchange)| {
+            self.open_link(context, stream, peer, LinkRole::ExchangesMembers(exchange))
         });
-        if let Err(reason) = linked {
-            info!(conn = "fleet", %peer, reason);
+        if let Err(reason) = opened {
+            info!(conn = "fleet", %peer, %reason);
         }
     }
 
-    fn link(
+    fn open_link(
         &mut self,
         context: &mut EventLoopContext,
         mut stream: TcpStream,
         peer: SocketAddr,
-        ends: Ends,
-    ) -> Result<(), &'static str> {
-        let alike = |l: &Link| matches!((&l.ends, &ends), (Ends::View(_), Ends::View(_)));
-        let views = self.slots.iter().filter(|(_, l)| alike(l)).count();
-        if self.slots.len() >= MOST || views >= membership_sync::MOST {
-            return Err("full");
+        role: LinkRole,
+    ) -> Result<(), LinkError> {
+        let is_exchange = |role: &LinkRole| matches!(role, LinkRole::ExchangesMembers(_));
+        let exchanges = self.links.iter().filter(|(_, link)| is_exchange(&link.role)).count();
+        let too_many_exchanges = is_exchange(&role) && exchanges >= membership_sync::MAX_EXCHANGES;
+        if self.links.len() >= MAX_LINKS || too_many_exchanges {
+            return Err(LinkError::ConnectionLimit);
         }
         let _ = stream.set_nodelay(true);
-        let slot = self.slots.vacant_entry();
-        let wanted = Interest::READABLE | Interest::WRITABLE;
+        let slot = self.links.vacant_entry();
+        let interest = Interest::READABLE | Interest::WRITABLE;
         let token = Source::Gossip(slot.key()).token();
-        context.registry.register(&mut stream, token, wanted).map_err(|_| "no-socket")?;
-        self.serial += 1;
-        slot.insert(Link { stream, ends, peer, serial: self.serial, since: context.now });
+        context.registry.register(&mut stream, token, interest).map_err(|_| LinkError::NoSocket)?;
+        self.last_serial += 1;
+        slot.insert(PeerLink { stream, role, peer, serial: self.last_serial, opened_at: context.now });
         Ok(())
     }
 
     fn accept(&mut self, context: &mut EventLoopContext) {
-        for _ in 0..TURN {
-            let lessons = self.state_transfer.as_mut().and_then(StateTransfer::accept);
-            let views = self.membership_sync.as_mut().and_then(MembershipSync::accept);
-            if lessons.is_none() && views.is_none() {
+        for _ in 0..ACCEPTS_PER_TURN {
+            let request = self.state_transfer.as_mut().and_then(StateTransfer::accept);
+            let exchange = self.membership_sync.as_mut().and_then(MembershipSync::accept);
+            if request.is_none() && exchange.is_none() {
                 return;
             }
-            let told = lessons.map(|(s, peer, machine)| (s, peer, Ends::Tells { machine, serving: false }));
-            let viewed = views.map(|(s, peer, machine)| (s, peer, Ends::View(machine)));
-            for (stream, peer, ends) in told.into_iter().chain(viewed) {
-                let conn = if matches!(ends, Ends::View(_)) { "fleet" } else { "knowledge" };
-                if let Err(reason) = self.link(context, stream, peer, ends) {
-                    info!(conn, %peer, reason);
+            let request = request.map(|(stream, peer, sender)| {
+                (stream, peer, LinkRole::SendsState { sender, admitted: false })
+            });
+            let exchange =
+                exchange.map(|(stream, peer, exchange)| (stream, peer, LinkRole::ExchangesMembers(exchange)));
+            for (stream, peer, role) in request.into_iter().chain(exchange) {
+                let conn = role.connection_kind();
+                if let Err(reason) = self.open_link(context, stream, peer, role) {
+                    info!(conn, %peer, %reason);
                 }
             }
         }
     }
 
-    /// A link's budget has come.
-    pub fn go_on(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
-        if self.slots.get(key).is_some_and(|l| l.serial == serial) {
-            self.ready_link(context, key);
+    /// The send budget allows a link's next part, or the link has ended.
+    pub fn continue_sending(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
+        if self.links.get(key).is_some_and(|link| link.serial == serial) {
+            self.process_link(context, key);
         }
     }
 
-    fn end(&mut self, context: &mut EventLoopContext, key: usize, how: Next) {
-        let mut link = self.slots.remove(key);
+    fn close_link(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
+        let mut link = self.links.remove(key);
         let _ = context.registry.deregister(&mut link.stream);
-        let whole = matches!(how, Next::Over("told" | "heard"));
-        if let Some(lessons) = &mut self.state_transfer {
-            match &link.ends {
-                Ends::Asks { donor, .. } if !whole => {
-                    lessons.joiner.record_outcome(context.now, donor, RequestOutcome::Failed)
+        let is_complete = reason.is_complete();
+        if let Some(transfer) = &mut self.state_transfer {
+            match &link.role {
+                LinkRole::RequestsState { provider, .. } if !is_complete => {
+                    transfer.requests.record_outcome(context.now, provider, RequestOutcome::Failed);
                 }
-                Ends::Tells { serving: true, .. } => lessons.donor.finish(whole),
+                LinkRole::SendsState { admitted: true, .. } => transfer.provider.finish(is_complete),
                 _ => {}
             }
         }
-        let conn = if matches!(link.ends, Ends::View(_)) { "fleet" } else { "knowledge" };
-        match how {
-            Next::Refused(reason) => {
-                warn!(conn, peer = %link.peer, reason = %crate::log::Quoted(reason))
-            }
-            Next::Over(reason) => info!(conn, peer = %link.peer, reason),
-            Next::Waits => {}
+        let conn = link.role.connection_kind();
+        if reason.is_rejection() {
+            warn!(conn, peer = %link.peer, reason = %crate::log::Quoted(reason));
+        } else {
+            info!(conn, peer = %link.peer, %reason);
         }
     }
 }
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -1,102 +1,79 @@
-//! What passes on a link: a donor's parts into what is known, and what is known to an asker, within the donor's budget.
+//! The steps of a state transfer: a provider's parts are merged into this proxy's state, and a requester is sent this proxy's
+//! state within the provider's budget.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::stream;
 use super::super::timer_events::TimerEvent;
+use super::close_reason::{CloseReason, LinkStep};
 use super::state_transfer::StateTransfer;
 use birchreach::Micros;
 use birchreach_peer_state::provider::Admission;
 use birchreach_peer_state::request_scheduler::RequestOutcome;
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
-use mio::net::TcpStream;
 
-/// What is read at once.
-const PIECE: usize = 16 << 10;
-/// What a part is taken for in the budget before its length is known.
-const PART: usize = 16 << 10;
+/// What a part takes from the send budget before its length is known.
+const PART_BUDGET_BYTES: usize = 16 << 10;
 
-/// How a link went on.
-pub(super) enum Next {
-    Waits,
-    Over(&'static str),
-    Refused(String),
+/// A link's slot, and the serial that tells it from an earlier link there.
+#[derive(Clone, Copy)]
+pub(super) struct LinkId {
+    pub(super) key: usize,
+    pub(super) serial: u64,
 }
 
-/// What a donor says.
-pub(super) fn listen(
+/// Processes what a provider has sent.
+pub(super) fn receive_state(
     context: &mut EventLoopContext,
-    machine: &mut StateRequester,
-    donor: &str,
-    asked_at: Micros,
-    lessons: &mut StateTransfer,
-) -> Next {
+    requester: &mut StateRequester,
+    provider: &str,
+    requested_at: Micros,
+    transfer: &mut StateTransfer,
+) -> LinkStep {
     loop {
-        match machine.next_event() {
-            Ok(None) => return Next::Waits,
-            Ok(Some(TransferEvent::Part(told))) => {
-                // The decisions hear of positions; who is said to be a primary is asked.
-                let learnt = lessons.peer_knowledge.borrow_mut().hear(context.now, asked_at, &told);
-                for (uid, report) in learnt.reports {
-                    context.core.record_remote_position(context.now, &uid, report);
+        let outcome = match requester.next_event() {
+            Ok(None) => return LinkStep::Continue,
+            Ok(Some(TransferEvent::Part(part))) => {
+                let advice =
+                    transfer.peer_state.borrow_mut().apply_transfer(context.now, requested_at, &part);
+                for position in advice.positions {
+                    context.core.record_remote_position(context.now, &position.uid, position.report);
                 }
-                learnt.ask.iter().for_each(|uid| context.core.check_role(context.now, uid));
+                advice.primary_candidates.iter().for_each(|uid| context.core.check_role(context.now, uid));
+                continue;
             }
-            Ok(Some(TransferEvent::Complete(named))) => {
-                lessons.joiner.record_outcome(context.now, donor, RequestOutcome::Complete(named));
-                return Next::Over("heard");
-            }
-            Ok(Some(TransferEvent::Busy(wait))) => {
-                lessons.joiner.record_outcome(context.now, donor, RequestOutcome::Busy(wait));
-                return Next::Over("heard");
-            }
-            Err(refused) => return Next::Refused(refused.to_string()),
-        }
+            Ok(Some(TransferEvent::Complete(providers))) => RequestOutcome::Complete(providers),
+            Ok(Some(TransferEvent::Busy(retry_after))) => RequestOutcome::Busy(retry_after),
+            Err(error) => return LinkStep::Close(CloseReason::Frame(error)),
+        };
+        transfer.requests.record_outcome(context.now, provider, outcome);
+        return LinkStep::Close(CloseReason::Received);
     }
 }
 
-/// What an asker is told.
-pub(super) fn tell(
+/// Answers a requester, if it has sent its request, and puts the next part into the output where the budget allows it.
+pub(super) fn answer_request(
     context: &mut EventLoopContext,
-    machine: &mut StateSender,
-    serving: &mut bool,
-    lessons: &mut StateTransfer,
-    (key, serial): (usize, u64),
-) -> Next {
-    match machine.receive_request() {
-        Err(refused) => return Next::Refused(refused.to_string()),
+    sender: &mut StateSender,
+    admitted: &mut bool,
+    transfer: &mut StateTransfer,
+    link: LinkId,
+) -> LinkStep {
+    match sender.receive_request() {
+        Err(error) => return LinkStep::Close(CloseReason::Frame(error)),
         Ok(false) => {}
-        Ok(true) => match lessons.donor.admit(context.now) {
-            Admission::Busy(wait) => machine.send_busy(wait),
+        Ok(true) => match transfer.provider.admit(context.now) {
+            Admission::Busy(retry_after) => sender.send_busy(retry_after),
             Admission::Serve => {
-                *serving = true;
-                machine.start_sending(
-                    lessons.peer_knowledge.borrow().knowledge.export_facts(context.now),
-                    &lessons.named,
-                );
+                *admitted = true;
+                let state = transfer.peer_state.borrow();
+                sender.start_sending(state.state.export_facts(context.now), &transfer.named_providers);
             }
         },
     }
-    if machine.is_sending() && machine.output.is_empty() {
-        match lessons.donor.take_send_budget(context.now, PART) {
-            Ok(()) => drop(machine.send_next_part()),
-            Err(at) => context.timers.set(at, TimerEvent::GossipSend(key, serial)),
+    if sender.is_sending() && sender.output.is_empty() {
+        match transfer.provider.take_send_budget(context.now, PART_BUDGET_BYTES) {
+            Ok(()) => drop(sender.send_next_part()),
+            Err(at) => context.timers.set(at, TimerEvent::GossipSend(link.key, link.serial)),
         }
     }
-    Next::Waits
-}
-
-/// Reads what there is, a piece at once.
-pub(super) fn take(
-    stream: &mut TcpStream,
-    context: &mut EventLoopContext,
-    mut feed: impl FnMut(&[u8]),
-) -> Result<bool, stream::Ended> {
-    if stream.peer_addr().is_err() {
-        return Ok(true);
-    }
-    let most = PIECE.min(context.scratch.len());
-    stream::read(stream, &mut context.scratch[..most], |bytes| {
-        feed(bytes);
-        true
-    })
+    LinkStep::Continue
 }
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -1,73 +1,78 @@
-//! Links over which knowledge of databases travels: their listener, and whom this process asks.
+//! State transfer with other proxies: the listener for their requests, and this proxy's own requests.
 
 use super::super::sources::Source;
-use super::listen;
+use super::close_reason::LinkError;
+use super::listener::listen;
 use super::nonce::nonce;
 use crate::observe::Shared;
-use crate::peer_knowledge::PeerKnowledge;
+use crate::peer_state::PeerStateObserver;
 use birchreach::Micros;
 use birchreach_peer_state::frame::Keys;
 use birchreach_peer_state::provider::StateProvider;
-use birchreach_peer_state::request_scheduler::{self, RequestScheduler};
+use birchreach_peer_state::request_scheduler::{RequestScheduler, RequestSettings};
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender};
 use mio::Registry;
 use mio::net::{TcpListener, TcpStream};
 use std::net::SocketAddr;
 use tracing::info;
 
+/// This proxy's state, its requests to others, and its answers to theirs.
 pub struct StateTransfer {
     listener: Option<TcpListener>,
     keys: Keys,
-    /// What is known, which listens to the core.
-    pub(super) peer_knowledge: Shared<PeerKnowledge>,
-    pub(super) joiner: RequestScheduler,
-    pub(super) donor: StateProvider,
-    /// Whom askers are told of besides.
-    pub(super) named: Vec<String>,
-    pub(super) waiting: bool,
+    /// Observes the core too.
+    pub(super) peer_state: Shared<PeerStateObserver>,
+    pub(super) requests: RequestScheduler,
+    pub(super) provider: StateProvider,
+    /// Other providers that an answer names.
+    pub(super) named_providers: Vec<String>,
+    /// The listener may have connections.
+    pub(super) accept_pending: bool,
 }
 
 impl StateTransfer {
+    /// Opens the listener, if the options name one.
     pub fn new(
         registry: &Registry,
         options: &birchreach_options::PeerStateOptions,
         keys: Keys,
-        peer_knowledge: Shared<PeerKnowledge>,
+        peer_state: Shared<PeerStateObserver>,
         seed: u64,
         now: Micros,
     ) -> Result<StateTransfer, String> {
-        let open = |at| listen(registry, at, Source::GossipListener, "knowledge");
+        let open = |address| listen(registry, address, Source::GossipListener, "knowledge");
         let listener = options.listen.map(open).transpose()?;
-        if let Some(at) = listener.as_ref().and_then(|l| l.local_addr().ok()) {
-            info!(event = "knowledge-listening", %at);
+        if let Some(at) = listener.as_ref().and_then(|listener| listener.local_addr().ok()) {
+            info!(event = "peer-state-listening", %at);
         }
-        let join = request_scheduler::RequestSettings { seed, ..options.requests.clone() };
+        let requests = RequestSettings { seed, ..options.requests.clone() };
         Ok(StateTransfer {
             listener,
             keys,
-            peer_knowledge,
-            named: join.providers.clone(),
-            joiner: RequestScheduler::new(join, now),
-            donor: StateProvider::new(options.provider.clone(), now),
-            waiting: true,
+            peer_state,
+            named_providers: requests.providers.clone(),
+            requests: RequestScheduler::new(requests, now),
+            provider: StateProvider::new(options.provider.clone(), now),
+            accept_pending: true,
         })
     }
 
-    pub(super) fn ask(
+    /// Begins a connection to a provider.
+    pub(super) fn connect(
         &self,
-        donor: &str,
-    ) -> Result<(TcpStream, SocketAddr, Box<StateRequester>), &'static str> {
-        let peer: SocketAddr = donor.parse().map_err(|_| "no-address")?;
+        provider: &str,
+    ) -> Result<(TcpStream, SocketAddr, Box<StateRequester>), LinkError> {
+        let peer: SocketAddr = provider.parse().map_err(|_| LinkError::InvalidAddress)?;
         let nonce = nonce()?;
-        let stream = TcpStream::connect(peer).map_err(|_| "refused")?;
+        let stream = TcpStream::connect(peer).map_err(|_| LinkError::Refused)?;
         Ok((stream, peer, Box::new(StateRequester::new(self.keys.clone(), nonce))))
     }
 
-    /// The next that wants to ask, if one waits.
+    /// The next connection of a requester, if one waits.
     pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<StateSender>)> {
-        let listener = self.listener.as_ref().filter(|_| self.waiting)?;
+        let listener = self.listener.as_ref().filter(|_| self.accept_pending)?;
         let Ok((stream, peer)) = listener.accept() else {
-            self.waiting = false;
+            self.accept_pending = false;
             return None;
         };
         Some((stream, peer, Box::new(StateSender::new(self.keys.clone(), nonce().ok()?))))
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -32,7 +32,7 @@
 use crate::core::Core;
 use crate::discovery::EndpointUpdate;
 use crate::observe::shared;
-use crate::peer_knowledge::PeerKnowledge;
+use crate::peer_state::PeerStateObserver;
 use admin::AdminListener;
 use background::Background;
 use balancers::Balancers;
@@ -187,7 +187,7 @@
     /// Follows each call of gossip: clients wait while it still learns, and what the core now commands is carried out.
     fn after_gossip(&mut self) {
         let Some(gossip) = &self.gossip else { return };
-        self.clients.set_awaiting_peer_state(!gossip.ready());
+        self.clients.set_awaiting_peer_state(!gossip.is_startup_complete());
         self.carry_out();
     }
 
@@ -199,17 +199,17 @@
         // Each process observes for itself: what its predecessor observed reaches it at second hand.
         let mut observer = [0; 8];
         getrandom::fill(&mut observer).map_err(|e| format!("no random numbers: {e}"))?;
-        let peer_knowledge = shared(PeerKnowledge::new(u64::from_be_bytes(observer)));
-        self.context.core.subscribe(self.context.now, peer_knowledge.clone());
+        let peer_state = shared(PeerStateObserver::new(u64::from_be_bytes(observer)));
+        self.context.core.subscribe(self.context.now, peer_state.clone());
         let state_transfer = StateTransfer::new(
             &self.context.registry,
             options,
             keys.clone(),
-            peer_knowledge,
+            peer_state,
             self.config.seed,
             self.context.now,
         )?;
-        self.gossip.get_or_insert_default().learn(state_transfer);
+        self.gossip.get_or_insert_default().set_state_transfer(state_transfer);
         Ok(())
     }
 }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -81,7 +81,7 @@
             }
             Source::Gossip(key) => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.ready_link(&mut self.context, key);
+                    gossip.process_link(&mut self.context, key);
                     self.after_gossip();
                 }
             }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -34,7 +34,7 @@
             TimerEvent::Gossip => self.step_gossip(),
             TimerEvent::GossipSend(key, serial) => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.go_on(context, key, serial);
+                    gossip.continue_sending(context, key, serial);
                     self.after_gossip();
                 }
             }
@@ -63,7 +63,7 @@
         let (_, for_databases) = self.connection_limits();
         let pressure = self.context.core.attempts_in_flight() as f64 / for_databases.max(1) as f64;
         if let Some(gossip) = &mut self.gossip {
-            gossip.pressed(pressure);
+            gossip.set_load(pressure);
             self.after_gossip();
         }
         self.reopen_check_listeners();
--- /dev/null
+++ b/proxy/src/peer_state/tests.rs
@@ -0,0 +1,56 @@
+//! What the decisions learn from another proxy's state.
+
+use super::{PeerAdvice, PeerStateObserver, RemotePosition};
+use birchreach::{LoadReport, Micros};
+use birchreach_peer_state::{ObservationSource, Role, ServerIncarnation, TransferPart};
+
+const SECOND: Micros = 1_000_000;
+
+/// An observer whose endpoint list has a primary `p` and a replica `r`.
+fn observer(id: u64) -> PeerStateObserver {
+    let mut observer = PeerStateObserver::new(id);
+    for uid in ["p", "r"] {
+        observer.state.add_listed_server(uid, ServerIncarnation { started_ms: 0, group: 0 });
+    }
+    observer
+}
+
+/// One that observed the primary, and the replica's position, at 10 s.
+fn provider() -> PeerStateObserver {
+    let mut provider = observer(1);
+    provider.state.record_role(10 * SECOND, "p", Role::Primary, ObservationSource::ServedWrite);
+    provider.state.record_position(10 * SECOND, "r", 9_900_000, 100_000, ObservationSource::ServerStatus);
+    provider
+}
+
+/// Transfers the provider's state without delay.
+fn transfer(provider: &PeerStateObserver, receiver: &mut PeerStateObserver, now: Micros) -> PeerAdvice {
+    let part = TransferPart { servers: provider.state.export_facts(now).collect() };
+    receiver.apply_transfer(now, now, &part)
+}
+
+#[test]
+fn a_recent_position_is_passed_on_once_and_the_primary_is_to_be_asked() {
+    let (provider, mut receiver) = (provider(), observer(2));
+    let first = transfer(&provider, &mut receiver, 11 * SECOND);
+    let report = LoadReport { position: Some(9_900_000), role: None };
+    assert_eq!(first.positions, [RemotePosition { uid: "r".into(), report }]);
+    assert_eq!(first.primary_candidates, ["p"]);
+    let second = transfer(&provider, &mut receiver, 11_100_000);
+    assert!(second.positions.is_empty(), "the decisions have it");
+}
+
+#[test]
+fn a_primary_that_this_proxy_observed_itself_is_not_asked() {
+    let (provider, mut receiver) = (provider(), observer(2));
+    transfer(&provider, &mut receiver, 11 * SECOND);
+    receiver.state.record_role(11_200_000, "p", Role::Primary, ObservationSource::ServerStatus);
+    assert!(transfer(&provider, &mut receiver, 11_300_000).primary_candidates.is_empty());
+}
+
+#[test]
+fn state_that_is_a_minute_old_has_no_effect() {
+    let (provider, mut receiver) = (provider(), observer(3));
+    let advice = transfer(&provider, &mut receiver, 70 * SECOND);
+    assert!(advice.positions.is_empty() && advice.primary_candidates.is_empty());
+}
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -44,7 +44,7 @@
     settle("stop", 4, &all[..4].iter().collect::<Vec<_>>());
     all[4].signal("CONT");
     settle("go on", 5, &all.iter().collect::<Vec<_>>());
-    all[4].line(&["event=fleet-renewed"]).expect("it was held for gone");
+    all[4].line(&["event=fleet-epoch-renewed"]).expect("it was held for gone");
     // One is killed and starts anew under its name, with an empty memory.
     let (before, pids) = (views(&all), of(&all, 0..5));
     all[1].signal("KILL");
@@ -115,7 +115,7 @@
     assert_eq!(predecessor.ended(), Some(0));
     settle("and on", 3, &[&successor, &one, &two]);
     assert!(
-        [&one, &two].iter().all(|p| !p.log().iter().any(|l| l.contains("event=fleet-twins"))),
+        [&one, &two].iter().all(|p| !p.log().iter().any(|l| l.contains("event=fleet-name-conflict"))),
         "nobody saw two"
     );
 }
@@ -128,6 +128,6 @@
     let schedule = Schedule::draw(3, 4, 6, Duration::from_secs(5));
     schedule.play(&fleet, &mut all).unwrap();
     schedule.mend(&fleet, &mut all, 2 * PATIENCE).unwrap();
-    let links = |p: &Process| p.log().iter().any(|l| l.contains("conn=fleet") && l.contains("reason=heard"));
+    let links = |p: &Process| p.log().iter().any(|l| l.contains("conn=fleet") && l.contains("reason=received"));
     assert!(all.iter().flatten().any(links), "nobody has told another all that it knows");
 }
--- a/proxy/tests/knowledge.rs
+++ b/proxy/tests/knowledge.rs
@@ -56,12 +56,12 @@
     work(&donor);
     // The key is changing: the newcomer has the old one still.
     let newcomer = rig.start(2, Some(&options(b, &[a], &two)), None).unwrap();
-    newcomer.line(&["conn=knowledge", "reason=heard"]).expect("it hears");
-    donor.line(&["conn=knowledge", "reason=told"]).expect("and is told");
+    newcomer.line(&["conn=peer-state", "reason=received"]).expect("it hears");
+    donor.line(&["conn=peer-state", "reason=sent"]).expect("and is told");
     work(&newcomer);
     let late = rig.start(3, Some(&options(c, &[b], &one)), None).unwrap();
     // The donor speaks with a key that this one lacks; it learns nothing, and serves all the same.
-    late.line(&["conn=knowledge", "unknown-key"]).expect("refused");
+    late.line(&["conn=peer-state", "unknown-key"]).expect("refused");
     work(&late);
     // Other donors wait for a restart, and the log says so, each time.
     for _ in 0..2 {
@@ -79,9 +79,9 @@
     let donor = rig.start(1, Some(&options(a, &[], &one)), None).unwrap();
     work(&donor);
     let stranger = rig.start(2, Some(&options(b, &[a], &other)), None).unwrap();
-    donor.line(&["conn=knowledge", "wrong-code"]).expect("the donor refuses it");
-    stranger.line(&["conn=knowledge", "reason="]).expect("and it hears nothing");
-    assert!(!stranger.log().iter().any(|l| l.contains("reason=heard")));
+    donor.line(&["conn=peer-state", "wrong-code"]).expect("the donor refuses it");
+    stranger.line(&["conn=peer-state", "reason="]).expect("and it hears nothing");
+    assert!(!stranger.log().iter().any(|l| l.contains("reason=received")));
     work(&stranger);
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"bk\x09\x01 and what else there may be", &[b'b'; 100_000]]
     {
@@ -91,8 +91,8 @@
         // It may have said hello, and then ends.
         let _ = stream.read_to_end(&mut Vec::new());
     }
-    donor.line(&["conn=knowledge", "no-frame"]).unwrap();
-    donor.line(&["conn=knowledge", "version-9"]).unwrap();
+    donor.line(&["conn=peer-state", "no-frame"]).unwrap();
+    donor.line(&["conn=peer-state", "version-9"]).unwrap();
     work(&donor);
 }
 
@@ -109,7 +109,7 @@
     // A donor killed in the middle of things, and one that comes later.
     let donor = rig.start(2, Some(&options(dead, &[], &one)), None).unwrap();
     work(&donor);
-    newcomer.line(&["conn=knowledge", "reason=heard"]).expect("it is asked again");
+    newcomer.line(&["conn=peer-state", "reason=received"]).expect("it is asked again");
     drop(donor);
     std::thread::sleep(Duration::from_millis(300));
     work(&newcomer);
