--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -1,7 +1,8 @@
-//! What operators are shown of the fleet: the view in lines, and its figures as metrics. It owns the words; what is so is the fleet
-//! crate's to say.
+//! What operators see of the fleet: the answer to `fleet`, a line for the whole and one for each other member, and the figures in
+//! the answer to `metrics`. Both formats are public and stay as they are.
 
-use birchreach_membership::{Membership, Micros, ViewState};
+use birchreach_membership::{Membership, Micros, PayloadError, ViewState};
+use birchreach_peer_state::datagram::DatagramError;
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -10,35 +11,60 @@
 use prometheus_client::registry::Registry;
 use std::fmt::Write;
 
+/// The direction of a datagram. The names are the label's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Way {
+pub enum Direction {
     Sent,
+    /// Received and accepted.
     Taken,
 }
 
+/// The label of figures by direction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct ByWay {
-    pub way: Way,
+struct DirectionLabel {
+    way: Direction,
 }
 
+/// The label of figures by reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct ByReason {
-    pub reason: &'static str,
+struct ReasonLabel {
+    reason: &'static str,
 }
 
-/// Each figure is named once, here.
+/// Why a datagram counts as dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DropReason {
+    /// It could not be opened.
+    Datagram(DatagramError),
+    /// Its payload was rejected.
+    Payload(PayloadError),
+    /// The system did not send it.
+    Unsent,
+}
+
+impl DropReason {
+    fn as_str(self) -> &'static str {
+        match self {
+            DropReason::Datagram(error) => error.as_str(),
+            DropReason::Payload(error) => error.as_str(),
+            DropReason::Unsent => "unsent",
+        }
+    }
+}
+
+/// The figures of the fleet.
 pub struct Metrics {
     registry: Registry,
-    pub datagrams: Family<ByWay, Counter>,
-    pub bytes: Family<ByWay, Counter>,
-    pub dropped: Family<ByReason, Counter>,
+    datagrams: Family<DirectionLabel, Counter>,
+    bytes: Family<DirectionLabel, Counter>,
+    dropped: Family<ReasonLabel, Counter>,
     members: Gauge,
     settled: Gauge,
 }
 
 impl Metrics {
     pub fn new() -> Metrics {
-        let mut m = Metrics {
+        let mut metrics = Metrics {
             registry: Registry::with_prefix("birchreach_fleet"),
             datagrams: Family::default(),
             bytes: Family::default(),
@@ -46,57 +72,63 @@
             members: Gauge::default(),
             settled: Gauge::default(),
         };
-        let r = &mut m.registry;
-        r.register("datagrams", "Datagrams to and from other proxies", m.datagrams.clone());
-        r.register("bytes", "Bytes of these datagrams, as they were sent or taken", m.bytes.clone());
-        r.register(
+        let registry = &mut metrics.registry;
+        registry.register("datagrams", "Datagrams to and from other proxies", metrics.datagrams.clone());
+        registry.register(
+            "bytes",
+            "Bytes of these datagrams, as they were sent or taken",
+            metrics.bytes.clone(),
+        );
+        registry.register(
             "dropped",
             "Datagrams that were not taken, and parts of the view not sent",
-            m.dropped.clone(),
+            metrics.dropped.clone(),
         );
-        r.register("members", "Processes that are there, this one too", m.members.clone());
-        r.register(
+        registry.register("members", "Processes that are there, this one too", metrics.members.clone());
+        registry.register(
             "settled",
             "1 while the view is settled, 0 while it moves or this process is blind",
-            m.settled.clone(),
+            metrics.settled.clone(),
         );
-        m
+        metrics
     }
 
-    pub fn count(&self, way: Way, bytes: usize) {
-        self.datagrams.get_or_create(&ByWay { way }).inc();
-        self.bytes.get_or_create(&ByWay { way }).inc_by(bytes as u64);
+    pub fn count_datagram(&self, way: Direction, bytes: usize) {
+        self.datagrams.get_or_create(&DirectionLabel { way }).inc();
+        self.bytes.get_or_create(&DirectionLabel { way }).inc_by(bytes as u64);
     }
 
-    pub fn drop(&self, reason: &'static str) {
-        self.dropped.get_or_create(&ByReason { reason }).inc();
+    pub fn count_dropped(&self, reason: DropReason) {
+        self.dropped.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
 
-    /// All of it in the text form, without the line that ends it.
-    pub fn text(&self, fleet: &Membership) -> String {
-        let view = fleet.view();
+    /// All figures in the text format, without its last line.
+    pub fn text(&self, membership: &Membership) -> String {
+        let view = membership.view();
         self.members.set(i64::try_from(view.members).unwrap_or(i64::MAX));
         self.settled.set(i64::from(matches!(view.state, ViewState::Settled { .. })));
         let mut text = String::new();
+        // Writing to a string does not fail.
         let _ = encode_registry(&mut text, &self.registry);
         text
     }
 }
 
-/// The view, a line for the whole and one for each other member.
-pub fn lines(fleet: &Membership, now: Micros) -> String {
-    let view = fleet.view();
-    let own = fleet.own();
-    let since = match view.state {
+/// The answer to `fleet`.
+pub fn report(membership: &Membership, now: Micros) -> String {
+    let view = membership.view();
+    let own = membership.own();
+    let for_ms = match view.state {
         ViewState::Settled { since } | ViewState::Blind { since } => {
             format!(" for_ms={}", (now - since) / 1_000)
         }
         ViewState::Changing | ViewState::Alone => String::new(),
     };
-    let mut out = String::new();
+    let mut text = String::new();
+    // Writing to a string does not fail.
     let _ = writeln!(
-        out,
-        "fleet state={}{since} members={} named={} divisor={} digest={:016x} name={} boot={:016x} epoch={}",
+        text,
+        "fleet state={}{for_ms} members={} named={} divisor={} digest={:016x} name={} boot={:016x} epoch={}",
         view.state.as_str(),
         view.members,
         view.configured_members,
@@ -107,14 +139,14 @@
         own.epoch
     );
     for name in &view.name_conflicts {
-        let _ = writeln!(out, "twins name={name}");
+        let _ = writeln!(text, "twins name={name}");
     }
-    for m in fleet.members() {
+    for member in membership.members() {
         let _ = writeln!(
-            out,
+            text,
             "member name={} at={} boot={:016x} epoch={}",
-            m.name, m.address, m.incarnation, m.epoch
+            member.name, member.address, member.incarnation, member.epoch
         );
     }
-    out
+    text
 }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -36,19 +36,25 @@
     /// Switches on what the options say, and off what they do not say any more.
     pub(in crate::net) fn start_background(&mut self) {
         let options = self.config.options.hot.clone();
-        let (Some(fellows), Some(keys)) = (&self.fleet, &self.config.fleet_keys) else { return };
-        let (boot, named, divisor) =
-            (fellows.boot(), fellows.view().configured_members, fellows.view().divisor());
-        let mut background =
-            self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.context.now)));
+        let (Some(fleet), Some(keys)) = (&self.fleet, &self.config.fleet_keys) else { return };
+        let (incarnation, named, divisor) =
+            (fleet.incarnation(), fleet.view().configured_members, fleet.view().divisor());
+        let mut background = self
+            .background
+            .take()
+            .unwrap_or_else(|| Box::new(Background::new(incarnation, self.context.now)));
         match (&options, background.hot.clone()) {
             (Some(options), Some(watch)) => {
                 watch.borrow_mut().hot.set(settings(options, named, &self.context.core.consistencies()));
             }
             (Some(options), None) => {
                 let settings = settings(options, named, &self.context.core.consistencies());
-                let watch =
-                    shared(Watch::new(settings, boot, keys.name_hasher(b"hot keys"), self.context.now));
+                let watch = shared(Watch::new(
+                    settings,
+                    incarnation,
+                    keys.name_hasher(b"hot keys"),
+                    self.context.now,
+                ));
                 self.context.core.subscribe(self.context.now, watch.clone());
                 self.context.core.add_copy_locator(watch.clone());
                 background.hot = Some(watch);
@@ -62,7 +68,7 @@
             }
             (None, None) => {}
         }
-        self.start_split(&mut background, boot, named);
+        self.start_split(&mut background, incarnation, named);
         let split = self.config.options.split.as_ref();
         background.scheduler.set_budgets(&budgets(options.as_ref(), split), self.context.now);
         for kind in TaskKind::ALL {
@@ -77,7 +83,7 @@
         }
     }
 
-    fn start_split(&mut self, background: &mut Background, boot: u64, named: u32) {
+    fn start_split(&mut self, background: &mut Background, incarnation: u64, named: u32) {
         let Some(keys) = &self.config.fleet_keys else { return };
         let wanted = self.config.options.split.as_ref().map(|options| split::settings(options, named));
         let same = |watch: &Shared<split::Watch>| Some(watch.borrow().split.settings()) == wanted.as_ref();
@@ -91,7 +97,7 @@
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
             let (hasher, classes) = (keys.name_hasher(b"split"), self.config.site.class_names.clone());
-            let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.context.now));
+            let watch = shared(split::Watch::new(settings, incarnation, hasher, classes, self.context.now));
             self.context.core.subscribe(self.context.now, watch.clone());
             background.split = Some(watch);
             background.started += 1;
@@ -101,14 +107,14 @@
 
     /// Runs the background subsystems once: takes finished queries, starts due tasks, sets the timer.
     pub(in crate::net) fn run_background(&mut self) {
-        let (Some(fellows), Some(background)) = (&self.fleet, &mut self.background) else { return };
-        let (view, speaks) = (fellows.view(), fellows.speaks());
+        let (Some(fleet), Some(background)) = (&self.fleet, &mut self.background) else { return };
+        let (view, is_active) = (fleet.view(), fleet.is_active());
         let now = self.context.now;
         background.step(now, view.members, GossipReports::interval(view.members));
         let said = background.say(now);
         background.ended(now, self.pool.take_completed_queries());
         // Of two processes of one proxy one acts for it; the other only serves.
-        if speaks {
+        if is_active {
             background.start(&mut self.context, &mut self.pool, view.divisor());
         }
         background.ended(now, self.pool.take_completed_queries());
@@ -117,9 +123,9 @@
             background.armed = next;
             self.context.timers.set(next, TimerEvent::Background);
         }
-        if let (Some(fellows), false) = (&mut self.fleet, said.is_empty()) {
+        if let (Some(fleet), false) = (&mut self.fleet, said.is_empty()) {
             for (channel, said) in said {
-                fellows.say(now, channel, said);
+                fleet.publish_report(now, channel, said);
             }
             self.after_fleet();
         }
--- /dev/null
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -0,0 +1,90 @@
+//! Receiving and sending the fleet's datagrams.
+
+use super::FleetMembership;
+use crate::fleet::{Direction, DropReason};
+use birchreach::Micros;
+use birchreach_membership::PayloadError;
+use birchreach_peer_state::datagram::MAX_DATAGRAM_BYTES;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+
+/// Datagrams that are received in one turn; the rest waits for the next.
+const DATAGRAMS_PER_TURN: usize = 64;
+/// The first byte of a payload of [`birchreach_membership::Membership`].
+const MEMBERSHIP_CHANNEL: u8 = 0;
+/// The first byte of a payload of [`birchreach_membership::GossipReports`].
+const REPORTS_CHANNEL: u8 = 1;
+
+impl FleetMembership {
+    /// The socket is readable: receives a bounded number of datagrams.
+    pub fn receive_datagrams(&mut self, now: Micros) {
+        self.unread = false;
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
+        for received in 0.. {
+            let Some(socket) = &self.socket else { return };
+            if received == DATAGRAMS_PER_TURN {
+                self.unread = true;
+                break;
+            }
+            match socket.recv_from(&mut buffer) {
+                Ok((length, _)) => self.receive(now, &buffer[..length]),
+                // An earlier datagram's recipient refused it; the socket is not affected.
+                Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
+                Err(_) => break,
+            }
+        }
+        self.flush(now);
+    }
+
+    fn receive(&mut self, now: Micros, bytes: &[u8]) {
+        let (sender, payload) = match self.datagrams.open(now, bytes) {
+            Err(error) => return self.metrics.count_dropped(DropReason::Datagram(error)),
+            Ok(opened) => opened,
+        };
+        let mut membership = self.membership.borrow_mut();
+        let accepted = match payload.split_first() {
+            Some((&MEMBERSHIP_CHANNEL, payload)) => membership.receive(now, sender, payload),
+            Some((&REPORTS_CHANNEL, payload)) => {
+                let members = membership.members().count() + 1;
+                let is_member = |origin| membership.members().any(|member| member.incarnation == origin);
+                let new = self.gossip_reports.apply_gossip(now, members, is_member, payload);
+                new.map(|new| self.new_reports.extend(new))
+            }
+            // From a later version.
+            _ => Err(PayloadError::Malformed),
+        };
+        match accepted {
+            Err(error) => self.metrics.count_dropped(DropReason::Payload(error)),
+            Ok(()) => self.metrics.count_datagram(Direction::Taken, bytes.len()),
+        }
+    }
+
+    /// Sends what is to be sent, and logs what has changed.
+    pub(super) fn flush(&mut self, now: Micros) {
+        loop {
+            let Some((to, payload)) = self.membership.borrow_mut().next_payload() else { break };
+            self.send(to, MEMBERSHIP_CHANNEL, &payload);
+        }
+        let members: Vec<SocketAddr> =
+            self.membership.borrow().members().map(|member| member.address).collect();
+        if !self.left
+            && let Some((to, payload)) = self.gossip_reports.encode_gossip(now, &members)
+        {
+            self.send(to, REPORTS_CHANNEL, &payload);
+        }
+        let changes = self.membership.borrow_mut().take_changes();
+        for change in changes {
+            self.log_change(change);
+        }
+    }
+
+    fn send(&mut self, to: SocketAddr, channel: u8, payload: &[u8]) {
+        let sealed = self.datagrams.seal(&[&[channel], payload].concat());
+        let (Some(socket), Some(datagram)) = (&self.socket, sealed) else { return };
+        match socket.send_to(&datagram, to) {
+            Ok(_) => self.metrics.count_datagram(Direction::Sent, datagram.len()),
+            // As if it were lost on the way.
+            Err(_) => self.metrics.count_dropped(DropReason::Unsent),
+        }
+    }
+}
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -1,4 +1,4 @@
-//! How the loop comes by the fleet's driver, and how it lends it out: its datagrams, its listener for links, and whom it wants to meet.
+//! The event loop's side of the fleet: its start, its timer, and what follows each call.
 
 use super::super::EventLoop;
 use super::super::admin::AdminReports;
@@ -13,15 +13,15 @@
 use std::io::ErrorKind;
 
 impl EventLoop {
-    /// The view of the fleet is kept, where the options say so.
+    /// Joins the fleet, where the options say so.
     pub(in crate::net) fn start_fleet(&mut self) -> Result<(), String> {
         let (Some(options), Some(keys)) = (&self.config.options.fleet, &self.config.fleet_keys) else {
             return Ok(());
         };
         let failed = |e: std::io::Error| format!("listening for the fleet on {}: {e}", options.listen);
-        let mut boot = [0; 8];
-        getrandom::fill(&mut boot).map_err(|e| format!("no random numbers: {e}"))?;
-        let boot = u64::from_be_bytes(boot);
+        let mut incarnation = [0; 8];
+        getrandom::fill(&mut incarnation).map_err(|e| format!("no random numbers: {e}"))?;
+        let incarnation = u64::from_be_bytes(incarnation);
         let name = self.config.name.clone();
         if name.len() > birchreach_membership::MAX_NAME_BYTES || name.chars().any(char::is_control) {
             return Err(format!(
@@ -32,78 +32,78 @@
         let settings = MembershipSettings {
             name,
             address: options.advertise,
-            incarnation: boot,
+            incarnation,
             epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
-            seed: self.config.seed ^ boot,
+            seed: self.config.seed ^ incarnation,
             seeds: options.peers.clone(),
             configured_members: options.configured_members,
         };
-        let machine = shared(Membership::new(settings, self.context.now));
-        let mut fellows = FleetMembership {
+        let membership = shared(Membership::new(settings, self.context.now));
+        let mut fleet = FleetMembership {
             socket: None,
             listen: options.listen,
             registry: self.context.registry.try_clone().map_err(failed)?,
-            machine: machine.clone(),
-            gossip_reports: GossipReports::new(boot, self.config.seed ^ boot.rotate_left(32)),
-            fresh: Vec::new(),
-            datagrams: DatagramCodec::new(keys.clone(), boot),
+            membership: membership.clone(),
+            gossip_reports: GossipReports::new(incarnation, self.config.seed ^ incarnation.rotate_left(32)),
+            new_reports: Vec::new(),
+            datagrams: DatagramCodec::new(keys.clone(), incarnation),
             metrics: Metrics::new(),
-            armed: Micros::MAX,
+            timer_at: Micros::MAX,
             unread: false,
             replaced: false,
             left: false,
         };
-        match fellows.open() {
-            // The process that this one replaces still has it.
+        match fleet.open() {
+            // The process that this one replaces still has the address.
             Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited.is_some() => {}
             other => other.map_err(failed)?,
         }
-        let views = MembershipSync::new(options.listen, keys.clone(), machine);
-        self.gossip.get_or_insert_default().set_membership_sync(views);
-        self.fleet = Some(fellows);
+        let sync = MembershipSync::new(options.listen, keys.clone(), membership);
+        self.gossip.get_or_insert_default().set_membership_sync(sync);
+        self.fleet = Some(fleet);
         self.fleet_due();
         Ok(())
     }
 
-    /// What operators are told of the fleet and of what stands on it.
+    /// The answers to the operators' calls about the fleet and the subsystems that depend on it.
     pub(in crate::net) fn admin_reports(&self) -> AdminReports {
-        let Some(fellows) = &self.fleet else { return AdminReports::default() };
-        let (background, view) = (self.background.as_ref(), fellows.view());
-        let (divisor, heard) = (view.divisor(), view.members);
-        let more = background.map_or_else(String::new, |b| b.metrics(heard));
+        let Some(fleet) = &self.fleet else { return AdminReports::default() };
+        let (background, view) = (self.background.as_ref(), fleet.view());
+        let (divisor, members) = (view.divisor(), view.members);
+        let background_metrics = background.map_or_else(String::new, |b| b.metrics(members));
         AdminReports {
-            fleet: Some(fellows.lines(self.context.now)),
+            fleet: Some(fleet.report(self.context.now)),
             hot: background.and_then(|b| b.hot_lines(self.context.now, divisor)),
-            split: background.and_then(|b| b.split_lines(heard, divisor)),
-            metrics: Some(fellows.metrics() + &more + "# EOF\n"),
+            split: background.and_then(|b| b.split_lines(members, divisor)),
+            metrics: Some(fleet.metrics_text() + &background_metrics + "# EOF\n"),
         }
     }
 
     /// The fleet's timer is due.
     pub(in crate::net) fn fleet_due(&mut self) {
-        if let Some(fellows) = &mut self.fleet {
-            fellows.due(self.context.now);
+        if let Some(fleet) = &mut self.fleet {
+            fleet.process_timer(self.context.now);
             self.after_fleet();
         }
     }
 
-    /// Follows each call of the fleet's driver: its timer is set, and gossip and the background subsystems are told what has
-    /// come of the call.
+    /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take what has come
+    /// of the call.
     pub(in crate::net) fn after_fleet(&mut self) {
-        let Some(fellows) = &mut self.fleet else { return };
-        let exchange =
-            fellows.machine.borrow_mut().due_exchange(self.context.now).filter(|_| fellows.speaks());
-        if let Some(at) = fellows.wake(self.context.now) {
+        let Some(fleet) = &mut self.fleet else { return };
+        let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
+        let due_exchange = due_exchange.filter(|_| fleet.is_active());
+        if let Some(at) = fleet.earlier_timer(self.context.now) {
             self.context.timers.set(at, TimerEvent::Fleet);
         }
-        let (speaks, fresh) = (fellows.speaks(), fellows.fresh());
+        let (is_active, new_reports) = (fleet.is_active(), fleet.take_new_reports());
         if let Some(gossip) = &mut self.gossip {
-            gossip.set_active(&self.context.registry, speaks);
+            gossip.set_active(&self.context.registry, is_active);
         }
         if let Some(background) = &mut self.background {
-            background.hear(self.context.now, fresh);
+            background.hear(self.context.now, new_reports);
         }
-        if let (Some(peer), Some(gossip)) = (exchange, &mut self.gossip) {
+        if let (Some(peer), Some(gossip)) = (due_exchange, &mut self.gossip) {
             gossip.begin_exchange(&mut self.context, peer);
             self.after_gossip();
         }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -125,7 +125,7 @@
         }
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
-            fleet.replaced(self.context.now, self.handover.is_replaced());
+            fleet.set_replaced(self.context.now, self.handover.is_replaced());
             self.after_fleet();
         }
         self.negotiate_handover();
@@ -133,7 +133,7 @@
 
     fn handle_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.ready(self.context.now);
+            fleet.receive_datagrams(self.context.now);
             self.after_fleet();
         }
     }
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -128,6 +128,7 @@
     let schedule = Schedule::draw(3, 4, 6, Duration::from_secs(5));
     schedule.play(&fleet, &mut all).unwrap();
     schedule.mend(&fleet, &mut all, 2 * PATIENCE).unwrap();
-    let links = |p: &Process| p.log().iter().any(|l| l.contains("conn=fleet") && l.contains("reason=received"));
+    let links =
+        |p: &Process| p.log().iter().any(|l| l.contains("conn=fleet") && l.contains("reason=received"));
     assert!(all.iter().flatten().any(links), "nobody has told another all that it knows");
 }
