--- /dev/null
+++ b/peer-state/tests/provider.rs
@@ -0,0 +1,61 @@
+//! A running proxy answers requests within its budget, and none under load.
+
+mod common;
+
+use birchreach_peer_state::Micros;
+use birchreach_peer_state::provider::{Admission, ProviderSettings, StateProvider};
+use common::{MILLISECOND, SECOND};
+
+const NEW_PROXIES: usize = 100;
+const STATE_BYTES: usize = 200_000;
+const FRAME_BYTES: usize = 64 << 10;
+
+/// A hundred proxies that start at once: few are served together, within the budget, and all of them in the end.
+#[test]
+fn a_hundred_new_proxies_cost_a_provider_its_budget_and_no_more() {
+    let settings = ProviderSettings::default();
+    let mut provider = StateProvider::new(settings.clone(), 0);
+    let mut retries_at: Vec<Micros> = vec![0; NEW_PROXIES];
+    let mut unsent: Vec<usize> = Vec::new();
+    let (mut now, mut sent, mut most_served, mut rejected) = (0, 0u64, 0, 0);
+    while !(retries_at.is_empty() && unsent.is_empty()) {
+        assert!(now < 120 * SECOND, "they are not all served");
+        let (due, later): (Vec<_>, Vec<_>) = retries_at.into_iter().partition(|at| *at <= now);
+        retries_at = later;
+        for _ in due {
+            match provider.admit(now) {
+                Admission::Serve => unsent.push(STATE_BYTES),
+                Admission::Busy(retry_after) => {
+                    rejected += 1;
+                    retries_at.push(now + retry_after);
+                }
+            }
+        }
+        most_served = most_served.max(unsent.len());
+        for left in &mut unsent {
+            let part = (*left).min(FRAME_BYTES);
+            if provider.take_send_budget(now, part).is_ok() {
+                *left -= part;
+                sent += part as u64;
+            }
+        }
+        let before = unsent.len();
+        unsent.retain(|left| *left > 0);
+        (unsent.len()..before).for_each(|_| provider.finish(true));
+        let budget = 65_536.0 + settings.bytes_per_s as f64 * now as f64 / 1e6;
+        assert!(sent as f64 <= budget + 65_536.0);
+        now += MILLISECOND;
+    }
+    assert!(most_served <= settings.at_once && provider.completed_transfers == NEW_PROXIES as u64);
+    assert!(rejected < 3_000, "{rejected} requests rejected");
+}
+
+#[test]
+fn nothing_is_sent_under_load() {
+    let mut provider = StateProvider::new(ProviderSettings::default(), 0);
+    provider.set_load(0.9);
+    assert!(matches!(provider.admit(0), Admission::Busy(_)));
+    assert!(provider.take_send_budget(0, 1).is_err());
+    provider.set_load(0.2);
+    assert_eq!(provider.admit(0), Admission::Serve);
+}
--- /dev/null
+++ b/peer-state/tests/snapshots.rs
@@ -0,0 +1,66 @@
+//! Snapshots: read back with the age that they have, or rejected.
+
+mod common;
+
+use birchreach_peer_state::snapshot::{self, SnapshotError};
+use birchreach_peer_state::{ObservationSource, PeerState, Role, ServerIncarnation, advice};
+use common::{SECOND, server};
+
+/// The positions of 50 servers, and a primary.
+fn state() -> PeerState {
+    let mut state = PeerState::new(1);
+    for n in 0..50 {
+        state.add_listed_server(&server(n), ServerIncarnation { started_ms: 0, group: n / 5 });
+        let source = ObservationSource::ServerStatus;
+        state.record_position(100 * SECOND, &server(n), 99 * SECOND, SECOND, source);
+    }
+    state.record_role(100 * SECOND, "s-0", Role::Primary, ObservationSource::ServedWrite);
+    state
+}
+
+/// A state with the list of another, that knows nothing.
+fn with_list_of(state: &PeerState, observer: u64) -> PeerState {
+    let mut other = PeerState::new(observer);
+    state.listed_servers().for_each(|(uid, listed)| other.add_listed_server(uid, listed.clone()));
+    other
+}
+
+#[test]
+fn a_snapshot_is_read_with_the_age_that_it_has() {
+    let state = state();
+    let file = snapshot::write(&state, 101 * SECOND, 1_000_000);
+    let part = snapshot::read(&file, 1_030_000).unwrap();
+    let mut new_proxy = with_list_of(&state, 2);
+    new_proxy.apply_transfer(500 * SECOND, &part);
+    let primary = new_proxy.facts("s-0").unwrap().primary.unwrap();
+    assert_eq!((primary.age(500 * SECOND), primary.hop_count), (31 * SECOND, 1));
+    assert_eq!(advice::position(&new_proxy, "s-7").unwrap().value, 99 * SECOND);
+}
+
+#[test]
+fn a_proxy_does_not_take_its_own_observations_from_a_snapshot() {
+    let state = state();
+    let file = snapshot::write(&state, 101 * SECOND, 1_000_000);
+    let part = snapshot::read(&file, 1_030_000).unwrap();
+    let mut restarted = with_list_of(&state, 1);
+    restarted.apply_transfer(500 * SECOND, &part);
+    assert_eq!(restarted.servers().count(), 0);
+}
+
+#[test]
+fn a_snapshot_that_is_not_complete_is_rejected() {
+    let file = snapshot::write(&state(), 101 * SECOND, 1_000_000);
+    for length in 0..file.len() {
+        assert!(snapshot::read(&file[..length], 1_000_000).is_err(), "{length} bytes");
+    }
+    for at in 8..file.len() {
+        let mut changed = file.clone();
+        changed[at] ^= 0x10;
+        assert_eq!(snapshot::read(&changed, 1_000_000), Err(SnapshotError::Corrupt), "byte {at}");
+    }
+    assert_eq!(snapshot::read(b"{}", 0), Err(SnapshotError::UnknownFormat));
+    assert_eq!(snapshot::read(b"bknow-2\n........", 0), Err(SnapshotError::UnknownFormat));
+    assert_eq!(snapshot::read(&file, 999_999), Err(SnapshotError::WrittenInFuture));
+    assert_eq!(snapshot::read(&file, 1_700_000), Err(SnapshotError::TooOld));
+    assert_eq!(snapshot::read(&vec![0; snapshot::MAX_FILE_BYTES + 1], 0), Err(SnapshotError::TooLong));
+}
--- /dev/null
+++ b/peer-state/tests/transfer_protocol.rs
@@ -0,0 +1,97 @@
+//! A state transfer over frames: complete, with nothing added, or rejected.
+
+mod common;
+
+use birchreach_peer_state::frame::FrameError;
+use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
+use birchreach_peer_state::{ObservationSource, PeerState, ServerIncarnation, advice};
+use common::{MILLISECOND, SECOND, keys};
+
+const SERVERS: u32 = 1000;
+
+fn long_name(n: u32) -> String {
+    format!("server-with-a-long-name-{n}")
+}
+
+/// The positions of a thousand servers.
+fn state() -> PeerState {
+    let mut state = PeerState::new(1);
+    for n in 0..SERVERS {
+        state.add_listed_server(&long_name(n), ServerIncarnation { started_ms: 0, group: n / 5 });
+        let position = 99 * SECOND + i64::from(n);
+        let source = ObservationSource::ServerStatus;
+        state.record_position(100 * SECOND, &long_name(n), position, SECOND, source);
+    }
+    state
+}
+
+fn connection() -> (StateRequester, StateSender) {
+    (StateRequester::new(keys(&[1]), [1; 16]), StateSender::new(keys(&[1]), [2; 16]))
+}
+
+/// Takes up to so many bytes from the front of an output.
+fn take(output: &mut Vec<u8>, most: usize) -> Vec<u8> {
+    let length = output.len().min(most);
+    output.drain(..length).collect()
+}
+
+#[test]
+fn a_transfer_sends_everything_in_parts_whatever_the_pieces() {
+    let provider = state();
+    for piece in [1, 1000, 1 << 20] {
+        let mut receiver = PeerState::new(2);
+        provider.listed_servers().for_each(|(uid, listed)| receiver.add_listed_server(uid, listed.clone()));
+        let (mut requester, mut sender) = connection();
+        let mut named = None;
+        let mut parts = 0;
+        for _ in 0..1_000_000 {
+            sender.feed(&take(&mut requester.output, piece));
+            if sender.receive_request().unwrap() {
+                sender.start_sending(provider.export_facts(100 * SECOND), &["127.0.0.1:1".into()]);
+            }
+            if sender.output.is_empty() {
+                parts += usize::from(sender.send_next_part().is_some());
+            }
+            requester.feed(&take(&mut sender.output, piece));
+            while let Some(event) = requester.next_event().unwrap() {
+                match event {
+                    TransferEvent::Part(part) => receiver.apply_transfer(99 * SECOND, &part),
+                    TransferEvent::Complete(providers) => named = Some(providers),
+                    TransferEvent::Busy(_) => panic!("it was not rejected"),
+                }
+            }
+            if requester.is_finished() {
+                break;
+            }
+        }
+        assert_eq!(named, Some(vec!["127.0.0.1:1".to_string()]));
+        assert_eq!((parts, receiver.servers().count()), (9, SERVERS as usize));
+        let last = advice::position(&receiver, &long_name(SERVERS - 1)).unwrap();
+        assert_eq!(last.value, 99 * SECOND + 999);
+    }
+}
+
+#[test]
+fn a_requester_without_the_key_receives_nothing() {
+    let mut stranger = StateRequester::new(keys(&[3]), [1; 16]);
+    let (_, mut sender) = connection();
+    sender.feed(&stranger.output);
+    assert_eq!(sender.receive_request(), Err(FrameError::UnknownKey));
+    stranger.feed(&sender.output);
+    assert_eq!(stranger.next_event(), Err(FrameError::UnknownKey));
+}
+
+#[test]
+fn a_rejected_requester_receives_when_to_retry() {
+    let (mut requester, mut sender) = connection();
+    sender.feed(&std::mem::take(&mut requester.output));
+    assert_eq!(sender.receive_request(), Ok(false));
+    requester.feed(&std::mem::take(&mut sender.output));
+    assert_eq!(requester.next_event(), Ok(None));
+    sender.feed(&std::mem::take(&mut requester.output));
+    assert_eq!(sender.receive_request(), Ok(true));
+    sender.send_busy(1500 * MILLISECOND);
+    requester.feed(&std::mem::take(&mut sender.output));
+    assert_eq!(requester.next_event(), Ok(Some(TransferEvent::Busy(1500 * MILLISECOND))));
+    assert!(requester.is_finished() && sender.is_finished());
+}
