--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -1,48 +1,57 @@
-//! Datagrams among proxies: what is forged, cut, repeated, late or too much is dropped.
+//! Datagrams among proxies: what is forged, truncated, repeated, late or too much is dropped.
+
+mod common;
 
 use birchreach_peer_state::datagram::{
     DatagramCodec, DatagramError, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, REPLAY_WINDOW,
 };
 use birchreach_peer_state::frame::Keys;
+use common::SECOND;
 
-fn keys(secret: u8) -> Keys {
-    Keys::new(vec![(1, vec![secret; 16])]).unwrap()
+fn codec(secret: u8, incarnation: u64) -> DatagramCodec {
+    DatagramCodec::new(Keys::new(vec![(1, vec![secret; 16])]).unwrap(), incarnation)
 }
 
 #[test]
-fn datagrams_are_taken_once_and_whole() {
-    let (mut a, mut b) = (DatagramCodec::new(keys(1), 7), DatagramCodec::new(keys(1), 8));
-    let sent: Vec<Vec<u8>> = (0..200u32).map(|n| a.seal(&n.to_be_bytes()).unwrap()).collect();
-    assert_eq!(b.open(0, &sent[0]), Ok((7, &0u32.to_be_bytes()[..])));
-    assert_eq!(b.open(0, &sent[0]), Err(DatagramError::Replayed));
+fn datagrams_are_accepted_once_and_complete() {
+    let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
+    let sent: Vec<Vec<u8>> = (0..200u32).map(|n| sender.seal(&n.to_be_bytes()).unwrap()).collect();
+    assert_eq!(receiver.open(0, &sent[0]), Ok((7, &0u32.to_be_bytes()[..])));
+    assert_eq!(receiver.open(0, &sent[0]), Err(DatagramError::Replayed));
     // In another order, but not from too far back.
-    assert!(b.open(0, &sent[90]).is_ok() && b.open(0, &sent[50]).is_ok());
-    assert_eq!(b.open(0, &sent[50]), Err(DatagramError::Replayed));
-    assert_eq!(b.open(0, &sent[90 - REPLAY_WINDOW as usize]), Err(DatagramError::Replayed), "minutes late");
-    assert!(b.open(0, &sent[91 - REPLAY_WINDOW as usize]).is_ok());
-    // Cut at any place, changed at any place, of another key, too long.
-    let fresh = &sent[199];
-    assert!((0..fresh.len()).all(|n| b.open(0, &fresh[..n]).is_err()));
-    for at in 0..fresh.len() {
-        let mut changed = fresh.clone();
+    assert!(receiver.open(0, &sent[90]).is_ok() && receiver.open(0, &sent[50]).is_ok());
+    assert_eq!(receiver.open(0, &sent[50]), Err(DatagramError::Replayed));
+    let window = REPLAY_WINDOW as usize;
+    assert_eq!(receiver.open(0, &sent[90 - window]), Err(DatagramError::Replayed), "too late");
+    assert!(receiver.open(0, &sent[91 - window]).is_ok());
+    // Truncated at any length, changed at any byte, under another key, too long.
+    let unused = &sent[199];
+    assert!((0..unused.len()).all(|length| receiver.open(0, &unused[..length]).is_err()));
+    for at in 0..unused.len() {
+        let mut changed = unused.clone();
         changed[at] ^= 0x40;
-        assert!(b.open(0, &changed).is_err(), "byte {at}");
+        assert!(receiver.open(0, &changed).is_err(), "byte {at}");
     }
-    assert_eq!(b.open(0, &DatagramCodec::new(keys(2), 7).seal(b"x").unwrap()), Err(DatagramError::WrongCode));
-    assert_eq!(b.open(0, &[b'b'; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Malformed));
-    assert!(b.open(0, fresh).is_ok(), "none of that has used it up");
-    assert!(
-        a.seal(&[0; MAX_PAYLOAD_BYTES]).is_some_and(|d| d.len() == MAX_DATAGRAM_BYTES)
-            && a.seal(&[0; MAX_PAYLOAD_BYTES + 1]).is_none()
-    );
+    let forged = codec(2, 7).seal(b"x").unwrap();
+    assert_eq!(receiver.open(0, &forged), Err(DatagramError::WrongCode));
+    assert_eq!(receiver.open(0, &[b'b'; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Malformed));
+    assert!(receiver.open(0, unused).is_ok(), "none of that has used it up");
+}
+
+#[test]
+fn the_longest_payload_makes_the_longest_datagram() {
+    let mut sender = codec(1, 7);
+    let longest = sender.seal(&[0; MAX_PAYLOAD_BYTES]);
+    assert!(longest.is_some_and(|datagram| datagram.len() == MAX_DATAGRAM_BYTES));
+    assert!(sender.seal(&[0; MAX_PAYLOAD_BYTES + 1]).is_none());
 }
 
 #[test]
-fn a_flood_of_good_datagrams_is_bounded() {
-    let (mut a, mut b) = (DatagramCodec::new(keys(1), 7), DatagramCodec::new(keys(1), 8));
-    let taken = (0..10_000).filter(|_| b.open(0, &a.seal(b"flood").unwrap()).is_ok()).count();
-    assert_eq!(taken, 400);
-    // Another sender is not kept out, and the flood's own sender is heard again a second later.
-    assert!(b.open(0, &DatagramCodec::new(keys(1), 9).seal(b"well").unwrap()).is_ok());
-    assert!(b.open(1_000_000, &a.seal(b"later").unwrap()).is_ok());
+fn a_flood_of_valid_datagrams_is_limited() {
+    let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
+    let accepted = (0..10_000).filter(|_| receiver.open(0, &sender.seal(b"flood").unwrap()).is_ok()).count();
+    assert_eq!(accepted, 400);
+    // Another sender is not affected, and the flood's sender is accepted again a second later.
+    assert!(receiver.open(0, &codec(1, 9).seal(b"well").unwrap()).is_ok());
+    assert!(receiver.open(SECOND, &sender.seal(b"later").unwrap()).is_ok());
 }
--- a/peer-state/tests/full_exchange.rs
+++ b/peer-state/tests/full_exchange.rs
@@ -1,60 +1,82 @@
-//! A full exchange over one link: whole, in its order, or not at all.
+//! A full exchange over one link: complete and in order, or rejected.
 
-use birchreach_peer_state::frame::{FrameError, Keys, Side};
+mod common;
 
-fn keys(ids: &[u32]) -> Keys {
-    Keys::new(ids.iter().map(|id| (*id, format!("a secret with the number {id}").into_bytes())).collect())
-        .unwrap()
+use birchreach_peer_state::frame::{FrameError, Side};
+use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange, MAX_PARTS};
+use common::keys;
+
+/// Larger than any output here.
+const ALL_AT_ONCE: usize = 1 << 20;
+
+fn sides() -> (FullExchange, FullExchange) {
+    let side = |side, nonce| FullExchange::new(side, keys(&[1]), [nonce; 16]);
+    (side(Side::Requester, 1), side(Side::Provider, 2))
 }
 
-#[test]
-fn an_exchange_is_whole_or_nothing() {
-    use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange, MAX_PARTS};
-    let ends = || {
-        (
-            FullExchange::new(Side::Requester, keys(&[1]), [1; 16]),
-            FullExchange::new(Side::Provider, keys(&[1]), [2; 16]),
-        )
-    };
-    let pass = |from: &mut FullExchange, to: &mut FullExchange, piece: usize| {
-        let mut steps = Vec::new();
-        for bytes in std::mem::take(&mut from.output).chunks(piece) {
-            to.feed(bytes);
-            while let Some(step) = to.next_event()? {
-                steps.push(step);
-            }
+/// Passes one side's output to the other in pieces; what has happened there.
+fn pass(
+    from: &mut FullExchange,
+    to: &mut FullExchange,
+    piece: usize,
+) -> Result<Vec<ExchangeEvent>, FrameError> {
+    let mut events = Vec::new();
+    for bytes in std::mem::take(&mut from.output).chunks(piece) {
+        to.feed(bytes);
+        while let Some(event) = to.next_event()? {
+            events.push(event);
         }
-        Ok::<_, FrameError>(steps)
-    };
-    for piece in [1, 100, 1 << 20] {
-        let (mut a, mut d) = ends();
-        assert_eq!(pass(&mut a, &mut d, piece), Ok(vec![]));
-        assert_eq!(pass(&mut d, &mut a, piece), Ok(vec![ExchangeEvent::Connected]));
-        let (theirs, ours) = (vec![vec![1; 40_000], vec![2; 3]], vec![vec![3; 10]]);
-        a.send_parts(&theirs);
-        assert_eq!(pass(&mut a, &mut d, piece), Ok(vec![ExchangeEvent::Complete(theirs)]));
-        assert!(!d.is_finished());
-        d.send_parts(&ours);
-        assert_eq!(pass(&mut d, &mut a, piece), Ok(vec![ExchangeEvent::Complete(ours)]));
-        assert!(a.is_finished() && d.is_finished());
     }
-    // A donor that speaks unasked, an asker that tells twice, or more than is taken.
-    let (mut a, mut d) = ends();
-    pass(&mut a, &mut d, 100).unwrap();
-    d.send_parts(&[]);
-    assert!(pass(&mut d, &mut a, 1 << 20).is_err());
-    let (mut a, mut d) = ends();
-    pass(&mut a, &mut d, 100).unwrap();
-    pass(&mut d, &mut a, 100).unwrap();
-    a.send_parts(&[]);
-    pass(&mut a, &mut d, 100).unwrap();
-    a.send_parts(&[vec![1]]);
-    assert_eq!(pass(&mut a, &mut d, 100), Err(FrameError::OutOfOrder));
-    let (mut a, mut d) = ends();
-    pass(&mut a, &mut d, 100).unwrap();
-    pass(&mut d, &mut a, 100).unwrap();
-    (0..2).for_each(|_| a.send_parts(&vec![vec![1]; MAX_PARTS]));
-    // A frame that is spoilt ends it, and nothing of it is taken.
-    a.output[100] ^= 1;
-    assert!(pass(&mut a, &mut d, 1 << 20).is_err());
+    Ok(events)
+}
+
+/// Two sides that have sent Hello.
+fn connected() -> (FullExchange, FullExchange) {
+    let (mut requester, mut provider) = sides();
+    pass(&mut requester, &mut provider, 100).unwrap();
+    pass(&mut provider, &mut requester, 100).unwrap();
+    (requester, provider)
+}
+
+#[test]
+fn a_full_exchange_is_complete_or_rejected() {
+    for piece in [1, 100, ALL_AT_ONCE] {
+        let (mut requester, mut provider) = sides();
+        assert_eq!(pass(&mut requester, &mut provider, piece), Ok(vec![]));
+        assert_eq!(pass(&mut provider, &mut requester, piece), Ok(vec![ExchangeEvent::Connected]));
+        let (request, answer) = (vec![vec![1; 40_000], vec![2; 3]], vec![vec![3; 10]]);
+        requester.send_parts(&request);
+        let received = pass(&mut requester, &mut provider, piece);
+        assert_eq!(received, Ok(vec![ExchangeEvent::Complete(request)]));
+        assert!(!provider.is_finished());
+        provider.send_parts(&answer);
+        let received = pass(&mut provider, &mut requester, piece);
+        assert_eq!(received, Ok(vec![ExchangeEvent::Complete(answer)]));
+        assert!(requester.is_finished() && provider.is_finished());
+    }
+}
+
+#[test]
+fn a_provider_that_sends_first_is_rejected() {
+    let (mut requester, mut provider) = sides();
+    pass(&mut requester, &mut provider, 100).unwrap();
+    provider.send_parts(&[]);
+    assert!(pass(&mut provider, &mut requester, ALL_AT_ONCE).is_err());
+}
+
+#[test]
+fn a_requester_that_sends_twice_is_rejected() {
+    let (mut requester, mut provider) = connected();
+    requester.send_parts(&[]);
+    pass(&mut requester, &mut provider, 100).unwrap();
+    requester.send_parts(&[vec![1]]);
+    assert_eq!(pass(&mut requester, &mut provider, 100), Err(FrameError::OutOfOrder));
+}
+
+#[test]
+fn a_changed_frame_ends_an_exchange() {
+    let (mut requester, mut provider) = connected();
+    (0..2).for_each(|_| requester.send_parts(&vec![vec![1]; MAX_PARTS]));
+    requester.output[100] ^= 1;
+    assert!(pass(&mut requester, &mut provider, ALL_AT_ONCE).is_err());
 }
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -10,8 +10,8 @@
 };
 
 const SECOND: Micros = 1_000_000;
-const ASKER_NONCE: [u8; 16] = [1; 16];
-const DONOR_NONCE: [u8; 16] = [2; 16];
+const REQUESTER_NONCE: [u8; 16] = [1; 16];
+const PROVIDER_NONCE: [u8; 16] = [2; 16];
 
 fn keys() -> Keys {
     Keys::new(vec![(7, b"a secret of the recorded bytes".to_vec()), (9, vec![5; 16])]).unwrap()
@@ -50,11 +50,11 @@
     state
 }
 
-/// The facts of [`state`] as another proxy holds them, given `age` since they were told.
-fn assert_received(told: &TransferPart, age: Micros) {
+/// The facts of [`state`] as another proxy holds them, given `age` since they were exported.
+fn assert_received(part: &TransferPart, age: Micros) {
     let mut receiver = PeerState::new(2);
     state().listed_servers().for_each(|(uid, listed)| receiver.add_listed_server(uid, listed.clone()));
-    receiver.apply_transfer(200 * SECOND, told);
+    receiver.apply_transfer(200 * SECOND, part);
     let primary = receiver.facts("primary-1").unwrap();
     let seen = primary.primary.unwrap();
     assert_eq!(
@@ -86,77 +86,77 @@
 
 #[test]
 fn the_requests_frames_are_written_as_recorded() {
-    let mut asker = StateRequester::new(keys(), ASKER_NONCE);
-    assert_recorded("asker-hello", &std::mem::take(&mut asker.output));
-    asker.feed(&recorded("donor-hello"));
-    assert_eq!(asker.next_event(), Ok(None));
-    assert_recorded("ask", &asker.output);
+    let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
+    assert_recorded("requester-hello", &std::mem::take(&mut requester.output));
+    requester.feed(&recorded("provider-hello"));
+    assert_eq!(requester.next_event(), Ok(None));
+    assert_recorded("request", &requester.output);
 }
 
 #[test]
 fn the_answers_frames_are_written_as_recorded() {
-    let mut teller = StateSender::new(keys(), DONOR_NONCE);
-    assert_recorded("donor-hello", &std::mem::take(&mut teller.output));
-    teller.feed(&recorded("asker-hello"));
-    teller.feed(&recorded("ask"));
-    assert_eq!(teller.receive_request(), Ok(true));
-    teller.start_sending(state().export_facts(102 * SECOND), &["127.0.0.1:7001".into(), "[::1]:7002".into()]);
-    assert!(teller.send_next_part().is_some());
-    assert_recorded("part", &std::mem::take(&mut teller.output));
-    assert!(teller.send_next_part().is_some());
-    assert_recorded("last", &std::mem::take(&mut teller.output));
-    assert!(teller.is_finished());
+    let mut sender = StateSender::new(keys(), PROVIDER_NONCE);
+    assert_recorded("provider-hello", &std::mem::take(&mut sender.output));
+    sender.feed(&recorded("requester-hello"));
+    sender.feed(&recorded("request"));
+    assert_eq!(sender.receive_request(), Ok(true));
+    sender.start_sending(state().export_facts(102 * SECOND), &["127.0.0.1:7001".into(), "[::1]:7002".into()]);
+    assert!(sender.send_next_part().is_some());
+    assert_recorded("part", &std::mem::take(&mut sender.output));
+    assert!(sender.send_next_part().is_some());
+    assert_recorded("last", &std::mem::take(&mut sender.output));
+    assert!(sender.is_finished());
 }
 
 #[test]
 fn a_recorded_answer_is_read() {
-    let mut asker = StateRequester::new(keys(), ASKER_NONCE);
-    for name in ["donor-hello", "part", "last"] {
-        asker.feed(&recorded(name));
+    let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
+    for name in ["provider-hello", "part", "last"] {
+        requester.feed(&recorded(name));
     }
-    let Ok(Some(TransferEvent::Part(told))) = asker.next_event() else { panic!("no part") };
-    assert_received(&told, 0);
+    let Ok(Some(TransferEvent::Part(part))) = requester.next_event() else { panic!("no part") };
+    assert_received(&part, 0);
     let named = vec!["127.0.0.1:7001".to_string(), "[::1]:7002".to_string()];
-    assert_eq!(asker.next_event(), Ok(Some(TransferEvent::Complete(named))));
-    assert!(asker.is_finished());
+    assert_eq!(requester.next_event(), Ok(Some(TransferEvent::Complete(named))));
+    assert!(requester.is_finished());
 }
 
 #[test]
 fn a_busy_answer_is_written_and_read_as_recorded() {
-    let mut teller = StateSender::new(keys(), DONOR_NONCE);
-    teller.output.clear();
-    teller.feed(&recorded("asker-hello"));
-    teller.feed(&recorded("ask"));
-    assert_eq!(teller.receive_request(), Ok(true));
-    teller.send_busy(1_234_567);
-    assert_recorded("busy", &teller.output);
-    let mut asker = StateRequester::new(keys(), ASKER_NONCE);
-    asker.feed(&recorded("donor-hello"));
-    asker.feed(&recorded("busy"));
-    assert_eq!(asker.next_event(), Ok(Some(TransferEvent::Busy(1_234_000))));
+    let mut sender = StateSender::new(keys(), PROVIDER_NONCE);
+    sender.output.clear();
+    sender.feed(&recorded("requester-hello"));
+    sender.feed(&recorded("request"));
+    assert_eq!(sender.receive_request(), Ok(true));
+    sender.send_busy(1_234_567);
+    assert_recorded("busy", &sender.output);
+    let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
+    requester.feed(&recorded("provider-hello"));
+    requester.feed(&recorded("busy"));
+    assert_eq!(requester.next_event(), Ok(Some(TransferEvent::Busy(1_234_000))));
 }
 
 #[test]
 fn a_full_exchange_is_written_and_read_as_recorded() {
-    let (mut asker, mut donor) = (
-        FullExchange::new(Side::Requester, keys(), ASKER_NONCE),
-        FullExchange::new(Side::Provider, keys(), DONOR_NONCE),
+    let (mut requester, mut provider) = (
+        FullExchange::new(Side::Requester, keys(), REQUESTER_NONCE),
+        FullExchange::new(Side::Provider, keys(), PROVIDER_NONCE),
     );
-    let (asked, answered) = (vec![b"first".to_vec(), vec![0, 255]], vec![vec![1, 2, 3]]);
-    assert_recorded("asker-hello", &std::mem::take(&mut asker.output));
-    assert_recorded("donor-hello", &std::mem::take(&mut donor.output));
-    asker.feed(&recorded("donor-hello"));
-    assert_eq!(asker.next_event(), Ok(Some(ExchangeEvent::Connected)));
-    asker.send_parts(&asked);
-    assert_recorded("exchange-asker", &std::mem::take(&mut asker.output));
-    donor.feed(&recorded("asker-hello"));
-    donor.feed(&recorded("exchange-asker"));
-    assert_eq!(donor.next_event(), Ok(Some(ExchangeEvent::Complete(asked))));
-    donor.send_parts(&answered);
-    assert_recorded("exchange-donor", &std::mem::take(&mut donor.output));
-    asker.feed(&recorded("exchange-donor"));
-    assert_eq!(asker.next_event(), Ok(Some(ExchangeEvent::Complete(answered))));
-    assert!(asker.is_finished() && donor.is_finished());
+    let (request, answer) = (vec![b"first".to_vec(), vec![0, 255]], vec![vec![1, 2, 3]]);
+    assert_recorded("requester-hello", &std::mem::take(&mut requester.output));
+    assert_recorded("provider-hello", &std::mem::take(&mut provider.output));
+    requester.feed(&recorded("provider-hello"));
+    assert_eq!(requester.next_event(), Ok(Some(ExchangeEvent::Connected)));
+    requester.send_parts(&request);
+    assert_recorded("exchange-requester", &std::mem::take(&mut requester.output));
+    provider.feed(&recorded("requester-hello"));
+    provider.feed(&recorded("exchange-requester"));
+    assert_eq!(provider.next_event(), Ok(Some(ExchangeEvent::Complete(request))));
+    provider.send_parts(&answer);
+    assert_recorded("exchange-provider", &std::mem::take(&mut provider.output));
+    requester.feed(&recorded("exchange-provider"));
+    assert_eq!(requester.next_event(), Ok(Some(ExchangeEvent::Complete(answer))));
+    assert!(requester.is_finished() && provider.is_finished());
 }
 
 #[test]
@@ -172,8 +172,8 @@
 #[test]
 fn a_snapshot_is_written_and_read_as_recorded() {
     assert_recorded("snapshot", &snapshot::write(&state(), 102 * SECOND, 1_700_000_500_000));
-    let told = snapshot::read(&recorded("snapshot"), 1_700_000_503_000).unwrap();
-    assert_received(&told, 3 * SECOND);
+    let part = snapshot::read(&recorded("snapshot"), 1_700_000_503_000).unwrap();
+    assert_received(&part, 3 * SECOND);
 }
 
 #[test]
