--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -45,7 +45,11 @@
             .unwrap_or_else(|| Box::new(Background::new(incarnation, self.context.now)));
         match (&options, background.hot.clone()) {
             (Some(options), Some(watch)) => {
-                watch.borrow_mut().hot.set(settings(options, named, &self.context.core.consistencies()));
+                watch.borrow_mut().hot.update_settings(settings(
+                    options,
+                    named,
+                    &self.context.core.consistencies(),
+                ));
             }
             (Some(options), None) => {
                 let settings = settings(options, named, &self.context.core.consistencies());
--- a/proxy/src/net/gossip/listener.rs
+++ b/proxy/src/net/gossip/listener.rs
@@ -1,5 +1,6 @@
 //! A listener for links of other proxies.
 
+use super::super::error::{ListenError, ListenPurpose};
 use super::super::sources::Source;
 use mio::net::TcpListener;
 use mio::{Interest, Registry};
@@ -10,9 +11,9 @@
     registry: &Registry,
     address: SocketAddr,
     source: Source,
-    purpose: &str,
-) -> Result<TcpListener, String> {
-    let failed = |e| format!("listening for {purpose} on {address}: {e}");
+    purpose: ListenPurpose,
+) -> Result<TcpListener, ListenError> {
+    let failed = |error| ListenError { purpose, address, error };
     let mut listener = TcpListener::bind(address).map_err(failed)?;
     registry.register(&mut listener, source.token(), Interest::READABLE).map_err(failed)?;
     Ok(listener)
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -1,6 +1,7 @@
 //! Full exchanges of the membership with other members of the fleet: their listener, and this process's connections. The listener
 //! has the port of the datagrams' address; what is sent and accepted is decided by [`Membership`].
 
+use super::super::error::ListenPurpose;
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::super::timer_events::TimerEvent;
@@ -44,7 +45,8 @@
     /// it is tried again with the next datagram.
     pub fn set_active(&mut self, registry: &Registry, active: bool) {
         if active && self.listener.is_none() {
-            self.listener = listen(registry, self.own_address, Source::ViewListener, "the fleet").ok();
+            self.listener =
+                listen(registry, self.own_address, Source::MembershipListener, ListenPurpose::Fleet).ok();
             self.accept_pending = true;
         } else if !active && let Some(mut listener) = self.listener.take() {
             let _ = registry.deregister(&mut listener);
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -70,7 +70,7 @@
     /// A listener has connections.
     pub fn accept_ready(&mut self, source: Source) {
         match source {
-            Source::ViewListener => {
+            Source::MembershipListener => {
                 self.membership_sync.iter_mut().for_each(|sync| sync.accept_pending = true);
             }
             _ => self.state_transfer.iter_mut().for_each(|transfer| transfer.accept_pending = true),
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -1,5 +1,6 @@
 //! State transfer with other proxies: the listener for their requests, and this proxy's own requests.
 
+use super::super::error::{ListenError, ListenPurpose};
 use super::super::sources::Source;
 use super::close_reason::LinkError;
 use super::listener::listen;
@@ -39,8 +40,8 @@
         peer_state: Shared<PeerStateObserver>,
         seed: u64,
         now: Micros,
-    ) -> Result<StateTransfer, String> {
-        let open = |address| listen(registry, address, Source::GossipListener, "knowledge");
+    ) -> Result<StateTransfer, ListenError> {
+        let open = |address| listen(registry, address, Source::GossipListener, ListenPurpose::PeerState);
         let listener = options.listen.map(open).transpose()?;
         if let Some(at) = listener.as_ref().and_then(|listener| listener.local_addr().ok()) {
             info!(event = "peer-state-listening", %at);
