--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -1,4 +1,4 @@
-//! How long views take to settle, whom they remove wrongly, and what that costs: a table of figures on virtual time.
+//! How long views take to settle, which live members are removed, and what that costs: a table of figures on virtual time.
 //!
 //!     cargo run --release -p birchreach-membership --example measure -- 10 40 300 [0% 5% 20%] [seed=1]
 
@@ -6,82 +6,100 @@
 mod common;
 
 use birchreach_membership::{MembershipChange, Micros};
-use common::{Net, SECOND, at};
+use common::network::{Network, Traffic};
+use common::{SECOND, address};
 use std::time::Instant;
 
-const MOST: Micros = 120 * SECOND;
+const LIMIT: Micros = 120 * SECOND;
+const QUIET_TIME: Micros = 60 * SECOND;
 
 fn shown(took: Option<Micros>) -> String {
-    took.map_or("not in 120".into(), |t| format!("{:.1}", t as f64 / 1e6))
+    took.map_or("not in 120".into(), |took| format!("{:.1}", took as f64 / 1e6))
 }
 
-/// Until no live one has any of these in its view; whether it calls itself settled is another matter.
-fn until_noticed(net: &mut Net, gone: &[usize]) -> Option<Micros> {
-    let start = net.now;
-    let has = |net: &Net| net.live().any(|f| f.members().any(|m| gone.iter().any(|n| at(*n) == m.address)));
-    while has(net) {
-        if net.now - start >= MOST {
+/// How long until no live member has any of these in its view; whether it calls itself settled does not count.
+fn time_to_removal(network: &mut Network, down: &[usize]) -> Option<Micros> {
+    let start = network.now;
+    let is_in_a_view = |network: &Network| {
+        let mut members = network.live().flat_map(|view| view.members());
+        members.any(|member| down.iter().any(|n| address(*n) == member.address))
+    };
+    while is_in_a_view(network) {
+        if network.now - start >= LIMIT {
             return None;
         }
-        net.pass(SECOND / 10);
+        network.advance(SECOND / 10);
     }
-    Some(net.now - start)
+    Some(network.now - start)
+}
+
+fn sent(network: &Network) -> Traffic {
+    let mut sum = Traffic::default();
+    for process in &network.processes {
+        sum.messages += process.sent.messages;
+        sum.bytes += process.sent.bytes;
+    }
+    sum
+}
+
+fn removals(network: &Network) -> usize {
+    let changes = network.processes.iter().flat_map(|process| &process.changes);
+    changes.filter(|(_, change)| matches!(change, MembershipChange::Removed(_))).count()
 }
 
 fn row(count: usize, loss: f64, seed: u64) {
     let clock = Instant::now();
-    let mut net = Net::started(count, seed);
-    net.loss = loss;
-    let join = net.until_agreed(count, MOST);
-    let sent = |net: &Net| net.all.iter().fold((0, 0), |(n, b), p| (n + p.sent.0, b + p.sent.1));
-    let (before, from) = (sent(&net), net.now);
-    net.pass(60 * SECOND);
-    let gone = |c: &&(Micros, MembershipChange)| matches!(c.1, MembershipChange::Removed(_));
-    let removed = net.all.iter().flat_map(|p| p.changes.iter().filter(gone)).count();
-    let after = sent(&net);
-    let each = |sum: u64| sum as f64 / count as f64 / ((net.now - from) as f64 / 1e6);
-    let (datagrams, bytes) = (each(after.0 - before.0), each(after.1 - before.1));
-    let links = (net.exchanged.0, net.exchanged.1 / net.exchanged.0.max(1));
-    let one = [count / 2];
-    net.kill(one[0]);
-    let crash = until_noticed(&mut net, &one);
-    net.start(one[0], 0);
-    let _ = net.until_agreed(count, MOST);
-    let half = count / 2;
-    net.cut = Box::new(move |a, b| (a < half) != (b < half));
-    net.pass(60 * SECOND);
-    net.cut = Box::new(|_, _| false);
-    let heal = net.until_agreed(count, MOST);
-    net.stop(one[0], true);
-    net.pass(20 * SECOND);
-    net.stop(one[0], false);
-    let stop = net.until_agreed(count, MOST);
+    let mut network = Network::started(count, seed);
+    network.loss = loss;
+    let join = network.time_to_agreement(count, LIMIT);
+    let (before, from) = (sent(&network), network.now);
+    network.advance(QUIET_TIME);
+    let (after, removed) = (sent(&network), removals(&network));
+    let per_second = |sum: u64| sum as f64 / count as f64 / ((network.now - from) as f64 / 1e6);
+    let (datagrams, bytes) =
+        (per_second(after.messages - before.messages), per_second(after.bytes - before.bytes));
+    let exchanges = network.exchanged;
+    let one = count / 2;
+    network.kill(one);
+    let crash = time_to_removal(&mut network, &[one]);
+    network.start(one, 0);
+    let _ = network.time_to_agreement(count, LIMIT);
+    network.is_cut = Box::new(move |from, to| (from < one) != (to < one));
+    network.advance(60 * SECOND);
+    network.is_cut = Box::new(|_, _| false);
+    let heal = network.time_to_agreement(count, LIMIT);
+    network.pause(one);
+    network.advance(20 * SECOND);
+    network.resume(one);
+    let pause = network.time_to_agreement(count, LIMIT);
     let many: Vec<usize> = (0..count * 7 / 10).collect();
-    many.iter().for_each(|n| net.kill(*n));
-    let crowd = until_noticed(&mut net, &many);
+    many.iter().for_each(|n| network.kill(*n));
+    let mass_crash = time_to_removal(&mut network, &many);
     println!(
         "| {count} | {:.0}% | {seed} | {} | {} | {} | {} | {} | {removed} | {datagrams:.1} | {bytes:.0} | {} of {} | {:.0} |",
         loss * 100.0,
         shown(join),
         shown(crash),
-        shown(crowd),
+        shown(mass_crash),
         shown(heal),
-        shown(stop),
-        links.0,
-        links.1,
+        shown(pause),
+        exchanges.messages,
+        exchanges.bytes / exchanges.messages.max(1),
         clock.elapsed().as_secs_f64()
     );
 }
 
+/// The words that a reading finds, or the default.
+fn arguments<T>(read: impl Fn(&str) -> Option<T>, default: Vec<T>) -> Vec<T> {
+    let found: Vec<T> = std::env::args().skip(1).filter_map(|word| read(&word)).collect();
+    if found.is_empty() { default } else { found }
+}
+
 fn main() {
-    let told: Vec<usize> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let share = |word: &String| word.strip_suffix('%')?.parse::<f64>().ok().map(|p| p / 100.0);
-    let losses: Vec<f64> = words.iter().filter_map(share).collect();
-    let losses = if losses.is_empty() { vec![0.0, 0.05, 0.2] } else { losses };
-    let seeds: Vec<u64> = words.iter().filter_map(|w| w.strip_prefix("seed=")?.parse().ok()).collect();
-    let seeds = if seeds.is_empty() { vec![1, 2] } else { seeds };
-    let counts = if told.is_empty() { vec![10, 40, 300] } else { told };
+    let counts = arguments(|word| word.parse().ok(), vec![10, 40, 300]);
+    let percent = |word: &str| word.strip_suffix('%')?.parse::<f64>().ok().map(|share| share / 100.0);
+    let losses = arguments(percent, vec![0.0, 0.05, 0.2]);
+    let seeds = arguments(|word| word.strip_prefix("seed=")?.parse().ok(), vec![1, 2]);
     println!(
         "| members | loss | seed | join | one crash noticed | seven in ten noticed | heal | after a stop | false removals a minute | datagrams/s each | bytes/s each | full exchanges by then, bytes of one | computed in s |"
     );
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -1,33 +1,67 @@
-//! Schedules of faults from seeds, on virtual time: whatever happens, what must never be is not, and once all is well again all
+//! Schedules of faults from seeds, on virtual time: what must hold at any time holds, and once all faults are over all processes
 //! come to one view.
 
-use super::{Net, SECOND};
+use super::SECOND;
+use super::network::Network;
 use birchreach_membership::{Membership, Micros, ViewState};
 
+/// The time within which all agree after the last fault.
+const AGREEMENT_LIMIT: Micros = 40 * SECOND;
+
 /// What happens to a fleet.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Fault {
     Kill(usize),
-    /// It starts anew, with a clock that is off by so much.
-    Start(usize, Micros),
-    Stop(usize),
-    GoOn(usize),
+    /// A process starts anew, on a clock that is off by so much.
+    Start {
+        n: usize,
+        clock_offset: Micros,
+    },
+    Pause(usize),
+    Resume(usize),
     Leave(usize),
-    /// Those below this place and the others do not hear each other.
-    Halves(usize),
-    /// It hears nobody; or nobody hears it.
-    Deaf(usize),
-    Mute(usize),
-    Heal,
+    /// The places below this one and the others do not reach each other.
+    Partition(usize),
+    /// A process receives nothing.
+    NothingReceived(usize),
+    /// Nothing that a process sends is received.
+    NothingSent(usize),
+    EndCuts,
     Loss(f64),
 }
 
-/// So many places, and what happens after how long.
+/// A fault and its time.
+#[derive(Clone, Debug)]
+struct Scheduled {
+    at: Micros,
+    fault: Fault,
+}
+
+/// So many places, and what happens when.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    pub seed: u64,
-    pub places: usize,
-    pub acts: Vec<(Micros, Act)>,
+    seed: u64,
+    places: usize,
+    faults: Vec<Scheduled>,
+}
+
+fn draw_fault(rng: &mut fastrand::Rng, places: usize) -> Fault {
+    let n = rng.usize(..places);
+    match rng.u8(..12) {
+        0 | 1 => Fault::Kill(n),
+        2 | 3 => {
+            let clock_offset = if rng.u8(..4) == 0 { -rng.i64(0..3_600 * SECOND) } else { 0 };
+            Fault::Start { n, clock_offset }
+        }
+        4 => Fault::Pause(n),
+        5 => Fault::Resume(n),
+        6 => Fault::Leave(n),
+        7 => Fault::Partition(rng.usize(1..places)),
+        8 => Fault::NothingReceived(n),
+        9 => Fault::NothingSent(n),
+        10 => Fault::EndCuts,
+        _ => Fault::Loss([0.0, 0.05, 0.2][rng.usize(..3)]),
+    }
 }
 
 impl Schedule {
@@ -35,85 +69,78 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let places = rng.usize(3..=10);
         let mut at = 0;
-        let acts = (0..rng.usize(4..=14)).map(|_| {
+        let count = rng.usize(4..=14);
+        let mut faults = Vec::new();
+        for _ in 0..count {
             at += rng.i64(SECOND / 10..6 * SECOND);
-            let n = rng.usize(..places);
-            let act = match rng.u8(..12) {
-                0 | 1 => Act::Kill(n),
-                2 | 3 => Act::Start(n, if rng.u8(..4) == 0 { -rng.i64(0..3_600 * SECOND) } else { 0 }),
-                4 => Act::Stop(n),
-                5 => Act::GoOn(n),
-                6 => Act::Leave(n),
-                7 => Act::Halves(rng.usize(1..places)),
-                8 => Act::Deaf(n),
-                9 => Act::Mute(n),
-                10 => Act::Heal,
-                _ => Act::Loss([0.0, 0.05, 0.2][rng.usize(..3)]),
-            };
-            (at, act)
-        });
-        let acts = acts.collect();
-        Schedule { seed, places, acts }
+            faults.push(Scheduled { at, fault: draw_fault(&mut rng, places) });
+        }
+        Schedule { seed, places, faults }
     }
 
-    /// Plays it; then all is well again, and all that were lost come back. How long they took to agree.
+    /// Plays it; then all faults end, and processes that are down or have left start again. How long they took to agree.
     pub fn play(&self) -> Result<Micros, String> {
-        let mut net = Net::started(self.places, self.seed);
-        for (at, act) in &self.acts {
-            while net.now < *at {
-                net.pass((*at - net.now).min(SECOND / 2));
-                self.hold(&net)?;
+        let mut network = Network::started(self.places, self.seed);
+        for Scheduled { at, fault } in &self.faults {
+            while network.now < *at {
+                network.advance((*at - network.now).min(SECOND / 2));
+                self.check(&network)?;
             }
-            self.act(&mut net, act);
+            inject(&mut network, fault);
         }
-        net.cut = Box::new(|_, _| false);
-        net.loss = 0.0;
+        inject(&mut network, &Fault::EndCuts);
+        inject(&mut network, &Fault::Loss(0.0));
         for n in 0..self.places {
-            net.stop(n, false);
-            let here = net.all[n].fleet.as_ref().is_some_and(|f| !f.left());
-            if !here {
-                net.start(n, 0);
+            network.resume(n);
+            let membership = network.processes[n].membership.as_ref();
+            if membership.is_none_or(Membership::left) {
+                network.start(n, 0);
             }
         }
-        let took = net.until_agreed(self.places, 40 * SECOND);
-        took.ok_or_else(|| format!("{self:?}: they do not agree: {:?}", views(&net)))
+        let took = network.time_to_agreement(self.places, AGREEMENT_LIMIT);
+        took.ok_or_else(|| format!("{self:?}: they do not agree: {:?}", views(&network)))
     }
 
-    fn act(&self, net: &mut Net, act: &Act) {
-        match *act {
-            Act::Kill(n) => net.kill(n),
-            Act::Start(n, clock) => net.start(n, clock),
-            Act::Stop(n) => net.stop(n, true),
-            Act::GoOn(n) => net.stop(n, false),
-            Act::Leave(n) => {
-                let now = net.now;
-                net.all[n].fleet.iter_mut().for_each(|f| f.leave(now));
-            }
-            Act::Halves(of) => net.cut = Box::new(move |a, b| (a < of) != (b < of)),
-            Act::Deaf(n) => net.cut = Box::new(move |_, b| b == n),
-            Act::Mute(n) => net.cut = Box::new(move |a, _| a == n),
-            Act::Heal => net.cut = Box::new(|_, _| false),
-            Act::Loss(share) => net.loss = share,
+    /// What holds at any time: quotas never add up to more than the whole, no process is its own member, and none of several
+    /// reports itself alone.
+    fn check(&self, network: &Network) -> Result<(), String> {
+        let joined = || network.live().filter(|membership| !membership.left());
+        let quotas: f64 = joined().map(|membership| 1.0 / f64::from(membership.view().divisor())).sum();
+        let is_own_member = |membership: &Membership| {
+            membership.members().any(|member| member.address == membership.own().address)
+        };
+        let any_own_member = joined().any(is_own_member);
+        let any_alone = joined().any(|membership| membership.view().state == ViewState::Alone);
+        if quotas > 1.0 + 1e-9 || any_own_member || any_alone {
+            let now = network.now;
+            return Err(format!(
+                "{self:?}: quotas of {quotas}, own member {any_own_member}, alone {any_alone}, at {now}"
+            ));
         }
+        Ok(())
     }
+}
 
-    /// What must hold at any time: shares never add up to more than the whole, nobody is its own member, and a view is of places
-    /// that there are.
-    fn hold(&self, net: &Net) -> Result<(), String> {
-        let here = || net.live().filter(|f| !f.left());
-        let sum: f64 = here().map(|f| 1.0 / f64::from(f.view().divisor())).sum();
-        let own = here().any(|f| f.members().any(|m| m.address == f.own().address));
-        let blind = here().any(|f| matches!(f.view().state, ViewState::Alone));
-        if sum > 1.0 + 1e-9 || own || blind {
-            return Err(format!("{self:?}: shares of {sum}, own {own}, alone {blind}, at {}", net.now));
+fn inject(network: &mut Network, fault: &Fault) {
+    match *fault {
+        Fault::Kill(n) => network.kill(n),
+        Fault::Start { n, clock_offset } => network.start(n, clock_offset),
+        Fault::Pause(n) => network.pause(n),
+        Fault::Resume(n) => network.resume(n),
+        Fault::Leave(n) => network.leave(n),
+        Fault::Partition(first) => {
+            network.is_cut = Box::new(move |from, to| (from < first) != (to < first));
         }
-        Ok(())
+        Fault::NothingReceived(n) => network.is_cut = Box::new(move |_, to| to == n),
+        Fault::NothingSent(n) => network.is_cut = Box::new(move |from, _| from == n),
+        Fault::EndCuts => network.is_cut = Box::new(|_, _| false),
+        Fault::Loss(share) => network.loss = share,
     }
 }
 
-fn views(net: &Net) -> Vec<(usize, u64, ViewState)> {
-    let view = |f: &Membership| (f.view().members, f.view().digest, f.view().state);
-    net.live().map(view).collect()
+fn views(network: &Network) -> Vec<(usize, u64, ViewState)> {
+    let views = network.live().map(Membership::view);
+    views.map(|view| (view.members, view.digest, view.state)).collect()
 }
 
 pub fn some_schedules_settle() -> Result<(), String> {
--- a/membership/tests/faults_are_caught.rs
+++ b/membership/tests/faults_are_caught.rs
@@ -1,6 +1,7 @@
-//! A checker that never failed has shown nothing: each of these one-line faults must make its scene fail.
+//! A check that never failed has shown nothing: each of these one-line faults must make its scene fail.
 
 mod common;
+
 use birchreach_membership::faults::{Fault, with};
 use common::{scenes, schedule};
 
--- a/membership/tests/membership_view.rs
+++ b/membership/tests/membership_view.rs
@@ -1,4 +1,4 @@
-//! The view settles, removes nobody who is well, and says what it does not know.
+//! The view settles, keeps live members, and says how sure it is.
 
 mod common;
 use common::{scenes, schedule};
