--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -55,7 +55,7 @@
         };
         match fleet.open() {
             // The process that this one replaces still has the address.
-            Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited.is_some() => {}
+            Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
             other => other.map_err(failed)?,
         }
         let sync = MembershipSync::new(options.listen, keys.clone(), membership);
