--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -24,20 +24,7 @@
         let mut incarnation = [0; 8];
         getrandom::fill(&mut incarnation)?;
         let incarnation = u64::from_be_bytes(incarnation);
-        let name = self.config.name.clone();
-        if name.len() > birchreach_membership::MAX_NAME_BYTES || name.chars().any(char::is_control) {
-            let max_bytes = birchreach_membership::MAX_NAME_BYTES;
-            return Err(EventLoopError::FleetName { max_bytes });
-        }
-        let settings = MembershipSettings {
-            name,
-            address: options.advertise,
-            incarnation,
-            epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
-            seed: self.config.seed ^ incarnation,
-            seeds: options.peers.clone(),
-            configured_members: options.configured_members,
-        };
+        let settings = self.membership_settings(options, incarnation)?;
         let membership = shared(Membership::new(settings, self.context.now));
         let mut fleet = FleetMembership {
             socket: None,
@@ -65,6 +52,27 @@
         Ok(())
     }
 
+    fn membership_settings(
+        &self,
+        options: &birchreach_options::FleetOptions,
+        incarnation: u64,
+    ) -> Result<MembershipSettings, EventLoopError> {
+        let name = self.config.name.clone();
+        if name.len() > birchreach_membership::MAX_NAME_BYTES || name.chars().any(char::is_control) {
+            let max_bytes = birchreach_membership::MAX_NAME_BYTES;
+            return Err(EventLoopError::FleetName { max_bytes });
+        }
+        Ok(MembershipSettings {
+            name,
+            address: options.advertise,
+            incarnation,
+            epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
+            seed: self.config.seed ^ incarnation,
+            seeds: options.peers.clone(),
+            configured_members: options.configured_members,
+        })
+    }
+
     /// The answers to the operators' calls about the fleet and the subsystems that depend on it.
     pub(in crate::net) fn admin_reports(&self) -> AdminReports {
         let Some(fleet) = &self.fleet else { return AdminReports::default() };
