--- a/fault-injection/tests/switch.rs
+++ b/fault-injection/tests/switch.rs
@@ -63,5 +63,5 @@
             assert_eq!(enabled, section == "dev-dependencies", "{folder}: [{section}] {line}");
         }
     }
-    assert_eq!(users, 3, "crates that can have faults injected");
+    assert_eq!(users, 4, "crates that can have faults injected");
 }
--- a/membership/src/faults.rs
+++ b/membership/src/faults.rs
@@ -1,10 +1,6 @@
-//! One-line faults that tests inject to show that the checkers catch them; compiled for tests alone.
+//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
 
-use std::cell::Cell;
-
-/// Each breaks one invariant of the crate.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+birchreach_fault_injection::declare_faults! {
     /// Addresses outside the view are not retried.
     NoAddressRetries,
     /// No full exchange is begun.
@@ -24,19 +20,3 @@
     /// A report counts each time it is received.
     DuplicatesCounted,
 }
-
-thread_local! {
-    static INJECTED: Cell<Option<Fault>> = const { Cell::new(None) };
-}
-
-/// Runs something with a fault.
-pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
-    INJECTED.set(Some(fault));
-    let result = run();
-    INJECTED.set(None);
-    result
-}
-
-pub(crate) fn is(fault: Fault) -> bool {
-    INJECTED.get() == Some(fault)
-}
--- a/membership/src/full_exchange.rs
+++ b/membership/src/full_exchange.rs
@@ -4,6 +4,7 @@
 use crate::membership::Membership;
 use crate::swim::PayloadError;
 use crate::{MAX_MEMBERS, Micros};
+use birchreach_fault_injection::fault_injected;
 use foca::{Codec, Member, PostcardCodec, State};
 use std::net::SocketAddr;
 
@@ -64,7 +65,7 @@
 impl Membership {
     /// The member with which a full exchange is due now.
     pub fn due_exchange(&mut self, now: Micros) -> Option<SocketAddr> {
-        if self.left || crate::faulty!(NoFullExchanges) {
+        if self.left || fault_injected!(NoFullExchanges) {
             return None;
         }
         let members = &self.members;
--- a/membership/src/gossip_reports.rs
+++ b/membership/src/gossip_reports.rs
@@ -7,6 +7,7 @@
 
 use crate::swim::PayloadError;
 use crate::{MAX_PAYLOAD_BYTES, Micros};
+use birchreach_fault_injection::fault_injected;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -121,7 +122,7 @@
             let age = Micros::from(age_ms) * 1_000;
             let key = ReportKey { channel, origin };
             let is_newer = self.reports.get(&key).is_none_or(|report| report.sequence < sequence);
-            let is_duplicate = !is_newer && !crate::faulty!(DuplicatesCounted);
+            let is_duplicate = !is_newer && !fault_injected!(DuplicatesCounted);
             if origin == self.own_incarnation || age > lifetime || is_duplicate || !is_member(origin) {
                 continue;
             }
--- a/membership/src/known_addresses.rs
+++ b/membership/src/known_addresses.rs
@@ -2,6 +2,7 @@
 //! partitioned fleet find each other again although each has removed the other.
 
 use crate::{MAX_MEMBERS, Micros};
+use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -71,7 +72,7 @@
             return Vec::new();
         }
         self.next_retry_at = now + RETRY_INTERVAL;
-        if crate::faulty!(NoAddressRetries) && now > 10 * RETRY_INTERVAL {
+        if fault_injected!(NoAddressRetries) && now > 10 * RETRY_INTERVAL {
             return Vec::new();
         }
         self.remove_expired(now);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -29,7 +29,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-#[cfg(feature = "mutants")]
 pub mod faults;
 mod full_exchange;
 mod gossip_reports;
@@ -47,18 +46,6 @@
 pub use swim::PayloadError;
 pub use view::{MembershipChange, View, ViewState};
 
-/// Whether this fault is injected; never outside tests.
-macro_rules! faulty {
-    ($which:ident) => {{
-        #[cfg(feature = "mutants")]
-        let on = crate::faults::is(crate::faults::Fault::$which);
-        #[cfg(not(feature = "mutants"))]
-        let on = false;
-        on
-    }};
-}
-pub(crate) use faulty;
-
 /// A span of time, or an instant on the local clock, in microseconds.
 pub type Micros = i64;
 
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -1,5 +1,6 @@
 //! The identity of a member: name, address, incarnation and epoch.
 
+use birchreach_fault_injection::fault_injected;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -38,7 +39,7 @@
     /// is twice the one before.
     fn renew(&self) -> Option<Peer> {
         let doublings =
-            if crate::faulty!(EpochStepsOfOne) { 0 } else { self.renewals.min(MAX_EPOCH_DOUBLINGS) };
+            if fault_injected!(EpochStepsOfOne) { 0 } else { self.renewals.min(MAX_EPOCH_DOUBLINGS) };
         let epoch = self.epoch.saturating_add(1 << doublings);
         Some(Peer { epoch, renewals: self.renewals.saturating_add(1), ..self.clone() })
     }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -2,6 +2,7 @@
 //! counts.
 
 use crate::{MAX_MEMBERS, MAX_PAYLOAD_BYTES, Peer};
+use birchreach_fault_injection::fault_injected;
 use foca::{Codec, Config, Header, Member, Message, Notification, PeriodicParams, PostcardCodec};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -102,7 +103,7 @@
 }
 
 pub(crate) fn config() -> Config {
-    let remove_suspects = crate::faulty!(SuspectsRemovedAtOnce);
+    let remove_suspects = fault_injected!(SuspectsRemovedAtOnce);
     Config {
         probe_period: PROBE_PERIOD,
         probe_rtt: PROBE_ROUND_TRIP,
@@ -150,7 +151,7 @@
             return Err(PayloadError::Malformed);
         }
     }
-    if members > MAX_MEMBERS && !crate::faulty!(NoMemberLimit) {
+    if members > MAX_MEMBERS && !fault_injected!(NoMemberLimit) {
         return Err(PayloadError::TooManyMembers);
     }
     Ok(header)
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,6 +1,7 @@
 //! What a process reports of its fleet, and what of that has changed.
 
 use crate::{Micros, Peer};
+use birchreach_fault_injection::fault_injected;
 use sha2::{Digest, Sha256};
 
 /// How sure a process is of its view.
@@ -52,7 +53,7 @@
 impl View {
     /// A quota of the whole fleet is divided by this: the larger of the configured and the seen number of members.
     pub fn divisor(&self) -> u32 {
-        let configured = if crate::faulty!(DivisorIgnoresOptions) { 0 } else { self.configured_members };
+        let configured = if fault_injected!(DivisorIgnoresOptions) { 0 } else { self.configured_members };
         configured.max(u32::try_from(self.members).unwrap_or(u32::MAX)).max(1)
     }
 }
--- a/membership/src/view_state.rs
+++ b/membership/src/view_state.rs
@@ -3,6 +3,7 @@
 use crate::Micros;
 use crate::membership::Membership;
 use crate::view::{MembershipChange, ViewState, digest};
+use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeSet;
 
 /// A process that received nothing for this time is blind: three rounds of probes, each with its indirect ones.
@@ -30,7 +31,7 @@
         let mut seen = BTreeSet::from([self.foca.identity().name.as_str()]);
         let repeated = self.members.values().filter(|member| !seen.insert(member.name.as_str()));
         let conflicts: BTreeSet<String> = repeated
-            .filter(|_| !crate::faulty!(NameConflictsIgnored))
+            .filter(|_| !fault_injected!(NameConflictsIgnored))
             .map(|member| member.name.clone())
             .collect();
         let before = std::mem::replace(&mut self.name_conflicts, conflicts.clone());
@@ -43,7 +44,7 @@
     }
 
     pub(crate) fn update_state(&mut self, now: Micros) {
-        let receives_nothing = now - self.last_received_at >= BLIND_AFTER && !crate::faulty!(NeverBlind);
+        let receives_nothing = now - self.last_received_at >= BLIND_AFTER && !fault_injected!(NeverBlind);
         let state = if self.members.is_empty() {
             match self.configured_members {
                 0 | 1 => ViewState::Alone,
