--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -38,7 +38,7 @@
             }
             LinkStep::Continue if has_failed => self.close_link(context, key, CloseReason::Closed),
             LinkStep::Continue if is_written && link.role.is_sending() => {
-                context.timers.set(context.now + 1, TimerEvent::GossipSend(key, id.serial));
+                context.timers.set(context.now + 1, TimerEvent::GossipSend { key, serial: id.serial });
             }
             LinkStep::Continue => {}
         }
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -72,7 +72,7 @@
     if sender.is_sending() && sender.output.is_empty() {
         match transfer.provider.take_send_budget(context.now, PART_BUDGET_BYTES) {
             Ok(()) => drop(sender.send_next_part()),
-            Err(at) => context.timers.set(at, TimerEvent::GossipSend(link.key, link.serial)),
+            Err(at) => context.timers.set(at, TimerEvent::GossipSend { key: link.key, serial: link.serial }),
         }
     }
     LinkStep::Continue
