--- a/options/tests/fleet.rs
+++ b/options/tests/fleet.rs
@@ -11,10 +11,10 @@
     let text =
         fleet("listen='10.0.0.1:7100' key-file='keys' peers='10.0.0.1:7100 10.0.0.2:7100 10.0.0.3:7100'");
     let told = parse(&text).unwrap().fleet.unwrap();
-    assert_eq!((told.named, told.advertise), (3, told.listen), "this one is not counted twice");
+    assert_eq!((told.configured_members, told.advertise), (3, told.listen), "this one is not counted twice");
     let text = fleet("listen='0.0.0.0:7100' advertise='10.0.0.1:7100' key-file='keys' named='9'");
     let told = parse(&text).unwrap().fleet.unwrap();
-    assert_eq!((told.named, told.peers.len()), (9, 0));
+    assert_eq!((told.configured_members, told.peers.len()), (9, 0));
 }
 
 #[test]
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -127,7 +127,7 @@
     /// commands is carried out.
     fn after_gossip(&mut self) {
         let Some(gossip) = &self.gossip else { return };
-        self.clients.set_awaiting_peer_state(!gossip.ready());
+        self.clients.set_awaiting_peer_state(!gossip.is_startup_complete());
         self.carry_out();
     }
 }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -101,7 +101,7 @@
             }
             Source::Gossip(key) => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.ready_link(&mut self.context, key);
+                    gossip.process_link(&mut self.context, key);
                     self.after_gossip();
                 }
             }
@@ -144,7 +144,7 @@
     fn after_handover(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
-            fleet.replaced(self.context.now, self.handover.is_replaced());
+            fleet.set_replaced(self.context.now, self.handover.is_replaced());
             self.after_fleet();
         }
         self.negotiate_handover();
@@ -153,7 +153,7 @@
     /// Reads the datagrams of the fleet.
     fn handle_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.ready(self.context.now);
+            fleet.receive_datagrams(self.context.now);
             self.after_fleet();
         }
     }
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -20,7 +20,7 @@
 use crate::core::Core;
 use crate::discovery::EndpointUpdate;
 use crate::observe::shared;
-use crate::peer_knowledge::PeerKnowledge;
+use crate::peer_state::PeerStateObserver;
 use mio::{Interest, Poll};
 use signal_hook_mio::v1_0::Signals;
 use std::net::SocketAddr;
@@ -138,17 +138,17 @@
         // Each process observes for itself: what its predecessor observed reaches it at second hand.
         let mut observer = [0; 8];
         getrandom::fill(&mut observer)?;
-        let peer_knowledge = shared(PeerKnowledge::new(u64::from_be_bytes(observer)));
-        self.context.core.subscribe(self.context.now, peer_knowledge.clone());
+        let peer_state = shared(PeerStateObserver::new(u64::from_be_bytes(observer)));
+        self.context.core.subscribe(self.context.now, peer_state.clone());
         let state_transfer = StateTransfer::new(
             &self.context.registry,
             options,
             keys.clone(),
-            peer_knowledge,
+            peer_state,
             self.config.seed,
             self.context.now,
         )?;
-        self.gossip.get_or_insert_default().learn(state_transfer);
+        self.gossip.get_or_insert_default().set_state_transfer(state_transfer);
         Ok(())
     }
 }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -36,7 +36,7 @@
             TimerEvent::Gossip => self.step_gossip(),
             TimerEvent::GossipSend { key, serial } => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.go_on(context, key, serial);
+                    gossip.continue_sending(context, key, serial);
                     self.after_gossip();
                 }
             }
@@ -71,7 +71,7 @@
         }
         let pressure = self.database_connections_in_use();
         if let Some(gossip) = &mut self.gossip {
-            gossip.pressed(pressure);
+            gossip.set_load(pressure);
             self.after_gossip();
         }
         self.reopen_check_listeners();
