--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -133,7 +133,7 @@
         let slot = self.connections.vacant_entry();
         let token = Source::Admin(slot.key()).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if context.registry.register(&mut stream, token, interest).is_ok() {
+        if context.poll.registry().register(&mut stream, token, interest).is_ok() {
             slot.insert(Connection { stream, protocol: AdminProtocol::default(), accepted_at: context.now });
         }
     }
@@ -203,7 +203,7 @@
 
     fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
         let mut connection = self.connections.remove(key);
-        let _ = context.registry.deregister(&mut connection.stream);
+        let _ = context.poll.registry().deregister(&mut connection.stream);
         info!(conn = "operator", reason = reason.word());
     }
 }
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -90,7 +90,8 @@
 
     fn register(&mut self, context: &mut EventLoopContext, mut listener: OpenListener) {
         let token = listener.protocol.source().token();
-        if let Err(error) = context.registry.register(&mut listener.socket, token, Interest::READABLE) {
+        if let Err(error) = context.poll.registry().register(&mut listener.socket, token, Interest::READABLE)
+        {
             warn!(event = "health-failed", error = %Quoted(error));
             return;
         }
@@ -165,5 +166,5 @@
 
 fn close_listener(context: &mut EventLoopContext, mut listener: OpenListener) {
     // Closing the socket deregisters it as well.
-    let _ = context.registry.deregister(&mut listener.socket);
+    let _ = context.poll.registry().deregister(&mut listener.socket);
 }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -139,7 +139,7 @@
         let slot = self.connections.vacant_entry();
         let key = slot.key();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if context.registry.register(&mut stream, Source::Check(key).token(), interest).is_err() {
+        if context.poll.registry().register(&mut stream, Source::Check(key).token(), interest).is_err() {
             return;
         }
         self.last_serial += 1;
@@ -169,7 +169,7 @@
     fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CheckCloseReason) {
         let mut connection = self.connections.remove(key);
         // Fails only if the socket isn't registered, which is as well.
-        let _ = context.registry.deregister(&mut connection.stream);
+        let _ = context.poll.registry().deregister(&mut connection.stream);
         let (kind, ordinary, reason) = (connection.protocol.as_str(), reason.is_ordinary(), reason.as_str());
         if ordinary {
             debug!(conn = "check", kind, reason);
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -88,7 +88,7 @@
         let key = ClientKey(slot.key());
         let token = Source::Client(key.0).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if let Err(error) = context.registry.register(&mut stream, token, interest) {
+        if let Err(error) = context.poll.registry().register(&mut stream, token, interest) {
             let reason = ClientCloseReason::NoSocket.word();
             warn!(conn = "client", %peer, reason, error = %Quoted(error));
             return None;
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -145,7 +145,7 @@
     /// Closes the connection and logs why.
     fn close(&mut self, context: &mut EventLoopContext, key: ClientKey, reason: ClientCloseReason) {
         let mut client = self.connections.remove(key.0);
-        let _ = context.registry.deregister(&mut client.stream);
+        let _ = context.poll.registry().deregister(&mut client.stream);
         self.unclassified_count -= usize::from(client.unclassified);
         let may_be_balancer = self.unclassified_allowance > 0 && client.unclassified;
         let (peer, answered, word) = (client.peer, client.answered_requests, reason.word());
--- a/proxy/src/net/clients/shutdown.rs
+++ b/proxy/src/net/clients/shutdown.rs
@@ -40,7 +40,7 @@
 
     fn close_listener(&mut self, context: &mut EventLoopContext) {
         if let Some(mut listener) = self.listener.take() {
-            let _ = context.registry.deregister(&mut listener);
+            let _ = context.poll.registry().deregister(&mut listener);
         }
     }
 }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -127,7 +127,7 @@
         let mut stream = TcpStream::connect(self.address)?;
         let _ = stream.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        context.registry.register(&mut stream, Source::Discovery.token(), interest)?;
+        context.poll.registry().register(&mut stream, Source::Discovery.token(), interest)?;
         Ok(stream)
     }
 
@@ -150,7 +150,7 @@
 
     fn disconnect(&mut self, context: &mut EventLoopContext, reason: &CloseReason) {
         if let Some(mut stream) = self.stream.take() {
-            let _ = context.registry.deregister(&mut stream);
+            let _ = context.poll.registry().deregister(&mut stream);
         }
         info!(conn = "discovery", reason = %Quoted(reason));
     }
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -5,15 +5,15 @@
 use super::timers::Timers;
 use crate::core::Core;
 use birchreach::Micros;
-use mio::Registry;
+use mio::Poll;
 
 /// The part of the loop's state that every owner may use. It is a field of the loop, so that a call such as
 /// `self.clients.close_expired(&mut self.context)` borrows two fields that do not overlap.
 pub struct EventLoopContext {
     /// The time, read once for the events of a turn and once for its timers.
     pub now: Micros,
-    /// Where sockets are registered with the poll: a clone of its registry.
-    pub registry: Registry,
+    /// Waits for sockets, which are registered with its registry.
+    pub poll: Poll,
     /// Timers of all owners.
     pub timers: Timers<TimerEvent>,
     /// The requests that are open, and the decisions on them.
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -29,7 +29,7 @@
         let mut fleet = FleetMembership {
             socket: None,
             listen: options.listen,
-            registry: self.context.registry.try_clone().map_err(failed)?,
+            registry: self.context.poll.registry().try_clone().map_err(failed)?,
             membership: membership.clone(),
             gossip_reports: GossipReports::new(incarnation, self.config.seed ^ incarnation.rotate_left(32)),
             new_reports: Vec::new(),
@@ -106,7 +106,7 @@
         }
         let (is_active, new_reports) = (fleet.is_active(), fleet.take_new_reports());
         if let Some(gossip) = &mut self.gossip {
-            gossip.set_active(&self.context.registry, is_active);
+            gossip.set_active(self.context.poll.registry(), is_active);
         }
         if let Some(background) = &mut self.background {
             background.hear(self.context.now, new_reports);
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -149,7 +149,7 @@
         let slot = self.links.vacant_entry();
         let interest = Interest::READABLE | Interest::WRITABLE;
         let token = Source::Gossip(slot.key()).token();
-        context.registry.register(&mut stream, token, interest).map_err(|_| LinkError::NoSocket)?;
+        context.poll.registry().register(&mut stream, token, interest).map_err(|_| LinkError::NoSocket)?;
         self.last_serial += 1;
         slot.insert(PeerLink { stream, role, peer, serial: self.last_serial, opened_at: context.now });
         Ok(())
@@ -185,7 +185,7 @@
 
     fn close_link(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
         let mut link = self.links.remove(key);
-        let _ = context.registry.deregister(&mut link.stream);
+        let _ = context.poll.registry().deregister(&mut link.stream);
         let is_complete = reason.is_complete();
         if let Some(transfer) = &mut self.state_transfer {
             match &link.role {
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -42,7 +42,7 @@
 use event_loop_context::EventLoopContext;
 use fleet::FleetMembership;
 use gossip::Gossip;
-use mio::{Events, Poll};
+use mio::Events;
 use pool::Pool;
 use process_handover::ProcessHandover;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -60,7 +60,6 @@
 
 /// The loop's state. Each field owns its part; calls between the parts go through here.
 struct EventLoop {
-    poll: Poll,
     clock: Clock,
     context: EventLoopContext,
     clients: Clients,
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -71,7 +71,7 @@
         reason: DatabaseCloseReason,
     ) -> Option<ConnectionTask> {
         let mut connection = self.connections.remove(key);
-        let _ = context.registry.deregister(&mut connection.stream);
+        let _ = context.poll.registry().deregister(&mut connection.stream);
         if let Some(keys) = self.idle.get_mut(&connection.server) {
             keys.retain(|other| *other != key);
         }
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -61,7 +61,7 @@
         let key = self.connections.next_key();
         let token = Source::Database(key.0).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if let Err(error) = context.registry.register(&mut stream, token, interest) {
+        if let Err(error) = context.poll.registry().register(&mut stream, token, interest) {
             log_failure(context, server, DatabaseCloseReason::NoSocket, error);
             return Err(OpenError::NoSocket);
         }
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -106,9 +106,9 @@
     pub fn accept(&mut self, context: &mut EventLoopContext) {
         while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             if let Some(mut older) = self.successor.take() {
-                let _ = context.registry.deregister(&mut older.stream);
+                let _ = context.poll.registry().deregister(&mut older.stream);
             }
-            if register(&context.registry, &mut stream, Source::Successor) {
+            if register(context.poll.registry(), &mut stream, Source::Successor) {
                 self.successor = Some(Link::new(stream));
                 info!(event = "successor-connected");
             }
@@ -127,7 +127,7 @@
         if disconnected(&mut self.successor, context) {
             info!(event = "successor-disconnected");
             // It listened in the place of this process.
-            self.listen(&context.registry);
+            self.listen(context.poll.registry());
         }
     }
 
@@ -195,7 +195,7 @@
     if open.exchange(&mut context.scratch) {
         return false;
     }
-    let _ = context.registry.deregister(&mut open.stream);
+    let _ = context.poll.registry().deregister(&mut open.stream);
     *link = None;
     true
 }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -43,7 +43,7 @@
         let waiting_since = self.clock.now();
         let has_work = self.has_unfinished_work(waiting_since);
         let timeout = if has_work { Some(Duration::ZERO) } else { self.context.timers.wait(waiting_since) };
-        match self.poll.poll(events, timeout) {
+        match self.context.poll.poll(events, timeout) {
             Err(error) if error.kind() != ErrorKind::Interrupted => return Err(EventLoopError::Poll(error)),
             _ => {}
         }
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -70,19 +70,19 @@
             ProcessHandover::default()
         };
         let limits = ConnectionLimits::new(&config, &handover);
-        let registry = poll.registry().try_clone().map_err(EventLoopError::OpenPoll)?;
         let core = Core::new(&config.deployment, config.seed, now);
         let (settings, seed) = (&config.deployment.routing, config.seed);
+        let clients = Clients::new(poll.registry(), listener, limits.clients)?;
         Ok(EventLoop {
             clock,
             context: EventLoopContext {
                 now,
-                registry,
+                poll,
                 timers: Timers::new(),
                 core,
                 scratch: vec![0; SCRATCH_BYTES],
             },
-            clients: Clients::new(poll.registry(), listener, limits.clients)?,
+            clients,
             pool: Pool::new(&config.deployment, limits.databases),
             discovery: DiscoveryConnection::new(config.discovery_address, known_revision, settings, seed),
             admin,
@@ -98,7 +98,6 @@
             stopping: false,
             listener_closed: false,
             clients_closed: false,
-            poll,
         })
     }
 
@@ -141,7 +140,7 @@
         let peer_state = shared(PeerStateObserver::new(u64::from_be_bytes(observer)));
         self.context.core.subscribe(self.context.now, peer_state.clone());
         let state_transfer = StateTransfer::new(
-            &self.context.registry,
+            self.context.poll.registry(),
             options,
             keys.clone(),
             peer_state,
