--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -76,7 +76,7 @@
     let word = |part: &&str| !part.is_empty() && part.chars().all(|c| c.is_ascii_alphanumeric() || c == '_');
     let parts: Vec<&str> = quoted.split("::").collect();
     let is_metric = quoted.starts_with("birchreach_") || quoted.starts_with('_');
-    let is_name = !is_metric && parts.iter().all(|part| word(part));
+    let is_name = !is_metric && parts.iter().all(word);
     let is_snake_case =
         parts.len() == 1 && quoted.contains('_') && quoted.chars().all(|c| !c.is_ascii_uppercase());
     (is_name && (parts.len() > 1 || is_snake_case)).then_some(parts)
