--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -3,7 +3,7 @@
 use super::proxies::{HOT, What};
 use super::servers::{Call, Job};
 use super::world::{Happens, Mode, WAY, World};
-use birchreach::*;
+use birchreach::{AttemptOutcome, GroupId};
 use birchreach_background_tasks::{StartedTask, Task, TaskKind};
 use std::net::SocketAddr;
 
--- a/benches/src/gain/requests.rs
+++ b/benches/src/gain/requests.rs
@@ -3,7 +3,7 @@
 use super::proxies::{HOT, READS, WRITES};
 use super::servers::{Call, GROUPS, Job, MEMBERS};
 use super::world::{Happens, Open, READS_PER_S, WAY, WRITES_PER_S, World};
-use birchreach::*;
+use birchreach::{Action, ClassId, CopyCandidate, Event, GroupId, Request, RequestId, TenantId};
 use std::collections::HashMap;
 
 impl World {
--- a/benches/src/gain/world.rs
+++ b/benches/src/gain/world.rs
@@ -2,7 +2,9 @@
 
 use super::proxies::{HOT, Proxy, WRITES};
 use super::servers::{Call, GROUPS, Job, LAG, MEMBERS, Servers};
-use birchreach::*;
+use birchreach::{
+    AttemptNo, AttemptOutcome, AttemptResult, Event, LoadReport, RequestId, Role, ServerId, ServerStatus,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload};
 use crate::observe::CoreEvent;
-use birchreach::*;
+use birchreach::{Action, AttemptNo, Micros, RequestId, ServerId};
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 /// A timer never expires at once: an action of the router on its expiry could otherwise set it again without end.
--- a/proxy/src/core/attempts.rs
+++ b/proxy/src/core/attempts.rs
@@ -3,7 +3,9 @@
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, MAX_CLOCK_SKEW_MICROS, RequestPayload};
 use crate::observe::CoreEvent;
 use crate::reply::Reply;
-use birchreach::*;
+use birchreach::{
+    AttemptOutcome, AttemptResult, Event, LoadReport, Micros, RequestId, ServerId, ServerStatus,
+};
 
 impl<P: RequestPayload> Core<P> {
     /// Attempts whose result the router waits for.
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -5,7 +5,7 @@
 
 use super::{Core, RequestPayload};
 use crate::stats::{RequestResult, Stats};
-use birchreach::*;
+use birchreach::{ClassId, Consistency, Event, Micros, RequestClass, SessionPositionSource, Settings};
 use birchreach_settings::DeploymentSettings;
 use std::collections::HashSet;
 
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -1,7 +1,7 @@
 //! What passes between the core, the protocol front ends and the event loop: values of no protocol.
 
 use crate::reply::Value;
-use birchreach::*;
+use birchreach::{AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId};
 
 /// A front end's own form of a request.
 pub trait RequestPayload: Clone {
--- a/proxy/src/core/copies.rs
+++ b/proxy/src/core/copies.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptId, Core, RequestPayload};
 use crate::observe::{CopyLocator, ReadDescription};
-use birchreach::*;
+use birchreach::{ClassId, Consistency, CopyCandidate, GroupId, Micros, ServerId};
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -5,7 +5,7 @@
 use super::{Command, Core, LogRecord, RequestPayload};
 use crate::discovery::{EndpointUpdate, ListedEndpoint, ListedState};
 use crate::observe::{CoreEvent, Observer};
-use birchreach::*;
+use birchreach::{Endpoint, EndpointList, EndpointState, Event, GroupId, Micros, ServerId, ZoneId};
 use birchreach_settings::DeploymentSettings;
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/proxy/src/core/health_checks.rs
+++ b/proxy/src/core/health_checks.rs
@@ -4,7 +4,7 @@
 use super::{Command, Core, RequestPayload};
 use crate::observe::CoreEvent;
 use crate::reply::Reply;
-use birchreach::*;
+use birchreach::{AttemptOutcome, Event, LoadReport, Micros, ServerId};
 
 impl<P: RequestPayload> Core<P> {
     pub(super) fn start_health_check(&mut self, now: Micros, server: ServerId) {
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::observe::{CopyLocator, Observers};
 use crate::stats::{Gauges, Stats};
-use birchreach::*;
+use birchreach::{Action, ClassId, Event, GroupId, Micros, RequestId, Router, ServerId};
 use birchreach_settings::DeploymentSettings;
 use classes::ClassTable;
 pub use command::{Answer, AttemptId, ClientKey, Command, LogRecord, RequestPayload, RoutingRequest};
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -4,7 +4,7 @@
 use crate::hash::fnv1a;
 use crate::observe::CoreEvent;
 use crate::stats::RequestResult;
-use birchreach::*;
+use birchreach::{Event, Micros, Request, RequestId, SessionId, TenantId};
 
 impl<P: RequestPayload> Core<P> {
     /// Takes a client's request. `client` is given back with its answer.
--- a/settings/src/warnings.rs
+++ b/settings/src/warnings.rs
@@ -3,7 +3,7 @@
 
 use crate::DeploymentSettings;
 use crate::reader::find;
-use birchreach::*;
+use birchreach::{Consistency, Idempotency, LoadReportSource, RequestClass, Settings, StaleReadPolicy};
 use serde_json::Value;
 
 /// Every key that the platform documents, including those that are not read here.
--- a/simulator-adapter/src/wire/events.rs
+++ b/simulator-adapter/src/wire/events.rs
@@ -5,7 +5,10 @@
 use super::fields::Fields;
 use super::{micros_down, micros_up};
 use crate::host::Instance;
-use birchreach::*;
+use birchreach::{
+    AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointList, EndpointState, Event, GroupId,
+    LoadReport, Micros, Request, RequestId, Role, ServerId, ServerStatus, SessionId, TenantId, ZoneId,
+};
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
 
