--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -6,7 +6,8 @@
 mod common;
 
 use birchreach_membership::{MembershipChange, Micros};
-use common::network::{Network, Traffic};
+use common::network::Network;
+use common::process::Traffic;
 use common::{SECOND, address};
 use std::time::Instant;
 
--- /dev/null
+++ b/membership/src/changes.rs
@@ -0,0 +1,86 @@
+//! What foca asks for is done here: timers are set, and what it notifies of changes the members and is queued for the caller.
+
+use crate::membership::Membership;
+use crate::swim::PayloadError;
+use crate::view::MembershipChange;
+use crate::{MAX_MEMBERS, Micros, Peer};
+use foca::OwnedNotification::{MemberDown, MemberUp, Rejoin, Rename};
+use std::cmp::Reverse;
+
+/// Changes that wait to be taken; beyond this the oldest is dropped.
+const MAX_CHANGES: usize = 1_024;
+/// Timers of foca's; far more than it needs for so many members.
+const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
+
+impl Membership {
+    /// What has changed since the last call.
+    pub fn take_changes(&mut self) -> Vec<MembershipChange> {
+        self.changes.drain(..).collect()
+    }
+
+    pub(crate) fn push_change(&mut self, change: MembershipChange) {
+        if self.changes.len() >= MAX_CHANGES {
+            self.changes.pop_front();
+        }
+        self.changes.push_back(change);
+    }
+
+    /// Merges what a full exchange brought.
+    pub(crate) fn apply_members(
+        &mut self,
+        now: Micros,
+        received: Vec<foca::Member<Peer>>,
+    ) -> Result<(), PayloadError> {
+        let result = self.foca.apply_many(received.into_iter(), true, &mut self.output);
+        self.apply_output(now);
+        self.update_state(now);
+        result.map_err(|_| PayloadError::Malformed)
+    }
+
+    /// Does what foca asks for.
+    pub(crate) fn apply_output(&mut self, now: Micros) {
+        for (timer, after) in std::mem::take(&mut self.output.timers) {
+            if self.timers.len() < MAX_TIMERS {
+                let after = Micros::try_from(after.as_micros()).unwrap_or(Micros::MAX / 2);
+                self.timers.push(Reverse((now.saturating_add(after), timer)));
+            }
+        }
+        let notifications = std::mem::take(&mut self.output.notifications);
+        if notifications.is_empty() {
+            return;
+        }
+        for notification in notifications {
+            self.apply_notification(now, notification);
+        }
+        let digest = self.compute_digest();
+        if std::mem::replace(&mut self.digest, digest) != digest {
+            self.view_changed_at = now;
+        }
+        self.update_name_conflicts();
+    }
+
+    fn apply_notification(&mut self, now: Micros, notification: foca::OwnedNotification<Peer>) {
+        match notification {
+            MemberUp(peer) => {
+                self.known_addresses.record(now, peer.address);
+                if self.members.is_empty() {
+                    self.exchange_schedule.record_first_member(now, peer.address);
+                }
+                self.members.insert(peer.address, peer.clone());
+                self.push_change(MembershipChange::Joined(peer));
+            }
+            MemberDown(peer) => {
+                self.members.remove(&peer.address);
+                self.push_change(MembershipChange::Removed(peer));
+            }
+            Rename(before, after) if self.members.contains_key(&before.address) => {
+                self.members.insert(after.address, after.clone());
+                if before.incarnation != after.incarnation {
+                    self.push_change(MembershipChange::Joined(after));
+                }
+            }
+            Rejoin(own) => self.push_change(MembershipChange::EpochRenewed(own.epoch)),
+            _ => {}
+        }
+    }
+}
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -29,6 +29,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod changes;
 pub mod faults;
 mod full_exchange;
 mod gossip_reports;
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -5,19 +5,13 @@
 use crate::known_addresses::KnownAddresses;
 use crate::swim::{DIGEST_BYTES, FocaOutput, PayloadError, Timer, config, validate};
 use crate::view::{MembershipChange, View, ViewState};
-use crate::{MAX_MEMBERS, Micros, Peer};
-use foca::OwnedNotification::{MemberDown, MemberUp, Rejoin, Rename};
+use crate::{Micros, Peer};
 use foca::{Foca, NoCustomBroadcast, PostcardCodec};
 use rand::SeedableRng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// Changes that wait to be taken; beyond this the oldest is dropped.
-const MAX_CHANGES: usize = 1_024;
-/// Timers of foca's; far more than it needs for so many members.
-const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
-
 /// What a process starts with.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
@@ -40,21 +34,21 @@
 /// The membership of the fleet as one process sees it.
 pub struct Membership {
     pub(crate) foca: Foca<Peer, PostcardCodec, rand::rngs::SmallRng, NoCustomBroadcast>,
-    output: FocaOutput,
+    pub(crate) output: FocaOutput,
     /// By due time; those of one time in foca's own order.
-    timers: BinaryHeap<Reverse<(Micros, Timer)>>,
-    known_addresses: KnownAddresses,
+    pub(crate) timers: BinaryHeap<Reverse<(Micros, Timer)>>,
+    pub(crate) known_addresses: KnownAddresses,
     /// Other live members.
     pub(crate) members: BTreeMap<SocketAddr, Peer>,
     pub(crate) name_conflicts: BTreeSet<String>,
-    digest: u64,
+    pub(crate) digest: u64,
     pub(crate) configured_members: u32,
     /// When the view last changed, or another member last had a different one.
     pub(crate) view_changed_at: Micros,
     pub(crate) last_received_at: Micros,
     pub(crate) started_at: Micros,
     pub(crate) state: ViewState,
-    changes: VecDeque<MembershipChange>,
+    pub(crate) changes: VecDeque<MembershipChange>,
     pub(crate) exchange_schedule: ExchangeSchedule,
     pub(crate) left: bool,
 }
@@ -192,79 +186,8 @@
         Some((to, [&self.digest.to_be_bytes()[..], &data].concat()))
     }
 
-    /// What has changed since the last call.
-    pub fn take_changes(&mut self) -> Vec<MembershipChange> {
-        self.changes.drain(..).collect()
-    }
-
     /// Addresses that are retried when they are outside the view.
     pub fn known_address_count(&self) -> usize {
         self.known_addresses.len()
     }
-
-    pub(crate) fn push_change(&mut self, change: MembershipChange) {
-        if self.changes.len() >= MAX_CHANGES {
-            self.changes.pop_front();
-        }
-        self.changes.push_back(change);
-    }
-
-    /// Merges what a full exchange brought.
-    pub(crate) fn apply_members(
-        &mut self,
-        now: Micros,
-        received: Vec<foca::Member<Peer>>,
-    ) -> Result<(), PayloadError> {
-        let result = self.foca.apply_many(received.into_iter(), true, &mut self.output);
-        self.apply_output(now);
-        self.update_state(now);
-        result.map_err(|_| PayloadError::Malformed)
-    }
-
-    /// Does what foca asks for.
-    fn apply_output(&mut self, now: Micros) {
-        for (timer, after) in std::mem::take(&mut self.output.timers) {
-            if self.timers.len() < MAX_TIMERS {
-                let after = Micros::try_from(after.as_micros()).unwrap_or(Micros::MAX / 2);
-                self.timers.push(Reverse((now.saturating_add(after), timer)));
-            }
-        }
-        let notifications = std::mem::take(&mut self.output.notifications);
-        if notifications.is_empty() {
-            return;
-        }
-        for notification in notifications {
-            self.apply_notification(now, notification);
-        }
-        let digest = self.compute_digest();
-        if std::mem::replace(&mut self.digest, digest) != digest {
-            self.view_changed_at = now;
-        }
-        self.update_name_conflicts();
-    }
-
-    fn apply_notification(&mut self, now: Micros, notification: foca::OwnedNotification<Peer>) {
-        match notification {
-            MemberUp(peer) => {
-                self.known_addresses.record(now, peer.address);
-                if self.members.is_empty() {
-                    self.exchange_schedule.record_first_member(now, peer.address);
-                }
-                self.members.insert(peer.address, peer.clone());
-                self.push_change(MembershipChange::Joined(peer));
-            }
-            MemberDown(peer) => {
-                self.members.remove(&peer.address);
-                self.push_change(MembershipChange::Removed(peer));
-            }
-            Rename(before, after) if self.members.contains_key(&before.address) => {
-                self.members.insert(after.address, after.clone());
-                if before.incarnation != after.incarnation {
-                    self.push_change(MembershipChange::Joined(after));
-                }
-            }
-            Rejoin(own) => self.push_change(MembershipChange::EpochRenewed(own.epoch)),
-            _ => {}
-        }
-    }
 }
--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! A simulated fleet, and what must hold of it: shared by the tests and the examples.
 #![allow(dead_code, reason = "no test or example uses all of it")]
 
+pub mod events;
 pub mod network;
+pub mod process;
 pub mod scenes;
 pub mod schedule;
 
--- a/membership/tests/common/network.rs
+++ b/membership/tests/common/network.rs
@@ -1,8 +1,10 @@
 //! The membership of many processes on virtual time, with a network between them that loses, delays and cuts: a history from a
 //! seed.
 
+use super::events::{Datagram, Exchange, Wake};
+use super::process::{Process, Received, Traffic};
 use super::{SECOND, address};
-use birchreach_membership::{Membership, MembershipChange, MembershipSettings, Micros, ViewState};
+use birchreach_membership::{Membership, MembershipSettings, Micros, ViewState};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -15,63 +17,7 @@
 /// Unix time at the start of a history.
 const STARTED_AT: Micros = 1_700_000_000 * SECOND;
 
-/// What was sent.
-#[derive(Clone, Copy, Default)]
-pub struct Traffic {
-    pub messages: u64,
-    pub bytes: u64,
-}
-
-impl Traffic {
-    fn add(&mut self, bytes: u64) {
-        self.messages += 1;
-        self.bytes += bytes;
-    }
-}
-
-/// A datagram's payload, and the incarnation that sealed it.
-struct Received {
-    sender: u64,
-    payload: Vec<u8>,
-}
-
-pub struct Process {
-    /// None: it is down.
-    pub membership: Option<Membership>,
-    /// As by SIGSTOP: what is received waits.
-    pub paused: bool,
-    waiting: Vec<Received>,
-    incarnation: u64,
-    /// When it is to be woken; other wakes of it have no effect.
-    wake_at: Micros,
-    pub sent: Traffic,
-    pub changes: Vec<(Micros, MembershipChange)>,
-}
-
-/// A datagram on its way. Ordered by arrival, then by number.
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Datagram {
-    arrives_at: Micros,
-    number: u64,
-    to: usize,
-    sender: u64,
-    payload: Vec<u8>,
-}
-
-/// A full exchange that takes place at a time.
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Exchange {
-    at: Micros,
-    from: usize,
-    to: usize,
-}
-
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Wake {
-    at: Micros,
-    process: usize,
-}
-
+/// A fleet of processes, the network between them, and the time.
 pub struct Network {
     pub now: Micros,
     pub processes: Vec<Process>,
@@ -131,15 +77,7 @@
             seeds: vec![address(0), address(1)],
             configured_members: self.configured_members,
         };
-        let process = Process {
-            membership: Some(Membership::new(settings, self.now)),
-            paused: false,
-            waiting: vec![],
-            incarnation,
-            wake_at: Micros::MAX,
-            sent: Traffic::default(),
-            changes: vec![],
-        };
+        let process = Process::new(incarnation, Membership::new(settings, self.now));
         if n < self.processes.len() {
             self.processes[n] = process;
         } else {
--- /dev/null
+++ b/membership/tests/common/process.rs
@@ -0,0 +1,52 @@
+//! One process of the simulated fleet, and what it has sent.
+
+use birchreach_membership::{Membership, MembershipChange, Micros};
+
+/// What was sent.
+#[derive(Clone, Copy, Default)]
+pub struct Traffic {
+    pub messages: u64,
+    pub bytes: u64,
+}
+
+impl Traffic {
+    pub fn add(&mut self, bytes: u64) {
+        self.messages += 1;
+        self.bytes += bytes;
+    }
+}
+
+/// A datagram's payload, and the incarnation that sealed it.
+pub struct Received {
+    pub sender: u64,
+    pub payload: Vec<u8>,
+}
+
+/// A process of the simulated fleet.
+pub struct Process {
+    /// None: it is down.
+    pub membership: Option<Membership>,
+    /// As by SIGSTOP: what is received waits.
+    pub paused: bool,
+    pub waiting: Vec<Received>,
+    pub incarnation: u64,
+    /// When it is to be woken; other wakes of it have no effect.
+    pub wake_at: Micros,
+    pub sent: Traffic,
+    pub changes: Vec<(Micros, MembershipChange)>,
+}
+
+impl Process {
+    /// A process that has just started.
+    pub fn new(incarnation: u64, membership: Membership) -> Process {
+        Process {
+            membership: Some(membership),
+            paused: false,
+            waiting: vec![],
+            incarnation,
+            wake_at: Micros::MAX,
+            sent: Traffic::default(),
+            changes: vec![],
+        }
+    }
+}
--- a/membership/tests/common/scenes.rs
+++ b/membership/tests/common/scenes/mod.rs
@@ -1,11 +1,6 @@
 //! What must hold of a fleet, as scenes that return what was violated: the tests want them to pass, and each injected fault must
 //! make one fail.
 
-use super::network::Network;
-use super::{SECOND, address};
-use birchreach_membership::{MAX_MEMBERS, Membership, MembershipChange, Micros, Peer, ViewState};
-use foca::{Codec, Header, Member, Message, PostcardCodec};
-
 /// Returns with an error unless the condition holds.
 macro_rules! ensure {
     ($what:expr) => { ensure!($what, "{}", stringify!($what)) };
@@ -28,6 +23,13 @@
     };
 }
 
+pub mod limits;
+pub mod settling;
+
+use super::network::Network;
+use super::{SECOND, address};
+use birchreach_membership::{Membership, MembershipChange, Micros, Peer, ViewState};
+
 fn cut_into_halves(network: &mut Network, first: usize) {
     network.is_cut = Box::new(move |from, to| (from < first) != (to < first));
 }
@@ -56,56 +58,6 @@
         .count()
 }
 
-pub fn the_view_settles_again() -> Result<(), String> {
-    for (count, seed) in [(10, 1), (10, 2), (40, 3), (40, 4)] {
-        let limit = 20 * SECOND;
-        let label = |what: &str| format!("{what}, {count} members, seed {seed}");
-        let network = &mut Network::started(count, seed);
-        agreement(network, count, limit, &label("join"))?;
-        // The seeds are down, and seven in ten with them.
-        let killed = count * 7 / 10;
-        (0..killed).for_each(|n| network.kill(n));
-        agreement(network, count - killed, limit, &label("crash of seven in ten"))?;
-        (0..killed).for_each(|n| network.start(n, 0));
-        agreement(network, count, limit, &label("return of seven in ten"))?;
-        // Long enough for each half to remove the other.
-        cut_into_halves(network, count / 2);
-        network.advance(60 * SECOND);
-        end_cut(network);
-        agreement(network, count, limit, &label("partition"))?;
-        let last = count - 1;
-        network.is_cut = Box::new(move |_, to| to == last);
-        network.advance(20 * SECOND);
-        let state = membership(network, last)?.view().state;
-        ensure!(matches!(state, ViewState::Blind { .. }), "{state:?}");
-        end_cut(network);
-        agreement(network, count, limit, &label("one-way cut"))?;
-        network.pause(last);
-        network.advance(20 * SECOND);
-        network.resume(last);
-        agreement(network, count, limit, &label("pause"))?;
-        leaves_and_rejoins(network, count, &label("leave"))?;
-    }
-    Ok(())
-}
-
-/// That the first process leaves is known to all at once, not only when its probes fail.
-fn leaves_and_rejoins(network: &mut Network, count: usize, label: &str) -> Result<(), String> {
-    let now = network.now;
-    membership(network, 0)?.leave(now);
-    network.advance(SECOND);
-    let is_absent = |view: &Membership| view.members().all(|member| member.address != address(0));
-    ensure!(network.live().skip(1).all(is_absent), "{label}: not known to all at once");
-    let now = network.now;
-    membership(network, 0)?.rejoin(now);
-    agreement(network, count, 20 * SECOND, &format!("{label} and rejoin"))?;
-    let now = network.now;
-    membership(network, 0)?.leave(now);
-    network.advance(SECOND / 10);
-    network.kill(0);
-    agreement(network, count - 1, 10 * SECOND, label)
-}
-
 pub fn no_live_member_is_removed() -> Result<(), String> {
     for (loss, seed) in [(0.0, 1), (0.05, 2), (0.05, 3)] {
         let mut network = Network::started(40, seed);
@@ -199,57 +151,3 @@
     }
     Ok(())
 }
-
-/// An invented member.
-fn invented(n: u32) -> Peer {
-    Peer {
-        name: format!("liar{n}"),
-        address: std::net::SocketAddr::from(([11, (n >> 16) as u8, (n >> 8) as u8, n as u8], 1)),
-        incarnation: u64::from(n) + 1_000,
-        epoch: 1,
-        renewals: 0,
-    }
-}
-
-/// A payload for a member that names twenty invented ones.
-fn invented_gossip(to: Peer, round: u32) -> Result<Vec<u8>, String> {
-    let header = Header { src: invented(0), src_incarnation: 0, dst: to, message: Message::Gossip };
-    let mut data = vec![0; 8];
-    PostcardCodec.encode_header(&header, &mut data).map_err(|error| error.to_string())?;
-    data.extend(20u16.to_be_bytes());
-    for n in 0..20 {
-        let member = Member::alive(invented(round * 20 + n + 1));
-        PostcardCodec.encode_member(&member, &mut data).map_err(|error| error.to_string())?;
-    }
-    Ok(data)
-}
-
-/// A peer that has the key and invents thousands of members.
-pub fn what_is_received_is_bounded() -> Result<(), String> {
-    let mut network = Network::started(2, 10);
-    agreement(&mut network, 2, 10 * SECOND, "join")?;
-    for round in 0..400 {
-        let to = membership(&mut network, 0)?.own().clone();
-        let payload = invented_gossip(to, round)?;
-        network.deliver(0, invented(0).incarnation, payload);
-    }
-    let member = membership(&mut network, 0)?;
-    let (members, addresses) = (member.members().count(), member.known_address_count());
-    ensure!(members > 100, "the scene shows nothing: {members}");
-    ensure!(members <= MAX_MEMBERS, "{members} members");
-    ensure!(addresses <= MAX_MEMBERS + 2, "{addresses} addresses");
-    Ok(())
-}
-
-/// A process that joins a settled fleet knows all of it without a round of gossip for each member.
-pub fn a_join_is_known_to_all_at_once() -> Result<(), String> {
-    let mut network = Network::started(120, 11);
-    agreement(&mut network, 120, 20 * SECOND, "join")?;
-    network.kill(7);
-    network.advance(20 * SECOND);
-    network.start(7, 0);
-    network.advance(SECOND / 4);
-    let known = membership(&mut network, 7)?.members().count();
-    ensure!(known == 119, "it knows {known} of 119 a quarter of a second after its start");
-    Ok(())
-}
--- a/membership/tests/membership_view.rs
+++ b/membership/tests/membership_view.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn the_view_settles_again() {
-    scenes::the_view_settles_again().unwrap();
+    scenes::settling::the_view_settles_again().unwrap();
 }
 
 #[test]
@@ -35,12 +35,12 @@
 
 #[test]
 fn what_is_received_is_bounded() {
-    scenes::what_is_received_is_bounded().unwrap();
+    scenes::limits::what_is_received_is_bounded().unwrap();
 }
 
 #[test]
 fn a_join_is_known_to_all_at_once() {
-    scenes::a_join_is_known_to_all_at_once().unwrap();
+    scenes::settling::a_join_is_known_to_all_at_once().unwrap();
 }
 
 #[test]
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -1,11 +1,15 @@
 //! One link to another proxy: its connection, and the role that this process has on it.
 
+use super::super::stream;
 use birchreach::Micros;
 use birchreach_peer_state::full_exchange::FullExchange;
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender};
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
+/// Bytes that are read at once.
+const READ_BYTES: usize = 16 << 10;
+
 /// What this process does on a link.
 pub(super) enum LinkRole {
     /// Requests state from a provider.
@@ -69,3 +73,33 @@
     pub(super) serial: u64,
     pub(super) opened_at: Micros,
 }
+
+impl PeerLink {
+    fn is_connected(&self) -> bool {
+        self.stream.peer_addr().is_ok()
+    }
+
+    /// Reads what has come.
+    pub(super) fn read_input(&mut self, scratch: &mut [u8]) -> Result<(), stream::Ended> {
+        if !self.is_connected() {
+            return Ok(());
+        }
+        let read_bytes = READ_BYTES.min(scratch.len());
+        let read = stream::read(&mut self.stream, &mut scratch[..read_bytes], |bytes| {
+            self.role.feed(bytes);
+            true
+        });
+        read.map(drop)
+    }
+
+    /// Writes the output as far as the connection takes it.
+    pub(super) fn write_output(&mut self) -> Result<(), stream::Ended> {
+        if !self.is_connected() {
+            return Ok(());
+        }
+        let output = self.role.output();
+        let written = stream::write_some(&mut self.stream, output)?;
+        output.drain(..written);
+        Ok(())
+    }
+}
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -1,22 +1,18 @@
 //! A link's turn: what has come is read and processed, the output is written, and the link stays open or ends.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::stream;
 use super::super::timer_events::TimerEvent;
 use super::Gossip;
 use super::close_reason::{CloseReason, LinkStep};
-use super::link::{LinkRole, PeerLink};
+use super::link::LinkRole;
 use super::peer_protocol::{self, LinkId};
 
-/// Bytes that are read at once.
-const READ_BYTES: usize = 16 << 10;
-
 impl Gossip {
     /// A link's connection is readable or writable.
     pub fn process_link(&mut self, context: &mut EventLoopContext, key: usize) {
         let Some(link) = self.links.get_mut(key) else { return };
         let id = LinkId { key, serial: link.serial };
-        let read_failed = read_input(link, context).is_err();
+        let read_failed = link.read_input(&mut context.scratch).is_err();
         let step = match (&mut link.role, &mut self.state_transfer, &self.membership_sync) {
             (LinkRole::RequestsState { requester, provider, requested_at }, Some(transfer), _) => {
                 peer_protocol::receive_state(context, requester, provider, *requested_at, transfer)
@@ -27,7 +23,7 @@
             (LinkRole::ExchangesMembers(exchange), _, Some(sync)) => sync.process_exchange(context, exchange),
             _ => LinkStep::Close(CloseReason::Closed),
         };
-        let write_failed = write_output(link).is_err();
+        let write_failed = link.write_output().is_err();
         let is_written = link.role.output().is_empty();
         let has_failed =
             read_failed || write_failed || matches!(link.stream.take_error(), Ok(Some(_)) | Err(_));
@@ -44,30 +40,3 @@
         }
     }
 }
-
-fn is_connected(link: &PeerLink) -> bool {
-    link.stream.peer_addr().is_ok()
-}
-
-fn read_input(link: &mut PeerLink, context: &mut EventLoopContext) -> Result<(), stream::Ended> {
-    if !is_connected(link) {
-        return Ok(());
-    }
-    let PeerLink { stream, role, .. } = link;
-    let read_bytes = READ_BYTES.min(context.scratch.len());
-    let done = stream::read(stream, &mut context.scratch[..read_bytes], |bytes| {
-        role.feed(bytes);
-        true
-    });
-    done.map(drop)
-}
-
-fn write_output(link: &mut PeerLink) -> Result<(), stream::Ended> {
-    if !is_connected(link) {
-        return Ok(());
-    }
-    let output = link.role.output();
-    let written = stream::write_some(&mut link.stream, output)?;
-    link.role.output().drain(..written);
-    Ok(())
-}
