--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -4,6 +4,7 @@
 use super::EventLoop;
 use super::error::EventLoopError;
 use super::sources::Source;
+use crate::core::ClientKey;
 use birchreach::Micros;
 use mio::Events;
 use mio::event::Event;
@@ -42,7 +43,7 @@
         let waiting_since = self.clock.now();
         let has_work = self.has_unfinished_work(waiting_since);
         let timeout = if has_work { Some(Duration::ZERO) } else { self.context.timers.wait(waiting_since) };
-        match self.poll.poll(events, timeout) {
+        match self.context.poll.poll(events, timeout) {
             Err(error) if error.kind() != ErrorKind::Interrupted => return Err(EventLoopError::Poll(error)),
             _ => {}
         }
@@ -105,6 +106,7 @@
                 }
             }
             Source::Client(key) => {
+                let key = ClientKey(key);
                 if event.is_read_closed() || event.is_error() {
                     self.clients.peer_closed(key);
                 }
