--- a/membership/tests/common/scenes/mod.rs
+++ b/membership/tests/common/scenes/mod.rs
@@ -58,6 +58,7 @@
         .count()
 }
 
+/// At up to 5% of datagrams lost only a member that crashed is removed.
 pub fn no_live_member_is_removed() -> Result<(), String> {
     for (loss, seed) in [(0.0, 1), (0.05, 2), (0.05, 3)] {
         let mut network = Network::started(40, seed);
@@ -73,6 +74,7 @@
     Ok(())
 }
 
+/// Quotas by each view's divisor add up to no more than the whole, in a partitioned fleet too.
 pub fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
     let mut network = Network::started(20, 5);
     agreement(&mut network, 20, 20 * SECOND, "join")?;
@@ -91,6 +93,7 @@
     Ok(())
 }
 
+/// After a restart no view has the former incarnation.
 pub fn a_restart_replaces_the_former_incarnation() -> Result<(), String> {
     for clock_offset in [0, -3_600 * SECOND] {
         let mut network = Network::started(10, 6);
@@ -110,6 +113,7 @@
     Ok(())
 }
 
+/// A member that receives nothing reports itself blind, and one that is alone by its options does not.
 pub fn a_partitioned_member_reports_itself_blind() -> Result<(), String> {
     let state = |network: &mut Network| membership(network, 0).map(|member| member.view().state);
     let mut network = Network::new(3, 7);
@@ -133,6 +137,7 @@
     Ok(())
 }
 
+/// All report that two members have one name, and that this has ended.
 pub fn name_conflicts_are_reported() -> Result<(), String> {
     let mut network = Network::started(4, 9);
     network.start_named(4, "p2", 0);
--- a/membership/tests/common/scenes/settling.rs
+++ b/membership/tests/common/scenes/settling.rs
@@ -5,6 +5,7 @@
 use crate::common::{SECOND, address};
 use birchreach_membership::{Membership, ViewState};
 
+/// All come to one view after a join, a mass crash, a partition, a one-way cut, a pause and a graceful shutdown.
 pub fn the_view_settles_again() -> Result<(), String> {
     for (count, seed) in [(10, 1), (10, 2), (40, 3), (40, 4)] {
         let limit = 20 * SECOND;
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -65,6 +65,7 @@
 }
 
 impl Schedule {
+    /// The schedule of a seed.
     pub fn draw(seed: u64) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let places = rng.usize(3..=10);
@@ -143,6 +144,7 @@
     views.map(|view| (view.members, view.digest, view.state)).collect()
 }
 
+/// The first 150 schedules settle.
 pub fn some_schedules_settle() -> Result<(), String> {
     (1..=150).try_for_each(|seed| Schedule::draw(seed).play().map(drop))
 }
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -30,7 +30,7 @@
     /// What load balancers are told.
     pub health: Option<HealthOptions>,
     /// State learned from other proxies.
-    pub knowledge: Option<PeerStateOptions>,
+    pub peer_state: Option<PeerStateOptions>,
     /// The view of the fleet.
     pub fleet: Option<FleetOptions>,
     /// Copies of hot keys.
@@ -102,11 +102,11 @@
         let root = self.doc.document_element();
         let element = |reader: &Self, name| root.and_then(|root| reader.child(root, name));
         let health = element(self, "health").and_then(|node| self.health(node));
-        let knowledge = element(self, "knowledge").and_then(|node| self.peer_state(node));
+        let peer_state = element(self, "knowledge").and_then(|node| self.peer_state(node));
         let fleet = element(self, "fleet").and_then(|node| self.fleet(node));
         let hot = element(self, "hot").and_then(|node| self.hot(node, fleet.is_some()));
         let split = element(self, "split").and_then(|node| self.split(node, fleet.is_some()));
-        let options = Options { health, knowledge, fleet, hot, split };
+        let options = Options { health, peer_state, fleet, hot, split };
         self.errors.extend(options.internal_address_conflicts());
         options
     }
@@ -136,14 +136,14 @@
     }
 
     fn link_addresses(&self) -> Vec<LinkAddress> {
-        let knowledge = self.knowledge.as_ref().and_then(|knowledge| {
-            let address = knowledge.listen?;
-            Some(LinkAddress { element: "knowledge", line: knowledge.line, address })
+        let peer_state = self.peer_state.as_ref().and_then(|peer_state| {
+            let address = peer_state.listen?;
+            Some(LinkAddress { element: "knowledge", line: peer_state.line, address })
         });
         let fleet = self.fleet.as_ref();
         let fleet =
             fleet.map(|fleet| LinkAddress { element: "fleet", line: fleet.line, address: fleet.listen });
-        knowledge.into_iter().chain(fleet).collect()
+        peer_state.into_iter().chain(fleet).collect()
     }
 
     /// Addresses that are used twice within the options.
--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -62,7 +62,7 @@
         self.faults.extend(options.err().unwrap_or_default());
         let named = parse_options(file).unwrap_or_default();
         let key_files =
-            [named.knowledge.map(|knowledge| knowledge.key_file), named.fleet.map(|fleet| fleet.key_file)];
+            [named.peer_state.map(|transfer| transfer.key_file), named.fleet.map(|fleet| fleet.key_file)];
         for key_file in key_files.into_iter().flatten() {
             self.faults.extend(read_key_file(&key_file).err());
         }
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -95,7 +95,7 @@
             more: faults.len().saturating_sub(1),
             first: faults.into_iter().next(),
         })?;
-        let gossip_key_file = self.options.knowledge.as_ref().map(|knowledge| &knowledge.key_file);
+        let gossip_key_file = self.options.peer_state.as_ref().map(|transfer| &transfer.key_file);
         let fleet_key_file = self.options.fleet.as_ref().map(|fleet| &fleet.key_file);
         self.gossip_keys = read_keys(gossip_key_file)?;
         self.fleet_keys = read_keys(fleet_key_file)?;
--- a/proxy/src/config/successor.rs
+++ b/proxy/src/config/successor.rs
@@ -28,7 +28,7 @@
         let (old_options, new_options) = (&self.options, &new.options);
         let fleet = (&old_options.fleet, &self.fleet_keys) != (&new_options.fleet, &new.fleet_keys);
         let gossip =
-            (&old_options.knowledge, &self.gossip_keys) != (&new_options.knowledge, &new.gossip_keys);
+            (&old_options.peer_state, &self.gossip_keys) != (&new_options.peer_state, &new.gossip_keys);
         let changes = [
             ("name", self.name != new.name),
             ("listen", self.listen_address != new.listen_address),
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -14,6 +14,7 @@
 /// The direction of a datagram. The names are the label's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Direction {
+    /// Sent.
     Sent,
     /// Received and accepted.
     Taken,
@@ -63,6 +64,7 @@
 }
 
 impl Metrics {
+    /// All at zero.
     pub fn new() -> Metrics {
         let mut metrics = Metrics {
             registry: Registry::with_prefix("birchreach_fleet"),
@@ -93,11 +95,13 @@
         metrics
     }
 
+    /// A datagram was sent, or received and accepted.
     pub fn count_datagram(&self, way: Direction, bytes: usize) {
         self.datagrams.get_or_create(&DirectionLabel { way }).inc();
         self.bytes.get_or_create(&DirectionLabel { way }).inc_by(bytes as u64);
     }
 
+    /// A datagram was not accepted, or not sent.
     pub fn count_dropped(&self, reason: DropReason) {
         self.dropped.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -40,7 +40,7 @@
 fn reserved_descriptors(config: &Config) -> usize {
     let options = &config.options;
     let links =
-        if options.knowledge.is_some() || options.fleet.is_some() { gossip::MAX_LINKS + 1 } else { 0 };
+        if options.peer_state.is_some() || options.fleet.is_some() { gossip::MAX_LINKS + 1 } else { 0 };
     // The fleet has a listener for links and a socket for datagrams.
     let fleet = if options.fleet.is_some() { 2 } else { 0 };
     options.descriptors() + unclassified_allowance(config) + links + fleet
--- a/proxy/src/net/gossip/close_reason.rs
+++ b/proxy/src/net/gossip/close_reason.rs
@@ -8,6 +8,7 @@
 pub(super) enum LinkStep {
     /// The link stays open.
     Continue,
+    /// The link ends.
     Close(CloseReason),
 }
 
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Takes bytes that were read.
     pub(super) fn feed(&mut self, bytes: &[u8]) {
         match self {
             LinkRole::RequestsState { requester, .. } => requester.feed(bytes),
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -93,7 +93,7 @@
         new.admin_address = old.admin_address;
         new.inherited_descriptor = old.inherited_descriptor;
         // Links among proxies count in the division of descriptors as they are until then.
-        new.options.knowledge.clone_from(&old.options.knowledge);
+        new.options.peer_state.clone_from(&old.options.peer_state);
         new.options.fleet.clone_from(&old.options.fleet);
         new.gossip_keys.clone_from(&old.gossip_keys);
         new.fleet_keys.clone_from(&old.fleet_keys);
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -131,7 +131,7 @@
 
     /// Starts to request state from other proxies and to send it to them, where the options say so.
     fn start_gossip(&mut self) -> Result<(), EventLoopError> {
-        let (Some(options), Some(keys)) = (&self.config.options.knowledge, &self.config.gossip_keys) else {
+        let (Some(options), Some(keys)) = (&self.config.options.peer_state, &self.config.gossip_keys) else {
             return Ok(());
         };
         // Each process observes for itself: what its predecessor observed reaches it at second hand.
--- a/proxy/src/peer_state.rs
+++ b/proxy/src/peer_state.rs
@@ -30,7 +30,9 @@
 /// A position of a server that another proxy observed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RemotePosition {
+    /// The server.
     pub uid: String,
+    /// Its position.
     pub report: LoadReport,
 }
 
