--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -57,11 +57,11 @@
 mod checked_name {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
-    pub fn serialize<S: Serializer>(name: &str, to: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(name: &str, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_str(name)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
         let name = <&str>::deserialize(from)?;
         let is_printable = name.chars().all(|c| !c.is_control());
         if name.len() > super::MAX_NAME_BYTES || !is_printable {
