--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,134 +1,162 @@
-//! Figures of work that no client waits for, and of what it is done for: each is named once, here.
+//! The metrics of background work and of the subsystems that it is done for. Each name stands here once.
 
 use crate::hot::CopyReadCounts;
-use birchreach_background_tasks::Counts;
+use birchreach_background_tasks::Counts as TaskCounts;
 use birchreach_hot_keys::HotKeyTracker;
-use birchreach_shard_split::{self as split, Verdict};
+use birchreach_shard_split::{Counts as ComparisonCounts, Verdict};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
-use prometheus_client::registry::Registry;
+use prometheus_client::registry::{Metric, Registry};
 use std::sync::atomic::Ordering;
 
+/// The labels of counters: what is counted, and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Of {
+pub struct CounterLabels {
+    /// What is counted.
     pub kind: &'static str,
+    /// What became of it.
     pub end: &'static str,
 }
 
+/// The metrics, under the prefix `birchreach`.
 pub struct Metrics {
     registry: Registry,
-    scheduled: Family<Of, Counter>,
-    refused: Family<Of, Counter>,
-    copies: Family<Of, Counter>,
-    keys: Gauge,
-    changes: Counter,
-    reads: Family<Of, Counter>,
-    differ: Gauge,
-    compared: Family<Of, Counter>,
-    lacking: Gauge,
-    clean: Gauge,
+    tasks: Family<CounterLabels, Counter>,
+    rejected_reports: Family<CounterLabels, Counter>,
+    copies: Family<CounterLabels, Counter>,
+    hot_keys: Gauge,
+    hot_key_changes: Counter,
+    copy_reads: Family<CounterLabels, Counter>,
+    differing_members: Gauge,
+    comparisons: Family<CounterLabels, Counter>,
+    ranges_lacking: Gauge,
+    split_clean: Gauge,
 }
 
 impl Metrics {
+    /// All metrics, at zero.
     pub fn new() -> Metrics {
-        let mut m = Metrics {
-            registry: Registry::with_prefix("birchreach"),
-            scheduled: Family::default(),
-            refused: Family::default(),
-            copies: Family::default(),
-            keys: Gauge::default(),
-            changes: Counter::default(),
-            reads: Family::default(),
-            differ: Gauge::default(),
-            compared: Family::default(),
-            lacking: Gauge::default(),
-            clean: Gauge::default(),
-        };
-        let r = &mut m.registry;
-        r.register(
-            "background_tasks",
-            "Tasks of the scheduler, by kind and what became of them",
-            m.scheduled.clone(),
-        );
-        r.register(
-            "reports_refused",
-            "Reports of members that were not taken, by subsystem and reason",
-            m.refused.clone(),
-        );
-        r.register("hot_copies", "Copies, by what became of them", m.copies.clone());
-        r.register("hot_keys", "Keys that are hot now", m.keys.clone());
-        r.register("hot_changes", "Times that a key became hot, or was no more", m.changes.clone());
-        r.register(
-            "hot_reads",
-            "Reads that were sent to guests, by whether they had a copy",
-            m.reads.clone(),
-        );
-        r.register("split_comparisons", "Reads that were compared, by what came of it", m.compared.clone());
-        r.register(
-            "split_ranges_lacking",
-            "Ranges with too few comparisons, by this process's knowledge",
-            m.lacking.clone(),
-        );
-        r.register("split_clean", "1: clean, 0: not yet, -1: dirty", m.clean.clone());
-        r.register("hot_members_differ", "Members whose newest report has another set", m.differ.clone());
-        m
+        let mut registry = Registry::with_prefix("birchreach");
+        let target = &mut registry;
+        Metrics {
+            tasks: register(
+                target,
+                "background_tasks",
+                "Tasks of the scheduler, by kind and what became of them",
+            ),
+            rejected_reports: register(
+                target,
+                "reports_refused",
+                "Reports of members that were not taken, by subsystem and reason",
+            ),
+            copies: register(target, "hot_copies", "Copies, by what became of them"),
+            hot_keys: register(target, "hot_keys", "Keys that are hot now"),
+            hot_key_changes: register(target, "hot_changes", "Times that a key became hot, or was no more"),
+            copy_reads: register(
+                target,
+                "hot_reads",
+                "Reads that were sent to guests, by whether they had a copy",
+            ),
+            comparisons: register(
+                target,
+                "split_comparisons",
+                "Reads that were compared, by what came of it",
+            ),
+            ranges_lacking: register(
+                target,
+                "split_ranges_lacking",
+                "Ranges with too few comparisons, by this process's knowledge",
+            ),
+            split_clean: register(target, "split_clean", "1: clean, 0: not yet, -1: dirty"),
+            differing_members: register(
+                target,
+                "hot_members_differ",
+                "Members whose newest report has another set",
+            ),
+            registry,
+        }
     }
 
-    pub fn refuse(&self, kind: &'static str, end: &'static str) {
-        self.refused.get_or_create(&Of { kind, end }).inc();
+    /// Counts a report of another member that was not taken.
+    pub fn count_rejected_report(&self, subsystem: &'static str, reason: &'static str) {
+        self.rejected_reports.get_or_create(&CounterLabels { kind: subsystem, end: reason }).inc();
     }
 
-    pub fn copy(&self, end: &'static str) {
-        self.copies.get_or_create(&Of { kind: "copy", end }).inc();
+    /// Counts a copy, by what became of it.
+    pub fn count_copy(&self, end: &'static str) {
+        self.copies.get_or_create(&CounterLabels { kind: "copy", end }).inc();
     }
 
-    pub fn scheduled(&self, kind: &'static str, counts: Counts) {
-        let Counts { started, finished, expired, rejected } = counts;
-        for (end, n) in [("started", started), ("ended", finished), ("late", expired), ("crowded", rejected)]
-        {
-            set(&self.scheduled.get_or_create(&Of { kind, end }), n);
-        }
+    /// Sets what became of the scheduler's tasks of a kind.
+    pub fn set_task_counts(&self, kind: &'static str, counts: TaskCounts) {
+        let TaskCounts { started, finished, expired, rejected } = counts;
+        let ends = [("started", started), ("ended", finished), ("late", expired), ("crowded", rejected)];
+        set_counters(&self.tasks, kind, &ends);
     }
 
-    pub fn hot(&self, tracker: &HotKeyTracker, copy_reads: CopyReadCounts) {
+    /// Sets the figures of hot keys.
+    pub fn set_hot_keys(&self, tracker: &HotKeyTracker, copy_reads: CopyReadCounts) {
         let agreement = tracker.agreement();
-        let differing = agreement.reporting - agreement.agreeing;
-        self.keys.set(i64::try_from(tracker.hot_keys().count()).unwrap_or(i64::MAX));
-        self.differ.set(i64::try_from(differing).unwrap_or(i64::MAX));
-        set(&self.changes, tracker.change_count());
-        for (end, n) in [("served", copy_reads.hits), ("missed", copy_reads.misses)] {
-            set(&self.reads.get_or_create(&Of { kind: "guest", end }), n);
-        }
+        set_gauge(&self.hot_keys, tracker.hot_keys().count());
+        set_gauge(&self.differing_members, agreement.reporting - agreement.agreeing);
+        set_counter(&self.hot_key_changes, tracker.change_count());
+        set_counters(
+            &self.copy_reads,
+            "guest",
+            &[("served", copy_reads.hits), ("missed", copy_reads.misses)],
+        );
     }
 
-    pub fn split(&self, verdict: &Verdict, c: split::Counts) {
+    /// Sets the figures of a split.
+    pub fn set_split(&self, verdict: &Verdict, counts: ComparisonCounts) {
         let (clean, lacking) = match verdict {
             Verdict::Clean => (1, 0),
             Verdict::Dirty(_) => (-1, 0),
-            Verdict::Incomplete(lacks) => (0, lacks.ranges_below_comparisons),
+            Verdict::Incomplete(reason) => (0, reason.ranges_below_comparisons),
         };
-        self.clean.set(clean);
-        self.lacking.set(i64::try_from(lacking).unwrap_or(i64::MAX));
-        let ends =
-            [("begun", c.started), ("agreed", c.agreed), ("late", c.lagging), ("unsure", c.inconclusive)];
-        let more = [("silent", c.unanswered), ("flagged", c.confirmed), ("crowded", c.rejected)];
-        for (end, n) in ends.into_iter().chain(more) {
-            set(&self.compared.get_or_create(&Of { kind: "read", end }), n);
-        }
+        self.split_clean.set(clean);
+        set_gauge(&self.ranges_lacking, lacking);
+        let ends = [
+            ("begun", counts.started),
+            ("agreed", counts.agreed),
+            ("late", counts.lagging),
+            ("unsure", counts.inconclusive),
+            ("silent", counts.unanswered),
+            ("flagged", counts.confirmed),
+            ("crowded", counts.rejected),
+        ];
+        set_counters(&self.comparisons, "read", &ends);
     }
 
-    /// All of it in the text form, without the line that ends it.
+    /// All metrics in the text format, without the line that ends it.
     pub fn text(&self) -> String {
         let mut text = String::new();
+        // Writing to a string does not fail.
         let _ = encode_registry(&mut text, &self.registry);
         text
     }
 }
 
-/// A count that is kept elsewhere.
-fn set(counter: &Counter, to: u64) {
-    counter.inner().store(to, Ordering::Relaxed);
+fn register<M: Metric + Clone + Default>(registry: &mut Registry, name: &str, help: &str) -> M {
+    let metric = M::default();
+    registry.register(name, help, metric.clone());
+    metric
+}
+
+fn set_gauge(gauge: &Gauge, value: usize) {
+    gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
+}
+
+/// Sets a counter to a count that is kept elsewhere.
+fn set_counter(counter: &Counter, value: u64) {
+    counter.inner().store(value, Ordering::Relaxed);
+}
+
+fn set_counters(family: &Family<CounterLabels, Counter>, kind: &'static str, ends: &[(&'static str, u64)]) {
+    for (end, value) in ends {
+        set_counter(&family.get_or_create(&CounterLabels { kind, end }), *value);
+    }
 }
--- /dev/null
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -0,0 +1,164 @@
+//! The tasks that make copies of hot keys: a row is read twice on one connection to a replica of its group, and written to the groups of
+//! the databases that hold its copies.
+
+use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
+use crate::background_query::BackgroundQueryResult;
+use crate::hot::HotKeyObserver;
+use crate::pg::copies;
+use birchreach::{AttemptOutcome, Micros, Role};
+use birchreach_background_tasks::{Task, TaskKind};
+use birchreach_hot_keys::copy::{Copy, copy_from_reads};
+use birchreach_hot_keys::{DueCopy, Key};
+use tracing::info;
+
+/// How long a row that cannot be copied is not read for copying.
+const UNCOPYABLE_MICROS: Micros = 60_000_000;
+
+/// One step of making copies.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) enum CopyTask {
+    Read(DueCopy),
+    Write(CopyWrite),
+}
+
+/// A copy for one holder.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct CopyWrite {
+    key: Key,
+    key_bytes: Vec<u8>,
+    /// The database that holds the copy, and its group, whose primary takes the write.
+    holder: u32,
+    holder_group: u32,
+    copy: Copy<Vec<u8>>,
+}
+
+/// What the reads of a row came to.
+enum ReadOutcome {
+    Copy(Copy<Vec<u8>>),
+    /// The value is longer than a copy may be.
+    TooLong,
+    /// The database answered with an error.
+    Unreadable,
+    /// There is no value, or no position of a replica.
+    Unread,
+}
+
+impl CopyTask {
+    pub(super) fn target(&self) -> TaskTarget {
+        match self {
+            CopyTask::Read(due) => TaskTarget { group: due.key.group, writes: false },
+            CopyTask::Write(write) => TaskTarget { group: write.holder_group, writes: true },
+        }
+    }
+
+    pub(super) fn statements(&self, id: u64) -> Vec<Vec<u8>> {
+        match self {
+            // The position in the first answer is known before the second read is sent.
+            CopyTask::Read(due) => {
+                vec![copies::read_row(&due.key_bytes, due.key.group, id, STATEMENT_WAIT_MS); 2]
+            }
+            CopyTask::Write(CopyWrite { key, key_bytes, copy, .. }) => {
+                vec![copies::write_copy(key.group, key_bytes, copy.position, &copy.value)]
+            }
+        }
+    }
+}
+
+fn read_outcome(result: &BackgroundQueryResult) -> ReadOutcome {
+    if result.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error) {
+        return ReadOutcome::Unreadable;
+    }
+    // A primary may have been deposed without knowing it, and would state the present; a replica's position is what it has applied.
+    let position = |n: usize| {
+        let status = result.replies.get(n)?.status.filter(|status| status.role == Role::Replica)?;
+        status.position
+    };
+    let value = result.replies.get(1).and_then(|reply| reply.value.as_ref()).filter(|_| result.complete);
+    match value.and_then(|value| copy_from_reads(position(0), value.bytes.clone(), position(1))) {
+        Some(copy) if copy.value.len() > copies::MAX_COPY_BYTES => ReadOutcome::TooLong,
+        Some(copy) => ReadOutcome::Copy(copy),
+        None => ReadOutcome::Unread,
+    }
+}
+
+impl BackgroundWork {
+    pub(super) fn finish_copy_task(&mut self, now: Micros, task: CopyTask, result: &BackgroundQueryResult) {
+        let Some(observer) = self.hot_keys.clone() else { return };
+        match task {
+            CopyTask::Read(due) => self.finish_read(now, &mut observer.borrow_mut(), &due, result),
+            CopyTask::Write(write) => {
+                self.metrics.count_copy(if result.complete { "written" } else { "unwritten" });
+                if result.complete {
+                    observer.borrow_mut().tracker.record_copy_written(now, write.key, write.holder);
+                }
+            }
+        }
+    }
+
+    fn finish_read(
+        &mut self,
+        now: Micros,
+        observer: &mut HotKeyObserver,
+        due: &DueCopy,
+        result: &BackgroundQueryResult,
+    ) {
+        match read_outcome(result) {
+            ReadOutcome::Copy(copy) => {
+                let expires_at = now + observer.tracker.settings().refresh_interval();
+                self.submit_writes(due, &copy, expires_at);
+            }
+            ReadOutcome::TooLong => {
+                observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
+                self.metrics.count_copy("long");
+            }
+            ReadOutcome::Unreadable => {
+                observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
+                self.metrics.count_copy("unreadable");
+            }
+            ReadOutcome::Unread => self.metrics.count_copy("unread"),
+        }
+    }
+
+    fn submit_writes(&mut self, due: &DueCopy, copy: &Copy<Vec<u8>>, expires_at: Micros) {
+        for holder in &due.holders {
+            let write = CopyWrite {
+                key: due.key,
+                key_bytes: due.key_bytes.clone(),
+                holder: holder.server,
+                holder_group: holder.group,
+                copy: copy.clone(),
+            };
+            let payload = BackgroundTask::Copy(CopyTask::Write(write));
+            self.scheduler.submit(Task { kind: TaskKind::CopyWrite, expires_at, payload });
+        }
+    }
+
+    /// Derives the hot set, and submits the reads of rows whose copies are due.
+    pub(super) fn run_hot_keys(&mut self, now: Micros, members: usize, report_interval: Micros) {
+        let Some(observer) = self.hot_keys.clone() else { return };
+        let mut observer = observer.borrow_mut();
+        observer.apply_list_changes();
+        observer.tracker.set_fleet(members, report_interval);
+        let before: Vec<Key> = observer.tracker.hot_keys().map(|(key, _)| key).collect();
+        if observer.tracker.update(now) {
+            log_changes(&observer, &before);
+        }
+        let expires_at = now + observer.tracker.settings().refresh_interval();
+        for due in observer.tracker.due_copies(now) {
+            let payload = BackgroundTask::Copy(CopyTask::Read(due));
+            self.scheduler.submit(Task { kind: TaskKind::RowRead, expires_at, payload });
+        }
+    }
+}
+
+/// Logs the keys that became hot, and those that ceased to be.
+fn log_changes(observer: &HotKeyObserver, before: &[Key]) {
+    let tracker = &observer.tracker;
+    for (key, hot_key) in tracker.hot_keys().filter(|(key, _)| !before.contains(key)) {
+        let (hash, rate) = (format!("{:016x}", key.hash), format!("{:.1}", hot_key.reads_per_s));
+        info!(event = "hot-key", group = key.group, hash, rate, guests = hot_key.copy_holders.len());
+    }
+    for key in before.iter().filter(|key| tracker.hot_keys().all(|(other, _)| other != **key)) {
+        info!(event = "hot-key-over", group = key.group, hash = format!("{:016x}", key.hash));
+    }
+}
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -1,95 +1,109 @@
-//! A read that is compared, on its way: what the crate wants to know is asked of a replica of a child or of the parent, and told it.
+//! The tasks that compare reads while a group splits: a query of the verifier is sent to a replica of a child or of the parent, and its
+//! result handed back.
 
-use super::{Background, What};
+use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
 use crate::background_query::BackgroundQueryResult;
 use crate::pg::{commit_time_query, copies};
 use birchreach::Micros;
 use birchreach_background_tasks::{Task, TaskKind};
-use birchreach_shard_split::{ComparisonQuery, QueryResult, Verdict};
+use birchreach_shard_split::{ComparisonQuery, Definition, DueQuery, QueryResult, Verdict};
 use tracing::{info, warn};
 
-/// Questions that are handed to the scheduler at once.
-const AT_ONCE: usize = 8;
-/// One that did not start by then is asked again later.
-const PATIENCE: Micros = 1_000_000;
+/// Queries that are submitted in one run.
+const MAX_QUERIES_PER_RUN: usize = 8;
+/// A query that was not started within this time is due again later.
+const MAX_QUEUED_MICROS: Micros = 1_000_000;
 
+/// A query of the verifier.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Shadow {
-    /// Which comparison, of which start of this subsystem: another definition has other ones.
-    number: u64,
-    start: u64,
-    ask: ComparisonQuery,
-    text: Vec<u8>,
-    group: u32,
+pub(super) struct DualRead {
+    /// The verifier that wants it: another definition has other comparisons.
+    split_generation: u64,
+    due: DueQuery,
 }
 
-impl Shadow {
-    pub fn place(&self) -> (u32, bool) {
-        (self.group, false)
+impl DualRead {
+    pub(super) fn target(&self) -> TaskTarget {
+        TaskTarget { group: self.due.group, writes: false }
     }
 
-    pub fn texts(&self, id: u64) -> Vec<Vec<u8>> {
-        let row = || copies::read_row(&self.text, self.group, id, 1_000);
-        match self.ask {
-            ComparisonQuery::SingleRead(_) => vec![row()],
-            // Positions are told with answers: one before the read that counts, one with it.
-            ComparisonQuery::Sample(_) => vec![row(); 2],
+    pub(super) fn statements(&self, id: u64) -> Vec<Vec<u8>> {
+        let DueQuery { query, ref key_bytes, group, .. } = self.due;
+        let read = copies::read_row(key_bytes, group, id, STATEMENT_WAIT_MS);
+        match query {
+            ComparisonQuery::SingleRead(_) => vec![read],
+            // Positions come with answers: one before the read that counts, one with it.
+            ComparisonQuery::Sample(_) => vec![read; 2],
             ComparisonQuery::SampleParent => {
-                vec![row(), commit_time_query::read_row_with_commit_time(&self.text, self.group, id, 1_000)]
+                let with_commit_time =
+                    commit_time_query::read_row_with_commit_time(key_bytes, group, id, STATEMENT_WAIT_MS);
+                vec![read, with_commit_time]
             }
         }
     }
 }
 
-impl Background {
-    /// What is to be compared, as tasks.
-    pub(super) fn compare(&mut self, now: Micros, heard: usize, interval: Micros) {
-        for what in self.scheduler.take_expired() {
-            if let What::Shadow(shadow) = what {
-                self.unasked(now, &shadow);
+impl BackgroundWork {
+    /// Logs the verdict if it changed, and submits the queries that are due.
+    pub(super) fn run_split(&mut self, now: Micros, heard_members: usize, report_interval: Micros) {
+        for task in self.scheduler.take_expired() {
+            if let BackgroundTask::DualRead(read) = task {
+                self.postpone(now, &read);
             }
         }
-        let Some(shared) = self.split.clone() else { return };
-        let start = self.started;
-        let asks = {
-            let mut watch = shared.borrow_mut();
-            watch.split.set_report_interval(interval);
-            match watch.turned(heard) {
-                Some(verdict @ Verdict::Dirty([missing, extra, differs])) => {
-                    warn!(event = "split", verdict = verdict.as_str(), missing, extra, differs);
-                }
-                Some(verdict) => info!(event = "split", verdict = verdict.as_str()),
-                None => {}
-            }
-            watch.split.due_queries(now, AT_ONCE)
+        let Some(observer) = self.split.clone() else { return };
+        let due = {
+            let mut observer = observer.borrow_mut();
+            observer.verifier.set_report_interval(report_interval);
+            log_verdict(observer.verdict_to_log(heard_members));
+            observer.verifier.due_queries(now, MAX_QUERIES_PER_RUN)
         };
-        for (number, ask, text, group) in asks {
-            let shadow = Shadow { number, start, ask, text, group };
-            let what = What::Shadow(shadow.clone());
-            if !self.scheduler.submit(Task {
-                kind: TaskKind::DualRead,
-                expires_at: now + PATIENCE,
-                payload: what,
-            }) {
-                self.unasked(now, &shadow);
+        for due in due {
+            let read = DualRead { split_generation: self.split_generation, due };
+            let payload = BackgroundTask::DualRead(read.clone());
+            let expires_at = now + MAX_QUEUED_MICROS;
+            if !self.scheduler.submit(Task { kind: TaskKind::DualRead, expires_at, payload }) {
+                self.postpone(now, &read);
             }
         }
     }
 
-    fn unasked(&self, now: Micros, shadow: &Shadow) {
-        if let Some(watch) = self.split.as_ref().filter(|_| shadow.start == self.started) {
-            watch.borrow_mut().split.postpone(now, shadow.number);
+    fn postpone(&self, now: Micros, read: &DualRead) {
+        if let Some(observer) = self.split.as_ref().filter(|_| read.split_generation == self.split_generation)
+        {
+            observer.borrow_mut().verifier.postpone(now, read.due.comparison);
+        }
+    }
+
+    /// Hands the result of a query to its verifier; none if the end of the query was not reported.
+    pub(super) fn finish_dual_read(
+        &self,
+        now: Micros,
+        read: &DualRead,
+        result: Option<&BackgroundQueryResult>,
+    ) {
+        if read.split_generation != self.split_generation {
+            return;
+        }
+        let Some(observer) = &self.split else { return };
+        let mut observer = observer.borrow_mut();
+        let result =
+            result.map_or(QueryResult::NoAnswer, |result| observer.query_result(read.due.query, result));
+        if let Some(difference) = observer.verifier.record_result(now, read.due.comparison, result) {
+            let range = Definition::range(difference.key_hash);
+            let fields = observer.difference_fields(range, &difference);
+            warn!(event = "split-flag", flag = %crate::log::Quoted(fields));
         }
     }
+}
 
-    /// None: it was lost.
-    pub(super) fn compared(&self, now: Micros, shadow: &Shadow, done: Option<&BackgroundQueryResult>) {
-        let Some(watch) = self.split.as_ref().filter(|_| shadow.start == self.started) else { return };
-        let mut watch = watch.borrow_mut();
-        let told = done.map_or(QueryResult::NoAnswer, |done| watch.answer(shadow.ask, done));
-        if let Some(flag) = watch.split.record_result(now, shadow.number, told) {
-            let range = birchreach_shard_split::Definition::range(flag.key_hash);
-            warn!(event = "split-flag", flag = %crate::log::Quoted(watch.flag(range, &flag)));
+fn log_verdict(changed: Option<Verdict>) {
+    match changed {
+        Some(verdict @ Verdict::Dirty(counts)) => {
+            let (missing, extra, differs) = (counts.missing, counts.extra, counts.differs);
+            warn!(event = "split", verdict = verdict.as_str(), missing, extra, differs);
         }
+        Some(verdict) => info!(event = "split", verdict = verdict.as_str()),
+        None => {}
     }
 }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -1,209 +1,216 @@
-//! Work that no client waits for: it is asked for by subsystems, let go by the scheduler, sent as errands, and what comes of it is
-//! handed back. It owns tasks on their way and the times; what is to be done is decided in crates.
+//! Work that no client waits for: copies of hot keys, and reads that are compared while a group splits. It owns the tasks in flight and
+//! their times. The subsystems' crates decide what is to be done, the scheduler when, the decision module at which database.
 
-mod copies;
+mod copy_tasks;
 mod dual_reads;
-mod show;
 mod start;
+mod status;
 
 use super::event_loop_context::EventLoopContext;
 use super::pool::Pool;
 use crate::background_query::BackgroundQueryResult;
-use crate::core::Core;
 use crate::hot::HotKeyObserver;
 use crate::metrics::Metrics;
 use crate::observe::Shared;
-use crate::split;
+use crate::split::SplitObserver;
 use birchreach::{GroupId, Micros, ServerId};
-use birchreach_background_tasks::{Scheduler, StartedTask, Task, TaskKind};
+use birchreach_background_tasks::{Scheduler, StartedTask};
 use birchreach_membership::ReceivedReport;
-use copies::Copying;
-use dual_reads::Shadow;
+use copy_tasks::CopyTask;
+use dual_reads::DualRead;
 use std::collections::HashMap;
 use tracing::info;
 
-/// Reports of members, by what they are of.
-pub const HOT: u8 = 1;
-pub const SPLIT: u8 = 2;
-/// How long an errand that has started may take until whoever waits for it takes it for lost.
-const AT_MOST: Micros = 3_000_000;
-/// A turn comes each second at the latest, where all members are few; one that comes so late comes after a stop.
-const STOPPED: Micros = 1_500_000;
-
-/// Something to be done at some database.
+/// The channel of members' reports on hot keys.
+const HOT_KEYS_CHANNEL: u8 = 1;
+/// The channel of members' reports on a split.
+const SPLIT_CHANNEL: u8 = 2;
+/// A background query whose end is not reported within this time has failed.
+const MAX_QUERY_MICROS: Micros = 3_000_000;
+/// A run that comes so late comes after the process was suspended: runs are at most half of this apart.
+const SUSPENDED_MICROS: Micros = 1_500_000;
+/// How soon queued tasks are looked at again that wait for capacity or for their budget.
+const QUEUE_RETRY_MICROS: Micros = 20_000;
+/// Runs are at least so far apart.
+const MIN_RUN_INTERVAL_MICROS: Micros = 1_000;
+/// The time limit that a statement names, in milliseconds.
+const STATEMENT_WAIT_MS: u64 = 1_000;
+
+/// Something to be done at one database.
 #[derive(Clone, Debug, PartialEq)]
-enum What {
-    Copy(Copying),
-    Shadow(Shadow),
+enum BackgroundTask {
+    Copy(CopyTask),
+    DualRead(DualRead),
+}
+
+/// Where a task runs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct TaskTarget {
+    group: u32,
+    writes: bool,
 }
 
-impl What {
-    /// Which group's database it goes to, and whether it writes.
-    fn place(&self) -> (u32, bool) {
+impl BackgroundTask {
+    fn target(&self) -> TaskTarget {
         match self {
-            What::Copy(copying) => copying.place(),
-            What::Shadow(shadow) => shadow.place(),
+            BackgroundTask::Copy(task) => task.target(),
+            BackgroundTask::DualRead(read) => read.target(),
         }
     }
 
-    /// It waits while clients fill their part of a database. A row that is read to be copied does not: the copy is what relieves the
-    /// database, and the budget is what it may take.
-    fn yields(&self) -> bool {
-        !matches!(self, What::Copy(Copying::Read(_)))
+    /// Whether it waits while clients use their share of a database. The read of a row that is to be copied does not: its copies are what
+    /// takes load off the database, and its budget bounds it.
+    fn yields_to_clients(&self) -> bool {
+        !matches!(self, BackgroundTask::Copy(CopyTask::Read(_)))
     }
 
-    fn texts(&self, id: u64) -> Vec<Vec<u8>> {
+    fn statements(&self, id: u64) -> Vec<Vec<u8>> {
         match self {
-            What::Copy(copying) => copying.texts(id),
-            What::Shadow(shadow) => shadow.texts(id),
+            BackgroundTask::Copy(task) => task.statements(id),
+            BackgroundTask::DualRead(read) => read.statements(id),
         }
     }
 }
 
-pub struct Background {
-    scheduler: Scheduler<What>,
-    out: HashMap<u64, (What, Micros)>,
-    /// Ids of statements that no client sent: by this boot and a count.
-    boot: u64,
-    sent: u64,
-    hot: Option<Shared<HotKeyObserver>>,
-    split: Option<Shared<split::Watch>>,
-    /// How often a comparison was started: answers to an earlier one are not its.
-    started: u64,
+struct TaskInFlight {
+    task: BackgroundTask,
+    started_at: Micros,
+}
+
+/// A report that is to be sent to the other members.
+struct OutgoingReport {
+    channel: u8,
+    payload: Vec<u8>,
+}
+
+/// The background subsystems that the options switch on, and their tasks.
+pub struct BackgroundWork {
+    scheduler: Scheduler<BackgroundTask>,
+    in_flight: HashMap<u64, TaskInFlight>,
+    /// Ids of statements that no client sent start here: they differ among incarnations.
+    incarnation: u64,
+    statements_sent: u64,
+    hot_keys: Option<Shared<HotKeyObserver>>,
+    split: Option<Shared<SplitObserver>>,
+    /// How often a comparison was started: results of an earlier one do not count.
+    split_generation: u64,
     metrics: Metrics,
     /// When the timer that is set goes off.
-    armed: Micros,
-    /// Its last turn, and until when nothing is begun: a process that was stopped does not know yet what it has missed.
-    turned: Micros,
-    rests: Micros,
+    timer_at: Micros,
+    last_run_at: Micros,
+    /// Until then nothing is started: a process that was suspended does not know yet what it has missed.
+    paused_until: Micros,
 }
 
-impl Background {
-    fn new(boot: u64, now: Micros) -> Background {
-        Background {
+impl BackgroundWork {
+    fn new(incarnation: u64, now: Micros) -> BackgroundWork {
+        BackgroundWork {
             scheduler: Scheduler::new(&[], now),
-            out: HashMap::new(),
-            boot,
-            sent: 0,
-            hot: None,
+            in_flight: HashMap::new(),
+            incarnation,
+            statements_sent: 0,
+            hot_keys: None,
             split: None,
-            started: 0,
+            split_generation: 0,
             metrics: Metrics::new(),
-            armed: Micros::MAX,
-            turned: now,
-            rests: now,
+            timer_at: Micros::MAX,
+            last_run_at: now,
+            paused_until: now,
         }
     }
 
-    /// What other members tell.
-    pub fn hear(&mut self, now: Micros, fresh: Vec<ReceivedReport>) {
-        for told in fresh {
-            match (told.channel, &self.hot) {
-                (HOT, Some(watch)) => {
-                    let mut watch = watch.borrow_mut();
-                    if let Err(why) =
-                        watch.tracker.receive_report(now, told.origin, told.sequence, told.age, &told.payload)
-                    {
-                        self.metrics.refuse("hot", why.as_str());
+    /// Takes reports of other members.
+    pub fn receive_reports(&mut self, now: Micros, reports: Vec<ReceivedReport>) {
+        for report in reports {
+            match (report.channel, &self.hot_keys, &self.split) {
+                (HOT_KEYS_CHANNEL, Some(observer), _) => {
+                    let tracker = &mut observer.borrow_mut().tracker;
+                    let ReceivedReport { origin, sequence, age, ref payload, .. } = report;
+                    if let Err(error) = tracker.receive_report(now, origin, sequence, age, payload) {
+                        self.metrics.count_rejected_report("hot", error.as_str());
+                    }
+                }
+                (SPLIT_CHANNEL, _, Some(observer)) => {
+                    let verifier = &mut observer.borrow_mut().verifier;
+                    let ReceivedReport { origin, sequence, age, ref payload, .. } = report;
+                    if let Err(error) = verifier.receive_report(now, origin, sequence, age, payload) {
+                        self.metrics.count_rejected_report("split", error.as_str());
                     }
                 }
-                (SPLIT, _) if self.split.is_some() => self.hear_split(now, &told),
                 // This process has that subsystem switched off.
-                _ => self.metrics.refuse("other", "off"),
+                _ => self.metrics.count_rejected_report("other", "off"),
             }
         }
     }
 
-    fn hear_split(&self, now: Micros, told: &ReceivedReport) {
-        let Some(watch) = &self.split else { return };
-        let heard =
-            watch.borrow_mut().split.receive_report(now, told.origin, told.sequence, told.age, &told.payload);
-        if let Err(why) = heard {
-            self.metrics.refuse("split", why.as_str());
-        }
-    }
-
-    /// What this process tells, if it is time.
-    fn say(&mut self, now: Micros) -> Vec<(u8, Vec<u8>)> {
-        let hot = self.hot.as_ref().and_then(|watch| watch.borrow_mut().tracker.report_if_due(now));
-        let split = self.split.as_ref().and_then(|watch| watch.borrow_mut().split.report_if_due(now));
-        hot.map(|said| (HOT, said)).into_iter().chain(split.map(|said| (SPLIT, said))).collect()
-    }
-
-    /// Sets, and what is to be done by them.
-    fn step(&mut self, now: Micros, members: usize, interval: Micros) {
-        self.compare(now, members, interval);
-        let Some(shared) = self.hot.clone() else { return };
-        let mut watch = shared.borrow_mut();
-        watch.apply_list_changes();
-        watch.tracker.set_fleet(members, interval);
-        let before: Vec<_> = watch.tracker.hot_keys().map(|(key, _)| key).collect();
-        if watch.tracker.update(now) {
-            copies::tell_changes(&watch, &before);
-        }
-        let refresh = watch.tracker.settings().refresh_interval();
-        for due in watch.tracker.due_copies(now) {
-            let task = Task {
-                kind: TaskKind::RowRead,
-                expires_at: now + refresh,
-                payload: What::Copy(Copying::Read(due)),
-            };
-            self.scheduler.submit(task);
-        }
+    /// This process's reports, as far as they are due.
+    fn due_reports(&mut self, now: Micros) -> Vec<OutgoingReport> {
+        let hot_keys =
+            self.hot_keys.as_ref().and_then(|observer| observer.borrow_mut().tracker.report_if_due(now));
+        let split =
+            self.split.as_ref().and_then(|observer| observer.borrow_mut().verifier.report_if_due(now));
+        let hot_keys = hot_keys.map(|payload| OutgoingReport { channel: HOT_KEYS_CHANNEL, payload });
+        let split = split.map(|payload| OutgoingReport { channel: SPLIT_CHANNEL, payload });
+        hot_keys.into_iter().chain(split).collect()
     }
 
-    /// What the scheduler lets go now is sent.
-    fn start(&mut self, context: &mut EventLoopContext, pool: &mut Pool, divisor: u32) {
-        if context.now - std::mem::replace(&mut self.turned, context.now) > STOPPED {
-            self.rests = context.now + STOPPED;
+    /// Sends the tasks that the scheduler starts now.
+    fn start_due_tasks(&mut self, context: &mut EventLoopContext, pool: &mut Pool, divisor: u32) {
+        if context.now - std::mem::replace(&mut self.last_run_at, context.now) > SUSPENDED_MICROS {
+            self.paused_until = context.now + SUSPENDED_MICROS;
         }
-        if context.now < self.rests {
+        if context.now < self.paused_until {
             return;
         }
-        let place = |core: &Core<_>, what: &What| {
-            let (group, write) = what.place();
-            core.background_candidate(GroupId(group), write, what.yields()).map(|server| server.0)
+        let core = &context.core;
+        let place = |task: &BackgroundTask| {
+            let TaskTarget { group, writes } = task.target();
+            core.background_candidate(GroupId(group), writes, task.yields_to_clients()).map(|server| server.0)
         };
-        let started = self.scheduler.start_due(context.now, divisor, |what| place(&context.core, what));
-        for StartedTask { id: number, task, database } in started {
-            self.sent += 1;
-            let texts = task.payload.texts(self.boot.wrapping_add(self.sent));
-            self.out.insert(number, (task.payload, context.now));
-            pool.start_background_query(context, number, ServerId(database), texts);
+        let started = self.scheduler.start_due(context.now, divisor, place);
+        for StartedTask { id, task, database } in started {
+            self.statements_sent += 1;
+            let statements = task.payload.statements(self.incarnation.wrapping_add(self.statements_sent));
+            self.in_flight.insert(id, TaskInFlight { task: task.payload, started_at: context.now });
+            pool.start_background_query(context, id, ServerId(database), statements);
         }
     }
 
-    /// BackgroundQueries that are over; those whose end was never told are given up.
-    fn ended(&mut self, now: Micros, done: Vec<BackgroundQueryResult>) {
-        for done in done {
-            self.scheduler.finish(done.number);
-            let Some((what, _)) = self.out.remove(&done.number) else { continue };
-            match what {
-                What::Copy(copying) => self.copied(now, copying, &done),
-                What::Shadow(shadow) => self.compared(now, &shadow, Some(&done)),
+    /// Takes the results of background queries, and gives up those whose end was not reported in time.
+    fn finish_tasks(&mut self, now: Micros, results: Vec<BackgroundQueryResult>) {
+        for result in results {
+            self.scheduler.finish(result.number);
+            let Some(finished) = self.in_flight.remove(&result.number) else { continue };
+            match finished.task {
+                BackgroundTask::Copy(task) => self.finish_copy_task(now, task, &result),
+                BackgroundTask::DualRead(read) => self.finish_dual_read(now, &read, Some(&result)),
             }
         }
+        let is_lost = |task: &TaskInFlight| now - task.started_at >= MAX_QUERY_MICROS;
         let lost: Vec<u64> =
-            self.out.iter().filter(|(_, (_, at))| now - at >= AT_MOST).map(|(number, _)| *number).collect();
+            self.in_flight.iter().filter(|(_, task)| is_lost(task)).map(|(number, _)| *number).collect();
         for number in lost {
             self.scheduler.finish(number);
-            if let Some((What::Shadow(shadow), _)) = self.out.remove(&number) {
-                self.compared(now, &shadow, None);
+            if let Some(BackgroundTask::DualRead(read)) = self.in_flight.remove(&number).map(|lost| lost.task)
+            {
+                self.finish_dual_read(now, &read, None);
             }
-            info!(event = "errand-lost", number);
+            info!(event = "background-query-failed", number);
         }
     }
 
-    fn next_change(&self, now: Micros) -> Micros {
-        let hot = self.hot.as_ref().map_or(Micros::MAX, |watch| watch.borrow().tracker.next_change(now));
-        // What waits for room, or for its part of a budget, is looked at again.
-        let waits = if self.scheduler.queued_count() > 0 { now + 20_000 } else { Micros::MAX };
-        let split = self.split.as_ref().map_or(Micros::MAX, |watch| watch.borrow().split.next_change(now));
-        hot.min(split).min(waits).min(now + STOPPED / 2).max(now + 1_000)
+    /// When the subsystems run next.
+    fn next_run_at(&self, now: Micros) -> Micros {
+        let hot_keys = self.hot_keys.as_ref().map(|observer| observer.borrow().tracker.next_change(now));
+        let split = self.split.as_ref().map(|observer| observer.borrow().verifier.next_change(now));
+        let queue = (self.scheduler.queued_count() > 0).then_some(now + QUEUE_RETRY_MICROS);
+        let latest = now + SUSPENDED_MICROS / 2;
+        let earliest = [hot_keys, split, queue].into_iter().flatten().fold(latest, Micros::min);
+        earliest.max(now + MIN_RUN_INTERVAL_MICROS)
     }
 
-    /// Nothing is left to be done here.
-    fn idle(&self) -> bool {
-        self.hot.is_none() && self.split.is_none()
+    /// Whether no subsystem is switched on.
+    fn is_idle(&self) -> bool {
+        self.hot_keys.is_none() && self.split.is_none()
     }
 }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -1,133 +1,161 @@
-//! How the loop comes by work that no client waits for, and how it lends it what it needs.
+//! How the event loop switches background subsystems on and off, and runs them.
 
-use super::Background;
-use crate::hot::{HotKeyObserver, settings};
+use super::BackgroundWork;
+use crate::hot::{self, HotKeyObserver};
 use crate::net::EventLoop;
 use crate::net::timer_events::TimerEvent;
 use crate::observe::{CopyLocator, Observer, Shared, shared};
-use crate::split;
+use crate::split::{self, SplitObserver};
 use birchreach::Micros;
 use birchreach_background_tasks::{Budget, Quota, TaskKind};
 use birchreach_membership::GossipReports;
 use std::cell::RefCell;
 use std::rc::Rc;
+use std::time::Duration;
 use tracing::{info, warn};
 
+/// The budgets of the subsystems that the options name.
 fn budgets(
     hot: Option<&birchreach_options::Hot>,
     split: Option<&birchreach_options::Split>,
 ) -> Vec<(TaskKind, Budget)> {
-    let mut all = Vec::new();
+    let micros = |span: Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
+    let mut budgets = Vec::new();
     if let Some(hot) = hot {
-        let window = Micros::try_from(hot.window.as_micros()).unwrap_or(Micros::MAX);
-        let budget = |database_per_s| Budget { database_per_s, all_per_s: hot.all_per_s, window };
-        all.push((TaskKind::RowRead, budget(hot.reads_per_s)));
-        all.push((TaskKind::CopyWrite, budget(hot.copies_per_s)));
+        let budget =
+            |database_per_s| Budget { database_per_s, all_per_s: hot.all_per_s, window: micros(hot.window) };
+        budgets.push((TaskKind::RowRead, budget(hot.reads_per_s)));
+        budgets.push((TaskKind::CopyWrite, budget(hot.copies_per_s)));
     }
     if let Some(split) = split {
-        let window = Micros::try_from(split.window.as_micros()).unwrap_or(Micros::MAX);
         let (database_per_s, all_per_s) = (split.reads_per_s, split.all_per_s);
-        all.push((TaskKind::DualRead, Budget { database_per_s, all_per_s, window }));
+        let budget = Budget { database_per_s, all_per_s, window: micros(split.window) };
+        budgets.push((TaskKind::DualRead, budget));
     }
-    all
+    budgets
+}
+
+/// What a background subsystem needs to know of the fleet.
+#[derive(Clone, Copy)]
+struct FleetIdentity {
+    /// This incarnation, which is its origin in reports.
+    incarnation: u64,
+    configured_members: u32,
 }
 
 impl EventLoop {
-    /// Switches on what the options say, and off what they do not say any more.
+    /// Switches on what the options name, and off what they no longer name.
     pub(in crate::net) fn start_background(&mut self) {
-        let options = self.config.options.hot.clone();
-        let (Some(fellows), Some(keys)) = (&self.fleet, &self.config.fleet_keys) else { return };
-        let (boot, named, divisor) =
-            (fellows.boot(), fellows.view().configured_members, fellows.view().divisor());
-        let mut background =
-            self.background.take().unwrap_or_else(|| Box::new(Background::new(boot, self.context.now)));
-        match (&options, background.hot.clone()) {
-            (Some(options), Some(watch)) => {
-                watch.borrow_mut().tracker.update_settings(settings(
-                    options,
-                    named,
-                    &self.context.core.consistencies(),
-                ));
+        let (Some(fleet), Some(_)) = (&self.fleet, &self.config.fleet_keys) else { return };
+        let identity =
+            FleetIdentity { incarnation: fleet.boot(), configured_members: fleet.view().configured_members };
+        let divisor = fleet.view().divisor();
+        let now = self.context.now;
+        let mut work = self
+            .background
+            .take()
+            .unwrap_or_else(|| Box::new(BackgroundWork::new(identity.incarnation, now)));
+        self.start_hot_keys(&mut work, identity);
+        self.start_split(&mut work, identity);
+        let options = &self.config.options;
+        work.scheduler.set_budgets(&budgets(options.hot.as_ref(), options.split.as_ref()), now);
+        for kind in TaskKind::ALL {
+            if work.scheduler.quota(kind, divisor).is_some_and(Quota::is_empty) {
+                warn!(event = "background-budget-empty", kind = kind.as_str(), processes = divisor);
+            }
+        }
+        if !work.is_idle() {
+            self.background = Some(work);
+            self.run_background();
+        }
+    }
+
+    fn start_hot_keys(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
+        let Some(keys) = &self.config.fleet_keys else { return };
+        let FleetIdentity { incarnation, configured_members } = identity;
+        let core = &mut self.context.core;
+        let settings = self
+            .config
+            .options
+            .hot
+            .as_ref()
+            .map(|options| hot::settings(options, configured_members, &core.consistencies()));
+        match (settings, work.hot_keys.take()) {
+            (Some(settings), Some(observer)) => {
+                observer.borrow_mut().tracker.update_settings(settings);
+                work.hot_keys = Some(observer);
             }
-            (Some(options), None) => {
-                let settings = settings(options, named, &self.context.core.consistencies());
-                let watch = shared(HotKeyObserver::new(
-                    settings,
-                    boot,
-                    keys.name_hasher(b"hot keys"),
-                    self.context.now,
-                ));
-                self.context.core.subscribe(self.context.now, watch.clone());
-                self.context.core.add_copy_locator(watch.clone());
-                background.hot = Some(watch);
+            (Some(settings), None) => {
+                let (hasher, now) = (keys.name_hasher(b"hot keys"), self.context.now);
+                let observer = shared(HotKeyObserver::new(settings, incarnation, hasher, now));
+                core.subscribe(now, observer.clone());
+                core.add_copy_locator(observer.clone());
+                work.hot_keys = Some(observer);
                 info!(event = "hot-on");
             }
-            (None, Some(watch)) => {
-                self.context.core.unsubscribe(&(watch.clone() as Rc<RefCell<dyn Observer>>));
-                self.context.core.remove_copy_locator(&(watch as Rc<RefCell<dyn CopyLocator>>));
-                background.hot = None;
+            (None, Some(observer)) => {
+                core.unsubscribe(&(observer.clone() as Rc<RefCell<dyn Observer>>));
+                core.remove_copy_locator(&(observer as Rc<RefCell<dyn CopyLocator>>));
                 info!(event = "hot-off");
             }
             (None, None) => {}
         }
-        self.start_split(&mut background, boot, named);
-        let split = self.config.options.split.as_ref();
-        background.scheduler.set_budgets(&budgets(options.as_ref(), split), self.context.now);
-        for kind in TaskKind::ALL {
-            if background.scheduler.quota(kind, divisor).is_some_and(Quota::is_empty) {
-                // Rounded down, so that the sum holds: nothing of it is ever done.
-                warn!(event = "no-budget", kind = kind.as_str(), processes = divisor);
-            }
-        }
-        if !background.idle() {
-            self.background = Some(background);
-            self.run_background();
-        }
     }
 
-    fn start_split(&mut self, background: &mut Background, boot: u64, named: u32) {
+    /// A comparison whose settings are unchanged goes on; another one starts anew.
+    fn start_split(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
-        let wanted = self.config.options.split.as_ref().map(|options| split::settings(options, named));
-        let same = |watch: &Shared<split::Watch>| Some(watch.borrow().split.settings()) == wanted.as_ref();
-        if background.split.as_ref().is_some_and(same) {
+        let wanted = self
+            .config
+            .options
+            .split
+            .as_ref()
+            .map(|split| split::settings(split, identity.configured_members));
+        let is_wanted =
+            |observer: &Shared<SplitObserver>| Some(observer.borrow().verifier.settings()) == wanted.as_ref();
+        if work.split.as_ref().is_some_and(is_wanted) {
             return;
         }
-        if let Some(watch) = background.split.take() {
-            self.context.core.unsubscribe(&(watch as Rc<RefCell<dyn Observer>>));
+        if let Some(observer) = work.split.take() {
+            self.context.core.unsubscribe(&(observer as Rc<RefCell<dyn Observer>>));
             info!(event = "split-off");
         }
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
-            let (hasher, classes) = (keys.name_hasher(b"split"), self.config.site.class_names.clone());
-            let watch = shared(split::Watch::new(settings, boot, hasher, classes, self.context.now));
-            self.context.core.subscribe(self.context.now, watch.clone());
-            background.split = Some(watch);
-            background.started += 1;
+            let (hasher, class_names) = (keys.name_hasher(b"split"), self.config.site.class_names.clone());
+            let now = self.context.now;
+            let observer =
+                shared(SplitObserver::new(settings, identity.incarnation, hasher, class_names, now));
+            self.context.core.subscribe(now, observer.clone());
+            work.split = Some(observer);
+            work.split_generation += 1;
             info!(event = "split-on", definition);
         }
     }
 
-    /// Runs the background subsystems once: takes finished queries, starts due tasks, sets the timer.
+    /// Runs the background subsystems once: takes finished queries, starts due tasks, sends reports, sets the timer.
     pub(in crate::net) fn run_background(&mut self) {
-        let (Some(fellows), Some(background)) = (&self.fleet, &mut self.background) else { return };
-        let (view, speaks) = (fellows.view(), fellows.speaks());
+        let (Some(fleet), Some(work)) = (&self.fleet, &mut self.background) else { return };
+        let (view, acts_for_proxy) = (fleet.view(), fleet.speaks());
         let now = self.context.now;
-        background.step(now, view.members, GossipReports::interval(view.members));
-        let said = background.say(now);
-        background.ended(now, self.pool.take_completed_queries());
-        // Of two processes of one proxy one acts for it; the other only serves.
-        if speaks {
-            background.start(&mut self.context, &mut self.pool, view.divisor());
+        let report_interval = GossipReports::interval(view.members);
+        work.run_split(now, view.members, report_interval);
+        work.run_hot_keys(now, view.members, report_interval);
+        let reports = work.due_reports(now);
+        work.finish_tasks(now, self.pool.take_completed_queries());
+        // Of two processes of one proxy one acts for it; the other only serves its clients.
+        if acts_for_proxy {
+            work.start_due_tasks(&mut self.context, &mut self.pool, view.divisor());
         }
-        background.ended(now, self.pool.take_completed_queries());
-        let next = background.next_change(now);
-        if next < background.armed || background.armed <= now {
-            background.armed = next;
+        work.finish_tasks(now, self.pool.take_completed_queries());
+        let next = work.next_run_at(now);
+        if next < work.timer_at || work.timer_at <= now {
+            work.timer_at = next;
             self.context.timers.set(next, TimerEvent::Background);
         }
-        if let (Some(fellows), false) = (&mut self.fleet, said.is_empty()) {
-            for (channel, said) in said {
-                fellows.say(now, channel, said);
+        if let (Some(fleet), false) = (&mut self.fleet, reports.is_empty()) {
+            for report in reports {
+                fleet.say(now, report.channel, report.payload);
             }
             self.after_fleet();
         }
--- /dev/null
+++ b/proxy/src/net/background/status.rs
@@ -0,0 +1,59 @@
+//! What operators see of background work and of the subsystems that it is done for.
+
+use super::BackgroundWork;
+use birchreach::Micros;
+use birchreach_background_tasks::TaskKind;
+use std::fmt::Write;
+
+impl BackgroundWork {
+    /// The answer to the admin call `hot`; none while hot keys are switched off.
+    pub fn hot_key_lines(&self, now: Micros, divisor: u32) -> Option<String> {
+        let observer = self.hot_keys.as_ref()?;
+        Some(observer.borrow().status_lines(now) + &self.scheduler_lines(divisor))
+    }
+
+    /// The answer to the admin call `split`; none while no comparison is switched on.
+    pub fn split_lines(&self, heard_members: usize, divisor: u32) -> Option<String> {
+        let observer = self.split.as_ref()?;
+        Some(observer.borrow().status_lines(heard_members) + &self.scheduler_lines(divisor))
+    }
+
+    /// A line for each kind of task that has a budget, and one for all.
+    fn scheduler_lines(&self, divisor: u32) -> String {
+        let mut lines = String::new();
+        for kind in TaskKind::ALL {
+            let Some(quota) = self.scheduler.quota(kind, divisor) else { continue };
+            let counts = self.scheduler.counts(kind);
+            let _ = writeln!(
+                lines,
+                "background kind={} started={} ended={} late={} crowded={} part_at_one={} part_in_all={}",
+                kind.as_str(),
+                counts.started,
+                counts.finished,
+                counts.expired,
+                counts.rejected,
+                quota.per_database,
+                quota.total
+            );
+        }
+        let (queued, running) = (self.scheduler.queued_count(), self.scheduler.running_count());
+        let _ = writeln!(lines, "background waiting={queued} out={running}");
+        lines
+    }
+
+    /// The metrics of background work, in the text format.
+    pub fn metrics_text(&self, heard_members: usize) -> String {
+        for kind in TaskKind::ALL {
+            self.metrics.set_task_counts(kind.as_str(), self.scheduler.counts(kind));
+        }
+        if let Some(observer) = &self.hot_keys {
+            let observer = observer.borrow();
+            self.metrics.set_hot_keys(&observer.tracker, observer.copy_read_counts());
+        }
+        if let Some(observer) = &self.split {
+            let verifier = &observer.borrow().verifier;
+            self.metrics.set_split(&verifier.verdict(heard_members), verifier.counts());
+        }
+        self.metrics.text()
+    }
+}
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -70,11 +70,11 @@
         let Some(fellows) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fellows.view());
         let (divisor, heard) = (view.divisor(), view.members);
-        let more = background.map_or_else(String::new, |b| b.metrics(heard));
+        let more = background.map_or_else(String::new, |work| work.metrics_text(heard));
         AdminReports {
             fleet: Some(fellows.lines(self.context.now)),
-            hot: background.and_then(|b| b.hot_lines(self.context.now, divisor)),
-            split: background.and_then(|b| b.split_lines(heard, divisor)),
+            hot: background.and_then(|work| work.hot_key_lines(self.context.now, divisor)),
+            split: background.and_then(|work| work.split_lines(heard, divisor)),
             metrics: Some(fellows.metrics() + &more + "# EOF\n"),
         }
     }
@@ -101,7 +101,7 @@
             gossip.speak(&self.context.registry, speaks);
         }
         if let Some(background) = &mut self.background {
-            background.hear(self.context.now, fresh);
+            background.receive_reports(self.context.now, fresh);
         }
         if let (Some(peer), Some(gossip)) = (exchange, &mut self.gossip) {
             gossip.exchange(&mut self.context, peer);
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -32,7 +32,7 @@
 
 use crate::config::Config;
 use admin::AdminListener;
-use background::Background;
+use background::BackgroundWork;
 use balancers::HealthReporting;
 use birchreach::Micros;
 use checks::HealthCheckServer;
@@ -70,7 +70,7 @@
     checks: HealthCheckServer,
     gossip: Option<Gossip>,
     fleet: Option<FleetMembership>,
-    background: Option<Box<Background>>,
+    background: Option<Box<BackgroundWork>>,
     health: HealthReporting,
     handover: ProcessHandover,
     config: Config,
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -1,32 +1,35 @@
-//! The proxy's values as the crate `split` has them: reads that were served, and what databases answer; and what operators are shown
-//! of it. It owns the words; what is compared and what a difference means is the crate's to say.
+//! The comparison of a split in the proxy: translates the core's events, answers of databases and the options into the values of crate
+//! `shard-split`, and its state into the lines of the admin call `split`. What is compared, and what a difference means, is decided in the
+//! crate.
 
 use crate::background_query::BackgroundQueryResult;
 use crate::observe::{CoreEvent, Observer};
 use crate::pg::commit_time_query;
 use birchreach::{Micros, Role, ServerId};
 use birchreach_peer_state::NameHasher;
-use birchreach_shard_split::judge::ParentSample;
 use birchreach_shard_split::{
-    ComparisonQuery, ConfirmedDifference, Definition, PositionSample, QueryResult, RANGES, Settings,
-    SplitVerifier, Verdict,
+    ComparisonQuery, ConfirmedDifference, Definition, DifferenceCounts, IncompleteReason, ParentSample,
+    PositionSample, QueryResult, RANGES, Row, Settings, SplitVerifier, Verdict,
 };
 use std::collections::HashMap;
 use std::fmt::Write;
 
-/// What is compared; it listens to the core.
-pub struct Watch {
-    pub split: SplitVerifier,
+const MICROS_PER_MILLI: Micros = 1_000;
+
+/// The verifier of a split as an observer of the core.
+pub struct SplitObserver {
+    /// The decisions.
+    pub verifier: SplitVerifier,
     hasher: NameHasher,
-    /// A number for each database's process: by its name and its last start.
+    /// A number for each database's process, by its name and its last start.
     processes: HashMap<ServerId, u64>,
-    /// Names of the classes, for flags.
-    classes: Vec<String>,
-    /// The verdict that was told last.
-    told: Option<&'static str>,
+    class_names: Vec<String>,
+    /// The verdict that was logged last.
+    logged_verdict: Option<&'static str>,
 }
 
-pub fn settings(options: &birchreach_options::Split, named: u32) -> Settings {
+/// The crate's settings from the options and the number of configured processes.
+pub fn settings(options: &birchreach_options::Split, configured_members: u32) -> Settings {
     let micros = |span: std::time::Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
     let birchreach_options::Split { from, below, above, at, least, processes, .. } = *options;
     Settings {
@@ -35,136 +38,168 @@
         coverage_window: micros(options.within),
         min_processes: processes,
         confirmation_delay: micros(options.confirm),
-        configured_members: named as usize,
+        configured_members: configured_members as usize,
     }
 }
 
-impl Watch {
-    pub fn new(settings: Settings, own: u64, hasher: NameHasher, classes: Vec<String>, now: Micros) -> Watch {
-        let split = SplitVerifier::new(settings, own, now);
-        Watch { split, hasher, processes: HashMap::new(), classes, told: None }
+impl SplitObserver {
+    /// An observer that has seen nothing; `own_origin` is this process's number in reports.
+    pub fn new(
+        settings: Settings,
+        own_origin: u64,
+        hasher: NameHasher,
+        class_names: Vec<String>,
+        now: Micros,
+    ) -> SplitObserver {
+        let verifier = SplitVerifier::new(settings, own_origin, now);
+        SplitObserver { verifier, hasher, processes: HashMap::new(), class_names, logged_verdict: None }
     }
 
     fn digest(&self, value: &[u8]) -> u64 {
         self.hasher.hash(0, value)
     }
 
-    /// What an errand came to, as an answer to what was asked.
-    pub fn answer(&self, ask: ComparisonQuery, done: &BackgroundQueryResult) -> QueryResult {
-        self.read(ask, done).filter(|_| done.complete).unwrap_or(QueryResult::NoAnswer)
+    /// The result of a query from the answers of the database.
+    pub fn query_result(&self, query: ComparisonQuery, completed: &BackgroundQueryResult) -> QueryResult {
+        let result = if completed.complete { self.parse_replies(query, completed) } else { None };
+        result.unwrap_or(QueryResult::NoAnswer)
     }
 
-    fn read(&self, ask: ComparisonQuery, done: &BackgroundQueryResult) -> Option<QueryResult> {
-        // A primary may have been deposed and not know it: it claims the present, and answers from the past. A replica's position is that
-        // of the log that it has applied.
-        let note = |n: usize| done.replies.get(n)?.status.filter(|note| note.role == Role::Replica);
-        let position = |n: usize| note(n)?.position;
-        let row = |n: usize| Some(done.replies.get(n)?.value.as_ref().map(|v| self.digest(&v.bytes)));
-        let process = *self.processes.get(&done.server)?;
-        Some(match ask {
-            ComparisonQuery::SingleRead(_) => QueryResult::SingleRead { row: row(0)?, position: position(0) },
-            ComparisonQuery::Sample(_) => QueryResult::Sample {
-                look: PositionSample {
-                    row: row(1)?,
-                    position_before: position(0)?,
-                    position_after: position(1)?,
-                },
-                process,
+    fn parse_replies(
+        &self,
+        query: ComparisonQuery,
+        completed: &BackgroundQueryResult,
+    ) -> Option<QueryResult> {
+        let process = *self.processes.get(&completed.server)?;
+        Some(match query {
+            ComparisonQuery::SingleRead(_) => QueryResult::SingleRead {
+                row: self.row(completed, 0)?,
+                position: replica_position(completed, 0).flatten(),
             },
+            ComparisonQuery::Sample(_) => {
+                let sample = PositionSample {
+                    row: self.row(completed, 1)?,
+                    position_before: replica_position(completed, 0)??,
+                    position_after: replica_position(completed, 1)??,
+                };
+                QueryResult::Sample { sample, process }
+            }
             ComparisonQuery::SampleParent => {
-                note(1)?;
-                let row = commit_time_query::parse_row_with_commit_time(done.replies.get(1)?)?;
-                let digest = row.value.map(|value| self.digest(value));
-                let parent =
-                    ParentSample { row: digest, committed_at: row.committed_at, position: position(0)? };
-                QueryResult::ParentSample { parent, process }
+                // The second answer must be a replica's too.
+                replica_position(completed, 1)?;
+                let row = commit_time_query::parse_row_with_commit_time(completed.replies.get(1)?)?;
+                let sample = ParentSample {
+                    row: row.value.map(|value| self.digest(value)),
+                    committed_at: row.committed_at,
+                    position: replica_position(completed, 0)??,
+                };
+                QueryResult::ParentSample { sample, process }
             }
         })
     }
 
-    /// The verdict, if it is another than was told last.
-    pub fn turned(&mut self, heard: usize) -> Option<Verdict> {
-        let verdict = self.split.verdict(heard);
-        (self.told.replace(verdict.as_str()) != Some(verdict.as_str())).then_some(verdict)
+    /// The digest of the row in the nth reply; none without such a reply.
+    fn row(&self, completed: &BackgroundQueryResult, n: usize) -> Option<Row> {
+        let reply = completed.replies.get(n)?;
+        Some(reply.value.as_ref().map(|value| self.digest(&value.bytes)))
     }
 
-    pub fn class(&self, flag: &ConfirmedDifference) -> &str {
-        self.classes.get(usize::from(flag.class)).map_or("?", String::as_str)
+    /// The verdict, if it is another than the one that was logged last.
+    pub fn verdict_to_log(&mut self, heard_members: usize) -> Option<Verdict> {
+        let verdict = self.verifier.verdict(heard_members);
+        let logged = self.logged_verdict.replace(verdict.as_str());
+        (logged != Some(verdict.as_str())).then_some(verdict)
     }
 
-    /// A line for the whole, one for each range that lacks something, one for each flag that this process has found.
-    pub fn lines(&self, heard: usize) -> String {
-        let verdict = self.split.verdict(heard);
-        let c = self.split.counts;
-        let s = self.split.settings();
-        let mut out = String::new();
-        let [missing, extra, differs] = if let Verdict::Dirty(flags) = verdict { flags } else { [0; 3] };
-        let (lacking, unseen, unheard) = match verdict {
-            Verdict::Incomplete(l) => {
-                (l.ranges_below_comparisons, l.ranges_below_processes, l.silent_members)
-            }
-            _ => (0, 0, 0),
-        };
-        let _ = writeln!(
-            out,
-            "split verdict={} definition={:016x} heard={} named={} unheard={unheard} ranges={RANGES} lacking={lacking} unseen={unseen} \
-             missing={missing} extra={extra} differs={differs} begun={} agreed={} late={} unsure={} silent={} flagged={} crowded={} under_way={}",
-            verdict.as_str(),
-            s.definition.digest(),
-            heard.min(self.split.origin_count()),
-            s.configured_members,
-            c.started,
-            c.agreed,
-            c.lagging,
-            c.inconclusive,
-            c.unanswered,
-            c.confirmed,
-            c.rejected,
-            self.split.comparison_count()
-        );
+    /// The answer to the admin call `split`: a line for the whole, one for each range that is not covered, and one for each difference
+    /// that this process confirmed.
+    pub fn status_lines(&self, heard_members: usize) -> String {
+        let settings = self.verifier.settings();
+        let mut lines = self.summary_line(heard_members);
         for range in 0..RANGES {
-            let (compared, seen_by) = self.split.coverage(range);
-            if compared < s.min_comparisons || seen_by < s.min_processes {
-                let _ = writeln!(out, "range n={range} compared={compared} seen_by={seen_by}");
+            let coverage = self.verifier.coverage(range);
+            let (compared, seen_by) = (coverage.comparisons, coverage.processes);
+            if compared < settings.min_comparisons || seen_by < settings.min_processes {
+                let _ = writeln!(lines, "range n={range} compared={compared} seen_by={seen_by}");
             }
         }
-        for (range, f) in self.split.differences() {
-            let _ = writeln!(out, "flag {}", self.flag(range, f));
+        for (range, difference) in self.verifier.differences() {
+            let _ = writeln!(lines, "flag {}", self.difference_fields(range, difference));
         }
-        out
+        lines
     }
 
-    pub fn flag(&self, range: usize, f: &ConfirmedDifference) -> String {
-        let row = |row: Option<u64>| row.map_or("none".into(), |digest| format!("{digest:016x}"));
+    fn summary_line(&self, heard_members: usize) -> String {
+        let verdict = self.verifier.verdict(heard_members);
+        let differences =
+            if let Verdict::Dirty(counts) = verdict { counts } else { DifferenceCounts::default() };
+        let reason =
+            if let Verdict::Incomplete(reason) = verdict { reason } else { IncompleteReason::default() };
+        let counts = self.verifier.counts();
+        let settings = self.verifier.settings();
         format!(
-            "sort={} class={} range={range} hash={:08x} parent={} child={} group={} since_ms={} low_ms={} high_ms={} at_ms={}",
-            f.kind.as_str(),
-            self.class(f),
-            f.key_hash,
-            row(f.rows.0),
-            row(f.rows.1),
-            f.child_group,
-            f.since / 1_000,
-            f.child.0 / 1_000,
-            f.child.1 / 1_000,
-            f.confirmed_at / 1_000
+            "split verdict={} definition={:016x} heard={} named={} unheard={} ranges={RANGES} lacking={} unseen={} \
+             missing={} extra={} differs={} begun={} agreed={} late={} unsure={} silent={} flagged={} crowded={} under_way={}\n",
+            verdict.as_str(),
+            settings.definition.digest(),
+            heard_members.min(self.verifier.origin_count()),
+            settings.configured_members,
+            reason.silent_members,
+            reason.ranges_below_comparisons,
+            reason.ranges_below_processes,
+            differences.missing,
+            differences.extra,
+            differences.differs,
+            counts.started,
+            counts.agreed,
+            counts.lagging,
+            counts.inconclusive,
+            counts.unanswered,
+            counts.confirmed,
+            counts.rejected,
+            self.verifier.comparison_count()
         )
     }
+
+    /// A confirmed difference as operators see it, in the log and in the admin call.
+    pub fn difference_fields(&self, range: usize, difference: &ConfirmedDifference) -> String {
+        let row = |row: Row| row.map_or("none".into(), |digest| format!("{digest:016x}"));
+        let class = self.class_names.get(usize::from(difference.class)).map_or("?", String::as_str);
+        format!(
+            "sort={} class={class} range={range} hash={:08x} parent={} child={} group={} since_ms={} low_ms={} high_ms={} at_ms={}",
+            difference.kind.as_str(),
+            difference.key_hash,
+            row(difference.parent.row),
+            row(difference.child.row),
+            difference.child_group,
+            difference.parent.committed_at / MICROS_PER_MILLI,
+            difference.child.position_before / MICROS_PER_MILLI,
+            difference.child.position_after / MICROS_PER_MILLI,
+            difference.confirmed_at / MICROS_PER_MILLI
+        )
+    }
+}
+
+/// The position in the nth reply, if the reply is a replica's. A primary may have been deposed without knowing it: it would state the
+/// present and answer from the past, while a replica's position is that of the log that it has applied.
+fn replica_position(completed: &BackgroundQueryResult, n: usize) -> Option<Option<Micros>> {
+    let status = completed.replies.get(n)?.status?;
+    (status.role == Role::Replica).then_some(status.position)
 }
 
-impl Observer for Watch {
-    fn on_event(&mut self, now: Micros, seen: CoreEvent<'_>) {
-        match seen {
-            CoreEvent::Listed { server, uid, started_ms: boot_ms, .. } => {
-                let process = crate::config::hash(format!("{uid} {boot_ms}").as_bytes());
+impl Observer for SplitObserver {
+    fn on_event(&mut self, now: Micros, event: CoreEvent<'_>) {
+        match event {
+            CoreEvent::Listed { server, uid, started_ms, .. } => {
+                let process = crate::config::hash(format!("{uid} {started_ms}").as_bytes());
                 self.processes.insert(server, process);
             }
             CoreEvent::Unlisted { server, .. } => drop(self.processes.remove(&server)),
             CoreEvent::ReadServed { group, class, key, value }
-                if group.0 == self.split.settings().definition.parent =>
+                if group.0 == self.verifier.settings().definition.parent =>
             {
                 let row = Some(self.digest(&value.bytes));
-                self.split.record_read(now, class.0, key, row);
+                self.verifier.record_read(now, class.0, key, row);
             }
             _ => {}
         }
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -1,231 +1,227 @@
-//! One comparison on its way: the client's answer, the children's first answers, then, if they differ, close looks; and the same again
-//! after a while, before it is a fault.
+//! One comparison: the answer that a client got from the parent against both children's. If a child differs, it and the parent are
+//! sampled, and again after a delay, before the difference is confirmed.
 
 use crate::judge::{Outcome, ParentSample, PositionSample, Row, judge};
+use crate::query::{Child, ComparisonQuery, QueryResult};
 use crate::{DifferenceKind, Micros};
 use birchreach_fault_injection::fault_injected;
 
-/// Close looks at one key before it is dropped as unsure.
-pub const MAX_RETRIES: u8 = 6;
-
-/// Which child.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Child {
-    /// To whom the key's range falls.
-    Owner,
-    /// The other one, which is not to have it.
-    Other,
-}
+/// Retries of a comparison until it ends without a result.
+const MAX_RETRIES: u8 = 6;
+/// The delay before a retry grows by this with each of them.
+const RETRY_STEP_MICROS: Micros = 300_000;
 
-/// What is to be asked for a comparison.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum ComparisonQuery {
-    /// A child, once.
-    SingleRead(Child),
-    /// A child, twice on one connection.
-    Sample(Child),
-    /// A replica of the parent, twice on one connection, the second time with the time of the row's commit.
-    SampleParent,
+/// The processes of the databases that were sampled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SampledProcesses {
+    child: u64,
+    parent: u64,
 }
 
-/// What came back. `process`: a number for the database's process, the same as long as it runs.
+/// A child that was sampled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QueryResult {
-    SingleRead {
-        row: Row,
-        position: Option<Micros>,
-    },
-    Sample {
-        look: PositionSample,
-        process: u64,
-    },
-    ParentSample {
-        parent: ParentSample,
-        process: u64,
-    },
-    /// No answer, or one that tells too little.
-    NoAnswer,
+pub(crate) struct SampledChild {
+    child: Child,
+    sample: PositionSample,
+    process: u64,
 }
 
-/// Where it stands.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// What the comparison waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonStage {
-    /// First answers: of the owner, then of the other.
+    /// The owner's first answer.
     ReadOwner,
+    /// The other child's first answer.
     ReadOther,
-    /// A close look at a child that differed, and then at the parent.
+    /// The sample of a child that differed.
     SampleChild(Child),
-    SampleParent(Child, PositionSample, u64),
-    /// A difference was found: again at this time, with the same processes.
-    AwaitConfirmation(Difference),
+    /// The parent's sample, which follows the child's.
+    SampleParent(SampledChild),
+    /// A second sample of a child in which a difference was found.
+    AwaitConfirmation(Child),
 }
 
-/// A difference, by a child's and the parent's process.
+/// A difference between two samples.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Difference {
-    pub child: Child,
-    pub parent: ParentSample,
-    pub sample: PositionSample,
-    pub processes: (u64, u64),
-    /// When it was found first.
-    pub found_at: Micros,
+    pub(crate) child: Child,
+    pub(crate) parent: ParentSample,
+    pub(crate) sample: PositionSample,
+    processes: SampledProcesses,
+    found_at: Micros,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Comparison {
-    pub class: u16,
-    pub key_hash: u32,
-    pub key_bytes: Vec<u8>,
-    /// A's answer.
-    pub parent_row: Row,
-    pub stage: ComparisonStage,
-    /// What is asked is out; else it is to be asked from this time on.
-    pub query_in_flight: bool,
-    pub query_at: Micros,
-    pub retries: u8,
-    /// The first time that it differed, if it did.
-    pub first_difference: Option<Difference>,
-    pub started_at: Micros,
+impl Difference {
+    pub(crate) fn kind(&self) -> DifferenceKind {
+        match self.child {
+            Child::Other => DifferenceKind::Extra,
+            Child::Owner if self.sample.row.is_none() => DifferenceKind::Missing,
+            Child::Owner => DifferenceKind::Differs,
+        }
+    }
+
+    /// The other child agrees if it has no row, whatever the parent has, and at no time may it have one.
+    fn outcome(&self) -> Outcome {
+        match self.child {
+            Child::Owner => judge(self.parent, self.sample),
+            Child::Other if self.sample.row.is_none() => Outcome::Agrees,
+            Child::Other => Outcome::Differs,
+        }
+    }
 }
 
-/// What became of a comparison.
+/// How a comparison ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonEnd {
     Agrees,
+    /// The child was behind the parent's row each time.
     Lagging,
+    /// The row changed each time, or may have.
     Inconclusive,
-    /// A child or the parent gave no answer that tells enough.
+    /// A database gave no answer that suffices.
     Unanswered,
-    Confirmed(Difference, DifferenceKind),
+    Confirmed(Difference),
 }
 
-/// Pauses between looks that were late or unsure.
-const RETRY_STEP_MICROS: Micros = 300_000;
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct Comparison {
+    pub(crate) class: u16,
+    pub(crate) key_hash: u32,
+    pub(crate) key_bytes: Vec<u8>,
+    /// The answer that the client got from the parent.
+    parent_row: Row,
+    stage: ComparisonStage,
+    /// The query is sent and has no result yet.
+    pub(crate) query_in_flight: bool,
+    /// From when on the next query may be sent.
+    pub(crate) query_at: Micros,
+    retries: u8,
+    /// The difference that has to persist.
+    first_difference: Option<Difference>,
+    pub(crate) started_at: Micros,
+}
 
 impl Comparison {
-    pub fn query(&self) -> ComparisonQuery {
+    pub(crate) fn new(
+        now: Micros,
+        class: u16,
+        key_hash: u32,
+        key_bytes: &[u8],
+        parent_row: Row,
+    ) -> Comparison {
+        Comparison {
+            class,
+            key_hash,
+            key_bytes: key_bytes.to_vec(),
+            parent_row,
+            stage: ComparisonStage::ReadOwner,
+            query_in_flight: false,
+            query_at: now,
+            retries: 0,
+            first_difference: None,
+            started_at: now,
+        }
+    }
+
+    pub(crate) fn query(&self) -> ComparisonQuery {
         match self.stage {
             ComparisonStage::ReadOwner => ComparisonQuery::SingleRead(Child::Owner),
             ComparisonStage::ReadOther => ComparisonQuery::SingleRead(Child::Other),
             ComparisonStage::SampleChild(child) => ComparisonQuery::Sample(child),
-            ComparisonStage::SampleParent(..) => ComparisonQuery::SampleParent,
-            ComparisonStage::AwaitConfirmation(found) => ComparisonQuery::Sample(found.child),
+            ComparisonStage::SampleParent(_) => ComparisonQuery::SampleParent,
+            ComparisonStage::AwaitConfirmation(child) => ComparisonQuery::Sample(child),
         }
     }
 
-    /// Takes an answer. `confirm`: after how long a difference is looked at again.
-    pub fn record_result(
+    /// Takes the result of the query. `confirmation_delay` is how long a difference has to persist.
+    pub(crate) fn record_result(
         &mut self,
         now: Micros,
-        told: QueryResult,
-        confirm: Micros,
+        result: QueryResult,
+        confirmation_delay: Micros,
     ) -> Option<ComparisonEnd> {
+        use ComparisonStage::{AwaitConfirmation, ReadOther, ReadOwner, SampleChild, SampleParent};
         self.query_in_flight = false;
         self.query_at = now;
-        match (self.stage.clone(), told) {
+        match (self.stage, result) {
             (_, QueryResult::NoAnswer) => self.retry(now, ComparisonEnd::Unanswered),
-            (ComparisonStage::ReadOwner, QueryResult::SingleRead { row, position }) => {
-                if row == self.parent_row {
-                    self.stage = ComparisonStage::ReadOther;
-                    return None;
-                }
-                if position.is_none() {
-                    return Some(ComparisonEnd::Unanswered);
-                }
-                self.stage = ComparisonStage::SampleChild(Child::Owner);
-                None
+            (ReadOwner, QueryResult::SingleRead { row, .. }) if row == self.parent_row => {
+                self.proceed(ReadOther)
             }
-            (ComparisonStage::ReadOther, QueryResult::SingleRead { row, .. }) => {
-                if row.is_none() {
-                    return Some(ComparisonEnd::Agrees);
-                }
-                self.stage = ComparisonStage::SampleChild(Child::Other);
-                None
+            // Without positions the child cannot be sampled.
+            (ReadOwner, QueryResult::SingleRead { position: None, .. }) => Some(ComparisonEnd::Unanswered),
+            (ReadOwner, QueryResult::SingleRead { .. }) => self.proceed(SampleChild(Child::Owner)),
+            (ReadOther, QueryResult::SingleRead { row: None, .. }) => Some(ComparisonEnd::Agrees),
+            (ReadOther, QueryResult::SingleRead { .. }) => self.proceed(SampleChild(Child::Other)),
+            (SampleChild(child) | AwaitConfirmation(child), QueryResult::Sample { sample, process }) => {
+                self.proceed(SampleParent(SampledChild { child, sample, process }))
             }
-            (ComparisonStage::SampleChild(child), QueryResult::Sample { look, process }) => {
-                self.stage = ComparisonStage::SampleParent(child, look, process);
-                None
+            (SampleParent(sampled), QueryResult::ParentSample { sample, process }) => {
+                let processes = SampledProcesses { child: sampled.process, parent: process };
+                let SampledChild { child, sample: child_sample, .. } = sampled;
+                let found =
+                    Difference { child, parent: sample, sample: child_sample, processes, found_at: now };
+                self.compare_samples(now, found, confirmation_delay)
             }
-            (ComparisonStage::AwaitConfirmation(found), QueryResult::Sample { look, process }) => {
-                self.stage = ComparisonStage::SampleParent(found.child, look, process);
-                None
-            }
-            (
-                ComparisonStage::SampleParent(child, look, process),
-                QueryResult::ParentSample { parent, process: of_parent },
-            ) => self.compare_samples(now, child, look, parent, (process, of_parent), confirm),
-            // An answer to something else than was asked.
+            // A result of another query.
             _ => Some(ComparisonEnd::Unanswered),
         }
     }
 
+    fn proceed(&mut self, stage: ComparisonStage) -> Option<ComparisonEnd> {
+        self.stage = stage;
+        None
+    }
+
     fn compare_samples(
         &mut self,
         now: Micros,
-        child: Child,
-        look: PositionSample,
-        parent: ParentSample,
-        processes: (u64, u64),
-        confirm: Micros,
+        found: Difference,
+        confirmation_delay: Micros,
     ) -> Option<ComparisonEnd> {
-        let found = Difference { child, parent, sample: look, processes, found_at: now };
-        // Whoever is not to have the row agrees if it has none, whatever the parent has.
-        let how = match child {
-            Child::Owner => judge(parent, look),
-            Child::Other if look.row.is_none() => Outcome::Agrees,
-            // It is not to have it at any time, whatever happens to the parent's.
-            Child::Other => Outcome::Differs,
-        };
-        match how {
+        match found.outcome() {
             Outcome::Agrees => Some(ComparisonEnd::Agrees),
             Outcome::Lagging => self.retry(now, ComparisonEnd::Lagging),
             Outcome::Inconclusive => self.retry(now, ComparisonEnd::Inconclusive),
             Outcome::Differs if fault_injected!(NeverConfirms) => Some(ComparisonEnd::Inconclusive),
-            Outcome::Differs => {
-                let sort = match child {
-                    Child::Other => DifferenceKind::Extra,
-                    Child::Owner if look.row.is_none() => DifferenceKind::Missing,
-                    Child::Owner => DifferenceKind::Differs,
-                };
-                match self.first_difference {
-                    _ if fault_injected!(SkipsConfirmation) => Some(ComparisonEnd::Confirmed(found, sort)),
-                    // Again, and nothing was another in between: it lasts.
-                    Some(first)
-                        if (first.processes == processes || fault_injected!(IgnoresRestarts))
-                            && first.child == child
-                            && now - first.found_at >= confirm =>
-                    {
-                        Some(ComparisonEnd::Confirmed(found, sort))
-                    }
-                    // Another process than the first time: a restart or a failover, and it begins anew.
-                    Some(first) if first.processes != processes || first.child != child => {
-                        self.first_difference = Some(found);
-                        self.await_confirmation(found, now + confirm)
-                    }
-                    Some(first) => self.await_confirmation(first, first.found_at + confirm),
-                    None => {
-                        self.first_difference = Some(found);
-                        self.await_confirmation(found, now + confirm)
-                    }
-                }
+            Outcome::Differs if fault_injected!(SkipsConfirmation) => Some(ComparisonEnd::Confirmed(found)),
+            Outcome::Differs => self.confirm(found, confirmation_delay),
+        }
+    }
+
+    /// A difference is confirmed if it was found before, long enough ago, in the same child and by the same processes: what lies between
+    /// a restart or a failover may be another state of the database.
+    fn confirm(&mut self, found: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
+        let is_same_child = |first: &Difference| first.child == found.child;
+        let is_same_process = |first: &Difference| first.processes == found.processes;
+        if let Some(first) = self.first_difference.filter(is_same_child) {
+            let is_comparable = is_same_process(&first) || fault_injected!(IgnoresRestarts);
+            if is_comparable && found.found_at - first.found_at >= confirmation_delay {
+                return Some(ComparisonEnd::Confirmed(found));
+            }
+            if is_same_process(&first) {
+                return self.await_confirmation(first, confirmation_delay);
             }
         }
+        self.first_difference = Some(found);
+        self.await_confirmation(found, confirmation_delay)
     }
 
-    fn await_confirmation(&mut self, found: Difference, at: Micros) -> Option<ComparisonEnd> {
+    fn await_confirmation(&mut self, first: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
         self.retries += 1;
-        (self.stage, self.query_at) = (ComparisonStage::AwaitConfirmation(found), at);
+        self.stage = ComparisonStage::AwaitConfirmation(first.child);
+        self.query_at = first.found_at + confirmation_delay;
         (self.retries > MAX_RETRIES).then_some(ComparisonEnd::Inconclusive)
     }
 
-    /// The same question again, after a pause; some times.
+    /// Repeats the query after a delay, from the child's sample on if it was one of the samples; ends after the last retry.
     fn retry(&mut self, now: Micros, end: ComparisonEnd) -> Option<ComparisonEnd> {
         self.retries += 1;
         self.query_at = now + RETRY_STEP_MICROS * Micros::from(self.retries);
-        self.stage = match self.stage.clone() {
-            ComparisonStage::SampleParent(child, ..) => ComparisonStage::SampleChild(child),
-            ComparisonStage::AwaitConfirmation(found) => ComparisonStage::SampleChild(found.child),
-            other => other,
+        self.stage = match self.stage {
+            ComparisonStage::SampleParent(sampled) => ComparisonStage::SampleChild(sampled.child),
+            ComparisonStage::AwaitConfirmation(child) => ComparisonStage::SampleChild(child),
+            stage => stage,
         };
         (self.retries > MAX_RETRIES).then_some(end)
     }
--- a/shard-split/src/definition.rs
+++ b/shard-split/src/definition.rs
@@ -1,45 +1,59 @@
-//! What splits into what: by the hash of a key, told by the options. Processes with another definition never mix their counters.
+//! What splits into what, by the hash of a key. Counters of different definitions are never added up.
 
 use sha2::{Digest, Sha256};
 
-/// Equal parts of the hashes that are kept apart in coverage and flags.
+/// Equal parts of the space of hashes for which coverage and differences are counted.
 pub const RANGES: usize = 64;
 
-/// A group and its children: keys whose hash is below `at` are to be B's, all others C's.
+/// A group and its two children: keys whose hash is below `split_at` go to the lower child, all others to the upper one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Definition {
+    /// The group that is split.
     pub parent: u32,
+    /// The group that gets the keys with the lower hashes.
     pub lower_child: u32,
+    /// The group that gets the keys with the higher hashes.
     pub upper_child: u32,
+    /// The lowest hash of the upper child.
     pub split_at: u32,
 }
 
+/// The two children as a key sees them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Children {
+    /// The child that the key goes to.
+    pub owner: u32,
+    /// The child that must not have it.
+    pub other: u32,
+}
+
 impl Definition {
-    /// The hash by which the installation splits: the first four bytes of SHA-256 of the key.
+    /// The hash by which keys are split: the first four bytes of their SHA-256.
     pub fn hash(key: &[u8]) -> u32 {
         let hash = Sha256::digest(key);
-        hash.first_chunk::<4>().map_or(0, |b| u32::from_be_bytes(*b))
+        hash.first_chunk::<4>().map_or(0, |bytes| u32::from_be_bytes(*bytes))
     }
 
+    /// The range that a hash belongs to, below [`RANGES`].
     pub fn range(hash: u32) -> usize {
         hash as usize / ((1usize << 32) / RANGES)
     }
 
-    /// The same at all that compare the same.
+    /// A digest of the definition, equal at all processes that have the same one.
     pub fn digest(&self) -> u64 {
         let mut hash = Sha256::new();
         for part in [self.parent, self.lower_child, self.upper_child, self.split_at, RANGES as u32] {
             hash.update(part.to_be_bytes());
         }
-        hash.finalize().first_chunk::<8>().map_or(0, |b| u64::from_be_bytes(*b))
+        hash.finalize().first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes))
     }
 
-    /// The children of a key: whose it is, and whose it is not.
-    pub fn children(&self, hash: u32) -> (u32, u32) {
+    /// The children of a key with this hash.
+    pub fn children(&self, hash: u32) -> Children {
         if hash < self.split_at {
-            (self.lower_child, self.upper_child)
+            Children { owner: self.lower_child, other: self.upper_child }
         } else {
-            (self.upper_child, self.lower_child)
+            Children { owner: self.upper_child, other: self.lower_child }
         }
     }
 }
--- a/shard-split/src/judge.rs
+++ b/shard-split/src/judge.rs
@@ -1,57 +1,57 @@
-//! When a difference between a child and the group that splits is a fault, and when it proves nothing.
+//! When a row of a child that differs from the parent's is a fault, and when it proves nothing.
 
 use crate::Micros;
 use birchreach_fault_injection::fault_injected;
 
-/// A digest of a value, or that there is no row.
+/// A digest of a row's value; none where there is no row.
 pub type Row = Option<u64>;
 
-/// A child was read twice on one connection.
+/// A child that was read twice on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PositionSample {
     /// What the second read gave.
     pub row: Row,
-    /// The position told with the first answer: the second read has all up to it.
+    /// The position that came with the first answer: the second read includes all commits up to it.
     pub position_before: Micros,
-    /// The position told with the second: the second read has nothing beyond it.
+    /// The position that came with the second answer: the second read includes nothing beyond it.
     pub position_after: Micros,
 }
 
-/// A replica of the group that splits, read twice on one connection.
+/// A replica of the parent that was read twice on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ParentSample {
+    /// What the second read gave.
     pub row: Row,
     /// When that row was last committed.
     pub committed_at: Micros,
-    /// The position told with the first answer, before the second read.
+    /// The position that came with the first answer, before the second read.
     pub position: Micros,
 }
 
+/// What two samples prove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
+    /// The rows are the same.
     Agrees,
-    /// The child is behind the parent's row: nothing is said of it yet.
+    /// The child has not reached the commit of the parent's row yet.
     Lagging,
-    /// The row changed while it was looked at, or may have.
+    /// The row changed between the samples, or may have.
     Inconclusive,
-    /// The parent had this row all the while in which the child can have had its own, and they are not the same.
+    /// The parent had its row for as long as the child may have had its own, and they are not the same.
     Differs,
 }
 
-/// A child that is to have the row.
+/// Compares a child that must have the row with the parent.
 pub fn judge(parent: ParentSample, child: PositionSample) -> Outcome {
     if parent.row == child.row {
         return Outcome::Agrees;
     }
     if child.position_before < parent.committed_at && !fault_injected!(IgnoresCommitTime) {
-        // It need not have it yet; if its row is older than the parent's, that is a lag.
-        return if child.position_after < parent.committed_at {
-            Outcome::Lagging
-        } else {
-            Outcome::Inconclusive
-        };
+        // The child need not have the parent's row yet; if it cannot have it, that is a lag.
+        let cannot_have_it = child.position_after < parent.committed_at;
+        return if cannot_have_it { Outcome::Lagging } else { Outcome::Inconclusive };
     }
-    // A later commit may have reached the child before the parent was looked at.
+    // A later commit may have reached the child before the parent was read.
     if child.position_after > parent.position && !fault_injected!(IgnoresLaterCommits) {
         return Outcome::Inconclusive;
     }
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -1,39 +1,54 @@
-//! Reads of a group that splits held against reads of its two children: which reads are compared, what a comparison comes to, what is
-//! covered by whom, and the verdict. Decisions without I/O or clock.
+//! Reads of a group that is being split, compared with reads of its two children: which reads are compared, what a comparison comes to,
+//! what all processes have covered, and the verdict.
 //!
-//! [`Split`] is told of reads that clients were served ([`Split::served`]), says what is to be asked ([`Split::ask`]) and takes what
-//! came back ([`Split::told`]); it says what to tell others ([`Split::say`]), takes what they tell ([`Split::hear`]), and has a
-//! verdict for all ([`Split::verdict`]). [`judge`] is the rule by which a difference is a fault.
+//! [`SplitVerifier`] takes note of reads that clients were served ([`SplitVerifier::record_read`]), says what is to be queried
+//! ([`SplitVerifier::due_queries`]) and takes the results ([`SplitVerifier::record_result`]). It reports its counters
+//! ([`SplitVerifier::report_if_due`]), takes those of other processes ([`SplitVerifier::receive_report`]), and has a verdict for all of
+//! them ([`SplitVerifier::verdict`]). [`judge`] is the rule by which two rows that differ are a fault.
 //!
-//! It owns comparisons under way, flags, and counters of all origins. It never sees a value, only digests; it asks nobody, and knows no
-//! socket, no PostgreSQL and no type of another crate.
+//! The crate does no I/O, reads no clock, and knows neither PostgreSQL nor a type of another subsystem. It never sees a value, only
+//! digests of rows.
 //!
 //! Invariants, each with the test that holds it (`tests/`):
 //!
-//! 1. A write, a lag, a restart or a failover makes no flag (`only_faults_are_flagged`, and the model in `tests/model.rs`).
-//! 2. A difference that lasts ends as a flag, if its key is read often enough and at rest now and then (`faults_are_flagged`).
-//! 3. Counters join in any order, twice or never (`reports_count_once_in_any_order`), under one definition (`definitions_do_not_mix`).
-//! 4. `clean` is said only of all ranges, by enough processes, lately, and by one that hears all (`clean_is_said_of_all`).
-//! 5. Comparisons under way, flags and origins are bounded (`tables_are_bounded`).
+//! 1. A write, a replication lag, a restart or a failover makes no confirmed difference (`only_faults_are_confirmed`, and the model in
+//!    `tests/model.rs`).
+//! 2. A difference that persists is confirmed, if its key is read often enough and is at rest now and then
+//!    (`persistent_faults_are_confirmed`).
+//! 3. Counters may be received in any order, twice or not at all (`reports_count_once_in_any_order`), and count under one definition
+//!    alone (`reports_of_another_definition_do_not_count`).
+//! 4. The verdict is clean only if all ranges were compared lately, by enough processes, and all processes are heard from
+//!    (`the_verdict_is_clean_only_for_full_coverage`).
+//! 5. Comparisons, confirmed differences and origins are bounded (`tables_are_bounded`).
+//!
+//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
+//! Groups are plain numbers for the same reason.
 
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod compare;
 mod coverage;
 mod definition;
+mod difference;
 pub mod faults;
-mod flag;
 pub mod judge;
+mod query;
+mod report;
+mod reporting;
+mod settings;
 mod verdict;
 mod verifier;
 
-pub use compare::{Child, ComparisonQuery, QueryResult};
-pub use coverage::{Report, ReportError};
-pub use definition::{Definition, RANGES};
-pub use flag::{ConfirmedDifference, Counts, DifferenceKind, Settings};
-pub use judge::{Outcome, PositionSample, Row};
+pub use coverage::RangeCoverage;
+pub use definition::{Children, Definition, RANGES};
+pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
+pub use judge::{Outcome, ParentSample, PositionSample, Row};
+pub use query::{Child, ComparisonQuery, DueQuery, QueryResult};
+pub use report::{RangeDifferences, Report, ReportError};
+pub use settings::{Counts, Settings};
 pub use verdict::{IncompleteReason, Verdict};
 pub use verifier::SplitVerifier;
 
-/// A span of time, or an instant on the holder's clock, in microseconds. Instants are counted as Unix time, by which positions are told.
+/// A span of time, or an instant on the caller's clock, in microseconds. Instants are Unix time, as positions are.
 pub type Micros = i64;
--- /dev/null
+++ b/shard-split/src/settings.rs
@@ -0,0 +1,39 @@
+//! The verifier's settings, and its counts of what became of comparisons.
+
+use crate::{Definition, Micros};
+
+/// What is compared, and when the comparison is complete.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// What splits into what.
+    pub definition: Definition,
+    /// Comparisons that each range needs within the window.
+    pub min_comparisons: u32,
+    /// Processes that have to compare in each range within the window.
+    pub min_processes: usize,
+    /// How long a comparison counts.
+    pub coverage_window: Micros,
+    /// How long a difference has to persist until it is confirmed.
+    pub confirmation_delay: Micros,
+    /// How many processes the options name.
+    pub configured_members: usize,
+}
+
+/// What became of comparisons at this process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Counts {
+    /// Were started.
+    pub started: u64,
+    /// Found no difference.
+    pub agreed: u64,
+    /// Ended as the child was behind the parent's row each time.
+    pub lagging: u64,
+    /// Ended as the row changed each time, or may have.
+    pub inconclusive: u64,
+    /// Ended without the answers that they needed.
+    pub unanswered: u64,
+    /// Confirmed a difference.
+    pub confirmed: u64,
+    /// Were not started, as too many were in progress.
+    pub rejected: u64,
+}
--- a/shard-split/src/verdict.rs
+++ b/shard-split/src/verdict.rs
@@ -1,28 +1,34 @@
 //! The verdict of one process on what all have compared.
 
-use crate::RANGES;
 use crate::coverage::Coverage;
+use crate::difference::DifferenceCounts;
+use crate::{RANGES, Settings};
 use birchreach_fault_injection::fault_injected;
 
-/// What is missing before it can be clean.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// What is missing until the verdict can be clean.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IncompleteReason {
-    /// Ranges with too few comparisons, and with too few processes that made them.
+    /// Ranges with too few comparisons.
     pub ranges_below_comparisons: usize,
+    /// Ranges that too few processes have compared.
     pub ranges_below_processes: usize,
-    /// Processes that are named and not heard.
+    /// Configured processes that are not heard from.
     pub silent_members: usize,
 }
 
+/// What the comparisons come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// All ranges are covered, and no difference is confirmed.
     Clean,
-    /// Flags by sort: missing, extra, differs.
-    Dirty([u32; 3]),
+    /// Differences are confirmed.
+    Dirty(DifferenceCounts),
+    /// No difference is confirmed, but not all is covered.
     Incomplete(IncompleteReason),
 }
 
 impl Verdict {
+    /// The verdict as operators see it.
     pub fn as_str(&self) -> &'static str {
         match self {
             Verdict::Clean => "clean",
@@ -32,27 +38,19 @@
     }
 }
 
-/// `heard`: processes that this one hears, itself too, of so many that are named.
-pub fn verdict(coverage: &Coverage, least: u32, processes: usize, heard: usize, named: usize) -> Verdict {
-    let flags = coverage.difference_counts();
-    if flags.iter().any(|n| *n > 0) {
-        return Verdict::Dirty(flags);
+/// The verdict. `heard_members` is the number of processes that this one hears from, itself included.
+pub(crate) fn verdict(coverage: &Coverage, settings: &Settings, heard_members: usize) -> Verdict {
+    let differences = coverage.difference_counts();
+    if !differences.is_empty() {
+        return Verdict::Dirty(differences);
+    }
+    let mut reason = IncompleteReason::default();
+    for range in (0..RANGES).map(|range| coverage.of_range(range)) {
+        reason.ranges_below_comparisons += usize::from(range.comparisons < settings.min_comparisons);
+        reason.ranges_below_processes += usize::from(range.processes < settings.min_processes);
     }
-    let of = (0..RANGES).map(|range| coverage.range_coverage(range));
-    let lacks = IncompleteReason {
-        ranges_below_comparisons: of.clone().filter(|(compared, _)| *compared < least).count(),
-        ranges_below_processes: of.filter(|(_, seen_by)| *seen_by < processes).count(),
-        silent_members: if fault_injected!(CleanWhileMembersMissing) {
-            0
-        } else {
-            named.saturating_sub(heard)
-        },
-    };
-    if lacks
-        == (IncompleteReason { ranges_below_comparisons: 0, ranges_below_processes: 0, silent_members: 0 })
-    {
-        Verdict::Clean
-    } else {
-        Verdict::Incomplete(lacks)
+    if !fault_injected!(CleanWhileMembersMissing) {
+        reason.silent_members = settings.configured_members.saturating_sub(heard_members);
     }
+    if reason == IncompleteReason::default() { Verdict::Clean } else { Verdict::Incomplete(reason) }
 }
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -3,93 +3,101 @@
 
 use birchreach_shard_split::judge::ParentSample;
 use birchreach_shard_split::{
-    Child, ComparisonQuery, ConfirmedDifference, Definition, DifferenceKind, Micros, PositionSample,
-    QueryResult, Settings, SplitVerifier,
+    Child, Children, ComparisonQuery, ConfirmedDifference, Definition, DifferenceKind, DueQuery, Micros,
+    PositionSample, QueryResult, Settings, SplitVerifier,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const S: Micros = 1_000_000;
-const MS: Micros = 1_000;
+pub const SECOND: Micros = 1_000_000;
+const MILLI: Micros = 1_000;
 
+/// A group that splits in the middle.
 pub fn definition() -> Definition {
     Definition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
 }
 
+/// Settings that want two comparisons a range by one process.
 pub fn settings(named: usize) -> Settings {
     Settings {
         definition: definition(),
         min_comparisons: 2,
-        coverage_window: 600 * S,
+        coverage_window: 600 * SECOND,
         min_processes: 1,
-        confirmation_delay: 3 * S,
+        confirmation_delay: 3 * SECOND,
         configured_members: named,
     }
 }
 
+/// The nth key.
 pub fn key(n: usize) -> Vec<u8> {
     format!("key-{n}").into_bytes()
 }
 
-/// A fault that a child has.
+/// A fault of one key in a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ChildFault {
+    /// The owner lacks the row.
     Missing,
+    /// The other child has the row too.
     Extra,
+    /// The owner has another row.
     Other,
 }
 
-/// What goes wrong with the databases, or does not.
+/// What happens to the databases.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct Disturbances {
+    /// Writes in a second, to a few of the keys.
     pub writes: f64,
-    /// Lags come and go, of up to so long.
+    /// Replication lags change at random, up to this.
     pub lag: Micros,
-    /// The parent fails over so often in a second, and loses its last writes; children have them for a second.
+    /// Failovers of the parent in a second. Each loses its last writes, which children have for another second.
     pub failovers: f64,
-    /// Children begin anew from an older copy, so often in a second.
+    /// Restarts of a child from an older state, in a second.
     pub restarts: f64,
-    /// Answers that never come.
+    /// The fraction of answers that are lost.
     pub lost: f64,
 }
 
+/// The databases, and verifiers that compare what clients read.
 pub struct World {
     pub now: Micros,
     rng: fastrand::Rng,
-    trouble: Trouble,
+    disturbances: Disturbances,
     keys: usize,
-    /// By key: commits and values; and what a failover lost, with when.
+    /// By key: commits and values; and what a failover lost, with the time of the loss.
     log: BTreeMap<usize, Vec<(Micros, u64)>>,
     lost: Vec<(usize, Micros, u64, Micros)>,
     parent: u64,
     children: [(Micros, Micros, u64); 2],
-    pub faults: BTreeMap<usize, Fault>,
+    pub faults: BTreeMap<usize, ChildFault>,
     pub all: Vec<SplitVerifier>,
-    /// Answers on their way: when, to whom, which, what.
-    under_way: Vec<(Micros, usize, u64, QueryResult)>,
-    pub flags: Vec<ConfirmedDifference>,
-    pub asked: u64,
+    /// Answers that arrive at an instant: at which verifier, of which comparison.
+    answers_in_transit: Vec<(Micros, usize, u64, QueryResult)>,
+    pub differences: Vec<ConfirmedDifference>,
+    pub queries: u64,
 }
 
 impl World {
-    pub fn new(seed: u64, processes: usize, keys: usize, trouble: Trouble) -> World {
-        let now = 1_000_000 * S;
+    pub fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> World {
+        let now = 1_000_000 * SECOND;
         let all =
             (0..processes).map(|n| SplitVerifier::new(settings(processes), n as u64 + 1, now)).collect();
         let log = (0..keys).map(|n| (n, vec![(0, n as u64)])).collect();
         World {
             now,
             rng: fastrand::Rng::with_seed(seed),
-            trouble,
+            disturbances,
             keys,
             log,
             lost: Vec::new(),
             parent: 1,
-            children: [(0, 20 * MS, 10), (0, 20 * MS, 20)],
+            children: [(0, 20 * MILLI, 10), (0, 20 * MILLI, 20)],
             faults: BTreeMap::new(),
             all,
-            under_way: Vec::new(),
-            flags: Vec::new(),
-            asked: 0,
+            answers_in_transit: Vec::new(),
+            differences: Vec::new(),
+            queries: 0,
         }
     }
 
@@ -101,7 +109,8 @@
     fn at(&self, n: usize, position: Micros, of_child: bool) -> (Micros, u64) {
         let kept = self.log[&n].iter().filter(|(at, _)| *at <= position);
         // A child has what was lost until it is set right.
-        let lost = self.lost.iter().filter(|l| of_child && l.0 == n && l.1 <= position && self.now - l.3 < S);
+        let lost =
+            self.lost.iter().filter(|l| of_child && l.0 == n && l.1 <= position && self.now - l.3 < SECOND);
         kept.copied().chain(lost.map(|l| (l.1, l.2))).max().unwrap_or((0, 0))
     }
 
@@ -112,49 +121,54 @@
     }
 
     fn child_row(&mut self, n: usize, child: usize, at: Micros) -> Option<u64> {
-        let (owner, _) = definition().children(Definition::hash(&key(n)));
+        let Children { owner, .. } = definition().children(Definition::hash(&key(n)));
         let owns = owner as usize == child + 1;
         let position = self.position(child, at);
         let value = self.at(n, position, true).1;
         match self.faults.get(&n) {
-            Some(Fault::Missing) if owns => None,
-            Some(Fault::Other) if owns => Some(value ^ 1 << 40),
-            Some(Fault::Extra) => Some(value),
+            Some(ChildFault::Missing) if owns => None,
+            Some(ChildFault::Other) if owns => Some(value ^ 1 << 40),
+            Some(ChildFault::Extra) => Some(value),
             _ => owns.then_some(value),
         }
     }
 
+    /// Passes time in small steps, with so many reads a second.
     pub fn pass(&mut self, span: Micros, reads_per_s: f64) {
         let end = self.now + span;
-        let step = 20 * MS;
+        let step = 20 * MILLI;
         while self.now < end {
             self.now += step;
-            self.trouble(step);
+            self.disturb(step);
             for n in 0..self.all.len() {
                 if self.chance(reads_per_s / self.all.len() as f64, step) {
                     let k = self.rng.usize(..self.keys);
                     // A replica of the parent may answer from a little ago.
-                    let position = self.now - 1 - self.rng.i64(0..30 * MS);
+                    let position = self.now - 1 - self.rng.i64(0..30 * MILLI);
                     let (_, value) = self.at(k, position, false);
                     self.all[n].record_read(self.now, 0, &key(k), Some(value));
                 }
-                for (number, ask, text, _) in self.all[n].due_queries(self.now, 4) {
-                    self.asked += 1;
-                    let told = self.answer(ask, &text);
-                    let after = self.rng.i64(2 * MS..200 * MS);
-                    self.under_way.push((self.now + after, n, number, told));
+                for DueQuery { comparison: number, query, key_bytes, .. } in
+                    self.all[n].due_queries(self.now, 4)
+                {
+                    self.queries += 1;
+                    let told = self.answer(query, &key_bytes);
+                    let after = self.rng.i64(2 * MILLI..200 * MILLI);
+                    self.answers_in_transit.push((self.now + after, n, number, told));
                 }
             }
             let now = self.now;
-            for (_, n, number, told) in self.under_way.extract_if(.., |u| u.0 <= now).collect::<Vec<_>>() {
-                self.flags.extend(self.all[n].record_result(now, number, told));
+            for (_, n, number, told) in
+                self.answers_in_transit.extract_if(.., |u| u.0 <= now).collect::<Vec<_>>()
+            {
+                self.differences.extend(self.all[n].record_result(now, number, told));
             }
-            self.tell();
+            self.exchange_reports();
         }
     }
 
-    fn trouble(&mut self, step: Micros) {
-        let Trouble { writes, lag, failovers, restarts, .. } = self.trouble;
+    fn disturb(&mut self, step: Micros) {
+        let Disturbances { writes, lag, failovers, restarts, .. } = self.disturbances;
         if self.chance(writes, step) {
             let n = self.rng.usize(..self.keys.min(20));
             // Values go and come back.
@@ -167,7 +181,7 @@
         }
         if self.chance(failovers, step) {
             self.parent += 1;
-            let (has, now) = (self.now - 300 * MS, self.now);
+            let (has, now) = (self.now - 300 * MILLI, self.now);
             for (n, entries) in &mut self.log {
                 for (at, value) in entries.extract_if(.., |(at, _)| *at > has) {
                     self.lost.push((*n, at, value, now));
@@ -177,21 +191,21 @@
         if self.chance(restarts, step) {
             let child = self.rng.usize(..2);
             let c = &mut self.children[child];
-            *c = (c.0 - 5 * S, 4 * S, c.2 + 1);
+            *c = (c.0 - 5 * SECOND, 4 * SECOND, c.2 + 1);
         }
     }
 
-    /// What a database answers: positions are told at other times than rows are read.
-    fn answer(&mut self, ask: ComparisonQuery, text: &[u8]) -> QueryResult {
+    /// What a database answers: positions are of other instants than rows.
+    fn answer(&mut self, query: ComparisonQuery, text: &[u8]) -> QueryResult {
         let n = (0..self.keys).find(|n| key(*n) == text).unwrap_or(0);
-        if self.rng.f64() < self.trouble.lost {
+        if self.rng.f64() < self.disturbances.lost {
             return QueryResult::NoAnswer;
         }
-        let (owner, other) = definition().children(Definition::hash(text));
+        let Children { owner, other } = definition().children(Definition::hash(text));
         let of = |child| if child == Child::Owner { owner as usize - 1 } else { other as usize - 1 };
         let now = self.now;
-        let (a, b) = (self.rng.i64(0..40 * MS), self.rng.i64(0..40 * MS));
-        match ask {
+        let (a, b) = (self.rng.i64(0..40 * MILLI), self.rng.i64(0..40 * MILLI));
+        match query {
             ComparisonQuery::SingleRead(child) => {
                 let row = self.child_row(n, of(child), now);
                 QueryResult::SingleRead { row, position: Some(self.position(of(child), now + a)) }
@@ -201,22 +215,22 @@
                 let row = self.child_row(n, of(child), now + a);
                 let high = self.position(of(child), now + a + b);
                 QueryResult::Sample {
-                    look: PositionSample { row, position_before: low, position_after: high },
+                    sample: PositionSample { row, position_before: low, position_after: high },
                     process: self.children[of(child)].2,
                 }
             }
             ComparisonQuery::SampleParent => {
                 let (since, value) = self.at(n, now, false);
                 QueryResult::ParentSample {
-                    parent: ParentSample { row: Some(value), committed_at: since, position: now - 1 - a },
+                    sample: ParentSample { row: Some(value), committed_at: since, position: now - 1 - a },
                     process: self.parent,
                 }
             }
         }
     }
 
-    /// Counters go to all that hear.
-    fn tell(&mut self) {
+    /// Each report reaches all other verifiers.
+    fn exchange_reports(&mut self) {
         for n in 0..self.all.len() {
             let Some(said) = self.all[n].report_if_due(self.now) else { continue };
             let number = self.now as u64;
@@ -226,15 +240,15 @@
         }
     }
 
-    /// Keys with a fault that were flagged, by hash; and flags of keys that have none, or of another sort.
+    /// Keys with a fault that were flagged, by hash; and differences of keys that have none, or of another sort.
     pub fn found(&self) -> (BTreeSet<usize>, Vec<&ConfirmedDifference>) {
         let (mut found, mut wrong) = (BTreeSet::new(), Vec::new());
-        for f in &self.flags {
+        for f in &self.differences {
             let n = (0..self.keys).find(|n| Definition::hash(&key(*n)) == f.key_hash);
             let sort = n.and_then(|n| self.faults.get(&n)).map(|fault| match fault {
-                Fault::Missing => DifferenceKind::Missing,
-                Fault::Extra => DifferenceKind::Extra,
-                Fault::Other => DifferenceKind::Differs,
+                ChildFault::Missing => DifferenceKind::Missing,
+                ChildFault::Extra => DifferenceKind::Extra,
+                ChildFault::Other => DifferenceKind::Differs,
             });
             match (n, sort) {
                 (Some(n), Some(sort)) if sort == f.kind => {
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -1,5 +1,5 @@
 //! The rule of comparison, model-checked: a writer whose values go and come back, a parent that may lag itself (deposed, or a replica), two
-//! children that lag, and a comparer that pauses anywhere between a position that it was told and the read behind it. The rule is the crate's own.
+//! children that lag, and a comparer that pauses anywhere between a position that it got and the read behind it. The rule is the crate's own.
 
 use birchreach_shard_split::faults::{self, Fault};
 use birchreach_shard_split::judge::{Outcome, ParentSample, PositionSample, judge};
@@ -10,8 +10,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
-    Rests,
-    /// Told the child's position; then read its row; then told its position again.
+    Idle,
+    /// The child's position is known; then its row is read; then its position again.
     Low {
         child: usize,
         low: usize,
@@ -21,9 +21,9 @@
         low: usize,
         row: u64,
     },
-    Looked(usize, PositionSample),
-    /// Told the parent's position; what is read of it comes next.
-    CoreEvent(usize, PositionSample, usize),
+    ChildSampled(usize, PositionSample),
+    /// The parent's position is known; its row is read next.
+    ParentPositionKnown(usize, PositionSample, usize),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -34,8 +34,8 @@
     /// What the parent's database that is asked has.
     parent: usize,
     stage: Stage,
-    false_flag: bool,
-    /// A child with a fault was looked at while all was at rest, and nothing was found.
+    false_difference: bool,
+    /// A child with a fault was sampled while all was at rest, and no difference was found.
     overlooked: bool,
     found: bool,
 }
@@ -70,13 +70,13 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let stage = Stage::Rests;
+        let stage = Stage::Idle;
         vec![State {
             log: vec![0],
             applied: [0; CHILDREN],
             parent: 0,
             stage,
-            false_flag: false,
+            false_difference: false,
             overlooked: false,
             found: false,
         }]
@@ -91,11 +91,11 @@
             all.push(Step::ParentApplies);
         }
         match s.stage {
-            Stage::Rests => all.extend((0..CHILDREN).map(Step::Begin)),
+            Stage::Idle => all.extend((0..CHILDREN).map(Step::Begin)),
             Stage::Low { .. } => all.push(Step::Read),
             Stage::Row { .. } => all.push(Step::Told),
-            Stage::Looked(..) => all.push(Step::Ask),
-            Stage::CoreEvent(..) => all.push(Step::Answer),
+            Stage::ChildSampled(..) => all.push(Step::Ask),
+            Stage::ParentPositionKnown(..) => all.push(Step::Answer),
         }
     }
 
@@ -112,28 +112,30 @@
                 s.stage = Stage::Row { child, low, row };
             }
             (Step::Told, Stage::Row { child, low, row }) => {
-                let look = PositionSample {
+                let sample = PositionSample {
                     row: Some(row),
                     position_before: low as i64,
                     position_after: s.applied[child] as i64,
                 };
-                s.stage = Stage::Looked(child, look);
+                s.stage = Stage::ChildSampled(child, sample);
             }
-            (Step::Ask, Stage::Looked(child, look)) => s.stage = Stage::CoreEvent(child, look, s.parent),
-            (Step::Answer, Stage::CoreEvent(child, look, seen)) => {
+            (Step::Ask, Stage::ChildSampled(child, sample)) => {
+                s.stage = Stage::ParentPositionKnown(child, sample, s.parent)
+            }
+            (Step::Answer, Stage::ParentPositionKnown(child, sample, seen)) => {
                 let at = s.parent as i64;
                 let parent = ParentSample {
                     row: s.log.get(s.parent).copied(),
                     committed_at: at,
                     position: seen as i64,
                 };
-                let how = judge(parent, look);
+                let how = judge(parent, sample);
                 let faulty = self.faulty && child == 1;
-                s.false_flag |= how == Outcome::Differs && !faulty;
-                let at_rest = look.position_before as usize == s.log.len() - 1 && seen == s.log.len() - 1;
+                s.false_difference |= how == Outcome::Differs && !faulty;
+                let at_rest = sample.position_before as usize == s.log.len() - 1 && seen == s.log.len() - 1;
                 s.overlooked |= faulty && at_rest && how != Outcome::Differs;
                 s.found |= how == Outcome::Differs;
-                s.stage = Stage::Rests;
+                s.stage = Stage::Idle;
             }
             _ => return None,
         }
@@ -142,30 +144,33 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no false flag", |_, s: &State| !s.false_flag),
-            Property::always("what lasts is found", |_, s: &State| !s.overlooked),
+            Property::always("no false difference", |_, s: &State| !s.false_difference),
+            Property::always("a persistent fault is found", |_, s: &State| !s.overlooked),
             Property::sometimes("a fault is found", |m: &Rules, s: &State| s.found || !m.faulty),
         ]
     }
 }
 
-fn broken(fault: Option<Fault>, faulty: bool) -> Vec<&'static str> {
+fn violated_properties(fault: Option<Fault>, faulty: bool) -> Vec<&'static str> {
     let rules = Rules { fault, faulty };
     let checker = rules.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
     assert!(fault.is_some() || checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
     assert!(fault.is_some() || found.contains_key("a fault is found"), "it shows nothing");
-    ["no false flag", "what lasts is found"].into_iter().filter(|name| found.contains_key(name)).collect()
+    ["no false difference", "a persistent fault is found"]
+        .into_iter()
+        .filter(|name| found.contains_key(name))
+        .collect()
 }
 
 #[test]
-fn nothing_but_faults_differs_and_what_lasts_does() {
-    assert_eq!(broken(None, false), Vec::<&str>::new());
-    assert_eq!(broken(None, true), Vec::<&str>::new());
+fn only_faults_differ_and_persistent_ones_do() {
+    assert_eq!(violated_properties(None, false), Vec::<&str>::new());
+    assert_eq!(violated_properties(None, true), Vec::<&str>::new());
 }
 
 #[test]
-fn each_fault_of_the_rule_is_caught() {
-    assert_eq!(broken(Some(Fault::IgnoresCommitTime), false), ["no false flag"]);
-    assert_eq!(broken(Some(Fault::IgnoresLaterCommits), false), ["no false flag"]);
+fn each_injected_fault_of_the_rule_is_found() {
+    assert_eq!(violated_properties(Some(Fault::IgnoresCommitTime), false), ["no false difference"]);
+    assert_eq!(violated_properties(Some(Fault::IgnoresLaterCommits), false), ["no false difference"]);
 }
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
 //! and definitions have the hashes that an earlier version gives them, in reports, flags and log lines.
 
-use birchreach_shard_split::{Definition, RANGES, Report};
+use birchreach_shard_split::{Definition, RANGES, RangeDifferences, Report};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -29,10 +29,14 @@
     );
 }
 
+fn entry(kind: u8, range: u8, count: u32) -> RangeDifferences {
+    RangeDifferences { kind, range, count }
+}
+
 #[test]
 fn a_report_of_comparisons_and_flags_has_the_recorded_bytes() {
     let compared = (0..RANGES as u32).map(|range| range * range * 1_000).collect();
-    let flags = vec![(0, 0, 1), (1, 7, 300), (2, 63, u32::MAX)];
+    let flags = vec![entry(0, 0, 1), entry(1, 7, 300), entry(2, 63, u32::MAX)];
     let recorded = concat!(
         "ef9bafcdf8acd191014000e807a01fa846807da8c301a09902e8fe0280f403e8f804a08d06a8b10780e508a8a80aa0fb",
         "0be8dd0d80d00fe8d111a0e313a8841680b518a8f51aa0c51de8a420809423e89226a0a129a8bf2c80ed2fa8aa33a0f7",
