--- a/health/tests/verdicts/primary_faults.rs
+++ b/health/tests/verdicts/primary_faults.rs
@@ -1,7 +1,10 @@
 //! Faults of a group's primary: it is unresponsive, missing, or only slow.
 
 use crate::support::{MILLISECOND, SECOND, probing, simulated_proxy};
-use birchreach_health::*;
+use birchreach_health::{
+    GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, ProbeOutcome, Role, ServerId, SharedCausePolicy,
+    State,
+};
 
 /// Writes are withdrawn within 2 s and reads stay. The endpoint list alone doesn't restore writes, a proof does.
 #[test]
@@ -27,13 +30,13 @@
         server: ServerId(0),
         group: GroupId(0),
         primary: Some(false),
-        up: true,
+        accepts_work: true,
     });
     proxy.handle(HealthEvent::ServerListed {
         server: ServerId(1),
         group: GroupId(0),
         primary: Some(true),
-        up: true,
+        accepts_work: true,
     });
     proxy.advance(20 * SECOND, |_| None);
     assert_eq!(proxy.agent_reply("group=0 write"), "ready down #primary-silent\n");
--- a/health/tests/wire_format.rs
+++ b/health/tests/wire_format.rs
@@ -4,7 +4,10 @@
 use birchreach_health::agent::AgentCheckConnection;
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::query::HealthQuery;
-use birchreach_health::*;
+use birchreach_health::{
+    GroupId, HealthEvent, HealthSettings, Monitor, ProbeOutcome, Reason, RequestClass, RequiredServer, Role,
+    ServerId, State, agent,
+};
 
 /// A proxy with two groups: the primary of the first is proven, that of the second refuses connections.
 fn degraded_proxy() -> Monitor {
@@ -14,8 +17,10 @@
     let mut monitor = Monitor::new(HealthSettings { classes, ..HealthSettings::default() }, 0);
     for n in 0..2 {
         let (server, group) = (ServerId(n), GroupId(n));
-        monitor
-            .handle_event(1_000, HealthEvent::ServerListed { server, group, primary: Some(true), up: true });
+        monitor.handle_event(
+            1_000,
+            HealthEvent::ServerListed { server, group, primary: Some(true), accepts_work: true },
+        );
     }
     monitor.handle_event(1_000, HealthEvent::DiscoveryAnswered);
     monitor.update(1_000);
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -14,7 +14,7 @@
 pub use background::{Hot, Split};
 pub use error::OptionsError;
 pub use health::{AgentListener, CheckListener, HealthOptions, KeepAliveListener};
-pub use links::{Fleet, Knowledge};
+pub use links::{FleetOptions, PeerStateOptions};
 use reader::Reader;
 use std::net::SocketAddr;
 use uppsala::{Document, XmlError, XsdValidator};
@@ -30,9 +30,9 @@
     /// What load balancers are told.
     pub health: Option<HealthOptions>,
     /// State learned from other proxies.
-    pub knowledge: Option<Knowledge>,
+    pub knowledge: Option<PeerStateOptions>,
     /// The view of the fleet.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetOptions>,
     /// Copies of hot keys.
     pub hot: Option<Hot>,
     /// Comparison of dual reads while a group splits.
@@ -102,7 +102,7 @@
         let root = self.doc.document_element();
         let element = |reader: &Self, name| root.and_then(|root| reader.child(root, name));
         let health = element(self, "health").and_then(|node| self.health(node));
-        let knowledge = element(self, "knowledge").and_then(|node| self.knowledge(node));
+        let knowledge = element(self, "knowledge").and_then(|node| self.peer_state(node));
         let fleet = element(self, "fleet").and_then(|node| self.fleet(node));
         let hot = element(self, "hot").and_then(|node| self.hot(node, fleet.is_some()));
         let split = element(self, "split").and_then(|node| self.split(node, fleet.is_some()));
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -84,7 +84,7 @@
         for (id, server) in self.listed.iter().filter(|(_, server)| server.up) {
             *replicas.entry(server.group).or_default() += usize::from(!server.primary);
             // A hash of the name alone: the same at all processes, whichever key file they use.
-            let name_hash = crate::config::hash(server.uid.as_bytes());
+            let name_hash = crate::hash::fnv1a(server.uid.as_bytes());
             databases.push(Database { server: id.0, group: server.group, name_hash });
         }
         self.tracker.update_databases(databases, replicas);
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -26,9 +26,13 @@
 /// What the subsystems report to operators; nothing of those that are off.
 #[derive(Default)]
 pub struct AdminReports {
+    /// The members of the fleet.
     pub fleet: Option<String>,
+    /// Hot keys.
     pub hot: Option<String>,
+    /// The comparison of a group that is split with its children.
     pub split: Option<String>,
+    /// Figures in the text form of Prometheus.
     pub metrics: Option<String>,
 }
 
@@ -129,7 +133,7 @@
         let slot = self.connections.vacant_entry();
         let token = Source::Admin(slot.key()).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if context.registry.register(&mut stream, token, interest).is_ok() {
+        if context.poll.registry().register(&mut stream, token, interest).is_ok() {
             slot.insert(Connection { stream, protocol: AdminProtocol::default(), accepted_at: context.now });
         }
     }
@@ -199,7 +203,7 @@
 
     fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
         let mut connection = self.connections.remove(key);
-        let _ = context.registry.deregister(&mut connection.stream);
+        let _ = context.poll.registry().deregister(&mut connection.stream);
         info!(conn = "operator", reason = reason.word());
     }
 }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -47,8 +47,10 @@
     /// Switches on what the options name, and off what they no longer name.
     pub(in crate::net) fn start_background(&mut self) {
         let (Some(fleet), Some(_)) = (&self.fleet, &self.config.fleet_keys) else { return };
-        let identity =
-            FleetIdentity { incarnation: fleet.boot(), configured_members: fleet.view().configured_members };
+        let identity = FleetIdentity {
+            incarnation: fleet.incarnation(),
+            configured_members: fleet.view().configured_members,
+        };
         let divisor = fleet.view().divisor();
         let now = self.context.now;
         let mut work = self
@@ -122,7 +124,8 @@
         }
         if let Some(settings) = wanted {
             let definition = format!("{:016x}", settings.definition.digest());
-            let (hasher, class_names) = (keys.name_hasher(b"split"), self.config.site.class_names.clone());
+            let (hasher, class_names) =
+                (keys.name_hasher(b"split"), self.config.deployment.class_names.clone());
             let now = self.context.now;
             let observer =
                 shared(SplitObserver::new(settings, identity.incarnation, hasher, class_names, now));
@@ -136,7 +139,7 @@
     /// Runs the background subsystems once: takes finished queries, starts due tasks, sends reports, sets the timer.
     pub(in crate::net) fn run_background(&mut self) {
         let (Some(fleet), Some(work)) = (&self.fleet, &mut self.background) else { return };
-        let (view, acts_for_proxy) = (fleet.view(), fleet.speaks());
+        let (view, is_active) = (fleet.view(), fleet.is_active());
         let now = self.context.now;
         let report_interval = GossipReports::interval(view.members);
         work.run_split(now, view.members, report_interval);
@@ -144,7 +147,7 @@
         let reports = work.due_reports(now);
         work.finish_tasks(now, self.pool.take_completed_queries());
         // Of two processes of one proxy one acts for it; the other only serves its clients.
-        if acts_for_proxy {
+        if is_active {
             work.start_due_tasks(&mut self.context, &mut self.pool, view.divisor());
         }
         work.finish_tasks(now, self.pool.take_completed_queries());
@@ -155,7 +158,7 @@
         }
         if let (Some(fleet), false) = (&mut self.fleet, reports.is_empty()) {
             for report in reports {
-                fleet.say(now, report.channel, report.payload);
+                fleet.publish_report(now, report.channel, report.payload);
             }
             self.after_fleet();
         }
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -26,7 +26,7 @@
     pub(super) fn new(config: &Config, handover: &ProcessHandover) -> ConnectionLimits {
         let processes = handover.process_count() as usize;
         let reserved = (OWN_DESCRIPTORS + reserved_descriptors(config)) * processes;
-        let free = config.sockets.saturating_sub(reserved);
+        let free = config.max_descriptors.saturating_sub(reserved);
         let free = match handover.predecessor_descriptors() {
             Some(held) => free.saturating_sub(held),
             None => free / processes,
@@ -39,7 +39,8 @@
 /// Descriptors reserved for balancers' checks, for balancers at the clients' listener, and for other proxies.
 fn reserved_descriptors(config: &Config) -> usize {
     let options = &config.options;
-    let links = if options.knowledge.is_some() || options.fleet.is_some() { gossip::MOST + 1 } else { 0 };
+    let links =
+        if options.knowledge.is_some() || options.fleet.is_some() { gossip::MAX_LINKS + 1 } else { 0 };
     // The fleet has a listener for links and a socket for datagrams.
     let fleet = if options.fleet.is_some() { 2 } else { 0 };
     options.descriptors() + unclassified_allowance(config) + links + fleet
@@ -63,6 +64,7 @@
         }
     }
 
+    /// The limits of the configuration in force.
     pub(super) fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits::new(&self.config, &self.handover)
     }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -96,7 +96,7 @@
     fn enter(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
         self.state_serial += 1;
-        context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
+        context.timers.set(context.now + timeout, TimerEvent::Discovery { state_serial: self.state_serial });
     }
 
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
@@ -127,7 +127,7 @@
         let mut stream = TcpStream::connect(self.address)?;
         let _ = stream.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        context.registry.register(&mut stream, Source::Discovery.token(), interest)?;
+        context.poll.registry().register(&mut stream, Source::Discovery.token(), interest)?;
         Ok(stream)
     }
 
@@ -150,7 +150,7 @@
 
     fn disconnect(&mut self, context: &mut EventLoopContext, reason: &CloseReason) {
         if let Some(mut stream) = self.stream.take() {
-            let _ = context.registry.deregister(&mut stream);
+            let _ = context.poll.registry().deregister(&mut stream);
         }
         info!(conn = "discovery", reason = %Quoted(reason));
     }
--- /dev/null
+++ b/proxy/src/net/gossip/listener.rs
@@ -0,0 +1,20 @@
+//! A listener for links of other proxies.
+
+use super::super::error::{ListenError, ListenPurpose};
+use super::super::sources::Source;
+use mio::net::TcpListener;
+use mio::{Interest, Registry};
+use std::net::SocketAddr;
+
+/// Opens a listener and registers it; `purpose` is named in the error.
+pub(super) fn listen(
+    registry: &Registry,
+    address: SocketAddr,
+    source: Source,
+    purpose: ListenPurpose,
+) -> Result<TcpListener, ListenError> {
+    let failed = |error| ListenError { purpose, address, error };
+    let mut listener = TcpListener::bind(address).map_err(failed)?;
+    registry.register(&mut listener, source.token(), Interest::READABLE).map_err(failed)?;
+    Ok(listener)
+}
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -4,8 +4,8 @@
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use super::stream;
-use crate::config::hash;
 use crate::handover_protocol::{HandoverMessage, HandoverProtocol, InvalidMessage};
+use crate::hash::fnv1a;
 use crate::log::Quoted;
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry};
@@ -78,7 +78,7 @@
     /// Connects to the process that serves at this address, if there is one, and tells it that this one serves now; then listens for
     /// the next.
     pub fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
-        let name = format!("birchreach-{:016x}.sock", hash(address.to_string().as_bytes()));
+        let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
         let predecessor = connect(registry, &path);
         let mut handover = ProcessHandover { path: Some(path), predecessor, ..ProcessHandover::default() };
@@ -106,9 +106,9 @@
     pub fn accept(&mut self, context: &mut EventLoopContext) {
         while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             if let Some(mut older) = self.successor.take() {
-                let _ = context.registry.deregister(&mut older.stream);
+                let _ = context.poll.registry().deregister(&mut older.stream);
             }
-            if register(&context.registry, &mut stream, Source::Successor) {
+            if register(context.poll.registry(), &mut stream, Source::Successor) {
                 self.successor = Some(Link::new(stream));
                 info!(event = "successor-connected");
             }
@@ -127,7 +127,7 @@
         if disconnected(&mut self.successor, context) {
             info!(event = "successor-disconnected");
             // It listened in the place of this process.
-            self.listen(&context.registry);
+            self.listen(context.poll.registry());
         }
     }
 
@@ -195,7 +195,7 @@
     if open.exchange(&mut context.scratch) {
         return false;
     }
-    let _ = context.registry.deregister(&mut open.stream);
+    let _ = context.poll.registry().deregister(&mut open.stream);
     *link = None;
     true
 }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -191,7 +191,7 @@
     fn on_event(&mut self, now: Micros, event: CoreEvent<'_>) {
         match event {
             CoreEvent::Listed { server, uid, started_ms, .. } => {
-                let process = crate::config::hash(format!("{uid} {started_ms}").as_bytes());
+                let process = crate::hash::fnv1a(format!("{uid} {started_ms}").as_bytes());
                 self.processes.insert(server, process);
             }
             CoreEvent::Unlisted { server, .. } => drop(self.processes.remove(&server)),
