--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -78,11 +78,11 @@
         let Some(fleet) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fleet.view());
         let (divisor, members) = (view.divisor(), view.members);
-        let background_metrics = background.map_or_else(String::new, |b| b.metrics(members));
+        let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(members));
         AdminReports {
             fleet: Some(fleet.report(self.context.now)),
-            hot: background.and_then(|b| b.hot_lines(self.context.now, divisor)),
-            split: background.and_then(|b| b.split_lines(members, divisor)),
+            hot: background.and_then(|work| work.hot_key_lines(self.context.now, divisor)),
+            split: background.and_then(|work| work.split_lines(members, divisor)),
             metrics: Some(fleet.metrics_text() + &background_metrics + "# EOF\n"),
         }
     }
@@ -109,7 +109,7 @@
             gossip.set_active(self.context.poll.registry(), is_active);
         }
         if let Some(background) = &mut self.background {
-            background.hear(self.context.now, new_reports);
+            background.receive_reports(self.context.now, new_reports);
         }
         if let (Some(peer), Some(gossip)) = (due_exchange, &mut self.gossip) {
             gossip.begin_exchange(&mut self.context, peer);
