--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -1,7 +1,7 @@
 //! Running means that decisions are based on, among them the usual latency of each request class. They decide nothing
 //! themselves and know no server, event or clock.
 
-use crate::interface::*;
+use crate::interface::{ClassId, Micros, RequestClass};
 
 #[cfg(test)]
 mod tests;
--- a/src/estimates/tests.rs
+++ b/src/estimates/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::interface::{Consistency, Idempotency};
 
 fn class(latency_objective: Micros) -> RequestClass {
     RequestClass {
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,6 +1,8 @@
 //! Events that the router receives and actions that it returns.
 
-use super::*;
+use super::{
+    AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId, SessionId, Settings, TenantId, ZoneId,
+};
 
 /// State of a server according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the router: request classes, limits and obligations towards the servers.
 
-use super::*;
+use super::{Micros, ZoneId};
 
 /// Which data a class of requests has to see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,8 +3,11 @@
 //! A proxy with a small part of the traffic has no attempts in flight when overload begins, so that its
 //! concurrency limits never bind. It sheds a fraction of its reads by how the last ones of their group ended.
 
+use super::pending::{InFlightAttempt, PendingRequest};
 use super::queue::QueuePosition;
-use super::*;
+use super::{MEAN_SAMPLE_WEIGHT, POSITION_QUERYING_PROXIES, RECENT_SAMPLE_WEIGHT, Router};
+use crate::estimates::{MIN_WAKE_DELAY, update_mean};
+use crate::interface::{Action, AttemptOutcome, Consistency, GroupId, Request, RequestClass};
 use std::cmp::Reverse;
 
 /// Admitted fraction of reads, as a multiple of the fraction that met its objective: admits a little more
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -1,8 +1,10 @@
 //! What follows when an attempt ends: first the state of its server is updated, then the request is retried,
 //! queued or finished.
 
+use super::Router;
 use super::outlier_detection::EjectionReason;
-use super::*;
+use super::pending::{AttemptKey, InFlightAttempt, PossibleExecution};
+use crate::interface::{Action, AttemptOutcome, AttemptResult, Consistency, Micros, RequestId, ServerId};
 
 /// Backoff before a retry at the primary, which may be the same server; doubles with each attempt.
 const RETRY_BACKOFF: Micros = 10_000;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,6 +1,10 @@
 //! Attempts: sending a request to a server, and whether it may be sent again.
 
-use super::*;
+use super::Router;
+use super::pending::{AttemptKey, InFlightAttempt, PendingRequest, PossibleExecution};
+use crate::interface::{
+    Action, AttemptNo, Consistency, DedupScope, Idempotency, Micros, RequestId, ServerId, StaleReadPolicy,
+};
 
 /// An attempt is overdue after the mean latency plus this many mean deviations, as in the retransmission
 /// timeout of TCP.
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -2,7 +2,11 @@
 //! adapts to the latency of its answers: additive increase while it binds, multiplicative decrease under
 //! congestion.
 
-use super::*;
+use super::pending::InFlightAttempt;
+use super::servers::Server;
+use super::{RECENT_SAMPLE_WEIGHT, Router};
+use crate::estimates::update_mean;
+use crate::interface::{AttemptOutcome, Micros};
 
 /// A server whose mean latency exceeds this fraction of the latency objective is congested.
 pub(super) const CONGESTION_LATENCY_RATIO: f64 = 0.4;
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,7 +1,10 @@
 //! Endpoint list: which servers exist, and which of them may be sent new work.
 
+use super::Router;
+use super::servers::Server;
 use super::slow_start::SlowStart;
-use super::*;
+use crate::interface::{Endpoint, EndpointDiscovery, EndpointList, EndpointState, Micros, ServerId};
+use std::collections::BTreeSet;
 
 /// A removed server is forgotten after this time: its process may only have been restarted.
 const REMOVED_SERVER_RETENTION: Micros = 20_000_000;
--- a/src/policy/final_answer.rs
+++ b/src/policy/final_answer.rs
@@ -1,6 +1,7 @@
 //! The final answer of a request that was not served, and the end of every request.
 
-use super::*;
+use super::Router;
+use crate::interface::{Action, Idempotency, Micros, RequestClass, RequestId};
 
 /// Retry-After for a class whose late answers still have value.
 const SHORT_RETRY_AFTER: Micros = 500_000;
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,6 +1,7 @@
 //! Health checks: at most one in flight for each server.
 
-use super::*;
+use super::Router;
+use crate::interface::{Action, AttemptOutcome, LoadReport, Micros, ServerId};
 
 /// Health check of a server.
 #[derive(Default)]
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -34,14 +34,16 @@
 mod slow_start;
 mod timers;
 
-use crate::estimates::{LatencyEstimates, MIN_WAKE_DELAY, initial_latency, update_mean};
-use crate::interface::*;
-use pending::{AttemptKey, InFlightAttempt, PendingRequest, PossibleExecution};
+use crate::estimates::LatencyEstimates;
+use crate::interface::{
+    Action, EndpointDiscovery, Event, GroupId, Micros, RequestClass, RequestId, ServerId, Settings,
+};
+use pending::{AttemptKey, InFlightAttempt, PendingRequest};
 use required_position::SessionPositions;
 use retry_budget::RetryBudget;
 use servers::{Group, Server};
 use slow_start::ServedThroughput;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use timers::WakeSchedule;
 
 /// Weight of a new sample in a running mean.
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -2,7 +2,10 @@
 //! gets no more work than a single request after a backoff (the half-open state), until its answers are good
 //! again.
 
-use super::*;
+use super::servers::Server;
+use super::{RECENT_SAMPLE_WEIGHT, Router};
+use crate::estimates::update_mean;
+use crate::interface::{Action, Micros, ServerId};
 
 /// A server whose recent requests fail at a higher rate is ejected.
 const EJECTION_FAILURE_RATE: f64 = 0.3;
--- a/src/policy/overdue_attempts.rs
+++ b/src/policy/overdue_attempts.rs
@@ -5,9 +5,12 @@
 //! either. A server that responds keeps its work; an attempt sent before others that were answered is
 //! presumed lost.
 
+use super::Router;
 use super::attempts::OVERDUE_DEVIATIONS;
 use super::outlier_detection::EjectionReason;
-use super::*;
+use super::pending::{AttemptKey, PendingRequest};
+use crate::estimates::MIN_WAKE_DELAY;
+use crate::interface::{Action, ClassId, Idempotency, Micros, RequestId};
 
 /// What to do about an overdue attempt.
 enum OverdueVerdict {
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -1,7 +1,7 @@
 //! A request without a final answer, and an attempt without an outcome.
 
 use super::queue::QueuePosition;
-use super::*;
+use crate::interface::{AttemptNo, ClassId, CopyCandidate, GroupId, Micros, RequestId, ServerId, SessionId};
 
 /// An attempt that may have run at its server, sent at this time. Ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/policy/position_queries.rs
+++ b/src/policy/position_queries.rs
@@ -4,7 +4,10 @@
 //! A proxy with a small part of the traffic rarely hears from each replica, so that most of its reads would
 //! fall on the primary. Where servers reject stale reads themselves, trying one costs less than a query.
 
-use super::*;
+use super::Router;
+use super::pending::PendingRequest;
+use crate::estimates::initial_latency;
+use crate::interface::{Action, LoadReportSource, Micros, ServerId, StaleReadPolicy};
 
 /// Replicas whose position is queried for one read: another one if the first is behind or silent.
 const MAX_POSITION_QUERIES: usize = 2;
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,6 +1,8 @@
 //! The queue of each group: requests that wait for a server.
 
-use super::*;
+use super::Router;
+use super::pending::PendingRequest;
+use crate::interface::{Action, GroupId, Micros, RequestId};
 use std::cmp::Reverse;
 
 /// A queued request is tried again only while the mean latency plus this many mean deviations is left.
--- a/src/policy/replication.rs
+++ b/src/policy/replication.rs
@@ -1,6 +1,7 @@
 //! Replication state: the proven role and log position of each server.
 
-use super::*;
+use super::Router;
+use crate::interface::{GroupId, LoadReport, Micros, Role, ServerId, ServerStatus};
 
 /// How long a replica that was too far behind is not considered again.
 const LAG_RECHECK_INTERVAL: Micros = 500_000;
--- a/src/policy/required_position.rs
+++ b/src/policy/required_position.rs
@@ -1,6 +1,9 @@
 //! Which log position a server must have reached to serve a read.
 
-use super::*;
+use super::Router;
+use super::pending::PendingRequest;
+use crate::interface::{Consistency, Micros, Request, RequestId, SessionId, SessionPositionSource};
+use std::collections::BTreeMap;
 
 /// Sessions whose positions are kept apart.
 const MAX_SESSIONS: usize = 65_536;
--- a/src/policy/server_selection.rs
+++ b/src/policy/server_selection.rs
@@ -1,6 +1,10 @@
 //! Server selection: which of the servers that may take a request it is sent to.
 
-use super::*;
+use super::pending::PendingRequest;
+use super::{POSITION_QUERYING_PROXIES, Router};
+use crate::interface::{
+    Action, Consistency, CopyCandidate, Endpoint, GroupId, Micros, ServerId, StaleReadPolicy,
+};
 use std::cmp::{Ordering, Reverse};
 
 /// Fraction of a primary's concurrency limit that reads may use; the rest is reserved for writes.
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -9,7 +9,8 @@
 use super::queue::QueuePosition;
 use super::replication::ReplicationState;
 use super::slow_start::SlowStart;
-use super::*;
+use crate::interface::ServerId;
+use std::collections::BTreeSet;
 
 /// What the router knows of a server.
 pub(super) struct Server {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -6,7 +6,9 @@
 //! fraction of one token, since a token each from hundreds of proxies would be several times what the server
 //! can take.
 
-use super::*;
+use super::Router;
+use super::servers::Server;
+use crate::interface::{AttemptOutcome, Micros, ServerId, Settings};
 
 /// Fraction of the budget that is used. Proxies differ in their traffic and requests in their cost.
 const SLOW_START_UTILIZATION: f64 = 0.75;
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,6 +1,8 @@
 //! When requests are looked at again, and the one timer of the router that serves them all.
 
-use super::*;
+use super::Router;
+use crate::interface::{Action, Micros, RequestId};
+use std::collections::BTreeSet;
 
 /// The router has one timer at a time, with this id.
 const TIMER_ID: u32 = 0;
