--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -103,7 +103,7 @@
 pub enum EndpointDiscovery {
     /// Changes arrive without a request.
     Pushed,
-    /// Changes arrive only after [`Action::WatchEndpoints`].
+    /// Changes arrive only after [`Action::WatchEndpoints`](super::Action::WatchEndpoints).
     Polled,
 }
 
@@ -143,9 +143,9 @@
     pub max_attempts: u16,
     /// Two attempts of one request may be in flight at once (hedged requests).
     pub hedging_allowed: bool,
-    /// [`Action::Cancel`] is allowed.
+    /// [`Action::Cancel`](super::Action::Cancel) is allowed.
     pub cancellation_allowed: bool,
-    /// [`Action::HealthCheck`] is allowed.
+    /// [`Action::HealthCheck`](super::Action::HealthCheck) is allowed.
     pub health_checks_allowed: bool,
     /// The longest retry delay that clients honour, if they honour any.
     pub max_retry_after: Option<Micros>,
