--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -28,9 +28,11 @@
 
     fn send(&mut self, request_id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
         self.dequeue(request_id);
-        self.spend_slow_start_token(server_id);
+        let Some(server) = self.servers.get(&server_id) else { return };
+        let tokens = self.slow_start_tokens_after_attempt(server);
         let Some(request) = self.pending.get_mut(&request_id) else { return };
         let Some(server) = self.servers.get_mut(&server_id) else { return };
+        server.slow_start.set_tokens(tokens, self.now);
         server.concurrency.attempt_sent();
         let attempt = AttemptNo(request.attempts_sent);
         request.attempts_sent += 1;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -43,7 +43,7 @@
         self.set_tokens(self.tokens.min(initial_tokens), now);
     }
 
-    fn set_tokens(&mut self, tokens: f64, now: Micros) {
+    pub(super) fn set_tokens(&mut self, tokens: f64, now: Micros) {
         self.tokens = tokens;
         self.updated_at = now;
     }
@@ -126,15 +126,11 @@
         (tokens + rate * (self.now - updated_at) as f64).min(capacity)
     }
 
-    /// Charges an attempt to the slow-start budget. A server with full capacity has no budget: what it is
-    /// sent now must not count against it if it restarts.
-    pub(super) fn spend_slow_start_token(&mut self, id: ServerId) {
-        let Some(server) = self.servers.get(&id) else { return };
+    /// The slow-start budget that is left after one more attempt. A server with full capacity has no budget:
+    /// what it is sent now must not count against it if it restarts.
+    pub(super) fn slow_start_tokens_after_attempt(&self, server: &Server) -> f64 {
         let cost = f64::from(!self.is_warmed_up(server));
-        let tokens = self.available_slow_start_tokens(server) - cost;
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.slow_start.set_tokens(tokens, self.now);
-        }
+        self.available_slow_start_tokens(server) - cost
     }
 
     /// A connection was refused at once: no process is running, and the next one begins with slow start. The
