--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -11,7 +11,7 @@
 mod links;
 mod reader;
 
-pub use background::{Hot, Split};
+pub use background::{HotKeyOptions, SplitOptions};
 pub use error::OptionsError;
 pub use health::{AgentListener, CheckListener, HealthOptions, KeepAliveListener};
 pub use links::{FleetOptions, PeerStateOptions};
@@ -34,9 +34,9 @@
     /// The view of the fleet.
     pub fleet: Option<FleetOptions>,
     /// Copies of hot keys.
-    pub hot: Option<Hot>,
+    pub hot: Option<HotKeyOptions>,
     /// Comparison of dual reads while a group splits.
-    pub split: Option<Split>,
+    pub split: Option<SplitOptions>,
 }
 
 /// Reads the options.
--- a/options/tests/fleet.rs
+++ b/options/tests/fleet.rs
@@ -54,14 +54,19 @@
     let split = "<split from='3' below='7' above='8' at='2147483648'/>";
     let options = read(&format!("{FLEET}{hot}{split}")).unwrap();
     let (hot, split) = (options.hot.unwrap(), options.split.unwrap());
-    assert_eq!((hot.bears, hot.copy_cost, hot.guests), (120.5, 2.0, 3));
+    assert_eq!((hot.database_reads_per_s, hot.copy_cost_reads, hot.max_copies), (120.5, 2.0, 3));
     assert_eq!(
-        (hot.copies_per_s, hot.reads_per_s, hot.all_per_s, hot.window.as_millis()),
+        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.all_per_s, hot.window.as_millis()),
         (10.0, 10.0, 100.0, 10_000)
     );
-    assert_eq!((split.from, split.below, split.above, split.at), (3, 7, 8, 1 << 31));
+    assert_eq!((split.parent, split.lower_child, split.upper_child, split.split_at), (3, 7, 8, 1 << 31));
     assert_eq!(
-        (split.least, split.processes, split.within.as_secs(), split.confirm.as_secs()),
+        (
+            split.min_comparisons,
+            split.min_processes,
+            split.coverage_window.as_secs(),
+            split.confirmation_delay.as_secs()
+        ),
         (3, 1, 600, 10)
     );
     assert_eq!(read(FLEET).unwrap().hot, None, "off without its element");
--- a/options/tests/known_options.rs
+++ b/options/tests/known_options.rs
@@ -97,18 +97,24 @@
 #[test]
 fn every_attribute_of_hot_keys_is_read() {
     let hot = parse(LINKS).unwrap().hot.unwrap();
-    assert_eq!((hot.line, hot.bears, hot.copy_cost, hot.guests), (5, 401.5, 2.5, 4));
-    assert_eq!((hot.copies_per_s, hot.reads_per_s, hot.all_per_s), (11.0, 12.0, 101.0));
+    assert_eq!((hot.line, hot.database_reads_per_s, hot.copy_cost_reads, hot.max_copies), (5, 401.5, 2.5, 4));
+    assert_eq!(
+        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.all_per_s),
+        (11.0, 12.0, 101.0)
+    );
     assert_eq!(hot.window, Duration::from_millis(10_001));
 }
 
 #[test]
 fn every_attribute_of_a_split_is_read() {
     let split = parse(LINKS).unwrap().split.unwrap();
-    assert_eq!((split.line, split.from, split.below, split.above, split.at), (6, 1, 2, 3, 2_147_483_648));
-    assert_eq!((split.least, split.processes), (4, 5));
-    assert_eq!(split.within, Duration::from_millis(600_001));
-    assert_eq!(split.confirm, Duration::from_millis(10_002));
-    assert_eq!((split.reads_per_s, split.all_per_s), (6.0, 51.0));
+    assert_eq!(
+        (split.line, split.parent, split.lower_child, split.upper_child, split.split_at),
+        (6, 1, 2, 3, 2_147_483_648)
+    );
+    assert_eq!((split.min_comparisons, split.min_processes), (4, 5));
+    assert_eq!(split.coverage_window, Duration::from_millis(600_001));
+    assert_eq!(split.confirmation_delay, Duration::from_millis(10_002));
+    assert_eq!((split.database_reads_per_s, split.all_per_s), (6.0, 51.0));
     assert_eq!(split.window, Duration::from_millis(10_003));
 }
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -48,14 +48,14 @@
 
 /// The crate's settings from the options, the number of configured processes and the classes of requests.
 pub fn settings(
-    options: &birchreach_options::Hot,
+    options: &birchreach_options::HotKeyOptions,
     configured_members: u32,
     classes: &[Consistency],
 ) -> Settings {
     Settings {
-        database_reads_per_s: options.bears,
-        copy_cost_reads: options.copy_cost,
-        max_copies: options.guests,
+        database_reads_per_s: options.database_reads_per_s,
+        copy_cost_reads: options.copy_cost_reads,
+        max_copies: options.max_copies,
         configured_members,
         class_requirements: classes.iter().copied().map(copy_requirement).collect(),
     }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -16,19 +16,19 @@
 
 /// The budgets of the subsystems that the options name.
 fn budgets(
-    hot: Option<&birchreach_options::Hot>,
-    split: Option<&birchreach_options::Split>,
+    hot: Option<&birchreach_options::HotKeyOptions>,
+    split: Option<&birchreach_options::SplitOptions>,
 ) -> Vec<(TaskKind, Budget)> {
     let micros = |span: Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
     let mut budgets = Vec::new();
     if let Some(hot) = hot {
         let budget =
             |database_per_s| Budget { database_per_s, all_per_s: hot.all_per_s, window: micros(hot.window) };
-        budgets.push((TaskKind::RowRead, budget(hot.reads_per_s)));
-        budgets.push((TaskKind::CopyWrite, budget(hot.copies_per_s)));
+        budgets.push((TaskKind::RowRead, budget(hot.database_copy_reads_per_s)));
+        budgets.push((TaskKind::CopyWrite, budget(hot.database_copies_per_s)));
     }
     if let Some(split) = split {
-        let (database_per_s, all_per_s) = (split.reads_per_s, split.all_per_s);
+        let (database_per_s, all_per_s) = (split.database_reads_per_s, split.all_per_s);
         let budget = Budget { database_per_s, all_per_s, window: micros(split.window) };
         budgets.push((TaskKind::DualRead, budget));
     }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -29,15 +29,23 @@
 }
 
 /// The crate's settings from the options and the number of configured processes.
-pub fn settings(options: &birchreach_options::Split, configured_members: u32) -> Settings {
+pub fn settings(options: &birchreach_options::SplitOptions, configured_members: u32) -> Settings {
     let micros = |span: std::time::Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
-    let birchreach_options::Split { from, below, above, at, least, processes, .. } = *options;
+    let birchreach_options::SplitOptions {
+        parent: from,
+        lower_child: below,
+        upper_child: above,
+        split_at: at,
+        min_comparisons: least,
+        min_processes: processes,
+        ..
+    } = *options;
     Settings {
         definition: Definition { parent: from, lower_child: below, upper_child: above, split_at: at },
         min_comparisons: least,
-        coverage_window: micros(options.within),
+        coverage_window: micros(options.coverage_window),
         min_processes: processes,
-        confirmation_delay: micros(options.confirm),
+        confirmation_delay: micros(options.confirmation_delay),
         configured_members: configured_members as usize,
     }
 }
