--- a/membership/src/faults.rs
+++ b/membership/src/faults.rs
@@ -1,33 +1,22 @@
-//! One-line faults that tests switch on to see that the checkers catch them; compiled for tests alone.
+//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
 
-use std::cell::Cell;
-
-/// Each breaks one invariant of the crate.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    NobodyIsTriedAgain,
-    NobodyExchanges,
-    SuspectsAreGone,
-    DividesBySeen,
-    StepsOfOne,
+birchreach_fault_injection::declare_faults! {
+    /// Addresses outside the view are not retried.
+    NoAddressRetries,
+    /// No full exchange is begun.
+    NoFullExchanges,
+    /// A suspected member is removed almost at once.
+    SuspectsRemovedAtOnce,
+    /// The divisor is the number of members seen, whatever the options say.
+    DivisorIgnoresOptions,
+    /// A renewed epoch is greater by one only.
+    EpochStepsOfOne,
+    /// A partitioned process does not notice it.
     NeverBlind,
-    TwinsAreOne,
-    TakesAll,
-    TakesTwice,
-}
-
-thread_local! {
-    static ON: Cell<Option<Fault>> = const { Cell::new(None) };
-}
-
-/// Runs something with a fault.
-pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
-    ON.set(Some(fault));
-    let done = run();
-    ON.set(None);
-    done
-}
-
-pub(crate) fn is(fault: Fault) -> bool {
-    ON.get() == Some(fault)
+    /// Two members with one name are not reported.
+    NameConflictsIgnored,
+    /// Any number of members is accepted.
+    NoMemberLimit,
+    /// A report counts each time it is received.
+    DuplicatesCounted,
 }
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -20,7 +20,7 @@
 use crate::core::Core;
 use crate::discovery::EndpointUpdate;
 use crate::observe::shared;
-use crate::peer_knowledge::PeerKnowledge;
+use crate::peer_state::PeerStateObserver;
 use mio::{Interest, Poll};
 use signal_hook_mio::v1_0::Signals;
 use std::net::SocketAddr;
@@ -70,19 +70,19 @@
             ProcessHandover::default()
         };
         let limits = ConnectionLimits::new(&config, &handover);
-        let registry = poll.registry().try_clone().map_err(EventLoopError::OpenPoll)?;
         let core = Core::new(&config.deployment, config.seed, now);
         let (settings, seed) = (&config.deployment.routing, config.seed);
+        let clients = Clients::new(poll.registry(), listener, limits.clients)?;
         Ok(EventLoop {
             clock,
             context: EventLoopContext {
                 now,
-                registry,
+                poll,
                 timers: Timers::new(),
                 core,
                 scratch: vec![0; SCRATCH_BYTES],
             },
-            clients: Clients::new(poll.registry(), listener, limits.clients)?,
+            clients,
             pool: Pool::new(&config.deployment, limits.databases),
             discovery: DiscoveryConnection::new(config.discovery_address, known_revision, settings, seed),
             admin,
@@ -98,7 +98,6 @@
             stopping: false,
             listener_closed: false,
             clients_closed: false,
-            poll,
         })
     }
 
@@ -132,23 +131,23 @@
 
     /// Starts to request state from other proxies and to send it to them, where the options say so.
     fn start_gossip(&mut self) -> Result<(), EventLoopError> {
-        let (Some(options), Some(keys)) = (&self.config.options.knowledge, &self.config.gossip_keys) else {
+        let (Some(options), Some(keys)) = (&self.config.options.peer_state, &self.config.gossip_keys) else {
             return Ok(());
         };
         // Each process observes for itself: what its predecessor observed reaches it at second hand.
         let mut observer = [0; 8];
         getrandom::fill(&mut observer)?;
-        let peer_knowledge = shared(PeerKnowledge::new(u64::from_be_bytes(observer)));
-        self.context.core.subscribe(self.context.now, peer_knowledge.clone());
+        let peer_state = shared(PeerStateObserver::new(u64::from_be_bytes(observer)));
+        self.context.core.subscribe(self.context.now, peer_state.clone());
         let state_transfer = StateTransfer::new(
-            &self.context.registry,
+            self.context.poll.registry(),
             options,
             keys.clone(),
-            peer_knowledge,
+            peer_state,
             self.config.seed,
             self.context.now,
         )?;
-        self.gossip.get_or_insert_default().learn(state_transfer);
+        self.gossip.get_or_insert_default().set_state_transfer(state_transfer);
         Ok(())
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,8 +3,11 @@
 //! A proxy with a small part of the traffic has no attempts in flight when overload begins, so that its
 //! concurrency limits never bind. It sheds a fraction of its reads by how the last ones of their group ended.
 
+use super::pending::{InFlightAttempt, PendingRequest};
 use super::queue::QueuePosition;
-use super::*;
+use super::{MEAN_SAMPLE_WEIGHT, POSITION_QUERYING_PROXIES, RECENT_SAMPLE_WEIGHT, Router};
+use crate::estimates::{MIN_WAKE_DELAY, update_mean};
+use crate::interface::{Action, AttemptOutcome, Consistency, GroupId, Request, RequestClass};
 use std::cmp::Reverse;
 
 /// Admitted fraction of reads, as a multiple of the fraction that met its objective: admits a little more
@@ -37,7 +40,7 @@
         if self.pending.contains_key(&request.id) {
             return;
         }
-        let Some(class) = self.settings.classes.get(request.class.0 as usize) else {
+        let Some(class) = self.settings.classes.get(request.class.index()) else {
             return actions.push(Action::Reject { request: request.id, retry_after: None });
         };
         let is_write = class.consistency == Consistency::Write;
@@ -55,12 +58,12 @@
     }
 
     fn pending_request(&mut self, request: Request) -> PendingRequest {
-        let class = &self.settings.classes[request.class.0 as usize];
+        let class = &self.settings.classes[request.class.index()];
         let timeout = request.timeout.max(0);
         let is_late_answer_useful = class.late_weight_fraction > 0.0;
         let useful_for = if is_late_answer_useful { timeout } else { timeout.min(class.latency_objective) };
         PendingRequest {
-            class: request.class.0 as usize,
+            class: request.class,
             group: request.group,
             session: request.session,
             required_session_position: self.session_position_for(&request),
@@ -116,7 +119,8 @@
         attempt: &InFlightAttempt,
         outcome: AttemptOutcome,
     ) {
-        let RequestClass { consistency, latency_objective, .. } = self.settings.classes[attempt.class];
+        let RequestClass { consistency, latency_objective, .. } =
+            self.settings.classes[attempt.class.index()];
         let is_late = attempt.latency(self.now) > latency_objective;
         let shows_load =
             matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Timeout | AttemptOutcome::Overloaded);
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -1,8 +1,10 @@
 //! What follows when an attempt ends: first the state of its server is updated, then the request is retried,
 //! queued or finished.
 
+use super::Router;
 use super::outlier_detection::EjectionReason;
-use super::*;
+use super::pending::{AttemptKey, InFlightAttempt, PossibleExecution};
+use crate::interface::{Action, AttemptOutcome, AttemptResult, Consistency, Micros, RequestId, ServerId};
 
 /// Backoff before a retry at the primary, which may be the same server; doubles with each attempt.
 const RETRY_BACKOFF: Micros = 10_000;
@@ -60,7 +62,7 @@
         }
         let Some(status) = result.status else { return };
         self.record_status(attempt.server, status);
-        let is_write = self.settings.classes[attempt.class].consistency == Consistency::Write;
+        let is_write = self.settings.classes[attempt.class.index()].consistency == Consistency::Write;
         let is_committed = is_write && result.outcome == AttemptOutcome::Ok;
         if let (true, Some(session), Some(position)) = (is_committed, attempt.session, status.position) {
             self.record_session_write(session, position);
--- a/src/policy/overdue_attempts.rs
+++ b/src/policy/overdue_attempts.rs
@@ -5,9 +5,12 @@
 //! either. A server that responds keeps its work; an attempt sent before others that were answered is
 //! presumed lost.
 
+use super::Router;
 use super::attempts::OVERDUE_DEVIATIONS;
 use super::outlier_detection::EjectionReason;
-use super::*;
+use super::pending::{AttemptKey, PendingRequest};
+use crate::estimates::MIN_WAKE_DELAY;
+use crate::interface::{Action, ClassId, Idempotency, Micros, RequestId};
 
 /// What to do about an overdue attempt.
 enum OverdueVerdict {
@@ -98,10 +101,10 @@
     }
 
     /// Whether attempts in flight may be cancelled to be sent again to another server.
-    fn may_replace_attempts(&self, class: usize) -> bool {
+    fn may_replace_attempts(&self, class: ClassId) -> bool {
         !self.settings.hedging_allowed
             && self.settings.cancellation_allowed
-            && self.settings.classes[class].idempotency == Idempotency::Idempotent
+            && self.settings.classes[class.index()].idempotency == Idempotency::Idempotent
             && self.retry_budget.can_spend(1.0)
     }
 }
--- a/src/policy/required_position.rs
+++ b/src/policy/required_position.rs
@@ -1,6 +1,9 @@
 //! Which log position a server must have reached to serve a read.
 
-use super::*;
+use super::Router;
+use super::pending::PendingRequest;
+use crate::interface::{Consistency, Micros, Request, RequestId, SessionId, SessionPositionSource};
+use std::collections::BTreeMap;
 
 /// Sessions whose positions are kept apart.
 const MAX_SESSIONS: usize = 65_536;
@@ -48,7 +51,7 @@
 
     /// The position of the last write of the request's session, for a session read.
     pub(super) fn session_position_for(&self, request: &Request) -> Option<Micros> {
-        let class = &self.settings.classes[request.class.0 as usize];
+        let class = &self.settings.classes[request.class.index()];
         if class.consistency != Consistency::Session {
             return None;
         }
