--- a/benches/src/hangs.rs
+++ b/benches/src/hangs.rs
@@ -19,7 +19,7 @@
 const PROBES: &str =
     "<probes every-ms='600' suspect-ms='300' timeout-ms='400' group-per-s='10' whole-per-s='80'/>";
 /// How often the balancer checks, and how many checks in a row change its mind.
-const BALANCER_RULES: CheckPolicy =
+const BALANCER_POLICY: CheckPolicy =
     CheckPolicy { interval: Duration::from_millis(500), timeout: MAX_WAIT, rise: 1, fall: 2 };
 
 /// A measurement of how soon a hang is reported.
@@ -187,7 +187,7 @@
         || run_check(http, &Check::Http(format!("/group/{group}/write")), MAX_WAIT).is_ok_and(|told| told.up);
     let mut rng = fastrand::Rng::with_seed(seed);
     let balancer =
-        Balancer::start(&[(agent, clients)], &Check::Agent(format!("group={group} write")), &BALANCER_RULES);
+        Balancer::start(&[(agent, clients)], &Check::Agent(format!("group={group} write")), &BALANCER_POLICY);
     let mut times = ReactionTimes::default();
     for _ in 0..cycles {
         let start = Instant::now();
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -32,17 +32,17 @@
     let views = |all: &[Process]| all.iter().map(|p| fleet_value(p, "boot=")).collect::<Vec<_>>();
     settle("join", 5, &all.iter().collect::<Vec<_>>());
     // Two against three, with datagrams that are duplicated, delayed, reordered and corrupted.
-    let rules = NetworkFaults {
+    let faults = NetworkFaults {
         duplicate_fraction: 0.1,
         corrupt_fraction: 0.05,
         max_delay: Duration::from_millis(30),
         ..NetworkFaults::partition(2, 5)
     };
-    fleet.relays.set_faults(rules.clone());
+    fleet.relays.set_faults(faults.clone());
     settle("the two", 2, &all[..2].iter().collect::<Vec<_>>());
     settle("the three", 3, &all[2..].iter().collect::<Vec<_>>());
     assert_eq!(fleet_value(&all[0], "divisor="), "5", "two never act as if they were the whole fleet");
-    fleet.relays.set_faults(NetworkFaults { blocked: Default::default(), ..rules });
+    fleet.relays.set_faults(NetworkFaults { blocked: Default::default(), ..faults });
     settle("heal", 5, &all.iter().collect::<Vec<_>>());
     // One is paused until all others have removed it, and resumes.
     all[4].signal("STOP");
--- a/proxy/tests/health/rotation.rs
+++ b/proxy/tests/health/rotation.rs
@@ -14,9 +14,9 @@
     // Given a balancer in front of a proxy
     let rig = rig(3, 1);
     let mut proxy = rig.start_with_checks(1, 64, "<stopping lead-ms='1500'/>").unwrap();
-    let rules = CheckPolicy { interval: Duration::from_millis(50), timeout: MAX_WAIT, rise: 2, fall: 2 };
+    let policy = CheckPolicy { interval: Duration::from_millis(50), timeout: MAX_WAIT, rise: 2, fall: 2 };
     let at = [(proxy.check_address("agent").unwrap(), proxy.client_address().unwrap())];
-    let balancer = Balancer::start(&at, &Check::Agent(String::new()), &rules);
+    let balancer = Balancer::start(&at, &Check::Agent(String::new()), &policy);
     assert!(balancer.wait_for_state(0, true, MAX_WAIT));
     // When the proxy shuts down, then the balancer is told
     proxy.signal("TERM");
@@ -81,10 +81,10 @@
     let rig = rig(9, 1);
     let one = rig.start_with_checks(1, 64, "").unwrap();
     let mut two = rig.start_with_checks(2, 64, "<stopping lead-ms='1500'/>").unwrap();
-    let rules = CheckPolicy { interval: Duration::from_millis(50), timeout: MAX_WAIT, rise: 2, fall: 2 };
+    let policy = CheckPolicy { interval: Duration::from_millis(50), timeout: MAX_WAIT, rise: 2, fall: 2 };
     let at =
         [&one, &two].map(|proxy| (proxy.check_address("http").unwrap(), proxy.client_address().unwrap()));
-    let balancer = Balancer::start(&at, &Check::Http("/class/file-entry".into()), &rules);
+    let balancer = Balancer::start(&at, &Check::Http("/class/file-entry".into()), &policy);
     assert!(balancer.wait_for_state(0, true, MAX_WAIT) && balancer.wait_for_state(1, true, MAX_WAIT));
     let mut count = [0; 2];
     let mut go = |n: usize| {
