--- /dev/null
+++ b/test-support/src/balancer/check.rs
@@ -0,0 +1,68 @@
+//! Health checks as balancers run them, and their answers.
+
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+/// The weight of a proxy whose answer names none, in percent.
+const DEFAULT_WEIGHT: u32 = 100;
+
+/// Agent-check's words that take a server out of rotation.
+const AGENT_DOWN_WORDS: [&str; 5] = ["down", "drain", "maint", "fail", "stopped"];
+
+/// The kind of health check.
+#[derive(Clone, Debug)]
+pub enum Check {
+    /// Agent-check, with the line that is sent first.
+    Agent(String),
+    /// HTTP, with the path.
+    Http(String),
+}
+
+/// The answer to a health check.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CheckAnswer {
+    /// Whether the proxy may be sent connections.
+    pub up: bool,
+    /// Its weight in percent.
+    pub weight: u32,
+    /// The complete answer.
+    pub text: String,
+}
+
+impl CheckAnswer {
+    fn from_agent(text: String) -> CheckAnswer {
+        let words: Vec<&str> = text.split([' ', ',', '\r', '\n']).collect();
+        let weight = words.iter().find_map(|word| word.strip_suffix('%')).and_then(|word| word.parse().ok());
+        let down = AGENT_DOWN_WORDS.iter().any(|word| words.contains(word));
+        CheckAnswer { up: words.contains(&"up") && !down, weight: weight.unwrap_or(DEFAULT_WEIGHT), text }
+    }
+
+    fn from_http(text: String) -> CheckAnswer {
+        let up = text.starts_with("HTTP/1.1 200 ");
+        let after_name = text.split("\"weight\":").nth(1);
+        let weight = after_name.and_then(|rest| rest.split([',', '}']).next()?.parse().ok());
+        CheckAnswer { up, weight: weight.unwrap_or(DEFAULT_WEIGHT), text }
+    }
+}
+
+/// Runs one health check on a connection of its own.
+pub fn run_check(address: SocketAddr, check: &Check, timeout: Duration) -> io::Result<CheckAnswer> {
+    let mut stream = TcpStream::connect_timeout(&address, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    match check {
+        Check::Agent(line) => writeln!(stream, "{line}")?,
+        Check::Http(path) => {
+            write!(stream, "GET {path} HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n")?;
+        }
+    }
+    let mut text = String::new();
+    stream.read_to_string(&mut text)?;
+    if text.is_empty() {
+        return Err(io::ErrorKind::UnexpectedEof.into());
+    }
+    Ok(match check {
+        Check::Agent(_) => CheckAnswer::from_agent(text),
+        Check::Http(_) => CheckAnswer::from_http(text),
+    })
+}
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -12,7 +12,7 @@
 /// The window of the background budgets in the run's options.
 const BUDGET_WINDOW_MS: i64 = 1_000;
 
-/// Position and row are read separately for a comparison and for a copy.
+/// Each comparison and each copy reads twice.
 const READS_PER_BACKGROUND_TASK: usize = 2;
 
 /// The group that is split and whose rows are copied.
