--- a/src/policy/server_selection.rs
+++ b/src/policy/server_selection.rs
@@ -115,7 +115,8 @@
             |copy: &&CopyCandidate| required.is_none_or(|required| copy.likely_position >= required);
         let copies = request.copy_candidates.iter().filter(|copy| !members.contains(&copy.server));
         let fresh_copies = copies.filter(is_likely_fresh).map(|copy| copy.server);
-        let fresh = replicas.iter().copied().filter(is_fresh).chain(fresh_copies).collect();
+        let mut fresh: Vec<ServerId> = replicas.iter().copied().filter(is_fresh).collect();
+        fresh.extend(fresh_copies);
         Some(ReadCandidates { primary, replicas, fresh, required })
     }
 
