--- a/proxy/tests/hot.rs
+++ b/proxy/tests/hot.rs
@@ -1,5 +1,5 @@
-//! Hot keys on several real processes before groups that lie like databases do, with faults between them: found by all, served from
-//! copies, never stale, never over the budget.
+//! Hot keys on several real processes in front of groups of databases, with faults injected: found by all processes, served from copies,
+//! never stale, never over the budget.
 
 use birchreach_test_support::fleet::{ask, settled};
 use birchreach_test_support::groups::judge::{Read, claims, cold, doubles, stale, windows};
@@ -13,10 +13,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const HOT: &str = "<hot bears='30' copies-per-s='10' reads-per-s='10' all-per-s='60' window-ms='2000'/>";
-/// Of ten a second over all processes, in any two seconds; and what a process that was stopped may have had on its way.
-const MOST: usize = 20 + 5;
+const HOT_OPTIONS: &str =
+    "<hot bears='30' copies-per-s='10' reads-per-s='10' all-per-s='60' window-ms='2000'/>";
+/// Ten a second over all processes in any two seconds, and what a process that was suspended may have had in flight.
+const MAX_COPIES_IN_A_WINDOW: usize = 20 + 5;
 
+/// Proxies in front of four groups of databases, one of which has the key that gets hot.
 struct Rig {
     site: Site,
     all: Vec<Option<Process>>,
@@ -35,7 +37,7 @@
         let all: Vec<Option<Process>> = (0..count).map(|n| Some(site.start(n).unwrap())).collect();
         let proxies = Arc::new(Mutex::new(all.iter().map(|p| p.as_ref()?.clients()).collect()));
         let rig = Rig { site, all, proxies };
-        rig.until("join", || settled(count, &rig.running()).is_ok());
+        rig.wait_until("join", || settled(count, &rig.running()).is_ok());
         rig
     }
 
@@ -43,7 +45,7 @@
         self.all.iter().flatten().collect()
     }
 
-    fn until(&self, what: &str, mut holds: impl FnMut() -> bool) {
+    fn wait_until(&self, what: &str, mut holds: impl FnMut() -> bool) {
         let start = Instant::now();
         while !holds() {
             let said: Vec<String> = self.running().iter().map(|p| ask(p, "hot") + &ask(p, "fleet")).collect();
@@ -52,13 +54,13 @@
         }
     }
 
-    /// All hold so many keys for hot.
-    fn hold(&self, keys: usize) -> bool {
+    /// Whether all processes have so many hot keys.
+    fn all_have_hot_keys(&self, keys: usize) -> bool {
         let word = format!("hot keys={keys} ");
         self.running().iter().all(|p| ask(p, "hot").starts_with(&word))
     }
 
-    /// Reads that guests served, over all.
+    /// Reads that copies served, over all processes.
     fn served(&self) -> u64 {
         let of = |p: &&Process| {
             let text = ask(p, "hot");
@@ -67,6 +69,7 @@
         self.running().iter().map(of).sum()
     }
 
+    /// Clients that read the hot key at this rate each, and another one seldom; two of them write.
     fn traffic(&self, rate: f64) -> Traffic {
         let reads = vec![("hot".to_string(), rate), ("cool".to_string(), 1.0)];
         let habit = |n| Habit {
@@ -85,7 +88,8 @@
         self.proxies.lock().unwrap()[n] = self.all[n].as_ref().and_then(Process::clients);
     }
 
-    /// What databases and clients recorded, held against what must be.
+    /// Checks what databases and clients recorded: no stale read, no false claim of a position, no window over the budget, no load on cold
+    /// databases, no write twice.
     fn judge(&self, told: &Told) {
         let (mut checked, mut highest, mut copies) = (0, 0, 0);
         let home = self.site.groups[0].with(|s| (s.log.clone(), s.lost.clone()));
@@ -95,11 +99,13 @@
             group.with(|s| {
                 checked += stale(&reads, &s.log, &s.lost).unwrap();
                 copies += claims(&s.log, 0, &home.0, &home.1).unwrap();
-                highest =
-                    highest.max(windows(&s.records, 2_000, MOST, |what| *what == What::CopyWrite).unwrap());
+                highest = highest.max(
+                    windows(&s.records, 2_000, MAX_COPIES_IN_A_WINDOW, |what| *what == What::CopyWrite)
+                        .unwrap(),
+                );
                 let home = |what: &What| *what == What::Read { background: true };
                 // Each copy reads its row twice.
-                windows(&s.records, 2_000, 2 * MOST, home).unwrap();
+                windows(&s.records, 2_000, 2 * MAX_COPIES_IN_A_WINDOW, home).unwrap();
                 cold(&s.records, |what| matches!(what, What::CopyWrite | What::Read { background: true }))
                     .unwrap();
             });
@@ -125,11 +131,11 @@
 }
 
 #[test]
-fn a_hot_key_is_served_from_copies_that_prove_themselves() {
-    let mut rig = Rig::new(1, 5, HOT);
+fn a_hot_key_is_served_from_copies_of_proven_position() {
+    let mut rig = Rig::new(1, 5, HOT_OPTIONS);
     let traffic = rig.traffic(20.0);
-    rig.until("hot", || rig.hold(1) && rig.served() > 100);
-    // All replicas of the guests' groups fall behind: what they have of copies is older than anybody thinks.
+    rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served() > 100);
+    // When the replicas of the holders' groups lag: their copies are older than expected.
     let lags = |lag: i64| {
         for group in &rig.site.groups[1..] {
             group.with(|s| s.members.iter_mut().for_each(|m| m.lag = lag));
@@ -138,31 +144,31 @@
     lags(4_000);
     sleep(Duration::from_secs(3));
     lags(20);
-    // Its primary fails over, and the new one lacks the last writes; in a guest's group the old one does not know it for a while.
+    // When the key's primary fails over and loses its last writes, and in a holder's group the deposed primary does not know it at once.
     let home = rig.site.groups[0].clone();
     let now = birchreach_test_support::groups::now_ms;
     home.with(|s| s.fail_over((s.primary + 1) % 3, now(), true));
-    let guests = rig.site.groups[1].clone();
-    let old = primary(&guests);
-    guests.with(|s| s.fail_over((old + 1) % 3, now(), false));
+    let holders = rig.site.groups[1].clone();
+    let old = primary(&holders);
+    holders.with(|s| s.fail_over((old + 1) % 3, now(), false));
     sleep(Duration::from_secs(1));
-    guests.with(|s| s.learns(old));
+    holders.with(|s| s.learns(old));
     rig.site.tell();
-    // Halves are cut while it is hot; one is stopped in the middle of things, and goes on.
+    // When the fleet is partitioned, and one process suspended and resumed.
     rig.site.fleet.relays.set(Rules { twice: 0.1, delay: Duration::from_millis(40), ..Rules::halves(2, 5) });
     rig.all[4].as_ref().unwrap().signal("STOP");
     sleep(Duration::from_secs(3));
     rig.all[4].as_ref().unwrap().signal("CONT");
     rig.site.fleet.relays.set(Rules::default());
-    // One is killed and forgets what it spent; guests lose their copies and come back cold.
+    // When a process is killed, and databases restart cold and without their copies.
     rig.restart(1);
     for group in 1..4 {
         let member = (primary(&rig.site.groups[group]) + 1) % 3;
         rig.site.restart(group, member, 500);
     }
-    rig.until("settled", || settled(5, &rig.running()).is_ok());
+    rig.wait_until("settled", || settled(5, &rig.running()).is_ok());
     let before = rig.served();
-    rig.until("hot again", || rig.hold(1) && rig.served() > before + 100);
+    rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served() > before + 100);
     let told = traffic.stop();
     rig.judge(&told);
     assert!(
@@ -171,42 +177,42 @@
         told.served,
         told.served + told.refused + told.failed + told.broken
     );
-    rig.until("cold", || rig.hold(0));
+    rig.wait_until("cold", || rig.all_have_hot_keys(0));
 }
 
-/// At SIGHUP it goes off under load, and on again; what is on its way ends as it would.
+/// What is in flight when SIGHUP switches hot keys off ends as it would.
 #[test]
-fn a_reload_ends_it_under_load_and_begins_it_again() {
-    let rig = Rig::new(2, 3, HOT);
+fn a_reload_switches_hot_keys_off_and_on_under_load() {
+    let rig = Rig::new(2, 3, HOT_OPTIONS);
     let traffic = rig.traffic(30.0);
-    rig.until("hot", || rig.hold(1) && rig.served() > 20);
-    let options = |n: usize, more: &str| rig.site.fleet.options(n).replace(HOT, more);
+    rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served() > 20);
+    let options = |n: usize, more: &str| rig.site.fleet.options(n).replace(HOT_OPTIONS, more);
     let config = |n: usize| rig.site.fleet.rig.config(n as u64 + 1);
     for (n, p) in rig.running().iter().enumerate() {
         p.reload(&config(n), &options(n, "")).unwrap();
     }
-    rig.until("off", || rig.running().iter().all(|p| ask(p, "hot").starts_with("NO ")));
+    rig.wait_until("off", || rig.running().iter().all(|p| ask(p, "hot").starts_with("NO ")));
     traffic.take();
     sleep(Duration::from_secs(1));
     let off = traffic.take();
     assert!(off.worth() > 0.5 && off.served > 0, "{off:?}");
     for (n, p) in rig.running().iter().enumerate() {
-        p.reload(&config(n), &options(n, HOT)).unwrap();
+        p.reload(&config(n), &options(n, HOT_OPTIONS)).unwrap();
     }
-    rig.until("hot again", || rig.hold(1) && rig.served() > 20);
+    rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served() > 20);
     rig.judge(&traffic.stop());
 }
 
-/// All proxies end at once and begin anew while copies lie about: what they find there proves itself or is a miss, and their new boots
-/// spend nothing until what the old ones may have spent is past.
+/// The new incarnations find copies of the old ones, each of which has the needed position or is a miss, and start nothing until the window
+/// is over in which the old ones may have used the budget.
 #[test]
-fn all_are_restarted_while_copies_lie_about() {
-    let mut rig = Rig::new(3, 3, HOT);
+fn copies_outlive_a_restart_of_all_proxies() {
+    let mut rig = Rig::new(3, 3, HOT_OPTIONS);
     let traffic = rig.traffic(30.0);
-    rig.until("hot", || rig.hold(1) && rig.served() > 50);
+    rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served() > 50);
     rig.all.iter_mut().for_each(|p| *p = None);
     (0..3).for_each(|n| rig.restart(n));
-    rig.until("join", || settled(3, &rig.running()).is_ok());
-    rig.until("hot again", || rig.hold(1) && rig.served() > 50);
+    rig.wait_until("join", || settled(3, &rig.running()).is_ok());
+    rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served() > 50);
     rig.judge(&traffic.stop());
 }
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -9,29 +9,36 @@
     Sha256::digest(key.as_bytes()).first_chunk::<4>().map_or(0, |b| u32::from_be_bytes(*b))
 }
 
-fn below(key: &str) -> bool {
+fn goes_to_lower_child(key: &str) -> bool {
     hash(key) < 1 << 31
 }
 
-fn above(key: &str) -> bool {
-    !below(key)
+fn goes_to_upper_child(key: &str) -> bool {
+    !goes_to_lower_child(key)
 }
 
-fn played(seed: u64) -> Summary {
+fn play_seed(seed: u64) -> Summary {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("schedule-{seed}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let own = [127, 85, (seed % 250) as u8, 1];
-    play(seed, own, program, &folder, hash, below, above).unwrap_or_else(|why| panic!("{why}"))
+    play(seed, own, program, &folder, hash, goes_to_lower_child, goes_to_upper_child)
+        .unwrap_or_else(|why| panic!("{why}"))
 }
 
-/// 7: a child's primary is deposed and does not know it; 31: a process is stopped while a database starts anew.
+/// Seed 7 has a child's primary that is deposed without knowing it, seed 31 a process that is suspended while a database restarts.
 #[test]
-fn schedules_break_nothing() {
-    let sums: Vec<Summary> = std::thread::scope(|scope| {
-        let all = [2, 7, 31].map(|seed| scope.spawn(move || played(seed)));
+fn seeded_schedules_of_faults_break_no_invariant() {
+    let summaries: Vec<Summary> = std::thread::scope(|scope| {
+        let all = [2, 7, 31].map(|seed| scope.spawn(move || play_seed(seed)));
         all.into_iter().map(|one| one.join().unwrap()).collect()
     });
-    let sum = |of: fn(&Summary) -> usize| sums.iter().map(of).sum::<usize>();
-    assert!(sum(|s| s.checked) > 500 && sum(|s| s.claims) > 10, "it shows nothing: {sums:?}");
-    assert!(sum(|s| s.shadows) > 100 && sum(|s| s.copy_reads) > 10, "it shows nothing: {sums:?}");
+    let total = |of: fn(&Summary) -> usize| summaries.iter().map(of).sum::<usize>();
+    assert!(
+        total(|s| s.checked) > 500 && total(|s| s.claims) > 10,
+        "the schedules exercise too little: {summaries:?}"
+    );
+    assert!(
+        total(|s| s.shadows) > 100 && total(|s| s.copy_reads) > 10,
+        "the schedules exercise too little: {summaries:?}"
+    );
 }
--- a/proxy/tests/split.rs
+++ b/proxy/tests/split.rs
@@ -1,4 +1,5 @@
-//! Reads compared while a group splits, on several real processes: faults alone are flagged, all of them, and a verdict is of all.
+//! Reads that are compared while a group splits, on several real processes: faults alone are confirmed, all of them, and the verdict
+//! speaks for all processes.
 
 use birchreach_test_support::fleet::{ask, settled};
 use birchreach_test_support::groups::judge::{cold, windows};
@@ -13,7 +14,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-const SPLIT: &str = "<split from='0' below='1' above='2' at='2147483648' least='1' within-ms='60000' confirm-ms='2500' \
+const SPLIT_OPTIONS: &str = "<split from='0' below='1' above='2' at='2147483648' least='1' within-ms='60000' confirm-ms='2500' \
                      reads-per-s='60' all-per-s='200' window-ms='1000'/>";
 
 fn hash(key: &str) -> u32 {
@@ -21,10 +22,12 @@
     u32::from_be_bytes([hash[0], hash[1], hash[2], hash[3]])
 }
 
+/// Whether the key goes to the lower child.
 fn below(key: &str) -> bool {
     hash(key) < 1 << 31
 }
 
+/// Whether the key goes to the upper child.
 fn above(key: &str) -> bool {
     !below(key)
 }
@@ -40,6 +43,7 @@
     by_range.into_iter().flatten().collect()
 }
 
+/// Proxies in front of a parent and two children, and clients that read all keys.
 struct Rig {
     site: Site,
     all: Vec<Process>,
@@ -65,10 +69,10 @@
             let change = Change::Row { key: key.clone(), value: format!("{n:04x}") };
             parent.with(|s| s.commit(0, now_ms() - 10_000, "", change));
         }
-        let site = Site::new(groups, count, own, program, &folder, u64::from(n), SPLIT).unwrap();
+        let site = Site::new(groups, count, own, program, &folder, u64::from(n), SPLIT_OPTIONS).unwrap();
         let all: Vec<Process> = (0..count).map(|n| site.start(n).unwrap()).collect();
         let mut rig = Rig { site, all, traffic: None, keys };
-        rig.until("join", |rig| settled(count, &rig.all.iter().collect::<Vec<_>>()).is_ok());
+        rig.wait_until("join", |rig| settled(count, &rig.all.iter().collect::<Vec<_>>()).is_ok());
         let proxies = Arc::new(Mutex::new(rig.all.iter().map(Process::clients).collect()));
         // Each client writes a key of its own, and reads all.
         let reads = |n: usize| {
@@ -83,7 +87,7 @@
         rig
     }
 
-    fn until(&self, what: &str, mut holds: impl FnMut(&Rig) -> bool) {
+    fn wait_until(&self, what: &str, mut holds: impl FnMut(&Rig) -> bool) {
         let start = Instant::now();
         while !holds(self) {
             let said: Vec<String> = self.all.iter().map(|p| ask(p, "split")).collect();
@@ -92,12 +96,12 @@
         }
     }
 
-    fn verdicts(&self, word: &str) -> bool {
+    fn all_have_verdict(&self, word: &str) -> bool {
         self.all.iter().all(|p| ask(p, "split").starts_with(&format!("split verdict={word} ")))
     }
 
-    /// Flags in all logs, by sort and hash.
-    fn flags(&self) -> Vec<String> {
+    /// Confirmed differences in the logs of all processes, by kind and hash.
+    fn confirmed_differences(&self) -> Vec<String> {
         let lines = self.all.iter().flat_map(|p| p.log());
         let mut all: Vec<String> = lines
             .filter(|l| l.contains("event=split-flag"))
@@ -112,7 +116,7 @@
         all
     }
 
-    /// Clients were served by the parent alone, and children within the budget.
+    /// Checks that clients were served by the parent alone, and that children were read within the budget.
     fn judge(&mut self) {
         let told = self.traffic.take().unwrap().stop();
         assert!(told.worth() > 0.5 && told.served > 200, "{} served, {} refused", told.served, told.refused);
@@ -122,7 +126,7 @@
                     s.records.iter().filter(|r| matches!(r.what, What::Read { background: false })).count();
                 assert_eq!(clients, 0, "a client's read went to a child");
                 let shadow = |what: &What| matches!(what, What::Read { background: true } | What::Look);
-                // A look reads twice; and what was on its way from before a stop.
+                // A sample reads twice; and what was in flight before a suspension.
                 let most = windows(&s.records, 1_000, 2 * 60 + 8, shadow).unwrap();
                 cold(&s.records, shadow).unwrap();
                 assert!(most > 0);
@@ -132,15 +136,15 @@
 }
 
 #[test]
-fn nothing_but_faults_is_flagged_and_the_verdict_is_of_all() {
+fn only_faults_are_confirmed_and_the_verdict_needs_all_processes() {
     let mut rig = Rig::new(1, 4);
-    rig.until("clean", |rig| rig.verdicts("clean"));
+    rig.wait_until("clean", |rig| rig.all_have_verdict("clean"));
     let [parent, first, second] = [0, 1, 2].map(|n| rig.site.groups[n].clone());
-    // The parent loses its last writes in a failover; its children have them for a second longer.
+    // When the parent loses its last writes in a failover, which its children have for another second.
     parent.with(|s| s.fail_over(1, now_ms(), true));
     rig.site.tell();
     sleep(Duration::from_secs(2));
-    // A child that lags, and one that begins anew from an old copy.
+    // When one child lags, and a replica of the other restarts from an old state.
     first.with(|s| s.members.iter_mut().for_each(|m| m.lag = 2_500));
     let replica = (second.with(|s| s.primary) + 1) % 2;
     rig.site.restart(2, replica, 8_000);
@@ -148,19 +152,19 @@
     first.with(|s| s.members.iter_mut().for_each(|m| m.lag = 30));
     second.with(|s| s.fail_over(1 - s.primary, now_ms(), true));
     rig.site.tell();
-    // One is cut off, and knows that it does not speak for all; one is stopped in the middle of its looks.
+    // When one process is partitioned, which then has no verdict for all, and one is suspended in the middle of its samples.
     rig.site.fleet.relays.set(Rules::halves(1, 4));
     rig.all[2].signal("STOP");
-    rig.until("cut off", |rig| ask(&rig.all[0], "split").contains("verdict=not-yet"));
+    rig.wait_until("cut off", |rig| ask(&rig.all[0], "split").contains("verdict=not-yet"));
     rig.all[2].signal("CONT");
     rig.site.fleet.relays.set(Rules::default());
-    rig.until("clean again", |rig| rig.verdicts("clean"));
-    assert_eq!(rig.flags(), Vec::<String>::new());
+    rig.wait_until("clean again", |rig| rig.all_have_verdict("clean"));
+    assert_eq!(rig.confirmed_differences(), Vec::<String>::new());
     rig.judge();
 }
 
 #[test]
-fn planted_faults_are_found_though_a_third_is_cut_off() {
+fn planted_faults_are_confirmed_while_a_third_is_partitioned() {
     let mut rig = Rig::new(2, 3);
     let mut planted = Vec::new();
     for (n, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
@@ -174,38 +178,38 @@
         planted.push(format!("{sort} {:08x}", hash(key)));
     }
     planted.sort();
-    // One of three hears nobody while they are found, and still says what it knows.
+    // One of three hears from nobody while they are confirmed, and still reports what it knows.
     rig.site.fleet.relays.set(Rules::halves(1, 3));
-    rig.until("found", |rig| rig.flags() == planted);
+    rig.wait_until("found", |rig| rig.confirmed_differences() == planted);
     rig.site.fleet.relays.set(Rules::default());
-    rig.until("dirty", |rig| rig.verdicts("dirty"));
-    assert_eq!(rig.flags(), planted);
+    rig.wait_until("dirty", |rig| rig.all_have_verdict("dirty"));
+    assert_eq!(rig.confirmed_differences(), planted);
     rig.judge();
 }
 
-/// Two definitions in one fleet never mix; SIGHUP ends a comparison under load.
+/// Two definitions in one fleet never mix, and SIGHUP ends a comparison under load.
 #[test]
-fn definitions_are_kept_apart_and_a_reload_ends_it() {
+fn definitions_do_not_mix_and_a_reload_ends_a_comparison() {
     let mut rig = Rig::new(3, 3);
-    rig.until("clean", |rig| rig.verdicts("clean"));
+    rig.wait_until("clean", |rig| rig.all_have_verdict("clean"));
     let reload = |rig: &Rig, n: usize, split: &str| {
-        let options = rig.site.fleet.options(n).replace(SPLIT, split);
+        let options = rig.site.fleet.options(n).replace(SPLIT_OPTIONS, split);
         rig.all[n].reload(&rig.site.fleet.rig.config(n as u64 + 1), &options).unwrap();
     };
-    reload(&rig, 0, &SPLIT.replace("2147483648", "1073741824"));
-    rig.until("apart", |rig| {
+    reload(&rig, 0, &SPLIT_OPTIONS.replace("2147483648", "1073741824"));
+    rig.wait_until("apart", |rig| {
         rig.all
             .iter()
             .all(|p| ask(p, "split").contains("verdict=not-yet") || ask(p, "split").contains("verdict=dirty"))
     });
     let metrics = ask(&rig.all[1], "metrics");
     assert!(metrics.contains("kind=\"split\",end=\"other-definition\""), "{metrics}");
-    // By its definition the children have other keys than they should: it alone finds that.
-    rig.until("by its definition", |rig| ask(&rig.all[0], "split").contains("verdict=dirty"));
+    // By its own definition the children have other keys than they should, which it alone finds.
+    rig.wait_until("by its definition", |rig| ask(&rig.all[0], "split").contains("verdict=dirty"));
     assert!(rig.all[1..].iter().all(|p| !ask(p, "split").contains("verdict=dirty")));
     reload(&rig, 0, "");
-    rig.until("off", |rig| ask(&rig.all[0], "split").starts_with("NO "));
-    reload(&rig, 0, SPLIT);
-    rig.until("clean again", |rig| rig.verdicts("clean"));
+    rig.wait_until("off", |rig| ask(&rig.all[0], "split").starts_with("NO "));
+    reload(&rig, 0, SPLIT_OPTIONS);
+    rig.wait_until("clean again", |rig| rig.all_have_verdict("clean"));
     rig.judge();
 }
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -17,14 +17,14 @@
 }
 
 /// Settings that want two comparisons a range by one process.
-pub fn settings(named: usize) -> Settings {
+pub fn settings(configured: usize) -> Settings {
     Settings {
         definition: definition(),
         min_comparisons: 2,
         coverage_window: 600 * SECOND,
         min_processes: 1,
         confirmation_delay: 3 * SECOND,
-        configured_members: named,
+        configured_members: configured,
     }
 }
 
@@ -108,7 +108,7 @@
     /// The newest value of a key up to a position, and when it was committed.
     fn at(&self, n: usize, position: Micros, of_child: bool) -> (Micros, u64) {
         let kept = self.log[&n].iter().filter(|(at, _)| *at <= position);
-        // A child has what was lost until it is set right.
+        // A child has what was lost until it is repaired.
         let lost =
             self.lost.iter().filter(|l| of_child && l.0 == n && l.1 <= position && self.now - l.3 < SECOND);
         kept.copied().chain(lost.map(|l| (l.1, l.2))).max().unwrap_or((0, 0))
@@ -152,16 +152,16 @@
                     self.all[n].due_queries(self.now, 4)
                 {
                     self.queries += 1;
-                    let told = self.answer(query, &key_bytes);
+                    let result = self.answer(query, &key_bytes);
                     let after = self.rng.i64(2 * MILLI..200 * MILLI);
-                    self.answers_in_transit.push((self.now + after, n, number, told));
+                    self.answers_in_transit.push((self.now + after, n, number, result));
                 }
             }
             let now = self.now;
-            for (_, n, number, told) in
+            for (_, n, number, result) in
                 self.answers_in_transit.extract_if(.., |u| u.0 <= now).collect::<Vec<_>>()
             {
-                self.differences.extend(self.all[n].record_result(now, number, told));
+                self.differences.extend(self.all[n].record_result(now, number, result));
             }
             self.exchange_reports();
         }
@@ -240,18 +240,18 @@
         }
     }
 
-    /// Keys with a fault that were flagged, by hash; and differences of keys that have none, or of another sort.
+    /// Keys with a fault for which a difference was confirmed; and confirmed differences of other keys, or of another kind.
     pub fn found(&self) -> (BTreeSet<usize>, Vec<&ConfirmedDifference>) {
         let (mut found, mut wrong) = (BTreeSet::new(), Vec::new());
         for f in &self.differences {
             let n = (0..self.keys).find(|n| Definition::hash(&key(*n)) == f.key_hash);
-            let sort = n.and_then(|n| self.faults.get(&n)).map(|fault| match fault {
+            let kind = n.and_then(|n| self.faults.get(&n)).map(|fault| match fault {
                 ChildFault::Missing => DifferenceKind::Missing,
                 ChildFault::Extra => DifferenceKind::Extra,
                 ChildFault::Other => DifferenceKind::Differs,
             });
-            match (n, sort) {
-                (Some(n), Some(sort)) if sort == f.kind => {
+            match (n, kind) {
+                (Some(n), Some(kind)) if kind == f.kind => {
                     found.insert(n);
                 }
                 _ => wrong.push(f),
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -12,11 +12,11 @@
 enum Stage {
     Idle,
     /// The child's position is known; then its row is read; then its position again.
-    Low {
+    PositionKnown {
         child: usize,
         low: usize,
     },
-    Row {
+    RowRead {
         child: usize,
         low: usize,
         row: u64,
@@ -45,11 +45,11 @@
     Commit(u64),
     Apply(usize),
     ParentApplies,
-    Begin(usize),
-    Read,
-    Told,
-    Ask,
-    Answer,
+    ReadChildPosition(usize),
+    ReadChild,
+    ReadPositionAgain,
+    ReadParentPosition,
+    ReadParent,
 }
 
 struct Rules {
@@ -91,11 +91,11 @@
             all.push(Step::ParentApplies);
         }
         match s.stage {
-            Stage::Idle => all.extend((0..CHILDREN).map(Step::Begin)),
-            Stage::Low { .. } => all.push(Step::Read),
-            Stage::Row { .. } => all.push(Step::Told),
-            Stage::ChildSampled(..) => all.push(Step::Ask),
-            Stage::ParentPositionKnown(..) => all.push(Step::Answer),
+            Stage::Idle => all.extend((0..CHILDREN).map(Step::ReadChildPosition)),
+            Stage::PositionKnown { .. } => all.push(Step::ReadChild),
+            Stage::RowRead { .. } => all.push(Step::ReadPositionAgain),
+            Stage::ChildSampled(..) => all.push(Step::ReadParentPosition),
+            Stage::ParentPositionKnown(..) => all.push(Step::ReadParent),
         }
     }
 
@@ -106,12 +106,14 @@
             (Step::Commit(value), _) => s.log.push(value),
             (Step::Apply(child), _) => s.applied[child] += 1,
             (Step::ParentApplies, _) => s.parent += 1,
-            (Step::Begin(child), _) => s.stage = Stage::Low { child, low: s.applied[child] },
-            (Step::Read, Stage::Low { child, low }) => {
+            (Step::ReadChildPosition(child), _) => {
+                s.stage = Stage::PositionKnown { child, low: s.applied[child] }
+            }
+            (Step::ReadChild, Stage::PositionKnown { child, low }) => {
                 let row = self.row(&s, child);
-                s.stage = Stage::Row { child, low, row };
+                s.stage = Stage::RowRead { child, low, row };
             }
-            (Step::Told, Stage::Row { child, low, row }) => {
+            (Step::ReadPositionAgain, Stage::RowRead { child, low, row }) => {
                 let sample = PositionSample {
                     row: Some(row),
                     position_before: low as i64,
@@ -119,10 +121,10 @@
                 };
                 s.stage = Stage::ChildSampled(child, sample);
             }
-            (Step::Ask, Stage::ChildSampled(child, sample)) => {
+            (Step::ReadParentPosition, Stage::ChildSampled(child, sample)) => {
                 s.stage = Stage::ParentPositionKnown(child, sample, s.parent)
             }
-            (Step::Answer, Stage::ParentPositionKnown(child, sample, seen)) => {
+            (Step::ReadParent, Stage::ParentPositionKnown(child, sample, seen)) => {
                 let at = s.parent as i64;
                 let parent = ParentSample {
                     row: s.log.get(s.parent).copied(),
--- a/shard-split/tests/split.rs
+++ b/shard-split/tests/split.rs
@@ -3,8 +3,8 @@
 mod common;
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
-    Definition, DueQuery, IncompleteReason, RANGES, RangeCoverage, RangeDifferences, Report, SplitVerifier,
-    Verdict,
+    ComparisonQuery, Definition, DueQuery, IncompleteReason, ParentSample, PositionSample, QueryResult,
+    RANGES, RangeCoverage, RangeDifferences, Report, SplitVerifier, Verdict,
 };
 use common::{ChildFault, Disturbances, SECOND, World, definition, key, settings};
 
@@ -102,58 +102,48 @@
     Ok(())
 }
 
+/// A verifier of three processes, of which two must compare each range, that has received equal reports of the others.
+fn verifier_with_reports(compared: impl Fn(usize) -> u32) -> SplitVerifier {
+    let settings = birchreach_shard_split::Settings { min_processes: 2, ..settings(3) };
+    let mut split = SplitVerifier::new(settings, 1, 0);
+    let compared = (0..RANGES).map(compared).collect();
+    let report = Report { definition_digest: definition().digest(), compared, differences: vec![] }.encode();
+    for origin in 2..=4 {
+        let _ = split.receive_report(SECOND, origin, 1, 0, &report);
+    }
+    split
+}
+
 fn check_clean_verdict() -> CheckResult {
-    let of = |compared: Vec<u32>| {
-        Report { definition_digest: definition().digest(), compared, differences: vec![] }.encode()
-    };
-    let new = |compared: &dyn Fn(usize) -> u32| {
-        let mut split =
-            SplitVerifier::new(birchreach_shard_split::Settings { min_processes: 2, ..settings(3) }, 1, 0);
-        for origin in 2..=4 {
-            let _ = split.receive_report(SECOND, origin, 1, 0, &of((0..RANGES).map(compared).collect()));
-        }
-        split
+    let covered = verifier_with_reports(|_| 1).verdict(3);
+    ensure!(covered == Verdict::Clean, "three times one is enough: {covered:?}");
+    let one_lacks = verifier_with_reports(|range| u32::from(range != 7)).verdict(3);
+    let reason = IncompleteReason {
+        ranges_below_comparisons: 1,
+        ranges_below_processes: 1,
+        ..IncompleteReason::default()
     };
-    ensure!(
-        new(&|_| 1).verdict(3) == Verdict::Clean,
-        "three times one is enough: {:?}",
-        new(&|_| 1).verdict(3)
-    );
-    let one_lacks = new(&|range| u32::from(range != 7)).verdict(3);
-    ensure!(
-        one_lacks
-            == Verdict::Incomplete(IncompleteReason {
-                ranges_below_comparisons: 1,
-                ranges_below_processes: 1,
-                silent_members: 0
-            }),
-        "{one_lacks:?}"
-    );
-    let cut_off = new(&|_| 9).verdict(2);
-    ensure!(
-        cut_off
-            == Verdict::Incomplete(IncompleteReason {
-                ranges_below_comparisons: 0,
-                ranges_below_processes: 0,
-                silent_members: 1
-            }),
-        "{cut_off:?}"
-    );
-    // Comparisons older than the window do not count.
-    let mut split = SplitVerifier::new(settings(1), 1, 0);
+    ensure!(one_lacks == Verdict::Incomplete(reason), "{one_lacks:?}");
+    let partitioned = verifier_with_reports(|_| 9).verdict(2);
+    let reason = IncompleteReason { silent_members: 1, ..IncompleteReason::default() };
+    ensure!(partitioned == Verdict::Incomplete(reason), "{partitioned:?}");
+    check_that_comparisons_expire()
+}
+
+/// Comparisons older than the window do not count, nor does a report of none.
+fn check_that_comparisons_expire() -> CheckResult {
     let mut world = World::new(1, 1, 600, Disturbances::default());
     world.pass(60 * SECOND, 200.0);
-    ensure!(world.all[0].verdict(1) == Verdict::Clean, "{:?}", world.all[0].verdict(1));
+    let verdict = world.all[0].verdict(1);
+    ensure!(verdict == Verdict::Clean, "{verdict:?}");
     world.pass(700 * SECOND, 0.0);
-    ensure!(
-        matches!(world.all[0].verdict(1), Verdict::Incomplete(l) if l.ranges_below_comparisons == RANGES),
-        "{:?}",
-        world.all[0].verdict(1)
-    );
-    ensure!(
-        split.report_if_due(2 * SECOND).is_some() && matches!(split.verdict(1), Verdict::Incomplete(_)),
-        "nothing was compared"
-    );
+    let verdict = world.all[0].verdict(1);
+    let is_uncovered =
+        matches!(verdict, Verdict::Incomplete(reason) if reason.ranges_below_comparisons == RANGES);
+    ensure!(is_uncovered, "{verdict:?}");
+    let mut split = SplitVerifier::new(settings(1), 1, 0);
+    let has_reported = split.report_if_due(2 * SECOND).is_some();
+    ensure!(has_reported && matches!(split.verdict(1), Verdict::Incomplete(_)), "nothing was compared");
     Ok(())
 }
 
@@ -166,7 +156,7 @@
     ensure!(flags > 100, "it shows nothing: {flags}");
     ensure!(
         split.comparison_count() <= 64 && flags <= 4 * RANGES,
-        "{} under way, {flags} flags",
+        "{} in progress, {flags} differences",
         split.comparison_count()
     );
     let mut flooded = SplitVerifier::new(settings(2), 1, 0);
@@ -182,15 +172,13 @@
 
 /// A difference that is found twice is not confirmed where a restart or a failover lies in between.
 fn check_processes() -> CheckResult {
-    use birchreach_shard_split::judge::ParentSample;
-    use birchreach_shard_split::{ComparisonQuery, PositionSample, QueryResult};
     let mut split = SplitVerifier::new(settings(1), 1, 0);
     let (low, high, seen) = (10 * SECOND, 11 * SECOND, 12 * SECOND);
     split.record_read(0, 0, &key(1), Some(1));
-    let flag = |split: &mut SplitVerifier, now, child, parent| {
-        let mut flag = None;
+    let confirmed = |split: &mut SplitVerifier, now, child, parent| {
+        let mut confirmed = None;
         while let Some(DueQuery { comparison: number, query, .. }) = split.due_queries(now, 1).pop() {
-            let reports = match query {
+            let result = match query {
                 ComparisonQuery::SingleRead(_) => {
                     QueryResult::SingleRead { row: Some(2), position: Some(low) }
                 }
@@ -203,14 +191,14 @@
                     process: parent,
                 },
             };
-            flag = split.record_result(now, number, reports);
+            confirmed = split.record_result(now, number, result);
         }
-        flag
+        confirmed
     };
-    ensure!(flag(&mut split, 20 * SECOND, 1, 1).is_none(), "at once");
-    ensure!(flag(&mut split, 24 * SECOND, 1, 2).is_none(), "the parent failed over in between");
-    ensure!(flag(&mut split, 28 * SECOND, 2, 2).is_none(), "the child was restarted in between");
-    ensure!(flag(&mut split, 32 * SECOND, 2, 2).is_some(), "it lasts, and is not found");
+    ensure!(confirmed(&mut split, 20 * SECOND, 1, 1).is_none(), "at once");
+    ensure!(confirmed(&mut split, 24 * SECOND, 1, 2).is_none(), "the parent failed over in between");
+    ensure!(confirmed(&mut split, 28 * SECOND, 2, 2).is_none(), "the child was restarted in between");
+    ensure!(confirmed(&mut split, 32 * SECOND, 2, 2).is_some(), "it lasts, and is not found");
     Ok(())
 }
 
