--- a/shard-split/tests/split.rs
+++ b/shard-split/tests/split.rs
@@ -139,7 +139,11 @@
             }),
         "{cut_off:?}"
     );
-    // Comparisons older than the window do not count.
+    check_comparisons_expire()
+}
+
+/// Comparisons older than the window do not count.
+fn check_comparisons_expire() -> CheckResult {
     let mut split = SplitVerifier::new(settings(1), 1, 0);
     let mut world = World::new(1, 1, 600, Disturbances::default());
     world.pass(60 * SECOND, 200.0);
