--- a/shard-split/tests/split.rs
+++ b/shard-split/tests/split.rs
@@ -127,11 +127,11 @@
     let partitioned = verifier_with_reports(|_| 9).verdict(2);
     let reason = IncompleteReason { silent_members: 1, ..IncompleteReason::default() };
     ensure!(partitioned == Verdict::Incomplete(reason), "{partitioned:?}");
-    check_that_comparisons_expire()
+    check_comparisons_expire()
 }
 
 /// Comparisons older than the window do not count, nor does a report of none.
-fn check_that_comparisons_expire() -> CheckResult {
+fn check_comparisons_expire() -> CheckResult {
     let mut world = World::new(1, 1, 600, Disturbances::default());
     world.pass(60 * SECOND, 200.0);
     let verdict = world.all[0].verdict(1);
