--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -38,7 +38,7 @@
                 What::Read(_) => Job::Read,
                 What::Copy { position, .. } => Job::CopyWrite(*position),
             };
-            self.proxies[n].errands.insert(number, (task.payload, 0, i64::from(database)));
+            self.proxies[n].background_queries.insert(number, (task.payload, 0, i64::from(database)));
             self.at(now + WAY, Happens::Arrives(database, Call { proxy: n, what: Err(number), job }));
         }
         let address = |n: usize| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7));
@@ -54,14 +54,20 @@
         }
     }
 
-    /// An errand's statement is done: a row is read twice, then copied.
-    pub(super) fn errand(&mut self, n: usize, number: u64, ending: AttemptOutcome, position: i64) {
+    /// A statement of a background query is done: a row is read twice, then copied.
+    pub(super) fn continue_background_query(
+        &mut self,
+        n: usize,
+        number: u64,
+        ending: AttemptOutcome,
+        position: i64,
+    ) {
         let now = self.now;
-        let Some((what, step, of)) = self.proxies[n].errands.remove(&number) else { return };
+        let Some((what, step, of)) = self.proxies[n].background_queries.remove(&number) else { return };
         match what {
             What::Read(due) if ending == AttemptOutcome::Ok && step == 0 => {
                 let server = of as u32;
-                self.proxies[n].errands.insert(number, (What::Read(due), 1, position));
+                self.proxies[n].background_queries.insert(number, (What::Read(due), 1, position));
                 let call = Call { proxy: n, what: Err(number), job: Job::Read };
                 self.at(now + WAY, Happens::Arrives(server, call));
             }
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -29,7 +29,7 @@
     pub hot: HotKeyTracker,
     pub gossip_reports: GossipReports,
     pub scheduler: Scheduler<What>,
-    pub errands: HashMap<u64, (What, u8, i64)>,
+    pub background_queries: HashMap<u64, (What, u8, i64)>,
     pub actions: Vec<Action>,
 }
 
@@ -98,15 +98,15 @@
         hot.update_databases((0..GROUPS * MEMBERS).map(database).collect(), replicas);
         hot.set_fleet(proxies, GossipReports::interval(proxies));
         let budget = |per_s| Budget { database_per_s: per_s, all_per_s: 60.0, window: 10_000_000 };
-        // A fleet that has run for long: nothing is left of what an earlier boot may have spent.
+        // A fleet that has run for long: nothing is left of what an earlier incarnation may have started.
         let budgets = [(TaskKind::RowRead, budget(30.0)), (TaskKind::CopyWrite, budget(30.0))];
         let scheduler = Scheduler::new(&budgets, now - 20_000_000);
         let gossip_reports = GossipReports::new(n as u64 + 1, seed ^ 0xabc);
-        Proxy { router, hot, gossip_reports, scheduler, errands: HashMap::new(), actions }
+        Proxy { router, hot, gossip_reports, scheduler, background_queries: HashMap::new(), actions }
     }
 
-    /// Guests for a read of the key, as the mode has them.
-    pub fn guests(&mut self, mode: Mode, now: i64, key: Option<Key>) -> Vec<(ServerId, i64)> {
+    /// Copies that may serve a read of the key, as the mode has them.
+    pub fn copy_candidates(&mut self, mode: Mode, now: i64, key: Option<Key>) -> Vec<(ServerId, i64)> {
         let Some(key) = key else { return Vec::new() };
         match mode {
             Mode::Off => Vec::new(),
@@ -118,7 +118,7 @@
                     .map(|copy| (ServerId(copy.server), copy.likely_position))
                     .collect()
             }
-            // It knows: the same number of guests, of other groups, with copies of the present.
+            // It knows: the same number of copies, in other groups, all of the present.
             Mode::Oracle => [4, 7, 10].map(|id| (ServerId(id), now)).to_vec(),
         }
     }
--- a/benches/src/gain/requests.rs
+++ b/benches/src/gain/requests.rs
@@ -15,7 +15,7 @@
             let write = self.rng.f64() < WRITES_PER_S / (READS_PER_S + WRITES_PER_S);
             (if write { WRITES } else { READS }, self.rng.u32(..GROUPS), None)
         };
-        let guests = self.proxies[n].guests(self.mode, self.now, key);
+        let copy_candidates = self.proxies[n].copy_candidates(self.mode, self.now, key);
         self.number += 1;
         let id = self.number;
         let deadline = if class == WRITES { 3_000_000 } else { 1_200_000 };
@@ -24,7 +24,13 @@
         }
         self.open.insert(
             (n, id),
-            Open { class, group, sent: self.now, attempts: HashMap::new(), copy: !guests.is_empty() },
+            Open {
+                class,
+                group,
+                sent: self.now,
+                attempts: HashMap::new(),
+                copy: !copy_candidates.is_empty(),
+            },
         );
         let request = Request {
             id: RequestId(id),
@@ -34,7 +40,7 @@
             timeout: deadline,
             session: None,
             last_write_position: None,
-            copy_candidates: guests
+            copy_candidates: copy_candidates
                 .into_iter()
                 .map(|(server, likely_position)| CopyCandidate { server, likely_position })
                 .collect(),
--- a/benches/src/gain/servers.rs
+++ b/benches/src/gain/servers.rs
@@ -16,7 +16,7 @@
 /// Reads a second that one database bears.
 pub const BEARS: f64 = AT_ONCE as f64 * 1e6 / READ as f64;
 
-/// Whose statement it is: a proxy's attempt, or its errand; and what it does.
+/// Whose statement it is: a proxy's attempt, or its background query; and what it does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Job {
     Read,
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     pub proxy: usize,
-    /// An attempt (request, number), or an errand's number.
+    /// An attempt (request, number), or the number of a background query.
     pub what: Result<(u64, u16), u64>,
     pub job: Job,
 }
--- a/benches/src/gain/world.rs
+++ b/benches/src/gain/world.rs
@@ -187,7 +187,7 @@
         let n = call.proxy;
         let (request, attempt) = match call.what {
             Ok(attempt) => attempt,
-            Err(errand) => return self.errand(n, errand, ending, position),
+            Err(number) => return self.continue_background_query(n, number, ending, position),
         };
         let Some(open) = self.open.get_mut(&(n, request)) else { return };
         let Some((at, sent)) = open.attempts.get(&attempt).copied().filter(|a| a.0 != u32::MAX) else {
