--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -3,7 +3,7 @@
 use super::proxies::{HOT, What};
 use super::servers::{Call, Job};
 use super::world::{Happens, Mode, WAY, World};
-use birchreach::*;
+use birchreach::{AttemptOutcome, GroupId};
 use birchreach_background_tasks::{StartedTask, Task, TaskKind};
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
                 What::Read(_) => Job::Read,
                 What::Copy { position, .. } => Job::CopyWrite(*position),
             };
-            self.proxies[n].errands.insert(number, (task.payload, 0, i64::from(database)));
+            self.proxies[n].background_queries.insert(number, (task.payload, 0, i64::from(database)));
             self.at(now + WAY, Happens::Arrives(database, Call { proxy: n, what: Err(number), job }));
         }
         let address = |n: usize| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7));
@@ -54,14 +54,20 @@
         }
     }
 
-    /// An errand's statement is done: a row is read twice, then copied.
-    pub(super) fn errand(&mut self, n: usize, number: u64, ending: AttemptOutcome, position: i64) {
+    /// A statement of a background query is done: a row is read twice, then copied.
+    pub(super) fn continue_background_query(
+        &mut self,
+        n: usize,
+        number: u64,
+        ending: AttemptOutcome,
+        position: i64,
+    ) {
         let now = self.now;
-        let Some((what, step, of)) = self.proxies[n].errands.remove(&number) else { return };
+        let Some((what, step, of)) = self.proxies[n].background_queries.remove(&number) else { return };
         match what {
             What::Read(due) if ending == AttemptOutcome::Ok && step == 0 => {
                 let server = of as u32;
-                self.proxies[n].errands.insert(number, (What::Read(due), 1, position));
+                self.proxies[n].background_queries.insert(number, (What::Read(due), 1, position));
                 let call = Call { proxy: n, what: Err(number), job: Job::Read };
                 self.at(now + WAY, Happens::Arrives(server, call));
             }
@@ -69,8 +75,8 @@
                 let proxy = &mut self.proxies[n];
                 proxy.scheduler.finish(number);
                 let refresh = proxy.hot.settings().refresh_interval();
-                for (guest, group) in due.holders.iter().filter(|_| ending == AttemptOutcome::Ok) {
-                    let what = What::Copy { guest: *guest, group: *group, position: of };
+                for holder in due.holders.iter().filter(|_| ending == AttemptOutcome::Ok) {
+                    let what = What::Copy { holder: holder.server, group: holder.group, position: of };
                     proxy.scheduler.submit(Task {
                         kind: TaskKind::CopyWrite,
                         expires_at: now + refresh,
@@ -78,12 +84,12 @@
                     });
                 }
             }
-            What::Copy { guest, group, position } => {
+            What::Copy { holder, group, position } => {
                 self.proxies[n].scheduler.finish(number);
                 if ending == AttemptOutcome::Ok {
                     self.copies[0] += 1;
                     self.servers.copied(now, group, position);
-                    self.proxies[n].hot.record_copy_written(now, HOT, guest);
+                    self.proxies[n].hot.record_copy_written(now, HOT, holder);
                 }
             }
         }
--- a/benches/src/gain/world.rs
+++ b/benches/src/gain/world.rs
@@ -2,7 +2,9 @@
 
 use super::proxies::{HOT, Proxy, WRITES};
 use super::servers::{Call, GROUPS, Job, LAG, MEMBERS, Servers};
-use birchreach::*;
+use birchreach::{
+    AttemptNo, AttemptOutcome, AttemptResult, Event, LoadReport, RequestId, Role, ServerId, ServerStatus,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
@@ -185,7 +187,7 @@
         let n = call.proxy;
         let (request, attempt) = match call.what {
             Ok(attempt) => attempt,
-            Err(errand) => return self.errand(n, errand, ending, position),
+            Err(number) => return self.continue_background_query(n, number, ending, position),
         };
         let Some(open) = self.open.get_mut(&(n, request)) else { return };
         let Some((at, sent)) = open.attempts.get(&attempt).copied().filter(|a| a.0 != u32::MAX) else {
--- /dev/null
+++ b/membership/tests/common/scenes/mod.rs
@@ -0,0 +1,158 @@
+//! What must hold of a fleet, as scenes that return what was violated: the tests want them to pass, and each injected fault must
+//! make one fail.
+
+/// Returns with an error unless the condition holds.
+macro_rules! ensure {
+    ($what:expr) => { ensure!($what, "{}", stringify!($what)) };
+    ($what:expr, $($message:tt)+) => {
+        let holds: bool = $what;
+        if !holds {
+            return Err(format!($($message)+));
+        }
+    };
+}
+
+/// Returns with an error unless both are equal.
+macro_rules! ensure_eq {
+    ($a:expr, $b:expr $(,)?) => { ensure_eq!($a, $b, "{}", stringify!($a)) };
+    ($a:expr, $b:expr, $($message:tt)+) => {
+        let (a, b) = (&$a, &$b);
+        if a != b {
+            return Err(format!("{}: {a:?}, not {b:?}", format!($($message)+)));
+        }
+    };
+}
+
+pub mod limits;
+pub mod settling;
+
+use super::network::Network;
+use super::{SECOND, address};
+use birchreach_membership::{Membership, MembershipChange, Micros, Peer, ViewState};
+
+fn cut_into_halves(network: &mut Network, first: usize) {
+    network.is_cut = Box::new(move |from, to| (from < first) != (to < first));
+}
+
+fn end_cut(network: &mut Network) {
+    network.is_cut = Box::new(|_, _| false);
+}
+
+fn membership(network: &mut Network, n: usize) -> Result<&mut Membership, String> {
+    network.processes[n].membership.as_mut().ok_or(format!("{n} is down"))
+}
+
+/// Waits until all agree on so many members, or returns what they were to agree after.
+fn agreement(network: &mut Network, members: usize, limit: Micros, after: &str) -> Result<(), String> {
+    let took = network.time_to_agreement(members, limit);
+    took.map(drop).ok_or_else(|| format!("{after}: {members} members do not agree"))
+}
+
+/// How often a process of a place for which this holds was removed from a view.
+fn removals(network: &Network, counts: impl Fn(usize) -> bool) -> usize {
+    let is_counted =
+        |peer: &Peer| (0..network.processes.len()).any(|n| address(n) == peer.address && counts(n));
+    let changes = network.processes.iter().flat_map(|process| &process.changes);
+    changes
+        .filter(|(_, change)| matches!(change, MembershipChange::Removed(peer) if is_counted(peer)))
+        .count()
+}
+
+/// At up to 5% of datagrams lost only a member that crashed is removed.
+pub fn no_live_member_is_removed() -> Result<(), String> {
+    for (loss, seed) in [(0.0, 1), (0.05, 2), (0.05, 3)] {
+        let mut network = Network::started(40, seed);
+        network.loss = loss;
+        network.advance(120 * SECOND);
+        ensure_eq!(removals(&network, |_| true), 0, "loss {loss}, seed {seed}");
+        network.kill(7);
+        network.advance(10 * SECOND);
+        ensure_eq!(removals(&network, |n| n != 7), 0, "loss {loss}, seed {seed}");
+        let is_absent = |view: &&Membership| view.members().all(|member| member.address != address(7));
+        ensure_eq!(network.live().filter(is_absent).count(), 39, "loss {loss}, seed {seed}");
+    }
+    Ok(())
+}
+
+/// Quotas by each view's divisor add up to no more than the whole, in a partitioned fleet too.
+pub fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
+    let mut network = Network::started(20, 5);
+    agreement(&mut network, 20, 20 * SECOND, "join")?;
+    cut_into_halves(&mut network, 7);
+    for _ in 0..200 {
+        network.advance(SECOND / 5);
+        let sum: f64 = network.live().map(|member| 1.0 / f64::from(member.view().divisor())).sum();
+        ensure!(sum <= 1.0 + 1e-9, "{sum} at {}", network.now);
+    }
+    ensure!(network.live().all(|member| member.view().members < 20), "each partition sees itself alone");
+    // More members than the options name: those seen count.
+    end_cut(&mut network);
+    (20..25).for_each(|n| network.start(n, 0));
+    agreement(&mut network, 25, 20 * SECOND, "join of five more")?;
+    ensure!(network.live().all(|member| member.view().divisor() == 25));
+    Ok(())
+}
+
+/// After a restart no view has the former incarnation.
+pub fn a_restart_replaces_the_former_incarnation() -> Result<(), String> {
+    for clock_offset in [0, -3_600 * SECOND] {
+        let mut network = Network::started(10, 6);
+        agreement(&mut network, 10, 20 * SECOND, "join")?;
+        let before = membership(&mut network, 4)?.own().incarnation;
+        // At once, before any other has noticed, and perhaps with a clock that went back.
+        network.kill(4);
+        network.start(4, clock_offset);
+        agreement(&mut network, 10, 30 * SECOND, &format!("restart, clock off by {clock_offset}"))?;
+        let after = membership(&mut network, 4)?.own().incarnation;
+        let seen = |view: &Membership| {
+            view.members().find(|member| member.address == address(4)).map(|member| member.incarnation)
+        };
+        let is_replaced = network.live().all(|view| seen(view).is_none_or(|seen| seen == after));
+        ensure!(is_replaced && before != after);
+    }
+    Ok(())
+}
+
+/// A member that receives nothing reports itself blind, and one that is alone by its options does not.
+pub fn a_partitioned_member_reports_itself_blind() -> Result<(), String> {
+    let state = |network: &mut Network| membership(network, 0).map(|member| member.view().state);
+    let mut network = Network::new(3, 7);
+    network.start(0, 0);
+    network.advance(4 * SECOND);
+    ensure_eq!(state(&mut network)?, ViewState::Blind { since: 0 });
+    (1..3).for_each(|n| network.start(n, 0));
+    agreement(&mut network, 3, 10 * SECOND, "join")?;
+    cut_into_halves(&mut network, 1);
+    let cut_at = network.now;
+    network.advance(4 * SECOND);
+    let near_cut = cut_at - SECOND..=cut_at + SECOND;
+    let state_after = state(&mut network)?;
+    ensure!(
+        matches!(state_after, ViewState::Blind { since } if near_cut.contains(&since)),
+        "{state_after:?}"
+    );
+    let mut alone = Network::started(1, 8);
+    alone.advance(10 * SECOND);
+    ensure_eq!(state(&mut alone)?, ViewState::Alone);
+    Ok(())
+}
+
+/// All report that two members have one name, and that this has ended.
+pub fn name_conflicts_are_reported() -> Result<(), String> {
+    let mut network = Network::started(4, 9);
+    network.start_named(4, "p2", 0);
+    network.advance(10 * SECOND);
+    let reports = |member: &Membership| member.view().name_conflicts == ["p2"];
+    ensure!(network.live().all(reports), "by all, those with the name too");
+    network.kill(4);
+    network.advance(10 * SECOND);
+    ensure!(network.live().all(|member| member.view().name_conflicts.is_empty()));
+    let (conflict, resolved) =
+        (MembershipChange::NameConflict("p2".into()), MembershipChange::NameConflictResolved("p2".into()));
+    for process in &network.processes[..4] {
+        let changes = process.changes.iter().map(|(_, change)| change);
+        let of_names: Vec<_> = changes.filter(|change| [&conflict, &resolved].contains(change)).collect();
+        ensure_eq!(of_names, [&conflict, &resolved]);
+    }
+    Ok(())
+}
--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -1,57 +1,62 @@
-//! Links to other proxies: what is learnt from them (`knowledge`), and who of them is there (`fleet`).
+//! Links to other proxies: state transfer (`knowledge`) and membership of the fleet (`fleet`).
 
 use crate::reader::Reader;
-use birchreach_peer_state::{provider, request_scheduler};
+use birchreach_peer_state::provider::ProviderSettings;
+use birchreach_peer_state::request_scheduler::RequestSettings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use uppsala::NodeId;
 
-/// What is learnt from other proxies, and told them.
+/// State transfer from and to other proxies: the element `knowledge`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Knowledge {
-    /// Where others ask, if anywhere.
+pub struct PeerStateOptions {
+    /// Where other proxies request state, if anywhere.
     pub listen: Option<SocketAddr>,
+    /// The element's line in the file.
     pub line: usize,
-    /// A file of keys that all have.
+    /// The file of the keys that the proxies share.
     pub key_file: PathBuf,
-    pub join: request_scheduler::RequestSettings,
-    pub donor: provider::ProviderSettings,
+    /// Requests of this proxy.
+    pub requests: RequestSettings,
+    /// Answers of this proxy.
+    pub provider: ProviderSettings,
 }
 
-/// The view of the fleet.
+/// Membership of the fleet: the element `fleet`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
-    /// Where others reach this process, by datagrams.
+pub struct FleetOptions {
+    /// Where this process receives datagrams of others.
     pub listen: SocketAddr,
-    /// As others must write it, where that is another.
+    /// The address that others use, where it is another.
     pub advertise: SocketAddr,
+    /// The element's line in the file.
     pub line: usize,
-    /// A file of keys that all have.
+    /// The file of the keys that the proxies share.
     pub key_file: PathBuf,
-    /// Others that are tried at the start, and after a cut.
+    /// Addresses of others, tried at the start and after a partition.
     pub peers: Vec<SocketAddr>,
-    /// How many processes there are in all.
-    pub named: u32,
+    /// Processes of the fleet, this one included.
+    pub configured_members: u32,
 }
 
 impl Reader<'_> {
-    pub(crate) fn knowledge(&mut self, node: NodeId) -> Option<Knowledge> {
-        let mut join = request_scheduler::RequestSettings::default();
-        let mut donor = provider::ProviderSettings::default();
-        join.providers = self.addresses(node, "donors").iter().map(ToString::to_string).collect();
-        self.read_milliseconds(node, "patience-ms", &mut join.startup_timeout);
-        self.read_milliseconds(node, "refresh-ms", &mut join.refresh_interval);
-        self.read_number(node, "at-once", &mut donor.at_once);
-        self.read_number(node, "bytes-per-s", &mut donor.bytes_per_s);
+    pub(crate) fn peer_state(&mut self, node: NodeId) -> Option<PeerStateOptions> {
+        let mut requests = RequestSettings::default();
+        let mut provider = ProviderSettings::default();
+        requests.providers = self.addresses(node, "donors").iter().map(ToString::to_string).collect();
+        self.read_milliseconds(node, "patience-ms", &mut requests.startup_timeout);
+        self.read_milliseconds(node, "refresh-ms", &mut requests.refresh_interval);
+        self.read_number(node, "at-once", &mut provider.at_once);
+        self.read_number(node, "bytes-per-s", &mut provider.bytes_per_s);
         let listen = self.value(node, "listen");
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
-        if listen.is_none() && join.providers.is_empty() {
+        if listen.is_none() && requests.providers.is_empty() {
             self.add_error(node, "neither listen nor donors: nobody is asked, nobody can ask");
         }
-        Some(Knowledge { listen, line: self.doc.node_line(node), key_file, join, donor })
+        Some(PeerStateOptions { listen, line: self.doc.node_line(node), key_file, requests, provider })
     }
 
-    pub(crate) fn fleet(&mut self, node: NodeId) -> Option<Fleet> {
+    pub(crate) fn fleet(&mut self, node: NodeId) -> Option<FleetOptions> {
         let listen: SocketAddr = self.value(node, "listen")?;
         let advertise: SocketAddr = match self.doc.get_attribute(node, "advertise") {
             Some(_) => self.value(node, "advertise")?,
@@ -64,23 +69,24 @@
             );
         }
         let peers = self.addresses(node, "peers");
-        let mut named =
-            u32::try_from(peers.iter().filter(|at| **at != advertise).count()).unwrap_or(u32::MAX) + 1;
-        self.read_number(node, "named", &mut named);
+        let others = peers.iter().filter(|peer| **peer != advertise).count();
+        let mut configured_members = u32::try_from(others).unwrap_or(u32::MAX) + 1;
+        self.read_number(node, "named", &mut configured_members);
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
-        Some(Fleet { listen, advertise, line: self.doc.node_line(node), key_file, peers, named })
+        let line = self.doc.node_line(node);
+        Some(FleetOptions { listen, advertise, line, key_file, peers, configured_members })
     }
 
-    /// Addresses with ports, apart by spaces.
-    fn addresses(&mut self, node: NodeId, name: &str) -> Vec<SocketAddr> {
-        let told = self.doc.get_attribute(node, name).unwrap_or_default().to_string();
-        let mut all = Vec::new();
-        for word in told.split_ascii_whitespace() {
+    /// Addresses with ports, separated by spaces.
+    fn addresses(&mut self, node: NodeId, attribute: &str) -> Vec<SocketAddr> {
+        let value = self.doc.get_attribute(node, attribute).unwrap_or_default().to_string();
+        let mut addresses = Vec::new();
+        for word in value.split_ascii_whitespace() {
             match word.parse::<SocketAddr>() {
-                Ok(at) => all.push(at),
-                Err(_) => self.add_error(node, format!("{name}: '{word}' is no address and port")),
+                Ok(address) => addresses.push(address),
+                Err(_) => self.add_error(node, format!("{attribute}: '{word}' is no address and port")),
             }
         }
-        all
+        addresses
     }
 }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -32,7 +32,7 @@
 
 use crate::config::Config;
 use admin::AdminListener;
-use background::Background;
+use background::BackgroundWork;
 use balancers::HealthReporting;
 use birchreach::Micros;
 use checks::HealthCheckServer;
@@ -42,7 +42,7 @@
 use event_loop_context::EventLoopContext;
 use fleet::FleetMembership;
 use gossip::Gossip;
-use mio::{Events, Poll};
+use mio::Events;
 use pool::Pool;
 use process_handover::ProcessHandover;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -60,7 +60,6 @@
 
 /// The loop's state. Each field owns its part; calls between the parts go through here.
 struct EventLoop {
-    poll: Poll,
     clock: Clock,
     context: EventLoopContext,
     clients: Clients,
@@ -70,7 +69,7 @@
     checks: HealthCheckServer,
     gossip: Option<Gossip>,
     fleet: Option<FleetMembership>,
-    background: Option<Box<Background>>,
+    background: Option<Box<BackgroundWork>>,
     health: HealthReporting,
     handover: ProcessHandover,
     config: Config,
@@ -127,7 +126,7 @@
     /// commands is carried out.
     fn after_gossip(&mut self) {
         let Some(gossip) = &self.gossip else { return };
-        self.clients.set_awaiting_peer_state(!gossip.ready());
+        self.clients.set_awaiting_peer_state(!gossip.is_startup_complete());
         self.carry_out();
     }
 }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -4,6 +4,7 @@
 use super::EventLoop;
 use super::error::EventLoopError;
 use super::sources::Source;
+use crate::core::ClientKey;
 use birchreach::Micros;
 use mio::Events;
 use mio::event::Event;
@@ -42,7 +43,7 @@
         let waiting_since = self.clock.now();
         let has_work = self.has_unfinished_work(waiting_since);
         let timeout = if has_work { Some(Duration::ZERO) } else { self.context.timers.wait(waiting_since) };
-        match self.poll.poll(events, timeout) {
+        match self.context.poll.poll(events, timeout) {
             Err(error) if error.kind() != ErrorKind::Interrupted => return Err(EventLoopError::Poll(error)),
             _ => {}
         }
@@ -100,11 +101,12 @@
             }
             Source::Gossip(key) => {
                 if let Some(gossip) = &mut self.gossip {
-                    gossip.ready_link(&mut self.context, key);
+                    gossip.process_link(&mut self.context, key);
                     self.after_gossip();
                 }
             }
             Source::Client(key) => {
+                let key = ClientKey(key);
                 if event.is_read_closed() || event.is_error() {
                     self.clients.peer_closed(key);
                 }
@@ -142,7 +144,7 @@
     fn after_handover(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
-            fleet.replaced(self.context.now, self.handover.is_replaced());
+            fleet.set_replaced(self.context.now, self.handover.is_replaced());
             self.after_fleet();
         }
         self.negotiate_handover();
@@ -151,7 +153,7 @@
     /// Reads the datagrams of the fleet.
     fn handle_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.ready(self.context.now);
+            fleet.receive_datagrams(self.context.now);
             self.after_fleet();
         }
     }
