--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -3,8 +3,8 @@
 use super::servers::{BEARS, GROUPS, MEMBERS};
 use super::world::Mode;
 use birchreach::{
-    Action, Consistency, Endpoint, EndpointDiscovery, EndpointList, EndpointState, Event, GroupId,
-    Idempotency, LoadReportSource, RequestClass, Router, ServerId, SessionPositionSource, Settings,
+    Action, Consistency, CopyCandidate, Endpoint, EndpointDiscovery, EndpointList, EndpointState, Event,
+    GroupId, Idempotency, LoadReportSource, RequestClass, Router, ServerId, SessionPositionSource, Settings,
     StaleReadPolicy, ZoneId,
 };
 use birchreach_background_tasks::{Budget, Scheduler, TaskKind};
@@ -106,8 +106,9 @@
     }
 
     /// Copies that may serve a read of the key, as the mode has them.
-    pub fn copy_candidates(&mut self, mode: Mode, now: i64, key: Option<Key>) -> Vec<(ServerId, i64)> {
+    pub fn copy_candidates(&mut self, mode: Mode, now: i64, key: Option<Key>) -> Vec<CopyCandidate> {
         let Some(key) = key else { return Vec::new() };
+        let candidate = |server, likely_position| CopyCandidate { server: ServerId(server), likely_position };
         match mode {
             Mode::Off => Vec::new(),
             Mode::On => {
@@ -115,11 +116,11 @@
                 self.hot
                     .copy_candidates(now, key)
                     .into_iter()
-                    .map(|copy| (ServerId(copy.server), copy.likely_position))
+                    .map(|copy| candidate(copy.server, copy.likely_position))
                     .collect()
             }
             // It knows: the same number of copies, in other groups, all of the present.
-            Mode::Oracle => [4, 7, 10].map(|id| (ServerId(id), now)).to_vec(),
+            Mode::Oracle => [4, 7, 10].map(|id| candidate(id, now)).to_vec(),
         }
     }
 }
--- a/benches/src/gain/requests.rs
+++ b/benches/src/gain/requests.rs
@@ -3,7 +3,7 @@
 use super::proxies::{HOT, READS, WRITES};
 use super::servers::{Call, GROUPS, Job, MEMBERS};
 use super::world::{Happens, Open, READS_PER_S, WAY, WRITES_PER_S, World};
-use birchreach::{Action, ClassId, CopyCandidate, Event, GroupId, Request, RequestId, TenantId};
+use birchreach::{Action, ClassId, Event, GroupId, Request, RequestId, TenantId};
 use std::collections::HashMap;
 
 impl World {
@@ -40,10 +40,7 @@
             timeout: deadline,
             session: None,
             last_write_position: None,
-            copy_candidates: copy_candidates
-                .into_iter()
-                .map(|(server, likely_position)| CopyCandidate { server, likely_position })
-                .collect(),
+            copy_candidates,
         };
         self.feed(n, Event::Request(request));
     }
