--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,11 +1,14 @@
 //! A parent, two children that follow it late, clients that read and write, and processes that compare: on virtual time, from a seed.
 #![allow(dead_code)]
 
+mod disturbances;
+
 use birchreach_shard_split::judge::ParentSample;
 use birchreach_shard_split::{
     Child, Children, ComparisonQuery, ConfirmedDifference, Definition, DifferenceKind, DueQuery, Micros,
     PositionSample, QueryResult, Settings, SplitVerifier,
 };
+pub use disturbances::{ChildFault, Disturbances};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const SECOND: Micros = 1_000_000;
@@ -33,32 +36,6 @@
     format!("key-{n}").into_bytes()
 }
 
-/// A fault of one key in a child.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChildFault {
-    /// The owner lacks the row.
-    Missing,
-    /// The other child has the row too.
-    Extra,
-    /// The owner has another row.
-    Other,
-}
-
-/// What happens to the databases.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Disturbances {
-    /// Writes in a second, to a few of the keys.
-    pub writes: f64,
-    /// Replication lags change at random, up to this.
-    pub lag: Micros,
-    /// Failovers of the parent in a second. Each loses its last writes, which children have for another second.
-    pub failovers: f64,
-    /// Restarts of a child from an older state, in a second.
-    pub restarts: f64,
-    /// The fraction of answers that are lost.
-    pub lost: f64,
-}
-
 /// The databases, and verifiers that compare what clients read.
 pub struct World {
     pub now: Micros,
--- a/shard-split/tests/split.rs
+++ b/shard-split/tests/split/main.rs
@@ -1,24 +1,21 @@
 //! Which differences are confirmed, what is covered, and the verdict; and each check finds the fault that breaks what it holds.
 
+#[path = "../common/mod.rs"]
 mod common;
+#[macro_use]
+mod ensure;
+mod verdicts;
+
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
-    ComparisonQuery, Definition, DueQuery, IncompleteReason, ParentSample, PositionSample, QueryResult,
-    RANGES, RangeCoverage, RangeDifferences, Report, SplitVerifier, Verdict,
+    ComparisonQuery, Definition, DueQuery, ParentSample, PositionSample, QueryResult, RANGES, RangeCoverage,
+    RangeDifferences, Report, SplitVerifier, Verdict,
 };
 use common::{ChildFault, Disturbances, SECOND, World, definition, key, settings};
+use verdicts::check_clean_verdict;
 
 type CheckResult = Result<(), String>;
 
-macro_rules! ensure {
-    ($what:expr, $($say:tt)+) => {
-        let holds: bool = $what;
-        if !holds {
-            return Err(format!($($say)+));
-        }
-    };
-}
-
 const ROUGH_DISTURBANCES: Disturbances =
     Disturbances { writes: 15.0, lag: 2 * SECOND, failovers: 0.1, restarts: 0.05, lost: 0.05 };
 
@@ -102,51 +99,6 @@
     Ok(())
 }
 
-/// A verifier of three processes, of which two must compare each range, that has received equal reports of the others.
-fn verifier_with_reports(compared: impl Fn(usize) -> u32) -> SplitVerifier {
-    let settings = birchreach_shard_split::Settings { min_processes: 2, ..settings(3) };
-    let mut split = SplitVerifier::new(settings, 1, 0);
-    let compared = (0..RANGES).map(compared).collect();
-    let report = Report { definition_digest: definition().digest(), compared, differences: vec![] }.encode();
-    for origin in 2..=4 {
-        let _ = split.receive_report(SECOND, origin, 1, 0, &report);
-    }
-    split
-}
-
-fn check_clean_verdict() -> CheckResult {
-    let covered = verifier_with_reports(|_| 1).verdict(3);
-    ensure!(covered == Verdict::Clean, "three times one is enough: {covered:?}");
-    let one_lacks = verifier_with_reports(|range| u32::from(range != 7)).verdict(3);
-    let reason = IncompleteReason {
-        ranges_below_comparisons: 1,
-        ranges_below_processes: 1,
-        ..IncompleteReason::default()
-    };
-    ensure!(one_lacks == Verdict::Incomplete(reason), "{one_lacks:?}");
-    let partitioned = verifier_with_reports(|_| 9).verdict(2);
-    let reason = IncompleteReason { silent_members: 1, ..IncompleteReason::default() };
-    ensure!(partitioned == Verdict::Incomplete(reason), "{partitioned:?}");
-    check_comparisons_expire()
-}
-
-/// Comparisons older than the window do not count, nor does a report of none.
-fn check_comparisons_expire() -> CheckResult {
-    let mut world = World::new(1, 1, 600, Disturbances::default());
-    world.pass(60 * SECOND, 200.0);
-    let verdict = world.all[0].verdict(1);
-    ensure!(verdict == Verdict::Clean, "{verdict:?}");
-    world.pass(700 * SECOND, 0.0);
-    let verdict = world.all[0].verdict(1);
-    let is_uncovered =
-        matches!(verdict, Verdict::Incomplete(reason) if reason.ranges_below_comparisons == RANGES);
-    ensure!(is_uncovered, "{verdict:?}");
-    let mut split = SplitVerifier::new(settings(1), 1, 0);
-    let has_reported = split.report_if_due(2 * SECOND).is_some();
-    ensure!(has_reported && matches!(split.verdict(1), Verdict::Incomplete(_)), "nothing was compared");
-    Ok(())
-}
-
 fn check_bounds() -> CheckResult {
     let mut world = World::new(2, 1, 3_000, Disturbances { lost: 0.0, ..Disturbances::default() });
     world.faults.extend((0..3_000).map(|n| (n, ChildFault::Other)));
