--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -103,6 +103,7 @@
     done
 }
 
+/// What a measurement ends with, once its tables are printed.
 pub type Done = Result<(), Box<dyn std::error::Error>>;
 
 /// Times in microseconds.
@@ -117,10 +118,12 @@
 }
 
 impl Times {
+    /// Records one time.
     pub fn add(&mut self, time: Duration) {
         let _ = self.0.record(time.as_micros() as u64);
     }
 
+    /// Adds all times of another record.
     pub fn join(&mut self, other: &Times) {
         let _ = self.0.add(&other.0);
     }
@@ -132,6 +135,7 @@
         format!("{} | {} | {} | {}", self.0.len(), at(0.5), at(0.99), ms(self.0.max()))
     }
 
+    /// How many times were recorded.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -11,71 +11,88 @@
     Sha256::digest(key.as_bytes()).first_chunk::<4>().map_or(0, |b| u32::from_be_bytes(*b))
 }
 
-fn below(key: &str) -> bool {
+fn is_lower_child(key: &str) -> bool {
     hash(key) < 1 << 31
 }
 
-fn above(key: &str) -> bool {
-    !below(key)
+fn is_upper_child(key: &str) -> bool {
+    !is_lower_child(key)
 }
 
+/// The schedules that were played.
+#[derive(Default)]
+struct Played {
+    passed: Vec<Summary>,
+    failures: Vec<String>,
+}
+
+/// Plays the schedules of all seeds from `from` to `to`, so many at once, and prints the table.
 pub fn run(program: &Path, folder: &Path, from: u64, to: u64, side_by_side: usize) -> Done {
-    let next = AtomicU64::new(from);
-    let sums: Mutex<(Vec<Summary>, Vec<String>)> = Mutex::default();
+    let next_seed = AtomicU64::new(from);
+    let played: Mutex<Played> = Mutex::default();
     std::thread::scope(|scope| {
-        for place in 0..side_by_side {
-            let (next, sums) = (&next, &sums);
+        for thread in 0..side_by_side {
+            let (next_seed, played) = (&next_seed, &played);
             scope.spawn(move || {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed > to {
                         return;
                     }
-                    // Addresses that nobody else uses meanwhile.
-                    let own = [127, 70 + place as u8, (seed % 250) as u8, 1];
-                    let done = play_schedule(
-                        seed,
-                        own,
-                        program,
-                        &folder.join(format!("seed-{seed}")),
-                        hash,
-                        below,
-                        above,
-                    );
-                    let _ = std::fs::remove_dir_all(folder.join(format!("seed-{seed}")));
-                    let mut sums = sums.lock().unwrap_or_else(|e| e.into_inner());
-                    match done {
-                        Ok(summary) => sums.0.push(summary),
-                        Err(why) => {
-                            println!("FAILED {why}");
-                            sums.1.push(why);
-                        }
-                    }
+                    let result = play(program, folder, thread, seed);
+                    let mut played = played.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+                    played.add(result);
                 }
             });
         }
     });
-    let (well, failed) = sums.into_inner().unwrap_or_else(|e| e.into_inner());
-    let sum = |of: &dyn Fn(&Summary) -> u64| well.iter().map(of).sum::<u64>();
-    println!(
-        "| schedules | failed | served | refused | failed requests | broken with a killed proxy | reads judged | copies judged | served by copies | copies written | reads compared | planted faults | flags of them |"
-    );
-    println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    println!(
-        "| {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
-        well.len() + failed.len(),
-        failed.len(),
-        sum(&|s| s.served),
-        sum(&|s| s.rejected),
-        sum(&|s| s.failed),
-        sum(&|s| s.disconnected),
-        sum(&|s| s.checked_reads as u64),
-        sum(&|s| s.checked_copies as u64),
-        sum(&|s| s.copy_reads as u64),
-        sum(&|s| s.copy_writes as u64),
-        sum(&|s| s.dual_reads as u64),
-        sum(&|s| s.planted_differences as u64),
-        sum(&|s| s.reported_differences as u64)
-    );
-    if failed.is_empty() { Ok(()) } else { Err(format!("{} failed", failed.len()).into()) }
+    let played = played.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    played.print();
+    let failed = played.failures.len();
+    if failed == 0 { Ok(()) } else { Err(format!("{failed} failed").into()) }
+}
+
+/// Plays one seed at addresses that no other thread uses meanwhile.
+fn play(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
+    let address = [127, 70 + thread as u8, (seed % 250) as u8, 1];
+    let folder = folder.join(format!("seed-{seed}"));
+    let result = play_schedule(seed, address, program, &folder, hash, is_lower_child, is_upper_child);
+    let _ = std::fs::remove_dir_all(folder);
+    result
+}
+
+impl Played {
+    fn add(&mut self, result: Result<Summary, String>) {
+        match result {
+            Ok(summary) => self.passed.push(summary),
+            Err(failure) => {
+                println!("FAILED {failure}");
+                self.failures.push(failure);
+            }
+        }
+    }
+
+    fn print(&self) {
+        let sum = |of: &dyn Fn(&Summary) -> u64| self.passed.iter().map(of).sum::<u64>();
+        println!(
+            "| schedules | failed | served | refused | failed requests | broken with a killed proxy | reads judged | copies judged | served by copies | copies written | reads compared | planted faults | flags of them |"
+        );
+        println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+        println!(
+            "| {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
+            self.passed.len() + self.failures.len(),
+            self.failures.len(),
+            sum(&|summary| summary.served),
+            sum(&|summary| summary.rejected),
+            sum(&|summary| summary.failed),
+            sum(&|summary| summary.disconnected),
+            sum(&|summary| summary.checked_reads as u64),
+            sum(&|summary| summary.checked_copies as u64),
+            sum(&|summary| summary.copy_reads as u64),
+            sum(&|summary| summary.copy_writes as u64),
+            sum(&|summary| summary.dual_reads as u64),
+            sum(&|summary| summary.planted_differences as u64),
+            sum(&|summary| summary.reported_differences as u64)
+        );
+    }
 }
--- a/proxy/tests/player/steps.rs
+++ b/proxy/tests/player/steps.rs
@@ -18,6 +18,7 @@
 }
 
 impl Player {
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of step")]
     pub fn step(&mut self, line: &str) {
         let (party, rest) = line.split_once(' ').unwrap_or((line, ""));
         let (deed, rest) = rest.split_once(' ').unwrap_or((rest, ""));
