--- a/proxy/tests/player/steps.rs
+++ b/proxy/tests/player/steps.rs
@@ -52,9 +52,11 @@
             }
             ("log", _) => {
                 let wanted = line.strip_prefix("log ").unwrap();
+                let (start, mut passed_over) = (Instant::now(), Vec::new());
                 while !self.log_seen.contains(wanted) {
-                    let next = self.processes[0].log.recv_timeout(PATIENCE);
-                    self.log_seen = next.unwrap_or_else(|_| panic!("no such line in the log"));
+                    passed_over.push(self.log_seen.clone());
+                    let next = self.processes[0].log.recv_timeout(PATIENCE.saturating_sub(start.elapsed()));
+                    self.log_seen = next.unwrap_or_else(|_| panic!("not in the log: {passed_over:#?}"));
                 }
             }
             ("unlogged", _) => {
