--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -53,7 +53,7 @@
 
 impl CloseReason {
     /// The word for the log.
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             CloseReason::Shed => "shed",
             CloseReason::Reset => "reset",
@@ -204,6 +204,6 @@
     fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
         let mut connection = self.connections.remove(key);
         let _ = context.poll.registry().deregister(&mut connection.stream);
-        info!(conn = "operator", reason = reason.word());
+        info!(conn = "operator", reason = reason.as_str());
     }
 }
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -89,7 +89,7 @@
         let token = Source::Client(key.0).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = context.poll.registry().register(&mut stream, token, interest) {
-            let reason = ClientCloseReason::NoSocket.word();
+            let reason = ClientCloseReason::NoSocket.as_str();
             warn!(conn = "client", %peer, reason, error = %Quoted(error));
             return None;
         }
--- a/proxy/src/net/clients/close_reason.rs
+++ b/proxy/src/net/clients/close_reason.rs
@@ -37,9 +37,9 @@
 
 impl ClientCloseReason {
     /// The word for the log.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            ClientCloseReason::Protocol(reason) => reason.word(),
+            ClientCloseReason::Protocol(reason) => reason.as_str(),
             ClientCloseReason::ClientClosed => "client-closed",
             ClientCloseReason::ClientReset => "client-reset",
             ClientCloseReason::Idle => "idle",
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -148,7 +148,7 @@
         let _ = context.poll.registry().deregister(&mut client.stream);
         self.unclassified_count -= usize::from(client.unclassified);
         let may_be_balancer = self.unclassified_allowance > 0 && client.unclassified;
-        let (peer, answered, word) = (client.peer, client.answered_requests, reason.word());
+        let (peer, answered, word) = (client.peer, client.answered_requests, reason.as_str());
         if may_be_balancer && reason.is_by_client() {
             // Balancers connect by the hundred: other lines are not to be suppressed for theirs.
             debug!(conn = "client", %peer, answered, reason = word);
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -76,7 +76,7 @@
             keys.retain(|other| *other != key);
         }
         let server = context.core.server_name(connection.server);
-        info!(conn = "database", server, state = connection.state_word(), reason = reason.word());
+        info!(conn = "database", server, state = connection.state_word(), reason = reason.as_str());
         connection.task
     }
 
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -42,7 +42,7 @@
 
 fn log_failure(context: &EventLoopContext, server: ServerId, reason: DatabaseCloseReason, error: Error) {
     let server = context.core.server_name(server);
-    let reason = reason.word();
+    let reason = reason.as_str();
     info!(conn = "database", server, state = "opening", reason, error = %Quoted(error));
 }
 
--- a/proxy/src/pg/codec/encode.rs
+++ b/proxy/src/pg/codec/encode.rs
@@ -14,7 +14,7 @@
 }
 
 impl Severity {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Severity::Error => "ERROR",
             Severity::Fatal => "FATAL",
@@ -94,7 +94,7 @@
 
     /// An error, with a detail where there is one.
     pub fn error(&mut self, severity: Severity, code: SqlState, message: &str, detail: Option<&str>) {
-        let severity = severity.word().as_bytes();
+        let severity = severity.as_str().as_bytes();
         self.message(b'E', |body| {
             field(body, b'S', severity);
             field(body, b'V', severity);
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -48,7 +48,7 @@
 
 impl EndReason {
     /// The word for the log.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             EndReason::Terminate => "terminate",
             EndReason::CancelRequest => "cancel-request",
--- a/src/policy/position_queries.rs
+++ b/src/policy/position_queries.rs
@@ -25,7 +25,7 @@
             return true;
         }
         request.query_until = None;
-        if !self.health_checks_tell_position() || request.queried_servers.len() >= MAX_POSITION_QUERIES {
+        if !self.health_checks_report_position() || request.queried_servers.len() >= MAX_POSITION_QUERIES {
             return false;
         }
         let Some(replica) = self.query_candidate(request, required, replicas) else { return false };
@@ -43,7 +43,7 @@
         request.query_until > Some(self.now) && is_in_flight
     }
 
-    fn health_checks_tell_position(&self) -> bool {
+    fn health_checks_report_position(&self) -> bool {
         self.settings.health_checks_allowed
             && self.settings.load_reports_have_position
             && self.settings.load_reports != LoadReportSource::Never
