--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -7,6 +7,7 @@
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
+use std::sync::atomic::{AtomicU16, Ordering};
 
 /// A group of two databases.
 pub struct Group {
@@ -21,6 +22,9 @@
 /// Descriptors that the system grants a process beyond its configured limit.
 const EXTRA_DESCRIPTORS: u32 = 64;
 
+/// The first port for [`Rig::free_address`]: below those that the system chooses for listeners at port 0.
+const FIRST_PORT: u16 = 10_000;
+
 /// Another discovery service and other settings for a rig's proxies.
 pub struct ExternalDiscovery {
     /// Where the service listens.
@@ -38,6 +42,8 @@
     folder: PathBuf,
     program: PathBuf,
     loopback_address: IpAddr,
+    /// The next port that [`Rig::free_address`] tries.
+    next_port: AtomicU16,
     /// The limit on descriptors in a proxy's configuration.
     pub max_descriptors: u32,
     /// Used instead of this rig's own discovery and settings.
@@ -69,14 +75,21 @@
             folder: folder.into(),
             program: program.into(),
             loopback_address,
+            next_port: AtomicU16::new(FIRST_PORT),
             max_descriptors: 1024,
             external_discovery: None,
         })
     }
 
-    /// An address with a port that is free now.
+    /// An address with a port that is free now and that this rig has not handed out before.
     pub fn free_address(&self) -> io::Result<SocketAddr> {
-        TcpListener::bind((self.loopback_address, 0))?.local_addr()
+        loop {
+            let port = self.next_port.fetch_add(1, Ordering::Relaxed);
+            match TcpListener::bind((self.loopback_address, port)) {
+                Err(error) if error.kind() == io::ErrorKind::AddrInUse => continue,
+                bound => return bound?.local_addr(),
+            }
+        }
     }
 
     /// The rig's loopback address.
