--- a/health/tests/verdicts/primary_faults.rs
+++ b/health/tests/verdicts/primary_faults.rs
@@ -164,3 +164,16 @@
     proxy.advance(8 * SECOND, |_| None);
     assert_eq!(proxy.agent_reply("file-entry"), "ready down #primary-silent\n");
 }
+
+#[test]
+fn probes_of_many_groups_at_once_are_bounded_in_all() {
+    // Given twenty groups, of which no primary is proven
+    let mut proxy = simulated_proxy(20, probing());
+    // When all their probes are due
+    proxy.monitor.update(proxy.now);
+    // Then eight are sent at once, and the others at 20 a second
+    assert_eq!(proxy.monitor.take_probes().len(), 8);
+    proxy.now += 500 * MILLISECOND;
+    proxy.monitor.update(proxy.now);
+    assert_eq!(proxy.monitor.take_probes().len(), 8, "no more are saved up");
+}
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -32,6 +32,28 @@
     assert_eq!(shed_of_200(&mut fixture, IN_TIME), 0, "recovered");
 }
 
+/// Slightly more reads are admitted than the fraction that met the latency objective, so that a group recovers.
+#[test]
+fn more_reads_are_admitted_than_met_their_objective() {
+    const READS: usize = 4_000;
+    // Given a proxy of which every second read that is sent misses its latency objective
+    let mut fixture = RouterFixture::seeded(settings(), 7);
+    let mut sent = 0;
+    // When many reads arrive, one after the other
+    for _ in 0..READS {
+        let (_, actions) = fixture.request_with(ANY, |request| request.timeout = 60_000 * MS);
+        if is_rejected(&actions) {
+            continue;
+        }
+        sent += 1;
+        fixture.now += if sent % 2 == 0 { TOO_LATE } else { IN_TIME };
+        fixture.answer_sends(0, &actions);
+    }
+    // Then the admitted fraction is 1.4 times a half or a little more, as the miss rate decays with each check
+    let admitted = sent as f64 / READS as f64;
+    assert!((0.72..0.77).contains(&admitted), "{admitted} admitted");
+}
+
 /// The primary of a busy group takes far longer than the latency objective for each write. What all proxies together
 /// send it must fall below what it can do, or its queue never drains.
 #[test]
--- a/tests/priorities.rs
+++ b/tests/priorities.rs
@@ -32,9 +32,28 @@
     assert!(servers_sent_to(&fixture.request(WRITE).1).is_empty(), "and the one that came last");
 
     let actions = fixture.complete_attempt(in_flight[0], 0, PRIMARY, AttemptOutcome::Ok);
-    let first_sent = actions.iter().find_map(|action| match action {
+    assert_eq!(first_request_sent(&actions), Some(high_priority));
+}
+
+#[test]
+fn among_queued_writes_of_equal_priority_the_newest_goes_first() {
+    // Given a primary at its concurrency limit and two queued writes of one class
+    let mut fixture = RouterFixture::new(settings());
+    fixture.report_position(PRIMARY, Role::Primary, 0);
+    let in_flight: Vec<u64> = (0..4).map(|_| fixture.request(WRITE).0).collect();
+    let (_, older_actions) = fixture.request(WRITE);
+    let (newer, newer_actions) = fixture.request(WRITE);
+    assert!(servers_sent_to(&older_actions).is_empty() && servers_sent_to(&newer_actions).is_empty());
+    // When an attempt ends
+    let actions = fixture.complete_attempt(in_flight[0], 0, PRIMARY, AttemptOutcome::Ok);
+    // Then the write that came last is sent first
+    assert_eq!(first_request_sent(&actions), Some(newer));
+}
+
+/// The request of the first attempt among these actions.
+fn first_request_sent(actions: &[Action]) -> Option<u64> {
+    actions.iter().find_map(|action| match action {
         Action::Send { request, .. } => Some(request.0),
         _ => None,
-    });
-    assert_eq!(first_sent, Some(high_priority));
+    })
 }
