--- a/proxy/tests/hot.rs
+++ b/proxy/tests/hot.rs
@@ -2,7 +2,7 @@
 //! never stale, never over the budget.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
-use birchreach_test_support::groups::judge::{
+use birchreach_test_support::groups::history_checks::{
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
     check_single_execution,
 };
--- a/proxy/tests/split.rs
+++ b/proxy/tests/split.rs
@@ -2,7 +2,7 @@
 //! speaks for all processes.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
-use birchreach_test_support::groups::judge::{check_none_while_warming_up, check_rate_limit};
+use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
 use birchreach_test_support::groups::traffic::{Traffic, TrafficProfile};
 use birchreach_test_support::groups::{
     CapacityModel, Change, ClusterRig, Group, PlantedDifference, StatementKind, now_ms,
--- a/test-support/src/groups/judge.rs
+++ b/test-support/src/groups/history_checks.rs
@@ -1,5 +1,5 @@
 //! Checks on recorded histories: what databases and clients recorded, against the guarantees that proxies give. Pure
-//! functions; `tests/judges.rs` has a history for each that it must reject.
+//! functions; `tests/history_checks.rs` has a history for each that it must reject.
 
 use super::history::{Change, Entry, Record, StatementKind};
 use std::collections::HashMap;
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -6,7 +6,7 @@
 mod cluster_rig;
 mod database_faults;
 mod history;
-pub mod judge;
+pub mod history_checks;
 mod member;
 pub mod play;
 mod run;
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -1,6 +1,6 @@
 //! What a finished run has to fulfil: every check on its histories, logs and replies.
 
-use super::judge::{
+use super::history_checks::{
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
     check_single_execution,
 };
--- a/test-support/src/groups/traffic.rs
+++ b/test-support/src/groups/traffic.rs
@@ -1,7 +1,7 @@
 //! Clients of a fleet: each sends one proxy reads of keys at given rates, writes now and then, and records the replies.
 
 use super::Group;
-use super::judge::ServedRead;
+use super::history_checks::ServedRead;
 use super::traffic_client::TrafficClient;
 use crate::lock;
 use std::net::SocketAddr;
--- a/test-support/src/groups/traffic_client.rs
+++ b/test-support/src/groups/traffic_client.rs
@@ -1,6 +1,6 @@
 //! One client of a fleet's traffic.
 
-use super::judge::ServedRead;
+use super::history_checks::ServedRead;
 use super::traffic::{ProxyAddresses, TrafficProfile, TrafficResult};
 use super::{Change, Group, now_ms};
 use crate::client::{Client, Reply};
--- a/test-support/tests/judges.rs
+++ b/test-support/tests/history_checks.rs
@@ -1,7 +1,7 @@
 //! A check that never rejects anything shows nothing: for each there is a history here that it has to reject, and one that
 //! it has to accept.
 
-use birchreach_test_support::groups::judge::{
+use birchreach_test_support::groups::history_checks::{
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
     check_single_execution,
 };
