--- a/benches/src/hangs.rs
+++ b/benches/src/hangs.rs
@@ -2,7 +2,7 @@
 //! withdrawn where nothing stopped responding.
 
 use crate::{Done, Times};
-use birchreach_test_support::balancer::{Balancer, Check, CheckPolicy, run_check};
+use birchreach_test_support::balancer::{Balancer, Check, CheckPolicy, ServerAddresses, run_check};
 use birchreach_test_support::client::Client;
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::rig::Rig;
@@ -186,8 +186,9 @@
     let is_available =
         || run_check(http, &Check::Http(format!("/group/{group}/write")), MAX_WAIT).is_ok_and(|told| told.up);
     let mut rng = fastrand::Rng::with_seed(seed);
+    let addresses = ServerAddresses { check: agent, client: clients };
     let balancer =
-        Balancer::start(&[(agent, clients)], &Check::Agent(format!("group={group} write")), &BALANCER_POLICY);
+        Balancer::start(&[addresses], &Check::Agent(format!("group={group} write")), &BALANCER_POLICY);
     let mut times = ReactionTimes::default();
     for _ in 0..cycles {
         let start = Instant::now();
--- a/proxy/tests/health/rotation.rs
+++ b/proxy/tests/health/rotation.rs
@@ -1,7 +1,7 @@
 //! Proxies that leave the rotation and come back: shutdown, handover between processes, maintenance.
 
 use crate::support::{agent, http, operator, rig, until};
-use birchreach_test_support::balancer::{Balancer, Check, CheckPolicy, run_check};
+use birchreach_test_support::balancer::{Balancer, Check, CheckPolicy, ServerAddresses, run_check};
 use birchreach_test_support::client::{Client, Reply};
 use birchreach_test_support::process::MAX_WAIT;
 use birchreach_test_support::rig::Rig;
@@ -15,7 +15,10 @@
     let rig = rig(3, 1);
     let mut proxy = rig.start_with_checks(1, 64, "<stopping lead-ms='1500'/>").unwrap();
     let policy = CheckPolicy { interval: Duration::from_millis(50), timeout: MAX_WAIT, rise: 2, fall: 2 };
-    let at = [(proxy.check_address("agent").unwrap(), proxy.client_address().unwrap())];
+    let at = [ServerAddresses {
+        check: proxy.check_address("agent").unwrap(),
+        client: proxy.client_address().unwrap(),
+    }];
     let balancer = Balancer::start(&at, &Check::Agent(String::new()), &policy);
     assert!(balancer.wait_for_state(0, true, MAX_WAIT));
     // When the proxy shuts down, then the balancer is told
@@ -82,15 +85,17 @@
     let one = rig.start_with_checks(1, 64, "").unwrap();
     let mut two = rig.start_with_checks(2, 64, "<stopping lead-ms='1500'/>").unwrap();
     let policy = CheckPolicy { interval: Duration::from_millis(50), timeout: MAX_WAIT, rise: 2, fall: 2 };
-    let at =
-        [&one, &two].map(|proxy| (proxy.check_address("http").unwrap(), proxy.client_address().unwrap()));
+    let at = [&one, &two].map(|proxy| ServerAddresses {
+        check: proxy.check_address("http").unwrap(),
+        client: proxy.client_address().unwrap(),
+    });
     let balancer = Balancer::start(&at, &Check::Http("/class/file-entry".into()), &policy);
     assert!(balancer.wait_for_state(0, true, MAX_WAIT) && balancer.wait_for_state(1, true, MAX_WAIT));
     let mut count = [0; 2];
     let mut go = |n: usize| {
         for _ in 0..n {
             let to = balancer.choose_server().expect("somebody is up");
-            let mut client = Client::connect(balancer.servers()[to].client_address).unwrap();
+            let mut client = Client::connect(balancer.servers()[to].addresses.client).unwrap();
             let reply = client.write("file-entry", 0, 3000).unwrap();
             assert!(matches!(reply, Reply::Served(_)), "{reply:?}");
             balancer.release_server(to);
--- a/proxy/tests/hot.rs
+++ b/proxy/tests/hot.rs
@@ -6,7 +6,7 @@
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
     check_single_execution,
 };
-use birchreach_test_support::groups::traffic::{Traffic, TrafficProfile, TrafficResult};
+use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile, TrafficResult};
 use birchreach_test_support::groups::{CapacityModel, ClusterRig, Group, StatementKind};
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::relay::NetworkFaults;
@@ -80,14 +80,16 @@
 
     /// Clients that read the hot key at this rate each, and another one seldom; two of them write.
     fn traffic(&self, rate: f64) -> Traffic {
-        let reads = vec![("hot".to_string(), rate), ("cool".to_string(), 1.0)];
+        let read = |key: &str, reads_per_second| ReadRate { key: key.into(), reads_per_second };
+        let reads = vec![read("hot", rate), read("cool", 1.0)];
         let habit = |n| TrafficProfile {
+            proxy: n,
             group: 0,
             read_rates: reads.clone(),
             session_fraction: 0.3,
             write_rate: if n < 2 { 2.0 } else { 0.0 },
         };
-        let habits: Vec<(usize, TrafficProfile)> = (0..self.all.len()).map(|n| (n, habit(n))).collect();
+        let habits: Vec<TrafficProfile> = (0..self.all.len()).map(habit).collect();
         Traffic::start(&self.proxies, &self.site.groups, &habits, 1)
     }
 
@@ -103,7 +105,8 @@
         let (mut checked, mut highest, mut copies) = (0, 0, 0);
         let home = self.site.groups[0].with_state(|s| (s.log.clone(), s.lost_commits.clone()));
         for (n, group) in self.site.groups.iter().enumerate() {
-            let of = told.reads.iter().filter(|(group, _)| *group == n as u32).map(|(_, read)| read.clone());
+            let of =
+                told.reads.iter().filter(|served| served.group == n as u32).map(|served| served.read.clone());
             let reads: Vec<ServedRead> = of.collect();
             group.with_state(|s| {
                 checked += check_freshness(&reads, &s.log, &s.lost_commits).unwrap();
--- a/proxy/tests/split.rs
+++ b/proxy/tests/split.rs
@@ -3,9 +3,9 @@
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
-use birchreach_test_support::groups::traffic::{Traffic, TrafficProfile};
+use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile};
 use birchreach_test_support::groups::{
-    CapacityModel, Change, ClusterRig, Group, PlantedDifference, StatementKind, now_ms,
+    CapacityModel, Change, ClusterRig, Group, ParentLog, PlantedDifference, StatementKind, now_ms,
 };
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::relay::NetworkFaults;
@@ -67,8 +67,9 @@
             slow_start_window: cold,
         };
         let parent = Group::start(at, 3, 20, load.clone(), None).unwrap();
-        let child = |own: fn(&str) -> bool| {
-            Group::start(at, 2, 30, load.clone(), Some((parent.clone(), own))).unwrap()
+        let child = |owns_key: fn(&str) -> bool| {
+            let parent_log = ParentLog { group: parent.clone(), owns_key };
+            Group::start(at, 2, 30, load.clone(), Some(parent_log)).unwrap()
         };
         let groups = vec![parent.clone(), child(below), child(above)];
         let keys = keys();
@@ -84,15 +85,19 @@
         let proxies = Arc::new(Mutex::new(rig.all.iter().map(Process::client_address).collect()));
         // Each client writes a key of its own, and reads all.
         let reads = |n: usize| {
-            let mut reads: Vec<(String, f64)> = rig.keys.iter().map(|key| (key.clone(), 1.0)).collect();
+            let read = |key: &String| ReadRate { key: key.clone(), reads_per_second: 1.0 };
+            let mut reads: Vec<ReadRate> = rig.keys.iter().map(read).collect();
             reads.swap(0, n * 5);
             reads
         };
-        let habits: Vec<(usize, TrafficProfile)> = (0..count)
-            .map(|n| {
-                (n, TrafficProfile { group: 0, read_rates: reads(n), session_fraction: 0.0, write_rate: 3.0 })
-            })
-            .collect();
+        let habit = |n| TrafficProfile {
+            proxy: n,
+            group: 0,
+            read_rates: reads(n),
+            session_fraction: 0.0,
+            write_rate: 3.0,
+        };
+        let habits: Vec<TrafficProfile> = (0..count).map(habit).collect();
         rig.traffic = Some(Traffic::start(&proxies, &rig.site.groups, &habits, 7));
         rig
     }
--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -19,10 +19,8 @@
 /// A proxy as the balancer sees it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Where its health checks go.
-    pub check_address: SocketAddr,
-    /// Where its clients go.
-    pub client_address: SocketAddr,
+    /// Where it is reached.
+    pub addresses: ServerAddresses,
     /// Whether it is in rotation.
     pub up: bool,
     /// Its weight in percent.
@@ -35,12 +33,20 @@
     pub changed_at: Instant,
 }
 
+/// Where a server is reached.
+#[derive(Clone, Copy, Debug)]
+pub struct ServerAddresses {
+    /// Where its health checks go.
+    pub check: SocketAddr,
+    /// Where its clients go.
+    pub client: SocketAddr,
+}
+
 impl Server {
     /// A server that is out of rotation until its checks succeed.
-    fn new(check_address: SocketAddr, client_address: SocketAddr) -> Server {
+    fn new(addresses: ServerAddresses) -> Server {
         Server {
-            check_address,
-            client_address,
+            addresses,
             up: false,
             weight: 0,
             active_connections: 0,
@@ -90,14 +96,11 @@
 }
 
 impl Balancer {
-    /// Starts polling servers, given as (check address, client address). Their checks are spread over the interval; all
-    /// begin out of rotation.
-    pub fn start(servers: &[(SocketAddr, SocketAddr)], check: &Check, policy: &CheckPolicy) -> Balancer {
-        let new_servers = servers
-            .iter()
-            .map(|(check_address, client_address)| Server::new(*check_address, *client_address));
+    /// Starts polling servers. Their checks are spread over the interval; all begin out of rotation.
+    pub fn start(servers: &[ServerAddresses], check: &Check, policy: &CheckPolicy) -> Balancer {
+        let new_servers: Vec<Server> = servers.iter().copied().map(Server::new).collect();
         let balancer = Balancer {
-            servers: Arc::new(Mutex::new(new_servers.collect())),
+            servers: Arc::new(Mutex::new(new_servers)),
             changes: Arc::default(),
             stopped: Arc::default(),
         };
@@ -121,7 +124,7 @@
     }
 
     fn poll(&self, index: usize, check: &Check, policy: &CheckPolicy) {
-        let address = lock(&self.servers)[index].check_address;
+        let address = lock(&self.servers)[index].addresses.check;
         let answer = run_check(address, check, policy.timeout);
         let mut servers = lock(&self.servers);
         let server = &mut servers[index];
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -4,6 +4,7 @@
 use super::member::{Group, POLL_INTERVAL};
 use super::now_ms;
 use super::sql::{Statement, parse};
+use super::state::VisibleRow;
 use crate::lock;
 use crate::wire::{decode_hex, message, row, row_of};
 use std::thread;
@@ -40,18 +41,18 @@
 
     /// The rows of the group that this one follows, if it follows one.
     fn parent_rows(&self) -> Option<Vec<Entry>> {
-        self.0.parent_log.as_ref().map(|(parent, _)| lock(&parent.0.state).replicated_log(now_ms()))
+        self.0.parent_log.as_ref().map(|parent| lock(&parent.group.0.state).replicated_log(now_ms()))
     }
 
-    /// A row as the member has it, with the time of its commit.
-    fn visible_row(&self, member: usize, key: &str) -> Option<(String, i64)> {
+    /// A row as the member has it. A planted value has no commit.
+    fn visible_row(&self, member: usize, key: &str) -> Option<VisibleRow> {
         let log = self.parent_rows();
         let mut state = lock(&self.0.state);
         let planted = state.planted_differences.get(key).cloned();
-        let is_owned = self.0.parent_log.as_ref().is_none_or(|(_, owns)| owns(key));
+        let is_owned = self.0.parent_log.as_ref().is_none_or(|parent| (parent.owns_key)(key));
         match planted {
             Some(PlantedDifference::Missing) => None,
-            Some(PlantedDifference::OtherValue(value)) => Some((value, 0)),
+            Some(PlantedDifference::OtherValue(value)) => Some(VisibleRow { value, committed_at_ms: 0 }),
             Some(PlantedDifference::Extra) => state.row(log.as_deref(), member, now_ms(), key),
             None if is_owned => state.row(log.as_deref(), member, now_ms(), key),
             None => None,
@@ -87,7 +88,7 @@
         let found = self.visible_row(member, key);
         self.do_work(member);
         match found {
-            Some((value, _)) => row_of(&decode_hex(&value)),
+            Some(row) => row_of(&decode_hex(&row.value)),
             None if background => message(b'C', b"SELECT 0\0"),
             None => row("(no such row)"),
         }
@@ -99,19 +100,19 @@
         self.do_work(member);
         match found {
             // The statement rounds the time up.
-            Some((value, committed_at_ms)) => row_of(&position_and_value(committed_at_ms + 1, &value)),
+            Some(row) => row_of(&position_and_value(row.committed_at_ms + 1, &row.value)),
             None => message(b'C', b"SELECT 0\0"),
         }
     }
 
     fn answer_copy_read(&self, member: usize, home: u32, key: &str, min_position_ms: i64) -> Vec<u8> {
         let copy = self.with_state(|state| state.copy(member, now_ms(), home, key));
-        let copy = copy.filter(|(position_ms, _)| *position_ms >= min_position_ms);
+        let copy = copy.filter(|copy| copy.position_ms >= min_position_ms);
         self.record(member, StatementKind::CopyRead { served: copy.is_some() });
         match copy {
-            Some((position_ms, value)) => {
+            Some(copy) => {
                 self.do_work(member);
-                row_of(&position_and_value(position_ms, &value))
+                row_of(&position_and_value(copy.position_ms, &copy.value))
             }
             None => row_of(&[]),
         }
--- a/test-support/src/groups/database_faults.rs
+++ b/test-support/src/groups/database_faults.rs
@@ -54,8 +54,16 @@
     }
 }
 
+/// All faults of a run.
+pub struct GeneratedFaults {
+    /// The faults of processes and of their network.
+    pub schedule: Schedule,
+    /// The faults of databases, by time.
+    pub database_faults: Vec<TimedDatabaseFault>,
+}
+
 /// Draws the faults of processes and those of databases.
-pub fn generate_faults(seed: u64) -> (Schedule, Vec<TimedDatabaseFault>) {
+pub fn generate_faults(seed: u64) -> GeneratedFaults {
     let mut rng = fastrand::Rng::with_seed(seed ^ SEED_MASK);
     let schedule = Schedule::generate(seed, PROCESS_COUNT, rng.usize(2..8), FAULT_PERIOD);
     let fault_count = rng.usize(2..7);
@@ -63,9 +71,9 @@
         let fault = DatabaseFault::generate(&mut rng);
         TimedDatabaseFault { after: FAULT_PERIOD.mul_f64(rng.f64()), fault }
     };
-    let mut faults: Vec<TimedDatabaseFault> = (0..fault_count).map(&mut timed_fault).collect();
-    faults.sort_by_key(|timed| timed.after);
-    (schedule, faults)
+    let mut database_faults: Vec<TimedDatabaseFault> = (0..fault_count).map(&mut timed_fault).collect();
+    database_faults.sort_by_key(|timed| timed.after);
+    GeneratedFaults { schedule, database_faults }
 }
 
 pub(super) fn apply_database_fault(rig: &ClusterRig, fault: &DatabaseFault) {
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -43,8 +43,13 @@
     }
 }
 
-/// The group whose rows this one follows, and the keys that it takes from there.
-pub type ParentLog = (Group, fn(&str) -> bool);
+/// The log that a child of a split follows.
+pub struct ParentLog {
+    /// The group that splits.
+    pub group: Group,
+    /// Whether the child takes over a key.
+    pub owns_key: fn(&str) -> bool,
+}
 
 pub(super) struct Inner {
     pub(super) addresses: Vec<SocketAddr>,
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -18,8 +18,8 @@
 
 pub use cluster_rig::ClusterRig;
 pub use history::{Change, Entry, PlantedDifference, Record, StatementKind};
-pub use member::{CapacityModel, Group};
-pub use state::State;
+pub use member::{CapacityModel, Group, ParentLog};
+pub use state::{State, VisibleCopy, VisibleRow};
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -3,13 +3,13 @@
 //! the same faults again.
 
 use super::database_faults::{
-    DatabaseFault, GROUP_COUNT, MEMBER_COUNT, NORMAL_LAG_MS, TimedDatabaseFault, clear_database_faults,
-    generate_faults,
+    DatabaseFault, GROUP_COUNT, GeneratedFaults, MEMBER_COUNT, NORMAL_LAG_MS, TimedDatabaseFault,
+    clear_database_faults, generate_faults,
 };
 use super::run::Run;
 use super::run_checks::FinishedRun;
 use super::traffic::{Traffic, TrafficResult};
-use super::{CapacityModel, Change, ClusterRig, Group, PlantedDifference, now_ms};
+use super::{CapacityModel, Change, ClusterRig, Group, ParentLog, PlantedDifference, now_ms};
 use crate::process::Process;
 use std::collections::BTreeSet;
 use std::io;
@@ -101,7 +101,7 @@
     below: fn(&str) -> bool,
     above: fn(&str) -> bool,
 ) -> Result<Summary, String> {
-    let (schedule, database_faults) = generate_faults(seed);
+    let GeneratedFaults { schedule, database_faults } = generate_faults(seed);
     let describe = |error: String| format!("seed {seed}: {error}\n{schedule:?}\n{database_faults:?}");
     let describe_io = |error: io::Error| describe(error.to_string());
     let keys: Vec<String> = (0..KEY_COUNT).map(|n| format!("key-{n}")).collect();
@@ -141,8 +141,8 @@
     let address = SocketAddr::new(IpAddr::from(loopback_address), 0);
     let start = |parent| Group::start(address, MEMBER_COUNT, NORMAL_LAG_MS, CAPACITY, parent);
     let parent = start(None)?;
-    let lower = start(Some((parent.clone(), below)))?;
-    let upper = start(Some((parent.clone(), above)))?;
+    let lower = start(Some(ParentLog { group: parent.clone(), owns_key: below }))?;
+    let upper = start(Some(ParentLog { group: parent.clone(), owns_key: above }))?;
     let other = start(None)?;
     let groups: [Group; GROUP_COUNT] = [parent, lower, upper, other];
     Ok(groups.into())
--- a/test-support/src/groups/run.rs
+++ b/test-support/src/groups/run.rs
@@ -3,7 +3,7 @@
 use super::ClusterRig;
 use super::database_faults::{TimedDatabaseFault, apply_database_fault};
 use super::play::{FAULT_PERIOD, PROCESS_COUNT, RECOVERY_LIMIT};
-use super::traffic::{ProxyAddresses, Traffic, TrafficProfile};
+use super::traffic::{ProxyAddresses, ReadRate, Traffic, TrafficProfile};
 use crate::fleet::check_settled;
 use crate::lock;
 use crate::process::Process;
@@ -79,12 +79,13 @@
         self.update_addresses();
         let start_client = |process: usize| {
             let profile = TrafficProfile {
+                proxy: process,
                 group: 0,
                 read_rates: read_rates(keys, process),
                 session_fraction: SESSION_FRACTION,
                 write_rate: if process == HOT_KEY { HOT_WRITE_RATE } else { WRITE_RATE },
             };
-            Traffic::start(&self.addresses, &self.rig.groups, &[(process, profile)], seed)
+            Traffic::start(&self.addresses, &self.rig.groups, &[profile], seed)
         };
         (0..PROCESS_COUNT).map(start_client).collect()
     }
@@ -127,9 +128,10 @@
 }
 
 /// The keys with their rates, for the client of a process: it writes the first, which differs from client to client.
-fn read_rates(keys: &[String], process: usize) -> Vec<(String, f64)> {
-    let mut rates: Vec<(String, f64)> = keys.iter().map(|key| (key.clone(), READ_RATE)).collect();
-    rates[HOT_KEY].1 = HOT_READ_RATE;
+fn read_rates(keys: &[String], process: usize) -> Vec<ReadRate> {
+    let rate = |key: &String| ReadRate { key: key.clone(), reads_per_second: READ_RATE };
+    let mut rates: Vec<ReadRate> = keys.iter().map(rate).collect();
+    rates[HOT_KEY].reads_per_second = HOT_READ_RATE;
     rates.swap(0, process);
     rates
 }
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -93,8 +93,8 @@
             return Ok(());
         }
         let all_reads = self.traffic.iter().flat_map(|result| &result.reads);
-        let of_group = all_reads.filter(|(read_group, _)| *read_group as usize == group);
-        let reads: Vec<ServedRead> = of_group.map(|(_, read)| read.clone()).collect();
+        let of_group = all_reads.filter(|served| served.group as usize == group);
+        let reads: Vec<ServedRead> = of_group.map(|served| served.read.clone()).collect();
         summary.checked_reads += check_freshness(&reads, &history.log, &history.lost_commits)?;
         Ok(())
     }
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -28,6 +28,24 @@
     copies_since_ms: i64,
 }
 
+/// A row as a member sees it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct VisibleRow {
+    /// Its value, in hexadecimal digits.
+    pub value: String,
+    /// When the value was committed.
+    pub committed_at_ms: i64,
+}
+
+/// A copy of another group's row, as a member sees it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct VisibleCopy {
+    /// The position in the other group up to which the copy is complete.
+    pub position_ms: i64,
+    /// The row's value there, in hexadecimal digits.
+    pub value: String,
+}
+
 /// For how long after a failover those who follow a group's log still see the commits that the failover lost.
 const LOST_COMMITS_VISIBLE_MS: i64 = 1_000;
 
@@ -104,14 +122,8 @@
         self.members[member].frozen_position_ms.unwrap_or_else(|| self.position(member, now))
     }
 
-    /// A row as a member sees it, with the time of its commit. `log`: that of the parent group, if the group follows one.
-    pub fn row(
-        &mut self,
-        log: Option<&[Entry]>,
-        member: usize,
-        now: i64,
-        key: &str,
-    ) -> Option<(String, i64)> {
+    /// A row as a member sees it. `log`: that of the parent group, if the group follows one.
+    pub fn row(&mut self, log: Option<&[Entry]>, member: usize, now: i64, key: &str) -> Option<VisibleRow> {
         let visible_ms = self.visible_position(member, now);
         let is_stale_primary = self.members[member].frozen_position_ms.is_some();
         let is_visible = |entry: &&Entry| {
@@ -122,7 +134,9 @@
         let entries = log.unwrap_or(&self.log).iter().chain(lost_commits);
         let newest = entries.filter(is_visible).max_by_key(|entry| entry.committed_at_ms);
         newest.map(|entry| match &entry.change {
-            Change::Row { value, .. } | Change::Copy { value, .. } => (value.clone(), entry.committed_at_ms),
+            Change::Row { value, .. } | Change::Copy { value, .. } => {
+                VisibleRow { value: value.clone(), committed_at_ms: entry.committed_at_ms }
+            }
         })
     }
 
@@ -135,18 +149,18 @@
         entries
     }
 
-    /// The newest copy of another group's row that a member sees, with its position there.
-    pub fn copy(&mut self, member: usize, now: i64, home: u32, key: &str) -> Option<(i64, String)> {
+    /// The newest copy of another group's row that a member sees.
+    pub fn copy(&mut self, member: usize, now: i64, home: u32, key: &str) -> Option<VisibleCopy> {
         let visible_ms = self.visible_position(member, now);
         let visible = self.members[member].copies_since_ms..=visible_ms;
-        let mut newest: Option<(i64, String)> = None;
+        let mut newest: Option<VisibleCopy> = None;
         for entry in self.log.iter().filter(|entry| visible.contains(&entry.committed_at_ms)) {
             if let Change::Copy { home: entry_home, key: entry_key, position_ms, value } = &entry.change
                 && *entry_home == home
                 && entry_key == key
-                && newest.as_ref().is_none_or(|(newest_ms, _)| newest_ms < position_ms)
+                && newest.as_ref().is_none_or(|newest| newest.position_ms < *position_ms)
             {
-                newest = Some((*position_ms, value.clone()));
+                newest = Some(VisibleCopy { position_ms: *position_ms, value: value.clone() });
             }
         }
         newest
--- a/test-support/src/groups/traffic.rs
+++ b/test-support/src/groups/traffic.rs
@@ -9,25 +9,45 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 
+/// A key that a client reads.
+#[derive(Clone, Debug)]
+pub struct ReadRate {
+    /// The key.
+    pub key: String,
+    /// How often it is read, on average.
+    pub reads_per_second: f64,
+}
+
 /// What one client does.
 #[derive(Clone)]
 pub struct TrafficProfile {
+    /// The index of the proxy that it connects to.
+    pub proxy: usize,
     /// The group that it reads and writes.
     pub group: u32,
-    /// Keys, and how often each is read in a second.
-    pub read_rates: Vec<(String, f64)>,
+    /// The keys that it reads.
+    pub read_rates: Vec<ReadRate>,
     /// Fraction of the first key's reads that have to see the client's last write; all others are bounded in age.
     pub session_fraction: f64,
     /// How often the first key is written in a second.
     pub write_rate: f64,
 }
 
+/// A served read and the group that was read.
+#[derive(Clone, Debug)]
+pub struct GroupRead {
+    /// The group.
+    pub group: u32,
+    /// The read.
+    pub read: ServedRead,
+}
+
 /// The replies that clients got.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficResult {
-    /// Served reads, with the group that was read.
-    pub reads: Vec<(u32, ServedRead)>,
-    /// Reads that were served.
+    /// Reads that were served, one by one.
+    pub reads: Vec<GroupRead>,
+    /// How many reads were served.
     pub served: u64,
     /// Reads that were rejected without execution (SQLSTATE 53300 or 57P03).
     pub rejected: u64,
@@ -60,20 +80,20 @@
 }
 
 impl Traffic {
-    /// Starts clients, each given as (index of its proxy, profile). The addresses may change as proxies restart.
+    /// Starts a client for each profile. The addresses may change as proxies restart.
     pub fn start(
         proxies: &Arc<ProxyAddresses>,
         groups: &[Group],
-        profiles: &[(usize, TrafficProfile)],
+        profiles: &[TrafficProfile],
         seed: u64,
     ) -> Traffic {
         let stopped = Arc::new(AtomicBool::new(false));
         let result = Arc::new(Mutex::new(TrafficResult::default()));
-        let start_client = |(n, (proxy, profile)): (usize, &(usize, TrafficProfile))| {
+        let start_client = |(n, profile): (usize, &TrafficProfile)| {
             let (proxies, result) = (proxies.clone(), result.clone());
             let group = groups[profile.group as usize].clone();
             let rng = fastrand::Rng::with_seed(seed + n as u64);
-            let mut client = TrafficClient::new(proxies, *proxy, group, profile.clone(), result, rng);
+            let mut client = TrafficClient::new(proxies, group, profile.clone(), result, rng);
             let stopped = stopped.clone();
             thread::spawn(move || client.run(&stopped))
         };
--- a/test-support/src/groups/traffic_client.rs
+++ b/test-support/src/groups/traffic_client.rs
@@ -1,7 +1,7 @@
 //! One client of a fleet's traffic.
 
 use super::history_checks::ServedRead;
-use super::traffic::{ProxyAddresses, TrafficProfile, TrafficResult};
+use super::traffic::{GroupRead, ProxyAddresses, ReadRate, TrafficProfile, TrafficResult};
 use super::{Change, Group, now_ms};
 use crate::client::{Client, Reply};
 use crate::lock;
@@ -35,7 +35,6 @@
 /// One client: a request at a time, on a connection that is made again when it breaks.
 pub(super) struct TrafficClient {
     proxies: Arc<ProxyAddresses>,
-    proxy: usize,
     group: Group,
     profile: TrafficProfile,
     result: Arc<Mutex<TrafficResult>>,
@@ -51,7 +50,6 @@
 impl TrafficClient {
     pub(super) fn new(
         proxies: Arc<ProxyAddresses>,
-        proxy: usize,
         group: Group,
         profile: TrafficProfile,
         result: Arc<Mutex<TrafficResult>>,
@@ -59,7 +57,6 @@
     ) -> TrafficClient {
         TrafficClient {
             proxies,
-            proxy,
             group,
             profile,
             result,
@@ -78,7 +75,7 @@
         }
         self.write_due = Instant::now();
         for n in 0..self.profile.read_rates.len() {
-            let due = Instant::now() + self.draw_interval(self.profile.read_rates[n].1);
+            let due = Instant::now() + self.draw_interval(self.profile.read_rates[n].reads_per_second);
             self.read_due.insert(n, due);
         }
         while !stopped.load(Ordering::Relaxed) {
@@ -93,7 +90,7 @@
     }
 
     fn connect(&self) -> Option<Client> {
-        let address = lock(&self.proxies)[self.proxy]?;
+        let address = lock(&self.proxies)[self.profile.proxy]?;
         Client::connect(address).ok()
     }
 
@@ -120,7 +117,7 @@
     fn write(&mut self, connection: &mut Client) -> std::io::Result<()> {
         self.write_due = Instant::now() + self.draw_interval(self.profile.write_rate);
         let value = format!("{:016x}", NEXT_VALUE.fetch_add(1, Ordering::Relaxed));
-        let key = &self.profile.read_rates[0].0;
+        let key = &self.profile.read_rates[0].key;
         let reply = connection.write_key("file-entry", self.profile.group, key, &value, WRITE_DEADLINE_MS);
         lock(&self.result).writes += 1;
         if let Reply::Served(_) = reply? {
@@ -130,9 +127,9 @@
     }
 
     fn read(&mut self, connection: &mut Client, n: usize, due: Instant) -> std::io::Result<()> {
-        let (key, rate) = self.profile.read_rates[n].clone();
+        let ReadRate { key, reads_per_second } = self.profile.read_rates[n].clone();
         let earliest = Instant::now() - MAX_READ_DELAY;
-        let next_due = due.max(earliest) + self.draw_interval(rate);
+        let next_due = due.max(earliest) + self.draw_interval(reads_per_second);
         self.read_due.insert(n, next_due);
         // Only the first key is written, so only its reads can belong to the session.
         let in_session =
@@ -161,7 +158,8 @@
                 result.served += 1;
                 result.read_times_micros.push(duration.as_micros() as u64);
                 let value: String = value.iter().map(|byte| format!("{byte:02x}")).collect();
-                result.reads.push((self.profile.group, ServedRead { key, required_position_ms, value }));
+                let read = ServedRead { key, required_position_ms, value };
+                result.reads.push(GroupRead { group: self.profile.group, read });
             }
             Ok(Reply::Error(code)) if matches!(code.as_str(), "53300" | "57P03") => result.rejected += 1,
             Ok(Reply::Error(_)) => result.failed += 1,
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -23,11 +23,20 @@
 /// Longest datagram that is relayed.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
+/// The way from one process to another, by their indices.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Direction {
+    /// The sending process.
+    pub from: usize,
+    /// The receiving process.
+    pub to: usize,
+}
+
 /// What happens to traffic on its way.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkFaults {
-    /// Pairs of processes (from, to) between which nothing passes in this direction.
-    pub blocked: HashSet<(usize, usize)>,
+    /// Directions in which nothing passes.
+    pub blocked: HashSet<Direction>,
     /// The fraction of datagrams that is lost.
     pub loss_fraction: f64,
     /// The fraction of datagrams that arrives twice.
@@ -41,18 +50,19 @@
 impl NetworkFaults {
     /// Separates the processes below `first` from the others.
     pub fn partition(first: usize, process_count: usize) -> NetworkFaults {
-        let blocked = blocked_pairs(process_count, |from, to| (from < first) != (to < first));
+        let blocked = blocked_directions(process_count, |from, to| (from < first) != (to < first));
         NetworkFaults { blocked, ..NetworkFaults::default() }
     }
 }
 
-/// The pairs of processes (from, to) that this selects.
-pub(crate) fn blocked_pairs(
+/// The directions among so many processes that this selects, by the sender and the receiver.
+pub(crate) fn blocked_directions(
     process_count: usize,
     is_blocked: impl Fn(usize, usize) -> bool,
-) -> HashSet<(usize, usize)> {
-    let all = (0..process_count).flat_map(|from| (0..process_count).map(move |to| (from, to)));
-    all.filter(|(from, to)| is_blocked(*from, *to)).collect()
+) -> HashSet<Direction> {
+    let directions_from = |from| (0..process_count).map(move |to| Direction { from, to });
+    let all = (0..process_count).flat_map(directions_from);
+    all.filter(|direction| is_blocked(direction.from, direction.to)).collect()
 }
 
 /// What a relay's threads share with the test.
@@ -70,7 +80,7 @@
     }
 
     pub(crate) fn is_blocked(&self, from: usize, to: usize) -> bool {
-        lock(&self.faults).blocked.contains(&(from, to))
+        lock(&self.faults).blocked.contains(&Direction { from, to })
     }
 }
 
@@ -184,7 +194,7 @@
         if let Ok((length, source)) = socket.recv_from(&mut buffer) {
             let from = context.process_addresses.iter().position(|address| *address == source);
             let faults = lock(&context.faults).clone();
-            if !from.is_some_and(|from| faults.blocked.contains(&(from, to))) {
+            if !from.is_some_and(|from| faults.blocked.contains(&Direction { from, to })) {
                 apply_faults(&buffer[..length], &faults, &mut rng, &mut delayed);
             }
         }
--- a/test-support/src/schedule.rs
+++ b/test-support/src/schedule.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{Fleet, check_settled};
 use crate::process::Process;
-use crate::relay::{NetworkFaults, blocked_pairs};
+use crate::relay::{NetworkFaults, blocked_directions};
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -140,9 +140,9 @@
         Ok(())
     }
 
-    /// Blocks exactly the pairs (from, to) that this selects.
+    /// Blocks exactly the directions that this selects, by the sender and the receiver.
     fn block(&self, fleet: &Fleet, is_blocked: impl Fn(usize, usize) -> bool) {
-        let blocked = blocked_pairs(self.process_count, |from, to| from != to && is_blocked(from, to));
+        let blocked = blocked_directions(self.process_count, |from, to| from != to && is_blocked(from, to));
         fleet.relays.set_faults(NetworkFaults { blocked, ..fleet.relays.faults() });
     }
 
--- a/test-support/tests/history_checks.rs
+++ b/test-support/tests/history_checks.rs
@@ -5,7 +5,7 @@
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
     check_single_execution,
 };
-use birchreach_test_support::groups::{Change, Entry, Record, State, StatementKind};
+use birchreach_test_support::groups::{Change, Entry, Record, State, StatementKind, VisibleCopy, VisibleRow};
 
 fn entry(at: i64, key: &str, value: &str) -> Entry {
     Entry {
@@ -75,6 +75,10 @@
     assert!(check_none_while_warming_up(&while_warming_up, copies).is_err());
 }
 
+fn visible_row(value: &str, committed_at_ms: i64) -> Option<VisibleRow> {
+    Some(VisibleRow { value: value.into(), committed_at_ms })
+}
+
 /// The databases' model: commits, replicas that lag, copies, failover and restart.
 #[test]
 fn a_group_answers_from_its_log() {
@@ -83,11 +87,11 @@
     assert_eq!(state.commit(0, 1_000, "w1", row("k", "01")), Some(1_000));
     assert_eq!(state.commit(0, 1_000, "w2", row("k", "02")), Some(1_001));
     assert_eq!(state.commit(1, 1_000, "w3", row("k", "03")), None, "a replica takes no write");
-    assert_eq!(state.row(None, 0, 1_010, "k"), Some(("02".into(), 1_001)));
+    assert_eq!(state.row(None, 0, 1_010, "k"), visible_row("02", 1_001));
     assert_eq!((state.row(None, 1, 1_010, "k"), state.position(1, 1_010)), (None, 959));
     assert_eq!(
         state.row(None, 1, 1_051, "k"),
-        Some(("01".into(), 1_000)),
+        visible_row("01", 1_000),
         "all up to its position, and no more"
     );
     // Positions never go back, and whatever is committed later has a later time than a reported position.
@@ -98,7 +102,7 @@
         |at, value: &str| Change::Copy { home: 7, key: "c".into(), position_ms: at, value: value.into() };
     state.commit(0, 1_030, "", copy(500, "0a"));
     state.commit(0, 1_031, "", copy(400, "0b"));
-    assert_eq!(state.copy(0, 1_040, 7, "c"), Some((500, "0a".into())));
+    assert_eq!(state.copy(0, 1_040, 7, "c"), Some(VisibleCopy { position_ms: 500, value: "0a".into() }));
     assert_eq!(state.copy(1, 1_040, 7, "c"), None, "not applied there yet");
     // Failover to a member that lacks the last commits loses them; a former primary that is not notified reports the present
     // position.
@@ -108,12 +112,12 @@
         state.lost_commits.iter().map(|e| e.committed_at_ms).collect::<Vec<_>>(),
         [1_020, 1_030, 1_031]
     );
-    assert_eq!(state.row(None, 2, 1_070, "k"), Some(("02".into(), 1_001)));
+    assert_eq!(state.row(None, 2, 1_070, "k"), visible_row("02", 1_001));
     assert_eq!(
         (state.claims_primary(0), state.claims_primary(2), state.position(0, 2_000)),
         (true, true, 1_999)
     );
-    assert_eq!(state.row(None, 0, 2_000, "k").map(|r| r.0), Some("04".into()));
+    assert_eq!(state.row(None, 0, 2_000, "k").map(|row| row.value), Some("04".into()));
     assert_eq!(state.commit(0, 2_000, "w5", row("k", "05")), None);
     state.notify_deposed(0);
     assert!(!state.claims_primary(0));
