--- a/test-support/src/database.rs
+++ b/test-support/src/database.rs
@@ -1,21 +1,18 @@
 //! A scripted database, primary or replica, which can be slow, hang (it accepts connections and answers nothing), go down
 //! and come back. A group's databases share their rows, so replicas have every write at once.
 
+use crate::database_server::{DatabaseBehavior, start_accepting};
+use crate::groups::now_ms;
 use crate::lock;
-use crate::wire::{message, row};
+use crate::statement_text::{comment_field, quoted_strings};
+use crate::wire::{error, role_and_position, row, usage_row};
 use std::collections::HashMap;
-use std::io::{self, ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-
-/// How often a blocked thread looks whether its database is still available.
-const POLL_INTERVAL: Duration = Duration::from_millis(2);
-
-/// Bound on the body of one message.
-const MAX_MESSAGE_BYTES: usize = 1 << 20;
+use std::time::Duration;
 
 /// How a database behaves now.
 #[derive(Clone, Debug)]
@@ -44,7 +41,16 @@
 
     /// Requests whose write was executed more than once.
     pub fn duplicate_count(&self) -> usize {
-        lock(&self.executions_by_request).values().filter(|n| **n > 1).count()
+        lock(&self.executions_by_request).values().filter(|count| **count > 1).count()
+    }
+
+    fn value(&self, key: &str) -> Option<String> {
+        lock(&self.value_by_key).get(key).cloned()
+    }
+
+    fn write(&self, key: &str, value: &str, request_id: &str) {
+        lock(&self.value_by_key).insert(key.into(), value.into());
+        *lock(&self.executions_by_request).entry(request_id.into()).or_default() += 1;
     }
 }
 
@@ -82,8 +88,7 @@
             prints_statements,
         };
         let database = Database(Arc::new(inner));
-        let server = database.clone();
-        thread::spawn(move || server.accept(listener));
+        start_accepting(database.clone(), listener);
         Ok(database)
     }
 
@@ -124,125 +129,55 @@
         });
     }
 
-    fn is_available(&self) -> bool {
-        lock(&self.0.behavior).available
-    }
-
-    fn accept(&self, first: TcpListener) {
-        let mut listener = Some(first);
-        loop {
-            if !self.is_available() {
-                listener = None;
-            } else if listener.is_none() {
-                listener = TcpListener::bind(self.0.address).ok();
-            }
-            if let Some(listener) = &listener {
-                let _ = listener.set_nonblocking(true);
-                while let Ok((stream, _)) = listener.accept() {
-                    let server = self.clone();
-                    thread::spawn(move || server.serve(stream));
-                }
-            }
-            thread::sleep(POLL_INTERVAL);
-        }
-    }
-
-    /// Waits until it does not hang; false if it is unavailable.
-    fn wait_while_hung(&self) -> bool {
-        let mut behavior = lock(&self.0.behavior);
-        while behavior.hung && behavior.available {
-            behavior = self.0.changed.wait(behavior).unwrap_or_else(|e| e.into_inner());
-        }
-        behavior.available
-    }
-
-    fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
-        stream.set_nonblocking(false)?;
-        stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(POLL_INTERVAL))?;
-        self.read_body(&mut stream)?;
-        let ready = message(b'Z', b"I");
-        if self.wait_while_hung() {
-            stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())?;
-        }
-        while self.is_available() {
-            let mut tag = [0];
-            self.read_exactly(&mut stream, &mut tag)?;
-            let body = self.read_body(&mut stream)?;
-            if tag[0] != b'Q' {
-                return Ok(());
-            }
-            let query = String::from_utf8_lossy(&body).trim_end_matches('\0').to_string();
-            self.0.statement_count.fetch_add(1, Ordering::Relaxed);
-            let class = comment_field(&query, "c=").unwrap_or_default();
-            let delay = lock(&self.0.behavior).delay_by_class.get(&class).copied();
-            delay.into_iter().for_each(thread::sleep);
-            if !self.wait_while_hung() {
-                break;
-            }
-            let answer = self.answer_statement(&query);
-            stream.write_all(&[answer, ready.clone()].concat())?;
-        }
-        Ok(())
-    }
-
-    /// Fills the buffer, however long that takes, while the database is available.
-    fn read_exactly(&self, stream: &mut TcpStream, buffer: &mut [u8]) -> io::Result<()> {
-        let mut filled = 0;
-        while filled < buffer.len() {
-            match stream.read(&mut buffer[filled..]) {
-                Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-                Ok(length) => filled += length,
-                Err(e)
-                    if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
-                        && self.is_available() => {}
-                Err(e) => return Err(e),
-            }
-        }
-        Ok(())
-    }
-
-    /// Reads a message from its length on and returns the body.
-    fn read_body(&self, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
-        let mut length = [0; 4];
-        self.read_exactly(stream, &mut length)?;
-        let mut body =
-            vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(MAX_MESSAGE_BYTES)];
-        self.read_exactly(stream, &mut body)?;
-        Ok(body)
+    /// Sleeps for the time that statements of this class take.
+    fn delay(&self, query: &str) {
+        let class = comment_field(query, "c=").unwrap_or_default();
+        let delay = lock(&self.0.behavior).delay_by_class.get(class).copied();
+        delay.into_iter().for_each(thread::sleep);
     }
 
-    /// The messages that answer a statement, up to the one that says that it is ready for the next.
-    fn answer_statement(&self, query: &str) -> Vec<u8> {
+    /// Executes a statement and returns the messages that answer it.
+    fn execute(&self, query: &str) -> Vec<u8> {
         let primary = lock(&self.0.behavior).primary;
         if self.0.prints_statements {
             println!("{}: {query}", if primary { "primary" } else { "replica" });
         }
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-        let quoted: Vec<&str> = query.split('\'').skip(1).step_by(2).collect();
-        let answer = match quoted[..] {
-            _ if query == "SHOW usage" => {
-                row(&format!("x0={}.{:03},x1={}", now / 1000, now % 1000, u8::from(primary)))
-            }
-            [_, _, ..] if !primary => message(b'E', b"SERROR\0C25006\0Mthis is no primary\0\0"),
+        let now = now_ms();
+        let answer = match quoted_strings(query)[..] {
+            _ if query == "SHOW usage" => usage_row(primary, now),
+            [_, _, ..] if !primary => error("25006", "this is no primary"),
             [handle, blob, ..] => {
-                lock(&self.0.rows.value_by_key).insert(handle.to_string(), blob.to_string());
                 let id = comment_field(query, "id=").unwrap_or_default();
-                *lock(&self.0.rows.executions_by_request).entry(id).or_default() += 1;
+                self.0.rows.write(handle, blob, id);
                 row(blob)
             }
-            [handle] => row(lock(&self.0.rows.value_by_key).get(handle).map_or("(no such row)", |blob| blob)),
-            [] => message(b'E', b"SERROR\0C42601\0Mnot a statement that is known here\0\0"),
+            [handle] => row(&self.0.rows.value(handle).unwrap_or("(no such row)".into())),
+            [] => error("42601", "not a statement that is known here"),
         };
-        let role = format!("server_role\0{}\0", if primary { "writer" } else { "reader" });
-        let position = format!("commit_clock\0{now}\0");
-        [answer, message(b'S', role.as_bytes()), message(b'S', position.as_bytes())].concat()
+        [answer, role_and_position(primary, now)].concat()
     }
 }
 
-/// The value after `name` (with its `=`) in the statement's comment.
-fn comment_field(query: &str, name: &str) -> Option<String> {
-    let comment = query.split("/* ").nth(1)?;
-    let mut fields = comment.split([',', ' ']);
-    fields.find_map(|field| field.strip_prefix(name)).map(Into::into)
+impl DatabaseBehavior for Database {
+    fn address(&self) -> SocketAddr {
+        self.0.address
+    }
+
+    fn is_available(&self) -> bool {
+        lock(&self.0.behavior).available
+    }
+
+    fn wait_while_hung(&self) -> bool {
+        let mut behavior = lock(&self.0.behavior);
+        while behavior.hung && behavior.available {
+            behavior = self.0.changed.wait(behavior).unwrap_or_else(|e| e.into_inner());
+        }
+        behavior.available
+    }
+
+    fn answer_statement(&self, query: &str) -> Option<Vec<u8>> {
+        self.0.statement_count.fetch_add(1, Ordering::Relaxed);
+        self.delay(query);
+        self.wait_while_hung().then(|| self.execute(query))
+    }
 }
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -1,18 +1,22 @@
 //! How a member answers statements: it records each, waits for capacity, and answers from the group's state.
 
 use super::history::{Change, Entry, PlantedDifference, Record, StatementKind};
-use super::member::{Group, POLL_INTERVAL};
+use super::member::Group;
 use super::now_ms;
 use super::sql::{Statement, parse};
 use super::state::VisibleRow;
+use crate::database_server::POLL_INTERVAL;
 use crate::lock;
-use crate::wire::{decode_hex, message, row, row_of};
+use crate::wire::{decode_hex, error, message, role_and_position, row, row_of, usage_row};
 use std::thread;
 
 /// By then all proxies that reach discovery know of a restart, and statements that were on their way have arrived. What
 /// arrives earlier is not counted as sent to a member that is warming up.
 const START_KNOWN_AFTER_MS: i64 = 500;
 
+/// The text of all errors; proxies look at their codes alone.
+const ERROR_TEXT: &str = "no";
+
 impl Group {
     /// Waits until the member has capacity for a statement, and takes the time for it: longer while it warms up.
     fn do_work(&self, member: usize) {
@@ -62,7 +66,7 @@
     /// The messages that answer a statement, up to the one that says that it is ready for the next.
     pub(super) fn answer_statement(&self, member: usize, query: &str) -> Vec<u8> {
         let messages = match parse(query) {
-            Statement::Unknown => error("42601"),
+            Statement::Unknown => error("42601", ERROR_TEXT),
             Statement::Usage => self.answer_usage(member),
             Statement::Read { key, background } => self.answer_read(member, &key, background),
             Statement::PositionRead { key } => self.answer_position_read(member, &key),
@@ -79,7 +83,7 @@
         self.record(member, StatementKind::HealthCheck);
         let (claims, at_ms) =
             self.with_state(|state| (state.claims_primary(member), state.position(member, now_ms())));
-        row(&format!("x0={}.{:03},x1={}", at_ms / 1000, at_ms % 1000, u8::from(claims)))
+        usage_row(claims, at_ms)
     }
 
     fn answer_read(&self, member: usize, key: &str, background: bool) -> Vec<u8> {
@@ -123,7 +127,7 @@
         self.do_work(member);
         let change = Change::Row { key, value: value.clone() };
         match self.with_state(|state| state.commit(member, now_ms(), &id, change)) {
-            None => self.with_parameter_status(member, error("25006"), None),
+            None => self.with_parameter_status(member, error("25006", ERROR_TEXT), None),
             Some(at_ms) => self.with_parameter_status(member, row_of(&decode_hex(&value)), Some(at_ms)),
         }
     }
@@ -132,7 +136,7 @@
         self.record(member, StatementKind::CopyWrite);
         self.do_work(member);
         match self.with_state(|state| state.commit(member, now_ms(), "", change)) {
-            None => error("25006"),
+            None => error("25006", ERROR_TEXT),
             Some(_) => message(b'C', b"INSERT 0 1\0"),
         }
     }
@@ -141,17 +145,10 @@
     fn with_parameter_status(&self, member: usize, messages: Vec<u8>, commit_ms: Option<i64>) -> Vec<u8> {
         let (claims, at_ms) =
             self.with_state(|state| (state.claims_primary(member), state.position(member, now_ms())));
-        let role = format!("server_role\0{}\0", if claims { "writer" } else { "reader" });
-        let clock = format!("commit_clock\0{}\0", commit_ms.unwrap_or(at_ms));
-        [messages, message(b'S', role.as_bytes()), message(b'S', clock.as_bytes())].concat()
+        [messages, role_and_position(claims, commit_ms.unwrap_or(at_ms))].concat()
     }
 }
 
-/// An error message with this SQLSTATE.
-fn error(sqlstate: &str) -> Vec<u8> {
-    message(b'E', format!("SERROR\0C{sqlstate}\0Mno\0\0").as_bytes())
-}
-
 /// A position as 8 bytes, then the value.
 fn position_and_value(position_ms: i64, value: &str) -> Vec<u8> {
     [&position_ms.to_be_bytes()[..], &decode_hex(value)].concat()
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -2,21 +2,15 @@
 //! state.
 
 use super::state::{Member, State};
+use crate::database_server::{DatabaseBehavior, POLL_INTERVAL, start_accepting};
 use crate::lock;
-use crate::wire::message;
-use std::io::{self, ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::Duration;
 
-/// How often a blocked thread looks whether its member still runs.
-pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(2);
-
-/// Bound on the body of one message.
-const MAX_MESSAGE_BYTES: usize = 1 << 20;
-
 /// Lowest speed, so that no statement takes forever.
 const MIN_SPEED: f64 = 0.01;
 
@@ -89,8 +83,7 @@
             stopped: AtomicBool::new(false),
         }));
         for (member, listener) in listeners.into_iter().enumerate() {
-            let server = group.clone();
-            thread::spawn(move || server.accept(member, listener));
+            start_accepting(MemberServer { group: group.clone(), member }, listener);
         }
         Ok(group)
     }
@@ -117,40 +110,41 @@
         self.0.stopped.store(true, Ordering::Relaxed);
     }
 
-    fn is_running(&self, member: usize) -> bool {
-        !self.0.stopped.load(Ordering::Relaxed) && lock(&self.0.state).members[member].running
+    fn is_stopped(&self) -> bool {
+        self.0.stopped.load(Ordering::Relaxed)
     }
 
     /// When a member's process started, in milliseconds of Unix time; 0 if that was before the test.
     pub(super) fn started_at_ms(&self, member: usize) -> i64 {
         lock(&self.0.state).members[member].started_at_ms
     }
+}
 
-    fn accept(&self, member: usize, first: TcpListener) {
-        let mut listener = Some(first);
-        while !self.0.stopped.load(Ordering::Relaxed) {
-            if !self.is_running(member) {
-                listener = None;
-            } else if listener.is_none() {
-                listener = TcpListener::bind(self.0.addresses[member]).ok();
-            }
-            if let Some(listener) = &listener {
-                let _ = listener.set_nonblocking(true);
-                while let Ok((stream, _)) = listener.accept() {
-                    let server = self.clone();
-                    thread::spawn(move || server.serve(member, stream));
-                }
-            }
-            thread::sleep(POLL_INTERVAL);
-        }
+/// One member, for its connections.
+#[derive(Clone)]
+struct MemberServer {
+    group: Group,
+    member: usize,
+}
+
+impl DatabaseBehavior for MemberServer {
+    fn address(&self) -> SocketAddr {
+        self.group.address(self.member)
+    }
+
+    fn is_stopped(&self) -> bool {
+        self.group.is_stopped()
+    }
+
+    fn is_available(&self) -> bool {
+        !self.is_stopped() && lock(&self.group.0.state).members[self.member].running
     }
 
-    /// Waits until the member does not hang; false if it does not run.
-    fn wait_while_hung(&self, member: usize) -> bool {
+    fn wait_while_hung(&self) -> bool {
         loop {
-            let state = lock(&self.0.state);
-            let Member { running, hung, .. } = state.members[member];
-            if !running || !hung || self.0.stopped.load(Ordering::Relaxed) {
+            let state = lock(&self.group.0.state);
+            let Member { running, hung, .. } = state.members[self.member];
+            if !running || !hung || self.is_stopped() {
                 return running;
             }
             drop(state);
@@ -158,59 +152,16 @@
         }
     }
 
-    fn serve(&self, member: usize, mut stream: TcpStream) -> io::Result<()> {
-        stream.set_nonblocking(false)?;
-        stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(POLL_INTERVAL))?;
-        self.read_body(member, &mut stream)?;
-        let ready = message(b'Z', b"I");
-        if self.wait_while_hung(member) {
-            stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat())?;
-        }
-        let started_at_ms = self.started_at_ms(member);
-        while self.is_running(member) && self.started_at_ms(member) == started_at_ms {
-            let mut tag = [0];
-            self.read_exactly(member, &mut stream, &mut tag)?;
-            let body = self.read_body(member, &mut stream)?;
-            if tag[0] != b'Q' {
-                return Ok(());
-            }
-            let query = String::from_utf8_lossy(&body).trim_end_matches('\0').to_string();
-            if !self.wait_while_hung(member) {
-                break;
-            }
-            let answer = self.answer_statement(member, &query);
-            if !self.wait_while_hung(member) || self.started_at_ms(member) != started_at_ms {
-                break;
-            }
-            stream.write_all(&[answer, ready.clone()].concat())?;
-        }
-        Ok(())
+    fn incarnation(&self) -> i64 {
+        self.group.started_at_ms(self.member)
     }
 
-    /// Fills the buffer, however long that takes, while the member runs.
-    fn read_exactly(&self, member: usize, stream: &mut TcpStream, buffer: &mut [u8]) -> io::Result<()> {
-        let mut filled = 0;
-        while filled < buffer.len() {
-            match stream.read(&mut buffer[filled..]) {
-                Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
-                Ok(length) => filled += length,
-                Err(e)
-                    if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
-                        && self.is_running(member) => {}
-                Err(e) => return Err(e),
-            }
+    fn answer_statement(&self, query: &str) -> Option<Vec<u8>> {
+        if !self.wait_while_hung() {
+            return None;
         }
-        Ok(())
-    }
-
-    /// Reads a message from its length on and returns the body.
-    fn read_body(&self, member: usize, stream: &mut TcpStream) -> io::Result<Vec<u8>> {
-        let mut length = [0; 4];
-        self.read_exactly(member, stream, &mut length)?;
-        let mut body =
-            vec![0; (u32::from_be_bytes(length) as usize).saturating_sub(4).min(MAX_MESSAGE_BYTES)];
-        self.read_exactly(member, stream, &mut body)?;
-        Ok(body)
+        let answer = self.group.answer_statement(self.member, query);
+        // The member may hang or end while it executes the statement.
+        self.wait_while_hung().then_some(answer)
     }
 }
--- a/test-support/src/groups/sql.rs
+++ b/test-support/src/groups/sql.rs
@@ -1,6 +1,7 @@
 //! Parsing of the statements that a member knows: those of clients, and those that proxies send on their own account.
 
 use super::history::Change;
+use crate::statement_text::{comment_field, quoted_strings};
 
 /// A parsed statement.
 #[derive(Debug, PartialEq, Eq)]
@@ -21,12 +22,6 @@
     Unknown,
 }
 
-/// The value after `name` (with its `=`) in the statement's comment.
-pub fn field<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    let comment = query.split("/* ").nth(1)?;
-    comment.split([',', ' ']).find_map(|field| field.strip_prefix(name))
-}
-
 /// What stands between the first `start` and the next `end`.
 fn text_between<'a>(text: &'a str, start: &str, end: &str) -> Option<&'a str> {
     let (_, rest) = text.split_once(start)?;
@@ -39,7 +34,7 @@
 }
 
 fn parse_known(query: &str) -> Option<Statement> {
-    let quoted: Vec<&str> = query.split('\'').skip(1).step_by(2).collect();
+    let quoted = quoted_strings(query);
     let key = || quoted.first().map(|key| key.to_string());
     if query == "SHOW usage" {
         Some(Statement::Usage)
@@ -61,10 +56,10 @@
     } else if query.starts_with("SELECT int8send(") {
         Some(Statement::PositionRead { key: key()? })
     } else if query.starts_with("SELECT blob FROM rows") {
-        Some(Statement::Read { key: key()?, background: field(query, "c=") == Some("background") })
+        Some(Statement::Read { key: key()?, background: comment_field(query, "c=") == Some("background") })
     } else if query.starts_with("INSERT INTO rows") {
         let value = quoted.get(1)?.trim_start_matches("\\x").to_string();
-        Some(Statement::Write { key: key()?, value, id: field(query, "id=")?.into() })
+        Some(Statement::Write { key: key()?, value, id: comment_field(query, "id=")?.into() })
     } else {
         None
     }
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod balancer;
 pub mod client;
 pub mod database;
+mod database_server;
 pub mod discovery;
 pub mod fleet;
 pub mod groups;
@@ -17,6 +18,7 @@
 pub mod relay;
 pub mod rig;
 pub mod schedule;
+mod statement_text;
 mod wire;
 
 use std::sync::{Mutex, MutexGuard};
--- a/test-support/src/wire.rs
+++ b/test-support/src/wire.rs
@@ -1,4 +1,4 @@
-//! The part of PostgreSQL's protocol that test databases need: building messages.
+//! The part of PostgreSQL's protocol that test databases need: building messages, and those that every test database sends.
 
 /// A message with its type byte and length.
 pub(crate) fn message(tag: u8, body: &[u8]) -> Vec<u8> {
@@ -19,6 +19,24 @@
     [message(b'T', &column), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
+/// An error message.
+pub(crate) fn error(sqlstate: &str, text: &str) -> Vec<u8> {
+    message(b'E', format!("SERROR\0C{sqlstate}\0M{text}\0\0").as_bytes())
+}
+
+/// The answer to `SHOW usage`: the database's position, and whether it reports to be the primary.
+pub(crate) fn usage_row(is_primary: bool, position_ms: i64) -> Vec<u8> {
+    let (seconds, millis) = (position_ms / 1000, position_ms % 1000);
+    row(&format!("x0={seconds}.{millis:03},x1={}", u8::from(is_primary)))
+}
+
+/// The parameters that follow each answer: the database's role and its position.
+pub(crate) fn role_and_position(is_primary: bool, position_ms: i64) -> Vec<u8> {
+    let role = format!("server_role\0{}\0", if is_primary { "writer" } else { "reader" });
+    let position = format!("commit_clock\0{position_ms}\0");
+    [message(b'S', role.as_bytes()), message(b'S', position.as_bytes())].concat()
+}
+
 /// Decodes hexadecimal digits; pairs that are none are left out.
 pub(crate) fn decode_hex(hex: &str) -> Vec<u8> {
     let pair = |at: usize| u8::from_str_radix(hex.get(at..at + 2)?, 16).ok();
