--- a/test-support/src/groups/history.rs
+++ b/test-support/src/groups/history.rs
@@ -83,3 +83,14 @@
     /// Whether the member was in its slow start and proxies could know that.
     pub warming_up: bool,
 }
+
+/// What a group recorded up to a moment.
+#[derive(Clone, Debug)]
+pub struct GroupHistory {
+    /// The statements that its members received.
+    pub records: Vec<Record>,
+    /// Its commits, in the order of their times.
+    pub log: Vec<Entry>,
+    /// Commits that failovers have lost.
+    pub lost_commits: Vec<Entry>,
+}
--- a/test-support/src/groups/history_checks.rs
+++ b/test-support/src/groups/history_checks.rs
@@ -24,6 +24,7 @@
     durable: bool,
 }
 
+/// The values that each key had, by the time of their commits.
 fn values_by_key<'a>(log: &'a [Entry], lost: &'a [Entry]) -> HashMap<&'a str, Vec<CommittedValue<'a>>> {
     let mut by_key: HashMap<&str, Vec<CommittedValue>> = HashMap::new();
     for (entries, durable) in [(log, true), (lost, false)] {
@@ -101,8 +102,8 @@
     let mut highest = 0;
     for (member, mut times) in times_by_member {
         times.sort_unstable();
-        for (n, start) in times.iter().enumerate() {
-            let count = times[n..].iter().take_while(|time| **time < start + window_ms).count();
+        for (first, start) in times.iter().enumerate() {
+            let count = times[first..].iter().take_while(|time| **time < start + window_ms).count();
             highest = highest.max(count);
             if count > limit {
                 return Err(format!(
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -1,6 +1,7 @@
 //! The members of a group, on sockets. Each executes a limited number of statements at once and answers from the group's
 //! state.
 
+use super::history::GroupHistory;
 use super::state::{Member, State};
 use crate::database_server::{DatabaseBehavior, POLL_INTERVAL, start_accepting};
 use crate::lock;
@@ -105,6 +106,15 @@
         result
     }
 
+    /// What the group has recorded so far.
+    pub fn history(&self) -> GroupHistory {
+        self.with_state(|state| GroupHistory {
+            records: state.records.clone(),
+            log: state.log.clone(),
+            lost_commits: state.lost_commits.clone(),
+        })
+    }
+
     /// Ends the members' threads, and their connections with them.
     pub fn stop(&self) {
         self.0.stopped.store(true, Ordering::Relaxed);
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -17,7 +17,7 @@
 mod traffic_client;
 
 pub use cluster_rig::ClusterRig;
-pub use history::{Change, Entry, PlantedDifference, Record, StatementKind};
+pub use history::{Change, Entry, GroupHistory, PlantedDifference, Record, StatementKind};
 pub use member::{CapacityModel, Group, ParentLog};
 pub use state::{State, VisibleCopy, VisibleRow};
 
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -6,7 +6,7 @@
 };
 use super::play::{COPIES_PER_SECOND, DUAL_READS_PER_SECOND, MAX_DELAYED_STATEMENTS, Summary};
 use super::traffic::TrafficResult;
-use super::{Entry, Group, Record, StatementKind};
+use super::{Entry, Group, GroupHistory, Record, StatementKind};
 use std::collections::BTreeSet;
 
 /// The window of the background budgets in the run's options.
@@ -33,29 +33,12 @@
     pub stale_primary: bool,
 }
 
-/// What a group recorded.
-struct GroupHistory {
-    records: Vec<Record>,
-    log: Vec<Entry>,
-    lost_commits: Vec<Entry>,
-}
-
-impl GroupHistory {
-    fn of(group: &Group) -> GroupHistory {
-        group.with_state(|state| GroupHistory {
-            records: state.records.clone(),
-            log: state.log.clone(),
-            lost_commits: state.lost_commits.clone(),
-        })
-    }
-}
-
 impl FinishedRun<'_> {
     /// Runs all checks.
     pub(super) fn check(&self) -> Result<Summary, String> {
         let mut summary = Summary { planted_differences: self.planted.len(), ..Summary::default() };
         self.check_connections(&mut summary)?;
-        let histories: Vec<GroupHistory> = self.groups.iter().map(GroupHistory::of).collect();
+        let histories: Vec<GroupHistory> = self.groups.iter().map(Group::history).collect();
         for (group, history) in histories.iter().enumerate() {
             self.check_reads(group, history, &mut summary)?;
             let home = &histories[HOME_GROUP];
