--- /dev/null
+++ b/proxy/tests/hot/records.rs
@@ -0,0 +1,66 @@
+//! Checks of what databases and clients recorded: no stale read, no false claim of a position, no window over the budget, no load on cold
+//! databases, no write twice.
+
+use crate::rig::{HOME_GROUP, HotRig};
+use birchreach_test_support::groups::history_checks::{
+    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    check_single_execution,
+};
+use birchreach_test_support::groups::traffic::TrafficResult;
+use birchreach_test_support::groups::{Entry, GroupHistory, Record, StatementKind};
+
+const BUDGET_WINDOW_MS: i64 = 2_000;
+
+/// Ten a second over all processes in any two seconds, and what a process that was suspended may have had in flight.
+const MAX_COPIES_IN_A_WINDOW: usize = 20 + 5;
+
+/// Each copy reads its row twice.
+const READS_PER_COPY: usize = 2;
+
+impl HotRig {
+    /// Runs all checks.
+    pub(crate) fn check_records(&self, result: &TrafficResult) {
+        let histories: Vec<GroupHistory> = self.cluster.groups.iter().map(|group| group.history()).collect();
+        let home = &histories[HOME_GROUP];
+        let (mut checked_reads, mut highest_copies, mut checked_copies) = (0, 0, 0);
+        for (group, history) in histories.iter().enumerate() {
+            let reads = reads_of_group(result, group as u32);
+            checked_reads += check_freshness(&reads, &history.log, &history.lost_commits).unwrap();
+            checked_copies +=
+                check_copies(&history.log, HOME_GROUP as u32, &home.log, &home.lost_commits).unwrap();
+            highest_copies = highest_copies.max(check_copy_budget(&history.records));
+        }
+        check_no_write_twice(&histories);
+        assert!(
+            checked_reads > 200 && highest_copies > 0 && checked_copies > 0,
+            "{checked_reads} reads, at most {highest_copies} copies: it shows nothing"
+        );
+    }
+}
+
+fn reads_of_group(result: &TrafficResult, group: u32) -> Vec<ServedRead> {
+    let of_group = result.reads.iter().filter(|served| served.group == group);
+    of_group.map(|served| served.read.clone()).collect()
+}
+
+/// Checks that copies and their reads kept the budget and avoided databases that were warming up. Returns the most copies in a window.
+fn check_copy_budget(records: &[Record]) -> usize {
+    let is_copy_write = |statement: &StatementKind| *statement == StatementKind::CopyWrite;
+    let is_background_read =
+        |statement: &StatementKind| *statement == StatementKind::Read { background: true };
+    let highest = check_rate_limit(records, BUDGET_WINDOW_MS, MAX_COPIES_IN_A_WINDOW, is_copy_write).unwrap();
+    let max_reads = READS_PER_COPY * MAX_COPIES_IN_A_WINDOW;
+    check_rate_limit(records, BUDGET_WINDOW_MS, max_reads, is_background_read).unwrap();
+    check_none_while_warming_up(records, |statement| {
+        is_copy_write(statement) || is_background_read(statement)
+    })
+    .unwrap();
+    highest
+}
+
+fn check_no_write_twice(histories: &[GroupHistory]) {
+    let records: Vec<&[Record]> = histories.iter().map(|history| history.records.as_slice()).collect();
+    let logs: Vec<&[Entry]> =
+        histories.iter().flat_map(|history| [&history.log[..], &history.lost_commits[..]]).collect();
+    check_single_execution(&records, &logs).unwrap();
+}
--- /dev/null
+++ b/proxy/tests/hot/rig.rs
@@ -0,0 +1,132 @@
+//! Proxies in front of four groups of databases, one of which has the key that gets hot; the others hold copies of it.
+
+use birchreach_test_support::fleet::{admin_call, check_settled};
+use birchreach_test_support::groups::traffic::{ProxyAddresses, ReadRate, Traffic, TrafficProfile};
+use birchreach_test_support::groups::{CapacityModel, ClusterRig};
+use birchreach_test_support::process::{MAX_WAIT, Process};
+use std::path::Path;
+use std::sync::{Arc, Mutex};
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+pub(crate) const HOT_OPTIONS: &str =
+    "<hot bears='30' copies-per-s='10' reads-per-s='10' all-per-s='60' window-ms='2000'/>";
+
+pub(crate) const GROUP_COUNT: usize = 4;
+pub(crate) const MEMBER_COUNT: usize = 3;
+
+/// The group whose key gets hot.
+pub(crate) const HOME_GROUP: usize = 0;
+
+/// How late replicas apply the log.
+pub(crate) const LAG_MS: i64 = 20;
+
+const CAPACITY: CapacityModel = CapacityModel {
+    max_concurrent: 2,
+    statement_time: Duration::from_millis(3),
+    slow_start_initial_fraction: 0.3,
+    slow_start_window: Duration::from_secs(3),
+};
+
+/// So many clients write, too.
+const WRITING_CLIENTS: usize = 2;
+
+pub(crate) struct HotRig {
+    pub(crate) cluster: ClusterRig,
+    /// `None` stands where a process was killed.
+    pub(crate) processes: Vec<Option<Process>>,
+    addresses: Arc<ProxyAddresses>,
+}
+
+impl HotRig {
+    /// Starts so many processes. `n`: the number of the test, for a folder and addresses of its own.
+    pub(crate) fn start(n: u8, process_count: usize) -> HotRig {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hot-{n}"));
+        let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
+        let loopback_address = [127, 87, n, 1];
+        let groups =
+            ClusterRig::groups(GROUP_COUNT, MEMBER_COUNT, loopback_address, LAG_MS, &CAPACITY).unwrap();
+        let seed = u64::from(n);
+        let cluster =
+            ClusterRig::new(groups, process_count, loopback_address, program, &folder, seed, HOT_OPTIONS)
+                .unwrap();
+        let processes: Vec<Option<Process>> =
+            (0..process_count).map(|process| Some(cluster.start(process).unwrap())).collect();
+        let client_addresses = processes.iter().map(|process| process.as_ref()?.client_address()).collect();
+        let rig = HotRig { cluster, processes, addresses: Arc::new(Mutex::new(client_addresses)) };
+        rig.wait_until("join", || check_settled(process_count, &rig.running()).is_ok());
+        rig
+    }
+
+    /// The processes that run.
+    pub(crate) fn running(&self) -> Vec<&Process> {
+        self.processes.iter().flatten().collect()
+    }
+
+    /// Waits until the condition holds.
+    pub(crate) fn wait_until(&self, what: &str, mut holds: impl FnMut() -> bool) {
+        let start = Instant::now();
+        while !holds() {
+            let status = |process: &&Process| hot_status(process) + &admin_call(process, "fleet");
+            let statuses: Vec<String> = self.running().iter().map(status).collect();
+            assert!(start.elapsed() < 2 * MAX_WAIT, "{what}: {statuses:#?}");
+            sleep(Duration::from_millis(50));
+        }
+    }
+
+    pub(crate) fn all_hot_statuses_start_with(&self, start: &str) -> bool {
+        self.running().iter().all(|process| hot_status(process).starts_with(start))
+    }
+
+    /// Whether all processes have so many hot keys.
+    pub(crate) fn all_have_hot_keys(&self, key_count: usize) -> bool {
+        self.all_hot_statuses_start_with(&format!("hot keys={key_count} "))
+    }
+
+    /// Reads that copies served, over all processes.
+    pub(crate) fn served_from_copies(&self) -> u64 {
+        self.running().iter().map(|process| reads_served_from_copies(process)).sum()
+    }
+
+    /// Starts a client of each process, which reads the hot key at this rate and another one seldom; some write.
+    pub(crate) fn start_traffic(&self, hot_reads_per_second: f64) -> Traffic {
+        let read_rate = |key: &str, reads_per_second| ReadRate { key: key.into(), reads_per_second };
+        let profile = |process| TrafficProfile {
+            proxy: process,
+            group: HOME_GROUP as u32,
+            read_rates: vec![read_rate("hot", hot_reads_per_second), read_rate("cool", 1.0)],
+            session_fraction: 0.3,
+            write_rate: if process < WRITING_CLIENTS { 2.0 } else { 0.0 },
+        };
+        let profiles: Vec<TrafficProfile> = (0..self.processes.len()).map(profile).collect();
+        Traffic::start(&self.addresses, &self.cluster.groups, &profiles, 1)
+    }
+
+    /// Kills a process, if it runs, and starts it again.
+    pub(crate) fn restart(&mut self, process: usize) {
+        self.processes[process] = None;
+        let started = self.cluster.start(process).unwrap();
+        self.addresses.lock().unwrap()[process] = started.client_address();
+        self.processes[process] = Some(started);
+    }
+
+    /// Gives all processes other options for hot keys, by SIGHUP. All have to run.
+    pub(crate) fn reload_all(&self, hot_options: &str) {
+        for (n, process) in self.running().iter().enumerate() {
+            let options = self.cluster.fleet.options_xml(n).replace(HOT_OPTIONS, hot_options);
+            let config = self.cluster.fleet.rig.config(n as u64 + 1);
+            process.reload(&config, &options).unwrap();
+        }
+    }
+}
+
+/// A process's answer to the admin call `hot`.
+fn hot_status(process: &Process) -> String {
+    admin_call(process, "hot")
+}
+
+fn reads_served_from_copies(process: &Process) -> u64 {
+    let status = hot_status(process);
+    let served = status.split_whitespace().find_map(|word| word.strip_prefix("served=")?.parse().ok());
+    served.unwrap_or(0)
+}
--- /dev/null
+++ b/proxy/tests/split/rig.rs
@@ -0,0 +1,205 @@
+//! Proxies in front of a group that splits into two children, and clients that read all its keys.
+
+use crate::keys::{goes_to_lower_child, goes_to_upper_child, hash};
+use birchreach_test_support::fleet::{admin_call, check_settled};
+use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
+use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile};
+use birchreach_test_support::groups::{
+    CapacityModel, Change, ClusterRig, Group, ParentLog, State, StatementKind, now_ms,
+};
+use birchreach_test_support::process::{MAX_WAIT, Process};
+use std::net::{IpAddr, SocketAddr};
+use std::path::Path;
+use std::sync::{Arc, Mutex};
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+pub(crate) const SPLIT_OPTIONS: &str = "<split from='0' below='1' above='2' at='2147483648' least='1' within-ms='60000' confirm-ms='2500' \
+                     reads-per-s='60' all-per-s='200' window-ms='1000'/>";
+
+/// The groups, by their index.
+pub(crate) const PARENT: usize = 0;
+pub(crate) const LOWER_CHILD: usize = 1;
+pub(crate) const UPPER_CHILD: usize = 2;
+
+/// How late replicas apply the log.
+const PARENT_LAG_MS: i64 = 20;
+pub(crate) const CHILD_LAG_MS: i64 = 30;
+
+/// How long ago the keys' first values were committed.
+const INITIAL_AGE_MS: i64 = 10_000;
+
+/// There is a key in each of these ranges of hashes.
+const RANGE_COUNT: usize = 64;
+const HASHES_PER_RANGE: usize = 1 << 26;
+
+const CAPACITY: CapacityModel = CapacityModel {
+    max_concurrent: 4,
+    statement_time: Duration::from_millis(1),
+    slow_start_initial_fraction: 0.3,
+    slow_start_window: Duration::from_secs(2),
+};
+
+const BUDGET_WINDOW_MS: i64 = 1_000;
+
+/// Reads that a child may get in a window: a sample reads twice; and what was in flight before a suspension.
+const MAX_DUAL_READS: usize = 2 * 60 + 8;
+
+pub(crate) struct SplitRig {
+    pub(crate) cluster: ClusterRig,
+    pub(crate) processes: Vec<Process>,
+    pub(crate) keys: Vec<String>,
+    traffic: Option<Traffic>,
+}
+
+impl SplitRig {
+    /// Starts so many processes and a client of each. `n`: the number of the test, for a folder and addresses of its own.
+    pub(crate) fn start(n: u8, process_count: usize) -> SplitRig {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("split-{n}"));
+        let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
+        let loopback_address = [127, 86, n, 1];
+        let keys = key_in_each_range();
+        let groups = start_groups(loopback_address);
+        write_initial_rows(&groups[PARENT], &keys);
+        let seed = u64::from(n);
+        let cluster =
+            ClusterRig::new(groups, process_count, loopback_address, program, &folder, seed, SPLIT_OPTIONS)
+                .unwrap();
+        let processes: Vec<Process> =
+            (0..process_count).map(|process| cluster.start(process).unwrap()).collect();
+        let mut rig = SplitRig { cluster, processes, keys, traffic: None };
+        rig.wait_until("join", |rig| {
+            check_settled(process_count, &rig.processes.iter().collect::<Vec<_>>()).is_ok()
+        });
+        rig.traffic = Some(rig.start_traffic());
+        rig
+    }
+
+    /// Starts a client of each process, which writes a key of its own and reads all.
+    fn start_traffic(&self) -> Traffic {
+        let proxies = Arc::new(Mutex::new(self.processes.iter().map(Process::client_address).collect()));
+        let profile = |process: usize| TrafficProfile {
+            proxy: process,
+            group: PARENT as u32,
+            read_rates: self.read_rates(process),
+            session_fraction: 0.0,
+            write_rate: 3.0,
+        };
+        let profiles: Vec<TrafficProfile> = (0..self.processes.len()).map(profile).collect();
+        Traffic::start(&proxies, &self.cluster.groups, &profiles, 7)
+    }
+
+    /// All keys; the first, which the client writes, differs from process to process.
+    fn read_rates(&self, process: usize) -> Vec<ReadRate> {
+        let read_rate = |key: &String| ReadRate { key: key.clone(), reads_per_second: 1.0 };
+        let mut rates: Vec<ReadRate> = self.keys.iter().map(read_rate).collect();
+        rates.swap(0, process * 5);
+        rates
+    }
+
+    /// Gives a process other options for the split, by SIGHUP.
+    pub(crate) fn reload(&self, process: usize, split_options: &str) {
+        let options = self.cluster.fleet.options_xml(process).replace(SPLIT_OPTIONS, split_options);
+        let config = self.cluster.fleet.rig.config(process as u64 + 1);
+        self.processes[process].reload(&config, &options).unwrap();
+    }
+
+    /// A process's answer to the admin call `split`.
+    pub(crate) fn split_status(&self, process: usize) -> String {
+        admin_call(&self.processes[process], "split")
+    }
+
+    /// Waits until the condition holds.
+    pub(crate) fn wait_until(&self, what: &str, mut holds: impl FnMut(&SplitRig) -> bool) {
+        let start = Instant::now();
+        while !holds(self) {
+            let statuses: Vec<String> = (0..self.processes.len()).map(|n| self.split_status(n)).collect();
+            assert!(start.elapsed() < 3 * MAX_WAIT, "{what}: {statuses:#?}");
+            sleep(Duration::from_millis(100));
+        }
+    }
+
+    pub(crate) fn all_have_verdict(&self, verdict: &str) -> bool {
+        let start = format!("split verdict={verdict} ");
+        (0..self.processes.len()).all(|process| self.split_status(process).starts_with(&start))
+    }
+
+    /// Whether a process has no verdict for all, or one that the children differ.
+    pub(crate) fn has_no_clean_verdict(&self, process: usize) -> bool {
+        let status = self.split_status(process);
+        status.contains("verdict=not-yet") || status.contains("verdict=dirty")
+    }
+
+    /// Confirmed differences in the logs of all processes, by kind and hash; sorted, each once.
+    pub(crate) fn confirmed_differences(&self) -> Vec<String> {
+        let lines = self.processes.iter().flat_map(Process::log);
+        let flags = lines.filter(|line| line.contains("event=split-flag"));
+        let mut differences: Vec<String> = flags.filter_map(|line| reported_difference(&line)).collect();
+        differences.sort();
+        differences.dedup();
+        differences
+    }
+
+    /// Stops the clients. Checks that they were served by the parent alone, and that children were read within the budget.
+    pub(crate) fn stop_and_check_records(&mut self) {
+        let result = self.traffic.take().unwrap().stop();
+        assert!(
+            result.served_fraction() > 0.5 && result.served > 200,
+            "{} served, {} refused",
+            result.served,
+            result.rejected
+        );
+        for child in [LOWER_CHILD, UPPER_CHILD] {
+            self.cluster.groups[child].with_state(|state| check_child_records(state));
+        }
+    }
+}
+
+/// A key in each of the ranges, by their order.
+fn key_in_each_range() -> Vec<String> {
+    let mut by_range: Vec<Option<String>> = vec![None; RANGE_COUNT];
+    for n in 0..10_000 {
+        let key = format!("key-{n}");
+        let range = hash(&key) as usize / HASHES_PER_RANGE;
+        by_range[range].get_or_insert(key);
+    }
+    by_range.into_iter().flatten().collect()
+}
+
+/// The group that splits, and its two children, which follow its log.
+fn start_groups(loopback_address: [u8; 4]) -> Vec<Group> {
+    let address = SocketAddr::new(IpAddr::from(loopback_address), 0);
+    let parent = Group::start(address, 3, PARENT_LAG_MS, CAPACITY, None).unwrap();
+    let start_child = |owns_key: fn(&str) -> bool| {
+        let parent_log = ParentLog { group: parent.clone(), owns_key };
+        Group::start(address, 2, CHILD_LAG_MS, CAPACITY, Some(parent_log)).unwrap()
+    };
+    vec![parent.clone(), start_child(goes_to_lower_child), start_child(goes_to_upper_child)]
+}
+
+fn write_initial_rows(parent: &Group, keys: &[String]) {
+    for (n, key) in keys.iter().enumerate() {
+        let change = Change::Row { key: key.clone(), value: format!("{n:04x}") };
+        parent.with_state(|state| state.commit(0, now_ms() - INITIAL_AGE_MS, "", change));
+    }
+}
+
+/// The kind and hash in a log line that reports a difference.
+fn reported_difference(line: &str) -> Option<String> {
+    let value_of = |key: &str| line.split([' ', '"']).find_map(|word| word.strip_prefix(key));
+    Some(format!("{} {}", value_of("sort=")?, value_of("hash=")?))
+}
+
+/// Checks that a child was read by proxies alone, within their budget and not while it was warming up.
+fn check_child_records(state: &State) {
+    let is_client_read =
+        |statement: &StatementKind| matches!(statement, StatementKind::Read { background: false });
+    let client_reads = state.records.iter().filter(|record| is_client_read(&record.statement)).count();
+    assert_eq!(client_reads, 0, "a client's read went to a child");
+    let is_dual_read = |statement: &StatementKind| {
+        matches!(statement, StatementKind::Read { background: true } | StatementKind::PositionRead)
+    };
+    let highest = check_rate_limit(&state.records, BUDGET_WINDOW_MS, MAX_DUAL_READS, is_dual_read).unwrap();
+    check_none_while_warming_up(&state.records, is_dual_read).unwrap();
+    assert!(highest > 0);
+}
