--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -8,30 +8,39 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-fn fleet(n: u8, count: usize) -> Fleet {
+/// A fleet with a folder and addresses of its own, by the number of the test. No process is started.
+fn new_fleet(n: u8, process_count: usize) -> Fleet {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-{n}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
-    Fleet::new(count, [127, 88, 230 + n, 1], program, &folder, u64::from(n)).unwrap()
+    Fleet::new(process_count, [127, 88, 230 + n, 1], program, &folder, u64::from(n)).unwrap()
 }
 
-fn settle(what: &str, members: usize, all: &[&Process]) {
+/// Waits until all of these processes report a settled fleet of so many members.
+fn wait_until_settled<'a>(what: &str, member_count: usize, processes: impl IntoIterator<Item = &'a Process>) {
+    let processes: Vec<&Process> = processes.into_iter().collect();
     let start = Instant::now();
-    while let Err(views) = check_settled(members, all) {
+    while let Err(views) = check_settled(member_count, &processes) {
         assert!(start.elapsed() < 2 * MAX_WAIT, "{what}: {views}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-#[test]
-fn a_fleet_settles_after_cuts_crashes_pauses_and_restarts() {
-    let fleet = fleet(1, 5);
-    let mut all: Vec<Process> = (0..5).map(|n| fleet.start(n, None).unwrap()).collect();
-    let of = |all: &[Process], which: std::ops::Range<usize>| -> Vec<u32> {
-        which.map(|n| all[n].pid()).collect()
-    };
-    let views = |all: &[Process]| all.iter().map(|p| fleet_value(p, "boot=")).collect::<Vec<_>>();
-    settle("join", 5, &all.iter().collect::<Vec<_>>());
-    // Two against three, with datagrams that are duplicated, delayed, reordered and corrupted.
+/// The process ids.
+fn pids(processes: &[Process]) -> Vec<u32> {
+    processes.iter().map(Process::pid).collect()
+}
+
+/// The incarnations as the processes report their own.
+fn incarnations(processes: &[Process]) -> Vec<String> {
+    processes.iter().map(incarnation).collect()
+}
+
+fn incarnation(process: &Process) -> String {
+    fleet_value(process, "boot=")
+}
+
+/// Separates two of five from the others, with datagrams that are duplicated, delayed, reordered and corrupted, and heals the partition.
+fn partition_and_heal(fleet: &Fleet, processes: &[Process]) {
     let faults = NetworkFaults {
         duplicate_fraction: 0.1,
         corrupt_fraction: 0.05,
@@ -39,33 +48,48 @@
         ..NetworkFaults::partition(2, 5)
     };
     fleet.relays.set_faults(faults.clone());
-    settle("the two", 2, &all[..2].iter().collect::<Vec<_>>());
-    settle("the three", 3, &all[2..].iter().collect::<Vec<_>>());
-    assert_eq!(fleet_value(&all[0], "divisor="), "5", "two never act as if they were the whole fleet");
+    wait_until_settled("the two", 2, &processes[..2]);
+    wait_until_settled("the three", 3, &processes[2..]);
+    assert_eq!(fleet_value(&processes[0], "divisor="), "5", "two never act as if they were the whole fleet");
     fleet.relays.set_faults(NetworkFaults { blocked: Default::default(), ..faults });
-    settle("heal", 5, &all.iter().collect::<Vec<_>>());
-    // One is paused until all others have removed it, and resumes.
-    all[4].signal("STOP");
-    settle("stop", 4, &all[..4].iter().collect::<Vec<_>>());
-    all[4].signal("CONT");
-    settle("go on", 5, &all.iter().collect::<Vec<_>>());
-    all[4].wait_for_log_line(&["event=fleet-epoch-renewed"]).expect("it was removed");
-    // One is killed and starts again under its name, with an empty memory.
-    let (before, pids) = (views(&all), of(&all, 0..5));
-    all[1].signal("KILL");
-    all[1] = fleet.start(1, None).unwrap();
-    settle("restart", 5, &all.iter().collect::<Vec<_>>());
-    assert_ne!((views(&all), of(&all, 0..5)), (before, pids));
-    // One shuts down gracefully.
-    all[0].signal("TERM");
-    settle("leave", 4, &all[1..].iter().collect::<Vec<_>>());
+    wait_until_settled("heal", 5, processes);
+}
+
+/// Pauses a process until all others have removed it, and resumes it.
+fn pause_and_resume_the_last(processes: &[Process]) {
+    processes[4].signal("STOP");
+    wait_until_settled("stop", 4, &processes[..4]);
+    processes[4].signal("CONT");
+    wait_until_settled("go on", 5, processes);
+    processes[4].wait_for_log_line(&["event=fleet-epoch-renewed"]).expect("it was removed");
+}
+
+/// Kills a process and starts it again under its name, with an empty memory.
+fn kill_and_restart_the_second(fleet: &Fleet, processes: &mut [Process]) {
+    let before = (incarnations(processes), pids(processes));
+    processes[1].signal("KILL");
+    processes[1] = fleet.start(1, None).unwrap();
+    wait_until_settled("restart", 5, &*processes);
+    assert_ne!((incarnations(processes), pids(processes)), before);
 }
 
 #[test]
-fn foreign_datagrams_change_nothing_and_a_partitioned_process_reports_itself_blind() {
-    let fleet = fleet(2, 3);
-    let one = fleet.start(0, None).unwrap();
-    one.wait_for_log_line(&["event=fleet ", "state=blind"]).expect("it receives from nobody");
+fn a_fleet_settles_after_cuts_crashes_pauses_and_restarts() {
+    // Given a settled fleet of five
+    let fleet = new_fleet(1, 5);
+    let mut processes: Vec<Process> = (0..5).map(|n| fleet.start(n, None).unwrap()).collect();
+    wait_until_settled("join", 5, &processes);
+    // When it is partitioned, paused or restarted in part, then it settles each time
+    partition_and_heal(&fleet, &processes);
+    pause_and_resume_the_last(&processes);
+    kill_and_restart_the_second(&fleet, &mut processes);
+    // When one shuts down gracefully, then the others settle without it
+    processes[0].signal("TERM");
+    wait_until_settled("leave", 4, &processes[1..]);
+}
+
+/// Sends a process datagrams that are none of the fleet's: empty, too short, too long, and one whose authentication code is wrong.
+fn send_foreign_datagrams(fleet: &Fleet, process: usize) {
     let socket = UdpSocket::bind((fleet.rig.loopback_address(), 0)).unwrap();
     for bytes in [
         &b""[..],
@@ -73,12 +97,28 @@
         &[b'b'; 1_401],
         b"bd\x01\0\0\0\x01 and what else there may be, for long enough to be a datagram of ours",
     ] {
-        socket.send_to(bytes, fleet.relays.process_addresses[0]).unwrap();
+        socket.send_to(bytes, fleet.relays.process_addresses[process]).unwrap();
     }
+}
+
+/// Waits until a process has counted a datagram whose authentication code is wrong.
+fn wait_for_wrong_code(process: &Process) {
     let start = Instant::now();
-    while !admin_call(&one, "metrics").contains("reason=\"wrong-code\"} 1") {
-        assert!(start.elapsed() < MAX_WAIT, "{}", admin_call(&one, "metrics"));
+    while !admin_call(process, "metrics").contains("reason=\"wrong-code\"} 1") {
+        assert!(start.elapsed() < MAX_WAIT, "{}", admin_call(process, "metrics"));
     }
+}
+
+#[test]
+fn foreign_datagrams_change_nothing_and_a_partitioned_process_reports_itself_blind() {
+    // Given a process that receives from nobody
+    let fleet = new_fleet(2, 3);
+    let one = fleet.start(0, None).unwrap();
+    one.wait_for_log_line(&["event=fleet ", "state=blind"]).expect("it receives from nobody");
+    // When it receives foreign datagrams
+    send_foreign_datagrams(&fleet, 0);
+    // Then it counts them, and is alone as before
+    wait_for_wrong_code(&one);
     let metrics = admin_call(&one, "metrics");
     assert!(
         metrics.contains("\nbirchreach_fleet_dropped_total{reason=\"no-datagram\"} 3")
@@ -86,54 +126,61 @@
         "{metrics}"
     );
     assert_eq!((fleet_value(&one, "state="), fleet_value(&one, "members=")), ("blind".into(), "1".into()));
-    // Without the options none of it is there.
+    // Given a process without options, then it has neither call
     let plain = fleet.rig.start(9, None, None).unwrap();
     assert!(
         admin_call(&plain, "fleet").starts_with("NO no such call")
             && admin_call(&plain, "metrics").starts_with("NO no such call")
     );
-    // A second process joins.
+    // When a second process starts, then both settle
     let two = fleet.start(1, None).unwrap();
-    settle("two", 2, &[&one, &two]);
+    wait_until_settled("two", 2, [&one, &two]);
 }
 
 #[test]
 fn of_two_processes_of_one_proxy_one_is_a_member() {
-    let fleet = fleet(3, 3);
+    // Given a settled fleet of three, one of them with a listener that another process may share
+    let fleet = new_fleet(3, 3);
     let shared = TcpListener::bind((fleet.rig.loopback_address(), 0)).unwrap();
     let mut predecessor = fleet.start(0, Some(&shared)).unwrap();
     let (one, two) = (fleet.start(1, None).unwrap(), fleet.start(2, None).unwrap());
-    settle("join", 3, &[&predecessor, &one, &two]);
-    let before = fleet_value(&predecessor, "boot=");
-    // The successor starts beside it with its name and address: the predecessor leaves, and the successor joins.
+    wait_until_settled("join", 3, [&predecessor, &one, &two]);
+    let before = incarnation(&predecessor);
+    // When its successor starts with its name and address, then the predecessor leaves, and the successor joins
     let successor = fleet.start(0, Some(&shared)).unwrap();
     successor.wait_for_log_line(&["event=fleet-listening"]).expect("the predecessor closes its socket");
-    settle("handover", 3, &[&successor, &one, &two]);
-    assert_ne!(fleet_value(&successor, "boot="), before);
-    // The successor crashes: the predecessor joins again, under a new epoch.
+    wait_until_settled("handover", 3, [&successor, &one, &two]);
+    assert_ne!(incarnation(&successor), before);
+    // When the successor crashes, then the predecessor joins again, under a new epoch
     drop(successor);
-    settle("back", 3, &[&predecessor, &one, &two]);
-    assert_eq!(fleet_value(&predecessor, "boot="), before);
+    wait_until_settled("back", 3, [&predecessor, &one, &two]);
+    assert_eq!(incarnation(&predecessor), before);
+    // When the next successor has taken over and the predecessor shuts down, then the fleet stays settled
     let successor = fleet.start(0, Some(&shared)).unwrap();
-    settle("the next", 3, &[&successor, &one, &two]);
+    wait_until_settled("the next", 3, [&successor, &one, &two]);
     predecessor.signal("TERM");
     assert_eq!(predecessor.wait_for_exit(), Some(0));
-    settle("and on", 3, &[&successor, &one, &two]);
-    assert!(
-        [&one, &two].iter().all(|p| !p.log().iter().any(|l| l.contains("event=fleet-name-conflict"))),
-        "nobody saw both"
-    );
+    wait_until_settled("and on", 3, [&successor, &one, &two]);
+    // And nobody saw both
+    let saw_both =
+        |process: &Process| process.log().iter().any(|line| line.contains("event=fleet-name-conflict"));
+    assert!([&one, &two].iter().all(|process| !saw_both(process)), "nobody saw both");
 }
 
 /// Faults from a seed, the same each time: all come to one view once they are over.
 #[test]
 fn a_schedule_from_a_seed_settles() {
-    let fleet = fleet(5, 4);
-    let mut all: Vec<Option<Process>> = (0..4).map(|n| fleet.start(n, None).ok()).collect();
+    // Given a fleet of four
+    let fleet = new_fleet(5, 4);
+    let mut processes: Vec<Option<Process>> = (0..4).map(|n| fleet.start(n, None).ok()).collect();
+    // When a schedule of faults has been played, then it settles
     let schedule = Schedule::generate(3, 4, 6, Duration::from_secs(5));
-    schedule.play(&fleet, &mut all).unwrap();
-    schedule.recover(&fleet, &mut all, 2 * MAX_WAIT).unwrap();
-    let has_exchanged =
-        |p: &Process| p.log().iter().any(|l| l.contains("conn=fleet") && l.contains("reason=received"));
-    assert!(all.iter().flatten().any(has_exchanged), "no full exchange was completed");
+    schedule.play(&fleet, &mut processes).unwrap();
+    schedule.recover(&fleet, &mut processes, 2 * MAX_WAIT).unwrap();
+    // And somebody received the whole state of another
+    let has_exchanged = |process: &Process| {
+        let log = process.log();
+        log.iter().any(|line| line.contains("conn=fleet") && line.contains("reason=received"))
+    };
+    assert!(processes.iter().flatten().any(has_exchanged), "no full exchange was completed");
 }
--- a/proxy/tests/health/database_faults.rs
+++ b/proxy/tests/health/database_faults.rs
@@ -1,6 +1,6 @@
 //! Databases that are unresponsive, gone or slow.
 
-use crate::support::{PROBES, Traffic, agent, http, rig, until};
+use crate::support::{PROBES, Traffic, agent_check, http_check, new_rig, wait_until};
 use birchreach_test_support::client::{Client, Reply};
 use std::thread;
 use std::time::Duration;
@@ -9,30 +9,34 @@
 #[test]
 fn an_unresponsive_primary_is_reported_and_a_late_list_is_no_proof() {
     // Given two groups with traffic
-    let rig = rig(1, 2);
+    let rig = new_rig(1, 2);
     let proxy = rig.start_with_checks(1, 64, PROBES).unwrap();
     let traffic = Traffic::start(proxy.client_address().unwrap(), 2, 4);
-    until("all is available", || agent(&proxy, "file-entry").text == "ready up 100%\n");
+    wait_until("all is available", || agent_check(&proxy, "file-entry").text == "ready up 100%\n");
     // When one primary stops responding, then only writes to its group are unavailable
     rig.groups[1].primary.set_hung(true);
-    until("the unresponsive primary is reported", || !agent(&proxy, "group=1 write").up);
-    assert!(agent(&proxy, "group=0 write").up && agent(&proxy, "tariff-lookup").up && agent(&proxy, "").up);
-    assert!(http(&proxy, "/group/1/write").text.contains("503 Service Unavailable"));
-    assert!(http(&proxy, "/ready").text.contains("x-envoy-degraded: true"));
+    wait_until("the unresponsive primary is reported", || !agent_check(&proxy, "group=1 write").up);
+    assert!(
+        agent_check(&proxy, "group=0 write").up
+            && agent_check(&proxy, "tariff-lookup").up
+            && agent_check(&proxy, "").up
+    );
+    assert!(http_check(&proxy, "/group/1/write").text.contains("503 Service Unavailable"));
+    assert!(http_check(&proxy, "/ready").text.contains("x-envoy-degraded: true"));
     // When the other server becomes primary, then its own report counts, before the endpoint list names it
     rig.fail_over(1, false);
-    until("the proof counts", || agent(&proxy, "group=1 write").up);
+    wait_until("the proof counts", || agent_check(&proxy, "group=1 write").up);
     rig.announce_primary(1, rig.groups[1].replica.address());
     // When every primary is gone, then the proxy stays in rotation for reads
     rig.groups[0].primary.set_available(false);
     rig.groups[1].replica.set_available(false);
     rig.groups[1].primary.set_hung(false);
     rig.groups[1].primary.set_primary(false);
-    until("the loss of every primary is reported", || {
-        http(&proxy, "/health").text.contains("\"state\":\"no-primary\"")
+    wait_until("the loss of every primary is reported", || {
+        http_check(&proxy, "/health").text.contains("\"state\":\"no-primary\"")
     });
-    assert!(!agent(&proxy, "file-entry").up);
-    assert!(agent(&proxy, "tariff-lookup").up && http(&proxy, "/ready").up);
+    assert!(!agent_check(&proxy, "file-entry").up);
+    assert!(agent_check(&proxy, "tariff-lookup").up && http_check(&proxy, "/ready").up);
     drop(traffic);
     assert!(rig.groups.iter().all(|group| group.rows.duplicate_count() == 0));
 }
@@ -40,13 +44,13 @@
 #[test]
 fn slow_requests_and_short_silences_withdraw_nothing() {
     // Given slow requests
-    let rig = rig(2, 1);
+    let rig = new_rig(2, 1);
     let heavy = Duration::from_millis(2500);
     rig.groups[0].primary.set_delay("heavy", heavy);
     // The longest limit that the options allow: a short stall of the machine must not fail this test.
     let patient = format!("{PROBES}<claims hang-probed-ms='1700'/>");
     let proxy = rig.start_with_checks(1, 64, &patient).unwrap();
-    until("writes are available", || agent(&proxy, "file-entry").up);
+    wait_until("writes are available", || agent_check(&proxy, "file-entry").up);
     // When requests take longer than the limit
     let mut client = Client::connect(proxy.client_address().unwrap()).unwrap();
     for _ in 0..2 {
--- a/proxy/tests/peer_state.rs
+++ b/proxy/tests/peer_state.rs
@@ -4,34 +4,60 @@
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::rig::Rig;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-fn rig(n: u8) -> (Rig, PathBuf) {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("peer-state-{n}"));
-    let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
-    let rig = Rig::new(2, [127, 88, 200 + n, 1], program, &folder).unwrap();
-    (rig, folder)
+/// Texts of key files: with one key, while it is rotated, and with a key that nobody else has.
+const ONE_KEY: &str = "# the first seals\n1 000102030405060708090a0b0c0d0e0f\n";
+const TWO_KEYS: &str = "2 101112131415161718191a1b1c1d1e1f\n1 000102030405060708090a0b0c0d0e0f\n";
+const OTHER_KEY: &str = "1 ffffffffffffffffffffffffffffffff\n";
+
+/// A rig and its folder, for proxies with peer state.
+struct PeerStateRig {
+    rig: Rig,
+    folder: PathBuf,
 }
 
-/// A key file that only its owner may read.
-fn keys(folder: &Path, name: &str, text: &str) -> String {
-    let path = folder.join(name);
-    std::fs::write(&path, text).unwrap();
-    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o600)).unwrap();
-    path.to_str().unwrap().into()
+impl PeerStateRig {
+    /// A rig with a folder and addresses of its own, by the number of the test.
+    fn new(n: u8) -> PeerStateRig {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("peer-state-{n}"));
+        let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
+        let rig = Rig::new(2, [127, 88, 200 + n, 1], program, &folder).unwrap();
+        PeerStateRig { rig, folder }
+    }
+
+    /// Writes a key file that only its owner may read, and returns its path.
+    fn write_key_file(&self, name: &str, text: &str) -> String {
+        let path = self.folder.join(name);
+        std::fs::write(&path, text).unwrap();
+        set_mode(&path, 0o600);
+        path.to_str().unwrap().into()
+    }
+
+    /// Starts the proxy `p{n}`, which listens for peers here and asks these providers.
+    fn start(&self, n: u64, listen: SocketAddr, providers: &[SocketAddr], key_file: &str) -> Process {
+        self.rig.start(n, Some(&options(listen, providers, key_file)), None).unwrap()
+    }
+
+    /// Starts a proxy that doesn't come up because of its key file, and returns the error.
+    fn start_and_fail(&self, listen: SocketAddr, key_file: &str) -> String {
+        let started = self.rig.start(1, Some(&options(listen, &[], key_file)), None);
+        started.err().unwrap().to_string()
+    }
 }
 
-const ONE: &str = "# the first seals\n1 000102030405060708090a0b0c0d0e0f\n";
-const TWO: &str = "2 101112131415161718191a1b1c1d1e1f\n1 000102030405060708090a0b0c0d0e0f\n";
-const OTHER: &str = "1 ffffffffffffffffffffffffffffffff\n";
+fn set_mode(path: impl AsRef<Path>, mode: u32) {
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(mode)).unwrap();
+}
 
-fn options(listen: SocketAddr, providers: &[SocketAddr], keys: &str) -> String {
+/// The options file's text.
+fn options(listen: SocketAddr, providers: &[SocketAddr], key_file: &str) -> String {
     let providers: Vec<String> = providers.iter().map(ToString::to_string).collect();
     format!(
-        "<birchreach-options><knowledge listen='{listen}' donors='{}' key-file='{keys}' refresh-ms='500'/></birchreach-options>",
+        "<birchreach-options><knowledge listen='{listen}' donors='{}' key-file='{key_file}' refresh-ms='500'/></birchreach-options>",
         providers.join(" ")
     )
 }
@@ -47,50 +73,61 @@
     }
 }
 
+/// Sends what no proxy would, and waits for each connection to be closed.
+fn send_noise(address: SocketAddr) {
+    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"bk\x09\x01 and what else there may be", &[b'b'; 100_000]]
+    {
+        let mut stream = TcpStream::connect(address).unwrap();
+        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
+        let _ = stream.write_all(bytes);
+        // The provider may have sent its Hello; then it closes.
+        let _ = stream.read_to_end(&mut Vec::new());
+    }
+}
+
 #[test]
 fn a_new_proxy_receives_the_state_of_a_running_one() {
-    let (rig, folder) = rig(1);
-    let (a, b, c) = (rig.free_address().unwrap(), rig.free_address().unwrap(), rig.free_address().unwrap());
-    let (one, two) = (keys(&folder, "one", ONE), keys(&folder, "two", TWO));
-    let provider = rig.start(1, Some(&options(a, &[], &two)), None).unwrap();
+    // Given a proxy with state, and two key files that are valid while keys are rotated
+    let peers = PeerStateRig::new(1);
+    let [first, second, third] = std::array::from_fn(|_| peers.rig.free_address().unwrap());
+    let one_key = peers.write_key_file("one", ONE_KEY);
+    let two_keys = peers.write_key_file("two", TWO_KEYS);
+    let provider = peers.start(1, first, &[], &two_keys);
     send_requests(&provider);
-    // Both keys are valid while they are rotated.
-    let new_proxy = rig.start(2, Some(&options(b, &[a], &two)), None).unwrap();
+    // When a new proxy starts, then it receives the state
+    let new_proxy = peers.start(2, second, &[first], &two_keys);
     new_proxy.wait_for_log_line(&["conn=peer-state", "reason=received"]).expect("it receives state");
     provider.wait_for_log_line(&["conn=peer-state", "reason=sent"]).expect("it was sent");
     send_requests(&new_proxy);
-    let late = rig.start(3, Some(&options(c, &[b], &one)), None).unwrap();
-    // The provider seals with a key that this one lacks: it receives nothing, and serves all the same.
+    // When one starts that lacks the key that seals, then it receives nothing, and serves all the same
+    let late = peers.start(3, third, &[second], &one_key);
     late.wait_for_log_line(&["conn=peer-state", "unknown-key"]).expect("rejected");
     send_requests(&late);
-    // Other providers need a restart, and the log says so each time.
+    // When it is given other providers, then the log says each time that they need a restart
     for _ in 0..2 {
-        late.reload(&rig.config(3), &options(c, &[a], &one)).unwrap();
+        late.reload(&peers.rig.config(3), &options(third, &[first], &one_key)).unwrap();
     }
     late.wait_for_log_line(&["event=reloaded", "needs-restart=knowledge"]).expect("logged");
-    assert!(rig.groups.iter().all(|g| g.rows.duplicate_count() == 0));
+    assert!(peers.rig.groups.iter().all(|group| group.rows.duplicate_count() == 0));
 }
 
 #[test]
 fn a_proxy_without_the_key_and_noise_receive_nothing() {
-    let (rig, folder) = rig(2);
-    let (a, b) = (rig.free_address().unwrap(), rig.free_address().unwrap());
-    let (one, other) = (keys(&folder, "one", ONE), keys(&folder, "other", OTHER));
-    let provider = rig.start(1, Some(&options(a, &[], &one)), None).unwrap();
+    // Given a proxy with state
+    let peers = PeerStateRig::new(2);
+    let (first, second) = (peers.rig.free_address().unwrap(), peers.rig.free_address().unwrap());
+    let one_key = peers.write_key_file("one", ONE_KEY);
+    let other_key = peers.write_key_file("other", OTHER_KEY);
+    let provider = peers.start(1, first, &[], &one_key);
     send_requests(&provider);
-    let stranger = rig.start(2, Some(&options(b, &[a], &other)), None).unwrap();
+    // When one with another key asks it, then it receives nothing, and serves all the same
+    let stranger = peers.start(2, second, &[first], &other_key);
     provider.wait_for_log_line(&["conn=peer-state", "wrong-code"]).expect("the provider rejects it");
     stranger.wait_for_log_line(&["conn=peer-state", "reason="]).expect("and its link ends");
-    assert!(!stranger.log().iter().any(|l| l.contains("reason=received")));
+    assert!(!stranger.log().iter().any(|line| line.contains("reason=received")));
     send_requests(&stranger);
-    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"bk\x09\x01 and what else there may be", &[b'b'; 100_000]]
-    {
-        let mut stream = TcpStream::connect(a).unwrap();
-        stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
-        let _ = stream.write_all(bytes);
-        // The provider may have sent its Hello; then it closes.
-        let _ = stream.read_to_end(&mut Vec::new());
-    }
+    // When others send noise, then the provider logs why it closes, and serves all the same
+    send_noise(first);
     provider.wait_for_log_line(&["conn=peer-state", "no-frame"]).unwrap();
     provider.wait_for_log_line(&["conn=peer-state", "version-9"]).unwrap();
     send_requests(&provider);
@@ -98,20 +135,22 @@
 
 #[test]
 fn a_start_without_a_provider_serves_without_state() {
-    let (rig, folder) = rig(3);
-    let (a, dead) = (rig.free_address().unwrap(), rig.free_address().unwrap());
-    let one = keys(&folder, "one", ONE);
-    // One that accepts the connection and sends nothing, and one where nothing listens.
-    let unresponsive = std::net::TcpListener::bind((rig.loopback_address(), 0)).unwrap();
-    let providers = [unresponsive.local_addr().unwrap(), dead];
-    let new_proxy = rig.start(1, Some(&options(a, &providers, &one)), None).unwrap();
+    // Given a provider that accepts the connection and sends nothing, and one where nothing listens
+    let peers = PeerStateRig::new(3);
+    let (listen, absent) = (peers.rig.free_address().unwrap(), peers.rig.free_address().unwrap());
+    let one_key = peers.write_key_file("one", ONE_KEY);
+    let unresponsive = TcpListener::bind((peers.rig.loopback_address(), 0)).unwrap();
+    let providers = [unresponsive.local_addr().unwrap(), absent];
+    // When a proxy starts, then it serves without state
+    let new_proxy = peers.start(1, listen, &providers, &one_key);
     send_requests(&new_proxy);
-    // A provider that starts later, and is killed.
-    let provider = rig.start(2, Some(&options(dead, &[], &one)), None).unwrap();
+    // When the absent provider starts later, then it is asked again
+    let provider = peers.start(2, absent, &[], &one_key);
     send_requests(&provider);
     new_proxy
         .wait_for_log_line(&["conn=peer-state", "reason=received"])
         .expect("the provider is asked again");
+    // When it is killed, then the proxy serves as before
     drop(provider);
     std::thread::sleep(Duration::from_millis(300));
     send_requests(&new_proxy);
@@ -119,21 +158,23 @@
 
 #[test]
 fn invalid_key_files_are_rejected() {
-    let (rig, folder) = rig(4);
-    let one = keys(&folder, "one", ONE);
-    std::fs::set_permissions(&one, std::fs::Permissions::from_mode(0o644)).unwrap();
-    let at = rig.free_address().unwrap();
-    let failed = rig.start(1, Some(&options(at, &[], &one)), None).err().unwrap().to_string();
-    assert!(failed.contains("others may read it"), "{failed}");
-    for (text, says) in [
+    // Given a key file that others may read, then the proxy does not start
+    let peers = PeerStateRig::new(4);
+    let listen = peers.rig.free_address().unwrap();
+    let key_file = peers.write_key_file("one", ONE_KEY);
+    set_mode(&key_file, 0o644);
+    let error = peers.start_and_fail(listen, &key_file);
+    assert!(error.contains("others may read it"), "{error}");
+    // Given a text that is no key file, then the error says what is wrong with it
+    for (text, reason) in [
         ("", "one to four keys"),
         ("1 0g", "hexadecimal"),
         ("x 00", "no number"),
         ("1", "no secret"),
         ("1 00", "16 bytes"),
     ] {
-        let bad = keys(&folder, "bad", text);
-        let failed = rig.start(1, Some(&options(at, &[], &bad)), None).err().unwrap().to_string();
-        assert!(failed.contains(says), "{text}: {failed}");
+        let key_file = peers.write_key_file("bad", text);
+        let error = peers.start_and_fail(listen, &key_file);
+        assert!(error.contains(reason), "{text}: {error}");
     }
 }
