--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -9,10 +9,11 @@
 use std::time::{Duration, Instant};
 
 /// A fleet with a folder and addresses of its own, by the number of the test. No process is started.
-fn new_fleet(n: u8, process_count: usize) -> Fleet {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-{n}"));
+fn new_fleet(test_number: u8, process_count: usize) -> Fleet {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-{test_number}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
-    Fleet::new(process_count, [127, 88, 230 + n, 1], program, &folder, u64::from(n)).unwrap()
+    Fleet::new(process_count, [127, 88, 230 + test_number, 1], program, &folder, u64::from(test_number))
+        .unwrap()
 }
 
 /// Waits until all of these processes report a settled fleet of so many members.
@@ -35,6 +36,7 @@
     processes.iter().map(incarnation).collect()
 }
 
+/// The incarnation as the process reports its own.
 fn incarnation(process: &Process) -> String {
     fleet_value(process, "boot=")
 }
--- a/proxy/tests/health/support.rs
+++ b/proxy/tests/health/support.rs
@@ -15,9 +15,9 @@
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
 
 /// A rig with its own loopback network and folder, by the number of the test.
-pub(crate) fn new_rig(n: u8, group_count: u32) -> Rig {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("health-{n}"));
-    Rig::new(group_count, [127, 88, n, 1], Path::new(PROGRAM), &folder).unwrap()
+pub(crate) fn new_rig(test_number: u8, group_count: u32) -> Rig {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("health-{test_number}"));
+    Rig::new(group_count, [127, 88, test_number, 1], Path::new(PROGRAM), &folder).unwrap()
 }
 
 /// Addresses for a proxy's health check listeners.
--- a/proxy/tests/hot/rig.rs
+++ b/proxy/tests/hot/rig.rs
@@ -39,14 +39,14 @@
 }
 
 impl HotRig {
-    /// Starts so many processes. `n`: the number of the test, for a folder and addresses of its own.
-    pub(crate) fn start(n: u8, process_count: usize) -> HotRig {
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hot-{n}"));
+    /// Starts so many processes. `test_number`: for a folder and addresses of its own.
+    pub(crate) fn start(test_number: u8, process_count: usize) -> HotRig {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hot-{test_number}"));
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
-        let loopback_address = [127, 87, n, 1];
+        let loopback_address = [127, 87, test_number, 1];
         let groups =
             ClusterRig::groups(GROUP_COUNT, MEMBER_COUNT, loopback_address, LAG_MS, &CAPACITY).unwrap();
-        let seed = u64::from(n);
+        let seed = u64::from(test_number);
         let cluster =
             ClusterRig::new(groups, process_count, loopback_address, program, &folder, seed, HOT_OPTIONS)
                 .unwrap();
@@ -112,9 +112,9 @@
 
     /// Gives all processes other options for hot keys, by SIGHUP. All have to run.
     pub(crate) fn reload_all(&self, hot_options: &str) {
-        for (n, process) in self.running().iter().enumerate() {
-            let options = self.cluster.fleet.options_xml(n).replace(HOT_OPTIONS, hot_options);
-            let config = self.cluster.fleet.rig.config(n as u64 + 1);
+        for (index, process) in self.running().iter().enumerate() {
+            let options = self.cluster.fleet.options_xml(index).replace(HOT_OPTIONS, hot_options);
+            let config = self.cluster.fleet.rig.config(index as u64 + 1);
             process.reload(&config, &options).unwrap();
         }
     }
@@ -125,6 +125,7 @@
     admin_call(process, "hot")
 }
 
+/// Reads that copies served, as a process counts them.
 fn reads_served_from_copies(process: &Process) -> u64 {
     let status = hot_status(process);
     let served = status.split_whitespace().find_map(|word| word.strip_prefix("served=")?.parse().ok());
--- a/proxy/tests/peer_state.rs
+++ b/proxy/tests/peer_state.rs
@@ -22,10 +22,10 @@
 
 impl PeerStateRig {
     /// A rig with a folder and addresses of its own, by the number of the test.
-    fn new(n: u8) -> PeerStateRig {
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("peer-state-{n}"));
+    fn new(test_number: u8) -> PeerStateRig {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("peer-state-{test_number}"));
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
-        let rig = Rig::new(2, [127, 88, 200 + n, 1], program, &folder).unwrap();
+        let rig = Rig::new(2, [127, 88, 200 + test_number, 1], program, &folder).unwrap();
         PeerStateRig { rig, folder }
     }
 
@@ -37,9 +37,9 @@
         path.to_str().unwrap().into()
     }
 
-    /// Starts the proxy `p{n}`, which listens for peers here and asks these providers.
-    fn start(&self, n: u64, listen: SocketAddr, providers: &[SocketAddr], key_file: &str) -> Process {
-        self.rig.start(n, Some(&options(listen, providers, key_file)), None).unwrap()
+    /// Starts the proxy `p{number}`, which listens for peers here and asks these providers.
+    fn start(&self, number: u64, listen: SocketAddr, providers: &[SocketAddr], key_file: &str) -> Process {
+        self.rig.start(number, Some(&options(listen, providers, key_file)), None).unwrap()
     }
 
     /// Starts a proxy that doesn't come up because of its key file, and returns the error.
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -47,12 +47,12 @@
 /// Plants a difference of each kind in turn, at every seventh key. Returns them as logs report them, sorted.
 fn plant_differences(rig: &SplitRig) -> Vec<String> {
     let mut planted = Vec::new();
-    for (n, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
+    for (index, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
         let (owner, other) = match goes_to_lower_child(key) {
             true => (LOWER_CHILD, UPPER_CHILD),
             false => (UPPER_CHILD, LOWER_CHILD),
         };
-        let (group, difference, word) = match n % 3 {
+        let (group, difference, word) = match index % 3 {
             0 => (owner, PlantedDifference::Missing, "missing"),
             1 => (other, PlantedDifference::Extra, "extra"),
             _ => (owner, PlantedDifference::OtherValue("ffff".into()), "differs"),
--- a/proxy/tests/split/rig.rs
+++ b/proxy/tests/split/rig.rs
@@ -53,15 +53,15 @@
 }
 
 impl SplitRig {
-    /// Starts so many processes and a client of each. `n`: the number of the test, for a folder and addresses of its own.
-    pub(crate) fn start(n: u8, process_count: usize) -> SplitRig {
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("split-{n}"));
+    /// Starts so many processes and a client of each. `test_number`: for a folder and addresses of its own.
+    pub(crate) fn start(test_number: u8, process_count: usize) -> SplitRig {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("split-{test_number}"));
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
-        let loopback_address = [127, 86, n, 1];
+        let loopback_address = [127, 86, test_number, 1];
         let keys = key_in_each_range();
         let groups = start_groups(loopback_address);
         write_initial_rows(&groups[PARENT], &keys);
-        let seed = u64::from(n);
+        let seed = u64::from(test_number);
         let cluster =
             ClusterRig::new(groups, process_count, loopback_address, program, &folder, seed, SPLIT_OPTIONS)
                 .unwrap();
@@ -178,8 +178,8 @@
 }
 
 fn write_initial_rows(parent: &Group, keys: &[String]) {
-    for (n, key) in keys.iter().enumerate() {
-        let change = Change::Row { key: key.clone(), value: format!("{n:04x}") };
+    for (index, key) in keys.iter().enumerate() {
+        let change = Change::Row { key: key.clone(), value: format!("{index:04x}") };
         parent.with_state(|state| state.commit(0, now_ms() - INITIAL_AGE_MS, "", change));
     }
 }
--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -115,6 +115,7 @@
         balancer
     }
 
+    /// Checks a server at each interval.
     fn poll_until_stopped(&self, server: usize, check: &Check, policy: &CheckPolicy) {
         while !self.stopped.load(Ordering::Relaxed) {
             let start = Instant::now();
@@ -123,6 +124,7 @@
         }
     }
 
+    /// Checks a server once, takes its weight, and changes its state after enough equal answers.
     fn poll(&self, index: usize, check: &Check, policy: &CheckPolicy) {
         let address = lock(&self.servers)[index].addresses.check;
         let answer = run_check(address, check, policy.timeout);
--- a/test-support/src/balancer/check.rs
+++ b/test-support/src/balancer/check.rs
@@ -31,6 +31,7 @@
 }
 
 impl CheckAnswer {
+    /// Reads the words of an agent-check: up if one says so and none takes it out of rotation, with the weight that ends in `%`.
     fn from_agent(text: String) -> CheckAnswer {
         let words: Vec<&str> = text.split([' ', ',', '\r', '\n']).collect();
         let weight = words.iter().find_map(|word| word.strip_suffix('%')).and_then(|word| word.parse().ok());
@@ -38,6 +39,7 @@
         CheckAnswer { up: words.contains(&"up") && !down, weight: weight.unwrap_or(DEFAULT_WEIGHT), text }
     }
 
+    /// Reads a response: up if its status is 200, with the weight that its JSON body names.
     fn from_http(text: String) -> CheckAnswer {
         let up = text.starts_with("HTTP/1.1 200 ");
         let after_name = text.split("\"weight\":").nth(1);
--- a/test-support/src/database.rs
+++ b/test-support/src/database.rs
@@ -44,10 +44,12 @@
         lock(&self.executions_by_request).values().filter(|count| **count > 1).count()
     }
 
+    /// The last value that was written.
     fn value(&self, key: &str) -> Option<String> {
         lock(&self.value_by_key).get(key).cloned()
     }
 
+    /// Executes a request's write and counts the execution.
     fn write(&self, key: &str, value: &str, request_id: &str) {
         lock(&self.value_by_key).insert(key.into(), value.into());
         *lock(&self.executions_by_request).entry(request_id.into()).or_default() += 1;
@@ -102,6 +104,7 @@
         self.0.statement_count.load(Ordering::Relaxed)
     }
 
+    /// Changes the behavior and wakes the threads that wait for that.
     fn change_behavior(&self, change: impl FnOnce(&mut Behavior)) {
         change(&mut lock(&self.0.behavior));
         self.0.changed.notify_all();
--- a/test-support/src/database_server.rs
+++ b/test-support/src/database_server.rs
@@ -56,6 +56,7 @@
     thread::spawn(move || accept_until_stopped(&database, listener));
 }
 
+/// Closes the listener while the database is unavailable, and binds the same address again afterwards.
 fn accept_until_stopped(database: &impl DatabaseBehavior, first: TcpListener) {
     let mut listener = Some(first);
     while !database.is_stopped() {
--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -93,6 +93,7 @@
         }
     }
 
+    /// Answers the polls that come on one connection, each after its wait, until the client closes it.
     fn answer_requests(&self, mut stream: &TcpStream) -> io::Result<()> {
         let mut lines = BufReader::new(stream.try_clone()?).lines();
         while let Some(request) = lines.next().transpose()? {
--- a/test-support/src/fleet.rs
+++ b/test-support/src/fleet.rs
@@ -82,6 +82,7 @@
     value_after(&admin_call(process, "fleet"), key)
 }
 
+/// The value after `key` (with its `=`) in a text of words; empty without one.
 fn value_after(text: &str, key: &str) -> String {
     text.split_whitespace().find_map(|word| word.strip_prefix(key)).unwrap_or_default().to_string()
 }
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -34,6 +34,7 @@
         self.0.changed.notify_all();
     }
 
+    /// Records a statement that a member received just now.
     fn record(&self, member: usize, statement: StatementKind) {
         let now = now_ms();
         let mut state = lock(&self.0.state);
@@ -98,6 +99,7 @@
         }
     }
 
+    /// Answers with the time of the row's commit before its value.
     fn answer_position_read(&self, member: usize, key: &str) -> Vec<u8> {
         self.record(member, StatementKind::PositionRead);
         let found = self.visible_row(member, key);
@@ -109,6 +111,7 @@
         }
     }
 
+    /// Answers with the copy's position before its value; with an empty value if no copy is new enough.
     fn answer_copy_read(&self, member: usize, home: u32, key: &str, min_position_ms: i64) -> Vec<u8> {
         let copy = self.with_state(|state| state.copy(member, now_ms(), home, key));
         let copy = copy.filter(|copy| copy.position_ms >= min_position_ms);
@@ -122,6 +125,7 @@
         }
     }
 
+    /// Commits at the primary and reports the commit as the position; an error anywhere else.
     fn answer_write(&self, member: usize, key: String, value: String, id: String) -> Vec<u8> {
         self.record(member, StatementKind::Write { id: id.clone() });
         self.do_work(member);
--- a/test-support/src/groups/cluster_rig.rs
+++ b/test-support/src/groups/cluster_rig.rs
@@ -88,14 +88,14 @@
 /// The list as it should be: the running members, with the present primaries.
 pub fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut listed = Vec::new();
-    for (n, group) in groups.iter().enumerate() {
+    for (group_index, group) in groups.iter().enumerate() {
         let (primary, members) = group.with_state(|state| (state.primary, state.members.clone()));
         for (index, member) in members.iter().enumerate().filter(|(_, member)| member.running) {
             listed.push(ListedDatabase {
                 // A database restored from a copy has another identity.
-                uid: format!("s-{n}-{index}-{}", member.restore_count),
+                uid: format!("s-{group_index}-{index}-{}", member.restore_count),
                 endpoint: group.address(index),
-                group: n as u32,
+                group: group_index as u32,
                 state: "up",
                 primary: index == primary,
                 started_at_ms: member.started_at_ms,
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -148,9 +148,10 @@
     Ok(groups.into())
 }
 
+/// Commits a value of each key, so long ago that all replicas have it.
 fn write_initial_rows(parent: &Group, keys: &[String]) {
-    for (n, key) in keys.iter().enumerate() {
-        let change = Change::Row { key: key.clone(), value: format!("{n:04x}") };
+    for (index, key) in keys.iter().enumerate() {
+        let change = Change::Row { key: key.clone(), value: format!("{index:04x}") };
         parent.with_state(|state| state.commit(0, now_ms() - INITIAL_AGE_MS, "", change));
     }
 }
--- a/test-support/src/groups/run.rs
+++ b/test-support/src/groups/run.rs
@@ -123,6 +123,7 @@
     }
 }
 
+/// Where clients reach each process; `None` for those that do not run.
 fn client_addresses(processes: &[Option<Process>]) -> Vec<Option<SocketAddr>> {
     processes.iter().map(|process| process.as_ref()?.client_address()).collect()
 }
--- a/test-support/src/groups/traffic.rs
+++ b/test-support/src/groups/traffic.rs
@@ -89,10 +89,10 @@
     ) -> Traffic {
         let stopped = Arc::new(AtomicBool::new(false));
         let result = Arc::new(Mutex::new(TrafficResult::default()));
-        let start_client = |(n, profile): (usize, &TrafficProfile)| {
+        let start_client = |(index, profile): (usize, &TrafficProfile)| {
             let (proxies, result) = (proxies.clone(), result.clone());
             let group = groups[profile.group as usize].clone();
-            let rng = fastrand::Rng::with_seed(seed + n as u64);
+            let rng = fastrand::Rng::with_seed(seed + index as u64);
             let mut client = TrafficClient::new(proxies, group, profile.clone(), result, rng);
             let stopped = stopped.clone();
             thread::spawn(move || client.run(&stopped))
--- a/test-support/src/groups/traffic_client.rs
+++ b/test-support/src/groups/traffic_client.rs
@@ -74,9 +74,10 @@
             return;
         }
         self.write_due = Instant::now();
-        for n in 0..self.profile.read_rates.len() {
-            let due = Instant::now() + self.draw_interval(self.profile.read_rates[n].reads_per_second);
-            self.read_due.insert(n, due);
+        for key_index in 0..self.profile.read_rates.len() {
+            let due =
+                Instant::now() + self.draw_interval(self.profile.read_rates[key_index].reads_per_second);
+            self.read_due.insert(key_index, due);
         }
         while !stopped.load(Ordering::Relaxed) {
             let Some(mut connection) = self.connection.take().or_else(|| self.connect()) else {
@@ -89,6 +90,7 @@
         }
     }
 
+    /// Connects to the proxy where it is reached now; `None` if it does not run or accepts nobody.
     fn connect(&self) -> Option<Client> {
         let address = lock(&self.proxies)[self.profile.proxy]?;
         Client::connect(address).ok()
@@ -105,15 +107,17 @@
         if self.profile.write_rate > 0.0 && Instant::now() >= self.write_due {
             return self.write(connection);
         }
-        let next = self.read_due.iter().min_by_key(|(_, due)| **due).map(|(n, due)| (*n, *due));
-        let Some((n, due)) = next else { return Ok(()) };
+        let next =
+            self.read_due.iter().min_by_key(|(_, due)| **due).map(|(key_index, due)| (*key_index, *due));
+        let Some((key_index, due)) = next else { return Ok(()) };
         thread::sleep(due.saturating_duration_since(Instant::now()).min(POLL_INTERVAL));
         if Instant::now() < due {
             return Ok(());
         }
-        self.read(connection, n, due)
+        self.read(connection, key_index, due)
     }
 
+    /// Writes a new value of the first key and notes when it was committed.
     fn write(&mut self, connection: &mut Client) -> std::io::Result<()> {
         self.write_due = Instant::now() + self.draw_interval(self.profile.write_rate);
         let value = format!("{:016x}", NEXT_VALUE.fetch_add(1, Ordering::Relaxed));
@@ -126,14 +130,15 @@
         Ok(())
     }
 
-    fn read(&mut self, connection: &mut Client, n: usize, due: Instant) -> std::io::Result<()> {
-        let ReadRate { key, reads_per_second } = self.profile.read_rates[n].clone();
+    /// Reads the key of this index, as part of the session or not, and draws when it is read next.
+    fn read(&mut self, connection: &mut Client, key_index: usize, due: Instant) -> std::io::Result<()> {
+        let ReadRate { key, reads_per_second } = self.profile.read_rates[key_index].clone();
         let earliest = Instant::now() - MAX_READ_DELAY;
         let next_due = due.max(earliest) + self.draw_interval(reads_per_second);
-        self.read_due.insert(n, next_due);
+        self.read_due.insert(key_index, next_due);
         // Only the first key is written, so only its reads can belong to the session.
         let in_session =
-            n == 0 && self.last_write_ms.is_some() && self.rng.f64() < self.profile.session_fraction;
+            key_index == 0 && self.last_write_ms.is_some() && self.rng.f64() < self.profile.session_fraction;
         let after = self.last_write_ms.filter(|_| in_session);
         let (class, deadline_ms) = match in_session {
             true => ("own-draft", SESSION_READ_DEADLINE_MS),
@@ -145,6 +150,7 @@
         self.record_read(key, required_position_ms, start.elapsed(), reply)
     }
 
+    /// Counts a read by its reply, with its value if it was served. An error: the connection broke.
     fn record_read(
         &self,
         key: String,
--- a/test-support/src/links.rs
+++ b/test-support/src/links.rs
@@ -24,6 +24,7 @@
 }
 
 impl LinkDirection {
+    /// The way back.
     fn reversed(&self) -> LinkDirection {
         LinkDirection { from: self.to, to: self.from, context: self.context.clone() }
     }
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -79,6 +79,7 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
+    /// Whether nothing passes from one process to another.
     pub(crate) fn is_blocked(&self, from: usize, to: usize) -> bool {
         lock(&self.faults).blocked.contains(&Direction { from, to })
     }
@@ -172,10 +173,10 @@
     }
 }
 
-/// The address that is `n` after this one.
-pub fn nth_address(first: IpAddr, n: usize) -> IpAddr {
+/// The address that is so many after this one.
+pub fn nth_address(first: IpAddr, offset: usize) -> IpAddr {
     match first {
-        IpAddr::V4(first) => Ipv4Addr::from(u32::from(first).wrapping_add(n as u32)).into(),
+        IpAddr::V4(first) => Ipv4Addr::from(u32::from(first).wrapping_add(offset as u32)).into(),
         other => other,
     }
 }
--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -121,18 +121,18 @@
         )
     }
 
-    /// Starts the proxy `p{n}` and waits until it accepts clients.
+    /// Starts the proxy `p{number}` and waits until it accepts clients.
     pub fn start(
         &self,
-        n: u64,
+        number: u64,
         options: Option<&str>,
         inherited_listener: Option<&TcpListener>,
     ) -> io::Result<Process> {
         let settings = ProcessSettings {
             program: &self.program,
             folder: &self.folder,
-            name: &format!("p{n}"),
-            config: &self.config(n),
+            name: &format!("p{number}"),
+            config: &self.config(number),
             options,
             inherited_listener,
             max_descriptors: Some(self.max_descriptors + EXTRA_DESCRIPTORS),
@@ -144,10 +144,10 @@
         Ok(process)
     }
 
-    /// Starts a proxy with both health check listeners at free ports.
-    pub fn start_with_checks(&self, n: u64, callers: u32, extra: &str) -> io::Result<Process> {
+    /// Starts the proxy `p{number}` with both health check listeners at free ports.
+    pub fn start_with_checks(&self, number: u64, callers: u32, extra: &str) -> io::Result<Process> {
         let free = SocketAddr::new(self.loopback_address, 0);
-        self.start(n, Some(&Rig::health_options(free, free, callers, extra)), None)
+        self.start(number, Some(&Rig::health_options(free, free, callers, extra)), None)
     }
 
     /// The replica of a group becomes its primary. `announced`: discovery lists it so, too.
@@ -183,10 +183,10 @@
 /// All databases as discovery lists them at the start.
 fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut listed = Vec::new();
-    for (n, Group { primary, replica, .. }) in groups.iter().enumerate() {
+    for (index, Group { primary, replica, .. }) in groups.iter().enumerate() {
         for (database, primary) in [(primary, true), (replica, false)] {
-            let uid = format!("s-{n}{}", if primary { "p" } else { "r" });
-            let (endpoint, group) = (database.address(), n as u32);
+            let uid = format!("s-{index}{}", if primary { "p" } else { "r" });
+            let (endpoint, group) = (database.address(), index as u32);
             listed.push(ListedDatabase { uid, endpoint, group, state: "up", primary, started_at_ms: 0 });
         }
     }
--- a/test-support/src/schedule.rs
+++ b/test-support/src/schedule.rs
@@ -173,6 +173,7 @@
     }
 }
 
+/// Sends a signal to a process, if it runs.
 fn signal(process: &Option<Process>, name: &str) {
     if let Some(process) = process {
         process.signal(name);
