--- /dev/null
+++ b/proxy/tests/hot/main.rs
@@ -0,0 +1,131 @@
+//! Hot keys on several real processes in front of groups of databases, with faults injected: found by all processes, served from copies,
+//! never stale, never over the budget.
+
+mod records;
+mod rig;
+
+use birchreach_test_support::fleet::check_settled;
+use birchreach_test_support::groups::{Group, now_ms};
+use birchreach_test_support::relay::NetworkFaults;
+use rig::{GROUP_COUNT, HOME_GROUP, HOT_OPTIONS, HotRig, LAG_MS, MEMBER_COUNT};
+use std::thread::sleep;
+use std::time::Duration;
+
+fn primary(group: &Group) -> usize {
+    group.with_state(|state| state.primary)
+}
+
+/// Sets how late the copies' groups apply their log.
+fn set_lag_of_copies(rig: &HotRig, lag_ms: i64) {
+    for group in &rig.cluster.groups[HOME_GROUP + 1..] {
+        group.with_state(|state| state.members.iter_mut().for_each(|member| member.lag_ms = lag_ms));
+    }
+}
+
+/// The replicas of the copies' groups lag for some time: their copies are older than expected.
+fn delay_copies(rig: &HotRig) {
+    set_lag_of_copies(rig, 4_000);
+    sleep(Duration::from_secs(3));
+    set_lag_of_copies(rig, LAG_MS);
+}
+
+/// The hot key's primary fails over and loses its last writes; in a group with copies the deposed primary does not know it at once.
+fn fail_over_home_and_copies(rig: &HotRig) {
+    rig.cluster.groups[HOME_GROUP]
+        .with_state(|state| state.fail_over((state.primary + 1) % MEMBER_COUNT, now_ms(), true));
+    let copies = &rig.cluster.groups[1];
+    let deposed = primary(copies);
+    copies.with_state(|state| state.fail_over((deposed + 1) % MEMBER_COUNT, now_ms(), false));
+    sleep(Duration::from_secs(1));
+    copies.with_state(|state| state.notify_deposed(deposed));
+    rig.cluster.update_discovery();
+}
+
+/// The fleet is partitioned on a bad network, and one process is suspended meanwhile.
+fn partition_and_suspend(rig: &HotRig) {
+    rig.cluster.fleet.relays.set_faults(NetworkFaults {
+        duplicate_fraction: 0.1,
+        max_delay: Duration::from_millis(40),
+        ..NetworkFaults::partition(2, 5)
+    });
+    let suspended = rig.processes[4].as_ref().unwrap();
+    suspended.signal("STOP");
+    sleep(Duration::from_secs(3));
+    suspended.signal("CONT");
+    rig.cluster.fleet.relays.set_faults(NetworkFaults::default());
+}
+
+/// A replica of each group with copies restarts, cold and without its copies.
+fn restart_replicas_with_copies(rig: &HotRig) {
+    for group in HOME_GROUP + 1..GROUP_COUNT {
+        let replica = (primary(&rig.cluster.groups[group]) + 1) % MEMBER_COUNT;
+        rig.cluster.restart(group, replica, 500);
+    }
+}
+
+#[test]
+fn a_hot_key_is_served_from_copies_of_proven_position() {
+    // Given five processes with a hot key that is served from copies
+    let mut rig = HotRig::start(1, 5);
+    let traffic = rig.start_traffic(20.0);
+    rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 100);
+    // When copies lag, primaries fail over, the fleet is partitioned, a process is killed, and replicas restart
+    delay_copies(&rig);
+    fail_over_home_and_copies(&rig);
+    partition_and_suspend(&rig);
+    rig.restart(1);
+    restart_replicas_with_copies(&rig);
+    // Then the fleet settles and serves from copies again
+    rig.wait_until("settled", || check_settled(5, &rig.running()).is_ok());
+    let before = rig.served_from_copies();
+    rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > before + 100);
+    // And what was recorded is right
+    let result = traffic.stop();
+    rig.check_records(&result);
+    assert!(
+        result.served_fraction() > 0.5,
+        "{} of {}",
+        result.served,
+        result.served + result.rejected + result.failed + result.disconnected
+    );
+    // When nobody reads, then the key is hot no longer
+    rig.wait_until("cold", || rig.all_have_hot_keys(0));
+}
+
+/// What is in flight when SIGHUP switches hot keys off ends as it would.
+#[test]
+fn a_reload_switches_hot_keys_off_and_on_under_load() {
+    // Given three processes with a hot key that is served from copies
+    let rig = HotRig::start(2, 3);
+    let traffic = rig.start_traffic(30.0);
+    rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 20);
+    // When a reload switches hot keys off
+    rig.reload_all("");
+    rig.wait_until("off", || rig.all_hot_statuses_start_with("NO "));
+    // Then clients are still served
+    traffic.take_result();
+    sleep(Duration::from_secs(1));
+    let off = traffic.take_result();
+    assert!(off.served_fraction() > 0.5 && off.served > 0, "{off:?}");
+    // When a reload switches them on, then the key is served from copies again
+    rig.reload_all(HOT_OPTIONS);
+    rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 20);
+    rig.check_records(&traffic.stop());
+}
+
+/// The new incarnations find copies of the old ones, each of which has the needed position or is a miss, and start nothing until the window
+/// is over in which the old ones may have used the budget.
+#[test]
+fn copies_outlive_a_restart_of_all_proxies() {
+    // Given three processes with a hot key that is served from copies
+    let mut rig = HotRig::start(3, 3);
+    let traffic = rig.start_traffic(30.0);
+    rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 50);
+    // When all are killed and start again
+    rig.processes.iter_mut().for_each(|process| *process = None);
+    (0..3).for_each(|process| rig.restart(process));
+    // Then they settle and serve the key from copies
+    rig.wait_until("join", || check_settled(3, &rig.running()).is_ok());
+    rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 50);
+    rig.check_records(&traffic.stop());
+}
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -1,17 +1,22 @@
 //! How a member answers statements: it records each, waits for capacity, and answers from the group's state.
 
 use super::history::{Change, Entry, PlantedDifference, Record, StatementKind};
-use super::member::{Group, POLL_INTERVAL};
+use super::member::Group;
 use super::now_ms;
 use super::sql::{Statement, parse};
+use super::state::VisibleRow;
+use crate::database_server::POLL_INTERVAL;
 use crate::lock;
-use crate::wire::{decode_hex, message, row, row_of};
+use crate::wire::{decode_hex, error, message, role_and_position, row, row_of, usage_row};
 use std::thread;
 
 /// By then all proxies that reach discovery know of a restart, and statements that were on their way have arrived. What
 /// arrives earlier is not counted as sent to a member that is warming up.
 const START_KNOWN_AFTER_MS: i64 = 500;
 
+/// The text of all errors; proxies look at their codes alone.
+const ERROR_TEXT: &str = "no";
+
 impl Group {
     /// Waits until the member has capacity for a statement, and takes the time for it: longer while it warms up.
     fn do_work(&self, member: usize) {
@@ -29,6 +34,7 @@
         self.0.changed.notify_all();
     }
 
+    /// Records a statement that a member received just now.
     fn record(&self, member: usize, statement: StatementKind) {
         let now = now_ms();
         let mut state = lock(&self.0.state);
@@ -40,18 +46,18 @@
 
     /// The rows of the group that this one follows, if it follows one.
     fn parent_rows(&self) -> Option<Vec<Entry>> {
-        self.0.parent_log.as_ref().map(|(parent, _)| lock(&parent.0.state).replicated_log(now_ms()))
+        self.0.parent_log.as_ref().map(|parent| lock(&parent.group.0.state).replicated_log(now_ms()))
     }
 
-    /// A row as the member has it, with the time of its commit.
-    fn visible_row(&self, member: usize, key: &str) -> Option<(String, i64)> {
+    /// A row as the member has it. A planted value has no commit.
+    fn visible_row(&self, member: usize, key: &str) -> Option<VisibleRow> {
         let log = self.parent_rows();
         let mut state = lock(&self.0.state);
         let planted = state.planted_differences.get(key).cloned();
-        let is_owned = self.0.parent_log.as_ref().is_none_or(|(_, owns)| owns(key));
+        let is_owned = self.0.parent_log.as_ref().is_none_or(|parent| (parent.owns_key)(key));
         match planted {
             Some(PlantedDifference::Missing) => None,
-            Some(PlantedDifference::OtherValue(value)) => Some((value, 0)),
+            Some(PlantedDifference::OtherValue(value)) => Some(VisibleRow { value, committed_at_ms: 0 }),
             Some(PlantedDifference::Extra) => state.row(log.as_deref(), member, now_ms(), key),
             None if is_owned => state.row(log.as_deref(), member, now_ms(), key),
             None => None,
@@ -61,7 +67,7 @@
     /// The messages that answer a statement, up to the one that says that it is ready for the next.
     pub(super) fn answer_statement(&self, member: usize, query: &str) -> Vec<u8> {
         let messages = match parse(query) {
-            Statement::Unknown => error("42601"),
+            Statement::Unknown => error("42601", ERROR_TEXT),
             Statement::Usage => self.answer_usage(member),
             Statement::Read { key, background } => self.answer_read(member, &key, background),
             Statement::PositionRead { key } => self.answer_position_read(member, &key),
@@ -78,7 +84,7 @@
         self.record(member, StatementKind::HealthCheck);
         let (claims, at_ms) =
             self.with_state(|state| (state.claims_primary(member), state.position(member, now_ms())));
-        row(&format!("x0={}.{:03},x1={}", at_ms / 1000, at_ms % 1000, u8::from(claims)))
+        usage_row(claims, at_ms)
     }
 
     fn answer_read(&self, member: usize, key: &str, background: bool) -> Vec<u8> {
@@ -87,42 +93,45 @@
         let found = self.visible_row(member, key);
         self.do_work(member);
         match found {
-            Some((value, _)) => row_of(&decode_hex(&value)),
+            Some(row) => row_of(&decode_hex(&row.value)),
             None if background => message(b'C', b"SELECT 0\0"),
             None => row("(no such row)"),
         }
     }
 
+    /// Answers with the time of the row's commit before its value.
     fn answer_position_read(&self, member: usize, key: &str) -> Vec<u8> {
         self.record(member, StatementKind::PositionRead);
         let found = self.visible_row(member, key);
         self.do_work(member);
         match found {
             // The statement rounds the time up.
-            Some((value, committed_at_ms)) => row_of(&position_and_value(committed_at_ms + 1, &value)),
+            Some(row) => row_of(&position_and_value(row.committed_at_ms + 1, &row.value)),
             None => message(b'C', b"SELECT 0\0"),
         }
     }
 
+    /// Answers with the copy's position before its value; with an empty value if no copy is new enough.
     fn answer_copy_read(&self, member: usize, home: u32, key: &str, min_position_ms: i64) -> Vec<u8> {
         let copy = self.with_state(|state| state.copy(member, now_ms(), home, key));
-        let copy = copy.filter(|(position_ms, _)| *position_ms >= min_position_ms);
+        let copy = copy.filter(|copy| copy.position_ms >= min_position_ms);
         self.record(member, StatementKind::CopyRead { served: copy.is_some() });
         match copy {
-            Some((position_ms, value)) => {
+            Some(copy) => {
                 self.do_work(member);
-                row_of(&position_and_value(position_ms, &value))
+                row_of(&position_and_value(copy.position_ms, &copy.value))
             }
             None => row_of(&[]),
         }
     }
 
+    /// Commits at the primary and reports the commit as the position; an error anywhere else.
     fn answer_write(&self, member: usize, key: String, value: String, id: String) -> Vec<u8> {
         self.record(member, StatementKind::Write { id: id.clone() });
         self.do_work(member);
         let change = Change::Row { key, value: value.clone() };
         match self.with_state(|state| state.commit(member, now_ms(), &id, change)) {
-            None => self.with_parameter_status(member, error("25006"), None),
+            None => self.with_parameter_status(member, error("25006", ERROR_TEXT), None),
             Some(at_ms) => self.with_parameter_status(member, row_of(&decode_hex(&value)), Some(at_ms)),
         }
     }
@@ -131,7 +140,7 @@
         self.record(member, StatementKind::CopyWrite);
         self.do_work(member);
         match self.with_state(|state| state.commit(member, now_ms(), "", change)) {
-            None => error("25006"),
+            None => error("25006", ERROR_TEXT),
             Some(_) => message(b'C', b"INSERT 0 1\0"),
         }
     }
@@ -140,17 +149,10 @@
     fn with_parameter_status(&self, member: usize, messages: Vec<u8>, commit_ms: Option<i64>) -> Vec<u8> {
         let (claims, at_ms) =
             self.with_state(|state| (state.claims_primary(member), state.position(member, now_ms())));
-        let role = format!("server_role\0{}\0", if claims { "writer" } else { "reader" });
-        let clock = format!("commit_clock\0{}\0", commit_ms.unwrap_or(at_ms));
-        [messages, message(b'S', role.as_bytes()), message(b'S', clock.as_bytes())].concat()
+        [messages, role_and_position(claims, commit_ms.unwrap_or(at_ms))].concat()
     }
 }
 
-/// An error message with this SQLSTATE.
-fn error(sqlstate: &str) -> Vec<u8> {
-    message(b'E', format!("SERROR\0C{sqlstate}\0Mno\0\0").as_bytes())
-}
-
 /// A position as 8 bytes, then the value.
 fn position_and_value(position_ms: i64, value: &str) -> Vec<u8> {
     [&position_ms.to_be_bytes()[..], &decode_hex(value)].concat()
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -6,7 +6,7 @@
 mod cluster_rig;
 mod database_faults;
 mod history;
-pub mod judge;
+pub mod history_checks;
 mod member;
 pub mod play;
 mod run;
@@ -17,9 +17,9 @@
 mod traffic_client;
 
 pub use cluster_rig::ClusterRig;
-pub use history::{Change, Entry, PlantedDifference, Record, StatementKind};
-pub use member::{CapacityModel, Group};
-pub use state::State;
+pub use history::{Change, Entry, GroupHistory, PlantedDifference, Record, StatementKind};
+pub use member::{CapacityModel, Group, ParentLog};
+pub use state::{State, VisibleCopy, VisibleRow};
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -1,12 +1,12 @@
 //! What a finished run has to fulfil: every check on its histories, logs and replies.
 
-use super::judge::{
+use super::history_checks::{
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
     check_single_execution,
 };
 use super::play::{COPIES_PER_SECOND, DUAL_READS_PER_SECOND, MAX_DELAYED_STATEMENTS, Summary};
 use super::traffic::TrafficResult;
-use super::{Entry, Group, Record, StatementKind};
+use super::{Entry, Group, GroupHistory, Record, StatementKind};
 use std::collections::BTreeSet;
 
 /// The window of the background budgets in the run's options.
@@ -33,29 +33,12 @@
     pub stale_primary: bool,
 }
 
-/// What a group recorded.
-struct GroupHistory {
-    records: Vec<Record>,
-    log: Vec<Entry>,
-    lost_commits: Vec<Entry>,
-}
-
-impl GroupHistory {
-    fn of(group: &Group) -> GroupHistory {
-        group.with_state(|state| GroupHistory {
-            records: state.records.clone(),
-            log: state.log.clone(),
-            lost_commits: state.lost_commits.clone(),
-        })
-    }
-}
-
 impl FinishedRun<'_> {
     /// Runs all checks.
     pub(super) fn check(&self) -> Result<Summary, String> {
         let mut summary = Summary { planted_differences: self.planted.len(), ..Summary::default() };
         self.check_connections(&mut summary)?;
-        let histories: Vec<GroupHistory> = self.groups.iter().map(GroupHistory::of).collect();
+        let histories: Vec<GroupHistory> = self.groups.iter().map(Group::history).collect();
         for (group, history) in histories.iter().enumerate() {
             self.check_reads(group, history, &mut summary)?;
             let home = &histories[HOME_GROUP];
@@ -93,8 +76,8 @@
             return Ok(());
         }
         let all_reads = self.traffic.iter().flat_map(|result| &result.reads);
-        let of_group = all_reads.filter(|(read_group, _)| *read_group as usize == group);
-        let reads: Vec<ServedRead> = of_group.map(|(_, read)| read.clone()).collect();
+        let of_group = all_reads.filter(|served| served.group as usize == group);
+        let reads: Vec<ServedRead> = of_group.map(|served| served.read.clone()).collect();
         summary.checked_reads += check_freshness(&reads, &history.log, &history.lost_commits)?;
         Ok(())
     }
