--- a/test-support/tests/group_state.rs
+++ b/test-support/tests/group_state.rs
@@ -103,9 +103,11 @@
 
 #[test]
 fn a_member_restored_from_an_old_copy_catches_up() {
-    // Given a replica that has applied what was committed
-    let mut state = group_with_two_commits();
-    // When it restarts from a copy that is two seconds old
+    // Given a group after a failover, of which the old primary has been notified
+    let mut state = group_with_unreplicated_commits();
+    state.fail_over(2, 1_060, false);
+    state.notify_deposed(0);
+    // When the other replica restarts from a copy that is two seconds old
     state.restart(1, 3_000, 2_000);
     // Then it is behind, and catches up
     assert!(state.position(1, 3_000) < 1_000, "from an old copy");
