--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -9,6 +9,8 @@
 mod options;
 mod parse;
 mod successor;
+#[cfg(test)]
+mod tests;
 
 use crate::discovery::EndpointUpdate;
 use birchreach_options::Options;
--- /dev/null
+++ b/proxy/src/config/tests.rs
@@ -0,0 +1,37 @@
+//! A configuration that may not take the place of the one in force.
+
+use super::Config;
+use super::parse::parse;
+
+fn config(text: &str) -> Config {
+    parse(text, |_| None).unwrap()
+}
+
+/// The example configuration after one replacement.
+fn replaced(old: &str, new: &str) -> Config {
+    let example = include_str!("../../../example/config.json");
+    assert!(example.contains(old), "{old}");
+    config(&example.replacen(old, new, 1))
+}
+
+#[test]
+fn a_successor_that_lacks_what_is_in_force_is_refused_with_its_key() {
+    let in_force = config(include_str!("../../../example/config.json"));
+    let cases = [
+        ("\"cores\": 1.0, ", "", "limits.cores: absent, or not of its kind"),
+        ("\"cores\": 1.0", "\"cores\": \"1\"", "limits.cores: absent, or not of its kind"),
+        ("\"deadline_ms\": 1500.0, ", "\"deadline_ms\": 1500.0, \"goal\": 1, ", ""),
+        (", \"late_worth\": 0.5", "", "settings.classes[3].late_worth: absent, or not of its kind"),
+        (
+            "[\"bounded\", \"session\", \"any\", \"write\"]",
+            "[\"any\"]",
+            "settings.extra.class_read: expected one for each class",
+        ),
+        ("[800.0, 0.0, 0.0, 0.0]", "[800.0]", "settings.extra.max_age_ms: expected one for each class"),
+    ];
+    for (old, new, expected) in cases {
+        let error = in_force.check_successor(&replaced(old, new)).err();
+
+        assert_eq!(error.map_or_else(String::new, |error| error.to_string()), expected, "{old}");
+    }
+}
--- /dev/null
+++ b/proxy/tests/configuration_messages/platform_file.rs
@@ -0,0 +1,152 @@
+//! Faults and warnings of the platform's JSON.
+
+use crate::support::{Folder, VALID, program, replaced};
+
+#[test]
+fn check_prints_each_fault_of_the_platforms_json_with_its_line() {
+    let folder = Folder::new("json");
+    let first_key = "\"name\": \"example\"";
+    let cases = [
+        ("{\n\"a".into(), "2: file: not JSON: EOF while parsing a string at line 2 column 2"),
+        (replaced("600.0", "1e999"), "1: file: not JSON: number out of range at line 8 column 88"),
+        (replaced("\"listen\"", "\"listens\""), "1: listen: absent, and RELAY_LISTEN is not set"),
+        (replaced("\"127.0.0.1:6432\"", "7"), "1: listen: expected a word"),
+        (replaced("127.0.0.1:6432", "here"), "1: listen: expected an address and a port, found 'here'"),
+        (replaced("127.0.0.1:6433", "here"), "1: operator: expected an address and a port, found 'here'"),
+        (replaced("\"discovery\"", "\"\""), "1: discovery: absent, and RELAY_DISCOVERY is not set"),
+        (replaced("\"sockets\": 1024", "\"sockets\": 4"), "2: limits.sockets: expected 40 or more"),
+        (replaced(first_key, "\n\n\"known\": {\"rev\": 1}"), "3: known: missing field `all`"),
+        (
+            replaced(first_key, "\"known\": {\"rev\": \"a: b\"}"),
+            "1: known: invalid type: string \"a: b\", expected u64",
+        ),
+        (replaced("\"settings\"", "\"setting\""), "1: settings: absent"),
+        (
+            replaced("1200.0", "\"x\""),
+            "6: settings: classes[0].deadline_ms: expected a number that is not negative",
+        ),
+        (replaced("1200.0", "0"), "6: settings: classes[0].deadline_ms: expected a positive number"),
+        (replaced("own-draft", ""), "7: settings: classes[1].name: expected a name of its own"),
+        (replaced("own-draft", "status-check"), "7: settings: classes[1].name: expected a name of its own"),
+        (
+            replaced("\"classes\"", "\"classes\": [], \"other\""),
+            "5: settings: classes: expected one at least",
+        ),
+        (
+            replaced("\"attempts_cap\": 6", "\"attempts_cap\": 0"),
+            "12: settings: limits.attempts_cap: expected a positive number",
+        ),
+        (
+            replaced("\"attempts_cap\": 6", "\"attempts_cap\": []"),
+            "12: settings: limits.attempts_cap: expected a number that is not negative",
+        ),
+    ];
+    for (text, expected) in cases {
+        let config = folder.write("config.json", &text);
+
+        let lines = folder.check(&config, None);
+
+        assert_eq!(lines, [format!("config.json:{expected}")]);
+    }
+}
+
+#[test]
+fn check_prints_settings_that_are_no_object_with_all_that_is_absent() {
+    let folder = Folder::new("no_object");
+    let (before, _) = VALID.split_once("\"settings\"").unwrap();
+    let config = folder.write("config.json", &format!("{before}\"settings\": []}}"));
+
+    let lines = folder.check(&config, None);
+
+    let expected = [
+        "info: expected an object",
+        "balancers: expected a number, but it is absent",
+        "my_zone: expected a number, but it is absent",
+        "limits.attempts_cap: expected a number, but it is absent",
+        "obligations.drain_grace_ms: expected a number, but it is absent",
+        "obligations.cold_share: expected a number, but it is absent",
+        "obligations.cold_ms: expected a number, but it is absent",
+        "obligations.fall_multiple: expected a number, but it is absent",
+        "obligations.fall_ms: expected a number, but it is absent",
+        "classes: expected one at least",
+    ];
+    assert_eq!(lines, expected.map(|text| format!("config.json:3: settings: {text}")));
+}
+
+#[test]
+fn check_prints_faults_of_all_parts_in_their_order() {
+    let folder = Folder::new("order");
+    let text = replaced("127.0.0.1:6432", "here").replace("127.0.0.1:6433", "there");
+    let text = text.replace("\"sockets\": 1024", "\"sockets\": 4").replace("1200.0", "0");
+    let config = folder.write("config.json", &text);
+
+    let lines = folder.check(&config, None);
+
+    let expected = [
+        "config.json:1: operator: expected an address and a port, found 'there'",
+        "config.json:2: limits.sockets: expected 40 or more",
+        "config.json:6: settings: classes[0].deadline_ms: expected a positive number",
+        "config.json:1: listen: expected an address and a port, found 'here'",
+    ];
+    assert_eq!(lines, expected);
+}
+
+#[test]
+fn check_prints_each_warning_with_its_line() {
+    let folder = Folder::new("warnings");
+    let attempts = "\"attempts_cap\": 6";
+    let cases = [
+        (
+            "600.0",
+            "6000.0",
+            "8: settings: classes[2].goal_time_ms: later than deadline_ms, when clients have left",
+        ),
+        (attempts, "\"attempts_cap\": 6, \"x\": 1", "12: settings: limits.x: unknown, and skipped"),
+        (attempts, "\"attempts_cap\": 6, \"x.y\": 1", "12: settings: limits.x.y: unknown, and skipped"),
+        (attempts, "\"attempts_cap\": 6, \"\": 1", "12: settings: limits.: unknown, and skipped"),
+        (attempts, "\"attempts_cap\": 6, \"x y\": 1", "3: settings: limits.x y: unknown, and skipped"),
+    ];
+    for (old, new, expected) in cases {
+        let config = folder.write("config.json", &replaced(old, new));
+
+        let lines = folder.check(&config, None);
+
+        assert_eq!(lines, [format!("doubt: config.json:{expected}"), "no faults".into()]);
+    }
+}
+
+#[test]
+fn check_prints_files_that_are_not_named_or_not_there() {
+    let folder = Folder::new("absent");
+    let valid = folder.write("config.json", VALID);
+    let absent = folder.0.join("absent");
+    let unset = String::from_utf8(program().arg("check").output().unwrap().stdout).unwrap();
+
+    assert_eq!(unset, "RELAY_CONFIG:1: file: not set: it must name the configuration file\n");
+    let expected = ["absent:1: file: No such file or directory (os error 2)"];
+    assert_eq!(folder.check(&absent, None), expected);
+    assert_eq!(folder.check(&valid, Some(&absent)), expected);
+}
+
+#[test]
+fn the_start_is_refused_with_the_first_fault_of_the_platforms_json() {
+    let folder = Folder::new("start");
+    let two_faults = replaced("1200.0", "0").replace("127.0.0.1:6432", "here");
+    let cases = [
+        ("{".into(), "not JSON: EOF while parsing an object at line 1 column 1"),
+        (replaced("127.0.0.1:6432", "a\\nb"), "listen: expected an address and a port, found 'a b'"),
+        (two_faults, "settings: classes[0].deadline_ms: expected a positive number"),
+    ];
+    for (text, expected) in cases {
+        let config = folder.write("config.json", &text);
+
+        let message = folder.refusal(&config, None);
+
+        assert_eq!(message, format!("birchreach-proxy: config.json: {expected}\n"));
+    }
+    let absent = folder.refusal(&folder.0.join("absent"), None);
+    assert_eq!(absent, "birchreach-proxy: absent: No such file or directory (os error 2)\n");
+    let unset = program().output().unwrap().stderr;
+    let expected = "birchreach-proxy: RELAY_CONFIG is not set: it must name the configuration file\n";
+    assert_eq!(String::from_utf8(unset).unwrap(), expected);
+}
--- /dev/null
+++ b/proxy/tests/configuration_messages/support.rs
@@ -0,0 +1,79 @@
+//! The program, run on files of a folder.
+
+use std::fs::Permissions;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+
+const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
+const INVALID_CONFIGURATION: i32 = 2;
+/// A configuration without faults and warnings.
+pub const VALID: &str = include_str!("../../../example/config.json");
+
+/// A folder of one test.
+pub struct Folder(pub PathBuf);
+
+impl Folder {
+    pub fn new(name: &str) -> Folder {
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("configuration_messages").join(name);
+        std::fs::create_dir_all(&folder).unwrap();
+        Folder(folder)
+    }
+
+    /// Writes a file that only its owner may read.
+    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+        let path = self.0.join(name);
+        std::fs::write(&path, text).unwrap();
+        std::fs::set_permissions(&path, Permissions::from_mode(0o600)).unwrap();
+        path
+    }
+
+    pub fn write_options(&self, elements: &str) -> PathBuf {
+        self.write("options.xml", &format!("<birchreach-options>\n{elements}\n</birchreach-options>"))
+    }
+
+    /// What `check` prints, line by line.
+    pub fn check(&self, config: &Path, options: Option<&Path>) -> Vec<String> {
+        let mut command = program();
+        command.arg("check").arg("--config").arg(config);
+        let output = run(command, options);
+        self.strip(&output.stdout).lines().map(Into::into).collect()
+    }
+
+    /// What the program prints that does not start with a configuration.
+    pub fn refusal(&self, config: &Path, options: Option<&Path>) -> String {
+        let mut command = program();
+        command.env("RELAY_CONFIG", config);
+        let output = run(command, options);
+        assert_eq!(output.status.code(), Some(INVALID_CONFIGURATION));
+        self.strip(&output.stderr)
+    }
+
+    /// A text without the folder's path.
+    fn strip(&self, text: &[u8]) -> String {
+        let folder = format!("{}/", self.0.display());
+        String::from_utf8_lossy(text).replace(&folder, "")
+    }
+}
+
+fn run(mut command: Command, options: Option<&Path>) -> Output {
+    if let Some(options) = options {
+        command.arg("--options").arg(options);
+    }
+    command.output().unwrap()
+}
+
+/// The program without variables of the platform.
+pub fn program() -> Command {
+    let mut command = Command::new(PROGRAM);
+    for variable in ["CONFIG", "NAME", "LISTEN", "DISCOVERY", "OPERATOR"] {
+        command.env_remove(format!("RELAY_{variable}"));
+    }
+    command
+}
+
+/// The valid configuration after one replacement.
+pub fn replaced(old: &str, new: &str) -> String {
+    assert!(VALID.contains(old), "{old}");
+    VALID.replacen(old, new, 1)
+}
