--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -1,11 +1,13 @@
 //! The command `check`: every fault and every warning of a configuration and its options.
 
-use super::error::ConfigFault;
-use super::json_location::locate;
+use super::error::{ConfigFault, FaultKind};
+use super::json_location::line_of;
 use super::key_file::read_key_file;
 use super::options::{parse_options, read_options};
 use super::parse::parse;
+use super::platform_error::PlatformFileError;
 use super::{CONFIG_VARIABLE, Config};
+use birchreach_settings::SettingsWarning;
 use std::path::{Path, PathBuf};
 
 /// What is wrong, and what is probably not meant.
@@ -21,8 +23,7 @@
 pub fn check(variable: impl Fn(&str) -> Option<String>, options: Option<&Path>) -> CheckReport {
     let mut report = CheckReport::default();
     let Some(file) = variable(CONFIG_VARIABLE).map(PathBuf::from) else {
-        let unset = "not set: it must name the configuration file".to_string();
-        report.faults.push(fault_of_file(Path::new(CONFIG_VARIABLE), unset));
+        report.faults.push(ConfigFault::of_file(Path::new(CONFIG_VARIABLE), FaultKind::NotNamed));
         return report;
     };
     let config = report.check_config(&file, variable);
@@ -37,17 +38,18 @@
         let text = match std::fs::read_to_string(file) {
             Ok(text) => text,
             Err(error) => {
-                self.faults.push(fault_of_file(file, error.to_string()));
+                self.faults.push(ConfigFault::of_file(file, FaultKind::Unreadable(error)));
                 return None;
             }
         };
         match parse(&text, variable) {
             Ok(config) => {
-                self.warnings.extend(config.warnings.iter().map(|warning| locate(file, &text, warning)));
+                let located = config.warnings.iter().map(|warning| locate_warning(file, &text, warning));
+                self.warnings.extend(located);
                 Some(config)
             }
             Err(faults) => {
-                self.faults.extend(faults.iter().map(|fault| locate(file, &text, fault)));
+                self.faults.extend(faults.into_iter().map(|error| locate_error(file, &text, error)));
                 None
             }
         }
@@ -69,6 +71,14 @@
     }
 }
 
-fn fault_of_file(file: &Path, message: String) -> ConfigFault {
-    ConfigFault { file: file.into(), line: 1, element: "file".into(), message }
+fn locate_error(file: &Path, text: &str, error: PlatformFileError) -> ConfigFault {
+    let line = line_of(text, &error.key_path());
+    ConfigFault { file: file.into(), line, kind: FaultKind::PlatformFile(error) }
+}
+
+fn locate_warning(file: &Path, text: &str, warning: &SettingsWarning) -> ConfigFault {
+    // A key with a blank is an unknown one, and reported at the line of the settings.
+    let path =
+        if warning.key.contains(' ') { "settings".into() } else { format!("settings.{}", warning.key) };
+    ConfigFault { file: file.into(), line: line_of(text, &path), kind: FaultKind::Warning(warning.clone()) }
 }
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -1,21 +1,40 @@
 //! What is wrong with a configuration.
 
+use super::key_file::KeyFileError;
+use super::platform_error::PlatformFileError;
+use birchreach_options::OptionsError;
+use birchreach_settings::SettingsWarning;
 use std::error::Error;
 use std::fmt::{self, Display};
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 /// Something wrong at a place in a file.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Debug)]
 pub struct ConfigFault {
     /// The file.
     pub file: PathBuf,
     /// The line, from 1 on.
     pub line: usize,
-    /// The key or the element.
-    pub element: String,
-    /// What is wrong with it.
-    pub message: String,
+    /// What is wrong, and with which key or element.
+    pub kind: FaultKind,
+}
+
+/// What is wrong in a file.
+#[derive(Debug)]
+pub enum FaultKind {
+    /// The variable that stands in the file's place is not set.
+    NotNamed,
+    /// The file cannot be read.
+    Unreadable(io::Error),
+    /// The platform's JSON is faulty.
+    PlatformFile(PlatformFileError),
+    /// A setting is probably not meant; it is applied all the same.
+    Warning(SettingsWarning),
+    /// The options are faulty.
+    Options(OptionsError),
+    /// A file of keys is faulty.
+    KeyFile(KeyFileError),
 }
 
 /// Why a configuration is not taken. Each is printed as one plain line.
@@ -26,7 +45,7 @@
     /// The file cannot be read.
     Unreadable { file: String, error: io::Error },
     /// The file's JSON is faulty; this is the first fault.
-    Invalid { file: String, fault: String },
+    Invalid { file: String, first: Option<PlatformFileError> },
     /// The options are faulty; this is the first fault, and so many follow.
     Options { first: Option<ConfigFault>, more: usize },
     /// A file of keys is faulty.
@@ -37,9 +56,30 @@
     NotOneForEachClass(&'static str),
 }
 
+impl ConfigFault {
+    /// A fault of a file as a whole.
+    pub(super) fn of_file(file: &Path, kind: FaultKind) -> ConfigFault {
+        ConfigFault { file: file.into(), line: 1, kind }
+    }
+}
+
 impl Display for ConfigFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}:{}: {}: {}", self.file.display(), self.line, self.element, self.message)
+        write!(f, "{}:{}: {}", self.file.display(), self.line, self.kind)
+    }
+}
+
+impl Display for FaultKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            FaultKind::NotNamed => f.write_str("file: not set: it must name the configuration file"),
+            FaultKind::Unreadable(error) => write!(f, "file: {error}"),
+            FaultKind::PlatformFile(error @ PlatformFileError::InvalidJson(_)) => write!(f, "file: {error}"),
+            FaultKind::PlatformFile(error) => error.fmt(f),
+            FaultKind::Warning(warning) => warning.fmt(f),
+            FaultKind::Options(OptionsError { element, message, .. }) => write!(f, "{element}: {message}"),
+            FaultKind::KeyFile(error) => write!(f, "key: {error}"),
+        }
     }
 }
 
@@ -50,7 +90,10 @@
                 f.write_str("RELAY_CONFIG is not set: it must name the configuration file")
             }
             ConfigError::Unreadable { file, error } => write!(f, "{file}: {error}"),
-            ConfigError::Invalid { file, fault } => write!(f, "{file}: {}", fault.replace('\n', " ")),
+            ConfigError::Invalid { file, first } => {
+                let fault = first.as_ref().map(ToString::to_string).unwrap_or_default();
+                write!(f, "{file}: {}", fault.replace('\n', " "))
+            }
             ConfigError::Options { first, more } => {
                 if let Some(fault) = first {
                     fault.fmt(f)?;
--- a/proxy/src/config/json_location.rs
+++ b/proxy/src/config/json_location.rs
@@ -1,24 +1,14 @@
-//! The line of a fault in JSON, found by the path of keys that its message begins with.
+//! The line of a key in JSON.
 
-use super::error::ConfigFault;
-use std::path::Path;
-
-/// Finds the line and the element of a message that begins with the path of keys.
-pub(super) fn locate(file: &Path, text: &str, message: &str) -> ConfigFault {
-    let mut element = Vec::new();
-    let mut rest = message;
-    while let Some((key, more)) = rest.split_once(": ").filter(|(key, _)| !key.contains(' ')) {
-        element.push(key);
-        rest = more;
+/// The line of the value at a path such as `a.b[2].c`, or of the last part of the path that is there. Of a text that is not JSON it is
+/// the line where reading ended.
+pub(super) fn line_of(text: &str, path: &str) -> usize {
+    let line_at =
+        |offset: usize| 1 + text.as_bytes()[..offset.min(text.len())].iter().filter(|b| **b == b'\n').count();
+    match serde_json::from_str::<serde::de::IgnoredAny>(text) {
+        Err(error) => error.line(),
+        Ok(_) => value_offset(text, path).map_or(1, line_at),
     }
-    let line_of =
-        |at: usize| 1 + text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count();
-    let line = match serde_json::from_str::<serde::de::IgnoredAny>(text) {
-        Err(e) => e.line(),
-        Ok(_) => value_offset(text, &element.join(".")).map_or(1, line_of),
-    };
-    let element = if element.is_empty() { "file".into() } else { element.join(": ") };
-    ConfigFault { file: file.into(), line, element, message: rest.into() }
 }
 
 /// Where the value of `a.b[2].c` begins, or the last part of the path that is there.
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -8,6 +8,7 @@
 mod key_file;
 mod options;
 mod parse;
+mod platform_error;
 mod successor;
 #[cfg(test)]
 mod tests;
@@ -15,7 +16,7 @@
 use crate::discovery::EndpointUpdate;
 use birchreach_options::Options;
 use birchreach_peer_state::frame::Keys;
-use birchreach_settings::DeploymentSettings;
+use birchreach_settings::{DeploymentSettings, SettingsWarning};
 pub use check::{CheckReport, check};
 pub use error::ConfigError;
 use key_file::read_key_file;
@@ -57,7 +58,7 @@
     /// The keys of the fleet's datagrams, likewise.
     pub fleet_keys: Option<Keys>,
     /// What the settings probably do not mean; they are applied all the same.
-    pub warnings: Vec<String>,
+    pub warnings: Vec<SettingsWarning>,
     /// The settings and limits as the file has them.
     raw: Value,
 }
@@ -77,13 +78,8 @@
         Ok(text) => text,
         Err(error) => return Err(ConfigError::Unreadable { file, error }),
     };
-    let mut config = match parse(&text, variable) {
-        Ok(config) => config,
-        Err(faults) => {
-            let fault = faults.into_iter().next().unwrap_or_default();
-            return Err(ConfigError::Invalid { file, fault });
-        }
-    };
+    let mut config = parse(&text, variable)
+        .map_err(|faults| ConfigError::Invalid { file, first: faults.into_iter().next() })?;
     if let Some(options) = options {
         config.load_options(options)?;
     }
--- a/proxy/src/config/options.rs
+++ b/proxy/src/config/options.rs
@@ -1,7 +1,7 @@
 //! The options file, read by itself or beside a configuration.
 
 use super::Config;
-use super::error::ConfigFault;
+use super::error::{ConfigFault, FaultKind};
 use birchreach_options::{Options, OptionsError};
 use std::path::Path;
 
@@ -17,15 +17,16 @@
 
 /// The options by themselves.
 pub(super) fn parse_options(file: &Path) -> Result<Options, Vec<ConfigFault>> {
-    let text = std::fs::read_to_string(file).map_err(|error| {
-        let message = error.to_string();
-        vec![ConfigFault { file: file.into(), line: 1, element: "file".into(), message }]
-    })?;
+    let text = std::fs::read_to_string(file)
+        .map_err(|error| vec![ConfigFault::of_file(file, FaultKind::Unreadable(error))])?;
     birchreach_options::parse(&text).map_err(|errors| faults(file, errors))
 }
 
 fn faults(file: &Path, errors: Vec<OptionsError>) -> Vec<ConfigFault> {
-    let fault =
-        |OptionsError { line, element, message }| ConfigFault { file: file.into(), line, element, message };
+    let fault = |error: OptionsError| ConfigFault {
+        file: file.into(),
+        line: error.line,
+        kind: FaultKind::Options(error),
+    };
     errors.into_iter().map(fault).collect()
 }
--- a/proxy/src/config/parse.rs
+++ b/proxy/src/config/parse.rs
@@ -1,10 +1,11 @@
 //! The platform's JSON, parsed into a configuration with every fault of it.
 
 use super::Config;
+use super::platform_error::{PlatformFileError, UnusableSetting};
 use crate::discovery::EndpointUpdate;
 use crate::hash::fnv1a;
 use birchreach_options::Options;
-use birchreach_settings::{DeploymentSettings, SettingsError};
+use birchreach_settings::{DeploymentSettings, SettingsError, SettingsWarning};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -19,46 +20,52 @@
 /// Descriptors up to this one are the standard streams.
 const LAST_STANDARD_DESCRIPTOR: RawFd = 2;
 
-/// Reads a configuration. Each fault begins with the path of its key.
-pub(super) fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, Vec<String>> {
-    let root: Value = serde_json::from_str(text).map_err(|error| vec![format!("not JSON: {error}")])?;
+/// Reads a configuration, or finds every fault of it.
+pub(super) fn parse(
+    text: &str,
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<Config, Vec<PlatformFileError>> {
+    let root: Value =
+        serde_json::from_str(text).map_err(|error| vec![PlatformFileError::InvalidJson(error)])?;
     let file = PlatformFile { root: &root, variable };
-    let admin_address = file.admin_address();
-    let max_descriptors = file.max_descriptors();
-    let known_endpoints = file.known_endpoints();
-    let deployment = file.deployment();
-    let listen_address = file.address("listen", "RELAY_LISTEN");
-    let discovery_address = file.address("discovery", "RELAY_DISCOVERY");
-    match (admin_address, max_descriptors, known_endpoints, deployment, listen_address, discovery_address) {
-        (
-            Ok(admin_address),
-            Ok(max_descriptors),
-            Ok(known_endpoints),
-            Ok(deployment),
-            Ok(listen_address),
-            Ok(discovery_address),
-        ) => Ok(Config {
-            name: file.word("name", "RELAY_NAME").unwrap_or_else(|_| DEFAULT_NAME.into()),
-            listen_address,
-            discovery_address,
-            admin_address,
-            inherited_descriptor: file.inherited_descriptor(),
-            seed: file.seed(),
-            max_descriptors,
-            known_endpoints,
-            warnings: file.warnings(&deployment),
-            deployment,
-            options: Options::default(),
-            gossip_keys: None,
-            fleet_keys: None,
-            raw: file.raw(),
-        }),
-        (admin, descriptors, known, deployment, listen, discovery) => {
-            let first = [admin.err(), descriptors.err(), known.err()].into_iter().flatten();
-            let last = [listen.err(), discovery.err()].into_iter().flatten();
-            Err(first.chain(deployment.err().into_iter().flatten()).chain(last).collect())
-        }
-    }
+    let mut faults = Vec::new();
+    let admin_address = ok_or_record(file.admin_address(), &mut faults);
+    let max_descriptors = ok_or_record(file.max_descriptors(), &mut faults);
+    let known_endpoints = ok_or_record(file.known_endpoints(), &mut faults);
+    let deployment = file.deployment().map_err(|errors| faults.extend(errors)).ok();
+    let listen_address = ok_or_record(file.address("listen", "RELAY_LISTEN"), &mut faults);
+    let discovery_address = ok_or_record(file.address("discovery", "RELAY_DISCOVERY"), &mut faults);
+    let (
+        Some(admin_address),
+        Some(max_descriptors),
+        Some(known_endpoints),
+        Some(deployment),
+        Some(listen_address),
+        Some(discovery_address),
+    ) = (admin_address, max_descriptors, known_endpoints, deployment, listen_address, discovery_address)
+    else {
+        return Err(faults);
+    };
+    Ok(Config {
+        name: file.word("name", "RELAY_NAME").unwrap_or_else(|_| DEFAULT_NAME.into()),
+        listen_address,
+        discovery_address,
+        admin_address,
+        inherited_descriptor: file.inherited_descriptor(),
+        seed: file.seed(),
+        max_descriptors,
+        known_endpoints,
+        warnings: file.warnings(&deployment),
+        deployment,
+        options: Options::default(),
+        gossip_keys: None,
+        fleet_keys: None,
+        raw: file.raw(),
+    })
+}
+
+fn ok_or_record<T>(result: Result<T, PlatformFileError>, faults: &mut Vec<PlatformFileError>) -> Option<T> {
+    result.map_err(|fault| faults.push(fault)).ok()
 }
 
 /// The platform's JSON, and the variables that stand in for what it leaves out.
@@ -68,22 +75,22 @@
 }
 
 impl<F: Fn(&str) -> Option<String>> PlatformFile<'_, F> {
-    fn word(&self, key: &str, variable: &str) -> Result<String, String> {
+    fn word(&self, key: &'static str, variable: &'static str) -> Result<String, PlatformFileError> {
         match self.root.get(key) {
             Some(Value::String(word)) => Ok(word.clone()),
             None | Some(Value::Null) => {
-                (self.variable)(variable).ok_or(format!("{key}: absent, and {variable} is not set"))
+                (self.variable)(variable).ok_or(PlatformFileError::MissingWord { key, variable })
             }
-            Some(_) => Err(format!("{key}: expected a word")),
+            Some(_) => Err(PlatformFileError::NotAWord { key }),
         }
     }
 
-    fn address(&self, key: &str, variable: &str) -> Result<SocketAddr, String> {
+    fn address(&self, key: &'static str, variable: &'static str) -> Result<SocketAddr, PlatformFileError> {
         let word = self.word(key, variable)?;
-        word.parse().map_err(|_| format!("{key}: expected an address and a port, found '{word}'"))
+        word.parse().map_err(|_| PlatformFileError::InvalidAddress { key, found: word })
     }
 
-    fn admin_address(&self) -> Result<Option<SocketAddr>, String> {
+    fn admin_address(&self) -> Result<Option<SocketAddr>, PlatformFileError> {
         const VARIABLE: &str = "RELAY_OPERATOR";
         match self.root.get("operator") {
             None | Some(Value::Null) if (self.variable)(VARIABLE).is_none() => Ok(None),
@@ -91,37 +98,37 @@
         }
     }
 
-    fn max_descriptors(&self) -> Result<usize, String> {
+    fn max_descriptors(&self) -> Result<usize, PlatformFileError> {
         let limit = match self.root.get("limits").and_then(|limits| limits.get("sockets")) {
             None | Some(Value::Null) => DEFAULT_MAX_DESCRIPTORS,
             Some(limit) => limit
                 .as_u64()
                 .filter(|limit| *limit >= MIN_MAX_DESCRIPTORS)
-                .ok_or_else(|| format!("limits.sockets: expected {MIN_MAX_DESCRIPTORS} or more"))?,
+                .ok_or(PlatformFileError::InvalidDescriptorLimit { min: MIN_MAX_DESCRIPTORS })?,
         };
         Ok(usize::try_from(limit).unwrap_or(usize::MAX))
     }
 
-    fn known_endpoints(&self) -> Result<Option<EndpointUpdate>, String> {
+    fn known_endpoints(&self) -> Result<Option<EndpointUpdate>, PlatformFileError> {
         match self.root.get("known") {
             None | Some(Value::Null) => Ok(None),
             Some(known) => {
-                EndpointUpdate::deserialize(known).map(Some).map_err(|error| format!("known: {error}"))
+                EndpointUpdate::deserialize(known).map(Some).map_err(PlatformFileError::InvalidKnownEndpoints)
             }
         }
     }
 
-    fn deployment(&self) -> Result<DeploymentSettings, Vec<String>> {
+    fn deployment(&self) -> Result<DeploymentSettings, Vec<PlatformFileError>> {
         match self.root.get("settings") {
-            None => Err(vec!["settings: absent".to_string()]),
+            None => Err(vec![PlatformFileError::MissingSettings]),
             Some(settings) => {
                 let (deployment, errors) = birchreach_settings::from_value_with_errors(settings);
-                check_settings(deployment, &errors)
+                check_settings(deployment, errors)
             }
         }
     }
 
-    fn warnings(&self, deployment: &DeploymentSettings) -> Vec<String> {
+    fn warnings(&self, deployment: &DeploymentSettings) -> Vec<SettingsWarning> {
         let settings = self.root.get("settings");
         settings.map_or_else(Vec::new, |settings| birchreach_settings::warnings(settings, deployment))
     }
@@ -152,25 +159,33 @@
 /// Settings without errors, and with which requests can be served.
 fn check_settings(
     settings: DeploymentSettings,
-    errors: &[SettingsError],
-) -> Result<DeploymentSettings, Vec<String>> {
-    let unreadable: Vec<String> = errors.iter().map(ToString::to_string).collect();
-    let mut faults = unreadable.clone();
-    let mut expect = |holds: bool, key: &str, expected: &str| {
-        let key = format!("settings: {key}: ");
-        // What could not be read is not reported again.
-        if !holds && !unreadable.iter().any(|fault| fault.starts_with(&key)) {
-            faults.push(format!("{key}expected {expected}"));
-        }
-    };
+    errors: Vec<SettingsError>,
+) -> Result<DeploymentSettings, Vec<PlatformFileError>> {
+    let mut unusable = unusable_settings(&settings);
+    // What could not be read is not reported again.
+    unusable.retain(|setting| errors.iter().all(|error| error.key() != setting.key()));
+    let unreadable = errors.into_iter().map(PlatformFileError::UnreadableSetting);
+    let faults: Vec<_> =
+        unreadable.chain(unusable.into_iter().map(PlatformFileError::UnusableSetting)).collect();
+    if faults.is_empty() { Ok(settings) } else { Err(faults) }
+}
+
+fn unusable_settings(settings: &DeploymentSettings) -> Vec<UnusableSetting> {
     let names = &settings.class_names;
-    expect(!names.is_empty(), "classes", "one at least");
-    for (index, (name, class)) in names.iter().zip(&settings.routing.classes).enumerate() {
-        let is_unique = !name.is_empty() && !names[..index].contains(name);
-        expect(is_unique, &format!("classes[{index}].name"), "a name of its own");
-        let has_timeout = class.client_timeout > 0;
-        expect(has_timeout, &format!("classes[{index}].deadline_ms"), "a positive number");
+    let mut unusable = Vec::new();
+    if names.is_empty() {
+        unusable.push(UnusableSetting::NoClasses);
     }
-    expect(settings.routing.max_attempts != 0, "limits.attempts_cap", "a positive number");
-    if faults.is_empty() { Ok(settings) } else { Err(faults) }
+    for (class, (name, rules)) in names.iter().zip(&settings.routing.classes).enumerate() {
+        if name.is_empty() || names[..class].contains(name) {
+            unusable.push(UnusableSetting::NameNotUnique { class });
+        }
+        if rules.client_timeout <= 0 {
+            unusable.push(UnusableSetting::ZeroTimeout { class });
+        }
+    }
+    if settings.routing.max_attempts == 0 {
+        unusable.push(UnusableSetting::NoAttempts);
+    }
+    unusable
 }
--- a/settings/src/classes.rs
+++ b/settings/src/classes.rs
@@ -1,5 +1,6 @@
 //! Request classes in the settings: their rules are spread over `classes` and lists of `extra`.
 
+use crate::error::ExpectedValue;
 use crate::reader::{Reader, micros_from_ms};
 use birchreach::{Consistency, DedupScope, Idempotency, Micros, RequestClass};
 use serde_json::Value;
@@ -39,7 +40,7 @@
         }
         "any" => Consistency::Any,
         _ => {
-            reader.unexpected(key, "write, fresh, session, bounded or any");
+            reader.unexpected(key, ExpectedValue::OneOf(vec!["write", "fresh", "session", "bounded", "any"]));
             Consistency::Strong
         }
     }
@@ -76,7 +77,10 @@
             }
             "single_shot" => Idempotency::NotIdempotent,
             _ => {
-                self.reader.unexpected(&self.key("idempotency"), "free, guarded or single_shot");
+                self.reader.unexpected(
+                    &self.key("idempotency"),
+                    ExpectedValue::OneOf(vec!["free", "guarded", "single_shot"]),
+                );
                 Idempotency::NotIdempotent
             }
         }
@@ -88,7 +92,8 @@
             "zone" => DedupScope::Zone,
             "cell" => DedupScope::Group,
             _ => {
-                self.reader.unexpected(&self.key("dedup_scope"), "all, zone or cell");
+                self.reader
+                    .unexpected(&self.key("dedup_scope"), ExpectedValue::OneOf(vec!["all", "zone", "cell"]));
                 DedupScope::Group
             }
         }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,6 +8,7 @@
 mod classes;
 mod error;
 mod reader;
+mod warning;
 mod warnings;
 
 use birchreach::{
@@ -15,9 +16,10 @@
     StaleReadPolicy, Tenant, ZoneId,
 };
 use classes::{NamedClass, classes};
-pub use error::SettingsError;
+pub use error::{ExpectedValue, SettingsError};
 use reader::Reader;
 use serde_json::Value;
+pub use warning::{SettingsWarning, WarningKind};
 pub use warnings::warnings;
 
 /// Names of the values in a load report that hold the log position and the role.
@@ -130,7 +132,7 @@
         "carried" => SessionPositionSource::FromRequest,
         "remembered" => SessionPositionSource::FromObservedWrites,
         _ => {
-            reader.unexpected(key, "'carried' or 'remembered'");
+            reader.unexpected(key, ExpectedValue::OneOf(vec!["'carried'", "'remembered'"]));
             SessionPositionSource::FromRequest
         }
     }
@@ -153,7 +155,7 @@
         "pull" => LoadReportSource::HealthChecks,
         "silent" => LoadReportSource::Never,
         _ => {
-            reader.unexpected(key, "piggyback, pull or silent");
+            reader.unexpected(key, ExpectedValue::OneOf(vec!["piggyback", "pull", "silent"]));
             LoadReportSource::Never
         }
     }
@@ -165,7 +167,7 @@
         "automatic" => EndpointDiscovery::Pushed,
         "subscribe" => EndpointDiscovery::Polled,
         _ => {
-            reader.unexpected(key, "automatic or subscribe");
+            reader.unexpected(key, ExpectedValue::OneOf(vec!["automatic", "subscribe"]));
             EndpointDiscovery::Pushed
         }
     }
@@ -177,7 +179,7 @@
         "silent" => StaleReadPolicy::Served,
         "refuse" | "wait" => StaleReadPolicy::Rejected,
         _ => {
-            reader.unexpected(key, "silent, refuse or wait");
+            reader.unexpected(key, ExpectedValue::OneOf(vec!["silent", "refuse", "wait"]));
             StaleReadPolicy::Served
         }
     }
--- a/settings/src/reader.rs
+++ b/settings/src/reader.rs
@@ -1,6 +1,6 @@
 //! Typed access to the keys of the settings JSON. An absent key and `null` are the same.
 
-use crate::SettingsError;
+use crate::error::{ExpectedValue, ROOT_KEY, SettingsError};
 use birchreach::Micros;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -28,7 +28,7 @@
     pub fn new(root: &'a Value) -> Reader<'a> {
         let reader = Reader { root, errors: RefCell::default() };
         if !root.is_object() {
-            reader.unexpected("info", "an object");
+            reader.unexpected(ROOT_KEY, ExpectedValue::Object);
         }
         reader
     }
@@ -37,9 +37,12 @@
         self.errors.into_inner()
     }
 
-    /// Records an error.
-    pub fn unexpected(&self, key: &str, expected: &'static str) {
-        let error = SettingsError::UnexpectedValue { key: key.to_string(), expected };
+    /// Records a value of the wrong kind.
+    pub fn unexpected(&self, key: &str, expected: ExpectedValue) {
+        self.record(SettingsError::UnexpectedValue { key: key.to_string(), expected });
+    }
+
+    fn record(&self, error: SettingsError) {
         self.errors.borrow_mut().push(error);
     }
 
@@ -55,7 +58,7 @@
 
     pub fn required_number_in(&self, value: Option<&Value>, key: &str) -> f64 {
         if value.is_none() {
-            self.unexpected(key, "a number, but it is absent");
+            self.record(SettingsError::MissingNumber { key: key.to_string() });
         }
         self.number_in(value, key, 0.0)
     }
@@ -65,7 +68,7 @@
         match value.as_f64() {
             Some(number) if number.is_finite() && number >= 0.0 => number,
             _ => {
-                self.unexpected(key, "a number that is not negative");
+                self.unexpected(key, ExpectedValue::NonNegativeNumber);
                 default
             }
         }
@@ -83,7 +86,7 @@
     pub fn flag(&self, path: &str) -> bool {
         let Some(value) = find(self.root, path) else { return false };
         value.as_bool().unwrap_or_else(|| {
-            self.unexpected(path, "true or false");
+            self.unexpected(path, ExpectedValue::Boolean);
             false
         })
     }
@@ -96,7 +99,7 @@
     pub fn word_in(&self, value: Option<&'a Value>, key: &str, default: &'a str) -> &'a str {
         let Some(value) = value else { return default };
         value.as_str().unwrap_or_else(|| {
-            self.unexpected(key, "a word");
+            self.unexpected(key, ExpectedValue::Word);
             default
         })
     }
@@ -106,7 +109,7 @@
         let Some(value) = find(self.root, path) else { return &[] };
         value.as_array().map_or_else(
             || {
-                self.unexpected(path, "a list");
+                self.unexpected(path, ExpectedValue::List);
                 &[][..]
             },
             Vec::as_slice,
--- a/settings/src/warnings.rs
+++ b/settings/src/warnings.rs
@@ -1,8 +1,8 @@
-//! Warnings about usable settings: unknown keys, and settings that contradict each other. An error keeps a proxy from starting; a
-//! warning says what is done instead.
+//! Finds unknown keys, and settings that contradict each other.
 
 use crate::DeploymentSettings;
 use crate::reader::find;
+use crate::{SettingsWarning, WarningKind};
 use birchreach::{Consistency, Idempotency, LoadReportSource, RequestClass, Settings, StaleReadPolicy};
 use serde_json::Value;
 
@@ -21,16 +21,16 @@
 /// Keys whose value is not looked into.
 const OPAQUE_KEYS: [&str; 3] = ["client_habits", "objective_mix", "prices"];
 
-/// All warnings about the settings in `root`, each beginning with the path of its key.
-pub fn warnings(root: &Value, settings: &DeploymentSettings) -> Vec<String> {
+/// All warnings about the settings in `root`.
+pub fn warnings(root: &Value, settings: &DeploymentSettings) -> Vec<SettingsWarning> {
     let mut found = Vec::new();
     unknown_keys(root, "", "", &mut found);
     contradictions(root, settings, &mut found);
-    found.iter().map(|warning| format!("settings: {warning}")).collect()
+    found
 }
 
 /// `path` has the indices of list elements, `form` has none.
-fn unknown_keys(node: &Value, path: &str, form: &str, found: &mut Vec<String>) {
+fn unknown_keys(node: &Value, path: &str, form: &str, found: &mut Vec<SettingsWarning>) {
     match node {
         Value::Object(map) if !OPAQUE_KEYS.contains(&form) => {
             for (key, value) in map {
@@ -39,7 +39,7 @@
                 if KNOWN_KEYS.split(' ').any(|known| known == form) {
                     unknown_keys(value, &path, &form, found);
                 } else {
-                    found.push(format!("{path}: unknown, and skipped"));
+                    found.push(SettingsWarning { key: path, kind: WarningKind::UnknownKey });
                 }
             }
         }
@@ -52,50 +52,45 @@
     }
 }
 
-fn contradictions(root: &Value, settings: &DeploymentSettings, found: &mut Vec<String>) {
-    let mut warn = |key: &str, message: &str| found.push(format!("{key}: {message}"));
-    class_contradictions(root, &settings.routing.classes, &mut warn);
-    position_contradictions(&settings.routing, &mut warn);
-    if usize::from(settings.routing.zone.0) >= settings.zone_names.len() {
-        warn("my_zone", "names no place in dcs; every server counts as elsewhere");
+fn contradictions(root: &Value, settings: &DeploymentSettings, found: &mut Vec<SettingsWarning>) {
+    let routing = &settings.routing;
+    let mut warn = |key: &str, kind| found.push(SettingsWarning { key: key.to_string(), kind });
+    class_contradictions(root, &routing.classes, &mut warn);
+    position_contradictions(routing, &mut warn);
+    if usize::from(routing.zone.0) >= settings.zone_names.len() {
+        warn("my_zone", WarningKind::ZoneNotListed);
     }
-    if settings.routing.slow_start_initial_fraction > 1.0 {
-        warn("obligations.cold_share", "more than 1; counts as 1");
+    if routing.slow_start_initial_fraction > 1.0 {
+        warn("obligations.cold_share", WarningKind::FractionAboveOne);
     }
-    if settings.routing.max_retry_after == Some(0) {
-        warn(
-            "limits.max_retry_after_ms",
-            "0, though limits.retry_after is true: refusals advise to return at once",
-        );
+    if routing.max_retry_after == Some(0) {
+        warn("limits.max_retry_after_ms", WarningKind::ZeroRetryAfter);
     }
-    if settings.routing.connect_timeout == 0 {
-        warn("limits.connect_timeout_ms", "absent or 0; no failed connection counts as turned down at once");
+    if routing.connect_timeout == 0 {
+        warn("limits.connect_timeout_ms", WarningKind::NoConnectTimeout);
     }
 }
 
-fn class_contradictions(root: &Value, classes: &[RequestClass], warn: &mut impl FnMut(&str, &str)) {
+fn class_contradictions(root: &Value, classes: &[RequestClass], warn: &mut impl FnMut(&str, WarningKind)) {
     let consistencies = find(root, "extra.class_read").and_then(Value::as_array).map_or(0, Vec::len);
     if consistencies != classes.len() {
-        warn("extra.class_read", "not one for each class; a class without goes to the primary alone");
+        warn("extra.class_read", WarningKind::ConsistencyCountMismatch);
     }
     for (index, class) in classes.iter().enumerate() {
         if class.latency_objective > class.client_timeout {
-            let key = format!("classes[{index}].goal_time_ms");
-            warn(&key, "later than deadline_ms, when clients have left");
+            warn(&format!("classes[{index}].goal_time_ms"), WarningKind::ObjectiveAfterTimeout);
         }
         if class.consistency == Consistency::BoundedStaleness(0) {
-            let message = format!("0 for the bounded class {index}, which goes to the primary alone");
-            warn("extra.max_age_ms", &message);
+            warn("extra.max_age_ms", WarningKind::ZeroMaxAge { class: index });
         }
         if class.consistency == Consistency::Write && class.idempotency == Idempotency::Idempotent {
-            let key = format!("classes[{index}].idempotency");
-            warn(&key, "free for a write, which may run more than once then");
+            warn(&format!("classes[{index}].idempotency"), WarningKind::IdempotentWrite);
         }
     }
 }
 
-/// Replicas are of use to bounded and session reads only if something tells their positions.
-fn position_contradictions(routing: &Settings, warn: &mut impl FnMut(&str, &str)) {
+/// Replicas are of use to bounded and session reads only if their positions are reported.
+fn position_contradictions(routing: &Settings, warn: &mut impl FnMut(&str, WarningKind)) {
     let needs_position = |class: &RequestClass| {
         matches!(class.consistency, Consistency::BoundedStaleness(_) | Consistency::Session)
     };
@@ -105,9 +100,9 @@
         return;
     }
     if routing.load_reports == LoadReportSource::HealthChecks && !routing.health_checks_allowed {
-        warn("load_info.via", "pull, but limits.may_probe is not true: only answers may tell of positions");
+        warn("load_info.via", WarningKind::HealthChecksNotAllowed);
     }
     if routing.load_reports != LoadReportSource::Never && !routing.load_reports_have_position {
-        warn("load_info.names", "without x0: only answers may tell of positions");
+        warn("load_info.names", WarningKind::NoPositionInLoadReports);
     }
 }
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -2,7 +2,7 @@
 //! value instead.
 
 use birchreach::{Consistency, LoadReportSource};
-use birchreach_settings::{from_value_with_errors, warnings};
+use birchreach_settings::{DeploymentSettings, from_value_with_errors, warnings};
 use serde_json::{Value, json};
 
 fn example() -> Value {
@@ -25,7 +25,11 @@
 fn warnings_of(told: &Value) -> Vec<String> {
     let (settings_read, errors) = from_value_with_errors(told);
     assert!(errors.is_empty(), "{errors:?}");
-    warnings(told, &settings_read)
+    warning_texts(told, &settings_read)
+}
+
+fn warning_texts(told: &Value, settings_read: &DeploymentSettings) -> Vec<String> {
+    warnings(told, settings_read).iter().map(ToString::to_string).collect()
 }
 
 #[test]
@@ -109,7 +113,7 @@
                 // Each error and each warning names a key, and all begin alike.
                 let (settings_read, errors) = from_value_with_errors(&settings);
                 let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
-                for said in errors.iter().chain(&warnings(&settings, &settings_read)) {
+                for said in errors.iter().chain(&warning_texts(&settings, &settings_read)) {
                     assert!(
                         said.starts_with("settings: ") && said.matches(": ").count() >= 1,
                         "{path}: {said}"
