--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,5 +1,8 @@
 //! The metrics of background work and of the subsystems that it is done for. Each name stands here once.
 
+#[cfg(test)]
+mod tests;
+
 use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::Counts as TaskCounts;
 use birchreach_hot_keys::HotKeyTracker;
--- /dev/null
+++ b/proxy/src/metrics/tests.rs
@@ -0,0 +1,144 @@
+//! The names, labels and help texts of the metrics, as monitoring reads them.
+
+use super::Metrics;
+use crate::hot::CopyReadCounts;
+use birchreach_background_tasks::Counts as TaskCounts;
+use birchreach_hot_keys::{HotKeyTracker, Settings};
+use birchreach_shard_split::{Counts as ComparisonCounts, Verdict};
+
+/// A tracker that knows no hot key.
+fn tracker() -> HotKeyTracker {
+    let settings = Settings {
+        database_reads_per_s: 100.0,
+        copy_cost_reads: 2.0,
+        max_copies: 3,
+        configured_members: 1,
+        class_requirements: Vec::new(),
+    };
+    HotKeyTracker::new(settings, 1, 1, 0)
+}
+
+/// The values of a metric, in the order of their labels.
+fn samples(metrics: &Metrics, name: &str) -> Vec<String> {
+    let text = metrics.text();
+    let mut samples: Vec<_> = text.lines().filter(|line| line.starts_with(name)).map(Into::into).collect();
+    samples.sort();
+    samples
+}
+
+#[test]
+fn copies_are_counted_by_what_became_of_them() {
+    let metrics = Metrics::new();
+    for outcome in ["written", "unwritten", "long", "unreadable", "unread", "unread"] {
+        metrics.count_copy(outcome);
+    }
+
+    let expected = [
+        "birchreach_hot_copies_total{kind=\"copy\",end=\"long\"} 1",
+        "birchreach_hot_copies_total{kind=\"copy\",end=\"unread\"} 2",
+        "birchreach_hot_copies_total{kind=\"copy\",end=\"unreadable\"} 1",
+        "birchreach_hot_copies_total{kind=\"copy\",end=\"unwritten\"} 1",
+        "birchreach_hot_copies_total{kind=\"copy\",end=\"written\"} 1",
+    ];
+    assert_eq!(samples(&metrics, "birchreach_hot_copies"), expected);
+}
+
+#[test]
+fn tasks_are_counted_by_what_became_of_them() {
+    let metrics = Metrics::new();
+    metrics.set_task_counts("copy", TaskCounts { started: 4, finished: 3, expired: 2, rejected: 1 });
+
+    let expected = [
+        "birchreach_background_tasks_total{kind=\"copy\",end=\"crowded\"} 1",
+        "birchreach_background_tasks_total{kind=\"copy\",end=\"ended\"} 3",
+        "birchreach_background_tasks_total{kind=\"copy\",end=\"late\"} 2",
+        "birchreach_background_tasks_total{kind=\"copy\",end=\"started\"} 4",
+    ];
+    assert_eq!(samples(&metrics, "birchreach_background_tasks"), expected);
+}
+
+#[test]
+fn comparisons_are_counted_by_what_came_of_them() {
+    let metrics = Metrics::new();
+    let counts = ComparisonCounts {
+        started: 7,
+        agreed: 6,
+        lagging: 5,
+        inconclusive: 4,
+        unanswered: 3,
+        confirmed: 2,
+        rejected: 1,
+    };
+    metrics.set_split(&Verdict::Clean, counts);
+
+    let expected = [
+        "birchreach_split_clean 1",
+        "birchreach_split_comparisons_total{kind=\"read\",end=\"agreed\"} 6",
+        "birchreach_split_comparisons_total{kind=\"read\",end=\"begun\"} 7",
+        "birchreach_split_comparisons_total{kind=\"read\",end=\"crowded\"} 1",
+        "birchreach_split_comparisons_total{kind=\"read\",end=\"flagged\"} 2",
+        "birchreach_split_comparisons_total{kind=\"read\",end=\"late\"} 5",
+        "birchreach_split_comparisons_total{kind=\"read\",end=\"silent\"} 3",
+        "birchreach_split_comparisons_total{kind=\"read\",end=\"unsure\"} 4",
+        "birchreach_split_ranges_lacking 0",
+    ];
+    assert_eq!(samples(&metrics, "birchreach_split"), expected);
+}
+
+#[test]
+fn a_report_that_is_not_taken_is_counted_by_subsystem_and_reason() {
+    let metrics = Metrics::new();
+    metrics.count_rejected_report("other", "off");
+
+    let expected = ["birchreach_reports_refused_total{kind=\"other\",end=\"off\"} 1"];
+    assert_eq!(samples(&metrics, "birchreach_reports"), expected);
+}
+
+#[test]
+fn reads_that_were_sent_to_holders_of_copies_are_counted_by_whether_they_had_one() {
+    let metrics = Metrics::new();
+    metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 2, misses: 1 });
+
+    let expected = [
+        "birchreach_hot_reads_total{kind=\"guest\",end=\"missed\"} 1",
+        "birchreach_hot_reads_total{kind=\"guest\",end=\"served\"} 2",
+    ];
+    assert_eq!(samples(&metrics, "birchreach_hot_reads"), expected);
+}
+
+#[test]
+fn every_metric_has_its_name_type_and_help() {
+    let metrics = Metrics::new();
+    metrics.set_task_counts("copy", TaskCounts::default());
+    metrics.count_rejected_report("other", "off");
+    metrics.count_copy("written");
+    metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 0, misses: 0 });
+    metrics.set_split(&Verdict::Clean, ComparisonCounts::default());
+
+    let text = metrics.text();
+
+    let expected = [
+        "# HELP birchreach_background_tasks Tasks of the scheduler, by kind and what became of them.",
+        "# TYPE birchreach_background_tasks counter",
+        "# HELP birchreach_reports_refused Reports of members that were not taken, by subsystem and reason.",
+        "# TYPE birchreach_reports_refused counter",
+        "# HELP birchreach_hot_copies Copies, by what became of them.",
+        "# TYPE birchreach_hot_copies counter",
+        "# HELP birchreach_hot_keys Keys that are hot now.",
+        "# TYPE birchreach_hot_keys gauge",
+        "# HELP birchreach_hot_changes Times that a key became hot, or was no more.",
+        "# TYPE birchreach_hot_changes counter",
+        "# HELP birchreach_hot_reads Reads that were sent to guests, by whether they had a copy.",
+        "# TYPE birchreach_hot_reads counter",
+        "# HELP birchreach_split_comparisons Reads that were compared, by what came of it.",
+        "# TYPE birchreach_split_comparisons counter",
+        "# HELP birchreach_split_ranges_lacking Ranges with too few comparisons, by this process's knowledge.",
+        "# TYPE birchreach_split_ranges_lacking gauge",
+        "# HELP birchreach_split_clean 1: clean, 0: not yet, -1: dirty.",
+        "# TYPE birchreach_split_clean gauge",
+        "# HELP birchreach_hot_members_differ Members whose newest report has another set.",
+        "# TYPE birchreach_hot_members_differ gauge",
+    ];
+    let descriptions: Vec<&str> = text.lines().filter(|line| line.starts_with('#')).collect();
+    assert_eq!(descriptions, expected);
+}
