--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -15,6 +15,34 @@
 use prometheus_client::registry::{Metric, Registry};
 use std::sync::atomic::Ordering;
 
+/// What became of a copy of a row.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CopyOutcome {
+    /// It was written to its holder.
+    Written,
+    /// The write to its holder failed.
+    NotWritten,
+    /// The row's value is longer than a copy may be.
+    TooLong,
+    /// The database answered the read of the row with an error.
+    Unreadable,
+    /// The read of the row gave no value, or no position of a replica.
+    NotRead,
+}
+
+impl CopyOutcome {
+    /// Its value as a label.
+    fn as_str(self) -> &'static str {
+        match self {
+            CopyOutcome::Written => "written",
+            CopyOutcome::NotWritten => "unwritten",
+            CopyOutcome::TooLong => "long",
+            CopyOutcome::Unreadable => "unreadable",
+            CopyOutcome::NotRead => "unread",
+        }
+    }
+}
+
 /// The labels of counters: what is counted, and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CounterLabels {
@@ -89,8 +117,8 @@
     }
 
     /// Counts a copy, by what became of it.
-    pub fn count_copy(&self, end: &'static str) {
-        self.copies.get_or_create(&CounterLabels { kind: "copy", end }).inc();
+    pub fn count_copy(&self, outcome: CopyOutcome) {
+        self.copies.get_or_create(&CounterLabels { kind: "copy", end: outcome.as_str() }).inc();
     }
 
     /// Sets what became of the scheduler's tasks of a kind.
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -1,6 +1,6 @@
 //! The names, labels and help texts of the metrics, as monitoring reads them.
 
-use super::Metrics;
+use super::{CopyOutcome, Metrics};
 use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::Counts as TaskCounts;
 use birchreach_hot_keys::{HotKeyTracker, Settings};
@@ -29,7 +29,14 @@
 #[test]
 fn copies_are_counted_by_what_became_of_them() {
     let metrics = Metrics::new();
-    for outcome in ["written", "unwritten", "long", "unreadable", "unread", "unread"] {
+    for outcome in [
+        CopyOutcome::Written,
+        CopyOutcome::NotWritten,
+        CopyOutcome::TooLong,
+        CopyOutcome::Unreadable,
+        CopyOutcome::NotRead,
+        CopyOutcome::NotRead,
+    ] {
         metrics.count_copy(outcome);
     }
 
@@ -111,7 +118,7 @@
     let metrics = Metrics::new();
     metrics.set_task_counts("copy", TaskCounts::default());
     metrics.count_rejected_report("other", "off");
-    metrics.count_copy("written");
+    metrics.count_copy(CopyOutcome::Written);
     metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 0, misses: 0 });
     metrics.set_split(&Verdict::Clean, ComparisonCounts::default());
 
--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -4,6 +4,7 @@
 use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
 use crate::background_query::BackgroundQueryResult;
 use crate::hot::HotKeyObserver;
+use crate::metrics::CopyOutcome;
 use crate::pg::copies;
 use birchreach::{AttemptOutcome, Micros, Role};
 use birchreach_background_tasks::{Task, TaskKind};
@@ -32,17 +33,6 @@
     copy: Copy<Vec<u8>>,
 }
 
-/// What the reads of a row came to.
-enum ReadOutcome {
-    Copy(Copy<Vec<u8>>),
-    /// The value is longer than a copy may be.
-    TooLong,
-    /// The database answered with an error.
-    Unreadable,
-    /// There is no value, or no position of a replica.
-    Unread,
-}
-
 impl CopyTask {
     pub(super) fn target(&self) -> TaskTarget {
         match self {
@@ -64,9 +54,10 @@
     }
 }
 
-fn read_outcome(result: &BackgroundQueryResult) -> ReadOutcome {
+/// The copy that the reads of a row give, or why they give none.
+fn copy_from_result(result: &BackgroundQueryResult) -> Result<Copy<Vec<u8>>, CopyOutcome> {
     if result.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error) {
-        return ReadOutcome::Unreadable;
+        return Err(CopyOutcome::Unreadable);
     }
     // A primary may have been deposed without knowing it, and would state the present; a replica's position is what it has applied.
     let position = |n: usize| {
@@ -75,9 +66,9 @@
     };
     let value = result.replies.get(1).and_then(|reply| reply.value.as_ref()).filter(|_| result.complete);
     match value.and_then(|value| copy_from_reads(position(0), value.bytes.clone(), position(1))) {
-        Some(copy) if copy.value.len() > copies::MAX_COPY_BYTES => ReadOutcome::TooLong,
-        Some(copy) => ReadOutcome::Copy(copy),
-        None => ReadOutcome::Unread,
+        Some(copy) if copy.value.len() > copies::MAX_COPY_BYTES => Err(CopyOutcome::TooLong),
+        Some(copy) => Ok(copy),
+        None => Err(CopyOutcome::NotRead),
     }
 }
 
@@ -87,9 +78,11 @@
         match task {
             CopyTask::Read(due) => self.finish_read(now, &mut observer.borrow_mut(), &due, result),
             CopyTask::Write(write) => {
-                self.metrics.count_copy(if result.complete { "written" } else { "unwritten" });
                 if result.complete {
+                    self.metrics.count_copy(CopyOutcome::Written);
                     observer.borrow_mut().tracker.record_copy_written(now, write.key, write.holder);
+                } else {
+                    self.metrics.count_copy(CopyOutcome::NotWritten);
                 }
             }
         }
@@ -102,21 +95,18 @@
         due: &DueCopy,
         result: &BackgroundQueryResult,
     ) {
-        match read_outcome(result) {
-            ReadOutcome::Copy(copy) => {
+        let outcome = match copy_from_result(result) {
+            Ok(copy) => {
                 let expires_at = now + observer.tracker.settings().refresh_interval();
                 self.submit_writes(due, &copy, expires_at);
+                return;
             }
-            ReadOutcome::TooLong => {
-                observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
-                self.metrics.count_copy("long");
-            }
-            ReadOutcome::Unreadable => {
-                observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
-                self.metrics.count_copy("unreadable");
-            }
-            ReadOutcome::Unread => self.metrics.count_copy("unread"),
+            Err(outcome) => outcome,
+        };
+        if matches!(outcome, CopyOutcome::TooLong | CopyOutcome::Unreadable) {
+            observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
         }
+        self.metrics.count_copy(outcome);
     }
 
     fn submit_writes(&mut self, due: &DueCopy, copy: &Copy<Vec<u8>>, expires_at: Micros) {
