--- a/settings/src/classes.rs
+++ b/settings/src/classes.rs
@@ -11,7 +11,8 @@
     pub rules: RequestClass,
 }
 
-pub(crate) fn classes<'a>(reader: &'a Reader<'a>) -> Vec<NamedClass> {
+/// Reads the request classes, in their order.
+pub(crate) fn classes(reader: &Reader) -> Vec<NamedClass> {
     let consistencies = reader.list("extra.class_read");
     let max_ages = reader.list("extra.max_age_ms");
     let classes = reader.list("classes").iter().enumerate();
@@ -24,23 +25,20 @@
 }
 
 /// A class without an entry goes to the primary alone.
-fn consistency<'a>(
-    reader: &Reader<'a>,
-    word: Option<&'a Value>,
-    max_age_ms: Option<&'a Value>,
-) -> Consistency {
+fn consistency(reader: &Reader, entry: Option<&Value>, max_age_ms: Option<&Value>) -> Consistency {
     let key = "extra.class_read";
-    match reader.word_in(word, key, "fresh") {
-        "write" => Consistency::Write,
-        "fresh" => Consistency::Strong,
-        "session" => Consistency::Session,
-        "bounded" => {
+    match reader.string_in(entry, key) {
+        Some("write") => Consistency::Write,
+        None | Some("fresh") => Consistency::Strong,
+        Some("session") => Consistency::Session,
+        Some("bounded") => {
             let max_age_ms = reader.required_number_in(max_age_ms, "extra.max_age_ms");
             Consistency::BoundedStaleness(micros_from_ms(max_age_ms))
         }
-        "any" => Consistency::Any,
-        _ => {
-            reader.unexpected(key, ExpectedValue::OneOf(vec!["write", "fresh", "session", "bounded", "any"]));
+        Some("any") => Consistency::Any,
+        Some(_) => {
+            let expected = vec!["write", "fresh", "session", "bounded", "any"];
+            reader.unexpected(key, ExpectedValue::OneOf(expected));
             Consistency::Strong
         }
     }
@@ -49,14 +47,15 @@
 /// Reads one element of `classes`.
 struct ClassReader<'a> {
     reader: &'a Reader<'a>,
+    /// The element.
     value: &'a Value,
     index: usize,
 }
 
-impl<'a> ClassReader<'a> {
+impl ClassReader<'_> {
     fn read(&self, consistency: Consistency) -> NamedClass {
         let idempotency = self.idempotency();
-        let name = self.word_or("name", "").to_string();
+        let name = self.string("name").unwrap_or_default().to_string();
         let rules = RequestClass {
             consistency,
             idempotency,
@@ -69,46 +68,39 @@
     }
 
     fn idempotency(&self) -> Idempotency {
-        match self.word_or("idempotency", "single_shot") {
-            "free" => Idempotency::Idempotent,
-            "guarded" => {
+        match self.string("idempotency") {
+            Some("free") => Idempotency::Idempotent,
+            Some("guarded") => {
                 let scope = self.dedup_scope();
                 Idempotency::WithKey { scope, dedup_window: self.required_micros("repeat_window_ms") }
             }
-            "single_shot" => Idempotency::NotIdempotent,
-            _ => {
-                self.reader.unexpected(
-                    &self.key("idempotency"),
-                    ExpectedValue::OneOf(vec!["free", "guarded", "single_shot"]),
-                );
+            None | Some("single_shot") => Idempotency::NotIdempotent,
+            Some(_) => {
+                let expected = vec!["free", "guarded", "single_shot"];
+                self.reader.unexpected(&self.key("idempotency"), ExpectedValue::OneOf(expected));
                 Idempotency::NotIdempotent
             }
         }
     }
 
     fn dedup_scope(&self) -> DedupScope {
-        match self.word_or("dedup_scope", "cell") {
-            "all" => DedupScope::AllServers,
-            "zone" => DedupScope::Zone,
-            "cell" => DedupScope::Group,
-            _ => {
-                self.reader
-                    .unexpected(&self.key("dedup_scope"), ExpectedValue::OneOf(vec!["all", "zone", "cell"]));
-                DedupScope::Group
-            }
-        }
+        let choices =
+            [("all", DedupScope::AllServers), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
+        let key = self.key("dedup_scope");
+        self.reader.choice_in(self.get("dedup_scope"), &key, &choices, DedupScope::Group)
     }
 
-    fn get(&self, name: &str) -> Option<&'a Value> {
+    fn get(&self, name: &str) -> Option<&Value> {
         self.value.get(name)
     }
 
+    /// The path of a key of this class.
     fn key(&self, name: &str) -> String {
         format!("classes[{}].{name}", self.index)
     }
 
-    fn word_or(&self, name: &str, default: &'a str) -> &'a str {
-        self.reader.word_in(self.get(name), &self.key(name), default)
+    fn string(&self, name: &str) -> Option<&str> {
+        self.reader.string_in(self.get(name), &self.key(name))
     }
 
     fn required_number(&self, name: &str) -> f64 {
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -35,9 +35,9 @@
     NonNegativeNumber,
     /// A boolean.
     Boolean,
-    /// A word, whichever.
-    Word,
-    /// One of these words, of which there are two or more.
+    /// A string, whichever.
+    String,
+    /// One of these strings, of which there are two or more.
     OneOf(Vec<&'static str>),
 }
 
@@ -69,8 +69,8 @@
             ExpectedValue::List => f.write_str("a list"),
             ExpectedValue::NonNegativeNumber => f.write_str("a number that is not negative"),
             ExpectedValue::Boolean => f.write_str("true or false"),
-            ExpectedValue::Word => f.write_str("a word"),
-            ExpectedValue::OneOf(words) => match words.split_last() {
+            ExpectedValue::String => f.write_str("a word"),
+            ExpectedValue::OneOf(strings) => match strings.split_last() {
                 Some((last, others)) => write!(f, "{} or {last}", others.join(", ")),
                 None => Ok(()),
             },
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings JSON of the platform, as a proxy's configuration and the simulator's first message hold it.
 //!
-//! This crate is the only place that knows the platform's key names, words and units; it maps them to the types of the decision
+//! This crate is the only place that knows the platform's key names, values and units; it maps them to the types of the decision
 //! crate. Unknown keys are skipped; [`warnings`] lists them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -22,9 +22,11 @@
 pub use warning::{SettingsWarning, WarningKind};
 pub use warnings::warnings;
 
-/// Names of the values in a load report that hold the log position and the role.
+/// Name of the value in a load report that holds the log position.
 const POSITION_FIELD: &str = "x0";
+/// Name of the value in a load report that holds the role.
 const ROLE_FIELD: &str = "x1";
+/// How long servers keep an idle connection where the platform doesn't say.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 30_000.0;
 
 /// Settings of a deployment: those of the router, and what its hosts need beside them.
@@ -68,7 +70,7 @@
     errors.into_iter().next().map_or(Ok(settings), Err)
 }
 
-/// Reads the settings from parsed JSON and returns all errors. Where there is one the settings hold a harmless value.
+/// Reads the settings from parsed JSON and returns all errors. A value with an error is replaced by a default.
 pub fn from_value_with_errors(root: &Value) -> (DeploymentSettings, Vec<SettingsError>) {
     let reader = Reader::new(root);
     let settings = read(&reader);
@@ -80,18 +82,40 @@
     let session_positions = session_positions(reader);
     let (class_names, classes) = split_names(classes(reader));
     let tenants = tenants(reader);
-    let load_report_fields = reader.words("load_info.names");
+    let load_report_fields = reader.strings("load_info.names");
     let index_of = |field: &str| load_report_fields.iter().position(|name| name == field);
     let (position_index, role_index) = (index_of(POSITION_FIELD), index_of(ROLE_FIELD));
     let from_request = session_positions == SessionPositionSource::FromRequest;
     let carries = |class: &RequestClass| class.consistency == Consistency::Session && from_request;
     let session_position_in_request = classes.iter().map(carries).collect();
-    let routing = Settings {
+    let routing = routing(reader, classes, tenants, session_positions, position_index.is_some());
+    DeploymentSettings {
+        routing,
+        class_names,
+        zone_names: reader.strings("dcs"),
+        load_report_fields,
+        connection_idle_timeout: reader.micros_or("limits.conn_idle_ms", DEFAULT_IDLE_TIMEOUT_MS),
+        position_epoch,
+        session_position_in_request,
+        load_report_position_index: position_index,
+        load_report_role_index: role_index,
+    }
+}
+
+/// Reads the settings of the router, except for those that the caller has read already.
+fn routing(
+    reader: &Reader,
+    classes: Vec<RequestClass>,
+    tenants: Vec<Tenant>,
+    session_positions: SessionPositionSource,
+    load_reports_have_position: bool,
+) -> Settings {
+    Settings {
         classes,
         tenants,
         session_positions,
         load_reports: load_reports(reader),
-        load_reports_have_position: position_index.is_some(),
+        load_reports_have_position,
         endpoint_discovery: endpoint_discovery(reader),
         stale_reads: stale_reads(reader),
         max_retry_after: max_retry_after(reader),
@@ -108,17 +132,6 @@
         slow_start_window: reader.required_micros("obligations.cold_ms"),
         overload_factor: reader.required_number("obligations.fall_multiple"),
         overload_window: reader.required_micros("obligations.fall_ms"),
-    };
-    DeploymentSettings {
-        routing,
-        class_names,
-        zone_names: reader.words("dcs"),
-        load_report_fields,
-        connection_idle_timeout: reader.micros_or("limits.conn_idle_ms", DEFAULT_IDLE_TIMEOUT_MS),
-        position_epoch,
-        session_position_in_request,
-        load_report_position_index: position_index,
-        load_report_role_index: role_index,
     }
 }
 
@@ -128,10 +141,10 @@
 
 fn session_positions(reader: &Reader) -> SessionPositionSource {
     let key = "extra.tokens";
-    match reader.word_or(key, "carried") {
-        "carried" => SessionPositionSource::FromRequest,
-        "remembered" => SessionPositionSource::FromObservedWrites,
-        _ => {
+    match reader.string(key) {
+        None | Some("carried") => SessionPositionSource::FromRequest,
+        Some("remembered") => SessionPositionSource::FromObservedWrites,
+        Some(_) => {
             reader.unexpected(key, ExpectedValue::OneOf(vec!["'carried'", "'remembered'"]));
             SessionPositionSource::FromRequest
         }
@@ -149,42 +162,29 @@
 }
 
 fn load_reports(reader: &Reader) -> LoadReportSource {
-    let key = "load_info.via";
-    match reader.word_or(key, "silent") {
-        "piggyback" => LoadReportSource::Responses,
-        "pull" => LoadReportSource::HealthChecks,
-        "silent" => LoadReportSource::Never,
-        _ => {
-            reader.unexpected(key, ExpectedValue::OneOf(vec!["piggyback", "pull", "silent"]));
-            LoadReportSource::Never
-        }
-    }
+    let choices = [
+        ("piggyback", LoadReportSource::Responses),
+        ("pull", LoadReportSource::HealthChecks),
+        ("silent", LoadReportSource::Never),
+    ];
+    reader.choice("load_info.via", &choices, LoadReportSource::Never)
 }
 
 fn endpoint_discovery(reader: &Reader) -> EndpointDiscovery {
-    let key = "registry_mode";
-    match reader.word_or(key, "automatic") {
-        "automatic" => EndpointDiscovery::Pushed,
-        "subscribe" => EndpointDiscovery::Polled,
-        _ => {
-            reader.unexpected(key, ExpectedValue::OneOf(vec!["automatic", "subscribe"]));
-            EndpointDiscovery::Pushed
-        }
-    }
+    let choices = [("automatic", EndpointDiscovery::Pushed), ("subscribe", EndpointDiscovery::Polled)];
+    reader.choice("registry_mode", &choices, EndpointDiscovery::Pushed)
 }
 
 fn stale_reads(reader: &Reader) -> StaleReadPolicy {
-    let key = "extra.guards";
-    match reader.word_or(key, "silent") {
-        "silent" => StaleReadPolicy::Served,
-        "refuse" | "wait" => StaleReadPolicy::Rejected,
-        _ => {
-            reader.unexpected(key, ExpectedValue::OneOf(vec!["silent", "refuse", "wait"]));
-            StaleReadPolicy::Served
-        }
-    }
+    let choices = [
+        ("silent", StaleReadPolicy::Served),
+        ("refuse", StaleReadPolicy::Rejected),
+        ("wait", StaleReadPolicy::Rejected),
+    ];
+    reader.choice("extra.guards", &choices, StaleReadPolicy::Served)
 }
 
+/// The longest Retry-After; none if rejections have none.
 fn max_retry_after(reader: &Reader) -> Option<Micros> {
     let advised = reader.flag("limits.retry_after");
     advised.then(|| reader.required_micros("limits.max_retry_after_ms"))
--- a/settings/src/reader.rs
+++ b/settings/src/reader.rs
@@ -7,18 +7,21 @@
 
 const MICROS_PER_MILLISECOND: f64 = 1_000.0;
 
-/// Looks up a path such as `limits.may_probe`.
+/// The value at a path such as `limits.may_probe`.
 pub(crate) fn find<'a>(root: &'a Value, path: &str) -> Option<&'a Value> {
     let found = path.split('.').try_fold(root, |value, key| value.get(key))?;
     (!found.is_null()).then_some(found)
 }
 
+/// The settings have milliseconds, with a fraction; the decision crate has whole microseconds.
 pub(crate) fn micros_from_ms(milliseconds: f64) -> Micros {
     (milliseconds * MICROS_PER_MILLISECOND) as Micros
 }
 
-/// Reads values from the settings. An unusable value is recorded as an error and replaced by a harmless one, so that reading goes
-/// on and all errors are found.
+/// Reads values from the settings. An unusable value is recorded as an error and replaced by a default, so that reading goes on and
+/// all errors are found.
+///
+/// Methods whose names end in `_in` take a value that the caller has looked up; `key` is its path, for the error.
 pub(crate) struct Reader<'a> {
     root: &'a Value,
     errors: RefCell<Vec<SettingsError>>,
@@ -56,6 +59,7 @@
         self.number_in(find(self.root, path), path, default)
     }
 
+    /// A number that must be present.
     pub fn required_number_in(&self, value: Option<&Value>, key: &str) -> f64 {
         if value.is_none() {
             self.record(SettingsError::MissingNumber { key: key.to_string() });
@@ -63,6 +67,7 @@
         self.number_in(value, key, 0.0)
     }
 
+    /// A number, or its default if it is absent.
     pub fn number_in(&self, value: Option<&Value>, key: &str, default: f64) -> f64 {
         let Some(value) = value else { return default };
         match value.as_f64() {
@@ -74,10 +79,12 @@
         }
     }
 
+    /// A time in milliseconds that must be present.
     pub fn required_micros(&self, path: &str) -> Micros {
         micros_from_ms(self.required_number(path))
     }
 
+    /// A time in milliseconds, or its default if it is absent.
     pub fn micros_or(&self, path: &str, default_ms: f64) -> Micros {
         micros_from_ms(self.number_or(path, default_ms))
     }
@@ -91,17 +98,39 @@
         })
     }
 
-    /// A word, or its default if it is absent.
-    pub fn word_or(&self, path: &str, default: &'a str) -> &'a str {
-        self.word_in(find(self.root, path), path, default)
+    /// The value that `choices` has for a string, or the default if the string is absent.
+    pub fn choice<T: Copy>(&self, path: &str, choices: &[(&'static str, T)], default: T) -> T {
+        self.choice_in(find(self.root, path), path, choices, default)
     }
 
-    pub fn word_in(&self, value: Option<&'a Value>, key: &str, default: &'a str) -> &'a str {
-        let Some(value) = value else { return default };
-        value.as_str().unwrap_or_else(|| {
-            self.unexpected(key, ExpectedValue::Word);
-            default
-        })
+    /// The value that `choices` has for a string, or the default if the string is absent.
+    pub fn choice_in<T: Copy>(
+        &self,
+        value: Option<&Value>,
+        key: &str,
+        choices: &[(&'static str, T)],
+        default: T,
+    ) -> T {
+        let Some(string) = self.string_in(value, key) else { return default };
+        let Some((_, chosen)) = choices.iter().find(|(choice, _)| *choice == string) else {
+            self.unexpected(key, ExpectedValue::OneOf(choices.iter().map(|(choice, _)| *choice).collect()));
+            return default;
+        };
+        *chosen
+    }
+
+    /// A string; none if it is absent.
+    pub fn string(&self, path: &str) -> Option<&'a str> {
+        self.string_in(find(self.root, path), path)
+    }
+
+    /// A string; none if it is absent.
+    pub fn string_in<'value>(&self, value: Option<&'value Value>, key: &str) -> Option<&'value str> {
+        let string = value?.as_str();
+        if string.is_none() {
+            self.unexpected(key, ExpectedValue::String);
+        }
+        string
     }
 
     /// The elements of a list; none if it is absent.
@@ -116,8 +145,8 @@
         )
     }
 
-    /// The words of a list. An element that is not a word becomes an empty word and keeps its index.
-    pub fn words(&self, path: &str) -> Vec<String> {
+    /// The strings of a list. An element of another kind becomes an empty string, so that the others keep their index.
+    pub fn strings(&self, path: &str) -> Vec<String> {
         self.list(path).iter().map(|value| value.as_str().unwrap_or_default().to_string()).collect()
     }
 }
--- a/settings/src/warnings.rs
+++ b/settings/src/warnings.rs
@@ -29,7 +29,7 @@
     found
 }
 
-/// `path` has the indices of list elements, `form` has none.
+/// Finds unknown keys below a node. `path` is that of the node with the indices of list elements, `form` the one without.
 fn unknown_keys(node: &Value, path: &str, form: &str, found: &mut Vec<SettingsWarning>) {
     match node {
         Value::Object(map) if !OPAQUE_KEYS.contains(&form) => {
@@ -52,6 +52,7 @@
     }
 }
 
+/// Finds settings that contradict each other, or cannot be meant as they are.
 fn contradictions(root: &Value, settings: &DeploymentSettings, found: &mut Vec<SettingsWarning>) {
     let routing = &settings.routing;
     let mut warn = |key: &str, kind| found.push(SettingsWarning { key: key.to_string(), kind });
