--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every fault names line and element, and nothing of a faulty file is taken.
+//! Every error names line and element, and nothing of a file with errors is applied.
 
 use birchreach_health::{HealthSettings, ProbeSettings};
 use birchreach_options::{Options, parse};
@@ -6,7 +6,7 @@
 const EXAMPLE: &str = include_str!("../../deploy/options.xml");
 
 #[test]
-fn the_example_holds_every_default() {
+fn the_example_has_the_default_of_every_option() {
     let options = parse(EXAMPLE).unwrap();
     let health = options.health.unwrap();
     assert_eq!(
@@ -14,22 +14,23 @@
         HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
     );
     assert_eq!((health.http.unwrap().listener.max_connections, health.shutdown_notice), (64, 3_000_000));
-    // What is left out is what it says.
-    let short = "<birchreach-options><health><http listen='127.0.0.1:7081'/></health></birchreach-options>";
-    let short = parse(short).unwrap().health.unwrap();
-    assert_eq!((short.settings, short.shutdown_notice), (HealthSettings::default(), 3_000_000));
+    // An absent option has the same default.
+    let listener_alone =
+        "<birchreach-options><health><http listen='127.0.0.1:7081'/></health></birchreach-options>";
+    let health = parse(listener_alone).unwrap().health.unwrap();
+    assert_eq!((health.settings, health.shutdown_notice), (HealthSettings::default(), 3_000_000));
     assert_eq!(parse("<birchreach-options/>"), Ok(Options::default()));
 }
 
-/// The faults of the example after one replacement, as they are printed.
-fn faults(old: &str, new: &str) -> Vec<String> {
+/// The errors of the example after one replacement, as they are printed.
+fn error_texts(old: &str, new: &str) -> Vec<String> {
     assert!(EXAMPLE.contains(old), "{old}");
     parse(&EXAMPLE.replacen(old, new, 1)).unwrap_err().iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn faults_name_line_and_element() {
-    for (old, new, line, element, says) in [
+fn an_error_names_its_line_and_element() {
+    for (old, new, line, element, expected) in [
         ("<probes", "<probs", 13, "", "probs"),
         ("every-ms=\"800\"", "each-ms=\"5000\"", 13, "probes", "each-ms"),
         ("every-ms=\"800\"", "every-ms=\"often\"", 13, "probes", "often"),
@@ -49,16 +50,20 @@
         ("</health>", "", 17, "file", "not XML"),
         ("<birchreach-options>", "<options>", 17, "file", "not XML"),
     ] {
-        let faults = faults(old, new);
+        let errors = error_texts(old, new);
+
         let start = format!("line {line}: {element}");
-        assert!(faults.iter().any(|f| f.starts_with(&start) && f.contains(says)), "{new}: {faults:?}");
+        assert!(
+            errors.iter().any(|error| error.starts_with(&start) && error.contains(expected)),
+            "{new}: {errors:?}"
+        );
     }
-    let two = EXAMPLE.replace("callers=\"64\"", "callers=\"2\"");
-    assert_eq!(parse(&two).unwrap_err().len(), 3, "all of them come out");
+    let two_errors = EXAMPLE.replace("callers=\"64\"", "callers=\"2\"");
+    assert_eq!(parse(&two_errors).unwrap_err().len(), 3, "all of them are reported");
 }
 
 #[test]
-fn what_is_no_options_file_is_told_so() {
+fn a_text_that_is_not_an_options_file_gives_an_error() {
     for text in ["", "{}", "<a", "<other/>", "<!DOCTYPE x [<!ENTITY a 'b'>]><birchreach-options/>"] {
         assert!(!parse(text).unwrap_err().is_empty(), "{text}");
     }
@@ -66,25 +71,25 @@
     assert!(parse(&long).unwrap_err()[0].message.contains("longer"));
     let deep = format!("{}{}", "<a>".repeat(40_000), "</a>".repeat(40_000));
     assert!(parse(&deep).is_err());
-    let nobody = "<birchreach-options>\n<health/>\n</birchreach-options>";
+    let no_listener = "<birchreach-options>\n<health/>\n</birchreach-options>";
     assert_eq!(
-        parse(nobody).unwrap_err()[0].to_string(),
+        parse(no_listener).unwrap_err()[0].to_string(),
         "line 2: health: neither http, agent nor grpc: nobody could ask"
     );
 }
 
 #[test]
-fn addresses_of_the_platform_are_not_taken_again() {
+fn an_address_of_the_platform_gives_a_conflict() {
     let options = parse(EXAMPLE).unwrap();
-    let taken = options.address_conflicts(&[("listen", "127.0.0.1:5432".parse().unwrap())]);
-    assert_eq!(taken, []);
-    let taken = options.address_conflicts(&[("operator", "127.0.0.1:7082".parse().unwrap())]);
-    assert_eq!(taken[0].to_string(), "line 7: agent: listen: 127.0.0.1:7082 is used as operator already");
+    let conflicts = options.address_conflicts(&[("listen", "127.0.0.1:5432".parse().unwrap())]);
+    assert_eq!(conflicts, []);
+    let conflicts = options.address_conflicts(&[("operator", "127.0.0.1:7082".parse().unwrap())]);
+    assert_eq!(conflicts[0].to_string(), "line 7: agent: listen: 127.0.0.1:7082 is used as operator already");
 }
 
-/// Random damage: faults or options, never a panic.
+/// Random damage: errors or options, never a panic.
 #[test]
-fn damage_is_told() {
+fn a_damaged_file_gives_options_or_errors_with_lines() {
     for seed in 0..400u64 {
         let mut n = seed;
         let mut bytes = EXAMPLE.as_bytes().to_vec();
@@ -93,8 +98,8 @@
             let at = (n >> 33) as usize % bytes.len();
             bytes[at] = (n >> 25) as u8 & 0x7f;
         }
-        if let Err(faults) = parse(&String::from_utf8_lossy(&bytes)) {
-            assert!(faults.iter().all(|f| f.line >= 1 && !f.message.is_empty()));
+        if let Err(errors) = parse(&String::from_utf8_lossy(&bytes)) {
+            assert!(errors.iter().all(|error| error.line >= 1 && !error.message.is_empty()));
         }
     }
 }
--- a/options/tests/fleet.rs
+++ b/options/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The element `fleet`: what is taken, and what is a fault with its line.
+//! The elements `fleet`, `hot` and `split`: their defaults, and their errors with lines.
 
 use birchreach_options::parse;
 
@@ -7,19 +7,23 @@
 }
 
 #[test]
-fn what_is_not_told_follows_from_what_is() {
+fn defaults_of_the_fleet_are_derived_from_its_addresses() {
     let text =
         fleet("listen='10.0.0.1:7100' key-file='keys' peers='10.0.0.1:7100 10.0.0.2:7100 10.0.0.3:7100'");
-    let told = parse(&text).unwrap().fleet.unwrap();
-    assert_eq!((told.configured_members, told.advertise), (3, told.listen), "this one is not counted twice");
+    let fleet_options = parse(&text).unwrap().fleet.unwrap();
+    assert_eq!(
+        (fleet_options.configured_members, fleet_options.advertise),
+        (3, fleet_options.listen),
+        "this one is not counted twice"
+    );
     let text = fleet("listen='0.0.0.0:7100' advertise='10.0.0.1:7100' key-file='keys' named='9'");
-    let told = parse(&text).unwrap().fleet.unwrap();
-    assert_eq!((told.configured_members, told.peers.len()), (9, 0));
+    let fleet_options = parse(&text).unwrap().fleet.unwrap();
+    assert_eq!((fleet_options.configured_members, fleet_options.peers.len()), (9, 0));
 }
 
 #[test]
-fn what_cannot_be_is_a_fault_with_its_line() {
-    for (attributes, says) in [
+fn an_invalid_fleet_gives_an_error_with_its_line() {
+    for (attributes, expected) in [
         ("listen='10.0.0.1:7100'", "key-file"),
         ("key-file='keys'", "listen"),
         ("listen='0.0.0.0:7100' key-file='keys'", "others cannot reach"),
@@ -29,23 +33,27 @@
         ("listen='10.0.0.1:7100' key-file='keys' named='5000'", "named"),
         ("listen='10.0.0.1:7100' key-file='keys' loud='1'", "loud"),
     ] {
-        let faults = parse(&fleet(attributes)).unwrap_err();
+        let errors = parse(&fleet(attributes)).unwrap_err();
+
         assert!(
-            faults.iter().any(|f| f.line == 2 && f.to_string().contains(says)),
-            "{attributes}: {faults:?}"
+            errors.iter().any(|error| error.line == 2 && error.to_string().contains(expected)),
+            "{attributes}: {errors:?}"
         );
     }
     let both = "<birchreach-options>\n<health><http listen='10.0.0.1:7100'/></health>\n\
                 <fleet listen='10.0.0.1:7100' key-file='keys'/></birchreach-options>";
-    let faults = parse(both).unwrap_err();
-    assert!(faults.iter().any(|f| f.line == 3 && f.message.contains("is used by http too")), "{faults:?}");
+    let errors = parse(both).unwrap_err();
+    assert!(
+        errors.iter().any(|error| error.line == 3 && error.message.contains("is used by http too")),
+        "{errors:?}"
+    );
 }
 
 const FLEET: &str = "<fleet listen='127.0.0.1:7100' key-file='/k' peers='127.0.0.1:7101'/>";
 
 fn read(parts: &str) -> Result<birchreach_options::Options, Vec<String>> {
     let text = format!("<birchreach-options>{parts}</birchreach-options>");
-    parse(&text).map_err(|faults| faults.iter().map(ToString::to_string).collect())
+    parse(&text).map_err(|errors| errors.iter().map(ToString::to_string).collect())
 }
 
 #[test]
@@ -73,9 +81,9 @@
 }
 
 #[test]
-fn background_work_that_cannot_be_is_a_fault_with_its_element() {
+fn invalid_background_work_gives_an_error_with_its_element() {
     let split = |groups: &str| format!("<split {groups} at='5'/>");
-    for (parts, element, says) in [
+    for (parts, element, expected) in [
         ("<hot bears='120'/>".to_string(), "hot", "no element fleet"),
         (split("from='1' below='2' above='3'"), "split", "no element fleet"),
         (format!("{FLEET}<hot/>"), "hot", "bears"),
@@ -87,7 +95,11 @@
         (format!("{FLEET}{}", split("from='1' below='2'")), "split", "above"),
         (format!("<knowledge listen='127.0.0.1:7100' key-file='/k'/>{FLEET}"), "fleet", "used by knowledge"),
     ] {
-        let faults = read(&parts).unwrap_err();
-        assert!(faults.iter().any(|f| f.contains(element) && f.contains(says)), "{parts}: {faults:?}");
+        let errors = read(&parts).unwrap_err();
+
+        assert!(
+            errors.iter().any(|error| error.contains(element) && error.contains(expected)),
+            "{parts}: {errors:?}"
+        );
     }
 }
--- a/proxy/src/config/tests.rs
+++ b/proxy/src/config/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_successor_that_lacks_what_is_in_force_is_refused_with_its_key() {
+fn a_successor_that_lacks_what_is_in_force_is_rejected_with_its_key() {
     let in_force = config(include_str!("../../../example/config.json"));
     let cases = [
         ("\"cores\": 1.0, ", "", "limits.cores: absent, or not of its kind"),
--- a/proxy/tests/configuration_messages/options.rs
+++ b/proxy/tests/configuration_messages/options.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_start_is_refused_with_the_first_fault_of_the_options_and_the_number_of_the_others() {
+fn the_start_fails_with_the_first_fault_of_the_options_and_the_number_of_the_others() {
     let folder = Folder::new("start_options");
     let config = folder.write("config.json", VALID);
     let key_file = folder.0.join("keys");
@@ -83,7 +83,7 @@
     for (elements, expected) in cases {
         let options = folder.write_options(&elements);
 
-        let message = folder.refusal(&config, Some(&options));
+        let message = folder.start_error(&config, Some(&options));
 
         assert_eq!(message, format!("birchreach-proxy: {expected}\n"));
     }
--- a/proxy/tests/configuration_messages/platform_file.rs
+++ b/proxy/tests/configuration_messages/platform_file.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_start_is_refused_with_the_first_fault_of_the_platforms_json() {
+fn the_start_fails_with_the_first_fault_of_the_platforms_json() {
     let folder = Folder::new("start");
     let two_faults = replaced("1200.0", "0").replace("127.0.0.1:6432", "here");
     let cases = [
@@ -140,11 +140,11 @@
     for (text, expected) in cases {
         let config = folder.write("config.json", &text);
 
-        let message = folder.refusal(&config, None);
+        let message = folder.start_error(&config, None);
 
         assert_eq!(message, format!("birchreach-proxy: config.json: {expected}\n"));
     }
-    let absent = folder.refusal(&folder.0.join("absent"), None);
+    let absent = folder.start_error(&folder.0.join("absent"), None);
     assert_eq!(absent, "birchreach-proxy: absent: No such file or directory (os error 2)\n");
     let unset = program().output().unwrap().stderr;
     let expected = "birchreach-proxy: RELAY_CONFIG is not set: it must name the configuration file\n";
--- a/proxy/tests/configuration_messages/support.rs
+++ b/proxy/tests/configuration_messages/support.rs
@@ -41,7 +41,7 @@
     }
 
     /// What the program prints that does not start with a configuration.
-    pub fn refusal(&self, config: &Path, options: Option<&Path>) -> String {
+    pub fn start_error(&self, config: &Path, options: Option<&Path>) -> String {
         let mut command = program();
         command.env("RELAY_CONFIG", config);
         let output = run(command, options);
--- a/settings/tests/bad_input.rs
+++ b/settings/tests/bad_input.rs
@@ -6,34 +6,34 @@
 use serde_json::{Value, json};
 
 fn example() -> Value {
-    let whole: Value = serde_json::from_str(include_str!("../../example/config.json")).unwrap();
-    whole["settings"].clone()
+    let configuration: Value = serde_json::from_str(include_str!("../../example/config.json")).unwrap();
+    configuration["settings"].clone()
 }
 
-/// The same as another deployment has it: load reports in responses, no hedged requests, a Retry-After.
+/// The settings of another deployment: load reports in responses, no hedged requests, a Retry-After.
 fn other() -> Value {
-    let mut told = example();
-    told["load_info"]["via"] = json!("piggyback");
-    told["limits"]["parallel_tries"] = json!(false);
-    told["limits"]["retry_after"] = json!(true);
-    told["limits"]["max_retry_after_ms"] = json!(2000.0);
-    told["extra"]["role_in_list"] = json!("start");
-    told["weights"] = json!("rough");
-    told
+    let mut settings = example();
+    settings["load_info"]["via"] = json!("piggyback");
+    settings["limits"]["parallel_tries"] = json!(false);
+    settings["limits"]["retry_after"] = json!(true);
+    settings["limits"]["max_retry_after_ms"] = json!(2000.0);
+    settings["extra"]["role_in_list"] = json!("start");
+    settings["weights"] = json!("rough");
+    settings
 }
 
-fn warnings_of(told: &Value) -> Vec<String> {
-    let (settings_read, errors) = from_value_with_errors(told);
+fn warnings_of(settings: &Value) -> Vec<String> {
+    let (settings_read, errors) = from_value_with_errors(settings);
     assert!(errors.is_empty(), "{errors:?}");
-    warning_texts(told, &settings_read)
+    warning_texts(settings, &settings_read)
 }
 
-fn warning_texts(told: &Value, settings_read: &DeploymentSettings) -> Vec<String> {
-    warnings(told, settings_read).iter().map(ToString::to_string).collect()
+fn warning_texts(settings: &Value, settings_read: &DeploymentSettings) -> Vec<String> {
+    warnings(settings, settings_read).iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn both_deployments_give_no_warning() {
+fn settings_of_both_deployments_give_no_warning() {
     assert_eq!(warnings_of(&example()), [""; 0]);
     assert_eq!(warnings_of(&other()), [""; 0]);
     assert_eq!(from_value_with_errors(&other()).0.routing.load_reports, LoadReportSource::Responses);
@@ -56,24 +56,26 @@
         ("/limits/connect_timeout_ms", Value::Null, "limits.connect_timeout_ms: "),
         ("/balancers", json!(1), ""),
     ];
-    for (path, value, told) in cases {
+    for (path, value, expected) in cases {
         let mut settings = example();
         let (parent, key) = path.rsplit_once('/').unwrap();
         settings.pointer_mut(parent).unwrap()[key] = value;
-        let said = warnings_of(&settings);
-        assert_eq!(said.len(), usize::from(!told.is_empty()), "{path}: {said:?}");
+
+        let warnings = warnings_of(&settings);
+
+        assert_eq!(warnings.len(), usize::from(!expected.is_empty()), "{path}: {warnings:?}");
         assert!(
-            said.iter().all(|warning| warning.starts_with(&format!("settings: {told}"))),
-            "{path}: {said:?}"
+            warnings.iter().all(|warning| warning.starts_with(&format!("settings: {expected}"))),
+            "{path}: {warnings:?}"
         );
     }
 }
 
 #[test]
 fn a_class_without_a_consistency_goes_to_the_primary_alone() {
-    for reads in [json!(["any"]), json!([]), Value::Null] {
+    for consistencies in [json!(["any"]), json!([]), Value::Null] {
         let mut settings = example();
-        settings["extra"]["class_read"] = reads;
+        settings["extra"]["class_read"] = consistencies;
         let (settings_read, errors) = from_value_with_errors(&settings);
         assert!(errors.is_empty(), "{errors:?}");
         assert!(
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn each_key_that_is_absent_or_of_another_kind_gives_an_error_or_a_default() {
+fn an_absent_key_or_one_of_another_kind_gives_an_error_or_a_default() {
     fn paths(node: &Value, path: &str, found: &mut Vec<String>) {
         match node {
             Value::Object(map) => {
@@ -113,10 +115,10 @@
                 // Each error and each warning names a key, and all begin alike.
                 let (settings_read, errors) = from_value_with_errors(&settings);
                 let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
-                for said in errors.iter().chain(&warning_texts(&settings, &settings_read)) {
+                for text in errors.iter().chain(&warning_texts(&settings, &settings_read)) {
                     assert!(
-                        said.starts_with("settings: ") && said.matches(": ").count() >= 1,
-                        "{path}: {said}"
+                        text.starts_with("settings: ") && text.matches(": ").count() >= 1,
+                        "{path}: {text}"
                     );
                 }
                 let silent = errors.is_empty() && warnings(&settings, &settings_read).is_empty();
--- a/settings/tests/example.rs
+++ b/settings/tests/example.rs
@@ -3,7 +3,7 @@
 use birchreach::{Consistency, Idempotency};
 
 #[test]
-fn the_example_is_read() {
+fn the_example_is_read_into_its_fields() {
     let text = include_str!("../../example/config.json");
     let root: serde_json::Value = serde_json::from_str(text).unwrap();
     let settings = birchreach_settings::from_value(&root["settings"]).unwrap();
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn an_absent_key_or_a_wrong_kind_is_named() {
+fn an_error_names_the_key_at_fault() {
     for (text, key) in [("[]", "info"), ("{", "info"), (r#"{"balancers": "two"}"#, "balancers")] {
-        let said = birchreach_settings::parse(text).unwrap_err().to_string();
-        assert!(said.starts_with("settings: ") && said.contains(key), "{said}");
+        let error = birchreach_settings::parse(text).unwrap_err().to_string();
+        assert!(error.starts_with("settings: ") && error.contains(key), "{error}");
     }
 }
--- a/settings/tests/known_keys.rs
+++ b/settings/tests/known_keys.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_words_of_each_choice_are_read() {
+fn each_choice_is_read_into_its_variant() {
     let read = |key: &str, from: &str, to: &str| {
         let text = EVERY_KEY.replace(&format!(r#""{key}": "{from}""#), &format!(r#""{key}": "{to}""#));
         birchreach_settings::parse(&text).unwrap().routing
