--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -5,6 +5,29 @@
 use std::time::Duration;
 use uppsala::NodeId;
 
+/// Rates hold in any span of this length.
+const DEFAULT_RATE_WINDOW: Duration = Duration::from_secs(10);
+
+const DEFAULT_COPY_COST_READS: f64 = 2.0;
+const DEFAULT_MAX_COPIES: usize = 3;
+/// Copies that are written at one database.
+const DEFAULT_COPIES_PER_S: f64 = 10.0;
+/// Rows that are read for copying at one database.
+const DEFAULT_COPY_READS_PER_S: f64 = 10.0;
+/// Copies written, and likewise rows read, at all databases together.
+const DEFAULT_ALL_COPIES_PER_S: f64 = 100.0;
+
+/// Comparisons in each range of hashes.
+const DEFAULT_MIN_COMPARISONS: u32 = 3;
+/// Processes that compare in each range of hashes.
+const DEFAULT_MIN_PROCESSES: usize = 1;
+const DEFAULT_COVERAGE_WINDOW: Duration = Duration::from_secs(600);
+const DEFAULT_CONFIRMATION_DELAY: Duration = Duration::from_secs(10);
+/// Reads for comparison at one database.
+const DEFAULT_COMPARISON_READS_PER_S: f64 = 5.0;
+/// Reads for comparison at all databases together.
+const DEFAULT_ALL_COMPARISON_READS_PER_S: f64 = 50.0;
+
 /// Copies of keys that get more reads than one database can serve (element `hot`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct HotKeyOptions {
@@ -56,28 +79,21 @@
 }
 
 impl Reader<'_> {
-    /// Reads a time in milliseconds, if the attribute is present.
-    fn read_duration(&mut self, node: NodeId, name: &str, into: &mut Duration) {
-        if let Some(ms) = self.value(node, name) {
-            *into = Duration::from_millis(ms);
-        }
-    }
-
-    /// Element `split`. `fleet`: the file has an element `fleet`, without which no process learns what others have compared.
-    pub(crate) fn split(&mut self, node: NodeId, fleet: bool) -> Option<SplitOptions> {
+    /// Element `split`. `has_fleet`: the file has an element `fleet`, without which no process learns what others have compared.
+    pub(crate) fn split(&mut self, node: NodeId, has_fleet: bool) -> Option<SplitOptions> {
         let mut split = SplitOptions {
             line: self.doc.node_line(node),
             parent: self.value(node, "from")?,
             lower_child: self.value(node, "below")?,
             upper_child: self.value(node, "above")?,
             split_at: self.value(node, "at")?,
-            min_comparisons: 3,
-            coverage_window: Duration::from_secs(600),
-            min_processes: 1,
-            confirmation_delay: Duration::from_secs(10),
-            database_reads_per_s: 5.0,
-            all_per_s: 50.0,
-            window: Duration::from_secs(10),
+            min_comparisons: DEFAULT_MIN_COMPARISONS,
+            coverage_window: DEFAULT_COVERAGE_WINDOW,
+            min_processes: DEFAULT_MIN_PROCESSES,
+            confirmation_delay: DEFAULT_CONFIRMATION_DELAY,
+            database_reads_per_s: DEFAULT_COMPARISON_READS_PER_S,
+            all_per_s: DEFAULT_ALL_COMPARISON_READS_PER_S,
+            window: DEFAULT_RATE_WINDOW,
         };
         self.read_number(node, "least", &mut split.min_comparisons);
         self.read_number(node, "processes", &mut split.min_processes);
@@ -86,27 +102,25 @@
         self.read_duration(node, "within-ms", &mut split.coverage_window);
         self.read_duration(node, "confirm-ms", &mut split.confirmation_delay);
         self.read_duration(node, "window-ms", &mut split.window);
-        if !fleet {
-            self.add_error(node, "there is no element fleet: nobody tells what others have compared");
-        }
+        self.require_fleet(node, has_fleet, "have compared");
         let groups = [split.parent, split.lower_child, split.upper_child];
-        if (1..3).any(|n| groups[..n].contains(&groups[n])) {
+        if (1..groups.len()).any(|n| groups[..n].contains(&groups[n])) {
             self.add_error(node, "from, below and above: expected three groups");
         }
         Some(split)
     }
 
-    /// Element `hot`. `fleet`: the file has an element `fleet`, without which no process learns of the others' reads.
-    pub(crate) fn hot(&mut self, node: NodeId, fleet: bool) -> Option<HotKeyOptions> {
+    /// Element `hot`. `has_fleet`: the file has an element `fleet`, without which no process learns of the others' reads.
+    pub(crate) fn hot(&mut self, node: NodeId, has_fleet: bool) -> Option<HotKeyOptions> {
         let mut hot = HotKeyOptions {
             line: self.doc.node_line(node),
             database_reads_per_s: self.value(node, "bears")?,
-            copy_cost_reads: 2.0,
-            max_copies: 3,
-            database_copies_per_s: 10.0,
-            database_copy_reads_per_s: 10.0,
-            all_per_s: 100.0,
-            window: Duration::from_secs(10),
+            copy_cost_reads: DEFAULT_COPY_COST_READS,
+            max_copies: DEFAULT_MAX_COPIES,
+            database_copies_per_s: DEFAULT_COPIES_PER_S,
+            database_copy_reads_per_s: DEFAULT_COPY_READS_PER_S,
+            all_per_s: DEFAULT_ALL_COPIES_PER_S,
+            window: DEFAULT_RATE_WINDOW,
         };
         self.read_number(node, "copy-cost", &mut hot.copy_cost_reads);
         self.read_number(node, "guests", &mut hot.max_copies);
@@ -114,9 +128,17 @@
         self.read_number(node, "reads-per-s", &mut hot.database_copy_reads_per_s);
         self.read_number(node, "all-per-s", &mut hot.all_per_s);
         self.read_duration(node, "window-ms", &mut hot.window);
-        if !fleet {
-            self.add_error(node, "there is no element fleet: nobody tells what others are asked for");
-        }
+        self.require_fleet(node, has_fleet, "are asked for");
         Some(hot)
     }
+
+    /// Adds an error if there is no element `fleet`. `about_others` ends the sentence on what this process doesn't learn then.
+    fn require_fleet(&mut self, node: NodeId, has_fleet: bool, about_others: &str) {
+        if !has_fleet {
+            self.add_error(
+                node,
+                format!("there is no element fleet: nobody tells what others {about_others}"),
+            );
+        }
+    }
 }
--- a/options/src/error.rs
+++ b/options/src/error.rs
@@ -14,9 +14,13 @@
 }
 
 impl OptionsError {
+    pub(crate) fn new(line: usize, element: impl Into<String>, message: impl Into<String>) -> OptionsError {
+        OptionsError { line, element: element.into(), message: message.into() }
+    }
+
     /// An error of the file as a whole.
     pub(crate) fn in_file(line: usize, message: impl Into<String>) -> OptionsError {
-        OptionsError { line, element: "file".into(), message: message.into() }
+        OptionsError::new(line, "file", message)
     }
 }
 
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -1,5 +1,5 @@
-//! What balancers are told, and where: the element `health`. The names of its attributes are mapped here to those of
-//! the settings.
+//! Health reports to load balancers, and the listeners that give them: the element `health`. The names of its attributes are mapped
+//! here to those of the settings.
 
 use crate::reader::Reader;
 use crate::{OptionsError, addresses_overlap};
@@ -16,7 +16,7 @@
 const DEFAULT_SILENCE_TIMEOUT_MICROS: Micros = 2_000_000;
 const DEFAULT_MAX_CONNECTIONS: usize = 64;
 
-/// What balancers are told, and where.
+/// Health reports to load balancers, and the listeners that give them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthOptions {
     /// HTTP checks.
@@ -31,7 +31,7 @@
     pub shutdown_notice: Micros,
 }
 
-/// An address where balancers connect.
+/// A listener for health checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckListener {
     /// The address.
@@ -58,14 +58,14 @@
 pub struct AgentListener {
     /// The listener.
     pub listener: CheckListener,
-    /// A balancer that sends nothing for this long asks for the proxy as a whole.
+    /// A balancer that sends nothing for this long gets the report on the proxy as a whole.
     pub query_timeout: Micros,
     /// Replies say how many connections the balancer may open.
     pub reports_maxconn: bool,
 }
 
 impl HealthOptions {
-    /// Every address where balancers connect, with the name of its element.
+    /// All listeners, each with the name of its element.
     pub fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
         let http = self.http.as_ref().map(|http| ("http", &http.listener));
         let agent = self.agent.as_ref().map(|agent| ("agent", &agent.listener));
@@ -75,6 +75,7 @@
 }
 
 impl Reader<'_> {
+    /// Element `health`.
     pub(crate) fn health(&mut self, node: NodeId) -> Option<HealthOptions> {
         let http = self.child(node, "http").and_then(|http| self.keep_alive_listener(http));
         let grpc = self.child(node, "grpc").and_then(|grpc| self.keep_alive_listener(grpc));
@@ -93,6 +94,7 @@
         Some(health)
     }
 
+    /// The monitor's settings, from the child elements.
     fn health_settings(&mut self, node: NodeId) -> HealthSettings {
         let mut settings = HealthSettings::default();
         if let Some(claims) = self.child(node, "claims") {
@@ -108,7 +110,7 @@
         settings
     }
 
-    /// A contradiction is reported at the element that has the option, or else at the whole.
+    /// Adds an error for each contradiction, at the element that has the option, or else at `node`.
     fn report_contradictions(&mut self, node: NodeId, settings: &HealthSettings) {
         let elements = ["claims", "probes", "weight", "stopping"].map(|name| self.child(node, name));
         for error in settings.errors() {
@@ -118,6 +120,7 @@
         }
     }
 
+    /// Adds an error for each listener whose address an earlier one uses.
     fn report_shared_addresses(&mut self, health: &HealthOptions) {
         let listeners: Vec<_> = health.check_listeners().collect();
         for (index, (element, listener)) in listeners.iter().enumerate() {
@@ -126,11 +129,12 @@
                 earlier.find(|(_, other)| addresses_overlap(other.address, listener.address))
             {
                 let message = format!("listen: {} is used by {other} too", listener.address);
-                self.errors.push(OptionsError { line: listener.line, element: (*element).into(), message });
+                self.errors.push(OptionsError::new(listener.line, *element, message));
             }
         }
     }
 
+    /// Element `http` or `grpc`.
     fn keep_alive_listener(&mut self, node: NodeId) -> Option<KeepAliveListener> {
         let listener = self.check_listener(node)?;
         let mut keep_alive = KeepAliveListener { listener, idle_timeout: DEFAULT_IDLE_TIMEOUT_MICROS };
@@ -138,6 +142,7 @@
         Some(keep_alive)
     }
 
+    /// Element `agent`.
     fn agent_listener(&mut self, node: NodeId) -> Option<AgentListener> {
         let listener = self.check_listener(node)?;
         let mut query_timeout = DEFAULT_QUERY_TIMEOUT_MICROS;
@@ -146,6 +151,7 @@
         Some(AgentListener { listener, query_timeout, reports_maxconn })
     }
 
+    /// What the elements of all listeners have.
     fn check_listener(&mut self, node: NodeId) -> Option<CheckListener> {
         let mut listener = CheckListener {
             address: self.value(node, "listen")?,
@@ -158,6 +164,7 @@
         Some(listener)
     }
 
+    /// Element `probes`.
     fn probes(&mut self, node: NodeId) -> ProbeSettings {
         let mut probes = ProbeSettings::default();
         self.read_milliseconds(node, "every-ms", &mut probes.interval);
@@ -168,6 +175,7 @@
         probes
     }
 
+    /// Element `weight`.
     fn weight(&mut self, node: NodeId, weight: &mut WeightSettings) {
         self.read_number(node, "knee", &mut weight.reduce_above);
         self.read_number(node, "hot", &mut weight.trim_above);
@@ -177,6 +185,7 @@
         self.read_milliseconds(node, "settle-ms", &mut weight.settling_time);
     }
 
+    /// Element `claims`: what is reported, and when.
     fn claims(&mut self, node: NodeId, settings: &mut HealthSettings) {
         let idle = [("trust", IdleGroupPolicy::TrustEndpointList), ("withdraw", IdleGroupPolicy::Withdraw)];
         let shared = [("tell", SharedCausePolicy::StayInRotation), ("down", SharedCausePolicy::ReportDown)];
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -27,11 +27,11 @@
 /// All options; what is absent is switched off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Options {
-    /// What load balancers are told.
+    /// Health reports to load balancers.
     pub health: Option<HealthOptions>,
-    /// State learned from other proxies.
+    /// State transfer from and to other proxies.
     pub peer_state: Option<PeerStateOptions>,
-    /// The view of the fleet.
+    /// Membership of the fleet.
     pub fleet: Option<FleetOptions>,
     /// Copies of hot keys.
     pub hot: Option<HotKeyOptions>,
@@ -57,6 +57,7 @@
     Err(errors)
 }
 
+/// Rejects a text before it is parsed: what is too long, or could define entities.
 fn check_text(text: &str) -> Result<(), Vec<OptionsError>> {
     if text.len() > MAX_FILE_BYTES {
         return Err(vec![OptionsError::in_file(1, format!("longer than {MAX_FILE_BYTES} bytes"))]);
@@ -67,6 +68,7 @@
     Ok(())
 }
 
+/// The error of the XML parser, at its line.
 fn invalid_xml(error: XmlError) -> OptionsError {
     let (line, message) = match error {
         XmlError::Parse(error) => (error.line, error.message),
@@ -91,13 +93,14 @@
         };
         if !reader.errors.iter().any(is_reported) {
             let message = format!("{attribute}{}", violation.message);
-            reader.errors.push(OptionsError { line, element, message });
+            reader.errors.push(OptionsError::new(line, element, message));
         }
     }
     Ok(())
 }
 
 impl Reader<'_> {
+    /// Reads all elements of a document that its schema accepts.
     fn options(&mut self) -> Options {
         let root = self.doc.document_element();
         let element = |reader: &Self, name| root.and_then(|root| reader.child(root, name));
@@ -121,7 +124,7 @@
 
 impl LinkAddress {
     fn conflict(&self, message: String) -> OptionsError {
-        OptionsError { line: self.line, element: self.element.into(), message }
+        OptionsError::new(self.line, self.element, message)
     }
 }
 
@@ -175,7 +178,7 @@
         let (element, listener) =
             self.check_listeners().max_by_key(|(_, listener)| listener.max_connections)?;
         let message = format!("callers: {wanted} descriptors for checks are more than half of {sockets}");
-        Some(OptionsError { line: listener.line, element: element.into(), message })
+        Some(OptionsError::new(listener.line, element, message))
     }
 
     /// Addresses in the options that something else in the process uses. `others` has names and addresses.
@@ -186,7 +189,7 @@
         };
         let checks = self.check_listeners().filter_map(|(element, listener)| {
             let message = user_of(listener.address)?;
-            Some(OptionsError { line: listener.line, element: element.into(), message })
+            Some(OptionsError::new(listener.line, element, message))
         });
         let links = self.link_addresses();
         let links = links.iter().filter_map(|link| Some(link.conflict(user_of(link.address)?)));
--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -40,6 +40,7 @@
 }
 
 impl Reader<'_> {
+    /// Element `knowledge`.
     pub(crate) fn peer_state(&mut self, node: NodeId) -> Option<PeerStateOptions> {
         let mut requests = RequestSettings::default();
         let mut provider = ProviderSettings::default();
@@ -56,6 +57,7 @@
         Some(PeerStateOptions { listen, line: self.doc.node_line(node), key_file, requests, provider })
     }
 
+    /// Element `fleet`.
     pub(crate) fn fleet(&mut self, node: NodeId) -> Option<FleetOptions> {
         let listen: SocketAddr = self.value(node, "listen")?;
         let advertise: SocketAddr = match self.doc.get_attribute(node, "advertise") {
@@ -81,10 +83,10 @@
     fn addresses(&mut self, node: NodeId, attribute: &str) -> Vec<SocketAddr> {
         let value = self.doc.get_attribute(node, attribute).unwrap_or_default().to_string();
         let mut addresses = Vec::new();
-        for word in value.split_ascii_whitespace() {
-            match word.parse::<SocketAddr>() {
+        for text in value.split_ascii_whitespace() {
+            match text.parse::<SocketAddr>() {
                 Ok(address) => addresses.push(address),
-                Err(_) => self.add_error(node, format!("{attribute}: '{word}' is no address and port")),
+                Err(_) => self.add_error(node, format!("{attribute}: '{text}' is no address and port")),
             }
         }
         addresses
--- a/options/src/reader.rs
+++ b/options/src/reader.rs
@@ -3,6 +3,7 @@
 use crate::OptionsError;
 use birchreach_health::Micros;
 use std::str::FromStr;
+use std::time::Duration;
 use uppsala::{Document, NodeId};
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
@@ -19,17 +20,18 @@
         self.doc.element(node).map_or_else(|| "file".into(), |element| element.name.local_name.to_string())
     }
 
-    /// The element that begins at this place, or the last one before it.
+    /// The element that begins at this position, or the last one before it.
     pub(crate) fn element_at(&self, line: usize, column: usize) -> NodeId {
         let Some(root) = self.doc.document_element() else { return self.doc.root() };
-        let place = |node: &NodeId| (self.doc.node_line(*node), self.doc.node_column(*node));
+        let position = |node: &NodeId| (self.doc.node_line(*node), self.doc.node_column(*node));
         let nodes = std::iter::once(root).chain(self.doc.descendants(root));
         let elements = nodes.filter(|node| self.doc.element(*node).is_some());
-        let before = elements.filter(|node| place(node) <= (line, column.max(1)));
-        before.max_by_key(place).unwrap_or(root)
+        let before = elements.filter(|node| position(node) <= (line, column.max(1)));
+        before.max_by_key(position).unwrap_or(root)
     }
 
-    /// `name: ` of the attribute that a message is about, found by the value that the message quotes.
+    /// `name: ` of the attribute that a message of the schema is about, found by the value that the message quotes; empty if it is
+    /// about no attribute.
     pub(crate) fn attribute(&self, node: NodeId, message: &str) -> String {
         let value = message.split('\'').nth(1);
         let attributes = self.doc.element(node).map_or(&[][..], |element| &element.attributes);
@@ -39,12 +41,7 @@
 
     /// Adds an error at an element.
     pub(crate) fn add_error(&mut self, node: NodeId, message: impl Into<String>) {
-        let error = OptionsError {
-            line: self.doc.node_line(node),
-            element: self.name(node),
-            message: message.into(),
-        };
-        self.errors.push(error);
+        self.errors.push(OptionsError::new(self.doc.node_line(node), self.name(node), message));
     }
 
     /// The child element with this name.
@@ -71,6 +68,13 @@
         }
     }
 
+    /// Reads a time in milliseconds, if the attribute is present.
+    pub(crate) fn read_duration(&mut self, node: NodeId, name: &str, into: &mut Duration) {
+        if let Some(milliseconds) = self.value(node, name) {
+            *into = Duration::from_millis(milliseconds);
+        }
+    }
+
     /// Reads a number, if the attribute is present.
     pub(crate) fn read_number<T: FromStr>(&mut self, node: NodeId, name: &str, into: &mut T) {
         if let Some(value) = self.value(node, name) {
@@ -78,10 +82,10 @@
         }
     }
 
-    /// Reads one of two words, if the attribute is present; the schema accepts no other.
+    /// Reads one of two choices, if the attribute is present; the schema accepts no other.
     pub(crate) fn read_choice<T>(&self, node: NodeId, name: &str, choices: [(&str, T); 2], into: &mut T) {
-        let word = self.doc.get_attribute(node, name);
-        if let Some((_, value)) = choices.into_iter().find(|(choice, _)| word == Some(choice)) {
+        let chosen = self.doc.get_attribute(node, name);
+        if let Some((_, value)) = choices.into_iter().find(|(choice, _)| chosen == Some(choice)) {
             *into = value;
         }
     }
