--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -23,7 +23,7 @@
 /// What is wrong in a file.
 #[derive(Debug)]
 pub enum FaultKind {
-    /// The variable that stands in the file's place is not set.
+    /// The environment variable that should name the file is not set.
     NotNamed,
     /// The file cannot be read.
     Unreadable(io::Error),
@@ -37,7 +37,7 @@
     KeyFile(KeyFileError),
 }
 
-/// Why a configuration is not taken. Each is printed as one plain line.
+/// Why a configuration is not applied. Each is printed as one plain line.
 #[derive(Debug)]
 pub enum ConfigError {
     /// `RELAY_CONFIG` names no file.
@@ -46,7 +46,7 @@
     Unreadable { file: String, error: io::Error },
     /// The file's JSON is faulty; this is the first fault.
     Invalid { file: String, first: Option<PlatformFileError> },
-    /// The options are faulty; this is the first fault, and so many follow.
+    /// The options are faulty. `more` is the number of faults after the first.
     Options { first: Option<ConfigFault>, more: usize },
     /// A file of keys is faulty.
     KeyFile(ConfigFault),
--- a/proxy/src/config/key_file.rs
+++ b/proxy/src/config/key_file.rs
@@ -1,5 +1,6 @@
 //! The file of keys that proxies of one fleet share.
 
+use super::HEX_RADIX;
 use super::error::{ConfigFault, FaultKind};
 use birchreach_peer_state::KeysError;
 use birchreach_peer_state::frame::Keys;
@@ -11,7 +12,7 @@
 
 /// The permissions of all but the owner.
 const GROUP_AND_OTHERS: u32 = 0o077;
-const HEX_RADIX: u32 = 16;
+/// Hexadecimal digits.
 const DIGITS_PER_BYTE: usize = 2;
 
 /// What is wrong with a file of keys.
@@ -46,8 +47,8 @@
 
 impl Error for KeyFileError {}
 
-/// A file of keys: one a line, its number and its secret in hexadecimal digits; the first one seals what this proxy sends. Nobody
-/// but its owner may read it.
+/// Reads a file of keys. Each line has the number of a key and its secret in hexadecimal digits; the first key seals what this proxy
+/// sends. Only the file's owner may have permission to read it.
 pub(super) fn read_key_file(file: &Path) -> Result<Keys, ConfigFault> {
     let fault_at = |line, error| ConfigFault { file: file.into(), line, kind: FaultKind::KeyFile(error) };
     let fault = |error| fault_at(1, error);
@@ -74,6 +75,7 @@
     Ok((number, secret))
 }
 
+/// The bytes of a secret; none if the digits are not pairs of hexadecimal ones.
 fn parse_secret(digits: &str) -> Option<Vec<u8>> {
     if !digits.len().is_multiple_of(DIGITS_PER_BYTE) {
         return None;
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -29,6 +29,7 @@
 
 /// The variable that names the platform's file.
 pub const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
+const HEX_RADIX: u32 = 16;
 
 /// A configuration, complete and without faults.
 #[derive(Debug)]
@@ -59,7 +60,7 @@
     pub fleet_keys: Option<Keys>,
     /// What the settings probably do not mean; they are applied all the same.
     pub warnings: Vec<SettingsWarning>,
-    /// The settings and limits as the file has them.
+    /// The settings and limits as the file has them, with which a successor is compared.
     raw: Value,
 }
 
@@ -101,6 +102,7 @@
     }
 }
 
+/// Reads a file of keys, where there is one.
 fn read_keys(file: Option<&PathBuf>) -> Result<Option<Keys>, ConfigError> {
     file.map(|file| read_key_file(file)).transpose().map_err(ConfigError::KeyFile)
 }
--- a/proxy/src/config/parse.rs
+++ b/proxy/src/config/parse.rs
@@ -1,7 +1,7 @@
 //! The platform's JSON, parsed into a configuration with every fault of it.
 
-use super::Config;
 use super::platform_error::{PlatformFileError, UnusableSetting};
+use super::{Config, HEX_RADIX};
 use crate::discovery::EndpointUpdate;
 use crate::hash::fnv1a;
 use birchreach_options::Options;
@@ -11,9 +11,16 @@
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
 
+/// Environment variables that stand in for keys.
+const NAME_VARIABLE: &str = "RELAY_NAME";
+const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
+const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
+const ADMIN_VARIABLE: &str = "RELAY_OPERATOR";
+/// The environment variable with the number of a listening socket's descriptor that the process has inherited.
+const INHERITED_DESCRIPTOR_VARIABLE: &str = "RELAY_INHERITED_FD";
 /// Descriptors that the process may hold where no limit is configured.
 const DEFAULT_MAX_DESCRIPTORS: u64 = 1024;
-/// Fewer leave no place for one client and one database beside the proxy's own.
+/// Fewer leave no room for one client and one database beside the proxy's own.
 const MIN_MAX_DESCRIPTORS: u64 = 40;
 /// The name of a proxy to which none is given.
 const DEFAULT_NAME: &str = "proxy";
@@ -33,8 +40,8 @@
     let max_descriptors = ok_or_record(file.max_descriptors(), &mut faults);
     let known_endpoints = ok_or_record(file.known_endpoints(), &mut faults);
     let deployment = file.deployment().map_err(|errors| faults.extend(errors)).ok();
-    let listen_address = ok_or_record(file.address("listen", "RELAY_LISTEN"), &mut faults);
-    let discovery_address = ok_or_record(file.address("discovery", "RELAY_DISCOVERY"), &mut faults);
+    let listen_address = ok_or_record(file.address("listen", LISTEN_VARIABLE), &mut faults);
+    let discovery_address = ok_or_record(file.address("discovery", DISCOVERY_VARIABLE), &mut faults);
     let (
         Some(admin_address),
         Some(max_descriptors),
@@ -47,7 +54,7 @@
         return Err(faults);
     };
     Ok(Config {
-        name: file.word("name", "RELAY_NAME").unwrap_or_else(|_| DEFAULT_NAME.into()),
+        name: file.string("name", NAME_VARIABLE).unwrap_or_else(|_| DEFAULT_NAME.into()),
         listen_address,
         discovery_address,
         admin_address,
@@ -64,43 +71,47 @@
     })
 }
 
+/// The value of a result; an error is added to the faults.
 fn ok_or_record<T>(result: Result<T, PlatformFileError>, faults: &mut Vec<PlatformFileError>) -> Option<T> {
     result.map_err(|fault| faults.push(fault)).ok()
 }
 
-/// The platform's JSON, and the variables that stand in for what it leaves out.
+/// The platform's JSON, and the environment variables that stand in for what it leaves out.
 struct PlatformFile<'a, F> {
     root: &'a Value,
     variable: F,
 }
 
 impl<F: Fn(&str) -> Option<String>> PlatformFile<'_, F> {
-    fn word(&self, key: &'static str, variable: &'static str) -> Result<String, PlatformFileError> {
-        match self.root.get(key) {
-            Some(Value::String(word)) => Ok(word.clone()),
-            None | Some(Value::Null) => {
-                (self.variable)(variable).ok_or(PlatformFileError::MissingWord { key, variable })
-            }
-            Some(_) => Err(PlatformFileError::NotAWord { key }),
+    /// The value at a JSON pointer. An absent key and `null` are the same.
+    fn value(&self, pointer: &str) -> Option<&Value> {
+        self.root.pointer(pointer).filter(|value| !value.is_null())
+    }
+
+    fn string(&self, key: &'static str, variable: &'static str) -> Result<String, PlatformFileError> {
+        match self.value(&format!("/{key}")) {
+            Some(Value::String(string)) => Ok(string.clone()),
+            Some(_) => Err(PlatformFileError::NotAString { key }),
+            None => (self.variable)(variable).ok_or(PlatformFileError::MissingString { key, variable }),
         }
     }
 
     fn address(&self, key: &'static str, variable: &'static str) -> Result<SocketAddr, PlatformFileError> {
-        let word = self.word(key, variable)?;
-        word.parse().map_err(|_| PlatformFileError::InvalidAddress { key, found: word })
+        let string = self.string(key, variable)?;
+        string.parse().map_err(|_| PlatformFileError::InvalidAddress { key, found: string })
     }
 
+    /// The address is optional.
     fn admin_address(&self) -> Result<Option<SocketAddr>, PlatformFileError> {
-        const VARIABLE: &str = "RELAY_OPERATOR";
-        match self.root.get("operator") {
-            None | Some(Value::Null) if (self.variable)(VARIABLE).is_none() => Ok(None),
-            _ => self.address("operator", VARIABLE).map(Some),
+        if self.value("/operator").is_none() && (self.variable)(ADMIN_VARIABLE).is_none() {
+            return Ok(None);
         }
+        self.address("operator", ADMIN_VARIABLE).map(Some)
     }
 
     fn max_descriptors(&self) -> Result<usize, PlatformFileError> {
-        let limit = match self.root.get("limits").and_then(|limits| limits.get("sockets")) {
-            None | Some(Value::Null) => DEFAULT_MAX_DESCRIPTORS,
+        let limit = match self.value("/limits/sockets") {
+            None => DEFAULT_MAX_DESCRIPTORS,
             Some(limit) => limit
                 .as_u64()
                 .filter(|limit| *limit >= MIN_MAX_DESCRIPTORS)
@@ -110,12 +121,8 @@
     }
 
     fn known_endpoints(&self) -> Result<Option<EndpointUpdate>, PlatformFileError> {
-        match self.root.get("known") {
-            None | Some(Value::Null) => Ok(None),
-            Some(known) => {
-                EndpointUpdate::deserialize(known).map(Some).map_err(PlatformFileError::InvalidKnownEndpoints)
-            }
-        }
+        let known = self.value("/known").map(EndpointUpdate::deserialize);
+        known.transpose().map_err(PlatformFileError::InvalidKnownEndpoints)
     }
 
     fn deployment(&self) -> Result<DeploymentSettings, Vec<PlatformFileError>> {
@@ -134,22 +141,22 @@
     }
 
     fn inherited_descriptor(&self) -> Option<RawFd> {
-        let descriptor = (self.variable)("RELAY_INHERITED_FD")?.trim().parse().ok()?;
+        let descriptor = (self.variable)(INHERITED_DESCRIPTOR_VARIABLE)?.trim().parse().ok()?;
         (descriptor > LAST_STANDARD_DESCRIPTOR).then_some(descriptor)
     }
 
     /// Any seed will do, but proxies must not share theirs.
     fn seed(&self) -> u64 {
         match self.root.get("seed") {
-            Some(Value::String(word)) => {
-                u64::from_str_radix(word, 16).unwrap_or_else(|_| fnv1a(word.as_bytes()))
+            Some(Value::String(string)) => {
+                u64::from_str_radix(string, HEX_RADIX).unwrap_or_else(|_| fnv1a(string.as_bytes()))
             }
             Some(Value::Number(number)) => number.as_u64().unwrap_or(1),
             _ => u64::from(std::process::id()),
         }
     }
 
-    /// What a successor must have too.
+    /// The parts whose keys a successor must have too.
     fn raw(&self) -> Value {
         let part = |key: &str| (key.to_string(), self.root.get(key).cloned().unwrap_or(Value::Null));
         [part("limits"), part("settings")].into_iter().collect()
@@ -170,6 +177,7 @@
     if faults.is_empty() { Ok(settings) } else { Err(faults) }
 }
 
+/// Settings with which no request can be served.
 fn unusable_settings(settings: &DeploymentSettings) -> Vec<UnusableSetting> {
     let names = &settings.class_names;
     let mut unusable = Vec::new();
--- a/proxy/src/config/platform_error.rs
+++ b/proxy/src/config/platform_error.rs
@@ -9,11 +9,11 @@
 pub enum PlatformFileError {
     /// The text is not JSON.
     InvalidJson(serde_json::Error),
-    /// A word is absent, and the variable that may stand in for it is not set.
-    MissingWord { key: &'static str, variable: &'static str },
-    /// A value is not a word.
-    NotAWord { key: &'static str },
-    /// A word is not an address and a port.
+    /// A string is absent, and the environment variable that may stand in for it is not set.
+    MissingString { key: &'static str, variable: &'static str },
+    /// A value is not a string.
+    NotAString { key: &'static str },
+    /// A string is not an address and a port.
     InvalidAddress { key: &'static str, found: String },
     /// The limit of descriptors is too low, or not a number.
     InvalidDescriptorLimit { min: u64 },
@@ -57,8 +57,8 @@
     pub(super) fn key_path(&self) -> String {
         match self {
             PlatformFileError::InvalidJson(_) => String::new(),
-            PlatformFileError::MissingWord { key, .. }
-            | PlatformFileError::NotAWord { key }
+            PlatformFileError::MissingString { key, .. }
+            | PlatformFileError::NotAString { key }
             | PlatformFileError::InvalidAddress { key, .. } => (*key).into(),
             PlatformFileError::InvalidDescriptorLimit { .. } => "limits.sockets".into(),
             PlatformFileError::InvalidKnownEndpoints(_) => "known".into(),
@@ -84,10 +84,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PlatformFileError::InvalidJson(error) => write!(f, "not JSON: {error}"),
-            PlatformFileError::MissingWord { key, variable } => {
+            PlatformFileError::MissingString { key, variable } => {
                 write!(f, "{key}: absent, and {variable} is not set")
             }
-            PlatformFileError::NotAWord { key } => write!(f, "{key}: expected a word"),
+            PlatformFileError::NotAString { key } => write!(f, "{key}: expected a word"),
             PlatformFileError::InvalidAddress { key, found } => {
                 write!(f, "{key}: expected an address and a port, found '{found}'")
             }
--- a/proxy/src/config/successor.rs
+++ b/proxy/src/config/successor.rs
@@ -1,4 +1,4 @@
-//! A configuration beside the one in force: whether it may take its place, and what of it waits for a restart.
+//! A configuration that is to replace the one in force: whether it may, and what of it takes effect with a restart only.
 
 use super::Config;
 use super::error::ConfigError;
@@ -8,8 +8,8 @@
 const LISTS_BY_CLASS: [&str; 2] = ["class_read", "max_age_ms"];
 
 impl Config {
-    /// Checks that another configuration may take this one's place. What the settings in force have it must have too: that cannot be
-    /// expected of a first one.
+    /// Checks that another configuration may replace this one. It must have each key of the settings and limits in force, even those
+    /// without which a proxy starts.
     pub fn check_successor(&self, new: &Config) -> Result<(), ConfigError> {
         if let Some(path) = first_missing_key(&self.raw, &new.raw, "") {
             return Err(ConfigError::KeyAbsent(path));
@@ -23,7 +23,8 @@
         Ok(())
     }
 
-    /// What another configuration changes that takes effect with a restart only. `known` and `seed` are for the start alone.
+    /// The keys that another configuration changes and that take effect with a restart only. `known` and `seed` are left out: they
+    /// apply to the start alone.
     pub fn changes_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let (old_options, new_options) = (&self.options, &new.options);
         let fleet = (&old_options.fleet, &self.fleet_keys) != (&new_options.fleet, &new.fleet_keys);
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of background work and of the subsystems that it is done for. Each name stands here once.
+//! The metrics of background work and of the subsystems that it is done for. Each name is defined here and nowhere else.
 
 #[cfg(test)]
 mod tests;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Counts a report of another member that was not taken.
+    /// Counts a report of another member that was rejected.
     pub fn count_rejected_report(&self, subsystem: &'static str, reason: &'static str) {
         self.rejected_reports.get_or_create(&CounterLabels { kind: subsystem, end: reason }).inc();
     }
@@ -128,7 +128,7 @@
         set_counters(&self.tasks, kind, &ends);
     }
 
-    /// Sets the figures of hot keys.
+    /// Sets the metrics of hot keys.
     pub fn set_hot_keys(&self, tracker: &HotKeyTracker, copy_reads: CopyReadCounts) {
         let agreement = tracker.agreement();
         set_gauge(&self.hot_keys, tracker.hot_keys().count());
@@ -141,7 +141,7 @@
         );
     }
 
-    /// Sets the figures of a split.
+    /// Sets the metrics of a split.
     pub fn set_split(&self, verdict: &Verdict, counts: ComparisonCounts) {
         let (clean, lacking) = match verdict {
             Verdict::Clean => (1, 0),
@@ -171,12 +171,14 @@
     }
 }
 
+/// Adds a metric to the registry.
 fn register<M: Metric + Clone + Default>(registry: &mut Registry, name: &str, help: &str) -> M {
     let metric = M::default();
     registry.register(name, help, metric.clone());
     metric
 }
 
+/// Sets a gauge to a number that may be too large for it.
 fn set_gauge(gauge: &Gauge, value: usize) {
     gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
 }
@@ -186,6 +188,7 @@
     counter.inner().store(value, Ordering::Relaxed);
 }
 
+/// Sets the counters of one kind, each with its label.
 fn set_counters(family: &Family<CounterLabels, Counter>, kind: &'static str, ends: &[(&'static str, u64)]) {
     for (end, value) in ends {
         set_counter(&family.get_or_create(&CounterLabels { kind, end }), *value);
