--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -1,6 +1,7 @@
 //! Options of background work: copies of hot keys, and the comparison of dual reads while a group splits. Each rate is over all processes
 //! of the fleet.
 
+use crate::OptionsErrorKind;
 use crate::reader::Reader;
 use std::time::Duration;
 use uppsala::NodeId;
@@ -102,10 +103,12 @@
         self.read_duration(node, "within-ms", &mut split.coverage_window);
         self.read_duration(node, "confirm-ms", &mut split.confirmation_delay);
         self.read_duration(node, "window-ms", &mut split.window);
-        self.require_fleet(node, has_fleet, "have compared");
+        if !has_fleet {
+            self.add_error(node, OptionsErrorKind::SplitWithoutFleet);
+        }
         let groups = [split.parent, split.lower_child, split.upper_child];
         if (1..groups.len()).any(|n| groups[..n].contains(&groups[n])) {
-            self.add_error(node, "from, below and above: expected three groups");
+            self.add_error(node, OptionsErrorKind::GroupsNotDistinct);
         }
         Some(split)
     }
@@ -128,17 +131,9 @@
         self.read_number(node, "reads-per-s", &mut hot.database_copy_reads_per_s);
         self.read_number(node, "all-per-s", &mut hot.all_per_s);
         self.read_duration(node, "window-ms", &mut hot.window);
-        self.require_fleet(node, has_fleet, "are asked for");
-        Some(hot)
-    }
-
-    /// Adds an error if there is no element `fleet`. `about_others` ends the sentence on what this process doesn't learn then.
-    fn require_fleet(&mut self, node: NodeId, has_fleet: bool, about_others: &str) {
         if !has_fleet {
-            self.add_error(
-                node,
-                format!("there is no element fleet: nobody tells what others {about_others}"),
-            );
+            self.add_error(node, OptionsErrorKind::HotKeysWithoutFleet);
         }
+        Some(hot)
     }
 }
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -2,7 +2,7 @@
 //! here to those of the settings.
 
 use crate::reader::Reader;
-use crate::{OptionsError, addresses_overlap};
+use crate::{OptionsError, OptionsErrorKind, addresses_overlap};
 use birchreach_health::{
     AggregationRule, HealthSettings, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings,
     SharedCausePolicy, WeightSettings,
@@ -87,7 +87,7 @@
         }
         self.report_contradictions(node, &settings);
         if http.is_none() && agent.is_none() && grpc.is_none() {
-            self.add_error(node, "neither http, agent nor grpc: nobody could ask");
+            self.add_error(node, OptionsErrorKind::NoHealthListener);
         }
         let health = HealthOptions { http, agent, grpc, settings, shutdown_notice };
         self.report_shared_addresses(&health);
@@ -116,7 +116,7 @@
         for error in settings.errors() {
             let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option).is_some();
             let at = elements.into_iter().flatten().find(has_option).unwrap_or(node);
-            self.add_error(at, error.to_string());
+            self.add_error(at, OptionsErrorKind::HealthSettings(error));
         }
     }
 
@@ -128,8 +128,8 @@
             if let Some((other, _)) =
                 earlier.find(|(_, other)| addresses_overlap(other.address, listener.address))
             {
-                let message = format!("listen: {} is used by {other} too", listener.address);
-                self.errors.push(OptionsError::new(listener.line, *element, message));
+                let kind = OptionsErrorKind::SharedAddress { address: listener.address, element: other };
+                self.errors.push(OptionsError::new(listener.line, *element, kind));
             }
         }
     }
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -12,7 +12,7 @@
 mod reader;
 
 pub use background::{HotKeyOptions, SplitOptions};
-pub use error::OptionsError;
+pub use error::{OptionsError, OptionsErrorKind};
 pub use health::{AgentListener, CheckListener, HealthOptions, KeepAliveListener};
 pub use links::{FleetOptions, PeerStateOptions};
 use reader::Reader;
@@ -60,10 +60,10 @@
 /// Rejects a text before it is parsed: what is too long, or could define entities.
 fn check_text(text: &str) -> Result<(), Vec<OptionsError>> {
     if text.len() > MAX_FILE_BYTES {
-        return Err(vec![OptionsError::in_file(1, format!("longer than {MAX_FILE_BYTES} bytes"))]);
+        return Err(vec![OptionsError::in_file(1, OptionsErrorKind::TooLong)]);
     }
     if text.contains("<!DOCTYPE") {
-        return Err(vec![OptionsError::in_file(1, "a document type is not taken")]);
+        return Err(vec![OptionsError::in_file(1, OptionsErrorKind::DocumentType)]);
     }
     Ok(())
 }
@@ -76,25 +76,25 @@
         XmlError::Namespace(error) => (error.line, error.message),
         other => (1, other.to_string()),
     };
-    OptionsError::in_file(line, format!("not XML: {message}"))
+    OptionsError::in_file(line, OptionsErrorKind::InvalidXml(message))
 }
 
 /// Adds the violations of the schema to the reader's errors.
 fn check_schema(document: &Document, reader: &mut Reader) -> Result<(), Vec<OptionsError>> {
     let schema = uppsala::parse(SCHEMA).and_then(|schema| XsdValidator::from_schema(&schema));
-    let schema = schema.map_err(|error| vec![OptionsError::in_file(1, format!("the schema: {error}"))])?;
+    let schema = schema.map_err(|error| {
+        vec![OptionsError::in_file(1, OptionsErrorKind::UnusableSchema(error.to_string()))]
+    })?;
     for violation in schema.validate(document) {
         let line = violation.line.unwrap_or(1);
         let node = reader.element_at(line, violation.column.unwrap_or(1));
         let (element, attribute) = (reader.name(node), reader.attribute(node, &violation.message));
         // A value of the wrong type is out of its range too, which is not reported beside it.
-        let is_reported = |error: &OptionsError| {
-            error.line == line && !attribute.is_empty() && error.message.starts_with(&attribute)
-        };
-        if !reader.errors.iter().any(is_reported) {
-            let message = format!("{attribute}{}", violation.message);
-            reader.errors.push(OptionsError::new(line, element, message));
+        if attribute.as_ref().is_some_and(|attribute| reader.has_violation(line, attribute)) {
+            continue;
         }
+        let kind = OptionsErrorKind::SchemaViolation { attribute, message: violation.message };
+        reader.errors.push(OptionsError::new(line, element, kind));
     }
     Ok(())
 }
@@ -123,8 +123,12 @@
 }
 
 impl LinkAddress {
-    fn conflict(&self, message: String) -> OptionsError {
-        OptionsError::new(self.line, self.element, message)
+    fn error(&self, kind: OptionsErrorKind) -> OptionsError {
+        OptionsError::new(self.line, self.element, kind)
+    }
+
+    fn shared_with(&self, element: &'static str) -> OptionsError {
+        self.error(OptionsErrorKind::SharedAddress { address: self.address, element })
     }
 }
 
@@ -156,43 +160,41 @@
         for link in &links {
             let overlaps = |listener: &CheckListener| addresses_overlap(listener.address, link.address);
             if let Some((other, _)) = self.check_listeners().find(|(_, listener)| overlaps(listener)) {
-                errors.push(link.conflict(format!("listen: {} is used by {other} too", link.address)));
+                errors.push(link.shared_with(other));
             }
         }
         // Members of the fleet have links to each other at the port of their datagrams.
         if let [first, second] = &links[..]
             && addresses_overlap(first.address, second.address)
         {
-            let message = format!("listen: {} is used by {} too", second.address, first.element);
-            errors.push(second.conflict(message));
+            errors.push(second.shared_with(first.element));
         }
         errors
     }
 
     /// An error if checks would need more than half of this number of descriptors.
-    pub fn excess_descriptors(&self, sockets: usize) -> Option<OptionsError> {
-        let (wanted, max) = (self.descriptors(), sockets / 2);
-        if wanted <= max {
+    pub fn excess_descriptors(&self, max_descriptors: usize) -> Option<OptionsError> {
+        let wanted = self.descriptors();
+        if wanted <= max_descriptors / 2 {
             return None;
         }
         let (element, listener) =
             self.check_listeners().max_by_key(|(_, listener)| listener.max_connections)?;
-        let message = format!("callers: {wanted} descriptors for checks are more than half of {sockets}");
-        Some(OptionsError::new(listener.line, element, message))
+        let kind = OptionsErrorKind::TooManyDescriptors { wanted, max_descriptors };
+        Some(OptionsError::new(listener.line, element, kind))
     }
 
     /// Addresses in the options that something else in the process uses. `others` has names and addresses.
     pub fn address_conflicts(&self, others: &[(&str, SocketAddr)]) -> Vec<OptionsError> {
         let user_of = |address: SocketAddr| {
             let user = others.iter().find(|(_, other)| addresses_overlap(*other, address));
-            user.map(|(name, _)| format!("listen: {address} is used as {name} already"))
+            user.map(|(name, _)| OptionsErrorKind::AddressInUse { address, user: (*name).into() })
         };
         let checks = self.check_listeners().filter_map(|(element, listener)| {
-            let message = user_of(listener.address)?;
-            Some(OptionsError::new(listener.line, element, message))
+            Some(OptionsError::new(listener.line, element, user_of(listener.address)?))
         });
         let links = self.link_addresses();
-        let links = links.iter().filter_map(|link| Some(link.conflict(user_of(link.address)?)));
+        let links = links.iter().filter_map(|link| Some(link.error(user_of(link.address)?)));
         checks.chain(links).collect()
     }
 }
--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -1,5 +1,6 @@
 //! Links to other proxies: state transfer (`knowledge`) and membership of the fleet (`fleet`).
 
+use crate::OptionsErrorKind;
 use crate::reader::Reader;
 use birchreach_peer_state::provider::ProviderSettings;
 use birchreach_peer_state::request_scheduler::RequestSettings;
@@ -52,7 +53,7 @@
         let listen = self.value(node, "listen");
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
         if listen.is_none() && requests.providers.is_empty() {
-            self.add_error(node, "neither listen nor donors: nobody is asked, nobody can ask");
+            self.add_error(node, OptionsErrorKind::NoStateTransfer);
         }
         Some(PeerStateOptions { listen, line: self.doc.node_line(node), key_file, requests, provider })
     }
@@ -65,10 +66,7 @@
             None => listen,
         };
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            self.add_error(
-                node,
-                format!("listen: others cannot reach {advertise}: name the address in advertise"),
-            );
+            self.add_error(node, OptionsErrorKind::UnreachableAddress(advertise));
         }
         let peers = self.addresses(node, "peers");
         let others = peers.iter().filter(|peer| **peer != advertise).count();
@@ -80,13 +78,16 @@
     }
 
     /// Addresses with ports, separated by spaces.
-    fn addresses(&mut self, node: NodeId, attribute: &str) -> Vec<SocketAddr> {
+    fn addresses(&mut self, node: NodeId, attribute: &'static str) -> Vec<SocketAddr> {
         let value = self.doc.get_attribute(node, attribute).unwrap_or_default().to_string();
         let mut addresses = Vec::new();
         for text in value.split_ascii_whitespace() {
             match text.parse::<SocketAddr>() {
                 Ok(address) => addresses.push(address),
-                Err(_) => self.add_error(node, format!("{attribute}: '{text}' is no address and port")),
+                Err(_) => {
+                    let text = text.to_string();
+                    self.add_error(node, OptionsErrorKind::InvalidAddress { attribute, text });
+                }
             }
         }
         addresses
--- a/options/src/reader.rs
+++ b/options/src/reader.rs
@@ -1,6 +1,6 @@
 //! Access to the XML tree: elements and attributes, and errors with their lines.
 
-use crate::OptionsError;
+use crate::{OptionsError, OptionsErrorKind};
 use birchreach_health::Micros;
 use std::str::FromStr;
 use std::time::Duration;
@@ -30,18 +30,23 @@
         before.max_by_key(position).unwrap_or(root)
     }
 
-    /// `name: ` of the attribute that a message of the schema is about, found by the value that the message quotes; empty if it is
-    /// about no attribute.
-    pub(crate) fn attribute(&self, node: NodeId, message: &str) -> String {
-        let value = message.split('\'').nth(1);
-        let attributes = self.doc.element(node).map_or(&[][..], |element| &element.attributes);
-        let found = attributes.iter().find(|attribute| Some(attribute.value.as_ref()) == value);
-        found.map_or_else(String::new, |attribute| format!("{}: ", attribute.name.local_name))
+    /// The name of the attribute that a message of the schema is about, found by the value that the message quotes.
+    pub(crate) fn attribute(&self, node: NodeId, message: &str) -> Option<String> {
+        let value = message.split('\'').nth(1)?;
+        let attributes = &self.doc.element(node)?.attributes;
+        let found = attributes.iter().find(|attribute| attribute.value == value)?;
+        Some(found.name.local_name.to_string())
+    }
+
+    /// Whether a violation of the schema is recorded for an attribute on this line.
+    pub(crate) fn has_violation(&self, line: usize, name: &str) -> bool {
+        let is_of_attribute = |kind: &OptionsErrorKind| matches!(kind, OptionsErrorKind::SchemaViolation { attribute: Some(attribute), .. } if attribute == name);
+        self.errors.iter().any(|error| error.line == line && is_of_attribute(&error.kind))
     }
 
     /// Adds an error at an element.
-    pub(crate) fn add_error(&mut self, node: NodeId, message: impl Into<String>) {
-        self.errors.push(OptionsError::new(self.doc.node_line(node), self.name(node), message));
+    pub(crate) fn add_error(&mut self, node: NodeId, kind: OptionsErrorKind) {
+        self.errors.push(OptionsError::new(self.doc.node_line(node), self.name(node), kind));
     }
 
     /// The child element with this name.
@@ -52,31 +57,31 @@
     }
 
     /// An attribute's value. One that the schema accepts and that cannot be read is an error too.
-    pub(crate) fn value<T: FromStr>(&mut self, node: NodeId, name: &str) -> Option<T> {
+    pub(crate) fn value<T: FromStr>(&mut self, node: NodeId, name: &'static str) -> Option<T> {
         let text = self.doc.get_attribute(node, name)?.trim().to_string();
         let value = text.parse().ok();
         if value.is_none() {
-            self.add_error(node, format!("{name}: '{text}' cannot be read"));
+            self.add_error(node, OptionsErrorKind::UnreadableValue { attribute: name, text });
         }
         value
     }
 
     /// Reads a time in milliseconds, if the attribute is present.
-    pub(crate) fn read_milliseconds(&mut self, node: NodeId, name: &str, into: &mut Micros) {
+    pub(crate) fn read_milliseconds(&mut self, node: NodeId, name: &'static str, into: &mut Micros) {
         if let Some(milliseconds) = self.value::<Micros>(node, name) {
             *into = milliseconds * MICROS_PER_MILLISECOND;
         }
     }
 
     /// Reads a time in milliseconds, if the attribute is present.
-    pub(crate) fn read_duration(&mut self, node: NodeId, name: &str, into: &mut Duration) {
+    pub(crate) fn read_duration(&mut self, node: NodeId, name: &'static str, into: &mut Duration) {
         if let Some(milliseconds) = self.value(node, name) {
             *into = Duration::from_millis(milliseconds);
         }
     }
 
     /// Reads a number, if the attribute is present.
-    pub(crate) fn read_number<T: FromStr>(&mut self, node: NodeId, name: &str, into: &mut T) {
+    pub(crate) fn read_number<T: FromStr>(&mut self, node: NodeId, name: &'static str, into: &mut T) {
         if let Some(value) = self.value(node, name) {
             *into = value;
         }
--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -68,7 +68,7 @@
         assert!(!parse(text).unwrap_err().is_empty(), "{text}");
     }
     let long = format!("<birchreach-options>{}</birchreach-options>", " ".repeat(300 << 10));
-    assert!(parse(&long).unwrap_err()[0].message.contains("longer"));
+    assert!(parse(&long).unwrap_err()[0].kind.to_string().contains("longer"));
     let deep = format!("{}{}", "<a>".repeat(40_000), "</a>".repeat(40_000));
     assert!(parse(&deep).is_err());
     let no_listener = "<birchreach-options>\n<health/>\n</birchreach-options>";
@@ -99,7 +99,7 @@
             bytes[at] = (n >> 25) as u8 & 0x7f;
         }
         if let Err(errors) = parse(&String::from_utf8_lossy(&bytes)) {
-            assert!(errors.iter().all(|error| error.line >= 1 && !error.message.is_empty()));
+            assert!(errors.iter().all(|error| error.line >= 1 && !error.kind.to_string().is_empty()));
         }
     }
 }
--- a/options/tests/fleet.rs
+++ b/options/tests/fleet.rs
@@ -44,7 +44,7 @@
                 <fleet listen='10.0.0.1:7100' key-file='keys'/></birchreach-options>";
     let errors = parse(both).unwrap_err();
     assert!(
-        errors.iter().any(|error| error.line == 3 && error.message.contains("is used by http too")),
+        errors.iter().any(|error| error.line == 3 && error.kind.to_string().contains("is used by http too")),
         "{errors:?}"
     );
 }
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -32,7 +32,7 @@
     /// A setting is probably not meant; it is applied all the same.
     Warning(SettingsWarning),
     /// The options are faulty.
-    Options(OptionsError),
+    Options(Box<OptionsError>),
     /// A file of keys is faulty.
     KeyFile(KeyFileError),
 }
@@ -77,7 +77,7 @@
             FaultKind::PlatformFile(error @ PlatformFileError::InvalidJson(_)) => write!(f, "file: {error}"),
             FaultKind::PlatformFile(error) => error.fmt(f),
             FaultKind::Warning(warning) => warning.fmt(f),
-            FaultKind::Options(OptionsError { element, message, .. }) => write!(f, "{element}: {message}"),
+            FaultKind::Options(error) => write!(f, "{}: {}", error.element, error.kind),
             FaultKind::KeyFile(error) => write!(f, "key: {error}"),
         }
     }
--- a/proxy/src/config/options.rs
+++ b/proxy/src/config/options.rs
@@ -26,7 +26,7 @@
     let fault = |error: OptionsError| ConfigFault {
         file: file.into(),
         line: error.line,
-        kind: FaultKind::Options(error),
+        kind: FaultKind::Options(Box::new(error)),
     };
     errors.into_iter().map(fault).collect()
 }
