--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -1,8 +1,9 @@
 //! Health reports to load balancers, and the listeners that give them: the element `health`. The names of its attributes are mapped
 //! here to those of the settings.
 
+use crate::conflicts::addresses_overlap;
 use crate::reader::Reader;
-use crate::{OptionsError, OptionsErrorKind, addresses_overlap};
+use crate::{OptionsError, OptionsErrorKind};
 use birchreach_health::{
     AggregationRule, HealthSettings, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings,
     SharedCausePolicy, WeightSettings,
--- a/options/src/reader.rs
+++ b/options/src/reader.rs
@@ -40,8 +40,11 @@
 
     /// Whether a violation of the schema is recorded for an attribute on this line.
     pub(crate) fn has_violation(&self, line: usize, name: &str) -> bool {
-        let is_of_attribute = |kind: &OptionsErrorKind| matches!(kind, OptionsErrorKind::SchemaViolation { attribute: Some(attribute), .. } if attribute == name);
-        self.errors.iter().any(|error| error.line == line && is_of_attribute(&error.kind))
+        let is_same = |error: &OptionsError| match &error.kind {
+            OptionsErrorKind::SchemaViolation { attribute: Some(attribute), .. } => attribute == name,
+            _ => false,
+        };
+        self.errors.iter().any(|error| error.line == line && is_same(error))
     }
 
     /// Adds an error at an element.
