--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -9,7 +9,9 @@
 /// Rates hold in any span of this length.
 const DEFAULT_RATE_WINDOW: Duration = Duration::from_secs(10);
 
+/// What writing a copy costs its group, in reads.
 const DEFAULT_COPY_COST_READS: f64 = 2.0;
+/// Copies of one key.
 const DEFAULT_MAX_COPIES: usize = 3;
 /// Copies that are written at one database.
 const DEFAULT_COPIES_PER_S: f64 = 10.0;
@@ -22,7 +24,9 @@
 const DEFAULT_MIN_COMPARISONS: u32 = 3;
 /// Processes that compare in each range of hashes.
 const DEFAULT_MIN_PROCESSES: usize = 1;
+/// How long a comparison counts.
 const DEFAULT_COVERAGE_WINDOW: Duration = Duration::from_secs(600);
+/// How long a difference has to persist until it is confirmed.
 const DEFAULT_CONFIRMATION_DELAY: Duration = Duration::from_secs(10);
 /// Reads for comparison at one database.
 const DEFAULT_COMPARISON_READS_PER_S: f64 = 5.0;
--- a/options/src/conflicts.rs
+++ b/options/src/conflicts.rs
@@ -11,10 +11,12 @@
 }
 
 impl LinkAddress {
+    /// An error of the element that has the address.
     fn error(&self, kind: OptionsErrorKind) -> OptionsError {
         OptionsError::new(self.line, self.element, kind)
     }
 
+    /// The error that another element of the options uses the address too.
     fn shared_with(&self, element: &'static str) -> OptionsError {
         self.error(OptionsErrorKind::SharedAddress { address: self.address, element })
     }
@@ -26,10 +28,12 @@
         self.check_listeners().map(|(_, listener)| listener.max_connections + 1).sum()
     }
 
+    /// The listeners for health checks, each with the name of its element.
     fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
         self.health.iter().flat_map(HealthOptions::check_listeners)
     }
 
+    /// The addresses where other proxies connect or send datagrams.
     fn link_addresses(&self) -> Vec<LinkAddress> {
         let peer_state = self.peer_state.as_ref().and_then(|peer_state| {
             let address = peer_state.listen?;
@@ -41,7 +45,7 @@
         peer_state.into_iter().chain(fleet).collect()
     }
 
-    /// Addresses that are used twice within the options.
+    /// An error for each address that an earlier element of the options uses.
     pub(crate) fn internal_address_conflicts(&self) -> Vec<OptionsError> {
         let links = self.link_addresses();
         let mut errors = Vec::new();
@@ -72,7 +76,7 @@
         Some(OptionsError::new(listener.line, element, kind))
     }
 
-    /// Addresses in the options that something else in the process uses. `others` has names and addresses.
+    /// An error for each address in the options that something else in the process uses. `others` has names and addresses.
     pub fn address_conflicts(&self, others: &[(&str, SocketAddr)]) -> Vec<OptionsError> {
         let user_of = |address: SocketAddr| {
             let user = others.iter().find(|(_, other)| addresses_overlap(*other, address));
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -11,10 +11,15 @@
 use std::net::SocketAddr;
 use uppsala::NodeId;
 
+/// How long draining is reported before the proxy stops listening for clients.
 const DEFAULT_SHUTDOWN_NOTICE_MICROS: Micros = 3_000_000;
+/// How long a connection without requests stays open.
 const DEFAULT_IDLE_TIMEOUT_MICROS: Micros = 65_000_000;
+/// How long an agent-check may take to name what it asks about.
 const DEFAULT_QUERY_TIMEOUT_MICROS: Micros = 20_000;
+/// How long a connection may have an incomplete request or an unread response.
 const DEFAULT_SILENCE_TIMEOUT_MICROS: Micros = 2_000_000;
+/// Connections of balancers that a listener has open at once.
 const DEFAULT_MAX_CONNECTIONS: usize = 64;
 
 /// Health reports to load balancers, and the listeners that give them.
--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -34,6 +34,7 @@
 }
 
 impl CheckReport {
+    /// Checks the platform's file; returns the configuration if it has no faults.
     fn check_config(&mut self, file: &Path, variable: impl Fn(&str) -> Option<String>) -> Option<Config> {
         let text = match std::fs::read_to_string(file) {
             Ok(text) => text,
@@ -71,11 +72,13 @@
     }
 }
 
+/// An error of the platform's file, at the line of its key.
 fn locate_error(file: &Path, text: &str, error: PlatformFileError) -> ConfigFault {
     let line = line_of(text, &error.key_path());
     ConfigFault { file: file.into(), line, kind: FaultKind::PlatformFile(error) }
 }
 
+/// A warning about a setting, at the line of its key.
 fn locate_warning(file: &Path, text: &str, warning: &SettingsWarning) -> ConfigFault {
     // A key with a blank is an unknown one, and reported at the line of the settings.
     let path =
--- a/proxy/src/config/options.rs
+++ b/proxy/src/config/options.rs
@@ -22,6 +22,7 @@
     birchreach_options::parse(&text).map_err(|errors| faults(file, errors))
 }
 
+/// Errors of the options, each at its line of the file.
 fn faults(file: &Path, errors: Vec<OptionsError>) -> Vec<ConfigFault> {
     let fault = |error: OptionsError| ConfigFault {
         file: file.into(),
--- a/proxy/src/config/parse.rs
+++ b/proxy/src/config/parse.rs
@@ -88,6 +88,7 @@
         self.root.pointer(pointer).filter(|value| !value.is_null())
     }
 
+    /// The string at a key, or else in an environment variable.
     fn string(&self, key: &'static str, variable: &'static str) -> Result<String, PlatformFileError> {
         match self.value(&format!("/{key}")) {
             Some(Value::String(string)) => Ok(string.clone()),
@@ -96,6 +97,7 @@
         }
     }
 
+    /// The address at a key, or else in an environment variable.
     fn address(&self, key: &'static str, variable: &'static str) -> Result<SocketAddr, PlatformFileError> {
         let string = self.string(key, variable)?;
         string.parse().map_err(|_| PlatformFileError::InvalidAddress { key, found: string })
@@ -109,6 +111,7 @@
         self.address("operator", ADMIN_VARIABLE).map(Some)
     }
 
+    /// The limit of descriptors, or its default.
     fn max_descriptors(&self) -> Result<usize, PlatformFileError> {
         let limit = match self.value("/limits/sockets") {
             None => DEFAULT_MAX_DESCRIPTORS,
@@ -120,11 +123,13 @@
         Ok(usize::try_from(limit).unwrap_or(usize::MAX))
     }
 
+    /// The endpoint list as this proxy last had it, if the file has one.
     fn known_endpoints(&self) -> Result<Option<EndpointUpdate>, PlatformFileError> {
         let known = self.value("/known").map(EndpointUpdate::deserialize);
         known.transpose().map_err(PlatformFileError::InvalidKnownEndpoints)
     }
 
+    /// The settings, which must have no errors.
     fn deployment(&self) -> Result<DeploymentSettings, Vec<PlatformFileError>> {
         match self.root.get("settings") {
             None => Err(vec![PlatformFileError::MissingSettings]),
@@ -140,6 +145,7 @@
         settings.map_or_else(Vec::new, |settings| birchreach_settings::warnings(settings, deployment))
     }
 
+    /// The descriptor of an inherited listening socket. One of a standard stream, or a text that is no number, counts as none.
     fn inherited_descriptor(&self) -> Option<RawFd> {
         let descriptor = (self.variable)(INHERITED_DESCRIPTOR_VARIABLE)?.trim().parse().ok()?;
         (descriptor > LAST_STANDARD_DESCRIPTOR).then_some(descriptor)
--- a/settings/src/classes.rs
+++ b/settings/src/classes.rs
@@ -53,6 +53,7 @@
 }
 
 impl ClassReader<'_> {
+    /// Reads the class, whose consistency comes from lists beside the element.
     fn read(&self, consistency: Consistency) -> NamedClass {
         let idempotency = self.idempotency();
         let name = self.string("name").unwrap_or_default().to_string();
@@ -83,6 +84,7 @@
         }
     }
 
+    /// Which servers recognise a repeated request by its key.
     fn dedup_scope(&self) -> DedupScope {
         let choices =
             [("all", DedupScope::AllServers), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -77,6 +77,7 @@
     (settings, reader.into_errors())
 }
 
+/// Reads all settings. The order of reading is that of the errors.
 fn read(reader: &Reader) -> DeploymentSettings {
     let position_epoch = reader.micros_or("extra.counted_from_ms", 0.0);
     let session_positions = session_positions(reader);
@@ -135,10 +136,12 @@
     }
 }
 
+/// The names of the classes, and apart from them their rules.
 fn split_names(classes: Vec<NamedClass>) -> (Vec<String>, Vec<RequestClass>) {
     classes.into_iter().map(|class| (class.name, class.rules)).unzip()
 }
 
+/// Where the position of a session's last write is taken from.
 fn session_positions(reader: &Reader) -> SessionPositionSource {
     let key = "extra.tokens";
     match reader.string(key) {
@@ -161,6 +164,7 @@
         .collect()
 }
 
+/// Which messages of servers have load reports.
 fn load_reports(reader: &Reader) -> LoadReportSource {
     let choices = [
         ("piggyback", LoadReportSource::Responses),
@@ -170,11 +174,13 @@
     reader.choice("load_info.via", &choices, LoadReportSource::Never)
 }
 
+/// Whether the endpoint list is pushed or polled.
 fn endpoint_discovery(reader: &Reader) -> EndpointDiscovery {
     let choices = [("automatic", EndpointDiscovery::Pushed), ("subscribe", EndpointDiscovery::Polled)];
     reader.choice("registry_mode", &choices, EndpointDiscovery::Pushed)
 }
 
+/// What servers do with a read that they are too far behind for.
 fn stale_reads(reader: &Reader) -> StaleReadPolicy {
     let choices = [
         ("silent", StaleReadPolicy::Served),
--- a/settings/src/reader.rs
+++ b/settings/src/reader.rs
@@ -36,6 +36,7 @@
         reader
     }
 
+    /// The errors, in the order in which they were found.
     pub fn into_errors(self) -> Vec<SettingsError> {
         self.errors.into_inner()
     }
@@ -45,6 +46,7 @@
         self.record(SettingsError::UnexpectedValue { key: key.to_string(), expected });
     }
 
+    /// Adds an error.
     fn record(&self, error: SettingsError) {
         self.errors.borrow_mut().push(error);
     }
--- a/settings/src/warnings.rs
+++ b/settings/src/warnings.rs
@@ -72,6 +72,7 @@
     }
 }
 
+/// Finds contradictions within the request classes.
 fn class_contradictions(root: &Value, classes: &[RequestClass], warn: &mut impl FnMut(&str, WarningKind)) {
     let consistencies = find(root, "extra.class_read").and_then(Value::as_array).map_or(0, Vec::len);
     if consistencies != classes.len() {
