--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -1,8 +1,9 @@
-//! What balancers are told, and where: the element `health`. The names of its attributes are mapped here to those of
-//! the settings.
+//! Health reports to load balancers, and the listeners that give them: the element `health`. The names of its attributes are mapped
+//! here to those of the settings.
 
+use crate::conflicts::addresses_overlap;
 use crate::reader::Reader;
-use crate::{OptionsError, addresses_overlap};
+use crate::{OptionsError, OptionsErrorKind};
 use birchreach_health::{
     AggregationRule, HealthSettings, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings,
     SharedCausePolicy, WeightSettings,
@@ -10,13 +11,18 @@
 use std::net::SocketAddr;
 use uppsala::NodeId;
 
+/// How long draining is reported before the proxy stops listening for clients.
 const DEFAULT_SHUTDOWN_NOTICE_MICROS: Micros = 3_000_000;
+/// How long a connection without requests stays open.
 const DEFAULT_IDLE_TIMEOUT_MICROS: Micros = 65_000_000;
+/// How long an agent-check may take to name what it asks about.
 const DEFAULT_QUERY_TIMEOUT_MICROS: Micros = 20_000;
+/// How long a connection may have an incomplete request or an unread response.
 const DEFAULT_SILENCE_TIMEOUT_MICROS: Micros = 2_000_000;
+/// Connections of balancers that a listener has open at once.
 const DEFAULT_MAX_CONNECTIONS: usize = 64;
 
-/// What balancers are told, and where.
+/// Health reports to load balancers, and the listeners that give them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthOptions {
     /// HTTP checks.
@@ -31,7 +37,7 @@
     pub shutdown_notice: Micros,
 }
 
-/// An address where balancers connect.
+/// A listener for health checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckListener {
     /// The address.
@@ -58,14 +64,14 @@
 pub struct AgentListener {
     /// The listener.
     pub listener: CheckListener,
-    /// A balancer that sends nothing for this long asks for the proxy as a whole.
+    /// A balancer that sends nothing for this long gets the report on the proxy as a whole.
     pub query_timeout: Micros,
     /// Replies say how many connections the balancer may open.
     pub reports_maxconn: bool,
 }
 
 impl HealthOptions {
-    /// Every address where balancers connect, with the name of its element.
+    /// All listeners, each with the name of its element.
     pub fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
         let http = self.http.as_ref().map(|http| ("http", &http.listener));
         let agent = self.agent.as_ref().map(|agent| ("agent", &agent.listener));
@@ -75,6 +81,7 @@
 }
 
 impl Reader<'_> {
+    /// Element `health`.
     pub(crate) fn health(&mut self, node: NodeId) -> Option<HealthOptions> {
         let http = self.child(node, "http").and_then(|http| self.keep_alive_listener(http));
         let grpc = self.child(node, "grpc").and_then(|grpc| self.keep_alive_listener(grpc));
@@ -86,13 +93,14 @@
         }
         self.report_contradictions(node, &settings);
         if http.is_none() && agent.is_none() && grpc.is_none() {
-            self.add_error(node, "neither http, agent nor grpc: nobody could ask");
+            self.add_error(node, OptionsErrorKind::NoHealthListener);
         }
         let health = HealthOptions { http, agent, grpc, settings, shutdown_notice };
         self.report_shared_addresses(&health);
         Some(health)
     }
 
+    /// The monitor's settings, from the child elements.
     fn health_settings(&mut self, node: NodeId) -> HealthSettings {
         let mut settings = HealthSettings::default();
         if let Some(claims) = self.child(node, "claims") {
@@ -108,16 +116,17 @@
         settings
     }
 
-    /// A contradiction is reported at the element that has the option, or else at the whole.
+    /// Adds an error for each contradiction, at the element that has the option, or else at `node`.
     fn report_contradictions(&mut self, node: NodeId, settings: &HealthSettings) {
         let elements = ["claims", "probes", "weight", "stopping"].map(|name| self.child(node, name));
         for error in settings.errors() {
             let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option).is_some();
             let at = elements.into_iter().flatten().find(has_option).unwrap_or(node);
-            self.add_error(at, error.to_string());
+            self.add_error(at, OptionsErrorKind::HealthSettings(error));
         }
     }
 
+    /// Adds an error for each listener whose address an earlier one uses.
     fn report_shared_addresses(&mut self, health: &HealthOptions) {
         let listeners: Vec<_> = health.check_listeners().collect();
         for (index, (element, listener)) in listeners.iter().enumerate() {
@@ -125,12 +134,13 @@
             if let Some((other, _)) =
                 earlier.find(|(_, other)| addresses_overlap(other.address, listener.address))
             {
-                let message = format!("listen: {} is used by {other} too", listener.address);
-                self.errors.push(OptionsError { line: listener.line, element: (*element).into(), message });
+                let kind = OptionsErrorKind::SharedAddress { address: listener.address, element: other };
+                self.errors.push(OptionsError::new(listener.line, *element, kind));
             }
         }
     }
 
+    /// Element `http` or `grpc`.
     fn keep_alive_listener(&mut self, node: NodeId) -> Option<KeepAliveListener> {
         let listener = self.check_listener(node)?;
         let mut keep_alive = KeepAliveListener { listener, idle_timeout: DEFAULT_IDLE_TIMEOUT_MICROS };
@@ -138,6 +148,7 @@
         Some(keep_alive)
     }
 
+    /// Element `agent`.
     fn agent_listener(&mut self, node: NodeId) -> Option<AgentListener> {
         let listener = self.check_listener(node)?;
         let mut query_timeout = DEFAULT_QUERY_TIMEOUT_MICROS;
@@ -146,6 +157,7 @@
         Some(AgentListener { listener, query_timeout, reports_maxconn })
     }
 
+    /// What the elements of all listeners have.
     fn check_listener(&mut self, node: NodeId) -> Option<CheckListener> {
         let mut listener = CheckListener {
             address: self.value(node, "listen")?,
@@ -158,6 +170,7 @@
         Some(listener)
     }
 
+    /// Element `probes`.
     fn probes(&mut self, node: NodeId) -> ProbeSettings {
         let mut probes = ProbeSettings::default();
         self.read_milliseconds(node, "every-ms", &mut probes.interval);
@@ -168,6 +181,7 @@
         probes
     }
 
+    /// Element `weight`.
     fn weight(&mut self, node: NodeId, weight: &mut WeightSettings) {
         self.read_number(node, "knee", &mut weight.reduce_above);
         self.read_number(node, "hot", &mut weight.trim_above);
@@ -177,6 +191,7 @@
         self.read_milliseconds(node, "settle-ms", &mut weight.settling_time);
     }
 
+    /// Element `claims`: what is reported, and when.
     fn claims(&mut self, node: NodeId, settings: &mut HealthSettings) {
         let idle = [("trust", IdleGroupPolicy::TrustEndpointList), ("withdraw", IdleGroupPolicy::Withdraw)];
         let shared = [("tell", SharedCausePolicy::StayInRotation), ("down", SharedCausePolicy::ReportDown)];
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -6,17 +6,17 @@
 #![forbid(unsafe_code)]
 
 mod background;
+mod conflicts;
 mod error;
 mod health;
 mod links;
 mod reader;
 
 pub use background::{HotKeyOptions, SplitOptions};
-pub use error::OptionsError;
+pub use error::{OptionsError, OptionsErrorKind};
 pub use health::{AgentListener, CheckListener, HealthOptions, KeepAliveListener};
 pub use links::{FleetOptions, PeerStateOptions};
 use reader::Reader;
-use std::net::SocketAddr;
 use uppsala::{Document, XmlError, XsdValidator};
 
 /// The schema, which operators' editors use too.
@@ -27,11 +27,11 @@
 /// All options; what is absent is switched off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Options {
-    /// What load balancers are told.
+    /// Health reports to load balancers.
     pub health: Option<HealthOptions>,
-    /// State learned from other proxies.
+    /// State transfer from and to other proxies.
     pub peer_state: Option<PeerStateOptions>,
-    /// The view of the fleet.
+    /// Membership of the fleet.
     pub fleet: Option<FleetOptions>,
     /// Copies of hot keys.
     pub hot: Option<HotKeyOptions>,
@@ -57,16 +57,18 @@
     Err(errors)
 }
 
+/// Rejects a text before it is parsed: what is too long, or could define entities.
 fn check_text(text: &str) -> Result<(), Vec<OptionsError>> {
     if text.len() > MAX_FILE_BYTES {
-        return Err(vec![OptionsError::in_file(1, format!("longer than {MAX_FILE_BYTES} bytes"))]);
+        return Err(vec![OptionsError::in_file(1, OptionsErrorKind::TooLong)]);
     }
     if text.contains("<!DOCTYPE") {
-        return Err(vec![OptionsError::in_file(1, "a document type is not taken")]);
+        return Err(vec![OptionsError::in_file(1, OptionsErrorKind::DocumentType)]);
     }
     Ok(())
 }
 
+/// The error of the XML parser, at its line.
 fn invalid_xml(error: XmlError) -> OptionsError {
     let (line, message) = match error {
         XmlError::Parse(error) => (error.line, error.message),
@@ -74,30 +76,31 @@
         XmlError::Namespace(error) => (error.line, error.message),
         other => (1, other.to_string()),
     };
-    OptionsError::in_file(line, format!("not XML: {message}"))
+    OptionsError::in_file(line, OptionsErrorKind::InvalidXml(message))
 }
 
 /// Adds the violations of the schema to the reader's errors.
 fn check_schema(document: &Document, reader: &mut Reader) -> Result<(), Vec<OptionsError>> {
     let schema = uppsala::parse(SCHEMA).and_then(|schema| XsdValidator::from_schema(&schema));
-    let schema = schema.map_err(|error| vec![OptionsError::in_file(1, format!("the schema: {error}"))])?;
+    let schema = schema.map_err(|error| {
+        vec![OptionsError::in_file(1, OptionsErrorKind::UnusableSchema(error.to_string()))]
+    })?;
     for violation in schema.validate(document) {
         let line = violation.line.unwrap_or(1);
         let node = reader.element_at(line, violation.column.unwrap_or(1));
         let (element, attribute) = (reader.name(node), reader.attribute(node, &violation.message));
         // A value of the wrong type is out of its range too, which is not reported beside it.
-        let is_reported = |error: &OptionsError| {
-            error.line == line && !attribute.is_empty() && error.message.starts_with(&attribute)
-        };
-        if !reader.errors.iter().any(is_reported) {
-            let message = format!("{attribute}{}", violation.message);
-            reader.errors.push(OptionsError { line, element, message });
+        if attribute.as_ref().is_some_and(|attribute| reader.has_violation(line, attribute)) {
+            continue;
         }
+        let kind = OptionsErrorKind::SchemaViolation { attribute, message: violation.message };
+        reader.errors.push(OptionsError::new(line, element, kind));
     }
     Ok(())
 }
 
 impl Reader<'_> {
+    /// Reads all elements of a document that its schema accepts.
     fn options(&mut self) -> Options {
         let root = self.doc.document_element();
         let element = |reader: &Self, name| root.and_then(|root| reader.child(root, name));
@@ -111,91 +114,3 @@
         options
     }
 }
-
-/// An address for links to other proxies, and the element that has it.
-struct LinkAddress {
-    element: &'static str,
-    line: usize,
-    address: SocketAddr,
-}
-
-impl LinkAddress {
-    fn conflict(&self, message: String) -> OptionsError {
-        OptionsError { line: self.line, element: self.element.into(), message }
-    }
-}
-
-impl Options {
-    /// Descriptors to be reserved for what is switched on here: connections of balancers, and their listeners.
-    pub fn descriptors(&self) -> usize {
-        self.check_listeners().map(|(_, listener)| listener.max_connections + 1).sum()
-    }
-
-    fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
-        self.health.iter().flat_map(HealthOptions::check_listeners)
-    }
-
-    fn link_addresses(&self) -> Vec<LinkAddress> {
-        let peer_state = self.peer_state.as_ref().and_then(|peer_state| {
-            let address = peer_state.listen?;
-            Some(LinkAddress { element: "knowledge", line: peer_state.line, address })
-        });
-        let fleet = self.fleet.as_ref();
-        let fleet =
-            fleet.map(|fleet| LinkAddress { element: "fleet", line: fleet.line, address: fleet.listen });
-        peer_state.into_iter().chain(fleet).collect()
-    }
-
-    /// Addresses that are used twice within the options.
-    fn internal_address_conflicts(&self) -> Vec<OptionsError> {
-        let links = self.link_addresses();
-        let mut errors = Vec::new();
-        for link in &links {
-            let overlaps = |listener: &CheckListener| addresses_overlap(listener.address, link.address);
-            if let Some((other, _)) = self.check_listeners().find(|(_, listener)| overlaps(listener)) {
-                errors.push(link.conflict(format!("listen: {} is used by {other} too", link.address)));
-            }
-        }
-        // Members of the fleet have links to each other at the port of their datagrams.
-        if let [first, second] = &links[..]
-            && addresses_overlap(first.address, second.address)
-        {
-            let message = format!("listen: {} is used by {} too", second.address, first.element);
-            errors.push(second.conflict(message));
-        }
-        errors
-    }
-
-    /// An error if checks would need more than half of this number of descriptors.
-    pub fn excess_descriptors(&self, sockets: usize) -> Option<OptionsError> {
-        let (wanted, max) = (self.descriptors(), sockets / 2);
-        if wanted <= max {
-            return None;
-        }
-        let (element, listener) =
-            self.check_listeners().max_by_key(|(_, listener)| listener.max_connections)?;
-        let message = format!("callers: {wanted} descriptors for checks are more than half of {sockets}");
-        Some(OptionsError { line: listener.line, element: element.into(), message })
-    }
-
-    /// Addresses in the options that something else in the process uses. `others` has names and addresses.
-    pub fn address_conflicts(&self, others: &[(&str, SocketAddr)]) -> Vec<OptionsError> {
-        let user_of = |address: SocketAddr| {
-            let user = others.iter().find(|(_, other)| addresses_overlap(*other, address));
-            user.map(|(name, _)| format!("listen: {address} is used as {name} already"))
-        };
-        let checks = self.check_listeners().filter_map(|(element, listener)| {
-            let message = user_of(listener.address)?;
-            Some(OptionsError { line: listener.line, element: element.into(), message })
-        });
-        let links = self.link_addresses();
-        let links = links.iter().filter_map(|link| Some(link.conflict(user_of(link.address)?)));
-        checks.chain(links).collect()
-    }
-}
-
-/// Whether two sockets could not listen on both addresses.
-fn addresses_overlap(a: SocketAddr, b: SocketAddr) -> bool {
-    let any_interface = a.ip().is_unspecified() || b.ip().is_unspecified();
-    a.port() != 0 && a.port() == b.port() && (a.ip() == b.ip() || any_interface)
-}
--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -1,5 +1,6 @@
 //! Links to other proxies: state transfer (`knowledge`) and membership of the fleet (`fleet`).
 
+use crate::OptionsErrorKind;
 use crate::reader::Reader;
 use birchreach_peer_state::provider::ProviderSettings;
 use birchreach_peer_state::request_scheduler::RequestSettings;
@@ -40,6 +41,7 @@
 }
 
 impl Reader<'_> {
+    /// Element `knowledge`.
     pub(crate) fn peer_state(&mut self, node: NodeId) -> Option<PeerStateOptions> {
         let mut requests = RequestSettings::default();
         let mut provider = ProviderSettings::default();
@@ -51,11 +53,12 @@
         let listen = self.value(node, "listen");
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
         if listen.is_none() && requests.providers.is_empty() {
-            self.add_error(node, "neither listen nor donors: nobody is asked, nobody can ask");
+            self.add_error(node, OptionsErrorKind::NoStateTransfer);
         }
         Some(PeerStateOptions { listen, line: self.doc.node_line(node), key_file, requests, provider })
     }
 
+    /// Element `fleet`.
     pub(crate) fn fleet(&mut self, node: NodeId) -> Option<FleetOptions> {
         let listen: SocketAddr = self.value(node, "listen")?;
         let advertise: SocketAddr = match self.doc.get_attribute(node, "advertise") {
@@ -63,10 +66,7 @@
             None => listen,
         };
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            self.add_error(
-                node,
-                format!("listen: others cannot reach {advertise}: name the address in advertise"),
-            );
+            self.add_error(node, OptionsErrorKind::UnreachableAddress(advertise));
         }
         let peers = self.addresses(node, "peers");
         let others = peers.iter().filter(|peer| **peer != advertise).count();
@@ -78,13 +78,16 @@
     }
 
     /// Addresses with ports, separated by spaces.
-    fn addresses(&mut self, node: NodeId, attribute: &str) -> Vec<SocketAddr> {
+    fn addresses(&mut self, node: NodeId, attribute: &'static str) -> Vec<SocketAddr> {
         let value = self.doc.get_attribute(node, attribute).unwrap_or_default().to_string();
         let mut addresses = Vec::new();
-        for word in value.split_ascii_whitespace() {
-            match word.parse::<SocketAddr>() {
+        for text in value.split_ascii_whitespace() {
+            match text.parse::<SocketAddr>() {
                 Ok(address) => addresses.push(address),
-                Err(_) => self.add_error(node, format!("{attribute}: '{word}' is no address and port")),
+                Err(_) => {
+                    let text = text.to_string();
+                    self.add_error(node, OptionsErrorKind::InvalidAddress { attribute, text });
+                }
             }
         }
         addresses
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -8,12 +8,15 @@
 mod key_file;
 mod options;
 mod parse;
+mod platform_error;
 mod successor;
+#[cfg(test)]
+mod tests;
 
 use crate::discovery::EndpointUpdate;
 use birchreach_options::Options;
 use birchreach_peer_state::frame::Keys;
-use birchreach_settings::DeploymentSettings;
+use birchreach_settings::{DeploymentSettings, SettingsWarning};
 pub use check::{CheckReport, check};
 pub use error::ConfigError;
 use key_file::read_key_file;
@@ -26,6 +29,7 @@
 
 /// The variable that names the platform's file.
 pub const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
+const HEX_RADIX: u32 = 16;
 
 /// A configuration, complete and without faults.
 #[derive(Debug)]
@@ -55,8 +59,8 @@
     /// The keys of the fleet's datagrams, likewise.
     pub fleet_keys: Option<Keys>,
     /// What the settings probably do not mean; they are applied all the same.
-    pub warnings: Vec<String>,
-    /// The settings and limits as the file has them.
+    pub warnings: Vec<SettingsWarning>,
+    /// The settings and limits as the file has them, with which a successor is compared.
     raw: Value,
 }
 
@@ -75,13 +79,8 @@
         Ok(text) => text,
         Err(error) => return Err(ConfigError::Unreadable { file, error }),
     };
-    let mut config = match parse(&text, variable) {
-        Ok(config) => config,
-        Err(faults) => {
-            let fault = faults.into_iter().next().unwrap_or_default();
-            return Err(ConfigError::Invalid { file, fault });
-        }
-    };
+    let mut config = parse(&text, variable)
+        .map_err(|faults| ConfigError::Invalid { file, first: faults.into_iter().next() })?;
     if let Some(options) = options {
         config.load_options(options)?;
     }
@@ -103,6 +102,7 @@
     }
 }
 
+/// Reads a file of keys, where there is one.
 fn read_keys(file: Option<&PathBuf>) -> Result<Option<Keys>, ConfigError> {
     file.map(|file| read_key_file(file)).transpose().map_err(ConfigError::KeyFile)
 }
