--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -24,7 +24,8 @@
 //! 7. Tables are bounded, and a report is taken in full or not at all (`malformed_reports_change_nothing`).
 //! 8. Nearly every refresh slot of a key is taken by one of its reporters (`each_refresh_slot_has_one_owner`).
 //!
-//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
+//! Reports of other processes are kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
+//! other subsystem, and a number of microseconds needs no conversion.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -42,6 +43,7 @@
 mod tracker;
 mod update;
 
+pub use birchreach_peer_reports::RecordError;
 pub use copy_holders::Database;
 pub use refresh::DueCopy;
 pub use reporting::ReportAgreement;
--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,15 +1,14 @@
 //! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
 
-use crate::reports::{MAX_REPORT_ENTRIES, ReceivedReport, Report, ReportEntry, ReportError};
+use crate::reports::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
 use crate::tracker::HotKeyTracker;
 use crate::{Key, Micros, mix};
+use birchreach_peer_reports::{PeerReports, ReportHeader};
 
 /// A key is reported from this fraction of the rate that would make it hot if all processes read it alike.
 const REPORT_THRESHOLD_FRACTION: f64 = 0.25;
 /// How many keys are looked at for a report: some may be below the threshold.
 const REPORT_CANDIDATES: usize = MAX_REPORT_ENTRIES * 4;
-/// A report counts for so many report intervals.
-const REPORT_LIFETIME_INTERVALS: Micros = 4;
 
 /// How many other processes have the same hot set by their newest reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,22 +38,19 @@
         if report.secret_id != self.secret_id {
             return Err(ReportError::OtherSecret);
         }
-        self.reports.record(origin, ReceivedReport { sequence, made_at: now - age.max(0), report })
+        self.reports.record(now, ReportHeader { origin, sequence, age }, report)?;
+        Ok(())
     }
 
     /// This process's report, once in each report interval.
     pub fn report_if_due(&mut self, now: Micros) -> Option<Vec<u8>> {
-        if now - self.last_report_at < self.report_interval {
+        if !self.reports.is_due(now) {
             return None;
         }
-        self.last_report_at = now;
         let entries = self.report_entries(now);
-        self.last_sequence += 1;
         let report = Report { secret_id: self.secret_id, set_digest: self.digest(), entries };
         let bytes = report.encode();
-        let received = ReceivedReport { sequence: self.last_sequence, made_at: now, report };
-        // Where reports of too many origins are kept, the set is derived without the own one; the others still get it.
-        let _ = self.reports.record(self.own_origin, received);
+        self.reports.record_own(now, report);
         Some(bytes)
     }
 
@@ -77,10 +73,6 @@
         REPORT_THRESHOLD_FRACTION * self.settings.hot_threshold(replicas) / self.members as f64
     }
 
-    pub(crate) fn report_lifetime(&self) -> Micros {
-        REPORT_LIFETIME_INTERVALS * self.report_interval
-    }
-
     /// A digest of the hot set, equal at all processes that have equal sets.
     pub fn digest(&self) -> u64 {
         let of_key = |key: &Key| mix(key.hash ^ mix(u64::from(key.group) + 1));
@@ -91,10 +83,17 @@
     pub fn agreement(&self) -> ReportAgreement {
         let own_digest = self.digest();
         let mut agreement = ReportAgreement { agreeing: 0, reporting: 0 };
-        for (_, received) in self.reports.newest().filter(|(origin, _)| *origin != self.own_origin) {
+        let own_origin = self.reports.own_origin();
+        for (_, received) in self.reports.newest().filter(|(origin, _)| *origin != own_origin) {
             agreement.reporting += 1;
             agreement.agreeing += usize::from(received.report.set_digest == own_digest);
         }
         agreement
     }
 }
+
+/// Origins whose newest report names a key, in their order.
+pub(crate) fn reporters(reports: &PeerReports<Report>, key: Key) -> impl Iterator<Item = u64> {
+    let names_key = move |report: &Report| report.entries.iter().any(|entry| entry.key == key);
+    reports.newest().filter(move |(_, received)| names_key(&received.report)).map(|(origin, _)| origin)
+}
--- a/hot-keys/src/reports.rs
+++ b/hot-keys/src/reports.rs
@@ -1,15 +1,12 @@
-//! What processes report to one another: the highest read rates of each. The newest report of each origin is kept, and counts less as
-//! it ages.
+//! What processes report to one another: the highest read rates of each.
 
-use crate::{Key, Micros};
+use crate::Key;
+use birchreach_peer_reports::RecordError;
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 use std::fmt;
 
 /// Keys in one report.
 pub const MAX_REPORT_ENTRIES: usize = 16;
-/// Origins whose reports are kept.
-const MAX_ORIGINS: usize = 4_096;
 /// A million reads a second, which is more than a process serves; a report of more is malformed.
 const MAX_READS_PER_1000_S: u32 = 1_000_000_000;
 
@@ -42,10 +39,8 @@
     Malformed,
     /// Its hashes are made with another secret: the key file is being changed.
     OtherSecret,
-    /// A newer report of its origin, or the same one, was received before.
-    Outdated,
-    /// Reports of as many origins as possible are kept already.
-    TooManyOrigins,
+    /// It is outdated, or there are too many.
+    NotRecorded(RecordError),
 }
 
 impl ReportError {
@@ -54,25 +49,31 @@
         match self {
             ReportError::Malformed => "form",
             ReportError::OtherSecret => "other-secret",
-            ReportError::Outdated => "old",
-            ReportError::TooManyOrigins => "too-many",
+            ReportError::NotRecorded(error) => error.as_str(),
         }
     }
 }
 
 impl fmt::Display for ReportError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(match self {
-            ReportError::Malformed => "the report of hot keys is malformed",
-            ReportError::OtherSecret => "the report's keys are hashed with another secret",
-            ReportError::Outdated => "a newer report of this origin was received before",
-            ReportError::TooManyOrigins => "reports of too many origins are kept",
-        })
+        match self {
+            ReportError::Malformed => formatter.write_str("the report of hot keys is malformed"),
+            ReportError::OtherSecret => {
+                formatter.write_str("the report's keys are hashed with another secret")
+            }
+            ReportError::NotRecorded(error) => error.fmt(formatter),
+        }
     }
 }
 
 impl std::error::Error for ReportError {}
 
+impl From<RecordError> for ReportError {
+    fn from(error: RecordError) -> ReportError {
+        ReportError::NotRecorded(error)
+    }
+}
+
 impl Report {
     /// The bytes that are sent to other processes.
     pub fn encode(&self) -> Vec<u8> {
@@ -99,58 +100,3 @@
         self.entries.iter().enumerate().any(is_repeated)
     }
 }
-
-/// A report as it was received.
-#[derive(Clone, Debug)]
-pub(crate) struct ReceivedReport {
-    /// Increases with each report of an origin.
-    pub(crate) sequence: u64,
-    /// When it was made, on this process's clock.
-    pub(crate) made_at: Micros,
-    pub(crate) report: Report,
-}
-
-/// The newest report of each origin.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Reports {
-    by_origin: BTreeMap<u64, ReceivedReport>,
-}
-
-impl Reports {
-    pub(crate) fn record(&mut self, origin: u64, received: ReceivedReport) -> Result<(), ReportError> {
-        match self.by_origin.get(&origin) {
-            Some(newest) if newest.sequence >= received.sequence => return Err(ReportError::Outdated),
-            None if self.by_origin.len() >= MAX_ORIGINS => return Err(ReportError::TooManyOrigins),
-            _ => {}
-        }
-        self.by_origin.insert(origin, received);
-        Ok(())
-    }
-
-    /// Removes reports whose lifetime is over.
-    pub(crate) fn remove_expired(&mut self, now: Micros, lifetime: Micros) {
-        self.by_origin.retain(|_, received| now - received.made_at < lifetime);
-    }
-
-    /// The newest report of each origin, in the order of origins.
-    pub(crate) fn newest(&self) -> impl Iterator<Item = (u64, &ReceivedReport)> {
-        self.by_origin.iter().map(|(origin, received)| (*origin, received))
-    }
-
-    pub(crate) fn len(&self) -> usize {
-        self.by_origin.len()
-    }
-
-    /// Origins that report a key, in their order.
-    pub(crate) fn reporters(&self, key: Key) -> impl Iterator<Item = u64> {
-        let reports_key =
-            move |received: &ReceivedReport| received.report.entries.iter().any(|entry| entry.key == key);
-        self.by_origin.iter().filter(move |(_, received)| reports_key(received)).map(|(origin, _)| *origin)
-    }
-}
-
-/// How much a report of this age counts: fully for the first half of its lifetime, in which the next one arrives, then less and less.
-pub(crate) fn weight(age: Micros, lifetime: Micros) -> f64 {
-    let remaining = (lifetime - age) as f64 / lifetime.max(1) as f64;
-    (remaining * 2.0).clamp(0.0, 1.0)
-}
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -1,8 +1,9 @@
 //! The set of hot keys as a function of the reports and nothing else: processes that received equal reports derive equal sets.
 
-use crate::reports::{Report, Reports, weight};
+use crate::reports::Report;
 use crate::{Key, Micros, Settings};
 use birchreach_fault_injection::fault_injected;
+use birchreach_peer_reports::PeerReports;
 use std::collections::BTreeMap;
 
 /// Keys that are hot at once.
@@ -19,14 +20,12 @@
     pub(crate) wanted_copies: usize,
 }
 
-/// What is derived for, beside the reports.
+/// What the set is derived from.
 pub(crate) struct Derivation<'a> {
+    /// The newest report of each process; that of the process that derives the set counts as all others do.
+    pub(crate) reports: &'a PeerReports<Report>,
     pub(crate) settings: &'a Settings,
     pub(crate) now: Micros,
-    /// How long a report counts.
-    pub(crate) report_lifetime: Micros,
-    /// The origin that derives the set; its report counts as all others do.
-    pub(crate) own_origin: u64,
     /// How many replicas each group has.
     pub(crate) replicas: &'a BTreeMap<u32, usize>,
 }
@@ -51,9 +50,9 @@
 
 impl Derivation<'_> {
     /// The hot keys: those whose rates reach the thresholds, at most [`MAX_HOT_KEYS`], the highest rates first.
-    pub(crate) fn hot_set(&self, reports: &Reports) -> BTreeMap<Key, Hotness> {
+    pub(crate) fn hot_set(&self) -> BTreeMap<Key, Hotness> {
         let mut thresholds: BTreeMap<u32, f64> = BTreeMap::new();
-        let totals = self.totals(reports, &mut thresholds);
+        let totals = self.totals(&mut thresholds);
         let threshold = |key: &Key| thresholds.get(&key.group).copied().unwrap_or(f64::INFINITY);
         let mut hot: Vec<(Key, Hotness)> = totals
             .into_iter()
@@ -65,10 +64,10 @@
         hot.into_iter().collect()
     }
 
-    fn totals(&self, reports: &Reports, thresholds: &mut BTreeMap<u32, f64>) -> BTreeMap<Key, KeyTotals> {
+    fn totals(&self, thresholds: &mut BTreeMap<u32, f64>) -> BTreeMap<Key, KeyTotals> {
         let mut totals = BTreeMap::new();
-        for (origin, received) in reports.newest() {
-            let report_weight = weight(self.now - received.made_at, self.report_lifetime);
+        for (origin, received) in self.reports.newest() {
+            let report_weight = weight(self.now - received.made_at, self.reports.lifetime());
             self.add_report(origin, report_weight, &received.report, thresholds, &mut totals);
         }
         totals
@@ -90,7 +89,7 @@
             let key_totals: &mut KeyTotals = totals.entry(entry.key).or_default();
             key_totals.counted_per_s += report_weight * rate.min(self.max_counted_per_origin(threshold));
             key_totals.reported_per_s += report_weight * rate;
-            let counts = !fault_injected!(TrustsOnlyItself) || origin == self.own_origin;
+            let counts = !fault_injected!(TrustsOnlyItself) || origin == self.reports.own_origin();
             key_totals.reporters += usize::from(counts);
             key_totals.hot_reporters += usize::from(counts && entry.is_hot);
         }
@@ -112,3 +111,9 @@
         self.replicas.get(&group).copied().unwrap_or(1)
     }
 }
+
+/// How much a report of this age counts: fully for the first half of its lifetime, in which the next one arrives, then less and less.
+fn weight(age: Micros, lifetime: Micros) -> f64 {
+    let remaining = (lifetime - age) as f64 / lifetime.max(1) as f64;
+    (remaining * 2.0).clamp(0.0, 1.0)
+}
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -4,16 +4,16 @@
 use crate::copy_ages::CopyAges;
 use crate::copy_holders::{Database, copy_holders};
 use crate::refresh::{self, DueCopy};
-use crate::reports::Reports;
+use crate::reporting::reporters;
+use crate::reports::Report;
 use crate::sketch::ReadSketch;
 use crate::update::DERIVE_INTERVAL_MICROS;
 use crate::{Key, Micros, Settings};
+use birchreach_peer_reports::PeerReports;
 use std::collections::BTreeMap;
 
 /// How long a copy takes from its read to its holder. A copy that was not seen yet is assumed to be older than a refresh interval by it.
 const COPY_TRANSIT_MICROS: Micros = 100_000;
-/// The report interval until the size of the fleet is known.
-const INITIAL_REPORT_INTERVAL_MICROS: Micros = 1_000_000;
 
 /// A hot key as this process has it.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,11 +54,9 @@
 /// Tracks which keys are hot and where their copies are.
 pub struct HotKeyTracker {
     pub(crate) settings: Settings,
-    pub(crate) own_origin: u64,
     pub(crate) secret_id: u32,
     pub(crate) sketch: ReadSketch,
-    pub(crate) reports: Reports,
-    pub(crate) last_sequence: u64,
+    pub(crate) reports: PeerReports<Report>,
     pub(crate) hot_keys: BTreeMap<Key, HotKey>,
     pub(crate) copy_ages: CopyAges,
     /// Keys whose rows cannot be copied, and until when that is assumed.
@@ -67,8 +65,6 @@
     /// How many replicas each group has, by the endpoint list.
     pub(crate) replicas: BTreeMap<u32, usize>,
     pub(crate) members: usize,
-    pub(crate) report_interval: Micros,
-    pub(crate) last_report_at: Micros,
     pub(crate) last_derived_at: Micros,
     pub(crate) change_count: u64,
 }
@@ -79,19 +75,15 @@
     pub fn new(settings: Settings, own_origin: u64, secret_id: u32, now: Micros) -> HotKeyTracker {
         HotKeyTracker {
             settings,
-            own_origin,
             secret_id,
             sketch: ReadSketch::new(now),
-            reports: Reports::default(),
-            last_sequence: 0,
+            reports: PeerReports::new(own_origin, now),
             hot_keys: BTreeMap::new(),
             copy_ages: CopyAges::default(),
             uncopyable_until: BTreeMap::new(),
             databases: Vec::new(),
             replicas: BTreeMap::new(),
             members: 1,
-            report_interval: INITIAL_REPORT_INTERVAL_MICROS,
-            last_report_at: now,
             last_derived_at: now,
             change_count: 0,
         }
@@ -110,7 +102,7 @@
     /// Sets how many processes the fleet has, and how often each of them reports.
     pub fn set_fleet(&mut self, members: usize, report_interval: Micros) {
         self.members = members.max(1);
-        self.report_interval = report_interval;
+        self.reports.set_interval(report_interval);
     }
 
     /// Replaces the databases that may hold copies, and the number of replicas of each group.
@@ -175,8 +167,8 @@
             }
             let Some(key_bytes) = self.sketch.key_bytes(*key) else { continue };
             let is_copyable = self.uncopyable_until.get(key).is_none_or(|until| now >= *until);
-            let reporters = self.reports.reporters(*key);
-            if is_copyable && refresh::is_own_slot(slot, *key, self.own_origin, reporters) {
+            let reporters = reporters(&self.reports, *key);
+            if is_copyable && refresh::is_own_slot(slot, *key, self.reports.own_origin(), reporters) {
                 let holders = hot_key.copy_holders.clone();
                 due.push(DueCopy { key: *key, key_bytes: key_bytes.to_vec(), holders });
             }
@@ -188,8 +180,7 @@
     pub fn next_change(&self, now: Micros) -> Micros {
         let interval = self.settings.refresh_interval();
         let slots = self.hot_keys.keys().map(|key| refresh::next_slot_at(now, *key, interval));
-        let regular =
-            [self.last_report_at + self.report_interval, self.last_derived_at + DERIVE_INTERVAL_MICROS];
+        let regular = [self.reports.next_due_at(), self.last_derived_at + DERIVE_INTERVAL_MICROS];
         slots.chain(regular).min().unwrap_or(Micros::MAX)
     }
 
@@ -207,7 +198,7 @@
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             counters: self.sketch.len(),
-            reports: self.reports.len(),
+            reports: self.reports.origin_count(),
             copy_ages: self.copy_ages.len(),
         }
     }
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -23,16 +23,11 @@
             return false;
         }
         self.last_derived_at = now;
-        self.reports.remove_expired(now, self.report_lifetime());
+        self.reports.remove_expired(now);
         let before: BTreeSet<Key> = self.hot_keys.keys().copied().collect();
-        let derivation = Derivation {
-            settings: &self.settings,
-            now,
-            report_lifetime: self.report_lifetime(),
-            own_origin: self.own_origin,
-            replicas: &self.replicas,
-        };
-        for (key, hotness) in derivation.hot_set(&self.reports) {
+        let derivation =
+            Derivation { reports: &self.reports, settings: &self.settings, now, replicas: &self.replicas };
+        for (key, hotness) in derivation.hot_set() {
             self.confirm(now, key, hotness);
         }
         let stays = |hot_key: &HotKey| {
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -4,10 +4,8 @@
 use crate::report::{Report, ReportError};
 use crate::{Definition, Micros, RANGES};
 use birchreach_fault_injection::fault_injected;
-use std::collections::BTreeMap;
+use birchreach_peer_reports::{PeerReports, RecordError, ReportHeader};
 
-/// Origins whose reports are kept.
-const MAX_ORIGINS: usize = 4_096;
 /// A window consists of so many parts, of which the oldest is removed at once.
 const WINDOW_PARTS: usize = 4;
 
@@ -20,54 +18,42 @@
     pub processes: usize,
 }
 
-/// A report as it was received.
+/// What the newest report of each origin covers.
 #[derive(Clone, Debug)]
-pub(crate) struct ReceivedReport {
-    /// Increases with each report of an origin.
-    pub(crate) sequence: u64,
-    /// When it was made, on this process's clock.
-    pub(crate) made_at: Micros,
-    pub(crate) report: Report,
-}
-
-/// The newest report of each origin.
-#[derive(Clone, Debug, Default)]
 pub(crate) struct Coverage {
-    by_origin: BTreeMap<u64, ReceivedReport>,
+    pub(crate) reports: PeerReports<Report>,
     /// Comparisons that an injected fault counts twice; zero otherwise.
     injected_excess: u32,
 }
 
 impl Coverage {
+    /// Nothing is covered yet.
+    pub(crate) fn new(own_origin: u64, now: Micros) -> Coverage {
+        Coverage { reports: PeerReports::new(own_origin, now), injected_excess: 0 }
+    }
+
+    /// Records another process's report, which must be of this process's definition.
     pub(crate) fn record(
         &mut self,
+        now: Micros,
         definition: &Definition,
-        origin: u64,
-        received: ReceivedReport,
+        header: ReportHeader,
+        report: Report,
     ) -> Result<(), ReportError> {
-        let is_of_definition = received.report.definition_digest == definition.digest();
+        let is_of_definition = report.definition_digest == definition.digest();
         if !is_of_definition && !fault_injected!(MixesDefinitions) {
             return Err(ReportError::OtherDefinition);
         }
-        match self.by_origin.get(&origin) {
-            Some(newest) if newest.sequence >= received.sequence => {
-                self.injected_excess += u32::from(fault_injected!(CountsTwice));
-                return Err(ReportError::Outdated);
-            }
-            None if self.by_origin.len() >= MAX_ORIGINS => return Err(ReportError::TooManyOrigins),
-            _ => {}
+        let recorded = self.reports.record(now, header, report);
+        if recorded == Err(RecordError::Outdated) && fault_injected!(CountsTwice) {
+            self.injected_excess += 1;
         }
-        self.by_origin.insert(origin, received);
-        Ok(())
-    }
-
-    /// Removes reports whose lifetime is over.
-    pub(crate) fn remove_expired(&mut self, now: Micros, lifetime: Micros) {
-        self.by_origin.retain(|_, received| now - received.made_at < lifetime);
+        Ok(recorded?)
     }
 
+    /// How well a range is covered.
     pub(crate) fn of_range(&self, range: usize) -> RangeCoverage {
-        let counts = self.by_origin.values().filter_map(|received| received.report.compared.get(range));
+        let counts = self.reports.newest().filter_map(|(_, received)| received.report.compared.get(range));
         let comparisons = counts.clone().fold(self.injected_excess, |sum, count| sum.saturating_add(*count));
         RangeCoverage { comparisons, processes: counts.filter(|count| **count > 0).count() }
     }
@@ -75,17 +61,13 @@
     /// Confirmed differences over all processes.
     pub(crate) fn difference_counts(&self) -> DifferenceCounts {
         let mut counts = DifferenceCounts::default();
-        for entry in self.by_origin.values().flat_map(|received| &received.report.differences) {
+        for entry in self.reports.newest().flat_map(|(_, received)| &received.report.differences) {
             if let Some(kind) = DifferenceKind::from_number(entry.kind) {
                 counts.add(kind, entry.count);
             }
         }
         counts
     }
-
-    pub(crate) fn origin_count(&self) -> usize {
-        self.by_origin.len()
-    }
 }
 
 /// This process's comparisons within the window, by range. The window slides by a part of its length at a time.
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -21,7 +21,8 @@
 //!    (`the_verdict_is_clean_only_for_full_coverage`).
 //! 5. Comparisons, confirmed differences and origins are bounded (`tables_are_bounded`).
 //!
-//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
+//! Reports of other processes are kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
+//! other subsystem, and a number of microseconds needs no conversion.
 //! Groups are plain numbers for the same reason.
 
 #![forbid(unsafe_code)]
@@ -40,6 +41,7 @@
 mod verdict;
 mod verifier;
 
+pub use birchreach_peer_reports::RecordError;
 pub use coverage::RangeCoverage;
 pub use definition::{Children, Definition, RANGES};
 pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
--- a/shard-split/src/report.rs
+++ b/shard-split/src/report.rs
@@ -2,6 +2,7 @@
 
 use crate::RANGES;
 use crate::difference::DifferenceKind;
+use birchreach_peer_reports::RecordError;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -34,10 +35,8 @@
     Malformed,
     /// Its process compares by another definition.
     OtherDefinition,
-    /// A newer report of its origin, or the same one, was received before.
-    Outdated,
-    /// Reports of as many origins as possible are kept already.
-    TooManyOrigins,
+    /// It is outdated, or there are too many.
+    NotRecorded(RecordError),
 }
 
 impl ReportError {
@@ -46,25 +45,31 @@
         match self {
             ReportError::Malformed => "form",
             ReportError::OtherDefinition => "other-definition",
-            ReportError::Outdated => "old",
-            ReportError::TooManyOrigins => "too-many",
+            ReportError::NotRecorded(error) => error.as_str(),
         }
     }
 }
 
 impl fmt::Display for ReportError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(match self {
-            ReportError::Malformed => "the report of comparisons is malformed",
-            ReportError::OtherDefinition => "the report is of another definition of the split",
-            ReportError::Outdated => "a newer report of this origin was received before",
-            ReportError::TooManyOrigins => "reports of too many origins are kept",
-        })
+        match self {
+            ReportError::Malformed => formatter.write_str("the report of comparisons is malformed"),
+            ReportError::OtherDefinition => {
+                formatter.write_str("the report is of another definition of the split")
+            }
+            ReportError::NotRecorded(error) => error.fmt(formatter),
+        }
     }
 }
 
 impl std::error::Error for ReportError {}
 
+impl From<RecordError> for ReportError {
+    fn from(error: RecordError) -> ReportError {
+        ReportError::NotRecorded(error)
+    }
+}
+
 impl Report {
     /// The bytes that are sent to other processes.
     pub fn encode(&self) -> Vec<u8> {
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -1,35 +1,29 @@
 //! The verifier's reports: what this process sends, what it takes of others, and the verdict that follows from all of them.
 
 use crate::Micros;
-use crate::coverage::{RangeCoverage, ReceivedReport};
+use crate::coverage::RangeCoverage;
 use crate::definition::RANGES;
 use crate::difference::DifferenceKind;
 use crate::report::{RangeDifferences, Report, ReportError};
 use crate::verdict::{Verdict, verdict};
 use crate::verifier::SplitVerifier;
+use birchreach_peer_reports::ReportHeader;
 use std::collections::BTreeMap;
 
-/// A report counts for so many report intervals.
-const REPORT_LIFETIME_INTERVALS: Micros = 4;
-
 impl SplitVerifier {
     /// This process's report, once in each report interval.
     pub fn report_if_due(&mut self, now: Micros) -> Option<Vec<u8>> {
-        if now - self.last_report_at < self.report_interval {
+        if !self.coverage.reports.is_due(now) {
             return None;
         }
-        self.last_report_at = now;
         let report = Report {
             definition_digest: self.settings.definition.digest(),
             compared: self.window.sums(now),
             differences: self.range_differences(),
         };
         let bytes = report.encode();
-        self.last_sequence += 1;
-        let received = ReceivedReport { sequence: self.last_sequence, made_at: now, report };
-        // Where reports of too many origins are kept, the own one does not count here; the others still get it.
-        let _ = self.coverage.record(&self.settings.definition, self.own_origin, received);
-        self.coverage.remove_expired(now, REPORT_LIFETIME_INTERVALS * self.report_interval);
+        self.coverage.reports.record_own(now, report);
+        self.coverage.reports.remove_expired(now);
         Some(bytes)
     }
 
@@ -62,13 +56,13 @@
         bytes: &[u8],
     ) -> Result<(), ReportError> {
         let report = Report::decode(bytes)?;
-        let received = ReceivedReport { sequence, made_at: now - age.max(0), report };
-        self.coverage.record(&self.settings.definition, origin, received)
+        let header = ReportHeader { origin, sequence, age };
+        self.coverage.record(now, &self.settings.definition, header, report)
     }
 
     /// The verdict. `heard_members` is the number of processes that this one hears from, itself included.
     pub fn verdict(&self, heard_members: usize) -> Verdict {
-        verdict(&self.coverage, &self.settings, heard_members.min(self.coverage.origin_count()))
+        verdict(&self.coverage, &self.settings, heard_members.min(self.origin_count()))
     }
 
     /// How well a range is covered.
@@ -78,6 +72,6 @@
 
     /// Processes whose reports are kept, this one included.
     pub fn origin_count(&self) -> usize {
-        self.coverage.origin_count()
+        self.coverage.reports.origin_count()
     }
 }
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -21,22 +21,16 @@
 const MAX_COMPARISON_MICROS: Micros = 120_000_000;
 /// How much later a query is tried that could not be sent.
 const POSTPONE_MICROS: Micros = 200_000;
-/// The report interval until the size of the fleet is known.
-const INITIAL_REPORT_INTERVAL_MICROS: Micros = 1_000_000;
 
 /// Compares reads of a group that is split with reads of its children.
 pub struct SplitVerifier {
     pub(crate) settings: Settings,
-    pub(crate) own_origin: u64,
     comparisons: BTreeMap<u64, Comparison>,
     last_comparison: u64,
     pub(crate) window: Window,
     pub(crate) coverage: Coverage,
     /// By range.
     differences: BTreeMap<usize, VecDeque<ConfirmedDifference>>,
-    pub(crate) last_sequence: u64,
-    pub(crate) last_report_at: Micros,
-    pub(crate) report_interval: Micros,
     reads_seen: u64,
     counts: Counts,
 }
@@ -47,14 +41,10 @@
         SplitVerifier {
             window: Window::new(now, settings.coverage_window),
             settings,
-            own_origin,
             comparisons: BTreeMap::new(),
             last_comparison: 0,
-            coverage: Coverage::default(),
+            coverage: Coverage::new(own_origin, now),
             differences: BTreeMap::new(),
-            last_sequence: 0,
-            last_report_at: now,
-            report_interval: INITIAL_REPORT_INTERVAL_MICROS,
             reads_seen: 0,
             counts: Counts::default(),
         }
@@ -67,7 +57,7 @@
 
     /// Sets how often this process reports.
     pub fn set_report_interval(&mut self, interval: Micros) {
-        self.report_interval = interval;
+        self.coverage.reports.set_interval(interval);
     }
 
     /// A client was served a row of the parent: it may be compared.
@@ -192,7 +182,7 @@
     pub fn next_change(&self, now: Micros) -> Micros {
         let waiting = self.comparisons.values().filter(|comparison| !comparison.query_in_flight);
         let queries = waiting.map(|comparison| comparison.query_at.max(now));
-        queries.chain([self.last_report_at + self.report_interval]).min().unwrap_or(Micros::MAX)
+        queries.chain([self.coverage.reports.next_due_at()]).min().unwrap_or(Micros::MAX)
     }
 
     /// Differences that this process confirmed and keeps, each with its range.
