--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,6 +1,6 @@
 //! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
 
-use crate::reports::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+use crate::report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
 use crate::tracker::HotKeyTracker;
 use crate::{Key, Micros, mix};
 use birchreach_peer_reports::{PeerReports, ReportHeader};
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -1,6 +1,6 @@
 //! The set of hot keys as a function of the reports and nothing else: processes that received equal reports derive equal sets.
 
-use crate::reports::Report;
+use crate::report::Report;
 use crate::{Key, Micros, Settings};
 use birchreach_fault_injection::fault_injected;
 use birchreach_peer_reports::PeerReports;
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -4,8 +4,8 @@
 use crate::copy_ages::CopyAges;
 use crate::copy_holders::{Database, copy_holders};
 use crate::refresh::{self, DueCopy};
+use crate::report::Report;
 use crate::reporting::reporters;
-use crate::reports::Report;
 use crate::sketch::ReadSketch;
 use crate::update::DERIVE_INTERVAL_MICROS;
 use crate::{Key, Micros, Settings};
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -1,4 +1,4 @@
-//! What all processes have compared and found, by range: the newest report of each origin, and this process's own window of counts.
+//! What all processes have compared and found, by range, by the newest report of each origin.
 
 use crate::difference::{DifferenceCounts, DifferenceKind};
 use crate::report::{Report, ReportError};
@@ -6,9 +6,6 @@
 use birchreach_fault_injection::fault_injected;
 use birchreach_peer_reports::{PeerReports, RecordError, ReportHeader};
 
-/// A window consists of so many parts, of which the oldest is removed at once.
-const WINDOW_PARTS: usize = 4;
-
 /// How well a range is covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RangeCoverage {
@@ -69,48 +66,3 @@
         counts
     }
 }
-
-/// This process's comparisons within the window, by range. The window slides by a part of its length at a time.
-#[derive(Clone, Debug)]
-pub(crate) struct Window {
-    /// The newest part first.
-    parts: Vec<[u32; RANGES]>,
-    part_span: Micros,
-    part_started_at: Micros,
-}
-
-impl Window {
-    pub(crate) fn new(now: Micros, span: Micros) -> Window {
-        Window {
-            parts: vec![[0; RANGES]; WINDOW_PARTS],
-            part_span: (span / WINDOW_PARTS as Micros).max(1),
-            part_started_at: now,
-        }
-    }
-
-    pub(crate) fn add(&mut self, now: Micros, range: usize) {
-        self.advance(now);
-        if let Some(count) = self.parts[0].get_mut(range) {
-            *count = count.saturating_add(1);
-        }
-    }
-
-    fn advance(&mut self, now: Micros) {
-        while now - self.part_started_at >= self.part_span {
-            self.part_started_at += self.part_span;
-            self.parts.rotate_right(1);
-            self.parts[0] = [0; RANGES];
-            if now - self.part_started_at > self.part_span * (WINDOW_PARTS as Micros + 1) {
-                // All that was counted is older than the window.
-                self.parts.fill([0; RANGES]);
-                self.part_started_at = now;
-            }
-        }
-    }
-
-    /// The comparisons of each range.
-    pub(crate) fn sums(&mut self, now: Micros) -> Vec<u32> {
-        self.advance(now);
-        (0..RANGES).map(|range| self.parts.iter().map(|part| part[range]).sum()).collect()
-    }
-}
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -40,6 +40,7 @@
 mod settings;
 mod verdict;
 mod verifier;
+mod window;
 
 pub use birchreach_peer_reports::RecordError;
 pub use coverage::RangeCoverage;
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -1,12 +1,13 @@
 //! The verifier: reads that were served come in, queries go out, results come back. Its reports and verdict are in `reporting`.
 
 use crate::compare::{Comparison, ComparisonEnd, Difference};
-use crate::coverage::{Coverage, Window};
+use crate::coverage::Coverage;
 use crate::definition::Definition;
 use crate::difference::ConfirmedDifference;
 use crate::judge::Row;
 use crate::query::{Child, ComparisonQuery, DueQuery, QueryResult};
 use crate::settings::{Counts, Settings};
+use crate::window::Window;
 use crate::{Children, Micros};
 use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, VecDeque};
