--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -2,7 +2,7 @@
 
 use crate::difference::{DifferenceCounts, DifferenceKind};
 use crate::report::{Report, ReportError};
-use crate::{Definition, Micros, RANGES};
+use crate::{Definition, Micros};
 use birchreach_fault_injection::fault_injected;
 use birchreach_peer_reports::{PeerReports, RecordError, ReportHeader};
 
