--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -28,7 +28,7 @@
 mod scheduler;
 
 pub use budget::{Budget, Quota};
-pub use scheduler::{Counts, MAX_QUEUED_TASKS, MAX_RUNNING_TASKS, Scheduler, StartedTask, Task};
+pub use scheduler::{MAX_QUEUED_TASKS, MAX_RUNNING_TASKS, Scheduler, StartedTask, Task, TaskCounts};
 
 /// A span of time, or an instant on the caller's clock, in microseconds.
 pub type Micros = i64;
--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -36,7 +36,7 @@
 
 /// What became of the tasks of a kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct TaskCounts {
     /// Were started.
     pub started: u64,
     /// Are over, whatever came of them.
@@ -67,7 +67,7 @@
     last_task_id: u64,
     /// Payloads of expired tasks, until the caller takes them.
     expired: Vec<T>,
-    counts: BTreeMap<TaskKind, Counts>,
+    counts: BTreeMap<TaskKind, TaskCounts>,
 }
 
 impl<T> Scheduler<T> {
@@ -167,7 +167,7 @@
     }
 
     /// What became of the tasks of a kind since the start.
-    pub fn counts(&self, kind: TaskKind) -> Counts {
+    pub fn counts(&self, kind: TaskKind) -> TaskCounts {
         self.counts.get(&kind).copied().unwrap_or_default()
     }
 
--- a/hot-keys/src/copy_ages.rs
+++ b/hot-keys/src/copy_ages.rs
@@ -11,7 +11,7 @@
 /// The weight of the older age in the average when a newer copy is seen.
 const AGE_SMOOTHING: f64 = 0.8;
 /// Pairs of key and holder that are remembered; the one that was updated first makes room.
-const MAX_PAIRS: usize = 1_024;
+const MAX_LOCATIONS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
 struct CopyAge {
@@ -23,14 +23,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Pair {
+struct CopyLocation {
     key: Key,
     holder: u32,
 }
 
 /// The ages of copies, by key and holder.
 #[derive(Default)]
-pub(crate) struct CopyAges(HashMap<Pair, CopyAge>);
+pub(crate) struct CopyAges(HashMap<CopyLocation, CopyAge>);
 
 impl CopyAges {
     /// How old a holder's copy is likely to be, `default_age` if none was seen yet; none while the holder is not to be asked.
@@ -41,7 +41,7 @@
         holder: u32,
         default_age: Micros,
     ) -> Option<Micros> {
-        match self.0.get(&Pair { key, holder }) {
+        match self.0.get(&CopyLocation { key, holder }) {
             Some(copy) if copy.retry_at > now => None,
             Some(copy) => Some(copy.age),
             None => Some(default_age),
@@ -70,23 +70,28 @@
 
     /// A copy was written to the holder: it is asked again soon.
     pub(crate) fn record_written(&mut self, now: Micros, key: Key, holder: u32) {
-        if let Some(copy) = self.0.get_mut(&Pair { key, holder }) {
+        if let Some(copy) = self.0.get_mut(&CopyLocation { key, holder }) {
             copy.retry_at = copy.retry_at.min(now + INITIAL_BACKOFF_MICROS);
         }
     }
 
     fn entry(&mut self, now: Micros, key: Key, holder: u32, age: Micros) -> &mut CopyAge {
-        let pair = Pair { key, holder };
-        if self.0.len() >= MAX_PAIRS && !self.0.contains_key(&pair) {
-            let oldest = self.0.iter().min_by_key(|(_, copy)| copy.updated_at).map(|(pair, _)| *pair);
-            oldest.map(|pair| self.0.remove(&pair));
+        let location = CopyLocation { key, holder };
+        if self.0.len() >= MAX_LOCATIONS && !self.0.contains_key(&location) {
+            let oldest = self.0.iter().min_by_key(|(_, copy)| copy.updated_at).map(|(location, _)| *location);
+            oldest.map(|location| self.0.remove(&location));
         }
-        self.0.entry(pair).or_insert(CopyAge { age, consecutive_misses: 0, retry_at: now, updated_at: now })
+        self.0.entry(location).or_insert(CopyAge {
+            age,
+            consecutive_misses: 0,
+            retry_at: now,
+            updated_at: now,
+        })
     }
 
     /// Forgets all other keys.
     pub(crate) fn retain_keys(&mut self, is_hot: impl Fn(Key) -> bool) {
-        self.0.retain(|pair, _| is_hot(pair.key));
+        self.0.retain(|location, _| is_hot(location.key));
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,9 +1,9 @@
 //! The metrics of background work and of the subsystems that it is done for. Each name stands here once.
 
 use crate::hot::CopyReadCounts;
-use birchreach_background_tasks::Counts as TaskCounts;
+use birchreach_background_tasks::TaskCounts;
 use birchreach_hot_keys::HotKeyTracker;
-use birchreach_shard_split::{Counts as ComparisonCounts, Verdict};
+use birchreach_shard_split::{ComparisonCounts, Verdict};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::metrics::counter::Counter;
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -9,7 +9,7 @@
 use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::{
     ComparisonQuery, ConfirmedDifference, Definition, DifferenceCounts, IncompleteReason, ParentSample,
-    PositionSample, QueryResult, RANGES, Row, Settings, SplitVerifier, Verdict,
+    PositionSample, QueryResult, RANGES, RowDigest, Settings, SplitVerifier, Verdict,
 };
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -107,7 +107,7 @@
     }
 
     /// The digest of the row in the nth reply; none without such a reply.
-    fn row(&self, completed: &BackgroundQueryResult, n: usize) -> Option<Row> {
+    fn row(&self, completed: &BackgroundQueryResult, n: usize) -> Option<RowDigest> {
         let reply = completed.replies.get(n)?;
         Some(reply.value.as_ref().map(|value| self.digest(&value.bytes)))
     }
@@ -152,7 +152,7 @@
             settings.definition.digest(),
             heard_members.min(self.verifier.origin_count()),
             settings.configured_members,
-            reason.silent_members,
+            reason.unreachable_members,
             reason.ranges_below_comparisons,
             reason.ranges_below_processes,
             differences.missing,
@@ -171,7 +171,7 @@
 
     /// A confirmed difference as operators see it, in the log and in the admin call.
     pub fn difference_fields(&self, range: usize, difference: &ConfirmedDifference) -> String {
-        let row = |row: Row| row.map_or("none".into(), |digest| format!("{digest:016x}"));
+        let row = |row: RowDigest| row.map_or("none".into(), |digest| format!("{digest:016x}"));
         let class = self.class_names.get(usize::from(difference.class)).map_or("?", String::as_str);
         format!(
             "sort={} class={class} range={range} hash={:08x} parent={} child={} group={} since_ms={} low_ms={} high_ms={} at_ms={}",
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -1,7 +1,7 @@
 //! One comparison: the answer that a client got from the parent against both children's. If a child differs, it and the parent are
 //! sampled, and again after a delay, before the difference is confirmed.
 
-use crate::judge::{Outcome, ParentSample, PositionSample, Row, judge};
+use crate::judge::{Outcome, ParentSample, PositionSample, RowDigest, judge};
 use crate::query::{Child, ComparisonQuery, QueryResult};
 use crate::{DifferenceKind, Micros};
 use birchreach_fault_injection::fault_injected;
@@ -89,7 +89,7 @@
     pub(crate) key_hash: u32,
     pub(crate) key_bytes: Vec<u8>,
     /// The answer that the client got from the parent.
-    parent_row: Row,
+    parent_row: RowDigest,
     stage: ComparisonStage,
     /// The query is sent and has no result yet.
     pub(crate) query_in_flight: bool,
@@ -107,7 +107,7 @@
         class: u16,
         key_hash: u32,
         key_bytes: &[u8],
-        parent_row: Row,
+        parent_row: RowDigest,
     ) -> Comparison {
         Comparison {
             class,
--- a/shard-split/src/judge.rs
+++ b/shard-split/src/judge.rs
@@ -4,13 +4,13 @@
 use birchreach_fault_injection::fault_injected;
 
 /// A digest of a row's value; none where there is no row.
-pub type Row = Option<u64>;
+pub type RowDigest = Option<u64>;
 
 /// A child that was read twice on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PositionSample {
     /// What the second read gave.
-    pub row: Row,
+    pub row: RowDigest,
     /// The position that came with the first answer: the second read includes all commits up to it.
     pub position_before: Micros,
     /// The position that came with the second answer: the second read includes nothing beyond it.
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ParentSample {
     /// What the second read gave.
-    pub row: Row,
+    pub row: RowDigest,
     /// When that row was last committed.
     pub committed_at: Micros,
     /// The position that came with the first answer, before the second read.
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -46,10 +46,10 @@
 pub use coverage::RangeCoverage;
 pub use definition::{Children, Definition, RANGES};
 pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
-pub use judge::{Outcome, ParentSample, PositionSample, Row};
+pub use judge::{Outcome, ParentSample, PositionSample, RowDigest};
 pub use query::{Child, ComparisonQuery, DueQuery, QueryResult};
 pub use report::{RangeDifferences, Report, ReportError};
-pub use settings::{Counts, Settings};
+pub use settings::{ComparisonCounts, Settings};
 pub use verdict::{IncompleteReason, Verdict};
 pub use verifier::SplitVerifier;
 
--- a/shard-split/src/query.rs
+++ b/shard-split/src/query.rs
@@ -1,7 +1,7 @@
 //! What a comparison needs to know of the databases, and what they answered.
 
 use crate::Micros;
-use crate::judge::{ParentSample, PositionSample, Row};
+use crate::judge::{ParentSample, PositionSample, RowDigest};
 
 /// One of the two children, as a key sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -29,7 +29,7 @@
     /// Of [`ComparisonQuery::SingleRead`].
     SingleRead {
         /// What the read gave.
-        row: Row,
+        row: RowDigest,
         /// The position that came with it, if any.
         position: Option<Micros>,
     },
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -60,9 +60,9 @@
         self.coverage.record(now, &self.settings.definition, header, report)
     }
 
-    /// The verdict. `heard_members` is the number of processes that this one hears from, itself included.
-    pub fn verdict(&self, heard_members: usize) -> Verdict {
-        verdict(&self.coverage, &self.settings, heard_members.min(self.origin_count()))
+    /// The verdict. `reachable_members` is the number of processes that this one hears from, itself included.
+    pub fn verdict(&self, reachable_members: usize) -> Verdict {
+        verdict(&self.coverage, &self.settings, reachable_members.min(self.origin_count()))
     }
 
     /// How well a range is covered.
--- a/shard-split/src/settings.rs
+++ b/shard-split/src/settings.rs
@@ -21,7 +21,7 @@
 
 /// What became of comparisons at this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct ComparisonCounts {
     /// Were started.
     pub started: u64,
     /// Found no difference.
--- a/shard-split/src/verdict.rs
+++ b/shard-split/src/verdict.rs
@@ -13,7 +13,7 @@
     /// Ranges that too few processes have compared.
     pub ranges_below_processes: usize,
     /// Configured processes that are not heard from.
-    pub silent_members: usize,
+    pub unreachable_members: usize,
 }
 
 /// What the comparisons come to.
@@ -38,8 +38,8 @@
     }
 }
 
-/// The verdict. `heard_members` is the number of processes that this one hears from, itself included.
-pub(crate) fn verdict(coverage: &Coverage, settings: &Settings, heard_members: usize) -> Verdict {
+/// The verdict. `reachable_members` is the number of processes that this one hears from, itself included.
+pub(crate) fn verdict(coverage: &Coverage, settings: &Settings, reachable_members: usize) -> Verdict {
     let differences = coverage.difference_counts();
     if !differences.is_empty() {
         return Verdict::Dirty(differences);
@@ -50,7 +50,7 @@
         reason.ranges_below_processes += usize::from(range.processes < settings.min_processes);
     }
     if !fault_injected!(CleanWhileMembersMissing) {
-        reason.silent_members = settings.configured_members.saturating_sub(heard_members);
+        reason.unreachable_members = settings.configured_members.saturating_sub(reachable_members);
     }
     if reason == IncompleteReason::default() { Verdict::Clean } else { Verdict::Incomplete(reason) }
 }
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -4,9 +4,9 @@
 use crate::coverage::Coverage;
 use crate::definition::Definition;
 use crate::difference::ConfirmedDifference;
-use crate::judge::Row;
+use crate::judge::RowDigest;
 use crate::query::{Child, ComparisonQuery, DueQuery, QueryResult};
-use crate::settings::{Counts, Settings};
+use crate::settings::{ComparisonCounts, Settings};
 use crate::window::Window;
 use crate::{Children, Micros};
 use birchreach_fault_injection::fault_injected;
@@ -33,7 +33,7 @@
     /// By range.
     differences: BTreeMap<usize, VecDeque<ConfirmedDifference>>,
     reads_seen: u64,
-    counts: Counts,
+    counts: ComparisonCounts,
 }
 
 impl SplitVerifier {
@@ -47,7 +47,7 @@
             coverage: Coverage::new(own_origin, now),
             differences: BTreeMap::new(),
             reads_seen: 0,
-            counts: Counts::default(),
+            counts: ComparisonCounts::default(),
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// A client was served a row of the parent: it may be compared.
-    pub fn record_read(&mut self, now: Micros, class: u16, key: &[u8], row: Row) {
+    pub fn record_read(&mut self, now: Micros, class: u16, key: &[u8], row: RowDigest) {
         let key_hash = Definition::hash(key);
         self.reads_seen += 1;
         let is_sampled = !self.is_covered(Definition::range(key_hash))
@@ -192,7 +192,7 @@
     }
 
     /// What became of this process's comparisons.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> ComparisonCounts {
         self.counts
     }
 
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/verdicts.rs
@@ -27,7 +27,7 @@
     };
     ensure!(one_lacks == Verdict::Incomplete(reason), "{one_lacks:?}");
     let partitioned = verifier_with_reports(|_| 9).verdict(2);
-    let reason = IncompleteReason { silent_members: 1, ..IncompleteReason::default() };
+    let reason = IncompleteReason { unreachable_members: 1, ..IncompleteReason::default() };
     ensure!(partitioned == Verdict::Incomplete(reason), "{partitioned:?}");
     check_comparisons_expire()
 }
