--- a/hot-keys/src/copy_ages.rs
+++ b/hot-keys/src/copy_ages.rs
@@ -1,39 +1,44 @@
-//! What this process has learned about copies: how old each holder's copy of a key is likely to be, and which holders had none.
+//! What this process observed of copies: how old each holder's copy of a key is likely to be, and which holders had none.
 
 use crate::{Key, Micros};
 use std::collections::HashMap;
 
-/// How long a holder is not asked after a miss; doubled with each further miss in a row, up to the maximum.
+/// How long a holder is not queried after a miss; doubled with each further miss in a row, up to the maximum.
 const INITIAL_BACKOFF_MICROS: Micros = 200_000;
+/// The longest time for which a holder is not queried.
 const MAX_BACKOFF_MICROS: Micros = 6_400_000;
 /// Doublings after which the backoff is at its maximum anyway; it keeps the shift in range.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 /// The weight of the older age in the average when a newer copy is seen.
 const AGE_SMOOTHING: f64 = 0.8;
-/// Pairs of key and holder that are remembered; the one that was updated first makes room.
+/// Locations that are kept; the one that was updated longest ago is evicted.
 const MAX_LOCATIONS: usize = 1_024;
 
+/// How old a copy is likely to be, and when its holder may be queried.
 #[derive(Clone, Copy, Debug)]
 struct CopyAge {
     /// How old the copy was when it served a read. An older copy counts at once, a newer one is averaged in.
     age: Micros,
     consecutive_misses: u32,
+    /// Until then the holder is not queried.
     retry_at: Micros,
+    /// When the holder answered last.
     updated_at: Micros,
 }
 
+/// A key, and a database that holds a copy of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct CopyLocation {
     key: Key,
     holder: u32,
 }
 
-/// The ages of copies, by key and holder.
+/// The ages of copies, by location.
 #[derive(Default)]
 pub(crate) struct CopyAges(HashMap<CopyLocation, CopyAge>);
 
 impl CopyAges {
-    /// How old a holder's copy is likely to be, `default_age` if none was seen yet; none while the holder is not to be asked.
+    /// How old a holder's copy is likely to be, `default_age` if none was seen yet; none while the holder is not to be queried.
     pub(crate) fn expected_age(
         &self,
         now: Micros,
@@ -48,7 +53,7 @@
         }
     }
 
-    /// A holder served a read from a copy with this position.
+    /// Records that a holder served a read from a copy with this position.
     pub(crate) fn record_hit(&mut self, now: Micros, key: Key, holder: u32, position: Micros) {
         let age = (now - position).max(0);
         let copy = self.entry(now, key, holder, age);
@@ -59,7 +64,7 @@
         copy.updated_at = now;
     }
 
-    /// A holder had no copy that was recent enough.
+    /// Records that a holder had no copy that was recent enough.
     pub(crate) fn record_miss(&mut self, now: Micros, key: Key, holder: u32, default_age: Micros) {
         let copy = self.entry(now, key, holder, default_age);
         let doublings = copy.consecutive_misses.min(MAX_BACKOFF_DOUBLINGS);
@@ -68,13 +73,14 @@
         copy.updated_at = now;
     }
 
-    /// A copy was written to the holder: it is asked again soon.
+    /// Records that a copy was written to the holder: its backoff ends soon.
     pub(crate) fn record_written(&mut self, now: Micros, key: Key, holder: u32) {
         if let Some(copy) = self.0.get_mut(&CopyLocation { key, holder }) {
             copy.retry_at = copy.retry_at.min(now + INITIAL_BACKOFF_MICROS);
         }
     }
 
+    /// The entry of a location; a new one with this age, for which another may be evicted.
     fn entry(&mut self, now: Micros, key: Key, holder: u32, age: Micros) -> &mut CopyAge {
         let location = CopyLocation { key, holder };
         if self.0.len() >= MAX_LOCATIONS && !self.0.contains_key(&location) {
@@ -89,7 +95,7 @@
         })
     }
 
-    /// Forgets all other keys.
+    /// Removes the copies of all other keys.
     pub(crate) fn retain_keys(&mut self, is_hot: impl Fn(Key) -> bool) {
         self.0.retain(|location, _| is_hot(location.key));
     }
--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -49,7 +49,7 @@
 pub use report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
 pub use reporting::ReportAgreement;
 pub use settings::{CopyCost, CopyRequirement, Settings};
-pub use sketch::ReadSketch;
+pub use sketch::{KeyRate, ReadSketch};
 pub use tracker::{CopyCandidate, HotKey, HotKeyTracker, TableSizes};
 
 /// A span of time, or an instant on the caller's clock, in microseconds. Instants are Unix time, as positions are.
@@ -65,8 +65,8 @@
 }
 
 /// Distributes the bits of a number over all of it (the finalizer of SplitMix64).
-pub(crate) fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+pub(crate) fn mix(mut bits: u64) -> u64 {
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
--- a/hot-keys/src/refresh.rs
+++ b/hot-keys/src/refresh.rs
@@ -1,6 +1,6 @@
 //! Which process refreshes the copies of a key now. Time is divided into slots of a refresh interval, and each slot belongs to the
-//! reporter of the key that rendezvous hashing selects. Nothing that must hold depends on clocks or reports that agree: a slot with two
-//! owners costs a copy more, a slot with none makes copies older.
+//! reporter of the key that rendezvous hashing selects. Correctness does not depend on clocks or reports that agree: a slot with two
+//! owners costs one more copy, a slot with none makes copies older.
 
 use crate::{Database, Key, Micros, mix};
 use birchreach_fault_injection::fault_injected;
@@ -33,7 +33,7 @@
     (slot_at(now, key, interval) + 1) * interval - slot_offset(key, interval)
 }
 
-/// Whether a slot of the key belongs to this origin, which is none of them where nobody reports the key.
+/// Whether a slot of the key belongs to this origin. Where nobody reports the key, its slots belong to none.
 pub(crate) fn is_own_slot(
     slot: i64,
     key: Key,
@@ -44,5 +44,5 @@
     let own_weight = weight(own_origin);
     let mut weights = reporters.map(weight).peekable();
     let is_reported = weights.peek().is_some();
-    is_reported && weights.all(|other| other <= own_weight || fault_injected!(ClaimsEverySlot))
+    is_reported && weights.all(|other_weight| other_weight <= own_weight || fault_injected!(ClaimsEverySlot))
 }
--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,13 +1,14 @@
 //! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
 
 use crate::report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+use crate::sketch::KeyRate;
 use crate::tracker::HotKeyTracker;
 use crate::{Key, Micros, mix};
 use birchreach_peer_reports::{PeerReports, ReportHeader};
 
 /// A key is reported from this fraction of the rate that would make it hot if all processes read it alike.
 const REPORT_THRESHOLD_FRACTION: f64 = 0.25;
-/// How many keys are looked at for a report: some may be below the threshold.
+/// How many keys are considered for a report: some may be below the threshold.
 const REPORT_CANDIDATES: usize = MAX_REPORT_ENTRIES * 4;
 
 /// How many other processes have the same hot set by their newest reports.
@@ -54,9 +55,10 @@
         Some(bytes)
     }
 
+    /// The keys of this process's report: those that are hot, or read often enough here.
     fn report_entries(&mut self, now: Micros) -> Vec<ReportEntry> {
         let top_keys = self.sketch.top_keys(now, REPORT_CANDIDATES);
-        let entry = |(key, reads_per_s): (Key, f64)| {
+        let entry = |KeyRate { key, reads_per_s }: KeyRate| {
             let is_hot = self.hot_keys.contains_key(&key);
             let is_reported = is_hot || reads_per_s >= self.report_threshold(key.group);
             is_reported.then_some(ReportEntry {
@@ -68,6 +70,7 @@
         top_keys.into_iter().filter_map(entry).take(MAX_REPORT_ENTRIES).collect()
     }
 
+    /// The rate at this process from which a key of the group is reported.
     fn report_threshold(&self, group: u32) -> f64 {
         let replicas = self.replicas.get(&group).copied().unwrap_or(1);
         REPORT_THRESHOLD_FRACTION * self.settings.hot_threshold(replicas) / self.members as f64
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -24,17 +24,22 @@
 pub(crate) struct Derivation<'a> {
     /// The newest report of each process; that of the process that derives the set counts as all others do.
     pub(crate) reports: &'a PeerReports<Report>,
+    /// The settings in force.
     pub(crate) settings: &'a Settings,
+    /// The time that the ages of reports are counted to.
     pub(crate) now: Micros,
     /// How many replicas each group has.
     pub(crate) replicas: &'a BTreeMap<u32, usize>,
 }
 
+/// What all reports add up to for one key.
 #[derive(Default)]
 struct KeyTotals {
     /// What is compared with the threshold: each origin counts up to a bound.
     counted_per_s: f64,
+    /// The same without the bound.
     reported_per_s: f64,
+    /// Origins that report the key.
     reporters: usize,
     /// Reporters that have the key in their hot set.
     hot_reporters: usize,
@@ -64,6 +69,7 @@
         hot.into_iter().collect()
     }
 
+    /// Adds up all reports. `thresholds` gets the threshold of each group that they name.
     fn totals(&self, thresholds: &mut BTreeMap<u32, f64>) -> BTreeMap<Key, KeyTotals> {
         let mut totals = BTreeMap::new();
         for (origin, received) in self.reports.newest() {
@@ -73,6 +79,7 @@
         totals
     }
 
+    /// Adds one report to the totals of its keys.
     fn add_report(
         &self,
         origin: u64,
@@ -95,6 +102,7 @@
         }
     }
 
+    /// The rate of a hot key, and the copies that it should have.
     fn hotness(&self, key: Key, reads_per_s: f64) -> Hotness {
         let wanted_copies = self.settings.cost(reads_per_s, self.replicas(key.group)).copies;
         Hotness { reads_per_s, wanted_copies }
@@ -107,6 +115,7 @@
         if is_unbounded || fault_injected!(CountsOriginsUnbounded) { f64::INFINITY } else { threshold / 2.0 }
     }
 
+    /// How many replicas a group has; one if the endpoint list does not name it.
     fn replicas(&self, group: u32) -> usize {
         self.replicas.get(&group).copied().unwrap_or(1)
     }
--- a/hot-keys/src/settings.rs
+++ b/hot-keys/src/settings.rs
@@ -1,5 +1,5 @@
-//! What an installation says of itself, and what follows from it: when copying a key is worthwhile, how many copies it gets, and how
-//! often they are refreshed.
+//! The settings of an installation, and what follows from them: when copying a key is worthwhile, how many copies it gets, and how often
+//! they are refreshed.
 
 use crate::Micros;
 
@@ -23,13 +23,13 @@
 const ANY_REFRESH_MICROS: Micros = 5_000_000;
 /// The shortest refresh interval: reading and writing a copy takes some tens of milliseconds.
 const MIN_REFRESH_MICROS: Micros = 100_000;
-/// A threshold above this rate is not looked for: no key is read so often.
+/// The highest threshold that is searched for: no key is read so often.
 const MAX_THRESHOLD_PER_S: f64 = 1e9;
 /// Bisections of the threshold; 30 give it to a billionth.
 const THRESHOLD_BISECTIONS: usize = 30;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What an installation says of itself.
+/// The settings of an installation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Reads a second that one database can serve.
@@ -68,7 +68,7 @@
         lowest.unwrap_or(default).max(MIN_REFRESH_MICROS)
     }
 
-    /// What copying a key of this rate costs and saves, whose group has so many replicas.
+    /// What copying a key of this rate costs and saves, in a group of so many replicas.
     pub fn cost(&self, reads_per_s: f64, replicas: usize) -> CopyCost {
         // Each database that serves the key keeps half of its capacity for other keys.
         let servers_needed = (2.0 * reads_per_s / self.database_reads_per_s).ceil() as usize;
--- a/hot-keys/src/sketch.rs
+++ b/hot-keys/src/sketch.rs
@@ -24,10 +24,21 @@
 const BITS_PER_WORD: usize = 64;
 const MICROS_PER_SECOND: f64 = 1e6;
 
+/// A key and its rate at this process.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct KeyRate {
+    /// The key.
+    pub key: Key,
+    /// Reads a second, never more than there were.
+    pub reads_per_s: f64,
+}
+
+/// The counter of one key.
 #[derive(Clone, Debug)]
 struct Counter {
+    /// Reads, each of which decays with its age.
     count: f64,
-    /// How much of the count may be of keys that had the counter before.
+    /// How much of the count may be of the key that had the counter before.
     error: f64,
     key_bytes: Box<[u8]>,
 }
@@ -49,7 +60,9 @@
     /// Whether the key was read before, as far as the filters know; it is entered.
     fn check_and_insert(&mut self, now: Micros, key: Key) -> bool {
         self.rotate_if_due(now);
-        let bit = |n: u64| mix(key.hash ^ mix(u64::from(key.group) ^ n << 32)) as usize % DOORKEEPER_BITS;
+        let bit = |hash_index: u64| {
+            mix(key.hash ^ mix(u64::from(key.group) ^ hash_index << 32)) as usize % DOORKEEPER_BITS
+        };
         let mask = |bit: usize| 1u64 << (bit % BITS_PER_WORD);
         let contains = |filter: &[u64]| {
             (0..DOORKEEPER_HASHES).map(bit).all(|bit| filter[bit / BITS_PER_WORD] & mask(bit) != 0)
@@ -63,9 +76,10 @@
         is_known
     }
 
+    /// Replaces the current filter by an empty one, if it is too old or full.
     fn rotate_if_due(&mut self, now: Micros) {
-        let is_over = now - self.generation_since >= DOORKEEPER_GENERATION_MICROS;
-        if is_over || self.bits_set >= DOORKEEPER_FULL_BITS {
+        let is_too_old = now - self.generation_since >= DOORKEEPER_GENERATION_MICROS;
+        if is_too_old || self.bits_set >= DOORKEEPER_FULL_BITS {
             self.generations.swap(0, 1);
             self.generations[0].fill(0);
             self.bits_set = 0;
@@ -93,6 +107,7 @@
         }
     }
 
+    /// Decays all counts by the time since the last call, in whole steps, and removes counters that are next to zero.
     fn decay(&mut self, now: Micros) {
         let steps = (now - self.decayed_at) / DECAY_STEP_MICROS;
         if steps <= 0 {
@@ -121,7 +136,7 @@
         self.counters.insert(key, Counter { count: error + 1.0, error, key_bytes: key_bytes.into() });
     }
 
-    /// Removes the lowest counter if all are in use, and gives its count, which is the error of the key that gets its place.
+    /// Removes the lowest counter if all are in use, and returns its count, which is the error of the key that replaces it.
     fn free_counter(&mut self) -> f64 {
         if self.counters.len() < MAX_COUNTERS {
             return 0.0;
@@ -139,13 +154,15 @@
         certain.max(0.0) / (DECAY_MICROS as f64 / MICROS_PER_SECOND) / filled
     }
 
-    /// The keys with the highest rates in reads a second, the highest first.
-    pub fn top_keys(&mut self, now: Micros, count: usize) -> Vec<(Key, f64)> {
+    /// The keys with the highest rates, the highest first.
+    pub fn top_keys(&mut self, now: Micros, count: usize) -> Vec<KeyRate> {
         self.decay(now);
-        let rate = |counter: &Counter| self.reads_per_s(now, counter);
-        let mut rates: Vec<(Key, f64)> =
-            self.counters.iter().map(|(key, counter)| (*key, rate(counter))).collect();
-        rates.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+        let rate = |(key, counter): (&Key, &Counter)| KeyRate {
+            key: *key,
+            reads_per_s: self.reads_per_s(now, counter),
+        };
+        let mut rates: Vec<KeyRate> = self.counters.iter().map(rate).collect();
+        rates.sort_by(|a, b| b.reads_per_s.total_cmp(&a.reads_per_s).then(a.key.cmp(&b.key)));
         rates.truncate(count);
         rates
     }
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -26,8 +26,9 @@
     pub confirmed_at: Micros,
     /// The databases that hold its copies.
     pub copy_holders: Vec<Database>,
+    /// How many copies it should have; there may be fewer holders than that.
     pub(crate) wanted_copies: usize,
-    /// The refresh slot that was looked at last.
+    /// The refresh slot for which it was decided last who refreshes the copies.
     pub(crate) last_slot: i64,
 }
 
@@ -54,24 +55,30 @@
 /// Tracks which keys are hot and where their copies are.
 pub struct HotKeyTracker {
     pub(crate) settings: Settings,
+    /// The number of the secret that keys are hashed with.
     pub(crate) secret_id: u32,
+    /// The reads of this process.
     pub(crate) sketch: ReadSketch,
     pub(crate) reports: PeerReports<Report>,
     pub(crate) hot_keys: BTreeMap<Key, HotKey>,
     pub(crate) copy_ages: CopyAges,
     /// Keys whose rows cannot be copied, and until when that is assumed.
     pub(crate) uncopyable_until: BTreeMap<Key, Micros>,
+    /// Databases that may hold copies.
     pub(crate) databases: Vec<Database>,
     /// How many replicas each group has, by the endpoint list.
     pub(crate) replicas: BTreeMap<u32, usize>,
+    /// Processes of the fleet, this one included.
     pub(crate) members: usize,
+    /// When the set of hot keys was derived last.
     pub(crate) last_derived_at: Micros,
+    /// How often a key became hot, or ceased to be.
     pub(crate) change_count: u64,
 }
 
 impl HotKeyTracker {
-    /// A tracker without hot keys. `own_origin` is this process's number in reports, `secret_id` the number of the secret that keys are
-    /// hashed with.
+    /// A tracker without hot keys. `own_origin` is this process's number in reports, `secret_id` the number of the secret that keys
+    /// are hashed with.
     pub fn new(settings: Settings, own_origin: u64, secret_id: u32, now: Micros) -> HotKeyTracker {
         HotKeyTracker {
             settings,
@@ -129,11 +136,12 @@
         hot_key.copy_holders.iter().filter_map(candidate).collect()
     }
 
+    /// How old a copy is assumed to be before one was seen at its holder.
     fn default_copy_age(&self) -> Micros {
         self.settings.refresh_interval() + COPY_TRANSIT_MICROS
     }
 
-    /// A holder answered a read: from a copy with this position, or it had none that was recent enough.
+    /// Records a holder's answer to a read: from a copy with this position, or none if it had no copy that was recent enough.
     pub fn record_answer(&mut self, now: Micros, key: Key, holder: u32, position: Option<Micros>) {
         let default_age = self.default_copy_age();
         match position {
@@ -143,14 +151,14 @@
         }
     }
 
-    /// The key's row cannot be copied: it is not tried again before that instant.
+    /// Records that the key's row cannot be copied: no copy is attempted before that instant.
     pub fn mark_uncopyable(&mut self, key: Key, until: Micros) {
         if self.hot_keys.contains_key(&key) {
             self.uncopyable_until.insert(key, until);
         }
     }
 
-    /// A copy was written to a holder.
+    /// Records that a copy was written to a holder.
     pub fn record_copy_written(&mut self, now: Micros, key: Key, holder: u32) {
         self.copy_ages.record_written(now, key, holder);
     }
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -44,7 +44,7 @@
         changes > 0
     }
 
-    /// The reports make this key hot: it enters the set, or stays in it.
+    /// Adds a key that the reports make hot to the set, or updates it there.
     fn confirm(&mut self, now: Micros, key: Key, hotness: Hotness) {
         let Hotness { reads_per_s, wanted_copies } = hotness;
         let last_slot = refresh::slot_at(now, key, self.settings.refresh_interval());
@@ -58,7 +58,7 @@
         });
         hot_key.reads_per_s = reads_per_s;
         hot_key.confirmed_at = now;
-        // More copies at once; fewer only after the minimum time, as those that are there have been paid for.
+        // Copies are added at once, but removed only after the minimum time: those that exist have had their cost.
         let is_fewer_too_early =
             wanted_copies < hot_key.wanted_copies && now - hot_key.hot_since < MIN_HOT_MICROS;
         if wanted_copies != hot_key.wanted_copies && !is_fewer_too_early {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Keys that only stay for the minimum time make room first, and of those that are left the one with the lowest rate.
+    /// Evicts keys until the limit holds: first those that only stay for the minimum time, then those with the lowest rates.
     fn enforce_limit(&mut self) {
         while self.hot_keys.len() > MAX_HOT_KEYS {
             let least = self.hot_keys.iter().min_by(|a, b| {
--- a/hot-keys/tests/invariants.rs
+++ b/hot-keys/tests/invariants.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use birchreach_hot_keys::faults::{Fault, with};
-use birchreach_hot_keys::{Database, HotKeyTracker, Key, Micros, ReadSketch, ReportEntry};
+use birchreach_hot_keys::{Database, HotKeyTracker, Key, KeyRate, Micros, ReadSketch, ReportEntry};
 use common::{Fleet, REPLICAS, SECOND, databases, key, tracker_with_reports};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,11 +26,11 @@
         sketch.record_read(now, key(0, n), b"");
         counts.entry(key(0, n)).or_default().push(now);
     }
-    for (k, rate) in sketch.top_keys(20 * SECOND, 1_000) {
+    for KeyRate { key, reads_per_s } in sketch.top_keys(20 * SECOND, 1_000) {
         // The same mean over the same time, of all reads that there were.
         let fade = |at: &Micros| (-((20 * SECOND - at) as f64) / 5e6).exp();
-        let truth: f64 = counts[&k].iter().map(fade).sum::<f64>() / 5.0 / (1.0 - (-4.0f64).exp());
-        ensure!(rate <= truth * 1.06 + 0.01, "{k:?}: {rate} of {truth}");
+        let truth: f64 = counts[&key].iter().map(fade).sum::<f64>() / 5.0 / (1.0 - (-4.0f64).exp());
+        ensure!(reads_per_s <= truth * 1.06 + 0.01, "{key:?}: {reads_per_s} of {truth}");
     }
     Ok(())
 }
@@ -45,10 +45,11 @@
         sketch.record_read(now, key(0, 1_000 + now as u64), b"made up");
     }
     let top = sketch.top_keys(30 * SECOND, 1_000);
-    let of = |k| top.iter().find(|(other, _)| *other == k).map_or(0.0, |t| t.1);
-    let made_up: f64 = top.iter().filter(|t| t.0 != key(0, 7)).map(|t| t.1).fold(0.0, f64::max);
-    ensure!((1.0..2.5).contains(&of(key(0, 7))), "of 2 a second: {}", of(key(0, 7)));
-    ensure!(made_up < 1.0, "a made-up key is reported with {made_up}");
+    let steady_rate = top.iter().find(|top| top.key == key(0, 7)).map_or(0.0, |top| top.reads_per_s);
+    let others = top.iter().filter(|top| top.key != key(0, 7));
+    let highest_of_others = others.map(|top| top.reads_per_s).fold(0.0, f64::max);
+    ensure!((1.0..2.5).contains(&steady_rate), "of 2 a second: {steady_rate}");
+    ensure!(highest_of_others < 1.0, "a key that is read once is reported with {highest_of_others}");
     Ok(())
 }
 
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -131,8 +131,8 @@
                 let _ = writeln!(lines, "range n={range} compared={compared} seen_by={seen_by}");
             }
         }
-        for (range, difference) in self.verifier.differences() {
-            let _ = writeln!(lines, "flag {}", self.difference_fields(range, difference));
+        for difference in self.verifier.differences() {
+            let _ = writeln!(lines, "flag {}", self.difference_fields(difference.range(), difference));
         }
         lines
     }
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -11,7 +11,7 @@
 /// The delay before a retry grows by this with each of them.
 const RETRY_STEP_MICROS: Micros = 300_000;
 
-/// The processes of the databases that were sampled.
+/// The processes of the two databases that were sampled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SampledProcesses {
     child: u64,
@@ -26,7 +26,7 @@
     process: u64,
 }
 
-/// What the comparison waits for.
+/// Which result the comparison waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonStage {
     /// The owner's first answer.
@@ -52,6 +52,7 @@
 }
 
 impl Difference {
+    /// How the child differs.
     pub(crate) fn kind(&self) -> DifferenceKind {
         match self.child {
             Child::Other => DifferenceKind::Extra,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The other child agrees if it has no row, whatever the parent has, and at no time may it have one.
+    /// What the samples prove. The other child agrees if it has no row, whatever the parent has; it may have one at no time.
     fn outcome(&self) -> Outcome {
         match self.child {
             Child::Owner => judge(self.parent, self.sample),
@@ -73,6 +74,7 @@
 /// How a comparison ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonEnd {
+    /// No child differs.
     Agrees,
     /// The child was behind the parent's row each time.
     Lagging,
@@ -80,11 +82,14 @@
     Inconclusive,
     /// A database gave no answer that suffices.
     Unanswered,
+    /// A difference persisted.
     Confirmed(Difference),
 }
 
+/// A comparison in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Comparison {
+    /// The class of the read, by the caller's number.
     pub(crate) class: u16,
     pub(crate) key_hash: u32,
     pub(crate) key_bytes: Vec<u8>,
@@ -102,6 +107,7 @@
 }
 
 impl Comparison {
+    /// A comparison of a row that a client got from the parent.
     pub(crate) fn new(
         now: Micros,
         class: u16,
@@ -123,6 +129,7 @@
         }
     }
 
+    /// The query whose result the comparison waits for.
     pub(crate) fn query(&self) -> ComparisonQuery {
         match self.stage {
             ComparisonStage::ReadOwner => ComparisonQuery::SingleRead(Child::Owner),
@@ -133,7 +140,8 @@
         }
     }
 
-    /// Takes the result of the query. `confirmation_delay` is how long a difference has to persist.
+    /// Takes the result of the query; how the comparison ended, if it did. `confirmation_delay` is how long a difference has to
+    /// persist.
     pub(crate) fn record_result(
         &mut self,
         now: Micros,
@@ -168,11 +176,13 @@
         }
     }
 
+    /// Goes on with another stage, whose query is due at once.
     fn proceed(&mut self, stage: ComparisonStage) -> Option<ComparisonEnd> {
         self.stage = stage;
         None
     }
 
+    /// Decides by what two samples prove.
     fn compare_samples(
         &mut self,
         now: Micros,
@@ -207,6 +217,7 @@
         self.await_confirmation(found, confirmation_delay)
     }
 
+    /// Samples the child again once the difference has had the time to persist; ends after the last retry.
     fn await_confirmation(&mut self, first: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
         self.retries += 1;
         self.stage = ComparisonStage::AwaitConfirmation(first.child);
--- a/shard-split/src/definition.rs
+++ b/shard-split/src/definition.rs
@@ -1,5 +1,7 @@
-//! What splits into what, by the hash of a key. Counters of different definitions are never added up.
+//! The definition of a split: which group is divided into which children, by the hash of a key. Counters of different definitions are
+//! never added up.
 
+use crate::query::Child;
 use sha2::{Digest, Sha256};
 
 /// Equal parts of the space of hashes for which coverage and differences are counted.
@@ -27,6 +29,16 @@
     pub other: u32,
 }
 
+impl Children {
+    /// The group of a child.
+    pub(crate) fn group(self, child: Child) -> u32 {
+        match child {
+            Child::Owner => self.owner,
+            Child::Other => self.other,
+        }
+    }
+}
+
 impl Definition {
     /// The hash by which keys are split: the first four bytes of their SHA-256.
     pub fn hash(key: &[u8]) -> u32 {
--- a/shard-split/src/difference.rs
+++ b/shard-split/src/difference.rs
@@ -1,6 +1,7 @@
 //! Differences that were confirmed: a child's row is not the parent's, and it persisted.
 
 use crate::Micros;
+use crate::definition::Definition;
 use crate::judge::{ParentSample, PositionSample};
 
 /// How a child differs. The order of the variants is the number of a kind in reports.
@@ -51,6 +52,7 @@
 }
 
 impl DifferenceCounts {
+    /// Adds differences of one kind.
     pub(crate) fn add(&mut self, kind: DifferenceKind, count: u32) {
         let total = match kind {
             DifferenceKind::Missing => &mut self.missing,
@@ -84,3 +86,10 @@
     /// When the difference was confirmed.
     pub confirmed_at: Micros,
 }
+
+impl ConfirmedDifference {
+    /// The range that the key belongs to.
+    pub fn range(&self) -> usize {
+        Definition::range(self.key_hash)
+    }
+}
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads of a group that is being split, compared with reads of its two children: which reads are compared, what a comparison comes to,
 //! what all processes have covered, and the verdict.
 //!
-//! [`SplitVerifier`] takes note of reads that clients were served ([`SplitVerifier::record_read`]), says what is to be queried
-//! ([`SplitVerifier::due_queries`]) and takes the results ([`SplitVerifier::record_result`]). It reports its counters
+//! [`SplitVerifier`] samples the reads that clients were served ([`SplitVerifier::record_read`]), returns the queries that are due
+//! ([`SplitVerifier::due_queries`]) and takes their results ([`SplitVerifier::record_result`]). It reports its counters
 //! ([`SplitVerifier::report_if_due`]), takes those of other processes ([`SplitVerifier::receive_report`]), and has a verdict for all of
 //! them ([`SplitVerifier::verdict`]). [`judge`] is the rule by which two rows that differ are a fault.
 //!
@@ -13,11 +13,11 @@
 //!
 //! 1. A write, a replication lag, a restart or a failover makes no confirmed difference (`only_faults_are_confirmed`, and the model in
 //!    `tests/model.rs`).
-//! 2. A difference that persists is confirmed, if its key is read often enough and is at rest now and then
+//! 2. A difference that persists is confirmed, if its key is read often enough and is not written all the time
 //!    (`persistent_faults_are_confirmed`).
 //! 3. Counters may be received in any order, twice or not at all (`reports_count_once_in_any_order`), and count under one definition
 //!    alone (`reports_of_another_definition_do_not_count`).
-//! 4. The verdict is clean only if all ranges were compared lately, by enough processes, and all processes are heard from
+//! 4. The verdict is clean only if all ranges were compared lately, by enough processes, and all processes are reachable
 //!    (`the_verdict_is_clean_only_for_full_coverage`).
 //! 5. Comparisons, confirmed differences and origins are bounded (`tables_are_bounded`).
 //!
--- a/shard-split/src/query.rs
+++ b/shard-split/src/query.rs
@@ -1,4 +1,4 @@
-//! What a comparison needs to know of the databases, and what they answered.
+//! The queries of a comparison to the databases, and their results.
 
 use crate::Micros;
 use crate::judge::{ParentSample, PositionSample, RowDigest};
@@ -12,7 +12,7 @@
     Other,
 }
 
-/// What a comparison needs to know next.
+/// The next query of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ComparisonQuery {
     /// One read of a child.
@@ -60,6 +60,6 @@
     pub query: ComparisonQuery,
     /// The key to be read.
     pub key_bytes: Vec<u8>,
-    /// The group to be asked.
+    /// The group to be queried.
     pub group: u32,
 }
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -30,8 +30,8 @@
     /// The confirmed differences that are kept, counted by kind and range.
     fn range_differences(&self) -> Vec<RangeDifferences> {
         let mut counts: BTreeMap<(DifferenceKind, usize), u32> = BTreeMap::new();
-        for (range, difference) in self.differences() {
-            *counts.entry((difference.kind, range)).or_default() += 1;
+        for difference in self.differences() {
+            *counts.entry((difference.kind, difference.range())).or_default() += 1;
         }
         let entry = |((kind, range), count): ((DifferenceKind, usize), u32)| RangeDifferences {
             kind: kind.number(),
@@ -60,7 +60,7 @@
         self.coverage.record(now, &self.settings.definition, header, report)
     }
 
-    /// The verdict. `reachable_members` is the number of processes that this one hears from, itself included.
+    /// The verdict. `reachable_members` is the number of processes that this one receives from, itself included.
     pub fn verdict(&self, reachable_members: usize) -> Verdict {
         verdict(&self.coverage, &self.settings, reachable_members.min(self.origin_count()))
     }
--- a/shard-split/src/settings.rs
+++ b/shard-split/src/settings.rs
@@ -1,11 +1,11 @@
-//! The verifier's settings, and its counts of what became of comparisons.
+//! The verifier's settings, and its counts of how comparisons ended.
 
 use crate::{Definition, Micros};
 
-/// What is compared, and when the comparison is complete.
+/// What is compared, and when a range is covered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// What splits into what.
+    /// The group that splits, and its children.
     pub definition: Definition,
     /// Comparisons that each range needs within the window.
     pub min_comparisons: u32,
@@ -19,7 +19,7 @@
     pub configured_members: usize,
 }
 
-/// What became of comparisons at this process.
+/// How comparisons of this process ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ComparisonCounts {
     /// Were started.
--- a/shard-split/src/verdict.rs
+++ b/shard-split/src/verdict.rs
@@ -12,11 +12,11 @@
     pub ranges_below_comparisons: usize,
     /// Ranges that too few processes have compared.
     pub ranges_below_processes: usize,
-    /// Configured processes that are not heard from.
+    /// Configured processes from which this one receives nothing.
     pub unreachable_members: usize,
 }
 
-/// What the comparisons come to.
+/// The result of all comparisons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// All ranges are covered, and no difference is confirmed.
@@ -38,7 +38,7 @@
     }
 }
 
-/// The verdict. `reachable_members` is the number of processes that this one hears from, itself included.
+/// The verdict. `reachable_members` is the number of processes that this one receives from, itself included.
 pub(crate) fn verdict(coverage: &Coverage, settings: &Settings, reachable_members: usize) -> Verdict {
     let differences = coverage.difference_counts();
     if !differences.is_empty() {
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -1,14 +1,14 @@
-//! The verifier: reads that were served come in, queries go out, results come back. Its reports and verdict are in `reporting`.
+//! The verifier's state, its comparisons and the differences that they confirm. Its reports and verdict are in `reporting`.
 
+use crate::Micros;
 use crate::compare::{Comparison, ComparisonEnd, Difference};
 use crate::coverage::Coverage;
 use crate::definition::Definition;
 use crate::difference::ConfirmedDifference;
 use crate::judge::RowDigest;
-use crate::query::{Child, ComparisonQuery, DueQuery, QueryResult};
+use crate::query::{ComparisonQuery, DueQuery, QueryResult};
 use crate::settings::{ComparisonCounts, Settings};
 use crate::window::Window;
-use crate::{Children, Micros};
 use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,19 +18,21 @@
 const MAX_DIFFERENCES_PER_RANGE: usize = 4;
 /// Of a range that is covered, one read in so many is compared.
 const COVERED_RANGE_SAMPLING: u64 = 16;
-/// A comparison that takes longer ends: its databases cannot be reached.
+/// A comparison that takes longer ends as unanswered: its databases cannot be reached.
 const MAX_COMPARISON_MICROS: Micros = 120_000_000;
-/// How much later a query is tried that could not be sent.
+/// The delay after which a query that could not be sent is due again.
 const POSTPONE_MICROS: Micros = 200_000;
 
 /// Compares reads of a group that is split with reads of its children.
 pub struct SplitVerifier {
     pub(crate) settings: Settings,
+    /// Comparisons in progress, by number.
     comparisons: BTreeMap<u64, Comparison>,
+    /// The number of the last comparison that was started.
     last_comparison: u64,
     pub(crate) window: Window,
     pub(crate) coverage: Coverage,
-    /// By range.
+    /// Confirmed differences by range, the oldest first.
     differences: BTreeMap<usize, VecDeque<ConfirmedDifference>>,
     reads_seen: u64,
     counts: ComparisonCounts,
@@ -61,7 +63,7 @@
         self.coverage.reports.set_interval(interval);
     }
 
-    /// A client was served a row of the parent: it may be compared.
+    /// Records that a client was served a row of the parent, and starts a comparison of it if its range needs one.
     pub fn record_read(&mut self, now: Micros, class: u16, key: &[u8], row: RowDigest) {
         let key_hash = Definition::hash(key);
         self.reads_seen += 1;
@@ -81,6 +83,7 @@
         self.comparisons.insert(self.last_comparison, comparison);
     }
 
+    /// Whether a range has enough comparisons by enough processes.
     fn is_covered(&self, range: usize) -> bool {
         let coverage = self.coverage.of_range(range);
         coverage.comparisons >= self.settings.min_comparisons
@@ -98,14 +101,14 @@
             let children = definition.children(comparison.key_hash);
             let group = match query {
                 ComparisonQuery::SampleParent => definition.parent,
-                ComparisonQuery::SingleRead(child) | ComparisonQuery::Sample(child) => group(children, child),
+                ComparisonQuery::SingleRead(child) | ComparisonQuery::Sample(child) => children.group(child),
             };
             DueQuery { comparison: *number, query, key_bytes: comparison.key_bytes.clone(), group }
         })
         .collect()
     }
 
-    /// A query could not be sent now: it becomes due again later.
+    /// Records that a query could not be sent now: it becomes due again later.
     pub fn postpone(&mut self, now: Micros, comparison: u64) {
         if let Some(comparison) = self.comparisons.get_mut(&comparison) {
             comparison.query_in_flight = false;
@@ -128,6 +131,7 @@
         self.finish(now, &comparison, end)
     }
 
+    /// Counts a comparison that ended; the difference that it confirmed, if any.
     fn finish(
         &mut self,
         now: Micros,
@@ -164,7 +168,7 @@
         let confirmed = ConfirmedDifference {
             kind: difference.kind(),
             class: comparison.class,
-            child_group: group(children, difference.child),
+            child_group: children.group(difference.child),
             key_hash: comparison.key_hash,
             parent: difference.parent,
             child: difference.sample,
@@ -186,12 +190,12 @@
         queries.chain([self.coverage.reports.next_due_at()]).min().unwrap_or(Micros::MAX)
     }
 
-    /// Differences that this process confirmed and keeps, each with its range.
-    pub fn differences(&self) -> impl Iterator<Item = (usize, &ConfirmedDifference)> {
-        self.differences.iter().flat_map(|(range, kept)| kept.iter().map(|difference| (*range, difference)))
+    /// Differences that this process confirmed and keeps, in the order of ranges.
+    pub fn differences(&self) -> impl Iterator<Item = &ConfirmedDifference> {
+        self.differences.values().flatten()
     }
 
-    /// What became of this process's comparisons.
+    /// How this process's comparisons ended.
     pub fn counts(&self) -> ComparisonCounts {
         self.counts
     }
@@ -201,11 +205,3 @@
         self.comparisons.len()
     }
 }
-
-/// The group of a child.
-fn group(children: Children, child: Child) -> u32 {
-    match child {
-        Child::Owner => children.owner,
-        Child::Other => children.other,
-    }
-}
--- a/shard-split/src/window.rs
+++ b/shard-split/src/window.rs
@@ -11,10 +11,12 @@
     /// The newest part first.
     parts: Vec<[u32; RANGES]>,
     part_span: Micros,
+    /// When the newest part began.
     part_started_at: Micros,
 }
 
 impl Window {
+    /// A window of this length without comparisons.
     pub(crate) fn new(now: Micros, span: Micros) -> Window {
         Window {
             parts: vec![[0; RANGES]; WINDOW_PARTS],
@@ -23,6 +25,7 @@
         }
     }
 
+    /// Counts a comparison in a range.
     pub(crate) fn add(&mut self, now: Micros, range: usize) {
         self.advance(now);
         if let Some(count) = self.parts[0].get_mut(range) {
@@ -30,6 +33,7 @@
         }
     }
 
+    /// Begins the parts that are due, each in place of the oldest.
     fn advance(&mut self, now: Micros) {
         while now - self.part_started_at >= self.part_span {
             self.part_started_at += self.part_span;
