--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A fleet of trackers on virtual time, whose reports travel by the fleet's own gossip; reads arrive at random.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part of this module")]
 
 use birchreach_hot_keys::{
     CopyRequirement, Database, HotKeyTracker, Key, Micros, Report, ReportEntry, Settings,
@@ -30,19 +30,19 @@
     }
 }
 
-/// The nth key of a group.
-pub fn key(group: u32, n: u64) -> Key {
-    Key { group, hash: n.wrapping_mul(0x9e37_79b9_7f4a_7c15) }
+/// A key of a group, by its number.
+pub fn key(group: u32, number: u64) -> Key {
+    Key { group, hash: number.wrapping_mul(0x9e37_79b9_7f4a_7c15) }
 }
 
 /// The databases of an endpoint list.
 pub fn databases(groups: u32) -> Vec<Database> {
-    let of = |group| (0..=REPLICAS as u32).map(move |n| (group, n));
-    let all = (0..groups).flat_map(of).enumerate();
-    all.map(|(number, (group, n))| Database {
-        server: number as u32,
+    let of_group = |group| (0..=REPLICAS as u32).map(move |position| (group, position));
+    let all = (0..groups).flat_map(of_group).enumerate();
+    all.map(|(server, (group, position))| Database {
+        server: server as u32,
         group,
-        name_hash: u64::from(group * 97 + n),
+        name_hash: u64::from(group * 97 + position),
     })
     .collect()
 }
@@ -59,21 +59,21 @@
     pub trackers: Vec<HotKeyTracker>,
     gossip_reports: Vec<GossipReports>,
     pub rng: fastrand::Rng,
-    /// Whether datagrams from one process to another are lost.
-    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// Whether all datagrams from one process to another are lost.
+    pub is_partitioned: Box<dyn Fn(usize, usize) -> bool>,
     /// Datagrams sent, and their bytes.
     pub sent_datagrams: u64,
     pub sent_bytes: u64,
     /// Reads a second of each key over all processes.
     pub reads_per_s: Vec<(Key, f64)>,
     /// The fraction of the reads that each process gets.
-    read_shares: Vec<f64>,
+    read_fractions: Vec<f64>,
     /// By key: when a refresh was due, and at which process.
     pub refreshes: BTreeMap<Key, Vec<(Micros, usize)>>,
 }
 
-fn address(n: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7000))
+fn address(process: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (process / 200) as u8, (process % 200) as u8 + 1], 7000))
 }
 
 const STEP_MICROS: Micros = 50_000;
@@ -82,40 +82,39 @@
     pub fn new(count: usize, seed: u64) -> Fleet {
         let now = 1_000 * SECOND;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let tracker = |n: usize| {
-            let mut tracker = HotKeyTracker::new(settings(count), n as u64 + 1, 1, now);
+        let tracker = |process: usize| {
+            let mut tracker = HotKeyTracker::new(settings(count), process as u64 + 1, 1, now);
             tracker.set_fleet(count, GossipReports::interval(count));
             list_databases(&mut tracker);
             tracker
         };
         // Some processes get several times the mean.
-        let shares: Vec<f64> = (0..count).map(|_| 0.2 - rng.f64().ln()).collect();
-        let sum: f64 = shares.iter().sum();
+        let weights: Vec<f64> = (0..count).map(|_| 0.2 - rng.f64().ln()).collect();
+        let sum: f64 = weights.iter().sum();
+        let gossip = |process: usize| GossipReports::new(process as u64 + 1, seed ^ (process as u64 + 7));
         Fleet {
             now,
             trackers: (0..count).map(tracker).collect(),
-            gossip_reports: (0..count)
-                .map(|n| GossipReports::new(n as u64 + 1, seed ^ (n as u64 + 7)))
-                .collect(),
+            gossip_reports: (0..count).map(gossip).collect(),
             rng,
-            is_cut: Box::new(|_, _| false),
+            is_partitioned: Box::new(|_, _| false),
             sent_datagrams: 0,
             sent_bytes: 0,
             reads_per_s: Vec::new(),
-            read_shares: shares.into_iter().map(|s| s / sum).collect(),
+            read_fractions: weights.into_iter().map(|weight| weight / sum).collect(),
             refreshes: BTreeMap::new(),
         }
     }
 
     /// How many events happen where `mean` happen on average.
     fn poisson(&mut self, mean: f64) -> usize {
-        let (mut n, mut left) = (0, mean);
+        let (mut events, mut remaining) = (0, mean);
         loop {
-            left += self.rng.f64().ln();
-            if left < 0.0 || n > 10_000 {
-                return n;
+            remaining += self.rng.f64().ln();
+            if remaining < 0.0 || events > 10_000 {
+                return events;
             }
-            n += 1;
+            events += 1;
         }
     }
 
@@ -124,31 +123,37 @@
         let end = self.now + span;
         while self.now < end {
             self.now += STEP_MICROS;
-            for n in 0..self.trackers.len() {
-                self.step(n);
+            for process in 0..self.trackers.len() {
+                self.step(process);
             }
         }
     }
 
-    fn step(&mut self, n: usize) {
-        let (now, count) = (self.now, self.trackers.len());
+    /// One process counts its reads, derives its set, reports, and sends a datagram if one is due.
+    fn step(&mut self, process: usize) {
+        let now = self.now;
         for (key, rate) in self.reads_per_s.clone() {
-            let reads = self.poisson(rate * self.read_shares[n] * STEP_MICROS as f64 / 1e6);
-            (0..reads).for_each(|_| self.trackers[n].record_read(now, key, b"text"));
+            let reads = self.poisson(rate * self.read_fractions[process] * STEP_MICROS as f64 / 1e6);
+            (0..reads).for_each(|_| self.trackers[process].record_read(now, key, b"text"));
         }
-        self.trackers[n].update(now);
-        if let Some(said) = self.trackers[n].report_if_due(now) {
-            self.gossip_reports[n].publish(now, 1, said);
+        self.trackers[process].update(now);
+        if let Some(report) = self.trackers[process].report_if_due(now) {
+            self.gossip_reports[process].publish(now, 1, report);
         }
-        for due in self.trackers[n].due_copies(now) {
-            self.refreshes.entry(due.key).or_default().push((now, n));
+        for due in self.trackers[process].due_copies(now) {
+            self.refreshes.entry(due.key).or_default().push((now, process));
         }
-        let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(address).collect();
-        let Some((to, bytes)) = self.gossip_reports[n].encode_gossip(now, &others) else { return };
+        self.send_gossip(process);
+    }
+
+    fn send_gossip(&mut self, from: usize) {
+        let (now, count) = (self.now, self.trackers.len());
+        let others: Vec<SocketAddr> = (0..count).filter(|other| *other != from).map(address).collect();
+        let Some((recipient, bytes)) = self.gossip_reports[from].encode_gossip(now, &others) else { return };
         self.sent_datagrams += 1;
         self.sent_bytes += bytes.len() as u64;
-        let to = (0..count).find(|o| address(*o) == to).unwrap_or(0);
-        if (self.is_cut)(n, to) {
+        let to = (0..count).find(|process| address(*process) == recipient).unwrap_or(0);
+        if (self.is_partitioned)(from, to) {
             return;
         }
         let reports = self.gossip_reports[to].apply_gossip(now, count, |_| true, &bytes).unwrap_or_default();
@@ -165,19 +170,20 @@
 
     /// Whether all have the same hot set.
     pub fn has_one_set(&self) -> bool {
-        self.trackers.iter().all(|h| h.digest() == self.trackers[0].digest())
+        self.trackers.iter().all(|tracker| tracker.digest() == self.trackers[0].digest())
     }
 
     /// How many have the key in their hot set.
-    pub fn holding_count(&self, key: Key) -> usize {
-        self.trackers.iter().filter(|h| h.hot_keys().any(|(k, _)| k == key)).count()
+    pub fn processes_with_hot_key(&self, key: Key) -> usize {
+        let is_hot_at = |tracker: &&HotKeyTracker| tracker.hot_keys().any(|(hot_key, _)| hot_key == key);
+        self.trackers.iter().filter(is_hot_at).count()
     }
 
     /// Passes time until all have the key in their set (`hot`), or none; the seconds that it took, none if longer than `max`.
     pub fn pass_until(&mut self, key: Key, hot: bool, max: Micros) -> Option<f64> {
         let start = self.now;
         let wanted = if hot { self.trackers.len() } else { 0 };
-        while self.holding_count(key) != wanted {
+        while self.processes_with_hot_key(key) != wanted {
             if self.now - start > max {
                 return None;
             }
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A parent, two children that follow it late, clients that read and write, and processes that compare: on virtual time, from a seed.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test uses a part of this module")]
 
 mod disturbances;
 
