--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -5,7 +5,8 @@
 //! each release is, then has neither the list of faults nor the switch: [`declare_faults!`] expands to nothing and
 //! [`fault_injected!`] to `false`.
 //!
-//! A fault is switched on for one thread, so that tests of one process do not disturb one another.
+//! A fault is switched on for one thread, so that tests of one process do not disturb one another. A check that must fail under a fault
+//! returns an error in place of a panic; [`ensure!`] and [`ensure_eq!`] are its assertions.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -97,3 +98,29 @@
         false
     };
 }
+
+/// Returns from the calling check with an error of type `String`, unless a condition holds.
+#[cfg(feature = "enabled")]
+#[macro_export]
+macro_rules! ensure {
+    ($condition:expr) => { $crate::ensure!($condition, "{}", stringify!($condition)) };
+    ($condition:expr, $($message:tt)+) => {
+        let holds: bool = $condition;
+        if !holds {
+            return Err(format!($($message)+));
+        }
+    };
+}
+
+/// Returns from the calling check with an error of type `String`, unless two values are equal.
+#[cfg(feature = "enabled")]
+#[macro_export]
+macro_rules! ensure_eq {
+    ($left:expr, $right:expr $(,)?) => { $crate::ensure_eq!($left, $right, "{}", stringify!($left)) };
+    ($left:expr, $right:expr, $($message:tt)+) => {
+        let (left, right) = (&$left, &$right);
+        if left != right {
+            return Err(format!("{}: {left:?}, not {right:?}", format!($($message)+)));
+        }
+    };
+}
--- a/hot-keys/tests/invariants.rs
+++ b/hot-keys/tests/invariants.rs
@@ -1,6 +1,7 @@
 //! What must ensure of rates, sets and holders; and each check finds its fault.
 
 mod common;
+use birchreach_fault_injection::ensure;
 use birchreach_hot_keys::faults::{Fault, with};
 use birchreach_hot_keys::{Database, HotKeyTracker, Key, KeyRate, Micros, ReadSketch, ReportEntry};
 use common::{Fleet, REPLICAS, SECOND, databases, key, tracker_with_reports};
@@ -8,15 +9,6 @@
 
 type CheckResult = Result<(), String>;
 
-macro_rules! ensure {
-    ($what:expr, $($say:tt)+) => {
-        let holds: bool = $what;
-        if !holds {
-            return Err(format!($($say)+));
-        }
-    };
-}
-
 /// Some keys that are read often among many that are not: no reported rate is above the true one.
 fn check_reported_rates() -> CheckResult {
     let mut rng = fastrand::Rng::with_seed(1);
--- a/membership/tests/common/scenes/limits.rs
+++ b/membership/tests/common/scenes/limits.rs
@@ -3,6 +3,7 @@
 use super::{agreement, membership};
 use crate::common::SECOND;
 use crate::common::network::Network;
+use birchreach_fault_injection::ensure;
 use birchreach_membership::{MAX_MEMBERS, Peer};
 use foca::{Codec, Header, Member, Message, PostcardCodec};
 use std::net::SocketAddr;
--- a/membership/tests/common/scenes/mod.rs
+++ b/membership/tests/common/scenes/mod.rs
@@ -1,33 +1,12 @@
 //! What must hold of a fleet, as scenes that return what was violated: the tests want them to pass, and each injected fault must
 //! make one fail.
 
-/// Returns with an error unless the condition holds.
-macro_rules! ensure {
-    ($what:expr) => { ensure!($what, "{}", stringify!($what)) };
-    ($what:expr, $($message:tt)+) => {
-        let holds: bool = $what;
-        if !holds {
-            return Err(format!($($message)+));
-        }
-    };
-}
-
-/// Returns with an error unless both are equal.
-macro_rules! ensure_eq {
-    ($a:expr, $b:expr $(,)?) => { ensure_eq!($a, $b, "{}", stringify!($a)) };
-    ($a:expr, $b:expr, $($message:tt)+) => {
-        let (a, b) = (&$a, &$b);
-        if a != b {
-            return Err(format!("{}: {a:?}, not {b:?}", format!($($message)+)));
-        }
-    };
-}
-
 pub mod limits;
 pub mod settling;
 
 use super::network::Network;
 use super::{SECOND, address};
+use birchreach_fault_injection::{ensure, ensure_eq};
 use birchreach_membership::{Membership, MembershipChange, Micros, Peer, ViewState};
 
 fn cut_into_halves(network: &mut Network, first: usize) {
--- a/membership/tests/common/scenes/settling.rs
+++ b/membership/tests/common/scenes/settling.rs
@@ -3,6 +3,7 @@
 use super::{agreement, cut_into_halves, end_cut, membership};
 use crate::common::network::Network;
 use crate::common::{SECOND, address};
+use birchreach_fault_injection::ensure;
 use birchreach_membership::{Membership, ViewState};
 
 /// All come to one view after a join, a mass crash, a partition, a one-way cut, a pause and a graceful shutdown.
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -2,10 +2,9 @@
 
 #[path = "../common/mod.rs"]
 mod common;
-#[macro_use]
-mod ensure;
 mod verdicts;
 
+use birchreach_fault_injection::ensure;
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
     ComparisonQuery, Definition, DueQuery, ParentSample, PositionSample, QueryResult, RANGES, RangeCoverage,
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/verdicts.rs
@@ -2,6 +2,7 @@
 
 use crate::CheckResult;
 use crate::common::{Disturbances, SECOND, World, definition, settings};
+use birchreach_fault_injection::ensure;
 use birchreach_shard_split::{IncompleteReason, RANGES, Report, SplitVerifier, Verdict};
 
 /// A verifier of three processes, of which two must compare each range, that has received equal reports of the others.
