--- a/hot-keys/examples/measure.rs
+++ b/hot-keys/examples/measure.rs
@@ -1,73 +1,110 @@
-//! How long until all hold one set, and how far the sums are from the truth: a table of figures on virtual time.
+//! How long until all processes have one set of hot keys, and how far the summed rates are from the true ones: a table of figures on
+//! virtual time.
 //!
 //!     cargo run --release -p birchreach-hot-keys --example measure -- 5 40 300
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
+use birchreach_hot_keys::Key;
 use common::{Fleet, SECOND, key, settings};
 use std::time::Instant;
 
+/// The longest time that the fleet gets to come to one set.
+const MAX_SECONDS: i64 = 120;
+
+/// What was observed of a fleet in which one key is hot.
+#[derive(Default)]
+struct Observations {
+    /// The summed rate of the hot key at each process, over the true one.
+    rate_ratios: Vec<f64>,
+    /// Samples: one for each process at each instant.
+    samples: usize,
+    /// Samples in which a process had another set than the first one.
+    differing_sets: usize,
+    /// Other keys that were hot.
+    wrongly_hot: usize,
+    /// Bytes that each process sent in a second.
+    bytes_per_s: f64,
+}
+
+impl Observations {
+    /// A minute of samples, two in each second.
+    fn of(fleet: &mut Fleet, hot_key: Key, true_rate: f64) -> Observations {
+        let mut observations = Observations::default();
+        let (sent_before, started_at) = (fleet.sent_bytes, fleet.now);
+        for _ in 0..120 {
+            fleet.pass(SECOND / 2);
+            observations.sample(fleet, hot_key, true_rate);
+        }
+        let seconds = (fleet.now - started_at) as f64 / 1e6;
+        let sent = (fleet.sent_bytes - sent_before) as f64;
+        observations.bytes_per_s = sent / fleet.trackers.len() as f64 / seconds;
+        observations.rate_ratios.sort_by(f64::total_cmp);
+        observations
+    }
+
+    fn sample(&mut self, fleet: &Fleet, hot_key: Key, true_rate: f64) {
+        for tracker in &fleet.trackers {
+            let found = tracker.hot_keys().find(|(key, _)| *key == hot_key);
+            self.rate_ratios.push(found.map_or(0.0, |(_, found)| found.reads_per_s) / true_rate);
+            self.differing_sets += usize::from(tracker.digest() != fleet.trackers[0].digest());
+            self.wrongly_hot += tracker.hot_keys().filter(|(key, _)| *key != hot_key).count();
+            self.samples += 1;
+        }
+    }
+
+    fn rate_ratio_at(&self, percentile: f64) -> f64 {
+        self.rate_ratios[((self.rate_ratios.len() - 1) as f64 * percentile) as usize]
+    }
+}
+
 fn seconds(took: Option<f64>) -> String {
-    took.map_or("not in 120".into(), |t| format!("{t:.1}"))
+    took.map_or(format!("not in {MAX_SECONDS}"), |took| format!("{took:.1}"))
 }
 
-fn row(count: usize, seed: u64) {
+fn print_row(count: usize, seed: u64) {
     let clock = Instant::now();
     let mut fleet = Fleet::new(count, seed);
-    let (k, lukewarm) = (key(2, 1), key(2, 2));
+    let (hot_key, key_below_threshold) = (key(2, 1), key(2, 2));
     let threshold = settings(count).hot_threshold(2);
-    let crowd = |fleet: &mut Fleet, hot: f64| {
-        fleet.reads_per_s =
-            (0..100).map(|n| (key(2, 100 + n), 4.0)).chain([(k, hot), (lukewarm, 0.4 * threshold)]).collect();
+    let set_reads = |fleet: &mut Fleet, hot_rate: f64| {
+        let others = (100..200).map(|number| (key(2, number), 4.0));
+        let both = [(hot_key, hot_rate), (key_below_threshold, 0.4 * threshold)];
+        fleet.reads_per_s = others.chain(both).collect();
     };
-    crowd(&mut fleet, 0.0);
+    set_reads(&mut fleet, 0.0);
     fleet.pass(20 * SECOND);
-    crowd(&mut fleet, 3.0 * threshold);
-    let found = fleet.pass_until(k, true, 120 * SECOND);
+    set_reads(&mut fleet, 3.0 * threshold);
+    let found = fleet.pass_until(hot_key, true, MAX_SECONDS * SECOND);
     fleet.pass(10 * SECOND);
-    // What each sums up of the key, over a minute.
-    let (mut errors, mut differ, mut looks, mut wrong) = (Vec::new(), 0usize, 0usize, 0usize);
-    let sent_before = fleet.sent_bytes;
-    let from = fleet.now;
-    for _ in 0..120 {
-        fleet.pass(SECOND / 2);
-        for hot in &fleet.trackers {
-            let rate = hot.hot_keys().find(|(other, _)| *other == k).map_or(0.0, |(_, h)| h.reads_per_s);
-            errors.push(rate / (3.0 * threshold));
-            differ += usize::from(hot.digest() != fleet.trackers[0].digest());
-            wrong += hot.hot_keys().filter(|(other, _)| *other != k).count();
-            looks += 1;
-        }
-    }
-    let span = (fleet.now - from) as f64 / 1e6;
-    let bytes = (fleet.sent_bytes - sent_before) as f64 / count as f64 / span;
-    errors.sort_by(f64::total_cmp);
-    let at = |share: f64| errors[((errors.len() - 1) as f64 * share) as usize];
-    let changes = fleet.trackers.iter().map(|h| h.change_count()).max().unwrap_or(0);
-    crowd(&mut fleet, 0.0);
-    let gone = fleet.pass_until(k, false, 120 * SECOND);
+    let observations = Observations::of(&mut fleet, hot_key, 3.0 * threshold);
+    let changes = fleet.trackers.iter().map(|tracker| tracker.change_count()).max().unwrap_or(0);
+    set_reads(&mut fleet, 0.0);
+    let removed = fleet.pass_until(hot_key, false, MAX_SECONDS * SECOND);
     println!(
-        "| {count} | {seed} | {} | {} | {:.2} | {:.2}, {:.2} | {:.1}% | {wrong} | {changes} | {bytes:.0} | {:.0} |",
+        "| {count} | {seed} | {} | {} | {:.2} | {:.2}, {:.2} | {:.1}% | {} | {changes} | {:.0} | {:.0} |",
         seconds(found),
-        seconds(gone),
-        at(0.5),
-        at(0.05),
-        at(0.95),
-        differ as f64 / looks as f64 * 100.0,
+        seconds(removed),
+        observations.rate_ratio_at(0.5),
+        observations.rate_ratio_at(0.05),
+        observations.rate_ratio_at(0.95),
+        observations.differing_sets as f64 / observations.samples as f64 * 100.0,
+        observations.wrongly_hot,
+        observations.bytes_per_s,
         clock.elapsed().as_secs_f64()
     );
 }
 
 fn main() {
-    let told: Vec<usize> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
+    let named: Vec<usize> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
     println!(
         "| processes | seed | found by all, s | given up by all, s | sum over truth, median | 5th, 95th percentile | looks at which a process had another set | other keys hot | changes of a set | bytes/s each | computed in s |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
     );
-    for count in if told.is_empty() { vec![5, 40, 300] } else { told } {
+    for count in if named.is_empty() { vec![5, 40, 300] } else { named } {
         for seed in [1, 2] {
-            row(count, seed);
+            print_row(count, seed);
         }
     }
 }
--- a/hot-keys/tests/invariants.rs
+++ b/hot-keys/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What must ensure of rates, sets and holders; and each check finds its fault.
+//! Invariants of rates, sets and copy holders; and each check finds the fault that breaks what it holds.
 
 mod common;
 use birchreach_fault_injection::ensure;
@@ -14,14 +14,14 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let (mut sketch, mut counts) = (ReadSketch::new(0), BTreeMap::<Key, Vec<Micros>>::new());
     for now in (0..20 * SECOND).step_by(1_000) {
-        let n = if rng.u8(..3) == 0 { rng.u64(..40) } else { rng.u64(..2_000) };
-        sketch.record_read(now, key(0, n), b"");
-        counts.entry(key(0, n)).or_default().push(now);
+        let number = if rng.u8(..3) == 0 { rng.u64(..40) } else { rng.u64(..2_000) };
+        sketch.record_read(now, key(0, number), b"");
+        counts.entry(key(0, number)).or_default().push(now);
     }
     for KeyRate { key, reads_per_s } in sketch.top_keys(20 * SECOND, 1_000) {
-        // The same mean over the same time, of all reads that there were.
-        let fade = |at: &Micros| (-((20 * SECOND - at) as f64) / 5e6).exp();
-        let truth: f64 = counts[&key].iter().map(fade).sum::<f64>() / 5.0 / (1.0 - (-4.0f64).exp());
+        // The same decaying mean of all reads that there were.
+        let decayed = |read_at: &Micros| (-((20 * SECOND - read_at) as f64) / 5e6).exp();
+        let truth: f64 = counts[&key].iter().map(decayed).sum::<f64>() / 5.0 / (1.0 - (-4.0f64).exp());
         ensure!(reads_per_s <= truth * 1.06 + 0.01, "{key:?}: {reads_per_s} of {truth}");
     }
     Ok(())
@@ -34,7 +34,7 @@
         if now % 500_000 == 0 {
             sketch.record_read(now, key(0, 7), b"steady");
         }
-        sketch.record_read(now, key(0, 1_000 + now as u64), b"made up");
+        sketch.record_read(now, key(0, 1_000 + now as u64), b"once");
     }
     let top = sketch.top_keys(30 * SECOND, 1_000);
     let steady_rate = top.iter().find(|top| top.key == key(0, 7)).map_or(0.0, |top| top.reads_per_s);
@@ -45,126 +45,151 @@
     Ok(())
 }
 
-fn keys_of(hot: &HotKeyTracker) -> BTreeSet<Key> {
-    hot.hot_keys().map(|(k, _)| k).collect()
+fn keys_of(tracker: &HotKeyTracker) -> BTreeSet<Key> {
+    tracker.hot_keys().map(|(key, _)| key).collect()
 }
 
+/// Processes that receive equal reports, in whatever order, derive equal sets with equal holders.
 fn check_equal_sets() -> CheckResult {
     let mut rng = fastrand::Rng::with_seed(2);
     for round in 0..200 {
-        let entry = |rng: &mut fastrand::Rng, n| ReportEntry {
-            key: key(n as u32 % 3, n),
+        let entry = |rng: &mut fastrand::Rng, number| ReportEntry {
+            key: key(number as u32 % 3, number),
             reads_per_1000_s: rng.u32(0..90_000),
             is_hot: rng.bool(),
         };
         let mut reports: Vec<(u64, Vec<ReportEntry>)> = Vec::new();
         for origin in 1..=6 {
             let keys: Vec<u64> = (0..8).filter(|_| rng.bool()).collect();
-            reports.push((origin, keys.into_iter().map(|n| entry(&mut rng, n)).collect()));
+            reports.push((origin, keys.into_iter().map(|number| entry(&mut rng, number)).collect()));
         }
         // Received by different processes, in different orders.
-        let (a, b) =
-            (tracker_with_reports(11, 6, &reports, false), tracker_with_reports(12, 6, &reports, true));
+        let first = tracker_with_reports(11, 6, &reports, false);
+        let second = tracker_with_reports(12, 6, &reports, true);
         ensure!(
-            keys_of(&a) == keys_of(&b) && a.digest() == b.digest(),
+            keys_of(&first) == keys_of(&second) && first.digest() == second.digest(),
             "round {round}: {:?}, {:?}",
-            keys_of(&a),
-            keys_of(&b)
+            keys_of(&first),
+            keys_of(&second)
         );
-        let holders = |h: &HotKeyTracker| {
-            h.hot_keys().map(|(k, hot)| (k, hot.copy_holders.clone())).collect::<Vec<_>>()
+        let holders = |tracker: &HotKeyTracker| {
+            tracker.hot_keys().map(|(key, hot_key)| (key, hot_key.copy_holders.clone())).collect::<Vec<_>>()
         };
-        ensure!(holders(&a) == holders(&b), "round {round}: other holders");
+        ensure!(holders(&first) == holders(&second), "round {round}: other holders");
     }
-    // Between the thresholds the reports of all decide, also at the process that reports otherwise.
-    let middle = |hot| ReportEntry { key: key(0, 1), reads_per_1000_s: 26_000, is_hot: hot };
-    let reports: Vec<(u64, Vec<ReportEntry>)> = (1..=3).map(|o| (o, vec![middle(o != 3)])).collect();
-    let (a, b) = (tracker_with_reports(1, 6, &reports, false), tracker_with_reports(3, 6, &reports, false));
-    ensure!(keys_of(&a).len() == 1 && keys_of(&a) == keys_of(&b), "{:?}, {:?}", keys_of(&a), keys_of(&b));
+    check_equal_sets_between_thresholds()
+}
+
+/// Between the thresholds the reports of all decide, also at the process that reports otherwise.
+fn check_equal_sets_between_thresholds() -> CheckResult {
+    let entry = |is_hot| ReportEntry { key: key(0, 1), reads_per_1000_s: 26_000, is_hot };
+    let reports: Vec<(u64, Vec<ReportEntry>)> =
+        (1..=3).map(|origin| (origin, vec![entry(origin != 3)])).collect();
+    let agreeing = tracker_with_reports(1, 6, &reports, false);
+    let disagreeing = tracker_with_reports(3, 6, &reports, false);
+    let (keys, other_keys) = (keys_of(&agreeing), keys_of(&disagreeing));
+    ensure!(keys.len() == 1 && keys == other_keys, "{keys:?}, {other_keys:?}");
     Ok(())
 }
 
+/// False reports of the highest rates: one origin makes no key hot, many make no more than the limit.
 fn check_false_reports() -> CheckResult {
-    let most = |n: u64| {
-        (0..16)
-            .map(|k| ReportEntry { key: key(0, n * 16 + k), reads_per_1000_s: 1_000_000_000, is_hot: true })
-            .collect()
+    let highest_rates = |origin: u64| {
+        let entry = |number| ReportEntry {
+            key: key(0, origin * 16 + number),
+            reads_per_1000_s: 1_000_000_000,
+            is_hot: true,
+        };
+        (0..16).map(entry).collect()
     };
-    let alone = tracker_with_reports(9, 5, &[(1, most(1))], false);
-    ensure!(keys_of(&alone).is_empty(), "one origin makes {} keys hot", keys_of(&alone).len());
-    let crowd: Vec<(u64, Vec<ReportEntry>)> =
-        (0..40).flat_map(|n| [(100 + 2 * n, most(n)), (101 + 2 * n, most(n))]).collect();
-    let hot = keys_of(&tracker_with_reports(9, 80, &crowd, false)).len();
+    let from_one = tracker_with_reports(9, 5, &[(1, highest_rates(1))], false);
+    ensure!(keys_of(&from_one).is_empty(), "one origin makes {} keys hot", keys_of(&from_one).len());
+    let pairs: Vec<(u64, Vec<ReportEntry>)> = (0..40)
+        .flat_map(|pair| [(100 + 2 * pair, highest_rates(pair)), (101 + 2 * pair, highest_rates(pair))])
+        .collect();
+    let hot = keys_of(&tracker_with_reports(9, 80, &pairs, false)).len();
     ensure!(hot <= 32, "{hot} keys are hot");
     Ok(())
 }
 
+/// A key stays in the set for its minimum time, also where the reads move to another key each second.
 fn check_flapping() -> CheckResult {
     let mut fleet = Fleet::new(5, 3);
-    let k = key(0, 1);
+    let steady = key(0, 1);
     for _ in 0..10 {
-        // The reads move to another key each second.
-        for n in 0..6 {
-            fleet.reads_per_s = vec![(key(0, n), 400.0), (k, 30.0)];
+        for number in 0..6 {
+            fleet.reads_per_s = vec![(key(0, number), 400.0), (steady, 30.0)];
             fleet.pass(SECOND);
         }
     }
-    let most = fleet.trackers.iter().map(|h| h.change_count()).max().unwrap_or(0);
+    let most = fleet.trackers.iter().map(|tracker| tracker.change_count()).max().unwrap_or(0);
     // Six keys, each of which enters and leaves at most once in its minimum time of ten seconds.
     ensure!(most <= 6 * 2 * 6, "{most} changes in 60 s");
-    let mut one = Fleet::new(5, 4);
-    one.reads_per_s = vec![(k, 400.0)];
-    one.pass_until(k, true, 20 * SECOND).ok_or("it is not found")?;
-    one.reads_per_s.clear();
-    let gone = one.pass_until(k, false, 60 * SECOND).ok_or("it stays for good")?;
-    ensure!(gone >= 8.0, "it stays for {gone} s");
+    let mut fleet = Fleet::new(5, 4);
+    fleet.reads_per_s = vec![(steady, 400.0)];
+    fleet.pass_until(steady, true, 20 * SECOND).ok_or("it is not found")?;
+    fleet.reads_per_s.clear();
+    let removed_after = fleet.pass_until(steady, false, 60 * SECOND).ok_or("it stays for good")?;
+    ensure!(removed_after >= 8.0, "it stays for {removed_after} s");
     Ok(())
 }
 
+/// Reports of twelve origins that make one key hot.
+fn reports_of_hot_key(key: Key) -> Vec<(u64, Vec<ReportEntry>)> {
+    let entry = ReportEntry { key, reads_per_1000_s: 450_000, is_hot: false };
+    (1..=12).map(|origin| (origin, vec![entry])).collect()
+}
+
+/// Copies are held outside the key's group, in different groups, and by all databases about equally often.
 fn check_copy_holders() -> CheckResult {
-    let mut spread = BTreeMap::<u32, usize>::new();
-    for n in 0..300 {
-        let k = key((n % 6) as u32, n);
-        let rate = |origin| (origin, vec![ReportEntry { key: k, reads_per_1000_s: 450_000, is_hot: false }]);
-        let reports: Vec<_> = (1..=12).map(rate).collect();
-        let hot = tracker_with_reports(1, 6, &reports, false);
-        let (_, hot_key) = hot.hot_keys().next().ok_or("it is not hot")?;
-        let groups: BTreeSet<u32> = hot_key.copy_holders.iter().map(|d| d.group).collect();
+    let mut copies_by_server = BTreeMap::<u32, usize>::new();
+    for number in 0..300 {
+        let key = key((number % 6) as u32, number);
+        let tracker = tracker_with_reports(1, 6, &reports_of_hot_key(key), false);
+        let (_, hot_key) = tracker.hot_keys().next().ok_or("it is not hot")?;
+        let groups: BTreeSet<u32> = hot_key.copy_holders.iter().map(|holder| holder.group).collect();
         ensure!(hot_key.copy_holders.len() == 3 && groups.len() == 3, "{:?}", hot_key.copy_holders);
-        ensure!(!groups.contains(&k.group), "{k:?} at home: {:?}", hot_key.copy_holders);
-        hot_key.copy_holders.iter().for_each(|d| *spread.entry(d.server).or_default() += 1);
+        ensure!(!groups.contains(&key.group), "{key:?} in its own group: {:?}", hot_key.copy_holders);
+        for holder in &hot_key.copy_holders {
+            *copies_by_server.entry(holder.server).or_default() += 1;
+        }
     }
-    let (least, most) =
-        (spread.values().min().copied().unwrap_or(0), spread.values().max().copied().unwrap_or(0));
-    ensure!(spread.len() == databases(6).len() && most < 4 * least, "{spread:?}");
-    // A database that is not listed any more holds no copies, and all other holders stay.
-    let reports: Vec<_> = (1..=12)
-        .map(|o| (o, vec![ReportEntry { key: key(0, 1), reads_per_1000_s: 450_000, is_hot: false }]))
-        .collect();
-    let mut hot = tracker_with_reports(1, 6, &reports, false);
-    let before: Vec<Database> = hot.hot_keys().flat_map(|(_, k)| k.copy_holders.clone()).collect();
-    let left: Vec<Database> = databases(6).into_iter().filter(|d| *d != before[0]).collect();
-    hot.update_databases(left, (0..6).map(|g| (g, REPLICAS)).collect());
-    let after: Vec<Database> = hot.hot_keys().flat_map(|(_, k)| k.copy_holders.clone()).collect();
+    let fewest = copies_by_server.values().min().copied().unwrap_or(0);
+    let most = copies_by_server.values().max().copied().unwrap_or(0);
+    ensure!(copies_by_server.len() == databases(6).len() && most < 4 * fewest, "{copies_by_server:?}");
+    check_removed_copy_holder()
+}
+
+/// A database that is not listed any more holds no copies, and all other holders stay.
+fn check_removed_copy_holder() -> CheckResult {
+    let holders = |tracker: &HotKeyTracker| -> Vec<Database> {
+        tracker.hot_keys().flat_map(|(_, hot_key)| hot_key.copy_holders.clone()).collect()
+    };
+    let mut tracker = tracker_with_reports(1, 6, &reports_of_hot_key(key(0, 1)), false);
+    let before = holders(&tracker);
+    let listed = databases(6).into_iter().filter(|database| *database != before[0]).collect();
+    tracker.update_databases(listed, (0..6).map(|group| (group, REPLICAS)).collect());
+    let after = holders(&tracker);
     ensure!(
-        !after.contains(&before[0]) && before[1..].iter().all(|d| after.contains(d)),
+        !after.contains(&before[0]) && before[1..].iter().all(|holder| after.contains(holder)),
         "{before:?}, {after:?}"
     );
     Ok(())
 }
 
+/// Of 50 refresh slots of 0.4 s nearly each has an owner, and hardly any has two.
 fn check_refresh_slots() -> CheckResult {
     let mut fleet = Fleet::new(5, 5);
-    let k = key(0, 1);
-    fleet.reads_per_s = vec![(k, 400.0)];
-    fleet.pass_until(k, true, 20 * SECOND).ok_or("it is not found")?;
+    let hot_key = key(0, 1);
+    fleet.reads_per_s = vec![(hot_key, 400.0)];
+    fleet.pass_until(hot_key, true, 20 * SECOND).ok_or("it is not found")?;
     fleet.pass(5 * SECOND);
     fleet.refreshes.clear();
     fleet.pass(20 * SECOND);
-    // Of 50 check_refresh_slots of 0.4 s nearly each is somebody's, and hardly any is two's.
-    let times = fleet.refreshes.get(&k).cloned().unwrap_or_default();
-    let by: BTreeSet<usize> = times.iter().map(|t| t.1).collect();
-    ensure!((46..=54).contains(&times.len()) && by.len() == 5, "{} renewals by {by:?}", times.len());
+    let refreshes = fleet.refreshes.get(&hot_key).cloned().unwrap_or_default();
+    let owners: BTreeSet<usize> = refreshes.iter().map(|(_, owner)| *owner).collect();
+    let count = refreshes.len();
+    ensure!((46..=54).contains(&count) && owners.len() == 5, "{count} refreshes by {owners:?}");
     Ok(())
 }
 
--- a/hot-keys/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -7,7 +7,7 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
-/// Commits, which are values and positions at once: value n holds all up to n.
+/// Commits. Each is a value and a position at once: a value includes all commits up to its number.
 const COMMITS: i64 = 2;
 const REPLICAS: usize = 2;
 const COPIERS: usize = 2;
@@ -15,12 +15,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Copier {
     Idle,
-    /// The first answer position this position.
+    /// The first answer came with this position.
     FirstAnswered {
         replica: usize,
         position: i64,
     },
-    /// The second read has run; its answer is not there yet.
+    /// The second read has run; its answer has not arrived yet.
     Read {
         replica: usize,
         position: i64,
@@ -38,19 +38,28 @@
     holder: Option<Copy<i64>>,
     /// A read was served by a copy older than the position that it needs.
     stale_read: bool,
+    /// The holder's copy got an older position.
     went_back: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Commit,
+    /// A replica applies the next commit.
     Apply(usize),
-    FirstRead(usize, usize),
-    SecondRead(usize),
-    SecondAnswer(usize),
-    Arrives(Copy<i64>),
+    FirstRead {
+        copier: usize,
+        replica: usize,
+    },
+    SecondRead {
+        copier: usize,
+    },
+    SecondAnswer {
+        copier: usize,
+    },
+    CopyArrives(Copy<i64>),
     /// The holder restarts, fails over or is replaced: it has none, or an older one that had arrived before.
-    Loses,
+    CopyLost,
     /// A read that needs this position asks the holder.
     ReadCopy(i64),
 }
@@ -62,77 +71,82 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let copiers = [Copier::Idle, Copier::Idle];
-        let in_transit = BTreeSet::new();
         vec![State {
             committed: 0,
             applied: [0; REPLICAS],
-            copiers,
-            in_transit,
+            copiers: [Copier::Idle, Copier::Idle],
+            in_transit: BTreeSet::new(),
             holder: None,
             stale_read: false,
             went_back: false,
         }]
     }
 
-    fn actions(&self, s: &State, all: &mut Vec<Step>) {
-        if s.committed < COMMITS {
-            all.push(Step::Commit);
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+        if state.committed < COMMITS {
+            actions.push(Step::Commit);
         }
-        all.extend((0..REPLICAS).filter(|r| s.applied[*r] < s.committed).map(Step::Apply));
-        for c in 0..COPIERS {
-            match s.copiers[c] {
-                Copier::Idle => all.extend((0..REPLICAS).map(|r| Step::FirstRead(c, r))),
-                Copier::FirstAnswered { .. } => all.push(Step::SecondRead(c)),
-                Copier::Read { .. } => all.push(Step::SecondAnswer(c)),
+        let lags = |replica: &usize| state.applied[*replica] < state.committed;
+        actions.extend((0..REPLICAS).filter(lags).map(Step::Apply));
+        for copier in 0..COPIERS {
+            match state.copiers[copier] {
+                Copier::Idle => {
+                    actions.extend((0..REPLICAS).map(|replica| Step::FirstRead { copier, replica }));
+                }
+                Copier::FirstAnswered { .. } => actions.push(Step::SecondRead { copier }),
+                Copier::Read { .. } => actions.push(Step::SecondAnswer { copier }),
             }
         }
-        all.extend(s.in_transit.iter().cloned().map(Step::Arrives));
-        if s.holder.is_some() {
-            all.push(Step::Loses);
+        actions.extend(state.in_transit.iter().cloned().map(Step::CopyArrives));
+        if state.holder.is_some() {
+            actions.push(Step::CopyLost);
         }
-        all.extend((0..=s.committed).map(Step::ReadCopy));
+        actions.extend((0..=state.committed).map(Step::ReadCopy));
     }
 
-    fn next_state(&self, s: &State, step: Step) -> Option<State> {
+    fn next_state(&self, state: &State, step: Step) -> Option<State> {
         faults::set(self.0);
-        let mut s = s.clone();
+        let mut state = state.clone();
         match step {
-            Step::Commit => s.committed += 1,
-            Step::Apply(r) => s.applied[r] += 1,
-            Step::FirstRead(c, replica) => {
-                s.copiers[c] = Copier::FirstAnswered { replica, position: s.applied[replica] }
+            Step::Commit => state.committed += 1,
+            Step::Apply(replica) => state.applied[replica] += 1,
+            Step::FirstRead { copier, replica } => {
+                let position = state.applied[replica];
+                state.copiers[copier] = Copier::FirstAnswered { replica, position };
             }
-            Step::SecondRead(c) => {
-                let Copier::FirstAnswered { replica, position } = s.copiers[c] else { return None };
-                s.copiers[c] = Copier::Read { replica, position, value: s.applied[replica] };
+            Step::SecondRead { copier } => {
+                let Copier::FirstAnswered { replica, position } = state.copiers[copier] else { return None };
+                let value = state.applied[replica];
+                state.copiers[copier] = Copier::Read { replica, position, value };
             }
-            Step::SecondAnswer(c) => {
-                let Copier::Read { replica, position, value } = s.copiers[c] else { return None };
-                s.in_transit.extend(copy_from_reads(Some(position), value, Some(s.applied[replica])));
-                s.copiers[c] = Copier::Idle;
+            Step::SecondAnswer { copier } => {
+                let Copier::Read { replica, position, value } = state.copiers[copier] else { return None };
+                let position_after = state.applied[replica];
+                state.in_transit.extend(copy_from_reads(Some(position), value, Some(position_after)));
+                state.copiers[copier] = Copier::Idle;
             }
-            Step::Arrives(copy) => {
-                let before = s.holder.as_ref().map(|kept| kept.position);
-                let after = newer_copy(s.holder.take(), copy);
-                s.went_back |= before.is_some_and(|before| after.position < before);
-                s.holder = Some(after);
+            Step::CopyArrives(copy) => {
+                let before = state.holder.as_ref().map(|kept| kept.position);
+                let after = newer_copy(state.holder.take(), copy);
+                state.went_back |= before.is_some_and(|before| after.position < before);
+                state.holder = Some(after);
             }
-            Step::Loses => s.holder = None,
+            Step::CopyLost => state.holder = None,
             Step::ReadCopy(needed) => {
-                let answered = s.holder.as_ref().filter(|kept| can_serve(Some(kept), needed));
-                s.stale_read |= answered.is_some_and(|kept| kept.value < needed);
+                let answered = state.holder.as_ref().filter(|kept| can_serve(Some(kept), needed));
+                state.stale_read |= answered.is_some_and(|kept| kept.value < needed);
             }
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no read is staler than what it needs", |_, s: &State| !s.stale_read),
-            Property::always("a holder's copy never goes back", |_, s: &State| !s.went_back),
-            Property::sometimes("a current copy arrives", |_, s: &State| {
-                s.committed == COMMITS && s.holder.as_ref().is_some_and(|kept| kept.position == COMMITS)
+            Property::always("no read is staler than what it needs", |_, state: &State| !state.stale_read),
+            Property::always("a holder's copy never goes back", |_, state: &State| !state.went_back),
+            Property::sometimes("a current copy arrives", |_, state: &State| {
+                state.committed == COMMITS
+                    && state.holder.as_ref().is_some_and(|kept| kept.position == COMMITS)
             }),
         ]
     }
--- a/hot-keys/tests/recorded_bytes.rs
+++ b/hot-keys/tests/recorded_bytes.rs
@@ -14,8 +14,8 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-fn entry(group: u32, hash: u64, milli: u32, hot: bool) -> ReportEntry {
-    ReportEntry { key: Key { group, hash }, reads_per_1000_s: milli, is_hot: hot }
+fn entry(group: u32, hash: u64, reads_per_1000_s: u32, is_hot: bool) -> ReportEntry {
+    ReportEntry { key: Key { group, hash }, reads_per_1000_s, is_hot }
 }
 
 fn assert_recorded(report: &Report, recorded: &str) {
