--- /dev/null
+++ b/shard-split/tests/common/databases.rs
@@ -0,0 +1,178 @@
+//! The simulated databases of a split: a parent whose rows are written, and two children that follow it.
+
+use super::{ChildFault, Disturbances, MILLI, SECOND, definition, key};
+use birchreach_shard_split::judge::ParentSample;
+use birchreach_shard_split::{
+    Child, Children, ComparisonQuery, Definition, Micros, PositionSample, QueryResult,
+};
+use std::collections::BTreeMap;
+
+/// How long a child keeps commits that the parent lost in a failover.
+const CHILD_REPAIR_MICROS: Micros = SECOND;
+
+/// A value of a row, by the time of its commit.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Commit {
+    committed_at: Micros,
+    pub value: u64,
+}
+
+/// A commit that the parent lost in a failover.
+struct LostCommit {
+    key: usize,
+    commit: Commit,
+    lost_at: Micros,
+}
+
+struct ChildDatabase {
+    position: Micros,
+    lag: Micros,
+    /// Changes with each restart.
+    process: u64,
+}
+
+/// A parent and its two children.
+pub struct Databases {
+    /// Keys that have a row.
+    pub keys: usize,
+    disturbances: Disturbances,
+    /// The commits of each key, in their order.
+    log: BTreeMap<usize, Vec<Commit>>,
+    lost: Vec<LostCommit>,
+    /// Changes with each failover.
+    parent_process: u64,
+    children: [ChildDatabase; 2],
+    /// Faults of children, by key.
+    pub faults: BTreeMap<usize, ChildFault>,
+}
+
+/// Whether something that happens so often in a second happens within a span.
+pub fn happens(rng: &mut fastrand::Rng, per_s: f64, span: Micros) -> bool {
+    rng.f64() < per_s * span as f64 / 1e6
+}
+
+impl Databases {
+    /// Databases with one value of each key.
+    pub fn new(keys: usize, disturbances: Disturbances) -> Databases {
+        let first_commit = |number: usize| vec![Commit { committed_at: 0, value: number as u64 }];
+        let child = |process| ChildDatabase { position: 0, lag: 20 * MILLI, process };
+        Databases {
+            keys,
+            disturbances,
+            log: (0..keys).map(|number| (number, first_commit(number))).collect(),
+            lost: Vec::new(),
+            parent_process: 1,
+            children: [child(10), child(20)],
+            faults: BTreeMap::new(),
+        }
+    }
+
+    /// Writes, changes of lag, failovers and restarts that happen within a step.
+    pub fn disturb(&mut self, rng: &mut fastrand::Rng, now: Micros, step: Micros) {
+        let Disturbances { writes, lag, failovers, restarts, .. } = self.disturbances;
+        if happens(rng, writes, step) {
+            let number = rng.usize(..self.keys.min(20));
+            // Each value comes back after some other ones.
+            let value = rng.u64(..3) * 1_000 + number as u64;
+            self.log.entry(number).or_default().push(Commit { committed_at: now, value });
+        }
+        if lag > 0 && happens(rng, 0.5, step) {
+            let child = rng.usize(..2);
+            self.children[child].lag = rng.i64(1..=lag);
+        }
+        if happens(rng, failovers, step) {
+            self.fail_over(now);
+        }
+        if happens(rng, restarts, step) {
+            let child = &mut self.children[rng.usize(..2)];
+            child.position -= 5 * SECOND;
+            child.lag = 4 * SECOND;
+            child.process += 1;
+        }
+    }
+
+    /// Another database becomes the parent, without the last commits.
+    fn fail_over(&mut self, now: Micros) {
+        self.parent_process += 1;
+        let replicated_until = now - 300 * MILLI;
+        for (key, commits) in &mut self.log {
+            let is_lost = |commit: &mut Commit| commit.committed_at > replicated_until;
+            let lost = commits.extract_if(.., is_lost);
+            self.lost.extend(lost.map(|commit| LostCommit { key: *key, commit, lost_at: now }));
+        }
+    }
+
+    /// The parent's newest commit of a key up to a position.
+    pub fn parent_commit(&self, number: usize, position: Micros) -> Commit {
+        let commits = self.log[&number].iter().filter(|commit| commit.committed_at <= position);
+        commits.copied().max().unwrap_or_default()
+    }
+
+    /// A child's newest commit of a key up to a position: it has what the parent lost until it is repaired.
+    fn child_commit(&self, now: Micros, number: usize, position: Micros) -> Commit {
+        let is_visible = |lost: &&LostCommit| {
+            lost.key == number
+                && lost.commit.committed_at <= position
+                && now - lost.lost_at < CHILD_REPAIR_MICROS
+        };
+        let newest_lost = self.lost.iter().filter(is_visible).map(|lost| lost.commit).max();
+        newest_lost.into_iter().chain([self.parent_commit(number, position)]).max().unwrap_or_default()
+    }
+
+    fn child_position(&mut self, child: usize, at: Micros) -> Micros {
+        let child = &mut self.children[child];
+        child.position = child.position.max(at - 1 - child.lag);
+        child.position
+    }
+
+    fn child_row(&mut self, now: Micros, number: usize, child: usize, at: Micros) -> Option<u64> {
+        let Children { owner, .. } = definition().children(Definition::hash(&key(number)));
+        let is_owner = owner as usize == child + 1;
+        let position = self.child_position(child, at);
+        let value = self.child_commit(now, number, position).value;
+        match self.faults.get(&number) {
+            Some(ChildFault::Missing) if is_owner => None,
+            Some(ChildFault::Other) if is_owner => Some(value ^ 1 << 40),
+            Some(ChildFault::Extra) => Some(value),
+            _ => is_owner.then_some(value),
+        }
+    }
+
+    /// What a database answers: positions are of other instants than rows.
+    pub fn answer(
+        &mut self,
+        rng: &mut fastrand::Rng,
+        now: Micros,
+        query: ComparisonQuery,
+        key_bytes: &[u8],
+    ) -> QueryResult {
+        let number = (0..self.keys).find(|number| key(*number) == key_bytes).unwrap_or(0);
+        if rng.f64() < self.disturbances.lost {
+            return QueryResult::NoAnswer;
+        }
+        let Children { owner, other } = definition().children(Definition::hash(key_bytes));
+        let index = |child| if child == Child::Owner { owner as usize - 1 } else { other as usize - 1 };
+        let (delay, further_delay) = (rng.i64(0..40 * MILLI), rng.i64(0..40 * MILLI));
+        match query {
+            ComparisonQuery::SingleRead(child) => {
+                let row = self.child_row(now, number, index(child), now);
+                let position = Some(self.child_position(index(child), now + delay));
+                QueryResult::SingleRead { row, position }
+            }
+            ComparisonQuery::Sample(child) => {
+                let position_before = self.child_position(index(child), now);
+                let row = self.child_row(now, number, index(child), now + delay);
+                let position_after = self.child_position(index(child), now + delay + further_delay);
+                QueryResult::Sample {
+                    sample: PositionSample { row, position_before, position_after },
+                    process: self.children[index(child)].process,
+                }
+            }
+            ComparisonQuery::SampleParent => {
+                let Commit { committed_at, value } = self.parent_commit(number, now);
+                let sample = ParentSample { row: Some(value), committed_at, position: now - 1 - delay };
+                QueryResult::ParentSample { sample, process: self.parent_process }
+            }
+        }
+    }
+}
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,18 +1,19 @@
-//! A parent, two children that follow it late, clients that read and write, and processes that compare: on virtual time, from a seed.
+//! A parent, two children that follow it with a lag, clients that read and write, and processes that compare: on virtual time, from a seed.
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
+mod databases;
 mod disturbances;
 
-use birchreach_shard_split::judge::ParentSample;
 use birchreach_shard_split::{
-    Child, Children, ComparisonQuery, ConfirmedDifference, Definition, DifferenceKind, DueQuery, Micros,
-    PositionSample, QueryResult, Settings, SplitVerifier,
+    ConfirmedDifference, Definition, DifferenceKind, Micros, QueryResult, Settings, SplitVerifier,
 };
+use databases::{Databases, happens};
 pub use disturbances::{ChildFault, Disturbances};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 pub const SECOND: Micros = 1_000_000;
 const MILLI: Micros = 1_000;
+const STEP_MICROS: Micros = 20 * MILLI;
 
 /// A group that splits in the middle.
 pub fn definition() -> Definition {
@@ -31,209 +32,129 @@
     }
 }
 
-/// The nth key.
-pub fn key(n: usize) -> Vec<u8> {
-    format!("key-{n}").into_bytes()
+/// A key, by its number.
+pub fn key(number: usize) -> Vec<u8> {
+    format!("key-{number}").into_bytes()
+}
+
+/// An answer on its way to a verifier.
+struct AnswerInTransit {
+    arrives_at: Micros,
+    verifier: usize,
+    comparison: u64,
+    result: QueryResult,
 }
 
 /// The databases, and verifiers that compare what clients read.
 pub struct World {
     pub now: Micros,
     rng: fastrand::Rng,
-    disturbances: Disturbances,
-    keys: usize,
-    /// By key: commits and values; and what a failover lost, with the time of the loss.
-    log: BTreeMap<usize, Vec<(Micros, u64)>>,
-    lost: Vec<(usize, Micros, u64, Micros)>,
-    parent: u64,
-    children: [(Micros, Micros, u64); 2],
-    pub faults: BTreeMap<usize, ChildFault>,
-    pub all: Vec<SplitVerifier>,
-    /// Answers that arrive at an instant: at which verifier, of which comparison.
-    answers_in_transit: Vec<(Micros, usize, u64, QueryResult)>,
+    pub databases: Databases,
+    pub verifiers: Vec<SplitVerifier>,
+    answers_in_transit: Vec<AnswerInTransit>,
+    /// Confirmed differences of all verifiers.
     pub differences: Vec<ConfirmedDifference>,
+    /// Queries that were sent.
     pub queries: u64,
 }
 
+/// What was confirmed, compared with the faults that there are.
+pub struct ConfirmedKeys<'a> {
+    /// Keys with a fault for which a difference of its kind was confirmed.
+    pub faulty: BTreeSet<usize>,
+    /// Confirmed differences of other keys, or of another kind.
+    pub wrong: Vec<&'a ConfirmedDifference>,
+}
+
 impl World {
     pub fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> World {
         let now = 1_000_000 * SECOND;
-        let all =
-            (0..processes).map(|n| SplitVerifier::new(settings(processes), n as u64 + 1, now)).collect();
-        let log = (0..keys).map(|n| (n, vec![(0, n as u64)])).collect();
+        let verifier = |process| SplitVerifier::new(settings(processes), process as u64 + 1, now);
         World {
             now,
             rng: fastrand::Rng::with_seed(seed),
-            disturbances,
-            keys,
-            log,
-            lost: Vec::new(),
-            parent: 1,
-            children: [(0, 20 * MILLI, 10), (0, 20 * MILLI, 20)],
-            faults: BTreeMap::new(),
-            all,
+            databases: Databases::new(keys, disturbances),
+            verifiers: (0..processes).map(verifier).collect(),
             answers_in_transit: Vec::new(),
             differences: Vec::new(),
             queries: 0,
         }
     }
 
-    fn chance(&mut self, rate: f64, span: Micros) -> bool {
-        self.rng.f64() < rate * span as f64 / 1e6
-    }
-
-    /// The newest value of a key up to a position, and when it was committed.
-    fn at(&self, n: usize, position: Micros, of_child: bool) -> (Micros, u64) {
-        let kept = self.log[&n].iter().filter(|(at, _)| *at <= position);
-        // A child has what was lost until it is repaired.
-        let lost =
-            self.lost.iter().filter(|l| of_child && l.0 == n && l.1 <= position && self.now - l.3 < SECOND);
-        kept.copied().chain(lost.map(|l| (l.1, l.2))).max().unwrap_or((0, 0))
-    }
-
-    fn position(&mut self, child: usize, at: Micros) -> Micros {
-        let (position, lag, _) = &mut self.children[child];
-        *position = (*position).max(at - 1 - *lag);
-        *position
-    }
-
-    fn child_row(&mut self, n: usize, child: usize, at: Micros) -> Option<u64> {
-        let Children { owner, .. } = definition().children(Definition::hash(&key(n)));
-        let owns = owner as usize == child + 1;
-        let position = self.position(child, at);
-        let value = self.at(n, position, true).1;
-        match self.faults.get(&n) {
-            Some(ChildFault::Missing) if owns => None,
-            Some(ChildFault::Other) if owns => Some(value ^ 1 << 40),
-            Some(ChildFault::Extra) => Some(value),
-            _ => owns.then_some(value),
-        }
-    }
-
     /// Passes time in small steps, with so many reads a second.
     pub fn pass(&mut self, span: Micros, reads_per_s: f64) {
         let end = self.now + span;
-        let step = 20 * MILLI;
         while self.now < end {
-            self.now += step;
-            self.disturb(step);
-            for n in 0..self.all.len() {
-                if self.chance(reads_per_s / self.all.len() as f64, step) {
-                    let k = self.rng.usize(..self.keys);
-                    // A replica of the parent may answer from a little ago.
-                    let position = self.now - 1 - self.rng.i64(0..30 * MILLI);
-                    let (_, value) = self.at(k, position, false);
-                    self.all[n].record_read(self.now, 0, &key(k), Some(value));
-                }
-                for DueQuery { comparison: number, query, key_bytes, .. } in
-                    self.all[n].due_queries(self.now, 4)
-                {
-                    self.queries += 1;
-                    let result = self.answer(query, &key_bytes);
-                    let after = self.rng.i64(2 * MILLI..200 * MILLI);
-                    self.answers_in_transit.push((self.now + after, n, number, result));
+            self.now += STEP_MICROS;
+            self.databases.disturb(&mut self.rng, self.now, STEP_MICROS);
+            for verifier in 0..self.verifiers.len() {
+                if happens(&mut self.rng, reads_per_s / self.verifiers.len() as f64, STEP_MICROS) {
+                    self.read(verifier);
                 }
+                self.send_queries(verifier);
             }
-            let now = self.now;
-            for (_, n, number, result) in
-                self.answers_in_transit.extract_if(.., |u| u.0 <= now).collect::<Vec<_>>()
-            {
-                self.differences.extend(self.all[n].record_result(now, number, result));
-            }
+            self.deliver_answers();
             self.exchange_reports();
         }
     }
 
-    fn disturb(&mut self, step: Micros) {
-        let Disturbances { writes, lag, failovers, restarts, .. } = self.disturbances;
-        if self.chance(writes, step) {
-            let n = self.rng.usize(..self.keys.min(20));
-            // Values go and come back.
-            let value = self.rng.u64(..3) * 1_000 + n as u64;
-            self.log.entry(n).or_default().push((self.now, value));
-        }
-        if lag > 0 && self.chance(0.5, step) {
-            let child = self.rng.usize(..2);
-            self.children[child].1 = self.rng.i64(1..=lag);
-        }
-        if self.chance(failovers, step) {
-            self.parent += 1;
-            let (has, now) = (self.now - 300 * MILLI, self.now);
-            for (n, entries) in &mut self.log {
-                for (at, value) in entries.extract_if(.., |(at, _)| *at > has) {
-                    self.lost.push((*n, at, value, now));
-                }
-            }
-        }
-        if self.chance(restarts, step) {
-            let child = self.rng.usize(..2);
-            let c = &mut self.children[child];
-            *c = (c.0 - 5 * SECOND, 4 * SECOND, c.2 + 1);
-        }
+    /// A client reads a key at a replica of the parent, which may lag a little.
+    fn read(&mut self, verifier: usize) {
+        let number = self.rng.usize(..self.databases.keys);
+        let position = self.now - 1 - self.rng.i64(0..30 * MILLI);
+        let value = self.databases.parent_commit(number, position).value;
+        self.verifiers[verifier].record_read(self.now, 0, &key(number), Some(value));
     }
 
-    /// What a database answers: positions are of other instants than rows.
-    fn answer(&mut self, query: ComparisonQuery, text: &[u8]) -> QueryResult {
-        let n = (0..self.keys).find(|n| key(*n) == text).unwrap_or(0);
-        if self.rng.f64() < self.disturbances.lost {
-            return QueryResult::NoAnswer;
+    fn send_queries(&mut self, verifier: usize) {
+        for due in self.verifiers[verifier].due_queries(self.now, 4) {
+            self.queries += 1;
+            let result = self.databases.answer(&mut self.rng, self.now, due.query, &due.key_bytes);
+            let arrives_at = self.now + self.rng.i64(2 * MILLI..200 * MILLI);
+            let comparison = due.comparison;
+            self.answers_in_transit.push(AnswerInTransit { arrives_at, verifier, comparison, result });
         }
-        let Children { owner, other } = definition().children(Definition::hash(text));
-        let of = |child| if child == Child::Owner { owner as usize - 1 } else { other as usize - 1 };
+    }
+
+    fn deliver_answers(&mut self) {
         let now = self.now;
-        let (a, b) = (self.rng.i64(0..40 * MILLI), self.rng.i64(0..40 * MILLI));
-        match query {
-            ComparisonQuery::SingleRead(child) => {
-                let row = self.child_row(n, of(child), now);
-                QueryResult::SingleRead { row, position: Some(self.position(of(child), now + a)) }
-            }
-            ComparisonQuery::Sample(child) => {
-                let low = self.position(of(child), now);
-                let row = self.child_row(n, of(child), now + a);
-                let high = self.position(of(child), now + a + b);
-                QueryResult::Sample {
-                    sample: PositionSample { row, position_before: low, position_after: high },
-                    process: self.children[of(child)].2,
-                }
-            }
-            ComparisonQuery::SampleParent => {
-                let (since, value) = self.at(n, now, false);
-                QueryResult::ParentSample {
-                    sample: ParentSample { row: Some(value), committed_at: since, position: now - 1 - a },
-                    process: self.parent,
-                }
-            }
+        let has_arrived = |answer: &mut AnswerInTransit| answer.arrives_at <= now;
+        for answer in self.answers_in_transit.extract_if(.., has_arrived) {
+            let verifier = &mut self.verifiers[answer.verifier];
+            self.differences.extend(verifier.record_result(now, answer.comparison, answer.result));
         }
     }
 
     /// Each report reaches all other verifiers.
     fn exchange_reports(&mut self) {
-        for n in 0..self.all.len() {
-            let Some(said) = self.all[n].report_if_due(self.now) else { continue };
-            let number = self.now as u64;
-            for other in (0..self.all.len()).filter(|o| *o != n) {
-                let _ = self.all[other].receive_report(self.now, n as u64 + 1, number, 0, &said);
+        let sequence = self.now as u64;
+        for from in 0..self.verifiers.len() {
+            let Some(report) = self.verifiers[from].report_if_due(self.now) else { continue };
+            for to in (0..self.verifiers.len()).filter(|to| *to != from) {
+                let _ = self.verifiers[to].receive_report(self.now, from as u64 + 1, sequence, 0, &report);
             }
         }
     }
 
-    /// Keys with a fault for which a difference was confirmed; and confirmed differences of other keys, or of another kind.
-    pub fn found(&self) -> (BTreeSet<usize>, Vec<&ConfirmedDifference>) {
-        let (mut found, mut wrong) = (BTreeSet::new(), Vec::new());
-        for f in &self.differences {
-            let n = (0..self.keys).find(|n| Definition::hash(&key(*n)) == f.key_hash);
-            let kind = n.and_then(|n| self.faults.get(&n)).map(|fault| match fault {
+    /// The confirmed differences, by whether there is such a fault.
+    pub fn confirmed_keys(&self) -> ConfirmedKeys<'_> {
+        let mut confirmed = ConfirmedKeys { faulty: BTreeSet::new(), wrong: Vec::new() };
+        for difference in &self.differences {
+            let has_hash = |number: &usize| Definition::hash(&key(*number)) == difference.key_hash;
+            let number = (0..self.databases.keys).find(has_hash);
+            let fault = number.and_then(|number| self.databases.faults.get(&number));
+            let kind = fault.map(|fault| match fault {
                 ChildFault::Missing => DifferenceKind::Missing,
                 ChildFault::Extra => DifferenceKind::Extra,
                 ChildFault::Other => DifferenceKind::Differs,
             });
-            match (n, kind) {
-                (Some(n), Some(kind)) if kind == f.kind => {
-                    found.insert(n);
+            match number {
+                Some(number) if kind == Some(difference.kind) => {
+                    confirmed.faulty.insert(number);
                 }
-                _ => wrong.push(f),
+                _ => confirmed.wrong.push(difference),
             }
         }
-        (found, wrong)
+        confirmed
     }
 }
--- a/shard-split/tests/noise.rs
+++ b/shard-split/tests/noise.rs
@@ -18,14 +18,14 @@
     };
     let valid = report.encode();
     let mut split = SplitVerifier::new(settings(2), 1, 0);
-    for n in 0..50_000u64 {
+    for sequence in 0..50_000u64 {
         let mut bytes = valid.clone();
         for _ in 0..rng.usize(1..4) {
             let at = rng.usize(..bytes.len());
             bytes[at] = rng.u8(..);
         }
         bytes.truncate(rng.usize(..=bytes.len()));
-        let _ = split.receive_report(SECOND, rng.u64(..), n, 0, &bytes);
+        let _ = split.receive_report(SECOND, rng.u64(..), sequence, 0, &bytes);
     }
     assert!(split.origin_count() <= 4_096);
     for cut in 0..valid.len() {
@@ -46,6 +46,6 @@
     let covered = world.queries;
     world.pass(2 * SECOND, 200.0);
     let after = world.queries - covered;
-    assert!(after * 4 < before, "{before} questions in two seconds, {after} once all is covered");
+    assert!(after * 4 < before, "{before} queries in two seconds, {after} once all is covered");
     assert_eq!(Definition::range(Definition::hash(&key(0))), Definition::range(Definition::hash(b"key-0")));
 }
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
 //! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
-//! and definitions have the hashes that an earlier version gives them, in reports, flags and log lines.
+//! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
 
 use birchreach_shard_split::{Definition, RANGES, RangeDifferences, Report};
 
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn a_report_of_comparisons_and_flags_has_the_recorded_bytes() {
+fn a_report_of_comparisons_and_differences_has_the_recorded_bytes() {
     let compared = (0..RANGES as u32).map(|range| range * range * 1_000).collect();
-    let flags = vec![entry(0, 0, 1), entry(1, 7, 300), entry(2, 63, u32::MAX)];
+    let differences = vec![entry(0, 0, 1), entry(1, 7, 300), entry(2, 63, u32::MAX)];
     let recorded = concat!(
         "ef9bafcdf8acd191014000e807a01fa846807da8c301a09902e8fe0280f403e8f804a08d06a8b10780e508a8a80aa0fb",
         "0be8dd0d80d00fe8d111a0e313a8841680b518a8f51aa0c51de8a420809423e89226a0a129a8bf2c80ed2fa8aa33a0f7",
@@ -44,16 +44,13 @@
         "8101e8e9860180d08c01e8c59201a0cb9801a8e09e018085a501a8b9ab01a0fdb101e8d0b80180b4bf01e8a6c601a0a9",
         "cd01a8bbd40180dddb01a88ee301a0cfea01e89ff201030000010107ac02023fffffffff0f",
     );
-    assert_recorded(
-        &Report { definition_digest: 0x0123_4567_89ab_cdef, compared, differences: flags },
-        recorded,
-    );
+    assert_recorded(&Report { definition_digest: 0x0123_4567_89ab_cdef, compared, differences }, recorded);
 }
 
 #[test]
 fn definitions_have_the_recorded_digests() {
-    let digest = |from, below, above, at| {
-        let definition = Definition { parent: from, lower_child: below, upper_child: above, split_at: at };
+    let digest = |parent, lower_child, upper_child, split_at| {
+        let definition = Definition { parent, lower_child, upper_child, split_at };
         format!("{:016x}", definition.digest())
     };
     assert_eq!(digest(0, 1, 2, 1 << 31), "67d9e9a838b6c520");
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -10,7 +10,7 @@
     ComparisonQuery, Definition, DueQuery, ParentSample, PositionSample, QueryResult, RANGES, RangeCoverage,
     RangeDifferences, Report, SplitVerifier, Verdict,
 };
-use common::{ChildFault, Disturbances, SECOND, World, definition, key, settings};
+use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, key, settings};
 use verdicts::check_clean_verdict;
 
 type CheckResult = Result<(), String>;
@@ -18,59 +18,75 @@
 const ROUGH_DISTURBANCES: Disturbances =
     Disturbances { writes: 15.0, lag: 2 * SECOND, failovers: 0.1, restarts: 0.05, lost: 0.05 };
 
+/// Writes, lags, restarts and failovers confirm no difference.
 fn check_no_false_difference() -> CheckResult {
     for seed in 0..40 {
         let mut world = World::new(seed, 3, 60, ROUGH_DISTURBANCES);
         world.pass(60 * SECOND, 60.0);
-        let (_, wrong) = world.found();
+        let wrong = world.confirmed_keys().wrong;
         ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
-        let agreed: u64 = world.all.iter().map(|s| s.counts().agreed).sum();
+        let agreed: u64 = world.verifiers.iter().map(|verifier| verifier.counts().agreed).sum();
         ensure!(agreed > 300, "seed {seed}: hardly anything was compared: {agreed}");
     }
     Ok(())
 }
 
+/// Each kind of fault is confirmed, also in keys that are written all the time.
 fn check_faults_are_confirmed() -> CheckResult {
+    let faults = [
+        (3, ChildFault::Other),
+        (17, ChildFault::Missing),
+        (30, ChildFault::Extra),
+        (45, ChildFault::Missing),
+        (52, ChildFault::Other),
+    ];
     for seed in 0..15 {
         let mut world =
             World::new(seed, 3, 60, Disturbances { failovers: 0.02, restarts: 0.01, ..ROUGH_DISTURBANCES });
-        // Some of them in keys that are written all the time.
-        for (n, fault) in [
-            (3, ChildFault::Other),
-            (17, ChildFault::Missing),
-            (30, ChildFault::Extra),
-            (45, ChildFault::Missing),
-            (52, ChildFault::Other),
-        ] {
-            world.faults.insert(n, fault);
-        }
+        world.databases.faults.extend(faults);
         world.pass(150 * SECOND, 60.0);
-        let (found, wrong) = world.found();
+        let ConfirmedKeys { faulty, wrong } = world.confirmed_keys();
         ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
-        ensure!(found.len() == 5, "seed {seed}: of five only {found:?}");
-        let heard = world.all.len();
-        let dirty = world.all.iter().all(|s| matches!(s.verdict(heard), Verdict::Dirty(_)));
-        ensure!(dirty, "seed {seed}: {:?}", world.all[0].verdict(heard));
+        ensure!(faulty.len() == 5, "seed {seed}: of five only {faulty:?}");
+        let members = world.verifiers.len();
+        let is_dirty = |verifier: &SplitVerifier| matches!(verifier.verdict(members), Verdict::Dirty(_));
+        ensure!(
+            world.verifiers.iter().all(is_dirty),
+            "seed {seed}: {:?}",
+            world.verifiers[0].verdict(members)
+        );
     }
     Ok(())
 }
 
+/// A report that a verifier receives.
+#[derive(Clone, Copy)]
+struct SentReport {
+    origin: u64,
+    sequence: u64,
+    /// Comparisons in each range.
+    comparisons: u32,
+}
+
+/// Reports count once, received in several orders, some twice.
 fn check_counting() -> CheckResult {
-    let of = |n: u32| {
+    let encoded = |comparisons: u32| {
         let report = Report {
             definition_digest: definition().digest(),
-            compared: vec![n; RANGES],
+            compared: vec![comparisons; RANGES],
             differences: vec![],
         };
         report.encode()
     };
-    // Origin, sequence, comparisons: received in several orders, some twice.
-    let reports = [(2u64, 1u64, 5u32), (2, 2, 7), (3, 1, 1), (2, 2, 7), (3, 1, 1), (2, 1, 5)];
+    let outdated = SentReport { origin: 2, sequence: 1, comparisons: 5 };
+    let newest = SentReport { origin: 2, sequence: 2, comparisons: 7 };
+    let of_another = SentReport { origin: 3, sequence: 1, comparisons: 1 };
+    let reports = [outdated, newest, of_another, newest, of_another, outdated];
     let orders: [[usize; 6]; 3] = [[0, 1, 2, 3, 4, 5], [5, 4, 3, 2, 1, 0], [1, 0, 2, 5, 3, 4]];
     for order in orders {
         let mut split = SplitVerifier::new(settings(3), 1, 0);
-        for (origin, number, n) in order.map(|i| reports[i]) {
-            let _ = split.receive_report(SECOND, origin, number, 0, &of(n));
+        for SentReport { origin, sequence, comparisons } in order.map(|index| reports[index]) {
+            let _ = split.receive_report(SECOND, origin, sequence, 0, &encoded(comparisons));
         }
         ensure!(
             split.coverage(0) == RangeCoverage { comparisons: 8, processes: 2 },
@@ -81,6 +97,7 @@
     Ok(())
 }
 
+/// A report of another definition is rejected and counts nowhere.
 fn check_definitions() -> CheckResult {
     let other = Definition { split_at: 1 << 30, ..definition() };
     let report = Report {
@@ -89,7 +106,7 @@
         differences: vec![RangeDifferences { kind: 0, range: 3, count: 1 }],
     };
     let mut split = SplitVerifier::new(settings(2), 1, 0);
-    ensure!(split.receive_report(SECOND, 2, 1, 0, &report.encode()).is_err(), "it is taken");
+    ensure!(split.receive_report(SECOND, 2, 1, 0, &report.encode()).is_err(), "it is accepted");
     ensure!(
         split.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
             && !matches!(split.verdict(2), Verdict::Dirty(_)),
@@ -98,25 +115,26 @@
     Ok(())
 }
 
+/// Comparisons in progress, differences and origins are bounded.
 fn check_bounds() -> CheckResult {
     let mut world = World::new(2, 1, 3_000, Disturbances { lost: 0.0, ..Disturbances::default() });
-    world.faults.extend((0..3_000).map(|n| (n, ChildFault::Other)));
+    world.databases.faults.extend((0..3_000).map(|number| (number, ChildFault::Other)));
     world.pass(120 * SECOND, 400.0);
-    let split = &world.all[0];
-    let flags = split.differences().count();
-    ensure!(flags > 100, "it shows nothing: {flags}");
+    let split = &world.verifiers[0];
+    let differences = split.differences().count();
+    ensure!(differences > 100, "it shows nothing: {differences}");
     ensure!(
-        split.comparison_count() <= 64 && flags <= 4 * RANGES,
-        "{} in progress, {flags} differences",
+        split.comparison_count() <= 64 && differences <= 4 * RANGES,
+        "{} in progress, {differences} differences",
         split.comparison_count()
     );
     let mut flooded = SplitVerifier::new(settings(2), 1, 0);
     let report =
         Report { definition_digest: definition().digest(), compared: vec![1; RANGES], differences: vec![] }
             .encode();
-    (2..10_000).for_each(|origin| {
+    for origin in 2..10_000 {
         let _ = flooded.receive_report(SECOND, origin, 1, 0, &report);
-    });
+    }
     ensure!(flooded.origin_count() <= 4_096, "{} origins", flooded.origin_count());
     Ok(())
 }
@@ -124,21 +142,21 @@
 /// A difference that is found twice is not confirmed where a restart or a failover lies in between.
 fn check_processes() -> CheckResult {
     let mut split = SplitVerifier::new(settings(1), 1, 0);
-    let (low, high, seen) = (10 * SECOND, 11 * SECOND, 12 * SECOND);
+    let (position_before, position_after, parent_position) = (10 * SECOND, 11 * SECOND, 12 * SECOND);
     split.record_read(0, 0, &key(1), Some(1));
     let confirmed = |split: &mut SplitVerifier, now, child, parent| {
         let mut confirmed = None;
         while let Some(DueQuery { comparison: number, query, .. }) = split.due_queries(now, 1).pop() {
             let result = match query {
                 ComparisonQuery::SingleRead(_) => {
-                    QueryResult::SingleRead { row: Some(2), position: Some(low) }
+                    QueryResult::SingleRead { row: Some(2), position: Some(position_before) }
                 }
                 ComparisonQuery::Sample(_) => QueryResult::Sample {
-                    sample: PositionSample { row: Some(2), position_before: low, position_after: high },
+                    sample: PositionSample { row: Some(2), position_before, position_after },
                     process: child,
                 },
                 ComparisonQuery::SampleParent => QueryResult::ParentSample {
-                    sample: ParentSample { row: Some(1), committed_at: SECOND, position: seen },
+                    sample: ParentSample { row: Some(1), committed_at: SECOND, position: parent_position },
                     process: parent,
                 },
             };
@@ -149,7 +167,7 @@
     ensure!(confirmed(&mut split, 20 * SECOND, 1, 1).is_none(), "at once");
     ensure!(confirmed(&mut split, 24 * SECOND, 1, 2).is_none(), "the parent failed over in between");
     ensure!(confirmed(&mut split, 28 * SECOND, 2, 2).is_none(), "the child was restarted in between");
-    ensure!(confirmed(&mut split, 32 * SECOND, 2, 2).is_some(), "it lasts, and is not found");
+    ensure!(confirmed(&mut split, 32 * SECOND, 2, 2).is_some(), "it persists, and is not confirmed");
     Ok(())
 }
 
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/verdicts.rs
@@ -20,13 +20,13 @@
 pub fn check_clean_verdict() -> CheckResult {
     let covered = verifier_with_reports(|_| 1).verdict(3);
     ensure!(covered == Verdict::Clean, "three times one is enough: {covered:?}");
-    let one_lacks = verifier_with_reports(|range| u32::from(range != 7)).verdict(3);
+    let one_uncovered = verifier_with_reports(|range| u32::from(range != 7)).verdict(3);
     let reason = IncompleteReason {
         ranges_below_comparisons: 1,
         ranges_below_processes: 1,
         ..IncompleteReason::default()
     };
-    ensure!(one_lacks == Verdict::Incomplete(reason), "{one_lacks:?}");
+    ensure!(one_uncovered == Verdict::Incomplete(reason), "{one_uncovered:?}");
     let partitioned = verifier_with_reports(|_| 9).verdict(2);
     let reason = IncompleteReason { unreachable_members: 1, ..IncompleteReason::default() };
     ensure!(partitioned == Verdict::Incomplete(reason), "{partitioned:?}");
@@ -37,10 +37,10 @@
 fn check_comparisons_expire() -> CheckResult {
     let mut world = World::new(1, 1, 600, Disturbances::default());
     world.pass(60 * SECOND, 200.0);
-    let verdict = world.all[0].verdict(1);
+    let verdict = world.verifiers[0].verdict(1);
     ensure!(verdict == Verdict::Clean, "{verdict:?}");
     world.pass(700 * SECOND, 0.0);
-    let verdict = world.all[0].verdict(1);
+    let verdict = world.verifiers[0].verdict(1);
     let is_uncovered =
         matches!(verdict, Verdict::Incomplete(reason) if reason.ranges_below_comparisons == RANGES);
     ensure!(is_uncovered, "{verdict:?}");
