--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -1,13 +1,13 @@
 //! One scheduler for work that no client waits for: rows that are read for copying, copies that are written, reads that are compared.
 //!
-//! It decides which task starts next and how many may start. Where a task may run is decided by its caller, who asks the decision
-//! module: clients' requests have precedence there, and a database in slow start is left alone. It does no I/O and reads no clock.
+//! It decides which task starts next and how many may start. At which database a task may run is decided by its caller with the routing
+//! decisions: clients' requests have precedence there, and a database in slow start gets no tasks. It does no I/O and reads no clock.
 //!
-//! [`Scheduler::submit`] queues a task, [`Scheduler::start_due`] says which tasks start now and where, [`Scheduler::finish`] takes note
-//! that one is over.
+//! [`Scheduler::submit`] queues a task, [`Scheduler::start_due`] returns the tasks that start now and their databases,
+//! [`Scheduler::finish`] records that one has ended.
 //!
 //! A budget is a rate over all processes of the fleet, in any span of its window's length. Each process keeps to its quota of it,
-//! rounded down, by a divisor that is never less than the number of processes there may be. A new incarnation does not know what the
+//! rounded down, by a divisor that is never less than the number of processes that there may be. A new incarnation does not know what the
 //! one before it started, and waits for a whole window.
 //!
 //! Invariants, each with the test that holds it (`tests/scheduler.rs`):
@@ -27,7 +27,7 @@
 pub mod faults;
 mod scheduler;
 
-pub use budget::{Budget, Quota};
+pub use budget::{Budget, Quota, TaskBudget};
 pub use scheduler::{MAX_QUEUED_TASKS, MAX_RUNNING_TASKS, Scheduler, StartedTask, Task, TaskCounts};
 
 /// A span of time, or an instant on the caller's clock, in microseconds.
--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -1,6 +1,6 @@
 //! The queue of tasks, the tasks that run, and which one starts next.
 
-use crate::budget::{Budget, BudgetUsage, Quota};
+use crate::budget::{BudgetUsage, Quota, TaskBudget};
 use crate::{Micros, TaskKind};
 use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 pub struct Task<T> {
     /// What it does, which gives its priority and budget.
     pub kind: TaskKind,
-    /// From this instant on it is of no use and never starts.
+    /// From this instant on its result is useless, and it never starts.
     pub expires_at: Micros,
     /// The caller's own description of it.
     pub payload: T,
@@ -34,12 +34,12 @@
     pub database: u32,
 }
 
-/// What became of the tasks of a kind.
+/// How the tasks of a kind ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
     /// Were started.
     pub started: u64,
-    /// Are over, whatever came of them.
+    /// Have ended, successfully or not.
     pub finished: u64,
     /// Were queued for too long.
     pub expired: u64,
@@ -47,22 +47,25 @@
     pub rejected: u64,
 }
 
-/// The place of a task in the queue: urgent kinds first, and the oldest first within a kind.
+/// The position of a task in the queue: urgent kinds first, and the oldest first within a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     kind: TaskKind,
     id: u64,
 }
 
+/// What is kept of a task while it runs.
 struct RunningTask {
     kind: TaskKind,
     database: u32,
 }
 
-/// Queues tasks and says which of them start now.
+/// Queues tasks and decides which of them start now.
 pub struct Scheduler<T> {
+    /// What this process started of each kind that has a budget.
     usage: BTreeMap<TaskKind, BudgetUsage>,
     queue: BTreeMap<QueuePosition, Task<T>>,
+    /// By task id.
     running: BTreeMap<u64, RunningTask>,
     last_task_id: u64,
     /// Payloads of expired tasks, until the caller takes them.
@@ -72,8 +75,8 @@
 
 impl<T> Scheduler<T> {
     /// A scheduler of these kinds; tasks of a kind without a budget never start.
-    pub fn new(budgets: &[(TaskKind, Budget)], now: Micros) -> Scheduler<T> {
-        let usage = budgets.iter().map(|(kind, budget)| (*kind, BudgetUsage::new(*budget, now)));
+    pub fn new(budgets: &[TaskBudget], now: Micros) -> Scheduler<T> {
+        let usage = budgets.iter().map(|entry| (entry.kind, BudgetUsage::new(entry.budget, now)));
         Scheduler {
             usage: usage.collect(),
             queue: BTreeMap::new(),
@@ -85,9 +88,12 @@
     }
 
     /// Replaces the budgets. A kind whose budget is unchanged goes on; a kind with a new one waits for a window.
-    pub fn set_budgets(&mut self, budgets: &[(TaskKind, Budget)], now: Micros) {
-        self.usage.retain(|kind, usage| budgets.contains(&(*kind, usage.budget())));
-        for (kind, budget) in budgets {
+    pub fn set_budgets(&mut self, budgets: &[TaskBudget], now: Micros) {
+        let is_unchanged = |kind: TaskKind, usage: &BudgetUsage| {
+            budgets.contains(&TaskBudget { kind, budget: usage.budget() })
+        };
+        self.usage.retain(|kind, usage| is_unchanged(*kind, usage));
+        for TaskBudget { kind, budget } in budgets {
             self.usage.entry(*kind).or_insert_with(|| BudgetUsage::new(*budget, now));
         }
         self.queue.retain(|position, _| self.usage.contains_key(&position.kind));
@@ -105,13 +111,13 @@
         true
     }
 
-    /// The tasks that start now. `place` says at which database a task may run, if at any; `divisor` is no less than the number of
-    /// processes that share the budgets.
+    /// The tasks that start now. `select_database` returns the database at which a task may run, if any; `divisor` is no less than the
+    /// number of processes that share the budgets.
     pub fn start_due(
         &mut self,
         now: Micros,
         divisor: u32,
-        mut place: impl FnMut(&T) -> Option<u32>,
+        mut select_database: impl FnMut(&T) -> Option<u32>,
     ) -> Vec<StartedTask<T>> {
         self.remove_expired(now);
         let positions: Vec<QueuePosition> = self.queue.keys().copied().collect();
@@ -120,21 +126,22 @@
             if self.running.len() >= MAX_RUNNING_TASKS {
                 break;
             }
-            started.extend(self.try_start(now, divisor, position, &mut place));
+            started.extend(self.try_start(now, divisor, position, &mut select_database));
         }
         started
     }
 
+    /// Starts a task if its budget and the limits allow it and a database is selected for it.
     fn try_start(
         &mut self,
         now: Micros,
         divisor: u32,
         position: QueuePosition,
-        place: &mut impl FnMut(&T) -> Option<u32>,
+        select_database: &mut impl FnMut(&T) -> Option<u32>,
     ) -> Option<StartedTask<T>> {
         let task = self.queue.get(&position)?;
         let usage = self.usage.get_mut(&task.kind)?;
-        let database = place(&task.payload)?;
+        let database = select_database(&task.payload)?;
         let running_there = self.running.values().filter(|running| running.database == database).count();
         if running_there >= MAX_RUNNING_PER_DATABASE || !usage.allows_start(now, database, divisor) {
             return None;
@@ -146,6 +153,7 @@
         Some(StartedTask { id: position.id, task, database })
     }
 
+    /// Removes expired tasks from the queue; their payloads are kept for the caller.
     fn remove_expired(&mut self, now: Micros) {
         let is_expired = |task: &Task<T>| task.expires_at <= now && !fault_injected!(StartsExpiredTasks);
         for (_, task) in self.queue.extract_if(.., |_, task| is_expired(task)) {
@@ -159,14 +167,14 @@
         std::mem::take(&mut self.expired)
     }
 
-    /// Takes note that a task is over, whatever came of it; an unknown id is ignored.
+    /// Records that a task has ended, successfully or not; an unknown id is ignored.
     pub fn finish(&mut self, id: u64) {
         if let Some(task) = self.running.remove(&id) {
             self.counts.entry(task.kind).or_default().finished += 1;
         }
     }
 
-    /// What became of the tasks of a kind since the start.
+    /// How the tasks of a kind ended since the start.
     pub fn counts(&self, kind: TaskKind) -> TaskCounts {
         self.counts.get(&kind).copied().unwrap_or_default()
     }
--- a/background-tasks/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -2,12 +2,14 @@
 //! that breaks what it holds.
 
 use birchreach_background_tasks::faults::{Fault, with};
-use birchreach_background_tasks::{Budget, Micros, Scheduler, Task, TaskKind};
+use birchreach_background_tasks::{Budget, Micros, Scheduler, Task, TaskBudget, TaskKind};
+use birchreach_fault_injection::ensure;
 
 const SECOND: Micros = 1_000_000;
 const BUDGET: Budget = Budget { database_per_s: 6.5, all_per_s: 11.0, window: 4 * SECOND };
-/// What the budget comes to in a window: 6.5 x 4 and 11 x 4 starts.
+/// The starts at one database that the budget allows in a window: 6.5 x 4.
 const MAX_AT_ONE_DATABASE: usize = 26;
+/// The starts at all databases that it allows in a window: 11 x 4.
 const MAX_IN_ALL: usize = 44;
 
 type CheckResult = Result<(), String>;
@@ -16,8 +18,13 @@
     Task { kind, expires_at, payload }
 }
 
+/// [`BUDGET`] for a kind.
+fn budget_of(kind: TaskKind) -> TaskBudget {
+    TaskBudget { kind, budget: BUDGET }
+}
+
 /// A scheduler whose kinds have been usable for a while.
-fn ready_scheduler(budgets: &[(TaskKind, Budget)]) -> Scheduler<u32> {
+fn ready_scheduler(budgets: &[TaskBudget]) -> Scheduler<u32> {
     Scheduler::new(budgets, -10 * SECOND)
 }
 
@@ -27,31 +34,42 @@
     started.into_iter().map(|started| started.task.payload).collect()
 }
 
-/// The most starts in any window, at one database and in all; `starts` are instants and databases.
-fn most_in_a_window(starts: &[(Micros, u32)]) -> (usize, usize) {
+/// The start of a task.
+struct Start {
+    at: Micros,
+    database: u32,
+}
+
+/// The most starts in any window.
+struct MostStarts {
+    at_one_database: usize,
+    in_all: usize,
+}
+
+fn most_in_a_window(starts: &[Start]) -> MostStarts {
     let within = |from: Micros, database: Option<u32>| {
-        let there = |start: &&(Micros, u32)| database.is_none_or(|database| database == start.1);
+        let is_counted = |start: &&Start| database.is_none_or(|database| database == start.database);
         let window = from..from + BUDGET.window;
-        starts.iter().filter(there).filter(|start| window.contains(&start.0)).count()
+        starts.iter().filter(is_counted).filter(|start| window.contains(&start.at)).count()
     };
-    let at_one = starts.iter().map(|(at, database)| within(*at, Some(*database))).max();
-    let in_all = starts.iter().map(|(at, _)| within(*at, None)).max();
-    (at_one.unwrap_or(0), in_all.unwrap_or(0))
+    let at_one_database = starts.iter().map(|start| within(start.at, Some(start.database))).max();
+    let in_all = starts.iter().map(|start| within(start.at, None)).max();
+    MostStarts { at_one_database: at_one_database.unwrap_or(0), in_all: in_all.unwrap_or(0) }
 }
 
-/// The starts of so many processes, each of which wants more than the budget has, and restarts now and then.
-fn starts_of_greedy_processes(rng: &mut fastrand::Rng, count: usize) -> Vec<(Micros, u32)> {
-    let fresh = |now| Scheduler::<u32>::new(&[(TaskKind::CopyWrite, BUDGET)], now);
-    let mut schedulers: Vec<_> = (0..count).map(|_| fresh(0)).collect();
+/// The starts of so many processes, each of which submits more tasks than the budget allows, and restarts now and then.
+fn starts_of_overloaded_processes(rng: &mut fastrand::Rng, count: usize) -> Vec<Start> {
+    let new_scheduler = |now| Scheduler::<u32>::new(&[budget_of(TaskKind::CopyWrite)], now);
+    let mut schedulers: Vec<_> = (0..count).map(|_| new_scheduler(0)).collect();
     let mut starts = Vec::new();
     for now in (0..40 * SECOND).step_by(40_000) {
         for scheduler in &mut schedulers {
             if rng.u8(..) == 0 {
-                *scheduler = fresh(now);
+                *scheduler = new_scheduler(now);
             }
             scheduler.submit(task(TaskKind::CopyWrite, rng.u32(..3), now + SECOND));
             for started in scheduler.start_due(now, count as u32, |payload| Some(*payload)) {
-                starts.push((now, started.database));
+                starts.push(Start { at: now, database: started.database });
                 scheduler.finish(started.id);
             }
         }
@@ -63,49 +81,54 @@
     for seed in 0..30 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = rng.usize(1..8);
-        let (at_one, in_all) = most_in_a_window(&starts_of_greedy_processes(&mut rng, count));
-        if at_one > MAX_AT_ONE_DATABASE || in_all > MAX_IN_ALL {
-            return Err(format!("seed {seed}, {count} processes: {at_one} at one database, {in_all} in all"));
-        }
-        if count == 1 && (at_one < 15 || in_all < 40) {
-            return Err(format!("hardly anything starts: {at_one}, {in_all}"));
-        }
+        let starts = starts_of_overloaded_processes(&mut rng, count);
+        let MostStarts { at_one_database, in_all } = most_in_a_window(&starts);
+        ensure!(
+            at_one_database <= MAX_AT_ONE_DATABASE && in_all <= MAX_IN_ALL,
+            "seed {seed}, {count} processes: {at_one_database} at one database, {in_all} in all"
+        );
+        ensure!(
+            count != 1 || (at_one_database >= 15 && in_all >= 40),
+            "hardly anything starts: {at_one_database}, {in_all}"
+        );
     }
     Ok(())
 }
 
 fn check_priorities() -> CheckResult {
-    let mut scheduler = ready_scheduler(&TaskKind::ALL.map(|kind| (kind, BUDGET)));
+    let mut scheduler = ready_scheduler(&TaskKind::ALL.map(budget_of));
     let kinds =
         [TaskKind::DualRead, TaskKind::CopyWrite, TaskKind::RowRead, TaskKind::CopyWrite, TaskKind::RowRead];
     for (payload, kind) in kinds.into_iter().enumerate() {
         scheduler.submit(task(kind, payload as u32, SECOND));
     }
     let order = started_payloads(&mut scheduler, 0);
-    if order == [2, 4, 1, 3, 0] { Ok(()) } else { Err(format!("{order:?}")) }
+    ensure!(order == [2, 4, 1, 3, 0], "{order:?}");
+    Ok(())
 }
 
 fn check_expiry() -> CheckResult {
-    let mut scheduler = ready_scheduler(&[(TaskKind::CopyWrite, BUDGET)]);
+    let mut scheduler = ready_scheduler(&[budget_of(TaskKind::CopyWrite)]);
     scheduler.submit(task(TaskKind::CopyWrite, 1, SECOND));
     scheduler.submit(task(TaskKind::CopyWrite, 2, 3 * SECOND));
-    if !scheduler.start_due(SECOND / 2, 1, |_| None).is_empty() {
-        return Err("a task without a place starts".into());
-    }
+    let started_nowhere = scheduler.start_due(SECOND / 2, 1, |_| None);
+    ensure!(started_nowhere.is_empty(), "a task without a database starts");
     let started = started_payloads(&mut scheduler, 2 * SECOND);
     let expired = scheduler.counts(TaskKind::CopyWrite).expired;
-    if started == [2] && expired == 1 { Ok(()) } else { Err(format!("{started:?}, {expired} expired")) }
+    ensure!(started == [2] && expired == 1, "{started:?}, {expired} expired");
+    Ok(())
 }
 
 fn check_bounds() -> CheckResult {
     let ample = Budget { database_per_s: 1e6, all_per_s: 1e6, window: SECOND };
-    let mut scheduler = ready_scheduler(&[(TaskKind::CopyWrite, ample)]);
+    let mut scheduler = ready_scheduler(&[TaskBudget { kind: TaskKind::CopyWrite, budget: ample }]);
     let accepted =
         (0..10_000).filter(|payload| scheduler.submit(task(TaskKind::CopyWrite, *payload, SECOND))).count();
     let started = scheduler.start_due(0, 1, |payload| Some(*payload)).len();
     let further = scheduler.start_due(0, 1, |_| Some(7)).len();
     let holds = accepted == 256 && scheduler.queued_count() <= 256 && started == 8 && further == 0;
-    if holds { Ok(()) } else { Err(format!("{accepted} accepted, {started} started, then {further}")) }
+    ensure!(holds, "{accepted} accepted, {started} started, then {further}");
+    Ok(())
 }
 
 #[test]
@@ -146,17 +169,17 @@
 #[test]
 fn a_changed_budget_waits_for_a_window_and_an_unchanged_one_goes_on() {
     // Given a kind that is usable.
-    let mut scheduler = ready_scheduler(&[(TaskKind::CopyWrite, BUDGET)]);
+    let mut scheduler = ready_scheduler(&[budget_of(TaskKind::CopyWrite)]);
 
     // When the same budget is set again, it goes on.
-    scheduler.set_budgets(&[(TaskKind::CopyWrite, BUDGET)], 0);
+    scheduler.set_budgets(&[budget_of(TaskKind::CopyWrite)], 0);
     scheduler.submit(task(TaskKind::CopyWrite, 1, 20 * SECOND));
     assert_eq!(scheduler.start_due(0, 1, |_| Some(1)).len(), 1);
     scheduler.finish(1);
 
     // When another one is set, it waits for a window.
     let other = Budget { database_per_s: 1.0, ..BUDGET };
-    scheduler.set_budgets(&[(TaskKind::CopyWrite, other)], SECOND);
+    scheduler.set_budgets(&[TaskBudget { kind: TaskKind::CopyWrite, budget: other }], SECOND);
     scheduler.submit(task(TaskKind::CopyWrite, 2, 20 * SECOND));
     assert_eq!(scheduler.start_due(4 * SECOND, 1, |_| Some(1)).len(), 0);
     assert_eq!(scheduler.start_due(5 * SECOND, 1, |_| Some(1)).len(), 1);
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -7,7 +7,7 @@
     GroupId, Idempotency, LoadReportSource, RequestClass, Router, ServerId, SessionPositionSource, Settings,
     StaleReadPolicy, ZoneId,
 };
-use birchreach_background_tasks::{Budget, Scheduler, TaskKind};
+use birchreach_background_tasks::{Budget, Scheduler, TaskBudget, TaskKind};
 use birchreach_hot_keys::{CopyRequirement as Needs, Database, DueCopy, HotKeyTracker, Key};
 use birchreach_membership::GossipReports;
 use std::collections::HashMap;
@@ -99,7 +99,8 @@
         hot.set_fleet(proxies, GossipReports::interval(proxies));
         let budget = |per_s| Budget { database_per_s: per_s, all_per_s: 60.0, window: 10_000_000 };
         // A fleet that has run for long: nothing is left of what an earlier incarnation may have started.
-        let budgets = [(TaskKind::RowRead, budget(30.0)), (TaskKind::CopyWrite, budget(30.0))];
+        let budgets =
+            [TaskKind::RowRead, TaskKind::CopyWrite].map(|kind| TaskBudget { kind, budget: budget(30.0) });
         let scheduler = Scheduler::new(&budgets, now - 20_000_000);
         let gossip_reports = GossipReports::new(n as u64 + 1, seed ^ 0xabc);
         Proxy { router, hot, gossip_reports, scheduler, background_queries: HashMap::new(), actions }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -7,7 +7,7 @@
 use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split::{self, SplitObserver};
 use birchreach::Micros;
-use birchreach_background_tasks::{Budget, Quota, TaskKind};
+use birchreach_background_tasks::{Budget, Quota, TaskBudget, TaskKind};
 use birchreach_membership::GossipReports;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,19 +18,19 @@
 fn budgets(
     hot: Option<&birchreach_options::HotKeyOptions>,
     split: Option<&birchreach_options::SplitOptions>,
-) -> Vec<(TaskKind, Budget)> {
+) -> Vec<TaskBudget> {
     let micros = |span: Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
     let mut budgets = Vec::new();
     if let Some(hot) = hot {
         let budget =
             |database_per_s| Budget { database_per_s, all_per_s: hot.all_per_s, window: micros(hot.window) };
-        budgets.push((TaskKind::RowRead, budget(hot.database_copy_reads_per_s)));
-        budgets.push((TaskKind::CopyWrite, budget(hot.database_copies_per_s)));
+        budgets.push(TaskBudget { kind: TaskKind::RowRead, budget: budget(hot.database_copy_reads_per_s) });
+        budgets.push(TaskBudget { kind: TaskKind::CopyWrite, budget: budget(hot.database_copies_per_s) });
     }
     if let Some(split) = split {
         let (database_per_s, all_per_s) = (split.database_reads_per_s, split.all_per_s);
         let budget = Budget { database_per_s, all_per_s, window: micros(split.window) };
-        budgets.push((TaskKind::DualRead, budget));
+        budgets.push(TaskBudget { kind: TaskKind::DualRead, budget });
     }
     budgets
 }
