--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -43,13 +43,15 @@
         }
         let address = |n: usize| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7));
         let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(address).collect();
-        let Some((to, bytes)) = self.proxies[n].gossip_reports.encode_gossip(now, &others) else { return };
-        let to = (0..count).find(|o| address(*o) == to).unwrap_or(0);
+        let Some(outgoing) = self.proxies[n].gossip_reports.encode_gossip(now, &others) else { return };
+        let to = (0..count).find(|o| address(*o) == outgoing.recipient).unwrap_or(0);
         if self.cut && (n < count / 2) != (to < count / 2) {
             return;
         }
         let other = &mut self.proxies[to];
-        for f in other.gossip_reports.apply_gossip(now, count, |_| true, &bytes).unwrap_or_default() {
+        for f in
+            other.gossip_reports.apply_gossip(now, count, |_| true, &outgoing.payload).unwrap_or_default()
+        {
             let _ = other.hot.receive_report(now, f.origin, f.sequence, f.age, &f.payload);
         }
     }
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -149,15 +149,15 @@
     fn send_gossip(&mut self, from: usize) {
         let (now, count) = (self.now, self.trackers.len());
         let others: Vec<SocketAddr> = (0..count).filter(|other| *other != from).map(address).collect();
-        let Some((recipient, bytes)) = self.gossip_reports[from].encode_gossip(now, &others) else { return };
+        let Some(outgoing) = self.gossip_reports[from].encode_gossip(now, &others) else { return };
         self.sent_datagrams += 1;
-        self.sent_bytes += bytes.len() as u64;
-        let to = (0..count).find(|process| address(*process) == recipient).unwrap_or(0);
+        self.sent_bytes += outgoing.payload.len() as u64;
+        let to = (0..count).find(|process| address(*process) == outgoing.recipient).unwrap_or(0);
         if (self.is_partitioned)(from, to) {
             return;
         }
-        let reports = self.gossip_reports[to].apply_gossip(now, count, |_| true, &bytes).unwrap_or_default();
-        for report in reports {
+        let received = self.gossip_reports[to].apply_gossip(now, count, |_| true, &outgoing.payload);
+        for report in received.unwrap_or_default() {
             let _ = self.trackers[to].receive_report(
                 now,
                 report.origin,
--- a/membership/src/changes.rs
+++ b/membership/src/changes.rs
@@ -1,7 +1,7 @@
-//! What foca asks for is done here: timers are set, and what it notifies of changes the members and is queued for the caller.
+//! Applies foca's output: its timers are set, its notifications change the members and are queued for the caller.
 
 use crate::membership::Membership;
-use crate::swim::PayloadError;
+use crate::swim::{PayloadError, RequestedTimer};
 use crate::view::MembershipChange;
 use crate::{MAX_MEMBERS, Micros, Peer};
 use foca::OwnedNotification::{MemberDown, MemberUp, Rejoin, Rename};
@@ -9,7 +9,7 @@
 
 /// Changes that wait to be taken; beyond this the oldest is dropped.
 const MAX_CHANGES: usize = 1_024;
-/// Timers of foca's; far more than it needs for so many members.
+/// Timers of foca's that are kept; far more than it needs for so many members.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
 impl Membership {
@@ -18,6 +18,7 @@
         self.changes.drain(..).collect()
     }
 
+    /// Queues a change for the caller.
     pub(crate) fn push_change(&mut self, change: MembershipChange) {
         if self.changes.len() >= MAX_CHANGES {
             self.changes.pop_front();
@@ -25,7 +26,7 @@
         self.changes.push_back(change);
     }
 
-    /// Merges what a full exchange brought.
+    /// Merges the members of a full exchange.
     pub(crate) fn apply_members(
         &mut self,
         now: Micros,
@@ -37,9 +38,9 @@
         result.map_err(|_| PayloadError::Malformed)
     }
 
-    /// Does what foca asks for.
+    /// Sets the timers that foca requested, and applies its notifications.
     pub(crate) fn apply_output(&mut self, now: Micros) {
-        for (timer, after) in std::mem::take(&mut self.output.timers) {
+        for RequestedTimer { timer, after } in std::mem::take(&mut self.output.timers) {
             if self.timers.len() < MAX_TIMERS {
                 let after = Micros::try_from(after.as_micros()).unwrap_or(Micros::MAX / 2);
                 self.timers.push(Reverse((now.saturating_add(after), timer)));
@@ -59,6 +60,7 @@
         self.update_name_conflicts();
     }
 
+    /// Changes the members by one of foca's notifications.
     fn apply_notification(&mut self, now: Micros, notification: foca::OwnedNotification<Peer>) {
         match notification {
             MemberUp(peer) => {
--- a/membership/src/full_exchange.rs
+++ b/membership/src/full_exchange.rs
@@ -1,5 +1,5 @@
-//! The full exchange: all live members that one process knows, in parts for a link, and merging what another sent. It brings
-//! over at once what gossip would bring piece by piece: at a join, after a partition, and while two members' views differ.
+//! The full exchange: all live members that one process knows, in parts for a link, and merging what another sent. It transfers at
+//! once what gossip would transfer over time: at a join, after a partition, and while two members' views differ.
 
 use crate::membership::Membership;
 use crate::swim::PayloadError;
@@ -20,7 +20,7 @@
 /// A member whose view differs.
 struct DifferingMember {
     address: SocketAddr,
-    /// Since when there has been one.
+    /// Since when some member's view has differed.
     since: Micros,
 }
 
@@ -32,27 +32,29 @@
 }
 
 impl ExchangeSchedule {
-    /// A member's digest has come, the same as this process's or another.
-    pub(crate) fn record_digest(&mut self, now: Micros, from: SocketAddr, same: bool) {
+    /// Records that a member's digest was received, and whether it is the same as this process's.
+    pub(crate) fn record_digest(&mut self, now: Micros, from: SocketAddr, is_same: bool) {
         match &mut self.differing_member {
-            Some(member) if same && member.address == from => self.differing_member = None,
-            Some(member) if !same => member.address = from,
-            None if !same => self.differing_member = Some(DifferingMember { address: from, since: now }),
+            Some(member) if is_same && member.address == from => self.differing_member = None,
+            Some(member) if !is_same => member.address = from,
+            None if !is_same => self.differing_member = Some(DifferingMember { address: from, since: now }),
             _ => {}
         }
     }
 
-    /// The first member has joined the view: an exchange with it is due at once.
+    /// Records the first member of the view: an exchange with it is due at once.
     pub(crate) fn record_first_member(&mut self, now: Micros, address: SocketAddr) {
         let since = now - DIFFERENCE_BEFORE_EXCHANGE;
         self.differing_member = Some(DifferingMember { address, since });
     }
 
+    /// When an exchange is due, unless views become the same before.
     pub(crate) fn next_change(&self) -> Micros {
         let due_at = |member: &DifferingMember| member.since + DIFFERENCE_BEFORE_EXCHANGE;
         self.differing_member.as_ref().map_or(Micros::MAX, |member| due_at(member).max(self.next_allowed_at))
     }
 
+    /// The member with which an exchange is due now; the next is allowed after an interval.
     pub(crate) fn due(&mut self, now: Micros) -> Option<SocketAddr> {
         if now < self.next_change() {
             return None;
--- a/membership/src/gossip_reports.rs
+++ b/membership/src/gossip_reports.rs
@@ -1,14 +1,15 @@
 //! Small reports of each member to all others: the newest of each origin counts, once, and one that is not renewed expires. Which
-//! member a report is sent to next, and how often, is decided here; what a report means is its channel's business.
+//! member a report is sent to next, and how often, is decided here; what a report means is defined by its channel.
 //!
 //! Push gossip: a member with a new report sends it to [`SENDS_PER_REPORT`] members drawn at random, so that all but a few in a
-//! thousand have it after some log n rounds; those it missed get the next one. The datagrams a second are bounded whatever the
+//! thousand have it after a number of rounds that grows with the logarithm of their number; those it missed get the next one. The datagrams a second are bounded whatever the
 //! fleet's size; the interval at which a report is renewed grows with it ([`GossipReports::interval`]).
 
-use crate::swim::PayloadError;
+use crate::swim::{OutgoingPayload, PayloadError};
 use crate::{MAX_PAYLOAD_BYTES, Micros};
 use birchreach_fault_injection::fault_injected;
 use serde::{Deserialize, Serialize};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -21,6 +22,7 @@
 /// The time that sending one member's report takes each member at that rate: five times a report of 130 bytes, ten to a
 /// datagram.
 const INTERVAL_PER_MEMBER: Micros = 25_000;
+/// The shortest interval at which a report is renewed.
 const MIN_INTERVAL: Micros = 1_000_000;
 /// A report that is not renewed expires after so many intervals.
 pub const LIFETIME_INTERVALS: Micros = 4;
@@ -44,7 +46,7 @@
     pub payload: Vec<u8>,
 }
 
-/// A report in a datagram.
+/// A report in a datagram. The order of the fields is the format on the wire (postcard).
 #[derive(Serialize, Deserialize)]
 struct EncodedReport<'a> {
     channel: u8,
@@ -54,21 +56,38 @@
     payload: &'a [u8],
 }
 
+/// The origin of a report, and its channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReportKey {
     channel: u8,
     origin: u64,
 }
 
+/// The newest report of an origin on a channel.
 struct KnownReport {
     sequence: u64,
     /// On the local clock: later than it truly was, never sooner.
     created_at: Micros,
     payload: Vec<u8>,
+    /// How often this process has sent it.
     times_sent: u32,
 }
 
-/// The reports that one process knows and sends on.
+/// A report that may be sent now. Ordered by how often it was sent, the newest first, then by key.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DueReport {
+    times_sent: u32,
+    newest_first: Reverse<Micros>,
+    key: ReportKey,
+}
+
+impl DueReport {
+    fn of(key: ReportKey, report: &KnownReport) -> DueReport {
+        DueReport { times_sent: report.times_sent, newest_first: Reverse(report.created_at), key }
+    }
+}
+
+/// The reports that one process knows and forwards.
 pub struct GossipReports {
     own_incarnation: u64,
     rng: fastrand::Rng,
@@ -93,6 +112,7 @@
         (INTERVAL_PER_MEMBER * members).max(MIN_INTERVAL)
     }
 
+    /// How long a report counts after it was made.
     fn lifetime(members: usize) -> Micros {
         GossipReports::interval(members) * LIFETIME_INTERVALS
     }
@@ -107,7 +127,7 @@
         self.reports.insert(key, KnownReport { sequence, created_at: now, payload, times_sent: 0 });
     }
 
-    /// Takes a datagram of another member and returns the reports in it that are new and whose origin is a member; a malformed
+    /// Applies a datagram of another member, and returns the reports in it that are new and whose origin is a member; a malformed
     /// one changes nothing.
     pub fn apply_gossip(
         &mut self,
@@ -136,7 +156,7 @@
         Ok(new_reports)
     }
 
-    /// Makes room for a new report where there are too many: the oldest of another origin is removed.
+    /// Evicts the oldest report of another origin if there is no capacity for a new one.
     fn evict_if_full(&mut self, now: Micros, key: ReportKey) {
         if self.reports.len() < MAX_REPORTS || self.reports.contains_key(&key) {
             return;
@@ -150,7 +170,7 @@
     }
 
     /// The next datagram and its recipient, if one is due: the reports sent least often first, of these the newest.
-    pub fn encode_gossip(&mut self, now: Micros, members: &[SocketAddr]) -> Option<(SocketAddr, Vec<u8>)> {
+    pub fn encode_gossip(&mut self, now: Micros, members: &[SocketAddr]) -> Option<OutgoingPayload> {
         if now < self.next_send_at || members.is_empty() {
             return None;
         }
@@ -158,23 +178,22 @@
         let is_due =
             |report: &KnownReport| report.times_sent < SENDS_PER_REPORT && now - report.created_at < lifetime;
         let due = self.reports.iter().filter(|(_, report)| is_due(report));
-        let mut due: Vec<((u32, Micros), ReportKey)> =
-            due.map(|(key, report)| ((report.times_sent, -report.created_at), *key)).collect();
+        let mut due: Vec<DueReport> = due.map(|(key, report)| DueReport::of(*key, report)).collect();
         if due.is_empty() {
             return None;
         }
         self.next_send_at = now + SEND_INTERVAL;
         due.sort_unstable();
-        let mut bytes = Vec::with_capacity(MAX_PAYLOAD_BYTES);
-        for (_, key) in due {
+        let mut payload = Vec::with_capacity(MAX_PAYLOAD_BYTES);
+        for DueReport { key, .. } in due {
             let Some(report) = self.reports.get_mut(&key) else { continue };
             let Some(encoded) = encode(now, key, report) else { continue };
-            if bytes.len() + encoded.len() < MAX_PAYLOAD_BYTES {
-                bytes.extend(encoded);
+            if payload.len() + encoded.len() < MAX_PAYLOAD_BYTES {
+                payload.extend(encoded);
                 report.times_sent += 1;
             }
         }
-        Some((members[self.rng.usize(..members.len())], bytes))
+        Some(OutgoingPayload { recipient: members[self.rng.usize(..members.len())], payload })
     }
 
     /// When a datagram may be due.
@@ -188,7 +207,7 @@
         self.reports.len()
     }
 
-    /// No report is kept.
+    /// Whether no report is kept.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
@@ -209,7 +228,7 @@
     Ok(reports)
 }
 
-/// The age is rounded up, so that no report gets younger on its way.
+/// The bytes of a report in a datagram. Its age is rounded up, so that no report gets younger on its way.
 fn encode(now: Micros, key: ReportKey, report: &KnownReport) -> Option<Vec<u8>> {
     let age_ms = u32::try_from((now - report.created_at) / 1_000 + 1).unwrap_or(u32::MAX);
     let encoded = EncodedReport {
--- a/membership/src/known_addresses.rs
+++ b/membership/src/known_addresses.rs
@@ -1,13 +1,14 @@
-//! Addresses from the options and of former members. Those outside the view are retried in turn, so that two halves of a
-//! partitioned fleet find each other again although each has removed the other.
+//! Addresses from the options and of former members. Those outside the view are retried in turn, so that two partitions of a fleet
+//! merge again although each has removed the other.
 
 use crate::{MAX_MEMBERS, Micros};
 use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Addresses are retried at this interval, and so many at once, whatever the fleet's size.
+/// Addresses are retried at this interval, whatever the fleet's size.
 const RETRY_INTERVAL: Micros = 1_000_000;
+/// Addresses that are retried at a time.
 const ADDRESSES_PER_RETRY: usize = 2;
 /// An address that no member had for this time is removed; a configured one never is.
 const EXPIRES_AFTER: Micros = 24 * 3_600_000_000;
@@ -15,13 +16,15 @@
 /// The addresses that one process knows.
 pub(crate) struct KnownAddresses {
     configured: BTreeSet<SocketAddr>,
-    /// When a member was last there.
+    /// When a member last had the address.
     last_seen_at: BTreeMap<SocketAddr, Micros>,
+    /// All addresses, the one to be retried next first.
     rotation: VecDeque<SocketAddr>,
     next_retry_at: Micros,
 }
 
 impl KnownAddresses {
+    /// The configured addresses, which are retried from now on.
     pub(crate) fn new(configured: impl IntoIterator<Item = SocketAddr>, now: Micros) -> KnownAddresses {
         let configured: BTreeSet<SocketAddr> = configured.into_iter().take(MAX_MEMBERS).collect();
         KnownAddresses {
@@ -32,7 +35,7 @@
         }
     }
 
-    /// A member is there. Beyond the limit the address seen longest ago is removed.
+    /// Records that a member has this address. Beyond the limit the address seen longest ago is removed.
     pub(crate) fn record(&mut self, now: Micros, address: SocketAddr) {
         if self.last_seen_at.insert(address, now).is_some() || self.configured.contains(&address) {
             return;
@@ -45,6 +48,7 @@
         }
     }
 
+    /// Removes an address of a former member; a configured one is still retried.
     fn remove(&mut self, address: SocketAddr) {
         self.last_seen_at.remove(&address);
         if !self.configured.contains(&address) {
@@ -52,16 +56,19 @@
         }
     }
 
+    /// Removes addresses that no member had for long.
     fn remove_expired(&mut self, now: Micros) {
         let expired = self.last_seen_at.iter().filter(|(_, seen_at)| now - **seen_at >= EXPIRES_AFTER);
         let expired: Vec<SocketAddr> = expired.map(|(address, _)| *address).collect();
         expired.into_iter().for_each(|address| self.remove(address));
     }
 
+    /// When addresses are retried next.
     pub(crate) fn next_change(&self) -> Micros {
         self.next_retry_at
     }
 
+    /// Addresses that are kept.
     pub(crate) fn len(&self) -> usize {
         self.rotation.len()
     }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -44,7 +44,7 @@
 pub use gossip_reports::{GossipReports, LIFETIME_INTERVALS, MAX_REPORT_BYTES, ReceivedReport};
 pub use membership::{Membership, MembershipSettings};
 pub use peer::{MAX_NAME_BYTES, Peer};
-pub use swim::PayloadError;
+pub use swim::{OutgoingPayload, PayloadError};
 pub use view::{MembershipChange, View, ViewState};
 
 /// A span of time, or an instant on the local clock, in microseconds.
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,9 +1,8 @@
-//! The membership itself: `foca` under our identities, with retried addresses, digests of views, and a view that says how sure it
-//! is.
+//! The membership itself: `foca` with our identities, retried addresses, digests of views, and a view with its state.
 
 use crate::full_exchange::ExchangeSchedule;
 use crate::known_addresses::KnownAddresses;
-use crate::swim::{DIGEST_BYTES, FocaOutput, PayloadError, Timer, config, validate};
+use crate::swim::{DIGEST_BYTES, FocaOutput, OutgoingPayload, PayloadError, Timer, config, validate};
 use crate::view::{MembershipChange, View, ViewState};
 use crate::{Micros, Peer};
 use foca::{Foca, NoCustomBroadcast, PostcardCodec};
@@ -12,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// What a process starts with.
+/// The settings that a process starts with.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
     /// Its name in the configuration.
@@ -23,7 +22,7 @@
     pub incarnation: u64,
     /// Unix time in milliseconds.
     pub epoch: u64,
-    /// Seeds the choice among members.
+    /// The seed of random choices among members.
     pub seed: u64,
     /// Addresses of others by the options.
     pub seeds: Vec<SocketAddr>,
@@ -40,7 +39,9 @@
     pub(crate) known_addresses: KnownAddresses,
     /// Other live members.
     pub(crate) members: BTreeMap<SocketAddr, Peer>,
+    /// Names that two members have.
     pub(crate) name_conflicts: BTreeSet<String>,
+    /// The digest of the view.
     pub(crate) digest: u64,
     pub(crate) configured_members: u32,
     /// When the view last changed, or another member last had a different one.
@@ -48,13 +49,15 @@
     pub(crate) last_received_at: Micros,
     pub(crate) started_at: Micros,
     pub(crate) state: ViewState,
+    /// Changes that the caller has not taken yet.
     pub(crate) changes: VecDeque<MembershipChange>,
     pub(crate) exchange_schedule: ExchangeSchedule,
+    /// This process has left the fleet.
     pub(crate) left: bool,
 }
 
 impl Membership {
-    /// The process starts now.
+    /// The membership of a process that starts now.
     pub fn new(settings: MembershipSettings, now: Micros) -> Membership {
         let MembershipSettings { name, address, incarnation, epoch, seed, seeds, configured_members } =
             settings;
@@ -83,7 +86,7 @@
         membership
     }
 
-    /// This process's identity at present.
+    /// This process's current identity.
     pub fn own(&self) -> &Peer {
         self.foca.identity()
     }
@@ -93,7 +96,7 @@
         self.members.values()
     }
 
-    /// What this process sees now.
+    /// This process's view now.
     pub fn view(&self) -> View {
         View {
             state: self.state,
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Takes an opened datagram of a sender.
+    /// Applies the payload of an opened datagram.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -121,15 +124,15 @@
         // The view of a sender that only announces itself, or counts as failed, is not compared yet.
         let sender = self.members.get(&header.src.address);
         if sender.is_some_and(|member| member.incarnation == header.src.incarnation) {
-            let same = u64::from_be_bytes(*digest) == self.digest;
-            self.view_changed_at = if same { self.view_changed_at } else { now };
-            self.exchange_schedule.record_digest(now, header.src.address, same);
+            let is_same = u64::from_be_bytes(*digest) == self.digest;
+            self.view_changed_at = if is_same { self.view_changed_at } else { now };
+            self.exchange_schedule.record_digest(now, header.src.address, is_same);
         }
         self.update_state(now);
         Ok(())
     }
 
-    /// Does what is due: probes, suspicions, retried addresses.
+    /// Runs the timers that are due: probes, suspicions, retried addresses.
     pub fn step(&mut self, now: Micros) {
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, timer))) = self.timers.pop() else { break };
@@ -147,12 +150,12 @@
         self.update_state(now);
     }
 
-    /// This process has left.
+    /// Whether this process has left.
     pub fn left(&self) -> bool {
         self.left
     }
 
-    /// Leaves: the others are notified, and nothing is sent after.
+    /// Leaves the fleet: the others are notified, and nothing is sent afterwards.
     pub fn leave(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.left, true) {
             let _ = self.foca.leave_cluster(&mut self.output);
@@ -161,7 +164,7 @@
         }
     }
 
-    /// The process that was to replace this one did not: this one joins again under a new epoch.
+    /// Joins again under a new epoch, after the process that was to replace this one failed to.
     pub fn rejoin(&mut self, now: Micros) {
         if std::mem::take(&mut self.left)
             && let Some(renewed) = foca::Identity::renew(self.foca.identity())
@@ -181,9 +184,9 @@
     }
 
     /// The next payload to be sealed and sent, and its recipient.
-    pub fn next_payload(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        let (to, data) = self.output.datagrams.pop_front()?;
-        Some((to, [&self.digest.to_be_bytes()[..], &data].concat()))
+    pub fn next_payload(&mut self) -> Option<OutgoingPayload> {
+        let OutgoingPayload { recipient, payload } = self.output.payloads.pop_front()?;
+        Some(OutgoingPayload { recipient, payload: [&self.digest.to_be_bytes()[..], &payload].concat() })
     }
 
     /// Addresses that are retried when they are outside the view.
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -6,10 +6,10 @@
 
 /// The longest name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The step of the epoch stops doubling here.
+/// After so many renewals the step of the epoch no longer doubles.
 const MAX_EPOCH_DOUBLINGS: u32 = 40;
 
-/// A member. Of two at one address the one of the later epoch counts; the incarnation tells processes apart.
+/// The identity of a member. Of two at one address the one of the later epoch counts; the incarnation distinguishes processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
     /// The proxy's name in its configuration.
@@ -26,7 +26,7 @@
 }
 
 impl Peer {
-    /// Whichever process receives at this address.
+    /// The unknown process that receives at this address.
     pub fn unknown_at(address: SocketAddr) -> Peer {
         Peer { name: String::new(), address, incarnation: 0, epoch: 0, renewals: 0 }
     }
@@ -63,7 +63,7 @@
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<String, D::Error> {
         let name = <&str>::deserialize(from)?;
-        let is_printable = name.chars().all(|c| !c.is_control());
+        let is_printable = name.chars().all(|character| !character.is_control());
         if name.len() > super::MAX_NAME_BYTES || !is_printable {
             return Err(D::Error::custom("invalid name"));
         }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,5 +1,5 @@
-//! `foca` under our identities: its configuration, the output it asks for, and the validation of a payload before any of it
-//! counts.
+//! `foca` with our identities: its configuration, the output that it requests, and the validation of a payload before any of it is
+//! applied.
 
 use crate::{MAX_MEMBERS, MAX_PAYLOAD_BYTES, Peer};
 use birchreach_fault_injection::fault_injected;
@@ -11,23 +11,39 @@
 
 /// The sender's digest, which precedes each payload of foca's.
 pub(crate) const DIGEST_BYTES: usize = 8;
+/// A member is probed at this interval.
 const PROBE_PERIOD: Duration = Duration::from_millis(500);
+/// A probe that is not answered within this time is repeated by way of other members.
 const PROBE_ROUND_TRIP: Duration = Duration::from_millis(200);
+/// Members that repeat a probe.
 const INDIRECT_PROBES: usize = 3;
 /// How often an update is gossiped. About ten times reach thousands of members; the rest is for a failure of seven members in
 /// ten, when most recipients of an update are down.
 const MAX_TRANSMISSIONS: u8 = 33;
+/// A suspected member that does not refute the suspicion within this time counts as failed.
 const SUSPICION_PERIOD: Duration = Duration::from_millis(2_000);
-/// With the fault that removes suspects.
+/// The same with the fault that removes suspects.
 const FAULTY_SUSPICION_PERIOD: Duration = Duration::from_millis(1);
 /// A failed member's record is kept for this time.
 const REMOVE_DOWN_AFTER: Duration = Duration::from_secs(600);
-/// A member is asked for its members at this interval, which repairs what gossip missed.
+/// The members of a member are requested at this interval, which repairs what gossip missed.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Members whose members are requested at a time.
 const ANNOUNCE_RECIPIENTS: usize = 1;
+/// Updates are gossiped at this interval.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
+/// Members that updates are gossiped to at a time.
 const GOSSIP_RECIPIENTS: usize = 3;
 
+/// A payload to be sealed and sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct OutgoingPayload {
+    /// Where it is sent.
+    pub recipient: SocketAddr,
+    /// Its content.
+    pub payload: Vec<u8>,
+}
+
 /// Why a payload was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadError {
@@ -57,8 +73,8 @@
 }
 
 impl std::fmt::Display for PayloadError {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+        formatter.write_str(match self {
             PayloadError::Malformed => "the payload cannot be decoded",
             PayloadError::WrongSender => "the payload names another sender than the one that sealed it",
             PayloadError::FromSelf => "the payload claims to come from this process",
@@ -70,13 +86,21 @@
 
 impl std::error::Error for PayloadError {}
 
+/// A timer of foca's.
 pub(crate) type Timer = foca::Timer<Peer>;
 
-/// What foca asks for.
+/// A timer that foca requested.
+pub(crate) struct RequestedTimer {
+    pub(crate) timer: Timer,
+    pub(crate) after: Duration,
+}
+
+/// What foca requested since it was applied last.
 #[derive(Default)]
 pub(crate) struct FocaOutput {
-    pub(crate) datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
-    pub(crate) timers: Vec<(Timer, Duration)>,
+    /// Payloads without the digest that precedes them.
+    pub(crate) payloads: VecDeque<OutgoingPayload>,
+    pub(crate) timers: Vec<RequestedTimer>,
     pub(crate) notifications: Vec<foca::OwnedNotification<Peer>>,
 }
 
@@ -86,22 +110,24 @@
     }
 
     fn send_to(&mut self, to: Peer, data: &[u8]) {
-        self.datagrams.push_back((to.address, data.to_vec()));
+        self.payloads.push_back(OutgoingPayload { recipient: to.address, payload: data.to_vec() });
     }
 
     fn submit_after(&mut self, timer: Timer, after: Duration) {
-        self.timers.push((timer, after));
+        self.timers.push(RequestedTimer { timer, after });
     }
 }
 
-const fn nonzero(n: usize) -> NonZeroUsize {
-    NonZeroUsize::MIN.saturating_add(n - 1)
+/// A constant above zero in the type that foca requires.
+const fn nonzero(value: usize) -> NonZeroUsize {
+    NonZeroUsize::MIN.saturating_add(value - 1)
 }
 
 fn periodic(frequency: Duration, recipients: usize) -> Option<PeriodicParams> {
     Some(PeriodicParams { frequency, num_members: nonzero(recipients) })
 }
 
+/// foca's configuration, the same for fleets of all sizes.
 pub(crate) fn config() -> Config {
     let remove_suspects = fault_injected!(SuspectsRemovedAtOnce);
     Config {
@@ -120,8 +146,8 @@
     }
 }
 
-/// Checks a payload before any of it counts: it is for this incarnation and epoch, from the incarnation that sealed it, complete,
-/// and names no more members than are kept. `kept` members are in the table, and `is_known` tells their addresses.
+/// Checks a payload before any of it is applied: it is for this incarnation and epoch, from the incarnation that sealed it, complete,
+/// and names no more members than are kept. `kept` members are in the table, and `is_known` holds for their addresses.
 pub(crate) fn validate(
     own: &Peer,
     sender_incarnation: u64,
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,10 +1,10 @@
-//! What a process reports of its fleet, and what of that has changed.
+//! The view that a process has of its fleet, and changes of it.
 
 use crate::{Micros, Peer};
 use birchreach_fault_injection::fault_injected;
 use sha2::{Digest, Sha256};
 
-/// How sure a process is of its view.
+/// How reliable a process's view is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewState {
     /// It is the only member by its options, and has received from no other.
@@ -35,10 +35,10 @@
     }
 }
 
-/// What one process sees now.
+/// The view of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// How sure it is.
+    /// How reliable it is.
     pub state: ViewState,
     /// Equal at all processes that see the same incarnations.
     pub digest: u64,
@@ -58,12 +58,12 @@
     }
 }
 
-/// Something that changed.
+/// A change of the membership, or of the view's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// A member is new, or has restarted.
     Joined(Peer),
-    /// A member failed, as this process and others that it asked see it, or has left.
+    /// A member failed, by its probes from this process and others, or has left.
     Removed(Peer),
     /// Others considered this process failed: it continues under a new epoch.
     EpochRenewed(u64),
@@ -75,7 +75,7 @@
     State(ViewState),
 }
 
-/// Independent of the order of members, and equal for equal sets.
+/// The digest of a set of members; their order does not matter.
 pub(crate) fn digest<'a>(members: impl Iterator<Item = &'a Peer>) -> u64 {
     let mut sorted: Vec<&Peer> = members.collect();
     sorted.sort_unstable();
--- a/membership/src/view_state.rs
+++ b/membership/src/view_state.rs
@@ -1,4 +1,4 @@
-//! What the view amounts to: its digest, name conflicts, and whether it is settled, changing, blind or alone.
+//! What follows from the members: the view's digest, name conflicts, and whether it is settled, changing, blind or alone.
 
 use crate::Micros;
 use crate::membership::Membership;
@@ -23,10 +23,12 @@
         }
     }
 
+    /// The digest of all members, this one included.
     pub(crate) fn compute_digest(&self) -> u64 {
         digest(self.members.values().chain([self.foca.identity()]))
     }
 
+    /// Finds the names that two members have, and reports conflicts that are new or resolved.
     pub(crate) fn update_name_conflicts(&mut self) {
         let mut seen = BTreeSet::from([self.foca.identity().name.as_str()]);
         let repeated = self.members.values().filter(|member| !seen.insert(member.name.as_str()));
@@ -43,6 +45,7 @@
         }
     }
 
+    /// Derives the view's state, and reports it if it has changed.
     pub(crate) fn update_state(&mut self, now: Micros) {
         let receives_nothing = now - self.last_received_at >= BLIND_AFTER && !fault_injected!(NeverBlind);
         let state = if self.members.is_empty() {
--- a/membership/tests/common/network.rs
+++ b/membership/tests/common/network.rs
@@ -4,7 +4,7 @@
 use super::events::{Datagram, Exchange, Wake};
 use super::process::{Process, Received, Traffic};
 use super::{SECOND, address};
-use birchreach_membership::{Membership, MembershipSettings, Micros, ViewState};
+use birchreach_membership::{Membership, MembershipSettings, Micros, OutgoingPayload, ViewState};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -117,9 +117,9 @@
     fn flush(&mut self, n: usize) {
         let process = &mut self.processes[n];
         let Some(membership) = &mut process.membership else { return };
-        while let Some((to, payload)) = membership.next_payload() {
+        while let Some(OutgoingPayload { recipient, payload }) = membership.next_payload() {
             process.sent.add(payload.len() as u64 + DATAGRAM_OVERHEAD_BYTES);
-            let Some(&to) = self.by_address.get(&to) else { continue };
+            let Some(&to) = self.by_address.get(&recipient) else { continue };
             if self.rng.f64() < self.loss || (self.is_cut)(n, to) {
                 continue;
             }
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -15,7 +15,7 @@
 
 /// The next datagram to the only other member.
 fn next_datagram(reports: &mut GossipReports, now: Micros) -> Option<Vec<u8>> {
-    reports.encode_gossip(now, &[address(1)]).map(|(_, bytes)| bytes)
+    reports.encode_gossip(now, &[address(1)]).map(|outgoing| outgoing.payload)
 }
 
 #[test]
@@ -31,10 +31,10 @@
         for now in (0..interval).step_by(50_000) {
             for n in 0..count {
                 let others: Vec<SocketAddr> = (0..count).filter(|other| *other != n).map(address).collect();
-                let Some((to, bytes)) = members[n].encode_gossip(now, &others) else { continue };
+                let Some(outgoing) = members[n].encode_gossip(now, &others) else { continue };
                 datagrams += 1;
-                let to = (0..count).find(|other| address(*other) == to).unwrap();
-                received += members[to].apply_gossip(now, count, |_| true, &bytes).unwrap().len();
+                let to = (0..count).find(|other| address(*other) == outgoing.recipient).unwrap();
+                received += members[to].apply_gossip(now, count, |_| true, &outgoing.payload).unwrap().len();
             }
         }
         let share = received as f64 / (count * (count - 1)) as f64;
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -1,7 +1,9 @@
 //! Payloads that members send each other, recorded from the release before: they are read as they were, and the same are written
 //! again. `recorded/payloads.txt` holds them, a name and its bytes in hexadecimal on each line.
 
-use birchreach_membership::{GossipReports, Membership, MembershipSettings, Micros, ViewState};
+use birchreach_membership::{
+    GossipReports, Membership, MembershipSettings, Micros, OutgoingPayload, ViewState,
+};
 use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
@@ -51,8 +53,8 @@
     for now in (0..5 * SECOND).step_by(100_000) {
         for n in [1, 0] {
             fleets[n].step(now);
-            while let Some((to, payload)) = fleets[n].next_payload() {
-                assert_eq!(to, address(1 - n));
+            while let Some(OutgoingPayload { recipient, payload }) = fleets[n].next_payload() {
+                assert_eq!(recipient, address(1 - n));
                 let name = format!("gossip-{sent}-from-{n}");
                 assert_recorded(&name, &payload);
                 fleets[1 - n].receive(now, boots[n], &recorded(&name)).unwrap();
@@ -67,7 +69,7 @@
         assert!(matches!(fleet.view().state, ViewState::Settled { .. }));
     }
     fleets[1].leave(5 * SECOND);
-    let (_, goodbye) = fleets[1].next_payload().unwrap();
+    let goodbye = fleets[1].next_payload().unwrap().payload;
     assert_recorded("goodbye", &goodbye);
     fleets[0].receive(5 * SECOND, boots[1], &recorded("goodbye")).unwrap();
     assert_eq!(fleets[0].members().count(), 0);
@@ -91,7 +93,7 @@
     let (mut sender, mut receiver) = (GossipReports::new(0x2122_2324_2526_2728, 1), GossipReports::new(2, 2));
     sender.publish(0, 1, b"first channel".to_vec());
     sender.publish(SECOND, 200, vec![0, 255, 7]);
-    let (_, payload) = sender.encode_gossip(SECOND + 1, &[address(0)]).unwrap();
+    let payload = sender.encode_gossip(SECOND + 1, &[address(0)]).unwrap().payload;
     assert_recorded("reports", &payload);
     let fresh = receiver.apply_gossip(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
     let mut fresh: Vec<_> =
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -62,15 +62,15 @@
     /// Sends what is to be sent, and logs what has changed.
     pub(super) fn flush(&mut self, now: Micros) {
         loop {
-            let Some((to, payload)) = self.membership.borrow_mut().next_payload() else { break };
-            self.send(to, MEMBERSHIP_CHANNEL, &payload);
+            let Some(outgoing) = self.membership.borrow_mut().next_payload() else { break };
+            self.send(outgoing.recipient, MEMBERSHIP_CHANNEL, &outgoing.payload);
         }
         let members: Vec<SocketAddr> =
             self.membership.borrow().members().map(|member| member.address).collect();
         if !self.left
-            && let Some((to, payload)) = self.gossip_reports.encode_gossip(now, &members)
+            && let Some(outgoing) = self.gossip_reports.encode_gossip(now, &members)
         {
-            self.send(to, REPORTS_CHANNEL, &payload);
+            self.send(outgoing.recipient, REPORTS_CHANNEL, &outgoing.payload);
         }
         let changes = self.membership.borrow_mut().take_changes();
         for change in changes {
