--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -23,7 +23,7 @@
     let start = network.now;
     let is_in_a_view = |network: &Network| {
         let mut members = network.live().flat_map(|view| view.members());
-        members.any(|member| down.iter().any(|n| address(*n) == member.address))
+        members.any(|member| down.iter().any(|index| address(*index) == member.address))
     };
     while is_in_a_view(network) {
         if network.now - start >= LIMIT {
@@ -65,16 +65,16 @@
     let crash = time_to_removal(&mut network, &[one]);
     network.start(one, 0);
     let _ = network.time_to_agreement(count, LIMIT);
-    network.is_cut = Box::new(move |from, to| (from < one) != (to < one));
+    network.is_partitioned = Box::new(move |from, to| (from < one) != (to < one));
     network.advance(60 * SECOND);
-    network.is_cut = Box::new(|_, _| false);
+    network.is_partitioned = Box::new(|_, _| false);
     let heal = network.time_to_agreement(count, LIMIT);
     network.pause(one);
     network.advance(20 * SECOND);
     network.resume(one);
     let pause = network.time_to_agreement(count, LIMIT);
     let many: Vec<usize> = (0..count * 7 / 10).collect();
-    many.iter().for_each(|n| network.kill(*n));
+    many.iter().for_each(|index| network.kill(*index));
     let mass_crash = time_to_removal(&mut network, &many);
     println!(
         "| {count} | {:.0}% | {seed} | {} | {} | {} | {} | {} | {removed} | {datagrams:.1} | {bytes:.0} | {} of {} | {:.0} |",
--- a/membership/examples/schedules.rs
+++ b/membership/examples/schedules.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults on virtual time, thousands of them; one that fails is printed, and `schedules SEED SEED` plays it again.
+//! Schedules of faults on virtual time, thousands of them; one that fails is printed, and `schedules SEED SEED` runs it again.
 //!
 //!     cargo run --release -p birchreach-membership --example schedules -- 1 5000
 
@@ -8,15 +8,15 @@
 use common::schedule::Schedule;
 
 fn main() -> Result<(), String> {
-    let seeds: Vec<u64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
+    let seeds: Vec<u64> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
     let first = seeds.first().copied().unwrap_or(1);
     let last = seeds.get(1).copied().unwrap_or(1_000);
     let mut times = Vec::new();
     for seed in first..=last {
-        times.push(Schedule::draw(seed).play()?);
+        times.push(Schedule::draw(seed).run()?);
     }
     times.sort_unstable();
-    let quantile = |share: f64| times[((times.len() - 1) as f64 * share) as usize] as f64 / 1e6;
+    let quantile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize] as f64 / 1e6;
     println!("{} schedules, none failed; seconds to one settled view after the last fault:", times.len());
     println!("median {:.1}, 99 in 100 {:.1}, most {:.1}", quantile(0.5), quantile(0.99), quantile(1.0));
     Ok(())
--- a/membership/tests/common/events.rs
+++ b/membership/tests/common/events.rs
@@ -1,4 +1,4 @@
-//! What is still to happen in the simulated fleet, ordered by time.
+//! Scheduled events of the simulated fleet, ordered by time.
 
 use birchreach_membership::Micros;
 
@@ -12,7 +12,7 @@
     pub payload: Vec<u8>,
 }
 
-/// A full exchange that takes place at a time.
+/// A full exchange at a time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub struct Exchange {
     pub at: Micros,
@@ -20,7 +20,7 @@
     pub to: usize,
 }
 
-/// A process is woken at a time.
+/// A process wakes at a time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub struct Wake {
     pub at: Micros,
--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -12,7 +12,7 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-/// The address of a place in the fleet.
-pub fn address(n: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7000))
+/// The address of a process, by its index.
+pub fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 200) as u8, (index % 200) as u8 + 1], 7000))
 }
--- a/membership/tests/common/network.rs
+++ b/membership/tests/common/network.rs
@@ -1,5 +1,5 @@
-//! The membership of many processes on virtual time, with a network between them that loses, delays and cuts: a history from a
-//! seed.
+//! The membership of many processes on virtual time, with a network between them that loses and delays datagrams and is partitioned: a
+//! history from a seed.
 
 use super::events::{Datagram, Exchange, Wake};
 use super::process::{Process, Received, Traffic};
@@ -22,10 +22,10 @@
     pub now: Micros,
     pub processes: Vec<Process>,
     pub rng: fastrand::Rng,
-    /// The share of datagrams that is lost.
+    /// The fraction of datagrams that is lost.
     pub loss: f64,
-    /// Nothing passes from the first process to the second.
-    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// Whether the second process receives nothing from the first.
+    pub is_partitioned: Box<dyn Fn(usize, usize) -> bool>,
     datagrams: BinaryHeap<Reverse<Datagram>>,
     last_number: u64,
     wakes: BinaryHeap<Reverse<Wake>>,
@@ -36,20 +36,20 @@
 }
 
 impl Network {
-    /// A fleet of so many by their options, of which none has started.
+    /// A fleet of so many configured processes, of which none has started.
     pub fn new(configured_members: usize, seed: u64) -> Network {
         Network {
             now: 0,
             processes: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             loss: 0.0,
-            is_cut: Box::new(|_, _| false),
+            is_partitioned: Box::new(|_, _| false),
             datagrams: BinaryHeap::new(),
             last_number: 0,
             wakes: BinaryHeap::new(),
             exchanges: BinaryHeap::new(),
             exchanged: Traffic::default(),
-            by_address: (0..configured_members).map(|n| (address(n), n)).collect(),
+            by_address: (0..configured_members).map(|index| (address(index), index)).collect(),
             configured_members: configured_members as u32,
         }
     }
@@ -57,20 +57,20 @@
     /// A fleet of so many that all start now, each with the first two as seeds.
     pub fn started(count: usize, seed: u64) -> Network {
         let mut network = Network::new(count, seed);
-        (0..count).for_each(|n| network.start(n, 0));
+        (0..count).for_each(|index| network.start(index, 0));
         network
     }
 
-    /// Starts the process of a place, anew and with an empty memory, on a clock with this offset.
-    pub fn start(&mut self, n: usize, clock_offset: Micros) {
-        self.start_named(n, &format!("p{n}"), clock_offset);
+    /// Starts a process, or restarts it without its state, on a clock with this offset.
+    pub fn start(&mut self, index: usize, clock_offset: Micros) {
+        self.start_named(index, &format!("p{index}"), clock_offset);
     }
 
-    pub fn start_named(&mut self, n: usize, name: &str, clock_offset: Micros) {
+    pub fn start_named(&mut self, index: usize, name: &str, clock_offset: Micros) {
         let incarnation = self.rng.u64(1..);
         let settings = MembershipSettings {
             name: name.into(),
-            address: address(n),
+            address: address(index),
             incarnation,
             epoch: ((STARTED_AT + self.now + clock_offset) / 1_000) as u64,
             seed: self.rng.u64(..),
@@ -78,49 +78,49 @@
             configured_members: self.configured_members,
         };
         let process = Process::new(incarnation, Membership::new(settings, self.now));
-        if n < self.processes.len() {
-            self.processes[n] = process;
+        if index < self.processes.len() {
+            self.processes[index] = process;
         } else {
             self.processes.push(process);
         }
-        self.by_address.insert(address(n), n);
-        self.flush(n);
+        self.by_address.insert(address(index), index);
+        self.flush(index);
     }
 
-    pub fn kill(&mut self, n: usize) {
-        self.processes[n].membership = None;
+    pub fn kill(&mut self, index: usize) {
+        self.processes[index].membership = None;
     }
 
-    pub fn pause(&mut self, n: usize) {
-        self.processes[n].paused = true;
-        self.processes[n].wake_at = Micros::MAX;
+    pub fn pause(&mut self, index: usize) {
+        self.processes[index].paused = true;
+        self.processes[index].wake_at = Micros::MAX;
     }
 
-    pub fn resume(&mut self, n: usize) {
-        let process = &mut self.processes[n];
+    pub fn resume(&mut self, index: usize) {
+        let process = &mut self.processes[index];
         process.paused = false;
         for Received { sender, payload } in std::mem::take(&mut process.waiting) {
             if let Some(membership) = &mut process.membership {
                 let _ = membership.receive(self.now, sender, &payload);
             }
         }
-        self.flush(n);
+        self.flush(index);
     }
 
     /// Leaves the fleet gracefully.
-    pub fn leave(&mut self, n: usize) {
+    pub fn leave(&mut self, index: usize) {
         let now = self.now;
-        self.processes[n].membership.iter_mut().for_each(|membership| membership.leave(now));
+        self.processes[index].membership.iter_mut().for_each(|membership| membership.leave(now));
     }
 
-    /// Sends what a process has to send, records its changes, and schedules its next wake.
-    fn flush(&mut self, n: usize) {
-        let process = &mut self.processes[n];
+    /// Sends the payloads of a process, records its changes, and schedules its next wake.
+    fn flush(&mut self, index: usize) {
+        let process = &mut self.processes[index];
         let Some(membership) = &mut process.membership else { return };
         while let Some(OutgoingPayload { recipient, payload }) = membership.next_payload() {
             process.sent.add(payload.len() as u64 + DATAGRAM_OVERHEAD_BYTES);
             let Some(&to) = self.by_address.get(&recipient) else { continue };
-            if self.rng.f64() < self.loss || (self.is_cut)(n, to) {
+            if self.rng.f64() < self.loss || (self.is_partitioned)(index, to) {
                 continue;
             }
             self.last_number += 1;
@@ -135,14 +135,14 @@
         let due_exchange = membership.due_exchange(self.now);
         if let Some(&to) = due_exchange.and_then(|address| self.by_address.get(&address)) {
             let at = self.now + self.rng.i64(1_000..20_000);
-            self.exchanges.push(Reverse(Exchange { at, from: n, to }));
+            self.exchanges.push(Reverse(Exchange { at, from: index, to }));
         }
         process.changes.extend(membership.take_changes().into_iter().map(|change| (self.now, change)));
         process.wake_at = match process.paused {
             true => Micros::MAX,
             false => membership.next_change().max(self.now + MIN_WAKE_INTERVAL),
         };
-        self.wakes.push(Reverse(Wake { at: process.wake_at, process: n }));
+        self.wakes.push(Reverse(Wake { at: process.wake_at, process: index }));
     }
 
     /// Delivers a payload to a process.
@@ -158,8 +158,8 @@
 
     /// A full exchange takes place if both processes run and reach each other: a connection needs both ways.
     fn exchange(&mut self, from: usize, to: usize) {
-        let any_cut = (self.is_cut)(from, to) || (self.is_cut)(to, from);
-        if any_cut || [from, to].iter().any(|n| self.processes[*n].paused) {
+        let any_partition = (self.is_partitioned)(from, to) || (self.is_partitioned)(to, from);
+        if any_partition || [from, to].iter().any(|index| self.processes[*index].paused) {
             return;
         }
         for (sender, receiver) in [(from, to), (to, from)] {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Lets so much time pass.
+    /// Advances the time, with all events that are due within the span.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
@@ -216,7 +216,7 @@
         running.filter_map(|process| process.membership.as_ref())
     }
 
-    /// All that run have one settled view of so many members.
+    /// Whether all that run have one settled view of so many members.
     pub fn agrees(&self, members: usize) -> bool {
         let views: Vec<_> = self.live().map(Membership::view).collect();
         let is_settled = |state: ViewState| matches!(state, ViewState::Settled { .. });
@@ -225,7 +225,7 @@
             .all(|view| view.members == members && view.digest == views[0].digest && is_settled(view.state))
     }
 
-    /// How long it takes until they agree; none: longer than the limit.
+    /// How long it takes until they agree; none if longer than the limit.
     pub fn time_to_agreement(&mut self, members: usize, limit: Micros) -> Option<Micros> {
         let start = self.now;
         while !self.agrees(members) {
--- a/membership/tests/common/process.rs
+++ b/membership/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! One process of the simulated fleet, and what it has sent.
+//! One process of the simulated fleet, and its traffic.
 
 use birchreach_membership::{Membership, MembershipChange, Micros};
 
@@ -24,10 +24,11 @@
 
 /// A process of the simulated fleet.
 pub struct Process {
-    /// None: it is down.
+    /// None while it is down.
     pub membership: Option<Membership>,
-    /// As by SIGSTOP: what is received waits.
+    /// As by SIGSTOP: payloads are received when it resumes.
     pub paused: bool,
+    /// Payloads that arrived while it was paused.
     pub waiting: Vec<Received>,
     pub incarnation: u64,
     /// When it is to be woken; other wakes of it have no effect.
--- a/membership/tests/common/scenes/limits.rs
+++ b/membership/tests/common/scenes/limits.rs
@@ -1,4 +1,4 @@
-//! What a member with the key may cause at most.
+//! Bounds on what a malicious member that has the key can cause.
 
 use super::{agreement, membership};
 use crate::common::SECOND;
@@ -8,12 +8,12 @@
 use foca::{Codec, Header, Member, Message, PostcardCodec};
 use std::net::SocketAddr;
 
-/// An invented member.
-fn invented(n: u32) -> Peer {
+/// A member that does not exist.
+fn invented(index: u32) -> Peer {
     Peer {
-        name: format!("liar{n}"),
-        address: SocketAddr::from(([11, (n >> 16) as u8, (n >> 8) as u8, n as u8], 1)),
-        incarnation: u64::from(n) + 1_000,
+        name: format!("fake{index}"),
+        address: SocketAddr::from(([11, (index >> 16) as u8, (index >> 8) as u8, index as u8], 1)),
+        incarnation: u64::from(index) + 1_000,
         epoch: 1,
         renewals: 0,
     }
@@ -25,8 +25,8 @@
     let mut data = vec![0; 8];
     PostcardCodec.encode_header(&header, &mut data).map_err(|error| error.to_string())?;
     data.extend(20u16.to_be_bytes());
-    for n in 0..20 {
-        let member = Member::alive(invented(round * 20 + n + 1));
+    for index in 0..20 {
+        let member = Member::alive(invented(round * 20 + index + 1));
         PostcardCodec.encode_member(&member, &mut data).map_err(|error| error.to_string())?;
     }
     Ok(data)
@@ -43,7 +43,7 @@
     }
     let member = membership(&mut network, 0)?;
     let (members, addresses) = (member.members().count(), member.known_address_count());
-    ensure!(members > 100, "the scene shows nothing: {members}");
+    ensure!(members > 100, "the scenario shows nothing: {members}");
     ensure!(members <= MAX_MEMBERS, "{members} members");
     ensure!(addresses <= MAX_MEMBERS + 2, "{addresses} addresses");
     Ok(())
--- a/membership/tests/common/scenes/mod.rs
+++ b/membership/tests/common/scenes/mod.rs
@@ -1,5 +1,5 @@
-//! What must hold of a fleet, as scenes that return what was violated: the tests want them to pass, and each injected fault must
-//! make one fail.
+//! Invariants of a fleet, as scenarios that return what was violated: the tests require that they pass, and that each injected fault
+//! makes one fail.
 
 pub mod limits;
 pub mod settling;
@@ -9,31 +9,33 @@
 use birchreach_fault_injection::{ensure, ensure_eq};
 use birchreach_membership::{Membership, MembershipChange, Micros, Peer, ViewState};
 
-fn cut_into_halves(network: &mut Network, first: usize) {
-    network.is_cut = Box::new(move |from, to| (from < first) != (to < first));
+/// Separates the processes below an index from the others.
+fn partition(network: &mut Network, first: usize) {
+    network.is_partitioned = Box::new(move |from, to| (from < first) != (to < first));
 }
 
-fn end_cut(network: &mut Network) {
-    network.is_cut = Box::new(|_, _| false);
+fn end_partition(network: &mut Network) {
+    network.is_partitioned = Box::new(|_, _| false);
 }
 
-fn membership(network: &mut Network, n: usize) -> Result<&mut Membership, String> {
-    network.processes[n].membership.as_mut().ok_or(format!("{n} is down"))
+fn membership(network: &mut Network, index: usize) -> Result<&mut Membership, String> {
+    network.processes[index].membership.as_mut().ok_or(format!("{index} is down"))
 }
 
-/// Waits until all agree on so many members, or returns what they were to agree after.
+/// Waits until all agree on so many members; the error names the event after which they do not.
 fn agreement(network: &mut Network, members: usize, limit: Micros, after: &str) -> Result<(), String> {
     let took = network.time_to_agreement(members, limit);
     took.map(drop).ok_or_else(|| format!("{after}: {members} members do not agree"))
 }
 
-/// How often a process of a place for which this holds was removed from a view.
-fn removals(network: &Network, counts: impl Fn(usize) -> bool) -> usize {
-    let is_counted =
-        |peer: &Peer| (0..network.processes.len()).any(|n| address(n) == peer.address && counts(n));
+/// How often a process with such an index was removed from a view.
+fn removals(network: &Network, is_counted: impl Fn(usize) -> bool) -> usize {
+    let is_counted_peer = |peer: &Peer| {
+        (0..network.processes.len()).any(|index| address(index) == peer.address && is_counted(index))
+    };
     let changes = network.processes.iter().flat_map(|process| &process.changes);
     changes
-        .filter(|(_, change)| matches!(change, MembershipChange::Removed(peer) if is_counted(peer)))
+        .filter(|(_, change)| matches!(change, MembershipChange::Removed(peer) if is_counted_peer(peer)))
         .count()
 }
 
@@ -46,7 +48,7 @@
         ensure_eq!(removals(&network, |_| true), 0, "loss {loss}, seed {seed}");
         network.kill(7);
         network.advance(10 * SECOND);
-        ensure_eq!(removals(&network, |n| n != 7), 0, "loss {loss}, seed {seed}");
+        ensure_eq!(removals(&network, |index| index != 7), 0, "loss {loss}, seed {seed}");
         let is_absent = |view: &&Membership| view.members().all(|member| member.address != address(7));
         ensure_eq!(network.live().filter(is_absent).count(), 39, "loss {loss}, seed {seed}");
     }
@@ -57,7 +59,7 @@
 pub fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
     let mut network = Network::started(20, 5);
     agreement(&mut network, 20, 20 * SECOND, "join")?;
-    cut_into_halves(&mut network, 7);
+    partition(&mut network, 7);
     for _ in 0..200 {
         network.advance(SECOND / 5);
         let sum: f64 = network.live().map(|member| 1.0 / f64::from(member.view().divisor())).sum();
@@ -65,8 +67,8 @@
     }
     ensure!(network.live().all(|member| member.view().members < 20), "each partition sees itself alone");
     // More members than the options name: those seen count.
-    end_cut(&mut network);
-    (20..25).for_each(|n| network.start(n, 0));
+    end_partition(&mut network);
+    (20..25).for_each(|index| network.start(index, 0));
     agreement(&mut network, 25, 20 * SECOND, "join of five more")?;
     ensure!(network.live().all(|member| member.view().divisor() == 25));
     Ok(())
@@ -78,7 +80,7 @@
         let mut network = Network::started(10, 6);
         agreement(&mut network, 10, 20 * SECOND, "join")?;
         let before = membership(&mut network, 4)?.own().incarnation;
-        // At once, before any other has noticed, and perhaps with a clock that went back.
+        // Before any other member has noticed, and once with a clock that went back.
         network.kill(4);
         network.start(4, clock_offset);
         agreement(&mut network, 10, 30 * SECOND, &format!("restart, clock off by {clock_offset}"))?;
@@ -99,15 +101,15 @@
     network.start(0, 0);
     network.advance(4 * SECOND);
     ensure_eq!(state(&mut network)?, ViewState::Blind { since: 0 });
-    (1..3).for_each(|n| network.start(n, 0));
+    (1..3).for_each(|index| network.start(index, 0));
     agreement(&mut network, 3, 10 * SECOND, "join")?;
-    cut_into_halves(&mut network, 1);
-    let cut_at = network.now;
+    partition(&mut network, 1);
+    let partitioned_at = network.now;
     network.advance(4 * SECOND);
-    let near_cut = cut_at - SECOND..=cut_at + SECOND;
+    let about_then = partitioned_at - SECOND..=partitioned_at + SECOND;
     let state_after = state(&mut network)?;
     ensure!(
-        matches!(state_after, ViewState::Blind { since } if near_cut.contains(&since)),
+        matches!(state_after, ViewState::Blind { since } if about_then.contains(&since)),
         "{state_after:?}"
     );
     let mut alone = Network::started(1, 8);
@@ -122,7 +124,7 @@
     network.start_named(4, "p2", 0);
     network.advance(10 * SECOND);
     let reports = |member: &Membership| member.view().name_conflicts == ["p2"];
-    ensure!(network.live().all(reports), "by all, those with the name too");
+    ensure!(network.live().all(reports), "by all, also by those with the name");
     network.kill(4);
     network.advance(10 * SECOND);
     ensure!(network.live().all(|member| member.view().name_conflicts.is_empty()));
--- a/membership/tests/common/scenes/settling.rs
+++ b/membership/tests/common/scenes/settling.rs
@@ -1,12 +1,12 @@
-//! That all come to one view: after joins, crashes, partitions and pauses, and soon.
+//! Scenarios in which all members come to one view within a limit: after joins, crashes, partitions and pauses.
 
-use super::{agreement, cut_into_halves, end_cut, membership};
+use super::{agreement, end_partition, membership, partition};
 use crate::common::network::Network;
 use crate::common::{SECOND, address};
 use birchreach_fault_injection::ensure;
 use birchreach_membership::{Membership, ViewState};
 
-/// All come to one view after a join, a mass crash, a partition, a one-way cut, a pause and a graceful shutdown.
+/// All come to one view after a join, a mass crash, a partition, a one-way partition, a pause and a graceful shutdown.
 pub fn the_view_settles_again() -> Result<(), String> {
     for (count, seed) in [(10, 1), (10, 2), (40, 3), (40, 4)] {
         let limit = 20 * SECOND;
@@ -15,22 +15,22 @@
         agreement(network, count, limit, &label("join"))?;
         // The seeds are down, and seven in ten with them.
         let killed = count * 7 / 10;
-        (0..killed).for_each(|n| network.kill(n));
+        (0..killed).for_each(|index| network.kill(index));
         agreement(network, count - killed, limit, &label("crash of seven in ten"))?;
-        (0..killed).for_each(|n| network.start(n, 0));
+        (0..killed).for_each(|index| network.start(index, 0));
         agreement(network, count, limit, &label("return of seven in ten"))?;
-        // Long enough for each half to remove the other.
-        cut_into_halves(network, count / 2);
+        // Long enough for each partition to remove the other.
+        partition(network, count / 2);
         network.advance(60 * SECOND);
-        end_cut(network);
+        end_partition(network);
         agreement(network, count, limit, &label("partition"))?;
         let last = count - 1;
-        network.is_cut = Box::new(move |_, to| to == last);
+        network.is_partitioned = Box::new(move |_, to| to == last);
         network.advance(20 * SECOND);
         let state = membership(network, last)?.view().state;
         ensure!(matches!(state, ViewState::Blind { .. }), "{state:?}");
-        end_cut(network);
-        agreement(network, count, limit, &label("one-way cut"))?;
+        end_partition(network);
+        agreement(network, count, limit, &label("one-way partition"))?;
         network.pause(last);
         network.advance(20 * SECOND);
         network.resume(last);
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-/// That the first process leaves is known to all at once, not only when its probes fail.
+/// All members learn at once that the first process leaves, not only when its probes fail.
 fn leaves_and_rejoins(network: &mut Network, count: usize, label: &str) -> Result<(), String> {
     let now = network.now;
     membership(network, 0)?.leave(now);
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -1,5 +1,5 @@
-//! Schedules of faults from seeds, on virtual time: what must hold at any time holds, and once all faults are over all processes
-//! come to one view.
+//! Schedules of faults from seeds, on virtual time: invariants hold at any time, and once all faults have ended all processes come to
+//! one view.
 
 use super::SECOND;
 use super::network::Network;
@@ -8,25 +8,25 @@
 /// The time within which all agree after the last fault.
 const AGREEMENT_LIMIT: Micros = 40 * SECOND;
 
-/// What happens to a fleet.
+/// A fault that is injected into a fleet, or the end of one.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Kill(usize),
-    /// A process starts anew, on a clock that is off by so much.
+    /// A process starts or restarts, on a clock with this offset.
     Start {
-        n: usize,
+        index: usize,
         clock_offset: Micros,
     },
     Pause(usize),
     Resume(usize),
     Leave(usize),
-    /// The places below this one and the others do not reach each other.
+    /// The processes below this index and the others do not reach each other.
     Partition(usize),
     /// A process receives nothing.
     NothingReceived(usize),
     /// Nothing that a process sends is received.
     NothingSent(usize),
-    EndCuts,
+    EndPartitions,
     Loss(f64),
 }
 
@@ -37,29 +37,29 @@
     fault: Fault,
 }
 
-/// So many places, and what happens when.
+/// So many processes, and the faults that are injected.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     seed: u64,
-    places: usize,
+    processes: usize,
     faults: Vec<Scheduled>,
 }
 
-fn draw_fault(rng: &mut fastrand::Rng, places: usize) -> Fault {
-    let n = rng.usize(..places);
+fn draw_fault(rng: &mut fastrand::Rng, processes: usize) -> Fault {
+    let index = rng.usize(..processes);
     match rng.u8(..12) {
-        0 | 1 => Fault::Kill(n),
+        0 | 1 => Fault::Kill(index),
         2 | 3 => {
             let clock_offset = if rng.u8(..4) == 0 { -rng.i64(0..3_600 * SECOND) } else { 0 };
-            Fault::Start { n, clock_offset }
+            Fault::Start { index, clock_offset }
         }
-        4 => Fault::Pause(n),
-        5 => Fault::Resume(n),
-        6 => Fault::Leave(n),
-        7 => Fault::Partition(rng.usize(1..places)),
-        8 => Fault::NothingReceived(n),
-        9 => Fault::NothingSent(n),
-        10 => Fault::EndCuts,
+        4 => Fault::Pause(index),
+        5 => Fault::Resume(index),
+        6 => Fault::Leave(index),
+        7 => Fault::Partition(rng.usize(1..processes)),
+        8 => Fault::NothingReceived(index),
+        9 => Fault::NothingSent(index),
+        10 => Fault::EndPartitions,
         _ => Fault::Loss([0.0, 0.05, 0.2][rng.usize(..3)]),
     }
 }
@@ -68,20 +68,20 @@
     /// The schedule of a seed.
     pub fn draw(seed: u64) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let places = rng.usize(3..=10);
+        let processes = rng.usize(3..=10);
         let mut at = 0;
         let count = rng.usize(4..=14);
         let mut faults = Vec::new();
         for _ in 0..count {
             at += rng.i64(SECOND / 10..6 * SECOND);
-            faults.push(Scheduled { at, fault: draw_fault(&mut rng, places) });
+            faults.push(Scheduled { at, fault: draw_fault(&mut rng, processes) });
         }
-        Schedule { seed, places, faults }
+        Schedule { seed, processes, faults }
     }
 
-    /// Plays it; then all faults end, and processes that are down or have left start again. How long they took to agree.
-    pub fn play(&self) -> Result<Micros, String> {
-        let mut network = Network::started(self.places, self.seed);
+    /// Runs it; then all faults end, and processes that are down or have left start again. How long they took to agree.
+    pub fn run(&self) -> Result<Micros, String> {
+        let mut network = Network::started(self.processes, self.seed);
         for Scheduled { at, fault } in &self.faults {
             while network.now < *at {
                 network.advance((*at - network.now).min(SECOND / 2));
@@ -89,20 +89,20 @@
             }
             inject(&mut network, fault);
         }
-        inject(&mut network, &Fault::EndCuts);
+        inject(&mut network, &Fault::EndPartitions);
         inject(&mut network, &Fault::Loss(0.0));
-        for n in 0..self.places {
-            network.resume(n);
-            let membership = network.processes[n].membership.as_ref();
+        for index in 0..self.processes {
+            network.resume(index);
+            let membership = network.processes[index].membership.as_ref();
             if membership.is_none_or(Membership::left) {
-                network.start(n, 0);
+                network.start(index, 0);
             }
         }
-        let took = network.time_to_agreement(self.places, AGREEMENT_LIMIT);
+        let took = network.time_to_agreement(self.processes, AGREEMENT_LIMIT);
         took.ok_or_else(|| format!("{self:?}: they do not agree: {:?}", views(&network)))
     }
 
-    /// What holds at any time: quotas never add up to more than the whole, no process is its own member, and none of several
+    /// The invariants at any time: quotas never add up to more than the whole, no process is its own member, and none of several
     /// reports itself alone.
     fn check(&self, network: &Network) -> Result<(), String> {
         let joined = || network.live().filter(|membership| !membership.left());
@@ -124,18 +124,18 @@
 
 fn inject(network: &mut Network, fault: &Fault) {
     match *fault {
-        Fault::Kill(n) => network.kill(n),
-        Fault::Start { n, clock_offset } => network.start(n, clock_offset),
-        Fault::Pause(n) => network.pause(n),
-        Fault::Resume(n) => network.resume(n),
-        Fault::Leave(n) => network.leave(n),
+        Fault::Kill(index) => network.kill(index),
+        Fault::Start { index, clock_offset } => network.start(index, clock_offset),
+        Fault::Pause(index) => network.pause(index),
+        Fault::Resume(index) => network.resume(index),
+        Fault::Leave(index) => network.leave(index),
         Fault::Partition(first) => {
-            network.is_cut = Box::new(move |from, to| (from < first) != (to < first));
+            network.is_partitioned = Box::new(move |from, to| (from < first) != (to < first));
         }
-        Fault::NothingReceived(n) => network.is_cut = Box::new(move |_, to| to == n),
-        Fault::NothingSent(n) => network.is_cut = Box::new(move |from, _| from == n),
-        Fault::EndCuts => network.is_cut = Box::new(|_, _| false),
-        Fault::Loss(share) => network.loss = share,
+        Fault::NothingReceived(index) => network.is_partitioned = Box::new(move |_, to| to == index),
+        Fault::NothingSent(index) => network.is_partitioned = Box::new(move |from, _| from == index),
+        Fault::EndPartitions => network.is_partitioned = Box::new(|_, _| false),
+        Fault::Loss(fraction) => network.loss = fraction,
     }
 }
 
@@ -146,5 +146,5 @@
 
 /// The first 150 schedules settle.
 pub fn some_schedules_settle() -> Result<(), String> {
-    (1..=150).try_for_each(|seed| Schedule::draw(seed).play().map(drop))
+    (1..=150).try_for_each(|seed| Schedule::draw(seed).run().map(drop))
 }
--- a/membership/tests/faults_are_caught.rs
+++ b/membership/tests/faults_are_caught.rs
@@ -1,15 +1,15 @@
-//! A check that never failed has shown nothing: each of these one-line faults must make its scene fail.
+//! A check that cannot fail shows nothing: each of these injected faults must make its scenario fail.
 
 mod common;
 
 use birchreach_membership::faults::{Fault, with};
 use common::{scenes, schedule};
 
-type Scene = fn() -> Result<(), String>;
+type Scenario = fn() -> Result<(), String>;
 
 #[test]
 fn each_fault_is_caught() {
-    let scenes: [(Fault, Scene); 9] = [
+    let scenes: [(Fault, Scenario); 9] = [
         (Fault::NoAddressRetries, scenes::settling::the_view_settles_again),
         (Fault::NoFullExchanges, scenes::settling::a_join_is_known_to_all_at_once),
         (Fault::NoAddressRetries, schedule::some_schedules_settle),
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -9,8 +9,8 @@
 /// Reports that are kept, over all origins.
 const MAX_REPORTS: usize = 16_384;
 
-fn address(n: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7000))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 200) as u8, (index % 200) as u8 + 1], 7000))
 }
 
 /// The next datagram to the only other member.
@@ -21,25 +21,27 @@
 #[test]
 fn reports_reach_nearly_all_members() {
     for (count, seed) in [(5, 1), (40, 2), (300, 3)] {
-        let mut members: Vec<GossipReports> =
-            (0..count).map(|n| GossipReports::new(n as u64 + 1, seed * 1_000 + n as u64)).collect();
+        let mut members: Vec<GossipReports> = (0..count)
+            .map(|index| GossipReports::new(index as u64 + 1, seed * 1_000 + index as u64))
+            .collect();
         let interval = GossipReports::interval(count);
         let (mut received, mut datagrams) = (0, 0);
-        for (n, member) in members.iter_mut().enumerate() {
-            member.publish(0, 1, vec![n as u8; 110]);
+        for (index, member) in members.iter_mut().enumerate() {
+            member.publish(0, 1, vec![index as u8; 110]);
         }
         for now in (0..interval).step_by(50_000) {
-            for n in 0..count {
-                let others: Vec<SocketAddr> = (0..count).filter(|other| *other != n).map(address).collect();
-                let Some(outgoing) = members[n].encode_gossip(now, &others) else { continue };
+            for index in 0..count {
+                let others: Vec<SocketAddr> =
+                    (0..count).filter(|other| *other != index).map(address).collect();
+                let Some(outgoing) = members[index].encode_gossip(now, &others) else { continue };
                 datagrams += 1;
                 let to = (0..count).find(|other| address(*other) == outgoing.recipient).unwrap();
                 received += members[to].apply_gossip(now, count, |_| true, &outgoing.payload).unwrap().len();
             }
         }
-        let share = received as f64 / (count * (count - 1)) as f64;
+        let fraction = received as f64 / (count * (count - 1)) as f64;
         let rate = datagrams as f64 / count as f64 / (interval as f64 / 1e6);
-        assert!(share > 0.98, "{count}: {share} received in an interval");
+        assert!(fraction > 0.98, "{count}: {fraction} received in an interval");
         assert!(rate <= 20.5, "{count}: {rate} datagrams a second");
     }
 }
@@ -80,23 +82,23 @@
 fn ages_add_up_and_reports_expire() {
     let (mut first, mut second, mut third) =
         (GossipReports::new(1, 1), GossipReports::new(2, 2), GossipReports::new(3, 3));
-    first.publish(0, CHANNEL, b"word".to_vec());
+    first.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut first, SECOND / 2).unwrap();
-    // The receiver's clock may read anything.
+    // The receiver's clock is not the sender's.
     let clock = 500 * SECOND;
     let received = second.apply_gossip(clock, 3, |_| true, &sent).unwrap();
     assert!((SECOND / 2..SECOND).contains(&received[0].age), "{received:?}");
-    let passed_on = next_datagram(&mut second, clock + 2 * SECOND).unwrap();
-    let received = third.apply_gossip(0, 3, |_| true, &passed_on).unwrap();
+    let forwarded = next_datagram(&mut second, clock + 2 * SECOND).unwrap();
+    let received = third.apply_gossip(0, 3, |_| true, &forwarded).unwrap();
     assert!((5 * SECOND / 2..3 * SECOND).contains(&received[0].age), "{received:?}");
     let lifetime = GossipReports::interval(3) * LIFETIME_INTERVALS;
-    assert_eq!(next_datagram(&mut third, lifetime), None, "it has expired, and is not passed on");
+    assert_eq!(next_datagram(&mut third, lifetime), None, "it has expired, and is not forwarded");
 }
 
 #[test]
 fn a_report_of_no_member_is_not_kept() {
     let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(4, 4));
-    sender.publish(0, CHANNEL, b"word".to_vec());
+    sender.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut sender, SECOND / 2).unwrap();
     let received = receiver.apply_gossip(0, 3, |origin| origin != 1, &sent).unwrap();
     assert!(received.is_empty());
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn noise_changes_nothing() {
+fn malformed_datagrams_change_nothing() {
     let mut rng = fastrand::Rng::with_seed(9);
     let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(2, 2));
     sender.publish(0, 1, vec![7; 300]);
@@ -136,11 +138,11 @@
 }
 
 #[test]
-fn reports_are_bounded() {
+fn kept_reports_are_bounded() {
     let mut receiver = GossipReports::new(9, 2);
     receiver.publish(0, 1, b"own".to_vec());
-    for n in 0..20_000u64 {
-        let mut sender = GossipReports::new(n + 10, 1);
+    for index in 0..20_000u64 {
+        let mut sender = GossipReports::new(index + 10, 1);
         sender.publish(0, 1, b"x".to_vec());
         let bytes = next_datagram(&mut sender, 0).unwrap();
         receiver.apply_gossip(0, 2, |_| true, &bytes).unwrap();
--- a/membership/tests/membership_view.rs
+++ b/membership/tests/membership_view.rs
@@ -1,4 +1,4 @@
-//! The view settles, keeps live members, and says how sure it is.
+//! The view settles, keeps live members, and reports its state.
 
 mod common;
 use common::{scenes, schedule};
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -2,7 +2,7 @@
 //! again. `recorded/payloads.txt` holds them, a name and its bytes in hexadecimal on each line.
 
 use birchreach_membership::{
-    GossipReports, Membership, MembershipSettings, Micros, OutgoingPayload, ViewState,
+    GossipReports, Membership, MembershipSettings, Micros, OutgoingPayload, ReceivedReport, ViewState,
 };
 use std::net::SocketAddr;
 
@@ -24,20 +24,20 @@
     assert_eq!(hex(written), hex(&recorded(name)), "{name}");
 }
 
-fn address(n: usize) -> SocketAddr {
-    match n {
+fn address(index: usize) -> SocketAddr {
+    match index {
         0 => "10.0.0.1:7000".parse().unwrap(),
         _ => "[2001:db8::2]:7001".parse().unwrap(),
     }
 }
 
-fn fleet(n: usize, now: Micros) -> Membership {
+fn member(index: usize, now: Micros) -> Membership {
     let settings = MembershipSettings {
-        name: ["proxy-a", "proxy-b"][n].into(),
-        address: address(n),
-        incarnation: 0x1000_0000_0000_0001 + n as u64,
-        epoch: 1_700_000_000_000 + n as u64,
-        seed: n as u64 + 1,
+        name: ["proxy-a", "proxy-b"][index].into(),
+        address: address(index),
+        incarnation: 0x1000_0000_0000_0001 + index as u64,
+        epoch: 1_700_000_000_000 + index as u64,
+        seed: index as u64 + 1,
         seeds: vec![address(0)],
         configured_members: 2,
     };
@@ -47,37 +47,37 @@
 /// The second joins the first; each is fed the recorded payloads of the other for five seconds.
 #[test]
 fn a_join_and_the_gossip_after_it_are_written_and_read_as_recorded() {
-    let mut fleets = [fleet(0, 0), fleet(1, 0)];
-    let boots = [0, 1].map(|n| fleets[n].own().incarnation);
+    let mut members = [member(0, 0), member(1, 0)];
+    let incarnations = [0, 1].map(|index| members[index].own().incarnation);
     let mut sent = 0;
     for now in (0..5 * SECOND).step_by(100_000) {
-        for n in [1, 0] {
-            fleets[n].step(now);
-            while let Some(OutgoingPayload { recipient, payload }) = fleets[n].next_payload() {
-                assert_eq!(recipient, address(1 - n));
-                let name = format!("gossip-{sent}-from-{n}");
+        for index in [1, 0] {
+            members[index].step(now);
+            while let Some(OutgoingPayload { recipient, payload }) = members[index].next_payload() {
+                assert_eq!(recipient, address(1 - index));
+                let name = format!("gossip-{sent}-from-{index}");
                 assert_recorded(&name, &payload);
-                fleets[1 - n].receive(now, boots[n], &recorded(&name)).unwrap();
+                members[1 - index].receive(now, incarnations[index], &recorded(&name)).unwrap();
                 sent += 1;
             }
         }
     }
     assert!(sent > 30, "{sent} payloads");
-    for fleet in &fleets {
-        assert_eq!(fleet.view().members, 2);
-        assert_recorded("digest-of-two", &fleet.view().digest.to_be_bytes());
-        assert!(matches!(fleet.view().state, ViewState::Settled { .. }));
+    for member in &members {
+        assert_eq!(member.view().members, 2);
+        assert_recorded("digest-of-two", &member.view().digest.to_be_bytes());
+        assert!(matches!(member.view().state, ViewState::Settled { .. }));
     }
-    fleets[1].leave(5 * SECOND);
-    let goodbye = fleets[1].next_payload().unwrap().payload;
-    assert_recorded("goodbye", &goodbye);
-    fleets[0].receive(5 * SECOND, boots[1], &recorded("goodbye")).unwrap();
-    assert_eq!(fleets[0].members().count(), 0);
+    members[1].leave(5 * SECOND);
+    let leaving = members[1].next_payload().unwrap().payload;
+    assert_recorded("goodbye", &leaving);
+    members[0].receive(5 * SECOND, incarnations[1], &recorded("goodbye")).unwrap();
+    assert_eq!(members[0].members().count(), 0);
 }
 
 #[test]
 fn a_full_exchange_is_written_and_read_as_recorded() {
-    let (mut first, second) = (fleet(0, 0), fleet(1, 0));
+    let (mut first, second) = (member(0, 0), member(1, 0));
     let parts = second.export_members();
     assert_eq!(parts.len(), 1);
     assert_recorded("exchange", &parts[0]);
@@ -95,13 +95,14 @@
     sender.publish(SECOND, 200, vec![0, 255, 7]);
     let payload = sender.encode_gossip(SECOND + 1, &[address(0)]).unwrap().payload;
     assert_recorded("reports", &payload);
-    let fresh = receiver.apply_gossip(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
-    let mut fresh: Vec<_> =
-        fresh.into_iter().map(|r| (r.channel, r.origin, r.sequence, r.age, r.payload)).collect();
-    fresh.sort();
-    let origin = 0x2122_2324_2526_2728;
-    assert_eq!(
-        fresh,
-        [(1, origin, 1, 1_001_000, b"first channel".to_vec()), (200, origin, 1, 1_000, vec![0, 255, 7])]
-    );
+    let mut new_reports = receiver.apply_gossip(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
+    new_reports.sort_by_key(|report| report.channel);
+    let report = |channel, age, payload: &[u8]| ReceivedReport {
+        channel,
+        origin: 0x2122_2324_2526_2728,
+        sequence: 1,
+        age,
+        payload: payload.to_vec(),
+    };
+    assert_eq!(new_reports, [report(1, 1_001_000, b"first channel"), report(200, 1_000, &[0, 255, 7])]);
 }
