--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod events;
 pub mod network;
 pub mod process;
-pub mod scenes;
+pub mod scenarios;
 pub mod schedule;
 
 use birchreach_membership::Micros;
