--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -11,10 +11,12 @@
 use common::{SECOND, address};
 use std::time::Instant;
 
+/// The longest time that the fleet gets to notice a fault, or to agree after it.
 const LIMIT: Micros = 120 * SECOND;
+/// How long the traffic of a settled fleet is counted.
 const QUIET_TIME: Micros = 60 * SECOND;
 
-fn shown(took: Option<Micros>) -> String {
+fn seconds(took: Option<Micros>) -> String {
     took.map_or("not in 120".into(), |took| format!("{:.1}", took as f64 / 1e6))
 }
 
@@ -48,59 +50,96 @@
     changes.filter(|(_, change)| matches!(change, MembershipChange::Removed(_))).count()
 }
 
-fn row(count: usize, loss: f64, seed: u64) {
+/// The traffic of a fleet in which nothing happens.
+struct QuietTraffic {
+    /// Live members that were removed from a view.
+    false_removals: usize,
+    datagrams_per_s: f64,
+    bytes_per_s: f64,
+}
+
+impl QuietTraffic {
+    /// Of each process, over [`QUIET_TIME`].
+    fn of(network: &mut Network) -> QuietTraffic {
+        let before = sent(network);
+        network.advance(QUIET_TIME);
+        let after = sent(network);
+        let process_seconds = network.processes.len() as f64 * QUIET_TIME as f64 / 1e6;
+        QuietTraffic {
+            false_removals: removals(network),
+            datagrams_per_s: (after.messages - before.messages) as f64 / process_seconds,
+            bytes_per_s: (after.bytes - before.bytes) as f64 / process_seconds,
+        }
+    }
+}
+
+/// How long a fleet takes to notice a fault, or to agree after it has ended.
+struct FaultTimes {
+    crash: Option<Micros>,
+    partition: Option<Micros>,
+    pause: Option<Micros>,
+    mass_crash: Option<Micros>,
+}
+
+impl FaultTimes {
+    fn of(network: &mut Network, count: usize) -> FaultTimes {
+        let middle = count / 2;
+        network.kill(middle);
+        let crash = time_to_removal(network, &[middle]);
+        network.start(middle, 0);
+        let _ = network.time_to_agreement(count, LIMIT);
+        network.is_partitioned = Box::new(move |from, to| (from < middle) != (to < middle));
+        network.advance(60 * SECOND);
+        network.is_partitioned = Box::new(|_, _| false);
+        let partition = network.time_to_agreement(count, LIMIT);
+        network.pause(middle);
+        network.advance(20 * SECOND);
+        network.resume(middle);
+        let pause = network.time_to_agreement(count, LIMIT);
+        let seven_in_ten: Vec<usize> = (0..count * 7 / 10).collect();
+        seven_in_ten.iter().for_each(|index| network.kill(*index));
+        let mass_crash = time_to_removal(network, &seven_in_ten);
+        FaultTimes { crash, partition, pause, mass_crash }
+    }
+}
+
+fn print_row(count: usize, loss: f64, seed: u64) {
     let clock = Instant::now();
     let mut network = Network::started(count, seed);
     network.loss = loss;
     let join = network.time_to_agreement(count, LIMIT);
-    let (before, from) = (sent(&network), network.now);
-    network.advance(QUIET_TIME);
-    let (after, removed) = (sent(&network), removals(&network));
-    let per_second = |sum: u64| sum as f64 / count as f64 / ((network.now - from) as f64 / 1e6);
-    let (datagrams, bytes) =
-        (per_second(after.messages - before.messages), per_second(after.bytes - before.bytes));
+    let traffic = QuietTraffic::of(&mut network);
     let exchanges = network.exchanged;
-    let one = count / 2;
-    network.kill(one);
-    let crash = time_to_removal(&mut network, &[one]);
-    network.start(one, 0);
-    let _ = network.time_to_agreement(count, LIMIT);
-    network.is_partitioned = Box::new(move |from, to| (from < one) != (to < one));
-    network.advance(60 * SECOND);
-    network.is_partitioned = Box::new(|_, _| false);
-    let heal = network.time_to_agreement(count, LIMIT);
-    network.pause(one);
-    network.advance(20 * SECOND);
-    network.resume(one);
-    let pause = network.time_to_agreement(count, LIMIT);
-    let many: Vec<usize> = (0..count * 7 / 10).collect();
-    many.iter().for_each(|index| network.kill(*index));
-    let mass_crash = time_to_removal(&mut network, &many);
+    let times = FaultTimes::of(&mut network, count);
     println!(
-        "| {count} | {:.0}% | {seed} | {} | {} | {} | {} | {} | {removed} | {datagrams:.1} | {bytes:.0} | {} of {} | {:.0} |",
+        "| {count} | {:.0}% | {seed} | {} | {} | {} | {} | {} | {} | {:.1} | {:.0} | {} of {} | {:.0} |",
         loss * 100.0,
-        shown(join),
-        shown(crash),
-        shown(mass_crash),
-        shown(heal),
-        shown(pause),
+        seconds(join),
+        seconds(times.crash),
+        seconds(times.mass_crash),
+        seconds(times.partition),
+        seconds(times.pause),
+        traffic.false_removals,
+        traffic.datagrams_per_s,
+        traffic.bytes_per_s,
         exchanges.messages,
         exchanges.bytes / exchanges.messages.max(1),
         clock.elapsed().as_secs_f64()
     );
 }
 
-/// The words that a reading finds, or the default.
+/// The arguments that can be read as such values, or the default.
 fn arguments<T>(read: impl Fn(&str) -> Option<T>, default: Vec<T>) -> Vec<T> {
-    let found: Vec<T> = std::env::args().skip(1).filter_map(|word| read(&word)).collect();
+    let found: Vec<T> = std::env::args().skip(1).filter_map(|argument| read(&argument)).collect();
     if found.is_empty() { default } else { found }
 }
 
 fn main() {
-    let counts = arguments(|word| word.parse().ok(), vec![10, 40, 300]);
-    let percent = |word: &str| word.strip_suffix('%')?.parse::<f64>().ok().map(|share| share / 100.0);
+    let counts = arguments(|argument| argument.parse().ok(), vec![10, 40, 300]);
+    let percent =
+        |argument: &str| argument.strip_suffix('%')?.parse::<f64>().ok().map(|percent| percent / 100.0);
     let losses = arguments(percent, vec![0.0, 0.05, 0.2]);
-    let seeds = arguments(|word| word.strip_prefix("seed=")?.parse().ok(), vec![1, 2]);
+    let seeds = arguments(|argument| argument.strip_prefix("seed=")?.parse().ok(), vec![1, 2]);
     println!(
         "| members | loss | seed | join | one crash noticed | seven in ten noticed | heal | after a stop | false removals a minute | datagrams/s each | bytes/s each | full exchanges by then, bytes of one | computed in s |"
     );
@@ -108,7 +147,7 @@
     for count in counts {
         for loss in &losses {
             for seed in &seeds {
-                row(count, *loss, *seed);
+                print_row(count, *loss, *seed);
             }
         }
     }
