--- a/peer-state/src/advice.rs
+++ b/peer-state/src/advice.rs
@@ -9,7 +9,7 @@
 const CONTRADICTION_WINDOW: Micros = 2_000_000;
 /// The weight of an observation as primary halves in this time, and with each hop.
 const TRUST_HALF_LIFE: Micros = 10_000_000;
-/// The share of trust that is left when another server was observed as primary at the same time.
+/// The fraction of trust that remains if another server was observed as primary at the same time.
 const CONTRADICTED_TRUST: f64 = 0.5;
 
 /// A lower bound for the log position of the incarnation that the endpoint list names.
@@ -53,15 +53,15 @@
     pub seen: Observation<()>,
 }
 
-/// Servers to *ask* whether they are the group's primary, the likeliest first. Left out are those observed as a replica since,
+/// Servers to *query* whether they are the group's primary, the likeliest first. Left out are those observed as a replica since,
 /// and those whose observation as primary is so much older than another's that they have been replaced.
 pub fn primary_candidates(state: &PeerState, group: u32, now: Micros) -> Vec<Candidate> {
     let of_group = state.servers().filter(|(_, facts)| facts.group == group);
     let mut seen: Vec<(&str, Observation<()>)> =
         of_group.filter_map(|(uid, facts)| Some((uid, primary_observation(facts)?))).collect();
-    seen.sort_by_key(|(uid, s)| (std::cmp::Reverse(s.observed_at), *uid));
+    seen.sort_by_key(|(uid, primary)| (std::cmp::Reverse(primary.observed_at), *uid));
     let Some((_, newest)) = seen.first().copied() else { return Vec::new() };
-    seen.retain(|(_, s)| newest.observed_at - s.observed_at < CONTRADICTION_WINDOW);
+    seen.retain(|(_, primary)| newest.observed_at - primary.observed_at < CONTRADICTION_WINDOW);
     let contradiction = if seen.len() > 1 { CONTRADICTED_TRUST } else { 1.0 };
     let candidate = |(uid, seen): (&str, Observation<()>)| Candidate {
         uid: uid.into(),
@@ -75,7 +75,7 @@
     candidates
 }
 
-/// The server was the primary and is known not to be any longer.
+/// Whether the server was the primary and is known not to be any longer.
 pub fn is_former_primary(state: &PeerState, uid: &str) -> bool {
     let Some(facts) = state.facts(uid) else { return false };
     let Some(primary) = facts.primary else { return false };
--- a/peer-state/src/datagram.rs
+++ b/peer-state/src/datagram.rs
@@ -5,15 +5,18 @@
 //! twice, and none that is [`REPLAY_WINDOW`] or more behind the newest; the rate of each incarnation is limited.
 
 use crate::Micros;
-use crate::frame::Keys;
+use crate::keys::Keys;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use std::collections::BTreeMap;
 
 /// The longest datagram, header and code included: it is not fragmented on usual links.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// The first bytes of each datagram.
 const MAGIC: [u8; 2] = *b"bd";
+/// The version of the protocol, in each header.
 const VERSION: u8 = 1;
+// Where the header's fields begin.
 const VERSION_AT: usize = 2;
 const KEY_ID_AT: usize = 3;
 const INCARNATION_AT: usize = 7;
@@ -27,7 +30,7 @@
 pub const REPLAY_WINDOW: u64 = 64;
 /// Senders that are tracked; the one silent for longest is removed first.
 const MAX_SENDERS: usize = 4_096;
-/// Datagrams that are accepted from one sender in a second, and at most in a burst.
+/// Datagrams that are accepted from one sender in a second, and in a burst.
 const DATAGRAMS_PER_SECOND: f64 = 400.0;
 
 /// Why a datagram was dropped.
@@ -62,8 +65,8 @@
 }
 
 impl std::fmt::Display for DatagramError {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+        formatter.write_str(match self {
             DatagramError::Malformed => "not a datagram of this protocol",
             DatagramError::Version => "a datagram of another version",
             DatagramError::UnknownKey => "a datagram sealed with an unknown key",
@@ -79,9 +82,11 @@
 /// What was received of one incarnation of a sender.
 struct Sender {
     newest_sequence: u64,
-    /// Bit n: `newest_sequence - n` was received.
+    /// A set bit means that the sequence number was received which is as much smaller than `newest_sequence` as the bit's position.
     received_bits: u64,
+    /// How many datagrams may be accepted at once.
     rate_tokens: f64,
+    /// When `rate_tokens` was updated.
     updated_at: Micros,
 }
 
@@ -95,6 +100,7 @@
         }
     }
 
+    /// Accepts a sequence number once, as far as the rate allows.
     fn admit(&mut self, now: Micros, sequence: u64) -> Result<(), DatagramError> {
         let seconds = (now - self.updated_at).max(0) as f64 / 1e6;
         self.rate_tokens = (self.rate_tokens + seconds * DATAGRAMS_PER_SECOND).min(DATAGRAMS_PER_SECOND);
@@ -117,11 +123,21 @@
     }
 }
 
-/// Seals what this incarnation sends, and opens what it receives.
+/// A datagram that was opened.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OpenedDatagram<'a> {
+    /// The incarnation of its sender.
+    pub sender_incarnation: u64,
+    /// Its content.
+    pub payload: &'a [u8],
+}
+
+/// Seals the datagrams that this incarnation sends, and opens those that it receives.
 pub struct DatagramCodec {
     keys: Keys,
     incarnation: u64,
     last_sequence: u64,
+    /// By incarnation.
     senders: BTreeMap<u64, Sender>,
 }
 
@@ -133,7 +149,7 @@
 
     /// The next datagram; none for a payload that is too long.
     pub fn seal(&mut self, payload: &[u8]) -> Option<Vec<u8>> {
-        let (key_id, secret) = self.keys.sealing_key();
+        let key = self.keys.sealing_key()?;
         if payload.len() > MAX_PAYLOAD_BYTES {
             return None;
         }
@@ -141,17 +157,21 @@
         let mut datagram = Vec::with_capacity(HEADER_BYTES + payload.len() + CODE_BYTES);
         datagram.extend(MAGIC);
         datagram.push(VERSION);
-        datagram.extend(key_id.to_be_bytes());
+        datagram.extend(key.number.to_be_bytes());
         datagram.extend(self.incarnation.to_be_bytes());
         datagram.extend(self.last_sequence.to_be_bytes());
         datagram.extend(payload);
-        let code = Hmac::<Sha256>::new_from_slice(secret).ok()?.chain_update(&datagram);
+        let code = Hmac::<Sha256>::new_from_slice(&key.secret).ok()?.chain_update(&datagram);
         datagram.extend(code.finalize().into_bytes());
         Some(datagram)
     }
 
-    /// The sender's incarnation, and the payload.
-    pub fn open<'a>(&mut self, now: Micros, datagram: &'a [u8]) -> Result<(u64, &'a [u8]), DatagramError> {
+    /// Checks a datagram and returns its content.
+    ///
+    /// # Errors
+    ///
+    /// The reason why it is dropped.
+    pub fn open<'a>(&mut self, now: Micros, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DatagramError> {
         let is_possible_length = (HEADER_BYTES + CODE_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len());
         if !is_possible_length || datagram[..MAGIC.len()] != MAGIC {
             return Err(DatagramError::Malformed);
@@ -162,15 +182,15 @@
         let (sealed, code) = datagram.split_at(datagram.len() - CODE_BYTES);
         let u64_at = |at: usize| sealed[at..].first_chunk().map_or(0, |bytes| u64::from_be_bytes(*bytes));
         let key_id = sealed[KEY_ID_AT..].first_chunk().map_or(0, |bytes| u32::from_be_bytes(*bytes));
-        let secret = self.keys.get(key_id).ok_or(DatagramError::UnknownKey)?;
+        let secret = self.keys.secret(key_id).ok_or(DatagramError::UnknownKey)?;
         let mac = Hmac::<Sha256>::new_from_slice(secret).map_err(|_| DatagramError::UnknownKey)?;
         mac.chain_update(sealed).verify_slice(code).map_err(|_| DatagramError::WrongCode)?;
-        let incarnation = u64_at(INCARNATION_AT);
-        self.sender(now, incarnation, u64_at(SEQUENCE_AT)).admit(now, u64_at(SEQUENCE_AT))?;
-        Ok((incarnation, &sealed[HEADER_BYTES..]))
+        let (sender_incarnation, sequence) = (u64_at(INCARNATION_AT), u64_at(SEQUENCE_AT));
+        self.sender(now, sender_incarnation, sequence).admit(now, sequence)?;
+        Ok(OpenedDatagram { sender_incarnation, payload: &sealed[HEADER_BYTES..] })
     }
 
-    /// What was received of a sender; a new one takes the place of the one silent for longest.
+    /// The entry of a sender; for a new one the sender that was silent for longest is evicted if there are too many.
     fn sender(&mut self, now: Micros, incarnation: u64, sequence: u64) -> &mut Sender {
         if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&incarnation) {
             let oldest = self.senders.iter().min_by_key(|(_, sender)| sender.updated_at);
--- a/peer-state/src/frame/link.rs
+++ b/peer-state/src/frame/link.rs
@@ -1,7 +1,8 @@
 //! One connection's framing: seals and opens frames in order, each bound to both nonces.
 
 use super::{
-    CODE_BYTES, FrameError, FrameKind, HEADER_BYTES, Header, MAGIC, MAX_PAYLOAD_BYTES, NONCE_BYTES, Nonce,
+    CODE_BYTES, Frame, FrameError, FrameKind, HEADER_BYTES, Header, MAGIC, MAX_PAYLOAD_BYTES, NONCE_BYTES,
+    Nonce,
 };
 use crate::keys::Keys;
 use hmac::{Hmac, KeyInit, Mac};
@@ -33,7 +34,9 @@
     peer_nonce: Option<Nonce>,
     frames_sealed: u64,
     frames_opened: u64,
+    /// Bytes that were read and not opened yet.
     input: Vec<u8>,
+    /// A frame was rejected: no more are opened.
     failed: bool,
 }
 
@@ -58,7 +61,7 @@
         self.seal(FrameKind::Hello, &nonce)
     }
 
-    /// The authentication of the frame with this number that `sender` seals.
+    /// The code that authenticates the frame with this number, sealed by `sender`.
     fn code(
         &self,
         secret: &[u8],
@@ -86,37 +89,44 @@
 
     /// The next frame with this payload. A payload that is too long, or sealed before both sides sent Hello, gives no bytes.
     pub fn seal(&mut self, kind: FrameKind, payload: &[u8]) -> Vec<u8> {
-        let (key_id, secret) = self.keys.sealing_key();
         if payload.len() > MAX_PAYLOAD_BYTES {
             return Vec::new();
         }
-        let mut frame = Header { kind, key_id, payload_bytes: payload.len() }.encode();
-        let Some(code) = self.code(secret, self.side, self.frames_sealed, &frame, payload) else {
-            return Vec::new();
-        };
+        let frame = self.sealed_frame(kind, payload).unwrap_or_default();
+        self.frames_sealed += u64::from(!frame.is_empty());
+        frame
+    }
+
+    fn sealed_frame(&self, kind: FrameKind, payload: &[u8]) -> Option<Vec<u8>> {
+        let key = self.keys.sealing_key()?;
+        let mut frame = Header { kind, key_id: key.number, payload_bytes: payload.len() }.encode();
+        let code = self.code(&key.secret, self.side, self.frames_sealed, &frame, payload)?;
         frame.extend(payload);
         frame.extend(code.finalize().into_bytes());
-        self.frames_sealed += 1;
-        frame
+        Some(frame)
     }
 
-    /// Takes bytes that were read.
+    /// Appends bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         if !self.failed {
             self.input.extend_from_slice(bytes);
         }
     }
 
-    /// More input may be read.
+    /// Whether more input may be read.
     pub fn wants_input(&self) -> bool {
         !self.failed && self.input.len() < HEADER_BYTES + MAX_PAYLOAD_BYTES + CODE_BYTES
     }
 
     /// The next frame, once it is complete. After an error there are no more.
-    pub fn next_frame(&mut self) -> Result<Option<(FrameKind, Vec<u8>)>, FrameError> {
+    ///
+    /// # Errors
+    ///
+    /// The reason why the connection is to be closed.
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         loop {
             match self.open() {
-                Ok(Some((FrameKind::Hello, _))) => {}
+                Ok(Some(Frame { kind: FrameKind::Hello, .. })) => {}
                 Ok(other) => return Ok(other),
                 Err(error) => {
                     self.failed = true;
@@ -127,14 +137,15 @@
         }
     }
 
-    /// The other side has sent its Hello: frames can be sealed now.
+    /// Whether the other side has sent its Hello: frames can be sealed then.
     pub fn is_established(&self) -> bool {
         self.peer_nonce.is_some()
     }
 
-    fn open(&mut self) -> Result<Option<(FrameKind, Vec<u8>)>, FrameError> {
-        let begun = self.input.len().min(MAGIC.len());
-        if self.failed || self.input[..begun] != MAGIC[..begun] {
+    /// Opens the frame at the start of the input, once it is complete.
+    fn open(&mut self) -> Result<Option<Frame>, FrameError> {
+        let magic_bytes = self.input.len().min(MAGIC.len());
+        if self.failed || self.input[..magic_bytes] != MAGIC[..magic_bytes] {
             return Err(FrameError::NotAFrame);
         }
         let Some(header_bytes) = self.input.first_chunk::<HEADER_BYTES>().copied() else { return Ok(None) };
@@ -142,7 +153,7 @@
         if (kind == FrameKind::Hello) == self.peer_nonce.is_some() {
             return Err(FrameError::OutOfOrder);
         }
-        let secret = self.keys.get(key_id).ok_or(FrameError::UnknownKey)?;
+        let secret = self.keys.secret(key_id).ok_or(FrameError::UnknownKey)?;
         let payload_end = HEADER_BYTES + payload_bytes;
         let frame_end = payload_end + CODE_BYTES;
         if self.input.len() < frame_end {
@@ -157,6 +168,6 @@
         if kind == FrameKind::Hello {
             self.peer_nonce = payload.first_chunk().copied();
         }
-        Ok(Some((kind, payload)))
+        Ok(Some(Frame { kind, payload }))
     }
 }
--- a/peer-state/src/frame/mod.rs
+++ b/peer-state/src/frame/mod.rs
@@ -7,7 +7,7 @@
 
 mod link;
 
-pub use crate::keys::Keys;
+pub use crate::keys::{Key, Keys};
 pub use link::{FrameLink, Side};
 use std::fmt;
 
@@ -15,8 +15,9 @@
 pub const VERSION: u8 = 1;
 /// The longest payload; longer state is sent in parts.
 pub const MAX_PAYLOAD_BYTES: usize = 64 << 10;
+/// The first bytes of each frame.
 const MAGIC: [u8; 2] = *b"bk";
-/// Magic number, version, kind, key's number, payload's length.
+/// Magic number, version, kind, number of the key, length of the payload.
 const HEADER_BYTES: usize = 2 + 1 + 1 + 4 + 4;
 /// An HMAC-SHA-256.
 const CODE_BYTES: usize = 32;
@@ -70,8 +71,8 @@
     }
 }
 
-/// Why a connection is closed. `Display` gives the reason for the log; the other side is told nothing, so that a sender without
-/// the key learns nothing.
+/// Why a connection is closed. `Display` gives the reason for the log; the other side gets none, so that a sender without the key
+/// learns nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// The bytes do not begin a frame, or the connection has failed before.
@@ -91,21 +92,30 @@
 }
 
 impl fmt::Display for FrameError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FrameError::NotAFrame => f.write_str("no-frame"),
-            FrameError::Version(version) => write!(f, "version-{version}"),
-            FrameError::TooLong => f.write_str("too-long"),
-            FrameError::UnknownKey => f.write_str("unknown-key"),
-            FrameError::WrongCode => f.write_str("wrong-code"),
-            FrameError::OutOfOrder => f.write_str("out-of-order"),
-            FrameError::InvalidPayload => f.write_str("payload"),
+            FrameError::NotAFrame => formatter.write_str("no-frame"),
+            FrameError::Version(version) => write!(formatter, "version-{version}"),
+            FrameError::TooLong => formatter.write_str("too-long"),
+            FrameError::UnknownKey => formatter.write_str("unknown-key"),
+            FrameError::WrongCode => formatter.write_str("wrong-code"),
+            FrameError::OutOfOrder => formatter.write_str("out-of-order"),
+            FrameError::InvalidPayload => formatter.write_str("payload"),
         }
     }
 }
 
 impl std::error::Error for FrameError {}
 
+/// A frame that was opened.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Frame {
+    /// What it is for.
+    pub kind: FrameKind,
+    /// Its content.
+    pub payload: Vec<u8>,
+}
+
 /// The header of a frame.
 struct Header {
     kind: FrameKind,
@@ -123,18 +133,18 @@
         bytes
     }
 
-    /// The magic number was checked.
+    /// Reads a header whose magic number was checked.
     fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
-        let [_, _, version, kind, k0, k1, k2, k3, l0, l1, l2, l3] = *bytes;
+        let [_, _, version, kind, key0, key1, key2, key3, length0, length1, length2, length3] = *bytes;
         if version != VERSION {
             return Err(FrameError::Version(version));
         }
         let kind = FrameKind::from_byte(kind);
-        let payload_bytes = u32::from_be_bytes([l0, l1, l2, l3]) as usize;
+        let payload_bytes = u32::from_be_bytes([length0, length1, length2, length3]) as usize;
         let is_wrong_hello = kind == FrameKind::Hello && payload_bytes != NONCE_BYTES;
         if payload_bytes > MAX_PAYLOAD_BYTES || is_wrong_hello {
             return Err(FrameError::TooLong);
         }
-        Ok(Header { kind, key_id: u32::from_be_bytes([k0, k1, k2, k3]), payload_bytes })
+        Ok(Header { kind, key_id: u32::from_be_bytes([key0, key1, key2, key3]), payload_bytes })
     }
 }
--- a/peer-state/src/full_exchange.rs
+++ b/peer-state/src/full_exchange.rs
@@ -1,12 +1,12 @@
 //! A full exchange over one link: both sides send everything they have, in parts that are opaque here, the requester first. Fed
 //! bytes, over the same frames as a state transfer.
 
-use crate::frame::{FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
+use crate::frame::{Frame, FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
 
 /// Parts that one side accepts.
 pub const MAX_PARTS: usize = 16;
 
-/// How far the exchange has come.
+/// Progress of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeEvent {
     /// Both sides have sent Hello; it is the requester's turn to send.
@@ -21,9 +21,12 @@
     side: Side,
     /// Bytes to be written.
     pub output: Vec<u8>,
+    /// Both sides have sent Hello.
     connected: bool,
+    /// This side has sent all its parts.
     sent: bool,
     received_parts: Vec<Vec<u8>>,
+    /// The other side has sent all its parts.
     received: bool,
 }
 
@@ -43,17 +46,21 @@
         }
     }
 
-    /// Takes bytes that were read.
+    /// Appends bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.link.feed(bytes);
     }
 
-    /// More input may be read.
+    /// Whether more input may be read.
     pub fn wants_input(&self) -> bool {
         !self.received && self.link.wants_input()
     }
 
-    /// The next thing that has happened, if any.
+    /// The next event, if any.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the connection is to be closed.
     pub fn next_event(&mut self) -> Result<Option<ExchangeEvent>, FrameError> {
         let is_requester = self.side == Side::Requester;
         loop {
@@ -66,7 +73,7 @@
                     None => Ok(Some(ExchangeEvent::Connected)),
                 };
             }
-            let Some((kind, payload)) = frame else { return Ok(None) };
+            let Some(Frame { kind, payload }) = frame else { return Ok(None) };
             match kind {
                 FrameKind::Unknown(_) => {}
                 _ if self.received || (is_requester && !self.sent) => return Err(FrameError::OutOfOrder),
@@ -95,12 +102,12 @@
         self.sent = true;
     }
 
-    /// This side has sent its parts.
+    /// Whether this side has sent its parts.
     pub fn has_sent(&self) -> bool {
         self.sent
     }
 
-    /// Both sides have sent their parts; the connection ends once the output is written.
+    /// Whether both sides have sent their parts; the connection ends once the output is written.
     pub fn is_finished(&self) -> bool {
         self.sent && self.received
     }
--- a/peer-state/src/keys.rs
+++ b/peer-state/src/keys.rs
@@ -21,8 +21,8 @@
 }
 
 impl fmt::Display for KeysError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
             KeysError::Count => "expected one to four keys",
             KeysError::ShortSecret => "a secret of fewer than 16 bytes",
             KeysError::DuplicateNumber => "a key's number twice",
@@ -32,27 +32,49 @@
 
 impl std::error::Error for KeysError {}
 
-/// Secrets by their numbers. The first seals what is sent; all are accepted in what is received.
+/// A secret and its number.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Keys(Vec<(u32, Vec<u8>)>);
+pub struct Key {
+    /// The number, by which frames and datagrams name the key.
+    pub number: u32,
+    /// The secret.
+    pub secret: Vec<u8>,
+}
+
+/// Shows the number, never the secret.
+impl fmt::Debug for Key {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        self.number.fmt(formatter)
+    }
+}
+
+/// The keys of a fleet. The first seals what is sent; all are accepted in what is received.
+#[derive(Clone, PartialEq, Eq)]
+pub struct Keys(Vec<Key>);
 
 /// Shows the numbers, never the secrets.
 impl fmt::Debug for Keys {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.debug_list().entries(self.0.iter().map(|(id, _)| id)).finish()
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.debug_list().entries(&self.0).finish()
     }
 }
 
 impl Keys {
-    /// Each key is its number and its secret.
-    pub fn new(keys: Vec<(u32, Vec<u8>)>) -> Result<Keys, KeysError> {
+    /// These keys, the sealing one first.
+    ///
+    /// # Errors
+    ///
+    /// The reason why they are rejected.
+    pub fn new(keys: Vec<Key>) -> Result<Keys, KeysError> {
         if keys.is_empty() || keys.len() > MAX_KEYS {
             return Err(KeysError::Count);
         }
-        if keys.iter().any(|(_, secret)| secret.len() < MIN_SECRET_BYTES) {
+        if keys.iter().any(|key| key.secret.len() < MIN_SECRET_BYTES) {
             return Err(KeysError::ShortSecret);
         }
-        if keys.iter().enumerate().any(|(n, (id, _))| keys[..n].iter().any(|(other, _)| other == id)) {
+        let is_repeated =
+            |(index, key): (usize, &Key)| keys[..index].iter().any(|earlier| earlier.number == key.number);
+        if keys.iter().enumerate().any(is_repeated) {
             return Err(KeysError::DuplicateNumber);
         }
         Ok(Keys(keys))
@@ -61,17 +83,19 @@
     /// Hashes names under the sealing key, so that nobody without it can construct a collision. `purpose` separates the hashes
     /// of one use from those of another.
     pub fn name_hasher(&self, purpose: &[u8]) -> NameHasher {
-        let (key_id, secret) = self.sealing_key();
-        let code = Hmac::<Sha256>::new_from_slice(secret).ok();
-        NameHasher { key_id, code: code.map(|code| code.chain_update(purpose)) }
+        let Some(key) = self.sealing_key() else { return NameHasher { key_id: 0, code: None } };
+        let code = Hmac::<Sha256>::new_from_slice(&key.secret).ok();
+        NameHasher { key_id: key.number, code: code.map(|code| code.chain_update(purpose)) }
     }
 
-    pub(crate) fn get(&self, id: u32) -> Option<&[u8]> {
-        self.0.iter().find(|(other, _)| *other == id).map(|(_, secret)| secret.as_slice())
+    /// The secret with this number.
+    pub(crate) fn secret(&self, number: u32) -> Option<&[u8]> {
+        self.0.iter().find(|key| key.number == number).map(|key| key.secret.as_slice())
     }
 
-    pub(crate) fn sealing_key(&self) -> (u32, &[u8]) {
-        self.0.first().map_or((0, &[][..]), |(id, secret)| (*id, secret.as_slice()))
+    /// The key that seals what is sent. There is always one.
+    pub(crate) fn sealing_key(&self) -> Option<&Key> {
+        self.0.first()
     }
 }
 
@@ -80,6 +104,7 @@
 pub struct NameHasher {
     /// The number of the key.
     pub key_id: u32,
+    /// The code of the purpose; none if the secret cannot be used.
     code: Option<Hmac<Sha256>>,
 }
 
--- a/peer-state/src/observation.rs
+++ b/peer-state/src/observation.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// How the first observer learnt a fact. Declared from the least to the most reliable; merging prefers the greater.
+/// How the first observer got to know a fact. Declared from the least to the most reliable; merging prefers the greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ObservationSource {
     /// The endpoint list says so.
@@ -33,16 +33,16 @@
     pub value: T,
     /// When, on the local clock; never later than it truly was.
     pub observed_at: Micros,
-    /// How many proxies have passed it on.
+    /// How many proxies have forwarded it.
     pub hop_count: u8,
-    /// How the observer learnt it.
+    /// How the observer got to know it.
     pub source: ObservationSource,
     /// The proxy that observed it.
     pub observer: u64,
 }
 
 impl<T: Copy + Ord> Observation<T> {
-    /// The later observation is the greater one; of the same instant, the one passed on less often, then the more reliable
+    /// The later observation is the greater one; of the same instant, the one forwarded less often, then the more reliable
     /// source. Observer and value only make the order total.
     fn order(&self) -> impl Ord + use<T> {
         (self.observed_at, Reverse(self.hop_count), self.source, self.observer, self.value)
--- a/peer-state/src/peer_state.rs
+++ b/peer-state/src/peer_state.rs
@@ -16,19 +16,21 @@
 pub struct PeerState {
     /// This proxy's identity, to recognize its own observations.
     pub observer: u64,
+    /// Facts by server name.
     servers: BTreeMap<String, ServerFacts>,
+    /// The endpoint list, by server name.
     list: BTreeMap<String, ServerIncarnation>,
     /// Facts discarded: of a server that is not listed, of another incarnation, or beyond a limit.
     pub dropped: u64,
 }
 
 impl PeerState {
-    /// Nothing is known and no server listed.
+    /// A state without facts and listed servers.
     pub fn new(observer: u64) -> PeerState {
         PeerState { observer, servers: BTreeMap::new(), list: BTreeMap::new(), dropped: 0 }
     }
 
-    /// The endpoint list has this server. Facts of an earlier incarnation are discarded.
+    /// Adds a server of the endpoint list. Facts of an earlier incarnation are discarded.
     pub fn add_listed_server(&mut self, uid: &str, listed: ServerIncarnation) {
         let is_full = self.list.len() >= MAX_SERVERS && !self.list.contains_key(uid);
         if uid.len() > MAX_SERVER_NAME_BYTES || is_full {
@@ -39,7 +41,7 @@
         self.list.insert(uid.into(), listed);
     }
 
-    /// The endpoint list no longer has this server.
+    /// Removes a server that the endpoint list no longer has.
     pub fn remove_listed_server(&mut self, uid: &str) {
         self.list.remove(uid);
         self.servers.remove(uid);
@@ -72,6 +74,7 @@
         }
     }
 
+    /// Merges facts that this proxy observed of a listed server.
     fn record(&mut self, uid: &str, set: impl FnOnce(&mut ServerFacts)) {
         let Some(listed) = self.list.get(uid) else { return };
         let mut facts = ServerFacts::new(listed.started_ms, listed.group);
@@ -79,11 +82,12 @@
         self.merge(uid, &facts);
     }
 
+    /// An observation of this proxy.
     fn own<T>(&self, value: T, observed_at: Micros, source: ObservationSource) -> Option<Observation<T>> {
         Some(Observation { value, observed_at, hop_count: 0, source, observer: self.observer })
     }
 
-    /// This proxy observed a log position, and how far behind the present it was.
+    /// Records a log position that this proxy observed, and how far behind the present it was.
     pub fn record_position(
         &mut self,
         now: Micros,
@@ -96,7 +100,7 @@
         self.record(uid, |facts| (facts.position, facts.lag) = (position, lag));
     }
 
-    /// This proxy observed a server's role.
+    /// Records a server's role that this proxy observed.
     pub fn record_role(&mut self, now: Micros, uid: &str, role: Role, source: ObservationSource) {
         let seen = self.own((), now, source);
         self.record(uid, |facts| match role {
@@ -105,19 +109,19 @@
         });
     }
 
-    /// This proxy found a server suspect, or healthy.
+    /// Records whether this proxy found a server suspect or healthy.
     pub fn record_health(&mut self, now: Micros, uid: &str, suspect: bool) {
         let seen = self.own(suspect, now, ObservationSource::ServerStatus);
         self.record(uid, |facts| facts.suspect = seen);
     }
 
-    /// This proxy measured the mean latency of a server's answers.
+    /// Records the mean latency of a server's answers that this proxy measured.
     pub fn record_latency(&mut self, now: Micros, uid: &str, latency: Micros) {
         let seen = self.own(latency, now, ObservationSource::ServerStatus);
         self.record(uid, |facts| facts.latency = seen);
     }
 
-    /// This proxy knows how much of a server's slow start remains.
+    /// Records how much of a server's slow start remains.
     pub fn record_slow_start(&mut self, now: Micros, uid: &str, remaining_permille: u16) {
         let remaining = remaining_permille.min(FULL_SLOW_START_PERMILLE);
         let seen = self.own(remaining, now, ObservationSource::ServerStatus);
--- a/peer-state/src/provider.rs
+++ b/peer-state/src/provider.rs
@@ -32,9 +32,9 @@
 /// Bytes that may be sent at once: a complete frame.
 const BURST_BYTES: f64 = 64.0 * 1024.0;
 /// The shortest time to retry after. It grows by as much, divided among the requests answered at once, for each recent
-/// rejection, so that rejected requesters do not come back together.
+/// rejection, so that rejected requesters do not retry together.
 const RETRY_AFTER: Micros = 100_000;
-/// A send that the load forbids is tried again after this time.
+/// A send that the load forbids is retried after this time.
 const OVERLOAD_PAUSE: Micros = 100_000;
 /// The shortest wait for the send budget.
 const MIN_BUDGET_WAIT: Micros = 1_000;
@@ -43,6 +43,7 @@
 pub struct StateProvider {
     settings: ProviderSettings,
     active_transfers: usize,
+    /// How busy the proxy is with its clients, 0 to 1.
     load: f64,
     send_budget_bytes: f64,
     send_budget_updated_at: Micros,
@@ -56,7 +57,7 @@
 }
 
 impl StateProvider {
-    /// Nothing is being sent, and the budget is full.
+    /// A provider that sends nothing yet, with a full budget.
     pub fn new(settings: ProviderSettings, now: Micros) -> StateProvider {
         StateProvider {
             settings,
@@ -71,12 +72,12 @@
         }
     }
 
-    /// How busy the proxy is with its clients, 0 to 1.
+    /// Sets how busy the proxy is with its clients, 0 to 1.
     pub fn set_load(&mut self, load: f64) {
         self.load = if load.is_finite() { load } else { 1.0 };
     }
 
-    /// A request has come. One that is served ends by [`StateProvider::finish`].
+    /// Decides on a request. One that is served ends by [`StateProvider::finish`].
     pub fn admit(&mut self, now: Micros) -> Admission {
         if self.active_transfers < self.settings.at_once && self.load < self.settings.max_load {
             self.active_transfers += 1;
@@ -90,13 +91,17 @@
         Admission::Busy(RETRY_AFTER + (RETRY_AFTER as f64 * per_slot) as Micros)
     }
 
-    /// A served request has its answer, or its connection is closed.
+    /// Records that a served request is answered, or that its connection is closed.
     pub fn finish(&mut self, complete: bool) {
         self.active_transfers = self.active_transfers.saturating_sub(1);
         self.completed_transfers += u64::from(complete);
     }
 
-    /// Takes so many bytes from the send budget; otherwise returns the time to try again at.
+    /// Takes so many bytes from the send budget.
+    ///
+    /// # Errors
+    ///
+    /// The time to retry at, if there is not enough.
     pub fn take_send_budget(&mut self, now: Micros, bytes: usize) -> Result<(), Micros> {
         let seconds = (now - self.send_budget_updated_at).max(0) as f64 / 1e6;
         self.send_budget_updated_at = now;
--- a/peer-state/src/request_scheduler.rs
+++ b/peer-state/src/request_scheduler.rs
@@ -1,4 +1,4 @@
-//! Which peers a new proxy asks for state, how long its start waits for them, and which it asks again later. Owns the table of
+//! Which peers a new proxy requests state from, how long its start waits for them, and when it requests state again. Owns the table of
 //! providers; a start never waits longer than its limit.
 
 use crate::Micros;
@@ -19,7 +19,7 @@
 /// A provider that is not configured is removed after so many failures in a row.
 const FAILURES_BEFORE_REMOVAL: u32 = 3;
 
-/// Whom to ask, and when.
+/// Settings of the requests for state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestSettings {
     /// Addresses of configured providers.
@@ -32,7 +32,7 @@
     pub refresh_interval: Micros,
     /// A request without a complete answer after this time has failed.
     pub request_timeout: Micros,
-    /// Seeds the choice among providers and the jitter.
+    /// The seed of the random choice among providers and of the jitter.
     pub seed: u64,
 }
 
@@ -49,6 +49,7 @@
     }
 }
 
+/// Whether a request to a provider is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
     Idle,
@@ -56,11 +57,12 @@
     InFlight(Micros),
 }
 
+/// A provider in the table.
 #[derive(Clone, Debug)]
 struct KnownProvider {
     state: RequestState,
     consecutive_failures: u32,
-    /// When it may be asked again.
+    /// When it may be sent a request again.
     eligible_at: Micros,
     /// The options name it: it is never removed.
     configured: bool,
@@ -79,13 +81,14 @@
     Complete(Vec<String>),
     /// The provider rejected it; retry after this time.
     Busy(Micros),
-    /// No complete answer came.
+    /// No complete answer was received.
     Failed,
 }
 
 /// The requests of one proxy.
 pub struct RequestScheduler {
     settings: RequestSettings,
+    /// By address.
     providers: BTreeMap<String, KnownProvider>,
     rng: fastrand::Rng,
     started_at: Micros,
@@ -95,7 +98,7 @@
 }
 
 impl RequestScheduler {
-    /// The proxy starts now.
+    /// The requests of a proxy that starts now.
     pub fn new(settings: RequestSettings, now: Micros) -> RequestScheduler {
         let configured = settings.providers.iter().take(MAX_PROVIDERS).cloned();
         let providers: BTreeMap<_, _> =
@@ -111,7 +114,7 @@
         }
     }
 
-    /// The start need not wait any longer: an answer is complete, all providers failed, or the time is over.
+    /// Whether the start need not wait any longer: an answer is complete, all providers failed, or the timeout has passed.
     pub fn is_startup_complete(&self) -> bool {
         self.startup_complete
     }
@@ -120,7 +123,7 @@
         self.providers.values().filter(|provider| matches!(provider.state, RequestState::InFlight(_))).count()
     }
 
-    /// Providers to ask now; the end of each request is reported by [`RequestScheduler::record_outcome`].
+    /// Providers to send a request to now; the end of each request is reported by [`RequestScheduler::record_outcome`].
     pub fn due_requests(&mut self, now: Micros) -> Vec<String> {
         self.fail_overdue_requests(now);
         self.startup_complete |= now - self.started_at >= self.settings.startup_timeout;
@@ -135,7 +138,7 @@
             .filter(|(_, provider)| provider.state == RequestState::Idle && provider.eligible_at <= now)
             .map(|(address, _)| address.clone())
             .collect();
-        // Proxies that start together are spread over the providers.
+        // Proxies that start together distribute their requests over the providers.
         self.rng.shuffle(&mut chosen);
         chosen.truncate(max_in_flight.saturating_sub(self.in_flight_count()));
         for address in &chosen {
@@ -149,6 +152,7 @@
         chosen
     }
 
+    /// Ends requests that took longer than the timeout.
     fn fail_overdue_requests(&mut self, now: Micros) {
         let timeout = self.settings.request_timeout;
         let is_overdue = |provider: &KnownProvider| matches!(provider.state, RequestState::InFlight(since) if now - since >= timeout);
@@ -161,12 +165,13 @@
         overdue.iter().for_each(|address| self.record_outcome(now, address, RequestOutcome::Failed));
     }
 
+    /// Draws the time of the next refresh: the mean interval with jitter.
     fn schedule_refresh(&mut self, now: Micros) {
         let interval = self.settings.refresh_interval;
         self.refresh_at = now + interval / 2 + self.rng.i64(0..=interval);
     }
 
-    /// A request has ended.
+    /// Records how a request ended.
     pub fn record_outcome(&mut self, now: Micros, address: &str, outcome: RequestOutcome) {
         let Some(provider) = self.providers.get_mut(address) else { return };
         provider.state = RequestState::Idle;
@@ -195,6 +200,7 @@
         self.startup_complete |= !any_may_answer;
     }
 
+    /// Adds a provider that another one named, if the table is not full.
     fn add_named_provider(&mut self, now: Micros, address: String) {
         if self.providers.len() < MAX_PROVIDERS && address.len() <= MAX_ADDRESS_BYTES {
             self.providers.entry(address).or_insert(KnownProvider::new(now, false));
--- a/peer-state/src/server_facts.rs
+++ b/peer-state/src/server_facts.rs
@@ -18,7 +18,7 @@
     pub started_ms: u64,
     /// Its replication group.
     pub group: u32,
-    /// The highest log position observed, on the servers' own scale: a lower bound for ever.
+    /// The highest log position observed, on the servers' own scale: a lower bound at any later time.
     pub position: Option<Observation<Micros>>,
     /// How far its position was behind the present at the last observation.
     pub lag: Option<Observation<Micros>>,
@@ -35,12 +35,12 @@
 }
 
 impl ServerFacts {
-    /// Nothing is known yet.
+    /// The record of a server of which nothing is known yet.
     pub fn new(started_ms: u64, group: u32) -> ServerFacts {
         ServerFacts { started_ms, group, ..ServerFacts::default() }
     }
 
-    /// Both together. A later incarnation, or another group with the same start time, is another server: the facts of the
+    /// Merges two records. A later incarnation, or another group with the same start time, is another server: the facts of the
     /// earlier one are discarded.
     pub fn merge(&self, other: &ServerFacts) -> ServerFacts {
         let (own, others) = ((self.started_ms, self.group), (other.started_ms, other.group));
@@ -50,7 +50,9 @@
         ServerFacts {
             started_ms: self.started_ms,
             group: self.group,
-            position: merge(self.position, other.position, |a, b| a.max_by_key(b, |seen| seen.value)),
+            position: merge(self.position, other.position, |own, other| {
+                own.max_by_key(other, |seen| seen.value)
+            }),
             lag: merge(self.lag, other.lag, Observation::latest),
             primary: merge(self.primary, other.primary, Observation::latest),
             replica: merge(self.replica, other.replica, Observation::latest),
@@ -64,20 +66,21 @@
         }
     }
 
-    /// No fact is known.
+    /// Whether no fact is known.
     pub fn is_empty(&self) -> bool {
         *self == ServerFacts::new(self.started_ms, self.group)
     }
 
-    /// These facts are of that incarnation.
+    /// Whether these facts are of that incarnation.
     pub(crate) fn belong_to(&self, incarnation: &ServerIncarnation) -> bool {
         (self.started_ms, self.group) == (incarnation.started_ms, incarnation.group)
     }
 }
 
-fn merge<T: Copy>(a: Option<T>, b: Option<T>, greater: impl Fn(&T, &T) -> T) -> Option<T> {
-    match (a, b) {
-        (Some(a), Some(b)) => Some(greater(&a, &b)),
-        (a, b) => a.or(b),
+/// The greater of two facts, or the only one.
+fn merge<T: Copy>(own: Option<T>, other: Option<T>, greater: impl Fn(&T, &T) -> T) -> Option<T> {
+    match (own, other) {
+        (Some(own), Some(other)) => Some(greater(&own, &other)),
+        (own, other) => own.or(other),
     }
 }
--- a/peer-state/src/snapshot.rs
+++ b/peer-state/src/snapshot.rs
@@ -1,14 +1,17 @@
 //! Peer state as it is stored in a file: a magic number with the version, a checksum, the time of writing, and what would be
-//! sent to another proxy. Facts read back are older by the time that the file lay. The file itself is the caller's.
+//! sent to another proxy. Facts that are read are older by the time since the file was written. Reading and writing the file itself is the
+//! caller's.
 
 use crate::transfer::MAX_AGE;
 use crate::{Micros, PeerState, TransferPart, TransferredServer};
 use serde::{Deserialize, Serialize};
 
+/// The first bytes of each snapshot, with its version.
 const MAGIC: [u8; 8] = *b"bknow-1\n";
 /// A longer file is not read.
 pub const MAX_FILE_BYTES: usize = 8 << 20;
 
+/// The content behind the checksum. The order of the fields is the stored format (postcard).
 #[derive(Serialize, Deserialize)]
 struct Body {
     /// Unix time in milliseconds. Writer and reader are on one machine and so share a clock.
@@ -33,8 +36,8 @@
 }
 
 impl std::fmt::Display for SnapshotError {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
+        formatter.write_str(match self {
             SnapshotError::UnknownFormat => "the file is no snapshot of this version",
             SnapshotError::TooLong => "the snapshot is too long",
             SnapshotError::Corrupt => "the snapshot is truncated or its checksum is wrong",
@@ -58,7 +61,11 @@
     file
 }
 
-/// What the file holds, each fact older by the time that the file lay.
+/// Reads a file; each fact is older by the time since it was written.
+///
+/// # Errors
+///
+/// The reason why the file is rejected.
 pub fn read(file: &[u8], unix_ms: u64) -> Result<TransferPart, SnapshotError> {
     if file.len() > MAX_FILE_BYTES {
         return Err(SnapshotError::TooLong);
--- a/peer-state/src/transfer.rs
+++ b/peer-state/src/transfer.rs
@@ -5,7 +5,7 @@
 use crate::{Micros, Observation, ObservationSource, PeerState, ServerFacts};
 use serde::{Deserialize, Serialize};
 
-/// Facts passed on this often are neither accepted nor sent.
+/// Facts forwarded this often are neither accepted nor sent.
 const MAX_HOPS: u8 = 3;
 /// Older facts are not sent.
 pub(crate) const MAX_AGE: Micros = 600_000_000;
@@ -17,9 +17,9 @@
     pub value: T,
     /// Its age in milliseconds, rounded up.
     pub age_ms: u32,
-    /// How many proxies passed it on before the sender.
+    /// How many proxies forwarded it before the sender.
     pub hop_count: u8,
-    /// How the observer learnt it.
+    /// How the observer got to know it.
     pub source: ObservationSource,
     /// The proxy that observed it.
     pub observer: u64,
@@ -42,7 +42,7 @@
 }
 
 impl TransferredServer {
-    /// Every fact is older by so much.
+    /// Adds so much to the age of every fact.
     pub(crate) fn add_age(&mut self, age_ms: u32) {
         fn add<T>(fact: &mut Option<TransferredFact<T>>, age_ms: u32) {
             if let Some(fact) = fact {
@@ -66,6 +66,7 @@
     pub servers: Vec<TransferredServer>,
 }
 
+/// An observation as it is sent, if it is recent enough and was not forwarded too often.
 fn export<T: Copy + Ord>(seen: Option<Observation<T>>, now: Micros) -> Option<TransferredFact<T>> {
     let seen = seen.filter(|seen| seen.hop_count < MAX_HOPS && seen.age(now) <= MAX_AGE)?;
     let age_ms = u32::try_from((seen.age(now) + 999) / 1000).ok()?;
@@ -95,8 +96,8 @@
         })
     }
 
-    /// Merges what another proxy sent. Ages count from the instant of the *request*, so that the time on the way makes facts
-    /// older, never younger. This proxy's own observations are dropped, and those that were passed on too often.
+    /// Merges what another proxy sent. Ages count from the instant of the *request*, so that the time of the transfer makes
+    /// facts older, never younger. This proxy's own observations are dropped, and those that were forwarded too often.
     pub fn apply_transfer(&mut self, requested_at: Micros, part: &TransferPart) {
         for server in &part.servers {
             if server.uid.len() > MAX_SERVER_NAME_BYTES {
@@ -110,6 +111,7 @@
         }
     }
 
+    /// The facts of one server as this proxy keeps them, without invalid values.
     fn receive_server(&mut self, server: &TransferredServer, requested_at: Micros) -> ServerFacts {
         let mut facts = ServerFacts::new(server.started_ms, server.group);
         facts.position = self.receive_fact(server.position, requested_at);
@@ -124,6 +126,7 @@
         facts
     }
 
+    /// An observation on this proxy's clock; none of its own, and none that was forwarded too often.
     fn receive_fact<T>(
         &mut self,
         fact: Option<TransferredFact<T>>,
--- a/peer-state/src/transfer_protocol.rs
+++ b/peer-state/src/transfer_protocol.rs
@@ -1,9 +1,9 @@
 //! The two sides of a state transfer, over frames: [`StateRequester`] requests, [`StateSender`] sends in parts. Both are fed bytes
-//! and leave what is to be written in `output`; which peer is asked and which request is answered is decided by
+//! and append what is to be written to `output`; which peer gets a request and which request is answered is decided by
 //! [`crate::request_scheduler`] and [`crate::provider`].
 
 use crate::Micros;
-use crate::frame::{FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
+use crate::frame::{Frame, FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
 use crate::transfer::{TransferPart, TransferredServer};
 use serde::{Deserialize, Serialize};
 
@@ -11,14 +11,15 @@
 const SERVERS_PER_PART: usize = 128;
 /// Parts that a requester accepts from one provider: more than the largest list needs.
 const MAX_PARTS: usize = 64;
-/// Other providers that an answer names, and the longest address of one.
+/// Other providers that an answer names.
 const MAX_NAMED_PROVIDERS: usize = 16;
+/// The longest address of one.
 const MAX_ADDRESS_BYTES: usize = 64;
 
 /// The payload of the last frame.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Closing {
-    /// Addresses of other proxies that may be asked.
+    /// Addresses of other proxies that may be sent requests.
     providers: Vec<String>,
 }
 
@@ -51,24 +52,28 @@
         StateRequester { link, output, request_sent: false, parts_received: 0, finished: false }
     }
 
-    /// More input may be read.
+    /// Whether more input may be read.
     pub fn wants_input(&self) -> bool {
         !self.finished && self.link.wants_input()
     }
 
-    /// Takes bytes that were read.
+    /// Appends bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         if !self.finished {
             self.link.feed(bytes);
         }
     }
 
-    /// The answer is complete, or the request was rejected: the connection is to be closed.
+    /// Whether the answer is complete, or the request was rejected: the connection is to be closed.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// The next thing received, if any.
+    /// The next event, if any.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the connection is to be closed.
     pub fn next_event(&mut self) -> Result<Option<TransferEvent>, FrameError> {
         while !self.finished {
             let frame = self.link.next_frame()?;
@@ -76,7 +81,7 @@
                 let request = self.link.seal(FrameKind::Request, &[]);
                 self.output.extend(request);
             }
-            let Some((kind, payload)) = frame else { return Ok(None) };
+            let Some(Frame { kind, payload }) = frame else { return Ok(None) };
             if let Some(event) = self.receive(kind, &payload)? {
                 return Ok(Some(event));
             }
@@ -84,6 +89,7 @@
         Ok(None)
     }
 
+    /// Handles a frame; the event that it causes, if any.
     fn receive(&mut self, kind: FrameKind, payload: &[u8]) -> Result<Option<TransferEvent>, FrameError> {
         match kind {
             FrameKind::Part => {
@@ -124,7 +130,7 @@
     link: FrameLink,
     /// Bytes to be written.
     pub output: Vec<u8>,
-    /// What is still to be sent, the last first; none before a request was answered.
+    /// Servers that are still to be sent, the last first; none before a request was answered.
     unsent_servers: Option<Vec<TransferredServer>>,
     providers: Vec<String>,
     finished: bool,
@@ -138,19 +144,23 @@
         StateSender { link, output, unsent_servers: None, providers: Vec::new(), finished: false }
     }
 
-    /// Takes bytes that were read.
+    /// Appends bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.link.feed(bytes);
     }
 
-    /// More input may be read.
+    /// Whether more input may be read.
     pub fn wants_input(&self) -> bool {
         self.link.wants_input()
     }
 
-    /// True: a request has come, to be answered by [`StateSender::start_sending`] or [`StateSender::send_busy`].
+    /// Whether a request was received, to be answered by [`StateSender::start_sending`] or [`StateSender::send_busy`].
+    ///
+    /// # Errors
+    ///
+    /// The reason why the connection is to be closed.
     pub fn receive_request(&mut self) -> Result<bool, FrameError> {
-        while let Some((kind, payload)) = self.link.next_frame()? {
+        while let Some(Frame { kind, payload }) = self.link.next_frame()? {
             let is_first = self.unsent_servers.is_none() && !self.finished;
             match kind {
                 FrameKind::Request if is_first && payload.is_empty() => return Ok(true),
@@ -177,7 +187,7 @@
         self.finished = true;
     }
 
-    /// Puts the next frame into `output` and returns its length; none if all has been sent.
+    /// Appends the next frame to `output` and returns its length; none if all has been sent.
     pub fn send_next_part(&mut self) -> Option<usize> {
         let unsent = self.unsent_servers.as_mut().filter(|_| !self.finished)?;
         let frame = if unsent.is_empty() {
@@ -193,12 +203,12 @@
         Some(frame.len())
     }
 
-    /// All has been sent; the connection ends once it is written.
+    /// Whether all has been sent; the connection ends once it is written.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// A request was accepted and is not answered completely.
+    /// Whether a request was accepted and is not answered completely.
     pub fn is_sending(&self) -> bool {
         self.unsent_servers.is_some() && !self.finished
     }
--- a/peer-state/tests/common/mod.rs
+++ b/peer-state/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Helpers that several test files share.
 #![allow(dead_code, reason = "no test file uses all of them")]
 
-use birchreach_peer_state::frame::Keys;
+use birchreach_peer_state::frame::{Key, Keys};
 use birchreach_peer_state::{Micros, PeerState, ServerIncarnation, TransferPart};
 
 pub const MILLISECOND: Micros = 1_000;
@@ -10,21 +10,23 @@
 pub const SERVERS: u32 = 6;
 
 /// Keys with these numbers; the first seals.
-pub fn keys(ids: &[u32]) -> Keys {
-    let key = |id: &u32| (*id, format!("a secret with the number {id}").into_bytes());
-    Keys::new(ids.iter().map(key).collect()).unwrap()
+pub fn keys(numbers: &[u32]) -> Keys {
+    let secret = |number: u32| format!("a secret with the number {number}").into_bytes();
+    let keys = numbers.iter().map(|number| Key { number: *number, secret: secret(*number) });
+    Keys::new(keys.collect()).unwrap()
 }
 
 /// The name of a server.
-pub fn server(n: u32) -> String {
-    format!("s-{n}")
+pub fn server(number: u32) -> String {
+    format!("s-{number}")
 }
 
 /// A state that knows nothing of the servers on its list: two groups of three.
 pub fn new_state(observer: u64) -> PeerState {
     let mut state = PeerState::new(observer);
-    for n in 0..SERVERS {
-        state.add_listed_server(&server(n), ServerIncarnation { started_ms: 0, group: n % 2 });
+    for number in 0..SERVERS {
+        let listed = ServerIncarnation { started_ms: 0, group: number % 2 };
+        state.add_listed_server(&server(number), listed);
     }
     state
 }
--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -3,20 +3,22 @@
 mod common;
 
 use birchreach_peer_state::datagram::{
-    DatagramCodec, DatagramError, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, REPLAY_WINDOW,
+    DatagramCodec, DatagramError, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, OpenedDatagram, REPLAY_WINDOW,
 };
-use birchreach_peer_state::frame::Keys;
+use birchreach_peer_state::frame::{Key, Keys};
 use common::SECOND;
 
 fn codec(secret: u8, incarnation: u64) -> DatagramCodec {
-    DatagramCodec::new(Keys::new(vec![(1, vec![secret; 16])]).unwrap(), incarnation)
+    let key = Key { number: 1, secret: vec![secret; 16] };
+    DatagramCodec::new(Keys::new(vec![key]).unwrap(), incarnation)
 }
 
 #[test]
 fn datagrams_are_accepted_once_and_complete() {
     let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
-    let sent: Vec<Vec<u8>> = (0..200u32).map(|n| sender.seal(&n.to_be_bytes()).unwrap()).collect();
-    assert_eq!(receiver.open(0, &sent[0]), Ok((7, &0u32.to_be_bytes()[..])));
+    let sent: Vec<Vec<u8>> = (0..200u32).map(|number| sender.seal(&number.to_be_bytes()).unwrap()).collect();
+    let first = OpenedDatagram { sender_incarnation: 7, payload: &0u32.to_be_bytes() };
+    assert_eq!(receiver.open(0, &sent[0]), Ok(first));
     assert_eq!(receiver.open(0, &sent[0]), Err(DatagramError::Replayed));
     // In another order, but not from too far back.
     assert!(receiver.open(0, &sent[90]).is_ok() && receiver.open(0, &sent[50]).is_ok());
@@ -35,7 +37,7 @@
     let forged = codec(2, 7).seal(b"x").unwrap();
     assert_eq!(receiver.open(0, &forged), Err(DatagramError::WrongCode));
     assert_eq!(receiver.open(0, &[b'b'; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Malformed));
-    assert!(receiver.open(0, unused).is_ok(), "none of that has used it up");
+    assert!(receiver.open(0, unused).is_ok(), "none of that has used its sequence number");
 }
 
 #[test]
--- a/peer-state/tests/frames.rs
+++ b/peer-state/tests/frames.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use birchreach_peer_state::frame::{FrameError, FrameKind, FrameLink, Keys, MAX_PAYLOAD_BYTES, Side};
+use birchreach_peer_state::frame::{
+    Frame, FrameError, FrameKind, FrameLink, Key, Keys, MAX_PAYLOAD_BYTES, Side,
+};
 use birchreach_peer_state::{PeerState, TransferPart, snapshot};
 use common::{SECOND, keys};
 
@@ -23,11 +25,12 @@
     for piece in [1, 7, 100, 100_000] {
         let (mut requester, mut provider) = connected(keys(&[1]), keys(&[1])).unwrap();
         let sent = [
-            (FrameKind::Part, vec![7; MAX_PAYLOAD_BYTES]),
-            (FrameKind::Unknown(77), b"later".to_vec()),
-            (FrameKind::Last, b"end".to_vec()),
+            Frame { kind: FrameKind::Part, payload: vec![7; MAX_PAYLOAD_BYTES] },
+            Frame { kind: FrameKind::Unknown(77), payload: b"later".to_vec() },
+            Frame { kind: FrameKind::Last, payload: b"end".to_vec() },
         ];
-        let bytes: Vec<u8> = sent.iter().flat_map(|(kind, payload)| provider.seal(*kind, payload)).collect();
+        let sealed = sent.iter().flat_map(|frame| provider.seal(frame.kind, &frame.payload));
+        let bytes: Vec<u8> = sealed.collect();
         let mut received = Vec::new();
         for piece in bytes.chunks(piece) {
             requester.feed(piece);
@@ -45,15 +48,16 @@
     // The requester seals with the new key already, the provider with the old one still.
     let (mut requester, mut provider) = connected(keys(&[2, 1]), keys(&[1, 2])).unwrap();
     provider.feed(&requester.seal(FrameKind::Request, b""));
-    assert_eq!(provider.next_frame(), Ok(Some((FrameKind::Request, Vec::new()))));
+    assert_eq!(provider.next_frame(), Ok(Some(Frame { kind: FrameKind::Request, payload: Vec::new() })));
     requester.feed(&provider.seal(FrameKind::Last, b"x"));
-    assert_eq!(requester.next_frame(), Ok(Some((FrameKind::Last, b"x".to_vec()))));
+    assert_eq!(requester.next_frame(), Ok(Some(Frame { kind: FrameKind::Last, payload: b"x".to_vec() })));
     assert_eq!(connected(keys(&[2]), keys(&[1])).err(), Some(FrameError::UnknownKey));
 }
 
 #[test]
 fn invalid_keys_are_rejected() {
-    for invalid in [vec![], vec![(1, b"short".to_vec())], vec![(1, vec![0; 16]), (1, vec![1; 16])]] {
+    let key = |number, secret: &[u8]| Key { number, secret: secret.to_vec() };
+    for invalid in [vec![], vec![key(1, b"short")], vec![key(1, &[0; 16]), key(1, &[1; 16])]] {
         assert!(Keys::new(invalid).is_err());
     }
 }
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -1,8 +1,8 @@
 //! Bytes that proxies send each other and that rest in a file, recorded from the release before: they are read as they were, and
 //! the same are written again. `recorded/bytes.txt` holds them, a name and its bytes in hexadecimal on each line.
 
-use birchreach_peer_state::datagram::DatagramCodec;
-use birchreach_peer_state::frame::{Keys, Side};
+use birchreach_peer_state::datagram::{DatagramCodec, OpenedDatagram};
+use birchreach_peer_state::frame::{Key, Keys, Side};
 use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange};
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
 use birchreach_peer_state::{
@@ -14,7 +14,9 @@
 const PROVIDER_NONCE: [u8; 16] = [2; 16];
 
 fn keys() -> Keys {
-    Keys::new(vec![(7, b"a secret of the recorded bytes".to_vec()), (9, vec![5; 16])]).unwrap()
+    let first = Key { number: 7, secret: b"a secret of the recorded bytes".to_vec() };
+    let second = Key { number: 9, secret: vec![5; 16] };
+    Keys::new(vec![first, second]).unwrap()
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -165,7 +167,8 @@
     let mut receiver = DatagramCodec::new(keys(), 1);
     for (name, payload) in [("datagram-1", &b"payload"[..]), ("datagram-2", &[])] {
         assert_recorded(name, &sender.seal(payload).unwrap());
-        assert_eq!(receiver.open(0, &recorded(name)), Ok((0x1112_1314_1516_1718, payload)), "{name}");
+        let opened = OpenedDatagram { sender_incarnation: 0x1112_1314_1516_1718, payload };
+        assert_eq!(receiver.open(0, &recorded(name)), Ok(opened), "{name}");
     }
 }
 
--- a/proxy/src/config/key_file.rs
+++ b/proxy/src/config/key_file.rs
@@ -1,7 +1,7 @@
 //! The file of keys that proxies of one fleet share.
 
 use super::error::ConfigFault;
-use birchreach_peer_state::frame::Keys;
+use birchreach_peer_state::frame::{Key, Keys};
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
@@ -31,11 +31,11 @@
 }
 
 /// A key's number and its secret.
-fn parse_key(line: &str) -> Result<(u32, Vec<u8>), &'static str> {
+fn parse_key(line: &str) -> Result<Key, &'static str> {
     let (number, secret) = line.trim().split_once(' ').ok_or("no secret")?;
     let number = number.parse().map_err(|_| "a key's number is no number")?;
     let secret = parse_secret(secret.trim()).ok_or("the secret is not in pairs of hexadecimal digits")?;
-    Ok((number, secret))
+    Ok(Key { number, secret })
 }
 
 fn parse_secret(digits: &str) -> Option<Vec<u8>> {
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Direction, DropReason};
 use birchreach::Micros;
 use birchreach_membership::PayloadError;
-use birchreach_peer_state::datagram::MAX_DATAGRAM_BYTES;
+use birchreach_peer_state::datagram::{MAX_DATAGRAM_BYTES, OpenedDatagram};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
@@ -37,7 +37,7 @@
     }
 
     fn receive(&mut self, now: Micros, bytes: &[u8]) {
-        let (sender, payload) = match self.datagrams.open(now, bytes) {
+        let OpenedDatagram { sender_incarnation: sender, payload } = match self.datagrams.open(now, bytes) {
             Err(error) => return self.metrics.count_dropped(DropReason::Datagram(error)),
             Ok(opened) => opened,
         };
