--- a/peer-state/src/lib.rs
+++ b/peer-state/src/lib.rs
@@ -20,9 +20,9 @@
 //!    not the first candidate (`former_primaries_are_not_the_first_candidates`).
 //! 6. An observation that is sent back to its observer is dropped (`own_observations_do_not_come_back`).
 //! 7. A datagram is accepted once, complete, under a valid key, and a sender that exceeds its rate is limited
-//!    (`datagrams_are_accepted_once_and_complete`, `a_flood_of_valid_datagrams_is_limited`).
+//!    (`datagrams_are_accepted_once_and_complete`, `the_rate_of_valid_datagrams_is_limited`).
 //! 8. A full exchange is complete and in order, or rejected (`a_full_exchange_is_complete_or_rejected`).
-//! 9. Tables and messages are bounded whatever is received (`tables_are_bounded`, `noise_is_rejected`).
+//! 9. Tables and messages are bounded whatever is received (`tables_are_bounded`, `malformed_frames_are_rejected`).
 
 #![warn(missing_docs)]
 
--- a/peer-state/tests/advice.rs
+++ b/peer-state/tests/advice.rs
@@ -1,18 +1,18 @@
-//! Which server is asked first whether it is the primary, and how suspicion fades.
+//! Which server is queried first whether it is the primary, and how suspicion decays.
 
 mod common;
 
 use birchreach_peer_state::{ObservationSource, PeerState, Role, advice};
 use common::{SECOND, exported, new_state};
 
-/// One that observed a server in a role, as its status said.
+/// A state that observed a server in a role, by its status.
 fn observer_of(observer: u64, seconds: i64, uid: &str, role: Role) -> PeerState {
     let mut state = new_state(observer);
     state.record_role(seconds * SECOND, uid, role, ObservationSource::ServerStatus);
     state
 }
 
-/// Receives all that others know, at 20 s.
+/// A state that received all that others know, at 20 s.
 fn receiver_of(observer: u64, others: &[&PeerState]) -> PeerState {
     let mut receiver = new_state(observer);
     for other in others {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn trust_in_a_primary_fades_with_hops_and_age() {
+fn trust_in_a_primary_decays_with_hops_and_age() {
     let receiver = receiver_of(3, &[&observer_of(1, 10, "s-0", Role::Primary)]);
     assert_eq!(candidates(&receiver, 20), ["s-0"], "nothing else was received");
     let trust_at = |seconds| advice::primary_candidates(&receiver, 0, seconds * SECOND)[0].trust;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn received_suspicion_fades_sooner_than_own() {
+fn received_suspicion_decays_sooner_than_own() {
     let mut observer = new_state(1);
     observer.record_health(10 * SECOND, "s-0", true);
     let mut receiver = new_state(2);
--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams among proxies: what is forged, truncated, repeated, late or too much is dropped.
+//! Datagrams among proxies: those that are forged, truncated, replayed, late or beyond the rate are dropped.
 
 mod common;
 
@@ -49,11 +49,11 @@
 }
 
 #[test]
-fn a_flood_of_valid_datagrams_is_limited() {
+fn the_rate_of_valid_datagrams_is_limited() {
     let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
-    let accepted = (0..10_000).filter(|_| receiver.open(0, &sender.seal(b"flood").unwrap()).is_ok()).count();
+    let accepted = (0..10_000).filter(|_| receiver.open(0, &sender.seal(b"burst").unwrap()).is_ok()).count();
     assert_eq!(accepted, 400);
-    // Another sender is not affected, and the flood's sender is accepted again a second later.
-    assert!(receiver.open(0, &codec(1, 9).seal(b"well").unwrap()).is_ok());
+    // Another sender is not affected, and the limited one is accepted again a second later.
+    assert!(receiver.open(0, &codec(1, 9).seal(b"next").unwrap()).is_ok());
     assert!(receiver.open(SECOND, &sender.seal(b"later").unwrap()).is_ok());
 }
--- a/peer-state/tests/frames.rs
+++ b/peer-state/tests/frames.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn two_keys_are_valid_during_a_rotation() {
-    // The requester seals with the new key already, the provider with the old one still.
+    // The requester already seals with the new key, the provider still with the old one.
     let (mut requester, mut provider) = connected(keys(&[2, 1]), keys(&[1, 2])).unwrap();
     provider.feed(&requester.seal(FrameKind::Request, b""));
     assert_eq!(provider.next_frame(), Ok(Some(Frame { kind: FrameKind::Request, payload: Vec::new() })));
@@ -130,7 +130,7 @@
 
 /// Whatever the bytes are, no reader of them panics.
 #[test]
-fn noise_is_rejected() {
+fn malformed_frames_are_rejected() {
     let (mut requester, mut provider) = connected(keys(&[1]), keys(&[1])).unwrap();
     let valid = [requester.seal(FrameKind::Request, b"something"), provider.seal(FrameKind::Part, &[5; 300])];
     for seed in 0..5_000 {
--- a/peer-state/tests/full_exchange.rs
+++ b/peer-state/tests/full_exchange.rs
@@ -14,8 +14,8 @@
     (side(Side::Requester, 1), side(Side::Provider, 2))
 }
 
-/// Passes one side's output to the other in pieces; what has happened there.
-fn pass(
+/// Delivers one side's output to the other in pieces; the events there.
+fn deliver(
     from: &mut FullExchange,
     to: &mut FullExchange,
     piece: usize,
@@ -33,8 +33,8 @@
 /// Two sides that have sent Hello.
 fn connected() -> (FullExchange, FullExchange) {
     let (mut requester, mut provider) = sides();
-    pass(&mut requester, &mut provider, 100).unwrap();
-    pass(&mut provider, &mut requester, 100).unwrap();
+    deliver(&mut requester, &mut provider, 100).unwrap();
+    deliver(&mut provider, &mut requester, 100).unwrap();
     (requester, provider)
 }
 
@@ -42,15 +42,15 @@
 fn a_full_exchange_is_complete_or_rejected() {
     for piece in [1, 100, ALL_AT_ONCE] {
         let (mut requester, mut provider) = sides();
-        assert_eq!(pass(&mut requester, &mut provider, piece), Ok(vec![]));
-        assert_eq!(pass(&mut provider, &mut requester, piece), Ok(vec![ExchangeEvent::Connected]));
+        assert_eq!(deliver(&mut requester, &mut provider, piece), Ok(vec![]));
+        assert_eq!(deliver(&mut provider, &mut requester, piece), Ok(vec![ExchangeEvent::Connected]));
         let (request, answer) = (vec![vec![1; 40_000], vec![2; 3]], vec![vec![3; 10]]);
         requester.send_parts(&request);
-        let received = pass(&mut requester, &mut provider, piece);
+        let received = deliver(&mut requester, &mut provider, piece);
         assert_eq!(received, Ok(vec![ExchangeEvent::Complete(request)]));
         assert!(!provider.is_finished());
         provider.send_parts(&answer);
-        let received = pass(&mut provider, &mut requester, piece);
+        let received = deliver(&mut provider, &mut requester, piece);
         assert_eq!(received, Ok(vec![ExchangeEvent::Complete(answer)]));
         assert!(requester.is_finished() && provider.is_finished());
     }
@@ -59,18 +59,18 @@
 #[test]
 fn a_provider_that_sends_first_is_rejected() {
     let (mut requester, mut provider) = sides();
-    pass(&mut requester, &mut provider, 100).unwrap();
+    deliver(&mut requester, &mut provider, 100).unwrap();
     provider.send_parts(&[]);
-    assert!(pass(&mut provider, &mut requester, ALL_AT_ONCE).is_err());
+    assert!(deliver(&mut provider, &mut requester, ALL_AT_ONCE).is_err());
 }
 
 #[test]
 fn a_requester_that_sends_twice_is_rejected() {
     let (mut requester, mut provider) = connected();
     requester.send_parts(&[]);
-    pass(&mut requester, &mut provider, 100).unwrap();
+    deliver(&mut requester, &mut provider, 100).unwrap();
     requester.send_parts(&[vec![1]]);
-    assert_eq!(pass(&mut requester, &mut provider, 100), Err(FrameError::OutOfOrder));
+    assert_eq!(deliver(&mut requester, &mut provider, 100), Err(FrameError::OutOfOrder));
 }
 
 #[test]
@@ -78,5 +78,5 @@
     let (mut requester, mut provider) = connected();
     (0..2).for_each(|_| requester.send_parts(&vec![vec![1]; MAX_PARTS]));
     requester.output[100] ^= 1;
-    assert!(pass(&mut requester, &mut provider, ALL_AT_ONCE).is_err());
+    assert!(deliver(&mut requester, &mut provider, ALL_AT_ONCE).is_err());
 }
--- a/peer-state/tests/histories.rs
+++ b/peer-state/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Seeded histories of proxies that observe servers and transfer state, over ways that take time, on clocks that differ. A seed
-//! that fails is printed, and fails again.
+//! Seeded histories of proxies that observe servers and transfer state over links with latency, on clocks that differ. A seed that
+//! fails is printed, and fails again.
 
 mod common;
 
@@ -7,13 +7,14 @@
 use common::{SECOND, SERVERS, exported, new_state, server};
 use std::collections::BTreeMap;
 
+/// A proxy with its clock.
 struct Proxy {
     state: PeerState,
     /// How far its clock is ahead of the true one.
     clock_offset: Micros,
 }
 
-/// Some proxies, and what is true of the servers.
+/// Some proxies, and the true state of the servers.
 struct History {
     rng: fastrand::Rng,
     now: Micros,
@@ -33,65 +34,71 @@
         History { rng, now: 1_000 * SECOND, proxies, positions: BTreeMap::new(), primary_at: BTreeMap::new() }
     }
 
-    /// Time passes, and one proxy observes a server or requests state.
+    /// Advances the time, and one proxy observes a server or requests state.
     fn step(&mut self) {
         self.now += self.rng.i64(0..2 * SECOND);
-        let n = self.rng.u32(0..SERVERS);
-        let who = self.rng.usize(0..self.proxies.len());
-        let local = self.now + self.proxies[who].clock_offset;
+        let server_number = self.rng.u32(0..SERVERS);
+        let proxy_index = self.rng.usize(0..self.proxies.len());
+        let local_time = self.now + self.proxies[proxy_index].clock_offset;
         match self.rng.u8(0..6) {
-            0 => self.observe_position(who, n, local),
-            1 => self.observe_role(who, n, local),
+            0 => self.observe_position(proxy_index, server_number, local_time),
+            1 => self.observe_role(proxy_index, server_number, local_time),
             2 => {
                 let suspect = self.rng.bool();
-                self.proxies[who].state.record_health(local, &server(n), suspect);
+                self.proxies[proxy_index].state.record_health(local_time, &server(server_number), suspect);
             }
-            _ => self.transfer(who, local),
+            _ => self.transfer(proxy_index, local_time),
         }
     }
 
-    fn observe_position(&mut self, who: usize, n: u32, local: Micros) {
+    fn observe_position(&mut self, proxy_index: usize, server_number: u32, local_time: Micros) {
         let position = self.now - self.rng.i64(0..3 * SECOND);
         let lag = self.now - position;
-        self.positions.entry(n).or_default().push(position);
+        self.positions.entry(server_number).or_default().push(position);
         let source = ObservationSource::ServerStatus;
-        self.proxies[who].state.record_position(local, &server(n), position, lag, source);
+        self.proxies[proxy_index].state.record_position(
+            local_time,
+            &server(server_number),
+            position,
+            lag,
+            source,
+        );
     }
 
-    fn observe_role(&mut self, who: usize, n: u32, local: Micros) {
+    fn observe_role(&mut self, proxy_index: usize, server_number: u32, local_time: Micros) {
         let role = if self.rng.bool() { Role::Primary } else { Role::Replica };
         if role == Role::Primary {
-            self.primary_at.entry(n).or_default().push(self.now);
+            self.primary_at.entry(server_number).or_default().push(self.now);
         }
         let source = ObservationSource::ServerStatus;
-        self.proxies[who].state.record_role(local, &server(n), role, source);
+        self.proxies[proxy_index].state.record_role(local_time, &server(server_number), role, source);
     }
 
-    /// Request and answer take time.
-    fn transfer(&mut self, who: usize, requested_at: Micros) {
+    /// A proxy requests another's state; request and answer take time.
+    fn transfer(&mut self, proxy_index: usize, requested_at: Micros) {
         let provider = self.rng.usize(0..self.proxies.len());
         self.now += self.rng.i64(0..SECOND);
         let part = self.exported(provider);
         self.now += self.rng.i64(0..SECOND);
-        if provider != who {
-            self.proxies[who].state.apply_transfer(requested_at, &part);
+        if provider != proxy_index {
+            self.proxies[proxy_index].state.apply_transfer(requested_at, &part);
         }
     }
 
-    fn exported(&self, who: usize) -> TransferPart {
-        let proxy = &self.proxies[who];
+    fn exported(&self, proxy_index: usize) -> TransferPart {
+        let proxy = &self.proxies[proxy_index];
         exported(&proxy.state, self.now + proxy.clock_offset)
     }
 
-    /// Checks that what a proxy knows of a server is true. Whether it received it as primary.
-    fn check(&self, proxy: &Proxy, n: u32, facts: &ServerFacts) -> Result<bool, &'static str> {
-        let position = advice::position(&proxy.state, &server(n));
-        if position.is_some_and(|position| !self.positions[&n].contains(&position.value)) {
+    /// Checks that a proxy's facts of a server are true; whether it received an observation of it as primary.
+    fn check(&self, proxy: &Proxy, server_number: u32, facts: &ServerFacts) -> Result<bool, &'static str> {
+        let position = advice::position(&proxy.state, &server(server_number));
+        if position.is_some_and(|position| !self.positions[&server_number].contains(&position.value)) {
             return Err("nobody observed that position");
         }
         let Some(primary) = facts.primary else { return Ok(false) };
         let observed_at = primary.observed_at - proxy.clock_offset;
-        if !self.primary_at[&n].iter().any(|at| *at >= observed_at) {
+        if !self.primary_at[&server_number].iter().any(|at| *at >= observed_at) {
             return Err("an observation is younger than it was");
         }
         let is_received = primary.hop_count > 0;
@@ -110,16 +117,17 @@
         for _ in 0..120 {
             history.step();
             for proxy in &history.proxies {
-                for n in 0..SERVERS {
-                    let Some(facts) = proxy.state.facts(&server(n)) else { continue };
-                    let is_received = history.check(proxy, n, facts);
-                    let is_received = is_received.unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
+                for server_number in 0..SERVERS {
+                    let Some(facts) = proxy.state.facts(&server(server_number)) else { continue };
+                    let is_received = history.check(proxy, server_number, facts);
+                    let is_received =
+                        is_received.unwrap_or_else(|violation| panic!("seed {seed}: {violation}"));
                     received += usize::from(is_received);
                 }
             }
         }
     }
-    assert!(received > 1000, "histories in which nothing is received show nothing");
+    assert!(received > 1000, "histories without received observations show nothing");
 }
 
 /// However the answers of one history arrive, and however often, the result is the same.
@@ -129,10 +137,12 @@
         let mut history = History::new(seed);
         (0..80).for_each(|_| history.step());
         let answers: Vec<TransferPart> =
-            (0..history.proxies.len()).map(|who| history.exported(who)).collect();
+            (0..history.proxies.len()).map(|proxy_index| history.exported(proxy_index)).collect();
         let merged = |order: &[usize]| {
             let mut new_proxy = new_state(99);
-            order.iter().for_each(|who| new_proxy.apply_transfer(history.now, &answers[*who]));
+            order
+                .iter()
+                .for_each(|proxy_index| new_proxy.apply_transfer(history.now, &answers[*proxy_index]));
             new_proxy.dropped = 0;
             new_proxy
         };
--- a/peer-state/tests/merging.rs
+++ b/peer-state/tests/merging.rs
@@ -42,11 +42,12 @@
 fn merges_are_a_semilattice() {
     for seed in 0..20_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (a, b, c) = (draw_facts(&mut rng), draw_facts(&mut rng), draw_facts(&mut rng));
-        assert_eq!(a.merge(&b), b.merge(&a), "seed {seed}: commutative");
-        assert_eq!(a.merge(&b).merge(&c), a.merge(&b.merge(&c)), "seed {seed}: associative");
-        assert_eq!(a.merge(&a), a, "seed {seed}: idempotent");
-        assert_eq!(a.merge(&b).merge(&b), a.merge(&b), "seed {seed}: merged twice");
+        let (first, second, third) = (draw_facts(&mut rng), draw_facts(&mut rng), draw_facts(&mut rng));
+        let both = first.merge(&second);
+        assert_eq!(both, second.merge(&first), "seed {seed}: commutative");
+        assert_eq!(both.merge(&third), first.merge(&second.merge(&third)), "seed {seed}: associative");
+        assert_eq!(first.merge(&first), first, "seed {seed}: idempotent");
+        assert_eq!(both.merge(&second), both, "seed {seed}: merged twice");
     }
 }
 
@@ -86,7 +87,7 @@
     assert_eq!(receiver.facts("s-0"), None, "they do not come back");
 }
 
-/// One that observed `s-0` as primary at 10 s, and one that received that at 11 s.
+/// A state that observed `s-0` as primary at 10 s, and one that received the observation at 11 s.
 fn observer_and_receiver() -> (PeerState, PeerState) {
     let mut observer = new_state(1);
     observer.record_role(10 * SECOND, "s-0", Role::Primary, ObservationSource::ServerStatus);
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn no_observation_is_passed_on_for_ever() {
+fn no_observation_is_forwarded_without_end() {
     let (_, mut last) = observer_and_receiver();
     for observer in 3..8 {
         let mut next = new_state(observer);
@@ -118,9 +119,9 @@
 fn tables_are_bounded() {
     let mut state = PeerState::new(1);
     let listed = ServerIncarnation { started_ms: 0, group: 0 };
-    for n in 0..10_000 {
-        state.add_listed_server(&server(n), listed.clone());
-        state.record_role(SECOND, &server(n), Role::Replica, ObservationSource::ServerStatus);
+    for number in 0..10_000 {
+        state.add_listed_server(&server(number), listed.clone());
+        state.record_role(SECOND, &server(number), Role::Replica, ObservationSource::ServerStatus);
     }
     state.add_listed_server(&"x".repeat(1000), listed);
     assert_eq!((state.listed_servers().count(), state.servers().count()), (4096, 4096));
--- a/peer-state/tests/provider.rs
+++ b/peer-state/tests/provider.rs
@@ -12,7 +12,7 @@
 
 /// A hundred proxies that start at once: few are served together, within the budget, and all of them in the end.
 #[test]
-fn a_hundred_new_proxies_cost_a_provider_its_budget_and_no_more() {
+fn a_hundred_new_proxies_use_no_more_than_the_budget_of_a_provider() {
     let settings = ProviderSettings::default();
     let mut provider = StateProvider::new(settings.clone(), 0);
     let mut retries_at: Vec<Micros> = vec![0; NEW_PROXIES];
@@ -32,15 +32,15 @@
             }
         }
         most_served = most_served.max(unsent.len());
-        for left in &mut unsent {
-            let part = (*left).min(FRAME_BYTES);
+        for remaining in &mut unsent {
+            let part = (*remaining).min(FRAME_BYTES);
             if provider.take_send_budget(now, part).is_ok() {
-                *left -= part;
+                *remaining -= part;
                 sent += part as u64;
             }
         }
         let before = unsent.len();
-        unsent.retain(|left| *left > 0);
+        unsent.retain(|remaining| *remaining > 0);
         (unsent.len()..before).for_each(|_| provider.finish(true));
         let budget = 65_536.0 + settings.bytes_per_s as f64 * now as f64 / 1e6;
         assert!(sent as f64 <= budget + 65_536.0);
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -65,22 +65,22 @@
     );
     assert_eq!(seen.observer, 0x0102_0304_0506_0708);
     assert_eq!(
-        primary.position.map(|s| (s.value, s.source)),
+        primary.position.map(|seen| (seen.value, seen.source)),
         Some((99 * SECOND, ObservationSource::LoadReport))
     );
-    assert_eq!(primary.suspect.map(|s| s.value), Some(false));
+    assert_eq!(primary.suspect.map(|seen| seen.value), Some(false));
     let replica = receiver.facts("replica-1").unwrap();
     assert_eq!(
-        (replica.position.map(|s| s.value), replica.lag.map(|s| s.value)),
+        (replica.position.map(|seen| seen.value), replica.lag.map(|seen| seen.value)),
         (Some(-3), Some(7_000_001))
     );
     assert_eq!(
-        replica.replica.map(|s| (s.age(200 * SECOND), s.source)),
+        replica.replica.map(|seen| (seen.age(200 * SECOND), seen.source)),
         Some((12 * SECOND + age, ObservationSource::EndpointList))
     );
-    assert_eq!(replica.suspect.map(|s| s.value), Some(true));
+    assert_eq!(replica.suspect.map(|seen| seen.value), Some(true));
     assert_eq!(
-        (replica.latency.map(|s| s.value), replica.slow_start_permille.map(|s| s.value)),
+        (replica.latency.map(|seen| seen.value), replica.slow_start_permille.map(|seen| seen.value)),
         (Some(12_345), Some(250))
     );
     assert_eq!(receiver.facts("unknown"), None);
--- a/peer-state/tests/request_scheduler.rs
+++ b/peer-state/tests/request_scheduler.rs
@@ -1,4 +1,4 @@
-//! Which providers are asked, how long a start waits, and that refreshes go on at a bounded rate.
+//! Which providers get a request, how long a start waits, and that refreshes go on at a bounded rate.
 
 mod common;
 
@@ -19,10 +19,10 @@
 #[test]
 fn a_start_waits_for_one_complete_answer() {
     let mut scheduler = scheduler(&["a", "b", "c", "d"]);
-    let asked = scheduler.due_requests(0);
-    assert!(asked.len() == 3 && !scheduler.is_startup_complete());
+    let requested = scheduler.due_requests(0);
+    assert!(requested.len() == 3 && !scheduler.is_startup_complete());
     assert!(scheduler.due_requests(MILLISECOND).is_empty());
-    scheduler.record_outcome(5 * MILLISECOND, &asked[0], RequestOutcome::Complete(vec!["e".into()]));
+    scheduler.record_outcome(5 * MILLISECOND, &requested[0], RequestOutcome::Complete(vec!["e".into()]));
     assert!(scheduler.is_startup_complete());
 }
 
@@ -53,7 +53,7 @@
 
 fn draw_outcome(rng: &mut fastrand::Rng) -> Option<RequestOutcome> {
     match rng.u8(0..4) {
-        0 => Some(RequestOutcome::Complete((0..100).map(|n| format!("x{n}")).collect())),
+        0 => Some(RequestOutcome::Complete((0..100).map(|number| format!("x{number}")).collect())),
         1 => Some(RequestOutcome::Busy(rng.i64(0..SECOND))),
         2 => Some(RequestOutcome::Failed),
         _ => None,
--- a/peer-state/tests/snapshots.rs
+++ b/peer-state/tests/snapshots.rs
@@ -9,16 +9,16 @@
 /// The positions of 50 servers, and a primary.
 fn state() -> PeerState {
     let mut state = PeerState::new(1);
-    for n in 0..50 {
-        state.add_listed_server(&server(n), ServerIncarnation { started_ms: 0, group: n / 5 });
+    for number in 0..50 {
+        state.add_listed_server(&server(number), ServerIncarnation { started_ms: 0, group: number / 5 });
         let source = ObservationSource::ServerStatus;
-        state.record_position(100 * SECOND, &server(n), 99 * SECOND, SECOND, source);
+        state.record_position(100 * SECOND, &server(number), 99 * SECOND, SECOND, source);
     }
     state.record_role(100 * SECOND, "s-0", Role::Primary, ObservationSource::ServedWrite);
     state
 }
 
-/// A state with the list of another, that knows nothing.
+/// A state with the list of another one, without facts.
 fn with_list_of(state: &PeerState, observer: u64) -> PeerState {
     let mut other = PeerState::new(observer);
     state.listed_servers().for_each(|(uid, listed)| other.add_listed_server(uid, listed.clone()));
--- a/peer-state/tests/transfer_protocol.rs
+++ b/peer-state/tests/transfer_protocol.rs
@@ -9,18 +9,18 @@
 
 const SERVERS: u32 = 1000;
 
-fn long_name(n: u32) -> String {
-    format!("server-with-a-long-name-{n}")
+fn long_name(number: u32) -> String {
+    format!("server-with-a-long-name-{number}")
 }
 
 /// The positions of a thousand servers.
 fn state() -> PeerState {
     let mut state = PeerState::new(1);
-    for n in 0..SERVERS {
-        state.add_listed_server(&long_name(n), ServerIncarnation { started_ms: 0, group: n / 5 });
-        let position = 99 * SECOND + i64::from(n);
+    for number in 0..SERVERS {
+        state.add_listed_server(&long_name(number), ServerIncarnation { started_ms: 0, group: number / 5 });
+        let position = 99 * SECOND + i64::from(number);
         let source = ObservationSource::ServerStatus;
-        state.record_position(100 * SECOND, &long_name(n), position, SECOND, source);
+        state.record_position(100 * SECOND, &long_name(number), position, SECOND, source);
     }
     state
 }
@@ -30,8 +30,8 @@
 }
 
 /// Takes up to so many bytes from the front of an output.
-fn take(output: &mut Vec<u8>, most: usize) -> Vec<u8> {
-    let length = output.len().min(most);
+fn take(output: &mut Vec<u8>, max: usize) -> Vec<u8> {
+    let length = output.len().min(max);
     output.drain(..length).collect()
 }
 
@@ -73,12 +73,12 @@
 
 #[test]
 fn a_requester_without_the_key_receives_nothing() {
-    let mut stranger = StateRequester::new(keys(&[3]), [1; 16]);
+    let mut unauthorized = StateRequester::new(keys(&[3]), [1; 16]);
     let (_, mut sender) = connection();
-    sender.feed(&stranger.output);
+    sender.feed(&unauthorized.output);
     assert_eq!(sender.receive_request(), Err(FrameError::UnknownKey));
-    stranger.feed(&sender.output);
-    assert_eq!(stranger.next_event(), Err(FrameError::UnknownKey));
+    unauthorized.feed(&sender.output);
+    assert_eq!(unauthorized.next_event(), Err(FrameError::UnknownKey));
 }
 
 #[test]
