--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`fault_injected!`] to `false`.
 //!
 //! A fault is switched on for one thread, so that tests of one process do not disturb one another. A check that must fail under a fault
-//! returns an error in place of a panic; [`ensure!`] and [`ensure_eq!`] are its assertions.
+//! returns an error in place of a panic; `ensure!` and `ensure_eq!`, which the feature `enabled` adds, are its assertions.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
