--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -5,6 +5,7 @@
 use super::world::{Happens, Mode, WAY, World};
 use birchreach::{AttemptOutcome, GroupId};
 use birchreach_background_tasks::{StartedTask, Task, TaskKind};
+use birchreach_hot_keys::ReportHeader;
 use std::net::SocketAddr;
 
 impl World {
@@ -52,7 +53,8 @@
         for f in
             other.gossip_reports.apply_gossip(now, count, |_| true, &outgoing.payload).unwrap_or_default()
         {
-            let _ = other.hot.receive_report(now, f.origin, f.sequence, f.age, &f.payload);
+            let header = ReportHeader { origin: f.origin, sequence: f.sequence, age: f.age };
+            let _ = other.hot.receive_report(now, header, &f.payload);
         }
     }
 
--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -43,7 +43,7 @@
 mod tracker;
 mod update;
 
-pub use birchreach_peer_reports::RecordError;
+pub use birchreach_peer_reports::{RecordError, ReportHeader};
 pub use copy_holders::Database;
 pub use refresh::DueCopy;
 pub use report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -21,8 +21,7 @@
 }
 
 impl HotKeyTracker {
-    /// Takes a report of another process, which is a member of the fleet. `sequence` increases with each report of an origin, `age` is
-    /// how long ago it was made.
+    /// Takes a report of another process, which is a member of the fleet.
     ///
     /// # Errors
     ///
@@ -30,16 +29,14 @@
     pub fn receive_report(
         &mut self,
         now: Micros,
-        origin: u64,
-        sequence: u64,
-        age: Micros,
+        header: ReportHeader,
         bytes: &[u8],
     ) -> Result<(), ReportError> {
         let report = Report::decode(bytes)?;
         if report.secret_id != self.secret_id {
             return Err(ReportError::OtherSecret);
         }
-        self.reports.record(now, ReportHeader { origin, sequence, age }, report)?;
+        self.reports.record(now, header, report)?;
         Ok(())
     }
 
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 use birchreach_hot_keys::{
-    CopyRequirement, Database, HotKeyTracker, Key, Micros, Report, ReportEntry, Settings,
+    CopyRequirement, Database, HotKeyTracker, Key, Micros, Report, ReportEntry, ReportHeader, Settings,
 };
 use birchreach_membership::GossipReports;
 use std::collections::BTreeMap;
@@ -35,6 +35,11 @@
     Key { group, hash: number.wrapping_mul(0x9e37_79b9_7f4a_7c15) }
 }
 
+/// The header of a report that was made just now.
+pub fn header(origin: u64, sequence: u64) -> ReportHeader {
+    ReportHeader { origin, sequence, age: 0 }
+}
+
 /// The databases of an endpoint list.
 pub fn databases(groups: u32) -> Vec<Database> {
     let of_group = |group| (0..=REPLICAS as u32).map(move |position| (group, position));
@@ -160,9 +165,7 @@
         for report in received.unwrap_or_default() {
             let _ = self.trackers[to].receive_report(
                 now,
-                report.origin,
-                report.sequence,
-                report.age,
+                ReportHeader { origin: report.origin, sequence: report.sequence, age: report.age },
                 &report.payload,
             );
         }
@@ -209,7 +212,7 @@
     }
     for (origin, entries) in all {
         let bytes = Report { secret_id: 1, set_digest: 0, entries }.encode();
-        let _ = tracker.receive_report(SECOND, origin, 1, 0, &bytes);
+        let _ = tracker.receive_report(SECOND, header(origin, 1), &bytes);
     }
     tracker.update(SECOND);
     tracker
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use birchreach_hot_keys::{HotKeyTracker, Report, ReportEntry, Settings};
-use common::{Fleet, SECOND, key, settings, tracker_with_reports};
+use common::{Fleet, SECOND, header, key, settings, tracker_with_reports};
 use std::collections::BTreeSet;
 
 /// Below the threshold at every process, hot in total, then not read any more. Two partitions choose the same holders, and come to one
@@ -98,18 +98,18 @@
             bytes[at] = rng.u8(..);
         }
         bytes.truncate(rng.usize(..=bytes.len()));
-        let _ = tracker.receive_report(SECOND, rng.u64(..), sequence, 0, &bytes);
+        let _ = tracker.receive_report(SECOND, header(rng.u64(..), sequence), &bytes);
     }
     assert!(tracker.table_sizes().reports <= 4_096, "{:?}", tracker.table_sizes());
     let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
-    assert!(tracker.receive_report(SECOND, 2, 5, 0, &good).is_ok());
-    assert!(tracker.receive_report(SECOND, 2, 5, 0, &good).is_err(), "twice");
-    assert!(tracker.receive_report(SECOND, 2, 4, 0, &good).is_err(), "overtaken");
+    assert!(tracker.receive_report(SECOND, header(2, 5), &good).is_ok());
+    assert!(tracker.receive_report(SECOND, header(2, 5), &good).is_err(), "twice");
+    assert!(tracker.receive_report(SECOND, header(2, 4), &good).is_err(), "overtaken");
     for cut in 0..good.len() {
-        assert!(tracker.receive_report(SECOND, 3, 1, 0, &good[..cut]).is_err(), "{cut} bytes of it");
+        assert!(tracker.receive_report(SECOND, header(3, 1), &good[..cut]).is_err(), "{cut} bytes of it");
     }
     let other = Report { secret_id: 2, ..Report::decode(&good).unwrap() }.encode();
-    assert!(tracker.receive_report(SECOND, 3, 1, 0, &other).is_err(), "under another secret");
+    assert!(tracker.receive_report(SECOND, header(3, 1), &other).is_err(), "under another secret");
     assert_eq!(tracker.table_sizes().reports, 1);
     // Tens of thousands of keys use no more than the counters that there are.
     (0..200_000u64).for_each(|read| tracker.record_read(SECOND, key(0, read % 70_000), b"k"));
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -15,6 +15,7 @@
 use crate::split::SplitObserver;
 use birchreach::{GroupId, Micros, ServerId};
 use birchreach_background_tasks::{Scheduler, StartedTask};
+use birchreach_hot_keys::ReportHeader;
 use birchreach_membership::ReceivedReport;
 use copy_tasks::CopyTask;
 use dual_reads::DualRead;
@@ -126,14 +127,18 @@
                 (HOT_KEYS_CHANNEL, Some(observer), _) => {
                     let tracker = &mut observer.borrow_mut().tracker;
                     let ReceivedReport { origin, sequence, age, ref payload, .. } = report;
-                    if let Err(error) = tracker.receive_report(now, origin, sequence, age, payload) {
+                    if let Err(error) =
+                        tracker.receive_report(now, ReportHeader { origin, sequence, age }, payload)
+                    {
                         self.metrics.count_rejected_report("hot", error.as_str());
                     }
                 }
                 (SPLIT_CHANNEL, _, Some(observer)) => {
                     let verifier = &mut observer.borrow_mut().verifier;
                     let ReceivedReport { origin, sequence, age, ref payload, .. } = report;
-                    if let Err(error) = verifier.receive_report(now, origin, sequence, age, payload) {
+                    if let Err(error) =
+                        verifier.receive_report(now, ReportHeader { origin, sequence, age }, payload)
+                    {
                         self.metrics.count_rejected_report("split", error.as_str());
                     }
                 }
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -42,7 +42,7 @@
 mod verifier;
 mod window;
 
-pub use birchreach_peer_reports::RecordError;
+pub use birchreach_peer_reports::{RecordError, ReportHeader};
 pub use coverage::RangeCoverage;
 pub use definition::{Children, Definition, RANGES};
 pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -41,8 +41,7 @@
         counts.into_iter().map(entry).collect()
     }
 
-    /// Takes a report of another process, which is a member of the fleet. `sequence` increases with each report of an origin, `age` is
-    /// how long ago it was made.
+    /// Takes a report of another process, which is a member of the fleet.
     ///
     /// # Errors
     ///
@@ -50,13 +49,10 @@
     pub fn receive_report(
         &mut self,
         now: Micros,
-        origin: u64,
-        sequence: u64,
-        age: Micros,
+        header: ReportHeader,
         bytes: &[u8],
     ) -> Result<(), ReportError> {
         let report = Report::decode(bytes)?;
-        let header = ReportHeader { origin, sequence, age };
         self.coverage.record(now, &self.settings.definition, header, report)
     }
 
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -5,7 +5,8 @@
 mod disturbances;
 
 use birchreach_shard_split::{
-    ConfirmedDifference, Definition, DifferenceKind, Micros, QueryResult, Settings, SplitVerifier,
+    ConfirmedDifference, Definition, DifferenceKind, Micros, QueryResult, ReportHeader, Settings,
+    SplitVerifier,
 };
 use databases::{Databases, happens};
 pub use disturbances::{ChildFault, Disturbances};
@@ -37,6 +38,11 @@
     format!("key-{number}").into_bytes()
 }
 
+/// The header of a report that was made just now.
+pub fn header(origin: u64, sequence: u64) -> ReportHeader {
+    ReportHeader { origin, sequence, age: 0 }
+}
+
 /// An answer on its way to a verifier.
 struct AnswerInTransit {
     arrives_at: Micros,
@@ -131,7 +137,8 @@
         for from in 0..self.verifiers.len() {
             let Some(report) = self.verifiers[from].report_if_due(self.now) else { continue };
             for to in (0..self.verifiers.len()).filter(|to| *to != from) {
-                let _ = self.verifiers[to].receive_report(self.now, from as u64 + 1, sequence, 0, &report);
+                let _ =
+                    self.verifiers[to].receive_report(self.now, header(from as u64 + 1, sequence), &report);
             }
         }
     }
--- a/shard-split/tests/noise.rs
+++ b/shard-split/tests/noise.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use birchreach_shard_split::{Definition, RANGES, RangeDifferences, Report, SplitVerifier};
-use common::{Disturbances, SECOND, World, definition, key, settings};
+use common::{Disturbances, SECOND, World, definition, header, key, settings};
 
 fn entry(kind: u8, range: u8, count: u32) -> RangeDifferences {
     RangeDifferences { kind, range, count }
@@ -25,7 +25,7 @@
             bytes[at] = rng.u8(..);
         }
         bytes.truncate(rng.usize(..=bytes.len()));
-        let _ = split.receive_report(SECOND, rng.u64(..), sequence, 0, &bytes);
+        let _ = split.receive_report(SECOND, header(rng.u64(..), sequence), &bytes);
     }
     assert!(split.origin_count() <= 4_096);
     for cut in 0..valid.len() {
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -10,7 +10,7 @@
     ComparisonQuery, Definition, DueQuery, ParentSample, PositionSample, QueryResult, RANGES, RangeCoverage,
     RangeDifferences, Report, SplitVerifier, Verdict,
 };
-use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, key, settings};
+use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, header, key, settings};
 use verdicts::check_clean_verdict;
 
 type CheckResult = Result<(), String>;
@@ -86,7 +86,7 @@
     for order in orders {
         let mut split = SplitVerifier::new(settings(3), 1, 0);
         for SentReport { origin, sequence, comparisons } in order.map(|index| reports[index]) {
-            let _ = split.receive_report(SECOND, origin, sequence, 0, &encoded(comparisons));
+            let _ = split.receive_report(SECOND, header(origin, sequence), &encoded(comparisons));
         }
         ensure!(
             split.coverage(0) == RangeCoverage { comparisons: 8, processes: 2 },
@@ -106,7 +106,7 @@
         differences: vec![RangeDifferences { kind: 0, range: 3, count: 1 }],
     };
     let mut split = SplitVerifier::new(settings(2), 1, 0);
-    ensure!(split.receive_report(SECOND, 2, 1, 0, &report.encode()).is_err(), "it is accepted");
+    ensure!(split.receive_report(SECOND, header(2, 1), &report.encode()).is_err(), "it is accepted");
     ensure!(
         split.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
             && !matches!(split.verdict(2), Verdict::Dirty(_)),
@@ -133,7 +133,7 @@
         Report { definition_digest: definition().digest(), compared: vec![1; RANGES], differences: vec![] }
             .encode();
     for origin in 2..10_000 {
-        let _ = flooded.receive_report(SECOND, origin, 1, 0, &report);
+        let _ = flooded.receive_report(SECOND, header(origin, 1), &report);
     }
     ensure!(flooded.origin_count() <= 4_096, "{} origins", flooded.origin_count());
     Ok(())
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/verdicts.rs
@@ -1,7 +1,7 @@
 //! Which coverage makes a verdict clean.
 
 use crate::CheckResult;
-use crate::common::{Disturbances, SECOND, World, definition, settings};
+use crate::common::{Disturbances, SECOND, World, definition, header, settings};
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::{IncompleteReason, RANGES, Report, SplitVerifier, Verdict};
 
@@ -12,7 +12,7 @@
     let compared = (0..RANGES).map(compared).collect();
     let report = Report { definition_digest: definition().digest(), compared, differences: vec![] }.encode();
     for origin in 2..=4 {
-        let _ = split.receive_report(SECOND, origin, 1, 0, &report);
+        let _ = split.receive_report(SECOND, header(origin, 1), &report);
     }
     split
 }
