--- a/membership/src/full_exchange.rs
+++ b/membership/src/full_exchange.rs
@@ -94,7 +94,11 @@
         parts
     }
 
-    /// Merges all that another member sent, or nothing of it.
+    /// Merges all members that another member sent, or none of them.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the parts are rejected.
     pub fn import_members(&mut self, now: Micros, parts: &[Vec<u8>]) -> Result<(), PayloadError> {
         let mut received = Vec::new();
         for mut part in parts.iter().map(Vec::as_slice) {
--- a/membership/src/gossip_reports.rs
+++ b/membership/src/gossip_reports.rs
@@ -127,8 +127,11 @@
         self.reports.insert(key, KnownReport { sequence, created_at: now, payload, times_sent: 0 });
     }
 
-    /// Applies a datagram of another member, and returns the reports in it that are new and whose origin is a member; a malformed
-    /// one changes nothing.
+    /// Applies a datagram of another member, and returns the reports in it that are new and whose origin is a member.
+    ///
+    /// # Errors
+    ///
+    /// [`PayloadError::Malformed`]; nothing has changed then.
     pub fn apply_gossip(
         &mut self,
         now: Micros,
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -107,7 +107,11 @@
         }
     }
 
-    /// Applies the payload of an opened datagram.
+    /// Applies the payload of an opened datagram, whose sender has this incarnation.
+    ///
+    /// # Errors
+    ///
+    /// The reason why the payload is rejected.
     pub fn receive(
         &mut self,
         now: Micros,
--- a/peer-state/src/lib.rs
+++ b/peer-state/src/lib.rs
@@ -24,6 +24,7 @@
 //! 8. A full exchange is complete and in order, or rejected (`a_full_exchange_is_complete_or_rejected`).
 //! 9. Tables and messages are bounded whatever is received (`tables_are_bounded`, `malformed_frames_are_rejected`).
 
+#![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod advice;
