--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -21,7 +21,8 @@
 //!    (`copies_are_held_by_other_groups`).
 //! 6. A copy serves a read only if it has the position that the read needs (`copies_prove_their_position`, and the model in
 //!    `tests/model.rs`).
-//! 7. Tables are bounded, and a report is taken in full or not at all (`malformed_reports_change_nothing`).
+//! 7. Tables are bounded, and a report is taken in full or not at all (`malformed_reports_change_nothing`,
+//!    `kept_reports_are_bounded_whatever_is_received`, `counters_are_bounded_whatever_is_read`).
 //! 8. Nearly every refresh slot of a key is taken by one of its reporters (`each_refresh_slot_has_one_owner`).
 //!
 //! Reports of other processes are kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -2,97 +2,124 @@
 //! worthwhile.
 
 mod common;
-use birchreach_hot_keys::{HotKeyTracker, Report, ReportEntry, Settings};
+use birchreach_hot_keys::{Database, HotKeyTracker, Key, Micros, Report, ReportEntry, Settings};
 use common::{Fleet, SECOND, header, key, settings, tracker_with_reports};
 use std::collections::BTreeSet;
 
-/// Below the threshold at every process, hot in total, then not read any more. Two partitions choose the same holders, and come to one
-/// set after they have merged.
+/// A fleet that reads one key above the threshold, each process below it, and fifty others seldom; all processes have found it.
+fn fleet_with_hot_key(count: usize, seed: u64, hot_key: Key) -> Fleet {
+    let mut fleet = Fleet::new(count, seed);
+    let other_keys = (100..150).map(|number| (key(2, number), 4.0));
+    fleet.reads_per_s = other_keys.chain([(hot_key, 300.0)]).collect();
+    let took = fleet.pass_until(hot_key, true, 30 * SECOND).unwrap_or_else(|| panic!("{count}: not found"));
+    assert!(took < 15.0, "{count}: {took} s");
+    fleet.pass(3 * SECOND);
+    fleet
+}
+
+/// The copy holders of each hot key at each process.
+fn copy_holders(fleet: &Fleet) -> BTreeSet<Vec<Database>> {
+    let hot_keys = fleet.trackers.iter().flat_map(|tracker| tracker.hot_keys());
+    hot_keys.map(|(_, hot_key)| hot_key.copy_holders.clone()).collect()
+}
+
 #[test]
 fn a_key_hot_in_total_is_found_by_all_processes() {
     for (count, seed) in [(5, 6), (40, 7)] {
-        let mut fleet = Fleet::new(count, seed);
         let hot_key = key(2, 1);
-        let other_keys = (100..150).map(|number| (key(2, number), 4.0));
-        fleet.reads_per_s = other_keys.chain([(hot_key, 300.0)]).collect();
-        let took =
-            fleet.pass_until(hot_key, true, 30 * SECOND).unwrap_or_else(|| panic!("{count}: not found"));
-        assert!(took < 15.0, "{count}: {took} s");
-        fleet.pass(3 * SECOND);
+
+        let mut fleet = fleet_with_hot_key(count, seed, hot_key);
+
         assert!(fleet.has_one_set() && fleet.processes_with_hot_key(key(2, 100)) == 0, "{count}");
-        let holders = |fleet: &Fleet| {
-            let hot_keys = fleet.trackers.iter().flat_map(|tracker| tracker.hot_keys());
-            hot_keys.map(|(_, hot_key)| hot_key.copy_holders.clone()).collect::<BTreeSet<_>>()
-        };
-        let before = holders(&fleet);
+
+        fleet.reads_per_s.clear();
+        fleet.pass_until(hot_key, false, 60 * SECOND).unwrap_or_else(|| panic!("{count}: it stays"));
+
+        assert!(fleet.has_one_set());
+    }
+}
+
+/// Each partition sees half of the reads: where the key is still hot, its holders are the same ones, or the first of them.
+#[test]
+fn partitions_choose_the_same_copy_holders_and_come_to_one_set_after_them() {
+    for (count, seed) in [(5, 6), (40, 7)] {
+        let hot_key = key(2, 1);
+        let mut fleet = fleet_with_hot_key(count, seed, hot_key);
+        let before = copy_holders(&fleet);
         let half = count / 2;
+
         fleet.is_partitioned = Box::new(move |from, to| (from < half) != (to < half));
         fleet.pass(30 * SECOND);
         fleet.is_partitioned = Box::new(|_, _| false);
-        // Each partition sees half of the reads: where the key is still hot, its holders are the same ones, or the first of them.
-        let first_holders: BTreeSet<_> = holders(&fleet)
-            .into_iter()
-            .chain(before)
-            .filter_map(|holders| holders.first().copied())
-            .collect();
+
+        let of_partitions = copy_holders(&fleet).into_iter().chain(before);
+        let first_holders: BTreeSet<_> =
+            of_partitions.filter_map(|holders| holders.first().copied()).collect();
         assert!(first_holders.len() <= 1, "{first_holders:?}");
-        fleet
-            .pass_until(hot_key, true, 30 * SECOND)
-            .unwrap_or_else(|| panic!("{count}: not found after the partition"));
+
+        let found = fleet.pass_until(hot_key, true, 30 * SECOND);
+        found.unwrap_or_else(|| panic!("{count}: not found after the partition"));
         fleet.pass(5 * SECOND);
+
         assert!(fleet.has_one_set());
+
         fleet.reads_per_s.clear();
         fleet.pass_until(hot_key, false, 60 * SECOND).unwrap_or_else(|| panic!("{count}: it stays"));
+
         assert!(fleet.has_one_set());
     }
 }
 
+/// Whether a server may have a copy of the key.
+fn is_candidate(tracker: &HotKeyTracker, now: Micros, key: Key, server: u32) -> bool {
+    tracker.copy_candidates(now, key).iter().any(|copy| copy.server == server)
+}
+
 #[test]
 fn a_holder_that_missed_is_queried_again_after_a_backoff_or_a_copy() {
-    let reports: Vec<_> = (1..=12)
-        .map(|origin| {
-            (origin, vec![ReportEntry { key: key(0, 1), reads_per_1000_s: 450_000, is_hot: false }])
-        })
-        .collect();
+    // Given a hot key with three copy holders.
+    let (hot_key, now) = (key(0, 1), SECOND);
+    let entry = ReportEntry { key: hot_key, reads_per_1000_s: 450_000, is_hot: false };
+    let reports: Vec<_> = (1..=12).map(|origin| (origin, vec![entry])).collect();
     let mut tracker = tracker_with_reports(1, 6, &reports, false);
-    let now = SECOND;
-    let all = tracker.copy_candidates(now, key(0, 1));
+    let all = tracker.copy_candidates(now, hot_key);
     assert_eq!((all.len(), tracker.copy_candidates(now, key(0, 2)).len()), (3, 0));
     assert!(all.iter().all(|copy| now - copy.likely_position == 500_000), "an interval and a bit: {all:?}");
     let holder = all[0].server;
-    tracker.record_answer(now, key(0, 1), holder, None);
-    assert!(
-        tracker.copy_candidates(now + 100_000, key(0, 1)).iter().all(|copy| copy.server != holder),
-        "not tried again at once"
-    );
-    assert!(tracker.copy_candidates(now + 300_000, key(0, 1)).iter().any(|copy| copy.server == holder));
-    (0..6).for_each(|_| tracker.record_answer(now, key(0, 1), holder, None));
-    assert!(
-        tracker.copy_candidates(now + 3 * SECOND, key(0, 1)).iter().all(|copy| copy.server != holder),
-        "longer with each miss"
-    );
-    tracker.record_copy_written(now + 3 * SECOND, key(0, 1), holder);
-    let again = tracker.copy_candidates(now + 4 * SECOND, key(0, 1));
-    assert!(again.iter().any(|copy| copy.server == holder), "a copy was written there");
-    tracker.record_answer(now + 4 * SECOND, key(0, 1), holder, Some(now + 4 * SECOND - 70_000));
-    let seen = tracker
-        .copy_candidates(now + 4 * SECOND, key(0, 1))
-        .into_iter()
-        .find(|copy| copy.server == holder)
-        .unwrap();
-    assert!((70_000..500_000).contains(&(now + 4 * SECOND - seen.likely_position)));
+
+    // When it misses, then it is not queried before a backoff, which is longer with each miss.
+    tracker.record_answer(now, hot_key, holder, None);
+    assert!(!is_candidate(&tracker, now + 100_000, hot_key, holder), "not tried again at once");
+    assert!(is_candidate(&tracker, now + 300_000, hot_key, holder));
+    (0..6).for_each(|_| tracker.record_answer(now, hot_key, holder, None));
+    assert!(!is_candidate(&tracker, now + 3 * SECOND, hot_key, holder), "longer with each miss");
+
+    // When a copy is written to it, then it is queried again soon.
+    tracker.record_copy_written(now + 3 * SECOND, hot_key, holder);
+    let now = now + 4 * SECOND;
+    assert!(is_candidate(&tracker, now, hot_key, holder), "a copy was written there");
+
+    // When it answers from a copy, then the age of this copy counts.
+    tracker.record_answer(now, hot_key, holder, Some(now - 70_000));
+    let candidates = tracker.copy_candidates(now, hot_key);
+    let seen = candidates.into_iter().find(|copy| copy.server == holder).unwrap();
+    assert!((70_000..500_000).contains(&(now - seen.likely_position)));
+}
+
+/// A report of as many keys as one may have.
+fn full_report() -> Report {
+    let entry = |number| ReportEntry { key: key(0, number), reads_per_1000_s: 5_000, is_hot: true };
+    Report { secret_id: 1, set_digest: 5, entries: (0..16).map(entry).collect() }
 }
 
 #[test]
-fn malformed_reports_change_nothing() {
+fn kept_reports_are_bounded_whatever_is_received() {
     let mut rng = fastrand::Rng::with_seed(8);
-    let entries = (0..16)
-        .map(|number| ReportEntry { key: key(0, number), reads_per_1000_s: 5_000, is_hot: true })
-        .collect();
-    let good = Report { secret_id: 1, set_digest: 5, entries }.encode();
+    let valid = full_report().encode();
     let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
+
     for sequence in 0..50_000u64 {
-        let mut bytes = good.clone();
+        let mut bytes = valid.clone();
         for _ in 0..rng.usize(1..5) {
             let at = rng.usize(..bytes.len());
             bytes[at] = rng.u8(..);
@@ -100,19 +127,35 @@
         bytes.truncate(rng.usize(..=bytes.len()));
         let _ = tracker.receive_report(SECOND, header(rng.u64(..), sequence), &bytes);
     }
+
     assert!(tracker.table_sizes().reports <= 4_096, "{:?}", tracker.table_sizes());
+}
+
+#[test]
+fn malformed_reports_change_nothing() {
+    let valid = full_report().encode();
     let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
-    assert!(tracker.receive_report(SECOND, header(2, 5), &good).is_ok());
-    assert!(tracker.receive_report(SECOND, header(2, 5), &good).is_err(), "twice");
-    assert!(tracker.receive_report(SECOND, header(2, 4), &good).is_err(), "overtaken");
-    for cut in 0..good.len() {
-        assert!(tracker.receive_report(SECOND, header(3, 1), &good[..cut]).is_err(), "{cut} bytes of it");
+    assert!(tracker.receive_report(SECOND, header(2, 5), &valid).is_ok());
+
+    assert!(tracker.receive_report(SECOND, header(2, 5), &valid).is_err(), "twice");
+    assert!(tracker.receive_report(SECOND, header(2, 4), &valid).is_err(), "overtaken");
+    for length in 0..valid.len() {
+        let truncated = &valid[..length];
+        assert!(tracker.receive_report(SECOND, header(3, 1), truncated).is_err(), "{length} bytes of it");
     }
-    let other = Report { secret_id: 2, ..Report::decode(&good).unwrap() }.encode();
-    assert!(tracker.receive_report(SECOND, header(3, 1), &other).is_err(), "under another secret");
+    let of_another_secret = Report { secret_id: 2, ..full_report() }.encode();
+    let rejected = tracker.receive_report(SECOND, header(3, 1), &of_another_secret);
+    assert!(rejected.is_err(), "under another secret");
+
     assert_eq!(tracker.table_sizes().reports, 1);
-    // Tens of thousands of keys use no more than the counters that there are.
+}
+
+#[test]
+fn counters_are_bounded_whatever_is_read() {
+    let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
+
     (0..200_000u64).for_each(|read| tracker.record_read(SECOND, key(0, read % 70_000), b"k"));
+
     assert!(tracker.table_sizes().counters <= 256);
 }
 
