--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -82,15 +82,22 @@
 fn ages_add_up_and_reports_expire() {
     let (mut first, mut second, mut third) =
         (GossipReports::new(1, 1), GossipReports::new(2, 2), GossipReports::new(3, 3));
+
+    // When a report is received half a second after it was published, on a clock that is not the sender's.
     first.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut first, SECOND / 2).unwrap();
-    // The receiver's clock is not the sender's.
     let clock = 500 * SECOND;
     let received = second.apply_gossip(clock, 3, |_| true, &sent).unwrap();
+
+    // Then it has this age.
     assert!((SECOND / 2..SECOND).contains(&received[0].age), "{received:?}");
+
+    // When it is forwarded two seconds later, then it is older by these.
     let forwarded = next_datagram(&mut second, clock + 2 * SECOND).unwrap();
     let received = third.apply_gossip(0, 3, |_| true, &forwarded).unwrap();
     assert!((5 * SECOND / 2..3 * SECOND).contains(&received[0].age), "{received:?}");
+
+    // When its lifetime is over, then it is not forwarded any more.
     let lifetime = GossipReports::interval(3) * LIFETIME_INTERVALS;
     assert_eq!(next_datagram(&mut third, lifetime), None, "it has expired, and is not forwarded");
 }
@@ -112,12 +119,19 @@
     assert!(next_datagram(&mut sender, 0).is_none());
 }
 
+/// A datagram with one report.
+fn valid_datagram() -> Vec<u8> {
+    let mut sender = GossipReports::new(1, 1);
+    sender.publish(0, 1, vec![7; 300]);
+    next_datagram(&mut sender, 0).unwrap()
+}
+
 #[test]
-fn malformed_datagrams_change_nothing() {
+fn kept_reports_are_bounded_whatever_is_received() {
     let mut rng = fastrand::Rng::with_seed(9);
-    let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(2, 2));
-    sender.publish(0, 1, vec![7; 300]);
-    let valid = next_datagram(&mut sender, 0).unwrap();
+    let mut receiver = GossipReports::new(2, 2);
+    let valid = valid_datagram();
+
     for _ in 0..20_000 {
         let mut bytes = valid.clone();
         for _ in 0..rng.usize(1..4) {
@@ -128,21 +142,29 @@
         let is_member = rng.bool();
         let _ = receiver.apply_gossip(0, 2, |_| is_member, &bytes);
     }
+
     assert!(receiver.len() <= MAX_REPORTS);
+}
+
+#[test]
+fn malformed_datagrams_change_nothing() {
+    let valid = valid_datagram();
     let mut receiver = GossipReports::new(3, 3);
+
     for length in 1..valid.len() {
         let result = receiver.apply_gossip(0, 2, |_| true, &valid[..length]);
         assert!(result.is_err(), "{length} bytes of it");
     }
+
     assert!(receiver.is_empty());
 }
 
 #[test]
-fn kept_reports_are_bounded() {
+fn reports_of_many_members_are_bounded() {
     let mut receiver = GossipReports::new(9, 2);
     receiver.publish(0, 1, b"own".to_vec());
-    for index in 0..20_000u64 {
-        let mut sender = GossipReports::new(index + 10, 1);
+    for origin in 10..20_010u64 {
+        let mut sender = GossipReports::new(origin, 1);
         sender.publish(0, 1, b"x".to_vec());
         let bytes = next_datagram(&mut sender, 0).unwrap();
         receiver.apply_gossip(0, 2, |_| true, &bytes).unwrap();
