--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! A budget is a rate over all processes of the fleet, in any span of its window's length. Each process keeps to its quota of it,
 //! rounded down, by a divisor that is never less than the number of processes that there may be. A new incarnation does not know what the
-//! one before it started, and waits for a whole window.
+//! one before it started, and waits for one window.
 //!
 //! Invariants, each with the test that holds it (`tests/scheduler.rs`):
 //!
--- a/hot-keys/src/copy.rs
+++ b/hot-keys/src/copy.rs
@@ -36,7 +36,7 @@
 }
 
 /// Whether the kept copy may serve a read that needs all commits up to a position. A read that must be current has no such position,
-/// and never asks.
+/// and is never served from a copy.
 pub fn can_serve<V>(kept: Option<&Copy<V>>, needed: Micros) -> bool {
     kept.is_some_and(|kept| kept.position >= needed || fault_injected!(ServesAnyPosition))
 }
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -11,7 +11,7 @@
 /// From so many configured processes on no single report makes a key hot.
 const MIN_PROCESSES_FOR_BOUND: u32 = 3;
 
-/// What the reports say of a hot key.
+/// The rate of a hot key by all reports, and its copies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Hotness {
     /// Reads a second over all origins that report it, without the bound on each origin.
--- a/hot-keys/src/sketch.rs
+++ b/hot-keys/src/sketch.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Decays all counts by the time since the last call, in whole steps, and removes counters that are next to zero.
+    /// Decays all counts by the time since the last call, in whole steps, and removes counters that are nearly zero.
     fn decay(&mut self, now: Micros) {
         let steps = (now - self.decayed_at) / DECAY_STEP_MICROS;
         if steps <= 0 {
--- a/hot-keys/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -60,7 +60,7 @@
     CopyArrives(Copy<i64>),
     /// The holder restarts, fails over or is replaced: it has none, or an older one that had arrived before.
     CopyLost,
-    /// A read that needs this position asks the holder.
+    /// A read that needs this position is sent to the holder.
     ReadCopy(i64),
 }
 
--- a/membership/src/faults.rs
+++ b/membership/src/faults.rs
@@ -3,11 +3,11 @@
 birchreach_fault_injection::declare_faults! {
     /// Addresses outside the view are not retried.
     NoAddressRetries,
-    /// No full exchange is begun.
+    /// No full exchange is started.
     NoFullExchanges,
     /// A suspected member is removed almost at once.
     SuspectsRemovedAtOnce,
-    /// The divisor is the number of members seen, whatever the options say.
+    /// The divisor is the number of members in the view, without regard to the options.
     DivisorIgnoresOptions,
     /// A renewed epoch is greater by one only.
     EpochStepsOfOne,
--- a/peer-reports/src/lib.rs
+++ b/peer-reports/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reports that the processes of one fleet send one another at intervals, as a subsystem keeps them.
 //!
-//! [`PeerReports`] says when this process's next report is due ([`PeerReports::is_due`]), numbers it
+//! [`PeerReports`] decides when this process's next report is due ([`PeerReports::is_due`]), numbers it
 //! ([`PeerReports::record_own`]), and keeps the newest report of each origin ([`PeerReports::record`]) until its lifetime is over
 //! ([`PeerReports::remove_expired`]). An origin is one incarnation of a process.
 //!
--- a/peer-state/src/advice.rs
+++ b/peer-state/src/advice.rs
@@ -35,7 +35,7 @@
     0.5f64.powf(seen.age(now) as f64 / half_life.max(1) as f64 + f64::from(seen.hop_count))
 }
 
-/// The observation as primary, unless a later one says that it is a replica.
+/// The observation as primary, unless a later one is as replica.
 fn primary_observation(facts: &ServerFacts) -> Option<Observation<()>> {
     facts
         .primary
--- a/peer-state/src/observation.rs
+++ b/peer-state/src/observation.rs
@@ -7,7 +7,7 @@
 /// How the first observer got to know a fact. Declared from the least to the most reliable; merging prefers the greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ObservationSource {
-    /// The endpoint list says so.
+    /// The endpoint list.
     EndpointList,
     /// The server's load report.
     LoadReport,
--- a/peer-state/src/server_facts.rs
+++ b/peer-state/src/server_facts.rs
@@ -5,7 +5,7 @@
 /// The identity of a server as the endpoint list has it now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerIncarnation {
-    /// When the server process started: Unix time in milliseconds, 0 where the list does not say.
+    /// When the server process started: Unix time in milliseconds, 0 where the list does not name it.
     pub started_ms: u64,
     /// Its replication group.
     pub group: u32,
@@ -14,7 +14,7 @@
 /// What is known of one incarnation of one server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerFacts {
-    /// When this incarnation started: Unix time in milliseconds, 0 where the list does not say.
+    /// When this incarnation started: Unix time in milliseconds, 0 where the list does not name it.
     pub started_ms: u64,
     /// Its replication group.
     pub group: u32,
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -199,8 +199,8 @@
         }
     }
 
-    /// A difference is confirmed if it was found before, long enough ago, in the same child and by the same processes: what lies between
-    /// a restart or a failover may be another state of the database.
+    /// A difference is confirmed if it was found before, long enough ago, in the same child and by the same processes: after a
+    /// restart or a failover the database may have another state.
     fn confirm(&mut self, found: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
         let is_same_child = |first: &Difference| first.child == found.child;
         let is_same_process = |first: &Difference| first.processes == found.processes;
--- a/shard-split/src/faults.rs
+++ b/shard-split/src/faults.rs
@@ -15,7 +15,7 @@
     CountsTwice,
     /// Reports of another definition count.
     MixesDefinitions,
-    /// The verdict is clean although configured members are not heard from.
+    /// The verdict is clean although nothing is received from some configured members.
     CleanWhileMembersMissing,
     /// Comparisons and differences are kept without bound.
     KeepsEverything,
