--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -21,10 +21,12 @@
 //!    (`copies_are_held_by_other_groups`).
 //! 6. A copy serves a read only if it has the position that the read needs (`copies_prove_their_position`, and the model in
 //!    `tests/model.rs`).
-//! 7. Tables are bounded, and a report is taken in full or not at all (`malformed_reports_change_nothing`).
+//! 7. Tables are bounded, and a report is taken in full or not at all (`malformed_reports_change_nothing`,
+//!    `kept_reports_are_bounded_whatever_is_received`, `counters_are_bounded_whatever_is_read`).
 //! 8. Nearly every refresh slot of a key is taken by one of its reporters (`each_refresh_slot_has_one_owner`).
 //!
-//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
+//! Reports of other processes are kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
+//! other subsystem, and a number of microseconds needs no conversion.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -34,20 +36,21 @@
 mod copy_holders;
 pub mod faults;
 mod refresh;
+mod report;
 mod reporting;
-mod reports;
 mod set;
 mod settings;
 mod sketch;
 mod tracker;
 mod update;
 
+pub use birchreach_peer_reports::{RecordError, ReportHeader};
 pub use copy_holders::Database;
 pub use refresh::DueCopy;
+pub use report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
 pub use reporting::ReportAgreement;
-pub use reports::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
 pub use settings::{CopyCost, CopyRequirement, Settings};
-pub use sketch::ReadSketch;
+pub use sketch::{KeyRate, ReadSketch};
 pub use tracker::{CopyCandidate, HotKey, HotKeyTracker, TableSizes};
 
 /// A span of time, or an instant on the caller's clock, in microseconds. Instants are Unix time, as positions are.
@@ -63,8 +66,8 @@
 }
 
 /// Distributes the bits of a number over all of it (the finalizer of SplitMix64).
-pub(crate) fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+pub(crate) fn mix(mut bits: u64) -> u64 {
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,15 +1,15 @@
 //! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
 
-use crate::reports::{MAX_REPORT_ENTRIES, ReceivedReport, Report, ReportEntry, ReportError};
+use crate::report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+use crate::sketch::KeyRate;
 use crate::tracker::HotKeyTracker;
 use crate::{Key, Micros, mix};
+use birchreach_peer_reports::{PeerReports, ReportHeader};
 
 /// A key is reported from this fraction of the rate that would make it hot if all processes read it alike.
 const REPORT_THRESHOLD_FRACTION: f64 = 0.25;
-/// How many keys are looked at for a report: some may be below the threshold.
+/// How many keys are considered for a report: some may be below the threshold.
 const REPORT_CANDIDATES: usize = MAX_REPORT_ENTRIES * 4;
-/// A report counts for so many report intervals.
-const REPORT_LIFETIME_INTERVALS: Micros = 4;
 
 /// How many other processes have the same hot set by their newest reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,8 +21,7 @@
 }
 
 impl HotKeyTracker {
-    /// Takes a report of another process, which is a member of the fleet. `sequence` increases with each report of an origin, `age` is
-    /// how long ago it was made.
+    /// Takes a report of another process, which is a member of the fleet.
     ///
     /// # Errors
     ///
@@ -30,37 +29,33 @@
     pub fn receive_report(
         &mut self,
         now: Micros,
-        origin: u64,
-        sequence: u64,
-        age: Micros,
+        header: ReportHeader,
         bytes: &[u8],
     ) -> Result<(), ReportError> {
         let report = Report::decode(bytes)?;
         if report.secret_id != self.secret_id {
             return Err(ReportError::OtherSecret);
         }
-        self.reports.record(origin, ReceivedReport { sequence, made_at: now - age.max(0), report })
+        self.reports.record(now, header, report)?;
+        Ok(())
     }
 
     /// This process's report, once in each report interval.
     pub fn report_if_due(&mut self, now: Micros) -> Option<Vec<u8>> {
-        if now - self.last_report_at < self.report_interval {
+        if !self.reports.is_due(now) {
             return None;
         }
-        self.last_report_at = now;
         let entries = self.report_entries(now);
-        self.last_sequence += 1;
         let report = Report { secret_id: self.secret_id, set_digest: self.digest(), entries };
         let bytes = report.encode();
-        let received = ReceivedReport { sequence: self.last_sequence, made_at: now, report };
-        // Where reports of too many origins are kept, the set is derived without the own one; the others still get it.
-        let _ = self.reports.record(self.own_origin, received);
+        self.reports.record_own(now, report);
         Some(bytes)
     }
 
+    /// The keys of this process's report: those that are hot, or read often enough here.
     fn report_entries(&mut self, now: Micros) -> Vec<ReportEntry> {
         let top_keys = self.sketch.top_keys(now, REPORT_CANDIDATES);
-        let entry = |(key, reads_per_s): (Key, f64)| {
+        let entry = |KeyRate { key, reads_per_s }: KeyRate| {
             let is_hot = self.hot_keys.contains_key(&key);
             let is_reported = is_hot || reads_per_s >= self.report_threshold(key.group);
             is_reported.then_some(ReportEntry {
@@ -72,15 +67,12 @@
         top_keys.into_iter().filter_map(entry).take(MAX_REPORT_ENTRIES).collect()
     }
 
+    /// The rate at this process from which a key of the group is reported.
     fn report_threshold(&self, group: u32) -> f64 {
         let replicas = self.replicas.get(&group).copied().unwrap_or(1);
         REPORT_THRESHOLD_FRACTION * self.settings.hot_threshold(replicas) / self.members as f64
     }
 
-    pub(crate) fn report_lifetime(&self) -> Micros {
-        REPORT_LIFETIME_INTERVALS * self.report_interval
-    }
-
     /// A digest of the hot set, equal at all processes that have equal sets.
     pub fn digest(&self) -> u64 {
         let of_key = |key: &Key| mix(key.hash ^ mix(u64::from(key.group) + 1));
@@ -91,10 +83,17 @@
     pub fn agreement(&self) -> ReportAgreement {
         let own_digest = self.digest();
         let mut agreement = ReportAgreement { agreeing: 0, reporting: 0 };
-        for (_, received) in self.reports.newest().filter(|(origin, _)| *origin != self.own_origin) {
+        let own_origin = self.reports.own_origin();
+        for (_, received) in self.reports.newest().filter(|(origin, _)| *origin != own_origin) {
             agreement.reporting += 1;
             agreement.agreeing += usize::from(received.report.set_digest == own_digest);
         }
         agreement
     }
 }
+
+/// Origins whose newest report names a key, in their order.
+pub(crate) fn reporters(reports: &PeerReports<Report>, key: Key) -> impl Iterator<Item = u64> {
+    let names_key = move |report: &Report| report.entries.iter().any(|entry| entry.key == key);
+    reports.newest().filter(move |(_, received)| names_key(&received.report)).map(|(origin, _)| origin)
+}
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -9,37 +9,39 @@
 /// Reports that are kept, over all origins.
 const MAX_REPORTS: usize = 16_384;
 
-fn address(n: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7000))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index / 200) as u8, (index % 200) as u8 + 1], 7000))
 }
 
 /// The next datagram to the only other member.
 fn next_datagram(reports: &mut GossipReports, now: Micros) -> Option<Vec<u8>> {
-    reports.encode_gossip(now, &[address(1)]).map(|(_, bytes)| bytes)
+    reports.encode_gossip(now, &[address(1)]).map(|outgoing| outgoing.payload)
 }
 
 #[test]
 fn reports_reach_nearly_all_members() {
     for (count, seed) in [(5, 1), (40, 2), (300, 3)] {
-        let mut members: Vec<GossipReports> =
-            (0..count).map(|n| GossipReports::new(n as u64 + 1, seed * 1_000 + n as u64)).collect();
+        let mut members: Vec<GossipReports> = (0..count)
+            .map(|index| GossipReports::new(index as u64 + 1, seed * 1_000 + index as u64))
+            .collect();
         let interval = GossipReports::interval(count);
         let (mut received, mut datagrams) = (0, 0);
-        for (n, member) in members.iter_mut().enumerate() {
-            member.publish(0, 1, vec![n as u8; 110]);
+        for (index, member) in members.iter_mut().enumerate() {
+            member.publish(0, 1, vec![index as u8; 110]);
         }
         for now in (0..interval).step_by(50_000) {
-            for n in 0..count {
-                let others: Vec<SocketAddr> = (0..count).filter(|other| *other != n).map(address).collect();
-                let Some((to, bytes)) = members[n].encode_gossip(now, &others) else { continue };
+            for index in 0..count {
+                let others: Vec<SocketAddr> =
+                    (0..count).filter(|other| *other != index).map(address).collect();
+                let Some(outgoing) = members[index].encode_gossip(now, &others) else { continue };
                 datagrams += 1;
-                let to = (0..count).find(|other| address(*other) == to).unwrap();
-                received += members[to].apply_gossip(now, count, |_| true, &bytes).unwrap().len();
+                let to = (0..count).find(|other| address(*other) == outgoing.recipient).unwrap();
+                received += members[to].apply_gossip(now, count, |_| true, &outgoing.payload).unwrap().len();
             }
         }
-        let share = received as f64 / (count * (count - 1)) as f64;
+        let fraction = received as f64 / (count * (count - 1)) as f64;
         let rate = datagrams as f64 / count as f64 / (interval as f64 / 1e6);
-        assert!(share > 0.98, "{count}: {share} received in an interval");
+        assert!(fraction > 0.98, "{count}: {fraction} received in an interval");
         assert!(rate <= 20.5, "{count}: {rate} datagrams a second");
     }
 }
@@ -80,23 +82,30 @@
 fn ages_add_up_and_reports_expire() {
     let (mut first, mut second, mut third) =
         (GossipReports::new(1, 1), GossipReports::new(2, 2), GossipReports::new(3, 3));
-    first.publish(0, CHANNEL, b"word".to_vec());
+
+    // When a report is received half a second after it was published, on a clock that is not the sender's.
+    first.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut first, SECOND / 2).unwrap();
-    // The receiver's clock may read anything.
     let clock = 500 * SECOND;
     let received = second.apply_gossip(clock, 3, |_| true, &sent).unwrap();
+
+    // Then it has this age.
     assert!((SECOND / 2..SECOND).contains(&received[0].age), "{received:?}");
-    let passed_on = next_datagram(&mut second, clock + 2 * SECOND).unwrap();
-    let received = third.apply_gossip(0, 3, |_| true, &passed_on).unwrap();
+
+    // When it is forwarded two seconds later, then it is older by these.
+    let forwarded = next_datagram(&mut second, clock + 2 * SECOND).unwrap();
+    let received = third.apply_gossip(0, 3, |_| true, &forwarded).unwrap();
     assert!((5 * SECOND / 2..3 * SECOND).contains(&received[0].age), "{received:?}");
+
+    // When its lifetime is over, then it is not forwarded any more.
     let lifetime = GossipReports::interval(3) * LIFETIME_INTERVALS;
-    assert_eq!(next_datagram(&mut third, lifetime), None, "it has expired, and is not passed on");
+    assert_eq!(next_datagram(&mut third, lifetime), None, "it has expired, and is not forwarded");
 }
 
 #[test]
 fn a_report_of_no_member_is_not_kept() {
     let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(4, 4));
-    sender.publish(0, CHANNEL, b"word".to_vec());
+    sender.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut sender, SECOND / 2).unwrap();
     let received = receiver.apply_gossip(0, 3, |origin| origin != 1, &sent).unwrap();
     assert!(received.is_empty());
@@ -110,12 +119,19 @@
     assert!(next_datagram(&mut sender, 0).is_none());
 }
 
+/// A datagram with one report.
+fn valid_datagram() -> Vec<u8> {
+    let mut sender = GossipReports::new(1, 1);
+    sender.publish(0, 1, vec![7; 300]);
+    next_datagram(&mut sender, 0).unwrap()
+}
+
 #[test]
-fn noise_changes_nothing() {
+fn kept_reports_are_bounded_whatever_is_received() {
     let mut rng = fastrand::Rng::with_seed(9);
-    let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(2, 2));
-    sender.publish(0, 1, vec![7; 300]);
-    let valid = next_datagram(&mut sender, 0).unwrap();
+    let mut receiver = GossipReports::new(2, 2);
+    let valid = valid_datagram();
+
     for _ in 0..20_000 {
         let mut bytes = valid.clone();
         for _ in 0..rng.usize(1..4) {
@@ -126,21 +142,29 @@
         let is_member = rng.bool();
         let _ = receiver.apply_gossip(0, 2, |_| is_member, &bytes);
     }
+
     assert!(receiver.len() <= MAX_REPORTS);
+}
+
+#[test]
+fn malformed_datagrams_change_nothing() {
+    let valid = valid_datagram();
     let mut receiver = GossipReports::new(3, 3);
+
     for length in 1..valid.len() {
         let result = receiver.apply_gossip(0, 2, |_| true, &valid[..length]);
         assert!(result.is_err(), "{length} bytes of it");
     }
+
     assert!(receiver.is_empty());
 }
 
 #[test]
-fn reports_are_bounded() {
+fn reports_of_many_members_are_bounded() {
     let mut receiver = GossipReports::new(9, 2);
     receiver.publish(0, 1, b"own".to_vec());
-    for n in 0..20_000u64 {
-        let mut sender = GossipReports::new(n + 10, 1);
+    for origin in 10..20_010u64 {
+        let mut sender = GossipReports::new(origin, 1);
         sender.publish(0, 1, b"x".to_vec());
         let bytes = next_datagram(&mut sender, 0).unwrap();
         receiver.apply_gossip(0, 2, |_| true, &bytes).unwrap();
--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -1,22 +1,24 @@
-//! Datagrams among proxies: what is forged, truncated, repeated, late or too much is dropped.
+//! Datagrams among proxies: those that are forged, truncated, replayed, late or beyond the rate are dropped.
 
 mod common;
 
 use birchreach_peer_state::datagram::{
-    DatagramCodec, DatagramError, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, REPLAY_WINDOW,
+    DatagramCodec, DatagramError, MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, OpenedDatagram, REPLAY_WINDOW,
 };
-use birchreach_peer_state::frame::Keys;
+use birchreach_peer_state::frame::{Key, Keys};
 use common::SECOND;
 
 fn codec(secret: u8, incarnation: u64) -> DatagramCodec {
-    DatagramCodec::new(Keys::new(vec![(1, vec![secret; 16])]).unwrap(), incarnation)
+    let key = Key { number: 1, secret: vec![secret; 16] };
+    DatagramCodec::new(Keys::new(vec![key]).unwrap(), incarnation)
 }
 
 #[test]
 fn datagrams_are_accepted_once_and_complete() {
     let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
-    let sent: Vec<Vec<u8>> = (0..200u32).map(|n| sender.seal(&n.to_be_bytes()).unwrap()).collect();
-    assert_eq!(receiver.open(0, &sent[0]), Ok((7, &0u32.to_be_bytes()[..])));
+    let sent: Vec<Vec<u8>> = (0..200u32).map(|number| sender.seal(&number.to_be_bytes()).unwrap()).collect();
+    let first = OpenedDatagram { sender_incarnation: 7, payload: &0u32.to_be_bytes() };
+    assert_eq!(receiver.open(0, &sent[0]), Ok(first));
     assert_eq!(receiver.open(0, &sent[0]), Err(DatagramError::Replayed));
     // In another order, but not from too far back.
     assert!(receiver.open(0, &sent[90]).is_ok() && receiver.open(0, &sent[50]).is_ok());
@@ -35,7 +37,7 @@
     let forged = codec(2, 7).seal(b"x").unwrap();
     assert_eq!(receiver.open(0, &forged), Err(DatagramError::WrongCode));
     assert_eq!(receiver.open(0, &[b'b'; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Malformed));
-    assert!(receiver.open(0, unused).is_ok(), "none of that has used it up");
+    assert!(receiver.open(0, unused).is_ok(), "none of that has used its sequence number");
 }
 
 #[test]
@@ -47,11 +49,11 @@
 }
 
 #[test]
-fn a_flood_of_valid_datagrams_is_limited() {
+fn the_rate_of_valid_datagrams_is_limited() {
     let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
-    let accepted = (0..10_000).filter(|_| receiver.open(0, &sender.seal(b"flood").unwrap()).is_ok()).count();
+    let accepted = (0..10_000).filter(|_| receiver.open(0, &sender.seal(b"burst").unwrap()).is_ok()).count();
     assert_eq!(accepted, 400);
-    // Another sender is not affected, and the flood's sender is accepted again a second later.
-    assert!(receiver.open(0, &codec(1, 9).seal(b"well").unwrap()).is_ok());
+    // Another sender is not affected, and the limited one is accepted again a second later.
+    assert!(receiver.open(0, &codec(1, 9).seal(b"next").unwrap()).is_ok());
     assert!(receiver.open(SECOND, &sender.seal(b"later").unwrap()).is_ok());
 }
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -1,8 +1,8 @@
 //! Bytes that proxies send each other and that rest in a file, recorded from the release before: they are read as they were, and
 //! the same are written again. `recorded/bytes.txt` holds them, a name and its bytes in hexadecimal on each line.
 
-use birchreach_peer_state::datagram::DatagramCodec;
-use birchreach_peer_state::frame::{Keys, Side};
+use birchreach_peer_state::datagram::{DatagramCodec, OpenedDatagram};
+use birchreach_peer_state::frame::{Key, Keys, Side};
 use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange};
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
 use birchreach_peer_state::{
@@ -14,7 +14,9 @@
 const PROVIDER_NONCE: [u8; 16] = [2; 16];
 
 fn keys() -> Keys {
-    Keys::new(vec![(7, b"a secret of the recorded bytes".to_vec()), (9, vec![5; 16])]).unwrap()
+    let first = Key { number: 7, secret: b"a secret of the recorded bytes".to_vec() };
+    let second = Key { number: 9, secret: vec![5; 16] };
+    Keys::new(vec![first, second]).unwrap()
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -63,22 +65,22 @@
     );
     assert_eq!(seen.observer, 0x0102_0304_0506_0708);
     assert_eq!(
-        primary.position.map(|s| (s.value, s.source)),
+        primary.position.map(|seen| (seen.value, seen.source)),
         Some((99 * SECOND, ObservationSource::LoadReport))
     );
-    assert_eq!(primary.suspect.map(|s| s.value), Some(false));
+    assert_eq!(primary.suspect.map(|seen| seen.value), Some(false));
     let replica = receiver.facts("replica-1").unwrap();
     assert_eq!(
-        (replica.position.map(|s| s.value), replica.lag.map(|s| s.value)),
+        (replica.position.map(|seen| seen.value), replica.lag.map(|seen| seen.value)),
         (Some(-3), Some(7_000_001))
     );
     assert_eq!(
-        replica.replica.map(|s| (s.age(200 * SECOND), s.source)),
+        replica.replica.map(|seen| (seen.age(200 * SECOND), seen.source)),
         Some((12 * SECOND + age, ObservationSource::EndpointList))
     );
-    assert_eq!(replica.suspect.map(|s| s.value), Some(true));
+    assert_eq!(replica.suspect.map(|seen| seen.value), Some(true));
     assert_eq!(
-        (replica.latency.map(|s| s.value), replica.slow_start_permille.map(|s| s.value)),
+        (replica.latency.map(|seen| seen.value), replica.slow_start_permille.map(|seen| seen.value)),
         (Some(12_345), Some(250))
     );
     assert_eq!(receiver.facts("unknown"), None);
@@ -165,7 +167,8 @@
     let mut receiver = DatagramCodec::new(keys(), 1);
     for (name, payload) in [("datagram-1", &b"payload"[..]), ("datagram-2", &[])] {
         assert_recorded(name, &sender.seal(payload).unwrap());
-        assert_eq!(receiver.open(0, &recorded(name)), Ok((0x1112_1314_1516_1718, payload)), "{name}");
+        let opened = OpenedDatagram { sender_incarnation: 0x1112_1314_1516_1718, payload };
+        assert_eq!(receiver.open(0, &recorded(name)), Ok(opened), "{name}");
     }
 }
 
--- a/proxy/src/config/key_file.rs
+++ b/proxy/src/config/key_file.rs
@@ -3,7 +3,7 @@
 use super::HEX_RADIX;
 use super::error::{ConfigFault, FaultKind};
 use birchreach_peer_state::KeysError;
-use birchreach_peer_state::frame::Keys;
+use birchreach_peer_state::frame::{Key, Keys};
 use std::error::Error;
 use std::fmt::{self, Display};
 use std::io;
@@ -68,11 +68,11 @@
 }
 
 /// A key's number and its secret.
-fn parse_key(line: &str) -> Result<(u32, Vec<u8>), KeyFileError> {
+fn parse_key(line: &str) -> Result<Key, KeyFileError> {
     let (number, secret) = line.trim().split_once(' ').ok_or(KeyFileError::MissingSecret)?;
     let number = number.parse().map_err(|_| KeyFileError::InvalidNumber)?;
     let secret = parse_secret(secret.trim()).ok_or(KeyFileError::InvalidSecret)?;
-    Ok((number, secret))
+    Ok(Key { number, secret })
 }
 
 /// The bytes of a secret; none if the digits are not pairs of hexadecimal ones.
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Direction, DropReason};
 use birchreach::Micros;
 use birchreach_membership::PayloadError;
-use birchreach_peer_state::datagram::MAX_DATAGRAM_BYTES;
+use birchreach_peer_state::datagram::{MAX_DATAGRAM_BYTES, OpenedDatagram};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
@@ -37,7 +37,7 @@
     }
 
     fn receive(&mut self, now: Micros, bytes: &[u8]) {
-        let (sender, payload) = match self.datagrams.open(now, bytes) {
+        let OpenedDatagram { sender_incarnation: sender, payload } = match self.datagrams.open(now, bytes) {
             Err(error) => return self.metrics.count_dropped(DropReason::Datagram(error)),
             Ok(opened) => opened,
         };
@@ -62,15 +62,15 @@
     /// Sends what is to be sent, and logs what has changed.
     pub(super) fn flush(&mut self, now: Micros) {
         loop {
-            let Some((to, payload)) = self.membership.borrow_mut().next_payload() else { break };
-            self.send(to, MEMBERSHIP_CHANNEL, &payload);
+            let Some(outgoing) = self.membership.borrow_mut().next_payload() else { break };
+            self.send(outgoing.recipient, MEMBERSHIP_CHANNEL, &outgoing.payload);
         }
         let members: Vec<SocketAddr> =
             self.membership.borrow().members().map(|member| member.address).collect();
         if !self.left
-            && let Some((to, payload)) = self.gossip_reports.encode_gossip(now, &members)
+            && let Some(outgoing) = self.gossip_reports.encode_gossip(now, &members)
         {
-            self.send(to, REPORTS_CHANNEL, &payload);
+            self.send(outgoing.recipient, REPORTS_CHANNEL, &outgoing.payload);
         }
         let changes = self.membership.borrow_mut().take_changes();
         for change in changes {
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -1,7 +1,7 @@
 //! One comparison: the answer that a client got from the parent against both children's. If a child differs, it and the parent are
 //! sampled, and again after a delay, before the difference is confirmed.
 
-use crate::judge::{Outcome, ParentSample, PositionSample, Row, judge};
+use crate::judge::{Outcome, ParentSample, PositionSample, RowDigest, judge};
 use crate::query::{Child, ComparisonQuery, QueryResult};
 use crate::{DifferenceKind, Micros};
 use birchreach_fault_injection::fault_injected;
@@ -11,7 +11,7 @@
 /// The delay before a retry grows by this with each of them.
 const RETRY_STEP_MICROS: Micros = 300_000;
 
-/// The processes of the databases that were sampled.
+/// The processes of the two databases that were sampled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SampledProcesses {
     child: u64,
@@ -26,7 +26,7 @@
     process: u64,
 }
 
-/// What the comparison waits for.
+/// Which result the comparison waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonStage {
     /// The owner's first answer.
@@ -52,6 +52,7 @@
 }
 
 impl Difference {
+    /// How the child differs.
     pub(crate) fn kind(&self) -> DifferenceKind {
         match self.child {
             Child::Other => DifferenceKind::Extra,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The other child agrees if it has no row, whatever the parent has, and at no time may it have one.
+    /// What the samples prove. The other child agrees if it has no row, whatever the parent has; it may have one at no time.
     fn outcome(&self) -> Outcome {
         match self.child {
             Child::Owner => judge(self.parent, self.sample),
@@ -73,6 +74,7 @@
 /// How a comparison ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonEnd {
+    /// No child differs.
     Agrees,
     /// The child was behind the parent's row each time.
     Lagging,
@@ -80,16 +82,19 @@
     Inconclusive,
     /// A database gave no answer that suffices.
     Unanswered,
+    /// A difference persisted.
     Confirmed(Difference),
 }
 
+/// A comparison in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Comparison {
+    /// The class of the read, by the caller's number.
     pub(crate) class: u16,
     pub(crate) key_hash: u32,
     pub(crate) key_bytes: Vec<u8>,
     /// The answer that the client got from the parent.
-    parent_row: Row,
+    parent_row: RowDigest,
     stage: ComparisonStage,
     /// The query is sent and has no result yet.
     pub(crate) query_in_flight: bool,
@@ -102,12 +107,13 @@
 }
 
 impl Comparison {
+    /// A comparison of a row that a client got from the parent.
     pub(crate) fn new(
         now: Micros,
         class: u16,
         key_hash: u32,
         key_bytes: &[u8],
-        parent_row: Row,
+        parent_row: RowDigest,
     ) -> Comparison {
         Comparison {
             class,
@@ -123,6 +129,7 @@
         }
     }
 
+    /// The query whose result the comparison waits for.
     pub(crate) fn query(&self) -> ComparisonQuery {
         match self.stage {
             ComparisonStage::ReadOwner => ComparisonQuery::SingleRead(Child::Owner),
@@ -133,7 +140,8 @@
         }
     }
 
-    /// Takes the result of the query. `confirmation_delay` is how long a difference has to persist.
+    /// Takes the result of the query; how the comparison ended, if it did. `confirmation_delay` is how long a difference has to
+    /// persist.
     pub(crate) fn record_result(
         &mut self,
         now: Micros,
@@ -168,11 +176,13 @@
         }
     }
 
+    /// Goes on with another stage, whose query is due at once.
     fn proceed(&mut self, stage: ComparisonStage) -> Option<ComparisonEnd> {
         self.stage = stage;
         None
     }
 
+    /// Decides by what two samples prove.
     fn compare_samples(
         &mut self,
         now: Micros,
@@ -189,8 +199,8 @@
         }
     }
 
-    /// A difference is confirmed if it was found before, long enough ago, in the same child and by the same processes: what lies between
-    /// a restart or a failover may be another state of the database.
+    /// A difference is confirmed if it was found before, long enough ago, in the same child and by the same processes: after a
+    /// restart or a failover the database may have another state.
     fn confirm(&mut self, found: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
         let is_same_child = |first: &Difference| first.child == found.child;
         let is_same_process = |first: &Difference| first.processes == found.processes;
@@ -207,6 +217,7 @@
         self.await_confirmation(found, confirmation_delay)
     }
 
+    /// Samples the child again once the difference has had the time to persist; ends after the last retry.
     fn await_confirmation(&mut self, first: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
         self.retries += 1;
         self.stage = ComparisonStage::AwaitConfirmation(first.child);
--- a/shard-split/src/query.rs
+++ b/shard-split/src/query.rs
@@ -1,7 +1,7 @@
-//! What a comparison needs to know of the databases, and what they answered.
+//! The queries of a comparison to the databases, and their results.
 
 use crate::Micros;
-use crate::judge::{ParentSample, PositionSample, Row};
+use crate::judge::{ParentSample, PositionSample, RowDigest};
 
 /// One of the two children, as a key sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -12,7 +12,7 @@
     Other,
 }
 
-/// What a comparison needs to know next.
+/// The next query of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ComparisonQuery {
     /// One read of a child.
@@ -29,7 +29,7 @@
     /// Of [`ComparisonQuery::SingleRead`].
     SingleRead {
         /// What the read gave.
-        row: Row,
+        row: RowDigest,
         /// The position that came with it, if any.
         position: Option<Micros>,
     },
@@ -60,6 +60,6 @@
     pub query: ComparisonQuery,
     /// The key to be read.
     pub key_bytes: Vec<u8>,
-    /// The group to be asked.
+    /// The group to be queried.
     pub group: u32,
 }
