--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -2,9 +2,9 @@
 
 use super::{CopyOutcome, Metrics};
 use crate::hot::CopyReadCounts;
-use birchreach_background_tasks::Counts as TaskCounts;
+use birchreach_background_tasks::TaskCounts;
 use birchreach_hot_keys::{HotKeyTracker, Settings};
-use birchreach_shard_split::{Counts as ComparisonCounts, Verdict};
+use birchreach_shard_split::{ComparisonCounts, Verdict};
 
 /// A tracker that knows no hot key.
 fn tracker() -> HotKeyTracker {
