--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -30,12 +30,15 @@
 }
 
 impl MissRates {
+    /// Whether reads that fall back on the primary mostly meet their objective.
     pub(super) fn is_fallback_served_well(&self) -> bool {
         self.fallback_miss_rate < LOW_MISS_RATE
     }
 }
 
 impl Router {
+    /// A request arrives: it is dispatched, or rejected if its group sheds load. One whose id is pending is
+    /// ignored.
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.pending.contains_key(&request.id) {
             return;
@@ -57,6 +60,7 @@
         }
     }
 
+    /// The state of a new request.
     fn pending_request(&mut self, request: Request) -> PendingRequest {
         let class = &self.settings.classes[request.class.index()];
         let timeout = request.timeout.max(0);
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -12,6 +12,7 @@
 const MAX_RETRY_BACKOFF_DOUBLINGS: u16 = 4;
 
 impl Router {
+    /// An attempt ended. The result of one that is unknown, or whose server is, is ignored.
     pub(super) fn on_attempt_completed(&mut self, result: AttemptResult, actions: &mut Vec<Action>) {
         let key = AttemptKey { request: result.request, attempt: result.attempt };
         let Some(attempt) = self.in_flight.remove(&key) else { return };
@@ -31,6 +32,7 @@
         self.retry_queued(group, actions);
     }
 
+    /// Updates the server's own state: attempts in flight, signs of life, refused connections.
     fn update_server(&mut self, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         if !attempt.released {
@@ -48,6 +50,8 @@
         }
     }
 
+    /// Updates the latency estimates of the class, by an answer or by a timeout that was not presumed lost
+    /// before.
     fn update_latency(&mut self, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         let timed_out = outcome == AttemptOutcome::Timeout && !attempt.released;
         if outcome == AttemptOutcome::Ok || timed_out {
@@ -69,6 +73,8 @@
         }
     }
 
+    /// Counts the outcome for or against the server, and ejects it where the outcome alone is reason
+    /// enough.
     fn update_outlier_detection(&mut self, id: ServerId, outcome: AttemptOutcome, actions: &mut Vec<Action>) {
         match outcome {
             AttemptOutcome::Ok | AttemptOutcome::Ineligible => self.record_sign_of_life(id, false, actions),
@@ -85,6 +91,7 @@
         }
     }
 
+    /// Updates the pending request: attempts in flight and what may have run. A served request is finished.
     fn update_request(
         &mut self,
         attempt: &InFlightAttempt,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -30,6 +30,7 @@
         selected.is_some()
     }
 
+    /// Sends the next attempt of a queued or new request to this server.
     fn send(&mut self, request_id: RequestId, server_id: ServerId, actions: &mut Vec<Action>) {
         self.dequeue(request_id);
         let Some(server) = self.servers.get(&server_id) else { return };
@@ -84,6 +85,7 @@
         }
     }
 
+    /// The earliest attempt, in flight or completed, that may have run.
     fn first_possible_execution(&self, request: &PendingRequest) -> Option<PossibleExecution> {
         let in_flight = self
             .attempts_of(request)
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -42,6 +42,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// The limit of a server of which nothing is known.
     pub(super) fn new() -> Self {
         ConcurrencyLimit {
             in_flight_count: 0,
@@ -52,6 +53,7 @@
         }
     }
 
+    /// A new process starts with half the initial limit. Attempts in flight are still counted.
     pub(super) fn reset_for_new_process(&mut self) {
         let limit = INITIAL_CONCURRENCY_LIMIT / 2.0;
         *self = ConcurrencyLimit { in_flight_count: self.in_flight_count, limit, ..ConcurrencyLimit::new() };
@@ -80,6 +82,7 @@
         f64::from(self.in_flight_count + 1) <= allowed && now >= self.resume_at
     }
 
+    /// Adapts the limit to an attempt that ended. Outcomes that say nothing of the load change nothing.
     fn adjust(&mut self, sample: LimitSample, now: Micros, proxy_count: u32) {
         let latency_ratio = sample.latency as f64 / sample.latency_objective.max(1) as f64;
         match sample.outcome {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -29,6 +29,7 @@
         &self.listed
     }
 
+    /// Whether the entry has another start time than the one before.
     fn shows_new_process(&self, endpoint: &Endpoint) -> bool {
         endpoint.started_at.is_some() && self.listed.started_at != endpoint.started_at
     }
@@ -66,6 +67,7 @@
 }
 
 impl Router {
+    /// Applies a complete endpoint list, or changes of it.
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
         if list.complete {
             self.mark_unlisted_removed(&list.endpoints);
@@ -78,6 +80,7 @@
         self.ready_count = ready_count.max(1);
     }
 
+    /// A complete list removes the servers that it does not name.
     fn mark_unlisted_removed(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         let unlisted = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
@@ -86,6 +89,7 @@
         }
     }
 
+    /// Applies an entry of the list. A new start time shows that a new process runs there.
     fn apply_endpoint(&mut self, endpoint: Endpoint) {
         let id = endpoint.server;
         let slow_start = SlowStart::new(self.rng.f64(), self.now);
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -16,10 +16,12 @@
         self.in_flight
     }
 
+    /// The last check failed.
     pub(super) fn has_failed(&self) -> bool {
         self.failed_at.is_some()
     }
 
+    /// The last check failed, at this time or later.
     pub(super) fn has_failed_since(&self, at: Micros) -> bool {
         self.failed_at >= Some(at)
     }
@@ -32,6 +34,7 @@
 }
 
 impl Router {
+    /// Requests a health check, unless one is in flight.
     pub(super) fn start_health_check(&mut self, id: ServerId, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         if !std::mem::replace(&mut server.health_check.in_flight, true) {
@@ -39,6 +42,7 @@
         }
     }
 
+    /// A health check ended; queued requests may profit from what it reports.
     pub(super) fn on_health_check_completed(
         &mut self,
         id: ServerId,
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -91,10 +91,12 @@
         self.newest_answered_sent_at = self.newest_answered_sent_at.max(Some(sent_at));
     }
 
+    /// Whether it has not responded since this time.
     pub(super) fn is_silent_since(&self, at: Micros) -> bool {
         self.last_response_at < Some(at)
     }
 
+    /// Whether an attempt that was sent after this time has been answered.
     pub(super) fn answered_attempt_sent_after(&self, sent_at: Micros) -> bool {
         self.newest_answered_sent_at > Some(sent_at)
     }
@@ -111,7 +113,8 @@
         !std::mem::replace(&mut self.ejected, true)
     }
 
-    /// Returns whether the server is to be ejected.
+    /// Counts an outcome in the failure rate, by which an ejected server may be restored. Returns whether the server is to
+    /// be ejected.
     fn record_outcome(&mut self, failed: bool, now: Micros) -> bool {
         update_mean(&mut self.failure_rate, f64::from(failed), RECENT_SAMPLE_WEIGHT);
         if failed && self.failure_rate > EJECTION_FAILURE_RATE {
@@ -129,6 +132,7 @@
 }
 
 impl Router {
+    /// Ejects a server for this reason; logs it if it was not ejected before.
     pub(super) fn eject(&mut self, id: ServerId, reason: EjectionReason, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let newly_ejected = server.outlier.eject(reason, self.now, self.settings.proxy_count);
@@ -149,6 +153,7 @@
         self.record_outcome(id, failed, actions);
     }
 
+    /// Counts an outcome in the failure rate; ejects the server if that is too high.
     pub(super) fn record_outcome(&mut self, id: ServerId, failed: bool, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         if server.outlier.record_outcome(failed, self.now) {
--- a/src/policy/overdue_attempts.rs
+++ b/src/policy/overdue_attempts.rs
@@ -21,6 +21,8 @@
 }
 
 impl Router {
+    /// Assesses the overdue attempts of a request, and sends a hedged request or cancels what is to be
+    /// replaced.
     pub(super) fn handle_overdue_attempts(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get(&request_id) else { return };
         let (class, useful_until) = (request.class, request.useful_until);
@@ -47,6 +49,7 @@
         self.schedule_wake(request_id, useful_until.min(self.now + recheck_after));
     }
 
+    /// The attempts of the request that were sent so long ago.
     fn overdue_attempts(&self, request: &PendingRequest, overdue_after: Micros) -> Vec<AttemptKey> {
         let request_id = request.queue_position.request;
         let keys = request.in_flight_attempts.iter();
@@ -58,6 +61,8 @@
         keys.filter(is_overdue).collect()
     }
 
+    /// Decides about one overdue attempt. May eject its server, request a health check, or presume the
+    /// attempt lost.
     fn assess_overdue_attempt(
         &mut self,
         key: AttemptKey,
--- a/src/policy/position_queries.rs
+++ b/src/policy/position_queries.rs
@@ -37,12 +37,14 @@
         true
     }
 
+    /// Whether the read still waits for the position that was queried last.
     fn is_query_in_flight(&self, request: &PendingRequest) -> bool {
         let last_queried = request.queried_servers.last().and_then(|id| self.servers.get(id));
         let is_in_flight = last_queried.is_some_and(|server| server.health_check.is_in_flight());
         request.query_until > Some(self.now) && is_in_flight
     }
 
+    /// Whether a position query can succeed, and is of use.
     fn health_checks_report_position(&self) -> bool {
         self.settings.health_checks_allowed
             && self.settings.load_reports_have_position
--- a/src/policy/replication.rs
+++ b/src/policy/replication.rs
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Records a role that the server had at this time.
     fn record_role(&mut self, role: Role, confirmed_at: Micros) {
         let last_confirmed_at = match role {
             Role::Primary => &mut self.primary_confirmed_at,
--- a/src/policy/required_position.rs
+++ b/src/policy/required_position.rs
@@ -18,11 +18,13 @@
 }
 
 impl SessionPositions {
+    /// The position of a session's last write; for an unknown session, that of the evicted ones.
     fn get(&self, session: Option<SessionId>) -> Option<Micros> {
         let position = session.and_then(|session| self.by_session.get(&session).copied());
         position.or(self.evicted)
     }
 
+    /// Records a write of a session. With too many sessions all are evicted.
     fn record(&mut self, session: SessionId, commit_position: Micros) {
         let newest = self.by_session.entry(session).or_insert(commit_position);
         *newest = commit_position.max(*newest);
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -16,6 +16,7 @@
         RetryBudget { tokens: RETRY_BUDGET_MAX_TOKENS / 2.0 / f64::from(proxy_count) }
     }
 
+    /// Adds the tokens that a request earns.
     pub(super) fn record_request(&mut self, proxy_count: u32) {
         let capacity = (RETRY_BUDGET_MAX_TOKENS / f64::from(proxy_count)).max(1.0);
         self.tokens = (self.tokens + RETRY_TOKENS_PER_REQUEST).min(capacity);
--- a/src/policy/server_selection.rs
+++ b/src/policy/server_selection.rs
@@ -104,11 +104,13 @@
         lowest.map(|rank| rank.server)
     }
 
+    /// The least staleness bound of all classes.
     fn min_bounded_staleness(&self) -> Micros {
         let bounds = self.settings.classes.iter().filter_map(|class| class.consistency.max_staleness());
         bounds.min().unwrap_or(Micros::MAX)
     }
 
+    /// The servers that can answer the read; none if the group is unknown.
     fn read_candidates(&self, request: &PendingRequest) -> Option<ReadCandidates> {
         let primary = self.primary(request.group);
         let members = &self.groups.get(&request.group)?.members;
@@ -124,6 +126,7 @@
         Some(ReadCandidates { primary, replicas, fresh, required })
     }
 
+    /// The least loaded of the servers that are fresh enough.
     fn select_fresh_replica(
         &mut self,
         request: &PendingRequest,
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -23,6 +23,7 @@
 }
 
 impl Server {
+    /// A server that has just been listed.
     pub fn new(endpoint: EndpointStatus, slow_start: SlowStart) -> Self {
         Server {
             endpoint,
@@ -53,6 +54,7 @@
 }
 
 impl Group {
+    /// It has no members, and no request waits in it.
     pub fn is_unused(&self) -> bool {
         self.members.is_empty() && self.queued.is_empty()
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -26,10 +26,12 @@
 }
 
 impl SlowStart {
+    /// A budget with this many tokens.
     pub(super) fn new(tokens: f64, now: Micros) -> Self {
         SlowStart { tokens, updated_at: now, connection_refused_at: None }
     }
 
+    /// A new process has the initial budget.
     pub(super) fn reset_for_new_process(&mut self, initial: SlowStart) {
         self.tokens = initial.tokens;
         self.updated_at = initial.updated_at;
@@ -40,6 +42,7 @@
         self.connection_refused_at = self.connection_refused_at.filter(|at| *at <= sent_at);
     }
 
+    /// A connection was refused: no process was running at this time.
     fn record_refused_connection(&mut self, initial_tokens: f64, now: Micros) {
         self.connection_refused_at = Some(now);
         self.set_tokens(self.tokens.min(initial_tokens), now);
@@ -79,6 +82,7 @@
         ServedThroughput { answers: 0.0, window_started_at: now, baseline: 0.0 }
     }
 
+    /// Counts an answer, and starts a new window when the present one is over.
     fn record(&mut self, is_answer: bool, now: Micros, ready_count: usize, window: Micros) {
         if now - self.window_started_at >= window {
             let answers_per_server = self.answers / ready_count as f64;
@@ -103,6 +107,7 @@
 }
 
 impl Router {
+    /// Fraction of its capacity that the server has for certain at this time.
     fn capacity_fraction(&self, server: &Server, at: Micros) -> f64 {
         let started_at = server.endpoint.listed().started_at;
         server.slow_start.capacity_fraction(started_at, at, &self.settings)
@@ -144,6 +149,7 @@
         }
     }
 
+    /// Counts an answer for the throughput that servers give this proxy.
     pub(super) fn record_throughput(&mut self, outcome: AttemptOutcome) {
         let is_answer = outcome == AttemptOutcome::Ok;
         self.throughput.record(is_answer, self.now, self.ready_count, self.settings.slow_start_window);
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -28,6 +28,7 @@
 }
 
 impl WakeSchedule {
+    /// Removes the wake of a request at this time.
     pub(super) fn cancel(&mut self, request: RequestId, at: Micros) {
         self.wakes.remove(&Wake { at, request });
     }
@@ -36,6 +37,7 @@
         self.wakes.insert(Wake { at, request });
     }
 
+    /// Removes and returns the first request that is due.
     fn pop_due(&mut self, now: Micros) -> Option<RequestId> {
         self.wakes.first().filter(|wake| wake.at <= now)?;
         self.wakes.pop_first().map(|wake| wake.request)
@@ -55,6 +57,7 @@
         request.next_wake = at;
     }
 
+    /// The timer expired: wakes what is due.
     pub(super) fn on_timer(&mut self, actions: &mut Vec<Action>) {
         self.wakes.timer_due_at = Micros::MAX;
         while let Some(request_id) = self.wakes.pop_due(self.now) {
@@ -64,6 +67,7 @@
         actions.extend(poll.map(|_| Action::WatchEndpoints));
     }
 
+    /// Looks at a pending request: it is finished, dispatched, or its attempts in flight are assessed.
     fn on_wake(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get_mut(&request_id) else { return };
         if self.now >= request.useful_until {
