--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -113,8 +113,8 @@
         !std::mem::replace(&mut self.ejected, true)
     }
 
-    /// Counts an outcome in the failure rate, by which an ejected server may be restored. Returns whether the server is to
-    /// be ejected.
+    /// Counts an outcome in the failure rate, by which an ejected server may be restored. Returns whether the
+    /// server is to be ejected.
     fn record_outcome(&mut self, failed: bool, now: Micros) -> bool {
         update_mean(&mut self.failure_rate, f64::from(failed), RECENT_SAMPLE_WEIGHT);
         if failed && self.failure_rate > EJECTION_FAILURE_RATE {
