--- a/health/src/agent.rs
+++ b/health/src/agent.rs
@@ -4,9 +4,9 @@
 //! A query that names something unknown is answered with `down`, so that a mistake in the balancer's configuration
 //! doesn't read as healthy.
 
+use crate::labels::Reason;
 use crate::query::{HealthQuery, QueryError};
 use crate::verdict::{Capability, Verdict};
-use crate::words::Reason;
 
 /// The longest line that is read.
 const MAX_LINE_BYTES: usize = 256;
@@ -17,7 +17,9 @@
 /// A balancer's connection.
 #[derive(Default)]
 pub struct AgentCheckConnection {
+    /// The line as far as it was received.
     line: Vec<u8>,
+    /// The query was returned; further input is ignored.
     finished: bool,
 }
 
@@ -46,7 +48,7 @@
     }
 }
 
-/// The reply to a query. `max_connections`: how many connections the balancer may open here, if that is to be told.
+/// The reply to a query. `max_connections`: how many connections the balancer may open here, if the reply is to say so.
 pub fn reply(query: &ParsedQuery, verdict: &Verdict, max_connections: Option<usize>) -> String {
     let capability = match query {
         Err(error) => return format!("ready down #{error}\n"),
--- a/health/src/event.rs
+++ b/health/src/event.rs
@@ -1,4 +1,4 @@
-//! What the monitor is told: the events, and how attempts and probes ended.
+//! The monitor's input: the events, and how attempts and probes ended.
 
 use crate::{GroupId, Micros, Role, ServerId};
 
--- a/health/src/evidence.rs
+++ b/health/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What attempts and probes tell of one server, and for how long it has been silent while something was in flight. What
+//! What attempts and probes show of one server, and for how long it has been silent while something was in flight. What
 //! follows for its group is decided in `group`.
 
 use crate::settings::HealthSettings;
@@ -6,11 +6,11 @@
 
 /// Connections reset in a row, without a sign of life between, after which a server counts as unreachable.
 const MAX_CONSECUTIVE_RESETS: u32 = 3;
-/// Writes timed out in a row, without one answered between, after which writes count as unanswered.
+/// Writes timed out in a row, without one answered between, after which the server counts as not responding to writes.
 const MAX_CONSECUTIVE_WRITE_TIMEOUTS: u32 = 3;
 /// With nothing in flight for this long, earlier silence no longer counts.
 const SILENCE_EXPIRES_MICROS: Micros = 5_000_000;
-/// This long after the last write that timed out, writes are tried again.
+/// This long after the last write that timed out, writes are attempted again.
 const WRITE_RETRY_MICROS: Micros = 10_000_000;
 
 /// Why a server is not expected to respond.
@@ -24,6 +24,7 @@
     WritesUnanswered,
 }
 
+/// What is known of one server from the endpoint list, from attempts and from probes.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerEvidence {
     pub group: GroupId,
@@ -34,9 +35,9 @@
     /// The role that it last reported.
     pub reported_role: Option<Role>,
     /// When it last gave a sign of life.
-    pub last_heard_at: Option<Micros>,
-    /// Something was sent to it since then.
-    pub owes_response: bool,
+    pub last_sign_of_life_at: Option<Micros>,
+    /// Something was sent to it that it has not responded to.
+    pub response_pending: bool,
     /// Attempts and probes in flight.
     in_flight: u32,
     /// Silence from times before `silent_since`.
@@ -45,21 +46,25 @@
     silent_since: Option<Micros>,
     /// When something was last in flight.
     last_in_flight_at: Micros,
+    /// It refused or reset connections and has given no sign of life since.
     unreachable: bool,
+    /// Connections reset since the last sign of life.
     consecutive_resets: u32,
+    /// Writes timed out since the last one answered.
     consecutive_write_timeouts: u32,
     last_write_timeout_at: Micros,
 }
 
 impl ServerEvidence {
+    /// A server without evidence, in a group.
     pub(crate) fn new(now: Micros, group: GroupId) -> ServerEvidence {
         ServerEvidence {
             group,
             accepts_work: true,
             listed_as_primary: None,
             reported_role: None,
-            last_heard_at: None,
-            owes_response: false,
+            last_sign_of_life_at: None,
+            response_pending: false,
             in_flight: 0,
             earlier_silence: 0,
             silent_since: None,
@@ -79,30 +84,32 @@
         }
         self.in_flight = self.in_flight.saturating_add(1);
         self.silent_since.get_or_insert(now);
-        self.owes_response = true;
+        self.response_pending = true;
         self.last_in_flight_at = now;
     }
 
+    /// It responded, or a connection to it was established.
     pub(crate) fn record_sign_of_life(&mut self, now: Micros) {
-        self.last_heard_at = Some(now);
+        self.last_sign_of_life_at = Some(now);
         self.earlier_silence = 0;
         self.unreachable = false;
         self.consecutive_resets = 0;
-        self.owes_response = self.in_flight > 0;
-        self.silent_since = self.owes_response.then_some(now);
+        self.response_pending = self.in_flight > 0;
+        self.silent_since = self.response_pending.then_some(now);
     }
 
     /// An attempt or a probe was answered, possibly with an error.
     pub(crate) fn record_answer(&mut self, now: Micros, write: bool) {
-        self.end_in_flight(now);
+        self.finish_attempt(now);
         self.record_sign_of_life(now);
         if write {
             self.consecutive_write_timeouts = 0;
         }
     }
 
+    /// An attempt or a probe timed out.
     pub(crate) fn record_timeout(&mut self, now: Micros, write: bool) {
-        self.end_in_flight(now);
+        self.finish_attempt(now);
         if write {
             self.consecutive_write_timeouts = self.consecutive_write_timeouts.saturating_add(1);
             self.last_write_timeout_at = now;
@@ -111,23 +118,26 @@
 
     /// An attempt or a probe was cancelled or never sent: no evidence, but the silence until then counts.
     pub(crate) fn record_cancelled(&mut self, now: Micros) {
-        self.end_in_flight(now);
+        self.finish_attempt(now);
     }
 
+    /// A connection was refused.
     pub(crate) fn record_refused(&mut self, now: Micros) {
-        self.end_in_flight(now);
+        self.finish_attempt(now);
         self.unreachable = true;
     }
 
+    /// A connection was reset.
     pub(crate) fn record_reset(&mut self, now: Micros) {
-        self.end_in_flight(now);
+        self.finish_attempt(now);
         self.consecutive_resets = self.consecutive_resets.saturating_add(1);
         if self.consecutive_resets >= MAX_CONSECUTIVE_RESETS {
             self.unreachable = true;
         }
     }
 
-    fn end_in_flight(&mut self, now: Micros) {
+    /// An attempt or a probe is no longer in flight; with none left, the silence stops being measured.
+    fn finish_attempt(&mut self, now: Micros) {
         self.last_in_flight_at = now;
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0
@@ -148,8 +158,8 @@
     }
 
     /// A sign of life would change what is known of it.
-    pub(crate) fn is_in_doubt(&self) -> bool {
-        self.owes_response || self.unreachable
+    pub(crate) fn awaits_sign_of_life(&self) -> bool {
+        self.response_pending || self.unreachable
     }
 
     /// What speaks against its taking writes.
--- a/health/src/group.rs
+++ b/health/src/group.rs
@@ -2,11 +2,11 @@
 
 use crate::evidence::{FailureEvidence, ServerEvidence};
 use crate::hysteresis::{Observation, ReportedCapability};
+use crate::labels::{Operation, Reason};
 use crate::read_window::{INTERVAL_MICROS, ReadWindow};
 use crate::server_table::Servers;
 use crate::settings::{HealthSettings, IdleGroupPolicy};
 use crate::verdict::Change;
-use crate::words::{Operation, Reason};
 use crate::{GroupId, Micros, Role, ServerId, earliest};
 
 /// When the verdict must be computed anew after an event.
@@ -27,6 +27,7 @@
     pub at: Micros,
 }
 
+/// The evidence about a group as a whole, and its capabilities as they are reported.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupState {
     pub write: ReportedCapability,
@@ -37,14 +38,16 @@
     pub withdrawn_for: Option<Reason>,
     /// Since when the oldest write is queued, if one is.
     pub writes_queued_since: Option<Micros>,
+    /// How its recent reads ended.
     pub reads: ReadWindow,
     /// Its servers by the endpoint list.
     pub members: Vec<ServerId>,
-    /// How many of them took work at the last update.
-    pub working_members: usize,
+    /// How many of them accepted work at the last update.
+    pub accepting_members: usize,
 }
 
 impl GroupState {
+    /// A group without servers.
     pub(crate) fn new(now: Micros) -> GroupState {
         GroupState {
             write: ReportedCapability::new(now),
@@ -54,12 +57,12 @@
             writes_queued_since: None,
             reads: ReadWindow::default(),
             members: Vec::new(),
-            working_members: 0,
+            accepting_members: 0,
         }
     }
 
-    /// The evidence about those of its servers that take work.
-    pub(crate) fn working<'a>(&'a self, servers: &'a Servers) -> impl Iterator<Item = &'a ServerEvidence> {
+    /// The evidence about those of its servers that accept work.
+    pub(crate) fn accepting<'a>(&'a self, servers: &'a Servers) -> impl Iterator<Item = &'a ServerEvidence> {
         let members = self.members.iter().filter_map(|id| servers.get(id));
         members.map(|server| &server.evidence).filter(|evidence| evidence.accepts_work)
     }
@@ -105,12 +108,13 @@
             let Observation { available, reason } = read;
             changes.push(Change::Capability { group, operation: Operation::Read, available, reason });
         }
-        // Reads withdrawn for failing are tried again once the window has moved on.
+        // Reads withdrawn for failing are attempted again once the window has moved on.
         let reads_failing = !self.read.available && read.reason == Reason::ReadsFailing;
         let reads_retried_at = reads_failing.then_some(now + INTERVAL_MICROS);
         earliest(self.next_change(now, settings), reads_retried_at)
     }
 
+    /// When a capability may change next without an event.
     fn next_change(&self, now: Micros, settings: &HealthSettings) -> Option<Micros> {
         let proof_expires_at = self.primary_proof.map(|proof| proof.at + settings.proof_window);
         let queueing_counts_at = self.writes_queued_since.map(|since| since + settings.silence_limit());
@@ -119,9 +123,10 @@
         earliest(ahead, reported)
     }
 
+    /// Whether writes are available, by the evidence of this moment.
     fn observe_writes(&self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Observation {
         if self.writes_queued_since.is_some_and(|since| now - since >= settings.silence_limit()) {
-            return Observation::unavailable(Reason::WritesHeld);
+            return Observation::unavailable(Reason::WritesQueued);
         }
         if let Some(proof) = self.primary_proof {
             return self.observe_proven_primary(now, proof, servers, settings);
@@ -132,6 +137,7 @@
         self.observe_listed_primary(now, servers, settings)
     }
 
+    /// The same, given a server that proved to be the primary.
     fn observe_proven_primary(
         &self,
         now: Micros,
@@ -142,7 +148,7 @@
         let server = servers.get(&proof.server).filter(|_| self.members.contains(&proof.server));
         let Some(evidence) = server.map(|server| &server.evidence).filter(|evidence| evidence.accepts_work)
         else {
-            return Observation::unavailable(Reason::PrimaryLeft);
+            return Observation::unavailable(Reason::PrimaryDrainingOrRemoved);
         };
         match evidence.failure(now, settings) {
             Some(failure) => Observation::unavailable(primary_failure(failure)),
@@ -151,15 +157,16 @@
         }
     }
 
+    /// The same, given the endpoint list alone.
     fn observe_listed_primary(
         &self,
         now: Micros,
         servers: &Servers,
         settings: &HealthSettings,
     ) -> Observation {
-        match self.working(servers).find(|evidence| evidence.listed_as_primary == Some(true)) {
+        match self.accepting(servers).find(|evidence| evidence.listed_as_primary == Some(true)) {
             // A list without roles doesn't prove a primary, but doesn't deny it either.
-            None if self.working(servers).any(|evidence| evidence.listed_as_primary.is_none()) => {
+            None if self.accepting(servers).any(|evidence| evidence.listed_as_primary.is_none()) => {
                 unproven(settings)
             }
             None => Observation::unavailable(Reason::NoPrimary),
@@ -173,18 +180,19 @@
         }
     }
 
+    /// Whether reads are available, by the evidence of this moment.
     fn observe_reads(&mut self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Observation {
         let failing = self.reads.is_failing(now);
-        let heard_lately = |evidence: &ServerEvidence| {
-            evidence.last_heard_at.is_some_and(|at| now - at < settings.proof_window)
+        let responded_recently = |evidence: &ServerEvidence| {
+            evidence.last_sign_of_life_at.is_some_and(|at| now - at < settings.proof_window)
         };
-        if self.working(servers).next().is_none() {
+        if self.accepting(servers).next().is_none() {
             Observation::unavailable(Reason::NoMembers)
-        } else if self.working(servers).all(|evidence| evidence.is_unusable_for_reads(now, settings)) {
-            Observation::unavailable(Reason::MembersSilent)
+        } else if self.accepting(servers).all(|evidence| evidence.is_unusable_for_reads(now, settings)) {
+            Observation::unavailable(Reason::MembersUnresponsive)
         } else if failing {
             Observation::unavailable(Reason::ReadsFailing)
-        } else if self.working(servers).any(heard_lately) {
+        } else if self.accepting(servers).any(responded_recently) {
             Observation::available(Reason::Proven)
         } else {
             Observation::available(Reason::Trusted)
@@ -200,10 +208,11 @@
     }
 }
 
+/// The reason that is reported for a failed primary.
 fn primary_failure(failure: FailureEvidence) -> Reason {
     match failure {
-        FailureEvidence::Unreachable => Reason::PrimaryGone,
-        FailureEvidence::Unresponsive => Reason::PrimarySilent,
+        FailureEvidence::Unreachable => Reason::PrimaryUnreachable,
+        FailureEvidence::Unresponsive => Reason::PrimaryUnresponsive,
         FailureEvidence::WritesUnanswered => Reason::WritesUnanswered,
     }
 }
--- a/health/src/http/report.rs
+++ b/health/src/http/report.rs
@@ -1,9 +1,9 @@
 //! The JSON bodies. Their keys are an interface to programs; the structs here map the verdict to them.
 
 use super::ServerNames;
+use crate::labels::{Reason, State};
 use crate::query::HealthQuery;
 use crate::verdict::{Capability, GroupVerdict, Verdict};
-use crate::words::{Reason, State};
 use crate::{GroupId, Micros};
 use serde::Serialize;
 
@@ -34,7 +34,7 @@
 struct GroupReport {
     group: GroupId,
     #[serde(rename = "members")]
-    working_servers: usize,
+    accepting_servers: usize,
     #[serde(rename = "primary")]
     proven_primary: Option<String>,
     proven_ms: Option<Micros>,
@@ -46,7 +46,7 @@
     fn new(now: Micros, group: &GroupVerdict, names: ServerNames) -> GroupReport {
         GroupReport {
             group: group.group,
-            working_servers: group.working_servers,
+            accepting_servers: group.accepting_servers,
             proven_primary: group.proven_primary.map(names),
             proven_ms: group.proven_at.map(|at| age_ms(now, at)),
             read: CapabilityReport::new(now, &group.read),
@@ -98,7 +98,7 @@
         in_progress: verdict.in_progress,
         queued: verdict.queued,
         client_capacity: verdict.client_capacity,
-        discovery_ms: verdict.discovery_heard_at.map(|at| age_ms(now, at)),
+        discovery_ms: verdict.discovery_responded_at.map(|at| age_ms(now, at)),
         ignored_servers: verdict.ignored_servers,
         classes: classes.collect(),
         groups: groups.collect(),
--- a/health/src/http/request.rs
+++ b/health/src/http/request.rs
@@ -3,9 +3,9 @@
 use super::ServerNames;
 use super::report::{capability_report, report};
 use super::response::{ALLOW, Response, Status};
+use crate::labels::{Operation, State};
 use crate::query::HealthQuery;
 use crate::verdict::{Capability, Verdict};
-use crate::words::{Operation, State};
 use crate::{GroupId, Micros};
 
 /// The longest request target.
--- a/health/src/hysteresis.rs
+++ b/health/src/hysteresis.rs
@@ -2,8 +2,8 @@
 //! in each state and a restore delay that grows with repeated withdrawals.
 
 use crate::Micros;
+use crate::labels::Reason;
 use crate::settings::HealthSettings;
-use crate::words::Reason;
 
 /// Withdrawals within this time of one another lengthen the restore delay.
 const REPEAT_WINDOW_MICROS: Micros = 60_000_000;
@@ -36,14 +36,16 @@
     pub since: Micros,
     /// Since when the opposite is observed.
     opposite_since: Option<Micros>,
-    /// Withdrawals in close succession, and when the last one was.
+    /// Withdrawals in close succession.
     repeated_withdrawals: u32,
+    /// When the last one was.
     withdrawn_at: Micros,
     /// The first time that it becomes available is reported without delay.
     never_available: bool,
 }
 
 impl ReportedCapability {
+    /// A capability that was never available.
     pub(crate) fn new(now: Micros) -> ReportedCapability {
         ReportedCapability {
             available: false,
@@ -96,6 +98,7 @@
         Some((opposite_since + delay).max(self.since + min_time))
     }
 
+    /// Counts a withdrawal that closely follows the last one; else starts over.
     fn count_withdrawal(&mut self, now: Micros) {
         let repeated = now - self.withdrawn_at < REPEAT_WINDOW_MICROS;
         self.repeated_withdrawals =
@@ -103,6 +106,7 @@
         self.withdrawn_at = now;
     }
 
+    /// How long the capability must be observed as available before it is restored.
     fn restore_delay(&self, settings: &HealthSettings) -> Micros {
         let doublings = self.repeated_withdrawals.saturating_sub(1).min(MAX_DOUBLINGS);
         (settings.restore_after << doublings).min(settings.restore_after_max)
--- a/health/src/words.rs
+++ b/health/src/labels.rs
@@ -1,13 +1,13 @@
-//! The closed sets of words that balancers, operators and log lines see, one table each. The variants are named after
-//! their words, so that a word from an answer can be searched for in the code.
+//! The closed sets of labels that balancers, operators and log lines see, one table each. The labels are an interface
+//! and keep their wording; the variants have the terms of the code.
 
 use serde::{Serialize, Serializer};
 use std::fmt;
 
-/// Defines an enum together with the word of each variant, which is its `Display` and its JSON form.
-macro_rules! words {
+/// Defines an enum together with the label of each variant, which is its `Display` and its JSON form.
+macro_rules! labels {
     ($(#[$doc:meta])* pub enum $type:ident {
-        $($(#[$variant_doc:meta])* $variant:ident = $word:literal,)*
+        $($(#[$variant_doc:meta])* $variant:ident = $label:literal,)*
     }) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,9 +19,9 @@
             /// All variants in their order.
             pub const ALL: &'static [$type] = &[$($type::$variant),*];
 
-            /// The word as every protocol and log line writes it.
+            /// The label as every protocol and log line writes it.
             pub fn as_str(self) -> &'static str {
-                match self { $($type::$variant => $word),* }
+                match self { $($type::$variant => $label),* }
             }
         }
 
@@ -39,7 +39,7 @@
     };
 }
 
-words! {
+labels! {
     /// The state of the proxy as a whole.
     pub enum State {
         /// It has no endpoint list yet, or waits for the process that it replaces.
@@ -53,7 +53,7 @@
         /// No group has a primary that is proven or trusted.
         NoPrimary = "no-primary",
         /// Neither discovery nor any database that was tried responds.
-        Blind = "blind",
+        Isolated = "blind",
         /// It takes no new work: it shuts down, or another process has taken over.
         Draining = "draining",
         /// An operator has taken it out of rotation.
@@ -61,7 +61,7 @@
     }
 }
 
-words! {
+labels! {
     /// Why a capability is available or not. In ascending order of severity: of several, the greatest is reported.
     pub enum Reason {
         /// A response within the proof window shows it.
@@ -77,21 +77,21 @@
         /// The endpoint list names no primary, and no server has reported to be one.
         NoPrimary = "no-primary",
         /// The primary is draining or removed, and no other has reported since.
-        PrimaryLeft = "primary-left",
+        PrimaryDrainingOrRemoved = "primary-left",
         /// The primary accepts connections but doesn't respond.
-        PrimarySilent = "primary-silent",
+        PrimaryUnresponsive = "primary-silent",
         /// The primary refuses or resets every connection.
-        PrimaryGone = "primary-gone",
+        PrimaryUnreachable = "primary-gone",
         /// The former primary reports that it is a replica.
         PrimaryDemoted = "primary-demoted",
         /// The primary responds, but not to writes.
         WritesUnanswered = "writes-unanswered",
         /// Writes are queued because no server takes them.
-        WritesHeld = "writes-held",
+        WritesQueued = "writes-held",
         /// The endpoint list names no server of the group that takes work.
         NoMembers = "no-members",
         /// No server of the group responds.
-        MembersSilent = "members-silent",
+        MembersUnresponsive = "members-silent",
         /// Nearly all reads are rejected or fail.
         ReadsFailing = "reads-failing",
         /// No group is known.
@@ -99,7 +99,7 @@
         /// The pressure is above the overload limit.
         Overloaded = "overloaded",
         /// Neither discovery nor any database that was tried responds.
-        Blind = "blind",
+        Isolated = "blind",
         /// The process shuts down.
         Draining = "draining",
         /// Another process has taken over.
@@ -109,7 +109,7 @@
     }
 }
 
-words! {
+labels! {
     /// The operation that a capability is about.
     pub enum Operation {
         /// Reads.
@@ -125,11 +125,11 @@
     pub(crate) fn is_evidence(self) -> bool {
         matches!(
             self,
-            Reason::PrimarySilent
-                | Reason::PrimaryGone
+            Reason::PrimaryUnresponsive
+                | Reason::PrimaryUnreachable
                 | Reason::PrimaryDemoted
                 | Reason::WritesUnanswered
-                | Reason::WritesHeld
+                | Reason::WritesQueued
         )
     }
 
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -1,5 +1,5 @@
 //! Decides what a proxy reports to the load balancers in front of it, without I/O or clock, and implements the
-//! connection state machines of two protocols in which balancers ask (agent-check and HTTP).
+//! connection state machines of two protocols by which balancers poll it (agent-check and HTTP).
 //!
 //! [`Monitor`] is fed [`HealthEvent`]s with their times and keeps one [`Verdict`]. The caller runs [`Monitor::update`]
 //! at [`Monitor::next_change`] and sends the probes that the monitor requests. [`query`] parses what a balancer asks
@@ -34,6 +34,7 @@
 mod group;
 pub mod http;
 mod hysteresis;
+mod labels;
 mod monitor;
 mod overall;
 mod probe_budget;
@@ -45,9 +46,9 @@
 mod settings_error;
 mod verdict;
 mod weight;
-mod words;
 
 pub use event::{HealthEvent, ProbeOutcome};
+pub use labels::{Operation, Reason, State};
 pub use monitor::Monitor;
 pub use query::HealthQuery;
 pub use settings::{
@@ -56,7 +57,6 @@
 };
 pub use settings_error::SettingsError;
 pub use verdict::{Capability, Change, GroupVerdict, Verdict};
-pub use words::{Operation, Reason, State};
 
 /// A duration, or a time on the caller's monotonic clock, in microseconds.
 pub type Micros = i64;
--- a/health/src/monitor/events.rs
+++ b/health/src/monitor/events.rs
@@ -19,7 +19,7 @@
                 self.table.remove(server);
                 self.update_by(now);
             }
-            HealthEvent::DiscoveryAnswered => self.proxy.connectivity.discovery_heard_at = Some(now),
+            HealthEvent::DiscoveryAnswered => self.proxy.connectivity.discovery_responded_at = Some(now),
             HealthEvent::RequestSent { server } => self.record_sent(now, server),
             HealthEvent::RequestEnded { server, write, outcome, role } => {
                 self.record_outcome(now, server, write, outcome);
@@ -103,7 +103,7 @@
     fn record_outcome(&mut self, now: Micros, server: ServerId, write: bool, outcome: ProbeOutcome) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         let evidence = &mut server.evidence;
-        let was_in_doubt = evidence.is_in_doubt();
+        let awaited_sign_of_life = evidence.awaits_sign_of_life();
         match outcome {
             ProbeOutcome::Answered => evidence.record_answer(now, write),
             ProbeOutcome::Unanswered => evidence.record_timeout(now, write),
@@ -117,7 +117,11 @@
             ProbeOutcome::Answered => {
                 let group_unavailable =
                     group.is_some_and(|group| !group.write.available || !group.read.available);
-                if was_in_doubt && group_unavailable { UpdateUrgency::Deferred } else { UpdateUrgency::None }
+                if awaited_sign_of_life && group_unavailable {
+                    UpdateUrgency::Deferred
+                } else {
+                    UpdateUrgency::None
+                }
             }
             ProbeOutcome::Cancelled | ProbeOutcome::NotSent => UpdateUrgency::None,
             ProbeOutcome::Unanswered | ProbeOutcome::Refused | ProbeOutcome::Reset => {
@@ -143,9 +147,9 @@
 
     fn record_sign_of_life(&mut self, now: Micros, server: ServerId) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
-        let was_in_doubt = server.evidence.is_in_doubt();
+        let awaited_sign_of_life = server.evidence.awaits_sign_of_life();
         server.evidence.record_sign_of_life(now);
-        if was_in_doubt {
+        if awaited_sign_of_life {
             self.request_update(now, UpdateUrgency::Deferred);
         }
     }
--- a/health/src/monitor/mod.rs
+++ b/health/src/monitor/mod.rs
@@ -9,15 +9,17 @@
 use crate::verdict::{Change, Verdict};
 use crate::{Micros, ServerId, earliest};
 
-/// Computes the verdict from the events that it is told, see the crate's documentation.
+/// Computes the verdict from the events that it receives, see the crate's documentation.
 pub struct Monitor {
     settings: HealthSettings,
     table: ServerTable,
     proxy: ProxyHealth,
     probes: ProbeScheduler,
     verdict: Verdict,
+    /// Changes of the verdict since they were last taken.
     changes: Vec<Change>,
     last_update_at: Micros,
+    /// When the verdict may change, or a probe is due.
     next_update_at: Micros,
 }
 
@@ -59,7 +61,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// The servers to probe now. The end of each probe must be told as [`crate::HealthEvent::ProbeEnded`].
+    /// The servers to probe now. The end of each probe must be reported as [`crate::HealthEvent::ProbeEnded`].
     pub fn take_probes(&mut self) -> Vec<ServerId> {
         self.probes.take_requested()
     }
--- a/health/src/overall.rs
+++ b/health/src/overall.rs
@@ -3,11 +3,11 @@
 use crate::connectivity::Connectivity;
 use crate::group::GroupState;
 use crate::hysteresis::{Observation, ReportedCapability};
+use crate::labels::{Reason, State};
 use crate::server_table::Servers;
 use crate::settings::{HealthSettings, OverloadPolicy, SharedCausePolicy};
 use crate::verdict::{Capability, Change, GroupVerdict, Verdict};
 use crate::weight::Weight;
-use crate::words::{Reason, State};
 use crate::{GroupId, Micros, earliest};
 use std::collections::BTreeMap;
 
@@ -17,9 +17,13 @@
 pub(crate) struct ProxyHealth {
     /// Whether an endpoint list was received.
     pub list_received: bool,
+    /// The process isn't ready before this time.
     pub ready_at: Micros,
+    /// When another process takes over, if one does.
     pub handover_at: Option<Micros>,
+    /// The graceful shutdown has begun.
     pub stopping: bool,
+    /// An operator has taken the proxy out of rotation.
     pub in_maintenance: bool,
     pub connectivity: Connectivity,
     pub weight: Weight,
@@ -28,6 +32,7 @@
 }
 
 impl ProxyHealth {
+    /// A proxy that starts now, without an endpoint list.
     pub(crate) fn new(now: Micros) -> ProxyHealth {
         ProxyHealth {
             list_received: false,
@@ -60,7 +65,7 @@
         earliest(connectivity, earliest(self.below_overload.changes_at(settings), lifecycle))
     }
 
-    /// The state that counts most, and its reason.
+    /// The most significant state that applies, and its reason.
     fn classify(&self, now: Micros, groups: &Groups) -> (State, Reason) {
         if self.in_maintenance {
             (State::Maintenance, Reason::Maintenance)
@@ -71,7 +76,7 @@
         } else if now < self.ready_at || !self.list_received {
             (State::Starting, Reason::Starting)
         } else if !self.connectivity.is_available() {
-            (State::Blind, Reason::Blind)
+            (State::Isolated, Reason::Isolated)
         } else if !self.below_overload.available {
             (State::Overloaded, Reason::Overloaded)
         } else if !groups.values().any(|group| group.write.available) {
@@ -94,7 +99,7 @@
 /// Whether a proxy in this state is to get any work.
 fn is_available(state: State, settings: &HealthSettings) -> bool {
     match state {
-        State::Maintenance | State::Draining | State::Starting | State::Blind => false,
+        State::Maintenance | State::Draining | State::Starting | State::Isolated => false,
         State::Overloaded => settings.overload == OverloadPolicy::ReduceWeight,
         State::NoPrimary => settings.shared_causes == SharedCausePolicy::StayInRotation,
         State::Degraded | State::Ready => true,
@@ -125,13 +130,14 @@
         let own_fault = (!available && state != State::NoPrimary).then_some(self.overall);
         let groups = groups.iter().map(|(&id, group)| group_verdict(id, group, percent, own_fault));
         self.groups = groups.collect();
-        self.discovery_heard_at = proxy.connectivity.discovery_heard_at;
+        self.discovery_responded_at = proxy.connectivity.discovery_responded_at;
         self.pressure = proxy.weight.pressure();
         let from = std::mem::replace(&mut self.state, state);
         (from != state).then_some(Change::State { from, to: state, reason })
     }
 }
 
+/// What is reported of a group: what was observed of it, unless a fault of the proxy itself overrides it.
 fn group_verdict(
     id: GroupId,
     group: &GroupState,
@@ -153,6 +159,6 @@
         write: capability(&group.write),
         proven_primary: group.primary_proof.map(|proof| proof.server),
         proven_at: group.primary_proof.map(|proof| proof.at),
-        working_servers: group.working_members,
+        accepting_servers: group.accepting_members,
     }
 }
--- a/health/src/probe_budget.rs
+++ b/health/src/probe_budget.rs
@@ -4,10 +4,12 @@
 use crate::{GroupId, Micros};
 use std::collections::BTreeMap;
 
-/// Probes that may be sent at once while the bucket is full.
+/// Probes that may be sent to one group at once, with a full bucket.
 const GROUP_BURST: f64 = 3.0;
+/// Probes that may be sent to all groups at once, with a full bucket.
 const TOTAL_BURST: f64 = 8.0;
 
+/// Tokens that accrue at a rate up to the burst; each probe takes one.
 #[derive(Clone, Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -19,6 +21,7 @@
         TokenBucket { tokens: burst, refilled_at: now }
     }
 
+    /// Adds the tokens that accrued since the last call.
     fn refill(&mut self, now: Micros, rate_per_s: f64, burst: f64) {
         let seconds = (now - self.refilled_at).max(0) as f64 / 1e6;
         self.tokens = (self.tokens + seconds * rate_per_s).min(burst);
@@ -26,6 +29,7 @@
     }
 }
 
+/// The token buckets of all groups.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeBudget {
     total: TokenBucket,
@@ -33,6 +37,7 @@
 }
 
 impl ProbeBudget {
+    /// A budget with full buckets.
     pub(crate) fn new(now: Micros) -> ProbeBudget {
         ProbeBudget { total: TokenBucket::full(now, TOTAL_BURST), groups: BTreeMap::new() }
     }
@@ -50,6 +55,7 @@
         true
     }
 
+    /// Drops the bucket of a group that is no longer listed.
     pub(crate) fn remove_group(&mut self, group: GroupId) {
         self.groups.remove(&group);
     }
--- a/health/src/probe_scheduler.rs
+++ b/health/src/probe_scheduler.rs
@@ -1,5 +1,5 @@
 //! Decides which servers to probe, and when: primaries that are suspected or unproven for long, and every server of a
-//! group that has lost its primary.
+//! group without an available primary.
 
 use crate::group::GroupState;
 use crate::probe_budget::ProbeBudget;
@@ -7,11 +7,12 @@
 use crate::settings::{HealthSettings, ProbeSettings};
 use crate::{GroupId, Micros, ServerId, earliest};
 
-/// A probe that hasn't ended after this many times its timeout counts as lost.
-const LOST_AFTER_TIMEOUTS: Micros = 4;
-/// With the budget spent, a probe that is due is tried again after this time.
+/// A probe that hasn't ended after this many times its timeout is no longer waited for.
+const EXPIRES_AFTER_TIMEOUTS: Micros = 4;
+/// With the budget exhausted, a probe that is due is attempted again after this time.
 const BUDGET_RETRY_MICROS: Micros = 50_000;
 
+/// The probe budget and the probes that it has granted.
 pub(crate) struct ProbeScheduler {
     budget: ProbeBudget,
     /// For the jitter that keeps proxies from probing in lockstep.
@@ -26,8 +27,8 @@
     is_primary: bool,
     /// It fails to respond.
     is_suspect: bool,
-    /// The group has lost its primary: any server may be the new one.
-    primary_lost: bool,
+    /// The group's writes are unavailable: any server may be the new primary.
+    primary_unavailable: bool,
 }
 
 impl ProbeNeed {
@@ -45,7 +46,7 @@
                 None => evidence.listed_as_primary == Some(true),
             },
             is_suspect: evidence.is_unreachable() || evidence.silence(now) >= settings.suspect_after,
-            primary_lost: !group.write.available,
+            primary_unavailable: !group.write.available,
         }
     }
 
@@ -57,7 +58,7 @@
         group: &GroupState,
         settings: &ProbeSettings,
     ) -> Option<Micros> {
-        if self.primary_lost || (self.is_primary && self.is_suspect) {
+        if self.primary_unavailable || (self.is_primary && self.is_suspect) {
             Some(now)
         } else if self.is_primary {
             let periodic = |proven_at: Micros| proven_at + settings.interval - server.probe_advance;
@@ -69,11 +70,12 @@
 
     /// It is probed only because it may be the new primary.
     fn is_search(&self) -> bool {
-        self.primary_lost && !self.is_suspect && !self.is_primary
+        self.primary_unavailable && !self.is_suspect && !self.is_primary
     }
 }
 
 impl ProbeScheduler {
+    /// A scheduler whose jitter follows the seed.
     pub(crate) fn new(now: Micros, seed: u64) -> ProbeScheduler {
         ProbeScheduler {
             budget: ProbeBudget::new(now),
@@ -82,10 +84,12 @@
         }
     }
 
+    /// The probes requested since the last call.
     pub(crate) fn take_requested(&mut self) -> Vec<ServerId> {
         std::mem::take(&mut self.requested)
     }
 
+    /// Drops the budget of a group that is no longer listed.
     pub(crate) fn remove_group(&mut self, group: GroupId) {
         self.budget.remove_group(group);
     }
@@ -125,6 +129,7 @@
         next
     }
 
+    /// Requests a probe and sets the earliest time of the server's next one.
     fn request(
         &mut self,
         now: Micros,
@@ -136,7 +141,7 @@
         server.probe_sent_at = Some(now);
         server.evidence.record_sent(now);
         server.probe_advance = self.rng.i64(0..=settings.interval / 4);
-        // A suspect is probed again as soon as a probe is lost, so that its silence is measured without gaps.
+        // A suspect is probed again as soon as a probe times out, so that its silence is measured without gaps.
         let pause = if need.is_search() { settings.timeout + self.rng.i64(0..=settings.timeout) } else { 0 };
         server.probe_not_before = now + pause.max(settings.timeout / 2);
         self.requested.push(id);
@@ -146,7 +151,7 @@
 /// True while a probe is in flight. One that never ended is dropped: else the server would never be probed again.
 fn has_probe_in_flight(now: Micros, server: &mut MonitoredServer, settings: &ProbeSettings) -> bool {
     let Some(sent_at) = server.probe_sent_at else { return false };
-    if now - sent_at < LOST_AFTER_TIMEOUTS * settings.timeout {
+    if now - sent_at < EXPIRES_AFTER_TIMEOUTS * settings.timeout {
         return true;
     }
     server.probe_sent_at = None;
--- a/health/src/query.rs
+++ b/health/src/query.rs
@@ -1,7 +1,7 @@
 //! What a balancer asks for, and its text form, which agent-check lines and gRPC service names share.
 
 use crate::GroupId;
-use crate::words::Operation;
+use crate::labels::Operation;
 use std::fmt;
 
 /// What a balancer asks for. With no field set: the proxy as a whole.
@@ -15,7 +15,7 @@
     pub operation: Option<Operation>,
 }
 
-/// Why a text is no query. Balancers' answers have its word.
+/// Why a text is no query. Replies to balancers name it by its label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryError {
     /// The text is longer than a line may be.
@@ -27,18 +27,18 @@
     /// A key other than `class` and `group`.
     UnknownKey,
     /// Class, group or operation is given twice.
-    DuplicateWord,
+    DuplicateTerm,
 }
 
 impl QueryError {
-    /// The word in the answer.
+    /// The label in the reply.
     pub fn as_str(self) -> &'static str {
         match self {
             QueryError::LineTooLong => "line-too-long",
             QueryError::NotText => "not-text",
             QueryError::InvalidGroup => "group-is-no-number",
             QueryError::UnknownKey => "unknown-word",
-            QueryError::DuplicateWord => "word-twice",
+            QueryError::DuplicateTerm => "word-twice",
         }
     }
 }
@@ -52,30 +52,32 @@
 impl std::error::Error for QueryError {}
 
 impl HealthQuery {
-    /// Parses words in any order: a class's name, `class=NAME`, `group=N`, `read`, `write`. No word at all asks for the
+    /// Parses terms in any order: a class's name, `class=NAME`, `group=N`, `read`, `write`. No term at all asks for the
     /// proxy as a whole.
     pub fn parse(text: &[u8]) -> Result<HealthQuery, QueryError> {
         let text = std::str::from_utf8(text).map_err(|_| QueryError::NotText)?;
         let mut query = HealthQuery::default();
-        let is_separator = |c: char| c.is_ascii_whitespace() || c == ',' || c == ';';
-        for word in text.split(is_separator).filter(|word| !word.is_empty()) {
-            query.add_word(word)?;
+        let is_separator =
+            |character: char| character.is_ascii_whitespace() || character == ',' || character == ';';
+        for term in text.split(is_separator).filter(|term| !term.is_empty()) {
+            query.add_term(term)?;
         }
         Ok(query)
     }
 
-    fn add_word(&mut self, word: &str) -> Result<(), QueryError> {
-        let duplicate = match word.split_once('=') {
+    /// Sets the field that a term is about.
+    fn add_term(&mut self, term: &str) -> Result<(), QueryError> {
+        let duplicate = match term.split_once('=') {
             Some(("group", number)) => {
                 let number = number.parse().map_err(|_| QueryError::InvalidGroup)?;
                 self.group.replace(GroupId(number)).is_some()
             }
             Some(("class", name)) => self.class.replace(name.to_string()).is_some(),
             Some(_) => return Err(QueryError::UnknownKey),
-            None if word == Operation::Read.as_str() => self.operation.replace(Operation::Read).is_some(),
-            None if word == Operation::Write.as_str() => self.operation.replace(Operation::Write).is_some(),
-            None => self.class.replace(word.to_string()).is_some(),
+            None if term == Operation::Read.as_str() => self.operation.replace(Operation::Read).is_some(),
+            None if term == Operation::Write.as_str() => self.operation.replace(Operation::Write).is_some(),
+            None => self.class.replace(term.to_string()).is_some(),
         };
-        if duplicate { Err(QueryError::DuplicateWord) } else { Ok(()) }
+        if duplicate { Err(QueryError::DuplicateTerm) } else { Ok(()) }
     }
 }
--- a/health/src/read_window.rs
+++ b/health/src/read_window.rs
@@ -11,6 +11,7 @@
 /// Reads are failing if fewer than one in this many are served.
 const MIN_SERVED_ONE_IN: u64 = 10;
 
+/// Reads that got their final answer in one interval.
 #[derive(Clone, Copy, Debug, Default)]
 struct Interval {
     served: u64,
@@ -25,6 +26,7 @@
 }
 
 impl ReadWindow {
+    /// Counts a read that got its final answer.
     pub(crate) fn record(&mut self, now: Micros, served: bool) {
         self.advance(now);
         self.intervals[0].served += u64::from(served);
@@ -39,6 +41,7 @@
         finished >= MIN_READS && served * MIN_SERVED_ONE_IN < finished
     }
 
+    /// Starts new intervals up to now and drops those that left the window.
     fn advance(&mut self, now: Micros) {
         while now - self.current_started_at >= INTERVAL_MICROS {
             let passed = (now - self.current_started_at) / INTERVAL_MICROS;
--- a/health/src/server_table.rs
+++ b/health/src/server_table.rs
@@ -5,8 +5,9 @@
 use crate::{GroupId, Micros, ServerId};
 use std::collections::BTreeMap;
 
-/// Servers and groups beyond these numbers are ignored and counted.
+/// Servers beyond this number are ignored and counted.
 const MAX_SERVERS: usize = 4096;
+/// Servers of groups beyond this number are ignored and counted.
 const MAX_GROUPS: usize = 1024;
 
 /// A server and the state of its probes.
@@ -20,12 +21,14 @@
     pub probe_advance: Micros,
 }
 
+/// All servers by their ids.
 pub(crate) type Servers = BTreeMap<ServerId, MonitoredServer>;
 
-/// The endpoint list has no place for a server.
+/// The table has no capacity for another server or group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TableFull;
 
+/// The servers and groups of the endpoint list.
 #[derive(Default)]
 pub(crate) struct ServerTable {
     pub servers: Servers,
@@ -69,11 +72,13 @@
         Ok(())
     }
 
+    /// Removes a server that is no longer listed.
     pub(crate) fn remove(&mut self, id: ServerId) {
         self.leave_group(id);
         self.servers.remove(&id);
     }
 
+    /// Removes a server from the members of its group.
     fn leave_group(&mut self, id: ServerId) {
         let group = self.servers.get(&id).map(|server| server.evidence.group);
         if let Some(group) = group.and_then(|group| self.groups.get_mut(&group)) {
@@ -81,12 +86,12 @@
         }
     }
 
-    /// Counts the working members of each group. Removes groups without members and returns them.
+    /// Counts the members of each group that accept work. Removes groups without members and returns them.
     pub(crate) fn refresh_groups(&mut self) -> Vec<GroupId> {
         let servers = &self.servers;
         let mut removed = Vec::new();
         self.groups.retain(|id, group| {
-            group.working_members = group.working(servers).count();
+            group.accepting_members = group.accepting(servers).count();
             if group.members.is_empty() {
                 removed.push(*id);
             }
--- a/health/src/settings.rs
+++ b/health/src/settings.rs
@@ -120,8 +120,8 @@
     pub silence_limit_unprobed: Micros,
     /// The same with probes, which tell a slow server from an unresponsive one.
     pub silence_limit_probed: Micros,
-    /// Discovery that has not responded for this long counts as lost.
-    pub discovery_lost_after: Micros,
+    /// Discovery that has not responded for this long counts as unavailable.
+    pub discovery_timeout: Micros,
     /// From this pressure on the proxy is overloaded.
     pub overload_pressure: f64,
     /// Probes are sent if this is set.
@@ -148,7 +148,7 @@
             min_time_unavailable: 1_000_000,
             silence_limit_unprobed: 1_700_000,
             silence_limit_probed: 1_000_000,
-            discovery_lost_after: 30_000_000,
+            discovery_timeout: 30_000_000,
             overload_pressure: 0.98,
             probes: None,
             weight: WeightSettings::default(),
--- a/health/src/verdict.rs
+++ b/health/src/verdict.rs
@@ -1,9 +1,9 @@
 //! The verdict: what is reported of the proxy as a whole, of each group and of each class of requests. Every protocol
 //! answers from the same verdict.
 
+use crate::labels::{Operation, Reason, State};
 use crate::query::HealthQuery;
 use crate::settings::{AggregationRule, HealthSettings, RequestClass, RequiredServer};
-use crate::words::{Operation, Reason, State};
 use crate::{GroupId, Micros, ServerId};
 
 /// Something that a balancer may send work for.
@@ -35,7 +35,7 @@
     /// When it did.
     pub proven_at: Option<Micros>,
     /// How many of its servers take work.
-    pub working_servers: usize,
+    pub accepting_servers: usize,
 }
 
 /// What is reported to balancers and operators.
@@ -52,7 +52,7 @@
     /// How groups are summed up for a class or an operation.
     pub aggregation: AggregationRule,
     /// When discovery last responded.
-    pub discovery_heard_at: Option<Micros>,
+    pub discovery_responded_at: Option<Micros>,
     /// The proxy's pressure, smoothed, from 0 to 1.
     pub pressure: f64,
     /// Requests without an attempt in flight.
@@ -111,6 +111,7 @@
 }
 
 impl Verdict {
+    /// The verdict of a proxy that starts.
     pub(crate) fn new(now: Micros, settings: &HealthSettings) -> Verdict {
         Verdict {
             state: State::Starting,
@@ -124,7 +125,7 @@
             groups: Vec::new(),
             classes: settings.classes.clone(),
             aggregation: settings.aggregation,
-            discovery_heard_at: None,
+            discovery_responded_at: None,
             pressure: 0.0,
             queued: 0,
             in_progress: 0,
@@ -185,6 +186,7 @@
         }
     }
 
+    /// The overall weight, reduced to the fraction of groups that are available, and 1 at least.
     fn proportional_weight(&self, available: usize, total: usize) -> u8 {
         let fraction = if total == 0 { 0.0 } else { available as f64 / total as f64 };
         (f64::from(self.overall.weight_percent) * fraction).round().max(1.0) as u8
--- a/health/src/weight.rs
+++ b/health/src/weight.rs
@@ -10,15 +10,18 @@
 
 /// Time constant with which the measured pressure is smoothed.
 const PRESSURE_TIME_CONSTANT_SECONDS: f64 = 1.0;
-/// How fast the trim falls at full pressure, and rises below the band (natural logarithm per second).
+/// How fast the trim falls at full pressure (natural logarithm per second).
 const TRIM_FALL_PER_S: f64 = 0.1;
+/// How fast the trim rises below the band (natural logarithm per second).
 const TRIM_RISE_PER_S: f64 = 0.02;
 /// The trim holds while the pressure is below `trim_above` by less than this.
 const TRIM_BAND: f64 = 0.05;
 /// The trim lowers the weight to this fraction at most.
 const MIN_TRIM_FACTOR: f64 = 0.1;
+/// The weight of a proxy without pressure.
 const MAX_PERCENT: f64 = 100.0;
 
+/// The balancer weight and the state of its control loop.
 #[derive(Clone, Debug)]
 pub(crate) struct Weight {
     /// Natural logarithm of the weight in per cent.
@@ -31,6 +34,7 @@
 }
 
 impl Weight {
+    /// The full weight, without pressure.
     pub(crate) fn new(now: Micros) -> Weight {
         Weight { log_weight: MAX_PERCENT.ln(), log_trim: 0.0, pressure: 0.0, updated_at: now }
     }
@@ -45,6 +49,7 @@
         self.approach_target(seconds, settings);
     }
 
+    /// Lowers, holds or gives back the trim, by the pressure of the past seconds.
     fn update_trim(&mut self, seconds: f64, settings: &WeightSettings) {
         let limit = settings.trim_above;
         if self.pressure > limit {
@@ -55,11 +60,12 @@
         self.log_trim = self.log_trim.clamp(MIN_TRIM_FACTOR.ln(), 0.0);
     }
 
+    /// Moves the weight towards its target, by a bounded factor.
     fn approach_target(&mut self, seconds: f64, settings: &WeightSettings) {
         let limit = settings.reduce_above;
         let excess = ((self.pressure - limit) / (1.0 - limit)).clamp(0.0, 1.0);
-        let droop = excess * (settings.percent_at_full_pressure / 100.0).ln();
-        let target = MAX_PERCENT.ln() + droop + self.log_trim;
+        let log_reduction = excess * (settings.percent_at_full_pressure / 100.0).ln();
+        let target = MAX_PERCENT.ln() + log_reduction + self.log_trim;
         let settling_seconds = settings.settling_time.max(1) as f64 / 1e6;
         let step = (target - self.log_weight) * smoothing(seconds, settling_seconds);
         let max_fall = seconds * settings.max_fall_factor_per_s.ln();
@@ -78,7 +84,7 @@
     }
 }
 
-/// The share of the way to its target that a first-order filter goes in this time.
+/// The fraction of the distance to its target that a first-order filter covers in this time.
 fn smoothing(seconds: f64, time_constant_seconds: f64) -> f64 {
     1.0 - (-seconds / time_constant_seconds).exp()
 }
--- a/health/tests/agent_check.rs
+++ b/health/tests/agent_check.rs
@@ -15,7 +15,7 @@
     query.unwrap()
 }
 
-fn error_word(query: ParsedQuery) -> Result<HealthQuery, &'static str> {
+fn error_label(query: ParsedQuery) -> Result<HealthQuery, &'static str> {
     query.map_err(QueryError::as_str)
 }
 
@@ -29,14 +29,14 @@
     assert_eq!(query_of("group=3\n"), expected(None, Some(3), None));
     assert_eq!(query_of(" group=3, class=file-entry \n"), expected(Some("file-entry"), Some(3), None));
     assert_eq!(query_of("write;group=0\n"), expected(None, Some(0), Some(Operation::Write)));
-    assert_eq!(error_word(query_of("group=x\n")), Err("group-is-no-number"));
-    assert_eq!(error_word(query_of("group=1 group=2\n")), Err("word-twice"));
-    assert_eq!(error_word(query_of("a b\n")), Err("word-twice"));
-    assert_eq!(error_word(query_of("port=1\n")), Err("unknown-word"));
+    assert_eq!(error_label(query_of("group=x\n")), Err("group-is-no-number"));
+    assert_eq!(error_label(query_of("group=1 group=2\n")), Err("word-twice"));
+    assert_eq!(error_label(query_of("a b\n")), Err("word-twice"));
+    assert_eq!(error_label(query_of("port=1\n")), Err("unknown-word"));
     let mut endless = AgentCheckConnection::default();
-    assert_eq!(endless.feed(&[b'x'; 4096]).map(error_word), Some(Err("line-too-long")));
+    assert_eq!(endless.feed(&[b'x'; 4096]).map(error_label), Some(Err("line-too-long")));
     let mut not_utf8 = AgentCheckConnection::default();
-    assert_eq!(not_utf8.feed(b"\xff\xfe\n").map(error_word), Some(Err("not-text")));
+    assert_eq!(not_utf8.feed(b"\xff\xfe\n").map(error_label), Some(Err("not-text")));
     // Without the end of the line, what came is the query; nothing at all asks for the proxy as a whole.
     let mut silent = AgentCheckConnection::default();
     assert_eq!(silent.input_ended(), Some(expected(None, None, None)));
--- a/health/tests/histories/account.rs
+++ b/health/tests/histories/account.rs
@@ -126,7 +126,7 @@
         }
         let seed = self.seed;
         assert!(self.has_cause(change), "seed {seed}: withdrawn at {at} for {reason} without cause");
-        if !matches!(reason, Reason::Unproven | Reason::NoPrimary | Reason::PrimaryLeft) {
+        if !matches!(reason, Reason::Unproven | Reason::NoPrimary | Reason::PrimaryDrainingOrRemoved) {
             self.withdrawals.insert(group, Withdrawal { at, reason });
         }
     }
@@ -139,15 +139,15 @@
             record.sent_at.is_some() && silent
         };
         match reason {
-            Reason::PrimarySilent => self.members(group).any(owes_response),
-            Reason::PrimaryGone => self.members(group).any(|record| record.refused_at.is_some()),
+            Reason::PrimaryUnresponsive => self.members(group).any(owes_response),
+            Reason::PrimaryUnreachable => self.members(group).any(|record| record.refused_at.is_some()),
             Reason::PrimaryDemoted => {
                 self.members(group).any(|record| record.reported_role == Some(Role::Replica))
             }
             Reason::WritesUnanswered => {
                 self.members(group).any(|record| record.write_timeouts >= MAX_CONSECUTIVE_FAILURES)
             }
-            Reason::WritesHeld => {
+            Reason::WritesQueued => {
                 self.queued_since.get(&group).is_some_and(|since| now - since >= settings.silence_limit())
             }
             Reason::Unproven => {
@@ -157,7 +157,7 @@
             Reason::NoPrimary => {
                 !self.members(group).any(|record| record.accepts_work && record.listed_as_primary)
             }
-            Reason::PrimaryLeft => {
+            Reason::PrimaryDrainingOrRemoved => {
                 proofs.last().is_some_and(|proof| !self.servers[&proof.server].accepts_work)
             }
             _ => false,
@@ -180,7 +180,7 @@
                 "seed {seed}: weight without the capability"
             );
         }
-        let own_fault = matches!(verdict.state, State::Starting | State::Blind);
+        let own_fault = matches!(verdict.state, State::Starting | State::Isolated);
         let weight = if own_fault { 0 } else { 100 };
         let state = verdict.state;
         assert_eq!(verdict.overall.weight_percent, weight, "seed {seed}: {state} changed the overall weight");
--- a/health/tests/verdicts/own_faults.rs
+++ b/health/tests/verdicts/own_faults.rs
@@ -54,7 +54,7 @@
     proxy.advance(2 * SECOND, |_| None);
     assert_eq!(
         (proxy.monitor.verdict().state, proxy.agent_reply("")),
-        (State::Blind, "ready down #blind\n".into())
+        (State::Isolated, "ready down #blind\n".into())
     );
     // Given a proxy that reaches discovery, when both refuse, then the databases are at fault
     let mut proxy = simulated_proxy(1, HealthSettings::default());
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -195,7 +195,7 @@
             ("hold-unable-ms", &mut settings.min_time_unavailable),
             ("hang-probed-ms", &mut settings.silence_limit_probed),
             ("hang-ms", &mut settings.silence_limit_unprobed),
-            ("discovery-after-ms", &mut settings.discovery_lost_after),
+            ("discovery-after-ms", &mut settings.discovery_timeout),
         ] {
             self.read_milliseconds(node, name, setting);
         }
--- a/options/tests/known_options.rs
+++ b/options/tests/known_options.rs
@@ -59,7 +59,7 @@
     assert_eq!(settings.min_time_unavailable, 1_008 * MILLISECOND);
     assert_eq!(settings.silence_limit_unprobed, 1_701 * MILLISECOND);
     assert_eq!(settings.silence_limit_probed, 1_009 * MILLISECOND);
-    assert_eq!(settings.discovery_lost_after, 30_002 * MILLISECOND);
+    assert_eq!(settings.discovery_timeout, 30_002 * MILLISECOND);
     assert_eq!(settings.overload_pressure, 0.97);
 }
 
