--- a/health/src/http/mod.rs
+++ b/health/src/http/mod.rs
@@ -20,15 +20,16 @@
 /// Buffers keep at most this much memory once they are empty.
 const IDLE_BUFFER_BYTES: usize = 4 << 10;
 
-/// The names of servers in what people read.
+/// Maps servers to the names that people read.
 pub type ServerNames<'a> = &'a dyn Fn(ServerId) -> String;
 
 /// A balancer's connection.
 #[derive(Default)]
 pub struct HttpCheckConnection {
+    /// Input that was not processed yet.
     input: Vec<u8>,
     /// Bytes of a request's body that are still to be skipped.
-    body_left: usize,
+    body_bytes_left: usize,
     /// Output that waits to be written.
     pub output: Vec<u8>,
     /// The connection ends once the output is written.
@@ -36,6 +37,7 @@
     requests_answered: u64,
 }
 
+/// Whether processing goes on.
 enum Progress {
     /// A request was answered, another may follow.
     Answered,
@@ -56,7 +58,7 @@
 
     /// A request has begun and is incomplete.
     pub fn has_partial_request(&self) -> bool {
-        self.body_left > 0 || !self.input.is_empty()
+        self.body_bytes_left > 0 || !self.input.is_empty()
     }
 
     /// The number of requests answered.
@@ -90,17 +92,18 @@
         self.closing
     }
 
+    /// Answers the next request, if it is complete.
     fn process_one(&mut self, now: Micros, verdict: &Verdict, names: ServerNames) -> Progress {
         self.skip_body();
-        if self.body_left > 0 || self.input.is_empty() {
+        if self.body_bytes_left > 0 || self.input.is_empty() {
             return Progress::Stopped;
         }
         match self.take_request() {
             Ok(None) => Progress::Stopped,
             Ok(Some(request)) => {
-                self.body_left = request.body_length;
+                self.body_bytes_left = request.body_length;
                 self.closing = !request.keep_alive;
-                let response = request.answer(now, verdict, names);
+                let response = request.respond(now, verdict, names);
                 self.write(&response, request.method == Method::Head);
                 Progress::Answered
             }
@@ -114,10 +117,11 @@
         }
     }
 
+    /// Drops the input that belongs to the last request's body.
     fn skip_body(&mut self) {
-        let skipped = self.body_left.min(self.input.len());
+        let skipped = self.body_bytes_left.min(self.input.len());
         self.input.drain(..skipped);
-        self.body_left -= skipped;
+        self.body_bytes_left -= skipped;
     }
 
     /// Removes a request's head from the input; none if it is incomplete.
@@ -138,6 +142,7 @@
         Ok(Some(request))
     }
 
+    /// Appends a response to the output.
     fn write(&mut self, response: &Response, head_only: bool) {
         self.requests_answered += 1;
         response.write(&mut self.output, self.closing, head_only);
--- a/health/src/http/report.rs
+++ b/health/src/http/report.rs
@@ -7,6 +7,7 @@
 use crate::{GroupId, Micros};
 use serde::Serialize;
 
+/// A capability in JSON.
 #[derive(Serialize)]
 struct CapabilityReport {
     #[serde(rename = "able")]
@@ -30,6 +31,7 @@
     }
 }
 
+/// A group in JSON.
 #[derive(Serialize)]
 struct GroupReport {
     group: GroupId,
@@ -55,6 +57,7 @@
     }
 }
 
+/// A class of requests in JSON.
 #[derive(Serialize)]
 struct ClassReport<'a> {
     class: &'a str,
@@ -62,6 +65,7 @@
     capability: Option<CapabilityReport>,
 }
 
+/// The whole report in JSON.
 #[derive(Serialize)]
 struct Report<'a> {
     state: State,
@@ -110,10 +114,12 @@
     to_json_line(&CapabilityReport::new(now, capability))
 }
 
+/// The time since then in milliseconds.
 fn age_ms(now: Micros, at: Micros) -> Micros {
     (now - at).max(0) / 1000
 }
 
+/// A value as one line of JSON.
 fn to_json_line(value: &impl Serialize) -> String {
     // Numbers, strings and lists always have a JSON form.
     serde_json::to_string(value).map_or_else(|_| "{}\n".into(), |text| text + "\n")
--- a/health/src/http/request.rs
+++ b/health/src/http/request.rs
@@ -1,8 +1,8 @@
-//! A request: its head read, its path understood, and its answer from the verdict.
+//! A request: its head is parsed, its path mapped to a resource, and its response built from the verdict.
 
 use super::ServerNames;
 use super::report::{capability_report, report};
-use super::response::{ALLOW, Response, Status};
+use super::response::{ALLOW, Header, Response, Status};
 use crate::labels::{Operation, State};
 use crate::query::HealthQuery;
 use crate::verdict::{Capability, Verdict};
@@ -12,10 +12,16 @@
 const MAX_TARGET_BYTES: usize = 1 << 10;
 /// Bodies have no meaning here: up to this length they are skipped, longer ones end the connection.
 const MAX_BODY_BYTES: usize = 4 << 10;
-/// When to ask again: while the cause may pass at any moment, and after a planned withdrawal.
-const RETRY_AFTER_FAULT: (&str, &str) = ("Retry-After", "1");
-const RETRY_AFTER_PLANNED: (&str, &str) = ("Retry-After", "10");
-
+/// When to ask again in seconds, while the cause may pass at any moment.
+const RETRY_AFTER_FAULT: Header = Header { name: "Retry-After", value: "1" };
+/// When to ask again in seconds, after a planned withdrawal.
+const RETRY_AFTER_PLANNED: Header = Header { name: "Retry-After", value: "10" };
+/// Tells Envoy that the capability is available with restrictions.
+const ENVOY_DEGRADED: Header = Header { name: "x-envoy-degraded", value: "true" };
+/// Tells Envoy to take the proxy out of rotation at once, without waiting for its threshold.
+const ENVOY_IMMEDIATE_FAIL: Header = Header { name: "x-envoy-immediate-health-check-fail", value: "true" };
+
+/// The methods that are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Method {
     Get,
@@ -23,7 +29,7 @@
     Options,
 }
 
-/// What a path stands for.
+/// What a path names.
 enum Resource {
     /// The process runs.
     Liveness,
@@ -31,18 +37,22 @@
     Report,
     /// One capability.
     Capability(HealthQuery),
+    /// Nothing that is served.
     Unknown,
 }
 
+/// A request whose head is valid.
 pub(super) struct Request {
     pub method: Method,
     resource: Resource,
+    /// The connection stays open after the response.
     pub keep_alive: bool,
+    /// The bytes of the body, which follows the head.
     pub body_length: usize,
 }
 
 impl Request {
-    /// The request of a complete head, or the status that refuses it.
+    /// The request of a complete head, or the status with which it is rejected.
     pub(super) fn from_head(head: &httparse::Request) -> Result<Request, Status> {
         let target = head.path.unwrap_or_default();
         if target.len() > MAX_TARGET_BYTES {
@@ -73,8 +83,8 @@
         Ok(Request { method, resource: resource(target), keep_alive, body_length })
     }
 
-    /// Answers from the verdict.
-    pub(super) fn answer(&self, now: Micros, verdict: &Verdict, names: ServerNames) -> Response {
+    /// The response that the verdict gives.
+    pub(super) fn respond(&self, now: Micros, verdict: &Verdict, names: ServerNames) -> Response {
         if self.method == Method::Options {
             return Response { headers: vec![ALLOW], ..Response::new(Status::NoContent, "") };
         }
@@ -94,6 +104,7 @@
     }
 }
 
+/// The response where a path names nothing that is served.
 fn unknown_resource() -> Response {
     Response::new(Status::NotFound, "no such capability\n")
 }
@@ -103,25 +114,27 @@
     if capability.available {
         let mut response = Response::new(Status::Ok, body);
         if capability.partial || state == State::Overloaded {
-            response.headers.push(("x-envoy-degraded", "true"));
+            response.headers.push(ENVOY_DEGRADED);
         }
         return response;
     }
     let mut response = Response::new(Status::ServiceUnavailable, body);
     if capability.reason.is_planned() {
         response.headers.push(RETRY_AFTER_PLANNED);
-        response.headers.push(("x-envoy-immediate-health-check-fail", "true"));
+        response.headers.push(ENVOY_IMMEDIATE_FAIL);
     } else {
         response.headers.push(RETRY_AFTER_FAULT);
     }
     response
 }
 
+/// The values of all headers of this name.
 fn header_values<'a>(head: &'a httparse::Request, name: &'static str) -> impl Iterator<Item = &'a [u8]> {
     let matching = head.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
     matching.map(|header| header.value)
 }
 
+/// The length of the body, 0 without a header that states it.
 fn body_length(head: &httparse::Request) -> Result<usize, Status> {
     let mut lengths = header_values(head, "content-length");
     let Some(value) = lengths.next() else { return Ok(0) };
@@ -139,7 +152,8 @@
     options.any(|given| given.trim().eq_ignore_ascii_case(option))
 }
 
-/// `/live`, `/ready`, `/health`, `/class/NAME[/group/N]`, `/group/N[/read|/write]`.
+/// The resource of a request target: `/live`, `/ready`, `/health`, `/class/NAME[/group/N]` or
+/// `/group/N[/read|/write]`.
 fn resource(target: &str) -> Resource {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -151,6 +165,7 @@
     }
 }
 
+/// The query that a path's segments stand for, if they name a capability.
 fn capability_query(segments: &[&str]) -> Option<HealthQuery> {
     match *segments {
         ["ready"] => Some(HealthQuery::default()),
@@ -169,6 +184,7 @@
     text.parse().ok().map(GroupId)
 }
 
+/// The query of a class, whose name may be percent-encoded.
 fn class_query(name: &str, group: Option<GroupId>) -> Option<HealthQuery> {
     let name = percent_encoding::percent_decode_str(name).decode_utf8().ok()?;
     Some(HealthQuery { class: Some(name.into_owned()), group, operation: None })
--- a/health/src/http/response.rs
+++ b/health/src/http/response.rs
@@ -2,10 +2,17 @@
 
 use std::borrow::Cow;
 
+/// A header field of a response.
+#[derive(Clone, Copy)]
+pub(super) struct Header {
+    pub name: &'static str,
+    pub value: &'static str,
+}
+
 /// The methods that are served.
-pub(super) const ALLOW: (&str, &str) = ("Allow", "GET, HEAD, OPTIONS");
+pub(super) const ALLOW: Header = Header { name: "Allow", value: "GET, HEAD, OPTIONS" };
 
-/// Defines the statuses in use with their codes and phrases.
+/// Defines the statuses in use with their codes and reason phrases.
 macro_rules! statuses {
     ($($status:ident = $code:literal $phrase:literal,)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,19 +46,21 @@
     VersionNotSupported = 505 "HTTP Version Not Supported",
 }
 
-/// The answer to one request.
+/// The response to one request.
 pub(super) struct Response {
     pub status: Status,
-    pub headers: Vec<(&'static str, &'static str)>,
+    /// Headers besides those that every response has.
+    pub headers: Vec<Header>,
     pub body: Cow<'static, str>,
 }
 
 impl Response {
+    /// A response without further headers.
     pub(super) fn new(status: Status, body: impl Into<Cow<'static, str>>) -> Response {
         Response { status, headers: Vec::new(), body: body.into() }
     }
 
-    /// The answer to what is no valid request.
+    /// The response to an invalid request.
     pub(super) fn error(status: Status) -> Response {
         let mut response = Response::new(status, status.phrase());
         if status == Status::MethodNotAllowed {
@@ -74,8 +83,8 @@
             append(&["Content-Length: ", &self.body.len().to_string(), "\r\n"]);
         }
         append(&["Cache-Control: no-store\r\n"]);
-        for (name, value) in &self.headers {
-            append(&[name, ": ", value, "\r\n"]);
+        for header in &self.headers {
+            append(&[header.name, ": ", header.value, "\r\n"]);
         }
         if closing {
             append(&["Connection: close\r\n"]);
--- a/health/src/monitor/events.rs
+++ b/health/src/monitor/events.rs
@@ -3,6 +3,8 @@
 use super::Monitor;
 use crate::event::{HealthEvent, ProbeOutcome};
 use crate::group::UpdateUrgency;
+use crate::overall::ProxyHealth;
+use crate::server_table::ServerListing;
 use crate::{GroupId, Micros, Role, ServerId, earliest};
 
 /// Updates that are not urgent are at least this far apart, which bounds their cost on a busy proxy.
@@ -13,7 +15,7 @@
     pub fn handle_event(&mut self, now: Micros, event: HealthEvent) {
         match event {
             HealthEvent::ServerListed { server, group, primary, accepts_work } => {
-                self.list_server(now, server, group, primary, accepts_work);
+                self.list_server(now, server, ServerListing { group, primary, accepts_work });
             }
             HealthEvent::ServerUnlisted { server } => {
                 self.table.remove(server);
@@ -38,29 +40,25 @@
                 self.verdict.client_capacity = client_capacity;
                 self.update_by(now);
             }
-            HealthEvent::ReadyAt(at) => {
-                self.proxy.ready_at = at;
-                self.update_by(now);
-            }
-            HealthEvent::Stopping => {
-                self.proxy.stopping = true;
-                self.update_by(now);
-            }
-            HealthEvent::HandoverAt(at) => {
-                self.proxy.handover_at = at;
-                self.update_by(now);
-            }
-            HealthEvent::Maintenance(on) => {
-                self.proxy.in_maintenance = on;
-                self.update_by(now);
-            }
+            HealthEvent::ReadyAt(at) => self.change_lifecycle(now, |proxy| proxy.ready_at = at),
+            HealthEvent::Stopping => self.change_lifecycle(now, |proxy| proxy.stopping = true),
+            HealthEvent::HandoverAt(at) => self.change_lifecycle(now, |proxy| proxy.handover_at = at),
+            HealthEvent::Maintenance(on) => self.change_lifecycle(now, |proxy| proxy.in_maintenance = on),
         }
     }
 
+    /// Changes the lifecycle of the process, which concerns every capability.
+    fn change_lifecycle(&mut self, now: Micros, change: impl FnOnce(&mut ProxyHealth)) {
+        change(&mut self.proxy);
+        self.update_by(now);
+    }
+
+    /// Has the verdict computed anew at this time at the latest.
     fn update_by(&mut self, at: Micros) {
         self.next_update_at = self.next_update_at.min(at);
     }
 
+    /// Has the verdict computed anew as soon as the urgency demands.
     fn request_update(&mut self, now: Micros, urgency: UpdateUrgency) {
         match urgency {
             UpdateUrgency::None => {}
@@ -71,21 +69,16 @@
         }
     }
 
-    fn list_server(
-        &mut self,
-        now: Micros,
-        server: ServerId,
-        group: GroupId,
-        primary: Option<bool>,
-        accepts_work: bool,
-    ) {
+    /// Takes over an entry of the endpoint list, or counts it where the table is full.
+    fn list_server(&mut self, now: Micros, server: ServerId, listing: ServerListing) {
         self.proxy.list_received = true;
         self.update_by(now);
-        if self.table.list(now, server, group, primary, accepts_work).is_err() {
+        if self.table.list(now, server, listing).is_err() {
             self.verdict.ignored_servers += 1;
         }
     }
 
+    /// An attempt was sent.
     fn record_sent(&mut self, now: Micros, server: ServerId) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         server.evidence.record_sent(now);
@@ -100,6 +93,7 @@
         }
     }
 
+    /// An attempt or a probe in flight ended.
     fn record_outcome(&mut self, now: Micros, server: ServerId, write: bool, outcome: ProbeOutcome) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         let evidence = &mut server.evidence;
@@ -131,12 +125,13 @@
         self.request_update(now, urgency);
     }
 
+    /// A probe ended, perhaps later than it was waited for.
     fn record_probe_outcome(&mut self, now: Micros, id: ServerId, outcome: ProbeOutcome, role: Option<Role>) {
         let Some(server) = self.table.servers.get_mut(&id) else { return };
         if server.probe_sent_at.take().is_some() {
             self.record_outcome(now, id, false, outcome);
         } else if outcome == ProbeOutcome::Answered {
-            // The probe counted as lost already; its answer is a sign of life all the same.
+            // The probe had expired; its answer is a sign of life all the same.
             server.evidence.record_sign_of_life(now);
             self.request_update(now, UpdateUrgency::Deferred);
         } else {
@@ -145,6 +140,7 @@
         self.record_role(now, id, role);
     }
 
+    /// A connection to the server was established.
     fn record_sign_of_life(&mut self, now: Micros, server: ServerId) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         let awaited_sign_of_life = server.evidence.awaits_sign_of_life();
@@ -154,6 +150,7 @@
         }
     }
 
+    /// The server reported its role, if one is given.
     fn record_role(&mut self, now: Micros, id: ServerId, role: Option<Role>) {
         let Some(role) = role else { return };
         let Some(server) = self.table.servers.get_mut(&id) else { return };
@@ -163,6 +160,7 @@
         self.request_update(now, urgency);
     }
 
+    /// A read request got its final answer.
     fn record_read(&mut self, now: Micros, group: GroupId, served: bool) {
         let Some(group) = self.table.groups.get_mut(&group) else { return };
         group.reads.record(now, served);
@@ -171,6 +169,7 @@
         }
     }
 
+    /// The group's oldest queued write has changed.
     fn record_queued_writes(&mut self, now: Micros, group: GroupId, since: Option<Micros>) {
         let Some(group) = self.table.groups.get_mut(&group) else { return };
         if std::mem::replace(&mut group.writes_queued_since, since) != since {
--- a/health/src/server_table.rs
+++ b/health/src/server_table.rs
@@ -21,6 +21,15 @@
     pub probe_advance: Micros,
 }
 
+/// What the endpoint list says of a server.
+#[derive(Clone, Copy)]
+pub(crate) struct ServerListing {
+    pub group: GroupId,
+    /// Whether it is the primary, if the list says.
+    pub primary: Option<bool>,
+    pub accepts_work: bool,
+}
+
 /// All servers by their ids.
 pub(crate) type Servers = BTreeMap<ServerId, MonitoredServer>;
 
@@ -41,10 +50,9 @@
         &mut self,
         now: Micros,
         id: ServerId,
-        group: GroupId,
-        primary: Option<bool>,
-        accepts_work: bool,
+        listing: ServerListing,
     ) -> Result<(), TableFull> {
+        let ServerListing { group, primary, accepts_work } = listing;
         let changes_group = self.servers.get(&id).is_none_or(|server| server.evidence.group != group);
         if changes_group {
             self.insert(now, id, group)?;
