--- a/health/tests/agent_check.rs
+++ b/health/tests/agent_check.rs
@@ -4,7 +4,7 @@
 use birchreach_health::query::QueryError;
 use birchreach_health::{GroupId, HealthQuery, Operation};
 
-/// The query of a line. Arriving byte by byte it is the same query.
+/// The query of a line, which is the same if the line arrives byte by byte.
 fn query_of(line: &str) -> ParsedQuery {
     let mut at_once = AgentCheckConnection::default();
     let query = at_once.feed(line.as_bytes());
@@ -15,20 +15,25 @@
     query.unwrap()
 }
 
+/// The query, or the label of the error.
 fn error_label(query: ParsedQuery) -> Result<HealthQuery, &'static str> {
     query.map_err(QueryError::as_str)
 }
 
+/// The query with these fields.
+fn expected(class: Option<&str>, group: Option<u32>, operation: Option<Operation>) -> ParsedQuery {
+    Ok(HealthQuery { class: class.map(Into::into), group: group.map(GroupId), operation })
+}
+
 #[test]
-fn lines_are_queries_or_refused_with_the_reason() {
-    let expected = |class: Option<&str>, group: Option<u32>, operation| {
-        Ok(HealthQuery { class: class.map(Into::into), group: group.map(GroupId), operation })
-    };
+fn lines_are_queries_or_rejected_with_the_reason() {
+    // When a line has known terms in any order, then it is the query of them
     assert_eq!(query_of("\n"), expected(None, None, None));
     assert_eq!(query_of("file-entry\r\n"), expected(Some("file-entry"), None, None));
     assert_eq!(query_of("group=3\n"), expected(None, Some(3), None));
     assert_eq!(query_of(" group=3, class=file-entry \n"), expected(Some("file-entry"), Some(3), None));
     assert_eq!(query_of("write;group=0\n"), expected(None, Some(0), Some(Operation::Write)));
+    // When a line is invalid, then the error says why
     assert_eq!(error_label(query_of("group=x\n")), Err("group-is-no-number"));
     assert_eq!(error_label(query_of("group=1 group=2\n")), Err("word-twice"));
     assert_eq!(error_label(query_of("a b\n")), Err("word-twice"));
@@ -37,10 +42,15 @@
     assert_eq!(endless.feed(&[b'x'; 4096]).map(error_label), Some(Err("line-too-long")));
     let mut not_utf8 = AgentCheckConnection::default();
     assert_eq!(not_utf8.feed(b"\xff\xfe\n").map(error_label), Some(Err("not-text")));
-    // Without the end of the line, what came is the query; nothing at all asks for the proxy as a whole.
+}
+
+#[test]
+fn input_that_ends_without_a_line_end_is_the_query() {
+    // Given a balancer that sends nothing, when its input ends, then it asks for the proxy as a whole, once
     let mut silent = AgentCheckConnection::default();
     assert_eq!(silent.input_ended(), Some(expected(None, None, None)));
     assert_eq!(silent.input_ended(), None);
+    // Given one that sends a line without its end, when its input ends, then the line is the query
     let mut unfinished = AgentCheckConnection::default();
     assert_eq!(
         (unfinished.feed(b"file-entry"), unfinished.input_ended()),
--- a/health/tests/fleet.rs
+++ b/health/tests/fleet.rs
@@ -2,6 +2,7 @@
 
 use birchreach_health::{GroupId, HealthEvent, HealthSettings, Micros, Monitor, ServerId};
 
+/// Proxies in the fleet.
 const PROXIES: usize = 16;
 /// How often proxies measure their load.
 const TICK: Micros = 250_000;
@@ -9,9 +10,11 @@
 /// The proxy that loses half its core.
 const WEAK_PROXY: usize = 5;
 
+/// Proxies behind two balancers.
 struct Fleet {
     now: Micros,
     monitors: Vec<Monitor>,
+    /// What each proxy can serve, as a fraction of a whole core.
     capacity: Vec<f64>,
     /// The weight of each proxy as each balancer last read it.
     weights_read: [Vec<f64>; 2],
@@ -22,21 +25,28 @@
     rng: fastrand::Rng,
 }
 
+/// The weights of one proxy over a stretch of time.
+#[derive(Clone, Copy, Debug)]
+struct WeightRange {
+    least: u8,
+    greatest: u8,
+}
+
 /// What was seen over a stretch of time.
 #[derive(Default)]
 struct Observed {
     /// The greatest difference in utilization between two proxies.
     spread: f64,
     /// The greatest utilization.
-    top: f64,
-    /// The least and greatest weight of each proxy.
-    weights: Vec<(u8, u8)>,
+    max_utilization: f64,
+    /// The weights of each proxy.
+    weights: Vec<WeightRange>,
 }
 
 impl Observed {
     /// The widest that a weight moved, as a fraction of it.
     fn swing(&self) -> f64 {
-        let swing = |(low, high): &(u8, u8)| f64::from(high - low) / f64::from(*high);
+        let swing = |range: &WeightRange| f64::from(range.greatest - range.least) / f64::from(range.greatest);
         self.weights.iter().map(swing).fold(0.0, f64::max)
     }
 }
@@ -52,11 +62,13 @@
     monitor
 }
 
+/// A measurement of the proxy's own load.
 fn load(pressure: f64) -> HealthEvent {
     HealthEvent::Load { pressure, in_progress: 0, queued: 0, client_capacity: 0 }
 }
 
 impl Fleet {
+    /// A fleet in which all proxies have the full weight.
     fn new(load: f64, read_interval: Micros, seed: u64) -> Fleet {
         let monitors = (0..PROXIES).map(|_| {
             let mut monitor = monitor(HealthSettings::default());
@@ -86,6 +98,7 @@
         work.iter().zip(&self.capacity).map(|(work, capacity)| work / capacity).collect()
     }
 
+    /// One measurement of each proxy, and the reads of balancers that are due.
     fn tick(&mut self) {
         self.now += TICK;
         let utilization = self.utilization();
@@ -107,19 +120,23 @@
         }
     }
 
+    /// Lets time pass and watches utilization and weights.
     fn run_seconds(&mut self, seconds: Micros) -> Observed {
-        let mut observed = Observed { weights: vec![(u8::MAX, 0); PROXIES], ..Observed::default() };
+        let mut observed = Observed {
+            weights: vec![WeightRange { least: u8::MAX, greatest: 0 }; PROXIES],
+            ..Observed::default()
+        };
         for _ in 0..seconds * SECOND / TICK {
             self.tick();
             let utilization = self.utilization();
-            let top = utilization.iter().copied().fold(0.0, f64::max);
-            let low = utilization.iter().copied().fold(f64::MAX, f64::min);
-            observed.spread = observed.spread.max(top - low);
-            observed.top = observed.top.max(top);
-            for (monitor, (least, greatest)) in self.monitors.iter().zip(&mut observed.weights) {
+            let greatest = utilization.iter().copied().fold(0.0, f64::max);
+            let least = utilization.iter().copied().fold(f64::MAX, f64::min);
+            observed.spread = observed.spread.max(greatest - least);
+            observed.max_utilization = observed.max_utilization.max(greatest);
+            for (monitor, range) in self.monitors.iter().zip(&mut observed.weights) {
                 let weight = monitor.verdict().overall.weight_percent;
-                *least = weight.min(*least);
-                *greatest = weight.max(*greatest);
+                range.least = weight.min(range.least);
+                range.greatest = weight.max(range.greatest);
             }
         }
         observed
@@ -141,15 +158,15 @@
         let after = fleet.run_seconds(120);
         println!(
             "shock top {:.2}; after: swing {:.3} spread {:.3} top {:.3} weights {:?}",
-            shock.top,
+            shock.max_utilization,
             after.swing(),
             after.spread,
-            after.top,
+            after.max_utilization,
             &after.weights[4..7]
         );
-        assert!(shock.top > 1.5, "it was overloaded");
+        assert!(shock.max_utilization > 1.5, "it was overloaded");
         assert!(
-            after.top < 1.0 && after.spread <= 0.12,
+            after.max_utilization < 1.0 && after.spread <= 0.12,
             "it is even again, with balancers every {interval} us"
         );
         // When it has its core back, then it gets its part of the load again
--- a/health/tests/histories/account.rs
+++ b/health/tests/histories/account.rs
@@ -1,4 +1,4 @@
-//! An account of what the monitor was told, kept apart from it, by which its verdict is judged.
+//! A record of what the monitor received, kept apart from it, against which its verdict is checked.
 
 use birchreach_health::{
     HealthSettings, IdleGroupPolicy, Micros, ProbeOutcome, Reason, Role, State, Verdict,
@@ -17,18 +17,21 @@
     pub requests_in_flight: u32,
     pub probes_in_flight: u32,
     pub sent_at: Option<Micros>,
-    heard_at: Option<Micros>,
+    last_sign_of_life_at: Option<Micros>,
+    /// When it first refused connections since the last sign of life.
     refused_at: Option<Micros>,
     consecutive_resets: u32,
     reported_role: Option<Role>,
     write_timeouts: u32,
 }
 
+/// A server's report that it is the primary.
 struct Proof {
     at: Micros,
     server: u32,
 }
 
+/// Writes were withdrawn for evidence.
 struct Withdrawal {
     at: Micros,
     reason: Reason,
@@ -43,6 +46,7 @@
     pub reason: Reason,
 }
 
+/// The servers, proofs and withdrawals of one history.
 pub(crate) struct Account {
     seed: u64,
     settings: HealthSettings,
@@ -56,6 +60,7 @@
 }
 
 impl Account {
+    /// An account without servers.
     pub(crate) fn new(seed: u64, settings: HealthSettings) -> Account {
         Account {
             seed,
@@ -67,17 +72,20 @@
         }
     }
 
+    /// The record of a server that is known.
     pub(crate) fn server(&mut self, server: u32) -> &mut ServerRecord {
         self.servers.get_mut(&server).unwrap()
     }
 
+    /// The server responded, or a connection to it was established.
     pub(crate) fn record_sign_of_life(&mut self, now: Micros, server: u32) {
         let record = self.server(server);
-        record.heard_at = Some(now);
+        record.last_sign_of_life_at = Some(now);
         record.refused_at = None;
         record.consecutive_resets = 0;
     }
 
+    /// An attempt or a probe ended.
     pub(crate) fn record_outcome(&mut self, now: Micros, server: u32, write: bool, outcome: ProbeOutcome) {
         let record = self.server(server);
         match outcome {
@@ -96,6 +104,7 @@
         }
     }
 
+    /// The server reported its role, if one is given.
     pub(crate) fn record_role(&mut self, now: Micros, server: u32, role: Option<Role>) {
         let record = self.server(server);
         record.reported_role = role.or(record.reported_role);
@@ -105,10 +114,12 @@
         }
     }
 
+    /// The servers of a group.
     fn members(&self, group: u32) -> impl Iterator<Item = &ServerRecord> {
         self.servers.values().filter(move |record| record.group == group)
     }
 
+    /// A group's reports of a primary, in their order.
     fn proofs(&self, group: u32) -> &[Proof] {
         self.proofs.get(&group).map_or(&[], Vec::as_slice)
     }
@@ -134,12 +145,12 @@
     /// Whether the reason for a withdrawal holds.
     fn has_cause(&self, WriteChange { at: now, group, reason, .. }: WriteChange) -> bool {
         let (settings, proofs) = (&self.settings, self.proofs(group));
-        let owes_response = |record: &ServerRecord| {
-            let silent = record.heard_at.is_none_or(|at| now - at >= settings.silence_limit());
+        let is_unresponsive = |record: &ServerRecord| {
+            let silent = record.last_sign_of_life_at.is_none_or(|at| now - at >= settings.silence_limit());
             record.sent_at.is_some() && silent
         };
         match reason {
-            Reason::PrimaryUnresponsive => self.members(group).any(owes_response),
+            Reason::PrimaryUnresponsive => self.members(group).any(is_unresponsive),
             Reason::PrimaryUnreachable => self.members(group).any(|record| record.refused_at.is_some()),
             Reason::PrimaryDemoted => {
                 self.members(group).any(|record| record.reported_role == Some(Role::Replica))
--- a/health/tests/histories/history.rs
+++ b/health/tests/histories/history.rs
@@ -1,14 +1,16 @@
-//! A seeded history: random events at random times, told to a monitor and noted in the account.
+//! A seeded history: random events at random times, handed to a monitor and recorded in the account.
 
 use crate::account::{Account, WriteChange};
+use crate::common::request_classes;
 use birchreach_health::{
     Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor, Operation, ProbeOutcome,
-    ProbeSettings, RequestClass, RequiredServer, Role, ServerId,
+    ProbeSettings, Role, ServerId,
 };
 
 /// Steps of a history, each with one to three events.
 pub(crate) const STEPS: usize = 120;
 
+/// A monitor, the random generator that drives it, and what it did.
 pub(crate) struct History {
     pub seed: u64,
     pub rng: fastrand::Rng,
@@ -24,9 +26,7 @@
 
 /// Every second seed has probes, and every fourth withdraws idle groups.
 fn settings(seed: u64) -> HealthSettings {
-    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
-    let classes =
-        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let classes = request_classes();
     let probes = seed.is_multiple_of(2).then(ProbeSettings::default);
     let idle_groups = if probes.is_some() && seed.is_multiple_of(4) {
         IdleGroupPolicy::Withdraw
@@ -39,6 +39,7 @@
 }
 
 impl History {
+    /// A history of two groups with two to six servers in all.
     pub(crate) fn new(seed: u64) -> History {
         let settings = settings(seed);
         let start = 1_000_000;
@@ -88,6 +89,7 @@
         self.now = until;
     }
 
+    /// Updates the monitor and takes its probes and changes.
     pub(crate) fn update(&mut self) {
         let now = self.now;
         self.monitor.update(now);
@@ -128,10 +130,12 @@
         }
     }
 
+    /// Hands an event to the monitor.
     fn handle(&mut self, event: HealthEvent) {
         self.monitor.handle_event(self.now, event);
     }
 
+    /// Lists a server, or changes what is listed of it.
     fn list(&mut self, server: u32, group: u32, primary: bool, accepts_work: bool) {
         let record = self.account.servers.entry(server).or_default();
         record.group = group;
@@ -145,6 +149,7 @@
         });
     }
 
+    /// The group's oldest write is queued from now on, or is no longer.
     fn begin_or_end_queueing(&mut self, group: u32) {
         let was_queued = self.account.queued_since.remove(&group).is_some();
         let since = if was_queued { None } else { Some(self.now) };
@@ -152,6 +157,7 @@
         self.handle(HealthEvent::WritesQueued { group: GroupId(group), since });
     }
 
+    /// Sends an attempt to the server, or ends one or a probe.
     fn send_or_end(&mut self, server: u32) {
         let now = self.now;
         let record = self.account.server(server);
@@ -169,6 +175,7 @@
         }
     }
 
+    /// Ends an attempt or a probe with a random outcome.
     fn end_attempt(&mut self, server: u32, write: bool, is_probe: bool) {
         let outcome = match self.rng.u8(0..10) {
             0..4 => ProbeOutcome::Answered,
--- a/health/tests/histories/main.rs
+++ b/health/tests/histories/main.rs
@@ -1,15 +1,19 @@
 //! The crate's invariants (see its documentation) over seeded histories. A seed that fails is printed, and fails again.
 
 mod account;
+#[path = "../common/mod.rs"]
+mod common;
 mod history;
 
 use birchreach_health::{Change, GroupId, Micros, Operation};
 use history::{History, STEPS};
 use std::collections::HashMap;
 
+/// Seeds 0 to this number, exclusive.
 const HISTORIES: u64 = 10_000;
-/// The probes that may be sent at once, to all groups and to one.
+/// The probes that may be sent to all groups at once.
 const TOTAL_BURST: f64 = 8.0;
+/// The probes that may be sent to one group at once.
 const GROUP_BURST: f64 = 3.0;
 
 /// Invariants 1, 2, 3 and 5 are checked during a history, 4 and 7 at its end.
@@ -17,9 +21,9 @@
 fn histories_of_events_keep_the_invariants() {
     let (mut changes, mut withdrawals, mut probes) = (0, 0, 0);
     for seed in 0..HISTORIES {
-        // When a history is played, the account checks each change and verdict
+        // Given a seed, when its history is played, then the account checks each change and verdict
         let history = History::new(seed).play();
-        // Then transitions and probes are bounded
+        // And transitions and probes are bounded
         transitions_are_bounded(&history);
         probes_stay_within_their_budget(&history);
         let is_withdrawal =
@@ -42,6 +46,7 @@
     earlier_withdrawals: u32,
 }
 
+/// Invariant 4: a capability keeps each state for its minimum time.
 fn transitions_are_bounded(history: &History) {
     let settings = &history.settings;
     let mut last: HashMap<(GroupId, bool), Transition> = HashMap::new();
@@ -62,6 +67,7 @@
     }
 }
 
+/// Invariant 7: the probes to all groups and to each stay within their rates and bursts.
 fn probes_stay_within_their_budget(history: &History) {
     let Some(settings) = &history.settings.probes else { return assert!(history.probes.is_empty()) };
     let total: Vec<Micros> = history.probes.iter().map(|(at, _)| *at).collect();
@@ -110,8 +116,11 @@
             }
             // Then both report the same
             assert_eq!(sleeper.changes, restless.changes, "seed {seed}");
-            let (a, b) = (sleeper.monitor.verdict(), restless.monitor.verdict());
-            assert_eq!((a.state, a.overall, &a.groups), (b.state, b.overall, &b.groups), "seed {seed}");
+            let reported = |history: &History| {
+                let verdict = history.monitor.verdict();
+                (verdict.state, verdict.overall, verdict.groups.clone())
+            };
+            assert_eq!(reported(&sleeper), reported(&restless), "seed {seed}");
         }
     }
 }
--- a/health/tests/verdicts/http_checks.rs
+++ b/health/tests/verdicts/http_checks.rs
@@ -79,9 +79,11 @@
 /// Damaged requests get an answer or nothing, never a panic, and bounded output.
 #[test]
 fn damaged_requests_are_harmless() {
+    // Given three requests in a row
     let proxy = simulated_proxy(1, HealthSettings::default());
     let request = b"GET /class/file-entry HTTP/1.1\r\nHost: p\r\nConnection: keep-alive\r\n\r\n";
     for seed in 0..5_000 {
+        // When bytes of them are changed, cut off or inserted, and they arrive in pieces
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut bytes: Vec<u8> = request.repeat(3);
         for _ in 0..rng.usize(0..6) {
@@ -99,6 +101,7 @@
             let _ = line.feed(piece);
         }
         let _ = line.input_ended();
+        // Then the output is bounded
         assert!(connection.output.len() < 4096);
     }
 }
--- a/health/tests/verdicts/own_faults.rs
+++ b/health/tests/verdicts/own_faults.rs
@@ -65,6 +65,7 @@
     assert!(proxy.monitor.verdict().overall.available);
 }
 
+/// Both servers of the first group refuse a connection.
 fn refuse_on_both_servers(proxy: &mut SimulatedProxy) {
     for server in [0, 1] {
         proxy.send(server);
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -1,15 +1,17 @@
 //! A proxy in virtual time.
 
+use crate::common::request_classes;
 use birchreach_health::agent::{self, AgentCheckConnection};
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::{
-    Change, GroupId, HealthEvent, HealthSettings, Micros, Monitor, ProbeOutcome, ProbeSettings, RequestClass,
-    RequiredServer, Role, ServerId,
+    Change, GroupId, HealthEvent, HealthSettings, Micros, Monitor, ProbeOutcome, ProbeSettings, Role,
+    ServerId,
 };
 
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
 
+/// A monitor and the time that it is driven by.
 pub(crate) struct SimulatedProxy {
     pub now: Micros,
     pub monitor: Monitor,
@@ -17,9 +19,7 @@
 
 /// A proxy with some groups. Group g has the primary 10 g and the replica 10 g + 1.
 pub(crate) fn simulated_proxy(groups: u32, settings: HealthSettings) -> SimulatedProxy {
-    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
-    let classes =
-        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let classes = request_classes();
     let settings = HealthSettings { classes, ..settings };
     assert_eq!(settings.errors(), []);
     let start = 100 * SECOND;
@@ -43,6 +43,7 @@
 }
 
 impl SimulatedProxy {
+    /// Hands an event to the monitor, which is updated if that is due.
     pub(crate) fn handle(&mut self, event: HealthEvent) {
         self.monitor.handle_event(self.now, event);
         if self.monitor.next_change() <= self.now {
--- a/health/tests/wire_format.rs
+++ b/health/tests/wire_format.rs
@@ -1,22 +1,22 @@
 //! The bytes that balancers read, and the words in them, as a run of commit b41bd8a wrote them. Balancers'
 //! configurations and operators' scripts depend on each of them.
 
+mod common;
+
 use birchreach_health::agent::AgentCheckConnection;
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::query::HealthQuery;
 use birchreach_health::{
-    GroupId, HealthEvent, HealthSettings, Monitor, ProbeOutcome, Reason, RequestClass, RequiredServer, Role,
-    ServerId, State, agent,
+    GroupId, HealthEvent, HealthSettings, Monitor, ProbeOutcome, Reason, Role, ServerId, State, agent,
 };
+use common::request_classes;
 
 /// A proxy with two groups: the primary of the first is proven, that of the second refuses connections.
 fn degraded_proxy() -> Monitor {
-    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
-    let classes =
-        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
-    let mut monitor = Monitor::new(HealthSettings { classes, ..HealthSettings::default() }, 0);
-    for n in 0..2 {
-        let (server, group) = (ServerId(n), GroupId(n));
+    let settings = HealthSettings { classes: request_classes(), ..HealthSettings::default() };
+    let mut monitor = Monitor::new(settings, 0);
+    for number in 0..2 {
+        let (server, group) = (ServerId(number), GroupId(number));
         monitor.handle_event(
             1_000,
             HealthEvent::ServerListed { server, group, primary: Some(true), accepts_work: true },
@@ -39,6 +39,7 @@
 
 #[test]
 fn http_responses_have_their_recorded_bytes() {
+    // Given a proxy of which one group is unavailable
     let monitor = degraded_proxy();
     let name = |server: ServerId| format!("s-{}", server.0);
     for (path, recorded) in [
@@ -75,15 +76,18 @@
             "HTTP/1.1 404 Not Found\r\nContent-Type: text/plain\r\nContent-Length: 19\r\nCache-Control: no-store\r\n\r\nno such capability\n",
         ),
     ] {
+        // When a balancer asks for a path
         let mut connection = HttpCheckConnection::default();
         connection.feed(format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n").as_bytes());
         connection.process(1_000_000, monitor.verdict(), &name);
+        // Then it reads the recorded bytes
         assert_eq!(String::from_utf8(connection.output).unwrap(), recorded, "{path}");
     }
 }
 
 #[test]
 fn agent_check_replies_have_their_recorded_bytes() {
+    // Given a proxy of which one group is unavailable
     let monitor = degraded_proxy();
     let reply = |query| agent::reply(&query, monitor.verdict(), Some(40));
     for (line, recorded) in [
@@ -99,9 +103,11 @@
         ("port=1", "ready down #unknown-word\n"),
         ("é", "ready down #no-such-capability\n"),
     ] {
+        // When a balancer sends a line, then it reads the recorded reply
         let query = AgentCheckConnection::default().feed(format!("{line}\n").as_bytes()).unwrap();
         assert_eq!(reply(query), recorded, "{line}");
     }
+    // When the line is too long or no text, then the reply names that
     let too_long = AgentCheckConnection::default().feed(&[b'x'; 4096]).unwrap();
     assert_eq!(reply(too_long), "ready down #line-too-long\n");
     assert_eq!(reply(HealthQuery::parse(b"\xff\xfe")), "ready down #not-text\n");
@@ -109,6 +115,7 @@
 
 #[test]
 fn states_and_reasons_have_their_recorded_words() {
+    // Given the recorded labels
     let states =
         ["starting", "ready", "degraded", "overloaded", "no-primary", "blind", "draining", "maintenance"];
     let reasons = [
@@ -134,9 +141,10 @@
         "replaced",
         "maintenance",
     ];
+    // Then the variants have them in their order
     assert_eq!(State::ALL.iter().map(|state| state.as_str()).collect::<Vec<_>>(), states);
     assert_eq!(Reason::ALL.iter().map(|reason| reason.as_str()).collect::<Vec<_>>(), reasons);
-    // In JSON and in the log they are the same words.
+    // And JSON and the log have the same
     assert_eq!(serde_json::to_string(State::ALL).unwrap(), serde_json::to_string(&states).unwrap());
     assert_eq!(serde_json::to_string(Reason::ALL).unwrap(), serde_json::to_string(&reasons).unwrap());
     assert_eq!(Reason::ALL.iter().map(|reason| reason.to_string()).collect::<Vec<_>>(), reasons);
