--- a/health/tests/verdicts/http_checks.rs
+++ b/health/tests/verdicts/http_checks.rs
@@ -1,29 +1,45 @@
 //! HTTP check connections: valid and invalid requests, clients that don't read, and noise.
 
-use crate::support::{MILLISECOND, simulated_proxy};
+use crate::support::{MILLISECOND, SimulatedProxy, simulated_proxy};
 use birchreach_health::HealthSettings;
 use birchreach_health::agent::AgentCheckConnection;
 use birchreach_health::http::{HttpCheckConnection, MAX_PENDING_OUTPUT_BYTES};
 
-#[test]
-fn requests_are_answered_in_order_and_invalid_ones_end_the_connection() {
-    // Given a healthy proxy, then each method gets its response
+/// A proxy with two groups, of which the first has a proven primary.
+fn healthy_proxy() -> SimulatedProxy {
     let mut proxy = simulated_proxy(2, HealthSettings::default());
     proxy.write(0, MILLISECOND);
     proxy.advance(50 * MILLISECOND, |_| None);
+    proxy
+}
+
+#[test]
+fn each_method_gets_its_response() {
+    // Given a healthy proxy
+    let proxy = healthy_proxy();
+    // When a capability is asked for, then the response has its headers
     let ready = proxy.http_get("/ready");
     for part in ["HTTP/1.1 200 OK\r\n", "Cache-Control: no-store\r\n", "Content-Type: application/json\r\n"] {
         assert!(ready.contains(part), "{ready}");
     }
+    // When the report is asked for, then it has the state and the servers' names
     let report = proxy.http_get("/health");
     let body: serde_json::Value = serde_json::from_str(report.split("\r\n\r\n").nth(1).unwrap()).unwrap();
     assert_eq!((&body["state"], &body["groups"][0]["primary"]), (&"ready".into(), &"s-0".into()));
     assert_eq!(body["classes"][0]["class"], "file-entry");
+    // When only the head is asked for, then there is no body
     let head = proxy.http_exchange("HEAD /ready HTTP/1.1\r\nHost: p\r\n\r\n");
     assert!(head.ends_with("\r\n\r\n") && head.contains("Content-Length: ") && !head.contains("Length: 0"));
+    // When the methods are asked for, then the response lists them
     assert!(
         proxy.http_exchange("OPTIONS * HTTP/1.1\r\nHost: p\r\n\r\n").contains("Allow: GET, HEAD, OPTIONS")
     );
+}
+
+#[test]
+fn pipelined_requests_are_answered_in_order() {
+    // Given a healthy proxy
+    let proxy = healthy_proxy();
     // When requests are pipelined, then they are answered in order, up to the one that closes
     let piped = proxy.http_exchange(
         "GET /live HTTP/1.1\r\nHost: p\r\nContent-Length: 3\r\n\r\nabcGET /x HTTP/1.1\r\nHost: p\r\n\r\n\
@@ -32,6 +48,12 @@
     let statuses: Vec<&str> = piped.split("HTTP/1.1 ").skip(1).map(|response| &response[..3]).collect();
     assert_eq!(statuses, ["200", "404", "200"], "nothing after the one that closes");
     assert!(piped.contains("Connection: close"));
+}
+
+#[test]
+fn invalid_requests_and_unknown_resources_get_their_status() {
+    // Given a healthy proxy
+    let proxy = healthy_proxy();
     // When a request is invalid or asks for something unknown, then the status says so
     for (request, status) in [
         ("POST /ready HTTP/1.1\r\nHost: p\r\n\r\n", 405),
@@ -54,6 +76,7 @@
         let response = proxy.http_exchange(request);
         assert!(response.starts_with(&format!("HTTP/1.1 {status} ")), "{request:?}: {response}");
     }
+    // When a request is incomplete, then it gets no response yet
     assert_eq!(proxy.http_exchange("GET /live HTTP/1.1\r\nHo"), "", "an incomplete request gets nothing yet");
 }
 
--- a/health/tests/verdicts/own_faults.rs
+++ b/health/tests/verdicts/own_faults.rs
@@ -1,10 +1,10 @@
 //! Faults of the proxy itself: maintenance, handover, shutdown, loss of all connectivity, and overload.
 
 use crate::support::{MILLISECOND, SECOND, SimulatedProxy, simulated_proxy};
-use birchreach_health::{HealthEvent, HealthSettings, OverloadPolicy, ProbeOutcome, State};
+use birchreach_health::{HealthEvent, HealthSettings, OverloadPolicy, State};
 
 #[test]
-fn planned_withdrawals_and_startup_concern_every_capability() {
+fn planned_withdrawals_concern_every_capability() {
     // Given a healthy proxy
     let mut proxy = simulated_proxy(2, HealthSettings::default());
     proxy.write(0, MILLISECOND);
@@ -31,17 +31,22 @@
     proxy.handle(HealthEvent::Stopping);
     assert_eq!((proxy.agent_reply(""), proxy.monitor.verdict().state), ("drain\n".into(), State::Draining));
     assert_eq!(proxy.monitor.verdict().overall.weight_percent, 0);
-    // Given a proxy that waits for its predecessor, then it is unavailable until it is ready
+}
+
+#[test]
+fn a_successor_is_unavailable_until_it_is_ready() {
+    // Given a proxy that waits for its predecessor
     let mut successor = simulated_proxy(1, HealthSettings::default());
     let at = successor.now + 500 * MILLISECOND;
     successor.handle(HealthEvent::ReadyAt(at));
     assert_eq!(successor.agent_reply(""), "ready down #starting\n");
+    // When its time has come, then it is available
     successor.advance(500 * MILLISECOND, |_| None);
     assert_eq!(successor.agent_reply(""), "ready up 100%\n");
 }
 
 #[test]
-fn a_proxy_is_blind_if_it_reaches_neither_discovery_nor_databases() {
+fn a_proxy_is_isolated_if_it_reaches_neither_discovery_nor_databases() {
     // Given a proxy with a proven primary
     let mut proxy = simulated_proxy(1, HealthSettings::default());
     proxy.handle(HealthEvent::DiscoveryAnswered);
@@ -49,7 +54,7 @@
     // When discovery alone is silent, then nothing changes
     proxy.advance(120 * SECOND, |_| None);
     assert_eq!(proxy.monitor.verdict().state, State::Ready);
-    // When both databases refuse connections too, then the proxy is blind
+    // When both databases refuse connections too, then the proxy is isolated
     refuse_on_both_servers(&mut proxy);
     proxy.advance(2 * SECOND, |_| None);
     assert_eq!(
@@ -68,8 +73,7 @@
 /// Both servers of the first group refuse a connection.
 fn refuse_on_both_servers(proxy: &mut SimulatedProxy) {
     for server in [0, 1] {
-        proxy.send(server);
-        proxy.end(server, false, ProbeOutcome::Refused, None);
+        proxy.send_refused(server, false);
     }
 }
 
--- a/health/tests/verdicts/primary_faults.rs
+++ b/health/tests/verdicts/primary_faults.rs
@@ -1,9 +1,8 @@
 //! Faults of a group's primary: it is unresponsive, missing, or only slow.
 
-use crate::support::{MILLISECOND, SECOND, probing, simulated_proxy};
+use crate::support::{MILLISECOND, SECOND, probing, proxy_with_proven_primary, simulated_proxy};
 use birchreach_health::{
-    GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, ProbeOutcome, Role, ServerId, SharedCausePolicy,
-    State,
+    HealthEvent, HealthSettings, IdleGroupPolicy, ProbeOutcome, Role, ServerId, SharedCausePolicy, State,
 };
 
 /// Writes are withdrawn within 2 s and reads stay. The endpoint list alone doesn't restore writes, a proof does.
@@ -26,18 +25,8 @@
     assert!(proxy.http_get("/ready").contains("x-envoy-degraded: true"));
     // When the endpoint list names another primary, seconds later, then writes stay unavailable
     proxy.advance(4 * SECOND, |_| None);
-    proxy.handle(HealthEvent::ServerListed {
-        server: ServerId(0),
-        group: GroupId(0),
-        primary: Some(false),
-        accepts_work: true,
-    });
-    proxy.handle(HealthEvent::ServerListed {
-        server: ServerId(1),
-        group: GroupId(0),
-        primary: Some(true),
-        accepts_work: true,
-    });
+    proxy.list(0, 0, false);
+    proxy.list(1, 0, true);
     proxy.advance(20 * SECOND, |_| None);
     assert_eq!(proxy.agent_reply("group=0 write"), "ready down #primary-silent\n");
     // When that server proves to be the primary, then writes are restored after a delay
@@ -61,8 +50,7 @@
         proxy.write(group * 10, 5 * MILLISECOND);
     }
     // When one primary refuses connections, then its group has no writes and the sum has less weight
-    proxy.send(20);
-    proxy.end(20, true, ProbeOutcome::Refused, None);
+    proxy.send_refused(20, true);
     proxy.advance(SECOND, |_| None);
     assert_eq!(proxy.agent_reply("group=2 write"), "ready down #primary-gone\n");
     assert_eq!(proxy.agent_reply("group=1 write"), "ready up 100%\n");
@@ -72,33 +60,33 @@
     assert_eq!(proxy.monitor.verdict().state, State::Degraded);
     // When all primaries do, then no group has writes, but the proxy stays in rotation
     for group in [0, 1, 3] {
-        proxy.send(group * 10);
-        proxy.end(group * 10, true, ProbeOutcome::Refused, None);
+        proxy.send_refused(group * 10, true);
     }
     proxy.advance(SECOND, |_| None);
     assert_eq!(proxy.monitor.verdict().state, State::NoPrimary);
     assert_eq!(proxy.agent_reply("file-entry"), "ready down #primary-gone\n");
     assert_eq!(proxy.agent_reply("tariff-lookup"), "ready up 100%\n");
     assert_eq!(proxy.agent_reply(""), "ready up 100%\n", "otherwise no proxy would be left to the balancer");
-    // Unless the settings say otherwise, for a balancer of writes alone
-    let mut strict = simulated_proxy(
-        1,
-        HealthSettings { shared_causes: SharedCausePolicy::ReportDown, ..HealthSettings::default() },
-    );
-    strict.write(0, MILLISECOND);
-    strict.send(0);
-    strict.end(0, true, ProbeOutcome::Refused, None);
-    strict.advance(SECOND, |_| None);
-    assert_eq!(strict.agent_reply(""), "ready down #primary-gone\n");
 }
 
-/// Silent for 300 ms of every second; then for 1.9 s of every 3.1 s.
 #[test]
-fn an_intermittently_silent_primary_causes_few_transitions() {
-    // Given a primary with short silences, then nothing is withdrawn
-    let mut proxy = simulated_proxy(1, HealthSettings::default());
-    proxy.write(0, 5 * MILLISECOND);
-    proxy.count_capability_changes();
+fn a_missing_primary_makes_the_proxy_unavailable_only_if_set_so() {
+    // Given settings for a balancer of writes alone, and a proven primary
+    let settings =
+        HealthSettings { shared_causes: SharedCausePolicy::ReportDown, ..HealthSettings::default() };
+    let mut proxy = simulated_proxy(1, settings);
+    proxy.write(0, MILLISECOND);
+    // When the primary refuses connections, then the proxy is unavailable
+    proxy.send_refused(0, true);
+    proxy.advance(SECOND, |_| None);
+    assert_eq!(proxy.agent_reply(""), "ready down #primary-gone\n");
+}
+
+#[test]
+fn short_silences_of_a_primary_withdraw_nothing() {
+    // Given a group with a proven primary
+    let mut proxy = proxy_with_proven_primary(HealthSettings::default());
+    // When it is silent for 300 ms of every second, then nothing is withdrawn
     for _ in 0..60 {
         proxy.send(0);
         proxy.advance(300 * MILLISECOND, |_| None);
@@ -108,10 +96,13 @@
         }
     }
     assert_eq!(proxy.count_capability_changes(), 0);
-    // Given one with long silences, then the restore delay grows and bounds the transitions
-    let mut proxy = simulated_proxy(1, HealthSettings::default());
-    proxy.write(0, 5 * MILLISECOND);
-    proxy.count_capability_changes();
+}
+
+#[test]
+fn long_silences_of_a_primary_cause_few_transitions() {
+    // Given a group with a proven primary
+    let mut proxy = proxy_with_proven_primary(HealthSettings::default());
+    // When it is silent for 1.9 s of every 3.1 s, then the restore delay grows and bounds the transitions
     for _ in 0..60 {
         proxy.send(0);
         proxy.advance(1900 * MILLISECOND, |_| None);
@@ -123,13 +114,11 @@
     assert!((2..=16).contains(&changes), "{changes} in three minutes");
 }
 
-/// With probes, requests may take any time; without, up to the silence limit.
 #[test]
-fn slow_requests_withdraw_nothing() {
-    // Given probes, when requests take longer than any limit, then nothing is withdrawn
-    let mut proxy = simulated_proxy(1, probing());
-    proxy.write(0, 5 * MILLISECOND);
-    proxy.count_capability_changes();
+fn with_probes_requests_of_any_duration_withdraw_nothing() {
+    // Given probes and a proven primary
+    let mut proxy = proxy_with_proven_primary(probing());
+    // When requests take longer than any limit, then nothing is withdrawn
     for _ in 0..20 {
         proxy.send(0);
         proxy.advance(8 * SECOND, |server| {
@@ -138,9 +127,14 @@
         proxy.end(0, true, ProbeOutcome::Answered, Some(Role::Primary));
     }
     assert_eq!(proxy.count_capability_changes(), 0);
-    // Given none, when requests take just less than the silence limit, then nothing is withdrawn
+}
+
+#[test]
+fn without_probes_requests_below_the_silence_limit_withdraw_nothing() {
+    // Given no probes
     let mut proxy = simulated_proxy(1, HealthSettings::default());
     proxy.count_capability_changes();
+    // When requests take just less than the silence limit, then nothing is withdrawn
     for _ in 0..50 {
         proxy.write(0, 1600 * MILLISECOND);
     }
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -26,17 +26,20 @@
     let mut proxy = SimulatedProxy { now: start, monitor: Monitor::new(settings, start) };
     for group in 0..groups {
         for (server, primary) in [(group * 10, true), (group * 10 + 1, false)] {
-            proxy.handle(HealthEvent::ServerListed {
-                server: ServerId(server),
-                group: GroupId(group),
-                primary: Some(primary),
-                accepts_work: true,
-            });
+            proxy.list(server, group, primary);
         }
     }
     proxy
 }
 
+/// A proxy with one group, whose primary is proven. Capability changes are counted from here on.
+pub(crate) fn proxy_with_proven_primary(settings: HealthSettings) -> SimulatedProxy {
+    let mut proxy = simulated_proxy(1, settings);
+    proxy.write(0, 5 * MILLISECOND);
+    proxy.count_capability_changes();
+    proxy
+}
+
 /// Settings with probes.
 pub(crate) fn probing() -> HealthSettings {
     HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
@@ -67,6 +70,16 @@
         self.now = until;
     }
 
+    /// Lists a server that accepts work.
+    pub(crate) fn list(&mut self, server: u32, group: u32, primary: bool) {
+        self.handle(HealthEvent::ServerListed {
+            server: ServerId(server),
+            group: GroupId(group),
+            primary: Some(primary),
+            accepts_work: true,
+        });
+    }
+
     /// Sends an attempt to a server.
     pub(crate) fn send(&mut self, server: u32) {
         self.handle(HealthEvent::RequestSent { server: ServerId(server) });
@@ -77,6 +90,12 @@
         self.handle(HealthEvent::RequestEnded { server: ServerId(server), write, outcome, role });
     }
 
+    /// Sends an attempt to a server that refuses the connection.
+    pub(crate) fn send_refused(&mut self, server: u32, write: bool) {
+        self.send(server);
+        self.end(server, write, ProbeOutcome::Refused, None);
+    }
+
     /// Sends a write that the primary serves after this time.
     pub(crate) fn write(&mut self, server: u32, duration: Micros) {
         self.send(server);
