--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,6 +1,8 @@
 //! The routers that the simulator has started, by their number on the wire.
 
-use crate::wire::{Batch, EndpointRecord, FrameError, Incoming, ListId, Reply, RouterId, micros_down};
+use crate::wire::{
+    Batch, EndpointRecord, FrameError, Incoming, ListId, Reply, RouterId, micros_rounded_down,
+};
 use birchreach::{Action, Event, Micros, Router};
 use birchreach_settings::DeploymentSettings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,6 +10,7 @@
 /// A router and the settings that it was started with.
 pub struct Instance {
     router: Router,
+    /// They determine what the fields of load reports and requests mean.
     pub settings: DeploymentSettings,
 }
 
@@ -16,26 +19,29 @@
 pub struct Host {
     instances: BTreeMap<RouterId, Instance>,
     lists: BTreeMap<ListId, Vec<EndpointRecord>>,
+    /// Unknown event codes that were reported already.
     unknown_codes: BTreeSet<u16>,
+    /// A buffer that every event reuses.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Carries out the records of a batch in their order.
+    /// Processes the records of a batch in their order.
     ///
     /// # Errors
     /// A record that cannot be decoded.
     pub fn handle(&mut self, batch: &Batch) -> Result<Reply, FrameError> {
-        let now = micros_down(batch.clock_ms);
+        let now = micros_rounded_down(batch.clock_ms);
         let mut reply = Reply::new(batch.number);
         for index in 0..batch.records {
             let decoded = batch.decode(index, &self.lists, &self.instances);
-            let incoming = decoded.map_err(|error| error.at(batch.number, index))?;
+            let incoming = decoded.map_err(|error| error.in_record(batch.number, index))?;
             self.handle_record(now, incoming, &mut reply, batch.number, index);
         }
         Ok(reply)
     }
 
+    /// Processes one record.
     fn handle_record(
         &mut self,
         now: Micros,
@@ -65,6 +71,7 @@
         }
     }
 
+    /// Starts a router in place of the one before, if any.
     fn start(&mut self, now: Micros, id: RouterId, seed: u64, settings: &str, reply: &mut Reply) {
         match birchreach_settings::parse(settings) {
             Ok(settings) => {
@@ -79,6 +86,7 @@
         }
     }
 
+    /// Hands an event to its router, if that runs.
     fn handle_event(&mut self, now: Micros, id: RouterId, event: Event, reply: &mut Reply) {
         if let Some(instance) = self.instances.get_mut(&id) {
             instance.router.handle(now, event, &mut self.actions);
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -11,6 +11,7 @@
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use wire::{FrameError, read_batch};
 
+/// Buffer of the input and of the output.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 fn main() {
--- a/simulator-adapter/src/wire/batch.rs
+++ b/simulator-adapter/src/wire/batch.rs
@@ -5,6 +5,7 @@
 use super::fields::Fields;
 use std::io::{ErrorKind, Read};
 
+/// Length of a header: the body's length, the number of records, the clock and the batch number.
 const HEADER_BYTES: usize = 20;
 
 /// A batch of records, all of one instant.
@@ -15,6 +16,7 @@
     pub number: u32,
     /// How many records it has.
     pub records: usize,
+    /// The records and the tail.
     body: Vec<u8>,
 }
 
@@ -42,6 +44,7 @@
     Ok(Some(Batch { clock_ms, number, records, body }))
 }
 
+/// Reads a header; `None` if the input ends before it.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_BYTES]>, FrameError> {
     let mut header = [0; HEADER_BYTES];
     let mut got = 0;
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -38,8 +38,8 @@
 }
 
 impl FrameError {
-    /// Adds where the record stands.
-    pub fn at(self, batch: u32, index: usize) -> FrameError {
+    /// Adds the batch and the index of the record in which the error occurred.
+    pub fn in_record(self, batch: u32, index: usize) -> FrameError {
         FrameError::Record { batch, index, error: Box::new(self) }
     }
 }
--- a/simulator-adapter/src/wire/events.rs
+++ b/simulator-adapter/src/wire/events.rs
@@ -3,7 +3,7 @@
 use super::batch::Batch;
 use super::error::FrameError;
 use super::fields::Fields;
-use super::{micros_down, micros_up};
+use super::{MICROS_PER_MILLISECOND, micros_rounded_down, micros_rounded_up};
 use crate::host::Instance;
 use birchreach::{
     AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointList, EndpointState, Event, GroupId,
@@ -20,7 +20,6 @@
 const MAX_REPORT_VALUES: usize = 4;
 /// Role values in a load report from this one on mean the primary.
 const PRIMARY_ROLE_VALUE: f32 = 0.5;
-const MICROS_PER_MILLISECOND: Micros = 1_000;
 
 /// Codes of event records.
 mod code {
@@ -107,12 +106,14 @@
         Ok(Incoming::Event { router, event })
     }
 
+    /// Decodes the start of a router, whose settings are in the tail.
     fn decode_start(&self, router: RouterId, record: &Fields) -> Result<Incoming, FrameError> {
         let settings = self.tail(record.u32(12), record.u32(16) as usize)?;
         let settings = String::from_utf8_lossy(settings).into_owned();
         Ok(Incoming::Start { router, seed: record.u64(4), settings })
     }
 
+    /// Decodes the definition of an endpoint list, whose entries are in the tail.
     fn decode_list(&self, list: ListId, record: &Fields) -> Result<Incoming, FrameError> {
         let count = record.u32(8) as usize;
         let length = count.checked_mul(ENDPOINT_BYTES).ok_or(FrameError::ListTooLong)?;
@@ -121,6 +122,7 @@
         Ok(Incoming::DefineList { list, endpoints: endpoints? })
     }
 
+    /// Decodes a request of a client.
     fn decode_request(&self, record: &Fields, settings: Option<&DeploymentSettings>) -> Request {
         let class = record.u16(20);
         let carries_position = settings.is_some_and(|settings| {
@@ -132,16 +134,17 @@
             class: ClassId(class),
             group: GroupId(record.f32(34) as u32),
             tenant: TenantId(record.u16(46)),
-            timeout: micros_down(record.f64(12)),
+            timeout: micros_rounded_down(record.f64(12)),
             session: Some(record.u64(38)).filter(|session| *session != 0).map(SessionId),
             // Rounded up, including the precision of the 32-bit float: the read has to see the write.
             last_write_position: (carries_position && since_write_ms > 0.0)
-                .then(|| micros_up(self.clock_ms - f64::from(since_write_ms.next_down()))),
+                .then(|| micros_rounded_up(self.clock_ms - f64::from(since_write_ms.next_down()))),
             copy_candidates: Vec::new(),
         }
     }
 }
 
+/// Decodes a change of the endpoint list, which refers to a list that was defined before.
 fn decode_endpoints(
     record: &Fields,
     lists: &BTreeMap<ListId, Vec<EndpointRecord>>,
@@ -160,6 +163,7 @@
     }
 }
 
+/// Decodes an entry of an endpoint list.
 fn decode_endpoint(bytes: &[u8]) -> Result<EndpointRecord, FrameError> {
     let fields = Fields(bytes);
     let state = match fields.u8(0) {
@@ -174,12 +178,13 @@
         group: GroupId(u32::from(fields.u16(14))),
         zone: ZoneId(u16::from(fields.u8(1))),
         state,
-        started_at: (started_ms != 0.0).then(|| micros_down(started_ms)),
+        started_at: (started_ms != 0.0).then(|| micros_rounded_down(started_ms)),
         weight: f64::from(fields.f32(10)),
         primary: fields.f32(16) == 1.0,
     }))
 }
 
+/// Decodes the result of an attempt.
 fn decode_result(
     record: &Fields,
     settings: Option<&DeploymentSettings>,
@@ -189,13 +194,14 @@
         attempt: AttemptNo(record.u16(21)),
         server: ServerId(record.u32(16)),
         outcome: decode_outcome(record.u8(23))?,
-        elapsed: micros_down(record.f64(24)),
+        elapsed: micros_rounded_down(record.f64(24)),
         request_finished: record.u8(20) != 0,
         status: settings.and_then(|settings| decode_status(record.u32(12), settings.position_epoch)),
         load_report: settings.and_then(|settings| decode_load_report(record, 32, settings)),
     })
 }
 
+/// Decodes the outcome of an attempt or a health check.
 fn decode_outcome(code: u8) -> Result<AttemptOutcome, FrameError> {
     Ok(match code {
         0 => AttemptOutcome::Ok,
@@ -211,7 +217,7 @@
     })
 }
 
-/// The two lowest bits hold the role, the others the position in milliseconds.
+/// Decodes a server's status: the two lowest bits hold the role, the others the position in milliseconds.
 fn decode_status(bits: u32, position_epoch: Micros) -> Option<ServerStatus> {
     let role = match bits % 4 {
         1 => Role::Primary,
@@ -223,6 +229,7 @@
     Some(ServerStatus { role, position })
 }
 
+/// Decodes a load report: a count of values, and the values, whose meaning the settings give.
 fn decode_load_report(record: &Fields, offset: usize, settings: &DeploymentSettings) -> Option<LoadReport> {
     let count = usize::from(record.u8(offset)).min(MAX_REPORT_VALUES);
     if count == 0 {
@@ -239,9 +246,9 @@
     Some(LoadReport { position, role })
 }
 
-/// Rounded down, including the precision of the 32-bit float: a position must never read as later than it was.
+/// Seconds to microseconds, rounded down, including the precision of the 32-bit float: a position must never read as later than it was.
 fn micros_from_seconds_down(seconds: f32) -> Micros {
     const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
     let precision = f64::from(seconds.next_up()) - f64::from(seconds);
-    micros_down((f64::from(seconds) - precision) * MILLISECONDS_PER_SECOND)
+    micros_rounded_down((f64::from(seconds) - precision) * MILLISECONDS_PER_SECOND)
 }
--- a/simulator-adapter/src/wire/fields.rs
+++ b/simulator-adapter/src/wire/fields.rs
@@ -4,9 +4,10 @@
 pub struct Fields<'a>(pub &'a [u8]);
 
 impl Fields<'_> {
-    fn bytes<const N: usize>(&self, offset: usize) -> [u8; N] {
-        let mut bytes = [0; N];
-        bytes.copy_from_slice(&self.0[offset..offset + N]);
+    /// The bytes of a number.
+    fn bytes<const LENGTH: usize>(&self, offset: usize) -> [u8; LENGTH] {
+        let mut bytes = [0; LENGTH];
+        bytes.copy_from_slice(&self.0[offset..offset + LENGTH]);
         bytes
     }
 
--- a/simulator-adapter/src/wire/mod.rs
+++ b/simulator-adapter/src/wire/mod.rs
@@ -15,14 +15,14 @@
 
 use birchreach::Micros;
 
-const MICROS_PER_MILLISECOND: f64 = 1_000.0;
+const MICROS_PER_MILLISECOND: Micros = 1_000;
 
 /// Milliseconds to microseconds, rounded down. The cast saturates and turns NaN into 0.
-pub fn micros_down(milliseconds: f64) -> Micros {
-    (milliseconds * MICROS_PER_MILLISECOND).floor() as Micros
+pub fn micros_rounded_down(milliseconds: f64) -> Micros {
+    (milliseconds * MICROS_PER_MILLISECOND as f64).floor() as Micros
 }
 
 /// Milliseconds to microseconds, rounded up.
-fn micros_up(milliseconds: f64) -> Micros {
-    (milliseconds * MICROS_PER_MILLISECOND).ceil() as Micros
+fn micros_rounded_up(milliseconds: f64) -> Micros {
+    (milliseconds * MICROS_PER_MILLISECOND as f64).ceil() as Micros
 }
--- a/simulator-adapter/src/wire/reply.rs
+++ b/simulator-adapter/src/wire/reply.rs
@@ -1,10 +1,10 @@
 //! The reply to a batch: action records, then a tail with their texts.
 
-use super::RouterId;
-use birchreach::{Action, Micros};
+use super::{MICROS_PER_MILLISECOND, RouterId};
+use birchreach::{Action, Micros, RequestId};
 
+/// Length of an action record.
 const ACTION_BYTES: usize = 24;
-const MICROS_PER_MILLISECOND: f64 = 1_000.0;
 
 /// Codes of action records.
 mod code {
@@ -27,70 +27,60 @@
 }
 
 impl Record {
+    /// A record without fields.
     fn new(code: u16, router: RouterId) -> Record {
-        let mut record = Record { router, bytes: [0; ACTION_BYTES], text: None };
-        record.put(0, code.to_le_bytes());
-        record.put(2, router.0.to_le_bytes());
-        record
+        let empty = Record { router, bytes: [0; ACTION_BYTES], text: None };
+        empty.with(0, code.to_le_bytes()).with(2, router.0.to_le_bytes())
     }
 
+    /// A record with a text in the tail and no other fields.
     fn with_text(code: u16, router: RouterId, text: String) -> Record {
         Record { text: Some(text), ..Record::new(code, router) }
     }
 
-    fn put<const N: usize>(&mut self, offset: usize, bytes: [u8; N]) {
-        self.bytes[offset..offset + N].copy_from_slice(&bytes);
+    /// Writes a field at its offset.
+    fn put<const LENGTH: usize>(&mut self, offset: usize, bytes: [u8; LENGTH]) {
+        self.bytes[offset..offset + LENGTH].copy_from_slice(&bytes);
     }
 
+    /// The record with a further field.
+    fn with<const LENGTH: usize>(mut self, offset: usize, bytes: [u8; LENGTH]) -> Record {
+        self.put(offset, bytes);
+        self
+    }
+
+    /// The record of an action about a request, whose id is the first field.
+    fn about_request(code: u16, router: RouterId, request: RequestId) -> Record {
+        Record::new(code, router).with(4, request.0.to_le_bytes())
+    }
+
+    /// Encodes an action.
     fn from_action(router: RouterId, action: Action) -> Record {
         match action {
-            Action::Send { request, server, timeout } => {
-                let mut record = Record::new(code::SEND, router);
-                record.put(4, request.0.to_le_bytes());
-                record.put(12, server.0.to_le_bytes());
-                record.put(16, milliseconds(timeout));
-                record
-            }
-            Action::Reject { request, retry_after } => {
-                let mut record = Record::new(code::REJECT, router);
-                record.put(4, request.0.to_le_bytes());
-                record.put(12, milliseconds(retry_after.unwrap_or(0)));
-                record
-            }
-            Action::Fail { request } => {
-                let mut record = Record::new(code::FAIL, router);
-                record.put(4, request.0.to_le_bytes());
-                record
-            }
+            Action::Send { request, server, timeout } => Record::about_request(code::SEND, router, request)
+                .with(12, server.0.to_le_bytes())
+                .with(16, milliseconds(timeout)),
+            Action::Reject { request, retry_after } => Record::about_request(code::REJECT, router, request)
+                .with(12, milliseconds(retry_after.unwrap_or(0))),
+            Action::Fail { request } => Record::about_request(code::FAIL, router, request),
             Action::Cancel { request, attempt } => {
-                let mut record = Record::new(code::CANCEL, router);
-                record.put(4, request.0.to_le_bytes());
-                record.put(12, attempt.0.to_le_bytes());
-                record
+                Record::about_request(code::CANCEL, router, request).with(12, attempt.0.to_le_bytes())
             }
             Action::HealthCheck { server } => {
-                let mut record = Record::new(code::HEALTH_CHECK, router);
-                record.put(4, server.0.to_le_bytes());
-                record
+                Record::new(code::HEALTH_CHECK, router).with(4, server.0.to_le_bytes())
             }
             Action::Timer { id, delay } => {
-                let mut record = Record::new(code::TIMER, router);
-                record.put(4, milliseconds(delay));
-                record.put(12, id.to_le_bytes());
-                record
-            }
-            Action::WatchEndpoints => {
-                let mut record = Record::new(code::WATCH_ENDPOINTS, router);
-                record.put(4, [1]);
-                record
+                Record::new(code::TIMER, router).with(4, milliseconds(delay)).with(12, id.to_le_bytes())
             }
+            Action::WatchEndpoints => Record::new(code::WATCH_ENDPOINTS, router).with(4, [1]),
             Action::Log(text) => Record::with_text(code::LOG, router, text),
         }
     }
 }
 
+/// Microseconds as the wire has them.
 fn milliseconds(span: Micros) -> [u8; 8] {
-    (span as f64 / MICROS_PER_MILLISECOND).to_le_bytes()
+    (span as f64 / MICROS_PER_MILLISECOND as f64).to_le_bytes()
 }
 
 /// A reply under construction.
@@ -100,6 +90,7 @@
 }
 
 impl Reply {
+    /// A reply without actions.
     pub fn new(batch: u32) -> Reply {
         Reply { batch, records: Vec::new() }
     }
@@ -109,7 +100,7 @@
         self.records.extend(actions.drain(..).map(|action| Record::from_action(router, action)));
     }
 
-    /// Tells that a router could not be started.
+    /// Reports that a router could not be started.
     pub fn push_start_failure(&mut self, router: RouterId, message: &str) {
         self.records.push(Record::with_text(code::START_FAILED, router, message.to_string()));
     }
