--- a/simulator-adapter/tests/pipe.rs
+++ b/simulator-adapter/tests/pipe.rs
@@ -1,7 +1,34 @@
 //! The built adapter over a pipe, with hand-made frames.
 
-use std::io::Write;
-use std::process::{Command, Output, Stdio};
+mod common;
+
+use common::{ActionRecord, parse_replies, run_adapter};
+use std::process::Output;
+
+/// Length of an event record.
+const EVENT_BYTES: usize = 56;
+/// Length of an endpoint in the tail.
+const ENDPOINT_BYTES: usize = 25;
+/// The router that the tests start.
+const ROUTER: u16 = 3;
+
+/// Codes of event records.
+mod event {
+    pub const START: u16 = 256;
+    pub const ENDPOINTS: u16 = 257;
+    pub const REQUEST: u16 = 258;
+    pub const HEALTH_CHECK_COMPLETED: u16 = 263;
+    pub const STOP: u16 = 265;
+    pub const DEFINE_LIST: u16 = 266;
+    pub const UNKNOWN: u16 = 999;
+}
+
+/// Codes of action records.
+mod action {
+    pub const WATCH_ENDPOINTS: u16 = 259;
+    pub const SEND: u16 = 262;
+    pub const START_FAILED: u16 = 264;
+}
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "my_zone": 0, "registry_mode": "subscribe", "an_unknown_key": [1],
  "classes": [{"credit": 1.0, "deadline_ms": 2000.0, "goal_time_ms": 500.0, "idempotency": "free", "late_worth": 0.5,
@@ -11,174 +38,184 @@
   "max_retry_after_ms": 1000.0}, "load_info": {"names": ["x0", "x1"], "via": "pull"},
  "obligations": {"cold_ms": 1000.0, "cold_share": 0.2, "drain_grace_ms": 500.0, "fall_ms": 1000.0, "fall_multiple": 2.0}}"#;
 
-fn play(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_birchreach-simulator-adapter"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .unwrap();
-    // The adapter may leave before it has read everything.
-    let _ = child.stdin.take().unwrap().write_all(input);
-    child.wait_with_output().unwrap()
+/// The output of the adapter, which exits before it has read everything only where it fails.
+fn output_for(input: &[u8]) -> Output {
+    let run = run_adapter(input);
+    assert!(run.input_written.is_ok() || !run.output.status.success());
+    run.output
 }
 
+/// The records and the tail of a batch.
 struct Frame {
-    records: Vec<[u8; 56]>,
+    records: Vec<[u8; EVENT_BYTES]>,
     tail: Vec<u8>,
 }
 
+/// A field of a record: its offset and its bytes.
+struct Field<'a>(usize, &'a [u8]);
+
 impl Frame {
     fn new() -> Frame {
-        Frame { records: vec![], tail: vec![] }
+        Frame { records: Vec::new(), tail: Vec::new() }
     }
 
-    fn record(mut self, code: u16, router: u16, fields: &[(usize, &[u8])]) -> Frame {
-        let mut r = [0; 56];
-        r[0..2].copy_from_slice(&code.to_le_bytes());
-        r[2..4].copy_from_slice(&router.to_le_bytes());
-        for (at, bytes) in fields {
-            r[*at..at + bytes.len()].copy_from_slice(bytes);
+    /// A frame that starts the router with valid settings.
+    fn starting_router() -> Frame {
+        Frame::new().start(SETTINGS)
+    }
+
+    fn record(mut self, code: u16, id: u16, fields: &[Field]) -> Frame {
+        let mut record = [0; EVENT_BYTES];
+        record[0..2].copy_from_slice(&code.to_le_bytes());
+        record[2..4].copy_from_slice(&id.to_le_bytes());
+        for Field(offset, bytes) in fields {
+            record[*offset..offset + bytes.len()].copy_from_slice(bytes);
         }
-        self.records.push(r);
+        self.records.push(record);
         self
     }
 
-    fn begin(mut self, router: u16, info: &str) -> Frame {
-        let at = (self.tail.len() as u32).to_le_bytes();
-        self.tail.extend_from_slice(info.as_bytes());
-        self.record(
-            256,
-            router,
-            &[(4, &7u64.to_le_bytes()), (12, &at), (16, &(info.len() as u32).to_le_bytes())],
-        )
+    fn start(mut self, settings: &str) -> Frame {
+        let offset = (self.tail.len() as u32).to_le_bytes();
+        let length = (settings.len() as u32).to_le_bytes();
+        self.tail.extend_from_slice(settings.as_bytes());
+        let fields = [Field(4, &7u64.to_le_bytes()), Field(12, &offset), Field(16, &length)];
+        self.record(event::START, ROUTER, &fields)
     }
 
-    /// List `bank` with one ready server of group 0, and its use by router 3.
-    fn list(mut self, bank: u16, node: u32) -> Frame {
-        let at = (self.tail.len() as u32).to_le_bytes();
-        let mut entry = [0u8; 25];
-        entry[0] = 2;
-        entry[10..14].copy_from_slice(&1f32.to_le_bytes());
-        entry[21..25].copy_from_slice(&node.to_le_bytes());
-        self.tail.extend_from_slice(&entry);
-        let this = self.record(266, bank, &[(4, &at), (8, &1u32.to_le_bytes())]);
-        this.record(257, 3, &[(4, &[1]), (13, &bank.to_le_bytes())])
+    /// Defines a list with one ready server of group 0, and applies it to the router.
+    fn list(mut self, list: u16, server: u32) -> Frame {
+        let offset = (self.tail.len() as u32).to_le_bytes();
+        let mut endpoint = [0u8; ENDPOINT_BYTES];
+        endpoint[0] = 2;
+        endpoint[10..14].copy_from_slice(&1f32.to_le_bytes());
+        endpoint[21..25].copy_from_slice(&server.to_le_bytes());
+        self.tail.extend_from_slice(&endpoint);
+        let fields = [Field(4, &offset), Field(8, &1u32.to_le_bytes())];
+        self.record(event::DEFINE_LIST, list, &fields).apply_list(list)
     }
 
-    fn request(self, id: u64) -> Frame {
-        self.record(258, 3, &[(4, &id.to_le_bytes()), (12, &1500f64.to_le_bytes())])
+    /// Applies a list to the router, in place of the one before.
+    fn apply_list(self, list: u16) -> Frame {
+        self.record(event::ENDPOINTS, ROUTER, &[Field(4, &[1]), Field(13, &list.to_le_bytes())])
     }
 
-    fn bytes(&self, number: u32, clock_ms: f64) -> Vec<u8> {
-        let length = self.records.len() * 56 + self.tail.len();
-        let mut out = Vec::new();
-        out.extend_from_slice(&(length as u32).to_le_bytes());
-        out.extend_from_slice(&(self.records.len() as u32).to_le_bytes());
-        out.extend_from_slice(&clock_ms.to_le_bytes());
-        out.extend_from_slice(&number.to_le_bytes());
-        self.records.iter().for_each(|r| out.extend_from_slice(r));
-        out.extend_from_slice(&self.tail);
-        out
+    fn request(self, id: u64) -> Frame {
+        let fields = [Field(4, &id.to_le_bytes()), Field(12, &1500f64.to_le_bytes())];
+        self.record(event::REQUEST, ROUTER, &fields)
     }
-}
 
-type Actions = Vec<(u16, Vec<u8>)>;
-
-/// The codes and bytes of the actions in each reply.
-fn replies(out: &[u8]) -> Vec<(u32, Actions)> {
-    let u32_at = |at: usize| u32::from_le_bytes(out[at..at + 4].try_into().unwrap());
-    let (mut at, mut all) = (0, vec![]);
-    while at < out.len() {
-        let (length, count, number) = (u32_at(at) as usize, u32_at(at + 4) as usize, u32_at(at + 8));
-        let record = |i: usize| out[at + 12 + 24 * i..at + 36 + 24 * i].to_vec();
-        let code = |r: &Vec<u8>| u16::from_le_bytes([r[0], r[1]]);
-        all.push((number, (0..count).map(record).map(|r| (code(&r), r)).collect()));
-        at += 12 + length;
+    fn encode(&self, batch: u32, clock_ms: f64) -> Vec<u8> {
+        let length = self.records.len() * EVENT_BYTES + self.tail.len();
+        let mut frame = Vec::new();
+        frame.extend_from_slice(&(length as u32).to_le_bytes());
+        frame.extend_from_slice(&(self.records.len() as u32).to_le_bytes());
+        frame.extend_from_slice(&clock_ms.to_le_bytes());
+        frame.extend_from_slice(&batch.to_le_bytes());
+        self.records.iter().for_each(|record| frame.extend_from_slice(record));
+        frame.extend_from_slice(&self.tail);
+        frame
     }
-    all
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_a_clean_exit() {
-    let out = play(&Frame::new().bytes(1, 15_424.0));
-    assert!(out.status.success());
-    assert_eq!(out.stdout, [0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0]);
+    // When the adapter reads a batch without records
+    let output = output_for(&Frame::new().encode(1, 15_424.0));
+    // Then it replies with the batch number alone
+    assert!(output.status.success());
+    assert_eq!(output.stdout, [0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0]);
 }
 
 #[test]
 fn a_request_goes_to_the_listed_server_with_lists_taken_in_event_order() {
-    // The list's number is used twice in the batch: each use sees the list as it then was.
-    let frame = Frame::new().begin(3, SETTINGS).list(0, 77).request(1).list(0, 78).request(2);
-    let out = play(&frame.bytes(12, 15_424.0));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let got = replies(&out.stdout);
-    let sends: Vec<_> = got[0].1.iter().filter(|(code, _)| *code == 262).map(|(_, r)| r).collect();
-    assert_eq!(got[0].0, 12);
-    assert!(got[0].1.iter().any(|(code, r)| *code == 259 && r[4] == 1), "it watches the endpoint list");
-    assert_eq!(sends[0][4..16], [1, 0, 0, 0, 0, 0, 0, 0, 77, 0, 0, 0]);
-    assert_eq!(sends[1][4..16], [2, 0, 0, 0, 0, 0, 0, 0, 78, 0, 0, 0]);
-    assert!(f64::from_le_bytes(sends[0][16..24].try_into().unwrap()) <= 1500.0);
+    // Given a batch that uses one number for two lists
+    let frame = Frame::starting_router().list(0, 77).request(1).list(0, 78).request(2);
+    // When the adapter reads it
+    let output = output_for(&frame.encode(12, 15_424.0));
+    // Then each request goes to the server of the list as it was then
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let replies = parse_replies(&output.stdout);
+    assert_eq!(replies[0].batch, 12);
+    let watches_endpoints =
+        |record: &ActionRecord| record.code() == action::WATCH_ENDPOINTS && record.0[4] == 1;
+    assert!(replies[0].actions.iter().any(watches_endpoints), "it watches the endpoint list");
+    let is_send = |record: &&ActionRecord| record.code() == action::SEND;
+    let sends: Vec<&ActionRecord> = replies[0].actions.iter().filter(is_send).collect();
+    assert_eq!(sends[0].0[4..16], [1, 0, 0, 0, 0, 0, 0, 0, 77, 0, 0, 0]);
+    assert_eq!(sends[1].0[4..16], [2, 0, 0, 0, 0, 0, 0, 0, 78, 0, 0, 0]);
+    assert!(f64::from_le_bytes(sends[0].0[16..24].try_into().unwrap()) <= 1500.0);
 }
 
 #[test]
-fn an_instance_may_end_and_begin_again_in_one_batch() {
-    let frame =
-        Frame::new().begin(3, SETTINGS).list(0, 77).record(265, 3, &[]).begin(3, SETTINGS).list(1, 78);
-    let out = play(&frame.request(5).bytes(2, 0.0));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let got = replies(&out.stdout);
-    assert_eq!(
-        got[0].1.iter().filter(|(code, _)| *code == 259).count(),
-        1,
-        "the actions of the stopped router are dropped"
-    );
+fn a_router_may_stop_and_start_again_in_one_batch() {
+    // Given a batch that starts a router, stops it and starts it again
+    let frame = Frame::starting_router().list(0, 77).record(event::STOP, ROUTER, &[]).start(SETTINGS);
+    // When the adapter reads it
+    let output = output_for(&frame.list(1, 78).request(5).encode(2, 0.0));
+    // Then the reply has the actions of the second start alone
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let replies = parse_replies(&output.stdout);
+    let watches = replies[0].actions.iter().filter(|record| record.code() == action::WATCH_ENDPOINTS);
+    assert_eq!(watches.count(), 1, "the actions of the stopped router are dropped");
 }
 
 #[test]
-fn settings_that_cannot_be_read_bail_out_and_name_the_key() {
-    for (info, key) in [
+fn invalid_settings_are_reported_with_the_key() {
+    for (settings, key) in [
         ("{", "info"),
         (&SETTINGS.replace("\"cold_ms\": 1000.0", "\"cold_ms\": \"soon\""), "obligations.cold_ms"),
         (&SETTINGS.replace("\"balancers\": 1,", ""), "balancers"),
         (&SETTINGS.replace("\"free\"", "\"sometimes\""), "classes[0].idempotency"),
     ] {
-        let out = play(&Frame::new().begin(3, info).bytes(1, 0.0));
-        assert!(out.status.success());
-        assert_eq!(replies(&out.stdout)[0].1[0].0, 264);
-        assert!(String::from_utf8_lossy(&out.stdout).contains(key), "{key}");
+        // When a router is started with invalid settings
+        let output = output_for(&Frame::new().start(settings).encode(1, 0.0));
+        // Then the reply says that it failed, and names the key
+        assert!(output.status.success());
+        assert_eq!(parse_replies(&output.stdout)[0].actions[0].code(), action::START_FAILED);
+        assert!(String::from_utf8_lossy(&output.stdout).contains(key), "{key}");
     }
 }
 
 #[test]
 fn malformed_frames_end_with_one_plain_line_and_no_guessed_reply() {
-    let good = Frame::new().begin(3, SETTINGS).list(0, 77);
-    let cut = good.bytes(9, 0.0);
-    let mut many = good.bytes(9, 0.0);
-    many[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
-    let tail = Frame::new().record(266, 0, &[(4, &500u32.to_le_bytes()), (8, &1u32.to_le_bytes())]);
-    let list = Frame::new().begin(3, SETTINGS).record(257, 3, &[(4, &[1]), (13, &9u16.to_le_bytes())]);
-    let code = Frame::new().begin(3, SETTINGS).record(263, 3, &[(16, &[99])]);
-    for (input, says) in [
-        (&cut[..cut.len() - 3], "batch 9"),
-        (&cut[..7], "header"),
-        (&many[..], "do not fit"),
-        (&tail.bytes(9, 0.0)[..], "tail reference"),
-        (&list.bytes(9, 0.0)[..], "list 9"),
-        (&code.bytes(9, 0.0)[..], "completion code 99"),
-        (&good.bytes(9, f64::NAN)[..], "clock"),
+    // Given frames that are cut off, contradict themselves or refer to what doesn't exist
+    let valid = Frame::starting_router().list(0, 77);
+    let complete = valid.encode(9, 0.0);
+    let mut too_many_records = valid.encode(9, 0.0);
+    too_many_records[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
+    let list_fields = [Field(4, &500u32.to_le_bytes()), Field(8, &1u32.to_le_bytes())];
+    let outside_tail = Frame::new().record(event::DEFINE_LIST, 0, &list_fields);
+    let undefined_list = Frame::starting_router().apply_list(9);
+    let unknown_outcome =
+        Frame::starting_router().record(event::HEALTH_CHECK_COMPLETED, ROUTER, &[Field(16, &[99])]);
+    for (input, message) in [
+        (&complete[..complete.len() - 3], "batch 9"),
+        (&complete[..7], "header"),
+        (&too_many_records[..], "do not fit"),
+        (&outside_tail.encode(9, 0.0)[..], "tail reference"),
+        (&undefined_list.encode(9, 0.0)[..], "list 9"),
+        (&unknown_outcome.encode(9, 0.0)[..], "completion code 99"),
+        (&valid.encode(9, f64::NAN)[..], "clock"),
     ] {
-        let out = play(input);
-        let text = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success() && out.stdout.is_empty(), "{says}");
-        assert!(text.lines().count() == 1 && text.contains(says) && !text.contains("panicked"), "{text}");
+        // When the adapter reads one, then it exits with one line on standard error and without a reply
+        let output = output_for(input);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success() && output.stdout.is_empty(), "{message}");
+        assert!(
+            stderr.lines().count() == 1 && stderr.contains(message) && !stderr.contains("panicked"),
+            "{stderr}"
+        );
     }
 }
 
 #[test]
 fn unknown_event_codes_are_skipped_and_reported_once() {
-    let frame = Frame::new().record(999, 3, &[]).record(999, 3, &[]);
-    let out = play(&frame.bytes(1, 0.0));
-    assert!(out.status.success());
-    assert_eq!(String::from_utf8_lossy(&out.stderr).lines().count(), 1);
+    // Given a batch with two records of an unknown code
+    let frame = Frame::new().record(event::UNKNOWN, ROUTER, &[]).record(event::UNKNOWN, ROUTER, &[]);
+    // When the adapter reads it
+    let output = output_for(&frame.encode(1, 0.0));
+    // Then it reports the code once
+    assert!(output.status.success());
+    assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
 }
--- a/simulator-adapter/tests/recorded.rs
+++ b/simulator-adapter/tests/recorded.rs
@@ -3,55 +3,42 @@
 //! `recorded/input.bin` holds sixteen batches with every kind of record; `recorded/output.bin` what the adapter replied. The text of log
 //! records may be worded anew; their number and place may not change.
 
-use std::io::Write;
-use std::process::{Command, Stdio};
+mod common;
+
+use common::{ActionRecord, Reply, parse_replies, run_adapter};
 
-const HEADER_BYTES: usize = 12;
-const RECORD_BYTES: usize = 24;
 const LOG_CODE: u16 = 267;
+/// Code and router of a record.
+const RECORD_PREFIX_BYTES: usize = 4;
 
-/// One reply: its batch number and its records; a log record keeps its code and its router alone.
+/// What has to be as recorded: the batch number and the records; of a log record its code and its router alone.
 #[derive(Debug, PartialEq)]
-struct Reply {
+struct ComparedReply {
     batch: u32,
     records: Vec<Vec<u8>>,
 }
 
-fn replies(output: &[u8]) -> Vec<Reply> {
-    let u32_at = |at: usize| u32::from_le_bytes(output[at..at + 4].try_into().unwrap());
-    let mut replies = Vec::new();
-    let mut start = 0;
-    while start < output.len() {
-        let (length, count, batch) = (u32_at(start) as usize, u32_at(start + 4) as usize, u32_at(start + 8));
-        let body = &output[start + HEADER_BYTES..start + HEADER_BYTES + length];
-        let records = body[..count * RECORD_BYTES].chunks_exact(RECORD_BYTES).map(without_text).collect();
-        replies.push(Reply { batch, records });
-        start += HEADER_BYTES + length;
-    }
-    replies
+fn compared(reply: &Reply) -> ComparedReply {
+    ComparedReply { batch: reply.batch, records: reply.actions.iter().map(without_text).collect() }
 }
 
-fn without_text(record: &[u8]) -> Vec<u8> {
-    let code = u16::from_le_bytes([record[0], record[1]]);
-    let kept = if code == LOG_CODE { 4 } else { RECORD_BYTES };
-    record[..kept].to_vec()
+fn without_text(record: &ActionRecord) -> Vec<u8> {
+    let compared_bytes = if record.code() == LOG_CODE { RECORD_PREFIX_BYTES } else { record.0.len() };
+    record.0[..compared_bytes].to_vec()
 }
 
 #[test]
 fn the_recorded_input_gives_the_recorded_output() {
+    // Given the recorded input and output
     let input = include_bytes!("recorded/input.bin");
     let recorded = include_bytes!("recorded/output.bin");
-    let mut adapter = Command::new(env!("CARGO_BIN_EXE_birchreach-simulator-adapter"))
-        .stdin(Stdio::piped())
-        .stdout(Stdio::piped())
-        .spawn()
-        .unwrap();
-    let mut stdin = adapter.stdin.take().unwrap();
-    let writer = std::thread::spawn(move || stdin.write_all(input));
-    let output = adapter.wait_with_output().unwrap();
-    writer.join().unwrap().unwrap();
-    assert!(output.status.success());
-    let (played, recorded) = (replies(&output.stdout), replies(recorded));
-    assert_eq!(played.len(), 16);
-    assert_eq!(played, recorded);
+    // When the adapter reads the input
+    let run = run_adapter(input);
+    // Then it replies as recorded
+    run.input_written.unwrap();
+    assert!(run.output.status.success());
+    let replies: Vec<ComparedReply> = parse_replies(&run.output.stdout).iter().map(compared).collect();
+    let recorded: Vec<ComparedReply> = parse_replies(recorded).iter().map(compared).collect();
+    assert_eq!(replies.len(), 16);
+    assert_eq!(replies, recorded);
 }
