--- a/example/local-cluster/src/main.rs
+++ b/example/local-cluster/src/main.rs
@@ -18,15 +18,23 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+/// Port of the primary database.
 const PRIMARY_PORT: u16 = 6001;
+/// Port of the replica.
 const REPLICA_PORT: u16 = 6002;
+/// Port of discovery.
 const DISCOVERY_PORT: u16 = 8500;
+/// Port at which the first proxy takes clients.
 const CLIENT_PORT: u16 = 6432;
+/// Port at which the first proxy takes operators.
 const ADMIN_PORT: u16 = 6433;
+/// Port at which the first proxy takes its peers; those of the others follow without a gap.
 const FLEET_PORT: u16 = 7100;
-/// Ports of one proxy and the next are this far apart.
+/// The ports for clients and operators of one proxy and the next are this far apart.
 const PORT_STEP: u16 = 10;
+/// Length of the key by which proxies authenticate one another.
 const KEY_BYTES: usize = 16;
+/// How often the logs of the proxies are read.
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Starts databases, discovery and proxies on this machine, and says what to type
@@ -45,6 +53,7 @@
 }
 
 impl ProxyAddresses {
+    /// The addresses of a proxy, numbered from 0.
     fn of(number: u16) -> ProxyAddresses {
         ProxyAddresses {
             clients: loopback(CLIENT_PORT + PORT_STEP * number),
@@ -58,6 +67,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
+/// The name of a proxy, which counts from 1.
 fn proxy_name(number: u16) -> String {
     format!("local-{}", number + 1)
 }
@@ -70,6 +80,7 @@
 }
 
 impl Databases {
+    /// Starts both databases on the same rows, and discovery that lists them.
     fn start() -> io::Result<Databases> {
         let rows = Arc::default();
         let primary = Database::start(loopback(PRIMARY_PORT), true, &rows, true)?;
@@ -102,6 +113,7 @@
     program: PathBuf,
     folder: PathBuf,
     key_file: PathBuf,
+    /// How many proxies there are in all.
     count: u16,
 }
 
@@ -115,6 +127,7 @@
         })
     }
 
+    /// Starts a proxy and waits until it serves.
     fn start(&self, number: u16) -> io::Result<Process> {
         let name = proxy_name(number);
         let options = self.options(number);
@@ -144,6 +157,7 @@
         Ok(configuration.to_string())
     }
 
+    /// The options by which the proxies know of one another.
     fn options(&self, number: u16) -> String {
         let peers: Vec<String> =
             (0..self.count).map(|number| ProxyAddresses::of(number).fleet.to_string()).collect();
@@ -178,13 +192,14 @@
     getrandom::fill(&mut secret).map_err(|error| io::Error::other(error.to_string()))?;
     let digits: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
     let path = folder.join("keys");
-    // An old one may be left of a process with the same pid.
+    // A process with the same pid may have left one.
     let _ = std::fs::remove_file(&path);
     let mut file = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path)?;
     writeln!(file, "1 {digits}")?;
     Ok(path)
 }
 
+/// Prints what to type in another terminal.
 fn print_statements(proxies: u16) {
     println!(
         "\nPaste into another terminal:\n\n  psql -h 127.0.0.1 -p 6432 -U api ledger -c \"INSERT INTO rows (handle, blob) \
@@ -197,7 +212,7 @@
     }
 }
 
-/// Prints what the proxies log until the program is told to stop.
+/// Prints what the proxies log until the program receives a signal to stop.
 fn print_logs(proxies: &[Process], stop: &AtomicBool) {
     println!("\nCtrl-C ends all of it. What reaches the databases, and what the proxies log:\n");
     let mut printed = vec![0; proxies.len()];
