--- a/health/tests/settings_errors.rs
+++ b/health/tests/settings_errors.rs
@@ -2,7 +2,7 @@
 
 use birchreach_health::{HealthSettings, IdleGroupPolicy, ProbeSettings};
 
-/// The messages about the default settings after a change.
+/// The messages about the default settings with one change.
 fn messages(change: impl FnOnce(&mut HealthSettings)) -> Vec<String> {
     let mut settings = HealthSettings::default();
     change(&mut settings);
@@ -73,10 +73,12 @@
 
 #[test]
 fn several_contradictions_are_reported_in_their_order() {
+    // Given two contradictions
     let both = messages(|settings| {
         settings.withdraw_after = 200_001;
         settings.idle_groups = IdleGroupPolicy::Withdraw;
     });
+    // Then both are reported
     assert_eq!(
         both,
         [
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -112,7 +112,7 @@
     fn report_contradictions(&mut self, node: NodeId, settings: &HealthSettings) {
         let elements = ["claims", "probes", "weight", "stopping"].map(|name| self.child(node, name));
         for error in settings.errors() {
-            let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option).is_some();
+            let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option()).is_some();
             let at = elements.into_iter().flatten().find(has_option).unwrap_or(node);
             self.add_error(at, error.to_string());
         }
