--- a/health/src/http/report.rs
+++ b/health/src/http/report.rs
@@ -1,12 +1,13 @@
 //! The JSON bodies. Their keys are an interface to programs; the structs here map the verdict to them.
 
 use super::ServerNames;
+use crate::labels::{Reason, State};
 use crate::query::HealthQuery;
 use crate::verdict::{Capability, GroupVerdict, Verdict};
-use crate::words::{Reason, State};
 use crate::{GroupId, Micros};
 use serde::Serialize;
 
+/// A capability in JSON.
 #[derive(Serialize)]
 struct CapabilityReport {
     #[serde(rename = "able")]
@@ -30,11 +31,12 @@
     }
 }
 
+/// A group in JSON.
 #[derive(Serialize)]
 struct GroupReport {
     group: GroupId,
     #[serde(rename = "members")]
-    working_servers: usize,
+    accepting_servers: usize,
     #[serde(rename = "primary")]
     proven_primary: Option<String>,
     proven_ms: Option<Micros>,
@@ -46,7 +48,7 @@
     fn new(now: Micros, group: &GroupVerdict, names: ServerNames) -> GroupReport {
         GroupReport {
             group: group.group,
-            working_servers: group.working_servers,
+            accepting_servers: group.accepting_servers,
             proven_primary: group.proven_primary.map(names),
             proven_ms: group.proven_at.map(|at| age_ms(now, at)),
             read: CapabilityReport::new(now, &group.read),
@@ -55,6 +57,7 @@
     }
 }
 
+/// A class of requests in JSON.
 #[derive(Serialize)]
 struct ClassReport<'a> {
     class: &'a str,
@@ -62,6 +65,7 @@
     capability: Option<CapabilityReport>,
 }
 
+/// The whole report in JSON.
 #[derive(Serialize)]
 struct Report<'a> {
     state: State,
@@ -98,7 +102,7 @@
         in_progress: verdict.in_progress,
         queued: verdict.queued,
         client_capacity: verdict.client_capacity,
-        discovery_ms: verdict.discovery_heard_at.map(|at| age_ms(now, at)),
+        discovery_ms: verdict.discovery_responded_at.map(|at| age_ms(now, at)),
         ignored_servers: verdict.ignored_servers,
         classes: classes.collect(),
         groups: groups.collect(),
@@ -110,10 +114,12 @@
     to_json_line(&CapabilityReport::new(now, capability))
 }
 
+/// The time since then in milliseconds.
 fn age_ms(now: Micros, at: Micros) -> Micros {
     (now - at).max(0) / 1000
 }
 
+/// A value as one line of JSON.
 fn to_json_line(value: &impl Serialize) -> String {
     // Numbers, strings and lists always have a JSON form.
     serde_json::to_string(value).map_or_else(|_| "{}\n".into(), |text| text + "\n")
--- a/health/src/server_table.rs
+++ b/health/src/server_table.rs
@@ -5,8 +5,9 @@
 use crate::{GroupId, Micros, ServerId};
 use std::collections::BTreeMap;
 
-/// Servers and groups beyond these numbers are ignored and counted.
+/// Servers beyond this number are ignored and counted.
 const MAX_SERVERS: usize = 4096;
+/// Servers of groups beyond this number are ignored and counted.
 const MAX_GROUPS: usize = 1024;
 
 /// A server and the state of its probes.
@@ -20,12 +21,23 @@
     pub probe_advance: Micros,
 }
 
+/// What the endpoint list says of a server.
+#[derive(Clone, Copy)]
+pub(crate) struct ServerListing {
+    pub group: GroupId,
+    /// Whether it is the primary, if the list says.
+    pub primary: Option<bool>,
+    pub accepts_work: bool,
+}
+
+/// All servers by their ids.
 pub(crate) type Servers = BTreeMap<ServerId, MonitoredServer>;
 
-/// The endpoint list has no place for a server.
+/// The table has no capacity for another server or group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TableFull;
 
+/// The servers and groups of the endpoint list.
 #[derive(Default)]
 pub(crate) struct ServerTable {
     pub servers: Servers,
@@ -38,10 +50,9 @@
         &mut self,
         now: Micros,
         id: ServerId,
-        group: GroupId,
-        primary: Option<bool>,
-        accepts_work: bool,
+        listing: ServerListing,
     ) -> Result<(), TableFull> {
+        let ServerListing { group, primary, accepts_work } = listing;
         let changes_group = self.servers.get(&id).is_none_or(|server| server.evidence.group != group);
         if changes_group {
             self.insert(now, id, group)?;
@@ -69,11 +80,13 @@
         Ok(())
     }
 
+    /// Removes a server that is no longer listed.
     pub(crate) fn remove(&mut self, id: ServerId) {
         self.leave_group(id);
         self.servers.remove(&id);
     }
 
+    /// Removes a server from the members of its group.
     fn leave_group(&mut self, id: ServerId) {
         let group = self.servers.get(&id).map(|server| server.evidence.group);
         if let Some(group) = group.and_then(|group| self.groups.get_mut(&group)) {
@@ -81,12 +94,12 @@
         }
     }
 
-    /// Counts the working members of each group. Removes groups without members and returns them.
+    /// Counts the members of each group that accept work. Removes groups without members and returns them.
     pub(crate) fn refresh_groups(&mut self) -> Vec<GroupId> {
         let servers = &self.servers;
         let mut removed = Vec::new();
         self.groups.retain(|id, group| {
-            group.working_members = group.working(servers).count();
+            group.accepting_members = group.accepting(servers).count();
             if group.members.is_empty() {
                 removed.push(*id);
             }
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -1,15 +1,17 @@
 //! A proxy in virtual time.
 
+use crate::common::request_classes;
 use birchreach_health::agent::{self, AgentCheckConnection};
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::{
-    Change, GroupId, HealthEvent, HealthSettings, Micros, Monitor, ProbeOutcome, ProbeSettings, RequestClass,
-    RequiredServer, Role, ServerId,
+    Change, GroupId, HealthEvent, HealthSettings, Micros, Monitor, ProbeOutcome, ProbeSettings, Role,
+    ServerId,
 };
 
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
 
+/// A monitor and the time that it is driven by.
 pub(crate) struct SimulatedProxy {
     pub now: Micros,
     pub monitor: Monitor,
@@ -17,32 +19,34 @@
 
 /// A proxy with some groups. Group g has the primary 10 g and the replica 10 g + 1.
 pub(crate) fn simulated_proxy(groups: u32, settings: HealthSettings) -> SimulatedProxy {
-    let class = |name: &str, needs| RequestClass { name: name.into(), needs };
-    let classes =
-        vec![class("file-entry", RequiredServer::Primary), class("tariff-lookup", RequiredServer::AnyMember)];
+    let classes = request_classes();
     let settings = HealthSettings { classes, ..settings };
     assert_eq!(settings.errors(), []);
     let start = 100 * SECOND;
     let mut proxy = SimulatedProxy { now: start, monitor: Monitor::new(settings, start) };
     for group in 0..groups {
         for (server, primary) in [(group * 10, true), (group * 10 + 1, false)] {
-            proxy.handle(HealthEvent::ServerListed {
-                server: ServerId(server),
-                group: GroupId(group),
-                primary: Some(primary),
-                accepts_work: true,
-            });
+            proxy.list(server, group, primary);
         }
     }
     proxy
 }
 
+/// A proxy with one group, whose primary is proven. Capability changes are counted from here on.
+pub(crate) fn proxy_with_proven_primary(settings: HealthSettings) -> SimulatedProxy {
+    let mut proxy = simulated_proxy(1, settings);
+    proxy.write(0, 5 * MILLISECOND);
+    proxy.count_capability_changes();
+    proxy
+}
+
 /// Settings with probes.
 pub(crate) fn probing() -> HealthSettings {
     HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
 }
 
 impl SimulatedProxy {
+    /// Hands an event to the monitor, which is updated if that is due.
     pub(crate) fn handle(&mut self, event: HealthEvent) {
         self.monitor.handle_event(self.now, event);
         if self.monitor.next_change() <= self.now {
@@ -66,6 +70,16 @@
         self.now = until;
     }
 
+    /// Lists a server that accepts work.
+    pub(crate) fn list(&mut self, server: u32, group: u32, primary: bool) {
+        self.handle(HealthEvent::ServerListed {
+            server: ServerId(server),
+            group: GroupId(group),
+            primary: Some(primary),
+            accepts_work: true,
+        });
+    }
+
     /// Sends an attempt to a server.
     pub(crate) fn send(&mut self, server: u32) {
         self.handle(HealthEvent::RequestSent { server: ServerId(server) });
@@ -76,6 +90,12 @@
         self.handle(HealthEvent::RequestEnded { server: ServerId(server), write, outcome, role });
     }
 
+    /// Sends an attempt to a server that refuses the connection.
+    pub(crate) fn send_refused(&mut self, server: u32, write: bool) {
+        self.send(server);
+        self.end(server, write, ProbeOutcome::Refused, None);
+    }
+
     /// Sends a write that the primary serves after this time.
     pub(crate) fn write(&mut self, server: u32, duration: Micros) {
         self.send(server);
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -120,7 +120,7 @@
     fn report_contradictions(&mut self, node: NodeId, settings: &HealthSettings) {
         let elements = ["claims", "probes", "weight", "stopping"].map(|name| self.child(node, name));
         for error in settings.errors() {
-            let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option).is_some();
+            let has_option = |element: &NodeId| self.doc.get_attribute(*element, error.option()).is_some();
             let at = elements.into_iter().flatten().find(has_option).unwrap_or(node);
             self.add_error(at, OptionsErrorKind::HealthSettings(error));
         }
@@ -210,7 +210,7 @@
             ("hold-unable-ms", &mut settings.min_time_unavailable),
             ("hang-probed-ms", &mut settings.silence_limit_probed),
             ("hang-ms", &mut settings.silence_limit_unprobed),
-            ("discovery-after-ms", &mut settings.discovery_lost_after),
+            ("discovery-after-ms", &mut settings.discovery_timeout),
         ] {
             self.read_milliseconds(node, name, setting);
         }
