--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -3,6 +3,7 @@
 
 use super::error::{EventLoopError, ListenError, ListenPurpose, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
+use super::ids::AdminKey;
 use super::sources::Source;
 use super::stream;
 use crate::admin_protocol::{AdminCall, AdminProtocol, AdminReply};
@@ -126,12 +127,12 @@
     fn add(&mut self, context: &mut EventLoopContext, mut stream: TcpStream) {
         if self.connections.len() >= MAX_CONNECTIONS {
             let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.accepted_at);
-            if let Some((key, _)) = oldest {
-                self.close(context, key, CloseReason::Shed);
+            if let Some((slot, _)) = oldest {
+                self.close(context, AdminKey(slot), CloseReason::Shed);
             }
         }
         let slot = self.connections.vacant_entry();
-        let token = Source::Admin(slot.key()).token();
+        let token = Source::Admin(AdminKey(slot.key())).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if context.poll.registry().register(&mut stream, token, interest).is_ok() {
             slot.insert(Connection { stream, protocol: AdminProtocol::default(), accepted_at: context.now });
@@ -139,8 +140,8 @@
     }
 
     /// Reads a connection. A call that is returned is to be answered with [`AdminListener::answer`].
-    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) -> Option<AdminCall> {
-        let connection = self.connections.get_mut(key)?;
+    pub fn ready(&mut self, context: &mut EventLoopContext, key: AdminKey) -> Option<AdminCall> {
+        let connection = self.connections.get_mut(key.0)?;
         let protocol = &mut connection.protocol;
         let mut call = None;
         let mut read_bytes = 0;
@@ -167,16 +168,16 @@
     }
 
     /// Answers the connection's call.
-    pub fn answer(&mut self, context: &mut EventLoopContext, key: usize, reply: &AdminReply) {
-        if let Some(connection) = self.connections.get_mut(key) {
+    pub fn answer(&mut self, context: &mut EventLoopContext, key: AdminKey, reply: &AdminReply) {
+        if let Some(connection) = self.connections.get_mut(key.0) {
             connection.protocol.answer(reply);
             self.write(context, key);
         }
     }
 
     /// Writes the reply, if there is one, and closes the connection once all of it is written.
-    fn write(&mut self, context: &mut EventLoopContext, key: usize) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+    fn write(&mut self, context: &mut EventLoopContext, key: AdminKey) {
+        let Some(connection) = self.connections.get_mut(key.0) else { return };
         if !connection.protocol.is_answered() {
             return;
         }
@@ -195,14 +196,14 @@
         self.accept_pending = self.listener.is_some();
         let timed_out = |connection: &Connection| context.now - connection.accepted_at >= CALL_TIMEOUT_MICROS;
         let unresponsive = self.connections.iter().filter(|(_, connection)| timed_out(connection));
-        let keys: Vec<usize> = unresponsive.map(|(key, _)| key).collect();
+        let keys: Vec<AdminKey> = unresponsive.map(|(slot, _)| AdminKey(slot)).collect();
         for key in keys {
             self.close(context, key, CloseReason::Unresponsive);
         }
     }
 
-    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
-        let mut connection = self.connections.remove(key);
+    fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: CloseReason) {
+        let mut connection = self.connections.remove(key.0);
         let _ = context.poll.registry().deregister(&mut connection.stream);
         info!(conn = "operator", reason = reason.as_str());
     }
--- a/proxy/src/net/admin_calls.rs
+++ b/proxy/src/net/admin_calls.rs
@@ -1,12 +1,13 @@
 //! Operators' calls, answered with what the parts of the loop report.
 
 use super::EventLoop;
+use super::ids::AdminKey;
 use crate::admin_protocol::{AdminCall, AdminReply};
 use birchreach_health::HealthEvent;
 
 impl EventLoop {
     /// Reads an operator's connection, and answers its call once that is complete.
-    pub(super) fn handle_admin(&mut self, key: usize) {
+    pub(super) fn handle_admin(&mut self, key: AdminKey) {
         let Some(call) = self.admin.ready(&mut self.context, key) else { return };
         let reply = self.admin_reply(call);
         self.admin.answer(&mut self.context, key, &reply);
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -86,7 +86,7 @@
         let _ = stream.set_nodelay(true);
         let slot = self.connections.vacant_entry();
         let key = ClientKey(slot.key());
-        let token = Source::Client(key.0).token();
+        let token = Source::Client(key).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = context.poll.registry().register(&mut stream, token, interest) {
             let reason = ClientCloseReason::NoSocket.as_str();
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -4,6 +4,7 @@
 mod responses;
 
 use super::event_loop_context::EventLoopContext;
+use super::ids::PollStateSerial;
 use super::sources::Source;
 use super::stream;
 use super::timer_events::TimerEvent;
@@ -43,7 +44,7 @@
     /// The system had no descriptor for a connection.
     descriptors_exhausted: bool,
     /// Numbers the states: the time-out of an earlier one means nothing.
-    state_serial: u64,
+    state_serial: PollStateSerial,
     backoff: Backoff,
 }
 
@@ -64,7 +65,7 @@
             long_poll: false,
             state: PollState::Waiting,
             descriptors_exhausted: false,
-            state_serial: 0,
+            state_serial: PollStateSerial::default(),
             backoff: Backoff::new(settings, seed),
         }
     }
@@ -95,8 +96,8 @@
     /// Enters a state, which may last so long.
     fn enter(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
-        self.state_serial += 1;
-        context.timers.set(context.now + timeout, TimerEvent::Discovery { state_serial: self.state_serial });
+        self.state_serial = self.state_serial.next();
+        context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
     }
 
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
@@ -132,7 +133,7 @@
     }
 
     /// A state's time is over; a timer of an earlier state changes nothing.
-    pub fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: u64) {
+    pub fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: PollStateSerial) {
         if self.state_serial != state_serial {
             return;
         }
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -1,5 +1,6 @@
 //! One link to another proxy: its connection, and the role that this process has on it.
 
+use super::super::ids::LinkSerial;
 use super::super::stream;
 use birchreach::Micros;
 use birchreach_peer_state::full_exchange::FullExchange;
@@ -71,7 +72,7 @@
     pub(super) stream: TcpStream,
     pub(super) role: LinkRole,
     pub(super) peer: SocketAddr,
-    pub(super) serial: u64,
+    pub(super) serial: LinkSerial,
     pub(super) opened_at: Micros,
 }
 
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -1,6 +1,7 @@
 //! A link's turn: what has come is read and processed, the output is written, and the link stays open or ends.
 
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::LinkKey;
 use super::super::timer_events::TimerEvent;
 use super::Gossip;
 use super::close_reason::{CloseReason, LinkStep};
@@ -9,8 +10,8 @@
 
 impl Gossip {
     /// A link's connection is readable or writable.
-    pub fn process_link(&mut self, context: &mut EventLoopContext, key: usize) {
-        let Some(link) = self.links.get_mut(key) else { return };
+    pub fn process_link(&mut self, context: &mut EventLoopContext, key: LinkKey) {
+        let Some(link) = self.links.get_mut(key.0) else { return };
         let id = LinkId { key, serial: link.serial };
         let read_failed = link.read_input(&mut context.scratch).is_err();
         let step = match (&mut link.role, &mut self.state_transfer, &self.membership_sync) {
@@ -34,7 +35,7 @@
             }
             LinkStep::Continue if has_failed => self.close_link(context, key, CloseReason::Closed),
             LinkStep::Continue if is_written && link.role.is_sending() => {
-                context.timers.set(context.now + 1, TimerEvent::GossipSend { key, serial: id.serial });
+                context.timers.set(context.now + 1, TimerEvent::GossipSend(key, id.serial));
             }
             LinkStep::Continue => {}
         }
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -12,6 +12,7 @@
 mod state_transfer;
 
 use super::event_loop_context::EventLoopContext;
+use super::ids::{LinkKey, LinkSerial};
 use super::sources::Source;
 use super::timer_events::TimerEvent;
 use birchreach::Micros;
@@ -41,7 +42,7 @@
     links: Slab<PeerLink>,
     state_transfer: Option<StateTransfer>,
     membership_sync: Option<MembershipSync>,
-    last_serial: u64,
+    last_serial: LinkSerial,
 }
 
 impl Gossip {
@@ -89,8 +90,8 @@
 
     fn close_timed_out_links(&mut self, context: &mut EventLoopContext) {
         let is_timed_out = |link: &PeerLink| context.now - link.opened_at >= LINK_TIMEOUT;
-        let timed_out: Vec<usize> =
-            self.links.iter().filter(|(_, link)| is_timed_out(link)).map(|(key, _)| key).collect();
+        let timed_out: Vec<LinkKey> =
+            self.links.iter().filter(|(_, link)| is_timed_out(link)).map(|(slot, _)| LinkKey(slot)).collect();
         timed_out.into_iter().for_each(|key| self.close_link(context, key, CloseReason::Unresponsive));
     }
 
@@ -148,9 +149,9 @@
         let _ = stream.set_nodelay(true);
         let slot = self.links.vacant_entry();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        let token = Source::Gossip(slot.key()).token();
+        let token = Source::Gossip(LinkKey(slot.key())).token();
         context.poll.registry().register(&mut stream, token, interest).map_err(|_| LinkError::NoSocket)?;
-        self.last_serial += 1;
+        self.last_serial = self.last_serial.next();
         slot.insert(PeerLink { stream, role, peer, serial: self.last_serial, opened_at: context.now });
         Ok(())
     }
@@ -177,14 +178,14 @@
     }
 
     /// The send budget allows a link's next part, or the link has ended.
-    pub fn continue_sending(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
-        if self.links.get(key).is_some_and(|link| link.serial == serial) {
+    pub fn continue_sending(&mut self, context: &mut EventLoopContext, key: LinkKey, serial: LinkSerial) {
+        if self.links.get(key.0).is_some_and(|link| link.serial == serial) {
             self.process_link(context, key);
         }
     }
 
-    fn close_link(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
-        let mut link = self.links.remove(key);
+    fn close_link(&mut self, context: &mut EventLoopContext, key: LinkKey, reason: CloseReason) {
+        let mut link = self.links.remove(key.0);
         let _ = context.poll.registry().deregister(&mut link.stream);
         let is_complete = reason.is_complete();
         if let Some(transfer) = &mut self.state_transfer {
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -2,6 +2,7 @@
 //! state within the provider's budget.
 
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::{LinkKey, LinkSerial};
 use super::super::timer_events::TimerEvent;
 use super::close_reason::{CloseReason, LinkStep};
 use super::state_transfer::StateTransfer;
@@ -16,8 +17,8 @@
 /// A link's slot, and the serial that tells it from an earlier link there.
 #[derive(Clone, Copy)]
 pub(super) struct LinkId {
-    pub(super) key: usize,
-    pub(super) serial: u64,
+    pub(super) key: LinkKey,
+    pub(super) serial: LinkSerial,
 }
 
 /// Processes what a provider has sent.
@@ -72,7 +73,7 @@
     if sender.is_sending() && sender.output.is_empty() {
         match transfer.provider.take_send_budget(context.now, PART_BUDGET_BYTES) {
             Ok(()) => drop(sender.send_next_part()),
-            Err(at) => context.timers.set(at, TimerEvent::GossipSend { key: link.key, serial: link.serial }),
+            Err(at) => context.timers.set(at, TimerEvent::GossipSend(link.key, link.serial)),
         }
     }
     LinkStep::Continue
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -1,8 +1,8 @@
 //! Background queries: statements that no client waits for, one after the other on one connection, so that the same process of a
 //! database runs all of them. The owner decides whether and where they run; the pool runs them and keeps the replies for the owner.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::Pool;
 use super::connection::ConnectionTask;
 use crate::background_query::{BackgroundQuery, BackgroundQueryResult};
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -1,8 +1,8 @@
 //! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last byte
 //! of the query was written.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{ConnectionTask, QueryProgress};
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a database, and the task that it was opened or taken for.
 
-use super::super::database_ids::{ConnectionSerial, QuerySerial};
+use super::super::ids::{ConnectionSerial, QuerySerial};
 use super::super::statement_payload::StatementPayload;
 use crate::background_query::BackgroundQuery;
 use crate::core::AttemptId;
--- a/proxy/src/net/pool/connection_table.rs
+++ b/proxy/src/net/pool/connection_table.rs
@@ -1,6 +1,6 @@
 //! The pool's connections by key.
 
-use super::super::database_ids::ConnectionKey;
+use super::super::ids::ConnectionKey;
 use super::connection::Connection;
 use slab::Slab;
 use std::ops::{Index, IndexMut};
--- a/proxy/src/net/pool/dispatch.rs
+++ b/proxy/src/net/pool/dispatch.rs
@@ -1,7 +1,7 @@
 //! Which connection a task gets: an idle one that has rested, an idle one that is about to have rested, or a new one.
 
-use super::super::database_ids::{ConnectionKey, ConnectionSerial};
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::{ConnectionKey, ConnectionSerial};
 use super::super::timer_events::TimerEvent;
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -1,8 +1,8 @@
 //! Connections whose time is over: attempts that are given up, connects and checks that take too long, idle connections, and
 //! responses that stall.
 
-use super::super::database_ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{Connection, ConnectionTask, QueryProgress};
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -13,8 +13,8 @@
 mod responses;
 mod socket_io;
 
-use super::database_ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::event_loop_context::EventLoopContext;
+use super::ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::statement_payload::StatementPayload;
 use super::timer_events::TimerEvent;
 use crate::background_query::BackgroundQueryResult;
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -1,7 +1,7 @@
 //! Opens connections to databases, within the limit on their number.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::super::sources::Source;
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
@@ -59,7 +59,7 @@
         }
         let mut stream = self.connect(context, server, address)?;
         let key = self.connections.next_key();
-        let token = Source::Database(key.0).token();
+        let token = Source::Database(key).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = context.poll.registry().register(&mut stream, token, interest) {
             log_failure(context, server, DatabaseCloseReason::NoSocket, error);
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -1,7 +1,7 @@
 //! Sends a task's query on a connection that is established.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::super::timer_events::TimerEvent;
 use super::Pool;
 use super::background_queries::BACKGROUND_QUERY_TIMEOUT_MICROS;
--- a/proxy/src/net/pool/responses.rs
+++ b/proxy/src/net/pool/responses.rs
@@ -1,7 +1,7 @@
 //! Handles what databases send.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::ConnectionState;
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -1,7 +1,7 @@
 //! Reads and writes the connections' sockets.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::super::stream::{self, Ended};
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
@@ -12,8 +12,7 @@
 
 impl Pool {
     /// The socket in this slot, as its token has it, is ready.
-    pub fn handle_ready(&mut self, context: &mut EventLoopContext, slot: usize) {
-        let key = ConnectionKey(slot);
+    pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         if !self.connections.contains(key) {
             return;
         }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -4,7 +4,6 @@
 use super::EventLoop;
 use super::error::EventLoopError;
 use super::sources::Source;
-use crate::core::ClientKey;
 use birchreach::Micros;
 use mio::Events;
 use mio::event::Event;
@@ -106,7 +105,6 @@
                 }
             }
             Source::Client(key) => {
-                let key = ClientKey(key);
                 if event.is_read_closed() || event.is_error() {
                     self.clients.peer_closed(key);
                 }
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -3,9 +3,11 @@
 #[cfg(test)]
 mod tests;
 
+use super::ids::{AdminKey, ConnectionKey, LinkKey};
+use crate::core::ClientKey;
 use mio::Token;
 
-/// Something that becomes ready. A number is the key in its owner's slab.
+/// Something that becomes ready. A key is that of the owner's slab.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The clients' listener.
@@ -35,15 +37,15 @@
     /// The fleet's datagrams.
     Fleet,
     /// A client.
-    Client(usize),
+    Client(ClientKey),
     /// A connection to a database.
-    Database(usize),
+    Database(ConnectionKey),
     /// An operator.
-    Admin(usize),
+    Admin(AdminKey),
     /// A balancer that checks this proxy.
     Check(usize),
     /// A link to another proxy.
-    Gossip(usize),
+    Gossip(LinkKey),
 }
 
 /// Sources of which there is one, by their tokens.
@@ -63,19 +65,24 @@
     Source::Fleet,
 ];
 /// The others alternate behind them: key k of slab n has the token SINGLE + k * SLABS + n.
-const SLABS: [fn(usize) -> Source; 5] =
-    [Source::Client, Source::Database, Source::Admin, Source::Check, Source::Gossip];
+const SLABS: [fn(usize) -> Source; 5] = [
+    |key| Source::Client(ClientKey(key)),
+    |key| Source::Database(ConnectionKey(key)),
+    |key| Source::Admin(AdminKey(key)),
+    Source::Check,
+    |key| Source::Gossip(LinkKey(key)),
+];
 
 impl Source {
     /// The token by which the poll names this source.
     pub fn token(self) -> Token {
         let slab = |slab: usize, key: usize| SINGLE.len() + key * SLABS.len() + slab;
         Token(match self {
-            Source::Client(key) => slab(0, key),
-            Source::Database(key) => slab(1, key),
-            Source::Admin(key) => slab(2, key),
+            Source::Client(ClientKey(key)) => slab(0, key),
+            Source::Database(ConnectionKey(key)) => slab(1, key),
+            Source::Admin(AdminKey(key)) => slab(2, key),
             Source::Check(key) => slab(3, key),
-            Source::Gossip(key) => slab(4, key),
+            Source::Gossip(LinkKey(key)) => slab(4, key),
             single => SINGLE.iter().position(|source| *source == single).unwrap_or(usize::MAX),
         })
     }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -15,7 +15,7 @@
             TimerEvent::QueryTimeout(key, serial) => self.pool.query_timed_out(context, key, serial),
             TimerEvent::ConnectionRested(key, serial) => self.pool.connection_rested(context, key, serial),
             TimerEvent::RetryAccept => self.clients.resume_accepting(),
-            TimerEvent::Discovery { state_serial } => self.discovery.timed_out(context, state_serial),
+            TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
             TimerEvent::Sweep => self.sweep(),
             TimerEvent::CheckTimeout { key, serial } => self.checks.query_timed_out(context, key, serial),
             // `update_health` at the end of the turn does the rest.
@@ -34,7 +34,7 @@
                 }
             }
             TimerEvent::Gossip => self.step_gossip(),
-            TimerEvent::GossipSend { key, serial } => {
+            TimerEvent::GossipSend(key, serial) => {
                 if let Some(gossip) = &mut self.gossip {
                     gossip.continue_sending(context, key, serial);
                     self.after_gossip();
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -1,6 +1,6 @@
 //! What timers are set for.
 
-use super::database_ids::{ConnectionKey, ConnectionSerial, QuerySerial};
+use super::ids::{ConnectionKey, ConnectionSerial, LinkKey, LinkSerial, PollStateSerial, QuerySerial};
 use crate::core::AttemptId;
 
 /// What a timer was set for. A key is that of the owner's slab; a serial tells a later use of the same key from this one.
@@ -19,7 +19,7 @@
     /// Clients may be accepted again after the system had no descriptor.
     RetryAccept,
     /// The next poll of discovery is due, or a state of the current one has lasted too long.
-    Discovery { state_serial: u64 },
+    Discovery(PollStateSerial),
     /// Connections are looked through for those that have been idle for too long.
     Sweep,
     /// A balancer has sent no query in time.
@@ -35,7 +35,7 @@
     /// Another proxy is to be asked for state, or has had its time.
     Gossip,
     /// The budget for state that is sent to another proxy allows for more.
-    GossipSend { key: usize, serial: u64 },
+    GossipSend(LinkKey, LinkSerial),
     /// A member of the fleet is to be probed, or has had its time.
     Fleet,
     /// Work that no client waits for may be due.
