--- a/proxy/src/background_query.rs
+++ b/proxy/src/background_query.rs
@@ -4,9 +4,13 @@
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, ServerId};
 
+/// The sender's number for a query.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct BackgroundQueryId(pub u64);
+
 /// Statements, and the replies so far.
 pub struct BackgroundQuery {
-    number: u64,
+    id: BackgroundQueryId,
     server: ServerId,
     statements: Vec<Vec<u8>>,
     replies: Vec<Reply>,
@@ -16,7 +20,7 @@
 #[derive(Debug)]
 pub struct BackgroundQueryResult {
     /// The sender's number for it.
-    pub number: u64,
+    pub id: BackgroundQueryId,
     /// Where it ran.
     pub server: ServerId,
     /// A reply for each statement that ran; after the first that failed none did.
@@ -27,8 +31,8 @@
 
 impl BackgroundQuery {
     /// Statements for a server, in this order, under the sender's number.
-    pub fn new(number: u64, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
-        BackgroundQuery { number, server, statements, replies: Vec::new() }
+    pub fn new(id: BackgroundQueryId, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
+        BackgroundQuery { id, server, statements, replies: Vec::new() }
     }
 
     /// The statement that comes after those that have replies.
@@ -51,6 +55,6 @@
         self.replies.push(reply);
         let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
         let complete = all_succeeded && self.replies.len() == self.statements.len();
-        BackgroundQueryResult { number: self.number, server: self.server, replies: self.replies, complete }
+        BackgroundQueryResult { id: self.id, server: self.server, replies: self.replies, complete }
     }
 }
--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -1,6 +1,6 @@
 //! The router's actions as commands for the event loop.
 
-use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload};
+use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload, RoutingTimerId};
 use crate::observe::CoreEvent;
 use birchreach::{Action, AttemptNo, Micros, RequestId, ServerId};
 
@@ -31,7 +31,7 @@
             Action::HealthCheck { server } => self.start_health_check(now, server),
             Action::Timer { id, delay } => {
                 let at = now + delay.max(MIN_TIMER_DELAY_MICROS);
-                self.commands.push_back(Command::SetTimer { id, at });
+                self.commands.push_back(Command::SetTimer { id: RoutingTimerId(id), at });
             }
             // The event loop watches the endpoint list at all times.
             Action::WatchEndpoints => {}
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -57,6 +57,10 @@
     pub number: AttemptNo,
 }
 
+/// Names a timer of the router.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RoutingTimerId(pub u32);
+
 /// A command for the event loop, to be carried out in order. `client` is the key that the client's request came with.
 #[derive(Debug, PartialEq)]
 pub enum Command<P> {
@@ -83,7 +87,7 @@
     /// The rest of a long value will not come.
     AbortStream { client: ClientKey, request: RequestId },
     /// Call [`super::Core::timer_fired`] at this time.
-    SetTimer { id: u32, at: Micros },
+    SetTimer { id: RoutingTimerId, at: Micros },
     /// Write a line to the log.
     Log(LogRecord),
 }
@@ -94,5 +98,5 @@
     /// A note of the router.
     RoutingNote(String),
     /// The endpoint list names a server for the first time; notes of the router call it by its number.
-    ServerListed { number: u32, uid: String, endpoint: String },
+    ServerListed { server: ServerId, uid: String, endpoint: String },
 }
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -184,7 +184,7 @@
         let (server, is_new) = self.servers.number(&target.uid);
         if is_new {
             let (uid, endpoint) = (target.uid.clone(), target.endpoint.clone());
-            let record = LogRecord::ServerListed { number: server.0, uid, endpoint };
+            let record = LogRecord::ServerListed { server, uid, endpoint };
             self.commands.push_back(Command::Log(record));
         }
         server
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -18,7 +18,9 @@
 use birchreach::{Action, ClassId, Event, GroupId, Micros, RequestId, Router, ServerId};
 use birchreach_settings::DeploymentSettings;
 use classes::ClassTable;
-pub use command::{Answer, AttemptId, ClientKey, Command, LogRecord, RequestPayload, RoutingRequest};
+pub use command::{
+    Answer, AttemptId, ClientKey, Command, LogRecord, RequestPayload, RoutingRequest, RoutingTimerId,
+};
 use endpoints::ServerTable;
 pub use requests::session_id;
 use std::cell::RefCell;
@@ -109,8 +111,8 @@
     }
 
     /// A timer of the router expired.
-    pub fn timer_fired(&mut self, now: Micros, id: u32) {
-        self.handle(now, Event::Timer { id });
+    pub fn timer_fired(&mut self, now: Micros, id: RoutingTimerId) {
+        self.handle(now, Event::Timer { id: id.0 });
     }
 
     fn handle(&mut self, now: Micros, event: Event) {
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -14,11 +14,22 @@
 /// A query that was not started within this time is due again later.
 const MAX_QUEUED_MICROS: Micros = 1_000_000;
 
+/// Number of a comparison among those that this process has started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) struct SplitGeneration(u64);
+
+impl SplitGeneration {
+    /// The number of the comparison after this one.
+    pub(super) fn next(self) -> SplitGeneration {
+        SplitGeneration(self.0 + 1)
+    }
+}
+
 /// A query of the verifier.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct DualRead {
     /// The verifier that wants it: another definition has other comparisons.
-    split_generation: u64,
+    split_generation: SplitGeneration,
     due: DueQuery,
 }
 
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -8,7 +8,7 @@
 
 use super::event_loop_context::EventLoopContext;
 use super::pool::Pool;
-use crate::background_query::BackgroundQueryResult;
+use crate::background_query::{BackgroundQueryId, BackgroundQueryResult};
 use crate::hot::HotKeyObserver;
 use crate::metrics::Metrics;
 use crate::observe::Shared;
@@ -17,7 +17,7 @@
 use birchreach_background_tasks::{Scheduler, StartedTask};
 use birchreach_membership::ReceivedReport;
 use copy_tasks::CopyTask;
-use dual_reads::DualRead;
+use dual_reads::{DualRead, SplitGeneration};
 use std::collections::HashMap;
 use tracing::info;
 
@@ -86,14 +86,14 @@
 /// The background subsystems that the options switch on, and their tasks.
 pub struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
-    in_flight: HashMap<u64, TaskInFlight>,
+    in_flight: HashMap<BackgroundQueryId, TaskInFlight>,
     /// Ids of statements that no client sent start here: they differ among incarnations.
     incarnation: u64,
     statements_sent: u64,
     hot_keys: Option<Shared<HotKeyObserver>>,
     split: Option<Shared<SplitObserver>>,
-    /// How often a comparison was started: results of an earlier one do not count.
-    split_generation: u64,
+    /// The comparison that runs: results of an earlier one do not count.
+    split_generation: SplitGeneration,
     metrics: Metrics,
     /// When the timer that is set goes off.
     timer_at: Micros,
@@ -111,7 +111,7 @@
             statements_sent: 0,
             hot_keys: None,
             split: None,
-            split_generation: 0,
+            split_generation: SplitGeneration::default(),
             metrics: Metrics::new(),
             timer_at: Micros::MAX,
             last_run_at: now,
@@ -171,31 +171,31 @@
         for StartedTask { id, task, database } in started {
             self.statements_sent += 1;
             let statements = task.payload.statements(self.incarnation.wrapping_add(self.statements_sent));
-            self.in_flight.insert(id, TaskInFlight { task: task.payload, started_at: context.now });
-            pool.start_background_query(context, id, ServerId(database), statements);
+            let query = BackgroundQueryId(id);
+            self.in_flight.insert(query, TaskInFlight { task: task.payload, started_at: context.now });
+            pool.start_background_query(context, query, ServerId(database), statements);
         }
     }
 
     /// Takes the results of background queries, and gives up those whose end was not reported in time.
     fn finish_tasks(&mut self, now: Micros, results: Vec<BackgroundQueryResult>) {
         for result in results {
-            self.scheduler.finish(result.number);
-            let Some(finished) = self.in_flight.remove(&result.number) else { continue };
+            self.scheduler.finish(result.id.0);
+            let Some(finished) = self.in_flight.remove(&result.id) else { continue };
             match finished.task {
                 BackgroundTask::Copy(task) => self.finish_copy_task(now, task, &result),
                 BackgroundTask::DualRead(read) => self.finish_dual_read(now, &read, Some(&result)),
             }
         }
         let is_lost = |task: &TaskInFlight| now - task.started_at >= MAX_QUERY_MICROS;
-        let lost: Vec<u64> =
-            self.in_flight.iter().filter(|(_, task)| is_lost(task)).map(|(number, _)| *number).collect();
-        for number in lost {
-            self.scheduler.finish(number);
-            if let Some(BackgroundTask::DualRead(read)) = self.in_flight.remove(&number).map(|lost| lost.task)
-            {
+        let lost: Vec<BackgroundQueryId> =
+            self.in_flight.iter().filter(|(_, task)| is_lost(task)).map(|(id, _)| *id).collect();
+        for id in lost {
+            self.scheduler.finish(id.0);
+            if let Some(BackgroundTask::DualRead(read)) = self.in_flight.remove(&id).map(|lost| lost.task) {
                 self.finish_dual_read(now, &read, None);
             }
-            info!(event = "background-query-failed", number);
+            info!(event = "background-query-failed", number = id.0);
         }
     }
 
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -131,7 +131,7 @@
                 shared(SplitObserver::new(settings, identity.incarnation, hasher, class_names, now));
             self.context.core.subscribe(now, observer.clone());
             work.split = Some(observer);
-            work.split_generation += 1;
+            work.split_generation = work.split_generation.next();
             info!(event = "split-on", definition);
         }
     }
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -93,9 +93,9 @@
             warn!(conn = "client", %peer, reason, error = %Quoted(error));
             return None;
         }
-        slot.insert(Client::new(stream, peer, self.admitted, context.now));
+        slot.insert(Client::new(stream, peer, self.next_serial, context.now));
         self.unclassified_count += 1;
-        self.admitted += 1;
+        self.next_serial = self.next_serial.next();
         Some(key)
     }
 }
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -63,15 +63,26 @@
 pub(super) struct ShedRank {
     pub class: ShedClass,
     since: Micros,
-    number: u64,
+    serial: ClientSerial,
+}
+
+/// Number of a client, never used again: keys of clients that have gone are.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ClientSerial(u64);
+
+impl ClientSerial {
+    /// The number of the client that is accepted after this one.
+    pub fn next(self) -> ClientSerial {
+        ClientSerial(self.0 + 1)
+    }
 }
 
 /// One client's connection.
 pub(super) struct Client {
     pub stream: TcpStream,
     pub peer: SocketAddr,
-    /// How many came before it: its key does not tell, for keys are used again.
-    pub number: u64,
+    /// Tells which clients came before it: its key does not, for keys are used again.
+    serial: ClientSerial,
     pub protocol: Frontend,
     pub open_request: Option<OpenRequest>,
     /// Set while the answer to the open request is being forwarded in chunks.
@@ -94,11 +105,11 @@
 
 impl Client {
     /// A client that has just been accepted.
-    pub fn new(stream: TcpStream, peer: SocketAddr, number: u64, now: Micros) -> Client {
+    pub fn new(stream: TcpStream, peer: SocketAddr, serial: ClientSerial, now: Micros) -> Client {
         Client {
             stream,
             peer,
-            number,
+            serial,
             protocol: Frontend::default(),
             open_request: None,
             streamed_value: None,
@@ -134,7 +145,7 @@
             0 => ShedClass::Newcomer,
             _ => ShedClass::Idle,
         };
-        ShedRank { class, since, number: self.number }
+        ShedRank { class, since, serial: self.serial }
     }
 
     /// The attempt whose value may go on, if the client has taken what was received of it. Told once for each chunk.
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -14,7 +14,7 @@
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::core::{AttemptId, ClientKey};
-use client::Client;
+use client::{Client, ClientSerial};
 use close_reason::ClientCloseReason;
 use mio::net::TcpListener;
 use mio::{Interest, Registry};
@@ -28,8 +28,8 @@
     /// Until it is passed to another process, or closed.
     listener: Option<TcpListener>,
     connections: Slab<Client>,
-    /// How many clients have been accepted so far.
-    admitted: u64,
+    /// The number of the next client that is accepted.
+    next_serial: ClientSerial,
     admission: StatementAdmission,
     max_clients: usize,
     /// Beyond so many, idle ones make room before the limit is reached: clients that keep connections which they do not use leave
@@ -74,7 +74,7 @@
         Ok(Clients {
             listener: Some(listener),
             connections: Slab::new(),
-            admitted: 0,
+            next_serial: ClientSerial::default(),
             admission: StatementAdmission::default(),
             max_clients,
             early_shed_threshold: shed::early_shed_threshold(max_clients),
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -5,7 +5,7 @@
 use super::super::ids::ConnectionKey;
 use super::Pool;
 use super::connection::ConnectionTask;
-use crate::background_query::{BackgroundQuery, BackgroundQueryResult};
+use crate::background_query::{BackgroundQuery, BackgroundQueryId, BackgroundQueryResult};
 use crate::reply::Reply;
 use birchreach::{Micros, ServerId};
 
@@ -17,11 +17,11 @@
     pub fn start_background_query(
         &mut self,
         context: &mut EventLoopContext,
-        number: u64,
+        id: BackgroundQueryId,
         server: ServerId,
         statements: Vec<Vec<u8>>,
     ) {
-        let query = BackgroundQuery::new(number, server, statements);
+        let query = BackgroundQuery::new(id, server, statements);
         self.dispatch(context, server, ConnectionTask::BackgroundQuery(query));
     }
 
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -11,7 +11,7 @@
 use std::io::ErrorKind;
 
 impl Pool {
-    /// The socket in this slot, as its token has it, is ready.
+    /// A connection's socket is ready.
     pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         if !self.connections.contains(key) {
             return;
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -1,13 +1,13 @@
 //! What timers are set for.
 
 use super::ids::{ConnectionKey, ConnectionSerial, LinkKey, LinkSerial, PollStateSerial, QuerySerial};
-use crate::core::AttemptId;
+use crate::core::{AttemptId, RoutingTimerId};
 
 /// What a timer was set for. A key is that of the owner's slab; a serial tells a later use of the same key from this one.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerEvent {
     /// A timer of the decisions.
-    Routing(u32),
+    Routing(RoutingTimerId),
     /// An attempt's time is over.
     AttemptTimeout(AttemptId),
     /// A connection to a database was not established in time.
