--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -5,6 +5,7 @@
 mod datagrams;
 mod start;
 
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::fleet::{self, Metrics};
 use crate::log::Quoted;
@@ -27,7 +28,6 @@
     /// None: another process of this proxy represents it in the fleet, or this one has left.
     socket: Option<UdpSocket>,
     listen: SocketAddr,
-    registry: Registry,
     membership: Shared<Membership>,
     gossip_reports: GossipReports,
     /// Reports that were received, until their channels take them.
@@ -38,22 +38,25 @@
     timer_at: Micros,
     /// The socket may hold more datagrams than one turn takes.
     unread: bool,
+    /// Another process of this proxy replaces this one, and represents the proxy in its place.
     replaced: bool,
+    /// This process has left the fleet.
     left: bool,
 }
 
 impl FleetMembership {
-    fn open(&mut self) -> std::io::Result<()> {
+    /// Opens the socket. It fails while another process of this proxy has the address.
+    fn open(&mut self, registry: &Registry) -> std::io::Result<()> {
         let mut socket = UdpSocket::bind(self.listen)?;
-        self.registry.register(&mut socket, Source::Fleet.token(), Interest::READABLE)?;
+        registry.register(&mut socket, Source::Fleet.token(), Interest::READABLE)?;
         info!(event = "fleet-listening", at = %self.listen);
         self.socket = Some(socket);
         Ok(())
     }
 
-    fn close(&mut self) {
+    fn close(&mut self, registry: &Registry) {
         if let Some(mut socket) = self.socket.take() {
-            let _ = self.registry.deregister(&mut socket);
+            let _ = registry.deregister(&mut socket);
         }
     }
 
@@ -84,14 +87,15 @@
     }
 
     /// The timer is due.
-    pub fn process_timer(&mut self, now: Micros) {
+    pub fn process_timer(&mut self, context: &EventLoopContext) {
+        let now = context.now;
         self.timer_at = Micros::MAX;
         if self.unread {
             self.receive_datagrams(now);
         }
         if self.socket.is_none() && !self.replaced && !self.left {
-            // It fails while another process of this proxy has the address, and is tried again.
-            let _ = self.open();
+            // Tried again after `BIND_RETRY_INTERVAL`.
+            let _ = self.open(context.poll.registry());
         }
         if self.socket.is_some() {
             self.membership.borrow_mut().step(now);
@@ -100,24 +104,24 @@
     }
 
     /// Another process of this proxy replaces this one, or does not after all: one of them represents the proxy at a time.
-    pub fn set_replaced(&mut self, now: Micros, replaced: bool) {
+    pub fn set_replaced(&mut self, context: &EventLoopContext, replaced: bool) {
         if std::mem::replace(&mut self.replaced, replaced) == replaced {
             return;
         }
         if replaced {
-            self.leave(now);
+            self.leave(context);
         } else if std::mem::take(&mut self.left) {
-            self.membership.borrow_mut().rejoin(now);
-            self.process_timer(now);
+            self.membership.borrow_mut().rejoin(context.now);
+            self.process_timer(context);
         }
     }
 
     /// Leaves the fleet.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn leave(&mut self, context: &EventLoopContext) {
         if !std::mem::replace(&mut self.left, true) {
-            self.membership.borrow_mut().leave(now);
-            self.flush(now);
-            self.close();
+            self.membership.borrow_mut().leave(context.now);
+            self.flush(context.now);
+            self.close(context.poll.registry());
         }
     }
 
@@ -157,7 +161,7 @@
         self.metrics.text(&self.membership.borrow())
     }
 
-    /// When the timer is to be set, if that is sooner than it is.
+    /// When the timer is to be set, if that is sooner than the time for which it is set.
     fn earlier_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = match &self.socket {
             _ if self.left => return None,
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -29,7 +29,6 @@
         let mut fleet = FleetMembership {
             socket: None,
             listen: options.listen,
-            registry: self.context.poll.registry().try_clone().map_err(failed)?,
             membership: membership.clone(),
             gossip_reports: GossipReports::new(incarnation, self.config.seed ^ incarnation.rotate_left(32)),
             new_reports: Vec::new(),
@@ -40,7 +39,7 @@
             replaced: false,
             left: false,
         };
-        match fleet.open() {
+        match fleet.open(self.context.poll.registry()) {
             // The process that this one replaces still has the address.
             Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
             other => other.map_err(failed)?,
@@ -90,7 +89,7 @@
     /// The fleet's timer is due.
     pub(in crate::net) fn fleet_due(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.process_timer(self.context.now);
+            fleet.process_timer(&self.context);
             self.after_fleet();
         }
     }
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -59,7 +59,7 @@
     pub(super) fn close_idle_clients(&mut self) {
         self.clients.shut_down(&mut self.context);
         if let Some(fleet) = &mut self.fleet {
-            fleet.leave(self.context.now);
+            fleet.leave(&self.context);
             self.after_fleet();
         }
         self.clients_closed = true;
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -142,7 +142,7 @@
     fn after_handover(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
-            fleet.set_replaced(self.context.now, self.handover.is_replaced());
+            fleet.set_replaced(&self.context, self.handover.is_replaced());
             self.after_fleet();
         }
         self.negotiate_handover();
