--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -117,7 +117,8 @@
             let Some(listener) = self.listener.as_ref().filter(|_| self.accept_pending) else { return };
             match listener.accept() {
                 Ok((stream, _)) => self.add(context, stream),
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 // Connections that wait are reported again with the next one, and looked for by the sweep.
                 Err(_) => self.accept_pending = false,
             }
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -5,7 +5,7 @@
 use super::super::timer_events::TimerEvent;
 use super::client::{Client, ShedClass};
 use super::close_reason::ClientCloseReason;
-use super::{Clients, open_spare_descriptor};
+use super::{Clients, open_reserve_descriptor};
 use crate::core::ClientKey;
 use crate::log::Quoted;
 use birchreach::Micros;
@@ -46,7 +46,7 @@
             if !self.can_accept() {
                 return;
             }
-            let is_full = self.occupied_places() >= self.max_clients;
+            let is_full = self.counted_clients() >= self.max_clients;
             if is_full && !self.connections.iter().any(|(_, client)| client.can_be_shed()) {
                 // No client can make room: new ones wait in the listener's queue.
                 return self.pause_accepting(context);
@@ -55,20 +55,20 @@
             match listener.accept() {
                 Ok((stream, peer)) => {
                     let key = self.admit(context, stream, peer);
-                    self.make_room_for(context, key);
+                    self.shed_for(context, key);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 // The system has no descriptor, whether or not someone waits. With the spare one the next accept tells.
-                Err(_) if self.spare_descriptor.take().is_some() => continue,
+                Err(_) if self.reserve_descriptor.take().is_some() => continue,
                 Err(error) => {
                     warn!(event = "accept-failed", error = %Quoted(error));
                     self.shed(context, None, ShedClass::Newcomer);
                     self.pause_accepting(context);
                 }
             }
-            self.spare_descriptor = self.spare_descriptor.take().or_else(open_spare_descriptor);
+            self.reserve_descriptor = self.reserve_descriptor.take().or_else(open_reserve_descriptor);
         }
     }
 
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -54,10 +54,10 @@
     /// Streamed values of which the clients have taken all that was received.
     ready_for_more: Vec<AttemptId>,
     /// When the system has no descriptor to give, closing this one lets one more client in, which tells whether any waits.
-    spare_descriptor: Option<File>,
+    reserve_descriptor: Option<File>,
 }
 
-fn open_spare_descriptor() -> Option<File> {
+fn open_reserve_descriptor() -> Option<File> {
     File::open("/dev/null").ok()
 }
 
@@ -87,7 +87,7 @@
             awaiting_peer_state: false,
             turn_incomplete: Vec::new(),
             ready_for_more: Vec::new(),
-            spare_descriptor: open_spare_descriptor(),
+            reserve_descriptor: open_reserve_descriptor(),
         })
     }
 
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -8,7 +8,7 @@
 use crate::core::ClientKey;
 
 /// How many clients that turn out to be active are passed over to find one that makes room.
-const MAX_SHED_TRIES: usize = 32;
+const MAX_SHED_ATTEMPTS: usize = 32;
 
 /// Beyond this many clients idle ones make room, before the limit is reached.
 pub(super) fn early_shed_threshold(max_clients: usize) -> usize {
@@ -20,7 +20,7 @@
     pub fn set_limit(&mut self, context: &mut EventLoopContext, max_clients: usize) {
         self.max_clients = max_clients;
         self.early_shed_threshold = early_shed_threshold(max_clients);
-        for _ in self.max_clients..self.occupied_places() {
+        for _ in self.max_clients..self.counted_clients() {
             self.shed(context, None, ShedClass::Newcomer);
         }
     }
@@ -37,15 +37,15 @@
     }
 
     /// How many clients there are, as the limit counts them.
-    pub(super) fn occupied_places(&self) -> usize {
+    pub(super) fn counted_clients(&self) -> usize {
         self.connections.len() - self.unclassified_count.min(self.unclassified_allowance)
     }
 
     /// A new client counts: another one makes room, if need be. That happens afterwards, for only now it is known that one came.
-    pub(super) fn make_room_for(&mut self, context: &mut EventLoopContext, newcomer: Option<ClientKey>) {
-        if self.occupied_places() > self.max_clients || self.spare_descriptor.is_none() {
+    pub(super) fn shed_for(&mut self, context: &mut EventLoopContext, newcomer: Option<ClientKey>) {
+        if self.counted_clients() > self.max_clients || self.reserve_descriptor.is_none() {
             self.shed(context, newcomer, ShedClass::Newcomer);
-        } else if self.occupied_places() > self.early_shed_threshold {
+        } else if self.counted_clients() > self.early_shed_threshold {
             self.shed(context, newcomer, ShedClass::Idle);
         }
     }
@@ -57,7 +57,7 @@
         newcomer: Option<ClientKey>,
         last_class: ShedClass,
     ) {
-        for _ in 0..MAX_SHED_TRIES {
+        for _ in 0..MAX_SHED_ATTEMPTS {
             let clients = self.connections.iter().map(|(key, client)| (ClientKey(key), client));
             let candidates = clients.filter(|(key, client)| Some(*key) != newcomer && client.can_be_shed());
             let ranks = candidates.map(|(key, client)| (client.shed_rank(context.now), key));
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -33,7 +33,7 @@
 /// What one round of a turn came to.
 enum Round {
     /// There is more to do.
-    Again,
+    Continue,
     /// There is nothing more to do in this turn.
     Done,
     Close(ClientCloseReason),
@@ -60,7 +60,7 @@
         if made_first_request {
             self.unclassified_count -= 1;
             if self.unclassified_allowance > 0 {
-                self.make_room_for(context, Some(key));
+                self.shed_for(context, Some(key));
             }
         }
     }
@@ -95,7 +95,7 @@
         // A client that sends without end takes turns with the others.
         for _ in 0..MAX_ROUNDS_PER_TURN {
             match self.process_round(context, admission, key) {
-                Round::Again => {}
+                Round::Continue => {}
                 Round::Done => return None,
                 Round::Close(reason) => return Some(reason),
             }
@@ -137,7 +137,7 @@
         let has_unread_input = more_may_have_arrived && self.protocol.wants_input();
         let has_output = self.closing.is_some() || !self.protocol.out.pending().is_empty();
         if has_unread_input || has_output {
-            return Round::Again;
+            return Round::Continue;
         }
         self.turn_incomplete = self.protocol.commands_deferred();
         Round::Done
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -18,18 +18,19 @@
 impl FleetMembership {
     /// The socket is readable: receives a bounded number of datagrams.
     pub fn receive_datagrams(&mut self, now: Micros) {
-        self.unread = false;
+        self.may_have_unread = false;
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for received in 0.. {
             let Some(socket) = &self.socket else { return };
             if received == DATAGRAMS_PER_TURN {
-                self.unread = true;
+                self.may_have_unread = true;
                 break;
             }
             match socket.recv_from(&mut buffer) {
                 Ok((length, _)) => self.receive(now, &buffer[..length]),
                 // An earlier datagram's recipient refused it; the socket is not affected.
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
                 Err(_) => break,
             }
         }
@@ -67,7 +68,7 @@
         }
         let members: Vec<SocketAddr> =
             self.membership.borrow().members().map(|member| member.address).collect();
-        if !self.left
+        if !self.has_left
             && let Some((to, payload)) = self.gossip_reports.encode_gossip(now, &members)
         {
             self.send(to, REPORTS_CHANNEL, &payload);
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -19,9 +19,9 @@
 use tracing::{info, warn};
 
 /// While another process of this proxy has the address, it is tried again at this interval.
-const BIND_RETRY_INTERVAL: Micros = 500_000;
+const BIND_RETRY_INTERVAL_MICROS: Micros = 500_000;
 /// The shortest time to the next timer.
-const MIN_TIMER_INTERVAL: Micros = 1_000;
+const MIN_TIMER_INTERVAL_MICROS: Micros = 1_000;
 
 /// This process's part in the fleet.
 pub struct FleetMembership {
@@ -37,11 +37,11 @@
     /// When the timer that is set is due.
     timer_at: Micros,
     /// The socket may hold more datagrams than one turn takes.
-    unread: bool,
+    may_have_unread: bool,
     /// Another process of this proxy replaces this one, and represents the proxy in its place.
-    replaced: bool,
+    is_replaced: bool,
     /// This process has left the fleet.
-    left: bool,
+    has_left: bool,
 }
 
 impl FleetMembership {
@@ -90,11 +90,11 @@
     pub fn process_timer(&mut self, context: &EventLoopContext) {
         let now = context.now;
         self.timer_at = Micros::MAX;
-        if self.unread {
+        if self.may_have_unread {
             self.receive_datagrams(now);
         }
-        if self.socket.is_none() && !self.replaced && !self.left {
-            // Tried again after `BIND_RETRY_INTERVAL`.
+        if self.socket.is_none() && !self.is_replaced && !self.has_left {
+            // Tried again after `BIND_RETRY_INTERVAL_MICROS`.
             let _ = self.open(context.poll.registry());
         }
         if self.socket.is_some() {
@@ -105,12 +105,12 @@
 
     /// Another process of this proxy replaces this one, or does not after all: one of them represents the proxy at a time.
     pub fn set_replaced(&mut self, context: &EventLoopContext, replaced: bool) {
-        if std::mem::replace(&mut self.replaced, replaced) == replaced {
+        if std::mem::replace(&mut self.is_replaced, replaced) == replaced {
             return;
         }
         if replaced {
             self.leave(context);
-        } else if std::mem::take(&mut self.left) {
+        } else if std::mem::take(&mut self.has_left) {
             self.membership.borrow_mut().rejoin(context.now);
             self.process_timer(context);
         }
@@ -118,7 +118,7 @@
 
     /// Leaves the fleet.
     pub fn leave(&mut self, context: &EventLoopContext) {
-        if !std::mem::replace(&mut self.left, true) {
+        if !std::mem::replace(&mut self.has_left, true) {
             self.membership.borrow_mut().leave(context.now);
             self.flush(context.now);
             self.close(context.poll.registry());
@@ -164,12 +164,12 @@
     /// When the timer is to be set, if that is sooner than the time for which it is set.
     fn earlier_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = match &self.socket {
-            _ if self.left => return None,
-            None => now + BIND_RETRY_INTERVAL,
-            Some(_) if self.unread => now,
+            _ if self.has_left => return None,
+            None => now + BIND_RETRY_INTERVAL_MICROS,
+            Some(_) if self.may_have_unread => now,
             Some(_) => {
                 let next_change = self.membership.borrow().next_change();
-                next_change.min(self.gossip_reports.next_change(now)).max(now + MIN_TIMER_INTERVAL)
+                next_change.min(self.gossip_reports.next_change(now)).max(now + MIN_TIMER_INTERVAL_MICROS)
             }
         };
         (next < self.timer_at).then(|| {
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -35,13 +35,14 @@
             datagrams: DatagramCodec::new(keys.clone(), incarnation),
             metrics: Metrics::new(),
             timer_at: Micros::MAX,
-            unread: false,
-            replaced: false,
-            left: false,
+            may_have_unread: false,
+            is_replaced: false,
+            has_left: false,
         };
         match fleet.open(self.context.poll.registry()) {
             // The process that this one replaces still has the address.
-            Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
+            Err(error)
+                if error.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
             other => other.map_err(failed)?,
         }
         let sync = MembershipSync::new(options.listen, keys.clone(), membership);
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -64,7 +64,8 @@
         }
         match socket.connect(&peer.into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(IN_PROGRESS) || e.kind() == ErrorKind::WouldBlock => {}
+            Err(error)
+                if error.raw_os_error() == Some(IN_PROGRESS) || error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return Err(LinkError::Refused),
         }
         let stream = TcpStream::from_std(socket.into());
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -30,11 +30,11 @@
 /// Links at once, in both directions; a further one is closed.
 pub const MAX_LINKS: usize = 24;
 /// A link that has not ended after this time is closed.
-const LINK_TIMEOUT: Micros = 5_000_000;
+const LINK_TIMEOUT_MICROS: Micros = 5_000_000;
 /// Connections that are accepted in one turn.
 const ACCEPTS_PER_TURN: usize = 16;
 /// The timer is set at least this often.
-const MAX_STEP_INTERVAL: Micros = 1_000_000;
+const MAX_STEP_INTERVAL_MICROS: Micros = 1_000_000;
 
 /// All links, and what they are for.
 #[derive(Default)]
@@ -83,13 +83,13 @@
         self.close_timed_out_links(context);
         self.accept(context);
         self.send_due_requests(context);
-        let next_step = context.now + MAX_STEP_INTERVAL;
+        let next_step = context.now + MAX_STEP_INTERVAL_MICROS;
         let next_request = self.state_transfer.as_ref().map(|t| t.requests.next_change(context.now));
         context.timers.set(next_request.map_or(next_step, |at| at.min(next_step)), TimerEvent::Gossip);
     }
 
     fn close_timed_out_links(&mut self, context: &mut EventLoopContext) {
-        let is_timed_out = |link: &PeerLink| context.now - link.opened_at >= LINK_TIMEOUT;
+        let is_timed_out = |link: &PeerLink| context.now - link.opened_at >= LINK_TIMEOUT_MICROS;
         let timed_out: Vec<LinkKey> =
             self.links.iter().filter(|(_, link)| is_timed_out(link)).map(|(slot, _)| LinkKey(slot)).collect();
         timed_out.into_iter().for_each(|key| self.close_link(context, key, CloseReason::Unresponsive));
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -37,10 +37,10 @@
     ) {
         let connection = &self.connections[key];
         let server = connection.server;
-        let was_resting = connection.is_resting();
+        let was_cooling_down = connection.is_cooling_down();
         let was_written = connection.query == QueryProgress::Written;
         let Some(task) = self.close(context, key, reason) else { return };
-        if was_resting {
+        if was_cooling_down {
             self.dispatch(context, server, task);
         } else if was_written {
             self.complete_task(context, task, reply);
@@ -76,7 +76,7 @@
             keys.retain(|other| *other != key);
         }
         let server = context.core.server_name(connection.server);
-        info!(conn = "database", server, state = connection.state_word(), reason = reason.as_str());
+        info!(conn = "database", server, state = connection.state_name(), reason = reason.as_str());
         connection.task
     }
 
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -105,7 +105,7 @@
     }
 
     /// It is established, and what it may have as a task waits until it has rested.
-    pub fn is_resting(&self) -> bool {
+    pub fn is_cooling_down(&self) -> bool {
         self.established && self.query == QueryProgress::NotQueued
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// The state for the log.
-    pub fn state_word(&self) -> &'static str {
+    pub fn state_name(&self) -> &'static str {
         match (self.established, self.query) {
             (false, _) => "opening",
             (true, QueryProgress::NotQueued) => "idle",
--- a/proxy/src/net/pool/dispatch.rs
+++ b/proxy/src/net/pool/dispatch.rs
@@ -10,11 +10,11 @@
 
 /// A connection rests after a response: what the database sends or does right behind that, unexpected data or a close, must not
 /// meet the next query.
-const REST_TIME_MICROS: Micros = 1_000;
+const COOLDOWN_MICROS: Micros = 1_000;
 
 enum IdleConnection {
-    Rested(ConnectionKey),
-    Resting(ConnectionKey),
+    Ready(ConnectionKey),
+    CoolingDown(ConnectionKey),
 }
 
 impl Pool {
@@ -28,8 +28,8 @@
         while let Some(idle) = self.take_idle(context, server) {
             match idle {
                 // Its rest is over sooner than a new connection could be established.
-                IdleConnection::Resting(key) => return self.assign_after_rest(context, key, task),
-                IdleConnection::Rested(key) => {
+                IdleConnection::CoolingDown(key) => return self.assign_after_cooldown(context, key, task),
+                IdleConnection::Ready(key) => {
                     if self.verify_usable(context, key) == ConnectionState::Open {
                         return self.send_query(context, key, task);
                     }
@@ -45,23 +45,23 @@
     /// The idle connection that was used last, but those that have rested before those that have not.
     fn take_idle(&mut self, context: &EventLoopContext, server: ServerId) -> Option<IdleConnection> {
         let keys = self.idle.get_mut(&server)?;
-        let has_rested =
-            |key: &ConnectionKey| context.now - self.connections[*key].idle_since >= REST_TIME_MICROS;
-        match keys.iter().rposition(has_rested) {
-            Some(index) => Some(IdleConnection::Rested(keys.remove(index))),
-            None => keys.pop().map(IdleConnection::Resting),
+        let has_cooled_down =
+            |key: &ConnectionKey| context.now - self.connections[*key].idle_since >= COOLDOWN_MICROS;
+        match keys.iter().rposition(has_cooled_down) {
+            Some(index) => Some(IdleConnection::Ready(keys.remove(index))),
+            None => keys.pop().map(IdleConnection::CoolingDown),
         }
     }
 
-    fn assign_after_rest(
+    fn assign_after_cooldown(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
         task: ConnectionTask,
     ) {
         let connection = &self.connections[key];
-        let rested_at = connection.idle_since + REST_TIME_MICROS;
-        context.timers.set(rested_at, TimerEvent::ConnectionRested(key, connection.serial));
+        let cooldown_ends_at = connection.idle_since + COOLDOWN_MICROS;
+        context.timers.set(cooldown_ends_at, TimerEvent::CooldownEnded(key, connection.serial));
         self.assign(key, task);
     }
 
@@ -97,13 +97,13 @@
     }
 
     /// The connection has rested, and a task may wait for it.
-    pub fn connection_rested(
+    pub fn cooldown_ended(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
         serial: ConnectionSerial,
     ) {
-        let is_waiting = |c: &&mut Connection| c.serial == serial && c.is_resting();
+        let is_waiting = |c: &&mut Connection| c.serial == serial && c.is_cooling_down();
         let Some(connection) = self.connections.get_mut(key).filter(is_waiting) else { return };
         let (server, address) = (connection.server, connection.address);
         let Some(task) = connection.task.take() else { return };
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -46,7 +46,7 @@
         let known_revision = known_endpoints.as_ref().map(|update| update.revision);
         let mut event_loop = EventLoop::open(poll, listener, address, known_revision, config, options)?;
         event_loop.log_started(address);
-        event_loop.start_parts(known_endpoints)?;
+        event_loop.start_subsystems(known_endpoints)?;
         Ok(event_loop)
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Starts the parts, those that the options name among them, and applies the list known from before the start.
-    fn start_parts(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
+    fn start_subsystems(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
         let started_at = self.context.now;
         self.start_health()?;
         self.start_gossip()?;
--- a/proxy/src/net/stream.rs
+++ b/proxy/src/net/stream.rs
@@ -27,8 +27,8 @@
                     return Ok(false);
                 }
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(true),
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(true),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return Err(Ended::Reset),
         }
     }
@@ -48,8 +48,8 @@
         match stream.write(&bytes[written..]) {
             Ok(0) => return Err(Ended::Reset),
             Ok(count) => written += count,
-            Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
+            Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(_) => return Err(Ended::Reset),
         }
     }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -13,7 +13,7 @@
             TimerEvent::AttemptTimeout(attempt) => self.pool.attempt_timed_out(context, attempt),
             TimerEvent::ConnectTimeout(key, serial) => self.pool.connect_timed_out(context, key, serial),
             TimerEvent::QueryTimeout(key, serial) => self.pool.query_timed_out(context, key, serial),
-            TimerEvent::ConnectionRested(key, serial) => self.pool.connection_rested(context, key, serial),
+            TimerEvent::CooldownEnded(key, serial) => self.pool.cooldown_ended(context, key, serial),
             TimerEvent::RetryAccept => self.clients.resume_accepting(),
             TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
             TimerEvent::Sweep => self.sweep(),
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -15,7 +15,7 @@
     /// A query that no client waits for was not answered in time.
     QueryTimeout(ConnectionKey, QuerySerial),
     /// A connection to a database may be used again.
-    ConnectionRested(ConnectionKey, ConnectionSerial),
+    CooldownEnded(ConnectionKey, ConnectionSerial),
     /// Clients may be accepted again after the system had no descriptor.
     RetryAccept,
     /// The next poll of discovery is due, or a state of the current one has lasted too long.
