--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' listener and connections. They have descriptors of their own, and connections that send nothing make room for
-//! others.
+//! The operators' listener and connections. Descriptors are reserved for them, and the oldest connection is closed when another one
+//! exceeds the limit.
 
 use super::error::{EventLoopError, ListenError, ListenPurpose, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
@@ -15,13 +15,13 @@
 use std::net::{Shutdown, SocketAddr};
 use tracing::info;
 
-/// Connections at once; one more, and the oldest is closed.
+/// The limit on open connections; one more, and the oldest is closed.
 pub const MAX_CONNECTIONS: usize = 8;
 /// A connection that has not sent a call after this time is closed.
 const CALL_TIMEOUT_MICROS: Micros = 5_000_000;
 /// The most connections that are accepted in one turn of the loop.
 const ACCEPTS_PER_TURN: usize = 16;
-/// The most that is read of one connection in a turn.
+/// The most that is read from one connection in a turn.
 const READ_BYTES_PER_TURN: usize = 64 << 10;
 
 /// What the subsystems report to operators; nothing of those that are off.
@@ -40,7 +40,7 @@
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// It made room for a newer one.
+    /// It was closed for a newer one.
     Shed,
     /// It was reset.
     Reset,
@@ -65,6 +65,7 @@
     }
 }
 
+/// One operator's connection.
 struct Connection {
     stream: TcpStream,
     protocol: AdminProtocol,
@@ -101,7 +102,7 @@
         self.listener.as_ref()?.local_addr().ok()
     }
 
-    /// Connections wait to be accepted.
+    /// The listener is ready: connections wait to be accepted.
     pub fn accept_ready(&mut self) {
         self.accept_pending = true;
     }
@@ -119,12 +120,13 @@
                 Ok((stream, _)) => self.add(context, stream),
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // Connections that wait are reported again with the next one, and looked for by the sweep.
+                // The poll reports the listener again with the next connection, and the sweep tries it too.
                 Err(_) => self.accept_pending = false,
             }
         }
     }
 
+    /// Registers an accepted connection, and closes the oldest one if there are too many.
     fn add(&mut self, context: &mut EventLoopContext, mut stream: TcpStream) {
         if self.connections.len() >= MAX_CONNECTIONS {
             let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.accepted_at);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Reads a connection. A call that is returned is to be answered with [`AdminListener::answer`].
+    /// Reads a connection. The caller answers a returned call with [`AdminListener::answer`].
     pub fn ready(&mut self, context: &mut EventLoopContext, key: AdminKey) -> Option<AdminCall> {
         let connection = self.connections.get_mut(key.0)?;
         let protocol = &mut connection.protocol;
@@ -203,6 +205,7 @@
         }
     }
 
+    /// Closes the connection and logs why.
     fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: CloseReason) {
         let mut connection = self.connections.remove(key.0);
         let _ = context.poll.registry().deregister(&mut connection.stream);
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -1,5 +1,5 @@
-//! The tasks that compare reads while a group splits: a query of the verifier is sent to a replica of a child or of the parent, and its
-//! result handed back.
+//! The tasks that compare reads while a group splits: a query of the verifier is sent to a replica of a child or of the parent, and
+//! its result handed back.
 
 use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
 use crate::background_query::BackgroundQueryResult;
@@ -9,7 +9,7 @@
 use birchreach_shard_split::{ComparisonQuery, Definition, DueQuery, QueryResult, Verdict};
 use tracing::{info, warn};
 
-/// Queries that are submitted in one run.
+/// The most queries that are submitted in one run.
 const MAX_QUERIES_PER_RUN: usize = 8;
 /// A query that was not started within this time is due again later.
 const MAX_QUEUED_MICROS: Micros = 1_000_000;
@@ -28,16 +28,18 @@
 /// A query of the verifier.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct DualRead {
-    /// The verifier that wants it: another definition has other comparisons.
+    /// The comparison that it belongs to.
     split_generation: SplitGeneration,
     due: DueQuery,
 }
 
 impl DualRead {
+    /// The group whose databases it runs at.
     pub(super) fn target(&self) -> TaskTarget {
         TaskTarget { group: self.due.group, writes: false }
     }
 
+    /// Its statements, in order.
     pub(super) fn statements(&self, id: u64) -> Vec<Vec<u8>> {
         let DueQuery { query, ref key_bytes, group, .. } = self.due;
         let read = copies::read_row(key_bytes, group, id, STATEMENT_WAIT_MS);
@@ -79,6 +81,7 @@
         }
     }
 
+    /// The query was not started: the verifier makes it due again later.
     fn postpone(&self, now: Micros, read: &DualRead) {
         if let Some(observer) = self.split.as_ref().filter(|_| read.split_generation == self.split_generation)
         {
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Hands the result of a query to its verifier; none if the end of the query was not reported.
+    /// Passes the result of a query to its verifier; none if the end of the query was not reported.
     pub(super) fn finish_dual_read(
         &self,
         now: Micros,
@@ -108,6 +111,7 @@
     }
 }
 
+/// Logs a verdict that has changed.
 fn log_verdict(changed: Option<Verdict>) {
     match changed {
         Some(verdict @ Verdict::Dirty(counts)) => {
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -1,5 +1,5 @@
-//! Work that no client waits for: copies of hot keys, and reads that are compared while a group splits. It owns the tasks in flight and
-//! their times. The subsystems' crates decide what is to be done, the scheduler when, the decision module at which database.
+//! Background work: copies of hot keys, and reads that are compared while a group splits. It owns the tasks in flight and their
+//! timeouts. The subsystems' crates decide what is to be done, the scheduler when, and the router at which database.
 
 mod copy_tasks;
 mod dual_reads;
@@ -27,16 +27,16 @@
 const SPLIT_CHANNEL: u8 = 2;
 /// A background query whose end is not reported within this time has failed.
 const MAX_QUERY_MICROS: Micros = 3_000_000;
-/// A run that comes so late comes after the process was suspended: runs are at most half of this apart.
+/// A run that is later than this follows a suspension of the process: runs are at most half of this apart.
 const SUSPENDED_MICROS: Micros = 1_500_000;
-/// How soon queued tasks are looked at again that wait for capacity or for their budget.
+/// How soon tasks are tried again that wait for capacity or for their budget.
 const QUEUE_RETRY_MICROS: Micros = 20_000;
-/// Runs are at least so far apart.
+/// The shortest time between two runs.
 const MIN_RUN_INTERVAL_MICROS: Micros = 1_000;
 /// The time limit that a statement names, in milliseconds.
 const STATEMENT_WAIT_MS: u64 = 1_000;
 
-/// Something to be done at one database.
+/// A task at one database.
 #[derive(Clone, Debug, PartialEq)]
 enum BackgroundTask {
     Copy(CopyTask),
@@ -51,6 +51,7 @@
 }
 
 impl BackgroundTask {
+    /// The group whose databases it runs at.
     fn target(&self) -> TaskTarget {
         match self {
             BackgroundTask::Copy(task) => task.target(),
@@ -58,12 +59,13 @@
         }
     }
 
-    /// Whether it waits while clients use their share of a database. The read of a row that is to be copied does not: its copies are what
-    /// takes load off the database, and its budget bounds it.
+    /// Whether it waits while clients use the capacity of a database. The read of a row that is to be copied does not: the copies
+    /// take load off the database, and its budget bounds it.
     fn yields_to_clients(&self) -> bool {
         !matches!(self, BackgroundTask::Copy(CopyTask::Read(_)))
     }
 
+    /// Its statements, in order. `id` is the id of those that need one.
     fn statements(&self, id: u64) -> Vec<Vec<u8>> {
         match self {
             BackgroundTask::Copy(task) => task.statements(id),
@@ -72,6 +74,7 @@
     }
 }
 
+/// A task whose statements were sent.
 struct TaskInFlight {
     task: BackgroundTask,
     started_at: Micros,
@@ -87,22 +90,23 @@
 pub struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
     in_flight: HashMap<BackgroundQueryId, TaskInFlight>,
-    /// Ids of statements that no client sent start here: they differ among incarnations.
+    /// The first id of this process's own statements, so that ids differ among incarnations.
     incarnation: u64,
     statements_sent: u64,
     hot_keys: Option<Shared<HotKeyObserver>>,
     split: Option<Shared<SplitObserver>>,
-    /// The comparison that runs: results of an earlier one do not count.
+    /// The comparison in progress: results of an earlier one are ignored.
     split_generation: SplitGeneration,
     metrics: Metrics,
-    /// When the timer that is set goes off.
+    /// When the timer that is set expires.
     timer_at: Micros,
     last_run_at: Micros,
-    /// Until then nothing is started: a process that was suspended does not know yet what it has missed.
+    /// Nothing is started before this time: a process that was suspended has not received the current reports yet.
     paused_until: Micros,
 }
 
 impl BackgroundWork {
+    /// No subsystem is switched on.
     fn new(incarnation: u64, now: Micros) -> BackgroundWork {
         BackgroundWork {
             scheduler: Scheduler::new(&[], now),
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -72,6 +72,7 @@
         }
     }
 
+    /// Switches copies of hot keys on or off, or updates their settings.
     fn start_hot_keys(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
         let FleetIdentity { incarnation, configured_members } = identity;
@@ -104,7 +105,8 @@
         }
     }
 
-    /// A comparison whose settings are unchanged goes on; another one starts anew.
+    /// Switches the comparison of a split on or off. One whose settings are unchanged continues; with other settings a new one
+    /// starts.
     fn start_split(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
         let wanted = self
@@ -146,7 +148,7 @@
         work.run_hot_keys(now, view.members, report_interval);
         let reports = work.due_reports(now);
         work.finish_tasks(now, self.pool.take_completed_queries());
-        // Of two processes of one proxy one acts for it; the other only serves its clients.
+        // Of two processes of one proxy only the one that is a member of the fleet starts tasks.
         if is_active {
             work.start_due_tasks(&mut self.context, &mut self.pool, view.divisor());
         }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -90,6 +90,7 @@
         }
     }
 
+    /// Sets the time from which this process is ready, and opens its check listeners shortly before.
     fn set_ready_at(&mut self, at: Micros) {
         self.health.ready_at = at;
         self.record_health_event(HealthEvent::ReadyAt(at));
@@ -108,7 +109,7 @@
         self.await_handover(unix_now);
     }
 
-    /// Announces the handover to a process that replaces this one, or revokes it when that process has gone.
+    /// Announces the handover to a process that replaces this one, or revokes it when that process has disconnected.
     fn announce_handover(&mut self, unix_now: Micros) {
         let replaced = self.handover.is_replaced();
         if replaced == self.health.handing_over {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Gets ready at the time that the predecessor announces, or at once if it has gone.
+    /// Becomes ready at the time that the predecessor announces, or at once if it has disconnected.
     fn await_handover(&mut self, unix_now: Micros) {
         if self.health.ready_at <= self.context.now || self.health.handover_time_known {
             return;
@@ -184,14 +185,14 @@
         }
     }
 
-    /// Tells the monitor of an event that the core doesn't see.
+    /// Reports an event to the monitor that the core does not observe.
     pub(super) fn record_health_event(&self, event: HealthEvent) {
         if let Some(observer) = &self.health.observer {
             observer.borrow_mut().monitor.handle_event(self.context.now, event);
         }
     }
 
-    /// Closes check connections that are due, and opens check listeners that should be open and aren't.
+    /// Closes inactive check connections, and opens check listeners that should be open and are not.
     pub(super) fn reopen_check_listeners(&mut self) {
         self.checks.close_inactive(&mut self.context);
         let may_listen = self.context.now >= self.health.ready_at - LISTEN_AHEAD_MICROS;
@@ -201,6 +202,7 @@
     }
 }
 
+/// Logs a change of the verdict.
 fn log_change(change: &Change) {
     match *change {
         Change::State { from, to, reason } => {
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -15,9 +15,9 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// Connections accepted in one turn of the loop at most: a flood must not starve the clients that are connected.
+/// The most connections accepted in one turn of the loop: a flood of new ones must not starve the clients that are connected.
 const MAX_ACCEPTS_PER_TURN: usize = 32;
-/// How long accepting pauses when no connection can be taken. Trying again at once would spin.
+/// How long accepting pauses when no connection can be accepted. A retry without a pause would be a busy loop.
 const ACCEPT_PAUSE_MICROS: Micros = 50_000;
 
 impl Clients {
@@ -31,7 +31,7 @@
         self.accept_paused = false;
     }
 
-    /// There may be connections to accept, and nothing forbids it.
+    /// Whether there may be connections to accept, and this process may accept them.
     pub(super) fn can_accept(&self) -> bool {
         self.accept_pending
             && !self.accept_paused
@@ -40,7 +40,7 @@
             && self.listener.is_some()
     }
 
-    /// Accepts what waits, as much of it as one turn takes.
+    /// Accepts waiting connections, as many as one turn allows.
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.can_accept() {
@@ -48,7 +48,7 @@
             }
             let is_full = self.counted_clients() >= self.max_clients;
             if is_full && !self.connections.iter().any(|(_, client)| client.can_be_shed()) {
-                // No client can make room: new ones wait in the listener's queue.
+                // No client can be shed: new ones wait in the listener's queue.
                 return self.pause_accepting(context);
             }
             let Some(listener) = &self.listener else { return };
@@ -60,7 +60,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // The system has no descriptor, whether or not someone waits. With the spare one the next accept tells.
+                // The system has no descriptor, which is reported even if no client waits. With the reserve the next accept tells.
                 Err(_) if self.reserve_descriptor.take().is_some() => continue,
                 Err(error) => {
                     warn!(event = "accept-failed", error = %Quoted(error));
@@ -72,11 +72,13 @@
         }
     }
 
+    /// Stops accepting until a timer is due.
     fn pause_accepting(&mut self, context: &mut EventLoopContext) {
         self.accept_paused = true;
         context.timers.set(context.now + ACCEPT_PAUSE_MICROS, TimerEvent::RetryAccept);
     }
 
+    /// Registers an accepted connection. Returns none if the poll does not take it.
     fn admit(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to clients' requests, as a whole or in chunks.
+//! Answers to clients' requests, complete or in chunks.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::Clients;
@@ -70,6 +70,7 @@
         self.ready_for_more.pop()
     }
 
+    /// The client, if it still waits for the answer to this request.
     fn client_with_request(&mut self, key: ClientKey, request: RequestId) -> Option<&mut Client> {
         let has_request =
             |client: &&mut Client| client.open_request.as_ref().is_some_and(|open| open.id == request);
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -1,4 +1,4 @@
-//! One client: its socket, protocol state and request, and how soon it makes room for another.
+//! One client: its socket, protocol state and request, and its rank among the clients that can be shed.
 
 use super::super::statement_payload::StatementPayload;
 use super::super::stream::Ended;
@@ -9,7 +9,7 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// The first request of a new client may take so long to arrive. Until then the client makes room for nobody who came later.
+/// The first request of a new client may take this long to arrive. Until then the client is not shed for a later one.
 const FIRST_REQUEST_GRACE_MICROS: Micros = 300_000;
 
 /// A request that has not been answered.
@@ -36,29 +36,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
     Immediate,
-    /// The client is to read the error that says why. A close while its input is unread would break the connection before that.
+    /// After the error is written that says why. A close while input is unread would reset the connection before the client reads
+    /// it.
     AfterFlush,
-    /// All is written. Until this time, and for so many bytes, what the client goes on sending is read and dropped.
+    /// The output is written. Until this time, and up to this number of bytes, further input is read and dropped.
     Draining {
         until: Micros,
         max_bytes: usize,
     },
 }
 
-/// Classes of clients, in the order in which they make room.
+/// Classes of clients, in the order in which they are shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ShedClass {
-    /// It has been told why it is closed.
+    /// The error that says why it is closed is written.
     Draining,
-    /// It had time for a first request and made none, for a flood of such clients would drive out those that make requests.
+    /// It made no request within the grace period. A flood of such clients must not displace those that make requests.
     NoRequest,
+    /// It has been answered, and has no open request.
     Idle,
-    /// It has just come.
+    /// It was accepted within the grace period, and has made no request yet.
     Newcomer,
 }
 
-/// The place in the order in which clients make room: by class, then those idle longest. Of those idle as long, for many come in one
-/// turn, who came first goes first.
+/// The rank in the order in which clients are shed: by class, then the longest idle. Of clients idle equally long, as many are that
+/// were accepted in one turn, the first accepted is shed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShedRank {
     pub class: ShedClass,
@@ -88,14 +90,14 @@
     /// Set while the answer to the open request is being forwarded in chunks.
     pub streamed_value: Option<StreamedValue>,
     pub answered_requests: u64,
-    /// It has made no request yet: it may be a balancer that only looks whether the process lives.
+    /// It has made no request yet: it may be a balancer that only checks whether the process accepts connections.
     pub unclassified: bool,
-    /// It has closed its connection: what it sent before is owed no answer.
+    /// It has closed its connection: what it sent before needs no answer.
     pub peer_closed: bool,
-    /// There is more to read or write than one turn takes.
+    /// There is more to read or write than one turn allows.
     pub turn_incomplete: bool,
     pub closing: Option<Closing>,
-    /// When it last sent something or took something of its output.
+    /// When it last sent input or read output.
     pub last_active_at: Micros,
     /// It was answered after the handover began: it is closed once it is idle.
     pub close_when_idle: bool,
@@ -124,18 +126,18 @@
         }
     }
 
-    /// Nothing was asked on it that is not answered.
+    /// It has no unanswered request.
     pub fn can_be_shed(&self) -> bool {
         let is_idle = self.protocol.is_idle() || self.protocol.is_in_startup();
         self.is_draining() || (self.open_request.is_none() && self.closing.is_none() && is_idle)
     }
 
-    /// It has been told why it is closed, and may go on sending for a while.
+    /// The error that says why it is closed is written, and further input is dropped for a while.
     pub fn is_draining(&self) -> bool {
         matches!(self.closing, Some(Closing { mode: CloseMode::Draining { .. }, .. }))
     }
 
-    /// Where it stands among those that can make room.
+    /// Its rank among the clients that can be shed.
     pub fn shed_rank(&self, now: Micros) -> ShedRank {
         let since = self.incomplete_since.unwrap_or(self.last_active_at);
         let had_time = self.protocol.has_received_command() || now - since >= FIRST_REQUEST_GRACE_MICROS;
@@ -148,7 +150,7 @@
         ShedRank { class, since, serial: self.serial }
     }
 
-    /// The attempt whose value may go on, if the client has taken what was received of it. Told once for each chunk.
+    /// The attempt whose value can be read on, if the client has taken what was received of it. Returned once for each chunk.
     pub fn take_ready_for_more(&mut self) -> Option<AttemptId> {
         let output_is_empty = self.protocol.out.pending().is_empty();
         let value = self.streamed_value.as_mut().filter(|value| value.chunk_unsent && output_is_empty)?;
@@ -156,12 +158,12 @@
         Some(value.attempt)
     }
 
-    /// Why it is over: what was decided before, or else this.
+    /// Why the connection ends: the reason decided before, or else this one.
     pub fn close_reason_or(&self, reason: ClientCloseReason) -> ClientCloseReason {
         self.closing.map_or(reason, |closing| closing.reason)
     }
 
-    /// Why it is over when its socket has ended so.
+    /// Why the connection ends after its socket ended in this way.
     pub fn reason_of_end(&self, ended: Ended) -> ClientCloseReason {
         self.close_reason_or(match ended {
             Ended::Closed if self.protocol.only_terminate_left() => {
--- a/proxy/src/net/clients/close_reason.rs
+++ b/proxy/src/net/clients/close_reason.rs
@@ -2,7 +2,7 @@
 
 use crate::pg::frontend::EndReason;
 
-/// Why a client's connection was closed, or could not be taken.
+/// Why a client's connection was closed, or could not be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientCloseReason {
     /// The protocol ended it.
@@ -11,7 +11,7 @@
     ClientClosed,
     /// It broke.
     ClientReset,
-    /// Nothing was asked on it for long.
+    /// It had no request for the idle timeout.
     Idle,
     /// The rest of its startup, or of a message, did not arrive in time.
     IncompleteMessage,
@@ -19,7 +19,7 @@
     Unresponsive,
     /// A database stopped in the middle of a value that was being forwarded.
     ResponseTruncated,
-    /// It made room for another one.
+    /// It was closed to stay within the limit on clients, or to free a descriptor.
     Shed,
     /// Another process of this proxy takes the clients.
     HandedOver,
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -1,4 +1,4 @@
-//! Clients whose time is over.
+//! Timeouts of clients.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::test_hooks::{self, Point};
@@ -10,14 +10,14 @@
 
 /// A client that does not read its answers is closed after this time, which is longer than any deadline.
 const UNREAD_OUTPUT_TIMEOUT_MICROS: Micros = 10_000_000;
-/// A connection on which nothing is asked for so long is closed.
+/// A connection without a request for this time is closed.
 const IDLE_TIMEOUT_MICROS: Micros = 5_000_000;
-/// For a first request to arrive, and for the rest of a message: a slow client may take 2 s, and one that sends nothing valid has its
-/// error within 3 s.
+/// The timeout for a first request, and for the rest of a message: a slow client may take 2 s, and one that sends nothing valid
+/// gets its error within 3 s.
 const INCOMPLETE_MESSAGE_TIMEOUT_MICROS: Micros = 2_300_000;
 
 impl Client {
-    /// Why its time is over, if it is.
+    /// The reason to close it for a timeout, if one has expired.
     fn expiry_reason(&self, now: Micros) -> Option<ClientCloseReason> {
         let inactive_for = now - self.last_active_at;
         match self.closing {
@@ -45,8 +45,8 @@
 }
 
 impl Clients {
-    /// Closes clients that stop in the middle of a startup, a message or the reading of an answer, and those that ask nothing more.
-    /// They could take all connections otherwise.
+    /// Closes clients that stall in a startup, a message or while they read an answer, and those that are idle. They could occupy
+    /// all connections otherwise.
     pub fn close_expired(&mut self, context: &mut EventLoopContext) {
         let is_expired = |client: &Client| client.expiry_reason(context.now).is_some();
         let expired = self.connections.iter().filter(|(_, client)| is_expired(client));
@@ -59,6 +59,7 @@
         }
     }
 
+    /// Closes a client whose timeout has expired. One with an incomplete message is sent an error first.
     fn close_if_expired(&mut self, context: &mut EventLoopContext, key: ClientKey) {
         let Some(client) = self.connections.get_mut(key.0) else { return };
         match client.expiry_reason(context.now) {
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' listener and connections: accepted, given turns, answered, and closed when they end, expire or make room for others.
+//! The clients' listener and connections: accepted, served in turns, answered, and closed when they end, expire or are shed.
 
 mod accept;
 mod answers;
@@ -32,12 +32,12 @@
     next_serial: ClientSerial,
     admission: StatementAdmission,
     max_clients: usize,
-    /// Beyond so many, idle ones make room before the limit is reached: clients that keep connections which they do not use leave
-    /// none to others.
+    /// Above this number idle clients are shed before the limit is reached: clients that keep unused connections would leave none
+    /// to others.
     early_shed_threshold: usize,
-    /// So many clients that have made no request do not count.
+    /// Up to this number, clients that have made no request do not count towards the limit.
     unclassified_allowance: usize,
-    /// Clients that have made no request.
+    /// How many clients have made no request.
     unclassified_count: usize,
     /// Connections may wait to be accepted.
     accept_pending: bool,
@@ -47,16 +47,17 @@
     shutting_down: bool,
     /// Another process takes the clients: each connection is closed with its next answer.
     handing_over: bool,
-    /// Nobody is accepted until peers have sent what they know, or were given up.
+    /// No client is accepted until other proxies have sent their state, or the requests for it have failed.
     awaiting_peer_state: bool,
     /// Clients with more input than one turn takes.
     turn_incomplete: Vec<ClientKey>,
     /// Streamed values of which the clients have taken all that was received.
     ready_for_more: Vec<AttemptId>,
-    /// When the system has no descriptor to give, closing this one lets one more client in, which tells whether any waits.
+    /// Closed when the system has no free descriptor, so that one more accept tells whether a client waits.
     reserve_descriptor: Option<File>,
 }
 
+/// A descriptor that can be closed when the system has no other.
 fn open_reserve_descriptor() -> Option<File> {
     File::open("/dev/null").ok()
 }
@@ -101,25 +102,25 @@
         self.connections.is_empty()
     }
 
-    /// Another process takes the clients, or takes them no more. Meanwhile this one accepts nobody, and closes each connection
-    /// behind its next answer, so that the client connects there.
+    /// Another process takes the clients, or no longer does. While it does, this one accepts no client, and closes each connection
+    /// after its next answer, so that the client connects there.
     pub fn set_handing_over(&mut self, handing_over: bool) {
-        // The listener is not reported again for those that came meanwhile and were not accepted.
+        // The poll does not report the listener again for connections that arrived in the meantime.
         self.accept_pending |= self.handing_over && !handing_over;
         self.handing_over = handing_over;
     }
 
-    /// Nobody is accepted while the start waits for peers' state.
+    /// No client is accepted while the start waits for other proxies' state.
     pub fn set_awaiting_peer_state(&mut self, awaiting: bool) {
         self.awaiting_peer_state = awaiting;
     }
 
-    /// Something is left to do that no socket will report.
+    /// Whether work is left that the poll will not report.
     pub fn has_pending_work(&self) -> bool {
         self.can_accept() || !self.turn_incomplete.is_empty()
     }
 
-    /// Goes on where the last turn stopped.
+    /// Continues where the last turn stopped.
     pub fn continue_pending_work(&mut self, context: &mut EventLoopContext) {
         for key in std::mem::take(&mut self.turn_incomplete) {
             self.handle_ready(context, key);
@@ -127,7 +128,7 @@
         self.accept(context);
     }
 
-    /// Gives a client its turn: it is read, its commands are carried out, and its output is written, as far as one turn goes.
+    /// Serves a client for one turn: reads its input, runs its commands and writes its output, within the limits of a turn.
     pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: ClientKey) {
         if let Some(client) = self.connections.get_mut(key.0) {
             client.protocol.start_turn();
@@ -135,7 +136,7 @@
         }
     }
 
-    /// The system reports that a client has closed its connection, whatever input may wait before that end.
+    /// The system reports that a client has closed its connection; input may still be unread.
     pub fn peer_closed(&mut self, key: ClientKey) {
         if let Some(client) = self.connections.get_mut(key.0) {
             client.peer_closed = true;
@@ -150,7 +151,7 @@
         let may_be_balancer = self.unclassified_allowance > 0 && client.unclassified;
         let (peer, answered, word) = (client.peer, client.answered_requests, reason.as_str());
         if may_be_balancer && reason.is_by_client() {
-            // Balancers connect by the hundred: other lines are not to be suppressed for theirs.
+            // Balancers connect hundreds of times: the rate limit of the log must not drop other lines because of theirs.
             debug!(conn = "client", %peer, answered, reason = word);
         } else {
             info!(conn = "client", %peer, answered, reason = word);
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -1,4 +1,4 @@
-//! How many clients there may be, and which of them make room for others.
+//! The limit on the number of clients, and which of them are closed to stay within it.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::test_hooks::{self, Point};
@@ -7,16 +7,16 @@
 use super::close_reason::ClientCloseReason;
 use crate::core::ClientKey;
 
-/// How many clients that turn out to be active are passed over to find one that makes room.
+/// How many clients that turn out to be active are skipped in the search for one to shed.
 const MAX_SHED_ATTEMPTS: usize = 32;
 
-/// Beyond this many clients idle ones make room, before the limit is reached.
+/// Above this number of clients idle ones are shed, before the limit is reached.
 pub(super) fn early_shed_threshold(max_clients: usize) -> usize {
     max_clients * 2 / 5
 }
 
 impl Clients {
-    /// Sets how many clients there may be. Those beyond make room, where they are idle.
+    /// Sets the limit on clients. Those above it are shed, if they are idle.
     pub fn set_limit(&mut self, context: &mut EventLoopContext, max_clients: usize) {
         self.max_clients = max_clients;
         self.early_shed_threshold = early_shed_threshold(max_clients);
@@ -25,23 +25,24 @@
         }
     }
 
-    /// Sets how many clients without a request do not count, where balancers may connect only to look. Descriptors are reserved for
-    /// them.
+    /// Sets how many clients without a request do not count towards the limit, where balancers may connect only to check the proxy.
+    /// Descriptors are reserved for them.
     pub fn set_unclassified_allowance(&mut self, allowance: usize) {
         self.unclassified_allowance = allowance;
     }
 
-    /// Databases lack descriptors that clients hold: one client makes room.
+    /// Connections to databases or to discovery need a descriptor: one client is shed.
     pub fn release_descriptor(&mut self, context: &mut EventLoopContext) {
         self.shed(context, None, ShedClass::Newcomer);
     }
 
-    /// How many clients there are, as the limit counts them.
+    /// How many clients count towards the limit.
     pub(super) fn counted_clients(&self) -> usize {
         self.connections.len() - self.unclassified_count.min(self.unclassified_allowance)
     }
 
-    /// A new client counts: another one makes room, if need be. That happens afterwards, for only now it is known that one came.
+    /// A new client counts towards the limit: another one is shed if necessary. This follows the accept, which alone tells that a
+    /// client has arrived.
     pub(super) fn shed_for(&mut self, context: &mut EventLoopContext, newcomer: Option<ClientKey>) {
         if self.counted_clients() > self.max_clients || self.reserve_descriptor.is_none() {
             self.shed(context, newcomer, ShedClass::Newcomer);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Closes the client that makes room first, but not the newcomer, nor one of a later class.
+    /// Closes the client with the first rank, but not the newcomer, nor one of a later class.
     pub(super) fn shed(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/clients/shutdown.rs
+++ b/proxy/src/net/clients/shutdown.rs
@@ -1,4 +1,4 @@
-//! How clients are passed to another process, and how all of them go when the process does.
+//! How clients are handed over to another process, and how all are closed in a graceful shutdown.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::test_hooks::{self, Point};
@@ -7,15 +7,15 @@
 use crate::core::ClientKey;
 
 impl Clients {
-    /// Another process has the listening socket too, and accepts whoever waits. No client is accepted here any more, and each one is
-    /// closed behind its next answer, so that it connects there.
+    /// Another process has the listening socket too, and accepts the clients that wait. None is accepted here any more, and each
+    /// one is closed after its next answer, so that it connects there.
     pub fn start_handover(&mut self, context: &mut EventLoopContext) {
         self.close_listener(context);
         self.handing_over = true;
     }
 
-    /// Accepts and reads what has arrived, then nothing more, and closes each connection once that is answered. A client that sends
-    /// one command after the other would otherwise have one open when the process is killed.
+    /// Accepts and reads what has arrived, then nothing more, and closes each connection once that is answered. Otherwise a client
+    /// that sends one command after the other would have one unanswered when the process is killed.
     pub fn shut_down(&mut self, context: &mut EventLoopContext) {
         test_hooks::at(Point::Leave);
         self.accept_pending = true;
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Closes the listener of this process, if it is still open.
     fn close_listener(&mut self, context: &mut EventLoopContext) {
         if let Some(mut listener) = self.listener.take() {
             let _ = context.poll.registry().deregister(&mut listener);
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -16,21 +16,24 @@
 
 /// Bytes read from one client before its input is decoded.
 const MAX_READ_BYTES: usize = 64 << 10;
-/// How often one turn reads, decodes and writes.
+/// How often one turn reads, decodes and writes at most.
 const MAX_ROUNDS_PER_TURN: usize = 4;
-/// How long a client that has been told why it is closed may go on sending.
+/// How long the input of a client is read and dropped after the error that says why it is closed.
 const DRAIN_TIME_MICROS: Micros = 500_000;
-/// How much such a client may go on sending.
+/// How much of such input is read and dropped.
 const MAX_DRAINED_BYTES: usize = 1 << 20;
 
-/// What one reading of a client's socket came to.
+/// The result of reading a client's socket once.
 struct InputRead {
     bytes: usize,
-    /// Nothing more has arrived. Else the socket does not say again that it is readable.
+    /// Nothing more has arrived. If false, the poll does not report the socket as readable again.
     is_drained: bool,
 }
 
-/// What one round of a turn came to.
+/// The result where the socket is not read.
+const NO_INPUT_READ: InputRead = InputRead { bytes: 0, is_drained: true };
+
+/// The result of one round of a turn.
 enum Round {
     /// There is more to do.
     Continue,
@@ -40,7 +43,7 @@
 }
 
 impl Clients {
-    /// Gives the client its turn, and closes it if it is over.
+    /// Serves the client for one turn, and closes it if it has ended.
     pub(super) fn process_client(&mut self, context: &mut EventLoopContext, key: ClientKey) {
         let Some(client) = self.connections.get_mut(key.0) else { return };
         let close_reason = client.process_turn(context, &mut self.admission, key);
@@ -67,7 +70,7 @@
 }
 
 impl Client {
-    /// The reason, if the connection is over.
+    /// Reads, processes and writes within the limits of a turn. Returns the reason if the connection is to be closed.
     fn process_turn(
         &mut self,
         context: &mut EventLoopContext,
@@ -85,14 +88,14 @@
         close_reason
     }
 
-    /// The reason, if the connection is over.
+    /// Serves a client that is not being closed, in several rounds. Returns the reason if the connection is to be closed.
     fn process_input(
         &mut self,
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
         key: ClientKey,
     ) -> Option<ClientCloseReason> {
-        // A client that sends without end takes turns with the others.
+        // A bounded number of rounds, so that a client that sends continuously does not starve the others.
         for _ in 0..MAX_ROUNDS_PER_TURN {
             match self.process_round(context, admission, key) {
                 Round::Continue => {}
@@ -104,6 +107,7 @@
         None
     }
 
+    /// One round: reads once, runs the commands that are complete, and writes the output.
     fn process_round(
         &mut self,
         context: &mut EventLoopContext,
@@ -112,13 +116,13 @@
     ) -> Round {
         let wants_input = self.closing.is_none() && self.protocol.wants_input();
         if self.peer_closed && !wants_input {
-            // Its end stands behind input that is not read now, and would be noticed too late.
+            // The end of the stream follows input that is not read now, and would be noticed too late.
             return Round::Close(self.close_reason_or(ClientCloseReason::ClientClosed));
         }
-        let read = if wants_input { self.read_input(context) } else { Ok(InputRead::nothing()) };
+        let read = if wants_input { self.read_input(context) } else { Ok(NO_INPUT_READ) };
         let read = match read {
             Ok(read) => read,
-            // The client has gone: nothing that it asked for begins now.
+            // The client has disconnected: none of its commands is started any more.
             Err(ended) => return Round::Close(self.reason_of_end(ended)),
         };
         self.run_commands(context, admission, key);
@@ -130,8 +134,8 @@
         if let Some(closing) = self.closing {
             return self.finish_closing(context, closing);
         }
-        // What was held back for a slow reader goes on. Input that was not read to its end must be asked for now, for the socket does
-        // not say again that it is readable.
+        // Commands that were deferred while the output was full continue. Input that was not read completely must be read now, as
+        // the poll does not report the socket as readable again.
         self.run_commands(context, admission, key);
         let more_may_have_arrived = !wants_input || !read.is_drained;
         let has_unread_input = more_may_have_arrived && self.protocol.wants_input();
@@ -143,6 +147,7 @@
         Round::Done
     }
 
+    /// Reads the socket, up to the limit of one read.
     fn read_input(&mut self, context: &mut EventLoopContext) -> Result<InputRead, Ended> {
         let mut bytes = 0;
         let protocol = &mut self.protocol;
@@ -155,7 +160,7 @@
         Ok(InputRead { bytes, is_drained })
     }
 
-    /// Writes what waits to be written. True: all of it was.
+    /// Writes the output. Returns whether all of it is written.
     fn write_output(&mut self, context: &EventLoopContext, was_read: bool) -> Result<bool, Ended> {
         let bytes_before = self.protocol.out.pending().len();
         let written = stream::write(&mut self.stream, &mut self.protocol.out);
@@ -165,7 +170,7 @@
         written
     }
 
-    /// All is written to a client that is to be closed.
+    /// The output of a client that is to be closed is written: closes it, or begins to drain its input.
     fn finish_closing(&mut self, context: &mut EventLoopContext, closing: Closing) -> Round {
         if closing.mode != CloseMode::AfterFlush {
             return Round::Close(closing.reason);
@@ -177,18 +182,18 @@
         self.drain_input(context).map_or(Round::Done, Round::Close)
     }
 
-    /// Drops what still arrives from one that has been told why it is closed. The reason, if the connection is over.
+    /// Reads and drops the input of a client that is being closed. Returns the reason if the connection has ended.
     fn drain_input(&mut self, context: &mut EventLoopContext) -> Option<ClientCloseReason> {
         let Some(Closing { reason, mode: CloseMode::Draining { max_bytes, .. } }) = &mut self.closing else {
             return None;
         };
         let turn_bytes = (*max_bytes).min(MAX_READ_BYTES);
-        let mut left = turn_bytes;
+        let mut remaining = turn_bytes;
         let read = stream::read(&mut self.stream, &mut context.scratch, |received| {
-            left = left.saturating_sub(received.len());
-            left > 0
+            remaining = remaining.saturating_sub(received.len());
+            remaining > 0
         });
-        *max_bytes -= turn_bytes - left;
+        *max_bytes -= turn_bytes - remaining;
         match read {
             Err(_) => Some(*reason),
             Ok(is_drained) => {
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Carries the client's commands out, until one has to be waited for.
+    /// Runs the client's commands until one of them needs an answer from a database.
     fn run_commands(
         &mut self,
         context: &mut EventLoopContext,
@@ -217,10 +222,12 @@
         }
     }
 
+    /// Marks the connection as one that is to be closed.
     fn end(&mut self, reason: ClientCloseReason, mode: CloseMode) {
         self.closing = Some(Closing { reason, mode });
     }
 
+    /// Passes a statement on to the core, or answers it with an error.
     fn start_request(
         &mut self,
         context: &mut EventLoopContext,
@@ -239,10 +246,3 @@
         }
     }
 }
-
-impl InputRead {
-    /// The socket was not read.
-    fn nothing() -> InputRead {
-        InputRead { bytes: 0, is_drained: true }
-    }
-}
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Applies an update of the endpoint list, and what it changes.
+    /// Applies an update of the endpoint list, and closes idle connections to servers that moved.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         info!(
             event = "endpoint-list",
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -1,4 +1,5 @@
-//! How descriptors are divided: among the process's own, clients, databases and checks, and between two processes of one proxy.
+//! How descriptors are divided among the process's own needs, clients, databases and checks, and between two processes of one
+//! proxy.
 
 use super::process_handover::ProcessHandover;
 use super::{EventLoop, admin, gossip};
@@ -6,7 +7,7 @@
 
 /// Descriptors reserved for standard streams, poll, signals, listeners, discovery, the handover and operators.
 const OWN_DESCRIPTORS: usize = 16 + admin::MAX_CONNECTIONS;
-/// Fewer connections would serve nobody; the own descriptors are seldom all in use.
+/// The lowest limit: the reserved descriptors are seldom all in use.
 const MIN_CONNECTIONS: usize = 8;
 /// Balancers that connect to the clients' listener without sending a request count as no clients, up to this number.
 const UNCLASSIFIED_CONNECTIONS: usize = 16;
@@ -46,7 +47,7 @@
     options.descriptors() + unclassified_allowance(config) + links + fleet
 }
 
-/// So many connections that sent no request count as no clients.
+/// How many connections without a request do not count as clients.
 pub(super) fn unclassified_allowance(config: &Config) -> usize {
     if config.options.health.is_some() { UNCLASSIFIED_CONNECTIONS } else { 0 }
 }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -18,7 +18,7 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// How far a poll has come.
+/// The state of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollState {
     /// No poll is outstanding: the next one waits for its time.
@@ -27,7 +27,7 @@
     Connecting,
     /// The request was written, or is being written.
     Requested,
-    /// Part of the response has come.
+    /// Part of the response has arrived.
     Receiving,
 }
 
@@ -43,13 +43,13 @@
     state: PollState,
     /// The system had no descriptor for a connection.
     descriptors_exhausted: bool,
-    /// Numbers the states: the time-out of an earlier one means nothing.
+    /// The number of the current state: the timeout of an earlier one is ignored.
     state_serial: PollStateSerial,
     backoff: Backoff,
 }
 
 impl DiscoveryConnection {
-    /// A connection that is not opened before `start`; `revision` is that of the list known from before the start.
+    /// A connection that is not opened before `start`; `revision` is that of the endpoint list that is already known.
     pub fn new(
         address: SocketAddr,
         revision: Option<u64>,
@@ -76,7 +76,7 @@
         self.poll_after(context, wait);
     }
 
-    /// Polls by other settings from now on.
+    /// Applies other settings to the next polls.
     pub fn update_settings(&mut self, settings: &Settings) {
         self.backoff.update_settings(settings);
     }
@@ -93,13 +93,14 @@
         self.poll(context);
     }
 
-    /// Enters a state, which may last so long.
+    /// Enters a state, and sets its timeout.
     fn enter(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
         self.state_serial = self.state_serial.next();
         context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
     }
 
+    /// Makes the next poll after this time.
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
         self.enter(context, PollState::Waiting, wait);
     }
@@ -124,6 +125,7 @@
         self.write(context);
     }
 
+    /// Begins to connect.
     fn connect(&self, context: &EventLoopContext) -> std::io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address)?;
         let _ = stream.set_nodelay(true);
@@ -132,7 +134,7 @@
         Ok(stream)
     }
 
-    /// A state's time is over; a timer of an earlier state changes nothing.
+    /// The timeout of a state has expired; that of an earlier state is ignored.
     pub fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: PollStateSerial) {
         if self.state_serial != state_serial {
             return;
@@ -149,6 +151,7 @@
         std::mem::take(&mut self.descriptors_exhausted)
     }
 
+    /// Closes the connection, if there is one, and logs why.
     fn disconnect(&mut self, context: &mut EventLoopContext, reason: &CloseReason) {
         if let Some(mut stream) = self.stream.take() {
             let _ = context.poll.registry().deregister(&mut stream);
--- a/proxy/src/net/discovery_connection/responses.rs
+++ b/proxy/src/net/discovery_connection/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of discovery: read from the connection, and what follows from them.
+//! Responses of discovery: read from the connection, and the next poll that follows each.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream::{self, Ended};
@@ -10,7 +10,7 @@
 /// A discovery that answers sooner than this with no change is polled again only after this time.
 const MIN_POLL_INTERVAL_MICROS: Micros = 20_000;
 
-/// What one read of the connection brought.
+/// The result of reading the connection once.
 struct DiscoveryEvent {
     response: Result<Option<PollResponse>, PollError>,
     ended: Option<Ended>,
@@ -37,13 +37,13 @@
         None
     }
 
-    /// Reads what has come, and whether the connection ended behind it.
+    /// Reads what has arrived, and whether the connection ended after it.
     fn read(&mut self, context: &mut EventLoopContext) -> Option<DiscoveryEvent> {
         let stream = self.stream.as_mut()?;
         let watch = &mut self.watch;
         let mut response = Ok(None);
         let ended = stream::read(stream, &mut context.scratch, |bytes| {
-            // Reads on to the end of the input: an end of the connection behind the response is not reported again.
+            // Continues to the end of the input: the poll does not report again that the connection ended after the response.
             if response == Ok(None) {
                 response = watch.feed(bytes);
             }
@@ -56,7 +56,7 @@
         Some(DiscoveryEvent { response, ended: ended.err() })
     }
 
-    /// A response came, and behind it perhaps the end of the connection. The next poll follows.
+    /// A response is complete, and the connection may have ended after it. The next poll follows.
     fn finish_poll(
         &mut self,
         context: &mut EventLoopContext,
@@ -69,7 +69,7 @@
             PollResponse::Stale => None,
         };
         let no_change = update.as_ref().is_none_or(|update| update.endpoints.is_empty());
-        // A discovery that closes the connection after each poll, and does not wait for a change, is polled less and less often.
+        // If discovery closes the connection after each poll without waiting for a change, the backoff grows.
         if self.long_poll || !no_change {
             self.backoff.reset();
         }
--- a/proxy/src/net/error.rs
+++ b/proxy/src/net/error.rs
@@ -48,7 +48,7 @@
     pub error: io::Error,
 }
 
-/// Whom a listener is for.
+/// Who connects to a listener.
 #[derive(Clone, Copy, Debug)]
 pub enum ListenPurpose {
     /// Clients.
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -37,6 +37,7 @@
         self.flush(now);
     }
 
+    /// Opens a datagram and passes its payload on; counts it.
     fn receive(&mut self, now: Micros, bytes: &[u8]) {
         let (sender, payload) = match self.datagrams.open(now, bytes) {
             Err(error) => return self.metrics.count_dropped(DropReason::Datagram(error)),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Sends what is to be sent, and logs what has changed.
+    /// Sends the payloads and reports that are due, and logs changes of the membership.
     pub(super) fn flush(&mut self, now: Micros) {
         loop {
             let Some((to, payload)) = self.membership.borrow_mut().next_payload() else { break };
@@ -79,12 +80,13 @@
         }
     }
 
+    /// Seals and sends a payload; counts it.
     fn send(&mut self, to: SocketAddr, channel: u8, payload: &[u8]) {
         let sealed = self.datagrams.seal(&[&[channel], payload].concat());
         let (Some(socket), Some(datagram)) = (&self.socket, sealed) else { return };
         match socket.send_to(&datagram, to) {
             Ok(_) => self.metrics.count_datagram(Direction::Sent, datagram.len()),
-            // As if it were lost on the way.
+            // Handled like the loss of a datagram on the network.
             Err(_) => self.metrics.count_dropped(DropReason::Unsent),
         }
     }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -1,6 +1,5 @@
-//! The datagrams of the fleet: moved between their socket and [`Membership`] or [`GossipReports`], and sealed and opened on the
-//! way. Owns the socket and the times; which processes are members, and what is sent to whom, is decided by
-//! `birchreach-membership`.
+//! The datagrams of the fleet: transferred between their socket and [`Membership`] or [`GossipReports`], sealed and opened. Owns
+//! the socket and the timer; which processes are members, and what is sent to whom, is decided by `birchreach-membership`.
 
 mod datagrams;
 mod start;
@@ -23,14 +22,14 @@
 /// The shortest time to the next timer.
 const MIN_TIMER_INTERVAL_MICROS: Micros = 1_000;
 
-/// This process's part in the fleet.
+/// This process as a member of the fleet.
 pub struct FleetMembership {
     /// None: another process of this proxy represents it in the fleet, or this one has left.
     socket: Option<UdpSocket>,
     listen: SocketAddr,
     membership: Shared<Membership>,
     gossip_reports: GossipReports,
-    /// Reports that were received, until their channels take them.
+    /// Reports that were received and not yet taken.
     new_reports: Vec<ReceivedReport>,
     datagrams: DatagramCodec,
     metrics: Metrics,
@@ -54,13 +53,14 @@
         Ok(())
     }
 
+    /// Closes the socket, if it is open.
     fn close(&mut self, registry: &Registry) {
         if let Some(mut socket) = self.socket.take() {
             let _ = registry.deregister(&mut socket);
         }
     }
 
-    /// What this process sees of the fleet.
+    /// This process's view of the fleet.
     pub fn view(&self) -> View {
         self.membership.borrow().view()
     }
@@ -81,7 +81,7 @@
         std::mem::take(&mut self.new_reports)
     }
 
-    /// This process represents the proxy in the fleet.
+    /// Whether this process represents the proxy in the fleet.
     pub fn is_active(&self) -> bool {
         self.socket.is_some()
     }
@@ -103,7 +103,7 @@
         self.flush(now);
     }
 
-    /// Another process of this proxy replaces this one, or does not after all: one of them represents the proxy at a time.
+    /// Another process of this proxy replaces this one, or no longer does: one of them represents the proxy at a time.
     pub fn set_replaced(&mut self, context: &EventLoopContext, replaced: bool) {
         if std::mem::replace(&mut self.is_replaced, replaced) == replaced {
             return;
@@ -125,6 +125,7 @@
         }
     }
 
+    /// Logs a change of the membership.
     fn log_change(&self, change: MembershipChange) {
         match change {
             MembershipChange::Joined(peer) => {
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -52,6 +52,7 @@
         Ok(())
     }
 
+    /// The settings of the membership from the configuration.
     fn membership_settings(
         &self,
         options: &birchreach_options::FleetOptions,
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take what has come
-    /// of the call.
+    /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take the results of the
+    /// call.
     pub(in crate::net) fn after_fleet(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
--- a/proxy/src/net/gossip/close_reason.rs
+++ b/proxy/src/net/gossip/close_reason.rs
@@ -1,10 +1,10 @@
-//! Why a link to another proxy ends or is not opened, with the words of the log.
+//! Why a link to another proxy ends or is not opened, as the log says it.
 
 use birchreach_membership::PayloadError;
 use birchreach_peer_state::frame::FrameError;
 use std::fmt;
 
-/// What follows from a step of a link's protocol.
+/// Whether a link stays open after a step of its protocol.
 pub(super) enum LinkStep {
     /// The link stays open.
     Continue,
@@ -21,7 +21,7 @@
     Received,
     /// The other side closed the connection.
     Closed,
-    /// The link was not finished in its time.
+    /// The link timed out.
     Unresponsive,
     /// The other side violated the protocol, or has no common key.
     Frame(FrameError),
@@ -57,15 +57,15 @@
 /// Why a link is not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkError {
-    /// As many links are open as may be.
+    /// The limit on links is reached.
     ConnectionLimit,
     /// A provider's name is not an address and port.
     InvalidAddress,
     /// The other side refused the connection.
     Refused,
-    /// The system gives no socket.
+    /// The system had no socket.
     NoSocket,
-    /// The system gives no random numbers.
+    /// The system had no random numbers.
     NoRandomNumbers,
 }
 
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -11,6 +11,25 @@
 /// Bytes that are read at once.
 const READ_BYTES: usize = 16 << 10;
 
+/// The kind of a link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LinkKind {
+    /// State is transferred.
+    PeerState,
+    /// Members of the fleet are exchanged.
+    Fleet,
+}
+
+impl LinkKind {
+    /// The name for the log.
+    pub(super) fn as_str(self) -> &'static str {
+        match self {
+            LinkKind::PeerState => "peer-state",
+            LinkKind::Fleet => "fleet",
+        }
+    }
+}
+
 /// What this process does on a link.
 pub(super) enum LinkRole {
     /// Requests state from a provider.
@@ -18,7 +37,7 @@
     /// Sends state to a requester.
     SendsState {
         sender: Box<StateSender>,
-        /// The request was admitted: it takes one of the places of [`birchreach_peer_state::provider::StateProvider`].
+        /// The request was admitted: it counts towards the limit of [`birchreach_peer_state::provider::StateProvider`].
         admitted: bool,
     },
     /// Exchanges all members with another member of the fleet.
@@ -26,11 +45,11 @@
 }
 
 impl LinkRole {
-    /// What kind of connection it is, in the log.
-    pub(super) fn connection_kind(&self) -> &'static str {
+    /// The kind of the link.
+    pub(super) fn kind(&self) -> LinkKind {
         match self {
-            LinkRole::RequestsState { .. } | LinkRole::SendsState { .. } => "peer-state",
-            LinkRole::ExchangesMembers(_) => "fleet",
+            LinkRole::RequestsState { .. } | LinkRole::SendsState { .. } => LinkKind::PeerState,
+            LinkRole::ExchangesMembers(_) => LinkKind::Fleet,
         }
     }
 
@@ -77,11 +96,12 @@
 }
 
 impl PeerLink {
+    /// Whether the connection is established.
     fn is_connected(&self) -> bool {
         self.stream.peer_addr().is_ok()
     }
 
-    /// Reads what has come.
+    /// Reads what has arrived.
     pub(super) fn read_input(&mut self, scratch: &mut [u8]) -> Result<(), stream::Ended> {
         if !self.is_connected() {
             return Ok(());
@@ -94,7 +114,7 @@
         read.map(drop)
     }
 
-    /// Writes the output as far as the connection takes it.
+    /// Writes the output as far as the socket accepts it.
     pub(super) fn write_output(&mut self) -> Result<(), stream::Ended> {
         if !self.is_connected() {
             return Ok(());
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -1,4 +1,4 @@
-//! A link's turn: what has come is read and processed, the output is written, and the link stays open or ends.
+//! A link's turn: its input is read and processed, the output is written, and the link stays open or ends.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::LinkKey;
--- a/proxy/src/net/gossip/listener.rs
+++ b/proxy/src/net/gossip/listener.rs
@@ -1,4 +1,4 @@
-//! A listener for links of other proxies.
+//! Listeners for links of other proxies.
 
 use super::super::error::{ListenError, ListenPurpose};
 use super::super::sources::Source;
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -18,7 +18,7 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Such links at once, in both directions. Each may hold some half a megabyte.
+/// The limit on such links, in both directions. Each may use about half a megabyte of memory.
 pub(super) const MAX_EXCHANGES: usize = 6;
 /// A connection that is not established at once: `EINPROGRESS`.
 const IN_PROGRESS: i32 = 115;
@@ -31,7 +31,7 @@
     own_address: SocketAddr,
     keys: Keys,
     membership: Shared<Membership>,
-    /// The listener may have connections.
+    /// Connections may wait to be accepted.
     pub(super) accept_pending: bool,
 }
 
@@ -108,11 +108,13 @@
         }
     }
 
+    /// Sends all members that this process knows.
     fn send_members(&self, exchange: &mut FullExchange) {
         exchange.send_parts(&self.membership.borrow().export_members());
     }
 
-    /// Changes that result are logged, and gossip sent, by the owner of the datagrams, whose timer is set.
+    /// Merges the other side's members. The timer that is set makes [`super::super::fleet::FleetMembership`] log the changes and
+    /// send gossip.
     fn import_members(&self, context: &mut EventLoopContext, parts: &[Vec<u8>]) -> Result<(), PayloadError> {
         let result = self.membership.borrow_mut().import_members(context.now, parts);
         context.timers.set(context.now, TimerEvent::Fleet);
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -1,5 +1,5 @@
-//! Links to other proxies: some transfer state, others exchange the members of the fleet. Moves bytes and keeps times; whom to
-//! ask, which request to answer and what to accept is decided by the crates `birchreach-peer-state` and
+//! Links to other proxies: some transfer state, others exchange the members of the fleet. Owns the sockets and timeouts; which
+//! proxy to request from, which request to answer and what to accept is decided by the crates `birchreach-peer-state` and
 //! `birchreach-membership`.
 
 mod close_reason;
@@ -18,7 +18,7 @@
 use birchreach::Micros;
 use birchreach_peer_state::request_scheduler::RequestOutcome;
 use close_reason::{CloseReason, LinkError};
-use link::{LinkRole, PeerLink};
+use link::{LinkKind, LinkRole, PeerLink};
 pub use membership_sync::MembershipSync;
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
@@ -27,16 +27,16 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// Links at once, in both directions; a further one is closed.
+/// The limit on links, in both directions; a further one is closed.
 pub const MAX_LINKS: usize = 24;
 /// A link that has not ended after this time is closed.
 const LINK_TIMEOUT_MICROS: Micros = 5_000_000;
-/// Connections that are accepted in one turn.
+/// The most connections that are accepted of each listener in one turn.
 const ACCEPTS_PER_TURN: usize = 16;
 /// The timer is set at least this often.
 const MAX_STEP_INTERVAL_MICROS: Micros = 1_000_000;
 
-/// All links, and what they are for.
+/// All links, and the subsystems that use them.
 #[derive(Default)]
 pub struct Gossip {
     links: Slab<PeerLink>,
@@ -56,19 +56,19 @@
         self.membership_sync = Some(membership_sync);
     }
 
-    /// This process represents the proxy in the fleet, or another does.
+    /// This process represents the proxy in the fleet, or no longer does.
     pub fn set_active(&mut self, registry: &Registry, active: bool) {
         if let Some(sync) = &mut self.membership_sync {
             sync.set_active(registry, active);
         }
     }
 
-    /// The start need not wait for other proxies' state any longer.
+    /// Whether the start need not wait for other proxies' state any more.
     pub fn is_startup_complete(&self) -> bool {
         self.state_transfer.as_ref().is_none_or(|transfer| transfer.requests.is_startup_complete())
     }
 
-    /// A listener has connections.
+    /// A listener is ready.
     pub fn accept_ready(&mut self, source: Source) {
         match source {
             Source::MembershipListener => {
@@ -78,16 +78,18 @@
         }
     }
 
-    /// Does what is due: closes links that have timed out, accepts connections, sends requests.
+    /// Closes links that have timed out, accepts connections and sends requests that are due.
     pub fn step(&mut self, context: &mut EventLoopContext) {
         self.close_timed_out_links(context);
         self.accept(context);
         self.send_due_requests(context);
         let next_step = context.now + MAX_STEP_INTERVAL_MICROS;
-        let next_request = self.state_transfer.as_ref().map(|t| t.requests.next_change(context.now));
+        let next_request =
+            self.state_transfer.as_ref().map(|transfer| transfer.requests.next_change(context.now));
         context.timers.set(next_request.map_or(next_step, |at| at.min(next_step)), TimerEvent::Gossip);
     }
 
+    /// Closes links that have not ended in time.
     fn close_timed_out_links(&mut self, context: &mut EventLoopContext) {
         let is_timed_out = |link: &PeerLink| context.now - link.opened_at >= LINK_TIMEOUT_MICROS;
         let timed_out: Vec<LinkKey> =
@@ -95,6 +97,7 @@
         timed_out.into_iter().for_each(|key| self.close_link(context, key, CloseReason::Unresponsive));
     }
 
+    /// Requests state from the providers whose request is due.
     fn send_due_requests(&mut self, context: &mut EventLoopContext) {
         let Some(transfer) = &mut self.state_transfer else { return };
         for provider in transfer.requests.due_requests(context.now) {
@@ -102,11 +105,12 @@
                 if let Some(transfer) = &mut self.state_transfer {
                     transfer.requests.record_outcome(context.now, &provider, RequestOutcome::Failed);
                 }
-                info!(conn = "peer-state", peer = provider, %reason);
+                info!(conn = LinkKind::PeerState.as_str(), peer = provider, %reason);
             }
         }
     }
 
+    /// Opens a link for one request.
     fn send_request(&mut self, context: &mut EventLoopContext, provider: &str) -> Result<(), LinkError> {
         let Some(transfer) = &self.state_transfer else { return Ok(()) };
         let (stream, peer, requester) = transfer.connect(provider)?;
@@ -129,10 +133,11 @@
             self.open_link(context, stream, peer, LinkRole::ExchangesMembers(exchange))
         });
         if let Err(reason) = opened {
-            info!(conn = "fleet", %peer, %reason);
+            info!(conn = LinkKind::Fleet.as_str(), %peer, %reason);
         }
     }
 
+    /// Registers a link's connection, unless the limit is reached.
     fn open_link(
         &mut self,
         context: &mut EventLoopContext,
@@ -140,7 +145,7 @@
         peer: SocketAddr,
         role: LinkRole,
     ) -> Result<(), LinkError> {
-        let is_exchange = |role: &LinkRole| matches!(role, LinkRole::ExchangesMembers(_));
+        let is_exchange = |role: &LinkRole| role.kind() == LinkKind::Fleet;
         let exchanges = self.links.iter().filter(|(_, link)| is_exchange(&link.role)).count();
         let too_many_exchanges = is_exchange(&role) && exchanges >= membership_sync::MAX_EXCHANGES;
         if self.links.len() >= MAX_LINKS || too_many_exchanges {
@@ -156,6 +161,7 @@
         Ok(())
     }
 
+    /// Accepts connections of both listeners.
     fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..ACCEPTS_PER_TURN {
             let request = self.state_transfer.as_mut().and_then(StateTransfer::accept);
@@ -169,7 +175,7 @@
             let exchange =
                 exchange.map(|(stream, peer, exchange)| (stream, peer, LinkRole::ExchangesMembers(exchange)));
             for (stream, peer, role) in request.into_iter().chain(exchange) {
-                let conn = role.connection_kind();
+                let conn = role.kind().as_str();
                 if let Err(reason) = self.open_link(context, stream, peer, role) {
                     info!(conn, %peer, %reason);
                 }
@@ -184,6 +190,7 @@
         }
     }
 
+    /// Closes a link, reports its outcome and logs why.
     fn close_link(&mut self, context: &mut EventLoopContext, key: LinkKey, reason: CloseReason) {
         let mut link = self.links.remove(key.0);
         let _ = context.poll.registry().deregister(&mut link.stream);
@@ -197,7 +204,7 @@
                 _ => {}
             }
         }
-        let conn = link.role.connection_kind();
+        let conn = link.role.kind().as_str();
         if reason.is_rejection() {
             warn!(conn, peer = %link.peer, reason = %crate::log::Quoted(reason));
         } else {
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -11,7 +11,7 @@
 use birchreach_peer_state::request_scheduler::RequestOutcome;
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
 
-/// What a part takes from the send budget before its length is known.
+/// What a part takes from the send budget, as its length is not known yet.
 const PART_BUDGET_BYTES: usize = 16 << 10;
 
 /// A link's slot, and the serial that tells it from an earlier link there.
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -27,7 +27,7 @@
     pub(super) provider: StateProvider,
     /// Other providers that an answer names.
     pub(super) named_providers: Vec<String>,
-    /// The listener may have connections.
+    /// Connections may wait to be accepted.
     pub(super) accept_pending: bool,
 }
 
--- a/proxy/src/net/listener.rs
+++ b/proxy/src/net/listener.rs
@@ -6,7 +6,7 @@
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
 /// The listener for clients. An inherited socket is shared with the platform and with other processes of this proxy: it is closed
-/// here but never shut down, and the connections in its queue belong to whoever accepts them.
+/// here but never shut down, and any of these processes may accept the connections in its queue.
 pub(super) fn open(address: SocketAddr, inherited: Option<RawFd>) -> Result<TcpListener, EventLoopError> {
     match inherited {
         Some(descriptor) => {
@@ -17,6 +17,7 @@
     }
 }
 
+/// Takes over a listening socket that was inherited.
 fn adopt(descriptor: RawFd) -> std::io::Result<TcpListener> {
     // SAFETY: called once, at the start; the platform handed this number to this process, and nothing else in it owns the
     // descriptor. A number that is not a socket's fails at the next call.
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: sockets that are ready feed the protocols' state machines, timers that are due are handled, the core's commands are
-//! carried out, and output is written. One thread, one clock.
+//! The event loop: sockets that are ready feed the protocols' state machines, timers that are due are handled, the core's commands
+//! are carried out, and output is written. One thread, one clock.
 
 mod admin;
 mod admin_calls;
@@ -51,11 +51,11 @@
 use timers::Clock;
 use tracing::info;
 
-/// The most events that one turn takes. A request costs some 50 us, and balancers wait for the end of a turn: where they check this
-/// proxy, turns are shorter.
+/// The most events in one turn.
 const EVENTS_PER_TURN: usize = 1024;
+/// The same where balancers check this proxy. They wait for the end of a turn, and a request takes about 50 us.
 const EVENTS_PER_TURN_WITH_CHECKS: usize = 128;
-/// How often connections are looked through for those that have been idle for too long.
+/// How often connections are checked for those that have been idle for too long.
 const SWEEP_INTERVAL_MICROS: Micros = 250_000;
 
 /// The loop's state. Each field owns its part; calls between the parts go through here.
@@ -73,19 +73,19 @@
     health: HealthReporting,
     handover: ProcessHandover,
     config: Config,
-    /// The options' file, to be read again.
+    /// The file of the options, which is read again at a reload.
     options: Option<PathBuf>,
     /// The longest time that a client may wait for a response.
     longest_client_timeout: Micros,
     /// A graceful shutdown has begun.
     stopping: bool,
-    /// Idle clients are given some time to send another request, and are then closed.
+    /// Connections still arrive for a while, and idle clients may send another request until they are closed.
     listener_closed: bool,
     /// Idle clients were closed: the loop ends with the last client.
     clients_closed: bool,
 }
 
-/// Catches signals: from here on they wait for the loop instead of ending the process.
+/// Catches signals: from here on they are handled by the loop instead of ending the process.
 pub fn signals() -> Result<Signals, EventLoopError> {
     Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(EventLoopError::Signals)
 }
@@ -106,10 +106,12 @@
 }
 
 impl EventLoop {
+    /// Whether the graceful shutdown is complete.
     fn is_finished(&self) -> bool {
         self.clients_closed && self.clients.is_empty()
     }
 
+    /// The most events in the next turn.
     fn events_per_turn(&self) -> usize {
         if self.health.observer.is_some() { EVENTS_PER_TURN_WITH_CHECKS } else { EVENTS_PER_TURN }
     }
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -9,7 +9,7 @@
 use crate::reply::Reply;
 use birchreach::{Micros, ServerId};
 
-/// A later reply to one statement is of no more use to the owner.
+/// The owner has no use for a later reply to one statement.
 pub(super) const BACKGROUND_QUERY_TIMEOUT_MICROS: Micros = 2_000_000;
 
 impl Pool {
@@ -25,12 +25,12 @@
         self.dispatch(context, server, ConnectionTask::BackgroundQuery(query));
     }
 
-    /// Background queries are over whose owner has not taken them yet.
+    /// Whether background queries are complete that the owner has not taken yet.
     pub fn has_completed_queries(&self) -> bool {
         !self.completed_queries.is_empty()
     }
 
-    /// Hands out the background queries that are over.
+    /// Takes the results of the background queries that are complete.
     pub fn take_completed_queries(&mut self) -> Vec<BackgroundQueryResult> {
         std::mem::take(&mut self.completed_queries)
     }
--- a/proxy/src/net/pool/close_reason.rs
+++ b/proxy/src/net/pool/close_reason.rs
@@ -5,7 +5,7 @@
 pub(super) enum DatabaseCloseReason {
     /// The attempt that it carried is no longer wanted.
     Cancelled,
-    /// The time of its task was over.
+    /// Its task timed out.
     Timeout,
     /// It was not established in time.
     ConnectTimeout,
@@ -13,7 +13,7 @@
     ResponseStalled,
     /// It was idle for long.
     Idle,
-    /// It made room for another one.
+    /// It was closed so that another one could be opened within the limit.
     Evicted,
     /// Its server is at another address now, or was removed.
     Moved,
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -1,5 +1,5 @@
-//! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last byte
-//! of the query was written.
+//! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last
+//! byte of the query was written.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::ConnectionKey;
@@ -26,8 +26,8 @@
         self.fail_connection(context, key, reason, reply);
     }
 
-    /// Closes a connection that is of no more use. `reply` is the result of a task whose query was written; a task that waited for
-    /// the connection to have rested gets another one.
+    /// Closes a connection that cannot be used any more. `reply` is the result of a task whose query was written; a task that
+    /// waited for the end of the cooldown is dispatched to another connection.
     pub(super) fn fail_connection(
         &mut self,
         context: &mut EventLoopContext,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The connection was not established: no process listens, or nothing is heard from there.
+    /// The connection was not established: it was refused, or the connect timed out.
     pub(super) fn connect_failed(
         &mut self,
         context: &mut EventLoopContext,
@@ -80,7 +80,7 @@
         connection.task
     }
 
-    /// Tells the result of a task to whoever asked for it.
+    /// Reports the result of a task to its owner.
     pub(super) fn complete_task(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -40,9 +40,10 @@
     BackgroundQuery(BackgroundQuery),
 }
 
-/// How far the query of a connection's task has gone.
+/// Whether the query of a connection's task has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryProgress {
+    /// Nothing of it is in the output.
     NotQueued,
     /// It waits to be written, in part at least: it cannot have run.
     Queued,
@@ -63,7 +64,7 @@
     /// The startup exchange is complete.
     pub established: bool,
     pub task: Option<ConnectionTask>,
-    /// How far the task's query has gone.
+    /// Whether the task's query has been sent.
     pub query: QueryProgress,
     /// When it became idle, if it is.
     pub idle_since: Micros,
@@ -104,7 +105,7 @@
         !self.established && self.stream.peer_addr().is_err()
     }
 
-    /// It is established, and what it may have as a task waits until it has rested.
+    /// It is established and no query is queued: a task that it has waits for the end of the cooldown.
     pub fn is_cooling_down(&self) -> bool {
         self.established && self.query == QueryProgress::NotQueued
     }
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The state for the log.
+    /// The name of the state in the log.
     pub fn state_name(&self) -> &'static str {
         match (self.established, self.query) {
             (false, _) => "opening",
--- a/proxy/src/net/pool/dispatch.rs
+++ b/proxy/src/net/pool/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which connection a task gets: an idle one that has rested, an idle one that is about to have rested, or a new one.
+//! Which connection a task gets: an idle one whose cooldown is over, an idle one that is still cooling down, or a new one.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{ConnectionKey, ConnectionSerial};
@@ -8,12 +8,15 @@
 use super::connection::{Connection, ConnectionState, ConnectionTask};
 use birchreach::{Micros, ServerId};
 
-/// A connection rests after a response: what the database sends or does right behind that, unexpected data or a close, must not
-/// meet the next query.
+/// A connection is not used for this time after a response: unexpected data or a close that immediately follows the response must
+/// not be taken for an answer to the next query.
 const COOLDOWN_MICROS: Micros = 1_000;
 
+/// An idle connection that was taken for a task.
 enum IdleConnection {
+    /// A query may be sent at once.
     Ready(ConnectionKey),
+    /// A query may be sent once the cooldown is over.
     CoolingDown(ConnectionKey),
 }
 
@@ -27,7 +30,7 @@
     ) {
         while let Some(idle) = self.take_idle(context, server) {
             match idle {
-                // Its rest is over sooner than a new connection could be established.
+                // The cooldown ends sooner than a new connection could be established.
                 IdleConnection::CoolingDown(key) => return self.assign_after_cooldown(context, key, task),
                 IdleConnection::Ready(key) => {
                     if self.verify_usable(context, key) == ConnectionState::Open {
@@ -42,7 +45,7 @@
         }
     }
 
-    /// The idle connection that was used last, but those that have rested before those that have not.
+    /// Takes the idle connection that was used last; one that is cooling down only if no other is idle.
     fn take_idle(&mut self, context: &EventLoopContext, server: ServerId) -> Option<IdleConnection> {
         let keys = self.idle.get_mut(&server)?;
         let has_cooled_down =
@@ -53,6 +56,7 @@
         }
     }
 
+    /// Assigns a task whose query is sent once the connection's cooldown is over.
     fn assign_after_cooldown(
         &mut self,
         context: &mut EventLoopContext,
@@ -65,6 +69,7 @@
         self.assign(key, task);
     }
 
+    /// Assigns a task whose query is sent once the connection is established, which is bounded by the connect timeout.
     fn assign_when_established(
         &mut self,
         context: &mut EventLoopContext,
@@ -76,6 +81,7 @@
         self.assign(key, task);
     }
 
+    /// Records the task, and which connection an attempt has.
     fn assign(&mut self, key: ConnectionKey, task: ConnectionTask) {
         if let ConnectionTask::Attempt(task) = &task {
             self.attempt_connections.insert(task.attempt, key);
@@ -96,14 +102,15 @@
         ConnectionState::Closed
     }
 
-    /// The connection has rested, and a task may wait for it.
+    /// The connection's cooldown is over, and a task may wait for that.
     pub fn cooldown_ended(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
         serial: ConnectionSerial,
     ) {
-        let is_waiting = |c: &&mut Connection| c.serial == serial && c.is_cooling_down();
+        let is_waiting =
+            |connection: &&mut Connection| connection.serial == serial && connection.is_cooling_down();
         let Some(connection) = self.connections.get_mut(key).filter(is_waiting) else { return };
         let (server, address) = (connection.server, connection.address);
         let Some(task) = connection.task.take() else { return };
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -1,5 +1,5 @@
-//! Connections whose time is over: attempts that are given up, connects and checks that take too long, idle connections, and
-//! responses that stall.
+//! Timeouts of connections and their tasks: attempts that are cancelled, connects and checks that take too long, idle connections,
+//! and responses that stall.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{ConnectionKey, ConnectionSerial, QuerySerial};
@@ -14,7 +14,7 @@
 const RESPONSE_STALL_TIMEOUT_MICROS: Micros = 10_000_000;
 
 impl Pool {
-    /// Gives an attempt up. Its connection is closed, for a response may still come on it.
+    /// Cancels an attempt. Its connection is closed, for a response may still arrive on it.
     pub fn cancel_attempt(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, DatabaseCloseReason::Cancelled);
     }
@@ -27,6 +27,7 @@
         }
     }
 
+    /// Completes an attempt early. `outcome` is that of an attempt whose query was written, and may have run.
     fn abandon_attempt(
         &mut self,
         context: &mut EventLoopContext,
@@ -56,21 +57,21 @@
         }
     }
 
-    /// A connection has had its time to be established.
+    /// The connect timeout of a connection has expired.
     pub fn connect_timed_out(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
         serial: ConnectionSerial,
     ) {
-        let is_opening = |c: &Connection| c.serial == serial && !c.established;
+        let is_opening = |connection: &Connection| connection.serial == serial && !connection.established;
         if self.connections.get(key).is_some_and(is_opening) {
             let reply = Reply::with_outcome(AttemptOutcome::ConnectFailed);
             self.connect_failed(context, key, DatabaseCloseReason::ConnectTimeout, reply);
         }
     }
 
-    /// A check or a statement of a background query has had its time.
+    /// The timeout of a check or of a statement of a background query has expired.
     pub fn query_timed_out(
         &mut self,
         context: &mut EventLoopContext,
@@ -95,19 +96,23 @@
     /// Closes connections whose response has stalled, and those that have been idle for long.
     pub fn close_expired(&mut self, context: &mut EventLoopContext) {
         let now = context.now;
-        let has_stalled = |c: &Connection| {
-            c.protocol.is_streaming()
-                && !c.reading_paused
-                && now - c.last_progress_at >= RESPONSE_STALL_TIMEOUT_MICROS
+        let has_stalled = |connection: &Connection| {
+            connection.protocol.is_streaming()
+                && !connection.reading_paused
+                && now - connection.last_progress_at >= RESPONSE_STALL_TIMEOUT_MICROS
         };
-        let stalled: Vec<ConnectionKey> =
-            self.connections.iter().filter(|(_, c)| has_stalled(c)).map(|(key, _)| key).collect();
+        let stalled: Vec<ConnectionKey> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| has_stalled(connection))
+            .map(|(key, _)| key)
+            .collect();
         for key in stalled {
             let reply = Reply::with_outcome(AttemptOutcome::ConnectionReset);
             self.fail_connection(context, key, DatabaseCloseReason::ResponseStalled, reply);
         }
         self.idle.retain(|_, keys| !keys.is_empty());
-        let is_old = |key: &&ConnectionKey| now - self.connections[**key].idle_since >= self.idle_limit;
+        let is_old = |key: &&ConnectionKey| now - self.connections[**key].idle_since >= self.idle_timeout;
         let old: Vec<ConnectionKey> = self.idle.values().flatten().filter(is_old).copied().collect();
         for key in old {
             self.close(context, key, DatabaseCloseReason::Idle);
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -26,8 +26,8 @@
 use connection_table::ConnectionTable;
 use std::collections::HashMap;
 
-/// The part of the time after which databases close idle connections that a connection is kept idle for: a query must never cross
-/// with that close.
+/// Connections are kept idle for this fraction of the time after which databases close them, so that no query is sent while the
+/// database closes its connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// The connections to all databases.
@@ -38,15 +38,16 @@
     /// The connection of each attempt that is not completed.
     attempt_connections: HashMap<AttemptId, ConnectionKey>,
     max_connections: usize,
-    /// The system had no socket to give, and there was no idle connection to close.
+    /// The system had no free descriptor, and there was no idle connection to close.
     descriptors_exhausted: bool,
     last_connection: ConnectionSerial,
     last_query: QuerySerial,
-    /// For a connection to be established, and for a health check on one that is.
+    /// The timeout for establishing a connection, and for a health check on an established one.
     connect_timeout: Micros,
-    /// For a check of the health monitor on a connection that is established.
+    /// The timeout for a check of the health monitor on an established connection.
     monitor_check_timeout: Micros,
-    idle_limit: Micros,
+    /// Connections that have been idle for this time are closed.
+    idle_timeout: Micros,
     load_report_format: LoadReportFormat,
     completed_queries: Vec<BackgroundQueryResult>,
 }
@@ -64,7 +65,7 @@
             last_query: QuerySerial::default(),
             connect_timeout: 0,
             monitor_check_timeout: 0,
-            idle_limit: 0,
+            idle_timeout: 0,
             load_report_format: LoadReportFormat::default(),
             completed_queries: Vec::new(),
         };
@@ -77,7 +78,7 @@
         let field_name =
             |index: Option<usize>| index.and_then(|index| settings.load_report_fields.get(index).cloned());
         self.connect_timeout = settings.routing.connect_timeout.max(1);
-        self.idle_limit = (settings.connection_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
+        self.idle_timeout = (settings.connection_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         self.load_report_format = LoadReportFormat {
             position_field: field_name(settings.load_report_position_index),
             role_field: field_name(settings.load_report_role_index),
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -23,9 +23,9 @@
     NoAddress,
     /// No process listens there.
     Refused,
-    /// As many connections are open as may be, and none of them is idle.
+    /// The limit on connections is reached, and none of them is idle.
     LimitReached,
-    /// The system gave no socket, for which the server is not to blame.
+    /// The system had no socket: not a fault of the server.
     NoSocket,
 }
 
@@ -40,6 +40,7 @@
     }
 }
 
+/// Logs why no connection was opened.
 fn log_failure(context: &EventLoopContext, server: ServerId, reason: DatabaseCloseReason, error: Error) {
     let server = context.core.server_name(server);
     let reason = reason.as_str();
@@ -72,6 +73,7 @@
         Ok(self.connections.insert(connection))
     }
 
+    /// Begins to connect. Without a free descriptor, closes an idle connection for the next attempt.
     fn connect(
         &mut self,
         context: &mut EventLoopContext,
@@ -88,7 +90,8 @@
                 Err(OpenError::Refused)
             }
             Err(error) => {
-                // The system has fewer sockets than the limit allows: an idle connection makes room for the next one.
+                // The system has fewer descriptors than the limit allows: closing an idle connection frees one for the next
+                // attempt.
                 log_failure(context, server, DatabaseCloseReason::NoSocket, error);
                 self.descriptors_exhausted |= !self.evict_oldest_idle(context);
                 Err(OpenError::NoSocket)
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Closes the connection that has been idle longest. False: none is idle.
+    /// Closes the connection that has been idle longest. Returns false if none is idle.
     pub(super) fn evict_oldest_idle(&mut self, context: &mut EventLoopContext) -> bool {
         // Those of one server are in the order in which they became idle.
         let oldest_of_each = self.idle.values().filter_map(|keys| keys.first());
@@ -106,7 +109,7 @@
         true
     }
 
-    /// The system had no socket since this was last asked, and no idle connection to close for one.
+    /// Whether, since this was last called, the system had no descriptor and there was no idle connection to close.
     pub fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.descriptors_exhausted)
     }
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -52,6 +52,7 @@
         task.deadline > context.now && context.core.may_still_send(context.now, task.attempt)
     }
 
+    /// Puts an attempt's statement into the output, with the time that is left of its deadline.
     fn queue_statement(&mut self, context: &EventLoopContext, key: ConnectionKey, task: &AttemptTask) {
         let protocol = &mut self.connections[key].protocol;
         let left_ms = u64::try_from((task.deadline - context.now) / MICROS_PER_MILLI).unwrap_or(1).max(1);
@@ -64,20 +65,21 @@
         self.attempt_connections.insert(task.attempt, key);
     }
 
+    /// Sets the timeout of the query that is being sent.
     fn start_query_timer(&mut self, context: &mut EventLoopContext, key: ConnectionKey, timeout: Micros) {
         self.last_query = self.last_query.next();
         self.connections[key].query_serial = self.last_query;
         context.timers.set(context.now + timeout, TimerEvent::QueryTimeout(key, self.last_query));
     }
 
-    /// The connection has nothing to do: it waits for the next task, or is closed if it cannot serve one.
+    /// The connection has no task any more: it becomes idle, or is closed if it cannot serve another task.
     pub(super) fn return_to_idle(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         let connection = &mut self.connections[key];
         connection.task = None;
         connection.query = QueryProgress::NotQueued;
         connection.idle_since = context.now;
         if !connection.protocol.is_idle() {
-            // Nobody can tell which query the next bytes belong to.
+            // It could not be told which query the next bytes belong to.
             self.close(context, key, DatabaseCloseReason::UnexpectedData);
         } else if context.core.address(connection.server) == Some(connection.address) {
             self.idle.entry(connection.server).or_default().push(key);
--- a/proxy/src/net/pool/responses.rs
+++ b/proxy/src/net/pool/responses.rs
@@ -10,13 +10,15 @@
 use birchreach::AttemptOutcome;
 
 impl Pool {
-    /// Handles all that the bytes received so far amount to.
+    /// Handles the events in the bytes that were received so far.
     pub(super) fn handle_events(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
     ) -> ConnectionState {
-        while let Some(event) = self.connections.get_mut(key).and_then(|c| c.protocol.next_event()) {
+        while let Some(event) =
+            self.connections.get_mut(key).and_then(|connection| connection.protocol.next_event())
+        {
             if self.handle_event(context, key, event) == ConnectionState::Closed {
                 return ConnectionState::Closed;
             }
@@ -24,6 +26,7 @@
         ConnectionState::Open
     }
 
+    /// Handles one event of the protocol.
     fn handle_event(
         &mut self,
         context: &mut EventLoopContext,
@@ -37,7 +40,7 @@
             BackendEvent::QueryCompleted(reply) => self.query_completed(context, key, reply),
             BackendEvent::Rejected(reply) => self.connection_rejected(context, key, reply),
             BackendEvent::ProtocolError => {
-                // The query has run and its response is lost, but its server lives.
+                // The query has run and its response is lost, but the server is alive.
                 let reply = Reply::with_outcome(AttemptOutcome::Error);
                 self.fail_connection(context, key, DatabaseCloseReason::ProtocolError, reply);
                 ConnectionState::Closed
@@ -45,6 +48,7 @@
         }
     }
 
+    /// The startup is complete: the waiting task's query is sent.
     fn connection_established(
         &mut self,
         context: &mut EventLoopContext,
@@ -67,6 +71,7 @@
         self.state_of(key)
     }
 
+    /// A value begins that is streamed to the client.
     fn value_started(
         &mut self,
         context: &mut EventLoopContext,
@@ -80,11 +85,12 @@
         if context.core.response_started(context.now, attempt, length) {
             return ConnectionState::Open;
         }
-        // Its request has its answer already: nobody wants this one.
+        // Its request has already been answered by another attempt.
         self.cancel_attempt(context, attempt);
         ConnectionState::Closed
     }
 
+    /// Forwards a chunk of a streamed value.
     fn value_chunk_received(
         &mut self,
         context: &mut EventLoopContext,
@@ -101,6 +107,7 @@
         ConnectionState::Open
     }
 
+    /// The reply to a query is complete: the next statement of a background query follows, or the task ends.
     fn query_completed(
         &mut self,
         context: &mut EventLoopContext,
@@ -118,13 +125,14 @@
         self.state_of(key)
     }
 
+    /// The database answered the startup with an error.
     fn connection_rejected(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
         reply: Reply,
     ) -> ConnectionState {
-        // 53300 is a database that is full; all else means that there is no connection to be had.
+        // SQLSTATE 53300 says that the database is overloaded; any other error only that no connection is available.
         let outcome = match reply.outcome {
             AttemptOutcome::Overloaded => AttemptOutcome::Overloaded,
             _ => AttemptOutcome::ClosedBeforeExecution,
@@ -135,6 +143,7 @@
         ConnectionState::Closed
     }
 
+    /// Whether the connection is still open.
     fn state_of(&self, key: ConnectionKey) -> ConnectionState {
         if self.connections.contains(key) { ConnectionState::Open } else { ConnectionState::Closed }
     }
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Not connected yet, or failed. A refused connection means that no process listens; one that was reset had been accepted.
+    /// Handles a connection that is not established or has failed. A refused one means that no process listens; one that was reset
+    /// had been accepted.
     fn check_connecting(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
         match self.connections[key].stream.take_error() {
             Ok(None) => return ConnectionState::Open,
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -1,5 +1,5 @@
-//! The handover between two processes of one proxy: the one that this process replaces, and the one that replaces it. They connect at
-//! a Unix socket in `$TMPDIR`, so that limits and budgets cover both.
+//! The handover between two processes of one proxy: the one that this process replaces, and the one that replaces it. They connect
+//! at a Unix socket in `$TMPDIR`, so that limits and budgets cover both.
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// A connection to another process, and what that one said.
+/// A connection to another process, and the state that it has reported.
 struct Link {
     stream: UnixStream,
     protocol: HandoverProtocol,
@@ -21,7 +21,7 @@
     is_serving: bool,
     /// A predecessor is stopping, and holds so many descriptors.
     descriptors_when_stopping: Option<usize>,
-    /// When a predecessor takes no new work any more, in Unix microseconds.
+    /// When a predecessor stops accepting work, in Unix microseconds.
     stops_accepting_at: Option<i64>,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Reads and writes as far as it goes. Returns whether the link is still of use.
+    /// Reads and writes as far as possible without waiting. Returns whether the link is still usable.
     fn exchange(&mut self, scratch: &mut [u8]) -> bool {
         let protocol = &mut self.protocol;
         let read = stream::read(&mut self.stream, scratch, |bytes| {
@@ -49,6 +49,7 @@
         read.is_ok() && applied.is_ok() && written.is_ok()
     }
 
+    /// Applies the messages that are complete.
     fn apply_messages(&mut self) -> Result<(), InvalidMessage> {
         while let Some(message) = self.protocol.next_message()? {
             match message {
@@ -65,7 +66,7 @@
     }
 }
 
-/// The connections to other processes of this proxy. The default has none, for a proxy that shares its listener with nobody.
+/// The connections to other processes of this proxy. The default has none, for a proxy that does not share its listener.
 #[derive(Default)]
 pub struct ProcessHandover {
     path: Option<PathBuf>,
@@ -75,8 +76,8 @@
 }
 
 impl ProcessHandover {
-    /// Connects to the process that serves at this address, if there is one, and tells it that this one serves now; then listens for
-    /// the next.
+    /// Connects to the process that serves at this address, if there is one, and tells it that this one serves now; then listens
+    /// for the next.
     pub fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
@@ -86,7 +87,7 @@
         handover
     }
 
-    /// Listens where the next process connects. Without that, neither process knows of the other.
+    /// Listens where the next process connects. If that fails, the two processes act as if each were the only one.
     fn listen(&mut self, registry: &Registry) {
         let Some(path) = &self.path else { return };
         let _ = std::fs::remove_file(path);
@@ -126,7 +127,7 @@
     pub fn successor_ready(&mut self, context: &mut EventLoopContext) {
         if disconnected(&mut self.successor, context) {
             info!(event = "successor-disconnected");
-            // It listened in the place of this process.
+            // It had bound the path of this process's socket.
             self.listen(context.poll.registry());
         }
     }
@@ -136,11 +137,12 @@
         self.send_to_successor(context, HandoverMessage::Stopping(descriptors));
     }
 
-    /// Tells the successor when this process takes no new work any more, in Unix microseconds.
+    /// Tells the successor when this process stops accepting work, in Unix microseconds.
     pub fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, at: i64) {
         self.send_to_successor(context, HandoverMessage::StopsAcceptingAt(at));
     }
 
+    /// Sends a message to the successor, if there is one.
     fn send_to_successor(&mut self, context: &mut EventLoopContext, message: HandoverMessage) {
         if let Some(successor) = &mut self.successor {
             successor.protocol.send(message);
@@ -148,7 +150,7 @@
         }
     }
 
-    /// When the predecessor takes no new work any more, in Unix microseconds, if it said so.
+    /// When the predecessor stops accepting work, in Unix microseconds, if it has announced it.
     pub fn predecessor_stops_accepting_at(&self) -> Option<i64> {
         self.predecessor.as_ref()?.stops_accepting_at
     }
@@ -174,7 +176,7 @@
     }
 }
 
-/// Where the connection is refused, or no socket is there, no process serves.
+/// Connects to a process that serves. Returns none if there is none: the socket does not exist, or refuses the connection.
 fn connect(registry: &Registry, path: &Path) -> Option<Link> {
     let mut stream = UnixStream::connect(path).ok()?;
     if !register(registry, &mut stream, Source::Predecessor) {
@@ -185,11 +187,12 @@
     Some(link)
 }
 
+/// Registers a link's stream. Returns whether that succeeded.
 fn register(registry: &Registry, stream: &mut UnixStream, source: Source) -> bool {
     registry.register(stream, source.token(), Interest::READABLE | Interest::WRITABLE).is_ok()
 }
 
-/// Reads and writes a link, if there is one, and removes it if it is of no more use. Returns whether it was removed.
+/// Reads and writes a link, if there is one, and removes it if it is no longer usable. Returns whether it was removed.
 fn disconnected(link: &mut Option<Link>, context: &mut EventLoopContext) -> bool {
     let Some(open) = link else { return false };
     if open.exchange(&mut context.scratch) {
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -14,7 +14,7 @@
 /// The most warnings about one configuration that are logged; the command `check` prints all.
 const MAX_LOGGED_WARNINGS: usize = 20;
 
-/// Logs what the settings probably do not mean, a line each.
+/// Logs the warnings about the settings, a line each.
 pub(super) fn log_settings_warnings(config: &Config) {
     for warning in config.warnings.iter().take(MAX_LOGGED_WARNINGS) {
         warn!(event = "settings-warning", about = %Quoted(warning));
@@ -26,9 +26,9 @@
     settings.routing.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0)
 }
 
-/// Why the configuration that is in force stays.
+/// Why a configuration was not applied.
 enum ReloadError {
-    /// The configuration or the options are faulty, or lack what is in force.
+    /// The configuration or the options are invalid, or omit something that is in use.
     Configuration(ConfigError),
     /// A listener that they name could not be opened.
     Listen(ListenError),
@@ -85,7 +85,7 @@
         self.carry_out();
     }
 
-    /// Takes over into a new configuration what changes only with a restart.
+    /// Copies what changes only with a restart from the configuration in force to a new one.
     fn keep_until_restart(&self, new: &mut Config) {
         let old = &self.config;
         new.name.clone_from(&old.name);
@@ -99,7 +99,7 @@
         new.fleet_keys.clone_from(&old.fleet_keys);
     }
 
-    /// Passes settings and limits on to the parts that have them.
+    /// Applies settings and limits to the subsystems that use them.
     fn apply_settings(&mut self, new: &Config) {
         let limits = ConnectionLimits::new(new, &self.handover);
         self.context.core.settings(self.context.now, &new.deployment);
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -3,6 +3,7 @@
 
 use super::EventLoop;
 use super::error::EventLoopError;
+use super::ids::LinkKey;
 use super::sources::Source;
 use birchreach::Micros;
 use mio::Events;
@@ -92,18 +93,8 @@
                 self.after_handover();
             }
             Source::Fleet => self.handle_fleet(),
-            Source::GossipListener | Source::MembershipListener => {
-                if let Some(gossip) = &mut self.gossip {
-                    gossip.accept_ready(source);
-                    self.step_gossip();
-                }
-            }
-            Source::Gossip(key) => {
-                if let Some(gossip) = &mut self.gossip {
-                    gossip.process_link(&mut self.context, key);
-                    self.after_gossip();
-                }
-            }
+            Source::GossipListener | Source::MembershipListener => self.accept_links(source),
+            Source::Gossip(key) => self.handle_link(key),
             Source::Client(key) => {
                 if event.is_read_closed() || event.is_error() {
                     self.clients.peer_closed(key);
@@ -121,6 +112,22 @@
         }
     }
 
+    /// A listener for links of other proxies is ready.
+    fn accept_links(&mut self, listener: Source) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.accept_ready(listener);
+            self.step_gossip();
+        }
+    }
+
+    /// A link to another proxy is ready.
+    fn handle_link(&mut self, key: LinkKey) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.process_link(&mut self.context, key);
+            self.after_gossip();
+        }
+    }
+
     /// SIGHUP reloads; the others begin a graceful shutdown.
     fn handle_signals(&mut self, signals: &mut Signals) {
         for signal in signals.pending() {
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -1,4 +1,4 @@
-//! The start of the event loop: listeners and connections are opened, and each part that the options name is started.
+//! The start of the event loop: listeners and connections are opened, and each subsystem that the options name is started.
 
 use super::admin::AdminListener;
 use super::balancers::HealthReporting;
@@ -27,11 +27,11 @@
 use std::path::PathBuf;
 use tracing::info;
 
-/// The most that is read of a socket at once.
+/// The most that is read from a socket at once.
 const SCRATCH_BYTES: usize = 64 << 10;
 
 impl EventLoop {
-    /// Opens everything, and starts every part.
+    /// Opens the poll and the listeners, and starts the subsystems.
     pub(super) fn start(
         mut config: Config,
         options: Option<PathBuf>,
@@ -50,7 +50,7 @@
         Ok(event_loop)
     }
 
-    /// Opens the listeners, and makes the parts that always exist.
+    /// Opens the listeners, and creates the subsystems that always exist.
     fn open(
         poll: Poll,
         listener: mio::net::TcpListener,
@@ -62,7 +62,7 @@
         let clock = Clock::new();
         let now = clock.now();
         let admin = AdminListener::new(poll.registry(), config.admin_address)?;
-        // Only a proxy that shares its listener can have another process beside it.
+        // Only a proxy that shares its listener can consist of two processes.
         let shared_listener = config.inherited_descriptor.is_some();
         let handover = if shared_listener {
             ProcessHandover::connect_or_listen(poll.registry(), address)
@@ -109,7 +109,7 @@
         log_settings_warnings(&self.config);
     }
 
-    /// Starts the parts, those that the options name among them, and applies the list known from before the start.
+    /// Starts the subsystems, including those that the options name, and applies the endpoint list that is already known.
     fn start_subsystems(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
         let started_at = self.context.now;
         self.start_health()?;
@@ -134,7 +134,7 @@
         let (Some(options), Some(keys)) = (&self.config.options.peer_state, &self.config.gossip_keys) else {
             return Ok(());
         };
-        // Each process observes for itself: what its predecessor observed reaches it at second hand.
+        // Each process is an observer of its own: observations of its predecessor are those of another one.
         let mut observer = [0; 8];
         getrandom::fill(&mut observer)?;
         let peer_state = shared(PeerStateObserver::new(u64::from_be_bytes(observer)));
--- a/proxy/src/net/stream.rs
+++ b/proxy/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! Reads and writes one socket as far as it goes without waiting.
+//! Reads and writes one socket as far as possible without waiting.
 
 use crate::outbox::Outbox;
 use std::io::{ErrorKind, Read, Write};
@@ -12,8 +12,8 @@
     Reset,
 }
 
-/// Reads what has come, a piece at a time, until `take` returns false. Returns whether all of it was read; if not, the poll does not
-/// report the socket as readable again.
+/// Reads what has arrived, a piece at a time, until `take` returns false. Returns whether all of it was read; if not, the poll does
+/// not report the socket as readable again.
 pub fn read(
     stream: &mut impl Read,
     scratch: &mut [u8],
@@ -34,14 +34,14 @@
     }
 }
 
-/// Writes what is pending as far as it goes. Returns whether all of it is written.
+/// Writes the output as far as the socket accepts it. Returns whether all of it is written.
 pub fn write(stream: &mut impl Write, out: &mut Outbox) -> Result<bool, Ended> {
     let written = write_some(stream, out.pending())?;
     out.advance(written);
     Ok(out.pending().is_empty())
 }
 
-/// Writes bytes as far as it goes. Returns how many are written.
+/// Writes bytes as far as the socket accepts them. Returns how many are written.
 pub fn write_some(stream: &mut impl Write, bytes: &[u8]) -> Result<usize, Ended> {
     let mut written = 0;
     while written < bytes.len() {
--- a/proxy/src/net/test_hooks.rs
+++ b/proxy/src/net/test_hooks.rs
@@ -1,12 +1,12 @@
-//! For tests: the process stops itself once at a named point, so that a test can make something arrive at that moment. Built with
-//! debug assertions only; a release build does nothing here.
+//! For tests: the process stops itself once at a named point, so that a test can send something at that moment. Without debug
+//! assertions this does nothing.
 
 /// Points at which the process can stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
     /// A client was idle for too long; it has not been read once more.
     Sweep,
-    /// A client is to make room; it has not been read once more.
+    /// A client is to be shed; it has not been read once more.
     Shed,
     /// The last idle clients are to be closed; none has been read once more.
     Leave,
@@ -28,5 +28,6 @@
     }
 }
 
+/// Does nothing in a build without debug assertions.
 #[cfg(not(debug_assertions))]
 pub fn at(_: Point) {}
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -1,11 +1,12 @@
-//! Timers that are due, each handed to the owner that set it.
+//! Passes each timer that is due to the owner that set it.
 
+use super::ids::{LinkKey, LinkSerial};
 use super::timer_events::TimerEvent;
 use super::{EventLoop, SWEEP_INTERVAL_MICROS};
 use tracing::info;
 
 impl EventLoop {
-    /// Hands a due timer to its owner. No timer is ever cancelled: each owner checks whether its own still means anything.
+    /// Passes a due timer to its owner. No timer is ever cancelled: each owner checks whether its own still applies.
     pub(super) fn handle_timer(&mut self, due: TimerEvent) {
         let context = &mut self.context;
         match due {
@@ -23,23 +24,15 @@
                 self.health.update_timer = self.health.update_timer.filter(|at| *at > context.now)
             }
             TimerEvent::HealthTick => self.report_load(),
-            TimerEvent::StopAcceptingChecks => {
-                if self.health.handing_over {
-                    self.checks.stop_listening(context);
-                }
+            TimerEvent::StopAcceptingChecks if self.health.handing_over => {
+                self.checks.stop_listening(context)
             }
-            TimerEvent::OpenCheckListeners => {
-                if self.checks.lacks_listener() {
-                    self.checks.reopen_listeners(context);
-                }
+            TimerEvent::OpenCheckListeners if self.checks.lacks_listener() => {
+                self.checks.reopen_listeners(context);
             }
+            TimerEvent::StopAcceptingChecks | TimerEvent::OpenCheckListeners => {}
             TimerEvent::Gossip => self.step_gossip(),
-            TimerEvent::GossipSend(key, serial) => {
-                if let Some(gossip) = &mut self.gossip {
-                    gossip.continue_sending(context, key, serial);
-                    self.after_gossip();
-                }
-            }
+            TimerEvent::GossipSend(key, serial) => self.continue_gossip_send(key, serial),
             TimerEvent::Fleet => self.fleet_due(),
             TimerEvent::Background => self.run_background(),
             TimerEvent::StopListening => self.stop_listening(),
@@ -51,14 +44,22 @@
         }
     }
 
+    /// Sends the next part of a state transfer, if its link is still open.
+    fn continue_gossip_send(&mut self, key: LinkKey, serial: LinkSerial) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.continue_sending(&mut self.context, key, serial);
+            self.after_gossip();
+        }
+    }
+
     /// The fraction of the connections to databases that serve attempts.
     pub(super) fn database_connections_in_use(&self) -> f64 {
         let limit = self.connection_limits().databases.max(1);
         self.context.core.attempts_in_flight() as f64 / limit as f64
     }
 
-    /// Closes connections that have been idle or unresponsive for too long, and tells other processes and proxies how loaded this one
-    /// is.
+    /// Closes connections that have been idle or unresponsive for too long, and reports the load of this process to other processes
+    /// and proxies.
     fn sweep(&mut self) {
         let context = &mut self.context;
         self.clients.close_expired(context);
--- a/proxy/src/net/timers.rs
+++ b/proxy/src/net/timers.rs
@@ -1,12 +1,11 @@
-//! The clock, and the times at which the loop has something to do.
+//! The clock and the timers of the event loop.
 
 use birchreach::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The one clock: Unix time at the start, and what has passed since. It never goes back, and it alone gives the times that the loop
-/// compares.
+/// The only clock of the loop: Unix time at the start plus the monotonic time since. It never goes back.
 pub struct Clock {
     started: Instant,
     started_unix: Micros,
@@ -25,7 +24,7 @@
     }
 }
 
-/// A span too long for the type becomes one that can still be added to another without overflow.
+/// The duration in microseconds. One that is too long for the type becomes one that can still be added to another without overflow.
 fn micros(span: Duration) -> Micros {
     Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX / 4)
 }
@@ -39,14 +38,14 @@
     event: T,
 }
 
-/// Timers, the soonest first. None is ever cancelled: whoever set it checks whether it still means anything.
+/// Timers, the soonest first. None is ever cancelled: the owner that set it checks whether it still applies.
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<Timer<T>>>,
     last_serial: u64,
 }
 
 impl<T: Ord> Timers<T> {
-    /// None are set.
+    /// No timer is set.
     pub fn new() -> Timers<T> {
         Timers { heap: BinaryHeap::new(), last_serial: 0 }
     }
