--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -2,9 +2,9 @@
 
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload, RoutingTimerId};
 use crate::observe::CoreEvent;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{Action, AttemptNo, Micros, RequestId, ServerId};
 
-const MICROS_PER_MILLISECOND: Micros = 1_000;
 /// A timer never expires at once: an action of the router on its expiry could otherwise set it again without end.
 const MIN_TIMER_DELAY_MICROS: Micros = 1;
 
@@ -20,7 +20,7 @@
             Action::Send { request, server, timeout } => self.start_attempt(now, request, server, timeout),
             Action::Reject { request, retry_after } => {
                 let retry_after_ms =
-                    retry_after.and_then(|delay| u64::try_from(delay / MICROS_PER_MILLISECOND).ok());
+                    retry_after.and_then(|delay| u64::try_from(delay / MICROS_PER_MILLI).ok());
                 self.answer(now, request, Answer::Rejected { retry_after_ms });
             }
             Action::Fail { request } => self.answer(now, request, Answer::Failed),
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -5,6 +5,7 @@
 use super::{Command, Core, LogRecord, RequestPayload};
 use crate::discovery::{EndpointUpdate, ListedEndpoint, ListedState};
 use crate::observe::{CoreEvent, Observer};
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{Endpoint, EndpointList, EndpointState, Event, GroupId, Micros, ServerId, ZoneId};
 use birchreach_settings::DeploymentSettings;
 use std::cell::RefCell;
@@ -12,7 +13,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-const MICROS_PER_MILLISECOND: i64 = 1_000;
 /// Shown in place of the name of a server that is no longer known.
 const UNKNOWN_SERVER: &str = "?";
 
@@ -131,7 +131,7 @@
                 ListedState::Draining => EndpointState::Draining,
                 ListedState::Removed => EndpointState::Removed,
             },
-            started_at: target.started_ms().and_then(|ms| ms.checked_mul(MICROS_PER_MILLISECOND)),
+            started_at: target.started_ms().and_then(|ms| ms.checked_mul(MICROS_PER_MILLI)),
             weight: target.weight,
             primary: target.is_primary() == Some(true),
         };
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -7,10 +7,9 @@
 use super::error::PollError;
 use super::http::{MAX_BODY_BYTES, MAX_HEAD_BYTES, response_body};
 use super::list::EndpointUpdate;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
 
-const MICROS_PER_MILLISECOND: Micros = 1_000;
-
 /// The proxy counts as notified of a change so long after discovery had it, or after a poll became unresponsive.
 pub const NOTIFICATION_DEADLINE_MICROS: Micros = 6_000_000;
 /// For a change that a long poll missed: so long after the poll's wait, if that is later.
@@ -76,7 +75,7 @@
         if !self.is_long_poll() {
             return RESPONSE_TIMEOUT_MICROS;
         }
-        LONG_POLL_MS as Micros * MICROS_PER_MILLISECOND + LONG_POLL_GRACE_MICROS - NEXT_POLL_RESERVE_MICROS
+        LONG_POLL_MS as Micros * MICROS_PER_MILLI + LONG_POLL_GRACE_MICROS - NEXT_POLL_RESERVE_MICROS
     }
 
     /// A response has begun, and is not complete.
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -1,15 +1,14 @@
-//! Hot keys in the proxy: translates the core's events, the endpoint list and the options into the values of crate `hot-keys`, and its
-//! state into the lines of the admin call `hot`. Which keys are hot and which databases have copies is decided in the crate.
+//! Hot keys in the proxy: translates the core's events, the endpoint list and the options into the values of crate `hot-keys`, and
+//! its state into the lines of the admin call `hot`. Which keys are hot and which databases have copies is decided in the crate.
 
 use crate::observe::{CopyLocator, CoreEvent, Observer, ReadDescription};
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{Consistency, CopyCandidate, Micros, ServerId};
 use birchreach_hot_keys::{CopyRequirement, Database, HotKey, HotKeyTracker, Key, Settings};
 use birchreach_peer_state::NameHasher;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
-const MICROS_PER_MILLI: Micros = 1_000;
-
 struct ListedServer {
     uid: String,
     group: u32,
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -23,6 +23,7 @@
 mod reply;
 mod split;
 mod stats;
+mod units;
 
 use clap::Parser;
 use cli::{Cli, Command};
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -8,10 +8,9 @@
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{AttemptTask, ConnectionTask, QueryProgress};
 use crate::reply::Reply;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{AttemptOutcome, Micros};
 
-const MICROS_PER_MILLI: Micros = 1_000;
-
 impl Pool {
     /// Writes the task's query to a connection that is established and idle.
     pub(super) fn send_query(
--- a/proxy/src/pg/arrival_times.rs
+++ b/proxy/src/pg/arrival_times.rs
@@ -1,29 +1,30 @@
-//! When a client's input arrived. Its commands wait behind one another, and the time of each counts from its own last byte.
+//! When a client's input arrived. Commands may wait for earlier ones, and the deadline of each counts from its own last byte.
 
 use birchreach::Micros;
 use std::collections::VecDeque;
 
-/// Bytes that arrive so soon after others count as having arrived with those. No more than the margin kept for the client's clock.
+/// Bytes that arrive within this time after others count as having arrived with those. Not more than the margin for the client's
+/// clock.
 const TIME_RESOLUTION_MICROS: Micros = 10_000;
 
-/// The input up to a byte, counted from the beginning, had arrived by a time.
+/// The input up to `end`, counted from the beginning, had arrived by this time.
 struct Arrival {
     end: u64,
     at: Micros,
 }
 
-/// Times of arrival by position in the input. Bounded by the input that waits, each byte of which has one at most.
+/// Times of arrival by position in the input. There is at most one for each byte that is not consumed.
 #[derive(Default)]
 pub struct ArrivalTimes {
-    /// Bytes that have arrived since the beginning.
+    /// Bytes received since the beginning.
     received_bytes: u64,
-    /// Those of them that have been taken.
+    /// Bytes consumed since the beginning.
     consumed_bytes: u64,
     arrivals: VecDeque<Arrival>,
 }
 
 impl ArrivalTimes {
-    /// Records that so many bytes arrived.
+    /// Records the arrival of this number of bytes.
     pub fn record(&mut self, bytes: usize, now: Micros) {
         self.received_bytes += bytes as u64;
         match self.arrivals.back_mut() {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Takes so many bytes, and says when the last of them arrived.
+    /// Consumes this number of bytes. Returns when the last of them arrived.
     pub fn consume(&mut self, bytes: usize) -> Option<Micros> {
         self.consumed_bytes += bytes as u64;
         while self.arrivals.front().is_some_and(|arrival| arrival.end < self.consumed_bytes) {
--- a/proxy/src/pg/backend/messages.rs
+++ b/proxy/src/pg/backend/messages.rs
@@ -1,4 +1,4 @@
-//! What each message of a database means where it stands.
+//! The handling of each message of a database, depending on the state of the connection.
 
 use super::{Backend, BackendEvent, Phase};
 use crate::pg::codec::{DecodeError, MAX_SERVER_MESSAGE_BYTES, ServerMessage};
@@ -7,11 +7,11 @@
 use crate::pg::sqlstate::SqlState;
 use crate::reply::Value;
 
-/// All messages of one reply, without a streamed value.
+/// The most bytes in all messages of one reply, without a streamed value.
 const MAX_REPLY_BYTES: usize = 2 * MAX_SERVER_MESSAGE_BYTES;
 
 impl Backend {
-    /// Takes a message of so many bytes. An error is a message that does not belong where it stands.
+    /// Handles a message of this number of bytes. It is an error if the message is not allowed in the present state.
     pub(super) fn handle_message(
         &mut self,
         message: ServerMessage,
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Records a parameter that belongs to the reply.
     fn record_parameter(&mut self, name: &str, value: &str) {
         match name {
             "server_role" => self.partial_reply.role = parse_role(value),
@@ -48,6 +49,7 @@
         }
     }
 
+    /// An error completes the reply, or rejects the connection during the startup.
     fn handle_error(&mut self, code: SqlState) -> Result<Option<BackendEvent>, DecodeError> {
         if self.phase == Phase::Startup {
             self.partial_reply.error = Some(code);
@@ -62,6 +64,7 @@
         Ok(None)
     }
 
+    /// Clients' values must be in binary form, as they are forwarded as they are.
     fn handle_row_description(&mut self, binary: bool) -> Result<Option<BackendEvent>, DecodeError> {
         let is_expected = self.phase.expected_reply().is_some() && (binary || !self.phase.serves_client());
         if !is_expected || self.partial_reply.stage != ReplyStage::Nothing {
@@ -71,6 +74,7 @@
         Ok(None)
     }
 
+    /// The reply's one row, which follows its description.
     fn handle_row(&mut self, bytes: Vec<u8>) -> Result<Option<BackendEvent>, DecodeError> {
         if self.partial_reply.stage != ReplyStage::Description {
             return Err(DecodeError::OutOfPlace);
@@ -81,6 +85,7 @@
         Ok(None)
     }
 
+    /// The end of the reply's data.
     fn handle_command_complete(&mut self) -> Result<Option<BackendEvent>, DecodeError> {
         match self.partial_reply.stage {
             ReplyStage::Row => {}
@@ -92,6 +97,7 @@
         Ok(None)
     }
 
+    /// The end of the startup or of a complete reply.
     fn handle_ready(&mut self) -> Result<BackendEvent, DecodeError> {
         if self.phase == Phase::Startup {
             self.phase = Phase::Idle;
--- a/proxy/src/pg/backend/mod.rs
+++ b/proxy/src/pg/backend/mod.rs
@@ -1,5 +1,5 @@
-//! A connection to a database: is fed what the database sends, and says when the connection is established and what each query came
-//! to.
+//! The protocol on a connection to a database. It is fed the bytes that the database sends, and reports when the connection is
+//! established and the reply to each query.
 
 mod messages;
 
@@ -12,6 +12,7 @@
 use crate::reply::Reply;
 use birchreach::Micros;
 
+/// What the connection is in use for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Startup,
@@ -25,11 +26,12 @@
     LoadReportQuery,
     /// A statement that no client sent.
     BackgroundQuery,
+    /// The connection cannot be used any more.
     Over,
 }
 
 impl Phase {
-    /// What the query asked for, where one is in flight.
+    /// The kind of reply to the query in flight, if there is one.
     fn expected_reply(self) -> Option<ExpectedReply> {
         match self {
             Phase::Startup | Phase::Idle | Phase::Over => None,
@@ -39,23 +41,26 @@
         }
     }
 
+    /// Whether a client waits for the query in flight.
     fn serves_client(self) -> bool {
         matches!(self, Phase::Statement | Phase::CopyRead { .. })
     }
 }
 
-/// What the database's bytes amount to.
+/// An event in the bytes that a database sends.
 #[derive(Debug, PartialEq)]
 pub enum BackendEvent {
     /// The connection is established.
     Ready,
-    /// A streamed value of so many bytes begins. They follow in chunks, and its end with `QueryCompleted`.
+    /// A streamed value of this length begins. Its bytes follow in chunks, and `QueryCompleted` after them.
     ValueStarted(usize),
+    /// The next bytes of a streamed value.
     ValueChunk(Vec<u8>),
+    /// The reply to the query is complete.
     QueryCompleted(Reply),
-    /// The database sent an error in place of a startup.
+    /// The database answered the startup with an error.
     Rejected(Reply),
-    /// The database sent what the protocol does not allow. The connection is of no more use.
+    /// The database violated the protocol. The connection cannot be used any more.
     ProtocolError,
 }
 
@@ -63,7 +68,7 @@
 pub struct Backend {
     phase: Phase,
     inbox: Inbox,
-    /// What waits to be written.
+    /// Output that waits to be written.
     pub out: Outbox,
     partial_reply: PartialReply,
     load_report_format: LoadReportFormat,
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Forwards a statement, unchanged except for the wait that is left.
+    /// Forwards a statement, unchanged except for the remaining wait.
     pub fn send_statement(&mut self, statement: &Statement, left_ms: u64) {
         let (head, tail) = statement.text_around_deadline();
         self.send(Phase::Statement, &[head, left_ms.to_string().as_bytes(), tail]);
@@ -105,6 +110,7 @@
         self.send(Phase::LoadReportQuery, &[b"SHOW usage"]);
     }
 
+    /// Puts a query, in parts, into the output.
     fn send(&mut self, phase: Phase, query_parts: &[&[u8]]) {
         self.out.query(query_parts);
         self.phase = phase;
@@ -116,7 +122,7 @@
         self.inbox.feed(bytes);
     }
 
-    /// What the bytes received so far amount to next.
+    /// The next event in the bytes received so far.
     pub fn next_event(&mut self) -> Option<BackendEvent> {
         while self.phase != Phase::Over {
             if self.is_streaming() {
@@ -140,7 +146,7 @@
             match handled {
                 Ok(None) => {}
                 Ok(Some(event)) => return Some(event),
-                // Invalid bytes right behind a complete reply do not invalidate it, only the connection.
+                // Invalid bytes after a complete reply do not invalidate the reply, only the connection.
                 Err(_) => return Some(self.connection_ended().unwrap_or(BackendEvent::ProtocolError)),
             }
         }
@@ -152,30 +158,33 @@
         self.partial_reply.value_bytes_remaining > 0
     }
 
-    /// No query is in flight, and nothing arrived that was not asked for: the connection may carry another query.
+    /// No query is in flight and there is no unexpected input: another query may be sent.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle && self.inbox.len() == 0
     }
 
-    /// The connection is over. A reply that was complete except for the last message still counts.
+    /// The connection has ended. A reply that was complete except for the last message still counts.
     pub fn connection_ended(&mut self) -> Option<BackendEvent> {
         let phase = std::mem::replace(&mut self.phase, Phase::Over);
         let expected = phase.expected_reply().filter(|_| self.partial_reply.stage == ReplyStage::Complete)?;
         Some(BackendEvent::QueryCompleted(self.take_reply(expected)))
     }
 
+    /// A value begins that is too long to be buffered.
     fn start_streamed_value(&mut self, length: usize) -> BackendEvent {
         self.partial_reply.value_bytes_remaining = length;
         self.partial_reply.stage = ReplyStage::Row;
         BackendEvent::ValueStarted(length)
     }
 
+    /// Takes what has arrived of the streamed value.
     fn next_value_chunk(&mut self) -> Option<BackendEvent> {
         let chunk = self.inbox.take_up_to(self.partial_reply.value_bytes_remaining);
         self.partial_reply.value_bytes_remaining -= chunk.len();
         (!chunk.is_empty()).then_some(BackendEvent::ValueChunk(chunk))
     }
 
+    /// The reply from the messages so far; the next reply starts without any.
     fn take_reply(&mut self, expected: ExpectedReply) -> Reply {
         std::mem::take(&mut self.partial_reply).into_reply(expected, &self.load_report_format)
     }
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -1,4 +1,4 @@
-//! What a client sends, as typed values.
+//! The messages of clients, as typed values.
 
 use super::{DecodeError, split_c_string, to_string_lossy};
 
@@ -16,7 +16,7 @@
     UnsupportedVersion,
 }
 
-/// Names of protocol options begin so.
+/// The prefix of the names of protocol options.
 const PROTOCOL_OPTION_PREFIX: &[u8] = b"_pq_.";
 
 impl Startup {
--- a/proxy/src/pg/codec/encode.rs
+++ b/proxy/src/pg/codec/encode.rs
@@ -7,13 +7,14 @@
 /// What follows an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The command failed, and the next one may come.
+    /// The command failed; the next one may follow.
     Error,
     /// The connection is closed.
     Fatal,
 }
 
 impl Severity {
+    /// The severity as an error message has it.
     fn as_str(self) -> &'static str {
         match self {
             Severity::Error => "ERROR",
@@ -23,26 +24,28 @@
 }
 
 impl Outbox {
+    /// Appends a message: its tag, its length and the body.
     fn message(&mut self, tag: u8, body: impl FnOnce(&mut Vec<u8>)) {
         self.append(&[tag]);
         self.untagged(body);
     }
 
+    /// Appends a message without a tag: its length and the body.
     fn untagged(&mut self, body: impl FnOnce(&mut Vec<u8>)) {
-        let buf = self.buffer();
-        let start = buf.len();
-        buf.extend_from_slice(&[0; 4]);
-        body(buf);
-        let length = (buf.len() - start) as u32;
-        buf[start..start + 4].copy_from_slice(&length.to_be_bytes());
+        let buffer = self.buffer();
+        let start = buffer.len();
+        buffer.extend_from_slice(&[0; 4]);
+        body(buffer);
+        let length = (buffer.len() - start) as u32;
+        buffer[start..start + 4].copy_from_slice(&length.to_be_bytes());
     }
 
-    /// The client may go on without authentication.
+    /// The client needs no authentication.
     pub fn authentication_ok(&mut self) {
         self.message(b'R', |body| body.extend_from_slice(&[0; 4]));
     }
 
-    /// The newest minor version spoken, and the options that are not known.
+    /// The newest minor version that is supported, and the unknown options.
     pub fn negotiate_version(&mut self, unknown: &[String]) {
         self.message(b'v', |body| {
             body.extend_from_slice(&[0; 4]);
@@ -51,7 +54,7 @@
         });
     }
 
-    /// A setting that clients are told of.
+    /// A setting that is reported to clients.
     pub fn parameter_status(&mut self, name: &str, value: &str) {
         self.message(b'S', |body| {
             text(body, name);
@@ -59,7 +62,7 @@
         });
     }
 
-    /// The next query may come; no transaction is open.
+    /// The next query may be sent; no transaction is open.
     pub fn ready_for_query(&mut self) {
         self.message(b'Z', |body| body.push(b'I'));
     }
@@ -69,8 +72,9 @@
         self.message(b'I', |_| {});
     }
 
-    /// The description of one column, and the head of the one row, whose value follows.
+    /// The description of one column, and the header of the one row, whose value follows.
     pub fn row_header(&mut self, column: &str, binary: bool, value_length: usize) {
+        /// The object id of the type `bytea`.
         const BYTEA: u32 = 17;
         self.message(b'T', |body| {
             body.extend_from_slice(&1u16.to_be_bytes());
@@ -92,7 +96,7 @@
         self.message(b'C', |body| text(body, tag));
     }
 
-    /// An error, with a detail where there is one.
+    /// An error, with a detail if there is one.
     pub fn error(&mut self, severity: Severity, code: SqlState, message: &str, detail: Option<&str>) {
         let severity = severity.as_str().as_bytes();
         self.message(b'E', |body| {
@@ -128,18 +132,19 @@
     }
 }
 
-/// A field of an error: its tag and its text.
-fn field(buf: &mut Vec<u8>, tag: u8, value: &[u8]) {
-    buf.push(tag);
-    bytes_with_end(buf, value);
+/// Appends a field of an error: its tag and its text.
+fn field(buffer: &mut Vec<u8>, tag: u8, value: &[u8]) {
+    buffer.push(tag);
+    c_string(buffer, value);
 }
 
-fn text(buf: &mut Vec<u8>, text: &str) {
-    bytes_with_end(buf, text.as_bytes());
+/// Appends a text that is terminated by a zero byte.
+fn text(buffer: &mut Vec<u8>, text: &str) {
+    c_string(buffer, text.as_bytes());
 }
 
-/// The bytes and the zero that ends them; none of them may be one.
-fn bytes_with_end(buf: &mut Vec<u8>, bytes: &[u8]) {
-    buf.extend(bytes.iter().filter(|byte| **byte != 0));
-    buf.push(0);
+/// Appends bytes and the zero byte that terminates them. Zero bytes among them are omitted.
+fn c_string(buffer: &mut Vec<u8>, bytes: &[u8]) {
+    buffer.extend(bytes.iter().filter(|byte| **byte != 0));
+    buffer.push(0);
 }
--- a/proxy/src/pg/codec/error.rs
+++ b/proxy/src/pg/codec/error.rs
@@ -1,28 +1,28 @@
-//! Why bytes are no message.
+//! Why bytes are not a valid message.
 
 use std::error::Error;
 use std::fmt;
 
-/// What the protocol does not allow, or more than is accepted. Clients are told it in these words.
+/// A violation of the protocol, or of a limit. Clients receive its text as the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The message claims to be longer than any that is accepted.
+    /// The declared length is above the limit.
     TooLong,
-    /// The message claims to be shorter than its own head.
+    /// The declared length is shorter than the message's header.
     LengthTooSmall,
     /// No message of the protocol has this tag.
     UnknownMessage,
     /// A startup message's list of parameters does not end.
     UnterminatedStartup,
-    /// A startup message names a parameter and gives no value.
+    /// A startup message has a parameter without a value.
     StartupParameterWithoutValue,
     /// A query's text does not end with the message.
     UnterminatedQuery,
-    /// A message of a database has parts that do not fill it exactly.
+    /// The parts of a database's message do not add up to its length.
     InvalidContents,
-    /// A database sent a message that does not belong where it stands.
+    /// A database sent a message that is not allowed in the present state.
     OutOfPlace,
-    /// A database wants a password.
+    /// A database requests a password.
     PasswordRequested,
 }
 
--- a/proxy/src/pg/codec/inbox.rs
+++ b/proxy/src/pg/codec/inbox.rs
@@ -1,4 +1,4 @@
-//! The bytes that were received, taken out message by message.
+//! The buffer of received bytes, from which messages are decoded one at a time.
 
 use super::{
     ClientMessage, DecodeError, MAX_BUFFERED_VALUE_BYTES, MAX_QUERY_BYTES, MAX_SERVER_MESSAGE_BYTES,
@@ -7,15 +7,17 @@
 use crate::outbox::IDLE_BUFFER_BYTES;
 use std::ops::RangeInclusive;
 
-/// As PostgreSQL itself has it.
+/// The longest startup message; PostgreSQL has the same limit.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// The length and the version.
+/// The shortest startup message: the length and the version.
 const MIN_STARTUP_BYTES: usize = 8;
+/// The length field of a message, which counts itself.
 const LENGTH_BYTES: usize = 4;
 /// A message's tag and length.
 const MESSAGE_HEADER_BYTES: usize = 5;
-/// Tags of the messages that a client or a database may send.
+/// Tags of the messages that a client may send.
 const CLIENT_TAGS: &[u8] = b"QPBDECFSHdcfX";
+/// Tags of the messages that a database may send.
 const SERVER_TAGS: &[u8] = b"RSZTDCIENAKv";
 
 /// Whether a row too long to be buffered comes next.
@@ -28,7 +30,7 @@
     Present(usize),
 }
 
-/// A message of a database, and the bytes that it took.
+/// A message of a database, and its length.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ReceivedServerMessage {
     pub message: ServerMessage,
@@ -36,29 +38,30 @@
     pub bytes: usize,
 }
 
-/// The bytes that were received and not decoded.
+/// The bytes that were received and not yet decoded.
 #[derive(Default)]
 pub struct Inbox {
-    buf: Vec<u8>,
+    buffer: Vec<u8>,
+    /// The bytes before this index are decoded.
     start: usize,
 }
 
 impl Inbox {
     /// Takes bytes that were received.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.buf.drain(..self.start);
+        self.buffer.drain(..self.start);
         self.start = 0;
-        self.buf.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// The bytes that wait to be decoded.
     pub fn unread(&self) -> &[u8] {
-        &self.buf[self.start..]
+        &self.buffer[self.start..]
     }
 
     /// How many bytes wait to be decoded.
     pub fn len(&self) -> usize {
-        self.buf.len() - self.start
+        self.buffer.len() - self.start
     }
 
     /// The next message of a client after its first.
@@ -84,13 +87,13 @@
 
     /// What has arrived of the body of a message that has not arrived in full.
     pub fn incomplete_body(&self) -> Option<&[u8]> {
-        self.buf.get(self.start + MESSAGE_HEADER_BYTES..)
+        self.buffer.get(self.start + MESSAGE_HEADER_BYTES..)
     }
 
     /// Takes the header of a long row, if that comes next, with the length of its one value. The value's bytes follow, and
     /// `take_up_to` hands them out as they arrive.
     pub fn take_long_row_header(&mut self) -> LongRowHeader {
-        let [tag, header @ ..] = &self.buf[self.start..] else { return LongRowHeader::Absent };
+        let [tag, header @ ..] = &self.buffer[self.start..] else { return LongRowHeader::Absent };
         let around_value = ROW_HEADER_BYTES - 1;
         let Some(value) = read_length(header).and_then(|length| length.checked_sub(around_value)) else {
             return LongRowHeader::Absent;
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Takes what has arrived, so many bytes of it at most.
+    /// Takes what has arrived, up to this number of bytes.
     pub fn take_up_to(&mut self, max_bytes: usize) -> Vec<u8> {
         let taken: Vec<u8> = self.unread().iter().copied().take(max_bytes).collect();
         self.start += taken.len();
@@ -116,18 +119,18 @@
         taken
     }
 
-    /// Gives back a large buffer once it is empty.
+    /// Frees a large buffer once it is empty.
     pub fn release_empty_buffer(&mut self) {
-        if self.start == self.buf.len() {
+        if self.start == self.buffer.len() {
             self.start = 0;
-            self.buf.clear();
-            self.buf.shrink_to(IDLE_BUFFER_BYTES);
+            self.buffer.clear();
+            self.buffer.shrink_to(IDLE_BUFFER_BYTES);
         }
     }
 
     /// The next message: its tag and body. An unknown tag is an error at once, whatever follows it.
     fn message(&mut self, tags: &[u8], max_length: usize) -> Result<Option<(u8, &[u8])>, DecodeError> {
-        let Some(&tag) = self.buf.get(self.start) else { return Ok(None) };
+        let Some(&tag) = self.buffer.get(self.start) else { return Ok(None) };
         if !tags.contains(&tag) {
             return Err(DecodeError::UnknownMessage);
         }
@@ -136,13 +139,13 @@
         Ok(self.take(start + LENGTH_BYTES, start + length).map(|body| (tag, body)))
     }
 
-    /// The length that a message claims to have. It is checked before anything is kept for the message.
+    /// The declared length of a message. It is checked before anything is buffered for the message.
     fn declared_length(
         &self,
         position: usize,
         allowed: RangeInclusive<usize>,
     ) -> Result<Option<usize>, DecodeError> {
-        let Some(length) = self.buf.get(position..).and_then(read_length) else { return Ok(None) };
+        let Some(length) = self.buffer.get(position..).and_then(read_length) else { return Ok(None) };
         if length < *allowed.start() {
             return Err(DecodeError::LengthTooSmall);
         }
@@ -152,15 +155,17 @@
         Ok(Some(length))
     }
 
+    /// Takes the bytes up to `end`, and returns those from `from` on; none if they have not all arrived.
     fn take(&mut self, from: usize, end: usize) -> Option<&[u8]> {
-        if self.buf.len() < end {
+        if self.buffer.len() < end {
             return None;
         }
         self.start = end;
-        Some(&self.buf[from..end])
+        Some(&self.buffer[from..end])
     }
 }
 
+/// The length in the first bytes; none if they have not all arrived.
 fn read_length(bytes: &[u8]) -> Option<usize> {
     read_u32(bytes).and_then(|length| usize::try_from(length).ok())
 }
--- a/proxy/src/pg/codec/mod.rs
+++ b/proxy/src/pg/codec/mod.rs
@@ -1,4 +1,4 @@
-//! Messages: cut out of a stream of bytes, decoded into typed values once, encoded once.
+//! The messages of the protocol: split from a stream of bytes, decoded into typed values, and encoded.
 
 mod client;
 mod encode;
@@ -16,27 +16,27 @@
 pub const MAX_QUERY_BYTES: usize = (128 << 10) + 4096;
 /// The longest value that a client may write.
 pub const MAX_CLIENT_VALUE_BYTES: usize = 64 << 10;
-/// The longest value of a database that is checked as a whole before any of it is forwarded.
+/// The longest value of a database that is checked completely before any of it is forwarded.
 pub(super) const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
 /// The longest value of a database. One too long to be buffered is streamed.
 pub(super) const MAX_STREAMED_VALUE_BYTES: usize = 8 << 20;
-/// The longest message of a database that is buffered: a value and what stands around it.
+/// The longest message of a database that is buffered: a value and the bytes around it.
 pub const MAX_SERVER_MESSAGE_BYTES: usize = MAX_BUFFERED_VALUE_BYTES + 4096;
-/// What stands before the value of a row of one column: tag, length, number of columns, length of the value.
+/// The header of a row of one column: tag, length, number of columns, length of the value.
 pub(super) const ROW_HEADER_BYTES: usize = 11;
 
-/// Cuts a string off the front, up to its zero byte.
+/// Splits a string off the front, up to its zero byte. Returns the string and the rest.
 pub(super) fn split_c_string(body: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = body.iter().position(|byte| *byte == 0)?;
     Some((&body[..end], &body[end + 1..]))
 }
 
-/// The text, with a mark for each byte that is no UTF-8.
+/// The text, with a replacement character for invalid UTF-8.
 pub(super) fn to_string_lossy(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The number that the first four bytes are.
+/// The number in the first four bytes.
 pub(super) fn read_u32(bytes: &[u8]) -> Option<u32> {
     bytes.first_chunk::<4>().map(|first| u32::from_be_bytes(*first))
 }
--- a/proxy/src/pg/codec/server.rs
+++ b/proxy/src/pg/codec/server.rs
@@ -1,12 +1,12 @@
-//! What a database sends, as typed values.
+//! The messages of databases, as typed values.
 
 use super::{DecodeError, MAX_BUFFERED_VALUE_BYTES, read_u32, split_c_string, to_string_lossy};
 use crate::pg::sqlstate::SqlState;
 
-/// A database's message, as far as it matters here.
+/// A message of a database, as far as the proxy uses it.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ServerMessage {
-    /// What the database wants as authentication; 0 is nothing more.
+    /// The authentication that the database requests; 0 is none.
     Authentication(u32),
     ParameterStatus {
         name: String,
@@ -28,12 +28,13 @@
 }
 
 impl ServerMessage {
-    /// Each byte of a message that becomes part of an answer must be accounted for, so that nothing is forwarded in part.
+    /// Decodes the body of a message with this tag. A message that becomes part of an answer must have no unused bytes, so that no
+    /// incomplete value is forwarded.
     pub(super) fn decode(tag: u8, body: &[u8]) -> Result<ServerMessage, DecodeError> {
         let invalid = DecodeError::InvalidContents;
         Ok(match tag {
             b'R' => ServerMessage::Authentication(read_u32(body).ok_or(invalid)?),
-            // A status that cannot be read does not invalidate the answer that it stands beside.
+            // A status that cannot be read does not invalidate the answer that it belongs to.
             b'S' => parameter_status(body).unwrap_or(ServerMessage::Skipped),
             b'Z' => match body {
                 b"I" | b"T" | b"E" => ServerMessage::ReadyForQuery,
@@ -52,6 +53,7 @@
     }
 }
 
+/// The name and value of a parameter status.
 fn parameter_status(body: &[u8]) -> Option<ServerMessage> {
     let (name, rest) = split_c_string(body)?;
     let (value, _) = split_c_string(rest)?;
@@ -60,7 +62,7 @@
 
 /// Whether the one column that is described has values in binary form.
 fn column_is_binary(body: &[u8]) -> Option<bool> {
-    // Behind the name: table, column, type, length, modifier, and then the format.
+    // After the name: table, column, type, length, modifier, and then the format.
     let (_name, rest) = split_c_string(body.strip_prefix(&[0, 1])?)?;
     let fields = <[u8; 18]>::try_from(rest).ok()?;
     match fields[16..] {
--- a/proxy/src/pg/commit_time_query.rs
+++ b/proxy/src/pg/commit_time_query.rs
@@ -2,11 +2,10 @@
 //! (`track_commit_timestamp`).
 
 use crate::reply::Reply;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
 
-const MICROS_PER_MILLI: Micros = 1_000;
-
-/// A row, or that there is none, as it has been since a time.
+/// The state of a row since its last commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommittedRow<'a> {
     /// When it was last committed; 0 if there is no row.
@@ -15,7 +14,7 @@
     pub value: Option<&'a [u8]>,
 }
 
-/// The query for a row behind the time of its last commit, in milliseconds, rounded up.
+/// The query for the time of a row's last commit, in milliseconds and rounded up, followed by the row's value.
 pub fn read_row_with_commit_time(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
     let comment = format!("' /* id={id:016x},c=background,d={wait_ms},cluster={group} */");
     let select: &[u8] =
@@ -24,7 +23,7 @@
     [select, key, comment.as_bytes()].concat()
 }
 
-/// The reply to that query. `None`: it is no such reply.
+/// Parses the reply to that query. `None`: it is not such a reply.
 pub fn parse_row_with_commit_time(reply: &Reply) -> Option<CommittedRow<'_>> {
     let Some(value) = &reply.value else { return Some(CommittedRow { committed_at: 0, value: None }) };
     let (millis, blob) = value.bytes.split_first_chunk::<8>()?;
--- a/proxy/src/pg/copies.rs
+++ b/proxy/src/pg/copies.rs
@@ -1,18 +1,18 @@
-//! Copies of rows in a table of another group, in plain SQL. A copy is read only if it proves a position, and written so that a newer
-//! one stays. The crate `hot-keys` has both rules, and checks them on a model.
+//! The SQL for copies of rows in a table of another group. A copy is read only if it has reached a position, and written only if no
+//! newer one exists. The crate `hot-keys` has both rules, and checks them on a model.
 //!
 //!     CREATE TABLE copies (home int, handle text, at bigint NOT NULL, blob bytea NOT NULL, PRIMARY KEY (home, handle));
 
 use super::statement::Statement;
 use crate::reply::{Reply, Value};
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{AttemptOutcome, Micros};
 
-/// Longer rows are not copied.
+/// The longest value that is copied.
 pub const MAX_COPY_BYTES: usize = 16 << 10;
-const MICROS_PER_MILLI: Micros = 1_000;
 
-/// The query for the copy of what a statement reads: the position and the value in one column, or an empty one. The comment is
-/// forwarded as it arrived, except for the wait.
+/// The query for the copy of the row that a statement reads: the position and the value in one column, or an empty one. The comment
+/// is forwarded as it arrived, except for the wait.
 pub fn read_copy(statement: &Statement, left_ms: u64, required_position: Micros) -> Vec<u8> {
     let (comment_head, comment_tail) = statement.comment_around_deadline();
     let select = format!(
@@ -25,7 +25,7 @@
         .concat()
 }
 
-/// The reply to that query: a copy that proves the position, or else `miss`. No miss has run anything.
+/// Parses the reply to that query: a copy that has reached the position, or else `miss`.
 pub fn parse_copy(value: Option<Value>, required_position: Micros, miss: Reply) -> Reply {
     let Some(Value { bytes, binary }) = value else { return miss };
     let Some((millis, blob)) = bytes.split_first_chunk::<8>() else { return miss };
@@ -43,7 +43,7 @@
     [b"SELECT blob FROM rows WHERE handle = '", key, comment.as_bytes()].concat()
 }
 
-/// The statement that writes a copy, unless a newer one is there.
+/// The statement that writes a copy, unless a newer one exists.
 pub fn write_copy(home: u32, key: &[u8], position: Micros, blob: &[u8]) -> Vec<u8> {
     let insert = format!("INSERT INTO copies (home, handle, at, blob) VALUES ({home}, '");
     let values = format!("', {}, '\\x", position.div_euclid(MICROS_PER_MILLI));
@@ -53,6 +53,7 @@
     [insert.as_bytes(), key, values.as_bytes(), hex.as_bytes(), upsert.as_bytes()].concat()
 }
 
+/// The position in milliseconds, rounded up.
 fn to_millis_rounded_up(position: Micros) -> Micros {
     position.div_euclid(MICROS_PER_MILLI) + Micros::from(position.rem_euclid(MICROS_PER_MILLI) > 0)
 }
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -1,4 +1,4 @@
-//! What each message of a client means where it stands.
+//! The handling of each message of a client, depending on the state of the connection.
 
 use super::{ClientCommand, EndReason, Frontend, Phase, Progress};
 use crate::pg::codec::{ClientMessage, DecodeError, Severity, Startup};
@@ -6,7 +6,7 @@
 use crate::pg::statement::Statement;
 use birchreach::Micros;
 
-/// What clients are told of the server at their startup.
+/// The settings that are reported to clients at their startup.
 const PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -17,7 +17,7 @@
 ];
 
 impl Frontend {
-    /// Takes the first message, or one that asks for encryption before it.
+    /// Handles the startup message, or a request for encryption before it.
     pub(super) fn process_startup(&mut self, now: Micros) -> Result<Progress, DecodeError> {
         let bytes_before = self.inbox.len();
         let message = self.inbox.startup()?;
@@ -25,12 +25,12 @@
         Ok(match message {
             None => Progress::NeedsInput,
             Some(Startup::EncryptionRequest) => {
-                // None is offered.
+                // Encryption is not supported.
                 self.out.append(b"N");
                 Progress::Continue
             }
             Some(Startup::CancelRequest) => {
-                // No keys are given out: a client that gives a request up closes its connection.
+                // No cancellation keys are issued: a client cancels a request by closing its connection.
                 self.phase = Phase::Over;
                 Progress::Command(ClientCommand::Close(EndReason::CancelRequest))
             }
@@ -45,6 +45,7 @@
         })
     }
 
+    /// Answers the startup of a client that is accepted.
     fn accept_startup(&mut self, minor: u16, options: &[String]) {
         if minor > 0 || !options.is_empty() {
             self.out.negotiate_version(options);
@@ -57,7 +58,7 @@
         self.phase = Phase::Ready;
     }
 
-    /// Takes a message after the startup.
+    /// Handles a message after the startup.
     pub(super) fn process_message(&mut self, now: Micros) -> Result<Progress, DecodeError> {
         let bytes_before = self.inbox.len();
         let message = self.inbox.client_message()?;
@@ -96,6 +97,7 @@
         })
     }
 
+    /// Parses a query. A statement becomes a command; anything else is answered here.
     fn process_query(&mut self, text: Vec<u8>, arrived_at: Micros) -> Progress {
         if text.trim_ascii().is_empty() {
             self.out.empty_query_response();
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -1,5 +1,5 @@
-//! A client's connection: is fed what the client sends, hands out the client's commands one at a time, and holds what is to be
-//! written.
+//! The protocol on a client's connection. It is fed the bytes that the client sends, returns the client's commands one at a time,
+//! and holds the output.
 
 mod messages;
 mod replies;
@@ -11,38 +11,41 @@
 use crate::outbox::Outbox;
 use birchreach::Micros;
 
-/// Undecoded input and unwritten output at most, beyond one message. A client that sends or reads too slowly waits.
+/// The limit on undecoded input and on unwritten output, beyond one message. Above it no more of the client's input is processed.
 const MAX_BUFFERED_BYTES: usize = 16 << 10;
-/// Commands of one turn, so that a client that sends hundreds at once takes turns with the others.
+/// The most commands in one turn, so that a client that sends hundreds at once does not starve the others.
 const MAX_COMMANDS_PER_TURN: u32 = 32;
 /// The message that ends a connection.
 const TERMINATE_MESSAGE: &[u8] = b"X\0\0\0\x04";
 
+/// What the connection waits for.
 #[derive(Debug, PartialEq, Eq)]
 enum Phase {
     Startup,
+    /// The next command.
     Ready,
-    /// A statement was handed out, and its answer is owed.
+    /// The answer to a statement that was returned as a command.
     AnswerPending {
         is_write: bool,
     },
-    /// After an error in the extended protocol, all is skipped until the next Sync.
+    /// The next Sync, after an error in the extended protocol: messages before it are skipped.
     SkippingUntilSync,
+    /// Nothing: the connection is to be closed.
     Over,
 }
 
 /// Why the protocol ends a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// The client said that it ends.
+    /// The client sent Terminate.
     Terminate,
     /// The connection was opened for a cancel request.
     CancelRequest,
-    /// The client wants another version of the protocol.
+    /// The client requests another version of the protocol.
     UnsupportedVersion,
     /// A message is too long.
     MessageTooLong,
-    /// The client sent what the protocol does not allow.
+    /// The client violated the protocol.
     Malformed,
 }
 
@@ -59,7 +62,7 @@
     }
 }
 
-/// What the client wants of the program.
+/// A command of a client.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClientCommand {
     /// Run a statement, whose last byte arrived at this time.
@@ -70,10 +73,13 @@
     CloseWithError(EndReason),
 }
 
-/// How decoding goes on after a message.
+/// How decoding continues after a message.
 enum Progress {
+    /// With the next message.
     Continue,
+    /// Once more input has arrived.
     NeedsInput,
+    /// After this command has been carried out.
     Command(ClientCommand),
 }
 
@@ -82,15 +88,15 @@
     phase: Phase,
     inbox: Inbox,
     arrivals: ArrivalTimes,
-    /// No more input is read: what has been read is answered, and nothing after it.
+    /// No more input is read: only what has been read is answered.
     reading_stopped: bool,
-    /// What waits to be written.
+    /// Output that waits to be written.
     pub out: Outbox,
-    /// Commands that this turn may still take.
+    /// How many more commands this turn may process.
     commands_left_in_turn: u32,
-    /// Messages after the startup, since the beginning.
+    /// How many messages have arrived after the startup.
     commands_received: u64,
-    /// The next message has not arrived in full.
+    /// The next message has not arrived completely.
     awaiting_rest_of_message: bool,
 }
 
@@ -116,7 +122,7 @@
         self.inbox.feed(bytes);
     }
 
-    /// More input is of use now. Little is read ahead of what is being answered.
+    /// Whether input should be read now. Only a little is read ahead of the command that is being answered.
     pub fn wants_input(&self) -> bool {
         let completes_message =
             self.accepts_messages() && self.awaiting_rest_of_message && !self.output_is_full();
@@ -130,7 +136,7 @@
         self.reading_stopped = true;
     }
 
-    /// Reading has stopped, and all that was read is answered, except for a message that did not arrive in full.
+    /// Reading has stopped, and all that was read is answered, except for an incomplete message.
     pub fn all_input_answered(&self) -> bool {
         self.reading_stopped
             && self.accepts_messages()
@@ -150,7 +156,7 @@
             && self.inbox.len() > 0
     }
 
-    /// All that is left of the input is the message that ends the connection.
+    /// The only input that is left is the message that ends the connection.
     pub fn only_terminate_left(&self) -> bool {
         self.inbox.unread() == TERMINATE_MESSAGE
     }
@@ -160,30 +166,30 @@
         self.commands_received > 0
     }
 
-    /// No message after the startup has arrived yet, or one has arrived in part.
+    /// No message after the startup has arrived yet, or one is incomplete.
     pub fn has_incomplete_message(&self) -> bool {
         let message_begun = self.inbox.len() > 0 && self.awaiting_rest_of_message;
         self.commands_received == 0 || (message_begun && !matches!(self.phase, Phase::AnswerPending { .. }))
     }
 
-    /// The rest of a message took too long to arrive: the client is told so.
+    /// The rest of a message did not arrive in time: sends the error.
     pub fn fail_incomplete_message(&mut self) {
         self.fail(SqlState::PROTOCOL_VIOLATION, "no whole message in time");
     }
 
-    /// Nothing was asked that is not answered in full.
+    /// Every command is answered completely.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Ready | Phase::SkippingUntilSync)
             && self.inbox.len() == 0
             && self.out.pending().is_empty()
     }
 
-    /// The startup message has not arrived in full.
+    /// The startup is not complete.
     pub fn is_in_startup(&self) -> bool {
         self.phase == Phase::Startup
     }
 
-    /// The next command in the input. None while an answer is owed.
+    /// The next command in the input. None while an answer is pending.
     pub fn next_command(&mut self, now: Micros) -> Option<ClientCommand> {
         while !self.output_is_full() && self.commands_left_in_turn > 0 {
             let progress = match self.phase {
@@ -205,6 +211,7 @@
         None
     }
 
+    /// Ends the connection after input that cannot be decoded.
     fn fail_decoding(&mut self, error: DecodeError) -> ClientCommand {
         let (code, reason) = match error {
             DecodeError::TooLong => (SqlState::LIMIT_EXCEEDED, EndReason::MessageTooLong),
@@ -214,21 +221,23 @@
         ClientCommand::CloseWithError(reason)
     }
 
+    /// Sends an error that ends the connection.
     fn fail(&mut self, code: SqlState, message: &str) {
         self.out.error(Severity::Fatal, code, message, None);
         self.phase = Phase::Over;
     }
 
-    /// No answer is owed: messages are taken as they come.
+    /// Whether messages are processed: no answer is pending.
     fn accepts_messages(&self) -> bool {
         matches!(self.phase, Phase::Startup | Phase::Ready | Phase::SkippingUntilSync)
     }
 
+    /// Whether the client must read output before more commands are processed.
     fn output_is_full(&self) -> bool {
         self.out.pending().len() > MAX_BUFFERED_BYTES
     }
 
-    /// When the last byte arrived that was taken of the input since so many bytes waited.
+    /// When the last of the bytes arrived that were decoded since `bytes_before` were waiting.
     fn take_arrival_time(&mut self, bytes_before: usize, now: Micros) -> Micros {
         let taken = bytes_before.saturating_sub(self.inbox.len());
         self.arrivals.consume(taken).unwrap_or(now)
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -1,4 +1,4 @@
-//! What a client is sent: values as they came, and errors.
+//! The answers to a client: values as the databases sent them, and errors.
 
 use super::{Frontend, Phase};
 use crate::core::Answer;
@@ -21,7 +21,7 @@
         self.out.row_header(COLUMN, binary, length);
     }
 
-    /// Sends the final answer to the statement that was handed out.
+    /// Sends the final answer to the statement that was returned as a command.
     pub fn answer(&mut self, answer: &Answer) {
         let Phase::AnswerPending { is_write } = self.phase else { return };
         let tag = if is_write { "INSERT 0 1" } else { "SELECT 1" };
--- a/proxy/src/pg/load_report.rs
+++ b/proxy/src/pg/load_report.rs
@@ -1,24 +1,23 @@
-//! What databases say of themselves: load reports, and the role and position that stand beside a reply.
+//! The status of databases: load reports, and the role and position that accompany a reply.
 
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{LoadReport, Micros, Role};
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
-const MICROS_PER_MILLI: Micros = 1_000;
 
-/// How databases write their load reports, by the settings.
+/// The format of the databases' load reports, from the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFormat {
-    /// The name of the field with the log position, where reports have one.
+    /// The name of the field with the log position, if reports have one.
     pub position_field: Option<String>,
-    /// The name of the field with the role, where reports have one.
+    /// The name of the field with the role, if reports have one.
     pub role_field: Option<String>,
-    /// Each reply carries a report, not those to health checks alone.
+    /// Every reply has a report, not only those to health checks.
     pub in_responses: bool,
 }
 
 impl LoadReportFormat {
-    /// Reads a report such as `x0=1767225600.123,x1=1`: the position in seconds, where replies state it in milliseconds. `None`:
-    /// some part of it cannot be read.
+    /// Parses a report such as `x0=1767225600.123,x1=1`, which has the position in seconds. `None`: a part of it is invalid.
     pub fn parse(&self, text: &[u8]) -> Option<LoadReport> {
         let text = std::str::from_utf8(text).ok()?;
         let role = match &self.role_field {
@@ -44,21 +43,21 @@
     value.trim().parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0)
 }
 
-/// Rounded down by as much as its last digit may have been rounded up, so that it is never later than the true position.
+/// Rounded down by half a millisecond, as its last digit may have been rounded up: it is never later than the true position.
 fn position_rounded_down(seconds: f64) -> Micros {
     (seconds * MILLIS_PER_SECOND - 0.5).floor() as Micros * MICROS_PER_MILLI
 }
 
-/// Reads the role as `server_role` states it.
-pub fn parse_role(word: &str) -> Option<Role> {
-    match word {
+/// Parses the role in the parameter `server_role`.
+pub fn parse_role(text: &str) -> Option<Role> {
+    match text {
         "writer" => Some(Role::Primary),
         "reader" => Some(Role::Replica),
         _ => None,
     }
 }
 
-/// Reads a position in milliseconds of Unix time.
-pub fn parse_position_millis(word: &str) -> Option<Micros> {
-    word.parse::<Micros>().ok().filter(|millis| *millis >= 0)?.checked_mul(MICROS_PER_MILLI)
+/// Parses a position in milliseconds of Unix time.
+pub fn parse_position_millis(text: &str) -> Option<Micros> {
+    text.parse::<Micros>().ok().filter(|millis| *millis >= 0)?.checked_mul(MICROS_PER_MILLI)
 }
--- a/proxy/src/pg/mod.rs
+++ b/proxy/src/pg/mod.rs
@@ -1,5 +1,5 @@
-//! PostgreSQL's protocol, version 3: the codec, the forms of statement, and the state machines of a client's connection (`frontend`)
-//! and of a connection to a database (`backend`). They are fed bytes and know no socket.
+//! PostgreSQL's protocol, version 3: the codec, the forms of statement, and the state machines of a client's connection
+//! (`frontend`) and of a connection to a database (`backend`). They are fed bytes and use no socket.
 
 pub mod arrival_times;
 pub mod backend;
--- a/proxy/src/pg/partial_reply.rs
+++ b/proxy/src/pg/partial_reply.rs
@@ -1,4 +1,4 @@
-//! A database's reply, as far as it has arrived, and what it amounts to.
+//! A database's reply while it arrives, and the result of a complete one.
 
 use super::copies;
 use super::load_report::LoadReportFormat;
@@ -6,18 +6,18 @@
 use crate::reply::{Reply, Value};
 use birchreach::{AttemptOutcome, LoadReport, Micros, Role, ServerStatus};
 
-/// A reply goes through these in order, or comes to an error at any point before its end.
+/// The last part of a reply that has arrived. They arrive in this order; an error may replace any of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ReplyStage {
     #[default]
     Nothing,
     Description,
     Row,
-    /// All of the reply, or an error: only ReadyForQuery is missing.
+    /// The complete reply, or an error: only ReadyForQuery is missing.
     Complete,
 }
 
-/// What a query asked for.
+/// The kind of reply to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExpectedReply {
     /// A value, or an error.
@@ -28,7 +28,7 @@
     LoadReport,
 }
 
-/// A reply, as far as it has arrived.
+/// The parts of a reply that have arrived.
 #[derive(Default)]
 pub(super) struct PartialReply {
     pub stage: ReplyStage,
@@ -39,15 +39,16 @@
     /// The value of the one row, unless it is streamed.
     pub value: Option<Value>,
     pub error: Option<SqlState>,
-    /// The server's role and position, as it stated them beside the reply.
+    /// The server's role, as it stated it with the reply.
     pub role: Option<Role>,
+    /// The server's position, as it stated it with the reply.
     pub position: Option<Micros>,
-    /// The load report that came beside the reply.
+    /// The load report that came with the reply.
     pub load_report: Option<LoadReport>,
 }
 
 impl PartialReply {
-    /// Puts together what has arrived. Errors too have the server's status, if it was sent.
+    /// The reply from these parts. Errors too have the server's status, if it was sent.
     pub fn into_reply(self, expected: ExpectedReply, format: &LoadReportFormat) -> Reply {
         let outcome = self.outcome();
         let succeeded = outcome == AttemptOutcome::Ok;
@@ -73,6 +74,7 @@
         Reply { value, status, load_report, ..Reply::with_outcome(outcome) }
     }
 
+    /// The outcome that the error stands for, if there is one.
     fn outcome(&self) -> AttemptOutcome {
         match self.error {
             Some(SqlState::READ_ONLY | SqlState::SNAPSHOT_TOO_OLD) => AttemptOutcome::Ineligible,
--- a/proxy/src/pg/statement/error.rs
+++ b/proxy/src/pg/statement/error.rs
@@ -4,7 +4,7 @@
 use std::error::Error;
 use std::fmt;
 
-/// Why a statement is answered with an error and does not become a request. Clients are told it in these words.
+/// Why a statement is answered with an error and does not become a request. Clients receive its text as the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementError {
     /// The settings have no class of its name.
@@ -18,7 +18,7 @@
 }
 
 impl StatementError {
-    /// The code that the client gets.
+    /// The code of the error message.
     pub fn sqlstate(self) -> SqlState {
         match self {
             StatementError::UnknownClass
--- a/proxy/src/pg/statement/mod.rs
+++ b/proxy/src/pg/statement/mod.rs
@@ -1,10 +1,10 @@
-//! The two forms of statement that clients send. They are read strictly: a database would reject anything else as a breach of the
-//! protocol.
+//! The two forms of statement that clients send. They are parsed strictly, as databases reject anything else.
 
 mod error;
 mod parser;
 
 use crate::core::{RoutingRequest, session_id};
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{ClassId, Consistency, GroupId, Micros, RequestClass, SessionPositionSource};
 pub use error::StatementError;
 use std::ops::Range;
@@ -13,10 +13,11 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Statement {
     text: Vec<u8>,
-    /// Where the digits of the wait (`d`) stand.
+    /// The digits of the wait (`d`) in the text.
     deadline_range: Range<usize>,
+    /// The id (`id`) in the text.
     id_range: Range<usize>,
-    /// Where the key between the quotes stands.
+    /// The key between the quotes in the text.
     key_range: Range<usize>,
     /// It is an insert, not a select.
     pub is_write: bool,
@@ -30,15 +31,15 @@
     pub read_after_ms: Option<i64>,
 }
 
+/// The beginning of an insert, up to the key.
 const WRITE_PREFIX: &[u8] = b"INSERT INTO rows (handle, blob) VALUES ('";
-/// The longest statement that holds no value.
+/// The longest statement without a value.
 const MAX_VALUELESS_STATEMENT_BYTES: usize = 4096;
-/// Answers are due so long before the wait ends by the proxy's clock: the client's own clock started earlier.
+/// Answers are due this time before the wait ends by the proxy's clock, as the client's clock started earlier.
 const CLIENT_CLOCK_MARGIN_MICROS: Micros = 10_000;
-const MICROS_PER_MILLI: Micros = 1_000;
 
 impl Statement {
-    /// Whether a statement that begins so may become a valid one. What will be rejected is not waited for.
+    /// Whether a statement with this beginning can be valid. If not, it is rejected before the rest arrives.
     pub fn may_become_valid(beginning: &[u8]) -> bool {
         beginning.len() <= MAX_VALUELESS_STATEMENT_BYTES || beginning.starts_with(WRITE_PREFIX)
     }
@@ -53,19 +54,19 @@
         &self.text[self.key_range.clone()]
     }
 
-    /// The comment before and behind the digits of the wait, with the blank before it.
+    /// The comment before and after the digits of the wait, with the space before the comment.
     pub fn comment_around_deadline(&self) -> (&[u8], &[u8]) {
         let comment_start = self.key_range.end + 1;
         (&self.text[comment_start..self.deadline_range.start], &self.text[self.deadline_range.end..])
     }
 
-    /// The text before and behind the digits of the wait.
+    /// The text before and after the digits of the wait.
     pub fn text_around_deadline(&self) -> (&[u8], &[u8]) {
         (&self.text[..self.deadline_range.start], &self.text[self.deadline_range.end..])
     }
 
-    /// The request that it makes, by the rules of its class. `waited` is the time since it arrived, which is part of the client's
-    /// wait.
+    /// The request for the router, by the rules of its class. `waited` is the time since the statement arrived, which is part of
+    /// the client's wait.
     pub fn routing_request(
         &self,
         class_id: ClassId,
@@ -79,7 +80,7 @@
         let has_session = matches!(class.consistency, Consistency::Write | Consistency::Session);
         let carries_position = class.consistency == Consistency::Session
             && position_source == SessionPositionSource::FromRequest;
-        // The class bounds the wait, whatever the statement claims.
+        // The wait in the statement is limited by that of the class.
         let wait = (Micros::from(self.wait_ms) * MICROS_PER_MILLI).min(class.client_timeout);
         let margin = CLIENT_CLOCK_MARGIN_MICROS.min(wait / 10);
         Ok(RoutingRequest {
--- a/proxy/src/pg/statement/parser.rs
+++ b/proxy/src/pg/statement/parser.rs
@@ -1,17 +1,20 @@
-//! Takes the text of a statement apart.
+//! Parses the text of a statement.
 
 use super::{Statement, WRITE_PREFIX};
 use crate::pg::codec::MAX_CLIENT_VALUE_BYTES;
 use std::ops::Range;
 
+/// The beginning of a select, up to the key.
 const READ_PREFIX: &[u8] = b"SELECT blob FROM rows WHERE handle = '";
+/// The longest key.
 const MAX_KEY_BYTES: usize = 1024;
+/// The longest name or value of a field in the comment.
 const MAX_FIELD_BYTES: usize = 128;
-/// Numbers of so many digits fit every type that they are read into, and into a float without loss.
+/// The most digits of a number. Such a number fits every type that it is parsed into, and a float without loss.
 const MAX_DIGITS: usize = 15;
 
 impl Statement {
-    /// Reads a statement. `None`: the text has neither of the two forms.
+    /// Parses a statement. `None`: the text has neither of the two forms.
     pub fn parse(text: Vec<u8>) -> Option<Statement> {
         let mut parser = Parser { text: &text, position: 0 };
         let is_write = if parser.accept(READ_PREFIX) {
@@ -55,7 +58,7 @@
     }
 }
 
-/// Where the values of a comment's fields stand, in the field's terms. The idempotency key is forwarded unread.
+/// The values of a comment's fields in the text. The idempotency key is forwarded without being parsed.
 #[derive(Default)]
 struct CommentFields {
     id: Option<Range<usize>>,
@@ -83,17 +86,19 @@
     }
 }
 
+/// The text of a statement, and how far it is parsed.
 struct Parser<'a> {
     text: &'a [u8],
     position: usize,
 }
 
 impl Parser<'_> {
+    /// The key of the row.
     fn key(&mut self) -> Option<Range<usize>> {
         self.take_run(|byte| byte.is_ascii_graphic() && byte != b'\'' && byte != b'\\', MAX_KEY_BYTES)
     }
 
-    /// What stands behind the key of a write, to the comment.
+    /// The value of a write, from the end of the key to the comment.
     fn hex_value(&mut self) -> Option<()> {
         self.expect(b"', '\\x")?;
         let empty = self.position..self.position;
@@ -104,6 +109,7 @@
         self.expect(b"') RETURNING blob")
     }
 
+    /// The fields of the comment.
     fn comment(&mut self) -> Option<CommentFields> {
         self.expect(b" /* ")?;
         let mut fields = CommentFields::default();
@@ -124,28 +130,31 @@
         Some(fields)
     }
 
+    /// The end of the text.
     fn end(&self) -> Option<()> {
         (self.position == self.text.len()).then_some(())
     }
 
+    /// The number in this range of the text.
     fn number(&self, range: &Range<usize>) -> Option<u64> {
         let digits = &self.text[range.clone()];
         let is_number = digits.len() <= MAX_DIGITS && digits.iter().all(u8::is_ascii_digit);
         is_number.then(|| digits.iter().fold(0, |number, digit| number * 10 + u64::from(digit - b'0')))
     }
 
-    /// Passes over these bytes if they come next.
+    /// Skips these bytes if they come next. Returns whether they did.
     fn accept(&mut self, bytes: &[u8]) -> bool {
         let found = self.text[self.position..].starts_with(bytes);
         self.position += if found { bytes.len() } else { 0 };
         found
     }
 
+    /// Skips these bytes, which must come next.
     fn expect(&mut self, bytes: &[u8]) -> Option<()> {
         self.accept(bytes).then_some(())
     }
 
-    /// One byte or more of a kind, so many at most.
+    /// One byte or more of a kind, up to this number.
     fn take_run(&mut self, is_of_kind: impl Fn(u8) -> bool, max_bytes: usize) -> Option<Range<usize>> {
         let length = self.text[self.position..].iter().take_while(|byte| is_of_kind(**byte)).count();
         let run = self.position..self.position + length;
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -1,10 +1,11 @@
-//! The comparison of a split in the proxy: translates the core's events, answers of databases and the options into the values of crate
-//! `shard-split`, and its state into the lines of the admin call `split`. What is compared, and what a difference means, is decided in the
-//! crate.
+//! The comparison of a split in the proxy: translates the core's events, answers of databases and the options into the values of
+//! crate `shard-split`, and its state into the lines of the admin call `split`. What is compared, and what a difference means, is
+//! decided in the crate.
 
 use crate::background_query::BackgroundQueryResult;
 use crate::observe::{CoreEvent, Observer};
 use crate::pg::commit_time_query;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{Micros, Role, ServerId};
 use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::{
@@ -14,8 +15,6 @@
 use std::collections::HashMap;
 use std::fmt::Write;
 
-const MICROS_PER_MILLI: Micros = 1_000;
-
 /// The verifier of a split as an observer of the core.
 pub struct SplitObserver {
     /// The decisions.
@@ -119,8 +118,8 @@
         (logged != Some(verdict.as_str())).then_some(verdict)
     }
 
-    /// The answer to the admin call `split`: a line for the whole, one for each range that is not covered, and one for each difference
-    /// that this process confirmed.
+    /// The answer to the admin call `split`: a line for the whole, one for each range that is not covered, and one for each
+    /// difference that this process confirmed.
     pub fn status_lines(&self, heard_members: usize) -> String {
         let settings = self.verifier.settings();
         let mut lines = self.summary_line(heard_members);
@@ -188,8 +187,8 @@
     }
 }
 
-/// The position in the nth reply, if the reply is a replica's. A primary may have been deposed without knowing it: it would state the
-/// present and answer from the past, while a replica's position is that of the log that it has applied.
+/// The position in the nth reply, if the reply is a replica's. A primary may have been deposed without knowing it: it would state
+/// the present and answer from the past, while a replica's position is that of the log that it has applied.
 fn replica_position(completed: &BackgroundQueryResult, n: usize) -> Option<Option<Micros>> {
     let status = completed.replies.get(n)?.status?;
     (status.role == Role::Replica).then_some(status.position)
--- /dev/null
+++ b/proxy/src/units.rs
@@ -0,0 +1,6 @@
+//! Units of time.
+
+use birchreach::Micros;
+
+/// Microseconds in a millisecond.
+pub const MICROS_PER_MILLI: Micros = 1_000;
