--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -1,20 +1,22 @@
-//! The router's actions as commands for the event loop.
+//! Translates the router's actions into commands for the event loop.
 
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload, RoutingTimerId};
 use crate::observe::CoreEvent;
 use crate::units::MICROS_PER_MILLI;
 use birchreach::{Action, AttemptNo, Micros, RequestId, ServerId};
 
-/// A timer never expires at once: an action of the router on its expiry could otherwise set it again without end.
+/// The shortest delay of a timer, so that a timer which the router sets again on its expiry cannot loop endlessly.
 const MIN_TIMER_DELAY_MICROS: Micros = 1;
 
 impl<P: RequestPayload> Core<P> {
+    /// Carries out the actions that the router has returned.
     pub(super) fn carry_out_actions(&mut self, now: Micros) {
         for action in std::mem::take(&mut self.actions) {
             self.carry_out(now, action);
         }
     }
 
+    /// Translates one action.
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.start_attempt(now, request, server, timeout),
@@ -35,10 +37,13 @@
             }
             // The event loop watches the endpoint list at all times.
             Action::WatchEndpoints => {}
-            Action::Log(note) => self.commands.push_back(Command::Log(LogRecord::RoutingNote(note))),
+            Action::Log(message) => {
+                self.commands.push_back(Command::Log(LogRecord::RouterMessage(message)));
+            }
         }
     }
 
+    /// Records an attempt, and commands the event loop to send it.
     fn start_attempt(&mut self, now: Micros, request: RequestId, server: ServerId, timeout: Micros) {
         let Some(pending) = self.requests.get_mut(&request) else { return };
         let attempt = AttemptId { request, number: AttemptNo(pending.attempts_started) };
--- a/proxy/src/core/attempts.rs
+++ b/proxy/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from their start to their one result, which the router and the observers learn.
+//! Attempts from their start to their result, which is reported to the router and to the observers.
 
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, MAX_CLOCK_SKEW_MICROS, RequestPayload};
 use crate::observe::CoreEvent;
@@ -8,17 +8,17 @@
 };
 
 impl<P: RequestPayload> Core<P> {
-    /// Attempts whose result the router waits for.
+    /// How many attempts have no result yet.
     pub fn attempts_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Whether an attempt may still be written. Opening its connection took time, and the endpoint list may have changed.
+    /// Whether an attempt may still be sent: while its connection was opened, the endpoint list may have changed.
     pub fn may_still_send(&self, now: Micros, attempt: AttemptId) -> bool {
         self.router.may_still_send(now, attempt.request, attempt.number)
     }
 
-    /// A long response begins to arrive. Returns false if the request has its answer already.
+    /// A long response begins to arrive. Returns false if another response already answers the request.
     pub fn response_started(&mut self, now: Micros, attempt: AttemptId, length: usize) -> bool {
         let AttemptId { request, number } = attempt;
         let pending = self.requests.get_mut(&request);
@@ -35,7 +35,7 @@
         true
     }
 
-    /// The next bytes of a long response, forwarded as they are.
+    /// The next bytes of a long response, which are forwarded unchanged.
     pub fn response_chunk(&mut self, attempt: AttemptId, bytes: Vec<u8>) {
         let request = attempt.request;
         let pending = self.requests.get(&request);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The one result of an attempt.
+    /// Handles the result of an attempt. Each attempt has exactly one.
     pub fn attempt_completed(&mut self, now: Micros, attempt: AttemptId, reply: Reply) {
         let Some(in_flight) = self.in_flight.remove(&attempt) else { return };
         let (request, server) = (attempt.request, in_flight.server);
@@ -68,6 +68,7 @@
         self.handle(now, Event::AttemptCompleted(result));
     }
 
+    /// The request has one attempt less in flight.
     fn release_attempt(&mut self, now: Micros, request: RequestId) {
         let Some(pending) = self.requests.get_mut(&request) else { return };
         pending.attempts_in_flight = pending.attempts_in_flight.saturating_sub(1);
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Answers the request if the attempt served it, or broke off while its response was being streamed. A streamed response cannot be
-    /// taken back, so its request is not retried.
+    /// Answers the request if the attempt served it, or failed while its response was being streamed. A request whose response was
+    /// streamed in part is not retried.
     fn answer_from_reply(&mut self, now: Micros, attempt: AttemptId, reply: Reply) {
         let request = attempt.request;
         let Some(pending) = self.requests.get(&request) else { return };
@@ -94,12 +95,13 @@
         }
     }
 
+    /// Notifies observers of the result of an attempt or a health check.
     pub(super) fn notify_attempt_ended(&self, now: Micros, server: ServerId, write: bool, reply: &Reply) {
         let uid = self.servers.name(server);
         self.observers.notify(now, CoreEvent::AttemptEnded { server, uid, write, reply });
     }
 
-    /// Tells observers which value a read returned, from a member of its group or from a copy.
+    /// Notifies observers of the value that a read returned, from a member of its group or from a copy.
     fn notify_read_served(&self, now: Micros, request: RequestId, attempt: &InFlightAttempt, reply: &Reply) {
         let Some(pending) = self.requests.get(&request) else { return };
         let (group, class, key) = (pending.group, pending.class, pending.payload.key());
@@ -115,13 +117,13 @@
     }
 }
 
-/// Without a position that lies in the future.
+/// The status without a position in the future, which would be wrong.
 fn credible_status(status: ServerStatus, now: Micros) -> ServerStatus {
     let position = status.position.filter(|position| *position <= now + MAX_CLOCK_SKEW_MICROS);
     ServerStatus { position, ..status }
 }
 
-/// A report with a position in the future is corrupt and not used at all.
+/// The report, unless its position is in the future: such a report is corrupt and not used at all.
 pub(super) fn credible_report(report: Option<LoadReport>, now: Micros) -> Option<LoadReport> {
     report.filter(|report| report.position.is_none_or(|position| position <= now + MAX_CLOCK_SKEW_MICROS))
 }
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -1,7 +1,7 @@
 //! Request classes by number, across changes of the settings.
 //!
-//! A number stands for one class and its rules for as long as a request of it may be open: a class that is dropped or gets other rules
-//! keeps its old number for a while, and the new one gets a number that is free.
+//! A number identifies one class with its rules for as long as one of its requests may be open: a class that is dropped or gets
+//! other rules keeps its old number for a while, and the new one gets a free number.
 
 use super::{Core, RequestPayload};
 use crate::stats::{RequestResult, Stats};
@@ -9,7 +9,7 @@
 use birchreach_settings::DeploymentSettings;
 use std::collections::HashSet;
 
-/// A class that was dropped still accepts requests for this time: its last ones are on their way.
+/// A class that was dropped still accepts requests for this time, as clients may not know yet that it was.
 const DROPPED_CLASS_GRACE_MICROS: Micros = 2_000_000;
 
 /// A class and its number's history.
@@ -24,10 +24,12 @@
 }
 
 impl NumberedClass {
+    /// Whether the settings in force have this class.
     fn is_current(&self) -> bool {
         self.accepted_until.is_none()
     }
 
+    /// Whether requests of this class are accepted.
     fn accepts_requests(&self, now: Micros) -> bool {
         self.accepted_until.is_none_or(|until| now < until)
     }
@@ -44,6 +46,7 @@
 }
 
 impl ClassTable {
+    /// The classes of these settings.
     pub fn new(settings: &DeploymentSettings, stats: &mut Stats) -> ClassTable {
         let named = settings.class_names.iter().zip(&settings.routing.classes);
         let numbered = named.map(|(name, rules)| NumberedClass {
@@ -55,17 +58,19 @@
         ClassTable { classes: numbered.collect(), routing: settings.routing.clone(), process_count: 1 }
     }
 
+    /// The class with this number.
     fn get(&self, class: ClassId) -> Option<&NumberedClass> {
         self.classes.get(usize::from(class.0))
     }
 
-    /// A request of this class got its final answer.
+    /// Counts a request of this class that got its final answer.
     pub fn count_result(&self, stats: &mut Stats, class: ClassId, result: RequestResult) {
         if let Some(class) = self.get(class) {
             stats.count_result(class.stats_row, result);
         }
     }
 
+    /// Whether requests of this class write.
     pub fn is_write(&self, class: ClassId) -> bool {
         self.get(class).is_some_and(|class| class.rules.consistency == Consistency::Write)
     }
@@ -75,10 +80,12 @@
         self.get(class).map_or(Consistency::Write, |class| class.rules.consistency)
     }
 
+    /// Consistency of each class, by the number of the class.
     pub fn consistencies(&self) -> Vec<Consistency> {
         self.classes.iter().map(|class| class.rules.consistency).collect()
     }
 
+    /// Whether the settings allow health checks.
     pub fn health_checks_allowed(&self) -> bool {
         self.routing.health_checks_allowed
     }
@@ -100,7 +107,7 @@
         self.routing = settings.routing.clone();
     }
 
-    /// Classes that the settings do not have, or have with other rules, end soon.
+    /// Drops the classes that the settings do not have, or have with other rules.
     fn drop_missing(&mut self, now: Micros, settings: &DeploymentSettings) {
         for class in &mut self.classes {
             let mut named = settings.class_names.iter().zip(&settings.routing.classes);
@@ -134,15 +141,14 @@
         }
     }
 
-    /// The settings for the router: each process of this proxy is a proxy of its own.
+    /// The settings for the router, for which each process of this proxy counts as a proxy.
     fn router_settings(&self) -> Settings {
         let classes = self.classes.iter().map(|class| class.rules.clone()).collect();
         let proxy_count = self.routing.proxy_count.saturating_mul(self.process_count);
         Settings { classes, proxy_count, ..self.routing.clone() }
     }
 
-    /// The number and rules of a class that accepts requests. Of two of that name the current one, for which requests are meant, is
-    /// found first.
+    /// The number and rules of a class that accepts requests. Of two with this name the current one is found.
     fn find(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
         let classes = self.classes.iter().enumerate();
         let accepting = classes.filter(|(_, class)| class.name == name && class.accepts_requests(now));
@@ -153,7 +159,7 @@
 
 impl<P: RequestPayload> Core<P> {
     /// Applies new settings.
-    pub fn settings(&mut self, now: Micros, settings: &DeploymentSettings) {
+    pub fn apply_settings(&mut self, now: Micros, settings: &DeploymentSettings) {
         let mut used: HashSet<ClassId> = self.requests.values().map(|pending| pending.class).collect();
         used.extend(self.in_flight.values().map(|attempt| attempt.class));
         self.classes.update(now, settings, &used, &mut self.stats);
@@ -168,6 +174,7 @@
         }
     }
 
+    /// Passes the present settings to the router.
     fn update_router_settings(&mut self, now: Micros) {
         let settings = self.classes.router_settings();
         self.handle(now, Event::Settings(Box::new(settings)));
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -1,11 +1,11 @@
-//! What passes between the core, the protocol front ends and the event loop: values of no protocol.
+//! The values exchanged between the core, the protocol front ends and the event loop. They belong to no protocol.
 
 use crate::reply::Value;
 use birchreach::{AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId};
 
 /// A front end's own form of a request.
 pub trait RequestPayload: Clone {
-    /// The key that a read asks for.
+    /// The key that is read or written.
     fn key(&self) -> &[u8];
 }
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// A request in the form in which every front end brings it.
+/// A request in the form that all front ends use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingRequest {
     /// Its class.
@@ -26,11 +26,11 @@
     pub session: Option<u64>,
     /// The position that a session read has to see.
     pub read_after_position: Option<Micros>,
-    /// How long from now the client waits.
+    /// How long the client waits from now on.
     pub timeout: Micros,
 }
 
-/// The one final answer to a request.
+/// The final answer to a request. Each request has exactly one, unless its client disconnects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Served, with this value.
@@ -46,18 +46,18 @@
     Failed,
 }
 
-/// Names the client connection that a request came from, in the tables of the front end.
+/// The key of the client connection that a request came from, in the tables of the front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientKey(pub usize);
 
-/// Identifies an attempt: its request and its number within the request.
+/// Identifies an attempt by its request and its number within the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     pub request: RequestId,
     pub number: AttemptNo,
 }
 
-/// Names a timer of the router.
+/// Identifies a timer of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RoutingTimerId(pub u32);
 
@@ -74,17 +74,17 @@
         /// The server belongs to another group: its copy is read, with the position of [`super::Core::required_copy_position`].
         from_copy: bool,
     },
-    /// Give up an attempt.
+    /// Cancel an attempt.
     CancelAttempt { attempt: AttemptId },
     /// Check the health of a server.
     HealthCheck { server: ServerId },
-    /// Give a client its answer.
+    /// Send a client its answer.
     Answer { client: ClientKey, request: RequestId, answer: Answer },
     /// A long value begins. Chunks follow, then [`Answer::Streamed`] or [`Command::AbortStream`].
     BeginStream { client: ClientKey, request: RequestId, attempt: AttemptId, length: usize },
     /// The next bytes of a long value.
     StreamChunk { client: ClientKey, request: RequestId, bytes: Vec<u8> },
-    /// The rest of a long value will not come.
+    /// The rest of a long value will not arrive.
     AbortStream { client: ClientKey, request: RequestId },
     /// Call [`super::Core::timer_fired`] at this time.
     SetTimer { id: RoutingTimerId, at: Micros },
@@ -95,8 +95,8 @@
 /// A line for the log.
 #[derive(Debug, PartialEq, Eq)]
 pub enum LogRecord {
-    /// A note of the router.
-    RoutingNote(String),
-    /// The endpoint list names a server for the first time; notes of the router call it by its number.
+    /// A message of the router.
+    RouterMessage(String),
+    /// The endpoint list names a server for the first time; messages of the router refer to it by its number.
     ServerListed { server: ServerId, uid: String, endpoint: String },
 }
--- a/proxy/src/core/copies.rs
+++ b/proxy/src/core/copies.rs
@@ -1,4 +1,4 @@
-//! Reads from copies that servers of other groups hold, and what background work asks of the router.
+//! Reads from copies that servers of other groups have, and the router's decisions for background work.
 
 use super::{AttemptId, Core, RequestPayload};
 use crate::observe::{CopyLocator, ReadDescription};
@@ -24,22 +24,23 @@
         candidates
     }
 
-    /// Adds a subsystem that knows of copies.
+    /// Adds a subsystem that locates copies.
     pub fn add_copy_locator(&mut self, locator: Rc<RefCell<dyn CopyLocator>>) {
         self.copy_locators.push(locator);
     }
 
-    /// Removes it again.
+    /// Removes such a subsystem.
     pub fn remove_copy_locator(&mut self, locator: &Rc<RefCell<dyn CopyLocator>>) {
         self.copy_locators.retain(|known| !Rc::ptr_eq(known, locator));
     }
 
-    /// The position that a copy has to have reached to answer this attempt; 0 where any copy may.
+    /// The position that a copy must have reached to answer this attempt; 0 if any copy may answer it.
     pub fn required_copy_position(&self, now: Micros, attempt: AttemptId) -> Micros {
         self.router.required_copy_position(now, attempt.request).unwrap_or(0).max(0)
     }
 
-    /// The server that background work for a group may use now, by the router's decision.
+    /// The server that the router allows for background work of a group now. `yields`: the work waits while clients use the
+    /// capacity.
     pub fn background_candidate(&self, group: GroupId, write: bool, yields: bool) -> Option<ServerId> {
         self.router.background_candidate(group, write, yields)
     }
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -1,6 +1,6 @@
-//! Servers by the endpoint list: their names, numbers and addresses.
+//! The servers of the endpoint list: their names, numbers and addresses.
 //!
-//! A number is never given to two servers. A server that was removed long ago is dropped once the router has dropped it.
+//! A number is never used for two servers. A removed server is dropped once the router has dropped it.
 
 use super::{Command, Core, LogRecord, RequestPayload};
 use crate::discovery::{EndpointUpdate, ListedEndpoint, ListedState};
@@ -16,7 +16,7 @@
 /// Shown in place of the name of a server that is no longer known.
 const UNKNOWN_SERVER: &str = "?";
 
-/// What the endpoint list last said of a server.
+/// The latest entry of the endpoint list for a server.
 struct ListedServer {
     uid: String,
     address: Option<SocketAddr>,
@@ -28,6 +28,7 @@
 }
 
 impl ListedServer {
+    /// A server that is new on the list; `update` sets the rest.
     fn new(target: &ListedEndpoint) -> ListedServer {
         ListedServer {
             uid: target.uid.clone(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Applies an entry of the list. Returns whether connections to the server are of no more use: it moved or was removed.
+    /// Applies an entry of the list. Returns whether connections to the server cannot be used any more: it moved or was removed.
     fn update(&mut self, target: &ListedEndpoint) -> bool {
         let address = target.endpoint.parse().ok();
         self.group = GroupId(target.group);
@@ -55,6 +56,7 @@
         moved
     }
 
+    /// The event that notifies observers of this entry.
     fn event(&self, server: ServerId) -> CoreEvent<'_> {
         if self.removed {
             return CoreEvent::Unlisted { server, uid: &self.uid };
@@ -80,6 +82,7 @@
 }
 
 impl ServerTable {
+    /// A table without servers.
     pub fn new(settings: &DeploymentSettings) -> ServerTable {
         ServerTable {
             zone_names: settings.zone_names.clone(),
@@ -89,6 +92,7 @@
         }
     }
 
+    /// Applies the zones of other settings.
     pub fn set_zones(&mut self, settings: &DeploymentSettings) {
         self.zone_names.clone_from(&settings.zone_names);
     }
@@ -103,11 +107,12 @@
         self.listed.get(&server).map_or(UNKNOWN_SERVER, |server| &server.uid)
     }
 
+    /// The number of the server with this name.
     pub fn by_name(&self, uid: &str) -> Option<ServerId> {
         self.numbers.get(uid).copied()
     }
 
-    /// The number of a server, and whether it is new.
+    /// The number of a server, which is assigned if it is new; and whether it is new.
     fn number(&mut self, uid: &str) -> (ServerId, bool) {
         if let Some(server) = self.by_name(uid) {
             return (server, false);
@@ -138,7 +143,7 @@
         (endpoint, moved)
     }
 
-    /// The number of a zone; one that no server or proxy has for an unknown name.
+    /// The number of a zone. An unknown name has a number that no server or proxy has.
     fn zone(&self, name: &str) -> ZoneId {
         let index = self.zone_names.iter().position(|known| known == name);
         ZoneId(index.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX))
@@ -151,7 +156,7 @@
         self.servers.listed.get(&server)?.address
     }
 
-    /// Whether the endpoint list has servers of this group. Before there is a list any group may exist.
+    /// Whether the endpoint list has servers of this group. While there is no list, any group may exist.
     pub fn has_group(&self, group: GroupId) -> bool {
         let listed = &self.servers.listed;
         listed.is_empty() || listed.values().any(|server| server.group == group)
@@ -180,6 +185,7 @@
         moved
     }
 
+    /// The number of a server. One that is new is logged.
     fn number_server(&mut self, target: &ListedEndpoint) -> ServerId {
         let (server, is_new) = self.servers.number(&target.uid);
         if is_new {
@@ -190,6 +196,7 @@
         server
     }
 
+    /// Notifies observers of these entries, and of the servers that are removed.
     fn notify_listed(&self, now: Micros, endpoints: &[Endpoint]) {
         let listed = &self.servers.listed;
         for endpoint in endpoints {
@@ -202,13 +209,14 @@
         }
     }
 
+    /// Drops the servers that the router has dropped.
     fn drop_unknown_servers(&mut self) {
         let router = &self.router;
         self.servers.listed.retain(|id, _| router.is_known(*id));
         self.servers.numbers.retain(|_, id| router.is_known(*id));
     }
 
-    /// Adds an observer; it is told first of all servers in the list.
+    /// Adds an observer, and notifies it of all servers in the list.
     pub fn subscribe(&mut self, now: Micros, observer: Rc<RefCell<dyn Observer>>) {
         for (id, server) in self.servers.listed.iter().filter(|(_, server)| !server.removed) {
             observer.borrow_mut().on_event(now, server.event(*id));
--- a/proxy/src/core/health_checks.rs
+++ b/proxy/src/core/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers, those of the router and those of observers, and what proxies tell of servers.
+//! Health checks of servers, by the router and by observers, and reports of other proxies about servers.
 
 use super::attempts::credible_report;
 use super::{Command, Core, RequestPayload};
@@ -7,6 +7,7 @@
 use birchreach::{AttemptOutcome, Event, LoadReport, Micros, ServerId};
 
 impl<P: RequestPayload> Core<P> {
+    /// Commands the event loop to check a server.
     pub(super) fn start_health_check(&mut self, now: Micros, server: ServerId) {
         self.observers.notify(now, CoreEvent::AttemptSent { server });
         self.commands.push_back(Command::HealthCheck { server });
@@ -19,12 +20,12 @@
         self.handle(now, Event::HealthCheckCompleted { server, outcome: reply.outcome, load_report });
     }
 
-    /// A health check ended that an observer requested; the router does not learn of it.
+    /// A health check ended that an observer requested; its result is not reported to the router.
     pub fn monitor_check_completed(&self, now: Micros, server: ServerId, reply: &Reply) {
         self.observers.notify(now, CoreEvent::MonitorCheckEnded { server, reply });
     }
 
-    /// Another proxy proved a position for the present process of a listed server. The router uses it as a lower bound, like a
+    /// Another proxy has observed a position of the present process of a listed server. The router uses it as a lower bound, like a
     /// load report.
     pub fn record_remote_position(&mut self, now: Micros, uid: &str, report: LoadReport) {
         let load_report = credible_report(Some(report), now);
@@ -46,7 +47,7 @@
         self.observers.notify(now, CoreEvent::ServerAlive { server });
     }
 
-    /// Discovery answered a call.
+    /// Discovery answered a poll.
     pub fn discovery_answered(&self, now: Micros) {
         self.observers.notify(now, CoreEvent::DiscoveryAnswered);
     }
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! The proxy's core: connects protocol front ends and the event loop to the routing decisions.
+//! The proxy's core: connects protocol front ends and the event loop to the router.
 //!
-//! It keeps the table of pending requests and of attempts in flight, translates what happens into events of the router, and the
-//! router's actions into commands for the event loop. It knows no socket, no protocol and none of the subsystems that observe
-//! it. `P` is the front end's own form of a request, which is handed back with each attempt.
+//! It has the tables of pending requests and of attempts in flight, translates what happens into events of the router, and the
+//! router's actions into commands for the event loop. It depends on no socket, no protocol and none of the subsystems that observe
+//! it. `P` is the front end's own form of a request, which is returned with each attempt.
 
 mod actions;
 mod attempts;
@@ -27,7 +27,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// All machines read the same clock, but not at the same instant: positions this far in the future are believed.
+/// The most that machines' clocks may differ: positions up to this far in the future are accepted.
 const MAX_CLOCK_SKEW_MICROS: Micros = 1_000_000;
 
 /// A request without a final answer.
@@ -54,7 +54,7 @@
     from_copy: bool,
 }
 
-/// The pending requests, and the router that decides on them.
+/// The pending requests, and the router that decides about them.
 pub struct Core<P> {
     router: Router,
     requests: HashMap<RequestId, PendingRequest<P>>,
@@ -99,7 +99,7 @@
         self.commands.pop_front()
     }
 
-    /// Present state, for operators.
+    /// The gauges for operators.
     pub fn gauges(&self, now: Micros) -> Gauges {
         let skipped = self.servers.present().filter(|server| self.router.is_avoided(now, *server)).count();
         Gauges { in_progress: self.requests.len(), known: self.servers.present().count(), skipped }
@@ -115,6 +115,7 @@
         self.handle(now, Event::Timer { id: id.0 });
     }
 
+    /// Passes an event to the router, and carries out its actions.
     fn handle(&mut self, now: Micros, event: Event) {
         self.router.handle(now, event, &mut self.actions);
         self.carry_out_actions(now);
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their one final answer.
+//! Requests from their arrival to their final answer.
 
 use super::{Answer, ClientKey, Command, Core, PendingRequest, RequestPayload, RoutingRequest};
 use crate::hash::fnv1a;
@@ -7,7 +7,7 @@
 use birchreach::{Event, Micros, Request, RequestId, SessionId, TenantId};
 
 impl<P: RequestPayload> Core<P> {
-    /// Takes a client's request. `client` is given back with its answer.
+    /// Accepts a client's request. `client` is returned with its answer.
     pub fn request(
         &mut self,
         now: Micros,
@@ -45,7 +45,7 @@
         id
     }
 
-    /// The client disconnected; no answer is owed.
+    /// The client disconnected; its request needs no answer.
     pub fn client_disconnected(&mut self, now: Micros, request: RequestId) {
         if self.requests.remove(&request).is_some() {
             self.handle(now, Event::ClientDisconnected { request });
@@ -64,13 +64,14 @@
         self.commands.push_back(Command::Answer { client: pending.client, request, answer });
     }
 
-    /// A response broke off while it was streamed to the client: the client has to see that it is incomplete.
+    /// A response failed while it was streamed to the client, which must see that it is incomplete.
     pub(super) fn abort_stream(&mut self, now: Micros, request: RequestId) {
         let Some(pending) = self.requests.remove(&request) else { return };
         self.count_result(now, &pending, RequestResult::Failed);
         self.commands.push_back(Command::AbortStream { client: pending.client, request });
     }
 
+    /// Counts the result of a request, and notifies observers of that of a read.
     fn count_result(&mut self, now: Micros, pending: &PendingRequest<P>, result: RequestResult) {
         self.classes.count_result(&mut self.stats, pending.class, result);
         if !self.classes.is_write(pending.class) {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Tells observers since when writes have had no attempt in flight. Returns how many requests, reads included, have none.
+    /// Notifies observers of the writes without an attempt in flight. Returns how many requests, including reads, have none.
     pub fn report_queued(&self, now: Micros) -> usize {
         let queued = self.requests.values().filter(|pending| pending.attempts_in_flight == 0);
         let queued_count = queued.clone().count();
--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::fmt::{self, Display};
 
-/// The reason for which a poll failed. The connection it was made on is not used again.
+/// Why a poll failed. Its connection is not used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollError {
     /// The system had no socket for a connection.
@@ -14,9 +14,9 @@
     ConnectTimeout,
     /// No complete response came in time.
     Unresponsive,
-    /// The connection was closed before a response, or by its other side after one.
+    /// Discovery closed the connection before or after a response.
     Closed,
-    /// The connection was reset. A response without a length is not complete then.
+    /// The connection was reset. This does not complete a response without a length.
     Reset,
     /// Discovery had no capacity for the request (503).
     Overloaded,
@@ -24,15 +24,15 @@
     Status(u16),
     /// The response ended before it was complete.
     Truncated,
-    /// The head, the body or the response as a whole is longer than what is buffered.
+    /// The head, the body or the response as a whole exceeds the limit.
     TooLong,
     /// The response is not HTTP/1.1.
     InvalidHttp(HttpFault),
-    /// The body is no endpoint list; with the place of the fault.
+    /// The body is not an endpoint list; with the position of the error.
     InvalidList(String),
 }
 
-/// What of a response is not HTTP/1.1.
+/// The part of a response that is not valid HTTP/1.1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HttpFault {
     /// Its head.
--- a/proxy/src/discovery/http.rs
+++ b/proxy/src/discovery/http.rs
@@ -2,12 +2,15 @@
 
 use super::error::{HttpFault, PollError};
 
-/// The status with which discovery rejects a request for which it has no capacity.
+/// The status of a request that discovery rejects because it has no capacity.
 const SERVICE_UNAVAILABLE: u16 = 503;
+/// The status of a request that discovery answers.
 const OK: u16 = 200;
-/// The longest body and head that are buffered.
+/// The longest body that is buffered.
 pub(super) const MAX_BODY_BYTES: usize = 4 << 20;
+/// The longest head that is buffered.
 pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
+/// The most headers of a response.
 const MAX_HEADERS: usize = 64;
 
 /// The body, once it is complete. `ended`: the connection was closed, which completes a body without a length.
@@ -25,15 +28,15 @@
         _ => return Err(PollError::Status(code)),
     }
     let header = |name: &str| {
-        let found = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-        found.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim)
+        let found = response.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
+        found.and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim)
     };
     let rest = &input[head..];
-    if header("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked")) {
+    if header("transfer-encoding").is_some_and(|encoding| encoding.eq_ignore_ascii_case("chunked")) {
         return chunked_body(rest);
     }
     let length = match header("content-length") {
-        Some(v) => v.parse().map_err(|_| PollError::InvalidHttp(HttpFault::ContentLength))?,
+        Some(length) => length.parse().map_err(|_| PollError::InvalidHttp(HttpFault::ContentLength))?,
         None if ended => rest.len(),
         None if rest.len() > MAX_BODY_BYTES => MAX_BODY_BYTES + 1,
         None => return Ok(None),
@@ -44,8 +47,9 @@
     Ok(rest.get(..length).map(<[u8]>::to_vec))
 }
 
+/// A body that is sent in chunks, once it is complete.
 fn chunked_body(mut rest: &[u8]) -> Result<Option<Vec<u8>>, PollError> {
-    /// What ends each chunk.
+    /// The end of each chunk.
     const LINE_END: &[u8] = b"\r\n";
     let mut body = Vec::new();
     loop {
--- a/proxy/src/discovery/list.rs
+++ b/proxy/src/discovery/list.rs
@@ -1,39 +1,39 @@
-//! Discovery's endpoint list. The names of its JSON are mapped to ours here and nowhere else.
+//! Discovery's endpoint list. The names in its JSON are mapped to those of this program here and nowhere else.
 
 use serde::Deserialize;
 
-/// The state that the list gives a database.
+/// The state of a database on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It takes new work.
+    /// It accepts new requests.
     Up,
-    /// It finishes what it has and takes nothing new.
+    /// It completes its requests and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// It does not exist any more.
     Removed,
 }
 
-/// The role that the list gives a database, where it names one.
+/// The role of a database on the list, if the list names roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum Access {
     /// A primary.
     Writer,
-    /// A replica: each word but `writer`.
+    /// A replica: any text but `writer`.
     Reader,
 }
 
 impl From<String> for Access {
-    fn from(word: String) -> Access {
-        if word == "writer" { Access::Writer } else { Access::Reader }
+    fn from(text: String) -> Access {
+        if text == "writer" { Access::Writer } else { Access::Reader }
     }
 }
 
 /// A database on the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListedEndpoint {
-    /// Its identity, which outlives an address.
+    /// Its identity, which stays when its address changes.
     pub uid: String,
     /// Its address, `host:port`.
     #[serde(default)]
@@ -44,7 +44,7 @@
     /// The number of its group: one primary and its replicas.
     #[serde(default, rename = "pod_group")]
     pub group: u32,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub state: ListedState,
     /// Its capacity relative to the others.
     #[serde(default = "default_weight", rename = "capacity_hint")]
@@ -52,11 +52,12 @@
     /// Unix time of its last start in milliseconds; 0 if that was long ago.
     #[serde(default, rename = "boot_ms")]
     pub started_unix_ms: f64,
-    /// Its role, where the list names roles.
+    /// Its role, if the list names roles.
     #[serde(default)]
     pub access: Option<Access>,
 }
 
+/// The weight of a database for which the list names none.
 fn default_weight() -> f64 {
     1.0
 }
@@ -68,7 +69,7 @@
         (started > 0).then_some(started)
     }
 
-    /// Whether the list names it a primary; none where the list names no roles.
+    /// Whether it is a primary by the list; none if the list names no roles.
     pub fn is_primary(&self) -> Option<bool> {
         self.access.map(|access| access == Access::Writer)
     }
@@ -77,10 +78,10 @@
 /// A response of discovery: changes to the list, or the complete list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointUpdate {
-    /// The version of the list that this brings up to.
+    /// The version of the list after this update.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// The list is complete: whoever it does not name has been removed.
+    /// The list is complete: a database that is not on it has been removed.
     #[serde(rename = "all")]
     pub complete: bool,
     /// The databases that changed, or all of them.
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery's endpoint list and the watch on it, over HTTP/1.1. State machines that are fed bytes and know no socket.
+//! Discovery's endpoint list and the watch on it, over HTTP/1.1. State machines that are fed bytes and use no socket.
 
 mod backoff;
 mod error;
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -1,8 +1,8 @@
-//! The watch on the endpoint list: which request is next, how long each part of it may take, and what its response changes. A state
+//! The watch on the endpoint list: the next request, the timeout of each part of it, and the update in its response. A state
 //! machine that is fed bytes.
 //!
-//! The proxy counts as notified of a change [`NOTIFICATION_DEADLINE_MICROS`] after discovery had it and could be reached, whatever
-//! poll failed. The parts of the chain from a failed poll to the new list are bounded by that: see [`super::backoff`].
+//! The proxy counts as notified of a change [`NOTIFICATION_DEADLINE_MICROS`] after discovery had it and could be reached, whichever
+//! poll failed. This bounds the sequence from a failed poll to the new list: see [`super::backoff`].
 
 use super::error::PollError;
 use super::http::{MAX_BODY_BYTES, MAX_HEAD_BYTES, response_body};
@@ -10,32 +10,33 @@
 use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
 
-/// The proxy counts as notified of a change so long after discovery had it, or after a poll became unresponsive.
+/// The proxy counts as notified of a change this time after discovery had it, or after a poll became unresponsive.
 pub const NOTIFICATION_DEADLINE_MICROS: Micros = 6_000_000;
-/// For a change that a long poll missed: so long after the poll's wait, if that is later.
+/// For a change that a long poll missed: this time after the end of the poll's wait, if that is later.
 const LONG_POLL_GRACE_MICROS: Micros = 2_000_000;
-/// Reserved of those times for the next poll and its response.
+/// The part of those times that is reserved for the next poll and its response.
 pub const NEXT_POLL_RESERVE_MICROS: Micros = 500_000;
-/// For a poll that does not wait, and for the rest of a response that has begun: two such polls fit into
+/// The timeout of a poll that does not wait, and of the rest of a response that has begun: two such polls fit into
 /// [`NOTIFICATION_DEADLINE_MICROS`].
 pub const RESPONSE_TIMEOUT_MICROS: Micros = (NOTIFICATION_DEADLINE_MICROS - 2 * NEXT_POLL_RESERVE_MICROS) / 2;
-/// For a connection to be established: a lost first packet is sent again after a second.
+/// The timeout for establishing a connection: a lost first packet is sent again after a second.
 pub const CONNECT_TIMEOUT_MICROS: Micros = NOTIFICATION_DEADLINE_MICROS / 4;
 /// How long a long poll may wait for a change.
 const LONG_POLL_MS: u64 = 20_000;
 
-/// The polls: one at a time, each for what is newer than the newest revision received.
+/// The polls: one at a time, each for changes after the newest revision received.
 pub struct EndpointWatch {
     host: String,
     /// The newest revision received.
     revision: Option<u64>,
-    /// The next poll does not wait for a change, so that a discovery that is still unresponsive shows soon.
+    /// If set, the next poll does not wait for a change, so that an unresponsive discovery is noticed soon.
     last_poll_failed: bool,
+    /// The response so far.
     input: Vec<u8>,
 }
 
 impl EndpointWatch {
-    /// A watch that goes on from a revision, if one is known.
+    /// A watch that continues from a revision, if one is known.
     pub fn new(host: String, revision: Option<u64>) -> EndpointWatch {
         EndpointWatch { host, revision, last_poll_failed: false, input: Vec::new() }
     }
@@ -102,13 +103,14 @@
         self.parse_list(&body).map(Some)
     }
 
+    /// Parses a complete body.
     fn parse_list(&mut self, body: &[u8]) -> Result<PollResponse, PollError> {
         self.input.clear();
         let update: EndpointUpdate =
             serde_json::from_slice(body).map_err(|error| PollError::InvalidList(error.to_string()))?;
         self.last_poll_failed = false;
-        // An agent that is behind what this proxy knew at its start sends old changes. A complete list counts, however old:
-        // it is all that the agent has.
+        // An agent that is older than the list known at the start sends old changes. A complete list is applied even if it is old,
+        // as the agent has no other.
         if !update.complete && self.revision.is_some_and(|revision| update.revision < revision) {
             self.revision = None;
             return Ok(PollResponse::Stale);
@@ -118,7 +120,7 @@
     }
 }
 
-/// What a poll was answered with.
+/// The response to a poll.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollResponse {
     /// A newer list, or no change.
--- a/proxy/src/log/json.rs
+++ b/proxy/src/log/json.rs
@@ -6,7 +6,7 @@
 use tracing::Level;
 use tracing::field::{Field, Visit};
 
-/// Room for an object that is seldom exceeded.
+/// The initial capacity for an object, which few exceed.
 const OBJECT_CAPACITY_BYTES: usize = 256;
 
 /// The fields of an object under construction.
@@ -16,6 +16,7 @@
 pub(super) struct JsonFields<M>(M);
 
 impl<M: SerializeMap> JsonFields<M> {
+    /// Adds an entry.
     pub(super) fn entry<T: serde::Serialize + ?Sized>(&mut self, name: &str, value: &T) {
         // Serializing to memory does not fail.
         let _ = self.0.serialize_entry(name, value);
@@ -55,7 +56,7 @@
     }
 }
 
-/// Appends an object with these fields, behind its time and level.
+/// Appends an object with the time, the level and then these fields.
 pub(super) fn object(line: &mut String, level: Level, fields: impl FnOnce(&mut Json)) {
     let mut serializer = serde_json::Serializer::new(Vec::with_capacity(OBJECT_CAPACITY_BYTES));
     if let Ok(map) = serializer.serialize_map(None) {
--- a/proxy/src/log/logfmt.rs
+++ b/proxy/src/log/logfmt.rs
@@ -10,6 +10,7 @@
 }
 
 impl LogfmtFields<'_> {
+    /// Appends to this line.
     pub(super) fn new(line: &mut String) -> LogfmtFields<'_> {
         LogfmtFields { line, is_first: true }
     }
--- a/proxy/src/log/mod.rs
+++ b/proxy/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The log: structured events on standard error, a bounded number of them.
+//! The log: structured events on standard error, limited in number.
 //!
 //! Fields are written in the order in which an event names them, as `key=value` or as JSON.
 
@@ -21,7 +21,7 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::Registry;
 
-/// Room for a line that is seldom exceeded.
+/// The initial capacity for a line, which few exceed.
 const LINE_CAPACITY_BYTES: usize = 512;
 
 /// How lines are written.
@@ -34,13 +34,14 @@
     Json,
 }
 
-/// The layer that writes lines, each in one call, and before it how many were left out.
+/// The layer that writes lines, each in one call, preceded by the number of dropped lines if there are any.
 struct LineWriter<W> {
     format: Format,
     dropped: Arc<AtomicU64>,
     output: Mutex<Output<W>>,
 }
 
+/// The destination of lines, and the buffer for the next line.
 struct Output<W> {
     line: String,
     writer: W,
@@ -60,12 +61,13 @@
             Format::Json => object(line, *event.metadata().level(), |fields| event.record(fields)),
         }
         line.push('\n');
-        // A log that cannot be written has nowhere to report that.
+        // A failure to write the log cannot be reported anywhere.
         let _ = writer.write_all(line.as_bytes());
     }
 }
 
 impl<W> LineWriter<W> {
+    /// Appends the line that reports how many lines were dropped.
     fn format_dropped(&self, line: &mut String, dropped: u64) {
         match self.format {
             Format::Logfmt => {
@@ -81,6 +83,7 @@
     }
 }
 
+/// The layers of the log.
 fn subscriber<W: std::io::Write + Send + 'static>(
     format: Format,
     filter: Targets,
--- a/proxy/src/log/rate_limit.rs
+++ b/proxy/src/log/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The bound on the number of log lines: a flood of ended connections must not cost the core that serves the others.
+//! The rate limit of the log: a flood of lines about closed connections must not use the processor time of the other connections.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -6,9 +6,9 @@
 use tracing::{Event, Subscriber};
 use tracing_subscriber::layer::{Context, Layer};
 
-/// Lines per second in the long run.
+/// The sustained rate, in lines per second.
 const LINES_PER_SECOND: f64 = 50.0;
-/// Lines at once.
+/// The most lines in a burst.
 pub(super) const BURST_LINES: f64 = 200.0;
 
 /// A token bucket of lines.
@@ -19,7 +19,7 @@
 }
 
 impl RateLimit {
-    /// Whether a line may be written now.
+    /// Whether a line may be written now. If so, it is counted.
     pub(super) fn allows(&mut self, now: Instant) -> bool {
         let last = self.last_line_at.replace(now);
         let elapsed = last.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
@@ -32,14 +32,14 @@
     }
 }
 
-/// The layer that lets a bounded number of lines through and counts the others.
+/// The layer that passes a limited number of lines and counts the others.
 pub(super) struct RateLimitLayer {
     limit: Mutex<RateLimit>,
     dropped: Arc<AtomicU64>,
 }
 
 impl RateLimitLayer {
-    /// `dropped` counts the lines left out.
+    /// `dropped` counts the lines that are not written.
     pub(super) fn new(dropped: Arc<AtomicU64>) -> RateLimitLayer {
         RateLimitLayer { limit: Mutex::default(), dropped }
     }
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -43,7 +43,9 @@
             }
             Command::AbortStream { client, request } => self.clients.abort_value(context, client, request),
             Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
-            Command::Log(LogRecord::RoutingNote(note)) => info!(event = "routing-note", note = %Quoted(note)),
+            Command::Log(LogRecord::RouterMessage(message)) => {
+                info!(event = "routing-note", note = %Quoted(message));
+            }
             Command::Log(LogRecord::ServerListed { server, uid, endpoint }) => {
                 info!(event = "server-listed", number = server.0, uid, endpoint);
             }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -102,7 +102,7 @@
     /// Applies settings and limits to the subsystems that use them.
     fn apply_settings(&mut self, new: &Config) {
         let limits = ConnectionLimits::new(new, &self.handover);
-        self.context.core.settings(self.context.now, &new.deployment);
+        self.context.core.apply_settings(self.context.now, &new.deployment);
         self.pool.apply_settings(&new.deployment);
         self.pool.set_limit(&mut self.context, limits.databases);
         self.clients.set_unclassified_allowance(unclassified_allowance(new));
