--- a/proxy/src/health_command/tests.rs
+++ b/proxy/src/health_command/tests.rs
@@ -9,8 +9,8 @@
         "state": "degraded", "able": true, "partial": true, "weight": 40, "reason": "pressure", "since_ms": 1234.0,
         "pressure": 0.85, "in_progress": 12, "held": 3, "room": 20, "discovery_ms": 350,
         "classes": [
-            {"class": "file-entry", "able": true, "weight": 100, "reason": "ok", "since_ms": 60000},
-            {"class": "tail", "able": false, "weight": 0, "reason": "no-server"},
+            {"class": "point-read", "able": true, "weight": 100, "reason": "ok", "since_ms": 60000},
+            {"class": "scan", "able": false, "weight": 0, "reason": "no-server"},
         ],
         "groups": [{
             "group": 7,
@@ -26,8 +26,8 @@
     let lines = [
         "degraded: able in part, weight 40%, pressure, for 1.2 s",
         "pressure 0.85, 12 in progress (3 held), places for 20 clients, discovery heard 0.3 s ago",
-        "class file-entry           yes      100%  ok                 60.0 s",
-        "class tail                 no         0%  no-server          -",
+        "class point-read           yes      100%  ok                 60.0 s",
+        "class scan                 no         0%  no-server          -",
         "group 7     read           yes      100%  ok                 2.0 s      3 members",
         "group 7     write          no         0%  no-primary         0.0 s      primary db-1, proven 0.1 s ago",
     ];
