--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -1,42 +1,42 @@
-//! The operators' protocol: one line in, one reply out, and the connection is closed. A state machine that is fed bytes and knows no
-//! socket.
+//! The operators' protocol: one line is a call, it gets one reply, and the connection is closed. A state machine that is fed bytes
+//! and uses no socket.
 
 use crate::outbox::Outbox;
 
 /// The longest line that is read.
 const MAX_LINE_BYTES: usize = 256;
 
-/// What an operator asks for.
+/// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     Status,
-    /// Its figures.
+    /// Its counters and gauges.
     Stats,
-    /// The members of the fleet, and how this proxy stands with them.
+    /// The members of the fleet, and this process's view of it.
     Fleet,
-    /// The hot keys, and what is done about them.
+    /// The hot keys and their copies.
     Hot,
-    /// How the reads of a group that is split compare with those of its children.
+    /// The comparison of a group that is split with its children.
     Split,
-    /// The figures of subsystems, in the text form of Prometheus.
+    /// The metrics of subsystems, in the text format of Prometheus.
     Metrics,
-    /// Take the proxy out of the balancers' rotation, or back in.
+    /// Take the proxy out of the balancers' rotation, or put it back.
     Maintenance(bool),
 }
 
-/// What an operator is answered.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminReply {
     /// Yes, or done.
     Yes(&'static str),
     /// No, with the reason.
     No(&'static str),
-    /// No such call, or the subsystem that it is about is off.
+    /// There is no such call, or its subsystem is off.
     UnknownCall,
-    /// Lines of figures; a line that ends them follows.
+    /// Lines of figures, which are followed by an end line.
     Figures(String),
-    /// A text that ends itself.
+    /// A text that has its own end line.
     Text(String),
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl AdminProtocol {
-    /// Takes bytes; returns the call once its line is complete. A line that is no call is answered here.
+    /// Takes bytes; returns the call once its line is complete. An invalid line is answered here.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<AdminCall> {
         if self.answered {
             // What follows the line is ignored.
@@ -67,11 +67,12 @@
         self.parse_line()
     }
 
-    /// The operator writes no more, which ends the line too.
+    /// The operator has closed its side, which ends the line too.
     pub fn input_ended(&mut self) -> Option<AdminCall> {
         if self.answered || self.line.is_empty() { None } else { self.parse_line() }
     }
 
+    /// The call in the line. An invalid line is answered here.
     fn parse_line(&mut self) -> Option<AdminCall> {
         match self.line.trim_ascii() {
             b"status" => return Some(AdminCall::Status),
@@ -88,7 +89,7 @@
         None
     }
 
-    /// Answers the call; nothing more is read.
+    /// Writes the reply to the outbox; further input is ignored.
     pub fn answer(&mut self, reply: &AdminReply) {
         match reply {
             AdminReply::Yes(text) => self.write(&format!("YES {text}\n")),
@@ -100,6 +101,7 @@
         self.answered = true;
     }
 
+    /// Appends to the outbox.
     fn write(&mut self, text: &str) {
         self.outbox.append(text.as_bytes());
     }
--- a/proxy/src/background_query.rs
+++ b/proxy/src/background_query.rs
@@ -1,5 +1,5 @@
-//! Statements that no client waits for, run one after the other on one connection, and what they came to. The connections to databases
-//! run them; whoever sent them takes the result.
+//! Background queries: statements that no client waits for, run one after the other on one connection to a database, and their
+//! replies.
 
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, ServerId};
@@ -16,41 +16,41 @@
     replies: Vec<Reply>,
 }
 
-/// A query that is over.
+/// The result of a query.
 #[derive(Debug)]
 pub struct BackgroundQueryResult {
     /// The sender's number for it.
     pub id: BackgroundQueryId,
-    /// Where it ran.
+    /// The server that it was sent to.
     pub server: ServerId,
-    /// A reply for each statement that ran; after the first that failed none did.
+    /// A reply for each statement that was sent; none is sent after the first that failed.
     pub replies: Vec<Reply>,
-    /// All statements ran, and each succeeded.
+    /// Every statement was sent and succeeded.
     pub complete: bool,
 }
 
 impl BackgroundQuery {
-    /// Statements for a server, in this order, under the sender's number.
+    /// Statements for a server, in this order.
     pub fn new(id: BackgroundQueryId, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
         BackgroundQuery { id, server, statements, replies: Vec::new() }
     }
 
-    /// The statement that comes after those that have replies.
+    /// The first statement without a reply.
     pub fn current_statement(&self) -> &[u8] {
         self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether another statement follows the one that came to this reply.
+    /// Whether another statement follows the one with this reply.
     pub fn continues_after(&self, reply: &Reply) -> bool {
         reply.outcome == AttemptOutcome::Ok && self.replies.len() + 1 < self.statements.len()
     }
 
-    /// Takes the reply to the current statement, which another one follows.
+    /// Adds the reply to the current statement, after which another one follows.
     pub fn add_reply(&mut self, reply: Reply) {
         self.replies.push(reply);
     }
 
-    /// Takes the last reply.
+    /// The result, with the last reply.
     pub fn complete(mut self, reply: Reply) -> BackgroundQueryResult {
         self.replies.push(reply);
         let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -1,6 +1,7 @@
-//! What operators see of the fleet: the answer to `fleet`, a line for the whole and one for each other member, and the figures in
-//! the answer to `metrics`. Both formats are public and stay as they are.
+//! The fleet as operators see it: the reply to the call `fleet`, a summary line and one for each other member, and the metrics in
+//! the reply to `metrics`. Both formats are public and must not change.
 
+use crate::units::MICROS_PER_MILLI;
 use birchreach_membership::{Membership, Micros, PayloadError, ViewState};
 use birchreach_peer_state::datagram::DatagramError;
 use prometheus_client::encoding::text::encode_registry;
@@ -20,13 +21,13 @@
     Taken,
 }
 
-/// The label of figures by direction.
+/// The label of metrics by direction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct DirectionLabel {
     way: Direction,
 }
 
-/// The label of figures by reason.
+/// The label of metrics by reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabel {
     reason: &'static str,
@@ -44,6 +45,7 @@
 }
 
 impl DropReason {
+    /// The value of the label.
     fn as_str(self) -> &'static str {
         match self {
             DropReason::Datagram(error) => error.as_str(),
@@ -53,7 +55,7 @@
     }
 }
 
-/// The figures of the fleet.
+/// The metrics of the fleet.
 pub struct Metrics {
     registry: Registry,
     datagrams: Family<DirectionLabel, Counter>,
@@ -64,7 +66,7 @@
 }
 
 impl Metrics {
-    /// All at zero.
+    /// All metrics at zero.
     pub fn new() -> Metrics {
         let mut metrics = Metrics {
             registry: Registry::with_prefix("birchreach_fleet"),
@@ -106,7 +108,7 @@
         self.dropped.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
 
-    /// All figures in the text format, without its last line.
+    /// All metrics in the text format, without its last line.
     pub fn text(&self, membership: &Membership) -> String {
         let view = membership.view();
         self.members.set(i64::try_from(view.members).unwrap_or(i64::MAX));
@@ -118,13 +120,13 @@
     }
 }
 
-/// The answer to `fleet`.
+/// The reply to the call `fleet`.
 pub fn report(membership: &Membership, now: Micros) -> String {
     let view = membership.view();
     let own = membership.own();
     let for_ms = match view.state {
         ViewState::Settled { since } | ViewState::Blind { since } => {
-            format!(" for_ms={}", (now - since) / 1_000)
+            format!(" for_ms={}", (now - since) / MICROS_PER_MILLI)
         }
         ViewState::Changing | ViewState::Alone => String::new(),
     };
--- a/proxy/src/grpc/call.rs
+++ b/proxy/src/grpc/call.rs
@@ -19,6 +19,7 @@
     Watch,
 }
 
+/// A call by its state.
 pub(super) enum Call {
     Receiving(Receiving),
     Watching(Watching),
@@ -39,9 +40,9 @@
     stream: SendStream<Bytes>,
 }
 
-/// What became of a call.
+/// The state of a call after a round.
 pub(super) enum CallProgress {
-    /// It stays as it is.
+    /// It is unchanged.
     Open,
     /// It has sent something.
     Sent,
@@ -49,10 +50,11 @@
     Answered,
     /// It has ended without an answer.
     Ended,
-    /// It goes on as a watch.
+    /// It continues as a watch.
     Watches(Watching),
 }
 
+/// How much of a request's body has arrived.
 enum ReceivedBody {
     Complete,
     Incomplete,
@@ -61,7 +63,7 @@
 }
 
 impl Call {
-    /// Begins a call; none if it is answered at once.
+    /// Begins a call; none if it is answered immediately.
     pub fn begin(request: Request<RecvStream>, mut respond: SendResponse<Bytes>) -> Option<Call> {
         let (head, body) = request.into_parts();
         let content_type = head.headers.get("content-type").and_then(|value| value.to_str().ok());
@@ -83,11 +85,12 @@
         Some(Call::Receiving(Receiving { method, body, received: Vec::new(), respond }))
     }
 
+    /// Whether it is sent each change of a status.
     pub fn is_watch(&self) -> bool {
         matches!(self, Call::Watching(_))
     }
 
-    /// Goes on as far as the peer allows.
+    /// Receives and sends as far as the peer allows.
     pub fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
         match self {
             Call::Receiving(call) => call.advance(context, verdict),
@@ -97,6 +100,7 @@
 }
 
 impl Receiving {
+    /// Receives the request, and answers it once it is complete.
     fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
         let body = self.receive(context);
         match (body, parse_request(&self.received)) {
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Takes what has arrived of the request.
+    /// Receives what has arrived of the request.
     fn receive(&mut self, context: &mut Context) -> ReceivedBody {
         loop {
             match self.body.poll_data(context) {
@@ -133,6 +137,7 @@
         }
     }
 
+    /// Answers a check, or begins a watch.
     fn answer(&mut self, query: ParsedQuery, verdict: &Verdict) -> CallProgress {
         if self.method == CallMethod::Check {
             send_answer(&mut self.respond, serving_status(&query, verdict));
@@ -150,7 +155,7 @@
 }
 
 impl Watching {
-    /// Sends the status if it is another than the one sent last. If the peer reads slowly, only the newest is sent.
+    /// Sends the status if it differs from the one sent last. If the peer reads slowly, only the newest is sent.
     fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
         if self.stream.poll_reset(context).is_ready() {
             return CallProgress::Ended;
--- a/proxy/src/grpc/message.rs
+++ b/proxy/src/grpc/message.rs
@@ -13,19 +13,21 @@
 /// Compression flag and length before each message.
 const FRAME_HEADER_BYTES: usize = 5;
 
+/// The request of both methods.
 #[derive(Clone, PartialEq, Message)]
 struct HealthCheckRequest {
     #[prost(string, tag = "1")]
     service: String,
 }
 
+/// The response of both methods.
 #[derive(Clone, PartialEq, Message)]
 struct HealthCheckResponse {
     #[prost(int32, tag = "1")]
     status: i32,
 }
 
-/// `HealthCheckResponse.ServingStatus`, as far as it is used.
+/// The values of `HealthCheckResponse.ServingStatus` that are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServingStatus {
     Serving = 1,
@@ -33,7 +35,7 @@
     ServiceUnknown = 3,
 }
 
-/// gRPC's status codes, as far as they are used.
+/// The status codes of gRPC that are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StatusCode {
     Ok = 0,
@@ -48,7 +50,7 @@
 pub(super) struct InvalidRequest;
 
 impl InvalidRequest {
-    /// What the peer is told.
+    /// The message for the peer.
     pub const MESSAGE: &str = "not a request of grpc.health.v1";
 }
 
@@ -73,7 +75,7 @@
     Some(request.map(|request| HealthQuery::parse(request.service.as_bytes())))
 }
 
-/// The status of what is asked for; none if there is no such service.
+/// The status of the service in the query; none if there is no such service.
 pub(super) fn serving_status(query: &ParsedQuery, verdict: &Verdict) -> Option<ServingStatus> {
     let capability = verdict.capability(query.as_ref().ok()?)?;
     Some(if capability.available { ServingStatus::Serving } else { ServingStatus::NotServing })
@@ -95,6 +97,7 @@
     frame.into()
 }
 
+/// The trailers with a status code, and a message unless it is empty.
 fn status_trailers(code: StatusCode, message: &'static str) -> HeaderMap {
     let mut trailers = HeaderMap::new();
     trailers.insert("grpc-status", HeaderValue::from(code as u16));
@@ -104,7 +107,7 @@
     trailers
 }
 
-/// Ends a call with an error. A peer that is gone is noticed by the connection.
+/// Ends a call with an error. If the peer has disconnected, the connection notices it.
 pub(super) fn send_error(respond: &mut SendResponse<Bytes>, code: StatusCode, message: &'static str) {
     let mut response = response_headers();
     response.headers_mut().extend(status_trailers(code, message));
--- a/proxy/src/grpc/mod.rs
+++ b/proxy/src/grpc/mod.rs
@@ -20,15 +20,20 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// Calls and watches open at once on a connection.
+/// The limit on open calls and watches of a connection.
 const MAX_STREAMS: u32 = 16;
+/// The limit on the headers of a request.
 const MAX_HEADER_BYTES: u32 = 8 << 10;
+/// The limit on an HTTP/2 frame.
 const MAX_FRAME_BYTES: u32 = 16 << 10;
+/// The flow-control window of a stream.
 const STREAM_WINDOW_BYTES: u32 = MAX_REQUEST_BYTES as u32 * 2;
+/// The flow-control window of a connection.
 const CONNECTION_WINDOW_BYTES: u32 = 16 << 10;
 /// Bounds the work for one connection in one run of [`GrpcCheckConnection::process`].
 const MAX_ROUNDS: usize = 32;
 
+/// The state of the HTTP/2 connection.
 enum ConnectionState {
     Handshake(Pin<Box<Handshake<PipeEnd, Bytes>>>),
     Open(Box<Connection<PipeEnd, Bytes>>, Option<PingPong>),
@@ -40,6 +45,7 @@
     pipe: Rc<RefCell<Pipe>>,
     state: ConnectionState,
     calls: Vec<Call>,
+    /// How many answers, watch messages and pongs there have been.
     activity: u64,
 }
 
@@ -61,7 +67,7 @@
     }
 }
 
-/// What one round of processing may change; equal before and after, nothing was done.
+/// The state that a round of processing can change. If it is equal before and after, the round has done nothing.
 #[derive(PartialEq, Eq)]
 struct RoundState {
     activity: u64,
@@ -106,7 +112,7 @@
         matches!(self.state, ConnectionState::Closed)
     }
 
-    /// Counts answers, watch messages and pongs, which show that the peer is there.
+    /// The number of answers, watch messages and pongs so far: if it grows, the peer is active.
     pub fn activity(&self) -> u64 {
         self.activity
     }
@@ -121,7 +127,7 @@
         self.calls.iter().any(Call::is_watch)
     }
 
-    /// Asks whether the peer is still there; its answer counts as activity.
+    /// Sends a ping; the peer's answer counts as activity.
     pub fn ping(&mut self) {
         if let ConnectionState::Open(_, Some(ping)) = &mut self.state {
             // Fails if a ping is in flight already, which serves as well.
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Goes on as far as input and output allow. True if there may be more to do without either.
+    /// Processes as much as input and output allow. Returns whether there may be more to do without either.
     pub fn process(&mut self, verdict: &Verdict) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         for _ in 0..MAX_ROUNDS {
@@ -147,6 +153,7 @@
         true
     }
 
+    /// The present state, for a comparison after a round.
     fn round_state(&self) -> RoundState {
         let pipe = self.pipe.borrow();
         RoundState {
@@ -157,6 +164,7 @@
         }
     }
 
+    /// Completes the handshake, and accepts new calls.
     fn poll_connection(&mut self, context: &mut Context) {
         if let ConnectionState::Handshake(handshake) = &mut self.state {
             self.state = match handshake.as_mut().poll(context) {
@@ -185,6 +193,7 @@
         }
     }
 
+    /// Advances every call, and removes those that have ended.
     fn advance_calls(&mut self, context: &mut Context, verdict: &Verdict) {
         let activity = &mut self.activity;
         self.calls.retain_mut(|call| match call.advance(context, verdict) {
--- a/proxy/src/handover_protocol.rs
+++ b/proxy/src/handover_protocol.rs
@@ -1,4 +1,5 @@
-//! The protocol between two processes of one proxy while one replaces the other: lines of text, as a state machine that is fed bytes.
+//! The protocol between two processes of one proxy while one replaces the other. Messages are lines of text. A state machine that
+//! is fed bytes.
 
 #[cfg(test)]
 mod tests;
@@ -10,19 +11,19 @@
 /// The longest line.
 const MAX_LINE_BYTES: usize = 64;
 
-/// What one process tells the other. The words on the wire are older than these names and stay.
+/// A message to the other process. The words on the wire must not change, as the other process may be of an earlier version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverMessage {
-    /// `serving`: the newer process takes clients.
+    /// `serving`: the newer process accepts clients.
     Serving,
-    /// `leaving N`: the older process is stopping, and still holds so many descriptors.
+    /// `leaving N`: the older process is stopping, and still has this number of descriptors open.
     Stopping(usize),
-    /// `yields T`: the older process takes no new work from this time on, in Unix microseconds of the system's clock, which both
+    /// `yields T`: the older process accepts no work from this time on, in Unix microseconds of the system's clock, which both
     /// processes read.
     StopsAcceptingAt(i64),
 }
 
-/// A line that is no message.
+/// A line that is not a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidMessage;
 
@@ -43,7 +44,7 @@
 }
 
 impl HandoverProtocol {
-    /// Takes bytes of the other process.
+    /// Takes bytes that the other process sent.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
@@ -69,6 +70,7 @@
     }
 }
 
+/// Parses a line without its end.
 fn parse(line: &str) -> Result<HandoverMessage, InvalidMessage> {
     match line.split_once(' ') {
         None if line == "serving" => Ok(HandoverMessage::Serving),
--- a/proxy/src/hash.rs
+++ b/proxy/src/hash.rs
@@ -1,6 +1,8 @@
-//! A hash that is the same today and after a restart.
+//! A hash that is the same in every process and after a restart.
 
+/// The initial value of FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// The multiplier of FNV-1a.
 const PRIME: u64 = 0x0100_0000_01b3;
 
 /// FNV-1a of 64 bits.
--- a/proxy/src/health_command.rs
+++ b/proxy/src/health_command.rs
@@ -1,4 +1,4 @@
-//! The command `health`: asks a running proxy over its HTTP health address, and prints the answer for people or as it came.
+//! The command `health`: queries a running proxy at its HTTP health address, and prints the answer as text or as JSON.
 
 mod error;
 mod report;
@@ -12,17 +12,21 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Exit codes: the proxy is able to serve what was asked about, it is not, or it gave no answer.
+/// The exit code if the proxy can serve the requests that the command names.
 pub const ABLE: i32 = 0;
+/// The exit code if it cannot.
 pub const UNABLE: i32 = 1;
+/// The exit code if there is no answer.
 pub const UNREACHED: i32 = 2;
 
 /// The longest answer that is read.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
-/// The statuses with which the proxy says that it is able, or not.
+/// The HTTP status of a proxy that can serve the requests.
 const STATUS_ABLE: u16 = 200;
+/// The HTTP status of one that cannot.
 const STATUS_UNABLE: u16 = 503;
 
+/// The proxy's answer.
 struct Answer {
     status: u16,
     body: String,
@@ -30,7 +34,7 @@
 
 /// Returns the exit code and what to print.
 pub fn run(arguments: &HealthArguments, options: Option<&Options>) -> (i32, String) {
-    match ask(arguments, options) {
+    match query_proxy(arguments, options) {
         Ok((code, text)) => (code, text),
         Err(error) => (UNREACHED, error.to_string()),
     }
@@ -46,7 +50,11 @@
     })
 }
 
-fn ask(arguments: &HealthArguments, options: Option<&Options>) -> Result<(i32, String), HealthCommandError> {
+/// Queries the proxy. Returns the exit code and the text to print.
+fn query_proxy(
+    arguments: &HealthArguments,
+    options: Option<&Options>,
+) -> Result<(i32, String), HealthCommandError> {
     let Answer { status, body } = request(arguments, options)?;
     let code = match status {
         STATUS_ABLE => ABLE,
@@ -60,6 +68,7 @@
     Ok((code, report::text(&answer)))
 }
 
+/// Sends the HTTP request, and reads the answer.
 fn request(arguments: &HealthArguments, options: Option<&Options>) -> Result<Answer, HealthCommandError> {
     let configured = || options?.health.as_ref()?.http.as_ref().map(|http| reachable(http.listener.address));
     let address = arguments.at.or_else(configured).ok_or(HealthCommandError::NoAddress)?;
@@ -76,6 +85,7 @@
     Ok(Answer { status: response.status().as_u16(), body: body.map_err(failed)? })
 }
 
+/// The path that stands for the class and group in the arguments.
 fn path(arguments: &HealthArguments) -> String {
     match (&arguments.class, arguments.group) {
         (None, None) => "/health".to_string(),
@@ -85,11 +95,12 @@
     }
 }
 
+/// The name in the form that a path needs.
 fn escape(name: &str) -> String {
     percent_encoding::utf8_percent_encode(name, percent_encoding::NON_ALPHANUMERIC).to_string()
 }
 
-/// A proxy that listens on every address is reached on this machine's own.
+/// The address to connect to: the loopback address for a proxy that listens on every address.
 fn reachable(address: SocketAddr) -> SocketAddr {
     let ip = match address.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => IpAddr::V4(Ipv4Addr::LOCALHOST),
--- a/proxy/src/health_command/error.rs
+++ b/proxy/src/health_command/error.rs
@@ -1,4 +1,4 @@
-//! Why the command `health` has no answer.
+//! Errors of the command `health`.
 
 use birchreach_options::OptionsError;
 use std::error::Error;
@@ -12,7 +12,7 @@
 pub enum HealthCommandError {
     /// The options cannot be read.
     OptionsUnreadable { file: PathBuf, error: io::Error },
-    /// The options are faulty; this is the first fault.
+    /// The options are invalid; this is the first error.
     OptionsInvalid { file: PathBuf, first: Option<OptionsError> },
     /// Neither the command line nor the options name an address.
     NoAddress,
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -1,5 +1,5 @@
-//! Hot keys in the proxy: translates the core's events, the endpoint list and the options into the values of crate `hot-keys`, and
-//! its state into the lines of the admin call `hot`. Which keys are hot and which databases have copies is decided in the crate.
+//! Hot keys in the proxy: translates the core's events, the endpoint list and the options into the types of the crate `hot-keys`,
+//! and its state into the reply to the call `hot`. The crate decides which keys are hot and which databases have copies.
 
 use crate::observe::{CopyLocator, CoreEvent, Observer, ReadDescription};
 use crate::units::MICROS_PER_MILLI;
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
+/// A server's entry in the endpoint list.
 struct ListedServer {
     uid: String,
     group: u32,
@@ -22,12 +23,13 @@
     pub tracker: HotKeyTracker,
     hasher: NameHasher,
     listed: HashMap<ServerId, ListedServer>,
+    /// The tracker does not have the latest endpoint list yet.
     list_changed: bool,
     copy_hits: u64,
     copy_misses: u64,
 }
 
-/// How often holders of copies had a copy that was recent enough, and how often they had none.
+/// How often the holders of copies had a copy that was recent enough, and how often not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyReadCounts {
     /// Reads served from copies.
@@ -36,6 +38,7 @@
     pub misses: u64,
 }
 
+/// What a copy must fulfil to answer a read of this consistency.
 fn copy_requirement(consistency: Consistency) -> CopyRequirement {
     match consistency {
         Consistency::Write | Consistency::Strong => CopyRequirement::Current,
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Hands the endpoint list to the tracker, if it has changed.
+    /// Passes the endpoint list to the tracker, if it has changed.
     pub fn apply_list_changes(&mut self) {
         if !std::mem::take(&mut self.list_changed) {
             return;
@@ -82,24 +85,24 @@
         let mut databases = Vec::new();
         for (id, server) in self.listed.iter().filter(|(_, server)| server.up) {
             *replicas.entry(server.group).or_default() += usize::from(!server.primary);
-            // A hash of the name alone: the same at all processes, whichever key file they use.
+            // A hash of the name alone is the same in all processes, whichever key file they use.
             let name_hash = crate::hash::fnv1a(server.uid.as_bytes());
             databases.push(Database { server: id.0, group: server.group, name_hash });
         }
         self.tracker.update_databases(databases, replicas);
     }
 
-    /// The number of a key, by a hash that nobody outside the fleet can compute.
+    /// The key by its hash, which cannot be computed outside the fleet.
     fn key(&self, group: u32, key_bytes: &[u8]) -> Key {
         Key { group, hash: self.hasher.hash(group, key_bytes) }
     }
 
-    /// How often copies served.
+    /// How often copies answered reads.
     pub fn copy_read_counts(&self) -> CopyReadCounts {
         CopyReadCounts { hits: self.copy_hits, misses: self.copy_misses }
     }
 
-    /// The answer to the admin call `hot`: a line for the set, and one for each hot key.
+    /// The reply to the call `hot`: a summary line, and one for each hot key.
     pub fn status_lines(&self, now: Micros) -> String {
         let agreement = self.tracker.agreement();
         let mut lines = String::new();
@@ -121,6 +124,7 @@
         lines
     }
 
+    /// The line for a hot key.
     fn key_line(&self, now: Micros, key: Key, hot_key: &HotKey) -> String {
         let uid = |holder: &Database| {
             self.listed.get(&ServerId(holder.server)).map_or("?", |server| server.uid.as_str())
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `birchreach-proxy`: one proxy on real sockets before groups of a primary and its replicas.
+//! `birchreach-proxy`: a proxy for groups of one PostgreSQL primary and its replicas.
 
 mod admin_protocol;
 mod background_query;
@@ -32,8 +32,9 @@
 use std::io::Write;
 use std::path::Path;
 
-/// Exit codes of the proxy and of the command `check`.
+/// The exit code if the proxy could not start or could not continue.
 const FAILED: i32 = 1;
+/// The exit code if the configuration or the options are invalid.
 const INVALID_CONFIGURATION: i32 = 2;
 
 fn main() {
@@ -49,14 +50,16 @@
     }
 }
 
+/// Serves clients until a graceful shutdown is complete.
 fn serve(options: Option<&Path>) {
-    // Before all else: until they are caught, signals end the process.
+    // This comes first: until signals are caught, they terminate the process.
     let signals = net::signals().unwrap_or_else(|error| quit(&error, FAILED));
     let config = config::load(config::environment, options)
         .unwrap_or_else(|error| quit(&error, INVALID_CONFIGURATION));
     net::run(config, options.map(Path::to_path_buf), signals).unwrap_or_else(|error| quit(&error, FAILED));
 }
 
+/// The command `check`: prints the errors and warnings of the configuration and the options.
 fn check(arguments: &cli::CheckArguments, options: Option<&Path>) {
     let variable = |name: &str| match &arguments.config {
         Some(path) if name == config::CONFIG_VARIABLE => path.to_str().map(Into::into),
@@ -71,6 +74,7 @@
     finish(if faults.is_empty() { 0 } else { INVALID_CONFIGURATION }, &text);
 }
 
+/// The command `health`: prints the state of a running proxy.
 fn health(arguments: &cli::HealthArguments, options: Option<&Path>) {
     let options = options.map(|file| match health_command::read_options(file) {
         Ok(options) => options,
@@ -80,12 +84,13 @@
     finish(code, &text);
 }
 
-/// Prints and ends; a reader that stops reading does not change the exit code.
+/// Prints and exits. A failure to print does not change the exit code.
 fn finish(code: i32, text: &str) -> ! {
     let _ = std::io::stdout().write_all(text.as_bytes());
     std::process::exit(code)
 }
 
+/// Prints an error and exits.
 fn quit(error: &dyn Display, code: i32) -> ! {
     eprintln!("birchreach-proxy: {error}");
     std::process::exit(code)
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -8,6 +8,7 @@
 use super::FleetMembership;
 use crate::fleet::Metrics;
 use crate::observe::shared;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
 use birchreach_membership::{GossipReports, Membership, MembershipSettings};
 use birchreach_peer_state::datagram::DatagramCodec;
@@ -67,7 +68,7 @@
             name,
             address: options.advertise,
             incarnation,
-            epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
+            epoch: u64::try_from(self.context.now / MICROS_PER_MILLI).unwrap_or(0),
             seed: self.config.seed ^ incarnation,
             seeds: options.peers.clone(),
             configured_members: options.configured_members,
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -1,7 +1,7 @@
-//! Observers of the core: subsystems beside the routing decisions that learn what happens to servers and requests.
+//! Observers of the core: subsystems that are notified of what happens to servers and requests.
 //!
-//! An observer answers nothing and changes nothing in the core, and does not know the others. Another subsystem implements
-//! [`Observer`] and is added by its driver; the core does not change.
+//! An observer returns nothing to the core and changes nothing in it, and is independent of the other observers. A subsystem
+//! implements [`Observer`] and is added by its driver; the core does not change.
 
 use crate::reply::{Reply, Value};
 use birchreach::{ClassId, Consistency, CopyCandidate, GroupId, Micros, ServerId};
@@ -11,7 +11,8 @@
 /// Something that happened in the core.
 #[derive(Clone, Copy, Debug)]
 pub enum CoreEvent<'a> {
-    /// The endpoint list has a server, or changed its entry. `primary` is what the list says of its role, if anything.
+    /// The endpoint list has a server, or changed its entry. `primary`: whether it is a primary by the list, if the list names
+    /// roles.
     Listed {
         server: ServerId,
         uid: &'a str,
@@ -34,21 +35,21 @@
     ReadFinished { group: GroupId, served: bool },
     /// Writes without an attempt in flight: the group of each, and since when it has none.
     QueuedWrites { writes: &'a [(GroupId, Micros)] },
-    /// Discovery answered a call.
+    /// Discovery answered a poll.
     DiscoveryAnswered,
     /// A read of a key was served by a member of its group.
     ReadServed { group: GroupId, class: ClassId, key: &'a [u8], value: &'a Value },
-    /// A server of another group answered a read from its copy, whose position it stated, or had no copy that was new enough.
+    /// A server of another group answered a read from its copy with this position, or had no copy that was recent enough.
     CopyRead { group: GroupId, key: &'a [u8], server: ServerId, position: Option<Micros> },
 }
 
-/// A subsystem that learns what happens in the core.
+/// A subsystem that is notified of what happens in the core.
 pub trait Observer {
     /// Called for each event, in the order in which they happen.
     fn on_event(&mut self, now: Micros, event: CoreEvent<'_>);
 }
 
-/// A read that arrived, as a [`CopyLocator`] sees it.
+/// The part of a read that a [`CopyLocator`] needs.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadDescription<'a> {
     /// The group that it addresses.
@@ -59,8 +60,8 @@
     pub key: &'a [u8],
 }
 
-/// A subsystem that knows which servers of other groups may hold a copy of what is read. It names candidates; the router chooses,
-/// and the copy proves its position in its reply.
+/// A subsystem that locates copies of rows at servers of other groups. It returns candidates; the router selects one, and its reply
+/// states the position of the copy.
 pub trait CopyLocator {
     /// Candidates for a read.
     fn locate_copies(&mut self, now: Micros, read: &ReadDescription<'_>) -> Vec<CopyCandidate>;
@@ -94,7 +95,7 @@
         !self.0.is_empty()
     }
 
-    /// Tells all observers.
+    /// Notifies all observers.
     pub fn notify(&self, now: Micros, event: CoreEvent) {
         for observer in &self.0 {
             observer.borrow_mut().on_event(now, event);
--- a/proxy/src/outbox.rs
+++ b/proxy/src/outbox.rs
@@ -1,13 +1,13 @@
-//! Output that waits to be written, of any protocol.
+//! The output buffer of a connection, for every protocol.
 
-/// What an idle connection keeps of a buffer's capacity.
+/// The capacity that an empty buffer keeps.
 pub const IDLE_BUFFER_BYTES: usize = 4096;
 
 /// Output that waits to be written.
 #[derive(Default)]
 pub struct Outbox {
     bytes: Vec<u8>,
-    /// So many of them are written.
+    /// How many of the bytes are written.
     written: usize,
 }
 
@@ -17,7 +17,7 @@
         &self.bytes[self.written..]
     }
 
-    /// So much of what was pending has been written.
+    /// This number of pending bytes has been written.
     pub fn advance(&mut self, count: usize) {
         self.written = (self.written + count).min(self.bytes.len());
         if self.written == self.bytes.len() {
@@ -32,7 +32,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The buffer, for an encoder that appends to it. What is in it must stay.
+    /// The buffer, for an encoder that appends to it. The bytes in it must not be changed.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
--- a/proxy/src/peer_state.rs
+++ b/proxy/src/peer_state.rs
@@ -1,6 +1,6 @@
-//! Between the core and the crate `birchreach-peer-state`: what this proxy observes of servers becomes facts there, and what other
-//! proxies send becomes the few things that the decisions may learn of it. Owns the translation, also of the types that the
-//! crate defines for itself; what a fact may be used for is decided there, and no write is sent because of one.
+//! Peer state in the proxy: translates this proxy's observations of servers into the facts of the crate `birchreach-peer-state`,
+//! and the facts of other proxies into positions and role checks for the router. The crate decides what a fact may be used for; no
+//! write is sent because of one.
 
 #[cfg(test)]
 mod tests;
@@ -13,9 +13,9 @@
 };
 use std::collections::HashMap;
 
-/// An older position is not passed on: the decisions date a position by when they learn of it, and would take the replica for
-/// one that lags so far that it is not asked for a while.
-const MAX_POSITION_AGE: Micros = 5_000_000;
+/// An older position is not reported to the router, which measures the lag of a replica from the time at which a position is
+/// reported, and would avoid the replica for a while.
+const MAX_POSITION_AGE_MICROS: Micros = 5_000_000;
 /// A server whose observation as primary is trusted less than this is not checked.
 const MIN_TRUST: f64 = 0.05;
 
@@ -23,7 +23,7 @@
 pub struct PeerStateObserver {
     /// The facts.
     pub state: PeerState,
-    /// The last position of each server that was passed on to the decisions.
+    /// The last position of each server that was reported to the router.
     reported_positions: HashMap<String, Micros>,
 }
 
@@ -36,12 +36,12 @@
     pub report: LoadReport,
 }
 
-/// What the decisions may learn from another proxy's state.
+/// What the router may use of another proxy's state.
 #[derive(Debug, Default)]
 pub struct PeerAdvice {
     /// Positions of servers on the endpoint list.
     pub positions: Vec<RemotePosition>,
-    /// Servers to be asked whether they are their group's primary.
+    /// Servers whose role should be checked, as each may be its group's primary.
     pub primary_candidates: Vec<String>,
 }
 
@@ -51,7 +51,7 @@
         PeerStateObserver { state: PeerState::new(observer), reported_positions: HashMap::new() }
     }
 
-    /// Records what a server reported of itself, with an answer or a load report.
+    /// Records the status that a server reported, with an answer or a load report.
     fn record_reply(&mut self, now: Micros, uid: &str, reply: &Reply) {
         if let Some(status) = reply.status {
             let source = ObservationSource::ServerStatus;
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Records a position, if there is one, and its lag.
     fn record_position(
         &mut self,
         now: Micros,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Merges what another proxy sent in answer to a request of this time.
+    /// Merges a part of another proxy's state, which was requested at this time.
     pub fn apply_transfer(&mut self, now: Micros, requested_at: Micros, part: &TransferPart) -> PeerAdvice {
         self.state.apply_transfer(requested_at, part);
         let positions =
@@ -99,10 +100,10 @@
         PeerAdvice { positions, primary_candidates }
     }
 
-    /// A recent position that another proxy observed and that is later than those passed on.
+    /// A recent position that another proxy observed, if it is later than those reported to the router.
     fn new_position(&mut self, now: Micros, uid: &str) -> Option<RemotePosition> {
         let seen = advice::position(&self.state, uid)?;
-        let is_recent_and_remote = seen.hop_count > 0 && seen.age(now) <= MAX_POSITION_AGE;
+        let is_recent_and_remote = seen.hop_count > 0 && seen.age(now) <= MAX_POSITION_AGE_MICROS;
         let is_later = self.reported_positions.get(uid).is_none_or(|before| *before < seen.value);
         if !is_recent_and_remote || !is_later {
             return None;
@@ -112,7 +113,7 @@
         Some(RemotePosition { uid: uid.into(), report })
     }
 
-    /// The groups of the servers of which something is known, each once.
+    /// The groups of those servers that have facts, each once.
     fn groups_of(&self, servers: &[TransferredServer]) -> Vec<u32> {
         let mut groups = Vec::new();
         for facts in servers.iter().filter_map(|server| self.state.facts(&server.uid)) {
@@ -123,7 +124,7 @@
         groups
     }
 
-    /// The likeliest primary of a group, unless this proxy has observed it itself or trust is too low.
+    /// The most likely primary of a group, unless this proxy has observed it itself or trust is too low.
     fn primary_candidate(&self, now: Micros, group: u32) -> Option<String> {
         let first = advice::primary_candidates(&self.state, group, now).into_iter().next()?;
         (first.seen.hop_count > 0 && first.trust >= MIN_TRUST).then_some(first.uid)
@@ -143,6 +144,7 @@
     }
 }
 
+/// The role as the crate defines it.
 fn to_peer_role(role: birchreach::Role) -> Role {
     match role {
         birchreach::Role::Primary => Role::Primary,
--- a/proxy/src/reply.rs
+++ b/proxy/src/reply.rs
@@ -1,6 +1,6 @@
-//! The reply of a database to an attempt or a health check, in values of no protocol.
+//! The reply of a database to an attempt or a health check, independent of the protocol.
 //!
-//! The protocol's state machines make it; the core and its observers read it.
+//! The protocol's state machines create it; the core and its observers use it.
 
 use birchreach::{AttemptOutcome, LoadReport, Micros, ServerStatus};
 
@@ -13,7 +13,7 @@
     pub binary: bool,
 }
 
-/// How an attempt or a health check ended, and what the database said.
+/// The result of an attempt or a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// How it ended.
@@ -31,7 +31,7 @@
 }
 
 impl Reply {
-    /// An outcome of which the database said nothing.
+    /// A result with nothing but an outcome.
     pub fn with_outcome(outcome: AttemptOutcome) -> Reply {
         Reply {
             outcome,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The connection was refused.
+    /// The result of an attempt whose connection was refused.
     pub fn connection_refused() -> Reply {
         Reply { connection_refused: true, ..Reply::with_outcome(AttemptOutcome::ConnectFailed) }
     }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -1,6 +1,6 @@
-//! The comparison of a split in the proxy: translates the core's events, answers of databases and the options into the values of
-//! crate `shard-split`, and its state into the lines of the admin call `split`. What is compared, and what a difference means, is
-//! decided in the crate.
+//! The comparison of a split in the proxy: translates the core's events, replies of databases and the options into the types of the
+//! crate `shard-split`, and its state into the reply to the call `split`. The crate decides what is compared and what a difference
+//! means.
 
 use crate::background_query::BackgroundQueryResult;
 use crate::observe::{CoreEvent, Observer};
@@ -14,36 +14,37 @@
 };
 use std::collections::HashMap;
 use std::fmt::Write;
+use std::mem::Discriminant;
 
 /// The verifier of a split as an observer of the core.
 pub struct SplitObserver {
     /// The decisions.
     pub verifier: SplitVerifier,
     hasher: NameHasher,
-    /// A number for each database's process, by its name and its last start.
+    /// A number for each database's process, from its name and its last start.
     processes: HashMap<ServerId, u64>,
     class_names: Vec<String>,
-    /// The verdict that was logged last.
-    logged_verdict: Option<&'static str>,
+    /// The kind of the verdict that was logged last.
+    logged_verdict: Option<Discriminant<Verdict>>,
 }
 
 /// The crate's settings from the options and the number of configured processes.
 pub fn settings(options: &birchreach_options::SplitOptions, configured_members: u32) -> Settings {
     let micros = |span: std::time::Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
     let birchreach_options::SplitOptions {
-        parent: from,
-        lower_child: below,
-        upper_child: above,
-        split_at: at,
-        min_comparisons: least,
-        min_processes: processes,
+        parent,
+        lower_child,
+        upper_child,
+        split_at,
+        min_comparisons,
+        min_processes,
         ..
     } = *options;
     Settings {
-        definition: Definition { parent: from, lower_child: below, upper_child: above, split_at: at },
-        min_comparisons: least,
+        definition: Definition { parent, lower_child, upper_child, split_at },
+        min_comparisons,
         coverage_window: micros(options.coverage_window),
-        min_processes: processes,
+        min_processes,
         confirmation_delay: micros(options.confirmation_delay),
         configured_members: configured_members as usize,
     }
@@ -62,6 +63,7 @@
         SplitObserver { verifier, hasher, processes: HashMap::new(), class_names, logged_verdict: None }
     }
 
+    /// The digest of a value, which cannot be computed outside the fleet.
     fn digest(&self, value: &[u8]) -> u64 {
         self.hasher.hash(0, value)
     }
@@ -72,6 +74,7 @@
         result.unwrap_or(QueryResult::NoAnswer)
     }
 
+    /// The result from the replies; none if one of them cannot be used.
     fn parse_replies(
         &self,
         query: ComparisonQuery,
@@ -105,21 +108,22 @@
         })
     }
 
-    /// The digest of the row in the nth reply; none without such a reply.
-    fn row(&self, completed: &BackgroundQueryResult, n: usize) -> Option<Row> {
-        let reply = completed.replies.get(n)?;
+    /// The digest of the row in the reply with this index; none without such a reply.
+    fn row(&self, completed: &BackgroundQueryResult, index: usize) -> Option<Row> {
+        let reply = completed.replies.get(index)?;
         Some(reply.value.as_ref().map(|value| self.digest(&value.bytes)))
     }
 
-    /// The verdict, if it is another than the one that was logged last.
+    /// The verdict, if it is of another kind than the one that was logged last.
     pub fn verdict_to_log(&mut self, heard_members: usize) -> Option<Verdict> {
         let verdict = self.verifier.verdict(heard_members);
-        let logged = self.logged_verdict.replace(verdict.as_str());
-        (logged != Some(verdict.as_str())).then_some(verdict)
+        let kind = std::mem::discriminant(&verdict);
+        let logged = self.logged_verdict.replace(kind);
+        (logged != Some(kind)).then_some(verdict)
     }
 
-    /// The answer to the admin call `split`: a line for the whole, one for each range that is not covered, and one for each
-    /// difference that this process confirmed.
+    /// The reply to the call `split`: a summary line, one for each range that is not covered, and one for each difference that this
+    /// process confirmed.
     pub fn status_lines(&self, heard_members: usize) -> String {
         let settings = self.verifier.settings();
         let mut lines = self.summary_line(heard_members);
@@ -136,6 +140,7 @@
         lines
     }
 
+    /// The first line of the reply to the call `split`.
     fn summary_line(&self, heard_members: usize) -> String {
         let verdict = self.verifier.verdict(heard_members);
         let differences =
@@ -187,10 +192,10 @@
     }
 }
 
-/// The position in the nth reply, if the reply is a replica's. A primary may have been deposed without knowing it: it would state
-/// the present and answer from the past, while a replica's position is that of the log that it has applied.
-fn replica_position(completed: &BackgroundQueryResult, n: usize) -> Option<Option<Micros>> {
-    let status = completed.replies.get(n)?.status?;
+/// The position in the reply with this index, if it is from a replica. A primary that was deposed without noticing would state the
+/// present time and answer with old data, while a replica's position is that of the log that it has applied.
+fn replica_position(completed: &BackgroundQueryResult, index: usize) -> Option<Option<Micros>> {
+    let status = completed.replies.get(index)?.status?;
     (status.role == Role::Replica).then_some(status.position)
 }
 
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counters since the start of the process, as the admin listener reports them.
+//! Counters since the start of the process, as operators see them.
 
 use std::fmt::Write;
 
@@ -40,14 +40,14 @@
     pub configuration_load_errors: u64,
 }
 
-/// Present state, asked of its owners.
+/// Values of the present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Requests without an answer.
     pub in_progress: usize,
     /// Databases in the endpoint list.
     pub known: usize,
-    /// Databases that get no new work at the moment.
+    /// Databases that receive no new requests at present.
     pub skipped: usize,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Every counter and gauge, a line each, under the names that operators use.
+    /// Every counter and gauge, a line each. The names are public and must not change.
     pub fn lines(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
