--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -24,7 +24,7 @@
 }
 
 impl NumberedClass {
-    /// Whether the settings in force have this class.
+    /// Whether the current settings have this class.
     fn is_current(&self) -> bool {
         self.accepted_until.is_none()
     }
--- a/proxy/src/health_command.rs
+++ b/proxy/src/health_command.rs
@@ -85,7 +85,7 @@
     Ok(Answer { status: response.status().as_u16(), body: body.map_err(failed)? })
 }
 
-/// The path that stands for the class and group in the arguments.
+/// The path for the class and group in the arguments.
 fn path(arguments: &HealthArguments) -> String {
     match (&arguments.class, arguments.group) {
         (None, None) => "/health".to_string(),
--- a/proxy/src/health_command/report.rs
+++ b/proxy/src/health_command/report.rs
@@ -5,7 +5,7 @@
 
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1000.0;
-/// Shown for a value that the answer lacks.
+/// Shown for a value that is not in the answer.
 const ABSENT: &str = "-";
 
 /// A summary line, then one for each class and two for each group.
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -1,5 +1,5 @@
 //! The tasks that compare reads while a group splits: a query of the verifier is sent to a replica of a child or of the parent, and
-//! its result handed back.
+//! its result is returned to the verifier.
 
 use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
 use crate::background_query::BackgroundQueryResult;
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// Starts, reconfigures or ends the monitor as the configuration in force says.
+    /// Starts, reconfigures or ends the monitor according to the current configuration.
     pub(super) fn configure_health(&mut self) {
         let Some(options) = &self.config.options.health else {
             if let Some(observer) = self.health.observer.take() {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Becomes ready at the time that the predecessor announces, or at once if it has disconnected.
+    /// Becomes ready at the time that the predecessor announces, or immediately if it has disconnected.
     fn await_handover(&mut self, unix_now: Micros) {
         if self.health.ready_at <= self.context.now || self.health.handover_time_known {
             return;
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -58,7 +58,7 @@
         self.process_client(context, key);
     }
 
-    /// The rest of the value will not come. The connection is closed, which tells the client that the value is incomplete.
+    /// The rest of the value will not arrive. Closes the connection, which shows the client that the value is incomplete.
     pub fn abort_value(&mut self, context: &mut EventLoopContext, key: ClientKey, request: RequestId) {
         if self.client_with_request(key, request).is_some() {
             self.close(context, key, ClientCloseReason::ResponseTruncated);
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -83,7 +83,7 @@
 pub(super) struct Client {
     pub stream: TcpStream,
     pub peer: SocketAddr,
-    /// Tells which clients came before it: its key does not, for keys are used again.
+    /// Its place in the order in which clients were accepted.
     serial: ClientSerial,
     pub protocol: Frontend,
     pub open_request: Option<OpenRequest>,
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -27,7 +27,7 @@
             Some(Closing { reason, .. }) => {
                 return (inactive_for >= INCOMPLETE_MESSAGE_TIMEOUT_MICROS).then_some(reason);
             }
-            // A streamed value has no deadline, but its client must go on reading.
+            // A streamed value has no deadline, but its client must continue to read.
             None if self.open_request.is_some() && self.streamed_value.is_none() => return None,
             None => {}
         }
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -63,7 +63,7 @@
 }
 
 impl Clients {
-    /// Takes over the listener. At most so many clients are accepted.
+    /// Registers the listener. At most `max_clients` are accepted.
     pub fn new(
         registry: &Registry,
         mut listener: TcpListener,
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -22,8 +22,8 @@
 }
 
 impl ConnectionLimits {
-    /// All but the process's own descriptors; half of that while another process is there; and while that one shuts down, all but
-    /// what it still holds.
+    /// Divides all but the reserved descriptors. Another process gets half of them; while it shuts down, only those that it still
+    /// has open.
     pub(super) fn new(config: &Config, handover: &ProcessHandover) -> ConnectionLimits {
         let processes = handover.process_count() as usize;
         let reserved = (OWN_DESCRIPTORS + reserved_descriptors(config)) * processes;
@@ -53,7 +53,7 @@
 }
 
 impl EventLoop {
-    /// Divides descriptors and budgets anew after another process of this proxy came or went.
+    /// Recalculates the limits after another process of this proxy started or ended.
     pub(super) fn apply_process_count(&mut self) {
         let limits = self.connection_limits();
         self.context.core.set_process_count(self.context.now, self.handover.process_count());
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The limits of the configuration in force.
+    /// The limits of the current configuration.
     pub(super) fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits::new(&self.config, &self.handover)
     }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -81,7 +81,7 @@
         self.backoff.update_settings(settings);
     }
 
-    /// Discovery has another address: it is polled there at once, for what is newer than the list received so far.
+    /// Discovery has another address: polls it there immediately, for changes after the list received so far.
     pub fn set_address(&mut self, context: &mut EventLoopContext, address: SocketAddr) {
         if self.address == address {
             return;
--- a/proxy/src/net/error.rs
+++ b/proxy/src/net/error.rs
@@ -1,4 +1,4 @@
-//! Why the event loop could not start, or could not go on.
+//! Errors that prevent the event loop from starting or continuing.
 
 use std::error::Error;
 use std::fmt::{self, Display};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
 
-/// Why the event loop could not start, or could not go on.
+/// Why the event loop could not start or continue.
 #[derive(Debug)]
 pub enum EventLoopError {
     /// Signals could not be caught.
@@ -19,7 +19,7 @@
     Register { source: RegisteredSource, error: io::Error },
     /// A listener could not be opened.
     Listen(ListenError),
-    /// The listening socket that the platform handed over cannot be used.
+    /// The listening socket that was inherited from the platform cannot be used.
     InheritedDescriptor { descriptor: RawFd, error: io::Error },
     /// The clients' listener has no address.
     ListenerAddress(io::Error),
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -1,4 +1,4 @@
-//! What the owners of connections share with the loop, lent to each of their calls beside the owner itself.
+//! The state that the event loop shares with the owners of connections; an argument of their calls.
 
 use super::statement_payload::StatementPayload;
 use super::timer_events::TimerEvent;
@@ -8,16 +8,16 @@
 use mio::Poll;
 
 /// The part of the loop's state that every owner may use. It is a field of the loop, so that a call such as
-/// `self.clients.close_expired(&mut self.context)` borrows two fields that do not overlap.
+/// `self.clients.close_expired(&mut self.context)` borrows two separate fields.
 pub struct EventLoopContext {
     /// The time, read once for the events of a turn and once for its timers.
     pub now: Micros,
-    /// Waits for sockets, which are registered with its registry.
+    /// Reports sockets that are ready; they are registered with its registry.
     pub poll: Poll,
     /// Timers of all owners.
     pub timers: Timers<TimerEvent>,
-    /// The requests that are open, and the decisions on them.
+    /// The open requests, and the router.
     pub core: Core<StatementPayload>,
-    /// Where sockets are read into. Nothing is kept in it between two calls.
+    /// The buffer that sockets are read into. Its content is not kept between two calls.
     pub scratch: Vec<u8>,
 }
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -15,7 +15,7 @@
 use std::io::ErrorKind;
 
 impl EventLoop {
-    /// Joins the fleet, where the options say so.
+    /// Joins the fleet, if the options enable it.
     pub(in crate::net) fn start_fleet(&mut self) -> Result<(), EventLoopError> {
         let (Some(options), Some(keys)) = (&self.config.options.fleet, &self.config.fleet_keys) else {
             return Ok(());
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -8,7 +8,7 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// Bytes that are read at once.
+/// The most bytes that one read takes.
 const READ_BYTES: usize = 16 << 10;
 
 /// The kind of a link.
@@ -86,7 +86,7 @@
     }
 }
 
-/// A link in its slot. The serial tells it from an earlier link in the same slot.
+/// A link in its slot. The serial distinguishes it from earlier links in the same slot.
 pub(super) struct PeerLink {
     pub(super) stream: TcpStream,
     pub(super) role: LinkRole,
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -20,7 +20,7 @@
 
 /// The limit on such links, in both directions. Each may use about half a megabyte of memory.
 pub(super) const MAX_EXCHANGES: usize = 6;
-/// A connection that is not established at once: `EINPROGRESS`.
+/// The error code of a connect that has not completed yet: `EINPROGRESS`.
 const IN_PROGRESS: i32 = 115;
 
 /// The listener and the connections of full exchanges.
@@ -82,7 +82,7 @@
         Some((stream, peer, Box::new(FullExchange::new(Side::Provider, self.keys.clone(), nonce().ok()?))))
     }
 
-    /// Merges what the other side has sent, and sends this process's members in its turn.
+    /// Merges the members that the other side has sent, and sends those of this process.
     pub(super) fn process_exchange(
         &self,
         context: &mut EventLoopContext,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends all members that this process knows.
+    /// Sends all members of the fleet, as this process sees it.
     fn send_members(&self, exchange: &mut FullExchange) {
         exchange.send_parts(&self.membership.borrow().export_members());
     }
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -14,7 +14,7 @@
 /// What a part takes from the send budget, as its length is not known yet.
 const PART_BUDGET_BYTES: usize = 16 << 10;
 
-/// A link's slot, and the serial that tells it from an earlier link there.
+/// The key of a link's slot, and the serial that distinguishes it from earlier links in the slot.
 #[derive(Clone, Copy)]
 pub(super) struct LinkId {
     pub(super) key: LinkKey,
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! The graceful shutdown: connections that still arrive are served, idle clients are closed, and the process ends once no request is
-//! open. It owns the times of these steps; which client is closed when is decided by the clients' owner.
+//! The graceful shutdown: connections that still arrive are served, idle clients are closed, and the process ends once no request
+//! is open. This module owns the times of these steps; [`super::clients`] decides which client is closed.
 
 #[cfg(test)]
 mod tests;
@@ -10,22 +10,22 @@
 use birchreach_health::HealthEvent;
 use tracing::info;
 
-/// Connections still arrive for at most this time after SIGTERM, and are served.
+/// Connections may still arrive for this time after SIGTERM, and are served.
 const ARRIVALS_MICROS: Micros = 400_000;
 /// A request that is accepted later than this after SIGTERM may not have its whole timeout before SIGKILL: that comes the longest
 /// timeout and this time after SIGTERM, or later.
 const LAST_ACCEPTED_MICROS: Micros = 700_000;
-/// When idle clients are closed: well after the one and well before the other.
+/// When idle clients are closed: halfway between those two times.
 const CLOSE_IDLE_AFTER_MICROS: Micros = ARRIVALS_MICROS + (LAST_ACCEPTED_MICROS - ARRIVALS_MICROS) / 2;
-/// The same where another process has the listener too, so that no new client arrives here. Idle clients have this time to send
-/// another request, for which they get a response with the end of the connection behind it: those cross with no request.
+/// The same if another process has the listener too, so that no new client arrives here. If an idle client sends another request
+/// within this time, the connection is closed right after the response, when no further request can be under way.
 const CLOSE_IDLE_AFTER_HANDOVER_MICROS: Micros = 600_000;
 /// When the process exits, this time after the longest timeout of a request that was accepted: no client still waits.
 const EXIT_AFTER_LONGEST_TIMEOUT_MICROS: Micros = 1_500_000;
 
 impl EventLoop {
-    /// Begins the shutdown. Where balancers check this proxy they first have some time to send clients elsewhere; a second signal ends
-    /// that time.
+    /// Begins the shutdown. Where balancers check this proxy they first have some time to send clients elsewhere; a second signal
+    /// ends that time.
     pub(super) fn stop(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.context.core.open_request_count());
--- a/proxy/src/net/ids.rs
+++ b/proxy/src/net/ids.rs
@@ -1,5 +1,5 @@
-//! Keys and serial numbers of connections, for the event sources and timers that name them. They lie below both, and each kind has a
-//! type of its own so that none is taken for another.
+//! Keys and serial numbers of connections, which event sources and timers refer to. Each kind has a type of its own, so that one
+//! cannot be used in place of another.
 
 /// The slot of an operator's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/proxy/src/net/listener.rs
+++ b/proxy/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket: handed over by the platform, or opened here.
+//! The clients' listening socket: inherited from the platform, or opened here.
 
 use super::error::{EventLoopError, ListenError, ListenPurpose};
 use mio::net::TcpListener;
@@ -19,7 +19,7 @@
 
 /// Takes over a listening socket that was inherited.
 fn adopt(descriptor: RawFd) -> std::io::Result<TcpListener> {
-    // SAFETY: called once, at the start; the platform handed this number to this process, and nothing else in it owns the
+    // SAFETY: called once, at the start; the platform passed this number to this process, and nothing else in it owns the
     // descriptor. A number that is not a socket's fails at the next call.
     let listener = std::net::TcpListener::from(unsafe { OwnedFd::from_raw_fd(descriptor) });
     listener.local_addr()?;
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -116,7 +116,7 @@
         if self.health.observer.is_some() { EVENTS_PER_TURN_WITH_CHECKS } else { EVENTS_PER_TURN }
     }
 
-    /// Gossip's timer is due, or another proxy wants to connect.
+    /// Gossip's timer is due, or another proxy connects.
     fn step_gossip(&mut self) {
         if let Some(gossip) = &mut self.gossip {
             gossip.step(&mut self.context);
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -35,7 +35,7 @@
         std::mem::take(&mut self.completed_queries)
     }
 
-    /// Sends the next statement of a background query on the same connection, or hands back the task and the reply that ends it.
+    /// Sends the next statement of a background query on the same connection. Returns the task and its reply if there is none.
     pub(super) fn continue_background_query(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/pool/close_reason.rs
+++ b/proxy/src/net/pool/close_reason.rs
@@ -9,7 +9,7 @@
     Timeout,
     /// It was not established in time.
     ConnectTimeout,
-    /// A response that had begun did not go on.
+    /// A response that had begun did not continue in time.
     ResponseStalled,
     /// It was idle for long.
     Idle,
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Closes the connection and logs why. A task that it had is handed back without an outcome.
+    /// Closes the connection and logs why. Returns its task, if it had one, without an outcome.
     pub(super) fn close(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -47,7 +47,7 @@
     NotQueued,
     /// It waits to be written, in part at least: it cannot have run.
     Queued,
-    /// Its last byte was handed to the system: it may have run.
+    /// Its last byte was written to the socket: it may have run.
     Written,
 }
 
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -19,7 +19,7 @@
         self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, DatabaseCloseReason::Cancelled);
     }
 
-    /// The attempt's deadline has passed. A value that is being streamed goes on.
+    /// The attempt's deadline has passed. A value that is being streamed continues.
     pub fn attempt_timed_out(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempt_connections.get(&attempt) else { return };
         if !self.connections[*key].protocol.is_streaming() {
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -53,7 +53,7 @@
 }
 
 impl Pool {
-    /// A pool without connections, which opens at most so many.
+    /// A pool without connections. It opens at most this number.
     pub fn new(settings: &DeploymentSettings, max_connections: usize) -> Pool {
         let mut pool = Pool {
             connections: ConnectionTable::default(),
@@ -73,7 +73,7 @@
         pool
     }
 
-    /// Takes over what the settings say of connections to databases.
+    /// Applies the settings for connections to databases.
     pub fn apply_settings(&mut self, settings: &DeploymentSettings) {
         let field_name =
             |index: Option<usize>| index.and_then(|index| settings.load_report_fields.get(index).cloned());
@@ -86,7 +86,7 @@
         };
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
@@ -122,7 +122,7 @@
         self.dispatch(context, server, ConnectionTask::HealthCheck { server });
     }
 
-    /// Starts a check for the health monitor, of which the routing decisions are not told.
+    /// Starts a check for the health monitor. Its result is not reported to the router.
     pub fn start_monitor_check(&mut self, context: &mut EventLoopContext, server: ServerId) {
         self.dispatch(context, server, ConnectionTask::MonitorCheck { server });
     }
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -78,7 +78,7 @@
         connection.query = QueryProgress::NotQueued;
         connection.idle_since = context.now;
         if !connection.protocol.is_idle() {
-            // It could not be told which query the next bytes belong to.
+            // It would be unknown which query the next bytes belong to.
             self.close(context, key, DatabaseCloseReason::UnexpectedData);
         } else if context.core.address(connection.server) == Some(connection.address) {
             self.idle.entry(connection.server).or_default().push(key);
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The client has taken what it was sent of a streamed value: reading goes on.
+    /// The client has taken what was forwarded of a streamed value: resumes reading.
     pub fn resume_reading(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
         let connection = &mut self.connections[key];
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -19,7 +19,7 @@
     protocol: HandoverProtocol,
     /// A successor takes clients.
     is_serving: bool,
-    /// A predecessor is stopping, and holds so many descriptors.
+    /// A predecessor is stopping, and still has this number of descriptors open.
     descriptors_when_stopping: Option<usize>,
     /// When a predecessor stops accepting work, in Unix microseconds.
     stops_accepting_at: Option<i64>,
@@ -76,8 +76,8 @@
 }
 
 impl ProcessHandover {
-    /// Connects to the process that serves at this address, if there is one, and tells it that this one serves now; then listens
-    /// for the next.
+    /// Connects to the process that serves at this address, if there is one, and informs it that this one serves now; then listens
+    /// for the next one.
     pub fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
@@ -132,12 +132,12 @@
         }
     }
 
-    /// Tells the successor how many descriptors this process still holds.
+    /// Informs the successor how many descriptors this process still has open.
     pub fn announce_stopping(&mut self, context: &mut EventLoopContext, descriptors: usize) {
         self.send_to_successor(context, HandoverMessage::Stopping(descriptors));
     }
 
-    /// Tells the successor when this process stops accepting work, in Unix microseconds.
+    /// Informs the successor when this process stops accepting work, in Unix microseconds.
     pub fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, at: i64) {
         self.send_to_successor(context, HandoverMessage::StopsAcceptingAt(at));
     }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -44,8 +44,8 @@
 }
 
 impl EventLoop {
-    /// Reads the configuration again. Discovery's address, settings and limits change at once; the rest with a restart. An invalid
-    /// configuration changes nothing.
+    /// Reads the configuration again. Discovery's address, settings and limits change immediately, the rest with a restart. An
+    /// invalid configuration changes nothing.
     pub(super) fn reload(&mut self) {
         match self.load_successor() {
             Ok((config, check_listeners)) => self.apply_configuration(config, check_listeners),
@@ -66,7 +66,7 @@
         Ok((config, check_listeners))
     }
 
-    /// Makes a configuration the one in force.
+    /// Applies a configuration.
     fn apply_configuration(&mut self, mut new: Config, check_listeners: OpenedListeners) {
         self.context.core.stats.configuration_loads += 1;
         let needs_restart = self.config.changes_needing_restart(&new).join(",");
@@ -85,7 +85,7 @@
         self.carry_out();
     }
 
-    /// Copies what changes only with a restart from the configuration in force to a new one.
+    /// Copies what changes only with a restart from the current configuration to a new one.
     fn keep_until_restart(&self, new: &mut Config) {
         let old = &self.config;
         new.name.clone_from(&old.name);
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -1,5 +1,5 @@
-//! One turn of the loop: it waits, serves operators and balancers first and then all others in the order of their events, continues
-//! what the last turn left, and handles timers that are due.
+//! One turn of the loop: waits for events, serves operators and balancers first and then all others in the order of their events,
+//! continues unfinished work, and handles timers that are due.
 
 use super::EventLoop;
 use super::error::EventLoopError;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 impl EventLoop {
-    /// Waits for events or the next timer, and does all that is due.
+    /// Waits for events or the next timer, and handles what is due.
     pub(super) fn run_once(
         &mut self,
         events: &mut Events,
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Whether something is left from the last turn that the poll does not report again.
+    /// Whether there is work left from the last turn that the poll does not report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
         self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.has_pending_work(now)
     }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// SIGHUP reloads; the others begin a graceful shutdown.
+    /// SIGHUP reloads the configuration; the other signals begin a graceful shutdown.
     fn handle_signals(&mut self, signals: &mut Signals) {
         for signal in signals.pending() {
             match signal {
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Continues with clients where the last turn stopped, and closes idle ones where the system had no descriptor for connections to
-    /// databases or to discovery.
+    /// Continues with clients where the last turn stopped, and sheds idle ones if the system had no descriptor for a connection to
+    /// a database or to discovery.
     fn continue_connections(&mut self) {
         self.clients.continue_pending_work(&mut self.context);
         if self.pool.take_descriptors_exhausted() {
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -18,7 +18,7 @@
     Discovery,
     /// The operators' listener.
     AdminListener,
-    /// Where the process that replaces this one connects.
+    /// The listener for the process that replaces this one.
     HandoverListener,
     /// The connection to the process that this one replaces.
     Predecessor,
@@ -48,7 +48,7 @@
     Gossip(LinkKey),
 }
 
-/// Sources of which there is one, by their tokens.
+/// The sources without a key. The token of each is its index.
 const SINGLE: [Source; 13] = [
     Source::Listener,
     Source::Signals,
@@ -64,7 +64,8 @@
     Source::MembershipListener,
     Source::Fleet,
 ];
-/// The others alternate behind them: key k of slab n has the token SINGLE + k * SLABS + n.
+/// Constructors of the sources that have a key, by the number of their slab. Their tokens follow those of the single sources: key k
+/// of slab n has the token `SINGLE.len() + k * SLABS.len() + n`.
 const SLABS: [fn(usize) -> Source; 5] = [
     |key| Source::Client(ClientKey(key)),
     |key| Source::Database(ConnectionKey(key)),
@@ -95,7 +96,8 @@
         })
     }
 
-    /// Operators and balancers are served before all others, however many are ready: they are few, and matter most under load.
+    /// Whether it is served before all others, however many are ready: connections of operators and balancers are few, and matter
+    /// most under load.
     pub fn has_priority(self) -> bool {
         matches!(
             self,
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -30,6 +30,15 @@
 /// The most that is read from a socket at once.
 const SCRATCH_BYTES: usize = 64 << 10;
 
+/// The connections to other processes of this proxy; none unless it shares its listener.
+fn open_handover(poll: &Poll, address: SocketAddr, shared_listener: bool) -> ProcessHandover {
+    if shared_listener {
+        ProcessHandover::connect_or_listen(poll.registry(), address)
+    } else {
+        ProcessHandover::default()
+    }
+}
+
 impl EventLoop {
     /// Opens the poll and the listeners, and starts the subsystems.
     pub(super) fn start(
@@ -64,24 +73,15 @@
         let admin = AdminListener::new(poll.registry(), config.admin_address)?;
         // Only a proxy that shares its listener can consist of two processes.
         let shared_listener = config.inherited_descriptor.is_some();
-        let handover = if shared_listener {
-            ProcessHandover::connect_or_listen(poll.registry(), address)
-        } else {
-            ProcessHandover::default()
-        };
+        let handover = open_handover(&poll, address, shared_listener);
         let limits = ConnectionLimits::new(&config, &handover);
+        let scratch = vec![0; SCRATCH_BYTES];
         let core = Core::new(&config.deployment, config.seed, now);
         let (settings, seed) = (&config.deployment.routing, config.seed);
         let clients = Clients::new(poll.registry(), listener, limits.clients)?;
         Ok(EventLoop {
             clock,
-            context: EventLoopContext {
-                now,
-                poll,
-                timers: Timers::new(),
-                core,
-                scratch: vec![0; SCRATCH_BYTES],
-            },
+            context: EventLoopContext { now, poll, timers: Timers::new(), core, scratch },
             clients,
             pool: Pool::new(&config.deployment, limits.databases),
             discovery: DiscoveryConnection::new(config.discovery_address, known_revision, settings, seed),
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Starts to request state from other proxies and to send it to them, where the options say so.
+    /// Starts to transfer state to and from other proxies, if the options enable it.
     fn start_gossip(&mut self) -> Result<(), EventLoopError> {
         let (Some(options), Some(keys)) = (&self.config.options.peer_state, &self.config.gossip_keys) else {
             return Ok(());
