--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -4,7 +4,7 @@
 //! other rules keeps its old number for a while, and the new one gets a free number.
 
 use super::{Core, RequestPayload};
-use crate::stats::{RequestResult, Stats};
+use crate::stats::{ClassRowIndex, RequestResult, Stats};
 use birchreach::{ClassId, Consistency, Event, Micros, RequestClass, SessionPositionSource, Settings};
 use birchreach_settings::DeploymentSettings;
 use std::collections::HashSet;
@@ -18,7 +18,7 @@
     name: String,
     rules: RequestClass,
     /// Index of its row in the statistics.
-    stats_row: usize,
+    stats_row: ClassRowIndex,
     /// Set once the class is dropped or replaced by another of its name: its last requests have arrived by then.
     accepted_until: Option<Micros>,
 }
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -1,7 +1,7 @@
 //! The values exchanged between the core, the protocol front ends and the event loop. They belong to no protocol.
 
 use crate::reply::Value;
-use birchreach::{AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId};
+use birchreach::{AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId, SessionId};
 
 /// A front end's own form of a request.
 pub trait RequestPayload: Clone {
@@ -23,7 +23,7 @@
     /// The group that it addresses.
     pub group: GroupId,
     /// Its session.
-    pub session: Option<u64>,
+    pub session: Option<SessionId>,
     /// The position that a session read has to see.
     pub read_after_position: Option<Micros>,
     /// How long the client waits from now on.
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -37,7 +37,7 @@
             group,
             tenant: TenantId(0),
             timeout,
-            session: session.map(SessionId),
+            session,
             last_write_position: read_after_position,
             copy_candidates,
         };
@@ -92,6 +92,6 @@
 }
 
 /// The id of a session, from its name.
-pub fn session_id(name: &[u8]) -> u64 {
-    fnv1a(name)
+pub fn session_id(name: &[u8]) -> SessionId {
+    SessionId(fnv1a(name))
 }
--- a/proxy/src/pg/copies.rs
+++ b/proxy/src/pg/copies.rs
@@ -17,7 +17,7 @@
     let (comment_head, comment_tail) = statement.comment_around_deadline();
     let select = format!(
         "SELECT coalesce((SELECT int8send(at) || blob FROM copies WHERE home = {} AND handle = '",
-        statement.group
+        statement.group.0
     );
     let condition = format!("' AND at >= {}), '')", to_millis_rounded_up(required_position));
     let left = left_ms.to_string();
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -70,7 +70,7 @@
         };
         self.commands_received += 1;
         self.commands_left_in_turn -= 1;
-        self.awaiting_rest_of_message = false;
+        self.message_incomplete = false;
         Ok(match message {
             ClientMessage::Terminate => {
                 self.phase = Phase::Over;
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -97,7 +97,7 @@
     /// How many messages have arrived after the startup.
     commands_received: u64,
     /// The next message has not arrived completely.
-    awaiting_rest_of_message: bool,
+    message_incomplete: bool,
 }
 
 impl Default for Frontend {
@@ -110,7 +110,7 @@
             out: Outbox::default(),
             commands_left_in_turn: MAX_COMMANDS_PER_TURN,
             commands_received: 0,
-            awaiting_rest_of_message: true,
+            message_incomplete: true,
         }
     }
 }
@@ -124,8 +124,7 @@
 
     /// Whether input should be read now. Only a little is read ahead of the command that is being answered.
     pub fn wants_input(&self) -> bool {
-        let completes_message =
-            self.accepts_messages() && self.awaiting_rest_of_message && !self.output_is_full();
+        let completes_message = self.accepts_messages() && self.message_incomplete && !self.output_is_full();
         self.phase != Phase::Over
             && !self.reading_stopped
             && (self.inbox.len() < MAX_BUFFERED_BYTES || completes_message)
@@ -141,7 +140,7 @@
         self.reading_stopped
             && self.accepts_messages()
             && self.out.pending().is_empty()
-            && (self.awaiting_rest_of_message || self.inbox.len() == 0)
+            && (self.message_incomplete || self.inbox.len() == 0)
     }
 
     /// A new turn of the loop begins.
@@ -168,7 +167,7 @@
 
     /// No message after the startup has arrived yet, or one is incomplete.
     pub fn has_incomplete_message(&self) -> bool {
-        let message_begun = self.inbox.len() > 0 && self.awaiting_rest_of_message;
+        let message_begun = self.inbox.len() > 0 && self.message_incomplete;
         self.commands_received == 0 || (message_begun && !matches!(self.phase, Phase::AnswerPending { .. }))
     }
 
@@ -201,7 +200,7 @@
                 Ok(Progress::Command(command)) => return Some(command),
                 Ok(Progress::Continue) => {}
                 Ok(Progress::NeedsInput) => {
-                    self.awaiting_rest_of_message = true;
+                    self.message_incomplete = true;
                     self.inbox.release_empty_buffer();
                     return None;
                 }
--- a/proxy/src/pg/statement/mod.rs
+++ b/proxy/src/pg/statement/mod.rs
@@ -26,7 +26,7 @@
     /// How long the client waits, in milliseconds (`d`).
     pub wait_ms: u32,
     /// The group that the row is in (`cluster`).
-    pub group: u32,
+    pub group: GroupId,
     /// The position that the read must see, as a Unix time in milliseconds (`after`).
     pub read_after_ms: Option<i64>,
 }
@@ -85,7 +85,7 @@
         let margin = CLIENT_CLOCK_MARGIN_MICROS.min(wait / 10);
         Ok(RoutingRequest {
             class: class_id,
-            group: GroupId(self.group),
+            group: self.group,
             session: has_session.then(|| session_id(self.key())),
             read_after_position: self
                 .read_after_ms
--- a/proxy/src/pg/statement/parser.rs
+++ b/proxy/src/pg/statement/parser.rs
@@ -2,6 +2,7 @@
 
 use super::{Statement, WRITE_PREFIX};
 use crate::pg::codec::MAX_CLIENT_VALUE_BYTES;
+use birchreach::GroupId;
 use std::ops::Range;
 
 /// The beginning of a select, up to the key.
@@ -34,7 +35,7 @@
 
         let deadline_range = fields.wait?;
         let wait_ms = u32::try_from(parser.number(&deadline_range)?).ok()?;
-        let group = u32::try_from(parser.number(&fields.group?)?).ok()?;
+        let group = GroupId(u32::try_from(parser.number(&fields.group?)?).ok()?);
         let read_after_ms = match fields.read_after {
             None => None,
             Some(range) => Some(i64::try_from(parser.number(&range)?).ok()?),
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -17,6 +17,10 @@
     counts: ResultCounts,
 }
 
+/// The index of a class's counters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClassRowIndex(usize);
+
 /// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
@@ -53,17 +57,17 @@
 
 impl Stats {
     /// The index of a class's row. A class that was known before keeps its counters.
-    pub fn class_row(&mut self, name: &str) -> usize {
+    pub fn class_row(&mut self, name: &str) -> ClassRowIndex {
         let known = self.classes.iter().position(|row| row.name == name);
-        known.unwrap_or_else(|| {
+        ClassRowIndex(known.unwrap_or_else(|| {
             self.classes.push(ClassRow { name: name.to_string(), counts: ResultCounts::default() });
             self.classes.len() - 1
-        })
+        }))
     }
 
     /// Counts a request of the class with this row.
-    pub fn count_result(&mut self, row: usize, result: RequestResult) {
-        let Some(ClassRow { counts, .. }) = self.classes.get_mut(row) else { return };
+    pub fn count_result(&mut self, row: ClassRowIndex, result: RequestResult) {
+        let Some(ClassRow { counts, .. }) = self.classes.get_mut(row.0) else { return };
         match result {
             RequestResult::Served => counts.served += 1,
             RequestResult::Rejected => counts.rejected += 1,
