--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -1,26 +1,28 @@
-//! The router's actions as commands for the event loop.
+//! Translates the router's actions into commands for the event loop.
 
-use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload};
+use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload, RoutingTimerId};
 use crate::observe::CoreEvent;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::{Action, AttemptNo, Micros, RequestId, ServerId};
 
-const MICROS_PER_MILLISECOND: Micros = 1_000;
-/// A timer never expires at once: an action of the router on its expiry could otherwise set it again without end.
+/// The shortest delay of a timer, so that a timer which the router sets again on its expiry cannot loop endlessly.
 const MIN_TIMER_DELAY_MICROS: Micros = 1;
 
 impl<P: RequestPayload> Core<P> {
+    /// Carries out the actions that the router has returned.
     pub(super) fn carry_out_actions(&mut self, now: Micros) {
         for action in std::mem::take(&mut self.actions) {
             self.carry_out(now, action);
         }
     }
 
+    /// Translates one action.
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.start_attempt(now, request, server, timeout),
             Action::Reject { request, retry_after } => {
                 let retry_after_ms =
-                    retry_after.and_then(|delay| u64::try_from(delay / MICROS_PER_MILLISECOND).ok());
+                    retry_after.and_then(|delay| u64::try_from(delay / MICROS_PER_MILLI).ok());
                 self.answer(now, request, Answer::Rejected { retry_after_ms });
             }
             Action::Fail { request } => self.answer(now, request, Answer::Failed),
@@ -31,14 +33,17 @@
             Action::HealthCheck { server } => self.start_health_check(now, server),
             Action::Timer { id, delay } => {
                 let at = now + delay.max(MIN_TIMER_DELAY_MICROS);
-                self.commands.push_back(Command::SetTimer { id, at });
+                self.commands.push_back(Command::SetTimer { id: RoutingTimerId(id), at });
             }
             // The event loop watches the endpoint list at all times.
             Action::WatchEndpoints => {}
-            Action::Log(note) => self.commands.push_back(Command::Log(LogRecord::RoutingNote(note))),
+            Action::Log(message) => {
+                self.commands.push_back(Command::Log(LogRecord::RouterMessage(message)));
+            }
         }
     }
 
+    /// Records an attempt, and commands the event loop to send it.
     fn start_attempt(&mut self, now: Micros, request: RequestId, server: ServerId, timeout: Micros) {
         let Some(pending) = self.requests.get_mut(&request) else { return };
         let attempt = AttemptId { request, number: AttemptNo(pending.attempts_started) };
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -1,8 +1,9 @@
-//! The operators' listener and connections. They have descriptors of their own, and connections that send nothing make room for
-//! others.
+//! The operators' listener and connections. Descriptors are reserved for them, and the oldest connection is closed when another one
+//! exceeds the limit.
 
 use super::error::{EventLoopError, ListenError, ListenPurpose, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
+use super::ids::AdminKey;
 use super::sources::Source;
 use super::stream;
 use crate::admin_protocol::{AdminCall, AdminProtocol, AdminReply};
@@ -14,13 +15,13 @@
 use std::net::{Shutdown, SocketAddr};
 use tracing::info;
 
-/// Connections at once; one more, and the oldest is closed.
+/// The limit on open connections; one more, and the oldest is closed.
 pub const MAX_CONNECTIONS: usize = 8;
 /// A connection that has not sent a call after this time is closed.
 const CALL_TIMEOUT_MICROS: Micros = 5_000_000;
 /// The most connections that are accepted in one turn of the loop.
 const ACCEPTS_PER_TURN: usize = 16;
-/// The most that is read of one connection in a turn.
+/// The most that is read from one connection in a turn.
 const READ_BYTES_PER_TURN: usize = 64 << 10;
 
 /// What the subsystems report to operators; nothing of those that are off.
@@ -39,7 +40,7 @@
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseReason {
-    /// It made room for a newer one.
+    /// It was closed for a newer one.
     Shed,
     /// It was reset.
     Reset,
@@ -64,6 +65,7 @@
     }
 }
 
+/// One operator's connection.
 struct Connection {
     stream: TcpStream,
     protocol: AdminProtocol,
@@ -100,7 +102,7 @@
         self.listener.as_ref()?.local_addr().ok()
     }
 
-    /// Connections wait to be accepted.
+    /// The listener is ready: connections wait to be accepted.
     pub fn accept_ready(&mut self) {
         self.accept_pending = true;
     }
@@ -116,31 +118,33 @@
             let Some(listener) = self.listener.as_ref().filter(|_| self.accept_pending) else { return };
             match listener.accept() {
                 Ok((stream, _)) => self.add(context, stream),
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // Connections that wait are reported again with the next one, and looked for by the sweep.
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                // The poll reports the listener again with the next connection, and the sweep tries it too.
                 Err(_) => self.accept_pending = false,
             }
         }
     }
 
+    /// Registers an accepted connection, and closes the oldest one if there are too many.
     fn add(&mut self, context: &mut EventLoopContext, mut stream: TcpStream) {
         if self.connections.len() >= MAX_CONNECTIONS {
             let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.accepted_at);
-            if let Some((key, _)) = oldest {
-                self.close(context, key, CloseReason::Shed);
+            if let Some((slot, _)) = oldest {
+                self.close(context, AdminKey(slot), CloseReason::Shed);
             }
         }
         let slot = self.connections.vacant_entry();
-        let token = Source::Admin(slot.key()).token();
+        let token = Source::Admin(AdminKey(slot.key())).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if context.poll.registry().register(&mut stream, token, interest).is_ok() {
             slot.insert(Connection { stream, protocol: AdminProtocol::default(), accepted_at: context.now });
         }
     }
 
-    /// Reads a connection. A call that is returned is to be answered with [`AdminListener::answer`].
-    pub fn ready(&mut self, context: &mut EventLoopContext, key: usize) -> Option<AdminCall> {
-        let connection = self.connections.get_mut(key)?;
+    /// Reads a connection. The caller answers a returned call with [`AdminListener::answer`].
+    pub fn ready(&mut self, context: &mut EventLoopContext, key: AdminKey) -> Option<AdminCall> {
+        let connection = self.connections.get_mut(key.0)?;
         let protocol = &mut connection.protocol;
         let mut call = None;
         let mut read_bytes = 0;
@@ -167,16 +171,16 @@
     }
 
     /// Answers the connection's call.
-    pub fn answer(&mut self, context: &mut EventLoopContext, key: usize, reply: &AdminReply) {
-        if let Some(connection) = self.connections.get_mut(key) {
+    pub fn answer(&mut self, context: &mut EventLoopContext, key: AdminKey, reply: &AdminReply) {
+        if let Some(connection) = self.connections.get_mut(key.0) {
             connection.protocol.answer(reply);
             self.write(context, key);
         }
     }
 
     /// Writes the reply, if there is one, and closes the connection once all of it is written.
-    fn write(&mut self, context: &mut EventLoopContext, key: usize) {
-        let Some(connection) = self.connections.get_mut(key) else { return };
+    fn write(&mut self, context: &mut EventLoopContext, key: AdminKey) {
+        let Some(connection) = self.connections.get_mut(key.0) else { return };
         if !connection.protocol.is_answered() {
             return;
         }
@@ -195,14 +199,15 @@
         self.accept_pending = self.listener.is_some();
         let timed_out = |connection: &Connection| context.now - connection.accepted_at >= CALL_TIMEOUT_MICROS;
         let unresponsive = self.connections.iter().filter(|(_, connection)| timed_out(connection));
-        let keys: Vec<usize> = unresponsive.map(|(key, _)| key).collect();
+        let keys: Vec<AdminKey> = unresponsive.map(|(slot, _)| AdminKey(slot)).collect();
         for key in keys {
             self.close(context, key, CloseReason::Unresponsive);
         }
     }
 
-    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CloseReason) {
-        let mut connection = self.connections.remove(key);
+    /// Closes the connection and logs why.
+    fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: CloseReason) {
+        let mut connection = self.connections.remove(key.0);
         let _ = context.poll.registry().deregister(&mut connection.stream);
         info!(conn = "operator", reason = reason.as_str());
     }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -1,5 +1,5 @@
-//! Work that no client waits for: copies of hot keys, and reads that are compared while a group splits. It owns the tasks in flight and
-//! their times. The subsystems' crates decide what is to be done, the scheduler when, the decision module at which database.
+//! Background work: copies of hot keys, and reads that are compared while a group splits. It owns the tasks in flight and their
+//! timeouts. The subsystems' crates decide what is to be done, the scheduler when, and the router at which database.
 
 mod copy_tasks;
 mod dual_reads;
@@ -8,7 +8,7 @@
 
 use super::event_loop_context::EventLoopContext;
 use super::pool::Pool;
-use crate::background_query::BackgroundQueryResult;
+use crate::background_query::{BackgroundQueryId, BackgroundQueryResult};
 use crate::hot::HotKeyObserver;
 use crate::metrics::Metrics;
 use crate::observe::Shared;
@@ -18,7 +18,7 @@
 use birchreach_hot_keys::ReportHeader;
 use birchreach_membership::ReceivedReport;
 use copy_tasks::CopyTask;
-use dual_reads::DualRead;
+use dual_reads::{DualRead, SplitGeneration};
 use std::collections::HashMap;
 use tracing::info;
 
@@ -28,16 +28,16 @@
 const SPLIT_CHANNEL: u8 = 2;
 /// A background query whose end is not reported within this time has failed.
 const MAX_QUERY_MICROS: Micros = 3_000_000;
-/// A run that comes so late comes after the process was suspended: runs are at most half of this apart.
+/// A run that is later than this follows a suspension of the process: runs are at most half of this apart.
 const SUSPENDED_MICROS: Micros = 1_500_000;
-/// How soon queued tasks are looked at again that wait for capacity or for their budget.
+/// How soon tasks are tried again that wait for capacity or for their budget.
 const QUEUE_RETRY_MICROS: Micros = 20_000;
-/// Runs are at least so far apart.
+/// The shortest time between two runs.
 const MIN_RUN_INTERVAL_MICROS: Micros = 1_000;
 /// The time limit that a statement names, in milliseconds.
 const STATEMENT_WAIT_MS: u64 = 1_000;
 
-/// Something to be done at one database.
+/// A task at one database.
 #[derive(Clone, Debug, PartialEq)]
 enum BackgroundTask {
     Copy(CopyTask),
@@ -52,6 +52,7 @@
 }
 
 impl BackgroundTask {
+    /// The group whose databases it runs at.
     fn target(&self) -> TaskTarget {
         match self {
             BackgroundTask::Copy(task) => task.target(),
@@ -59,12 +60,13 @@
         }
     }
 
-    /// Whether it waits while clients use their share of a database. The read of a row that is to be copied does not: its copies are what
-    /// takes load off the database, and its budget bounds it.
+    /// Whether it waits while clients use the capacity of a database. The read of a row that is to be copied does not: the copies
+    /// take load off the database, and its budget bounds it.
     fn yields_to_clients(&self) -> bool {
         !matches!(self, BackgroundTask::Copy(CopyTask::Read(_)))
     }
 
+    /// Its statements, in order. `id` is the id of those that need one.
     fn statements(&self, id: u64) -> Vec<Vec<u8>> {
         match self {
             BackgroundTask::Copy(task) => task.statements(id),
@@ -73,6 +75,7 @@
     }
 }
 
+/// A task whose statements were sent.
 struct TaskInFlight {
     task: BackgroundTask,
     started_at: Micros,
@@ -87,23 +90,24 @@
 /// The background subsystems that the options switch on, and their tasks.
 pub struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
-    in_flight: HashMap<u64, TaskInFlight>,
-    /// Ids of statements that no client sent start here: they differ among incarnations.
+    in_flight: HashMap<BackgroundQueryId, TaskInFlight>,
+    /// The first id of this process's own statements, so that ids differ among incarnations.
     incarnation: u64,
     statements_sent: u64,
     hot_keys: Option<Shared<HotKeyObserver>>,
     split: Option<Shared<SplitObserver>>,
-    /// How often a comparison was started: results of an earlier one do not count.
-    split_generation: u64,
+    /// The comparison in progress: results of an earlier one are ignored.
+    split_generation: SplitGeneration,
     metrics: Metrics,
-    /// When the timer that is set goes off.
+    /// When the timer that is set expires.
     timer_at: Micros,
     last_run_at: Micros,
-    /// Until then nothing is started: a process that was suspended does not know yet what it has missed.
+    /// Nothing is started before this time: a process that was suspended has not received the current reports yet.
     paused_until: Micros,
 }
 
 impl BackgroundWork {
+    /// No subsystem is switched on.
     fn new(incarnation: u64, now: Micros) -> BackgroundWork {
         BackgroundWork {
             scheduler: Scheduler::new(&[], now),
@@ -112,7 +116,7 @@
             statements_sent: 0,
             hot_keys: None,
             split: None,
-            split_generation: 0,
+            split_generation: SplitGeneration::default(),
             metrics: Metrics::new(),
             timer_at: Micros::MAX,
             last_run_at: now,
@@ -176,31 +180,31 @@
         for StartedTask { id, task, database } in started {
             self.statements_sent += 1;
             let statements = task.payload.statements(self.incarnation.wrapping_add(self.statements_sent));
-            self.in_flight.insert(id, TaskInFlight { task: task.payload, started_at: context.now });
-            pool.start_background_query(context, id, ServerId(database), statements);
+            let query = BackgroundQueryId(id);
+            self.in_flight.insert(query, TaskInFlight { task: task.payload, started_at: context.now });
+            pool.start_background_query(context, query, ServerId(database), statements);
         }
     }
 
     /// Takes the results of background queries, and gives up those whose end was not reported in time.
     fn finish_tasks(&mut self, now: Micros, results: Vec<BackgroundQueryResult>) {
         for result in results {
-            self.scheduler.finish(result.number);
-            let Some(finished) = self.in_flight.remove(&result.number) else { continue };
+            self.scheduler.finish(result.id.0);
+            let Some(finished) = self.in_flight.remove(&result.id) else { continue };
             match finished.task {
                 BackgroundTask::Copy(task) => self.finish_copy_task(now, task, &result),
                 BackgroundTask::DualRead(read) => self.finish_dual_read(now, &read, Some(&result)),
             }
         }
         let is_lost = |task: &TaskInFlight| now - task.started_at >= MAX_QUERY_MICROS;
-        let lost: Vec<u64> =
-            self.in_flight.iter().filter(|(_, task)| is_lost(task)).map(|(number, _)| *number).collect();
-        for number in lost {
-            self.scheduler.finish(number);
-            if let Some(BackgroundTask::DualRead(read)) = self.in_flight.remove(&number).map(|lost| lost.task)
-            {
+        let lost: Vec<BackgroundQueryId> =
+            self.in_flight.iter().filter(|(_, task)| is_lost(task)).map(|(id, _)| *id).collect();
+        for id in lost {
+            self.scheduler.finish(id.0);
+            if let Some(BackgroundTask::DualRead(read)) = self.in_flight.remove(&id).map(|lost| lost.task) {
                 self.finish_dual_read(now, &read, None);
             }
-            info!(event = "background-query-failed", number);
+            info!(event = "background-query-failed", number = id.0);
         }
     }
 
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to clients' requests, as a whole or in chunks.
+//! Answers to clients' requests, complete or in chunks.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::Clients;
@@ -58,7 +58,7 @@
         self.process_client(context, key);
     }
 
-    /// The rest of the value will not come. The connection is closed, which tells the client that the value is incomplete.
+    /// The rest of the value will not arrive. Closes the connection, which shows the client that the value is incomplete.
     pub fn abort_value(&mut self, context: &mut EventLoopContext, key: ClientKey, request: RequestId) {
         if self.client_with_request(key, request).is_some() {
             self.close(context, key, ClientCloseReason::ResponseTruncated);
@@ -70,6 +70,7 @@
         self.ready_for_more.pop()
     }
 
+    /// The client, if it still waits for the answer to this request.
     fn client_with_request(&mut self, key: ClientKey, request: RequestId) -> Option<&mut Client> {
         let has_request =
             |client: &&mut Client| client.open_request.as_ref().is_some_and(|open| open.id == request);
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -43,14 +43,16 @@
             }
             Command::AbortStream { client, request } => self.clients.abort_value(context, client, request),
             Command::SetTimer { id, at } => context.timers.set(at, TimerEvent::Routing(id)),
-            Command::Log(LogRecord::RoutingNote(note)) => info!(event = "routing-note", note = %Quoted(note)),
-            Command::Log(LogRecord::ServerListed { number, uid, endpoint }) => {
-                info!(event = "server-listed", number, uid, endpoint);
+            Command::Log(LogRecord::RouterMessage(message)) => {
+                info!(event = "routing-note", note = %Quoted(message));
+            }
+            Command::Log(LogRecord::ServerListed { server, uid, endpoint }) => {
+                info!(event = "server-listed", number = server.0, uid, endpoint);
             }
         }
     }
 
-    /// Applies an update of the endpoint list, and what it changes.
+    /// Applies an update of the endpoint list, and closes idle connections to servers that moved.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         info!(
             event = "endpoint-list",
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -1,4 +1,5 @@
-//! How descriptors are divided: among the process's own, clients, databases and checks, and between two processes of one proxy.
+//! How descriptors are divided among the process's own needs, clients, databases and checks, and between two processes of one
+//! proxy.
 
 use super::process_handover::ProcessHandover;
 use super::{EventLoop, admin, gossip};
@@ -6,7 +7,7 @@
 
 /// Descriptors reserved for standard streams, poll, signals, listeners, discovery, the handover and operators.
 const OWN_DESCRIPTORS: usize = 16 + admin::MAX_CONNECTIONS;
-/// Fewer connections would serve nobody; the own descriptors are seldom all in use.
+/// The lowest limit: the reserved descriptors are seldom all in use.
 const MIN_CONNECTIONS: usize = 8;
 /// Balancers that connect to the clients' listener without sending a request count as no clients, up to this number.
 const UNCLASSIFIED_CONNECTIONS: usize = 16;
@@ -21,8 +22,8 @@
 }
 
 impl ConnectionLimits {
-    /// All but the process's own descriptors; half of that while another process is there; and while that one shuts down, all but
-    /// what it still holds.
+    /// Divides all but the reserved descriptors. Another process gets half of them; while it shuts down, only those that it still
+    /// has open.
     pub(super) fn new(config: &Config, handover: &ProcessHandover) -> ConnectionLimits {
         let processes = handover.process_count() as usize;
         let reserved = (OWN_DESCRIPTORS + reserved_descriptors(config)) * processes;
@@ -46,13 +47,13 @@
     options.descriptors() + unclassified_allowance(config) + links + fleet
 }
 
-/// So many connections that sent no request count as no clients.
+/// How many connections without a request do not count as clients.
 pub(super) fn unclassified_allowance(config: &Config) -> usize {
     if config.options.health.is_some() { UNCLASSIFIED_CONNECTIONS } else { 0 }
 }
 
 impl EventLoop {
-    /// Divides descriptors and budgets anew after another process of this proxy came or went.
+    /// Recalculates the limits after another process of this proxy started or ended.
     pub(super) fn apply_process_count(&mut self) {
         let limits = self.connection_limits();
         self.context.core.set_process_count(self.context.now, self.handover.process_count());
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The limits of the configuration in force.
+    /// The limits of the current configuration.
     pub(super) fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits::new(&self.config, &self.handover)
     }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -4,6 +4,7 @@
 mod responses;
 
 use super::event_loop_context::EventLoopContext;
+use super::ids::PollStateSerial;
 use super::sources::Source;
 use super::stream;
 use super::timer_events::TimerEvent;
@@ -17,7 +18,7 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// How far a poll has come.
+/// The state of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollState {
     /// No poll is outstanding: the next one waits for its time.
@@ -26,7 +27,7 @@
     Connecting,
     /// The request was written, or is being written.
     Requested,
-    /// Part of the response has come.
+    /// Part of the response has arrived.
     Receiving,
 }
 
@@ -42,13 +43,13 @@
     state: PollState,
     /// The system had no descriptor for a connection.
     descriptors_exhausted: bool,
-    /// Numbers the states: the time-out of an earlier one means nothing.
-    state_serial: u64,
+    /// The number of the current state: the timeout of an earlier one is ignored.
+    state_serial: PollStateSerial,
     backoff: Backoff,
 }
 
 impl DiscoveryConnection {
-    /// A connection that is not opened before `start`; `revision` is that of the list known from before the start.
+    /// A connection that is not opened before `start`; `revision` is that of the endpoint list that is already known.
     pub fn new(
         address: SocketAddr,
         revision: Option<u64>,
@@ -64,7 +65,7 @@
             long_poll: false,
             state: PollState::Waiting,
             descriptors_exhausted: false,
-            state_serial: 0,
+            state_serial: PollStateSerial::default(),
             backoff: Backoff::new(settings, seed),
         }
     }
@@ -75,12 +76,12 @@
         self.poll_after(context, wait);
     }
 
-    /// Polls by other settings from now on.
+    /// Applies other settings to the next polls.
     pub fn update_settings(&mut self, settings: &Settings) {
         self.backoff.update_settings(settings);
     }
 
-    /// Discovery has another address: it is polled there at once, for what is newer than the list received so far.
+    /// Discovery has another address: polls it there immediately, for changes after the list received so far.
     pub fn set_address(&mut self, context: &mut EventLoopContext, address: SocketAddr) {
         if self.address == address {
             return;
@@ -92,13 +93,14 @@
         self.poll(context);
     }
 
-    /// Enters a state, which may last so long.
+    /// Enters a state, and sets its timeout.
     fn enter(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
-        self.state_serial += 1;
-        context.timers.set(context.now + timeout, TimerEvent::Discovery { state_serial: self.state_serial });
+        self.state_serial = self.state_serial.next();
+        context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
     }
 
+    /// Makes the next poll after this time.
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
         self.enter(context, PollState::Waiting, wait);
     }
@@ -123,6 +125,7 @@
         self.write(context);
     }
 
+    /// Begins to connect.
     fn connect(&self, context: &EventLoopContext) -> std::io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address)?;
         let _ = stream.set_nodelay(true);
@@ -131,8 +134,8 @@
         Ok(stream)
     }
 
-    /// A state's time is over; a timer of an earlier state changes nothing.
-    pub fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: u64) {
+    /// The timeout of a state has expired; that of an earlier state is ignored.
+    pub fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: PollStateSerial) {
         if self.state_serial != state_serial {
             return;
         }
@@ -148,6 +151,7 @@
         std::mem::take(&mut self.descriptors_exhausted)
     }
 
+    /// Closes the connection, if there is one, and logs why.
     fn disconnect(&mut self, context: &mut EventLoopContext, reason: &CloseReason) {
         if let Some(mut stream) = self.stream.take() {
             let _ = context.poll.registry().deregister(&mut stream);
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -18,24 +18,26 @@
 impl FleetMembership {
     /// The socket is readable: receives a bounded number of datagrams.
     pub fn receive_datagrams(&mut self, now: Micros) {
-        self.unread = false;
+        self.may_have_unread = false;
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for received in 0.. {
             let Some(socket) = &self.socket else { return };
             if received == DATAGRAMS_PER_TURN {
-                self.unread = true;
+                self.may_have_unread = true;
                 break;
             }
             match socket.recv_from(&mut buffer) {
                 Ok((length, _)) => self.receive(now, &buffer[..length]),
                 // An earlier datagram's recipient refused it; the socket is not affected.
-                Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
                 Err(_) => break,
             }
         }
         self.flush(now);
     }
 
+    /// Opens a datagram and passes its payload on; counts it.
     fn receive(&mut self, now: Micros, bytes: &[u8]) {
         let OpenedDatagram { sender_incarnation: sender, payload } = match self.datagrams.open(now, bytes) {
             Err(error) => return self.metrics.count_dropped(DropReason::Datagram(error)),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Sends what is to be sent, and logs what has changed.
+    /// Sends the payloads and reports that are due, and logs changes of the membership.
     pub(super) fn flush(&mut self, now: Micros) {
         loop {
             let Some(outgoing) = self.membership.borrow_mut().next_payload() else { break };
@@ -67,7 +69,7 @@
         }
         let members: Vec<SocketAddr> =
             self.membership.borrow().members().map(|member| member.address).collect();
-        if !self.left
+        if !self.has_left
             && let Some(outgoing) = self.gossip_reports.encode_gossip(now, &members)
         {
             self.send(outgoing.recipient, REPORTS_CHANNEL, &outgoing.payload);
@@ -78,12 +80,13 @@
         }
     }
 
+    /// Seals and sends a payload; counts it.
     fn send(&mut self, to: SocketAddr, channel: u8, payload: &[u8]) {
         let sealed = self.datagrams.seal(&[&[channel], payload].concat());
         let (Some(socket), Some(datagram)) = (&self.socket, sealed) else { return };
         match socket.send_to(&datagram, to) {
             Ok(_) => self.metrics.count_datagram(Direction::Sent, datagram.len()),
-            // As if it were lost on the way.
+            // Handled like the loss of a datagram on the network.
             Err(_) => self.metrics.count_dropped(DropReason::Unsent),
         }
     }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! The datagrams of the fleet: moved between their socket and [`Membership`] or [`GossipReports`], and sealed and opened on the
-//! way. Owns the socket and the times; which processes are members, and what is sent to whom, is decided by
-//! `birchreach-membership`.
+//! The datagrams of the fleet: transferred between their socket and [`Membership`] or [`GossipReports`], sealed and opened. Owns
+//! the socket and the timer; which processes are members, and what is sent to whom, is decided by `birchreach-membership`.
 
 mod datagrams;
 mod start;
 
+use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
 use crate::fleet::{self, Metrics};
 use crate::log::Quoted;
@@ -18,46 +18,49 @@
 use tracing::{info, warn};
 
 /// While another process of this proxy has the address, it is tried again at this interval.
-const BIND_RETRY_INTERVAL: Micros = 500_000;
+const BIND_RETRY_INTERVAL_MICROS: Micros = 500_000;
 /// The shortest time to the next timer.
-const MIN_TIMER_INTERVAL: Micros = 1_000;
+const MIN_TIMER_INTERVAL_MICROS: Micros = 1_000;
 
-/// This process's part in the fleet.
+/// This process as a member of the fleet.
 pub struct FleetMembership {
     /// None: another process of this proxy represents it in the fleet, or this one has left.
     socket: Option<UdpSocket>,
     listen: SocketAddr,
-    registry: Registry,
     membership: Shared<Membership>,
     gossip_reports: GossipReports,
-    /// Reports that were received, until their channels take them.
+    /// Reports that were received and not yet taken.
     new_reports: Vec<ReceivedReport>,
     datagrams: DatagramCodec,
     metrics: Metrics,
     /// When the timer that is set is due.
     timer_at: Micros,
     /// The socket may hold more datagrams than one turn takes.
-    unread: bool,
-    replaced: bool,
-    left: bool,
+    may_have_unread: bool,
+    /// Another process of this proxy replaces this one, and represents the proxy in its place.
+    is_replaced: bool,
+    /// This process has left the fleet.
+    has_left: bool,
 }
 
 impl FleetMembership {
-    fn open(&mut self) -> std::io::Result<()> {
+    /// Opens the socket. It fails while another process of this proxy has the address.
+    fn open(&mut self, registry: &Registry) -> std::io::Result<()> {
         let mut socket = UdpSocket::bind(self.listen)?;
-        self.registry.register(&mut socket, Source::Fleet.token(), Interest::READABLE)?;
+        registry.register(&mut socket, Source::Fleet.token(), Interest::READABLE)?;
         info!(event = "fleet-listening", at = %self.listen);
         self.socket = Some(socket);
         Ok(())
     }
 
-    fn close(&mut self) {
+    /// Closes the socket, if it is open.
+    fn close(&mut self, registry: &Registry) {
         if let Some(mut socket) = self.socket.take() {
-            let _ = self.registry.deregister(&mut socket);
+            let _ = registry.deregister(&mut socket);
         }
     }
 
-    /// What this process sees of the fleet.
+    /// This process's view of the fleet.
     pub fn view(&self) -> View {
         self.membership.borrow().view()
     }
@@ -78,20 +81,21 @@
         std::mem::take(&mut self.new_reports)
     }
 
-    /// This process represents the proxy in the fleet.
+    /// Whether this process represents the proxy in the fleet.
     pub fn is_active(&self) -> bool {
         self.socket.is_some()
     }
 
     /// The timer is due.
-    pub fn process_timer(&mut self, now: Micros) {
+    pub fn process_timer(&mut self, context: &EventLoopContext) {
+        let now = context.now;
         self.timer_at = Micros::MAX;
-        if self.unread {
+        if self.may_have_unread {
             self.receive_datagrams(now);
         }
-        if self.socket.is_none() && !self.replaced && !self.left {
-            // It fails while another process of this proxy has the address, and is tried again.
-            let _ = self.open();
+        if self.socket.is_none() && !self.is_replaced && !self.has_left {
+            // Tried again after `BIND_RETRY_INTERVAL_MICROS`.
+            let _ = self.open(context.poll.registry());
         }
         if self.socket.is_some() {
             self.membership.borrow_mut().step(now);
@@ -99,28 +103,29 @@
         self.flush(now);
     }
 
-    /// Another process of this proxy replaces this one, or does not after all: one of them represents the proxy at a time.
-    pub fn set_replaced(&mut self, now: Micros, replaced: bool) {
-        if std::mem::replace(&mut self.replaced, replaced) == replaced {
+    /// Another process of this proxy replaces this one, or no longer does: one of them represents the proxy at a time.
+    pub fn set_replaced(&mut self, context: &EventLoopContext, replaced: bool) {
+        if std::mem::replace(&mut self.is_replaced, replaced) == replaced {
             return;
         }
         if replaced {
-            self.leave(now);
-        } else if std::mem::take(&mut self.left) {
-            self.membership.borrow_mut().rejoin(now);
-            self.process_timer(now);
+            self.leave(context);
+        } else if std::mem::take(&mut self.has_left) {
+            self.membership.borrow_mut().rejoin(context.now);
+            self.process_timer(context);
         }
     }
 
     /// Leaves the fleet.
-    pub fn leave(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.left, true) {
-            self.membership.borrow_mut().leave(now);
-            self.flush(now);
-            self.close();
+    pub fn leave(&mut self, context: &EventLoopContext) {
+        if !std::mem::replace(&mut self.has_left, true) {
+            self.membership.borrow_mut().leave(context.now);
+            self.flush(context.now);
+            self.close(context.poll.registry());
         }
     }
 
+    /// Logs a change of the membership.
     fn log_change(&self, change: MembershipChange) {
         match change {
             MembershipChange::Joined(peer) => {
@@ -157,15 +162,15 @@
         self.metrics.text(&self.membership.borrow())
     }
 
-    /// When the timer is to be set, if that is sooner than it is.
+    /// When the timer is to be set, if that is sooner than the time for which it is set.
     fn earlier_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = match &self.socket {
-            _ if self.left => return None,
-            None => now + BIND_RETRY_INTERVAL,
-            Some(_) if self.unread => now,
+            _ if self.has_left => return None,
+            None => now + BIND_RETRY_INTERVAL_MICROS,
+            Some(_) if self.may_have_unread => now,
             Some(_) => {
                 let next_change = self.membership.borrow().next_change();
-                next_change.min(self.gossip_reports.next_change(now)).max(now + MIN_TIMER_INTERVAL)
+                next_change.min(self.gossip_reports.next_change(now)).max(now + MIN_TIMER_INTERVAL_MICROS)
             }
         };
         (next < self.timer_at).then(|| {
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -8,13 +8,14 @@
 use super::FleetMembership;
 use crate::fleet::Metrics;
 use crate::observe::shared;
+use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
 use birchreach_membership::{GossipReports, Membership, MembershipSettings};
 use birchreach_peer_state::datagram::DatagramCodec;
 use std::io::ErrorKind;
 
 impl EventLoop {
-    /// Joins the fleet, where the options say so.
+    /// Joins the fleet, if the options enable it.
     pub(in crate::net) fn start_fleet(&mut self) -> Result<(), EventLoopError> {
         let (Some(options), Some(keys)) = (&self.config.options.fleet, &self.config.fleet_keys) else {
             return Ok(());
@@ -29,20 +30,20 @@
         let mut fleet = FleetMembership {
             socket: None,
             listen: options.listen,
-            registry: self.context.poll.registry().try_clone().map_err(failed)?,
             membership: membership.clone(),
             gossip_reports: GossipReports::new(incarnation, self.config.seed ^ incarnation.rotate_left(32)),
             new_reports: Vec::new(),
             datagrams: DatagramCodec::new(keys.clone(), incarnation),
             metrics: Metrics::new(),
             timer_at: Micros::MAX,
-            unread: false,
-            replaced: false,
-            left: false,
+            may_have_unread: false,
+            is_replaced: false,
+            has_left: false,
         };
-        match fleet.open() {
+        match fleet.open(self.context.poll.registry()) {
             // The process that this one replaces still has the address.
-            Err(e) if e.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
+            Err(error)
+                if error.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
             other => other.map_err(failed)?,
         }
         let sync = MembershipSync::new(options.listen, keys.clone(), membership);
@@ -52,6 +53,7 @@
         Ok(())
     }
 
+    /// The settings of the membership from the configuration.
     fn membership_settings(
         &self,
         options: &birchreach_options::FleetOptions,
@@ -66,7 +68,7 @@
             name,
             address: options.advertise,
             incarnation,
-            epoch: u64::try_from(self.context.now / 1_000).unwrap_or(0),
+            epoch: u64::try_from(self.context.now / MICROS_PER_MILLI).unwrap_or(0),
             seed: self.config.seed ^ incarnation,
             seeds: options.peers.clone(),
             configured_members: options.configured_members,
@@ -90,13 +92,13 @@
     /// The fleet's timer is due.
     pub(in crate::net) fn fleet_due(&mut self) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.process_timer(self.context.now);
+            fleet.process_timer(&self.context);
             self.after_fleet();
         }
     }
 
-    /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take what has come
-    /// of the call.
+    /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take the results of the
+    /// call.
     pub(in crate::net) fn after_fleet(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -1,5 +1,6 @@
 //! One link to another proxy: its connection, and the role that this process has on it.
 
+use super::super::ids::LinkSerial;
 use super::super::stream;
 use birchreach::Micros;
 use birchreach_peer_state::full_exchange::FullExchange;
@@ -7,9 +8,28 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// Bytes that are read at once.
+/// The most bytes that one read takes.
 const READ_BYTES: usize = 16 << 10;
 
+/// The kind of a link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum LinkKind {
+    /// State is transferred.
+    PeerState,
+    /// Members of the fleet are exchanged.
+    Fleet,
+}
+
+impl LinkKind {
+    /// The name for the log.
+    pub(super) fn as_str(self) -> &'static str {
+        match self {
+            LinkKind::PeerState => "peer-state",
+            LinkKind::Fleet => "fleet",
+        }
+    }
+}
+
 /// What this process does on a link.
 pub(super) enum LinkRole {
     /// Requests state from a provider.
@@ -17,7 +37,7 @@
     /// Sends state to a requester.
     SendsState {
         sender: Box<StateSender>,
-        /// The request was admitted: it takes one of the places of [`birchreach_peer_state::provider::StateProvider`].
+        /// The request was admitted: it counts towards the limit of [`birchreach_peer_state::provider::StateProvider`].
         admitted: bool,
     },
     /// Exchanges all members with another member of the fleet.
@@ -25,11 +45,11 @@
 }
 
 impl LinkRole {
-    /// What kind of connection it is, in the log.
-    pub(super) fn connection_kind(&self) -> &'static str {
+    /// The kind of the link.
+    pub(super) fn kind(&self) -> LinkKind {
         match self {
-            LinkRole::RequestsState { .. } | LinkRole::SendsState { .. } => "peer-state",
-            LinkRole::ExchangesMembers(_) => "fleet",
+            LinkRole::RequestsState { .. } | LinkRole::SendsState { .. } => LinkKind::PeerState,
+            LinkRole::ExchangesMembers(_) => LinkKind::Fleet,
         }
     }
 
@@ -66,21 +86,22 @@
     }
 }
 
-/// A link in its slot. The serial tells it from an earlier link in the same slot.
+/// A link in its slot. The serial distinguishes it from earlier links in the same slot.
 pub(super) struct PeerLink {
     pub(super) stream: TcpStream,
     pub(super) role: LinkRole,
     pub(super) peer: SocketAddr,
-    pub(super) serial: u64,
+    pub(super) serial: LinkSerial,
     pub(super) opened_at: Micros,
 }
 
 impl PeerLink {
+    /// Whether the connection is established.
     fn is_connected(&self) -> bool {
         self.stream.peer_addr().is_ok()
     }
 
-    /// Reads what has come.
+    /// Reads what has arrived.
     pub(super) fn read_input(&mut self, scratch: &mut [u8]) -> Result<(), stream::Ended> {
         if !self.is_connected() {
             return Ok(());
@@ -93,7 +114,7 @@
         read.map(drop)
     }
 
-    /// Writes the output as far as the connection takes it.
+    /// Writes the output as far as the socket accepts it.
     pub(super) fn write_output(&mut self) -> Result<(), stream::Ended> {
         if !self.is_connected() {
             return Ok(());
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -18,9 +18,9 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Such links at once, in both directions. Each may hold some half a megabyte.
+/// The limit on such links, in both directions. Each may use about half a megabyte of memory.
 pub(super) const MAX_EXCHANGES: usize = 6;
-/// A connection that is not established at once: `EINPROGRESS`.
+/// The error code of a connect that has not completed yet: `EINPROGRESS`.
 const IN_PROGRESS: i32 = 115;
 
 /// The listener and the connections of full exchanges.
@@ -31,7 +31,7 @@
     own_address: SocketAddr,
     keys: Keys,
     membership: Shared<Membership>,
-    /// The listener may have connections.
+    /// Connections may wait to be accepted.
     pub(super) accept_pending: bool,
 }
 
@@ -64,7 +64,8 @@
         }
         match socket.connect(&peer.into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(IN_PROGRESS) || e.kind() == ErrorKind::WouldBlock => {}
+            Err(error)
+                if error.raw_os_error() == Some(IN_PROGRESS) || error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return Err(LinkError::Refused),
         }
         let stream = TcpStream::from_std(socket.into());
@@ -81,7 +82,7 @@
         Some((stream, peer, Box::new(FullExchange::new(Side::Provider, self.keys.clone(), nonce().ok()?))))
     }
 
-    /// Merges what the other side has sent, and sends this process's members in its turn.
+    /// Merges the members that the other side has sent, and sends those of this process.
     pub(super) fn process_exchange(
         &self,
         context: &mut EventLoopContext,
@@ -107,11 +108,13 @@
         }
     }
 
+    /// Sends all members of the fleet, as this process sees it.
     fn send_members(&self, exchange: &mut FullExchange) {
         exchange.send_parts(&self.membership.borrow().export_members());
     }
 
-    /// Changes that result are logged, and gossip sent, by the owner of the datagrams, whose timer is set.
+    /// Merges the other side's members. The timer that is set makes [`super::super::fleet::FleetMembership`] log the changes and
+    /// send gossip.
     fn import_members(&self, context: &mut EventLoopContext, parts: &[Vec<u8>]) -> Result<(), PayloadError> {
         let result = self.membership.borrow_mut().import_members(context.now, parts);
         context.timers.set(context.now, TimerEvent::Fleet);
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -1,15 +1,15 @@
 //! Background queries: statements that no client waits for, one after the other on one connection, so that the same process of a
 //! database runs all of them. The owner decides whether and where they run; the pool runs them and keeps the replies for the owner.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::Pool;
 use super::connection::ConnectionTask;
-use crate::background_query::{BackgroundQuery, BackgroundQueryResult};
+use crate::background_query::{BackgroundQuery, BackgroundQueryId, BackgroundQueryResult};
 use crate::reply::Reply;
 use birchreach::{Micros, ServerId};
 
-/// A later reply to one statement is of no more use to the owner.
+/// The owner has no use for a later reply to one statement.
 pub(super) const BACKGROUND_QUERY_TIMEOUT_MICROS: Micros = 2_000_000;
 
 impl Pool {
@@ -17,25 +17,25 @@
     pub fn start_background_query(
         &mut self,
         context: &mut EventLoopContext,
-        number: u64,
+        id: BackgroundQueryId,
         server: ServerId,
         statements: Vec<Vec<u8>>,
     ) {
-        let query = BackgroundQuery::new(number, server, statements);
+        let query = BackgroundQuery::new(id, server, statements);
         self.dispatch(context, server, ConnectionTask::BackgroundQuery(query));
     }
 
-    /// Background queries are over whose owner has not taken them yet.
+    /// Whether background queries are complete that the owner has not taken yet.
     pub fn has_completed_queries(&self) -> bool {
         !self.completed_queries.is_empty()
     }
 
-    /// Hands out the background queries that are over.
+    /// Takes the results of the background queries that are complete.
     pub fn take_completed_queries(&mut self) -> Vec<BackgroundQueryResult> {
         std::mem::take(&mut self.completed_queries)
     }
 
-    /// Sends the next statement of a background query on the same connection, or hands back the task and the reply that ends it.
+    /// Sends the next statement of a background query on the same connection. Returns the task and its reply if there is none.
     pub(super) fn continue_background_query(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -1,8 +1,8 @@
-//! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last byte
-//! of the query was written.
+//! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last
+//! byte of the query was written.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{ConnectionTask, QueryProgress};
@@ -26,8 +26,8 @@
         self.fail_connection(context, key, reason, reply);
     }
 
-    /// Closes a connection that is of no more use. `reply` is the result of a task whose query was written; a task that waited for
-    /// the connection to have rested gets another one.
+    /// Closes a connection that cannot be used any more. `reply` is the result of a task whose query was written; a task that
+    /// waited for the end of the cooldown is dispatched to another connection.
     pub(super) fn fail_connection(
         &mut self,
         context: &mut EventLoopContext,
@@ -37,10 +37,10 @@
     ) {
         let connection = &self.connections[key];
         let server = connection.server;
-        let was_resting = connection.is_resting();
+        let was_cooling_down = connection.is_cooling_down();
         let was_written = connection.query == QueryProgress::Written;
         let Some(task) = self.close(context, key, reason) else { return };
-        if was_resting {
+        if was_cooling_down {
             self.dispatch(context, server, task);
         } else if was_written {
             self.complete_task(context, task, reply);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The connection was not established: no process listens, or nothing is heard from there.
+    /// The connection was not established: it was refused, or the connect timed out.
     pub(super) fn connect_failed(
         &mut self,
         context: &mut EventLoopContext,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Closes the connection and logs why. A task that it had is handed back without an outcome.
+    /// Closes the connection and logs why. Returns its task, if it had one, without an outcome.
     pub(super) fn close(
         &mut self,
         context: &mut EventLoopContext,
@@ -76,11 +76,11 @@
             keys.retain(|other| *other != key);
         }
         let server = context.core.server_name(connection.server);
-        info!(conn = "database", server, state = connection.state_word(), reason = reason.as_str());
+        info!(conn = "database", server, state = connection.state_name(), reason = reason.as_str());
         connection.task
     }
 
-    /// Tells the result of a task to whoever asked for it.
+    /// Reports the result of a task to its owner.
     pub(super) fn complete_task(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a database, and the task that it was opened or taken for.
 
-use super::super::database_ids::{ConnectionSerial, QuerySerial};
+use super::super::ids::{ConnectionSerial, QuerySerial};
 use super::super::statement_payload::StatementPayload;
 use crate::background_query::BackgroundQuery;
 use crate::core::AttemptId;
@@ -40,13 +40,14 @@
     BackgroundQuery(BackgroundQuery),
 }
 
-/// How far the query of a connection's task has gone.
+/// Whether the query of a connection's task has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryProgress {
+    /// Nothing of it is in the output.
     NotQueued,
     /// It waits to be written, in part at least: it cannot have run.
     Queued,
-    /// Its last byte was handed to the system: it may have run.
+    /// Its last byte was written to the socket: it may have run.
     Written,
 }
 
@@ -63,7 +64,7 @@
     /// The startup exchange is complete.
     pub established: bool,
     pub task: Option<ConnectionTask>,
-    /// How far the task's query has gone.
+    /// Whether the task's query has been sent.
     pub query: QueryProgress,
     /// When it became idle, if it is.
     pub idle_since: Micros,
@@ -104,8 +105,8 @@
         !self.established && self.stream.peer_addr().is_err()
     }
 
-    /// It is established, and what it may have as a task waits until it has rested.
-    pub fn is_resting(&self) -> bool {
+    /// It is established and no query is queued: a task that it has waits for the end of the cooldown.
+    pub fn is_cooling_down(&self) -> bool {
         self.established && self.query == QueryProgress::NotQueued
     }
 
@@ -117,8 +118,8 @@
         }
     }
 
-    /// The state for the log.
-    pub fn state_word(&self) -> &'static str {
+    /// The name of the state in the log.
+    pub fn state_name(&self) -> &'static str {
         match (self.established, self.query) {
             (false, _) => "opening",
             (true, QueryProgress::NotQueued) => "idle",
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -13,8 +13,8 @@
 mod responses;
 mod socket_io;
 
-use super::database_ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::event_loop_context::EventLoopContext;
+use super::ids::{ConnectionKey, ConnectionSerial, QuerySerial};
 use super::statement_payload::StatementPayload;
 use super::timer_events::TimerEvent;
 use crate::background_query::BackgroundQueryResult;
@@ -26,8 +26,8 @@
 use connection_table::ConnectionTable;
 use std::collections::HashMap;
 
-/// The part of the time after which databases close idle connections that a connection is kept idle for: a query must never cross
-/// with that close.
+/// Connections are kept idle for this fraction of the time after which databases close them, so that no query is sent while the
+/// database closes its connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// The connections to all databases.
@@ -38,21 +38,22 @@
     /// The connection of each attempt that is not completed.
     attempt_connections: HashMap<AttemptId, ConnectionKey>,
     max_connections: usize,
-    /// The system had no socket to give, and there was no idle connection to close.
+    /// The system had no free descriptor, and there was no idle connection to close.
     descriptors_exhausted: bool,
     last_connection: ConnectionSerial,
     last_query: QuerySerial,
-    /// For a connection to be established, and for a health check on one that is.
+    /// The timeout for establishing a connection, and for a health check on an established one.
     connect_timeout: Micros,
-    /// For a check of the health monitor on a connection that is established.
+    /// The timeout for a check of the health monitor on an established connection.
     monitor_check_timeout: Micros,
-    idle_limit: Micros,
+    /// Connections that have been idle for this time are closed.
+    idle_timeout: Micros,
     load_report_format: LoadReportFormat,
     completed_queries: Vec<BackgroundQueryResult>,
 }
 
 impl Pool {
-    /// A pool without connections, which opens at most so many.
+    /// A pool without connections. It opens at most this number.
     pub fn new(settings: &DeploymentSettings, max_connections: usize) -> Pool {
         let mut pool = Pool {
             connections: ConnectionTable::default(),
@@ -64,7 +65,7 @@
             last_query: QuerySerial::default(),
             connect_timeout: 0,
             monitor_check_timeout: 0,
-            idle_limit: 0,
+            idle_timeout: 0,
             load_report_format: LoadReportFormat::default(),
             completed_queries: Vec::new(),
         };
@@ -72,12 +73,12 @@
         pool
     }
 
-    /// Takes over what the settings say of connections to databases.
+    /// Applies the settings for connections to databases.
     pub fn apply_settings(&mut self, settings: &DeploymentSettings) {
         let field_name =
             |index: Option<usize>| index.and_then(|index| settings.load_report_fields.get(index).cloned());
         self.connect_timeout = settings.routing.connect_timeout.max(1);
-        self.idle_limit = (settings.connection_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
+        self.idle_timeout = (settings.connection_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         self.load_report_format = LoadReportFormat {
             position_field: field_name(settings.load_report_position_index),
             role_field: field_name(settings.load_report_role_index),
@@ -85,7 +86,7 @@
         };
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
@@ -121,7 +122,7 @@
         self.dispatch(context, server, ConnectionTask::HealthCheck { server });
     }
 
-    /// Starts a check for the health monitor, of which the routing decisions are not told.
+    /// Starts a check for the health monitor. Its result is not reported to the router.
     pub fn start_monitor_check(&mut self, context: &mut EventLoopContext, server: ServerId) {
         self.dispatch(context, server, ConnectionTask::MonitorCheck { server });
     }
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -1,7 +1,7 @@
 //! Reads and writes the connections' sockets.
 
-use super::super::database_ids::ConnectionKey;
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::ConnectionKey;
 use super::super::stream::{self, Ended};
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
@@ -11,9 +11,8 @@
 use std::io::ErrorKind;
 
 impl Pool {
-    /// The socket in this slot, as its token has it, is ready.
-    pub fn handle_ready(&mut self, context: &mut EventLoopContext, slot: usize) {
-        let key = ConnectionKey(slot);
+    /// A connection's socket is ready.
+    pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         if !self.connections.contains(key) {
             return;
         }
@@ -47,7 +46,8 @@
         }
     }
 
-    /// Not connected yet, or failed. A refused connection means that no process listens; one that was reset had been accepted.
+    /// Handles a connection that is not established or has failed. A refused one means that no process listens; one that was reset
+    /// had been accepted.
     fn check_connecting(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
         match self.connections[key].stream.take_error() {
             Ok(None) => return ConnectionState::Open,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The client has taken what it was sent of a streamed value: reading goes on.
+    /// The client has taken what was forwarded of a streamed value: resumes reading.
     pub fn resume_reading(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
         let connection = &mut self.connections[key];
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -1,10 +1,10 @@
-//! One turn of the loop: it waits, serves operators and balancers first and then all others in the order of their events, continues
-//! what the last turn left, and handles timers that are due.
+//! One turn of the loop: waits for events, serves operators and balancers first and then all others in the order of their events,
+//! continues unfinished work, and handles timers that are due.
 
 use super::EventLoop;
 use super::error::EventLoopError;
+use super::ids::LinkKey;
 use super::sources::Source;
-use crate::core::ClientKey;
 use birchreach::Micros;
 use mio::Events;
 use mio::event::Event;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 impl EventLoop {
-    /// Waits for events or the next timer, and does all that is due.
+    /// Waits for events or the next timer, and handles what is due.
     pub(super) fn run_once(
         &mut self,
         events: &mut Events,
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// Whether something is left from the last turn that the poll does not report again.
+    /// Whether there is work left from the last turn that the poll does not report again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
         self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.has_pending_work(now)
     }
@@ -93,20 +93,9 @@
                 self.after_handover();
             }
             Source::Fleet => self.handle_fleet(),
-            Source::GossipListener | Source::MembershipListener => {
-                if let Some(gossip) = &mut self.gossip {
-                    gossip.accept_ready(source);
-                    self.step_gossip();
-                }
-            }
-            Source::Gossip(key) => {
-                if let Some(gossip) = &mut self.gossip {
-                    gossip.process_link(&mut self.context, key);
-                    self.after_gossip();
-                }
-            }
+            Source::GossipListener | Source::MembershipListener => self.accept_links(source),
+            Source::Gossip(key) => self.handle_link(key),
             Source::Client(key) => {
-                let key = ClientKey(key);
                 if event.is_read_closed() || event.is_error() {
                     self.clients.peer_closed(key);
                 }
@@ -123,7 +112,23 @@
         }
     }
 
-    /// SIGHUP reloads; the others begin a graceful shutdown.
+    /// A listener for links of other proxies is ready.
+    fn accept_links(&mut self, listener: Source) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.accept_ready(listener);
+            self.step_gossip();
+        }
+    }
+
+    /// A link to another proxy is ready.
+    fn handle_link(&mut self, key: LinkKey) {
+        if let Some(gossip) = &mut self.gossip {
+            gossip.process_link(&mut self.context, key);
+            self.after_gossip();
+        }
+    }
+
+    /// SIGHUP reloads the configuration; the other signals begin a graceful shutdown.
     fn handle_signals(&mut self, signals: &mut Signals) {
         for signal in signals.pending() {
             match signal {
@@ -144,7 +149,7 @@
     fn after_handover(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
-            fleet.set_replaced(self.context.now, self.handover.is_replaced());
+            fleet.set_replaced(&self.context, self.handover.is_replaced());
             self.after_fleet();
         }
         self.negotiate_handover();
@@ -158,8 +163,8 @@
         }
     }
 
-    /// Continues with clients where the last turn stopped, and closes idle ones where the system had no descriptor for connections to
-    /// databases or to discovery.
+    /// Continues with clients where the last turn stopped, and sheds idle ones if the system had no descriptor for a connection to
+    /// a database or to discovery.
     fn continue_connections(&mut self) {
         self.clients.continue_pending_work(&mut self.context);
         if self.pool.take_descriptors_exhausted() {
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -1,4 +1,4 @@
-//! The start of the event loop: listeners and connections are opened, and each part that the options name is started.
+//! The start of the event loop: listeners and connections are opened, and each subsystem that the options name is started.
 
 use super::admin::AdminListener;
 use super::balancers::HealthReporting;
@@ -27,11 +27,20 @@
 use std::path::PathBuf;
 use tracing::info;
 
-/// The most that is read of a socket at once.
+/// The most that is read from a socket at once.
 const SCRATCH_BYTES: usize = 64 << 10;
 
+/// The connections to other processes of this proxy; none unless it shares its listener.
+fn open_handover(poll: &Poll, address: SocketAddr, shared_listener: bool) -> ProcessHandover {
+    if shared_listener {
+        ProcessHandover::connect_or_listen(poll.registry(), address)
+    } else {
+        ProcessHandover::default()
+    }
+}
+
 impl EventLoop {
-    /// Opens everything, and starts every part.
+    /// Opens the poll and the listeners, and starts the subsystems.
     pub(super) fn start(
         mut config: Config,
         options: Option<PathBuf>,
@@ -46,11 +55,11 @@
         let known_revision = known_endpoints.as_ref().map(|update| update.revision);
         let mut event_loop = EventLoop::open(poll, listener, address, known_revision, config, options)?;
         event_loop.log_started(address);
-        event_loop.start_parts(known_endpoints)?;
+        event_loop.start_subsystems(known_endpoints)?;
         Ok(event_loop)
     }
 
-    /// Opens the listeners, and makes the parts that always exist.
+    /// Opens the listeners, and creates the subsystems that always exist.
     fn open(
         poll: Poll,
         listener: mio::net::TcpListener,
@@ -62,26 +71,17 @@
         let clock = Clock::new();
         let now = clock.now();
         let admin = AdminListener::new(poll.registry(), config.admin_address)?;
-        // Only a proxy that shares its listener can have another process beside it.
+        // Only a proxy that shares its listener can consist of two processes.
         let shared_listener = config.inherited_descriptor.is_some();
-        let handover = if shared_listener {
-            ProcessHandover::connect_or_listen(poll.registry(), address)
-        } else {
-            ProcessHandover::default()
-        };
+        let handover = open_handover(&poll, address, shared_listener);
         let limits = ConnectionLimits::new(&config, &handover);
+        let scratch = vec![0; SCRATCH_BYTES];
         let core = Core::new(&config.deployment, config.seed, now);
         let (settings, seed) = (&config.deployment.routing, config.seed);
         let clients = Clients::new(poll.registry(), listener, limits.clients)?;
         Ok(EventLoop {
             clock,
-            context: EventLoopContext {
-                now,
-                poll,
-                timers: Timers::new(),
-                core,
-                scratch: vec![0; SCRATCH_BYTES],
-            },
+            context: EventLoopContext { now, poll, timers: Timers::new(), core, scratch },
             clients,
             pool: Pool::new(&config.deployment, limits.databases),
             discovery: DiscoveryConnection::new(config.discovery_address, known_revision, settings, seed),
@@ -109,8 +109,8 @@
         log_settings_warnings(&self.config);
     }
 
-    /// Starts the parts, those that the options name among them, and applies the list known from before the start.
-    fn start_parts(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
+    /// Starts the subsystems, including those that the options name, and applies the endpoint list that is already known.
+    fn start_subsystems(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
         let started_at = self.context.now;
         self.start_health()?;
         self.start_gossip()?;
@@ -129,12 +129,12 @@
         Ok(())
     }
 
-    /// Starts to request state from other proxies and to send it to them, where the options say so.
+    /// Starts to transfer state to and from other proxies, if the options enable it.
     fn start_gossip(&mut self) -> Result<(), EventLoopError> {
         let (Some(options), Some(keys)) = (&self.config.options.peer_state, &self.config.gossip_keys) else {
             return Ok(());
         };
-        // Each process observes for itself: what its predecessor observed reaches it at second hand.
+        // Each process is an observer of its own: observations of its predecessor are those of another one.
         let mut observer = [0; 8];
         getrandom::fill(&mut observer)?;
         let peer_state = shared(PeerStateObserver::new(u64::from_be_bytes(observer)));
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counters since the start of the process, as the admin listener reports them.
+//! Counters since the start of the process, as operators see them.
 
 use std::fmt::Write;
 
@@ -17,6 +17,10 @@
     counts: ResultCounts,
 }
 
+/// The index of a class's counters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClassRowIndex(usize);
+
 /// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
@@ -40,30 +44,30 @@
     pub configuration_load_errors: u64,
 }
 
-/// Present state, asked of its owners.
+/// Values of the present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Requests without an answer.
     pub in_progress: usize,
     /// Databases in the endpoint list.
     pub known: usize,
-    /// Databases that get no new work at the moment.
+    /// Databases that receive no new requests at present.
     pub skipped: usize,
 }
 
 impl Stats {
     /// The index of a class's row. A class that was known before keeps its counters.
-    pub fn class_row(&mut self, name: &str) -> usize {
+    pub fn class_row(&mut self, name: &str) -> ClassRowIndex {
         let known = self.classes.iter().position(|row| row.name == name);
-        known.unwrap_or_else(|| {
+        ClassRowIndex(known.unwrap_or_else(|| {
             self.classes.push(ClassRow { name: name.to_string(), counts: ResultCounts::default() });
             self.classes.len() - 1
-        })
+        }))
     }
 
     /// Counts a request of the class with this row.
-    pub fn count_result(&mut self, row: usize, result: RequestResult) {
-        let Some(ClassRow { counts, .. }) = self.classes.get_mut(row) else { return };
+    pub fn count_result(&mut self, row: ClassRowIndex, result: RequestResult) {
+        let Some(ClassRow { counts, .. }) = self.classes.get_mut(row.0) else { return };
         match result {
             RequestResult::Served => counts.served += 1,
             RequestResult::Rejected => counts.rejected += 1,
@@ -71,7 +75,7 @@
         }
     }
 
-    /// Every counter and gauge, a line each, under the names that operators use.
+    /// Every counter and gauge, a line each. The names are public and must not change.
     pub fn lines(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
