--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -22,9 +22,15 @@
 /// Descriptors that the system grants a process beyond its configured limit.
 const EXTRA_DESCRIPTORS: u32 = 64;
 
-/// The first port for [`Rig::free_address`]: below those that the system chooses for listeners at port 0.
+/// Free addresses have ports from this one on, below those that the system chooses for listeners at port 0.
 const FIRST_PORT: u16 = 10_000;
 
+/// The ports at which rigs begin: each process at another one, so that two runs of the same tests do not meet.
+const START_PORTS: u32 = 20_000;
+
+/// Ports between the starts of two processes that follow one another.
+const START_PORT_STEP: u32 = 97;
+
 /// Another discovery service and other settings for a rig's proxies.
 pub struct ExternalDiscovery {
     /// Where the service listens.
@@ -75,7 +81,7 @@
             folder: folder.into(),
             program: program.into(),
             loopback_address,
-            next_port: AtomicU16::new(FIRST_PORT),
+            next_port: AtomicU16::new(first_port()),
             max_descriptors: 1024,
             external_discovery: None,
         })
@@ -180,6 +186,12 @@
     }
 }
 
+/// The port at which this process's rigs begin to look for free ones.
+fn first_port() -> u16 {
+    let offset = std::process::id().wrapping_mul(START_PORT_STEP) % START_PORTS;
+    FIRST_PORT + offset as u16
+}
+
 /// All databases as discovery lists them at the start.
 fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut listed = Vec::new();
--- a/test-support/tests/free_addresses.rs
+++ b/test-support/tests/free_addresses.rs
@@ -11,9 +11,10 @@
 #[test]
 fn free_addresses_are_handed_out_once() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("free-addresses");
-    // Given a rig, and a listener at the first address that it would hand out
+    // Given a rig, and a listener at the address that it would hand out next
     let rig = Rig::new(0, [127, 84, 1, 1], Path::new("unused"), &folder).unwrap();
-    let taken = TcpListener::bind((rig.loopback_address(), 10_000)).unwrap();
+    let next_port = rig.free_address().unwrap().port() + 1;
+    let taken = TcpListener::bind((rig.loopback_address(), next_port)).unwrap();
     // When many addresses are asked for
     let handed_out: HashSet<_> = (0..ADDRESSES).map(|_| rig.free_address().unwrap()).collect();
     // Then no two are equal, and none is in use
