--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -1,5 +1,6 @@
 //! A balancer's connection, whichever protocol it speaks, and why it is closed.
 
+use super::super::ids::CheckSerial;
 use super::super::sources::Source;
 use crate::grpc::GrpcCheckConnection;
 use birchreach::Micros;
@@ -10,9 +11,12 @@
 
 /// The protocol of a listener and its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CheckProtocol {
+pub enum CheckProtocol {
+    /// HTTP health checks.
     Http,
+    /// HAProxy's agent-check.
     Agent,
+    /// gRPC health checks.
     Grpc,
 }
 
@@ -26,8 +30,8 @@
         }
     }
 
-    /// Its word in the log.
-    pub(super) fn as_str(self) -> &'static str {
+    /// Its name in the log.
+    pub fn as_str(self) -> &'static str {
         match self {
             CheckProtocol::Http => "http",
             CheckProtocol::Agent => "agent",
@@ -58,7 +62,7 @@
 }
 
 impl CheckCloseReason {
-    /// Its word in the log.
+    /// Its name in the log.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             CheckCloseReason::Answered => "answered",
@@ -72,7 +76,7 @@
         }
     }
 
-    /// The check went as it should. These come by the hundred a second.
+    /// The connection ended as it should. There are hundreds of these a second.
     pub(super) fn is_ordinary(self) -> bool {
         matches!(self, CheckCloseReason::Answered | CheckCloseReason::Closed | CheckCloseReason::Idle)
     }
@@ -90,6 +94,7 @@
 }
 
 impl ProtocolState {
+    /// The state of a connection on which nothing has arrived.
     fn new(protocol: CheckProtocol) -> ProtocolState {
         match protocol {
             CheckProtocol::Http => ProtocolState::Http(HttpCheckConnection::default()),
@@ -107,13 +112,14 @@
     pub(super) protocol: CheckProtocol,
     pub(super) state: ProtocolState,
     /// Tells it from an earlier connection with the same key.
-    pub(super) serial: u64,
+    pub(super) serial: CheckSerial,
     /// When it last completed a request or read something.
     pub(super) active_at: Micros,
 }
 
 impl CheckConnection {
-    pub(super) fn new(stream: TcpStream, protocol: CheckProtocol, serial: u64, now: Micros) -> Self {
+    /// A connection that was accepted just now.
+    pub(super) fn new(stream: TcpStream, protocol: CheckProtocol, serial: CheckSerial, now: Micros) -> Self {
         CheckConnection { stream, protocol, state: ProtocolState::new(protocol), serial, active_at: now }
     }
 
@@ -157,7 +163,7 @@
     }
 }
 
-/// The listeners that the options ask for.
+/// The listeners that the options require.
 pub(super) fn wanted_listeners(
     options: &HealthOptions,
 ) -> impl Iterator<Item = (CheckProtocol, &CheckListener)> {
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -2,6 +2,7 @@
 
 use super::super::error::{ListenError, ListenPurpose};
 use super::super::event_loop_context::EventLoopContext;
+use super::super::ids::CheckKey;
 use super::super::sources::Source;
 use super::HealthCheckServer;
 use super::connection::{CheckCloseReason, CheckProtocol, wanted_listeners};
@@ -19,6 +20,7 @@
 /// The length of the queue of connections that aren't accepted yet.
 const LISTEN_BACKLOG: i32 = 1024;
 
+/// A listener that is open.
 pub(super) struct OpenListener {
     protocol: CheckProtocol,
     socket: TcpListener,
@@ -30,6 +32,7 @@
 /// Listeners opened for options that aren't in force yet.
 pub struct OpenedListeners(Vec<OpenListener>);
 
+/// Opens a listening socket. `shares_address`: another process may listen at the same address.
 fn listen(address: SocketAddr, shares_address: bool) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
@@ -44,7 +47,7 @@
 }
 
 impl HealthCheckServer {
-    /// Opens the listeners that these options ask for and that aren't open; those in force stay as they are.
+    /// Opens the listeners that these options require and that aren't open; those in force stay as they are.
     pub fn open(&self, options: Option<&HealthOptions>) -> Result<OpenedListeners, ListenError> {
         let mut opened = Vec::new();
         for (protocol, wanted) in options.into_iter().flat_map(wanted_listeners) {
@@ -53,7 +56,7 @@
             if self.listeners.iter().any(is_open) {
                 continue;
             }
-            let purpose = ListenPurpose::Checks(protocol.as_str());
+            let purpose = ListenPurpose::Checks(protocol);
             let socket = listen(address, self.shares_addresses).map_err(|error| ListenError {
                 purpose,
                 address,
@@ -82,12 +85,13 @@
             self.register(context, listener);
         }
         if options.is_none() {
-            let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
+            let keys: Vec<CheckKey> = self.connections.iter().map(|(key, _)| CheckKey(key)).collect();
             keys.into_iter().for_each(|key| self.close(context, key, CheckCloseReason::Off));
         }
         self.options = options;
     }
 
+    /// Registers a listener with the event loop and logs it.
     fn register(&mut self, context: &mut EventLoopContext, mut listener: OpenListener) {
         let token = listener.protocol.source().token();
         if let Err(error) = context.poll.registry().register(&mut listener.socket, token, Interest::READABLE)
@@ -121,7 +125,7 @@
         self.listeners.drain(..).for_each(|listener| close_listener(context, listener));
     }
 
-    /// Some listener that the options ask for isn't open.
+    /// Some listener that the options require isn't open.
     pub fn lacks_listener(&self) -> bool {
         let wanted = self.options.iter().flat_map(wanted_listeners).count();
         wanted > self.listeners.len()
@@ -138,6 +142,7 @@
         ready.for_each(|listener| listener.may_have_waiting = true);
     }
 
+    /// Accepts connections of all listeners, a bounded number of each.
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         if context.now < self.accepts_from {
             return;
@@ -164,6 +169,7 @@
     }
 }
 
+/// Closes a listener's socket.
 fn close_listener(context: &mut EventLoopContext, mut listener: OpenListener) {
     // Closing the socket deregisters it as well.
     let _ = context.poll.registry().deregister(&mut listener.socket);
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -9,13 +9,15 @@
 mod serve;
 
 use super::event_loop_context::EventLoopContext;
+use super::ids::{CheckKey, CheckSerial};
 use super::sources::Source;
 use super::timer_events::TimerEvent;
 use crate::health::HealthObserver;
 use crate::observe::Shared;
 use birchreach::Micros;
 use birchreach_options::HealthOptions;
-use connection::{CheckCloseReason, CheckConnection, CheckProtocol, ProtocolState, listener_options};
+pub use connection::CheckProtocol;
+use connection::{CheckCloseReason, CheckConnection, ProtocolState, listener_options};
 use listeners::OpenListener;
 pub use listeners::OpenedListeners;
 use mio::Interest;
@@ -36,8 +38,8 @@
     listeners: Vec<OpenListener>,
     connections: Slab<CheckConnection>,
     /// The keys of connections that have more to do than one turn allows.
-    unfinished: Vec<usize>,
-    last_serial: u64,
+    unfinished: Vec<CheckKey>,
+    last_serial: CheckSerial,
     /// No connection is accepted before this time: another process answers until then.
     accepts_from: Micros,
     /// Another process of this proxy may listen at the same addresses.
@@ -53,16 +55,17 @@
             listeners: Vec::new(),
             connections: Slab::new(),
             unfinished: Vec::new(),
-            last_serial: 0,
+            last_serial: CheckSerial::default(),
             accepts_from: 0,
             shares_addresses,
         }
     }
 
-    /// Something is left to do of which no socket will tell.
+    /// There is work left for which no socket will report an event.
     pub fn has_pending_work(&self, now: Micros) -> bool {
         let may_accept = now >= self.accepts_from;
-        !self.unfinished.is_empty() || (may_accept && self.listeners.iter().any(|it| it.may_have_waiting))
+        !self.unfinished.is_empty()
+            || (may_accept && self.listeners.iter().any(|listener| listener.may_have_waiting))
     }
 
     /// Goes on with unfinished work and accepts connections.
@@ -75,9 +78,9 @@
     }
 
     /// Serves a connection as far as its socket and one turn allow.
-    pub fn serve(&mut self, context: &mut EventLoopContext, key: usize) {
+    pub fn serve(&mut self, context: &mut EventLoopContext, key: CheckKey) {
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
-        let Some(connection) = self.connections.get_mut(key) else { return };
+        let Some(connection) = self.connections.get_mut(key.0) else { return };
         match serve(context, connection, source) {
             Progress::Finished(reason) => self.close(context, key, reason),
             Progress::MoreToDo => self.unfinished.push(key),
@@ -85,10 +88,10 @@
         }
     }
 
-    /// An agent-check has sent nothing for long enough: it asks for the proxy as a whole.
-    pub fn query_timed_out(&mut self, context: &mut EventLoopContext, key: usize, serial: u64) {
+    /// An agent-check has sent no line in time: it is answered for the proxy as a whole.
+    pub fn query_timed_out(&mut self, context: &mut EventLoopContext, key: CheckKey, serial: CheckSerial) {
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
-        let connection = self.connections.get_mut(key).filter(|connection| connection.serial == serial);
+        let connection = self.connections.get_mut(key.0).filter(|connection| connection.serial == serial);
         let Some(connection) = connection else { return };
         if let ProtocolState::Agent { line, reply: reply @ None } = &mut connection.state
             && let Some(query) = line.input_ended()
@@ -106,13 +109,13 @@
         let mut pinged = Vec::new();
         for (key, connection) in &mut self.connections {
             if connection.ping_if_quiet(now, options) {
-                pinged.push(key);
+                pinged.push(CheckKey(key));
             }
         }
         let inactive = self
             .connections
             .iter()
-            .filter_map(|(key, connection)| Some((key, connection.inactivity(now, options)?)));
+            .filter_map(|(key, connection)| Some((CheckKey(key), connection.inactivity(now, options)?)));
         for (key, reason) in inactive.collect::<Vec<_>>() {
             self.close(context, key, reason);
         }
@@ -124,12 +127,12 @@
     /// Sends a change of the verdict to the connections that watch.
     pub fn notify_watches(&mut self, context: &mut EventLoopContext) {
         let watching = self.connections.iter().filter(|(_, connection)| connection.has_watches());
-        for key in watching.map(|(key, _)| key).collect::<Vec<_>>() {
+        for key in watching.map(|(key, _)| CheckKey(key)).collect::<Vec<_>>() {
             self.serve(context, key);
         }
     }
 
-    /// Takes a connection that was accepted.
+    /// Adds a connection that was accepted.
     fn add(&mut self, context: &mut EventLoopContext, mut stream: TcpStream, protocol: CheckProtocol) {
         let listener = self.options.as_ref().and_then(|options| listener_options(options, protocol));
         let Some(max_connections) = listener.map(|listener| listener.max_connections) else { return };
@@ -137,16 +140,16 @@
         // Without it, responses may be slower.
         let _ = stream.set_nodelay(true);
         let slot = self.connections.vacant_entry();
-        let key = slot.key();
+        let key = CheckKey(slot.key());
         let interest = Interest::READABLE | Interest::WRITABLE;
         if context.poll.registry().register(&mut stream, Source::Check(key).token(), interest).is_err() {
             return;
         }
-        self.last_serial += 1;
+        self.last_serial = self.last_serial.next();
         slot.insert(CheckConnection::new(stream, protocol, self.last_serial, context.now));
         let agent = self.options.as_ref().and_then(|options| options.agent.as_ref());
         if let Some(agent) = agent.filter(|_| protocol == CheckProtocol::Agent) {
-            let timeout = TimerEvent::CheckTimeout { key, serial: self.last_serial };
+            let timeout = TimerEvent::CheckTimeout(key, self.last_serial);
             context.timers.set(context.now + agent.query_timeout, timeout);
         }
         // A request that came with the connect may be there already.
@@ -161,13 +164,14 @@
             return;
         }
         let oldest = same_protocol().min_by_key(|(_, connection)| (connection.active_at, connection.serial));
-        if let Some(key) = oldest.map(|(key, _)| key) {
+        if let Some(key) = oldest.map(|(key, _)| CheckKey(key)) {
             self.close(context, key, CheckCloseReason::Shed);
         }
     }
 
-    fn close(&mut self, context: &mut EventLoopContext, key: usize, reason: CheckCloseReason) {
-        let mut connection = self.connections.remove(key);
+    /// Closes a connection and logs why.
+    fn close(&mut self, context: &mut EventLoopContext, key: CheckKey, reason: CheckCloseReason) {
+        let mut connection = self.connections.remove(key.0);
         // Fails only if the socket isn't registered, which is as well.
         let _ = context.poll.registry().deregister(&mut connection.stream);
         let (kind, ordinary, reason) = (connection.protocol.as_str(), reason.is_ordinary(), reason.as_str());
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -20,12 +20,25 @@
 pub(super) enum Progress {
     /// It is to be closed.
     Finished(CheckCloseReason),
-    /// It has more to do, of which the socket will not tell.
+    /// It has more to do, for which the socket will report no event.
     MoreToDo,
     /// It waits for its socket.
     WaitsForSocket,
 }
 
+/// What a turn of a connection came to.
+struct Turn {
+    progress: Progress,
+    /// It completed a request, or its output went on.
+    was_active: bool,
+}
+
+impl Turn {
+    fn inactive(progress: Progress) -> Turn {
+        Turn { progress, was_active: false }
+    }
+}
+
 /// What all connections answer from.
 #[derive(Clone, Copy)]
 pub(super) struct AnswerSource<'a> {
@@ -41,28 +54,28 @@
 ) -> Progress {
     let (stream, state) = (&mut connection.stream, &mut connection.state);
     let now = context.now;
-    let (progress, was_active) = match (state, source.observer) {
+    let turn = match (state, source.observer) {
         (ProtocolState::Http(http), Some(observer)) => serve_http(context, stream, http, observer),
         (ProtocolState::Grpc(grpc), Some(observer)) => serve_grpc(context, stream, grpc, observer),
         (ProtocolState::Agent { line, reply }, Some(_)) => {
-            (serve_agent(context, stream, line, reply, source), false)
+            Turn::inactive(serve_agent(context, stream, line, reply, source))
         }
-        (_, None) => (Progress::Finished(CheckCloseReason::Off), false),
+        (_, None) => Turn::inactive(Progress::Finished(CheckCloseReason::Off)),
     };
-    if was_active {
+    if turn.was_active {
         connection.active_at = now;
     }
-    progress
+    turn.progress
 }
 
-/// Also tells whether the connection was active. Bytes that complete no request don't count: else a client could keep
-/// its place for ever.
+/// Serves an HTTP connection. Bytes that complete no request don't count as activity: otherwise a client could keep its
+/// connection open without end.
 fn serve_http(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
     http: &mut HttpCheckConnection,
     observer: &Shared<HealthObserver>,
-) -> (Progress, bool) {
+) -> Turn {
     let answered_before = http.requests_answered();
     let read = if http.wants_input() {
         let length = MAX_READ_BYTES.min(context.scratch.len());
@@ -81,7 +94,7 @@
     let was_active = http.requests_answered() > answered_before || http.output.len() < pending;
     if http.is_finished() {
         let _ = stream.shutdown(Shutdown::Write);
-        return (Progress::Finished(CheckCloseReason::Answered), was_active);
+        return Turn { progress: Progress::Finished(CheckCloseReason::Answered), was_active };
     }
     let progress = match (read, written) {
         (_, Err(_)) | (Err(stream::Ended::Reset), _) => Progress::Finished(CheckCloseReason::Reset),
@@ -89,20 +102,20 @@
             Progress::Finished(CheckCloseReason::CutShort)
         }
         (Err(stream::Ended::Closed), _) => Progress::Finished(CheckCloseReason::Closed),
-        // The socket tells when it takes more output. It doesn't tell again of input that was left unread or unanswered.
+        // The socket reports when it can be written again. It doesn't report input again that was left unread or unanswered.
         (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => Progress::WaitsForSocket,
         _ => Progress::MoreToDo,
     };
-    (progress, was_active)
+    Turn { progress, was_active }
 }
 
-/// Also tells whether the connection was active.
+/// Serves a gRPC connection.
 fn serve_grpc(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
     grpc: &mut GrpcCheckConnection,
     observer: &Shared<HealthObserver>,
-) -> (Progress, bool) {
+) -> Turn {
     let activity_before = grpc.activity();
     let read = if grpc.wants_input() {
         let length = MAX_READ_BYTES.min(context.scratch.len());
@@ -114,7 +127,7 @@
         Ok(false)
     };
     if read == Err(stream::Ended::Reset) {
-        return (Progress::Finished(CheckCloseReason::Reset), false);
+        return Turn::inactive(Progress::Finished(CheckCloseReason::Reset));
     }
     if read.is_err() {
         grpc.input_ended();
@@ -122,20 +135,21 @@
     let more_to_process = grpc.process(observer.borrow_mut().verdict(context.now));
     let output = grpc.take_output();
     let Ok(written) = stream::write_some(stream, &output) else {
-        return (Progress::Finished(CheckCloseReason::Reset), false);
+        return Turn::inactive(Progress::Finished(CheckCloseReason::Reset));
     };
     grpc.return_output(&output[written..]);
     let was_active = grpc.activity() > activity_before;
     if grpc.is_finished() {
-        return (Progress::Finished(CheckCloseReason::Closed), was_active);
+        return Turn { progress: Progress::Finished(CheckCloseReason::Closed), was_active };
     }
-    // Written output makes room for more, of which no socket tells.
+    // Written output makes room for more, which no socket reports.
     let may_go_on = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
     let progress =
         if may_go_on && !grpc.has_output() { Progress::MoreToDo } else { Progress::WaitsForSocket };
-    (progress, was_active)
+    Turn { progress, was_active }
 }
 
+/// Serves an agent-check.
 fn serve_agent(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
--- a/proxy/src/net/error.rs
+++ b/proxy/src/net/error.rs
@@ -1,5 +1,6 @@
 //! Errors that prevent the event loop from starting or continuing.
 
+use super::checks::CheckProtocol;
 use std::error::Error;
 use std::fmt::{self, Display};
 use std::io;
@@ -55,8 +56,8 @@
     Clients,
     /// Operators.
     Operators,
-    /// Balancers' health checks of this kind.
-    Checks(&'static str),
+    /// Balancers, for health checks of this protocol.
+    Checks(CheckProtocol),
     /// Proxies that request state.
     PeerState,
     /// Members of the fleet.
@@ -99,7 +100,9 @@
         match purpose {
             ListenPurpose::Clients => write!(f, "listening on {address}: {error}"),
             ListenPurpose::Operators => write!(f, "listening for operators on {address}: {error}"),
-            ListenPurpose::Checks(kind) => write!(f, "listening for {kind} checks on {address}: {error}"),
+            ListenPurpose::Checks(protocol) => {
+                write!(f, "listening for {} checks on {address}: {error}", protocol.as_str())
+            }
             ListenPurpose::PeerState => write!(f, "listening for knowledge on {address}: {error}"),
             ListenPurpose::Fleet => write!(f, "listening for the fleet on {address}: {error}"),
         }
--- a/proxy/src/net/ids.rs
+++ b/proxy/src/net/ids.rs
@@ -17,6 +17,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuerySerial(u64);
 
+/// The slot of a balancer's connection. Slots of closed connections are used again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CheckKey(pub usize);
+
+/// Number of a balancer's connection, never used again: a timer names it beside the key.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CheckSerial(u64);
+
 /// The slot of a link to another proxy. Slots of closed links are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkKey(pub usize);
@@ -43,6 +51,13 @@
     }
 }
 
+impl CheckSerial {
+    /// The number of the connection after this one.
+    pub fn next(self) -> CheckSerial {
+        CheckSerial(self.0 + 1)
+    }
+}
+
 impl LinkSerial {
     /// The number of the link after this one.
     pub fn next(self) -> LinkSerial {
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::ids::{AdminKey, ConnectionKey, LinkKey};
+use super::ids::{AdminKey, CheckKey, ConnectionKey, LinkKey};
 use crate::core::ClientKey;
 use mio::Token;
 
@@ -43,7 +43,7 @@
     /// An operator.
     Admin(AdminKey),
     /// A balancer that checks this proxy.
-    Check(usize),
+    Check(CheckKey),
     /// A link to another proxy.
     Gossip(LinkKey),
 }
@@ -70,7 +70,7 @@
     |key| Source::Client(ClientKey(key)),
     |key| Source::Database(ConnectionKey(key)),
     |key| Source::Admin(AdminKey(key)),
-    Source::Check,
+    |key| Source::Check(CheckKey(key)),
     |key| Source::Gossip(LinkKey(key)),
 ];
 
@@ -82,7 +82,7 @@
             Source::Client(ClientKey(key)) => slab(0, key),
             Source::Database(ConnectionKey(key)) => slab(1, key),
             Source::Admin(AdminKey(key)) => slab(2, key),
-            Source::Check(key) => slab(3, key),
+            Source::Check(CheckKey(key)) => slab(3, key),
             Source::Gossip(LinkKey(key)) => slab(4, key),
             single => SINGLE.iter().position(|source| *source == single).unwrap_or(usize::MAX),
         })
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -18,7 +18,7 @@
             TimerEvent::RetryAccept => self.clients.resume_accepting(),
             TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
             TimerEvent::Sweep => self.sweep(),
-            TimerEvent::CheckTimeout { key, serial } => self.checks.query_timed_out(context, key, serial),
+            TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
             // `update_health` at the end of the turn does the rest.
             TimerEvent::HealthChange => {
                 self.health.update_timer = self.health.update_timer.filter(|at| *at > context.now)
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -1,6 +1,8 @@
 //! The events that timers are set for.
 
-use super::ids::{ConnectionKey, ConnectionSerial, LinkKey, LinkSerial, PollStateSerial, QuerySerial};
+use super::ids::{
+    CheckKey, CheckSerial, ConnectionKey, ConnectionSerial, LinkKey, LinkSerial, PollStateSerial, QuerySerial,
+};
 use crate::core::{AttemptId, RoutingTimerId};
 
 /// What a timer was set for. A key is that of the owner's slab; a serial distinguishes later uses of the same key.
@@ -23,7 +25,7 @@
     /// Connections are checked for those that have been idle for too long.
     Sweep,
     /// A balancer has sent no query in time.
-    CheckTimeout { key: usize, serial: u64 },
+    CheckTimeout(CheckKey, CheckSerial),
     /// The verdict for balancers may change.
     HealthChange,
     /// The load is reported to the health monitor.
