--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -1,97 +1,188 @@
-//! What proxies do behind requests: sets, reports, copies on their way.
+//! What proxies do apart from requests: reports of hot keys, and queries that refresh copies.
 
-use super::proxies::{HOT, What};
-use super::servers::{Call, Job};
-use super::world::{Happens, Mode, WAY, World};
-use birchreach::{AttemptOutcome, GroupId};
+use super::events::{SimulationEvent, StatementResult};
+use super::proxies::{HOT_KEY, Proxy};
+use super::servers::{Statement, StatementKind, StatementOwner};
+use super::simulation::{CopyMode, NETWORK_DELAY_MICROS, Simulation};
+use birchreach::{AttemptOutcome, GroupId, Micros};
 use birchreach_background_tasks::{StartedTask, Task, TaskKind};
+use birchreach_hot_keys::DueCopy;
 use std::net::SocketAddr;
 
-impl World {
-    /// Sets, reports and background work of one proxy.
-    pub(super) fn turn(&mut self, n: usize) {
-        if self.mode != Mode::On {
+/// The channel of gossip that carries reports of hot keys.
+const HOT_KEY_CHANNEL: u8 = 1;
+const GOSSIP_PORT: u16 = 7;
+/// Proxies whose addresses have the same third byte.
+const PROXIES_PER_SUBNET: usize = 200;
+
+/// Work that no client waits for.
+#[derive(Clone, Debug, PartialEq)]
+pub enum BackgroundTask {
+    RowRead(DueCopy),
+    CopyWrite(CopyWrite),
+}
+
+/// A write of a copy.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CopyWrite {
+    /// The server whose copy is refreshed.
+    holder: u32,
+    /// Its group, at whose primary the copy is written.
+    group: u32,
+    position: Micros,
+}
+
+/// A query at a database. A row is read twice: what the second read returns has at least the position that the first one returned.
+pub enum BackgroundQuery {
+    FirstRead { copy: DueCopy, server: u32 },
+    SecondRead { copy: DueCopy, first_position: Micros },
+    CopyWrite(CopyWrite),
+}
+
+impl Simulation {
+    /// The periodic work of a proxy.
+    pub(super) fn update_proxy(&mut self, number: usize) {
+        if self.mode != CopyMode::On {
             return;
         }
-        let (now, count) = (self.now, self.proxies.len());
-        let proxy = &mut self.proxies[n];
-        proxy.hot.update(now);
-        if let Some(said) = proxy.hot.report_if_due(now) {
-            proxy.gossip_reports.publish(now, 1, said);
-        }
-        let refresh = proxy.hot.settings().refresh_interval();
-        for due in proxy.hot.due_copies(now) {
-            proxy.scheduler.submit(Task {
-                kind: TaskKind::RowRead,
-                expires_at: now + refresh,
-                payload: What::Read(due),
-            });
-        }
-        let router = &proxy.router;
-        let place = |what: &What| match what {
-            What::Read(due) => router.background_candidate(GroupId(due.key.group), false, false).map(|s| s.0),
-            What::Copy { group, .. } => router.background_candidate(GroupId(*group), true, true).map(|s| s.0),
-        };
-        let started = proxy.scheduler.start_due(now, count as u32, place);
-        for StartedTask { id: number, task, database } in started {
-            let job = match &task.payload {
-                What::Read(_) => Job::Read,
-                What::Copy { position, .. } => Job::CopyWrite(*position),
+        self.proxies[number].update_hot_keys(self.now);
+        self.start_background_queries(number);
+        self.send_gossip(number);
+    }
+
+    fn start_background_queries(&mut self, proxy: usize) {
+        let proxies = self.proxies.len() as u32;
+        for StartedTask { id, task, database: server } in self.proxies[proxy].start_tasks(self.now, proxies) {
+            let (query, kind) = match task.payload {
+                BackgroundTask::RowRead(copy) => {
+                    (BackgroundQuery::FirstRead { copy, server }, StatementKind::Read)
+                }
+                BackgroundTask::CopyWrite(write) => {
+                    (BackgroundQuery::CopyWrite(write), StatementKind::CopyWrite)
+                }
             };
-            self.proxies[n].background_queries.insert(number, (task.payload, 0, i64::from(database)));
-            self.at(now + WAY, Happens::Arrives(database, Call { proxy: n, what: Err(number), job }));
-        }
-        let address = |n: usize| SocketAddr::from(([10, 0, (n / 200) as u8, (n % 200) as u8 + 1], 7));
-        let others: Vec<SocketAddr> = (0..count).filter(|o| *o != n).map(address).collect();
-        let Some((to, bytes)) = self.proxies[n].gossip_reports.encode_gossip(now, &others) else { return };
-        let to = (0..count).find(|o| address(*o) == to).unwrap_or(0);
-        if self.cut && (n < count / 2) != (to < count / 2) {
-            return;
-        }
-        let other = &mut self.proxies[to];
-        for f in other.gossip_reports.apply_gossip(now, count, |_| true, &bytes).unwrap_or_default() {
-            let _ = other.hot.receive_report(now, f.origin, f.sequence, f.age, &f.payload);
+            self.send_background_query(proxy, id, server, kind, query);
         }
     }
 
-    /// A statement of a background query is done: a row is read twice, then copied.
-    pub(super) fn continue_background_query(
+    fn send_background_query(
         &mut self,
-        n: usize,
-        number: u64,
-        ending: AttemptOutcome,
-        position: i64,
+        proxy: usize,
+        id: u64,
+        server: u32,
+        kind: StatementKind,
+        query: BackgroundQuery,
     ) {
-        let now = self.now;
-        let Some((what, step, of)) = self.proxies[n].background_queries.remove(&number) else { return };
-        match what {
-            What::Read(due) if ending == AttemptOutcome::Ok && step == 0 => {
-                let server = of as u32;
-                self.proxies[n].background_queries.insert(number, (What::Read(due), 1, position));
-                let call = Call { proxy: n, what: Err(number), job: Job::Read };
-                self.at(now + WAY, Happens::Arrives(server, call));
+        self.proxies[proxy].background_queries.insert(id, query);
+        let statement = Statement { owner: StatementOwner::BackgroundQuery { proxy, id }, kind };
+        self.schedule(NETWORK_DELAY_MICROS, SimulationEvent::StatementArrives { server, statement });
+    }
+
+    /// Sends gossip, which arrives without delay or loss, except across a partition.
+    fn send_gossip(&mut self, sender: usize) {
+        let proxies = self.proxies.len();
+        let others: Vec<SocketAddr> =
+            (0..proxies).filter(|other| *other != sender).map(gossip_address).collect();
+        let Some((address, payload)) = self.proxies[sender].gossip_reports.encode_gossip(self.now, &others)
+        else {
+            return;
+        };
+        let receiver = (0..proxies).find(|proxy| gossip_address(*proxy) == address).unwrap_or(0);
+        let is_in_first_half = |proxy: usize| proxy < proxies / 2;
+        if !self.is_partitioned || is_in_first_half(sender) == is_in_first_half(receiver) {
+            self.proxies[receiver].receive_gossip(self.now, proxies, &payload);
+        }
+    }
+
+    /// Handles the result of a background query: a row that was read twice is copied to all holders.
+    pub(super) fn continue_background_query(&mut self, proxy: usize, id: u64, result: &StatementResult) {
+        let Some(query) = self.proxies[proxy].background_queries.remove(&id) else { return };
+        let is_ok = result.outcome == AttemptOutcome::Ok;
+        match query {
+            BackgroundQuery::FirstRead { copy, server } if is_ok => {
+                let second = BackgroundQuery::SecondRead { copy, first_position: result.position };
+                self.send_background_query(proxy, id, server, StatementKind::Read, second);
             }
-            What::Read(due) => {
-                let proxy = &mut self.proxies[n];
-                proxy.scheduler.finish(number);
-                let refresh = proxy.hot.settings().refresh_interval();
-                for holder in due.holders.iter().filter(|_| ending == AttemptOutcome::Ok) {
-                    let what = What::Copy { holder: holder.server, group: holder.group, position: of };
-                    proxy.scheduler.submit(Task {
-                        kind: TaskKind::CopyWrite,
-                        expires_at: now + refresh,
-                        payload: what,
-                    });
+            BackgroundQuery::FirstRead { .. } => self.proxies[proxy].scheduler.finish(id),
+            BackgroundQuery::SecondRead { copy, first_position } => {
+                self.proxies[proxy].scheduler.finish(id);
+                if is_ok {
+                    self.proxies[proxy].submit_copy_writes(self.now, &copy, first_position);
                 }
             }
-            What::Copy { holder, group, position } => {
-                self.proxies[n].scheduler.finish(number);
-                if ending == AttemptOutcome::Ok {
-                    self.copies[0] += 1;
-                    self.servers.copied(now, group, position);
-                    self.proxies[n].hot.record_copy_written(now, HOT, holder);
+            BackgroundQuery::CopyWrite(write) => {
+                self.proxies[proxy].scheduler.finish(id);
+                if is_ok {
+                    self.finish_copy_write(proxy, write);
                 }
             }
         }
     }
+
+    fn finish_copy_write(&mut self, proxy: usize, write: CopyWrite) {
+        self.copies.written += 1;
+        self.servers.store_copy(self.now, write.group, write.position);
+        self.proxies[proxy].hot_keys.record_copy_written(self.now, HOT_KEY, write.holder);
+    }
+}
+
+impl Proxy {
+    /// Updates the set of hot keys, reports it, and submits the reads of copies that are due.
+    fn update_hot_keys(&mut self, now: Micros) {
+        self.hot_keys.update(now);
+        if let Some(report) = self.hot_keys.report_if_due(now) {
+            self.gossip_reports.publish(now, HOT_KEY_CHANNEL, report);
+        }
+        for copy in self.hot_keys.due_copies(now) {
+            self.submit(now, TaskKind::RowRead, BackgroundTask::RowRead(copy));
+        }
+    }
+
+    fn start_tasks(&mut self, now: Micros, proxies: u32) -> Vec<StartedTask<BackgroundTask>> {
+        let router = &self.router;
+        let place = |task: &BackgroundTask| {
+            let server = match task {
+                BackgroundTask::RowRead(copy) => {
+                    router.background_candidate(GroupId(copy.key.group), false, false)
+                }
+                BackgroundTask::CopyWrite(write) => {
+                    router.background_candidate(GroupId(write.group), true, true)
+                }
+            };
+            server.map(|server| server.0)
+        };
+        self.scheduler.start_due(now, proxies, place)
+    }
+
+    fn submit_copy_writes(&mut self, now: Micros, copy: &DueCopy, position: Micros) {
+        for holder in &copy.holders {
+            let write = CopyWrite { holder: holder.server, group: holder.group, position };
+            self.submit(now, TaskKind::CopyWrite, BackgroundTask::CopyWrite(write));
+        }
+    }
+
+    /// Submits a task that is of use until the next refresh.
+    fn submit(&mut self, now: Micros, kind: TaskKind, payload: BackgroundTask) {
+        let expires_at = now + self.hot_keys.settings().refresh_interval();
+        self.scheduler.submit(Task { kind, expires_at, payload });
+    }
+
+    fn receive_gossip(&mut self, now: Micros, proxies: usize, payload: &[u8]) {
+        let reports = self.gossip_reports.apply_gossip(now, proxies, |_| true, payload).unwrap_or_default();
+        for report in reports {
+            let _ = self.hot_keys.receive_report(
+                now,
+                report.origin,
+                report.sequence,
+                report.age,
+                &report.payload,
+            );
+        }
+    }
+}
+
+fn gossip_address(proxy: usize) -> SocketAddr {
+    let subnet = (proxy / PROXIES_PER_SUBNET) as u8;
+    let host = (proxy % PROXIES_PER_SUBNET) as u8 + 1;
+    SocketAddr::from(([10, 0, subnet, host], GOSSIP_PORT))
 }
--- a/benches/src/gain/mod.rs
+++ b/benches/src/gain/mod.rs
@@ -1,107 +1,162 @@
-//! What copies of a hot key gain, on virtual time with the program's own decisions: off, on, and an oracle that knows the key from the
-//! start and whose copies cost nothing; side by side from the same seeds. Draws a chart.
+//! What copies of a hot key gain, on virtual time with the program's own decisions: without copies, with them, and with those of
+//! an oracle, side by side from the same seeds. Draws a chart.
 
+mod attempts;
 mod background_queries;
+mod chart;
+mod classes;
+mod events;
 mod proxies;
 mod requests;
 mod servers;
-mod world;
+mod simulation;
 
 use crate::Done;
-use plotters::prelude::*;
+use simulation::{CopyCounts, CopyMode, Scenario, Simulation};
 use std::path::Path;
-pub use world::{Mode, World};
 
-/// Seconds of a run, and those left out while it begins.
-const SPAN: i64 = 40;
-const BEGINS: i64 = 5;
+const RUN_SECONDS: usize = 40;
+/// Seconds at the start of a run that means leave out.
+const WARM_UP_SECONDS: usize = 5;
+const LAST_SECONDS: usize = 10;
+const PARTITION_SECOND: usize = 20;
+const MICROS_PER_SECOND: i64 = 1_000_000;
+const HOT_READS_PER_S: f64 = 900.0;
+/// Fewer than make a key hot.
+const MODERATE_READS_PER_S: f64 = 60.0;
+/// The oracle's gain is no measure of ours where it is less than this.
+const MIN_ORACLE_GAIN: f64 = 0.02;
+/// A second without requests has a fraction of zero.
+const MIN_REQUESTED_WEIGHT: f64 = 1e-9;
+/// The chart shows runs of this seed.
+const CHART_SEED: u64 = 1;
 
-/// Share of the worth asked for of the hot group that was served, by second.
-fn play(mode: Mode, proxies: usize, seed: u64, hot: f64, cut: bool) -> (Vec<f64>, [u64; 3]) {
-    let mut world = World::new(mode, proxies, seed, hot);
-    let mut seconds = Vec::new();
-    for second in 0..SPAN {
-        if cut && second == 20 {
-            world.cut = true;
-        }
-        let before = world.worth;
-        world.pass(1_000_000);
-        let (served, asked) = (world.worth.0 - before.0, world.worth.1 - before.1);
-        seconds.push(served / asked.max(1e-9));
-    }
-    (seconds, world.copies)
+/// A run of one mode.
+struct Run {
+    /// Priority weight served of that requested, of the hot key's group, by second.
+    served_fractions: Vec<f64>,
+    copies: CopyCounts,
+}
+
+/// Runs of all modes from one seed.
+struct ModeRuns {
+    off: Run,
+    on: Run,
+    oracle: Run,
+}
+
+/// The runs that the chart shows of one number of proxies.
+struct ChartRuns {
+    proxies: usize,
+    runs: ModeRuns,
 }
 
-fn mean(seconds: &[f64]) -> f64 {
-    seconds.iter().sum::<f64>() / seconds.len().max(1) as f64
+/// Sums over seeds: mean served fractions, and copies of the mode `On`.
+#[derive(Default)]
+struct Sums {
+    off: f64,
+    on: f64,
+    oracle: f64,
+    on_last_seconds: f64,
+    copies: CopyCounts,
 }
 
-pub fn run(chart: &Path, sizes: &[usize], seeds: u64) -> Done {
+/// Simulates all scenarios, prints the table and draws the chart.
+pub fn run(chart: &Path, fleet_sizes: &[usize], seeds: u64) -> Done {
     println!(
         "| proxies | reads/s of the key | cut into halves at 20 s | off | on | oracle | way to the oracle | on, last 10 s | copies written | read from copies | misses |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let mut curves = Vec::new();
-    for &proxies in sizes {
-        for (hot, cut) in [(900.0, false), (900.0, true), (60.0, false)] {
-            let mut sums = [0.0; 4];
-            let mut copies = [0; 3];
+    let mut shown = Vec::new();
+    for &proxies in fleet_sizes {
+        for scenario in scenarios(proxies) {
+            let mut sums = Sums::default();
             for seed in 1..=seeds {
-                let [off, on, oracle] =
-                    [Mode::Off, Mode::On, Mode::Oracle].map(|mode| play(mode, proxies, seed, hot, cut));
-                let from = BEGINS as usize;
-                sums[0] += mean(&off.0[from..]);
-                sums[1] += mean(&on.0[from..]);
-                sums[2] += mean(&oracle.0[from..]);
-                sums[3] += mean(&on.0[(SPAN - 10) as usize..]);
-                (0..3).for_each(|n| copies[n] += on.1[n]);
-                if seed == 1 && hot > 100.0 && !cut {
-                    curves.push((proxies, off.0, on.0, oracle.0));
+                let runs = simulate_modes(&scenario, seed);
+                sums.add(&runs);
+                if seed == CHART_SEED && scenario.is_in_chart() {
+                    shown.push(ChartRuns { proxies, runs });
                 }
             }
-            let [off, on, oracle, last] = sums.map(|sum| sum / seeds as f64);
-            let way = if oracle - off > 0.02 {
-                format!("{:.0}%", (last - off) / (oracle - off) * 100.0)
-            } else {
-                "-".into()
-            };
-            println!(
-                "| {proxies} | {hot:.0} | {} | {off:.3} | {on:.3} | {oracle:.3} | {way} | {last:.3} | {} | {} | {} |",
-                if cut { "yes" } else { "no" },
-                copies[0] / seeds,
-                copies[1] / seeds,
-                copies[2] / seeds
-            );
+            print_row(&scenario, &sums, seeds);
         }
     }
-    draw(chart, &curves)
+    chart::draw(chart, &shown)
 }
 
-type Curve = (usize, Vec<f64>, Vec<f64>, Vec<f64>);
+fn scenarios(proxies: usize) -> [Scenario; 3] {
+    [
+        Scenario { proxies, hot_reads_per_s: HOT_READS_PER_S, has_partition: false },
+        Scenario { proxies, hot_reads_per_s: HOT_READS_PER_S, has_partition: true },
+        Scenario { proxies, hot_reads_per_s: MODERATE_READS_PER_S, has_partition: false },
+    ]
+}
+
+impl Scenario {
+    fn is_in_chart(&self) -> bool {
+        self.hot_reads_per_s == HOT_READS_PER_S && !self.has_partition
+    }
+}
 
-fn draw(chart: &Path, curves: &[Curve]) -> Done {
-    let root = SVGBackend::new(chart, (720, 240 * curves.len().max(1) as u32)).into_drawing_area();
-    root.fill(&WHITE)?;
-    let areas = root.split_evenly((curves.len().max(1), 1));
-    for ((proxies, off, on, oracle), area) in curves.iter().zip(areas) {
-        let mut plot = ChartBuilder::on(&area)
-            .margin(10)
-            .x_label_area_size(25)
-            .y_label_area_size(40)
-            .caption(
-                format!("{proxies} proxies: worth served of the hot group, by second"),
-                ("sans-serif", 14),
-            )
-            .build_cartesian_2d(0.0..SPAN as f64, 0.0..1.05)?;
-        plot.configure_mesh().draw()?;
-        for (name, curve, colour) in [("off", off, RED), ("on", on, BLUE), ("oracle", oracle, GREEN)] {
-            let points = curve.iter().enumerate().map(|(n, share)| (n as f64, *share));
-            plot.draw_series(LineSeries::new(points, &colour))?
-                .label(name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 12, y)], colour));
+fn simulate_modes(scenario: &Scenario, seed: u64) -> ModeRuns {
+    ModeRuns {
+        off: simulate(CopyMode::Off, scenario, seed),
+        on: simulate(CopyMode::On, scenario, seed),
+        oracle: simulate(CopyMode::Oracle, scenario, seed),
+    }
+}
+
+fn simulate(mode: CopyMode, scenario: &Scenario, seed: u64) -> Run {
+    let mut simulation = Simulation::new(mode, scenario, seed);
+    let mut served_fractions = Vec::new();
+    for second in 0..RUN_SECONDS {
+        if scenario.has_partition && second == PARTITION_SECOND {
+            simulation.is_partitioned = true;
         }
-        plot.configure_series_labels().border_style(BLACK).draw()?;
+        let before = simulation.weights;
+        simulation.advance(MICROS_PER_SECOND);
+        let served = simulation.weights.served - before.served;
+        let requested = simulation.weights.requested - before.requested;
+        served_fractions.push(served / requested.max(MIN_REQUESTED_WEIGHT));
+    }
+    Run { served_fractions, copies: simulation.copies }
+}
+
+impl Run {
+    fn mean_from(&self, second: usize) -> f64 {
+        let fractions = &self.served_fractions[second..];
+        fractions.iter().sum::<f64>() / fractions.len() as f64
     }
-    root.present()?;
-    Ok(())
+}
+
+impl Sums {
+    fn add(&mut self, runs: &ModeRuns) {
+        self.off += runs.off.mean_from(WARM_UP_SECONDS);
+        self.on += runs.on.mean_from(WARM_UP_SECONDS);
+        self.oracle += runs.oracle.mean_from(WARM_UP_SECONDS);
+        self.on_last_seconds += runs.on.mean_from(RUN_SECONDS - LAST_SECONDS);
+        self.copies.written += runs.on.copies.written;
+        self.copies.read += runs.on.copies.read;
+        self.copies.missed += runs.on.copies.missed;
+    }
+}
+
+fn print_row(scenario: &Scenario, sums: &Sums, seeds: u64) {
+    let mean = |sum: f64| sum / seeds as f64;
+    let (off, on, oracle) = (mean(sums.off), mean(sums.on), mean(sums.oracle));
+    let on_last_seconds = mean(sums.on_last_seconds);
+    let gain_of_oracle = if oracle - off > MIN_ORACLE_GAIN {
+        format!("{:.0}%", (on_last_seconds - off) / (oracle - off) * 100.0)
+    } else {
+        "-".into()
+    };
+    println!(
+        "| {} | {:.0} | {} | {off:.3} | {on:.3} | {oracle:.3} | {gain_of_oracle} | {on_last_seconds:.3} | {} | {} | {} |",
+        scenario.proxies,
+        scenario.hot_reads_per_s,
+        if scenario.has_partition { "yes" } else { "no" },
+        sums.copies.written / seeds,
+        sums.copies.read / seeds,
+        sums.copies.missed / seeds
+    );
 }
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -1,54 +1,90 @@
-//! A proxy on virtual time: the program's own decisions, hot keys and scheduler, without sockets.
+//! A proxy on virtual time: the program's own router, hot keys and scheduler, without sockets.
 
-use super::servers::{BEARS, GROUPS, MEMBERS};
-use super::world::Mode;
+use super::background_queries::{BackgroundQuery, BackgroundTask};
+use super::classes::CLASSES;
+use super::servers::{GROUPS, READS_PER_S_PER_SERVER, SERVERS, SERVERS_PER_GROUP, group_of, role};
+use super::simulation::CopyMode;
 use birchreach::{
-    Action, Consistency, CopyCandidate, Endpoint, EndpointDiscovery, EndpointList, EndpointState, Event,
-    GroupId, Idempotency, LoadReportSource, RequestClass, Router, ServerId, SessionPositionSource, Settings,
-    StaleReadPolicy, ZoneId,
+    Action, CopyCandidate, Endpoint, EndpointDiscovery, EndpointList, EndpointState, Event, GroupId,
+    LoadReportSource, Micros, Role, Router, ServerId, SessionPositionSource, Settings, StaleReadPolicy,
+    ZoneId,
 };
 use birchreach_background_tasks::{Budget, Scheduler, TaskKind};
-use birchreach_hot_keys::{CopyRequirement as Needs, Database, DueCopy, HotKeyTracker, Key};
+use birchreach_hot_keys::{CopyRequirement, Database, HotKeyTracker, Key};
 use birchreach_membership::GossipReports;
 use std::collections::HashMap;
 
-/// A class for bounded reads, one for writes.
-pub const READS: u16 = 0;
-pub const WRITES: u16 = 1;
-pub const HOT: Key = Key { group: 0, hash: 0x5eed };
+/// The key that clients read often.
+pub const HOT_KEY: Key = Key { group: 0, hash: 0x5eed };
 
-/// Work that no client waits for.
-#[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    Read(DueCopy),
-    Copy { holder: u32, group: u32, position: i64 },
-}
+const HOT_KEY_BYTES: &[u8] = b"hot";
+/// The servers that hold the oracle's copies, each of another group than the hot key.
+const ORACLE_HOLDERS: [u32; MAX_COPIES] = [4, 7, 10];
+const MAX_COPIES: usize = 3;
+const COPY_COST_READS: f64 = 2.0;
+const MAX_COPY_AGE_MICROS: Micros = 800_000;
+const BUDGET: Budget = Budget { database_per_s: 30.0, all_per_s: 60.0, window: 10_000_000 };
+/// Longer than the budget's window: the scheduler has nothing to allow for of an earlier incarnation.
+const SCHEDULER_AGE_MICROS: Micros = 20_000_000;
+const GOSSIP_SEED_MASK: u64 = 0xabc;
 
+/// A proxy and its background queries.
 pub struct Proxy {
     pub router: Router,
-    pub hot: HotKeyTracker,
+    pub hot_keys: HotKeyTracker,
     pub gossip_reports: GossipReports,
-    pub scheduler: Scheduler<What>,
-    pub background_queries: HashMap<u64, (What, u8, i64)>,
+    pub scheduler: Scheduler<BackgroundTask>,
+    /// Background queries at a database, by the scheduler's id.
+    pub background_queries: HashMap<u64, BackgroundQuery>,
     pub actions: Vec<Action>,
 }
 
-fn settings(proxies: usize) -> Settings {
-    let class = |need, effect, aim, deadline, worth| RequestClass {
-        consistency: need,
-        idempotency: effect,
-        latency_objective: aim,
-        client_timeout: deadline,
-        priority_weight: worth,
-        late_weight_fraction: 0.2,
-    };
+impl Proxy {
+    /// A proxy that knows all servers, and no hot key.
+    pub fn new(number: usize, proxies: usize, seed: u64, now: Micros) -> Proxy {
+        let mut actions = Vec::new();
+        let mut router = Router::new(router_settings(proxies), seed, now, &mut actions);
+        router.handle(now, Event::EndpointsChanged(endpoints()), &mut actions);
+        let incarnation = number as u64 + 1;
+        let budgets = [(TaskKind::RowRead, BUDGET), (TaskKind::CopyWrite, BUDGET)];
+        Proxy {
+            router,
+            hot_keys: hot_key_tracker(incarnation, proxies, now),
+            gossip_reports: GossipReports::new(incarnation, seed ^ GOSSIP_SEED_MASK),
+            scheduler: Scheduler::new(&budgets, now - SCHEDULER_AGE_MICROS),
+            background_queries: HashMap::new(),
+            actions,
+        }
+    }
+
+    /// Counts a read of the hot key; the copies that may serve it.
+    pub fn copy_candidates(&mut self, mode: CopyMode, now: Micros) -> Vec<CopyCandidate> {
+        match mode {
+            CopyMode::Off => Vec::new(),
+            CopyMode::On => self.tracked_copy_candidates(now),
+            CopyMode::Oracle => ORACLE_HOLDERS
+                .map(|server| CopyCandidate { server: ServerId(server), likely_position: now })
+                .to_vec(),
+        }
+    }
+
+    fn tracked_copy_candidates(&mut self, now: Micros) -> Vec<CopyCandidate> {
+        self.hot_keys.record_read(now, HOT_KEY, HOT_KEY_BYTES);
+        let copies = self.hot_keys.copy_candidates(now, HOT_KEY).into_iter();
+        copies
+            .map(|copy| CopyCandidate {
+                server: ServerId(copy.server),
+                likely_position: copy.likely_position,
+            })
+            .collect()
+    }
+}
+
+fn router_settings(proxies: usize) -> Settings {
     Settings {
         proxy_count: proxies as u32,
         zone: ZoneId(0),
-        classes: vec![
-            class(Consistency::BoundedStaleness(800_000), Idempotency::Idempotent, 300_000, 1_200_000, 3.0),
-            class(Consistency::Write, Idempotency::NotIdempotent, 750_000, 3_000_000, 6.0),
-        ],
+        classes: CLASSES.to_vec(),
         tenants: vec![],
         session_positions: SessionPositionSource::FromRequest,
         stale_reads: StaleReadPolicy::Served,
@@ -70,57 +106,32 @@
     }
 }
 
-impl Proxy {
-    pub fn new(n: usize, proxies: usize, seed: u64, now: i64) -> Proxy {
-        let mut actions = Vec::new();
-        let mut router = Router::new(settings(proxies), seed, now, &mut actions);
-        let members = (0..GROUPS * MEMBERS).map(|id| Endpoint {
-            server: ServerId(id),
-            group: GroupId(id / MEMBERS),
-            zone: ZoneId(0),
-            state: EndpointState::Ready,
-            started_at: None,
-            weight: 1.0,
-            primary: id % MEMBERS == 0,
-        });
-        let list = EndpointList { complete: true, endpoints: members.collect() };
-        router.handle(now, Event::EndpointsChanged(list), &mut actions);
-        let hot = birchreach_hot_keys::Settings {
-            database_reads_per_s: BEARS,
-            copy_cost_reads: 2.0,
-            max_copies: 3,
-            configured_members: proxies as u32,
-            class_requirements: vec![Needs::MaxAge(800_000), Needs::Current],
-        };
-        let mut hot = HotKeyTracker::new(hot, n as u64 + 1, 1, now);
-        let database = |id| Database { server: id, group: id / MEMBERS, name_hash: u64::from(id) * 7 + 1 };
-        let replicas = (0..GROUPS).map(|g| (g, MEMBERS as usize - 1)).collect();
-        hot.update_databases((0..GROUPS * MEMBERS).map(database).collect(), replicas);
-        hot.set_fleet(proxies, GossipReports::interval(proxies));
-        let budget = |per_s| Budget { database_per_s: per_s, all_per_s: 60.0, window: 10_000_000 };
-        // A fleet that has run for long: nothing is left of what an earlier incarnation may have started.
-        let budgets = [(TaskKind::RowRead, budget(30.0)), (TaskKind::CopyWrite, budget(30.0))];
-        let scheduler = Scheduler::new(&budgets, now - 20_000_000);
-        let gossip_reports = GossipReports::new(n as u64 + 1, seed ^ 0xabc);
-        Proxy { router, hot, gossip_reports, scheduler, background_queries: HashMap::new(), actions }
-    }
+fn endpoints() -> EndpointList {
+    let endpoint = |server| Endpoint {
+        server: ServerId(server),
+        group: GroupId(group_of(server)),
+        zone: ZoneId(0),
+        state: EndpointState::Ready,
+        started_at: None,
+        weight: 1.0,
+        primary: role(server) == Role::Primary,
+    };
+    EndpointList { complete: true, endpoints: (0..SERVERS).map(endpoint).collect() }
+}
 
-    /// Copies that may serve a read of the key, as the mode has them.
-    pub fn copy_candidates(&mut self, mode: Mode, now: i64, key: Option<Key>) -> Vec<CopyCandidate> {
-        let Some(key) = key else { return Vec::new() };
-        let candidate = |server, likely_position| CopyCandidate { server: ServerId(server), likely_position };
-        match mode {
-            Mode::Off => Vec::new(),
-            Mode::On => {
-                self.hot.record_read(now, key, b"hot");
-                self.hot
-                    .copy_candidates(now, key)
-                    .into_iter()
-                    .map(|copy| candidate(copy.server, copy.likely_position))
-                    .collect()
-            }
-            // It knows: the same number of copies, in other groups, all of the present.
-            Mode::Oracle => [4, 7, 10].map(|id| candidate(id, now)).to_vec(),
-        }
-    }
+fn hot_key_tracker(incarnation: u64, proxies: usize, now: Micros) -> HotKeyTracker {
+    let settings = birchreach_hot_keys::Settings {
+        database_reads_per_s: READS_PER_S_PER_SERVER,
+        copy_cost_reads: COPY_COST_READS,
+        max_copies: MAX_COPIES,
+        configured_members: proxies as u32,
+        class_requirements: vec![CopyRequirement::MaxAge(MAX_COPY_AGE_MICROS), CopyRequirement::Current],
+    };
+    let mut tracker = HotKeyTracker::new(settings, incarnation, 1, now);
+    let database =
+        |server| Database { server, group: group_of(server), name_hash: u64::from(server) * 7 + 1 };
+    let replica_counts = (0..GROUPS).map(|group| (group, SERVERS_PER_GROUP as usize - 1)).collect();
+    tracker.update_databases((0..SERVERS).map(database).collect(), replica_counts);
+    tracker.set_fleet(proxies, GossipReports::interval(proxies));
+    tracker
 }
--- a/benches/src/gain/requests.rs
+++ b/benches/src/gain/requests.rs
@@ -1,80 +1,117 @@
-//! Requests as they come, and what a proxy's decisions do with them.
+//! Clients' requests, and what a proxy's router decides about them.
 
-use super::proxies::{HOT, READS, WRITES};
-use super::servers::{Call, GROUPS, Job, MEMBERS};
-use super::world::{Happens, Open, READS_PER_S, WAY, WRITES_PER_S, World};
-use birchreach::{Action, ClassId, Event, GroupId, Request, RequestId, TenantId};
-use std::collections::HashMap;
+use super::classes::{READ_CLASS, WRITE_CLASS, class};
+use super::events::SimulationEvent;
+use super::proxies::HOT_KEY;
+use super::servers::{AttemptKey, GROUPS, RequestKey, Statement, StatementKind, StatementOwner, group_of};
+use super::simulation::{NETWORK_DELAY_MICROS, READS_PER_S_PER_GROUP, Simulation, WRITES_PER_S_PER_GROUP};
+use birchreach::{Action, ClassId, CopyCandidate, Event, GroupId, Micros, Request, RequestId, TenantId};
 
-impl World {
-    pub(super) fn ask(&mut self, n: usize) {
-        let draw = self.rng.f64() * ((READS_PER_S + WRITES_PER_S) * f64::from(GROUPS) + self.hot);
-        let (class, group, key) = if draw < self.hot {
-            (READS, HOT.group, Some(HOT))
-        } else {
-            let write = self.rng.f64() < WRITES_PER_S / (READS_PER_S + WRITES_PER_S);
-            (if write { WRITES } else { READS }, self.rng.u32(..GROUPS), None)
-        };
-        let copy_candidates = self.proxies[n].copy_candidates(self.mode, self.now, key);
-        self.number += 1;
-        let id = self.number;
-        let deadline = if class == WRITES { 3_000_000 } else { 1_200_000 };
-        if group == HOT.group {
-            self.worth.1 += if class == WRITES { 6.0 } else { 3.0 };
+/// An attempt of a pending request.
+pub struct Attempt {
+    pub server: u32,
+    pub sent_at: Micros,
+    pub is_finished: bool,
+}
+
+/// A request that a client waits for.
+pub struct PendingRequest {
+    pub class: ClassId,
+    pub group: u32,
+    pub received_at: Micros,
+    /// By number.
+    pub attempts: Vec<Attempt>,
+    /// Whether copies in other groups may serve it.
+    has_copy_candidates: bool,
+}
+
+impl Simulation {
+    /// Draws a client's request and gives it to the router.
+    pub(super) fn start_request(&mut self, proxy: usize) {
+        if self.rng.f64() * self.requests_per_s() < self.hot_reads_per_s {
+            let copy_candidates = self.proxies[proxy].copy_candidates(self.mode, self.now);
+            return self.route_request(proxy, READ_CLASS, HOT_KEY.group, copy_candidates);
         }
-        self.open.insert(
-            (n, id),
-            Open {
-                class,
-                group,
-                sent: self.now,
-                attempts: HashMap::new(),
-                copy: !copy_candidates.is_empty(),
-            },
-        );
+        let write_fraction = WRITES_PER_S_PER_GROUP / (READS_PER_S_PER_GROUP + WRITES_PER_S_PER_GROUP);
+        let class = if self.rng.f64() < write_fraction { WRITE_CLASS } else { READ_CLASS };
+        let group = self.rng.u32(..GROUPS);
+        self.route_request(proxy, class, group, Vec::new());
+    }
+
+    fn route_request(
+        &mut self,
+        proxy: usize,
+        class_id: ClassId,
+        group: u32,
+        copy_candidates: Vec<CopyCandidate>,
+    ) {
+        self.last_request += 1;
+        let request = self.last_request;
+        if group == HOT_KEY.group {
+            self.weights.requested += class(class_id).priority_weight;
+        }
+        let pending = PendingRequest {
+            class: class_id,
+            group,
+            received_at: self.now,
+            attempts: Vec::new(),
+            has_copy_candidates: !copy_candidates.is_empty(),
+        };
+        self.pending.insert(RequestKey { proxy, request }, pending);
         let request = Request {
-            id: RequestId(id),
-            class: ClassId(class),
+            id: RequestId(request),
+            class: class_id,
             group: GroupId(group),
             tenant: TenantId(0),
-            timeout: deadline,
+            timeout: class(class_id).client_timeout,
             session: None,
             last_write_position: None,
             copy_candidates,
         };
-        self.feed(n, Event::Request(request));
+        self.route(proxy, Event::Request(request));
     }
 
-    pub(super) fn feed(&mut self, n: usize, event: Event) {
-        let proxy = &mut self.proxies[n];
-        proxy.router.handle(self.now, event, &mut proxy.actions);
-        for action in std::mem::take(&mut proxy.actions) {
-            match action {
-                Action::Send { request, server, timeout: patience } => {
-                    let Some(open) = self.open.get_mut(&(n, request.0)) else { continue };
-                    let attempt = open.attempts.len() as u16;
-                    open.attempts.insert(attempt, (server.0, self.now));
-                    let elsewhere = server.0 / MEMBERS != open.group;
-                    let job = if open.class == WRITES {
-                        Job::Write
-                    } else if elsewhere && open.copy {
-                        Job::CopyRead(
-                            self.proxies[n].router.required_copy_position(self.now, request).unwrap_or(0),
-                        )
-                    } else {
-                        Job::Read
-                    };
-                    let call = Call { proxy: n, what: Ok((request.0, attempt)), job };
-                    self.at(self.now + WAY, Happens::Arrives(server.0, call));
-                    self.at(self.now + patience, Happens::Late(n, request.0, attempt));
-                }
-                Action::Reject { request, .. } | Action::Fail { request } => {
-                    drop(self.open.remove(&(n, request.0)))
-                }
-                Action::HealthCheck { server } => self.at(self.now + 2 * WAY, Happens::Probed(n, server.0)),
-                Action::Timer { delay: after, .. } => self.at(self.now + after.max(1), Happens::Timer(n)),
-                Action::Cancel { .. } | Action::WatchEndpoints | Action::Log(_) => {}
+    /// Gives a proxy's router an event, and does what it decides.
+    pub(super) fn route(&mut self, proxy: usize, event: Event) {
+        let target = &mut self.proxies[proxy];
+        target.router.handle(self.now, event, &mut target.actions);
+        for action in std::mem::take(&mut target.actions) {
+            self.execute(proxy, action);
+        }
+    }
+
+    fn execute(&mut self, proxy: usize, action: Action) {
+        match action {
+            Action::Send { request, server, timeout } => self.send_attempt(proxy, request, server.0, timeout),
+            Action::Reject { request, .. } | Action::Fail { request } => {
+                self.pending.remove(&RequestKey { proxy, request: request.0 });
+            }
+            Action::HealthCheck { server } => {
+                let done = SimulationEvent::HealthCheckDone { proxy, server: server.0 };
+                self.schedule(2 * NETWORK_DELAY_MICROS, done);
+            }
+            Action::Timer { delay, .. } => {
+                self.schedule(delay.max(1), SimulationEvent::RouterTimer { proxy });
             }
+            Action::Cancel { .. } | Action::WatchEndpoints | Action::Log(_) => {}
         }
     }
+
+    fn send_attempt(&mut self, proxy: usize, request: RequestId, server: u32, timeout: Micros) {
+        let key = RequestKey { proxy, request: request.0 };
+        let Some(pending) = self.pending.get_mut(&key) else { return };
+        let attempt = AttemptKey { request: key, attempt: pending.attempts.len() as u16 };
+        pending.attempts.push(Attempt { server, sent_at: self.now, is_finished: false });
+        let kind = if pending.class == WRITE_CLASS {
+            StatementKind::Write
+        } else if pending.has_copy_candidates && group_of(server) != pending.group {
+            let position = self.proxies[proxy].router.required_copy_position(self.now, request);
+            StatementKind::CopyRead { required_position: position.unwrap_or(0) }
+        } else {
+            StatementKind::Read
+        };
+        let statement = Statement { owner: StatementOwner::Attempt(attempt), kind };
+        self.schedule(NETWORK_DELAY_MICROS, SimulationEvent::StatementArrives { server, statement });
+        self.schedule(timeout, SimulationEvent::AttemptTimeout(attempt));
+    }
 }
--- a/benches/src/gain/servers.rs
+++ b/benches/src/gain/servers.rs
@@ -1,108 +1,174 @@
-//! Databases on virtual time: so many statements at once, a queue, a log position, copies with theirs.
+//! Database servers on virtual time: bounded concurrency and queues, log positions, and copies of the hot key.
 
+use birchreach::{Micros, Role};
 use std::collections::VecDeque;
 
+/// Groups of servers, each with a primary as its first server.
 pub const GROUPS: u32 = 6;
-pub const MEMBERS: u32 = 3;
-/// Statements at once, and what a read and a write take, in microseconds.
-const AT_ONCE: usize = 2;
-const READ: i64 = 10_000;
-const WRITE: i64 = 8_000;
-/// Replicas apply the log so late.
-pub const LAG: i64 = 20_000;
-/// More that wait are turned away.
-const QUEUE: usize = 150;
-
-/// Reads a second that one database bears.
-pub const BEARS: f64 = AT_ONCE as f64 * 1e6 / READ as f64;
-
-/// Whose statement it is: a proxy's attempt, or its background query; and what it does.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Job {
+pub const SERVERS_PER_GROUP: u32 = 3;
+pub const SERVERS: u32 = GROUPS * SERVERS_PER_GROUP;
+/// How far a replica's log is behind its primary's.
+pub const REPLICATION_LAG_MICROS: Micros = 20_000;
+/// Reads that a server completes in a second.
+pub const READS_PER_S_PER_SERVER: f64 = MAX_RUNNING_STATEMENTS as f64 * 1e6 / READ_MICROS as f64;
+
+const MAX_RUNNING_STATEMENTS: usize = 2;
+/// A server rejects statements beyond these.
+const MAX_QUEUED_STATEMENTS: usize = 150;
+const READ_MICROS: Micros = 10_000;
+const WRITE_MICROS: Micros = 8_000;
+/// A read that finds no copy only looks into an index.
+const COPY_MISS_MICROS: Micros = READ_MICROS / 10;
+const COPY_RETENTION_MICROS: Micros = 10_000_000;
+
+/// The role of a server, which stays as it is.
+pub fn role(server: u32) -> Role {
+    if server.is_multiple_of(SERVERS_PER_GROUP) { Role::Primary } else { Role::Replica }
+}
+
+/// The group of a server.
+pub fn group_of(server: u32) -> u32 {
+    server / SERVERS_PER_GROUP
+}
+
+/// The position of a server's log: the instant up to which it has all writes.
+pub fn log_position(server: u32, now: Micros) -> Micros {
+    match role(server) {
+        Role::Primary => now - 1,
+        Role::Replica => now - REPLICATION_LAG_MICROS,
+    }
+}
+
+/// A request of a proxy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct RequestKey {
+    pub proxy: usize,
+    pub request: u64,
+}
+
+/// An attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptKey {
+    pub request: RequestKey,
+    pub attempt: u16,
+}
+
+/// Who waits for a statement's result.
+#[derive(Clone, Copy, Debug)]
+pub enum StatementOwner {
+    Attempt(AttemptKey),
+    BackgroundQuery { proxy: usize, id: u64 },
+}
+
+/// What a statement does.
+#[derive(Clone, Copy, Debug)]
+pub enum StatementKind {
     Read,
     Write,
-    /// Needs this position.
-    CopyRead(i64),
-    CopyWrite(i64),
+    CopyRead { required_position: Micros },
+    CopyWrite,
 }
 
+/// A statement that a proxy sends to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
-    pub proxy: usize,
-    /// An attempt (request, number), or the number of a background query.
-    pub what: Result<(u64, u16), u64>,
-    pub job: Job,
+pub struct Statement {
+    pub owner: StatementOwner,
+    pub kind: StatementKind,
 }
 
-#[derive(Default)]
-pub struct Server {
-    pub group: u32,
-    pub primary: bool,
-    busy: usize,
-    waiting: VecDeque<Call>,
-    /// Positions of the hot key's copies: since when each is there.
-    copies: Vec<(i64, i64)>,
+/// What a server does with a statement that arrives.
+pub enum Admission {
+    Started { done_at: Micros },
+    Queued,
+    Rejected,
+}
+
+/// A statement that leaves the queue.
+pub struct StartedStatement {
+    pub statement: Statement,
+    pub done_at: Micros,
+}
+
+/// A copy of the hot key.
+struct StoredCopy {
+    position: Micros,
+    readable_from: Micros,
 }
 
 #[derive(Default)]
-pub struct Servers(pub Vec<Server>);
+struct Server {
+    running: usize,
+    queue: VecDeque<Statement>,
+    copies: Vec<StoredCopy>,
+}
+
+/// All servers, by number.
+pub struct Servers(Vec<Server>);
 
 impl Servers {
+    /// Idle servers without copies.
     pub fn new() -> Servers {
-        let one =
-            |n: u32| Server { group: n / MEMBERS, primary: n.is_multiple_of(MEMBERS), ..Server::default() };
-        Servers((0..GROUPS * MEMBERS).map(one).collect())
+        Servers((0..SERVERS).map(|_| Server::default()).collect())
     }
 
-    /// A statement arrives: when it is done, if it starts now; or none. Err: turned away.
-    pub fn arrive(&mut self, now: i64, server: u32, call: Call) -> Result<Option<i64>, ()> {
-        let s = &mut self.0[server as usize];
-        if s.busy < AT_ONCE {
-            s.busy += 1;
-            Ok(Some(now + s.takes(now, call.job)))
-        } else if s.waiting.len() < QUEUE {
-            s.waiting.push_back(call);
-            Ok(None)
+    /// Starts, queues or rejects a statement.
+    pub fn admit(&mut self, now: Micros, server: u32, statement: Statement) -> Admission {
+        let server = &mut self.0[server as usize];
+        if server.running < MAX_RUNNING_STATEMENTS {
+            server.running += 1;
+            Admission::Started { done_at: now + server.duration(now, statement.kind) }
+        } else if server.queue.len() < MAX_QUEUED_STATEMENTS {
+            server.queue.push_back(statement);
+            Admission::Queued
         } else {
-            Err(())
+            Admission::Rejected
         }
     }
 
-    /// One is done; the next that starts, and when that will be done.
-    pub fn done(&mut self, now: i64, server: u32) -> Option<(Call, i64)> {
-        let s = &mut self.0[server as usize];
-        let Some(next) = s.waiting.pop_front() else {
-            s.busy -= 1;
+    /// Ends a statement and starts the next one of the queue.
+    pub fn finish(&mut self, now: Micros, server: u32) -> Option<StartedStatement> {
+        let server = &mut self.0[server as usize];
+        let Some(statement) = server.queue.pop_front() else {
+            server.running -= 1;
             return None;
         };
-        Some((next, now + s.takes(now, next.job)))
+        Some(StartedStatement { statement, done_at: now + server.duration(now, statement.kind) })
     }
 
-    /// A copy came to a group's primary: its members have it as they apply the log.
-    pub fn copied(&mut self, now: i64, group: u32, position: i64) {
-        for s in self.0.iter_mut().filter(|s| s.group == group) {
-            let at = if s.primary { now } else { now + LAG };
-            s.copies.retain(|c| now - c.1 < 10_000_000);
-            s.copies.push((position, at));
+    /// Stores a copy at a group's primary, from where it is replicated.
+    pub fn store_copy(&mut self, now: Micros, group: u32, position: Micros) {
+        for (number, server) in (0..SERVERS).zip(&mut self.0) {
+            if group_of(number) != group {
+                continue;
+            }
+            let delay = if role(number) == Role::Primary { 0 } else { REPLICATION_LAG_MICROS };
+            server.copies.retain(|copy| now - copy.readable_from < COPY_RETENTION_MICROS);
+            server.copies.push(StoredCopy { position, readable_from: now + delay });
         }
     }
 
-    /// The newest position that a server's copy has.
-    pub fn copy(&self, now: i64, server: u32) -> Option<i64> {
-        let there = self.0[server as usize].copies.iter().filter(|(_, at)| *at <= now);
-        there.map(|(position, _)| *position).max()
+    /// The position of the newest copy that a server can read.
+    pub fn newest_copy_position(&self, now: Micros, server: u32) -> Option<Micros> {
+        self.0[server as usize].newest_copy_position(now)
     }
 }
 
 impl Server {
-    fn takes(&self, now: i64, job: Job) -> i64 {
-        match job {
-            Job::Read => READ,
-            Job::Write | Job::CopyWrite(_) => WRITE,
-            // A miss is a look at an index.
-            Job::CopyRead(needed) => {
-                let has = self.copies.iter().any(|(position, at)| *at <= now && *position >= needed);
-                if has { READ } else { READ / 10 }
+    fn newest_copy_position(&self, now: Micros) -> Option<Micros> {
+        let readable = self.copies.iter().filter(|copy| copy.readable_from <= now);
+        readable.map(|copy| copy.position).max()
+    }
+
+    fn duration(&self, now: Micros, kind: StatementKind) -> Micros {
+        match kind {
+            StatementKind::Read => READ_MICROS,
+            StatementKind::Write | StatementKind::CopyWrite => WRITE_MICROS,
+            StatementKind::CopyRead { required_position } => {
+                if self.newest_copy_position(now) >= Some(required_position) {
+                    READ_MICROS
+                } else {
+                    COPY_MISS_MICROS
+                }
             }
         }
     }
