--- a/hot-keys/examples/measure.rs
+++ b/hot-keys/examples/hot_key_agreement.rs
@@ -1,6 +1,6 @@
 //! How long until all hold one set, and how far the sums are from the truth: a table of figures on virtual time.
 //!
-//!     cargo run --release -p birchreach-hot-keys --example measure -- 5 40 300
+//!     cargo run --release -p birchreach-hot-keys --example hot_key_agreement -- 5 40 300
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/membership/examples/measure.rs
+++ b/membership/examples/settling_time.rs
@@ -1,6 +1,6 @@
 //! How long views take to settle, which live members are removed, and what that costs: a table of figures on virtual time.
 //!
-//!     cargo run --release -p birchreach-membership --example measure -- 10 40 300 [0% 5% 20%] [seed=1]
+//!     cargo run --release -p birchreach-membership --example settling_time -- 10 40 300 [0% 5% 20%] [seed=1]
 
 #[path = "../tests/common/mod.rs"]
 mod common;
