--- a/benches/src/cost.rs
+++ b/benches/src/cost.rs
@@ -1,6 +1,8 @@
-//! What balancer checks cost the proxy, what requests lose by them, and what a log line costs. Modes take turns within one run.
+//! What balancer checks cost the proxy, and what requests lose by them. Modes take turns within one run.
 
-use crate::{Done, Times};
+use crate::MeasurementResult;
+use crate::process_cpu::{cpu_micros_since, mean_cpu_micros};
+use crate::times::Times;
 use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::Client;
 use birchreach_test_support::process::{MAX_WAIT, Process};
@@ -13,14 +15,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+const GROUPS: u32 = 2;
+/// How long a mode has its turn.
 const SLICE: Duration = Duration::from_secs(3);
 const CLIENTS: u32 = 8;
+/// One in so many clients writes, the others read.
+const WRITER_INTERVAL: u32 = 4;
+const WRITE_TIMEOUT_MS: u32 = 3_000;
+const READ_TIMEOUT_MS: u32 = 2_500;
+const MAX_CHECK_CONNECTIONS: u32 = 64;
 /// Calls of which the mean cost is taken.
 const CALLS: u64 = 20_000;
 const POLLERS: usize = 20;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// What is still under way after the last call belongs to it.
-const SETTLING_TIME: Duration = Duration::from_millis(50);
 const RESPONSE_BUFFER_BYTES: usize = 16 * 1024;
 
 /// How the proxy is checked while it serves requests.
@@ -52,10 +59,10 @@
 }
 
 /// Measures checks, and requests beside them, and prints tables.
-pub fn run(program: &Path, folder: &Path, rounds: u32) -> Done {
-    let rig = Rig::new(2, [127, 93, 0, 1], program, folder)?;
+pub fn run(program: &Path, folder: &Path, rounds: u32) -> MeasurementResult {
+    let rig = Rig::new(GROUPS, [127, 93, 0, 1], program, folder)?;
     let without_checks = rig.start(1, None, None)?;
-    let with_checks = rig.start_with_checks(2, 64, "")?;
+    let with_checks = rig.start_with_checks(2, MAX_CHECK_CONNECTIONS, "")?;
     let addresses = CheckAddresses {
         http: with_checks.check_address("http").ok_or("no http")?,
         agent: with_checks.check_address("agent").ok_or("no agent")?,
@@ -69,7 +76,7 @@
             let mode = MODES[index].0;
             let process = if mode == Mode::ChecksOff { &without_checks } else { &with_checks };
             let cost = measure_slice(process, mode, addresses)?;
-            costs[index].times.join(&cost.times);
+            costs[index].times.merge(&cost.times);
             costs[index].cpu_micros += cost.cpu_micros;
         }
     }
@@ -77,19 +84,21 @@
     Ok(())
 }
 
-fn print_check_costs(process: &Process, addresses: CheckAddresses) -> Done {
+fn print_check_costs(process: &Process, addresses: CheckAddresses) -> MeasurementResult {
     let CheckAddresses { http, agent } = addresses;
     println!("| check | CPU of the proxy, us each |\n| --- | --- |");
-    let cost = mean_cpu(process, CALLS, || drop(run_check(http, &Check::Http("/ready".into()), MAX_WAIT)));
-    println!("| HTTP `/ready`, a connection each | {cost:.1} |");
     let cost =
-        mean_cpu(process, CALLS, || drop(run_check(agent, &Check::Agent("file-entry".into()), MAX_WAIT)));
+        mean_cpu_micros(process, CALLS, || drop(run_check(http, &Check::Http("/ready".into()), MAX_WAIT)));
+    println!("| HTTP `/ready`, a connection each | {cost:.1} |");
+    let cost = mean_cpu_micros(process, CALLS, || {
+        drop(run_check(agent, &Check::Agent("file-entry".into()), MAX_WAIT))
+    });
     println!("| agent-check `file-entry`, a connection each | {cost:.1} |");
     let mut connection = TcpStream::connect(http)?;
     connection.set_nodelay(true)?;
     for path in ["/ready", "/health"] {
         let request = format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n");
-        let cost = mean_cpu(process, CALLS, || {
+        let cost = mean_cpu_micros(process, CALLS, || {
             let _ = connection.write_all(request.as_bytes());
             read_response(&mut connection);
         });
@@ -153,7 +162,7 @@
             let all_times = &all_times;
             scope.spawn(move || {
                 let Some(times) = request_until(client, address, until) else { return };
-                all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).join(&times);
+                all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).merge(&times);
             });
         }
     });
@@ -161,17 +170,19 @@
 }
 
 /// The times of one client's requests; none if its connection broke.
-fn request_until(number: u32, address: SocketAddr, until: Instant) -> Option<Times> {
+fn request_until(client_number: u32, address: SocketAddr, until: Instant) -> Option<Times> {
     let mut client = Client::connect(address).ok()?;
+    let group = client_number % GROUPS;
     let mut times = Times::default();
     while Instant::now() < until {
         let start = Instant::now();
-        let reply = match number % 4 {
-            0 => client.write("file-entry", number % 2, 3_000),
-            _ => client.read("tariff-lookup", number % 2, 2_500),
+        let reply = if client_number.is_multiple_of(WRITER_INTERVAL) {
+            client.write("file-entry", group, WRITE_TIMEOUT_MS)
+        } else {
+            client.read("tariff-lookup", group, READ_TIMEOUT_MS)
         };
         reply.ok()?;
-        times.add(start.elapsed());
+        times.record(start.elapsed());
     }
     Some(times)
 }
@@ -188,42 +199,3 @@
         println!("| {name} | {rate:.0} | {} | {:.1} |", cost.times.row(), cost.cpu_micros / count);
     }
 }
-
-/// Mean CPU microseconds of the process for each of so many calls.
-fn mean_cpu(process: &Process, calls: u64, mut call: impl FnMut()) -> f64 {
-    let before = process.cpu_time().unwrap_or_default();
-    (0..calls).for_each(|_| call());
-    thread::sleep(SETTLING_TIME);
-    cpu_micros_since(process, before) / calls as f64
-}
-
-fn cpu_micros_since(process: &Process, before: Duration) -> f64 {
-    process.cpu_time().unwrap_or_default().saturating_sub(before).as_secs_f64() * 1e6
-}
-
-/// Clients that connect and leave, each with a line in the log: within the rate limit it is written, beyond it it is dropped.
-pub fn lines(program: &Path, against: &Path, folder: &Path, rounds: u32) -> Done {
-    /// The rate limit gives back its burst within this time.
-    const PAUSE: Duration = Duration::from_secs(5);
-    let against = std::fs::canonicalize(against)?;
-    let rigs = [
-        ("before", Rig::new(1, [127, 94, 0, 1], &against, &folder.join("a"))?),
-        ("after", Rig::new(1, [127, 94, 1, 1], program, &folder.join("b"))?),
-    ];
-    let processes = [rigs[0].1.start(1, None, None)?, rigs[1].1.start(1, None, None)?];
-    println!(
-        "| clients that come and go | round | written, CPU us each | dropped, CPU us each |\n| --- | --- | --- | --- |"
-    );
-    for round in 0..rounds {
-        for (process, (name, _)) in processes.iter().zip(&rigs) {
-            let address = process.client_address().ok_or("no clients")?;
-            let connect = || drop(TcpStream::connect(address));
-            thread::sleep(PAUSE);
-            let written = mean_cpu(process, 200, connect);
-            let _ = mean_cpu(process, 3_000, connect);
-            let dropped = mean_cpu(process, 10_000, connect);
-            println!("| {name} | {round} | {written:.1} | {dropped:.1} |");
-        }
-    }
-    Ok(())
-}
--- a/benches/src/crowd.rs
+++ b/benches/src/crowd.rs
@@ -1,6 +1,7 @@
 //! Responses to balancers while 1,000 clients crowd the proxy and 200 checkers poll it, 50 of which send or read nothing.
 
-use crate::{Done, Times};
+use crate::MeasurementResult;
+use crate::times::Times;
 use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::{Client, Reply};
 use birchreach_test_support::process::MAX_WAIT;
@@ -25,6 +26,10 @@
 const CHECKER_STAGGER_MS: u64 = 5;
 /// Requests that a misbehaving checker sends without reading a response.
 const UNREAD_REQUESTS: usize = 4_000;
+const WRITE_TIMEOUT_MS: u32 = 3_000;
+const READ_TIMEOUT_MS: u32 = 2_500;
+/// One in so many clients writes, the others read.
+const WRITER_INTERVAL: usize = 4;
 
 /// Where the proxy listens.
 #[derive(Clone, Copy)]
@@ -45,7 +50,7 @@
 }
 
 /// Runs the measurement and prints its tables.
-pub fn run(program: &Path, folder: &Path, seconds: u64) -> Done {
+pub fn run(program: &Path, folder: &Path, seconds: u64) -> MeasurementResult {
     let rig = Rig::new(GROUPS as u32, [127, 92, 0, 1], program, folder)?;
     let proxy = rig.start_with_checks(1, MAX_CHECK_CONNECTIONS, "")?;
     let addresses = Addresses {
@@ -82,9 +87,10 @@
                 continue;
             };
             let group = ((thread + index) % GROUPS) as u32;
-            let reply = match index % 4 {
-                0 => client.write("file-entry", group, 3_000),
-                _ => client.read("tariff-lookup", group, 2_500),
+            let reply = if index.is_multiple_of(WRITER_INTERVAL) {
+                client.write("file-entry", group, WRITE_TIMEOUT_MS)
+            } else {
+                client.read("tariff-lookup", group, READ_TIMEOUT_MS)
             };
             match reply {
                 Ok(Reply::Served(_)) => drop(counts.served.fetch_add(1, Ordering::Relaxed)),
@@ -118,12 +124,12 @@
     while Instant::now() < until {
         let start = Instant::now();
         match run_check(address, &kind, MAX_WAIT) {
-            Ok(_) => times.add(start.elapsed()),
+            Ok(_) => times.record(start.elapsed()),
             Err(_) => drop(counts.checks_without_response.fetch_add(1, Ordering::Relaxed)),
         }
         thread::sleep(CHECK_INTERVAL);
     }
-    all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).join(&times);
+    all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).merge(&times);
 }
 
 fn print_tables(counts: Counts, seconds: u64, sockets: u32, memory_kib: u64) {
--- /dev/null
+++ b/benches/src/fleet/simulation.rs
@@ -0,0 +1,161 @@
+//! The fleet on virtual time.
+
+use birchreach_health::{GroupId, HealthEvent, HealthSettings, Micros, Monitor, ServerId};
+use std::ops::Range;
+
+const PROXIES: usize = 16;
+const BALANCERS: usize = 2;
+/// The proxy that loses half its core.
+const WEAK: usize = 5;
+const WEAK_CAPACITY: f64 = 0.5;
+const TICK_MICROS: Micros = 250_000;
+pub const MICROS_PER_SECOND: Micros = 1_000_000;
+/// The length of a run.
+pub const SECONDS: usize = 480;
+const WEAK_SECONDS: Range<Micros> = 120..300;
+const LOAD_PER_PROXY: f64 = 0.9;
+/// The width of the range by which a measured pressure varies.
+const NOISE: f64 = 0.02;
+const FULL_WEIGHT_PERCENT: f64 = 100.0;
+/// [`Policy::Step`]: the weight above a pressure.
+const STEP_PRESSURE: f64 = 0.9;
+const STEP_WEIGHT_PERCENT: f64 = 10.0;
+
+/// How the weight follows the pressure.
+#[derive(Clone, Copy)]
+pub enum Policy {
+    Step,
+    FreeCapacity,
+    /// What the program does.
+    Monitor,
+}
+
+impl Policy {
+    /// Its name in the table and the chart.
+    pub fn name(self) -> &'static str {
+        match self {
+            Policy::Step => "a step at 0.9",
+            Policy::FreeCapacity => "free capacity at once",
+            Policy::Monitor => "taken: droop and trim",
+        }
+    }
+
+    fn weight(self, pressure: f64, monitor: &Monitor) -> f64 {
+        match self {
+            Policy::Step if pressure > STEP_PRESSURE => STEP_WEIGHT_PERCENT,
+            Policy::Step => FULL_WEIGHT_PERCENT,
+            Policy::FreeCapacity => (FULL_WEIGHT_PERCENT * (1.0 - pressure)).round().max(1.0),
+            Policy::Monitor => f64::from(monitor.verdict().overall.weight_percent),
+        }
+    }
+}
+
+/// A run, second by second.
+#[derive(Default)]
+pub struct Course {
+    pub weak_usage: Vec<f64>,
+    /// Mean of the other proxies.
+    pub other_usage: Vec<f64>,
+    pub weak_weight: Vec<f64>,
+}
+
+fn new_monitor() -> Monitor {
+    let mut monitor = Monitor::new(HealthSettings::default(), 0);
+    let listed = HealthEvent::ServerListed {
+        server: ServerId(0),
+        group: GroupId(0),
+        primary: Some(true),
+        accepts_work: true,
+    };
+    monitor.handle_event(0, listed);
+    monitor
+}
+
+/// 16 proxies, and balancers that read each proxy's weight at an interval, each balancer at its own times.
+pub struct Simulation {
+    policy: Policy,
+    read_interval: Micros,
+    rng: fastrand::Rng,
+    monitors: Vec<Monitor>,
+    /// Of each proxy, in percent.
+    weights: [f64; PROXIES],
+    /// The weights that each balancer has read last.
+    read_weights: [[f64; PROXIES]; BALANCERS],
+}
+
+impl Simulation {
+    /// The start of a run, with all weights in full.
+    pub fn new(policy: Policy, read_interval: Micros, seed: u64) -> Simulation {
+        Simulation {
+            policy,
+            read_interval,
+            rng: fastrand::Rng::with_seed(seed),
+            monitors: (0..PROXIES).map(|_| new_monitor()).collect(),
+            weights: [FULL_WEIGHT_PERCENT; PROXIES],
+            read_weights: [[FULL_WEIGHT_PERCENT; PROXIES]; BALANCERS],
+        }
+    }
+
+    /// Runs to the end.
+    pub fn run(mut self) -> Course {
+        let mut course = Course::default();
+        for tick in 1..=(SECONDS as Micros * MICROS_PER_SECOND / TICK_MICROS) {
+            let now = tick * TICK_MICROS;
+            let usage = self.usage(now / MICROS_PER_SECOND);
+            for (proxy, usage) in usage.into_iter().enumerate() {
+                self.update_weight(now, proxy, usage);
+                self.read_weight(now, proxy);
+            }
+            if now % MICROS_PER_SECOND == 0 {
+                course.record(&usage, self.weights[WEAK]);
+            }
+        }
+        course
+    }
+
+    /// The used fraction of each proxy's capacity, by the weights that the balancers last read.
+    fn usage(&self, second: Micros) -> [f64; PROXIES] {
+        let load_per_balancer = LOAD_PER_PROXY * PROXIES as f64 / BALANCERS as f64;
+        let mut usage = [0.0; PROXIES];
+        for weights in &self.read_weights {
+            let sum: f64 = weights.iter().sum();
+            for (proxy, usage) in usage.iter_mut().enumerate() {
+                *usage += load_per_balancer * weights[proxy] / sum / capacity(proxy, second);
+            }
+        }
+        usage
+    }
+
+    fn update_weight(&mut self, now: Micros, proxy: usize, usage: f64) {
+        let pressure = (usage + NOISE * (self.rng.f64() - 0.5)).min(1.0);
+        let load = HealthEvent::Load { pressure, in_progress: 0, queued: 0, client_capacity: 0 };
+        self.monitors[proxy].handle_event(now, load);
+        self.monitors[proxy].update(now);
+        self.weights[proxy] = self.policy.weight(pressure, &self.monitors[proxy]);
+    }
+
+    /// The balancers read a proxy's weight, if it is time.
+    fn read_weight(&mut self, now: Micros, proxy: usize) {
+        let interval = self.read_interval;
+        for (balancer, read_weights) in self.read_weights.iter_mut().enumerate() {
+            let proxy_offset = interval / PROXIES as Micros * proxy as Micros;
+            let balancer_offset = balancer as Micros * interval / 2;
+            if (now + proxy_offset + balancer_offset) % interval < TICK_MICROS {
+                read_weights[proxy] = self.weights[proxy];
+            }
+        }
+    }
+}
+
+fn capacity(proxy: usize, second: Micros) -> f64 {
+    if proxy == WEAK && WEAK_SECONDS.contains(&second) { WEAK_CAPACITY } else { 1.0 }
+}
+
+impl Course {
+    fn record(&mut self, usage: &[f64; PROXIES], weak_weight: f64) {
+        self.weak_usage.push(usage[WEAK]);
+        let other_usage = usage.iter().sum::<f64>() - usage[WEAK];
+        self.other_usage.push(other_usage / (PROXIES - 1) as f64);
+        self.weak_weight.push(weak_weight);
+    }
+}
--- a/benches/src/gain/chart.rs
+++ b/benches/src/gain/chart.rs
@@ -1,7 +1,7 @@
 //! The chart: served fractions by second, one diagram for each number of proxies.
 
 use super::{ChartRuns, RUN_SECONDS};
-use crate::Done;
+use crate::MeasurementResult;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::path::Path;
@@ -15,7 +15,7 @@
 const MAX_FRACTION: f64 = 1.05;
 
 /// Draws the diagrams one below the other.
-pub fn draw(chart: &Path, shown: &[ChartRuns]) -> Done {
+pub fn draw(chart: &Path, shown: &[ChartRuns]) -> MeasurementResult {
     let diagrams = shown.len().max(1);
     let size = (WIDTH_PIXELS, DIAGRAM_HEIGHT_PIXELS * diagrams as u32);
     let root = SVGBackend::new(chart, size).into_drawing_area();
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-fn draw_diagram(area: &DrawingArea<SVGBackend, Shift>, diagram: &ChartRuns) -> Done {
+fn draw_diagram(area: &DrawingArea<SVGBackend, Shift>, diagram: &ChartRuns) -> MeasurementResult {
     let caption = format!("{} proxies: worth served of the hot group, by second", diagram.proxies);
     let mut plot = ChartBuilder::on(area)
         .margin(10)
--- a/benches/src/hangs/mod.rs
+++ b/benches/src/hangs/mod.rs
@@ -1,11 +1,14 @@
 //! The time from when a primary stops responding to the changed answer, as balancers read it; and how often writes are
 //! withdrawn where nothing stopped responding.
 
-use crate::{Done, Times};
-use birchreach_test_support::balancer::{Balancer, Check, CheckPolicy, run_check};
+mod observer;
+
+use crate::MeasurementResult;
+use crate::times::Times;
 use birchreach_test_support::client::Client;
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use birchreach_test_support::rig::Rig;
+use observer::GroupObserver;
 use std::error::Error;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,19 +17,26 @@
 use std::time::{Duration, Instant};
 
 const GROUPS: usize = 8;
+const MAX_CHECK_CONNECTIONS: u32 = 64;
+/// Writers of each group while hangs are measured.
+const WRITERS_PER_GROUP: usize = 2;
+const WRITE_TIMEOUT_MS: u32 = 8_000;
+const WRITE_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a writer looks whether it has to stop.
+const WRITER_SLICE: Duration = Duration::from_millis(200);
+/// A hang begins at a random time after the recovery from the one before.
+const MIN_TIME_TO_HANG_MS: u64 = 600;
+const MAX_TIME_TO_HANG_MS: u64 = 1_400;
 /// A primary stops responding many times: the restore delay must not grow each time.
 const CLAIMS: &str = "<claims rise-most-ms='1000'/>";
 const PROBES: &str =
     "<probes every-ms='600' suspect-ms='300' timeout-ms='400' group-per-s='10' whole-per-s='80'/>";
-/// How often the balancer checks, and how many checks in a row change its mind.
-const BALANCER_POLICY: CheckPolicy =
-    CheckPolicy { interval: Duration::from_millis(500), timeout: MAX_WAIT, rise: 1, fall: 2 };
 
 /// A measurement of how soon a hang is reported.
 struct HangCase {
     name: &'static str,
     options: String,
-    traffic: bool,
+    has_traffic: bool,
 }
 
 /// A run without any hang.
@@ -60,41 +70,47 @@
     acted: Times,
 }
 
-pub fn run(program: &Path, folder: &Path, hangs: usize, calm: u64, seed: u64) -> Done {
+/// What a run without a hang counted.
+struct CalmCounts {
+    served: usize,
+    withdrawn: usize,
+}
+
+/// Measures hangs, then counts withdrawals without a hang, and prints both tables.
+pub fn run(program: &Path, folder: &Path, hangs: usize, calm_seconds: u64, seed: u64) -> MeasurementResult {
     println!(
         "| hangs, {GROUPS} groups | n | median ms | 99th ms | most ms |\n| --- | --- | --- | --- | --- |"
     );
-    let cases = [
-        HangCase { name: "traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: true },
-        HangCase { name: "traffic, no probes", options: CLAIMS.into(), traffic: true },
-        HangCase { name: "no traffic, probes", options: format!("{CLAIMS}{PROBES}"), traffic: false },
-    ];
-    for (number, case) in cases.into_iter().enumerate() {
+    for (number, case) in hang_cases().into_iter().enumerate() {
         let rig = Rig::new(GROUPS as u32, [127, 90, number as u8, 1], program, folder)?;
-        let proxy = rig.start_with_checks(1, 64, &case.options)?;
+        let proxy = rig.start_with_checks(1, MAX_CHECK_CONNECTIONS, &case.options)?;
         let times = measure_hangs(&rig, &proxy, &case, hangs, seed)?;
         println!("| {}: told | {} |", case.name, times.reported.row());
         println!("| {}: a balancer acts (every 500 ms, fall 2) | {} |", case.name, times.acted.row());
     }
-    println!("\n| run of {calm} s | requests served | write claims withdrawn |\n| --- | --- | --- |");
+    println!("\n| run of {calm_seconds} s | requests served | write claims withdrawn |\n| --- | --- | --- |");
     for (number, case) in CALM_CASES.iter().enumerate() {
         let rig = Rig::new(GROUPS as u32, [127, 91, number as u8, 1], program, folder)?;
-        let (served, withdrawn) = count_withdrawals(&rig, case, Duration::from_secs(calm))?;
-        println!("| {} | {served} | {withdrawn} |", case.name);
+        let counts = count_withdrawals(&rig, case, Duration::from_secs(calm_seconds))?;
+        println!("| {} | {} | {} |", case.name, counts.served, counts.withdrawn);
     }
     Ok(())
 }
 
-/// Requests served and withdrawals of writes in a run without a hang.
-fn count_withdrawals(
-    rig: &Rig,
-    case: &CalmCase,
-    duration: Duration,
-) -> Result<(usize, usize), Box<dyn Error>> {
+fn hang_cases() -> [HangCase; 3] {
+    [
+        HangCase { name: "traffic, probes", options: format!("{CLAIMS}{PROBES}"), has_traffic: true },
+        HangCase { name: "traffic, no probes", options: CLAIMS.into(), has_traffic: true },
+        HangCase { name: "no traffic, probes", options: format!("{CLAIMS}{PROBES}"), has_traffic: false },
+    ]
+}
+
+/// Counts requests served and withdrawals of writes in a run without a hang.
+fn count_withdrawals(rig: &Rig, case: &CalmCase, duration: Duration) -> Result<CalmCounts, Box<dyn Error>> {
     for group in &rig.groups {
         group.primary.set_delay("heavy", Duration::from_millis(case.heavy_ms));
     }
-    let proxy = rig.start_with_checks(1, 64, case.options)?;
+    let proxy = rig.start_with_checks(1, MAX_CHECK_CONNECTIONS, case.options)?;
     let until = Instant::now() + duration;
     let served = AtomicUsize::new(0);
     let clients = proxy.client_address().ok_or("it does not serve")?;
@@ -110,9 +126,10 @@
         thread::sleep(until.saturating_duration_since(Instant::now()));
         proxy.log().iter().filter(|line| line.contains("kind=write able=false")).count()
     });
-    Ok((served.load(Ordering::Relaxed), withdrawn))
+    Ok(CalmCounts { served: served.into_inner(), withdrawn })
 }
 
+/// Writes again and again, and connects again when a connection breaks.
 fn write_until(address: SocketAddr, class: &str, group: u32, until: Instant, served: &AtomicUsize) {
     let mut client = None;
     while Instant::now() < until {
@@ -120,14 +137,15 @@
             client = Client::connect(address).ok();
             continue;
         };
-        match connected.write(class, group, 8000) {
+        match connected.write(class, group, WRITE_TIMEOUT_MS) {
             Ok(_) => drop(served.fetch_add(1, Ordering::Relaxed)),
             Err(_) => client = None,
         }
-        thread::sleep(Duration::from_millis(20));
+        thread::sleep(WRITE_INTERVAL);
     }
 }
 
+/// Lets the primaries of all groups hang at once, each at its own times.
 fn measure_hangs(
     rig: &Rig,
     proxy: &Process,
@@ -140,10 +158,11 @@
     let cycles = hangs.div_ceil(GROUPS);
     let mut times = ReactionTimes::default();
     thread::scope(|scope| {
-        if case.traffic {
-            for number in 0..GROUPS * 2 {
+        if case.has_traffic {
+            for writer in 0..GROUPS * WRITERS_PER_GROUP {
                 let stopped = &stopped;
-                scope.spawn(move || write_until_stopped(clients, (number / 2) as u32, stopped));
+                let group = (writer / WRITERS_PER_GROUP) as u32;
+                scope.spawn(move || write_until_stopped(clients, group, stopped));
             }
         }
         let measure = |group| hang_repeatedly(rig, proxy, group, cycles, seed + group as u64);
@@ -152,8 +171,8 @@
         for thread in threads {
             match thread.join().map_err(|_| "a thread panicked".to_string()).flatten() {
                 Ok(of_group) => {
-                    times.reported.join(&of_group.reported);
-                    times.acted.join(&of_group.acted);
+                    times.reported.merge(&of_group.reported);
+                    times.acted.merge(&of_group.acted);
                 }
                 Err(error) => failed = Some(error),
             }
@@ -167,7 +186,7 @@
 fn write_until_stopped(clients: SocketAddr, group: u32, stopped: &AtomicBool) {
     let served = AtomicUsize::new(0);
     while !stopped.load(Ordering::Relaxed) {
-        let until = Instant::now() + Duration::from_millis(200);
+        let until = Instant::now() + WRITER_SLICE;
         write_until(clients, "file-entry", group, until, &served);
     }
 }
@@ -180,36 +199,20 @@
     cycles: usize,
     seed: u64,
 ) -> Result<ReactionTimes, String> {
-    let clients = proxy.client_address().ok_or("it does not serve")?;
-    let http = proxy.check_address("http").ok_or("no checks")?;
-    let agent = proxy.check_address("agent").ok_or("no checks")?;
-    let is_available =
-        || run_check(http, &Check::Http(format!("/group/{group}/write")), MAX_WAIT).is_ok_and(|told| told.up);
     let mut rng = fastrand::Rng::with_seed(seed);
-    let balancer =
-        Balancer::start(&[(agent, clients)], &Check::Agent(format!("group={group} write")), &BALANCER_POLICY);
+    let observer = GroupObserver::start(proxy, group)?;
+    let primary = &rig.groups[group].primary;
     let mut times = ReactionTimes::default();
     for _ in 0..cycles {
+        observer.wait_until_available()?;
+        thread::sleep(Duration::from_millis(rng.u64(MIN_TIME_TO_HANG_MS..MAX_TIME_TO_HANG_MS)));
         let start = Instant::now();
-        while !is_available() || !balancer.wait_for_state(0, true, Duration::ZERO) {
-            if start.elapsed() > 3 * MAX_WAIT {
-                return Err(format!("group {group} does not come back"));
-            }
-            thread::sleep(Duration::from_millis(10));
-        }
-        thread::sleep(Duration::from_millis(600 + rng.u64(0..800)));
-        let start = Instant::now();
-        rig.groups[group].primary.set_hung(true);
-        while is_available() {
-            if start.elapsed() > MAX_WAIT {
-                return Err(format!("group {group}: a hang was never told"));
-            }
-            thread::sleep(Duration::from_millis(5));
-        }
-        times.reported.add(start.elapsed());
-        balancer.wait_for_state(0, false, MAX_WAIT);
-        times.acted.add(start.elapsed());
-        rig.groups[group].primary.set_hung(false);
+        primary.set_hung(true);
+        observer.wait_until_reported(start)?;
+        times.reported.record(start.elapsed());
+        observer.balancer.wait_for_state(0, false, MAX_WAIT);
+        times.acted.record(start.elapsed());
+        primary.set_hung(false);
     }
     Ok(times)
 }
--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -6,13 +6,17 @@
 mod fleet;
 mod gain;
 mod hangs;
+mod log_lines;
+mod process_cpu;
 mod schedules;
+mod times;
 mod view;
 
 use clap::{Parser, Subcommand};
-use hdrhistogram::Histogram;
-use std::path::PathBuf;
-use std::time::Duration;
+use std::path::{Path, PathBuf};
+
+/// How a measurement ends, once its tables are printed.
+type MeasurementResult = Result<(), Box<dyn std::error::Error>>;
 
 #[derive(Parser)]
 #[command(name = "birchreach-measure", about = "Measures the built proxy against stand-ins")]
@@ -23,11 +27,11 @@
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
     #[command(subcommand)]
-    what: What,
+    measurement: Measurement,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Measurement {
     /// From a primary's hang to the changed answer; and false withdrawals in calm and heavy runs
     Hangs {
         #[arg(long, default_value_t = 208)]
@@ -83,60 +87,29 @@
     },
 }
 
-fn main() -> Result<(), Box<dyn std::error::Error>> {
+fn main() -> MeasurementResult {
     let cli = Cli::parse();
     let folder = std::env::temp_dir().join(format!("birchreach-measure-{}", std::process::id()));
     let program = std::fs::canonicalize(&cli.program).unwrap_or(cli.program);
-    let done = match cli.what {
-        What::Hangs { hangs, calm } => hangs::run(&program, &folder, hangs, calm, cli.seed),
-        What::Crowd { seconds } => crowd::run(&program, &folder, seconds),
-        What::Cost { rounds } => cost::run(&program, &folder, rounds),
-        What::Lines { against, rounds } => cost::lines(&program, &against, &folder, rounds),
-        What::Schedules { from, to, side_by_side } => {
-            schedules::run(&program, &folder, from, to, side_by_side)
-        }
-        What::Gain { chart, proxies, seeds } => gain::run(&chart, &proxies, seeds),
-        What::View { processes } => view::run(&program, &folder, processes, cli.seed),
-        What::Fleet { chart } => fleet::run(&chart, cli.seed),
-    };
+    let result = cli.measurement.run(&program, &folder, cli.seed);
     let _ = std::fs::remove_dir_all(&folder);
-    done
-}
-
-/// What a measurement ends with, once its tables are printed.
-pub type Done = Result<(), Box<dyn std::error::Error>>;
-
-/// Times in microseconds.
-pub struct Times(Histogram<u64>);
-
-impl Default for Times {
-    fn default() -> Times {
-        let mut times = Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"));
-        times.auto(true);
-        Times(times)
-    }
+    result
 }
 
-impl Times {
-    /// Records one time.
-    pub fn add(&mut self, time: Duration) {
-        let _ = self.0.record(time.as_micros() as u64);
-    }
-
-    /// Adds all times of another record.
-    pub fn join(&mut self, other: &Times) {
-        let _ = self.0.add(&other.0);
-    }
-
-    /// `n | median | 99th percentile | most`, in milliseconds.
-    pub fn row(&self) -> String {
-        let ms = |us: u64| format!("{:.2}", us as f64 / 1000.0);
-        let at = |q| ms(self.0.value_at_quantile(q));
-        format!("{} | {} | {} | {}", self.0.len(), at(0.5), at(0.99), ms(self.0.max()))
-    }
-
-    /// How many times were recorded.
-    pub fn count(&self) -> u64 {
-        self.0.len()
+impl Measurement {
+    /// Runs the measurement of a program, with a folder for its files.
+    fn run(self, program: &Path, folder: &Path, seed: u64) -> MeasurementResult {
+        match self {
+            Measurement::Hangs { hangs, calm } => hangs::run(program, folder, hangs, calm, seed),
+            Measurement::Crowd { seconds } => crowd::run(program, folder, seconds),
+            Measurement::Cost { rounds } => cost::run(program, folder, rounds),
+            Measurement::Lines { against, rounds } => log_lines::run(program, &against, folder, rounds),
+            Measurement::Fleet { chart } => fleet::run(&chart, seed),
+            Measurement::Gain { chart, proxies, seeds } => gain::run(&chart, &proxies, seeds),
+            Measurement::Schedules { from, to, side_by_side } => {
+                schedules::run(program, folder, from..=to, side_by_side)
+            }
+            Measurement::View { processes } => view::run(program, folder, processes, seed),
+        }
     }
 }
--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -1,18 +1,26 @@
 //! Seeded schedules of faults on several processes with hot keys and a split, many side by side; each that fails is printed whole.
 
-use crate::Done;
+use crate::MeasurementResult;
 use birchreach_test_support::groups::play::{Summary, play_schedule};
 use sha2::{Digest, Sha256};
+use std::ops::RangeInclusive;
 use std::path::Path;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+/// Hashes from here on belong to the upper child of the split.
+const SPLIT_POINT: u32 = 1 << 31;
+/// Addresses are used again after so many seeds.
+const SEEDS_PER_ADDRESS_RANGE: u64 = 250;
+
+/// The hash by which the options split.
 fn hash(key: &str) -> u32 {
-    Sha256::digest(key.as_bytes()).first_chunk::<4>().map_or(0, |b| u32::from_be_bytes(*b))
+    let digest = Sha256::digest(key.as_bytes());
+    digest.first_chunk().map_or(0, |first_bytes| u32::from_be_bytes(*first_bytes))
 }
 
 fn is_lower_child(key: &str) -> bool {
-    hash(key) < 1 << 31
+    hash(key) < SPLIT_POINT
 }
 
 fn is_upper_child(key: &str) -> bool {
@@ -26,9 +34,15 @@
     failures: Vec<String>,
 }
 
-/// Plays the schedules of all seeds from `from` to `to`, so many at once, and prints the table.
-pub fn run(program: &Path, folder: &Path, from: u64, to: u64, side_by_side: usize) -> Done {
-    let next_seed = AtomicU64::new(from);
+/// Plays the schedules of all seeds, so many at once, and prints the table.
+pub fn run(
+    program: &Path,
+    folder: &Path,
+    seeds: RangeInclusive<u64>,
+    side_by_side: usize,
+) -> MeasurementResult {
+    let next_seed = AtomicU64::new(*seeds.start());
+    let last_seed = *seeds.end();
     let played: Mutex<Played> = Mutex::default();
     std::thread::scope(|scope| {
         for thread in 0..side_by_side {
@@ -36,7 +50,7 @@
             scope.spawn(move || {
                 loop {
                     let seed = next_seed.fetch_add(1, Ordering::Relaxed);
-                    if seed > to {
+                    if seed > last_seed {
                         return;
                     }
                     let result = play(program, folder, thread, seed);
@@ -54,7 +68,7 @@
 
 /// Plays one seed at addresses that no other thread uses meanwhile.
 fn play(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
-    let address = [127, 70 + thread as u8, (seed % 250) as u8, 1];
+    let address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
     let folder = folder.join(format!("seed-{seed}"));
     let result = play_schedule(seed, address, program, &folder, hash, is_lower_child, is_upper_child);
     let _ = std::fs::remove_dir_all(folder);
@@ -73,7 +87,7 @@
     }
 
     fn print(&self) {
-        let sum = |of: &dyn Fn(&Summary) -> u64| self.passed.iter().map(of).sum::<u64>();
+        let sum = |count: fn(&Summary) -> u64| self.passed.iter().map(count).sum::<u64>();
         println!(
             "| schedules | failed | served | refused | failed requests | broken with a killed proxy | reads judged | copies judged | served by copies | copies written | reads compared | planted faults | flags of them |"
         );
@@ -82,17 +96,17 @@
             "| {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
             self.passed.len() + self.failures.len(),
             self.failures.len(),
-            sum(&|summary| summary.served),
-            sum(&|summary| summary.rejected),
-            sum(&|summary| summary.failed),
-            sum(&|summary| summary.disconnected),
-            sum(&|summary| summary.checked_reads as u64),
-            sum(&|summary| summary.checked_copies as u64),
-            sum(&|summary| summary.copy_reads as u64),
-            sum(&|summary| summary.copy_writes as u64),
-            sum(&|summary| summary.dual_reads as u64),
-            sum(&|summary| summary.planted_differences as u64),
-            sum(&|summary| summary.reported_differences as u64)
+            sum(|summary| summary.served),
+            sum(|summary| summary.rejected),
+            sum(|summary| summary.failed),
+            sum(|summary| summary.disconnected),
+            sum(|summary| summary.checked_reads as u64),
+            sum(|summary| summary.checked_copies as u64),
+            sum(|summary| summary.copy_reads as u64),
+            sum(|summary| summary.copy_writes as u64),
+            sum(|summary| summary.dual_reads as u64),
+            sum(|summary| summary.planted_differences as u64),
+            sum(|summary| summary.reported_differences as u64)
         );
     }
 }
