--- a/proxy/tests/exchanges.rs
+++ b/proxy/tests/exchanges.rs
@@ -5,17 +5,30 @@
 
 use player::Player;
 
-fn play(name: &str) {
-    let root = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/exchanges");
-    let read = |file| std::fs::read_to_string(format!("{root}/{file}.txt")).unwrap();
-    let mut player = Player::start(name, &read(name));
-    for file in ["common", name] {
-        for (number, line) in
-            read(file).lines().enumerate().filter(|(_, l)| !l.is_empty() && !l.starts_with('#'))
-        {
-            println!("{file}.txt:{}: {line}", number + 1);
-            player.step(line);
+/// The steps that each exchange begins with.
+const COMMON_STEPS: &str = "common";
+
+/// Plays an exchange; a step that does not go as it is written panics.
+fn play(exchange: &str) {
+    let script = read_script(exchange);
+    let mut player = Player::start(exchange, &script);
+    play_steps(&mut player, COMMON_STEPS, &read_script(COMMON_STEPS));
+    play_steps(&mut player, exchange, &script);
+}
+
+fn read_script(name: &str) -> String {
+    let path = format!("{}/tests/exchanges/{name}.txt", env!("CARGO_MANIFEST_DIR"));
+    std::fs::read_to_string(path).unwrap()
+}
+
+/// Plays the lines that are neither empty nor comments, each of which is printed before.
+fn play_steps(player: &mut Player, name: &str, script: &str) {
+    for (line, number) in script.lines().zip(1..) {
+        if line.is_empty() || line.starts_with('#') {
+            continue;
         }
+        println!("{name}.txt:{number}: {line}");
+        player.step(line);
     }
 }
 
--- a/proxy/tests/player/bytes.rs
+++ b/proxy/tests/player/bytes.rs
@@ -1,59 +1,104 @@
-//! Bytes as the exchanges write them.
+//! Bytes as the exchanges write them; the notation is described in `exchanges/README`.
 
-use super::Player;
+use std::collections::HashMap;
 
-/// A byte to be sent, or matched; `None` matches any.
+/// Bytes to be sent, or matched; `None` matches any byte.
 pub type Bytes = Vec<Option<u8>>;
 
-pub fn plain(text: &str) -> Bytes {
+/// Named bytes, as `$NAME` refers to them.
+pub type NamedBytes = HashMap<String, Bytes>;
+
+/// The size of the length field of messages and values.
+const LENGTH_BYTES: usize = 4;
+
+/// The bytes of a text itself.
+pub fn literal(text: &str) -> Bytes {
     text.bytes().map(Some).collect()
 }
 
-impl Player {
-    pub(super) fn bytes(&self, text: &str) -> Bytes {
-        let mut rest = text.trim();
-        let mut open: Vec<(usize, bool)> = Vec::new();
-        let mut out = Bytes::new();
-        while !rest.is_empty() {
-            let word = rest.split(' ').next().unwrap();
-            let mut used = word.len();
-            if let Some(quote) = rest.chars().next().filter(|c| "\"'".contains(*c)) {
-                let quoted = &rest[1..];
-                let end = quoted.find(quote).expect("an open quote");
-                out.extend(plain(&quoted[..end].replace("\\r", "\r").replace("\\n", "\n")));
-                used = end + 2;
-            } else if let Some(name) = word.strip_prefix('$') {
-                out.extend(&self.names[name]);
-            } else if word == "http[" {
-                open.push((out.len(), true));
-            } else if let Some(tag) = word.strip_suffix('[') {
-                out.extend(plain(tag));
-                open.push((out.len(), false));
-                out.extend([Some(0); 4]);
-            } else if word == "(" {
-                open.push((out.len(), false));
-                out.extend([Some(0); 4]);
-            } else if word == "]" || word == ")" {
-                let (start, http) = open.pop().unwrap();
-                let length = out.len() - start - if word == ")" { 4 } else { 0 };
-                if http {
-                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-                    out.splice(start..start, plain(&head));
-                } else {
-                    out.splice(start..start + 4, (length as u32).to_be_bytes().map(Some));
-                }
-            } else if let Some((times, what)) = word.split_once('*') {
-                let what = self.bytes(what);
-                out.extend(what.repeat(times.parse().unwrap()));
-            } else if word.starts_with('?') {
-                out.extend(vec![None; used]);
-            } else {
-                let hex = |at| u8::from_str_radix(&word[at..at + 2], 16).unwrap();
-                out.extend((0..word.len()).step_by(2).map(hex).map(Some));
+/// Parses the notation.
+pub fn parse(text: &str, names: &NamedBytes) -> Bytes {
+    let mut parser = Parser { names, output: Bytes::new(), open_brackets: Vec::new() };
+    let mut rest = text.trim();
+    while !rest.is_empty() {
+        rest = parser.parse_next(rest).trim_start();
+    }
+    assert!(parser.open_brackets.is_empty(), "an open bracket");
+    parser.output
+}
+
+/// A bracket, and the offset of the first byte that its length counts or precedes.
+#[derive(Clone, Copy)]
+enum OpenBracket {
+    /// `http[`: the length stands in a header before the body.
+    Http { start: usize },
+    /// `X[` or `[`: the length field counts itself.
+    Message { start: usize },
+    /// `(`: the length field doesn't count itself.
+    Value { start: usize },
+}
+
+struct Parser<'a> {
+    names: &'a NamedBytes,
+    output: Bytes,
+    open_brackets: Vec<OpenBracket>,
+}
+
+impl Parser<'_> {
+    /// Parses a quoted text or a word at the start; what follows it.
+    fn parse_next<'t>(&mut self, text: &'t str) -> &'t str {
+        if let Some(quote) = text.chars().next().filter(|first| "\"'".contains(*first)) {
+            let quoted = &text[1..];
+            let end = quoted.find(quote).expect("an open quote");
+            self.output.extend(literal(&quoted[..end].replace("\\r", "\r").replace("\\n", "\n")));
+            return &quoted[end + 1..];
+        }
+        let word = text.split(' ').next().unwrap();
+        self.parse_word(word);
+        &text[word.len()..]
+    }
+
+    fn parse_word(&mut self, word: &str) {
+        if let Some(name) = word.strip_prefix('$') {
+            self.output.extend(&self.names[name]);
+        } else if word == "http[" {
+            self.open_brackets.push(OpenBracket::Http { start: self.output.len() });
+        } else if let Some(tag) = word.strip_suffix('[') {
+            self.output.extend(literal(tag));
+            self.open_brackets.push(OpenBracket::Message { start: self.output.len() });
+            self.output.extend([Some(0); LENGTH_BYTES]);
+        } else if word == "(" {
+            self.open_brackets.push(OpenBracket::Value { start: self.output.len() });
+            self.output.extend([Some(0); LENGTH_BYTES]);
+        } else if word == "]" || word == ")" {
+            self.close_bracket(word);
+        } else if let Some((count, repeated)) = word.split_once('*') {
+            let repeated = parse(repeated, self.names);
+            self.output.extend(repeated.repeat(count.parse().unwrap()));
+        } else if word.starts_with('?') {
+            self.output.extend(vec![None; word.len()]);
+        } else {
+            let byte_at = |offset| u8::from_str_radix(&word[offset..offset + 2], 16).unwrap();
+            self.output.extend((0..word.len()).step_by(2).map(byte_at).map(Some));
+        }
+    }
+
+    /// Writes the length of what the innermost bracket encloses.
+    fn close_bracket(&mut self, word: &str) {
+        let end = self.output.len();
+        match (self.open_brackets.pop().unwrap(), word) {
+            (OpenBracket::Http { start }, "]") => {
+                let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", end - start);
+                self.output.splice(start..start, literal(&head));
             }
-            rest = rest[used..].trim_start();
+            (OpenBracket::Message { start }, "]") => self.write_length(start, end - start),
+            (OpenBracket::Value { start }, ")") => self.write_length(start, end - start - LENGTH_BYTES),
+            _ => panic!("{word} closes another bracket"),
         }
-        assert!(open.is_empty(), "an open bracket");
-        out
+    }
+
+    fn write_length(&mut self, start: usize, length: usize) {
+        let field = (length as u32).to_be_bytes().map(Some);
+        self.output.splice(start..start + LENGTH_BYTES, field);
     }
 }
--- a/proxy/tests/player/process.rs
+++ b/proxy/tests/player/process.rs
@@ -1,18 +1,27 @@
 //! A process of the program.
 
-use super::PATIENCE;
+use super::MAX_WAIT;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// A process of the program, and where operators call it.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// A process of the program, which is killed when this is dropped.
 pub struct Process {
-    pub program: Child,
+    program: Child,
+    /// The lines of its log that are not read yet.
     pub log: Receiver<String>,
-    pub admin: SocketAddr,
+    /// The line with which it reports that it serves.
+    pub first_log_line: String,
+    /// Where clients connect.
+    pub client_address: SocketAddr,
+    /// Where operators connect.
+    pub admin_address: SocketAddr,
 }
 
 impl Drop for Process {
@@ -23,30 +32,59 @@
 }
 
 impl Process {
+    /// Starts the program by a shell command and waits until it serves.
+    pub fn start(shell_command: &str, config_path: &str, inherited: Option<&TcpListener>) -> Process {
+        let mut command = Command::new("/bin/sh");
+        command
+            .args(["-c", shell_command])
+            .env("RELAY_CONFIG", config_path)
+            .env("TMPDIR", format!("{config_path}.tmp"));
+        if let Some(listener) = inherited {
+            let descriptor = OwnedFd::from(listener.try_clone().unwrap());
+            command.stdin(Stdio::from(descriptor)).env("RELAY_INHERITED_FD", "3");
+        }
+        let mut program = command.stderr(Stdio::piped()).spawn().unwrap();
+        let (sender, log) = channel();
+        let stderr = BufReader::new(program.stderr.take().unwrap());
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
+        });
+        let first_log_line = log.recv_timeout(MAX_WAIT).unwrap();
+        let client_address = address_after(&first_log_line, "listen=");
+        let admin_address = address_after(&first_log_line, "operator=");
+        Process { program, log, first_log_line, client_address, admin_address }
+    }
+
     /// Waits until it has stopped itself.
-    pub fn stopped(&self) {
-        let (stat, start) = (format!("/proc/{}/stat", self.program.id()), Instant::now());
-        while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
-            assert!(start.elapsed() < PATIENCE, "it goes on");
-            std::thread::sleep(Duration::from_millis(1));
+    pub fn wait_until_stopped(&self) {
+        let stat_path = format!("/proc/{}/stat", self.program.id());
+        let start = Instant::now();
+        while !std::fs::read_to_string(&stat_path).unwrap().contains(") T ") {
+            assert!(start.elapsed() < MAX_WAIT, "it goes on");
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 
-    /// Starts the program and waits until it serves; also where clients connect, and its first log line.
-    pub fn start(shell: &str, config: &str, shared: Option<&TcpListener>) -> (Process, SocketAddr, String) {
-        let mut command = Command::new("/bin/sh");
-        command.args(["-c", shell]).env("RELAY_CONFIG", config).env("TMPDIR", format!("{config}.tmp"));
-        if let Some(listener) = shared {
-            let handed = OwnedFd::from(listener.try_clone().unwrap());
-            command.stdin(Stdio::from(handed)).env("RELAY_INHERITED_FD", "3");
+    /// Waits until it has ended.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let start = Instant::now();
+        loop {
+            if let Some(status) = self.program.try_wait().unwrap() {
+                return status;
+            }
+            assert!(start.elapsed() < MAX_WAIT, "it goes on");
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
-        let mut program = command.stderr(Stdio::piped()).spawn().unwrap();
-        let (lines, log) = channel();
-        let errors = BufReader::new(program.stderr.take().unwrap());
-        std::thread::spawn(move || errors.lines().map_while(Result::ok).try_for_each(|l| lines.send(l)));
-        let started = log.recv_timeout(PATIENCE).unwrap();
-        let at = |name| started.split(' ').find_map(|w| w.strip_prefix(name)).unwrap().parse().unwrap();
-        let (listen, admin) = (at("listen="), at("operator="));
-        (Process { program, log, admin }, listen, started)
     }
+
+    /// Sends it a signal, such as `HUP`.
+    pub fn signal(&self, name: &str) {
+        let pid = self.program.id().to_string();
+        assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
+    }
+}
+
+/// The address in the word of a log line that starts with `key`.
+fn address_after(line: &str, key: &str) -> SocketAddr {
+    line.split(' ').find_map(|word| word.strip_prefix(key)).unwrap().parse().unwrap()
 }
--- /dev/null
+++ b/proxy/tests/player/setup.rs
@@ -0,0 +1,75 @@
+//! What an exchange changes before it starts: the configuration, and how the program is started.
+
+use std::collections::HashMap;
+use std::net::{IpAddr, TcpListener};
+
+/// The listeners of discovery and of the databases, which the configuration or discovery's answers name.
+pub const LISTENERS: [&str; 4] = ["agent", "p", "r", "q"];
+/// File descriptors that the system gives, if an exchange doesn't say another number.
+const DEFAULT_DESCRIPTORS: &str = "256";
+
+/// Listeners by their names.
+pub type Listeners = HashMap<&'static str, TcpListener>;
+
+/// The settings of an exchange, from the lines that the player reads before it starts the program.
+pub struct Setup {
+    /// The text of the configuration.
+    pub config: String,
+    /// The shell command that starts the program.
+    pub shell_command: String,
+    /// The clients' listening socket, if the platform holds it.
+    pub inherited_listener: Option<TcpListener>,
+}
+
+impl Setup {
+    /// Reads the settings of an exchange.
+    pub fn parse(script: &str, listeners: &Listeners) -> Setup {
+        let inherited_listener =
+            script.lines().any(|line| line == "inherited").then(|| TcpListener::bind("127.0.0.1:0").unwrap());
+        Setup {
+            config: configuration(script, listeners),
+            shell_command: shell_command(script, inherited_listener.is_some()),
+            inherited_listener,
+        }
+    }
+}
+
+/// Listeners at a loopback address that no other exchange has: a port that one gives up is not taken by another.
+pub fn bind_listeners(exchange: &str) -> Listeners {
+    let hash = exchange.bytes().fold(1u16, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte.into()));
+    let [high, low] = hash.to_be_bytes();
+    let address = IpAddr::from([127, 1 | high, low, 1]);
+    LISTENERS.map(|name| (name, TcpListener::bind((address, 0)).unwrap())).into_iter().collect()
+}
+
+/// The address of a listener.
+pub fn address(listeners: &Listeners, name: &str) -> String {
+    listeners[name].local_addr().unwrap().to_string()
+}
+
+/// `config.json` with the listeners' addresses, and with the changes of the `config` lines.
+fn configuration(script: &str, listeners: &Listeners) -> String {
+    let mut config = include_str!("../exchanges/config.json").to_string();
+    for name in LISTENERS {
+        config = config.replace(&format!("${name}"), &address(listeners, name));
+    }
+    for line in script.lines() {
+        if let Some((old, new)) = line.strip_prefix("config ").and_then(|change| change.split_once(" => ")) {
+            assert!(config.contains(old), "{line}");
+            config = config.replace(old, new);
+        }
+    }
+    config
+}
+
+fn shell_command(script: &str, has_inherited_listener: bool) -> String {
+    let last_after = |prefix| script.lines().filter_map(|line| line.strip_prefix(prefix)).next_back();
+    let descriptors = last_after("descriptors ").unwrap_or(DEFAULT_DESCRIPTORS);
+    let stop = match last_after("stops at ") {
+        Some(point) => format!("export BIRCHREACH_TEST_STOP_AT={point}; "),
+        None => String::new(),
+    };
+    let redirection = if has_inherited_listener { "3<&0 </dev/null" } else { "" };
+    let program = env!("CARGO_BIN_EXE_birchreach-proxy");
+    format!("{stop}ulimit -n {descriptors}; exec '{program}' {redirection}")
+}
--- a/proxy/tests/player/steps.rs
+++ b/proxy/tests/player/steps.rs
@@ -1,139 +1,199 @@
-//! What each line of an exchange does.
+//! What the player does at each kind of step.
 
+use super::bytes::{self, Bytes};
 use super::process::Process;
-use super::{PATIENCE, Player, accept};
-use std::io::{ErrorKind, Read, Write};
+use super::step::{ConfigChange, Step};
+use super::{MAX_WAIT, Player, accept, setup};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A signal interrupts a read that has a time-out, if only the whole test was stopped and goes on: that tells nothing
-/// of the connection, and it is read again.
-fn uninterrupted(mut read: impl FnMut() -> std::io::Result<usize>) -> std::io::Result<usize> {
-    loop {
-        match read() {
-            Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            done => return done,
-        }
-    }
-}
+/// [`Step::ReceiveLater`] expects nothing within this time of what was sent last.
+const MIN_DELAY: Duration = Duration::from_millis(1);
+/// The buffer of a read that expects the end of the connection.
+const BUFFER_BYTES: usize = 64;
 
 impl Player {
-    #[expect(clippy::too_many_lines, reason = "one arm for each kind of step")]
+    /// Does what a line of an exchange says.
     pub fn step(&mut self, line: &str) {
-        let (party, rest) = line.split_once(' ').unwrap_or((line, ""));
-        let (deed, rest) = rest.split_once(' ').unwrap_or((rest, ""));
-        match (party, deed) {
-            ("config" | "descriptors" | "inherited" | "stops", _) => {}
-            ("stopped", _) => self.processes[0].stopped(),
-            ("beside", _) => {
-                let (process, ..) = Process::start(&self.shell, &self.config.0, self.shared.as_ref());
-                self.processes.insert(0, process);
-            }
-            ("swap", _) => self.processes.swap(0, 1),
-            ("killed", _) => drop(self.processes.remove(0)),
-            ("wait", ms) => std::thread::sleep(Duration::from_millis(ms.parse().unwrap())),
-            ("reload", _) => {
-                let (path, text) = &self.config;
-                let address = |l: &str| self.listeners[l].local_addr().unwrap().to_string();
-                let named =
-                    |text: &str| text.replace("$agent", &address("agent")).replace("$q", &address("q"));
-                let mut text = text.clone();
-                for change in line.strip_prefix("reload ").unwrap().split(" ;; ") {
-                    let (old, new) = change.split_once(" => ").unwrap();
-                    assert!(old == "*" || text.contains(&named(old)), "{line}");
-                    text = if old == "*" { new.into() } else { text.replacen(&named(old), &named(new), 1) };
-                }
-                std::fs::write(path, text).unwrap();
-                self.signal("HUP");
-            }
-            ("define", name) => {
-                let bytes = self.bytes(rest);
-                self.names.insert(name.to_string(), bytes);
-            }
-            ("log", _) => {
-                let wanted = line.strip_prefix("log ").unwrap();
-                let (start, mut passed_over) = (Instant::now(), Vec::new());
-                while !self.log_seen.contains(wanted) {
-                    passed_over.push(self.log_seen.clone());
-                    let next = self.processes[0].log.recv_timeout(PATIENCE.saturating_sub(start.elapsed()));
-                    self.log_seen = next.unwrap_or_else(|_| panic!("not in the log: {passed_over:#?}"));
-                }
-            }
-            ("unlogged", _) => {
-                let unwanted: Vec<&str> = line.strip_prefix("unlogged ").unwrap().split(" or ").collect();
-                let mut come: Vec<String> = self.processes[0].log.try_iter().collect();
-                come.insert(0, self.log_seen.clone());
-                let found = come.iter().find(|l| unwanted.iter().any(|u| l.contains(u)));
-                assert!(found.is_none(), "{found:?}");
-            }
-            ("signal", name) => self.signal(name),
-            ("exit", code) => {
-                let start = Instant::now();
-                let status = loop {
-                    if let Some(status) = self.processes[0].program.try_wait().unwrap() {
-                        break status;
-                    }
-                    assert!(start.elapsed() < PATIENCE, "it goes on");
-                    std::thread::sleep(Duration::from_millis(5));
-                };
-                assert_eq!(status.code().unwrap().to_string(), code);
-            }
-            (listener, "full") => {
-                let listener = &self.listeners[listener];
-                // One connection in its queue, and the system drops whoever else wants to come.
-                socket2::SockRef::from(listener).listen(0).unwrap();
-                let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-                self.open.insert(format!("{party}.filler"), filler);
-            }
-            (listener, "room") => drop(accept(&self.listeners[listener])),
-            (listener, "none") => {
-                let listener = &self.listeners[listener];
-                listener.set_nonblocking(true).unwrap();
-                assert!(listener.accept().is_err(), "somebody has connected");
-            }
-            (listener, "gone") => drop(self.listeners.remove(listener)),
-            (_, ">") => {
-                let bytes: Vec<u8> = self.bytes(rest).into_iter().flatten().collect();
-                self.sent = Instant::now();
-                self.party(party).write_all(&bytes).unwrap();
-            }
-            (_, ">>") => {
-                for byte in self.bytes(rest).into_iter().flatten() {
-                    self.party(party).write_all(&[byte]).unwrap();
-                }
-            }
-            (_, "<" | "<<") => {
-                let wanted = self.bytes(rest);
-                let mut got = vec![0; wanted.len()];
-                let stream = self.party(party);
-                let mut n = 0;
-                while n < got.len() && wanted[..n].iter().zip(&got).all(|(w, g)| w.is_none_or(|w| w == *g)) {
-                    match uninterrupted(|| stream.read(&mut got[n..])) {
-                        Ok(more @ 1..) => n += more,
-                        end => panic!("{end:?} after {:?}", String::from_utf8_lossy(&got[..n])),
-                    }
+        match Step::parse(line) {
+            Step::Setup => {}
+            Step::WaitUntilStopped => self.processes[0].wait_until_stopped(),
+            Step::StartAnotherProcess => self.start_another_process(),
+            Step::SwapProcesses => self.processes.swap(0, 1),
+            Step::KillProcess => drop(self.processes.remove(0)),
+            Step::Wait(time) => std::thread::sleep(time),
+            Step::Reload(changes) => self.reload(&changes),
+            Step::Define { name, bytes } => self.define(name, bytes),
+            Step::ExpectLog { text } => self.expect_log(text),
+            Step::ExpectNotLogged { texts } => self.expect_not_logged(&texts),
+            Step::Signal { name } => self.processes[0].signal(name),
+            Step::ExpectExit { code } => self.expect_exit(code),
+            Step::FillListenQueue { listener } => self.fill_listen_queue(listener),
+            Step::DrainListenQueue { listener } => drop(accept(&self.listeners[listener])),
+            Step::ExpectNoConnection { listener } => self.expect_no_connection(listener),
+            Step::CloseListener { listener } => drop(self.listeners.remove(listener)),
+            Step::Send { party, bytes } => self.send(party, bytes),
+            Step::SendByteByByte { party, bytes } => self.send_byte_by_byte(party, bytes),
+            Step::Receive { party, bytes } => self.receive(party, bytes),
+            Step::ReceiveLater { party, bytes } => self.receive_later(party, bytes),
+            Step::ExpectUnreadInput { party } => self.expect_unread_input(party),
+            Step::Close { party } => drop(self.connections.remove(party)),
+            Step::ExpectClosed { party } => self.expect_closed(party),
+            Step::ExpectClosedOrReset { party } => self.expect_closed_or_reset(party),
+        }
+    }
+
+    /// Starts the program once more, which the steps speak of from here on.
+    fn start_another_process(&mut self) {
+        let inherited = self.inherited_listener.as_ref();
+        let process = Process::start(&self.shell_command, &self.config.path, inherited);
+        self.processes.insert(0, process);
+    }
+
+    /// Writes a configuration with changes to the original one, and lets the program read it.
+    fn reload(&self, changes: &[ConfigChange]) {
+        let address = |name| setup::address(&self.listeners, name);
+        let insert_addresses =
+            |text: &str| text.replace("$agent", &address("agent")).replace("$q", &address("q"));
+        let mut text = self.config.text.clone();
+        for change in changes {
+            text = match change {
+                ConfigChange::ReplaceAll { new } => new.to_string(),
+                ConfigChange::Replace { old, new } => {
+                    let old = insert_addresses(old);
+                    assert!(text.contains(&old), "the configuration has no {old}");
+                    text.replacen(&old, &insert_addresses(new), 1)
                 }
-                let same = n == got.len() && wanted.iter().zip(&got).all(|(w, g)| w.is_none_or(|w| w == *g));
-                assert!(same, "came: {:?}", String::from_utf8_lossy(&got[..n]));
-                let waited = self.sent.elapsed();
-                assert!(deed == "<" || waited >= Duration::from_millis(1), "it came after {waited:?}");
-            }
-            (_, "asks") => {
-                let stream = self.party(party);
-                assert!(uninterrupted(|| stream.peek(&mut [0])).is_ok_and(|n| n > 0), "nothing comes")
-            }
-            (_, "close") => drop(self.open.remove(party)),
-            (_, "closed") => {
-                let stream = self.party(party);
-                assert_eq!(uninterrupted(|| stream.read(&mut [0; 64])).ok(), Some(0));
-            }
-            (_, "ends") => {
-                let stream = self.party(party);
-                let end = uninterrupted(|| stream.read(&mut [0; 64]));
-                let reset = end.as_ref().is_err_and(|e| e.kind() == ErrorKind::ConnectionReset);
-                assert!(reset || matches!(end, Ok(0)), "{end:?}");
+            };
+        }
+        std::fs::write(&self.config.path, text).unwrap();
+        self.processes[0].signal("HUP");
+    }
+
+    fn parse_bytes(&self, text: &str) -> Bytes {
+        bytes::parse(text, &self.names)
+    }
+
+    /// Bytes to be sent; those that match any are left out.
+    fn parse_bytes_to_send(&self, text: &str) -> Vec<u8> {
+        self.parse_bytes(text).into_iter().flatten().collect()
+    }
+
+    fn define(&mut self, name: &str, text: &str) {
+        let bytes = self.parse_bytes(text);
+        self.names.insert(name.to_string(), bytes);
+    }
+
+    /// Reads the log on from the last line that was looked at, that one included, until a line has the text.
+    fn expect_log(&mut self, text: &str) {
+        let start = Instant::now();
+        let mut passed_over = Vec::new();
+        while !self.last_log_line.contains(text) {
+            passed_over.push(self.last_log_line.clone());
+            let remaining = MAX_WAIT.saturating_sub(start.elapsed());
+            let next = self.processes[0].log.recv_timeout(remaining);
+            self.last_log_line = next.unwrap_or_else(|_| panic!("not in the log: {passed_over:#?}"));
+        }
+    }
+
+    /// Checks the lines that have come since the last one that was looked at, that one included.
+    fn expect_not_logged(&self, texts: &[&str]) {
+        let mut lines: Vec<String> = self.processes[0].log.try_iter().collect();
+        lines.insert(0, self.last_log_line.clone());
+        let found = lines.iter().find(|line| texts.iter().any(|text| line.contains(text)));
+        assert!(found.is_none(), "{found:?}");
+    }
+
+    fn expect_exit(&mut self, code: i32) {
+        let status = self.processes[0].wait_for_exit();
+        assert_eq!(status.code(), Some(code));
+    }
+
+    /// Leaves room for one connection in the listener's queue and takes it: the system drops whoever else connects.
+    fn fill_listen_queue(&mut self, name: &str) {
+        let listener = &self.listeners[name];
+        socket2::SockRef::from(listener).listen(0).unwrap();
+        let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        self.connections.insert(format!("{name}.filler"), filler);
+    }
+
+    fn expect_no_connection(&self, name: &str) {
+        let listener = &self.listeners[name];
+        listener.set_nonblocking(true).unwrap();
+        assert!(listener.accept().is_err(), "somebody has connected");
+    }
+
+    fn send(&mut self, party: &str, text: &str) {
+        let bytes = self.parse_bytes_to_send(text);
+        self.last_sent_at = Instant::now();
+        self.connection(party).write_all(&bytes).unwrap();
+    }
+
+    fn send_byte_by_byte(&mut self, party: &str, text: &str) {
+        for byte in self.parse_bytes_to_send(text) {
+            self.connection(party).write_all(&[byte]).unwrap();
+        }
+    }
+
+    /// Reads as many bytes as are expected, or until one differs.
+    fn receive(&mut self, party: &str, text: &str) {
+        let expected = self.parse_bytes(text);
+        let mut received = vec![0; expected.len()];
+        let stream = self.connection(party);
+        let mut length = 0;
+        while length < received.len() && is_match(&expected[..length], &received[..length]) {
+            match retry_interrupted(|| stream.read(&mut received[length..])) {
+                Ok(more @ 1..) => length += more,
+                end => panic!("{end:?} after {:?}", String::from_utf8_lossy(&received[..length])),
             }
-            _ => panic!("no such step"),
+        }
+        let is_same = length == received.len() && is_match(&expected, &received);
+        assert!(is_same, "came: {:?}", String::from_utf8_lossy(&received[..length]));
+    }
+
+    fn receive_later(&mut self, party: &str, text: &str) {
+        self.receive(party, text);
+        let waited = self.last_sent_at.elapsed();
+        assert!(waited >= MIN_DELAY, "it came after {waited:?}");
+    }
+
+    fn expect_unread_input(&mut self, party: &str) {
+        let stream = self.connection(party);
+        let peeked = retry_interrupted(|| stream.peek(&mut [0]));
+        assert!(peeked.is_ok_and(|length| length > 0), "nothing comes");
+    }
+
+    /// Expects the end of the connection, which nothing that the party sent has broken.
+    fn expect_closed(&mut self, party: &str) {
+        let end = self.read_end(party);
+        assert_eq!(end.ok(), Some(0));
+    }
+
+    fn expect_closed_or_reset(&mut self, party: &str) {
+        let end = self.read_end(party);
+        let is_reset = end.as_ref().is_err_and(|error| error.kind() == ErrorKind::ConnectionReset);
+        assert!(is_reset || matches!(end, Ok(0)), "{end:?}");
+    }
+
+    fn read_end(&mut self, party: &str) -> io::Result<usize> {
+        let stream = self.connection(party);
+        retry_interrupted(|| stream.read(&mut [0; BUFFER_BYTES]))
+    }
+}
+
+/// Whether bytes are the expected ones, as far as both go.
+fn is_match(expected: &[Option<u8>], received: &[u8]) -> bool {
+    expected.iter().zip(received).all(|(expected, received)| expected.is_none_or(|byte| byte == *received))
+}
+
+/// Reads again when a signal interrupts a read that has a time-out: that happens if only the whole test was stopped and goes on,
+/// and tells nothing of the connection.
+fn retry_interrupted(mut read: impl FnMut() -> io::Result<usize>) -> io::Result<usize> {
+    loop {
+        match read() {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            result => return result,
         }
     }
 }
