--- a/proxy/src/pg/tests/commit_time_query.rs
+++ b/proxy/src/pg/tests/commit_time_query.rs
@@ -4,27 +4,31 @@
 use crate::reply::{Reply, Value};
 use birchreach::AttemptOutcome;
 
+/// A reply whose value has these bytes.
+fn reply_with_value(bytes: &[u8]) -> Reply {
+    let value = Value { bytes: bytes.to_vec(), binary: true };
+    Reply { value: Some(value), ..Reply::with_outcome(AttemptOutcome::Ok) }
+}
+
 #[test]
 fn a_row_is_read_with_the_time_of_its_last_commit() {
-    let text = String::from_utf8(read_row_with_commit_time(b"7f3a", 2, 7, 500)).unwrap();
+    let query = String::from_utf8(read_row_with_commit_time(b"7f3a", 2, 7, 500)).unwrap();
+
     assert!(
-        text.ends_with(
+        query.ends_with(
             "FROM rows WHERE handle = '7f3a' /* id=0000000000000007,c=background,d=500,cluster=2 */"
         )
     );
-    let of = |bytes: &[u8]| Reply {
-        value: Some(Value { bytes: bytes.to_vec(), binary: true }),
-        ..Reply::with_outcome(AttemptOutcome::Ok)
-    };
-    let whole = of(&[&5i64.to_be_bytes()[..], b"value"].concat());
-    assert_eq!(
-        parse_row_with_commit_time(&whole),
-        Some(CommittedRow { committed_at: 5_000, value: Some(&b"value"[..]) })
-    );
-    assert_eq!(
-        parse_row_with_commit_time(&Reply::with_outcome(AttemptOutcome::Ok)),
-        Some(CommittedRow { committed_at: 0, value: None })
-    );
-    assert_eq!(parse_row_with_commit_time(&of(b"short")), None);
-    assert_eq!(parse_row_with_commit_time(&of(&i64::MAX.to_be_bytes())), None);
+
+    let complete = reply_with_value(&[&5i64.to_be_bytes()[..], b"value"].concat());
+    let absent = Reply::with_outcome(AttemptOutcome::Ok);
+    let too_short = reply_with_value(b"short");
+    let time_too_great = reply_with_value(&i64::MAX.to_be_bytes());
+
+    let committed_row = CommittedRow { committed_at: 5_000, value: Some(&b"value"[..]) };
+    assert_eq!(parse_row_with_commit_time(&complete), Some(committed_row));
+    let no_row = CommittedRow { committed_at: 0, value: None };
+    assert_eq!(parse_row_with_commit_time(&absent), Some(no_row));
+    assert_eq!(parse_row_with_commit_time(&too_short), None);
+    assert_eq!(parse_row_with_commit_time(&time_too_great), None);
 }
--- a/proxy/tests/ready.rs
+++ b/proxy/tests/ready.rs
@@ -5,16 +5,19 @@
 use std::path::Path;
 
 const PROCESSES: u64 = 40;
+const EMPTY_QUERY: &str = "";
 
 /// Each answers an empty query, by which a balancer takes it into rotation: nothing at the start waits for discovery or for other
 /// processes.
 #[test]
 fn many_processes_that_start_at_once_are_ready_without_discovery() {
+    // Given a discovery that cannot be reached.
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("ready");
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let rig = Rig::new(1, [127, 88, 222, 1], program, &folder).unwrap();
     rig.discovery.stop();
 
+    // When all processes start at once, then each of them answers.
     std::thread::scope(|scope| {
         let rig = &rig;
         let start = |number| scope.spawn(move || rig.start(number, None, None));
@@ -23,7 +26,7 @@
         for process in started {
             let process = process.join().unwrap().unwrap();
             let mut balancer = Client::connect(process.client_address().unwrap()).unwrap();
-            balancer.run_statement("").unwrap();
+            balancer.run_statement(EMPTY_QUERY).unwrap();
         }
     });
 }
--- a/proxy/tests/stopping.rs
+++ b/proxy/tests/stopping.rs
@@ -13,6 +13,7 @@
 /// How long a write takes at the database, so that some are in flight at SIGTERM.
 const WRITE_DELAY: Duration = Duration::from_millis(3);
 const DEADLINE_MS: u32 = 3000;
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// What the clients have seen, and whether the process has ended.
 #[derive(Default)]
@@ -40,6 +41,7 @@
 /// the proxy had not read crosses with that end, and was executed nowhere.
 #[test]
 fn clients_that_never_stop_sending_lose_nothing_and_do_not_keep_the_process() {
+    // Given a database whose writes take some time.
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stopping");
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let rig = Rig::new(1, [127, 88, 220, 1], program, &folder).unwrap();
@@ -48,12 +50,13 @@
     let address = process.client_address().unwrap();
     let clients = Clients::default();
 
+    // When SIGTERM comes while all clients write.
     let exit_code = std::thread::scope(|scope| {
         for _ in 0..CLIENTS {
             scope.spawn(|| clients.keep_writing(address));
         }
         while clients.answered_writes.load(Ordering::Relaxed) < WRITES_BEFORE_SIGTERM {
-            std::thread::sleep(Duration::from_millis(1));
+            std::thread::sleep(POLL_INTERVAL);
         }
         process.signal("TERM");
         let exit_code = process.wait_for_exit();
@@ -61,6 +64,7 @@
         exit_code
     });
 
+    // Then it ends in order, and each write at the database has its answer.
     assert_eq!(exit_code, Some(0));
     process.wait_for_log_line(&["event=stopped open=0"]).expect("it ends before its last timer");
     let rows = &rig.groups[0].rows;
