--- a/hot-keys/examples/measure.rs
+++ b/hot-keys/examples/hot_key_agreement.rs
@@ -1,7 +1,7 @@
 //! How long until all processes have one set of hot keys, and how far the summed rates are from the true ones: a table of figures on
 //! virtual time.
 //!
-//!     cargo run --release -p birchreach-hot-keys --example measure -- 5 40 300
+//!     cargo run --release -p birchreach-hot-keys --example hot_key_agreement -- 5 40 300
 
 #[path = "../tests/common/mod.rs"]
 mod common;
