--- /dev/null
+++ b/example/local-cluster/src/proxies.rs
@@ -0,0 +1,135 @@
+//! The proxies of the cluster: processes with files in a folder of their own.
+
+use crate::loopback;
+use birchreach_test_support::process::{Process, ProcessSettings};
+use serde_json::{Value, json};
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use std::os::unix::fs::OpenOptionsExt;
+use std::path::{Path, PathBuf};
+
+/// Port at which the first proxy takes clients.
+const CLIENT_PORT: u16 = 6432;
+/// Port at which the first proxy takes operators.
+const ADMIN_PORT: u16 = 6433;
+/// Port at which the first proxy takes its peers; those of the others follow without a gap.
+const FLEET_PORT: u16 = 7100;
+/// The ports for clients and operators of one proxy and the next are this far apart.
+const PORT_STEP: u16 = 10;
+/// Length of the key by which proxies authenticate one another.
+const KEY_BYTES: usize = 16;
+
+/// Where a proxy listens.
+pub(crate) struct ProxyAddresses {
+    pub(crate) clients: SocketAddr,
+    pub(crate) admin: SocketAddr,
+    fleet: SocketAddr,
+}
+
+impl ProxyAddresses {
+    /// The addresses of a proxy, numbered from 0.
+    pub(crate) fn of(number: u16) -> ProxyAddresses {
+        ProxyAddresses {
+            clients: loopback(CLIENT_PORT + PORT_STEP * number),
+            admin: loopback(ADMIN_PORT + PORT_STEP * number),
+            fleet: loopback(FLEET_PORT + number),
+        }
+    }
+}
+
+/// The name of a proxy, which counts from 1.
+pub(crate) fn proxy_name(number: u16) -> String {
+    format!("local-{}", number + 1)
+}
+
+/// Starts proxies with files in a folder of their own.
+pub(crate) struct ProxyStarter {
+    program: PathBuf,
+    folder: PathBuf,
+    key_file: PathBuf,
+    /// How many proxies there are in all.
+    count: u16,
+}
+
+impl ProxyStarter {
+    /// Finds or builds the program, and writes the key file.
+    pub(crate) fn new(folder: &Path, count: u16) -> io::Result<ProxyStarter> {
+        Ok(ProxyStarter {
+            program: proxy_program()?,
+            folder: folder.into(),
+            key_file: write_key_file(folder)?,
+            count,
+        })
+    }
+
+    /// Starts a proxy and waits until it serves.
+    pub(crate) fn start(&self, number: u16) -> io::Result<Process> {
+        let name = proxy_name(number);
+        let options = self.options(number);
+        let mut process = Process::start(&ProcessSettings {
+            program: &self.program,
+            folder: &self.folder,
+            name: &name,
+            config: &self.configuration(number)?,
+            options: (self.count > 1).then_some(&options),
+            inherited_listener: None,
+            max_descriptors: None,
+        })?;
+        let serving = process.wait_until_serving();
+        serving.ok_or_else(|| io::Error::other(format!("{name} does not serve: {:?}", process.log())))?;
+        Ok(process)
+    }
+
+    /// The example's configuration with what differs from proxy to proxy.
+    fn configuration(&self, number: u16) -> io::Result<String> {
+        let addresses = ProxyAddresses::of(number);
+        let mut configuration: Value = serde_json::from_str(include_str!("../../config.json"))?;
+        configuration["name"] = json!(proxy_name(number));
+        configuration["listen"] = json!(addresses.clients);
+        configuration["operator"] = json!(addresses.admin);
+        configuration["seed"] = json!(format!("{:x}", number + 1));
+        configuration["settings"]["balancers"] = json!(self.count);
+        Ok(configuration.to_string())
+    }
+
+    /// The options by which the proxies know of one another.
+    fn options(&self, number: u16) -> String {
+        let peers: Vec<String> =
+            (0..self.count).map(|number| ProxyAddresses::of(number).fleet.to_string()).collect();
+        format!(
+            "<birchreach-options><fleet listen='{}' key-file='{}' peers='{}'/></birchreach-options>",
+            ProxyAddresses::of(number).fleet,
+            self.key_file.display(),
+            peers.join(" ")
+        )
+    }
+}
+
+/// The proxy's program, beside this one; built first if it is not there.
+fn proxy_program() -> io::Result<PathBuf> {
+    let program = std::env::current_exe()?.with_file_name("birchreach-proxy");
+    if !program.exists() {
+        println!("building the proxy ...");
+        let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
+        let mut build = std::process::Command::new(cargo);
+        build.args(["build", "-p", "birchreach-proxy", "--locked"]);
+        if !cfg!(debug_assertions) {
+            build.arg("--release");
+        }
+        build.status()?;
+    }
+    Ok(program)
+}
+
+/// A key that all proxies share and only this user may read.
+fn write_key_file(folder: &Path) -> io::Result<PathBuf> {
+    let mut secret = [0; KEY_BYTES];
+    getrandom::fill(&mut secret).map_err(|error| io::Error::other(error.to_string()))?;
+    let digits: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
+    let path = folder.join("keys");
+    // A process with the same pid may have left one.
+    let _ = std::fs::remove_file(&path);
+    let mut file = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path)?;
+    writeln!(file, "1 {digits}")?;
+    Ok(path)
+}
--- a/simulator-adapter/src/wire/events.rs
+++ b/simulator-adapter/src/wire/events.rs
@@ -3,53 +3,50 @@
 use super::batch::Batch;
 use super::error::FrameError;
 use super::fields::Fields;
-use super::{MICROS_PER_MILLISECOND, micros_rounded_down, micros_rounded_up};
+use super::load_report::{decode_load_report, decode_status};
+use super::{micros_rounded_down, micros_rounded_up};
 use crate::host::Instance;
 use birchreach::{
     AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointList, EndpointState, Event, GroupId,
-    LoadReport, Micros, Request, RequestId, Role, ServerId, ServerStatus, SessionId, TenantId, ZoneId,
+    Request, RequestId, ServerId, SessionId, TenantId, ZoneId,
 };
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
 
 /// Length of an event record.
-pub const EVENT_BYTES: usize = 56;
+pub(super) const EVENT_BYTES: usize = 56;
 /// Length of an endpoint in the tail.
 const ENDPOINT_BYTES: usize = 25;
-/// A load report has at most this many values.
-const MAX_REPORT_VALUES: usize = 4;
-/// Role values in a load report from this one on mean the primary.
-const PRIMARY_ROLE_VALUE: f32 = 0.5;
 
 /// Codes of event records.
 mod code {
-    pub const START: u16 = 256;
-    pub const ENDPOINTS: u16 = 257;
-    pub const REQUEST: u16 = 258;
-    pub const RESPONSE_STARTED: u16 = 259;
-    pub const ATTEMPT_COMPLETED: u16 = 260;
-    pub const CLIENT_DISCONNECTED: u16 = 261;
-    pub const TIMER: u16 = 262;
-    pub const HEALTH_CHECK_COMPLETED: u16 = 263;
-    pub const PEER_MESSAGE: u16 = 264;
-    pub const STOP: u16 = 265;
-    pub const DEFINE_LIST: u16 = 266;
+    pub(super) const START: u16 = 256;
+    pub(super) const ENDPOINTS: u16 = 257;
+    pub(super) const REQUEST: u16 = 258;
+    pub(super) const RESPONSE_STARTED: u16 = 259;
+    pub(super) const ATTEMPT_COMPLETED: u16 = 260;
+    pub(super) const CLIENT_DISCONNECTED: u16 = 261;
+    pub(super) const TIMER: u16 = 262;
+    pub(super) const HEALTH_CHECK_COMPLETED: u16 = 263;
+    pub(super) const PEER_MESSAGE: u16 = 264;
+    pub(super) const STOP: u16 = 265;
+    pub(super) const DEFINE_LIST: u16 = 266;
 }
 
 /// Number of a router on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RouterId(pub u16);
+pub(crate) struct RouterId(pub u16);
 
 /// Number of an endpoint list on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ListId(pub u16);
+pub(crate) struct ListId(pub u16);
 
 /// An entry of an endpoint list.
 #[derive(Clone)]
-pub struct EndpointRecord(Endpoint);
+pub(crate) struct EndpointRecord(Endpoint);
 
 /// A decoded record.
-pub enum Incoming {
+pub(crate) enum Incoming {
     /// Defines an endpoint list for later records.
     DefineList { list: ListId, endpoints: Vec<EndpointRecord> },
     /// Starts a router with settings in JSON.
@@ -69,7 +66,7 @@
     ///
     /// # Errors
     /// The record is malformed or refers to something that does not exist.
-    pub fn decode(
+    pub(crate) fn decode(
         &self,
         index: usize,
         lists: &BTreeMap<ListId, Vec<EndpointRecord>>,
@@ -216,39 +213,3 @@
         code => return Err(FrameError::UnknownOutcome(code)),
     })
 }
-
-/// Decodes a server's status: the two lowest bits hold the role, the others the position in milliseconds.
-fn decode_status(bits: u32, position_epoch: Micros) -> Option<ServerStatus> {
-    let role = match bits % 4 {
-        1 => Role::Primary,
-        2 => Role::Replica,
-        _ => return None,
-    };
-    let position_ms = Micros::from(bits / 4);
-    let position = (position_ms > 0).then_some(position_epoch + position_ms * MICROS_PER_MILLISECOND);
-    Some(ServerStatus { role, position })
-}
-
-/// Decodes a load report: a count of values, and the values, whose meaning the settings give.
-fn decode_load_report(record: &Fields, offset: usize, settings: &DeploymentSettings) -> Option<LoadReport> {
-    let count = usize::from(record.u8(offset)).min(MAX_REPORT_VALUES);
-    if count == 0 {
-        return None;
-    }
-    let value = |index: Option<usize>| {
-        let index = index.filter(|index| *index < count)?;
-        Some(record.f32(offset + 1 + 4 * index)).filter(|value| value.is_finite())
-    };
-    let position = value(settings.load_report_position_index)
-        .map(|seconds| settings.position_epoch + micros_from_seconds_down(seconds));
-    let role = value(settings.load_report_role_index)
-        .map(|role| if role >= PRIMARY_ROLE_VALUE { Role::Primary } else { Role::Replica });
-    Some(LoadReport { position, role })
-}
-
-/// Seconds to microseconds, rounded down, including the precision of the 32-bit float: a position must never read as later than it was.
-fn micros_from_seconds_down(seconds: f32) -> Micros {
-    const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
-    let precision = f64::from(seconds.next_up()) - f64::from(seconds);
-    micros_rounded_down((f64::from(seconds) - precision) * MILLISECONDS_PER_SECOND)
-}
--- a/simulator-adapter/src/wire/mod.rs
+++ b/simulator-adapter/src/wire/mod.rs
@@ -6,19 +6,20 @@
 mod error;
 mod events;
 mod fields;
+mod load_report;
 mod reply;
 
-pub use batch::{Batch, read_batch};
-pub use error::FrameError;
-pub use events::{EndpointRecord, Incoming, ListId, RouterId};
-pub use reply::Reply;
+pub(crate) use batch::{Batch, read_batch};
+pub(crate) use error::FrameError;
+pub(crate) use events::{EndpointRecord, Incoming, ListId, RouterId};
+pub(crate) use reply::Reply;
 
 use birchreach::Micros;
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
 /// Milliseconds to microseconds, rounded down. The cast saturates and turns NaN into 0.
-pub fn micros_rounded_down(milliseconds: f64) -> Micros {
+pub(crate) fn micros_rounded_down(milliseconds: f64) -> Micros {
     (milliseconds * MICROS_PER_MILLISECOND as f64).floor() as Micros
 }
 
