--- a/benches/src/cost.rs
+++ b/benches/src/cost.rs
@@ -59,7 +59,7 @@
 }
 
 /// Measures checks, and requests beside them, and prints tables.
-pub fn run(program: &Path, folder: &Path, rounds: u32) -> MeasurementResult {
+pub(crate) fn run(program: &Path, folder: &Path, rounds: u32) -> MeasurementResult {
     let rig = Rig::new(GROUPS, [127, 93, 0, 1], program, folder)?;
     let without_checks = rig.start(1, None, None)?;
     let with_checks = rig.start_with_checks(2, MAX_CHECK_CONNECTIONS, "")?;
--- a/benches/src/crowd.rs
+++ b/benches/src/crowd.rs
@@ -50,7 +50,7 @@
 }
 
 /// Runs the measurement and prints its tables.
-pub fn run(program: &Path, folder: &Path, seconds: u64) -> MeasurementResult {
+pub(crate) fn run(program: &Path, folder: &Path, seconds: u64) -> MeasurementResult {
     let rig = Rig::new(GROUPS as u32, [127, 92, 0, 1], program, folder)?;
     let proxy = rig.start_with_checks(1, MAX_CHECK_CONNECTIONS, "")?;
     let addresses = Addresses {
--- a/benches/src/fleet/mod.rs
+++ b/benches/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 const POLICIES: [Policy; 3] = [Policy::Step, Policy::FreeCapacity, Policy::Monitor];
 
 /// Simulates all policies, prints the table and draws the chart.
-pub fn run(chart: &Path, seed: u64) -> MeasurementResult {
+pub(crate) fn run(chart: &Path, seed: u64) -> MeasurementResult {
     println!(
         "| way | balancers read every | use of the weak one, 60 s to 180 s after it lost half its core: least, most | the others, mean | its weight: least, most |"
     );
--- a/benches/src/fleet/simulation.rs
+++ b/benches/src/fleet/simulation.rs
@@ -9,9 +9,9 @@
 const WEAK: usize = 5;
 const WEAK_CAPACITY: f64 = 0.5;
 const TICK_MICROS: Micros = 250_000;
-pub const MICROS_PER_SECOND: Micros = 1_000_000;
+pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
 /// The length of a run.
-pub const SECONDS: usize = 480;
+pub(super) const SECONDS: usize = 480;
 const WEAK_SECONDS: Range<Micros> = 120..300;
 const LOAD_PER_PROXY: f64 = 0.9;
 /// The width of the range by which a measured pressure varies.
@@ -23,7 +23,7 @@
 
 /// How the weight follows the pressure.
 #[derive(Clone, Copy)]
-pub enum Policy {
+pub(super) enum Policy {
     Step,
     FreeCapacity,
     /// What the program does.
@@ -32,7 +32,7 @@
 
 impl Policy {
     /// Its name in the table and the chart.
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Policy::Step => "a step at 0.9",
             Policy::FreeCapacity => "free capacity at once",
@@ -52,7 +52,7 @@
 
 /// A run, second by second.
 #[derive(Default)]
-pub struct Course {
+pub(super) struct Course {
     pub weak_usage: Vec<f64>,
     /// Mean of the other proxies.
     pub other_usage: Vec<f64>,
@@ -72,7 +72,7 @@
 }
 
 /// 16 proxies, and balancers that read each proxy's weight at an interval, each balancer at its own times.
-pub struct Simulation {
+pub(super) struct Simulation {
     policy: Policy,
     read_interval: Micros,
     rng: fastrand::Rng,
@@ -85,7 +85,7 @@
 
 impl Simulation {
     /// The start of a run, with all weights in full.
-    pub fn new(policy: Policy, read_interval: Micros, seed: u64) -> Simulation {
+    pub(super) fn new(policy: Policy, read_interval: Micros, seed: u64) -> Simulation {
         Simulation {
             policy,
             read_interval,
@@ -97,7 +97,7 @@
     }
 
     /// Runs to the end.
-    pub fn run(mut self) -> Course {
+    pub(super) fn run(mut self) -> Course {
         let mut course = Course::default();
         for tick in 1..=(SECONDS as Micros * MICROS_PER_SECOND / TICK_MICROS) {
             let now = tick * TICK_MICROS;
--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -17,14 +17,14 @@
 
 /// Work that no client waits for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum BackgroundTask {
+pub(super) enum BackgroundTask {
     RowRead(DueCopy),
     CopyWrite(CopyWrite),
 }
 
 /// A write of a copy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CopyWrite {
+pub(super) struct CopyWrite {
     /// The server whose copy is refreshed.
     holder: u32,
     /// Its group, at whose primary the copy is written.
@@ -33,7 +33,7 @@
 }
 
 /// A query at a database. A row is read twice: what the second read returns has at least the position that the first one returned.
-pub enum BackgroundQuery {
+pub(super) enum BackgroundQuery {
     FirstRead { copy: DueCopy, server: u32 },
     SecondRead { copy: DueCopy, first_position: Micros },
     CopyWrite(CopyWrite),
--- a/benches/src/gain/chart.rs
+++ b/benches/src/gain/chart.rs
@@ -15,7 +15,7 @@
 const MAX_FRACTION: f64 = 1.05;
 
 /// Draws the diagrams one below the other.
-pub fn draw(chart: &Path, shown: &[ChartRuns]) -> MeasurementResult {
+pub(super) fn draw(chart: &Path, shown: &[ChartRuns]) -> MeasurementResult {
     let diagrams = shown.len().max(1);
     let size = (WIDTH_PIXELS, DIAGRAM_HEIGHT_PIXELS * diagrams as u32);
     let root = SVGBackend::new(chart, size).into_drawing_area();
--- a/benches/src/gain/classes.rs
+++ b/benches/src/gain/classes.rs
@@ -3,15 +3,15 @@
 use birchreach::{ClassId, Consistency, Idempotency, Micros, RequestClass};
 
 /// Reads of bounded staleness.
-pub const READ_CLASS: ClassId = ClassId(0);
+pub(super) const READ_CLASS: ClassId = ClassId(0);
 /// Writes.
-pub const WRITE_CLASS: ClassId = ClassId(1);
+pub(super) const WRITE_CLASS: ClassId = ClassId(1);
 
 const MAX_STALENESS_MICROS: Micros = 800_000;
 const LATE_WEIGHT_FRACTION: f64 = 0.2;
 
 /// The classes by number.
-pub const CLASSES: [RequestClass; 2] = [
+pub(super) const CLASSES: [RequestClass; 2] = [
     RequestClass {
         consistency: Consistency::BoundedStaleness(MAX_STALENESS_MICROS),
         idempotency: Idempotency::Idempotent,
@@ -31,6 +31,6 @@
 ];
 
 /// The settings of a class.
-pub fn class(id: ClassId) -> &'static RequestClass {
+pub(super) fn class(id: ClassId) -> &'static RequestClass {
     &CLASSES[usize::from(id.0)]
 }
--- a/benches/src/gain/events.rs
+++ b/benches/src/gain/events.rs
@@ -6,7 +6,7 @@
 
 /// The result of a statement, on its way back to the proxy.
 #[derive(Clone, Copy, Debug)]
-pub struct StatementResult {
+pub(super) struct StatementResult {
     pub statement: Statement,
     pub server: u32,
     pub outcome: AttemptOutcome,
@@ -16,7 +16,7 @@
 
 /// What happens at an instant.
 #[derive(Clone, Copy, Debug)]
-pub enum SimulationEvent {
+pub(super) enum SimulationEvent {
     ClientRequest {
         proxy: usize,
     },
@@ -50,20 +50,20 @@
 
 /// Events that are still to come.
 #[derive(Default)]
-pub struct EventQueue {
+pub(super) struct EventQueue {
     events: BTreeMap<EventPosition, SimulationEvent>,
     last_sequence: u64,
 }
 
 impl EventQueue {
     /// Adds an event for an instant.
-    pub fn schedule(&mut self, at: Micros, event: SimulationEvent) {
+    pub(super) fn schedule(&mut self, at: Micros, event: SimulationEvent) {
         self.last_sequence += 1;
         self.events.insert(EventPosition { at, sequence: self.last_sequence }, event);
     }
 
     /// Removes the next event that is due by `end`, with its instant.
-    pub fn pop_until(&mut self, end: Micros) -> Option<(Micros, SimulationEvent)> {
+    pub(super) fn pop_until(&mut self, end: Micros) -> Option<(Micros, SimulationEvent)> {
         let first = self.events.first_entry().filter(|entry| entry.key().at <= end)?;
         let (position, event) = first.remove_entry();
         Some((position.at, event))
--- a/benches/src/gain/mod.rs
+++ b/benches/src/gain/mod.rs
@@ -62,7 +62,7 @@
 }
 
 /// Simulates all scenarios, prints the table and draws the chart.
-pub fn run(chart: &Path, fleet_sizes: &[usize], seeds: u64) -> MeasurementResult {
+pub(crate) fn run(chart: &Path, fleet_sizes: &[usize], seeds: u64) -> MeasurementResult {
     println!(
         "| proxies | reads/s of the key | cut into halves at 20 s | off | on | oracle | way to the oracle | on, last 10 s | copies written | read from copies | misses |"
     );
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -15,7 +15,7 @@
 use std::collections::HashMap;
 
 /// The key that clients read often.
-pub const HOT_KEY: Key = Key { group: 0, hash: 0x5eed };
+pub(super) const HOT_KEY: Key = Key { group: 0, hash: 0x5eed };
 
 const HOT_KEY_BYTES: &[u8] = b"hot";
 /// The servers that hold the oracle's copies, each of another group than the hot key.
@@ -29,7 +29,7 @@
 const GOSSIP_SEED_MASK: u64 = 0xabc;
 
 /// A proxy and its background queries.
-pub struct Proxy {
+pub(super) struct Proxy {
     pub router: Router,
     pub hot_keys: HotKeyTracker,
     pub gossip_reports: GossipReports,
@@ -41,7 +41,7 @@
 
 impl Proxy {
     /// A proxy that knows all servers, and no hot key.
-    pub fn new(number: usize, proxies: usize, seed: u64, now: Micros) -> Proxy {
+    pub(super) fn new(number: usize, proxies: usize, seed: u64, now: Micros) -> Proxy {
         let mut actions = Vec::new();
         let mut router = Router::new(router_settings(proxies), seed, now, &mut actions);
         router.handle(now, Event::EndpointsChanged(endpoints()), &mut actions);
@@ -59,7 +59,7 @@
     }
 
     /// Counts a read of the hot key; the copies that may serve it.
-    pub fn copy_candidates(&mut self, mode: CopyMode, now: Micros) -> Vec<CopyCandidate> {
+    pub(super) fn copy_candidates(&mut self, mode: CopyMode, now: Micros) -> Vec<CopyCandidate> {
         match mode {
             CopyMode::Off => Vec::new(),
             CopyMode::On => self.tracked_copy_candidates(now),
--- a/benches/src/gain/requests.rs
+++ b/benches/src/gain/requests.rs
@@ -8,14 +8,14 @@
 use birchreach::{Action, ClassId, CopyCandidate, Event, GroupId, Micros, Request, RequestId, TenantId};
 
 /// An attempt of a pending request.
-pub struct Attempt {
+pub(super) struct Attempt {
     pub server: u32,
     pub sent_at: Micros,
     pub is_finished: bool,
 }
 
 /// A request that a client waits for.
-pub struct PendingRequest {
+pub(super) struct PendingRequest {
     pub class: ClassId,
     pub group: u32,
     pub received_at: Micros,
--- a/benches/src/gain/servers.rs
+++ b/benches/src/gain/servers.rs
@@ -4,13 +4,13 @@
 use std::collections::VecDeque;
 
 /// Groups of servers, each with a primary as its first server.
-pub const GROUPS: u32 = 6;
-pub const SERVERS_PER_GROUP: u32 = 3;
-pub const SERVERS: u32 = GROUPS * SERVERS_PER_GROUP;
+pub(super) const GROUPS: u32 = 6;
+pub(super) const SERVERS_PER_GROUP: u32 = 3;
+pub(super) const SERVERS: u32 = GROUPS * SERVERS_PER_GROUP;
 /// How far a replica's log is behind its primary's.
-pub const REPLICATION_LAG_MICROS: Micros = 20_000;
+pub(super) const REPLICATION_LAG_MICROS: Micros = 20_000;
 /// Reads that a server completes in a second.
-pub const READS_PER_S_PER_SERVER: f64 = MAX_RUNNING_STATEMENTS as f64 * 1e6 / READ_MICROS as f64;
+pub(super) const READS_PER_S_PER_SERVER: f64 = MAX_RUNNING_STATEMENTS as f64 * 1e6 / READ_MICROS as f64;
 
 const MAX_RUNNING_STATEMENTS: usize = 2;
 /// A server rejects statements beyond these.
@@ -22,17 +22,17 @@
 const COPY_RETENTION_MICROS: Micros = 10_000_000;
 
 /// The role of a server, which stays as it is.
-pub fn role(server: u32) -> Role {
+pub(super) fn role(server: u32) -> Role {
     if server.is_multiple_of(SERVERS_PER_GROUP) { Role::Primary } else { Role::Replica }
 }
 
 /// The group of a server.
-pub fn group_of(server: u32) -> u32 {
+pub(super) fn group_of(server: u32) -> u32 {
     server / SERVERS_PER_GROUP
 }
 
 /// The position of a server's log: the instant up to which it has all writes.
-pub fn log_position(server: u32, now: Micros) -> Micros {
+pub(super) fn log_position(server: u32, now: Micros) -> Micros {
     match role(server) {
         Role::Primary => now - 1,
         Role::Replica => now - REPLICATION_LAG_MICROS,
@@ -41,28 +41,28 @@
 
 /// A request of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct RequestKey {
+pub(super) struct RequestKey {
     pub proxy: usize,
     pub request: u64,
 }
 
 /// An attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttemptKey {
+pub(super) struct AttemptKey {
     pub request: RequestKey,
     pub attempt: u16,
 }
 
 /// Who waits for a statement's result.
 #[derive(Clone, Copy, Debug)]
-pub enum StatementOwner {
+pub(super) enum StatementOwner {
     Attempt(AttemptKey),
     BackgroundQuery { proxy: usize, id: u64 },
 }
 
 /// What a statement does.
 #[derive(Clone, Copy, Debug)]
-pub enum StatementKind {
+pub(super) enum StatementKind {
     Read,
     Write,
     CopyRead { required_position: Micros },
@@ -71,20 +71,20 @@
 
 /// A statement that a proxy sends to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Statement {
+pub(super) struct Statement {
     pub owner: StatementOwner,
     pub kind: StatementKind,
 }
 
 /// What a server does with a statement that arrives.
-pub enum Admission {
+pub(super) enum Admission {
     Started { done_at: Micros },
     Queued,
     Rejected,
 }
 
 /// A statement that leaves the queue.
-pub struct StartedStatement {
+pub(super) struct StartedStatement {
     pub statement: Statement,
     pub done_at: Micros,
 }
@@ -103,16 +103,16 @@
 }
 
 /// All servers, by number.
-pub struct Servers(Vec<Server>);
+pub(super) struct Servers(Vec<Server>);
 
 impl Servers {
     /// Idle servers without copies.
-    pub fn new() -> Servers {
+    pub(super) fn new() -> Servers {
         Servers((0..SERVERS).map(|_| Server::default()).collect())
     }
 
     /// Starts, queues or rejects a statement.
-    pub fn admit(&mut self, now: Micros, server: u32, statement: Statement) -> Admission {
+    pub(super) fn admit(&mut self, now: Micros, server: u32, statement: Statement) -> Admission {
         let server = &mut self.0[server as usize];
         if server.running < MAX_RUNNING_STATEMENTS {
             server.running += 1;
@@ -126,7 +126,7 @@
     }
 
     /// Ends a statement and starts the next one of the queue.
-    pub fn finish(&mut self, now: Micros, server: u32) -> Option<StartedStatement> {
+    pub(super) fn finish(&mut self, now: Micros, server: u32) -> Option<StartedStatement> {
         let server = &mut self.0[server as usize];
         let Some(statement) = server.queue.pop_front() else {
             server.running -= 1;
@@ -136,7 +136,7 @@
     }
 
     /// Stores a copy at a group's primary, from where it is replicated.
-    pub fn store_copy(&mut self, now: Micros, group: u32, position: Micros) {
+    pub(super) fn store_copy(&mut self, now: Micros, group: u32, position: Micros) {
         for (number, server) in (0..SERVERS).zip(&mut self.0) {
             if group_of(number) != group {
                 continue;
@@ -148,7 +148,7 @@
     }
 
     /// The position of the newest copy that a server can read.
-    pub fn newest_copy_position(&self, now: Micros, server: u32) -> Option<Micros> {
+    pub(super) fn newest_copy_position(&self, now: Micros, server: u32) -> Option<Micros> {
         self.0[server as usize].newest_copy_position(now)
     }
 }
--- a/benches/src/gain/simulation.rs
+++ b/benches/src/gain/simulation.rs
@@ -11,11 +11,11 @@
 const SEEDS_PER_RUN: u64 = 1_000;
 const START_MICROS: Micros = 1_000_000_000_000;
 /// Between a proxy and a server, in each direction.
-pub const NETWORK_DELAY_MICROS: Micros = 500;
+pub(super) const NETWORK_DELAY_MICROS: Micros = 500;
 const UPDATE_INTERVAL_MICROS: Micros = 50_000;
 /// Of every group, beside reads of the hot key.
-pub const READS_PER_S_PER_GROUP: f64 = 100.0;
-pub const WRITES_PER_S_PER_GROUP: f64 = 10.0;
+pub(super) const READS_PER_S_PER_GROUP: f64 = 100.0;
+pub(super) const WRITES_PER_S_PER_GROUP: f64 = 10.0;
 /// The least part of the clients that a proxy gets, before parts are scaled to a sum of one.
 const MIN_CLIENT_WEIGHT: f64 = 0.2;
 /// The logarithm of a draw is finite from here on.
@@ -23,7 +23,7 @@
 
 /// Where copies of the hot key come from.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CopyMode {
+pub(super) enum CopyMode {
     Off,
     /// The program's own decisions.
     On,
@@ -33,7 +33,7 @@
 
 /// What is the same in all modes.
 #[derive(Clone, Copy)]
-pub struct Scenario {
+pub(super) struct Scenario {
     pub proxies: usize,
     pub hot_reads_per_s: f64,
     /// Whether the network between the proxies is cut into halves in the middle of the run.
@@ -42,21 +42,21 @@
 
 /// Sums of priority weights of the hot key's group.
 #[derive(Clone, Copy, Default)]
-pub struct WeightSums {
+pub(super) struct WeightSums {
     pub served: f64,
     pub requested: f64,
 }
 
 /// Counts of copies written, and of reads by whether they found one.
 #[derive(Clone, Copy, Default)]
-pub struct CopyCounts {
+pub(super) struct CopyCounts {
     pub written: u64,
     pub read: u64,
     pub missed: u64,
 }
 
 /// A run of one mode.
-pub struct Simulation {
+pub(super) struct Simulation {
     pub(super) mode: CopyMode,
     pub(super) now: Micros,
     pub(super) rng: fastrand::Rng,
@@ -76,7 +76,7 @@
 
 impl Simulation {
     /// The start of a run.
-    pub fn new(mode: CopyMode, scenario: &Scenario, seed: u64) -> Simulation {
+    pub(super) fn new(mode: CopyMode, scenario: &Scenario, seed: u64) -> Simulation {
         let now = START_MICROS;
         let mut rng = fastrand::Rng::with_seed(seed);
         let client_fractions = draw_client_fractions(&mut rng, scenario.proxies);
@@ -102,7 +102,7 @@
     }
 
     /// Advances the clock, and handles what is due by then.
-    pub fn advance(&mut self, span: Micros) {
+    pub(super) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = self.now.max(at);
--- a/benches/src/hangs/mod.rs
+++ b/benches/src/hangs/mod.rs
@@ -77,7 +77,13 @@
 }
 
 /// Measures hangs, then counts withdrawals without a hang, and prints both tables.
-pub fn run(program: &Path, folder: &Path, hangs: usize, calm_seconds: u64, seed: u64) -> MeasurementResult {
+pub(crate) fn run(
+    program: &Path,
+    folder: &Path,
+    hangs: usize,
+    calm_seconds: u64,
+    seed: u64,
+) -> MeasurementResult {
     println!(
         "| hangs, {GROUPS} groups | n | median ms | 99th ms | most ms |\n| --- | --- | --- | --- | --- |"
     );
--- a/benches/src/hangs/observer.rs
+++ b/benches/src/hangs/observer.rs
@@ -14,7 +14,7 @@
     CheckPolicy { interval: Duration::from_millis(500), timeout: MAX_WAIT, rise: 1, fall: 2 };
 
 /// Reads whether writes of a group are available, by HTTP and as a balancer.
-pub struct GroupObserver {
+pub(super) struct GroupObserver {
     group: usize,
     http: SocketAddr,
     /// A balancer that acts by agent checks.
@@ -23,7 +23,7 @@
 
 impl GroupObserver {
     /// Starts the balancer.
-    pub fn start(proxy: &Process, group: usize) -> Result<GroupObserver, String> {
+    pub(super) fn start(proxy: &Process, group: usize) -> Result<GroupObserver, String> {
         let clients = proxy.client_address().ok_or("it does not serve")?;
         let http = proxy.check_address("http").ok_or("no checks")?;
         let agent = proxy.check_address("agent").ok_or("no checks")?;
@@ -39,7 +39,7 @@
     }
 
     /// Waits until the response to checks and the balancer's state are both up.
-    pub fn wait_until_available(&self) -> Result<(), String> {
+    pub(super) fn wait_until_available(&self) -> Result<(), String> {
         let start = Instant::now();
         while !self.is_available() || !self.balancer.wait_for_state(0, true, Duration::ZERO) {
             if start.elapsed() > MAX_RECOVERY_TIME {
@@ -51,7 +51,7 @@
     }
 
     /// Waits until the response to checks reports a hang that began at `start`.
-    pub fn wait_until_reported(&self, start: Instant) -> Result<(), String> {
+    pub(super) fn wait_until_reported(&self, start: Instant) -> Result<(), String> {
         while self.is_available() {
             if start.elapsed() > MAX_WAIT {
                 return Err(format!("group {}: a hang was never told", self.group));
--- a/benches/src/log_lines.rs
+++ b/benches/src/log_lines.rs
@@ -26,7 +26,7 @@
 
 /// Measures clients that connect and leave, each with a line in the log: within the rate limit it is written, beyond it it is
 /// dropped.
-pub fn run(program: &Path, against: &Path, folder: &Path, rounds: u32) -> MeasurementResult {
+pub(crate) fn run(program: &Path, against: &Path, folder: &Path, rounds: u32) -> MeasurementResult {
     let against = std::fs::canonicalize(against)?;
     let rig_before = Rig::new(1, [127, 94, 0, 1], &against, &folder.join("before"))?;
     let rig_after = Rig::new(1, [127, 94, 1, 1], program, &folder.join("after"))?;
--- a/benches/src/process_cpu.rs
+++ b/benches/src/process_cpu.rs
@@ -9,7 +9,7 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Mean CPU microseconds of the process for each of so many calls.
-pub fn mean_cpu_micros(process: &Process, calls: u64, mut call: impl FnMut()) -> f64 {
+pub(crate) fn mean_cpu_micros(process: &Process, calls: u64, mut call: impl FnMut()) -> f64 {
     let before = process.cpu_time().unwrap_or_default();
     (0..calls).for_each(|_| call());
     thread::sleep(SETTLING_TIME);
@@ -17,7 +17,7 @@
 }
 
 /// CPU microseconds of the process since it had used `before`.
-pub fn cpu_micros_since(process: &Process, before: Duration) -> f64 {
+pub(crate) fn cpu_micros_since(process: &Process, before: Duration) -> f64 {
     let used = process.cpu_time().unwrap_or_default().saturating_sub(before);
     used.as_secs_f64() * MICROS_PER_SECOND
 }
--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -35,7 +35,7 @@
 }
 
 /// Plays the schedules of all seeds, so many at once, and prints the table.
-pub fn run(
+pub(crate) fn run(
     program: &Path,
     folder: &Path,
     seeds: RangeInclusive<u64>,
--- a/benches/src/times.rs
+++ b/benches/src/times.rs
@@ -7,7 +7,7 @@
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
 /// Times in microseconds.
-pub struct Times(Histogram<u64>);
+pub(crate) struct Times(Histogram<u64>);
 
 impl Default for Times {
     fn default() -> Times {
@@ -20,17 +20,17 @@
 
 impl Times {
     /// Records one time.
-    pub fn record(&mut self, time: Duration) {
+    pub(crate) fn record(&mut self, time: Duration) {
         let _ = self.0.record(time.as_micros() as u64);
     }
 
     /// Adds all times of another record.
-    pub fn merge(&mut self, other: &Times) {
+    pub(crate) fn merge(&mut self, other: &Times) {
         let _ = self.0.add(&other.0);
     }
 
     /// `n | median | 99th percentile | most`, in milliseconds.
-    pub fn row(&self) -> String {
+    pub(crate) fn row(&self) -> String {
         format!(
             "{} | {} | {} | {}",
             self.0.len(),
@@ -45,7 +45,7 @@
     }
 
     /// How many times were recorded.
-    pub fn count(&self) -> u64 {
+    pub(crate) fn count(&self) -> u64 {
         self.0.len()
     }
 }
--- a/benches/src/view.rs
+++ b/benches/src/view.rs
@@ -60,7 +60,7 @@
 }
 
 /// Measures the view at each loss rate, and prints the table.
-pub fn run(program: &Path, folder: &Path, processes: usize, seed: u64) -> MeasurementResult {
+pub(crate) fn run(program: &Path, folder: &Path, processes: usize, seed: u64) -> MeasurementResult {
     println!(
         "| processes | loss | join | one crash noticed | back | heal | after a stop of 20 s | false removals in 30 s | CPU each, % | bytes/s each |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 /// Replicas of each group.
-pub const REPLICAS: usize = 2;
+pub(crate) const REPLICAS: usize = 2;
 /// Groups of the endpoint list.
-pub const GROUPS: u32 = 6;
+pub(crate) const GROUPS: u32 = 6;
 
 /// Databases that serve 100 reads a second, and classes of every requirement.
-pub fn settings(configured: usize) -> Settings {
+pub(crate) fn settings(configured: usize) -> Settings {
     Settings {
         database_reads_per_s: 100.0,
         copy_cost_reads: 2.0,
@@ -31,17 +31,17 @@
 }
 
 /// A key of a group, by its number.
-pub fn key(group: u32, number: u64) -> Key {
+pub(crate) fn key(group: u32, number: u64) -> Key {
     Key { group, hash: number.wrapping_mul(0x9e37_79b9_7f4a_7c15) }
 }
 
 /// The header of a report that was made just now.
-pub fn header(origin: u64, sequence: u64) -> ReportHeader {
+pub(crate) fn header(origin: u64, sequence: u64) -> ReportHeader {
     ReportHeader { origin, sequence, age: 0 }
 }
 
 /// The databases of an endpoint list.
-pub fn databases(groups: u32) -> Vec<Database> {
+pub(crate) fn databases(groups: u32) -> Vec<Database> {
     let of_group = |group| (0..=REPLICAS as u32).map(move |position| (group, position));
     let all = (0..groups).flat_map(of_group).enumerate();
     all.map(|(server, (group, position))| Database {
@@ -59,7 +59,7 @@
 }
 
 /// Trackers that report to one another.
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub now: Micros,
     pub trackers: Vec<HotKeyTracker>,
     gossip_reports: Vec<GossipReports>,
@@ -84,7 +84,7 @@
 const STEP_MICROS: Micros = 50_000;
 
 impl Fleet {
-    pub fn new(count: usize, seed: u64) -> Fleet {
+    pub(crate) fn new(count: usize, seed: u64) -> Fleet {
         let now = 1_000 * SECOND;
         let mut rng = fastrand::Rng::with_seed(seed);
         let tracker = |process: usize| {
@@ -124,7 +124,7 @@
     }
 
     /// Passes time in small steps.
-    pub fn pass(&mut self, span: Micros) {
+    pub(crate) fn pass(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP_MICROS;
@@ -172,18 +172,18 @@
     }
 
     /// Whether all have the same hot set.
-    pub fn has_one_set(&self) -> bool {
+    pub(crate) fn has_one_set(&self) -> bool {
         self.trackers.iter().all(|tracker| tracker.digest() == self.trackers[0].digest())
     }
 
     /// How many have the key in their hot set.
-    pub fn processes_with_hot_key(&self, key: Key) -> usize {
+    pub(crate) fn processes_with_hot_key(&self, key: Key) -> usize {
         let is_hot_at = |tracker: &&HotKeyTracker| tracker.hot_keys().any(|(hot_key, _)| hot_key == key);
         self.trackers.iter().filter(is_hot_at).count()
     }
 
     /// Passes time until all have the key in their set (`hot`), or none; the seconds that it took, none if longer than `max`.
-    pub fn pass_until(&mut self, key: Key, hot: bool, max: Micros) -> Option<f64> {
+    pub(crate) fn pass_until(&mut self, key: Key, hot: bool, max: Micros) -> Option<f64> {
         let start = self.now;
         let wanted = if hot { self.trackers.len() } else { 0 };
         while self.processes_with_hot_key(key) != wanted {
@@ -197,7 +197,7 @@
 }
 
 /// A tracker of its own origin that has received these reports, in their order or reversed, and derived its set.
-pub fn tracker_with_reports(
+pub(crate) fn tracker_with_reports(
     own: u64,
     configured: usize,
     reports: &[(u64, Vec<ReportEntry>)],
--- a/membership/tests/common/events.rs
+++ b/membership/tests/common/events.rs
@@ -4,7 +4,7 @@
 
 /// A datagram on its way. Ordered by arrival, then by number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub struct Datagram {
+pub(crate) struct Datagram {
     pub arrives_at: Micros,
     pub number: u64,
     pub to: usize,
@@ -14,7 +14,7 @@
 
 /// A full exchange at a time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub struct Exchange {
+pub(crate) struct Exchange {
     pub at: Micros,
     pub from: usize,
     pub to: usize,
@@ -22,7 +22,7 @@
 
 /// A process wakes at a time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wake {
+pub(crate) struct Wake {
     pub at: Micros,
     pub process: usize,
 }
--- a/membership/tests/common/network.rs
+++ b/membership/tests/common/network.rs
@@ -18,7 +18,7 @@
 const STARTED_AT: Micros = 1_700_000_000 * SECOND;
 
 /// A fleet of processes, the network between them, and the time.
-pub struct Network {
+pub(crate) struct Network {
     pub now: Micros,
     pub processes: Vec<Process>,
     pub rng: fastrand::Rng,
@@ -37,7 +37,7 @@
 
 impl Network {
     /// A fleet of so many configured processes, of which none has started.
-    pub fn new(configured_members: usize, seed: u64) -> Network {
+    pub(crate) fn new(configured_members: usize, seed: u64) -> Network {
         Network {
             now: 0,
             processes: Vec::new(),
@@ -55,18 +55,18 @@
     }
 
     /// A fleet of so many that all start now, each with the first two as seeds.
-    pub fn started(count: usize, seed: u64) -> Network {
+    pub(crate) fn started(count: usize, seed: u64) -> Network {
         let mut network = Network::new(count, seed);
         (0..count).for_each(|index| network.start(index, 0));
         network
     }
 
     /// Starts a process, or restarts it without its state, on a clock with this offset.
-    pub fn start(&mut self, index: usize, clock_offset: Micros) {
+    pub(crate) fn start(&mut self, index: usize, clock_offset: Micros) {
         self.start_named(index, &format!("p{index}"), clock_offset);
     }
 
-    pub fn start_named(&mut self, index: usize, name: &str, clock_offset: Micros) {
+    pub(crate) fn start_named(&mut self, index: usize, name: &str, clock_offset: Micros) {
         let incarnation = self.rng.u64(1..);
         let settings = MembershipSettings {
             name: name.into(),
@@ -87,16 +87,16 @@
         self.flush(index);
     }
 
-    pub fn kill(&mut self, index: usize) {
+    pub(crate) fn kill(&mut self, index: usize) {
         self.processes[index].membership = None;
     }
 
-    pub fn pause(&mut self, index: usize) {
+    pub(crate) fn pause(&mut self, index: usize) {
         self.processes[index].paused = true;
         self.processes[index].wake_at = Micros::MAX;
     }
 
-    pub fn resume(&mut self, index: usize) {
+    pub(crate) fn resume(&mut self, index: usize) {
         let process = &mut self.processes[index];
         process.paused = false;
         for Received { sender, payload } in std::mem::take(&mut process.waiting) {
@@ -108,7 +108,7 @@
     }
 
     /// Leaves the fleet gracefully.
-    pub fn leave(&mut self, index: usize) {
+    pub(crate) fn leave(&mut self, index: usize) {
         let now = self.now;
         self.processes[index].membership.iter_mut().for_each(|membership| membership.leave(now));
     }
@@ -146,7 +146,7 @@
     }
 
     /// Delivers a payload to a process.
-    pub fn deliver(&mut self, to: usize, sender: u64, payload: Vec<u8>) {
+    pub(crate) fn deliver(&mut self, to: usize, sender: u64, payload: Vec<u8>) {
         let Some(process) = self.processes.get_mut(to) else { return };
         if process.paused {
             process.waiting.push(Received { sender, payload });
@@ -185,7 +185,7 @@
     }
 
     /// Advances the time, with all events that are due within the span.
-    pub fn advance(&mut self, span: Micros) {
+    pub(crate) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             let datagram = self.datagrams.peek().map_or(Micros::MAX, |Reverse(next)| next.arrives_at);
@@ -211,13 +211,13 @@
     }
 
     /// Processes that run.
-    pub fn live(&self) -> impl Iterator<Item = &Membership> {
+    pub(crate) fn live(&self) -> impl Iterator<Item = &Membership> {
         let running = self.processes.iter().filter(|process| !process.paused);
         running.filter_map(|process| process.membership.as_ref())
     }
 
     /// Whether all that run have one settled view of so many members.
-    pub fn agrees(&self, members: usize) -> bool {
+    pub(crate) fn agrees(&self, members: usize) -> bool {
         let views: Vec<_> = self.live().map(Membership::view).collect();
         let is_settled = |state: ViewState| matches!(state, ViewState::Settled { .. });
         views
@@ -226,7 +226,7 @@
     }
 
     /// How long it takes until they agree; none if longer than the limit.
-    pub fn time_to_agreement(&mut self, members: usize, limit: Micros) -> Option<Micros> {
+    pub(crate) fn time_to_agreement(&mut self, members: usize, limit: Micros) -> Option<Micros> {
         let start = self.now;
         while !self.agrees(members) {
             if self.now - start >= limit {
--- a/membership/tests/common/process.rs
+++ b/membership/tests/common/process.rs
@@ -4,26 +4,26 @@
 
 /// What was sent.
 #[derive(Clone, Copy, Default)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     pub messages: u64,
     pub bytes: u64,
 }
 
 impl Traffic {
-    pub fn add(&mut self, bytes: u64) {
+    pub(crate) fn add(&mut self, bytes: u64) {
         self.messages += 1;
         self.bytes += bytes;
     }
 }
 
 /// A datagram's payload, and the incarnation that sealed it.
-pub struct Received {
+pub(crate) struct Received {
     pub sender: u64,
     pub payload: Vec<u8>,
 }
 
 /// A process of the simulated fleet.
-pub struct Process {
+pub(crate) struct Process {
     /// None while it is down.
     pub membership: Option<Membership>,
     /// As by SIGSTOP: payloads are received when it resumes.
@@ -39,7 +39,7 @@
 
 impl Process {
     /// A process that has just started.
-    pub fn new(incarnation: u64, membership: Membership) -> Process {
+    pub(crate) fn new(incarnation: u64, membership: Membership) -> Process {
         Process {
             membership: Some(membership),
             paused: false,
--- a/membership/tests/common/scenarios/limits.rs
+++ b/membership/tests/common/scenarios/limits.rs
@@ -33,7 +33,7 @@
 }
 
 /// A peer that has the key and invents thousands of members.
-pub fn what_is_received_is_bounded() -> Result<(), String> {
+pub(crate) fn what_is_received_is_bounded() -> Result<(), String> {
     let mut network = Network::started(2, 10);
     agreement(&mut network, 2, 10 * SECOND, "join")?;
     for round in 0..400 {
--- a/membership/tests/common/scenarios/mod.rs
+++ b/membership/tests/common/scenarios/mod.rs
@@ -1,8 +1,8 @@
 //! Invariants of a fleet, as scenarios that return what was violated: the tests require that they pass, and that each injected fault
 //! makes one fail.
 
-pub mod limits;
-pub mod settling;
+pub(crate) mod limits;
+pub(crate) mod settling;
 
 use super::network::Network;
 use super::{SECOND, address};
@@ -40,7 +40,7 @@
 }
 
 /// At up to 5% of datagrams lost only a member that crashed is removed.
-pub fn no_live_member_is_removed() -> Result<(), String> {
+pub(crate) fn no_live_member_is_removed() -> Result<(), String> {
     for (loss, seed) in [(0.0, 1), (0.05, 2), (0.05, 3)] {
         let mut network = Network::started(40, seed);
         network.loss = loss;
@@ -56,7 +56,7 @@
 }
 
 /// Quotas by each view's divisor add up to no more than the whole, in a partitioned fleet too.
-pub fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
+pub(crate) fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
     let mut network = Network::started(20, 5);
     agreement(&mut network, 20, 20 * SECOND, "join")?;
     partition(&mut network, 7);
@@ -75,7 +75,7 @@
 }
 
 /// After a restart no view has the former incarnation.
-pub fn a_restart_replaces_the_former_incarnation() -> Result<(), String> {
+pub(crate) fn a_restart_replaces_the_former_incarnation() -> Result<(), String> {
     for clock_offset in [0, -3_600 * SECOND] {
         let mut network = Network::started(10, 6);
         agreement(&mut network, 10, 20 * SECOND, "join")?;
@@ -95,7 +95,7 @@
 }
 
 /// A member that receives nothing reports itself blind, and one that is alone by its options does not.
-pub fn a_partitioned_member_reports_itself_blind() -> Result<(), String> {
+pub(crate) fn a_partitioned_member_reports_itself_blind() -> Result<(), String> {
     let state = |network: &mut Network| membership(network, 0).map(|member| member.view().state);
     let mut network = Network::new(3, 7);
     network.start(0, 0);
@@ -119,7 +119,7 @@
 }
 
 /// All report that two members have one name, and that this has ended.
-pub fn name_conflicts_are_reported() -> Result<(), String> {
+pub(crate) fn name_conflicts_are_reported() -> Result<(), String> {
     let mut network = Network::started(4, 9);
     network.start_named(4, "p2", 0);
     network.advance(10 * SECOND);
--- a/membership/tests/common/scenarios/settling.rs
+++ b/membership/tests/common/scenarios/settling.rs
@@ -7,7 +7,7 @@
 use birchreach_membership::{Membership, ViewState};
 
 /// All come to one view after a join, a mass crash, a partition, a one-way partition, a pause and a graceful shutdown.
-pub fn the_view_settles_again() -> Result<(), String> {
+pub(crate) fn the_view_settles_again() -> Result<(), String> {
     for (count, seed) in [(10, 1), (10, 2), (40, 3), (40, 4)] {
         let limit = 20 * SECOND;
         let label = |what: &str| format!("{what}, {count} members, seed {seed}");
@@ -58,7 +58,7 @@
 }
 
 /// A process that joins a settled fleet knows all of it without a round of gossip for each member.
-pub fn a_join_is_known_to_all_at_once() -> Result<(), String> {
+pub(crate) fn a_join_is_known_to_all_at_once() -> Result<(), String> {
     let mut network = Network::started(120, 11);
     agreement(&mut network, 120, 20 * SECOND, "join")?;
     network.kill(7);
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -10,7 +10,7 @@
 
 /// A fault that is injected into a fleet, or the end of one.
 #[derive(Clone, Debug)]
-pub enum Fault {
+pub(crate) enum Fault {
     Kill(usize),
     /// A process starts or restarts, on a clock with this offset.
     Start {
@@ -39,7 +39,7 @@
 
 /// So many processes, and the faults that are injected.
 #[derive(Clone, Debug)]
-pub struct Schedule {
+pub(crate) struct Schedule {
     seed: u64,
     processes: usize,
     faults: Vec<Scheduled>,
@@ -66,7 +66,7 @@
 
 impl Schedule {
     /// The schedule of a seed.
-    pub fn draw(seed: u64) -> Schedule {
+    pub(crate) fn draw(seed: u64) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let processes = rng.usize(3..=10);
         let mut at = 0;
@@ -80,7 +80,7 @@
     }
 
     /// Runs it; then all faults end, and processes that are down or have left start again. How long they took to agree.
-    pub fn run(&self) -> Result<Micros, String> {
+    pub(crate) fn run(&self) -> Result<Micros, String> {
         let mut network = Network::started(self.processes, self.seed);
         for Scheduled { at, fault } in &self.faults {
             while network.now < *at {
@@ -145,6 +145,6 @@
 }
 
 /// The first 150 schedules settle.
-pub fn some_schedules_settle() -> Result<(), String> {
+pub(crate) fn some_schedules_settle() -> Result<(), String> {
     (1..=150).try_for_each(|seed| Schedule::draw(seed).run().map(drop))
 }
--- a/peer-state/tests/common/mod.rs
+++ b/peer-state/tests/common/mod.rs
@@ -4,25 +4,25 @@
 use birchreach_peer_state::frame::{Key, Keys};
 use birchreach_peer_state::{Micros, PeerState, ServerIncarnation, TransferPart};
 
-pub const MILLISECOND: Micros = 1_000;
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const MILLISECOND: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 /// Servers on the list of [`new_state`].
-pub const SERVERS: u32 = 6;
+pub(crate) const SERVERS: u32 = 6;
 
 /// Keys with these numbers; the first seals.
-pub fn keys(numbers: &[u32]) -> Keys {
+pub(crate) fn keys(numbers: &[u32]) -> Keys {
     let secret = |number: u32| format!("a secret with the number {number}").into_bytes();
     let keys = numbers.iter().map(|number| Key { number: *number, secret: secret(*number) });
     Keys::new(keys.collect()).unwrap()
 }
 
 /// The name of a server.
-pub fn server(number: u32) -> String {
+pub(crate) fn server(number: u32) -> String {
     format!("s-{number}")
 }
 
 /// A state that knows nothing of the servers on its list: two groups of three.
-pub fn new_state(observer: u64) -> PeerState {
+pub(crate) fn new_state(observer: u64) -> PeerState {
     let mut state = PeerState::new(observer);
     for number in 0..SERVERS {
         let listed = ServerIncarnation { started_ms: 0, group: number % 2 };
@@ -32,6 +32,6 @@
 }
 
 /// What a proxy sends at this time on its clock.
-pub fn exported(state: &PeerState, now: Micros) -> TransferPart {
+pub(crate) fn exported(state: &PeerState, now: Micros) -> TransferPart {
     TransferPart { servers: state.export_facts(now).collect() }
 }
--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -8,7 +8,7 @@
 
 /// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdminCall {
+pub(crate) enum AdminCall {
     /// Whether this process accepts clients.
     Status,
     /// Its counters and gauges.
@@ -27,7 +27,7 @@
 
 /// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AdminReply {
+pub(crate) enum AdminReply {
     /// Yes, or done.
     Yes(&'static str),
     /// No, with the reason.
@@ -42,7 +42,7 @@
 
 /// The protocol's state on one connection.
 #[derive(Default)]
-pub struct AdminProtocol {
+pub(crate) struct AdminProtocol {
     line: Vec<u8>,
     answered: bool,
     /// The reply.
@@ -51,7 +51,7 @@
 
 impl AdminProtocol {
     /// Takes bytes; returns the call once its line is complete. An invalid line is answered here.
-    pub fn feed(&mut self, bytes: &[u8]) -> Option<AdminCall> {
+    pub(crate) fn feed(&mut self, bytes: &[u8]) -> Option<AdminCall> {
         if self.answered {
             // What follows the line is ignored.
             return None;
@@ -68,7 +68,7 @@
     }
 
     /// The operator has closed its side, which ends the line too.
-    pub fn input_ended(&mut self) -> Option<AdminCall> {
+    pub(crate) fn input_ended(&mut self) -> Option<AdminCall> {
         if self.answered || self.line.is_empty() { None } else { self.parse_line() }
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Writes the reply to the outbox; further input is ignored.
-    pub fn answer(&mut self, reply: &AdminReply) {
+    pub(crate) fn answer(&mut self, reply: &AdminReply) {
         match reply {
             AdminReply::Yes(text) => self.write(&format!("YES {text}\n")),
             AdminReply::No(reason) => self.write(&format!("NO {reason}\n")),
@@ -107,7 +107,7 @@
     }
 
     /// Whether the reply is in the outbox.
-    pub fn is_answered(&self) -> bool {
+    pub(crate) fn is_answered(&self) -> bool {
         self.answered
     }
 }
--- a/proxy/src/background_query.rs
+++ b/proxy/src/background_query.rs
@@ -6,10 +6,10 @@
 
 /// The sender's number for a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct BackgroundQueryId(pub u64);
+pub(crate) struct BackgroundQueryId(pub u64);
 
 /// Statements, and the replies so far.
-pub struct BackgroundQuery {
+pub(crate) struct BackgroundQuery {
     id: BackgroundQueryId,
     server: ServerId,
     statements: Vec<Vec<u8>>,
@@ -18,7 +18,7 @@
 
 /// The result of a query.
 #[derive(Debug)]
-pub struct BackgroundQueryResult {
+pub(crate) struct BackgroundQueryResult {
     /// The sender's number for it.
     pub id: BackgroundQueryId,
     /// The server that it was sent to.
@@ -31,27 +31,27 @@
 
 impl BackgroundQuery {
     /// Statements for a server, in this order.
-    pub fn new(id: BackgroundQueryId, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
+    pub(crate) fn new(id: BackgroundQueryId, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
         BackgroundQuery { id, server, statements, replies: Vec::new() }
     }
 
     /// The first statement without a reply.
-    pub fn current_statement(&self) -> &[u8] {
+    pub(crate) fn current_statement(&self) -> &[u8] {
         self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
     }
 
     /// Whether another statement follows the one with this reply.
-    pub fn continues_after(&self, reply: &Reply) -> bool {
+    pub(crate) fn continues_after(&self, reply: &Reply) -> bool {
         reply.outcome == AttemptOutcome::Ok && self.replies.len() + 1 < self.statements.len()
     }
 
     /// Adds the reply to the current statement, after which another one follows.
-    pub fn add_reply(&mut self, reply: Reply) {
+    pub(crate) fn add_reply(&mut self, reply: Reply) {
         self.replies.push(reply);
     }
 
     /// The result, with the last reply.
-    pub fn complete(mut self, reply: Reply) -> BackgroundQueryResult {
+    pub(crate) fn complete(mut self, reply: Reply) -> BackgroundQueryResult {
         self.replies.push(reply);
         let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
         let complete = all_succeeded && self.replies.len() == self.statements.len();
--- a/proxy/src/cli.rs
+++ b/proxy/src/cli.rs
@@ -15,7 +15,7 @@
 /// has the data it needs and the fewest requests out. Without a command it serves.
 #[derive(Debug, Parser)]
 #[command(name = "birchreach-proxy", version, max_term_width = 100, after_long_help = ENVIRONMENT)]
-pub struct Cli {
+pub(crate) struct Cli {
     /// Options beside the platform's configuration, in XML (see deploy/options.xml); without it all of that is off
     #[arg(long, global = true, value_name = "FILE")]
     pub options: Option<PathBuf>,
@@ -41,7 +41,7 @@
   SIGHUP              read configuration and options again; of faulty ones nothing is taken";
 
 #[derive(Debug, Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Serve clients until told to stop (the default)
     Serve,
     /// Read configuration and options, print every fault with file, line and element; exit 2 if there is one.
@@ -52,14 +52,14 @@
 }
 
 #[derive(Args, Debug)]
-pub struct CheckArguments {
+pub(crate) struct CheckArguments {
     /// The platform's configuration; $RELAY_CONFIG if left out
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
 }
 
 #[derive(Args, Debug)]
-pub struct HealthArguments {
+pub(crate) struct HealthArguments {
     /// The proxy's HTTP health address; that of the options file if left out
     #[arg(long, value_name = "ADDRESS:PORT")]
     pub at: Option<SocketAddr>,
--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -12,7 +12,7 @@
 
 /// What is wrong, and what is probably not meant.
 #[derive(Debug, Default)]
-pub struct CheckReport {
+pub(crate) struct CheckReport {
     /// Faults of both files. With one, the configuration is not applied.
     pub faults: Vec<ConfigFault>,
     /// Warnings about the configuration.
@@ -20,7 +20,7 @@
 }
 
 /// Checks both files.
-pub fn check(variable: impl Fn(&str) -> Option<String>, options: Option<&Path>) -> CheckReport {
+pub(crate) fn check(variable: impl Fn(&str) -> Option<String>, options: Option<&Path>) -> CheckReport {
     let mut report = CheckReport::default();
     let Some(file) = variable(CONFIG_VARIABLE).map(PathBuf::from) else {
         report.faults.push(ConfigFault::of_file(Path::new(CONFIG_VARIABLE), FaultKind::NotNamed));
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -11,7 +11,7 @@
 
 /// Something wrong at a place in a file.
 #[derive(Debug)]
-pub struct ConfigFault {
+pub(crate) struct ConfigFault {
     /// The file.
     pub file: PathBuf,
     /// The line, from 1 on.
@@ -22,7 +22,7 @@
 
 /// What is wrong in a file.
 #[derive(Debug)]
-pub enum FaultKind {
+pub(crate) enum FaultKind {
     /// The environment variable that should name the file is not set.
     NotNamed,
     /// The file cannot be read.
@@ -39,7 +39,7 @@
 
 /// Why a configuration is not applied. Each is printed as one plain line.
 #[derive(Debug)]
-pub enum ConfigError {
+pub(crate) enum ConfigError {
     /// `RELAY_CONFIG` names no file.
     NotNamed,
     /// The file cannot be read.
--- a/proxy/src/config/key_file.rs
+++ b/proxy/src/config/key_file.rs
@@ -17,7 +17,7 @@
 
 /// What is wrong with a file of keys.
 #[derive(Debug)]
-pub enum KeyFileError {
+pub(crate) enum KeyFileError {
     /// The file cannot be read.
     Unreadable(io::Error),
     /// Others than its owner may read it.
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -17,8 +17,8 @@
 use birchreach_options::Options;
 use birchreach_peer_state::frame::Keys;
 use birchreach_settings::{DeploymentSettings, SettingsWarning};
-pub use check::{CheckReport, check};
-pub use error::ConfigError;
+pub(crate) use check::{CheckReport, check};
+pub(crate) use error::ConfigError;
 use key_file::read_key_file;
 use options::read_options;
 use parse::parse;
@@ -28,12 +28,12 @@
 use std::path::{Path, PathBuf};
 
 /// The variable that names the platform's file.
-pub const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
+pub(crate) const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 const HEX_RADIX: u32 = 16;
 
 /// A configuration, complete and without faults.
 #[derive(Debug)]
-pub struct Config {
+pub(crate) struct Config {
     /// The proxy's name.
     pub name: String,
     /// Where clients connect.
@@ -65,12 +65,12 @@
 }
 
 /// A variable of the process's environment.
-pub fn environment(name: &str) -> Option<String> {
+pub(crate) fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
 /// Reads the configuration and the options.
-pub fn load(
+pub(crate) fn load(
     variable: impl Fn(&str) -> Option<String>,
     options: Option<&Path>,
 ) -> Result<Config, ConfigError> {
--- a/proxy/src/config/platform_error.rs
+++ b/proxy/src/config/platform_error.rs
@@ -6,7 +6,7 @@
 
 /// A key of the platform's JSON that is absent or has an unusable value, or a text that is not JSON.
 #[derive(Debug)]
-pub enum PlatformFileError {
+pub(crate) enum PlatformFileError {
     /// The text is not JSON.
     InvalidJson(serde_json::Error),
     /// A string is absent, and the environment variable that may stand in for it is not set.
@@ -29,7 +29,7 @@
 
 /// A setting with which no request can be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UnusableSetting {
+pub(crate) enum UnusableSetting {
     /// There are no request classes.
     NoClasses,
     /// The class with this index has no name, or that of an earlier one.
--- a/proxy/src/config/successor.rs
+++ b/proxy/src/config/successor.rs
@@ -10,7 +10,7 @@
 impl Config {
     /// Checks that another configuration may replace this one. It must have each key of the settings and limits in force, even those
     /// without which a proxy starts.
-    pub fn check_successor(&self, new: &Config) -> Result<(), ConfigError> {
+    pub(crate) fn check_successor(&self, new: &Config) -> Result<(), ConfigError> {
         if let Some(path) = first_missing_key(&self.raw, &new.raw, "") {
             return Err(ConfigError::KeyAbsent(path));
         }
@@ -25,7 +25,7 @@
 
     /// The keys that another configuration changes and that take effect with a restart only. `known` and `seed` are left out: they
     /// apply to the start alone.
-    pub fn changes_needing_restart(&self, new: &Config) -> Vec<&'static str> {
+    pub(crate) fn changes_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let (old_options, new_options) = (&self.options, &new.options);
         let fleet = (&old_options.fleet, &self.fleet_keys) != (&new_options.fleet, &new.fleet_keys);
         let gossip =
--- a/proxy/src/core/attempts.rs
+++ b/proxy/src/core/attempts.rs
@@ -9,17 +9,17 @@
 
 impl<P: RequestPayload> Core<P> {
     /// How many attempts have no result yet.
-    pub fn attempts_in_flight(&self) -> usize {
+    pub(crate) fn attempts_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
     /// Whether an attempt may still be sent: while its connection was opened, the endpoint list may have changed.
-    pub fn may_still_send(&self, now: Micros, attempt: AttemptId) -> bool {
+    pub(crate) fn may_still_send(&self, now: Micros, attempt: AttemptId) -> bool {
         self.router.may_still_send(now, attempt.request, attempt.number)
     }
 
     /// A long response begins to arrive. Returns false if another response already answers the request.
-    pub fn response_started(&mut self, now: Micros, attempt: AttemptId, length: usize) -> bool {
+    pub(crate) fn response_started(&mut self, now: Micros, attempt: AttemptId, length: usize) -> bool {
         let AttemptId { request, number } = attempt;
         let pending = self.requests.get_mut(&request);
         let Some(pending) = pending.filter(|pending| pending.streaming_attempt.is_none()) else {
@@ -36,7 +36,7 @@
     }
 
     /// The next bytes of a long response, which are forwarded unchanged.
-    pub fn response_chunk(&mut self, attempt: AttemptId, bytes: Vec<u8>) {
+    pub(crate) fn response_chunk(&mut self, attempt: AttemptId, bytes: Vec<u8>) {
         let request = attempt.request;
         let pending = self.requests.get(&request);
         if let Some(pending) = pending.filter(|pending| pending.streaming_attempt == Some(attempt)) {
@@ -45,7 +45,7 @@
     }
 
     /// Handles the result of an attempt. Each attempt has exactly one.
-    pub fn attempt_completed(&mut self, now: Micros, attempt: AttemptId, reply: Reply) {
+    pub(crate) fn attempt_completed(&mut self, now: Micros, attempt: AttemptId, reply: Reply) {
         let Some(in_flight) = self.in_flight.remove(&attempt) else { return };
         let (request, server) = (attempt.request, in_flight.server);
         self.notify_attempt_ended(now, server, self.classes.is_write(in_flight.class), &reply);
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -47,7 +47,7 @@
 
 impl ClassTable {
     /// The classes of these settings.
-    pub fn new(settings: &DeploymentSettings, stats: &mut Stats) -> ClassTable {
+    pub(super) fn new(settings: &DeploymentSettings, stats: &mut Stats) -> ClassTable {
         let named = settings.class_names.iter().zip(&settings.routing.classes);
         let numbered = named.map(|(name, rules)| NumberedClass {
             name: name.clone(),
@@ -64,29 +64,29 @@
     }
 
     /// Counts a request of this class that got its final answer.
-    pub fn count_result(&self, stats: &mut Stats, class: ClassId, result: RequestResult) {
+    pub(super) fn count_result(&self, stats: &mut Stats, class: ClassId, result: RequestResult) {
         if let Some(class) = self.get(class) {
             stats.count_result(class.stats_row, result);
         }
     }
 
     /// Whether requests of this class write.
-    pub fn is_write(&self, class: ClassId) -> bool {
+    pub(super) fn is_write(&self, class: ClassId) -> bool {
         self.get(class).is_some_and(|class| class.rules.consistency == Consistency::Write)
     }
 
     /// Consistency of a class; that of a write for an unknown one.
-    pub fn consistency(&self, class: ClassId) -> Consistency {
+    pub(super) fn consistency(&self, class: ClassId) -> Consistency {
         self.get(class).map_or(Consistency::Write, |class| class.rules.consistency)
     }
 
     /// Consistency of each class, by the number of the class.
-    pub fn consistencies(&self) -> Vec<Consistency> {
+    pub(super) fn consistencies(&self) -> Vec<Consistency> {
         self.classes.iter().map(|class| class.rules.consistency).collect()
     }
 
     /// Whether the settings allow health checks.
-    pub fn health_checks_allowed(&self) -> bool {
+    pub(super) fn health_checks_allowed(&self) -> bool {
         self.routing.health_checks_allowed
     }
 
@@ -159,7 +159,7 @@
 
 impl<P: RequestPayload> Core<P> {
     /// Applies new settings.
-    pub fn apply_settings(&mut self, now: Micros, settings: &DeploymentSettings) {
+    pub(crate) fn apply_settings(&mut self, now: Micros, settings: &DeploymentSettings) {
         let mut used: HashSet<ClassId> = self.requests.values().map(|pending| pending.class).collect();
         used.extend(self.in_flight.values().map(|attempt| attempt.class));
         self.classes.update(now, settings, &used, &mut self.stats);
@@ -168,7 +168,7 @@
     }
 
     /// Sets how many processes share the quota of this proxy.
-    pub fn set_process_count(&mut self, now: Micros, process_count: u32) {
+    pub(crate) fn set_process_count(&mut self, now: Micros, process_count: u32) {
         if std::mem::replace(&mut self.classes.process_count, process_count) != process_count {
             self.update_router_settings(now);
         }
@@ -181,12 +181,12 @@
     }
 
     /// The number and rules of the class with this name, while requests of it are accepted.
-    pub fn find_class(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
+    pub(crate) fn find_class(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
         self.classes.find(now, name)
     }
 
     /// Where the required positions of session reads come from.
-    pub fn session_positions(&self) -> SessionPositionSource {
+    pub(crate) fn session_positions(&self) -> SessionPositionSource {
         self.classes.routing.session_positions
     }
 }
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -4,7 +4,7 @@
 use birchreach::{AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId, SessionId};
 
 /// A front end's own form of a request.
-pub trait RequestPayload: Clone {
+pub(crate) trait RequestPayload: Clone {
     /// The key that is read or written.
     fn key(&self) -> &[u8];
 }
@@ -17,7 +17,7 @@
 
 /// A request in the form that all front ends use.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RoutingRequest {
+pub(crate) struct RoutingRequest {
     /// Its class.
     pub class: ClassId,
     /// The group that it addresses.
@@ -32,7 +32,7 @@
 
 /// The final answer to a request. Each request has exactly one, unless its client disconnects.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// Served, with this value.
     Served(Value),
     /// Served; the value was streamed and is complete.
@@ -48,22 +48,22 @@
 
 /// The key of the client connection that a request came from, in the tables of the front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ClientKey(pub usize);
+pub(crate) struct ClientKey(pub usize);
 
 /// Identifies an attempt by its request and its number within the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AttemptId {
+pub(crate) struct AttemptId {
     pub request: RequestId,
     pub number: AttemptNo,
 }
 
 /// Identifies a timer of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RoutingTimerId(pub u32);
+pub(crate) struct RoutingTimerId(pub u32);
 
 /// A command for the event loop, to be carried out in order. `client` is the key that the client's request came with.
 #[derive(Debug, PartialEq)]
-pub enum Command<P> {
+pub(crate) enum Command<P> {
     /// Send an attempt to a server.
     StartAttempt {
         attempt: AttemptId,
@@ -94,7 +94,7 @@
 
 /// A line for the log.
 #[derive(Debug, PartialEq, Eq)]
-pub enum LogRecord {
+pub(crate) enum LogRecord {
     /// A message of the router.
     RouterMessage(String),
     /// The endpoint list names a server for the first time; messages of the router refer to it by its number.
--- a/proxy/src/core/copies.rs
+++ b/proxy/src/core/copies.rs
@@ -25,28 +25,28 @@
     }
 
     /// Adds a subsystem that locates copies.
-    pub fn add_copy_locator(&mut self, locator: Rc<RefCell<dyn CopyLocator>>) {
+    pub(crate) fn add_copy_locator(&mut self, locator: Rc<RefCell<dyn CopyLocator>>) {
         self.copy_locators.push(locator);
     }
 
     /// Removes such a subsystem.
-    pub fn remove_copy_locator(&mut self, locator: &Rc<RefCell<dyn CopyLocator>>) {
+    pub(crate) fn remove_copy_locator(&mut self, locator: &Rc<RefCell<dyn CopyLocator>>) {
         self.copy_locators.retain(|known| !Rc::ptr_eq(known, locator));
     }
 
     /// The position that a copy must have reached to answer this attempt; 0 if any copy may answer it.
-    pub fn required_copy_position(&self, now: Micros, attempt: AttemptId) -> Micros {
+    pub(crate) fn required_copy_position(&self, now: Micros, attempt: AttemptId) -> Micros {
         self.router.required_copy_position(now, attempt.request).unwrap_or(0).max(0)
     }
 
     /// The server that the router allows for background work of a group now. `yields`: the work waits while clients use the
     /// capacity.
-    pub fn background_candidate(&self, group: GroupId, write: bool, yields: bool) -> Option<ServerId> {
+    pub(crate) fn background_candidate(&self, group: GroupId, write: bool, yields: bool) -> Option<ServerId> {
         self.router.background_candidate(group, write, yields)
     }
 
     /// Consistency of each class, by the number of the class.
-    pub fn consistencies(&self) -> Vec<Consistency> {
+    pub(crate) fn consistencies(&self) -> Vec<Consistency> {
         self.classes.consistencies()
     }
 }
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -83,7 +83,7 @@
 
 impl ServerTable {
     /// A table without servers.
-    pub fn new(settings: &DeploymentSettings) -> ServerTable {
+    pub(super) fn new(settings: &DeploymentSettings) -> ServerTable {
         ServerTable {
             zone_names: settings.zone_names.clone(),
             numbers: HashMap::new(),
@@ -93,22 +93,22 @@
     }
 
     /// Applies the zones of other settings.
-    pub fn set_zones(&mut self, settings: &DeploymentSettings) {
+    pub(super) fn set_zones(&mut self, settings: &DeploymentSettings) {
         self.zone_names.clone_from(&settings.zone_names);
     }
 
     /// Servers that were not removed.
-    pub fn present(&self) -> impl Iterator<Item = ServerId> {
+    pub(super) fn present(&self) -> impl Iterator<Item = ServerId> {
         self.listed.iter().filter(|(_, server)| !server.removed).map(|(id, _)| *id)
     }
 
     /// Name of a server in the list.
-    pub fn name(&self, server: ServerId) -> &str {
+    pub(super) fn name(&self, server: ServerId) -> &str {
         self.listed.get(&server).map_or(UNKNOWN_SERVER, |server| &server.uid)
     }
 
     /// The number of the server with this name.
-    pub fn by_name(&self, uid: &str) -> Option<ServerId> {
+    pub(super) fn by_name(&self, uid: &str) -> Option<ServerId> {
         self.numbers.get(uid).copied()
     }
 
@@ -152,23 +152,23 @@
 
 impl<P: RequestPayload> Core<P> {
     /// The address of a server.
-    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
+    pub(crate) fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.servers.listed.get(&server)?.address
     }
 
     /// Whether the endpoint list has servers of this group. While there is no list, any group may exist.
-    pub fn has_group(&self, group: GroupId) -> bool {
+    pub(crate) fn has_group(&self, group: GroupId) -> bool {
         let listed = &self.servers.listed;
         listed.is_empty() || listed.values().any(|server| server.group == group)
     }
 
     /// Name of a server in the list, for the log.
-    pub fn server_name(&self, server: ServerId) -> &str {
+    pub(crate) fn server_name(&self, server: ServerId) -> &str {
         self.servers.name(server)
     }
 
     /// Applies a change of the endpoint list. Returns the servers that moved or were removed.
-    pub fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate) -> Vec<ServerId> {
+    pub(crate) fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate) -> Vec<ServerId> {
         if update.complete {
             self.servers.listed.values_mut().for_each(|server| server.removed = true);
         }
@@ -217,7 +217,7 @@
     }
 
     /// Adds an observer, and notifies it of all servers in the list.
-    pub fn subscribe(&mut self, now: Micros, observer: Rc<RefCell<dyn Observer>>) {
+    pub(crate) fn subscribe(&mut self, now: Micros, observer: Rc<RefCell<dyn Observer>>) {
         for (id, server) in self.servers.listed.iter().filter(|(_, server)| !server.removed) {
             observer.borrow_mut().on_event(now, server.event(*id));
         }
@@ -225,7 +225,7 @@
     }
 
     /// Removes an observer.
-    pub fn unsubscribe(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
+    pub(crate) fn unsubscribe(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
         self.observers.remove(observer);
     }
 }
--- a/proxy/src/core/health_checks.rs
+++ b/proxy/src/core/health_checks.rs
@@ -14,20 +14,20 @@
     }
 
     /// A health check of the router ended.
-    pub fn health_check_completed(&mut self, now: Micros, server: ServerId, reply: &Reply) {
+    pub(crate) fn health_check_completed(&mut self, now: Micros, server: ServerId, reply: &Reply) {
         self.notify_attempt_ended(now, server, false, reply);
         let load_report = credible_report(reply.load_report, now);
         self.handle(now, Event::HealthCheckCompleted { server, outcome: reply.outcome, load_report });
     }
 
     /// A health check ended that an observer requested; its result is not reported to the router.
-    pub fn monitor_check_completed(&self, now: Micros, server: ServerId, reply: &Reply) {
+    pub(crate) fn monitor_check_completed(&self, now: Micros, server: ServerId, reply: &Reply) {
         self.observers.notify(now, CoreEvent::MonitorCheckEnded { server, reply });
     }
 
     /// Another proxy has observed a position of the present process of a listed server. The router uses it as a lower bound, like a
     /// load report.
-    pub fn record_remote_position(&mut self, now: Micros, uid: &str, report: LoadReport) {
+    pub(crate) fn record_remote_position(&mut self, now: Micros, uid: &str, report: LoadReport) {
         let load_report = credible_report(Some(report), now);
         if let (Some(server), Some(_)) = (self.servers.by_name(uid), load_report) {
             let outcome = AttemptOutcome::Ok;
@@ -36,19 +36,19 @@
     }
 
     /// Checks the role of a server, where health checks are allowed.
-    pub fn check_role(&mut self, now: Micros, uid: &str) {
+    pub(crate) fn check_role(&mut self, now: Micros, uid: &str) {
         if let Some(server) = self.servers.by_name(uid).filter(|_| self.classes.health_checks_allowed()) {
             self.start_health_check(now, server);
         }
     }
 
     /// A connection to a server was established.
-    pub fn server_alive(&self, now: Micros, server: ServerId) {
+    pub(crate) fn server_alive(&self, now: Micros, server: ServerId) {
         self.observers.notify(now, CoreEvent::ServerAlive { server });
     }
 
     /// Discovery answered a poll.
-    pub fn discovery_answered(&self, now: Micros) {
+    pub(crate) fn discovery_answered(&self, now: Micros) {
         self.observers.notify(now, CoreEvent::DiscoveryAnswered);
     }
 }
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -18,11 +18,11 @@
 use birchreach::{Action, ClassId, Event, GroupId, Micros, RequestId, Router, ServerId};
 use birchreach_settings::DeploymentSettings;
 use classes::ClassTable;
-pub use command::{
+pub(crate) use command::{
     Answer, AttemptId, ClientKey, Command, LogRecord, RequestPayload, RoutingRequest, RoutingTimerId,
 };
 use endpoints::ServerTable;
-pub use requests::session_id;
+pub(crate) use requests::session_id;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -55,7 +55,7 @@
 }
 
 /// The pending requests, and the router that decides about them.
-pub struct Core<P> {
+pub(crate) struct Core<P> {
     router: Router,
     requests: HashMap<RequestId, PendingRequest<P>>,
     in_flight: HashMap<AttemptId, InFlightAttempt>,
@@ -72,7 +72,7 @@
 
 impl<P: RequestPayload> Core<P> {
     /// A core without servers or requests.
-    pub fn new(settings: &DeploymentSettings, seed: u64, now: Micros) -> Core<P> {
+    pub(crate) fn new(settings: &DeploymentSettings, seed: u64, now: Micros) -> Core<P> {
         let mut actions = Vec::new();
         let router = Router::new(settings.routing.clone(), seed, now, &mut actions);
         let mut stats = Stats::default();
@@ -95,23 +95,23 @@
     }
 
     /// The next command for the event loop.
-    pub fn next_command(&mut self) -> Option<Command<P>> {
+    pub(crate) fn next_command(&mut self) -> Option<Command<P>> {
         self.commands.pop_front()
     }
 
     /// The gauges for operators.
-    pub fn gauges(&self, now: Micros) -> Gauges {
+    pub(crate) fn gauges(&self, now: Micros) -> Gauges {
         let skipped = self.servers.present().filter(|server| self.router.is_avoided(now, *server)).count();
         Gauges { in_progress: self.requests.len(), known: self.servers.present().count(), skipped }
     }
 
     /// Requests without a final answer.
-    pub fn open_request_count(&self) -> usize {
+    pub(crate) fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
     /// A timer of the router expired.
-    pub fn timer_fired(&mut self, now: Micros, id: RoutingTimerId) {
+    pub(crate) fn timer_fired(&mut self, now: Micros, id: RoutingTimerId) {
         self.handle(now, Event::Timer { id: id.0 });
     }
 
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -8,7 +8,7 @@
 
 impl<P: RequestPayload> Core<P> {
     /// Accepts a client's request. `client` is returned with its answer.
-    pub fn request(
+    pub(crate) fn request(
         &mut self,
         now: Micros,
         client: ClientKey,
@@ -46,7 +46,7 @@
     }
 
     /// The client disconnected; its request needs no answer.
-    pub fn client_disconnected(&mut self, now: Micros, request: RequestId) {
+    pub(crate) fn client_disconnected(&mut self, now: Micros, request: RequestId) {
         if self.requests.remove(&request).is_some() {
             self.handle(now, Event::ClientDisconnected { request });
         }
@@ -81,7 +81,7 @@
     }
 
     /// Notifies observers of the writes without an attempt in flight. Returns how many requests, including reads, have none.
-    pub fn report_queued(&self, now: Micros) -> usize {
+    pub(crate) fn report_queued(&self, now: Micros) -> usize {
         let queued = self.requests.values().filter(|pending| pending.attempts_in_flight == 0);
         let queued_count = queued.clone().count();
         let writes = queued.filter(|pending| self.classes.is_write(pending.class));
@@ -92,6 +92,6 @@
 }
 
 /// The id of a session, from its name.
-pub fn session_id(name: &[u8]) -> SessionId {
+pub(crate) fn session_id(name: &[u8]) -> SessionId {
     SessionId(fnv1a(name))
 }
--- a/proxy/src/discovery/backoff.rs
+++ b/proxy/src/discovery/backoff.rs
@@ -19,15 +19,15 @@
 /// the 200 ms within which a watch must continue.
 const INITIAL_WAIT_MICROS: Micros = 20_000;
 /// The longest such wait.
-pub const MAX_WAIT_MICROS: Micros = 640_000;
+pub(super) const MAX_WAIT_MICROS: Micros = 640_000;
 /// The time reserved for the poll of each proxy. Discovery serves all proxies one after the other, and rejects those that would
 /// wait too long; n polls fit into a round of n slots. If up to 100 proxies poll within the drain grace, at most half of them are
 /// rejected, and these fit into half a round. The round doubles with each consecutive rejection.
-pub const POLL_SLOT_MICROS: Micros = 60_000;
+pub(super) const POLL_SLOT_MICROS: Micros = 60_000;
 /// How often the round is doubled at most.
 const MAX_OVERLOAD_DOUBLINGS: u32 = 3;
 /// The longest wait after a rejected poll: the next one is answered or has failed before the notification deadline.
-pub const MAX_OVERLOAD_WAIT_MICROS: Micros =
+pub(super) const MAX_OVERLOAD_WAIT_MICROS: Micros =
     NOTIFICATION_DEADLINE_MICROS - RESPONSE_TIMEOUT_MICROS - NEXT_POLL_RESERVE_MICROS;
 
 const _: () = assert!(
@@ -36,7 +36,7 @@
 const _: () = assert!(MAX_OVERLOAD_WAIT_MICROS + RESPONSE_TIMEOUT_MICROS < NOTIFICATION_DEADLINE_MICROS);
 
 /// When to poll again.
-pub struct Backoff {
+pub(crate) struct Backoff {
     proxy_count: Micros,
     /// How many proxies poll the same discovery; only this one where lists are pushed to an agent of its own.
     caller_count: Micros,
@@ -51,7 +51,7 @@
 
 impl Backoff {
     /// A backoff with these settings, randomized by the seed.
-    pub fn new(settings: &Settings, seed: u64) -> Backoff {
+    pub(crate) fn new(settings: &Settings, seed: u64) -> Backoff {
         let mut backoff = Backoff {
             proxy_count: 1,
             caller_count: 1,
@@ -65,7 +65,7 @@
     }
 
     /// Applies other settings to the next waits.
-    pub fn update_settings(&mut self, settings: &Settings) {
+    pub(crate) fn update_settings(&mut self, settings: &Settings) {
         self.proxy_count = settings.proxy_count.max(1).into();
         self.caller_count = match settings.endpoint_discovery {
             EndpointDiscovery::Pushed => 1,
@@ -77,13 +77,13 @@
     /// The wait before the first poll: random within a slot for each other proxy, but at most three quarters of the drain grace, as
     /// the list from before the start is used until then. It applies to pushed lists too: watches that are all opened at the same
     /// time would also all time out at the same time.
-    pub fn initial_wait(&mut self) -> Micros {
+    pub(crate) fn initial_wait(&mut self) -> Micros {
         let other_slots = (self.proxy_count - 1) * POLL_SLOT_MICROS;
         self.rng.i64(0..=other_slots.min(self.drain_grace * 3 / 4).max(0))
     }
 
     /// The wait after a poll that failed.
-    pub fn wait_after(&mut self, error: &PollError) -> Micros {
+    pub(crate) fn wait_after(&mut self, error: &PollError) -> Micros {
         if *error == PollError::Overloaded {
             return self.wait_after_overload();
         }
@@ -102,7 +102,7 @@
     }
 
     /// A poll was answered, or the next one goes to another host.
-    pub fn reset(&mut self) {
+    pub(crate) fn reset(&mut self) {
         (self.wait, self.overloads) = (INITIAL_WAIT_MICROS, 0);
     }
 }
--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -5,7 +5,7 @@
 
 /// Why a poll failed. Its connection is not used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PollError {
+pub(crate) enum PollError {
     /// The system had no socket for a connection.
     NoSocket,
     /// The connection was refused.
@@ -34,7 +34,7 @@
 
 /// The part of a response that is not valid HTTP/1.1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HttpFault {
+pub(crate) enum HttpFault {
     /// Its head.
     Head,
     /// Its `Content-Length`.
--- a/proxy/src/discovery/list.rs
+++ b/proxy/src/discovery/list.rs
@@ -5,7 +5,7 @@
 /// The state of a database on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedState {
+pub(crate) enum ListedState {
     /// It accepts new requests.
     Up,
     /// It completes its requests and accepts no new ones.
@@ -17,7 +17,7 @@
 /// The role of a database on the list, if the list names roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
-pub enum Access {
+pub(crate) enum Access {
     /// A primary.
     Writer,
     /// A replica: any text but `writer`.
@@ -32,7 +32,7 @@
 
 /// A database on the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct ListedEndpoint {
+pub(crate) struct ListedEndpoint {
     /// Its identity, which stays when its address changes.
     pub uid: String,
     /// Its address, `host:port`.
@@ -64,20 +64,20 @@
 
 impl ListedEndpoint {
     /// When it last started, in milliseconds of Unix time; none if that was long ago.
-    pub fn started_ms(&self) -> Option<i64> {
+    pub(crate) fn started_ms(&self) -> Option<i64> {
         let started = self.started_unix_ms as i64;
         (started > 0).then_some(started)
     }
 
     /// Whether it is a primary by the list; none if the list names no roles.
-    pub fn is_primary(&self) -> Option<bool> {
+    pub(crate) fn is_primary(&self) -> Option<bool> {
         self.access.map(|access| access == Access::Writer)
     }
 }
 
 /// A response of discovery: changes to the list, or the complete list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct EndpointUpdate {
+pub(crate) struct EndpointUpdate {
     /// The version of the list after this update.
     #[serde(rename = "rev")]
     pub revision: u64,
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -8,7 +8,7 @@
 mod tests;
 mod watch;
 
-pub use backoff::Backoff;
-pub use error::PollError;
-pub use list::{EndpointUpdate, ListedEndpoint, ListedState};
-pub use watch::{CONNECT_TIMEOUT_MICROS, EndpointWatch, PollResponse, RESPONSE_TIMEOUT_MICROS};
+pub(crate) use backoff::Backoff;
+pub(crate) use error::PollError;
+pub(crate) use list::{EndpointUpdate, ListedEndpoint, ListedState};
+pub(crate) use watch::{CONNECT_TIMEOUT_MICROS, EndpointWatch, PollResponse, RESPONSE_TIMEOUT_MICROS};
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -11,21 +11,22 @@
 use birchreach::Micros;
 
 /// The proxy counts as notified of a change this time after discovery had it, or after a poll became unresponsive.
-pub const NOTIFICATION_DEADLINE_MICROS: Micros = 6_000_000;
+pub(super) const NOTIFICATION_DEADLINE_MICROS: Micros = 6_000_000;
 /// For a change that a long poll missed: this time after the end of the poll's wait, if that is later.
 const LONG_POLL_GRACE_MICROS: Micros = 2_000_000;
 /// The part of those times that is reserved for the next poll and its response.
-pub const NEXT_POLL_RESERVE_MICROS: Micros = 500_000;
+pub(super) const NEXT_POLL_RESERVE_MICROS: Micros = 500_000;
 /// The timeout of a poll that does not wait, and of the rest of a response that has begun: two such polls fit into
 /// [`NOTIFICATION_DEADLINE_MICROS`].
-pub const RESPONSE_TIMEOUT_MICROS: Micros = (NOTIFICATION_DEADLINE_MICROS - 2 * NEXT_POLL_RESERVE_MICROS) / 2;
+pub(crate) const RESPONSE_TIMEOUT_MICROS: Micros =
+    (NOTIFICATION_DEADLINE_MICROS - 2 * NEXT_POLL_RESERVE_MICROS) / 2;
 /// The timeout for establishing a connection: a lost first packet is sent again after a second.
-pub const CONNECT_TIMEOUT_MICROS: Micros = NOTIFICATION_DEADLINE_MICROS / 4;
+pub(crate) const CONNECT_TIMEOUT_MICROS: Micros = NOTIFICATION_DEADLINE_MICROS / 4;
 /// How long a long poll may wait for a change.
 const LONG_POLL_MS: u64 = 20_000;
 
 /// The polls: one at a time, each for changes after the newest revision received.
-pub struct EndpointWatch {
+pub(crate) struct EndpointWatch {
     host: String,
     /// The newest revision received.
     revision: Option<u64>,
@@ -37,29 +38,29 @@
 
 impl EndpointWatch {
     /// A watch that continues from a revision, if one is known.
-    pub fn new(host: String, revision: Option<u64>) -> EndpointWatch {
+    pub(crate) fn new(host: String, revision: Option<u64>) -> EndpointWatch {
         EndpointWatch { host, revision, last_poll_failed: false, input: Vec::new() }
     }
 
     /// Polls another host from now on, which has the same revisions.
-    pub fn set_host(&mut self, host: String) {
+    pub(crate) fn set_host(&mut self, host: String) {
         self.host = host;
         self.record_failure();
     }
 
     /// The poll failed.
-    pub fn record_failure(&mut self) {
+    pub(crate) fn record_failure(&mut self) {
         self.last_poll_failed = true;
         self.input.clear();
     }
 
     /// The next poll may wait for a change.
-    pub fn is_long_poll(&self) -> bool {
+    pub(crate) fn is_long_poll(&self) -> bool {
         self.revision.is_some() && !self.last_poll_failed
     }
 
     /// The next request, for a connection on which no response is outstanding.
-    pub fn next_request(&mut self) -> Vec<u8> {
+    pub(crate) fn next_request(&mut self) -> Vec<u8> {
         self.input.clear();
         let wait_ms = if self.is_long_poll() { LONG_POLL_MS } else { 0 };
         let query = match self.revision {
@@ -72,7 +73,7 @@
     }
 
     /// How long that poll may take until its response begins.
-    pub fn response_timeout(&self) -> Micros {
+    pub(crate) fn response_timeout(&self) -> Micros {
         if !self.is_long_poll() {
             return RESPONSE_TIMEOUT_MICROS;
         }
@@ -80,12 +81,12 @@
     }
 
     /// A response has begun, and is not complete.
-    pub fn response_started(&self) -> bool {
+    pub(crate) fn response_started(&self) -> bool {
         !self.input.is_empty()
     }
 
     /// Takes bytes; returns the response once it is complete.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<PollResponse>, PollError> {
+    pub(crate) fn feed(&mut self, bytes: &[u8]) -> Result<Option<PollResponse>, PollError> {
         self.input.extend_from_slice(bytes);
         if self.input.len() > MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES {
             return Err(PollError::TooLong);
@@ -95,7 +96,7 @@
     }
 
     /// The connection was closed, which completes a response without a length. A reset does not.
-    pub fn finish_on_close(&mut self) -> Result<Option<PollResponse>, PollError> {
+    pub(crate) fn finish_on_close(&mut self) -> Result<Option<PollResponse>, PollError> {
         if self.input.is_empty() {
             return Ok(None);
         }
@@ -122,7 +123,7 @@
 
 /// The response to a poll.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PollResponse {
+pub(crate) enum PollResponse {
     /// A newer list, or no change.
     Updated(EndpointUpdate),
     /// Changes older than the newest revision received. They are not applied; the next poll is for the complete list.
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -14,7 +14,7 @@
 
 /// The direction of a datagram. The names are the label's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Direction {
+pub(crate) enum Direction {
     /// Sent.
     Sent,
     /// Received and accepted.
@@ -35,7 +35,7 @@
 
 /// Why a datagram counts as dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DropReason {
+pub(crate) enum DropReason {
     /// It could not be opened.
     Datagram(DatagramError),
     /// Its payload was rejected.
@@ -56,7 +56,7 @@
 }
 
 /// The metrics of the fleet.
-pub struct Metrics {
+pub(crate) struct Metrics {
     registry: Registry,
     datagrams: Family<DirectionLabel, Counter>,
     bytes: Family<DirectionLabel, Counter>,
@@ -67,7 +67,7 @@
 
 impl Metrics {
     /// All metrics at zero.
-    pub fn new() -> Metrics {
+    pub(crate) fn new() -> Metrics {
         let mut metrics = Metrics {
             registry: Registry::with_prefix("birchreach_fleet"),
             datagrams: Family::default(),
@@ -98,18 +98,18 @@
     }
 
     /// A datagram was sent, or received and accepted.
-    pub fn count_datagram(&self, way: Direction, bytes: usize) {
+    pub(crate) fn count_datagram(&self, way: Direction, bytes: usize) {
         self.datagrams.get_or_create(&DirectionLabel { way }).inc();
         self.bytes.get_or_create(&DirectionLabel { way }).inc_by(bytes as u64);
     }
 
     /// A datagram was not accepted, or not sent.
-    pub fn count_dropped(&self, reason: DropReason) {
+    pub(crate) fn count_dropped(&self, reason: DropReason) {
         self.dropped.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
 
     /// All metrics in the text format, without its last line.
-    pub fn text(&self, membership: &Membership) -> String {
+    pub(crate) fn text(&self, membership: &Membership) -> String {
         let view = membership.view();
         self.members.set(i64::try_from(view.members).unwrap_or(i64::MAX));
         self.settled.set(i64::from(matches!(view.state, ViewState::Settled { .. })));
@@ -121,7 +121,7 @@
 }
 
 /// The reply to the call `fleet`.
-pub fn report(membership: &Membership, now: Micros) -> String {
+pub(crate) fn report(membership: &Membership, now: Micros) -> String {
     let view = membership.view();
     let own = membership.own();
     let for_ms = match view.state {
--- a/proxy/src/grpc/call.rs
+++ b/proxy/src/grpc/call.rs
@@ -64,7 +64,7 @@
 
 impl Call {
     /// Begins a call; none if it is answered immediately.
-    pub fn begin(request: Request<RecvStream>, mut respond: SendResponse<Bytes>) -> Option<Call> {
+    pub(super) fn begin(request: Request<RecvStream>, mut respond: SendResponse<Bytes>) -> Option<Call> {
         let (head, body) = request.into_parts();
         let content_type = head.headers.get("content-type").and_then(|value| value.to_str().ok());
         let is_grpc = content_type.is_some_and(|kind| kind.starts_with("application/grpc"));
@@ -86,12 +86,12 @@
     }
 
     /// Whether it is sent each change of a status.
-    pub fn is_watch(&self) -> bool {
+    pub(super) fn is_watch(&self) -> bool {
         matches!(self, Call::Watching(_))
     }
 
     /// Receives and sends as far as the peer allows.
-    pub fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
+    pub(super) fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
         match self {
             Call::Receiving(call) => call.advance(context, verdict),
             Call::Watching(call) => call.advance(context, verdict),
--- a/proxy/src/grpc/message.rs
+++ b/proxy/src/grpc/message.rs
@@ -51,7 +51,7 @@
 
 impl InvalidRequest {
     /// The message for the peer.
-    pub const MESSAGE: &str = "not a request of grpc.health.v1";
+    pub(super) const MESSAGE: &str = "not a request of grpc.health.v1";
 }
 
 impl fmt::Display for InvalidRequest {
--- a/proxy/src/grpc/mod.rs
+++ b/proxy/src/grpc/mod.rs
@@ -41,7 +41,7 @@
 }
 
 /// A balancer's connection.
-pub struct GrpcCheckConnection {
+pub(crate) struct GrpcCheckConnection {
     pipe: Rc<RefCell<Pipe>>,
     state: ConnectionState,
     calls: Vec<Call>,
@@ -78,57 +78,57 @@
 
 impl GrpcCheckConnection {
     /// More input may be read.
-    pub fn wants_input(&self) -> bool {
+    pub(crate) fn wants_input(&self) -> bool {
         self.pipe.borrow().input.len() < MAX_BUFFERED_BYTES
     }
 
     /// Takes input.
-    pub fn feed(&mut self, bytes: &[u8]) {
+    pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.pipe.borrow_mut().input.extend(bytes);
     }
 
     /// The peer sends no more.
-    pub fn input_ended(&mut self) {
+    pub(crate) fn input_ended(&mut self) {
         self.pipe.borrow_mut().input_ended = true;
     }
 
     /// The output that waits to be written. What can't be written goes to [`Self::return_output`].
-    pub fn take_output(&mut self) -> Vec<u8> {
+    pub(crate) fn take_output(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pipe.borrow_mut().output)
     }
 
     /// The end of the taken output that could not be written.
-    pub fn return_output(&mut self, unwritten: &[u8]) {
+    pub(crate) fn return_output(&mut self, unwritten: &[u8]) {
         self.pipe.borrow_mut().output.splice(..0, unwritten.iter().copied());
     }
 
     /// Output waits to be written.
-    pub fn has_output(&self) -> bool {
+    pub(crate) fn has_output(&self) -> bool {
         !self.pipe.borrow().output.is_empty()
     }
 
     /// The connection has ended.
-    pub fn is_finished(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         matches!(self.state, ConnectionState::Closed)
     }
 
     /// The number of answers, watch messages and pongs so far: if it grows, the peer is active.
-    pub fn activity(&self) -> u64 {
+    pub(crate) fn activity(&self) -> u64 {
         self.activity
     }
 
     /// No call is open.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         matches!(self.state, ConnectionState::Open(..)) && self.calls.is_empty()
     }
 
     /// A watch is open.
-    pub fn has_watches(&self) -> bool {
+    pub(crate) fn has_watches(&self) -> bool {
         self.calls.iter().any(Call::is_watch)
     }
 
     /// Sends a ping; the peer's answer counts as activity.
-    pub fn ping(&mut self) {
+    pub(crate) fn ping(&mut self) {
         if let ConnectionState::Open(_, Some(ping)) = &mut self.state {
             // Fails if a ping is in flight already, which serves as well.
             let _ = ping.send_ping(Ping::opaque());
@@ -136,7 +136,7 @@
     }
 
     /// Processes as much as input and output allow. Returns whether there may be more to do without either.
-    pub fn process(&mut self, verdict: &Verdict) -> bool {
+    pub(crate) fn process(&mut self, verdict: &Verdict) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         for _ in 0..MAX_ROUNDS {
             let before = self.round_state();
--- a/proxy/src/handover_protocol.rs
+++ b/proxy/src/handover_protocol.rs
@@ -13,7 +13,7 @@
 
 /// A message to the other process. The words on the wire must not change, as the other process may be of an earlier version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HandoverMessage {
+pub(crate) enum HandoverMessage {
     /// `serving`: the newer process accepts clients.
     Serving,
     /// `leaving N`: the older process is stopping, and still has this number of descriptors open.
@@ -25,7 +25,7 @@
 
 /// A line that is not a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct InvalidMessage;
+pub(crate) struct InvalidMessage;
 
 impl Display for InvalidMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -37,7 +37,7 @@
 
 /// The protocol's state on one connection.
 #[derive(Default)]
-pub struct HandoverProtocol {
+pub(crate) struct HandoverProtocol {
     input: Vec<u8>,
     /// Messages to the other process.
     pub outbox: Outbox,
@@ -45,12 +45,12 @@
 
 impl HandoverProtocol {
     /// Takes bytes that the other process sent.
-    pub fn feed(&mut self, bytes: &[u8]) {
+    pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
     /// The next message, once its line is complete.
-    pub fn next_message(&mut self) -> Result<Option<HandoverMessage>, InvalidMessage> {
+    pub(crate) fn next_message(&mut self) -> Result<Option<HandoverMessage>, InvalidMessage> {
         let Some(end) = self.input.iter().position(|byte| *byte == b'\n') else {
             return if self.input.len() > MAX_LINE_BYTES { Err(InvalidMessage) } else { Ok(None) };
         };
@@ -60,7 +60,7 @@
     }
 
     /// Puts a message into the outbox.
-    pub fn send(&mut self, message: HandoverMessage) {
+    pub(crate) fn send(&mut self, message: HandoverMessage) {
         let line = match message {
             HandoverMessage::Serving => "serving\n".to_string(),
             HandoverMessage::Stopping(descriptors) => format!("leaving {descriptors}\n"),
--- a/proxy/src/hash.rs
+++ b/proxy/src/hash.rs
@@ -6,6 +6,6 @@
 const PRIME: u64 = 0x0100_0000_01b3;
 
 /// FNV-1a of 64 bits.
-pub fn fnv1a(bytes: &[u8]) -> u64 {
+pub(crate) fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Feeds the health monitor from the core's events.
-pub struct HealthObserver {
+pub(crate) struct HealthObserver {
     /// The monitor.
     pub monitor: Monitor,
     /// Since when each group's oldest write is queued, as the monitor was told last.
@@ -21,7 +21,7 @@
 }
 
 /// What the event loop must do after an update of the monitor.
-pub struct HealthUpdate {
+pub(crate) struct HealthUpdate {
     /// When the next update is due, unless an event comes first.
     pub next_update_at: Micros,
     /// Changes of the verdict, for the log.
@@ -31,7 +31,11 @@
 }
 
 /// The monitor's settings from the options and the deployment's settings. Probes are sent only if both allow them.
-pub fn monitor_settings(options: &HealthOptions, site: &DeploymentSettings, seed: u64) -> HealthSettings {
+pub(crate) fn monitor_settings(
+    options: &HealthOptions,
+    site: &DeploymentSettings,
+    seed: u64,
+) -> HealthSettings {
     let names = site.class_names.iter();
     let classes = names
         .zip(&site.routing.classes)
@@ -94,18 +98,18 @@
 
 impl HealthObserver {
     /// An observer with a monitor that starts now.
-    pub fn new(settings: HealthSettings, now: Micros) -> HealthObserver {
+    pub(crate) fn new(settings: HealthSettings, now: Micros) -> HealthObserver {
         HealthObserver { monitor: Monitor::new(settings, now), writes_queued_since: BTreeMap::new() }
     }
 
     /// The verdict as of now.
-    pub fn verdict(&mut self, now: Micros) -> &health::Verdict {
+    pub(crate) fn verdict(&mut self, now: Micros) -> &health::Verdict {
         self.update_if_due(now);
         self.monitor.verdict()
     }
 
     /// Updates the monitor if that is due, and takes what the event loop must do.
-    pub fn update(&mut self, now: Micros) -> HealthUpdate {
+    pub(crate) fn update(&mut self, now: Micros) -> HealthUpdate {
         self.update_if_due(now);
         let probes = self.monitor.take_probes();
         HealthUpdate {
--- a/proxy/src/health_command.rs
+++ b/proxy/src/health_command.rs
@@ -7,17 +7,17 @@
 
 use crate::cli::HealthArguments;
 use birchreach_options::Options;
-pub use error::HealthCommandError;
+pub(crate) use error::HealthCommandError;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::path::Path;
 use std::time::Duration;
 
 /// The exit code if the proxy can serve the requests that the command names.
-pub const ABLE: i32 = 0;
+pub(crate) const ABLE: i32 = 0;
 /// The exit code if it cannot.
-pub const UNABLE: i32 = 1;
+pub(crate) const UNABLE: i32 = 1;
 /// The exit code if there is no answer.
-pub const UNREACHED: i32 = 2;
+pub(crate) const UNREACHED: i32 = 2;
 
 /// The longest answer that is read.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
@@ -33,7 +33,7 @@
 }
 
 /// Returns the exit code and what to print.
-pub fn run(arguments: &HealthArguments, options: Option<&Options>) -> (i32, String) {
+pub(crate) fn run(arguments: &HealthArguments, options: Option<&Options>) -> (i32, String) {
     match query_proxy(arguments, options) {
         Ok((code, text)) => (code, text),
         Err(error) => (UNREACHED, error.to_string()),
@@ -41,7 +41,7 @@
 }
 
 /// Reads the options, which may name the address.
-pub fn read_options(file: &Path) -> Result<Options, HealthCommandError> {
+pub(crate) fn read_options(file: &Path) -> Result<Options, HealthCommandError> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| HealthCommandError::OptionsUnreadable { file: file.into(), error })?;
     birchreach_options::parse(&text).map_err(|errors| HealthCommandError::OptionsInvalid {
--- a/proxy/src/health_command/error.rs
+++ b/proxy/src/health_command/error.rs
@@ -9,7 +9,7 @@
 
 /// Why there is no answer.
 #[derive(Debug)]
-pub enum HealthCommandError {
+pub(crate) enum HealthCommandError {
     /// The options cannot be read.
     OptionsUnreadable { file: PathBuf, error: io::Error },
     /// The options are invalid; this is the first error.
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -18,7 +18,7 @@
 }
 
 /// The tracker of hot keys as an observer of the core, and the locator of its copies.
-pub struct HotKeyObserver {
+pub(crate) struct HotKeyObserver {
     /// The decisions.
     pub tracker: HotKeyTracker,
     hasher: NameHasher,
@@ -31,7 +31,7 @@
 
 /// How often the holders of copies had a copy that was recent enough, and how often not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CopyReadCounts {
+pub(crate) struct CopyReadCounts {
     /// Reads served from copies.
     pub hits: u64,
     /// Reads for which the holder had no copy, or an old one.
@@ -49,7 +49,7 @@
 }
 
 /// The crate's settings from the options, the number of configured processes and the classes of requests.
-pub fn settings(
+pub(crate) fn settings(
     options: &birchreach_options::HotKeyOptions,
     configured_members: u32,
     classes: &[Consistency],
@@ -65,7 +65,12 @@
 
 impl HotKeyObserver {
     /// An observer that has seen nothing; `own_origin` is this process's number in reports.
-    pub fn new(settings: Settings, own_origin: u64, hasher: NameHasher, now: Micros) -> HotKeyObserver {
+    pub(crate) fn new(
+        settings: Settings,
+        own_origin: u64,
+        hasher: NameHasher,
+        now: Micros,
+    ) -> HotKeyObserver {
         HotKeyObserver {
             tracker: HotKeyTracker::new(settings, own_origin, hasher.key_id, now),
             hasher,
@@ -77,7 +82,7 @@
     }
 
     /// Passes the endpoint list to the tracker, if it has changed.
-    pub fn apply_list_changes(&mut self) {
+    pub(crate) fn apply_list_changes(&mut self) {
         if !std::mem::take(&mut self.list_changed) {
             return;
         }
@@ -98,12 +103,12 @@
     }
 
     /// How often copies answered reads.
-    pub fn copy_read_counts(&self) -> CopyReadCounts {
+    pub(crate) fn copy_read_counts(&self) -> CopyReadCounts {
         CopyReadCounts { hits: self.copy_hits, misses: self.copy_misses }
     }
 
     /// The reply to the call `hot`: a summary line, and one for each hot key.
-    pub fn status_lines(&self, now: Micros) -> String {
+    pub(crate) fn status_lines(&self, now: Micros) -> String {
         let agreement = self.tracker.agreement();
         let mut lines = String::new();
         let _ = writeln!(
--- a/proxy/src/log/logfmt.rs
+++ b/proxy/src/log/logfmt.rs
@@ -29,7 +29,7 @@
 }
 
 /// A text in quotes, with quotes and control characters escaped, so that it stays one value on one line.
-pub struct Quoted<T>(pub T);
+pub(crate) struct Quoted<T>(pub T);
 
 impl<T: Display> Display for Quoted<T> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
--- a/proxy/src/log/mod.rs
+++ b/proxy/src/log/mod.rs
@@ -11,7 +11,7 @@
 use clap::ValueEnum;
 use json::{Json, object};
 use logfmt::LogfmtFields;
-pub use logfmt::Quoted;
+pub(crate) use logfmt::Quoted;
 use rate_limit::RateLimitLayer;
 use std::fmt::Write as _;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,7 +26,7 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
-pub enum Format {
+pub(crate) enum Format {
     /// key=value, for people
     #[default]
     Logfmt,
@@ -98,7 +98,7 @@
 }
 
 /// Writes events to standard error from now on. `filter` names levels by module, such as `warn,birchreach_proxy::net=info`.
-pub fn start(format: Format, filter: Targets) {
+pub(crate) fn start(format: Format, filter: Targets) {
     // The first subscriber stays, if there is one.
     let _ = tracing::subscriber::set_global_default(subscriber(format, filter, std::io::stderr()));
 }
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -17,7 +17,7 @@
 
 /// What became of a copy of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopyOutcome {
+pub(crate) enum CopyOutcome {
     /// It was written to its holder.
     Written,
     /// The write to its holder failed.
@@ -45,7 +45,7 @@
 
 /// The labels of counters: what is counted, and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct CounterLabels {
+pub(crate) struct CounterLabels {
     /// What is counted.
     pub kind: &'static str,
     /// What became of it.
@@ -53,7 +53,7 @@
 }
 
 /// The metrics, under the prefix `birchreach`.
-pub struct Metrics {
+pub(crate) struct Metrics {
     registry: Registry,
     tasks: Family<CounterLabels, Counter>,
     rejected_reports: Family<CounterLabels, Counter>,
@@ -69,7 +69,7 @@
 
 impl Metrics {
     /// All metrics, at zero.
-    pub fn new() -> Metrics {
+    pub(crate) fn new() -> Metrics {
         let mut registry = Registry::with_prefix("birchreach");
         let target = &mut registry;
         Metrics {
@@ -112,24 +112,24 @@
     }
 
     /// Counts a report of another member that was rejected.
-    pub fn count_rejected_report(&self, subsystem: &'static str, reason: &'static str) {
+    pub(crate) fn count_rejected_report(&self, subsystem: &'static str, reason: &'static str) {
         self.rejected_reports.get_or_create(&CounterLabels { kind: subsystem, end: reason }).inc();
     }
 
     /// Counts a copy, by what became of it.
-    pub fn count_copy(&self, outcome: CopyOutcome) {
+    pub(crate) fn count_copy(&self, outcome: CopyOutcome) {
         self.copies.get_or_create(&CounterLabels { kind: "copy", end: outcome.as_str() }).inc();
     }
 
     /// Sets what became of the scheduler's tasks of a kind.
-    pub fn set_task_counts(&self, kind: &'static str, counts: TaskCounts) {
+    pub(crate) fn set_task_counts(&self, kind: &'static str, counts: TaskCounts) {
         let TaskCounts { started, finished, expired, rejected } = counts;
         let ends = [("started", started), ("ended", finished), ("late", expired), ("crowded", rejected)];
         set_counters(&self.tasks, kind, &ends);
     }
 
     /// Sets the metrics of hot keys.
-    pub fn set_hot_keys(&self, tracker: &HotKeyTracker, copy_reads: CopyReadCounts) {
+    pub(crate) fn set_hot_keys(&self, tracker: &HotKeyTracker, copy_reads: CopyReadCounts) {
         let agreement = tracker.agreement();
         set_gauge(&self.hot_keys, tracker.hot_keys().count());
         set_gauge(&self.differing_members, agreement.reporting - agreement.agreeing);
@@ -142,7 +142,7 @@
     }
 
     /// Sets the metrics of a split.
-    pub fn set_split(&self, verdict: &Verdict, counts: ComparisonCounts) {
+    pub(crate) fn set_split(&self, verdict: &Verdict, counts: ComparisonCounts) {
         let (clean, lacking) = match verdict {
             Verdict::Clean => (1, 0),
             Verdict::Dirty(_) => (-1, 0),
@@ -163,7 +163,7 @@
     }
 
     /// All metrics in the text format, without the line that ends it.
-    pub fn text(&self) -> String {
+    pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
         let _ = encode_registry(&mut text, &self.registry);
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -16,7 +16,7 @@
 use tracing::info;
 
 /// The limit on open connections; one more, and the oldest is closed.
-pub const MAX_CONNECTIONS: usize = 8;
+pub(super) const MAX_CONNECTIONS: usize = 8;
 /// A connection that has not sent a call after this time is closed.
 const CALL_TIMEOUT_MICROS: Micros = 5_000_000;
 /// The most connections that are accepted in one turn of the loop.
@@ -26,7 +26,7 @@
 
 /// What the subsystems report to operators; nothing of those that are off.
 #[derive(Default)]
-pub struct AdminReports {
+pub(super) struct AdminReports {
     /// The members of the fleet.
     pub fleet: Option<String>,
     /// Hot keys.
@@ -73,7 +73,7 @@
 }
 
 /// The operators' listener and connections.
-pub struct AdminListener {
+pub(super) struct AdminListener {
     listener: Option<TcpListener>,
     connections: Slab<Connection>,
     /// Connections may wait to be accepted.
@@ -82,7 +82,10 @@
 
 impl AdminListener {
     /// Without an address there is no listener.
-    pub fn new(registry: &Registry, address: Option<SocketAddr>) -> Result<AdminListener, EventLoopError> {
+    pub(super) fn new(
+        registry: &Registry,
+        address: Option<SocketAddr>,
+    ) -> Result<AdminListener, EventLoopError> {
         let mut admin = AdminListener { listener: None, connections: Slab::new(), accept_pending: false };
         if let Some(address) = address {
             let purpose = ListenPurpose::Operators;
@@ -98,22 +101,22 @@
     }
 
     /// The address that operators connect to, if there is one.
-    pub fn address(&self) -> Option<SocketAddr> {
+    pub(super) fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.local_addr().ok()
     }
 
     /// The listener is ready: connections wait to be accepted.
-    pub fn accept_ready(&mut self) {
+    pub(super) fn accept_ready(&mut self) {
         self.accept_pending = true;
     }
 
     /// Whether more may wait than one turn accepts.
-    pub fn has_pending_work(&self) -> bool {
+    pub(super) fn has_pending_work(&self) -> bool {
         self.accept_pending
     }
 
     /// Accepts connections that wait.
-    pub fn accept(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..ACCEPTS_PER_TURN {
             let Some(listener) = self.listener.as_ref().filter(|_| self.accept_pending) else { return };
             match listener.accept() {
@@ -143,7 +146,7 @@
     }
 
     /// Reads a connection. The caller answers a returned call with [`AdminListener::answer`].
-    pub fn ready(&mut self, context: &mut EventLoopContext, key: AdminKey) -> Option<AdminCall> {
+    pub(super) fn ready(&mut self, context: &mut EventLoopContext, key: AdminKey) -> Option<AdminCall> {
         let connection = self.connections.get_mut(key.0)?;
         let protocol = &mut connection.protocol;
         let mut call = None;
@@ -171,7 +174,7 @@
     }
 
     /// Answers the connection's call.
-    pub fn answer(&mut self, context: &mut EventLoopContext, key: AdminKey, reply: &AdminReply) {
+    pub(super) fn answer(&mut self, context: &mut EventLoopContext, key: AdminKey, reply: &AdminReply) {
         if let Some(connection) = self.connections.get_mut(key.0) {
             connection.protocol.answer(reply);
             self.write(context, key);
@@ -195,7 +198,7 @@
     }
 
     /// Closes connections that sent no call in time.
-    pub fn sweep(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn sweep(&mut self, context: &mut EventLoopContext) {
         self.accept_pending = self.listener.is_some();
         let timed_out = |connection: &Connection| context.now - connection.accepted_at >= CALL_TIMEOUT_MICROS;
         let unresponsive = self.connections.iter().filter(|(_, connection)| timed_out(connection));
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -88,7 +88,7 @@
 }
 
 /// The background subsystems that the options switch on, and their tasks.
-pub struct BackgroundWork {
+pub(super) struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
     in_flight: HashMap<BackgroundQueryId, TaskInFlight>,
     /// The first id of this process's own statements, so that ids differ among incarnations.
@@ -125,7 +125,7 @@
     }
 
     /// Takes reports of other members.
-    pub fn receive_reports(&mut self, now: Micros, reports: Vec<ReceivedReport>) {
+    pub(super) fn receive_reports(&mut self, now: Micros, reports: Vec<ReceivedReport>) {
         for report in reports {
             match (report.channel, &self.hot_keys, &self.split) {
                 (HOT_KEYS_CHANNEL, Some(observer), _) => {
--- a/proxy/src/net/background/status.rs
+++ b/proxy/src/net/background/status.rs
@@ -7,13 +7,13 @@
 
 impl BackgroundWork {
     /// The answer to the admin call `hot`; none while hot keys are switched off.
-    pub fn hot_key_lines(&self, now: Micros, divisor: u32) -> Option<String> {
+    pub(crate) fn hot_key_lines(&self, now: Micros, divisor: u32) -> Option<String> {
         let observer = self.hot_keys.as_ref()?;
         Some(observer.borrow().status_lines(now) + &self.scheduler_lines(divisor))
     }
 
     /// The answer to the admin call `split`; none while no comparison is switched on.
-    pub fn split_lines(&self, heard_members: usize, divisor: u32) -> Option<String> {
+    pub(crate) fn split_lines(&self, heard_members: usize, divisor: u32) -> Option<String> {
         let observer = self.split.as_ref()?;
         Some(observer.borrow().status_lines(heard_members) + &self.scheduler_lines(divisor))
     }
@@ -42,7 +42,7 @@
     }
 
     /// The metrics of background work, in the text format.
-    pub fn metrics_text(&self, heard_members: usize) -> String {
+    pub(crate) fn metrics_text(&self, heard_members: usize) -> String {
         for kind in TaskKind::ALL {
             self.metrics.set_task_counts(kind.as_str(), self.scheduler.counts(kind));
         }
--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -11,7 +11,7 @@
 
 /// The protocol of a listener and its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CheckProtocol {
+pub(crate) enum CheckProtocol {
     /// HTTP health checks.
     Http,
     /// HAProxy's agent-check.
@@ -31,7 +31,7 @@
     }
 
     /// Its name in the log.
-    pub fn as_str(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             CheckProtocol::Http => "http",
             CheckProtocol::Agent => "agent",
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -30,7 +30,7 @@
 }
 
 /// Listeners opened for options that aren't in force yet.
-pub struct OpenedListeners(Vec<OpenListener>);
+pub(crate) struct OpenedListeners(Vec<OpenListener>);
 
 /// Opens a listening socket. `shares_address`: another process may listen at the same address.
 fn listen(address: SocketAddr, shares_address: bool) -> io::Result<TcpListener> {
@@ -48,7 +48,7 @@
 
 impl HealthCheckServer {
     /// Opens the listeners that these options require and that aren't open; those in force stay as they are.
-    pub fn open(&self, options: Option<&HealthOptions>) -> Result<OpenedListeners, ListenError> {
+    pub(crate) fn open(&self, options: Option<&HealthOptions>) -> Result<OpenedListeners, ListenError> {
         let mut opened = Vec::new();
         for (protocol, wanted) in options.into_iter().flat_map(wanted_listeners) {
             let address = wanted.address;
@@ -68,7 +68,7 @@
     }
 
     /// Puts these options in force, with the listeners that were opened for them.
-    pub fn apply_options(
+    pub(crate) fn apply_options(
         &mut self,
         context: &mut EventLoopContext,
         options: Option<HealthOptions>,
@@ -105,7 +105,7 @@
     }
 
     /// Opens the listeners again that were closed for another process.
-    pub fn reopen_listeners(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn reopen_listeners(&mut self, context: &mut EventLoopContext) {
         match self.open(self.options.as_ref()) {
             Ok(opened) => {
                 let options = self.options.take();
@@ -116,7 +116,7 @@
     }
 
     /// Closes the listeners where another process listens too and answers from now on. Connections stay open.
-    pub fn stop_listening(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn stop_listening(&mut self, context: &mut EventLoopContext) {
         if !self.shares_addresses {
             return;
         }
@@ -126,18 +126,18 @@
     }
 
     /// Some listener that the options require isn't open.
-    pub fn lacks_listener(&self) -> bool {
+    pub(crate) fn lacks_listener(&self) -> bool {
         let wanted = self.options.iter().flat_map(wanted_listeners).count();
         wanted > self.listeners.len()
     }
 
     /// No connection is accepted before this time.
-    pub fn accept_from(&mut self, at: Micros) {
+    pub(crate) fn accept_from(&mut self, at: Micros) {
         self.accepts_from = at;
     }
 
     /// A listener has connections to accept.
-    pub fn listener_ready(&mut self, source: Source) {
+    pub(crate) fn listener_ready(&mut self, source: Source) {
         let ready = self.listeners.iter_mut().filter(|listener| listener.protocol.source() == source);
         ready.for_each(|listener| listener.may_have_waiting = true);
     }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -16,10 +16,10 @@
 use crate::observe::Shared;
 use birchreach::Micros;
 use birchreach_options::HealthOptions;
-pub use connection::CheckProtocol;
+pub(super) use connection::CheckProtocol;
 use connection::{CheckCloseReason, CheckConnection, ProtocolState, listener_options};
 use listeners::OpenListener;
-pub use listeners::OpenedListeners;
+pub(super) use listeners::OpenedListeners;
 use mio::Interest;
 use mio::net::TcpStream;
 use serve::{AnswerSource, Progress, agent_reply, serve};
@@ -31,7 +31,7 @@
 const MAX_CONTINUED_PER_TURN: usize = 16;
 
 /// The listeners and connections for balancers' checks.
-pub struct HealthCheckServer {
+pub(super) struct HealthCheckServer {
     /// Keeps the verdict, if health reporting is on.
     pub observer: Option<Shared<HealthObserver>>,
     options: Option<HealthOptions>,
@@ -48,7 +48,7 @@
 
 impl HealthCheckServer {
     /// A server without listeners.
-    pub fn new(shares_addresses: bool) -> HealthCheckServer {
+    pub(super) fn new(shares_addresses: bool) -> HealthCheckServer {
         HealthCheckServer {
             observer: None,
             options: None,
@@ -62,14 +62,14 @@
     }
 
     /// There is work left for which no socket will report an event.
-    pub fn has_pending_work(&self, now: Micros) -> bool {
+    pub(super) fn has_pending_work(&self, now: Micros) -> bool {
         let may_accept = now >= self.accepts_from;
         !self.unfinished.is_empty()
             || (may_accept && self.listeners.iter().any(|listener| listener.may_have_waiting))
     }
 
     /// Goes on with unfinished work and accepts connections.
-    pub fn continue_work(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn continue_work(&mut self, context: &mut EventLoopContext) {
         let later = self.unfinished.split_off(self.unfinished.len().min(MAX_CONTINUED_PER_TURN));
         for key in std::mem::replace(&mut self.unfinished, later) {
             self.serve(context, key);
@@ -78,7 +78,7 @@
     }
 
     /// Serves a connection as far as its socket and one turn allow.
-    pub fn serve(&mut self, context: &mut EventLoopContext, key: CheckKey) {
+    pub(super) fn serve(&mut self, context: &mut EventLoopContext, key: CheckKey) {
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
         let Some(connection) = self.connections.get_mut(key.0) else { return };
         match serve(context, connection, source) {
@@ -89,7 +89,12 @@
     }
 
     /// An agent-check has sent no line in time: it is answered for the proxy as a whole.
-    pub fn query_timed_out(&mut self, context: &mut EventLoopContext, key: CheckKey, serial: CheckSerial) {
+    pub(super) fn query_timed_out(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: CheckKey,
+        serial: CheckSerial,
+    ) {
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
         let connection = self.connections.get_mut(key.0).filter(|connection| connection.serial == serial);
         let Some(connection) = connection else { return };
@@ -102,7 +107,7 @@
     }
 
     /// Closes connections that are inactive for too long.
-    pub fn close_inactive(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn close_inactive(&mut self, context: &mut EventLoopContext) {
         self.listeners.iter_mut().for_each(|listener| listener.may_have_waiting = true);
         let Some(options) = &self.options else { return };
         let now = context.now;
@@ -125,7 +130,7 @@
     }
 
     /// Sends a change of the verdict to the connections that watch.
-    pub fn notify_watches(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn notify_watches(&mut self, context: &mut EventLoopContext) {
         let watching = self.connections.iter().filter(|(_, connection)| connection.has_watches());
         for key in watching.map(|(key, _)| CheckKey(key)).collect::<Vec<_>>() {
             self.serve(context, key);
--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -22,12 +22,12 @@
 
 impl Clients {
     /// The listener is ready.
-    pub fn listener_ready(&mut self) {
+    pub(crate) fn listener_ready(&mut self) {
         self.accept_pending = true;
     }
 
     /// The pause in accepting is over.
-    pub fn resume_accepting(&mut self) {
+    pub(crate) fn resume_accepting(&mut self) {
         self.accept_paused = false;
     }
 
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -9,7 +9,7 @@
 
 impl Clients {
     /// Sends the final answer to a client's request.
-    pub fn answer(
+    pub(crate) fn answer(
         &mut self,
         context: &mut EventLoopContext,
         key: ClientKey,
@@ -27,7 +27,7 @@
     }
 
     /// A streamed value begins.
-    pub fn start_value(
+    pub(crate) fn start_value(
         &mut self,
         context: &mut EventLoopContext,
         key: ClientKey,
@@ -43,7 +43,7 @@
     }
 
     /// More of the value has arrived.
-    pub fn send_value_chunk(
+    pub(crate) fn send_value_chunk(
         &mut self,
         context: &mut EventLoopContext,
         key: ClientKey,
@@ -59,14 +59,14 @@
     }
 
     /// The rest of the value will not arrive. Closes the connection, which shows the client that the value is incomplete.
-    pub fn abort_value(&mut self, context: &mut EventLoopContext, key: ClientKey, request: RequestId) {
+    pub(crate) fn abort_value(&mut self, context: &mut EventLoopContext, key: ClientKey, request: RequestId) {
         if self.client_with_request(key, request).is_some() {
             self.close(context, key, ClientCloseReason::ResponseTruncated);
         }
     }
 
     /// A streamed value of which the client has taken all that was received.
-    pub fn next_ready_for_more(&mut self) -> Option<AttemptId> {
+    pub(crate) fn next_ready_for_more(&mut self) -> Option<AttemptId> {
         self.ready_for_more.pop()
     }
 
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -74,7 +74,7 @@
 
 impl ClientSerial {
     /// The number of the client that is accepted after this one.
-    pub fn next(self) -> ClientSerial {
+    pub(super) fn next(self) -> ClientSerial {
         ClientSerial(self.0 + 1)
     }
 }
@@ -107,7 +107,7 @@
 
 impl Client {
     /// A client that has just been accepted.
-    pub fn new(stream: TcpStream, peer: SocketAddr, serial: ClientSerial, now: Micros) -> Client {
+    pub(super) fn new(stream: TcpStream, peer: SocketAddr, serial: ClientSerial, now: Micros) -> Client {
         Client {
             stream,
             peer,
@@ -127,18 +127,18 @@
     }
 
     /// It has no unanswered request.
-    pub fn can_be_shed(&self) -> bool {
+    pub(super) fn can_be_shed(&self) -> bool {
         let is_idle = self.protocol.is_idle() || self.protocol.is_in_startup();
         self.is_draining() || (self.open_request.is_none() && self.closing.is_none() && is_idle)
     }
 
     /// The error that says why it is closed is written, and further input is dropped for a while.
-    pub fn is_draining(&self) -> bool {
+    pub(super) fn is_draining(&self) -> bool {
         matches!(self.closing, Some(Closing { mode: CloseMode::Draining { .. }, .. }))
     }
 
     /// Its rank among the clients that can be shed.
-    pub fn shed_rank(&self, now: Micros) -> ShedRank {
+    pub(super) fn shed_rank(&self, now: Micros) -> ShedRank {
         let since = self.incomplete_since.unwrap_or(self.last_active_at);
         let had_time = self.protocol.has_received_command() || now - since >= FIRST_REQUEST_GRACE_MICROS;
         let class = match self.answered_requests {
@@ -151,7 +151,7 @@
     }
 
     /// The attempt whose value can be read on, if the client has taken what was received of it. Returned once for each chunk.
-    pub fn take_ready_for_more(&mut self) -> Option<AttemptId> {
+    pub(super) fn take_ready_for_more(&mut self) -> Option<AttemptId> {
         let output_is_empty = self.protocol.out.pending().is_empty();
         let value = self.streamed_value.as_mut().filter(|value| value.chunk_unsent && output_is_empty)?;
         value.chunk_unsent = false;
@@ -159,12 +159,12 @@
     }
 
     /// Why the connection ends: the reason decided before, or else this one.
-    pub fn close_reason_or(&self, reason: ClientCloseReason) -> ClientCloseReason {
+    pub(super) fn close_reason_or(&self, reason: ClientCloseReason) -> ClientCloseReason {
         self.closing.map_or(reason, |closing| closing.reason)
     }
 
     /// Why the connection ends after its socket ended in this way.
-    pub fn reason_of_end(&self, ended: Ended) -> ClientCloseReason {
+    pub(super) fn reason_of_end(&self, ended: Ended) -> ClientCloseReason {
         self.close_reason_or(match ended {
             Ended::Closed if self.protocol.only_terminate_left() => {
                 ClientCloseReason::Protocol(EndReason::Terminate)
--- a/proxy/src/net/clients/close_reason.rs
+++ b/proxy/src/net/clients/close_reason.rs
@@ -37,7 +37,7 @@
 
 impl ClientCloseReason {
     /// The word for the log.
-    pub fn as_str(self) -> &'static str {
+    pub(super) fn as_str(self) -> &'static str {
         match self {
             ClientCloseReason::Protocol(reason) => reason.as_str(),
             ClientCloseReason::ClientClosed => "client-closed",
@@ -54,7 +54,7 @@
     }
 
     /// The client itself ended the connection.
-    pub fn is_by_client(self) -> bool {
+    pub(super) fn is_by_client(self) -> bool {
         matches!(
             self,
             ClientCloseReason::Protocol(EndReason::Terminate)
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -47,7 +47,7 @@
 impl Clients {
     /// Closes clients that stall in a startup, a message or while they read an answer, and those that are idle. They could occupy
     /// all connections otherwise.
-    pub fn close_expired(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn close_expired(&mut self, context: &mut EventLoopContext) {
         let is_expired = |client: &Client| client.expiry_reason(context.now).is_some();
         let expired = self.connections.iter().filter(|(_, client)| is_expired(client));
         let expired: Vec<ClientKey> = expired.map(|(key, _)| ClientKey(key)).collect();
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -24,7 +24,7 @@
 use tracing::{debug, info};
 
 /// The listener and all clients.
-pub struct Clients {
+pub(super) struct Clients {
     /// Until it is passed to another process, or closed.
     listener: Option<TcpListener>,
     connections: Slab<Client>,
@@ -64,7 +64,7 @@
 
 impl Clients {
     /// Registers the listener. At most `max_clients` are accepted.
-    pub fn new(
+    pub(super) fn new(
         registry: &Registry,
         mut listener: TcpListener,
         max_clients: usize,
@@ -93,35 +93,35 @@
     }
 
     /// How many clients there are.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
     /// There are no clients.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
     /// Another process takes the clients, or no longer does. While it does, this one accepts no client, and closes each connection
     /// after its next answer, so that the client connects there.
-    pub fn set_handing_over(&mut self, handing_over: bool) {
+    pub(super) fn set_handing_over(&mut self, handing_over: bool) {
         // The poll does not report the listener again for connections that arrived in the meantime.
         self.accept_pending |= self.handing_over && !handing_over;
         self.handing_over = handing_over;
     }
 
     /// No client is accepted while the start waits for other proxies' state.
-    pub fn set_awaiting_peer_state(&mut self, awaiting: bool) {
+    pub(super) fn set_awaiting_peer_state(&mut self, awaiting: bool) {
         self.awaiting_peer_state = awaiting;
     }
 
     /// Whether work is left that the poll will not report.
-    pub fn has_pending_work(&self) -> bool {
+    pub(super) fn has_pending_work(&self) -> bool {
         self.can_accept() || !self.turn_incomplete.is_empty()
     }
 
     /// Continues where the last turn stopped.
-    pub fn continue_pending_work(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn continue_pending_work(&mut self, context: &mut EventLoopContext) {
         for key in std::mem::take(&mut self.turn_incomplete) {
             self.handle_ready(context, key);
         }
@@ -129,7 +129,7 @@
     }
 
     /// Serves a client for one turn: reads its input, runs its commands and writes its output, within the limits of a turn.
-    pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: ClientKey) {
+    pub(super) fn handle_ready(&mut self, context: &mut EventLoopContext, key: ClientKey) {
         if let Some(client) = self.connections.get_mut(key.0) {
             client.protocol.start_turn();
             self.process_client(context, key);
@@ -137,7 +137,7 @@
     }
 
     /// The system reports that a client has closed its connection; input may still be unread.
-    pub fn peer_closed(&mut self, key: ClientKey) {
+    pub(super) fn peer_closed(&mut self, key: ClientKey) {
         if let Some(client) = self.connections.get_mut(key.0) {
             client.peer_closed = true;
         }
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -17,7 +17,7 @@
 
 impl Clients {
     /// Sets the limit on clients. Those above it are shed, if they are idle.
-    pub fn set_limit(&mut self, context: &mut EventLoopContext, max_clients: usize) {
+    pub(crate) fn set_limit(&mut self, context: &mut EventLoopContext, max_clients: usize) {
         self.max_clients = max_clients;
         self.early_shed_threshold = early_shed_threshold(max_clients);
         for _ in self.max_clients..self.counted_clients() {
@@ -27,12 +27,12 @@
 
     /// Sets how many clients without a request do not count towards the limit, where balancers may connect only to check the proxy.
     /// Descriptors are reserved for them.
-    pub fn set_unclassified_allowance(&mut self, allowance: usize) {
+    pub(crate) fn set_unclassified_allowance(&mut self, allowance: usize) {
         self.unclassified_allowance = allowance;
     }
 
     /// Connections to databases or to discovery need a descriptor: one client is shed.
-    pub fn release_descriptor(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn release_descriptor(&mut self, context: &mut EventLoopContext) {
         self.shed(context, None, ShedClass::Newcomer);
     }
 
--- a/proxy/src/net/clients/shutdown.rs
+++ b/proxy/src/net/clients/shutdown.rs
@@ -9,14 +9,14 @@
 impl Clients {
     /// Another process has the listening socket too, and accepts the clients that wait. None is accepted here any more, and each
     /// one is closed after its next answer, so that it connects there.
-    pub fn start_handover(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn start_handover(&mut self, context: &mut EventLoopContext) {
         self.close_listener(context);
         self.handing_over = true;
     }
 
     /// Accepts and reads what has arrived, then nothing more, and closes each connection once that is answered. Otherwise a client
     /// that sends one command after the other would have one unanswered when the process is killed.
-    pub fn shut_down(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn shut_down(&mut self, context: &mut EventLoopContext) {
         test_hooks::at(Point::Leave);
         self.accept_pending = true;
         self.accept_paused = false;
--- a/proxy/src/net/clients/statement_admission.rs
+++ b/proxy/src/net/clients/statement_admission.rs
@@ -14,7 +14,7 @@
 
 impl StatementAdmission {
     /// The request that a statement makes. Its id is in use until `release`.
-    pub fn admit(
+    pub(super) fn admit(
         &mut self,
         context: &EventLoopContext,
         statement: &Statement,
@@ -35,7 +35,7 @@
     }
 
     /// The statement's request is over.
-    pub fn release(&mut self, statement: &Statement) {
+    pub(super) fn release(&mut self, statement: &Statement) {
         self.open_request_ids.remove(statement.id());
     }
 }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -32,7 +32,7 @@
 }
 
 /// The connection to discovery, and the poll on it.
-pub struct DiscoveryConnection {
+pub(super) struct DiscoveryConnection {
     address: SocketAddr,
     watch: EndpointWatch,
     stream: Option<TcpStream>,
@@ -50,7 +50,7 @@
 
 impl DiscoveryConnection {
     /// A connection that is not opened before `start`; `revision` is that of the endpoint list that is already known.
-    pub fn new(
+    pub(super) fn new(
         address: SocketAddr,
         revision: Option<u64>,
         settings: &Settings,
@@ -71,18 +71,18 @@
     }
 
     /// Sets the time of the first poll, spread over all proxies that start now and share discovery.
-    pub fn start(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn start(&mut self, context: &mut EventLoopContext) {
         let wait = self.backoff.initial_wait();
         self.poll_after(context, wait);
     }
 
     /// Applies other settings to the next polls.
-    pub fn update_settings(&mut self, settings: &Settings) {
+    pub(super) fn update_settings(&mut self, settings: &Settings) {
         self.backoff.update_settings(settings);
     }
 
     /// Discovery has another address: polls it there immediately, for changes after the list received so far.
-    pub fn set_address(&mut self, context: &mut EventLoopContext, address: SocketAddr) {
+    pub(super) fn set_address(&mut self, context: &mut EventLoopContext, address: SocketAddr) {
         if self.address == address {
             return;
         }
@@ -135,7 +135,7 @@
     }
 
     /// The timeout of a state has expired; that of an earlier state is ignored.
-    pub fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: PollStateSerial) {
+    pub(super) fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: PollStateSerial) {
         if self.state_serial != state_serial {
             return;
         }
@@ -147,7 +147,7 @@
     }
 
     /// Whether the system had no descriptor for a connection since this was last called.
-    pub fn take_descriptors_exhausted(&mut self) -> bool {
+    pub(super) fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.descriptors_exhausted)
     }
 
--- a/proxy/src/net/discovery_connection/responses.rs
+++ b/proxy/src/net/discovery_connection/responses.rs
@@ -18,7 +18,7 @@
 
 impl DiscoveryConnection {
     /// The socket is ready: writes and reads as far as it goes. Returns an update of the list.
-    pub fn ready(&mut self, context: &mut EventLoopContext) -> Option<EndpointUpdate> {
+    pub(crate) fn ready(&mut self, context: &mut EventLoopContext) -> Option<EndpointUpdate> {
         if !self.write(context) {
             return None;
         }
--- a/proxy/src/net/error.rs
+++ b/proxy/src/net/error.rs
@@ -9,7 +9,7 @@
 
 /// Why the event loop could not start or continue.
 #[derive(Debug)]
-pub enum EventLoopError {
+pub(crate) enum EventLoopError {
     /// Signals could not be caught.
     Signals(io::Error),
     /// The poll could not be opened.
@@ -32,7 +32,7 @@
 
 /// What was to be registered with the poll.
 #[derive(Clone, Copy, Debug)]
-pub enum RegisteredSource {
+pub(crate) enum RegisteredSource {
     /// The signals.
     Signals,
     /// The clients' listener.
@@ -43,7 +43,7 @@
 
 /// A listener that could not be opened.
 #[derive(Debug)]
-pub struct ListenError {
+pub(crate) struct ListenError {
     pub purpose: ListenPurpose,
     pub address: SocketAddr,
     pub error: io::Error,
@@ -51,7 +51,7 @@
 
 /// Who connects to a listener.
 #[derive(Clone, Copy, Debug)]
-pub enum ListenPurpose {
+pub(crate) enum ListenPurpose {
     /// Clients.
     Clients,
     /// Operators.
--- a/proxy/src/net/event_loop_context.rs
+++ b/proxy/src/net/event_loop_context.rs
@@ -9,7 +9,7 @@
 
 /// The part of the loop's state that every owner may use. It is a field of the loop, so that a call such as
 /// `self.clients.close_expired(&mut self.context)` borrows two separate fields.
-pub struct EventLoopContext {
+pub(super) struct EventLoopContext {
     /// The time, read once for the events of a turn and once for its timers.
     pub now: Micros,
     /// Reports sockets that are ready; they are registered with its registry.
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -17,7 +17,7 @@
 
 impl FleetMembership {
     /// The socket is readable: receives a bounded number of datagrams.
-    pub fn receive_datagrams(&mut self, now: Micros) {
+    pub(crate) fn receive_datagrams(&mut self, now: Micros) {
         self.may_have_unread = false;
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for received in 0.. {
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -23,7 +23,7 @@
 const MIN_TIMER_INTERVAL_MICROS: Micros = 1_000;
 
 /// This process as a member of the fleet.
-pub struct FleetMembership {
+pub(super) struct FleetMembership {
     /// None: another process of this proxy represents it in the fleet, or this one has left.
     socket: Option<UdpSocket>,
     listen: SocketAddr,
@@ -61,33 +61,33 @@
     }
 
     /// This process's view of the fleet.
-    pub fn view(&self) -> View {
+    pub(super) fn view(&self) -> View {
         self.membership.borrow().view()
     }
 
     /// The random number of this process.
-    pub fn incarnation(&self) -> u64 {
+    pub(super) fn incarnation(&self) -> u64 {
         self.membership.borrow().own().incarnation
     }
 
     /// Replaces this process's report on a channel.
-    pub fn publish_report(&mut self, now: Micros, channel: u8, payload: Vec<u8>) {
+    pub(super) fn publish_report(&mut self, now: Micros, channel: u8, payload: Vec<u8>) {
         self.gossip_reports.publish(now, channel, payload);
         self.flush(now);
     }
 
     /// Reports received since the last call.
-    pub fn take_new_reports(&mut self) -> Vec<ReceivedReport> {
+    pub(super) fn take_new_reports(&mut self) -> Vec<ReceivedReport> {
         std::mem::take(&mut self.new_reports)
     }
 
     /// Whether this process represents the proxy in the fleet.
-    pub fn is_active(&self) -> bool {
+    pub(super) fn is_active(&self) -> bool {
         self.socket.is_some()
     }
 
     /// The timer is due.
-    pub fn process_timer(&mut self, context: &EventLoopContext) {
+    pub(super) fn process_timer(&mut self, context: &EventLoopContext) {
         let now = context.now;
         self.timer_at = Micros::MAX;
         if self.may_have_unread {
@@ -104,7 +104,7 @@
     }
 
     /// Another process of this proxy replaces this one, or no longer does: one of them represents the proxy at a time.
-    pub fn set_replaced(&mut self, context: &EventLoopContext, replaced: bool) {
+    pub(super) fn set_replaced(&mut self, context: &EventLoopContext, replaced: bool) {
         if std::mem::replace(&mut self.is_replaced, replaced) == replaced {
             return;
         }
@@ -117,7 +117,7 @@
     }
 
     /// Leaves the fleet.
-    pub fn leave(&mut self, context: &EventLoopContext) {
+    pub(super) fn leave(&mut self, context: &EventLoopContext) {
         if !std::mem::replace(&mut self.has_left, true) {
             self.membership.borrow_mut().leave(context.now);
             self.flush(context.now);
@@ -153,12 +153,12 @@
     }
 
     /// The answer to the operators' `fleet`.
-    pub fn report(&self, now: Micros) -> String {
+    pub(super) fn report(&self, now: Micros) -> String {
         fleet::report(&self.membership.borrow(), now)
     }
 
     /// The fleet's figures, without the last line of their format.
-    pub fn metrics_text(&self) -> String {
+    pub(super) fn metrics_text(&self) -> String {
         self.metrics.text(&self.membership.borrow())
     }
 
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -10,7 +10,7 @@
 
 impl Gossip {
     /// A link's connection is readable or writable.
-    pub fn process_link(&mut self, context: &mut EventLoopContext, key: LinkKey) {
+    pub(crate) fn process_link(&mut self, context: &mut EventLoopContext, key: LinkKey) {
         let Some(link) = self.links.get_mut(key.0) else { return };
         let id = LinkId { key, serial: link.serial };
         let read_failed = link.read_input(&mut context.scratch).is_err();
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -24,7 +24,7 @@
 const IN_PROGRESS: i32 = 115;
 
 /// The listener and the connections of full exchanges.
-pub struct MembershipSync {
+pub(crate) struct MembershipSync {
     /// None: another process of this proxy has the listener.
     listener: Option<TcpListener>,
     /// Where others reach this process.
@@ -37,13 +37,13 @@
 
 impl MembershipSync {
     /// The listener opens with [`MembershipSync::set_active`].
-    pub fn new(own_address: SocketAddr, keys: Keys, membership: Shared<Membership>) -> MembershipSync {
+    pub(crate) fn new(own_address: SocketAddr, keys: Keys, membership: Shared<Membership>) -> MembershipSync {
         MembershipSync { listener: None, own_address, keys, membership, accept_pending: false }
     }
 
     /// The listener is open while this process represents the proxy in the fleet. Where another process still has the address,
     /// it is tried again with the next datagram.
-    pub fn set_active(&mut self, registry: &Registry, active: bool) {
+    pub(crate) fn set_active(&mut self, registry: &Registry, active: bool) {
         if active && self.listener.is_none() {
             self.listener =
                 listen(registry, self.own_address, Source::MembershipListener, ListenPurpose::Fleet).ok();
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -19,16 +19,16 @@
 use birchreach_peer_state::request_scheduler::RequestOutcome;
 use close_reason::{CloseReason, LinkError};
 use link::{LinkKind, LinkRole, PeerLink};
-pub use membership_sync::MembershipSync;
+pub(super) use membership_sync::MembershipSync;
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
 use slab::Slab;
-pub use state_transfer::StateTransfer;
+pub(super) use state_transfer::StateTransfer;
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
 /// The limit on links, in both directions; a further one is closed.
-pub const MAX_LINKS: usize = 24;
+pub(super) const MAX_LINKS: usize = 24;
 /// A link that has not ended after this time is closed.
 const LINK_TIMEOUT_MICROS: Micros = 5_000_000;
 /// The most connections that are accepted of each listener in one turn.
@@ -38,7 +38,7 @@
 
 /// All links, and the subsystems that use them.
 #[derive(Default)]
-pub struct Gossip {
+pub(super) struct Gossip {
     links: Slab<PeerLink>,
     state_transfer: Option<StateTransfer>,
     membership_sync: Option<MembershipSync>,
@@ -47,29 +47,29 @@
 
 impl Gossip {
     /// State is transferred from now on.
-    pub fn set_state_transfer(&mut self, state_transfer: StateTransfer) {
+    pub(super) fn set_state_transfer(&mut self, state_transfer: StateTransfer) {
         self.state_transfer = Some(state_transfer);
     }
 
     /// Members are exchanged from now on.
-    pub fn set_membership_sync(&mut self, membership_sync: MembershipSync) {
+    pub(super) fn set_membership_sync(&mut self, membership_sync: MembershipSync) {
         self.membership_sync = Some(membership_sync);
     }
 
     /// This process represents the proxy in the fleet, or no longer does.
-    pub fn set_active(&mut self, registry: &Registry, active: bool) {
+    pub(super) fn set_active(&mut self, registry: &Registry, active: bool) {
         if let Some(sync) = &mut self.membership_sync {
             sync.set_active(registry, active);
         }
     }
 
     /// Whether the start need not wait for other proxies' state any more.
-    pub fn is_startup_complete(&self) -> bool {
+    pub(super) fn is_startup_complete(&self) -> bool {
         self.state_transfer.as_ref().is_none_or(|transfer| transfer.requests.is_startup_complete())
     }
 
     /// A listener is ready.
-    pub fn accept_ready(&mut self, source: Source) {
+    pub(super) fn accept_ready(&mut self, source: Source) {
         match source {
             Source::MembershipListener => {
                 self.membership_sync.iter_mut().for_each(|sync| sync.accept_pending = true);
@@ -79,7 +79,7 @@
     }
 
     /// Closes links that have timed out, accepts connections and sends requests that are due.
-    pub fn step(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn step(&mut self, context: &mut EventLoopContext) {
         self.close_timed_out_links(context);
         self.accept(context);
         self.send_due_requests(context);
@@ -120,14 +120,14 @@
     }
 
     /// How busy this process is with its clients, 0 to 1.
-    pub fn set_load(&mut self, load: f64) {
+    pub(super) fn set_load(&mut self, load: f64) {
         if let Some(transfer) = &mut self.state_transfer {
             transfer.provider.set_load(load);
         }
     }
 
     /// Begins a full exchange with a member.
-    pub fn begin_exchange(&mut self, context: &mut EventLoopContext, peer: SocketAddr) {
+    pub(super) fn begin_exchange(&mut self, context: &mut EventLoopContext, peer: SocketAddr) {
         let Some(sync) = &self.membership_sync else { return };
         let opened = sync.connect(peer).and_then(|(stream, exchange)| {
             self.open_link(context, stream, peer, LinkRole::ExchangesMembers(exchange))
@@ -184,7 +184,12 @@
     }
 
     /// The send budget allows a link's next part, or the link has ended.
-    pub fn continue_sending(&mut self, context: &mut EventLoopContext, key: LinkKey, serial: LinkSerial) {
+    pub(super) fn continue_sending(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: LinkKey,
+        serial: LinkSerial,
+    ) {
         if self.links.get(key.0).is_some_and(|link| link.serial == serial) {
             self.process_link(context, key);
         }
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -18,7 +18,7 @@
 use tracing::info;
 
 /// This proxy's state, its requests to others, and its answers to theirs.
-pub struct StateTransfer {
+pub(crate) struct StateTransfer {
     listener: Option<TcpListener>,
     keys: Keys,
     /// Observes the core too.
@@ -33,7 +33,7 @@
 
 impl StateTransfer {
     /// Opens the listener, if the options name one.
-    pub fn new(
+    pub(crate) fn new(
         registry: &Registry,
         options: &birchreach_options::PeerStateOptions,
         keys: Keys,
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -86,12 +86,16 @@
 }
 
 /// Catches signals: from here on they are handled by the loop instead of ending the process.
-pub fn signals() -> Result<Signals, EventLoopError> {
+pub(crate) fn signals() -> Result<Signals, EventLoopError> {
     Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(EventLoopError::Signals)
 }
 
 /// Serves until a graceful shutdown is complete.
-pub fn run(config: Config, options: Option<PathBuf>, mut signals: Signals) -> Result<(), EventLoopError> {
+pub(crate) fn run(
+    config: Config,
+    options: Option<PathBuf>,
+    mut signals: Signals,
+) -> Result<(), EventLoopError> {
     let mut event_loop = EventLoop::start(config, options, &mut signals)?;
     let mut events = Events::with_capacity(EVENTS_PER_TURN);
     while !event_loop.is_finished() {
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -14,7 +14,7 @@
 
 impl Pool {
     /// Runs statements at a server, in this order.
-    pub fn start_background_query(
+    pub(crate) fn start_background_query(
         &mut self,
         context: &mut EventLoopContext,
         id: BackgroundQueryId,
@@ -26,12 +26,12 @@
     }
 
     /// Whether background queries are complete that the owner has not taken yet.
-    pub fn has_completed_queries(&self) -> bool {
+    pub(crate) fn has_completed_queries(&self) -> bool {
         !self.completed_queries.is_empty()
     }
 
     /// Takes the results of the background queries that are complete.
-    pub fn take_completed_queries(&mut self) -> Vec<BackgroundQueryResult> {
+    pub(crate) fn take_completed_queries(&mut self) -> Vec<BackgroundQueryResult> {
         std::mem::take(&mut self.completed_queries)
     }
 
--- a/proxy/src/net/pool/close_reason.rs
+++ b/proxy/src/net/pool/close_reason.rs
@@ -35,7 +35,7 @@
 
 impl DatabaseCloseReason {
     /// The word for the log.
-    pub fn as_str(self) -> &'static str {
+    pub(super) fn as_str(self) -> &'static str {
         match self {
             DatabaseCloseReason::Cancelled => "cancelled",
             DatabaseCloseReason::Timeout => "timeout",
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -76,7 +76,7 @@
 
 impl Connection {
     /// A connection that the system has started to open.
-    pub fn new(
+    pub(super) fn new(
         stream: TcpStream,
         protocol: Backend,
         server: ServerId,
@@ -101,17 +101,17 @@
     }
 
     /// The system has not finished opening it, or could not.
-    pub fn is_connecting(&self) -> bool {
+    pub(super) fn is_connecting(&self) -> bool {
         !self.established && self.stream.peer_addr().is_err()
     }
 
     /// It is established and no query is queued: a task that it has waits for the end of the cooldown.
-    pub fn is_cooling_down(&self) -> bool {
+    pub(super) fn is_cooling_down(&self) -> bool {
         self.established && self.query == QueryProgress::NotQueued
     }
 
     /// The attempt that it carries, if its task is one.
-    pub fn attempt(&self) -> Option<AttemptId> {
+    pub(super) fn attempt(&self) -> Option<AttemptId> {
         match &self.task {
             Some(ConnectionTask::Attempt(task)) => Some(task.attempt),
             _ => None,
@@ -119,7 +119,7 @@
     }
 
     /// The name of the state in the log.
-    pub fn state_name(&self) -> &'static str {
+    pub(super) fn state_name(&self) -> &'static str {
         match (self.established, self.query) {
             (false, _) => "opening",
             (true, QueryProgress::NotQueued) => "idle",
--- a/proxy/src/net/pool/connection_table.rs
+++ b/proxy/src/net/pool/connection_table.rs
@@ -11,42 +11,42 @@
 
 impl ConnectionTable {
     /// How many connections there are.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.0.len()
     }
 
     /// Whether a connection has this key.
-    pub fn contains(&self, key: ConnectionKey) -> bool {
+    pub(super) fn contains(&self, key: ConnectionKey) -> bool {
         self.0.contains(key.0)
     }
 
     /// The connection with this key, if there is one.
-    pub fn get(&self, key: ConnectionKey) -> Option<&Connection> {
+    pub(super) fn get(&self, key: ConnectionKey) -> Option<&Connection> {
         self.0.get(key.0)
     }
 
     /// The connection with this key, if there is one.
-    pub fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
+    pub(super) fn get_mut(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
         self.0.get_mut(key.0)
     }
 
     /// All connections with their keys.
-    pub fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &Connection)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (ConnectionKey, &Connection)> {
         self.0.iter().map(|(slot, connection)| (ConnectionKey(slot), connection))
     }
 
     /// The key that the next insertion gives.
-    pub fn next_key(&self) -> ConnectionKey {
+    pub(super) fn next_key(&self) -> ConnectionKey {
         ConnectionKey(self.0.vacant_key())
     }
 
     /// Keeps a connection under a free key.
-    pub fn insert(&mut self, connection: Connection) -> ConnectionKey {
+    pub(super) fn insert(&mut self, connection: Connection) -> ConnectionKey {
         ConnectionKey(self.0.insert(connection))
     }
 
     /// Takes out a connection that is known to be there.
-    pub fn remove(&mut self, key: ConnectionKey) -> Connection {
+    pub(super) fn remove(&mut self, key: ConnectionKey) -> Connection {
         self.0.remove(key.0)
     }
 }
--- a/proxy/src/net/pool/dispatch.rs
+++ b/proxy/src/net/pool/dispatch.rs
@@ -103,7 +103,7 @@
     }
 
     /// The connection's cooldown is over, and a task may wait for that.
-    pub fn cooldown_ended(
+    pub(crate) fn cooldown_ended(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -15,12 +15,12 @@
 
 impl Pool {
     /// Cancels an attempt. Its connection is closed, for a response may still arrive on it.
-    pub fn cancel_attempt(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
+    pub(crate) fn cancel_attempt(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, DatabaseCloseReason::Cancelled);
     }
 
     /// The attempt's deadline has passed. A value that is being streamed continues.
-    pub fn attempt_timed_out(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
+    pub(crate) fn attempt_timed_out(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempt_connections.get(&attempt) else { return };
         if !self.connections[*key].protocol.is_streaming() {
             self.abandon_attempt(context, attempt, AttemptOutcome::Timeout, DatabaseCloseReason::Timeout);
@@ -58,7 +58,7 @@
     }
 
     /// The connect timeout of a connection has expired.
-    pub fn connect_timed_out(
+    pub(crate) fn connect_timed_out(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
@@ -72,7 +72,7 @@
     }
 
     /// The timeout of a check or of a statement of a background query has expired.
-    pub fn query_timed_out(
+    pub(crate) fn query_timed_out(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
@@ -94,7 +94,7 @@
     }
 
     /// Closes connections whose response has stalled, and those that have been idle for long.
-    pub fn close_expired(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn close_expired(&mut self, context: &mut EventLoopContext) {
         let now = context.now;
         let has_stalled = |connection: &Connection| {
             connection.protocol.is_streaming()
@@ -120,7 +120,7 @@
     }
 
     /// Closes the idle connections of a server that moved or was removed.
-    pub fn server_moved(&mut self, context: &mut EventLoopContext, server: ServerId) {
+    pub(crate) fn server_moved(&mut self, context: &mut EventLoopContext, server: ServerId) {
         for key in self.idle.remove(&server).unwrap_or_default() {
             self.close(context, key, DatabaseCloseReason::Moved);
         }
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -31,7 +31,7 @@
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// The connections to all databases.
-pub struct Pool {
+pub(super) struct Pool {
     connections: ConnectionTable,
     /// Idle connections of each server. The one used last is taken first, so that those that are not needed age and are closed.
     idle: HashMap<ServerId, Vec<ConnectionKey>>,
@@ -54,7 +54,7 @@
 
 impl Pool {
     /// A pool without connections. It opens at most this number.
-    pub fn new(settings: &DeploymentSettings, max_connections: usize) -> Pool {
+    pub(super) fn new(settings: &DeploymentSettings, max_connections: usize) -> Pool {
         let mut pool = Pool {
             connections: ConnectionTable::default(),
             idle: HashMap::new(),
@@ -74,7 +74,7 @@
     }
 
     /// Applies the settings for connections to databases.
-    pub fn apply_settings(&mut self, settings: &DeploymentSettings) {
+    pub(super) fn apply_settings(&mut self, settings: &DeploymentSettings) {
         let field_name =
             |index: Option<usize>| index.and_then(|index| settings.load_report_fields.get(index).cloned());
         self.connect_timeout = settings.routing.connect_timeout.max(1);
@@ -87,23 +87,23 @@
     }
 
     /// The number of connections.
-    pub fn len(&self) -> usize {
+    pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
     /// Sets how many connections there may be. Idle connections beyond that are closed.
-    pub fn set_limit(&mut self, context: &mut EventLoopContext, max_connections: usize) {
+    pub(super) fn set_limit(&mut self, context: &mut EventLoopContext, max_connections: usize) {
         self.max_connections = max_connections;
         while self.connections.len() > self.max_connections && self.evict_oldest_idle(context) {}
     }
 
     /// Sets how long a check of the health monitor may take on a connection that is established.
-    pub fn set_monitor_check_timeout(&mut self, timeout: Micros) {
+    pub(super) fn set_monitor_check_timeout(&mut self, timeout: Micros) {
         self.monitor_check_timeout = timeout;
     }
 
     /// Starts an attempt at a client's request.
-    pub fn start_attempt(
+    pub(super) fn start_attempt(
         &mut self,
         context: &mut EventLoopContext,
         attempt: AttemptId,
@@ -118,12 +118,12 @@
     }
 
     /// Starts a health check for the routing decisions.
-    pub fn start_health_check(&mut self, context: &mut EventLoopContext, server: ServerId) {
+    pub(super) fn start_health_check(&mut self, context: &mut EventLoopContext, server: ServerId) {
         self.dispatch(context, server, ConnectionTask::HealthCheck { server });
     }
 
     /// Starts a check for the health monitor. Its result is not reported to the router.
-    pub fn start_monitor_check(&mut self, context: &mut EventLoopContext, server: ServerId) {
+    pub(super) fn start_monitor_check(&mut self, context: &mut EventLoopContext, server: ServerId) {
         self.dispatch(context, server, ConnectionTask::MonitorCheck { server });
     }
 }
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -31,7 +31,7 @@
 
 impl OpenError {
     /// The result for the task that the connection was meant for.
-    pub fn reply(self) -> Reply {
+    pub(super) fn reply(self) -> Reply {
         match self {
             OpenError::NoAddress => Reply::with_outcome(AttemptOutcome::ConnectFailed),
             OpenError::Refused => Reply::connection_refused(),
@@ -110,7 +110,7 @@
     }
 
     /// Whether, since this was last called, the system had no descriptor and there was no idle connection to close.
-    pub fn take_descriptors_exhausted(&mut self) -> bool {
+    pub(crate) fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.descriptors_exhausted)
     }
 }
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -12,7 +12,7 @@
 
 impl Pool {
     /// A connection's socket is ready.
-    pub fn handle_ready(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
+    pub(crate) fn handle_ready(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         if !self.connections.contains(key) {
             return;
         }
@@ -90,7 +90,7 @@
     }
 
     /// The client has taken what was forwarded of a streamed value: resumes reading.
-    pub fn resume_reading(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
+    pub(crate) fn resume_reading(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
         let connection = &mut self.connections[key];
         connection.reading_paused = false;
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -68,7 +68,7 @@
 
 /// The connections to other processes of this proxy. The default has none, for a proxy that does not share its listener.
 #[derive(Default)]
-pub struct ProcessHandover {
+pub(super) struct ProcessHandover {
     path: Option<PathBuf>,
     listener: Option<UnixListener>,
     predecessor: Option<Link>,
@@ -78,7 +78,7 @@
 impl ProcessHandover {
     /// Connects to the process that serves at this address, if there is one, and informs it that this one serves now; then listens
     /// for the next one.
-    pub fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
+    pub(super) fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
         let predecessor = connect(registry, &path);
@@ -104,7 +104,7 @@
     }
 
     /// Other processes have connected: the newest is the successor.
-    pub fn accept(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             if let Some(mut older) = self.successor.take() {
                 let _ = context.poll.registry().deregister(&mut older.stream);
@@ -117,14 +117,14 @@
     }
 
     /// The predecessor's link is ready.
-    pub fn predecessor_ready(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn predecessor_ready(&mut self, context: &mut EventLoopContext) {
         if disconnected(&mut self.predecessor, context) {
             info!(event = "predecessor-disconnected");
         }
     }
 
     /// The successor's link is ready.
-    pub fn successor_ready(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn successor_ready(&mut self, context: &mut EventLoopContext) {
         if disconnected(&mut self.successor, context) {
             info!(event = "successor-disconnected");
             // It had bound the path of this process's socket.
@@ -133,12 +133,12 @@
     }
 
     /// Informs the successor how many descriptors this process still has open.
-    pub fn announce_stopping(&mut self, context: &mut EventLoopContext, descriptors: usize) {
+    pub(super) fn announce_stopping(&mut self, context: &mut EventLoopContext, descriptors: usize) {
         self.send_to_successor(context, HandoverMessage::Stopping(descriptors));
     }
 
     /// Informs the successor when this process stops accepting work, in Unix microseconds.
-    pub fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, at: i64) {
+    pub(super) fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, at: i64) {
         self.send_to_successor(context, HandoverMessage::StopsAcceptingAt(at));
     }
 
@@ -151,27 +151,27 @@
     }
 
     /// When the predecessor stops accepting work, in Unix microseconds, if it has announced it.
-    pub fn predecessor_stops_accepting_at(&self) -> Option<i64> {
+    pub(super) fn predecessor_stops_accepting_at(&self) -> Option<i64> {
         self.predecessor.as_ref()?.stops_accepting_at
     }
 
     /// Whether the process that this one replaces is still there.
-    pub fn has_predecessor(&self) -> bool {
+    pub(super) fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
     /// Whether another process takes the clients now.
-    pub fn is_replaced(&self) -> bool {
+    pub(super) fn is_replaced(&self) -> bool {
         self.successor.as_ref().is_some_and(|successor| successor.is_serving)
     }
 
     /// How many processes of this proxy there are, this one included.
-    pub fn process_count(&self) -> u32 {
+    pub(super) fn process_count(&self) -> u32 {
         1 + u32::from(self.predecessor.is_some()) + u32::from(self.successor.is_some())
     }
 
     /// How many descriptors a predecessor that is stopping still holds; it opens no more.
-    pub fn predecessor_descriptors(&self) -> Option<usize> {
+    pub(super) fn predecessor_descriptors(&self) -> Option<usize> {
         self.predecessor.as_ref()?.descriptors_when_stopping
     }
 }
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -9,7 +9,7 @@
 
 /// Something that becomes ready. A key is that of the owner's slab.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub(super) enum Source {
     /// The clients' listener.
     Listener,
     /// The signals.
@@ -76,7 +76,7 @@
 
 impl Source {
     /// The token by which the poll names this source.
-    pub fn token(self) -> Token {
+    pub(super) fn token(self) -> Token {
         let slab = |slab: usize, key: usize| SINGLE.len() + key * SLABS.len() + slab;
         Token(match self {
             Source::Client(ClientKey(key)) => slab(0, key),
@@ -89,7 +89,7 @@
     }
 
     /// The source that the poll names by this token.
-    pub fn from_token(Token(token): Token) -> Source {
+    pub(super) fn from_token(Token(token): Token) -> Source {
         SINGLE.get(token).copied().unwrap_or_else(|| {
             let slab_token = token - SINGLE.len();
             SLABS[slab_token % SLABS.len()](slab_token / SLABS.len())
@@ -98,7 +98,7 @@
 
     /// Whether it is served before all others, however many are ready: connections of operators and balancers are few, and matter
     /// most under load.
-    pub fn has_priority(self) -> bool {
+    pub(super) fn has_priority(self) -> bool {
         matches!(
             self,
             Source::AdminListener
--- a/proxy/src/net/statement_payload.rs
+++ b/proxy/src/net/statement_payload.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 /// A statement that its client waits for and its attempts read.
-pub type StatementPayload = Rc<Statement>;
+pub(super) type StatementPayload = Rc<Statement>;
 
 impl RequestPayload for StatementPayload {
     fn key(&self) -> &[u8] {
--- a/proxy/src/net/stream.rs
+++ b/proxy/src/net/stream.rs
@@ -5,7 +5,7 @@
 
 /// How a connection ended, as far as the socket reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub(super) enum Ended {
     /// The other side closed it.
     Closed,
     /// It was reset, or failed in another way.
@@ -14,7 +14,7 @@
 
 /// Reads what has arrived, a piece at a time, until `take` returns false. Returns whether all of it was read; if not, the poll does
 /// not report the socket as readable again.
-pub fn read(
+pub(super) fn read(
     stream: &mut impl Read,
     scratch: &mut [u8],
     mut take: impl FnMut(&[u8]) -> bool,
@@ -35,14 +35,14 @@
 }
 
 /// Writes the output as far as the socket accepts it. Returns whether all of it is written.
-pub fn write(stream: &mut impl Write, out: &mut Outbox) -> Result<bool, Ended> {
+pub(super) fn write(stream: &mut impl Write, out: &mut Outbox) -> Result<bool, Ended> {
     let written = write_some(stream, out.pending())?;
     out.advance(written);
     Ok(out.pending().is_empty())
 }
 
 /// Writes bytes as far as the socket accepts them. Returns how many are written.
-pub fn write_some(stream: &mut impl Write, bytes: &[u8]) -> Result<usize, Ended> {
+pub(super) fn write_some(stream: &mut impl Write, bytes: &[u8]) -> Result<usize, Ended> {
     let mut written = 0;
     while written < bytes.len() {
         match stream.write(&bytes[written..]) {
--- a/proxy/src/net/test_hooks.rs
+++ b/proxy/src/net/test_hooks.rs
@@ -3,7 +3,7 @@
 
 /// Points at which the process can stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Point {
+pub(super) enum Point {
     /// A client was idle for too long; it has not been read once more.
     Sweep,
     /// A client is to be shed; it has not been read once more.
@@ -14,7 +14,7 @@
 
 /// Stops the process here, once, if the environment of the test names this point.
 #[cfg(debug_assertions)]
-pub fn at(point: Point) {
+pub(super) fn at(point: Point) {
     use std::sync::atomic::{AtomicBool, Ordering};
     static STOPPED: AtomicBool = AtomicBool::new(false);
     let name = match point {
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -7,7 +7,7 @@
 
 /// What a timer was set for. A key is that of the owner's slab; a serial distinguishes later uses of the same key.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum TimerEvent {
+pub(super) enum TimerEvent {
     /// A timer of the decisions.
     Routing(RoutingTimerId),
     /// The deadline of an attempt has passed.
--- a/proxy/src/net/timers.rs
+++ b/proxy/src/net/timers.rs
@@ -6,20 +6,20 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The only clock of the loop: Unix time at the start plus the monotonic time since. It never goes back.
-pub struct Clock {
+pub(super) struct Clock {
     started: Instant,
     started_unix: Micros,
 }
 
 impl Clock {
     /// A clock that starts now.
-    pub fn new() -> Clock {
+    pub(super) fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), started_unix: micros(unix) }
     }
 
     /// The time.
-    pub fn now(&self) -> Micros {
+    pub(super) fn now(&self) -> Micros {
         self.started_unix + micros(self.started.elapsed())
     }
 }
@@ -39,31 +39,31 @@
 }
 
 /// Timers, the soonest first. None is ever cancelled: the owner that set it checks whether it still applies.
-pub struct Timers<T> {
+pub(super) struct Timers<T> {
     heap: BinaryHeap<Reverse<Timer<T>>>,
     last_serial: u64,
 }
 
 impl<T: Ord> Timers<T> {
     /// No timer is set.
-    pub fn new() -> Timers<T> {
+    pub(super) fn new() -> Timers<T> {
         Timers { heap: BinaryHeap::new(), last_serial: 0 }
     }
 
     /// Sets a timer for an event.
-    pub fn set(&mut self, due_at: Micros, event: T) {
+    pub(super) fn set(&mut self, due_at: Micros, event: T) {
         self.last_serial += 1;
         self.heap.push(Reverse(Timer { due_at, serial: self.last_serial, event }));
     }
 
     /// Removes the next timer that is due.
-    pub fn due(&mut self, now: Micros) -> Option<T> {
+    pub(super) fn due(&mut self, now: Micros) -> Option<T> {
         self.heap.peek().filter(|Reverse(timer)| timer.due_at <= now)?;
         self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
     /// How long until the next timer is due, if one is set.
-    pub fn wait(&self, now: Micros) -> Option<Duration> {
+    pub(super) fn wait(&self, now: Micros) -> Option<Duration> {
         let Reverse(timer) = self.heap.peek()?;
         Some(Duration::from_micros(u64::try_from(timer.due_at - now).unwrap_or(0)))
     }
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -10,7 +10,7 @@
 
 /// Something that happened in the core.
 #[derive(Clone, Copy, Debug)]
-pub enum CoreEvent<'a> {
+pub(crate) enum CoreEvent<'a> {
     /// The endpoint list has a server, or changed its entry. `primary`: whether it is a primary by the list, if the list names
     /// roles.
     Listed {
@@ -44,14 +44,14 @@
 }
 
 /// A subsystem that is notified of what happens in the core.
-pub trait Observer {
+pub(crate) trait Observer {
     /// Called for each event, in the order in which they happen.
     fn on_event(&mut self, now: Micros, event: CoreEvent<'_>);
 }
 
 /// The part of a read that a [`CopyLocator`] needs.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadDescription<'a> {
+pub(crate) struct ReadDescription<'a> {
     /// The group that it addresses.
     pub group: GroupId,
     /// Which data it has to see.
@@ -62,41 +62,41 @@
 
 /// A subsystem that locates copies of rows at servers of other groups. It returns candidates; the router selects one, and its reply
 /// states the position of the copy.
-pub trait CopyLocator {
+pub(crate) trait CopyLocator {
     /// Candidates for a read.
     fn locate_copies(&mut self, now: Micros, read: &ReadDescription<'_>) -> Vec<CopyCandidate>;
 }
 
 /// An observer that its driver uses too. There is one thread, and no borrow is held across a call that notifies observers.
-pub type Shared<T> = Rc<RefCell<T>>;
+pub(crate) type Shared<T> = Rc<RefCell<T>>;
 
 /// Makes an observer that its driver uses too.
-pub fn shared<T>(observer: T) -> Shared<T> {
+pub(crate) fn shared<T>(observer: T) -> Shared<T> {
     Rc::new(RefCell::new(observer))
 }
 
 /// All observers, in the order in which they were added.
 #[derive(Default)]
-pub struct Observers(Vec<Rc<RefCell<dyn Observer>>>);
+pub(crate) struct Observers(Vec<Rc<RefCell<dyn Observer>>>);
 
 impl Observers {
     /// Adds an observer.
-    pub fn add(&mut self, observer: Rc<RefCell<dyn Observer>>) {
+    pub(crate) fn add(&mut self, observer: Rc<RefCell<dyn Observer>>) {
         self.0.push(observer);
     }
 
     /// Removes an observer.
-    pub fn remove(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
+    pub(crate) fn remove(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
         self.0.retain(|known| !Rc::ptr_eq(known, observer));
     }
 
     /// Whether there is any.
-    pub fn any(&self) -> bool {
+    pub(crate) fn any(&self) -> bool {
         !self.0.is_empty()
     }
 
     /// Notifies all observers.
-    pub fn notify(&self, now: Micros, event: CoreEvent) {
+    pub(crate) fn notify(&self, now: Micros, event: CoreEvent) {
         for observer in &self.0 {
             observer.borrow_mut().on_event(now, event);
         }
--- a/proxy/src/outbox.rs
+++ b/proxy/src/outbox.rs
@@ -1,11 +1,11 @@
 //! The output buffer of a connection, for every protocol.
 
 /// The capacity that an empty buffer keeps.
-pub const IDLE_BUFFER_BYTES: usize = 4096;
+pub(crate) const IDLE_BUFFER_BYTES: usize = 4096;
 
 /// Output that waits to be written.
 #[derive(Default)]
-pub struct Outbox {
+pub(crate) struct Outbox {
     bytes: Vec<u8>,
     /// How many of the bytes are written.
     written: usize,
@@ -13,12 +13,12 @@
 
 impl Outbox {
     /// What is not written yet.
-    pub fn pending(&self) -> &[u8] {
+    pub(crate) fn pending(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
     /// This number of pending bytes has been written.
-    pub fn advance(&mut self, count: usize) {
+    pub(crate) fn advance(&mut self, count: usize) {
         self.written = (self.written + count).min(self.bytes.len());
         if self.written == self.bytes.len() {
             self.written = 0;
@@ -28,12 +28,12 @@
     }
 
     /// Adds output.
-    pub fn append(&mut self, bytes: &[u8]) {
+    pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
     /// The buffer, for an encoder that appends to it. The bytes in it must not be changed.
-    pub fn buffer(&mut self) -> &mut Vec<u8> {
+    pub(crate) fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 }
--- a/proxy/src/peer_state.rs
+++ b/proxy/src/peer_state.rs
@@ -20,7 +20,7 @@
 const MIN_TRUST: f64 = 0.05;
 
 /// This proxy's peer state, kept up to date from the core's events.
-pub struct PeerStateObserver {
+pub(crate) struct PeerStateObserver {
     /// The facts.
     pub state: PeerState,
     /// The last position of each server that was reported to the router.
@@ -29,7 +29,7 @@
 
 /// A position of a server that another proxy observed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RemotePosition {
+pub(crate) struct RemotePosition {
     /// The server.
     pub uid: String,
     /// Its position.
@@ -38,7 +38,7 @@
 
 /// What the router may use of another proxy's state.
 #[derive(Debug, Default)]
-pub struct PeerAdvice {
+pub(crate) struct PeerAdvice {
     /// Positions of servers on the endpoint list.
     pub positions: Vec<RemotePosition>,
     /// Servers whose role should be checked, as each may be its group's primary.
@@ -47,7 +47,7 @@
 
 impl PeerStateObserver {
     /// Nothing is known. `observer` is random and identifies this process.
-    pub fn new(observer: u64) -> PeerStateObserver {
+    pub(crate) fn new(observer: u64) -> PeerStateObserver {
         PeerStateObserver { state: PeerState::new(observer), reported_positions: HashMap::new() }
     }
 
@@ -86,7 +86,12 @@
     }
 
     /// Merges a part of another proxy's state, which was requested at this time.
-    pub fn apply_transfer(&mut self, now: Micros, requested_at: Micros, part: &TransferPart) -> PeerAdvice {
+    pub(crate) fn apply_transfer(
+        &mut self,
+        now: Micros,
+        requested_at: Micros,
+        part: &TransferPart,
+    ) -> PeerAdvice {
         self.state.apply_transfer(requested_at, part);
         let positions =
             part.servers.iter().filter_map(|server| self.new_position(now, &server.uid)).collect();
--- a/proxy/src/pg/arrival_times.rs
+++ b/proxy/src/pg/arrival_times.rs
@@ -15,7 +15,7 @@
 
 /// Times of arrival by position in the input. There is at most one for each byte that is not consumed.
 #[derive(Default)]
-pub struct ArrivalTimes {
+pub(crate) struct ArrivalTimes {
     /// Bytes received since the beginning.
     received_bytes: u64,
     /// Bytes consumed since the beginning.
@@ -25,7 +25,7 @@
 
 impl ArrivalTimes {
     /// Records the arrival of this number of bytes.
-    pub fn record(&mut self, bytes: usize, now: Micros) {
+    pub(crate) fn record(&mut self, bytes: usize, now: Micros) {
         self.received_bytes += bytes as u64;
         match self.arrivals.back_mut() {
             Some(last) if now - last.at < TIME_RESOLUTION_MICROS => last.end = self.received_bytes,
@@ -34,7 +34,7 @@
     }
 
     /// Consumes this number of bytes. Returns when the last of them arrived.
-    pub fn consume(&mut self, bytes: usize) -> Option<Micros> {
+    pub(crate) fn consume(&mut self, bytes: usize) -> Option<Micros> {
         self.consumed_bytes += bytes as u64;
         while self.arrivals.front().is_some_and(|arrival| arrival.end < self.consumed_bytes) {
             self.arrivals.pop_front();
@@ -49,7 +49,7 @@
 
     /// How many times are kept.
     #[cfg(test)]
-    pub fn recorded_times(&self) -> usize {
+    pub(crate) fn recorded_times(&self) -> usize {
         self.arrivals.len()
     }
 }
--- a/proxy/src/pg/backend/mod.rs
+++ b/proxy/src/pg/backend/mod.rs
@@ -49,7 +49,7 @@
 
 /// An event in the bytes that a database sends.
 #[derive(Debug, PartialEq)]
-pub enum BackendEvent {
+pub(crate) enum BackendEvent {
     /// The connection is established.
     Ready,
     /// A streamed value of this length begins. Its bytes follow in chunks, and `QueryCompleted` after them.
@@ -65,7 +65,7 @@
 }
 
 /// The state of the protocol on one connection.
-pub struct Backend {
+pub(crate) struct Backend {
     phase: Phase,
     inbox: Inbox,
     /// Output that waits to be written.
@@ -76,7 +76,7 @@
 
 impl Backend {
     /// A new connection. The startup message waits to be written.
-    pub fn new(load_report_format: LoadReportFormat) -> Backend {
+    pub(crate) fn new(load_report_format: LoadReportFormat) -> Backend {
         let mut out = Outbox::default();
         out.startup("api", "ledger");
         Backend {
@@ -89,24 +89,24 @@
     }
 
     /// Forwards a statement, unchanged except for the remaining wait.
-    pub fn send_statement(&mut self, statement: &Statement, left_ms: u64) {
+    pub(crate) fn send_statement(&mut self, statement: &Statement, left_ms: u64) {
         let (head, tail) = statement.text_around_deadline();
         self.send(Phase::Statement, &[head, left_ms.to_string().as_bytes(), tail]);
     }
 
     /// Asks for the copy of what the statement reads, if it has this position.
-    pub fn send_copy_read(&mut self, statement: &Statement, left_ms: u64, required_position: Micros) {
+    pub(crate) fn send_copy_read(&mut self, statement: &Statement, left_ms: u64, required_position: Micros) {
         let query = copies::read_copy(statement, left_ms, required_position);
         self.send(Phase::CopyRead { required_position }, &[&query]);
     }
 
     /// Sends a statement that no client sent.
-    pub fn send_background_query(&mut self, text: &[u8]) {
+    pub(crate) fn send_background_query(&mut self, text: &[u8]) {
         self.send(Phase::BackgroundQuery, &[text]);
     }
 
     /// Asks the database for its load report.
-    pub fn send_load_report_query(&mut self) {
+    pub(crate) fn send_load_report_query(&mut self) {
         self.send(Phase::LoadReportQuery, &[b"SHOW usage"]);
     }
 
@@ -118,12 +118,12 @@
     }
 
     /// Takes bytes that were received.
-    pub fn feed(&mut self, bytes: &[u8]) {
+    pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.inbox.feed(bytes);
     }
 
     /// The next event in the bytes received so far.
-    pub fn next_event(&mut self) -> Option<BackendEvent> {
+    pub(crate) fn next_event(&mut self) -> Option<BackendEvent> {
         while self.phase != Phase::Over {
             if self.is_streaming() {
                 return self.next_value_chunk();
@@ -154,17 +154,17 @@
     }
 
     /// A streamed value has begun, and not all of it has arrived.
-    pub fn is_streaming(&self) -> bool {
+    pub(crate) fn is_streaming(&self) -> bool {
         self.partial_reply.value_bytes_remaining > 0
     }
 
     /// No query is in flight and there is no unexpected input: another query may be sent.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         self.phase == Phase::Idle && self.inbox.len() == 0
     }
 
     /// The connection has ended. A reply that was complete except for the last message still counts.
-    pub fn connection_ended(&mut self) -> Option<BackendEvent> {
+    pub(crate) fn connection_ended(&mut self) -> Option<BackendEvent> {
         let phase = std::mem::replace(&mut self.phase, Phase::Over);
         let expected = phase.expected_reply().filter(|_| self.partial_reply.stage == ReplyStage::Complete)?;
         Some(BackendEvent::QueryCompleted(self.take_reply(expected)))
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -4,7 +4,7 @@
 
 /// The first message of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Startup {
+pub(crate) enum Startup {
     /// `SSLRequest` or `GSSENCRequest`.
     EncryptionRequest,
     CancelRequest,
@@ -54,7 +54,7 @@
 
 /// A client's message after the first.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ClientMessage {
+pub(crate) enum ClientMessage {
     Query(Vec<u8>),
     /// A part of the extended protocol, all of which a Sync ends.
     Extended,
--- a/proxy/src/pg/codec/encode.rs
+++ b/proxy/src/pg/codec/encode.rs
@@ -6,7 +6,7 @@
 
 /// What follows an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Severity {
+pub(crate) enum Severity {
     /// The command failed; the next one may follow.
     Error,
     /// The connection is closed.
@@ -41,12 +41,12 @@
     }
 
     /// The client needs no authentication.
-    pub fn authentication_ok(&mut self) {
+    pub(crate) fn authentication_ok(&mut self) {
         self.message(b'R', |body| body.extend_from_slice(&[0; 4]));
     }
 
     /// The newest minor version that is supported, and the unknown options.
-    pub fn negotiate_version(&mut self, unknown: &[String]) {
+    pub(crate) fn negotiate_version(&mut self, unknown: &[String]) {
         self.message(b'v', |body| {
             body.extend_from_slice(&[0; 4]);
             body.extend_from_slice(&(unknown.len() as u32).to_be_bytes());
@@ -55,7 +55,7 @@
     }
 
     /// A setting that is reported to clients.
-    pub fn parameter_status(&mut self, name: &str, value: &str) {
+    pub(crate) fn parameter_status(&mut self, name: &str, value: &str) {
         self.message(b'S', |body| {
             text(body, name);
             text(body, value);
@@ -63,17 +63,17 @@
     }
 
     /// The next query may be sent; no transaction is open.
-    pub fn ready_for_query(&mut self) {
+    pub(crate) fn ready_for_query(&mut self) {
         self.message(b'Z', |body| body.push(b'I'));
     }
 
     /// The answer to a query without a statement.
-    pub fn empty_query_response(&mut self) {
+    pub(crate) fn empty_query_response(&mut self) {
         self.message(b'I', |_| {});
     }
 
     /// The description of one column, and the header of the one row, whose value follows.
-    pub fn row_header(&mut self, column: &str, binary: bool, value_length: usize) {
+    pub(crate) fn row_header(&mut self, column: &str, binary: bool, value_length: usize) {
         /// The object id of the type `bytea`.
         const BYTEA: u32 = 17;
         self.message(b'T', |body| {
@@ -92,12 +92,12 @@
     }
 
     /// The end of a statement's result, with the command tag.
-    pub fn command_complete(&mut self, tag: &str) {
+    pub(crate) fn command_complete(&mut self, tag: &str) {
         self.message(b'C', |body| text(body, tag));
     }
 
     /// An error, with a detail if there is one.
-    pub fn error(&mut self, severity: Severity, code: SqlState, message: &str, detail: Option<&str>) {
+    pub(crate) fn error(&mut self, severity: Severity, code: SqlState, message: &str, detail: Option<&str>) {
         let severity = severity.as_str().as_bytes();
         self.message(b'E', |body| {
             field(body, b'S', severity);
@@ -112,7 +112,7 @@
     }
 
     /// The first message to a database.
-    pub fn startup(&mut self, user: &str, database: &str) {
+    pub(crate) fn startup(&mut self, user: &str, database: &str) {
         self.untagged(|body| {
             body.extend_from_slice(&(3u32 << 16).to_be_bytes());
             [("user", user), ("database", database)].iter().for_each(|(name, value)| {
@@ -124,7 +124,7 @@
     }
 
     /// A simple query, in the parts that it is made of.
-    pub fn query(&mut self, parts: &[&[u8]]) {
+    pub(crate) fn query(&mut self, parts: &[&[u8]]) {
         self.message(b'Q', |body| {
             parts.iter().for_each(|part| body.extend_from_slice(part));
             body.push(0);
--- a/proxy/src/pg/codec/error.rs
+++ b/proxy/src/pg/codec/error.rs
@@ -5,7 +5,7 @@
 
 /// A violation of the protocol, or of a limit. Clients receive its text as the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DecodeError {
+pub(crate) enum DecodeError {
     /// The declared length is above the limit.
     TooLong,
     /// The declared length is shorter than the message's header.
--- a/proxy/src/pg/codec/inbox.rs
+++ b/proxy/src/pg/codec/inbox.rs
@@ -22,7 +22,7 @@
 
 /// Whether a row too long to be buffered comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LongRowHeader {
+pub(crate) enum LongRowHeader {
     Absent,
     /// It may be one, but its header has not arrived in full.
     Incomplete,
@@ -32,7 +32,7 @@
 
 /// A message of a database, and its length.
 #[derive(Debug, PartialEq, Eq)]
-pub struct ReceivedServerMessage {
+pub(crate) struct ReceivedServerMessage {
     pub message: ServerMessage,
     /// With its tag and length.
     pub bytes: usize,
@@ -40,7 +40,7 @@
 
 /// The bytes that were received and not yet decoded.
 #[derive(Default)]
-pub struct Inbox {
+pub(crate) struct Inbox {
     buffer: Vec<u8>,
     /// The bytes before this index are decoded.
     start: usize,
@@ -48,37 +48,37 @@
 
 impl Inbox {
     /// Takes bytes that were received.
-    pub fn feed(&mut self, bytes: &[u8]) {
+    pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.start);
         self.start = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
     /// The bytes that wait to be decoded.
-    pub fn unread(&self) -> &[u8] {
+    pub(crate) fn unread(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
     /// How many bytes wait to be decoded.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.buffer.len() - self.start
     }
 
     /// The next message of a client after its first.
-    pub fn client_message(&mut self) -> Result<Option<ClientMessage>, DecodeError> {
+    pub(crate) fn client_message(&mut self) -> Result<Option<ClientMessage>, DecodeError> {
         let message = self.message(CLIENT_TAGS, MAX_QUERY_BYTES)?;
         message.map(|(tag, body)| ClientMessage::decode(tag, body)).transpose()
     }
 
     /// The next message of a database.
-    pub fn server_message(&mut self) -> Result<Option<ReceivedServerMessage>, DecodeError> {
+    pub(crate) fn server_message(&mut self) -> Result<Option<ReceivedServerMessage>, DecodeError> {
         let Some((tag, body)) = self.message(SERVER_TAGS, MAX_SERVER_MESSAGE_BYTES)? else { return Ok(None) };
         let bytes = body.len() + MESSAGE_HEADER_BYTES;
         Ok(Some(ReceivedServerMessage { message: ServerMessage::decode(tag, body)?, bytes }))
     }
 
     /// The first message of a connection, which has no tag.
-    pub fn startup(&mut self) -> Result<Option<Startup>, DecodeError> {
+    pub(crate) fn startup(&mut self) -> Result<Option<Startup>, DecodeError> {
         let start = self.start;
         let lengths = MIN_STARTUP_BYTES..=MAX_STARTUP_BYTES;
         let Some(length) = self.declared_length(start, lengths)? else { return Ok(None) };
@@ -86,13 +86,13 @@
     }
 
     /// What has arrived of the body of a message that has not arrived in full.
-    pub fn incomplete_body(&self) -> Option<&[u8]> {
+    pub(crate) fn incomplete_body(&self) -> Option<&[u8]> {
         self.buffer.get(self.start + MESSAGE_HEADER_BYTES..)
     }
 
     /// Takes the header of a long row, if that comes next, with the length of its one value. The value's bytes follow, and
     /// `take_up_to` hands them out as they arrive.
-    pub fn take_long_row_header(&mut self) -> LongRowHeader {
+    pub(crate) fn take_long_row_header(&mut self) -> LongRowHeader {
         let [tag, header @ ..] = &self.buffer[self.start..] else { return LongRowHeader::Absent };
         let around_value = ROW_HEADER_BYTES - 1;
         let Some(value) = read_length(header).and_then(|length| length.checked_sub(around_value)) else {
@@ -112,7 +112,7 @@
     }
 
     /// Takes what has arrived, up to this number of bytes.
-    pub fn take_up_to(&mut self, max_bytes: usize) -> Vec<u8> {
+    pub(crate) fn take_up_to(&mut self, max_bytes: usize) -> Vec<u8> {
         let taken: Vec<u8> = self.unread().iter().copied().take(max_bytes).collect();
         self.start += taken.len();
         self.release_empty_buffer();
@@ -120,7 +120,7 @@
     }
 
     /// Frees a large buffer once it is empty.
-    pub fn release_empty_buffer(&mut self) {
+    pub(crate) fn release_empty_buffer(&mut self) {
         if self.start == self.buffer.len() {
             self.start = 0;
             self.buffer.clear();
--- a/proxy/src/pg/codec/mod.rs
+++ b/proxy/src/pg/codec/mod.rs
@@ -6,22 +6,22 @@
 mod inbox;
 mod server;
 
-pub use client::{ClientMessage, Startup};
-pub use encode::Severity;
-pub use error::DecodeError;
-pub use inbox::{Inbox, LongRowHeader};
-pub use server::ServerMessage;
+pub(crate) use client::{ClientMessage, Startup};
+pub(crate) use encode::Severity;
+pub(crate) use error::DecodeError;
+pub(crate) use inbox::{Inbox, LongRowHeader};
+pub(crate) use server::ServerMessage;
 
 /// The longest message of a client: a value of 64 KiB in hex, and the statement around it.
-pub const MAX_QUERY_BYTES: usize = (128 << 10) + 4096;
+pub(crate) const MAX_QUERY_BYTES: usize = (128 << 10) + 4096;
 /// The longest value that a client may write.
-pub const MAX_CLIENT_VALUE_BYTES: usize = 64 << 10;
+pub(crate) const MAX_CLIENT_VALUE_BYTES: usize = 64 << 10;
 /// The longest value of a database that is checked completely before any of it is forwarded.
 pub(super) const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
 /// The longest value of a database. One too long to be buffered is streamed.
 pub(super) const MAX_STREAMED_VALUE_BYTES: usize = 8 << 20;
 /// The longest message of a database that is buffered: a value and the bytes around it.
-pub const MAX_SERVER_MESSAGE_BYTES: usize = MAX_BUFFERED_VALUE_BYTES + 4096;
+pub(crate) const MAX_SERVER_MESSAGE_BYTES: usize = MAX_BUFFERED_VALUE_BYTES + 4096;
 /// The header of a row of one column: tag, length, number of columns, length of the value.
 pub(super) const ROW_HEADER_BYTES: usize = 11;
 
--- a/proxy/src/pg/codec/server.rs
+++ b/proxy/src/pg/codec/server.rs
@@ -5,7 +5,7 @@
 
 /// A message of a database, as far as the proxy uses it.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ServerMessage {
+pub(crate) enum ServerMessage {
     /// The authentication that the database requests; 0 is none.
     Authentication(u32),
     ParameterStatus {
--- a/proxy/src/pg/commit_time_query.rs
+++ b/proxy/src/pg/commit_time_query.rs
@@ -7,7 +7,7 @@
 
 /// The state of a row since its last commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CommittedRow<'a> {
+pub(crate) struct CommittedRow<'a> {
     /// When it was last committed; 0 if there is no row.
     pub committed_at: Micros,
     /// `None`: there is no row.
@@ -15,7 +15,7 @@
 }
 
 /// The query for the time of a row's last commit, in milliseconds and rounded up, followed by the row's value.
-pub fn read_row_with_commit_time(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
+pub(crate) fn read_row_with_commit_time(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
     let comment = format!("' /* id={id:016x},c=background,d={wait_ms},cluster={group} */");
     let select: &[u8] =
         b"SELECT int8send((extract(epoch FROM pg_xact_commit_timestamp(xmin)) * 1000)::int8 + 1) || blob \
@@ -24,7 +24,7 @@
 }
 
 /// Parses the reply to that query. `None`: it is not such a reply.
-pub fn parse_row_with_commit_time(reply: &Reply) -> Option<CommittedRow<'_>> {
+pub(crate) fn parse_row_with_commit_time(reply: &Reply) -> Option<CommittedRow<'_>> {
     let Some(value) = &reply.value else { return Some(CommittedRow { committed_at: 0, value: None }) };
     let (millis, blob) = value.bytes.split_first_chunk::<8>()?;
     let committed_at = i64::from_be_bytes(*millis).checked_mul(MICROS_PER_MILLI)?;
--- a/proxy/src/pg/copies.rs
+++ b/proxy/src/pg/copies.rs
@@ -9,11 +9,11 @@
 use birchreach::{AttemptOutcome, Micros};
 
 /// The longest value that is copied.
-pub const MAX_COPY_BYTES: usize = 16 << 10;
+pub(crate) const MAX_COPY_BYTES: usize = 16 << 10;
 
 /// The query for the copy of the row that a statement reads: the position and the value in one column, or an empty one. The comment
 /// is forwarded as it arrived, except for the wait.
-pub fn read_copy(statement: &Statement, left_ms: u64, required_position: Micros) -> Vec<u8> {
+pub(crate) fn read_copy(statement: &Statement, left_ms: u64, required_position: Micros) -> Vec<u8> {
     let (comment_head, comment_tail) = statement.comment_around_deadline();
     let select = format!(
         "SELECT coalesce((SELECT int8send(at) || blob FROM copies WHERE home = {} AND handle = '",
@@ -26,7 +26,7 @@
 }
 
 /// Parses the reply to that query: a copy that has reached the position, or else `miss`.
-pub fn parse_copy(value: Option<Value>, required_position: Micros, miss: Reply) -> Reply {
+pub(crate) fn parse_copy(value: Option<Value>, required_position: Micros, miss: Reply) -> Reply {
     let Some(Value { bytes, binary }) = value else { return miss };
     let Some((millis, blob)) = bytes.split_first_chunk::<8>() else { return miss };
     let position = i64::from_be_bytes(*millis).saturating_mul(MICROS_PER_MILLI);
@@ -38,13 +38,13 @@
 }
 
 /// The query for a row in its own group, for copying or a comparison.
-pub fn read_row(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
+pub(crate) fn read_row(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
     let comment = format!("' /* id={id:016x},c=background,d={wait_ms},cluster={group} */");
     [b"SELECT blob FROM rows WHERE handle = '", key, comment.as_bytes()].concat()
 }
 
 /// The statement that writes a copy, unless a newer one exists.
-pub fn write_copy(home: u32, key: &[u8], position: Micros, blob: &[u8]) -> Vec<u8> {
+pub(crate) fn write_copy(home: u32, key: &[u8], position: Micros, blob: &[u8]) -> Vec<u8> {
     let insert = format!("INSERT INTO copies (home, handle, at, blob) VALUES ({home}, '");
     let values = format!("', {}, '\\x", position.div_euclid(MICROS_PER_MILLI));
     let hex: String = blob.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -36,7 +36,7 @@
 
 /// Why the protocol ends a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndReason {
+pub(crate) enum EndReason {
     /// The client sent Terminate.
     Terminate,
     /// The connection was opened for a cancel request.
@@ -51,7 +51,7 @@
 
 impl EndReason {
     /// The word for the log.
-    pub fn as_str(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             EndReason::Terminate => "terminate",
             EndReason::CancelRequest => "cancel-request",
@@ -64,7 +64,7 @@
 
 /// A command of a client.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ClientCommand {
+pub(crate) enum ClientCommand {
     /// Run a statement, whose last byte arrived at this time.
     Run(Statement, Micros),
     /// Close the connection.
@@ -84,7 +84,7 @@
 }
 
 /// The state of the protocol on one connection.
-pub struct Frontend {
+pub(crate) struct Frontend {
     phase: Phase,
     inbox: Inbox,
     arrivals: ArrivalTimes,
@@ -117,13 +117,13 @@
 
 impl Frontend {
     /// Takes bytes that were received.
-    pub fn feed(&mut self, now: Micros, bytes: &[u8]) {
+    pub(crate) fn feed(&mut self, now: Micros, bytes: &[u8]) {
         self.arrivals.record(bytes.len(), now);
         self.inbox.feed(bytes);
     }
 
     /// Whether input should be read now. Only a little is read ahead of the command that is being answered.
-    pub fn wants_input(&self) -> bool {
+    pub(crate) fn wants_input(&self) -> bool {
         let completes_message = self.accepts_messages() && self.message_incomplete && !self.output_is_full();
         self.phase != Phase::Over
             && !self.reading_stopped
@@ -131,12 +131,12 @@
     }
 
     /// No more input is read from now on.
-    pub fn stop_reading(&mut self) {
+    pub(crate) fn stop_reading(&mut self) {
         self.reading_stopped = true;
     }
 
     /// Reading has stopped, and all that was read is answered, except for an incomplete message.
-    pub fn all_input_answered(&self) -> bool {
+    pub(crate) fn all_input_answered(&self) -> bool {
         self.reading_stopped
             && self.accepts_messages()
             && self.out.pending().is_empty()
@@ -144,52 +144,52 @@
     }
 
     /// A new turn of the loop begins.
-    pub fn start_turn(&mut self) {
+    pub(crate) fn start_turn(&mut self) {
         self.commands_left_in_turn = MAX_COMMANDS_PER_TURN;
     }
 
     /// Commands wait for the next turn.
-    pub fn commands_deferred(&self) -> bool {
+    pub(crate) fn commands_deferred(&self) -> bool {
         self.commands_left_in_turn == 0
             && matches!(self.phase, Phase::Ready | Phase::SkippingUntilSync)
             && self.inbox.len() > 0
     }
 
     /// The only input that is left is the message that ends the connection.
-    pub fn only_terminate_left(&self) -> bool {
+    pub(crate) fn only_terminate_left(&self) -> bool {
         self.inbox.unread() == TERMINATE_MESSAGE
     }
 
     /// A complete message after the startup has arrived, at any time.
-    pub fn has_received_command(&self) -> bool {
+    pub(crate) fn has_received_command(&self) -> bool {
         self.commands_received > 0
     }
 
     /// No message after the startup has arrived yet, or one is incomplete.
-    pub fn has_incomplete_message(&self) -> bool {
+    pub(crate) fn has_incomplete_message(&self) -> bool {
         let message_begun = self.inbox.len() > 0 && self.message_incomplete;
         self.commands_received == 0 || (message_begun && !matches!(self.phase, Phase::AnswerPending { .. }))
     }
 
     /// The rest of a message did not arrive in time: sends the error.
-    pub fn fail_incomplete_message(&mut self) {
+    pub(crate) fn fail_incomplete_message(&mut self) {
         self.fail(SqlState::PROTOCOL_VIOLATION, "no whole message in time");
     }
 
     /// Every command is answered completely.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Ready | Phase::SkippingUntilSync)
             && self.inbox.len() == 0
             && self.out.pending().is_empty()
     }
 
     /// The startup is not complete.
-    pub fn is_in_startup(&self) -> bool {
+    pub(crate) fn is_in_startup(&self) -> bool {
         self.phase == Phase::Startup
     }
 
     /// The next command in the input. None while an answer is pending.
-    pub fn next_command(&mut self, now: Micros) -> Option<ClientCommand> {
+    pub(crate) fn next_command(&mut self, now: Micros) -> Option<ClientCommand> {
         while !self.output_is_full() && self.commands_left_in_turn > 0 {
             let progress = match self.phase {
                 Phase::Startup => self.process_startup(now),
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -10,19 +10,19 @@
 
 impl Frontend {
     /// Answers the command with an error, and is ready for the next.
-    pub fn reject(&mut self, code: SqlState, message: &str) {
+    pub(crate) fn reject(&mut self, code: SqlState, message: &str) {
         self.out.error(Severity::Error, code, message, None);
         self.out.ready_for_query();
         self.phase = Phase::Ready;
     }
 
     /// A value of this length begins.
-    pub fn start_value(&mut self, binary: bool, length: usize) {
+    pub(crate) fn start_value(&mut self, binary: bool, length: usize) {
         self.out.row_header(COLUMN, binary, length);
     }
 
     /// Sends the final answer to the statement that was returned as a command.
-    pub fn answer(&mut self, answer: &Answer) {
+    pub(crate) fn answer(&mut self, answer: &Answer) {
         let Phase::AnswerPending { is_write } = self.phase else { return };
         let tag = if is_write { "INSERT 0 1" } else { "SELECT 1" };
         match answer {
--- a/proxy/src/pg/load_report.rs
+++ b/proxy/src/pg/load_report.rs
@@ -7,7 +7,7 @@
 
 /// The format of the databases' load reports, from the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LoadReportFormat {
+pub(crate) struct LoadReportFormat {
     /// The name of the field with the log position, if reports have one.
     pub position_field: Option<String>,
     /// The name of the field with the role, if reports have one.
@@ -18,7 +18,7 @@
 
 impl LoadReportFormat {
     /// Parses a report such as `x0=1767225600.123,x1=1`, which has the position in seconds. `None`: a part of it is invalid.
-    pub fn parse(&self, text: &[u8]) -> Option<LoadReport> {
+    pub(crate) fn parse(&self, text: &[u8]) -> Option<LoadReport> {
         let text = std::str::from_utf8(text).ok()?;
         let role = match &self.role_field {
             None => None,
@@ -49,7 +49,7 @@
 }
 
 /// Parses the role in the parameter `server_role`.
-pub fn parse_role(text: &str) -> Option<Role> {
+pub(crate) fn parse_role(text: &str) -> Option<Role> {
     match text {
         "writer" => Some(Role::Primary),
         "reader" => Some(Role::Replica),
@@ -58,6 +58,6 @@
 }
 
 /// Parses a position in milliseconds of Unix time.
-pub fn parse_position_millis(text: &str) -> Option<Micros> {
+pub(crate) fn parse_position_millis(text: &str) -> Option<Micros> {
     text.parse::<Micros>().ok().filter(|millis| *millis >= 0)?.checked_mul(MICROS_PER_MILLI)
 }
