--- a/proxy/src/pg/partial_reply.rs
+++ b/proxy/src/pg/partial_reply.rs
@@ -49,7 +49,7 @@
 
 impl PartialReply {
     /// The reply from these parts. Errors too have the server's status, if it was sent.
-    pub fn into_reply(self, expected: ExpectedReply, format: &LoadReportFormat) -> Reply {
+    pub(super) fn into_reply(self, expected: ExpectedReply, format: &LoadReportFormat) -> Reply {
         let outcome = self.outcome();
         let succeeded = outcome == AttemptOutcome::Ok;
         let position = self.position;
--- a/proxy/src/pg/sqlstate.rs
+++ b/proxy/src/pg/sqlstate.rs
@@ -4,36 +4,36 @@
 
 /// A code of five letters and digits, as an error message has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SqlState([u8; 5]);
+pub(crate) struct SqlState([u8; 5]);
 
 impl SqlState {
     /// Sent to clients if nothing has run or a retry is safe. From a database: it is overloaded.
-    pub const TOO_MANY_CONNECTIONS: SqlState = SqlState(*b"53300");
+    pub(crate) const TOO_MANY_CONNECTIONS: SqlState = SqlState(*b"53300");
     /// From a replica that was sent a write.
-    pub const READ_ONLY: SqlState = SqlState(*b"25006");
+    pub(crate) const READ_ONLY: SqlState = SqlState(*b"25006");
     /// From a replica that has not reached the position that a read requires.
-    pub const SNAPSHOT_TOO_OLD: SqlState = SqlState(*b"72000");
+    pub(crate) const SNAPSHOT_TOO_OLD: SqlState = SqlState(*b"72000");
     /// Sent to clients if there is no answer and the statement may have run.
-    pub const SYSTEM_ERROR: SqlState = SqlState(*b"58000");
+    pub(crate) const SYSTEM_ERROR: SqlState = SqlState(*b"58000");
     /// The statement has neither of the two forms.
-    pub const SYNTAX_ERROR: SqlState = SqlState(*b"42601");
+    pub(crate) const SYNTAX_ERROR: SqlState = SqlState(*b"42601");
     /// A field of the statement's comment does not fit.
-    pub const INVALID_VALUE: SqlState = SqlState(*b"22023");
+    pub(crate) const INVALID_VALUE: SqlState = SqlState(*b"22023");
     /// A part of the protocol that the proxy does not support.
-    pub const NOT_SUPPORTED: SqlState = SqlState(*b"0A000");
+    pub(crate) const NOT_SUPPORTED: SqlState = SqlState(*b"0A000");
     /// The client violated the protocol.
-    pub const PROTOCOL_VIOLATION: SqlState = SqlState(*b"08P01");
+    pub(crate) const PROTOCOL_VIOLATION: SqlState = SqlState(*b"08P01");
     /// A message is longer than any that is accepted.
-    pub const LIMIT_EXCEEDED: SqlState = SqlState(*b"54000");
+    pub(crate) const LIMIT_EXCEEDED: SqlState = SqlState(*b"54000");
 
     /// Parses a code. `None`: the text is not a code.
-    pub fn parse(text: &[u8]) -> Option<SqlState> {
+    pub(crate) fn parse(text: &[u8]) -> Option<SqlState> {
         let code = <[u8; 5]>::try_from(text).ok()?;
         code.iter().all(u8::is_ascii_alphanumeric).then_some(SqlState(code))
     }
 
     /// The code as a message has it.
-    pub fn as_bytes(&self) -> &[u8] {
+    pub(crate) fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 }
--- a/proxy/src/pg/statement/error.rs
+++ b/proxy/src/pg/statement/error.rs
@@ -6,7 +6,7 @@
 
 /// Why a statement is answered with an error and does not become a request. Clients receive its text as the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StatementError {
+pub(crate) enum StatementError {
     /// The settings have no class of its name.
     UnknownClass,
     /// Its class is for reads and it writes, or the other way round.
@@ -19,7 +19,7 @@
 
 impl StatementError {
     /// The code of the error message.
-    pub fn sqlstate(self) -> SqlState {
+    pub(crate) fn sqlstate(self) -> SqlState {
         match self {
             StatementError::UnknownClass
             | StatementError::ClassMismatch
--- a/proxy/src/pg/statement/mod.rs
+++ b/proxy/src/pg/statement/mod.rs
@@ -6,12 +6,12 @@
 use crate::core::{RoutingRequest, session_id};
 use crate::units::MICROS_PER_MILLI;
 use birchreach::{ClassId, Consistency, GroupId, Micros, RequestClass, SessionPositionSource};
-pub use error::StatementError;
+pub(crate) use error::StatementError;
 use std::ops::Range;
 
 /// A statement with its comment. The text is forwarded as it arrived, except for the wait.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Statement {
+pub(crate) struct Statement {
     text: Vec<u8>,
     /// The digits of the wait (`d`) in the text.
     deadline_range: Range<usize>,
@@ -40,34 +40,34 @@
 
 impl Statement {
     /// Whether a statement with this beginning can be valid. If not, it is rejected before the rest arrives.
-    pub fn may_become_valid(beginning: &[u8]) -> bool {
+    pub(crate) fn may_become_valid(beginning: &[u8]) -> bool {
         beginning.len() <= MAX_VALUELESS_STATEMENT_BYTES || beginning.starts_with(WRITE_PREFIX)
     }
 
     /// The client's id of the request (`id`).
-    pub fn id(&self) -> &[u8] {
+    pub(crate) fn id(&self) -> &[u8] {
         &self.text[self.id_range.clone()]
     }
 
     /// The key of the row.
-    pub fn key(&self) -> &[u8] {
+    pub(crate) fn key(&self) -> &[u8] {
         &self.text[self.key_range.clone()]
     }
 
     /// The comment before and after the digits of the wait, with the space before the comment.
-    pub fn comment_around_deadline(&self) -> (&[u8], &[u8]) {
+    pub(crate) fn comment_around_deadline(&self) -> (&[u8], &[u8]) {
         let comment_start = self.key_range.end + 1;
         (&self.text[comment_start..self.deadline_range.start], &self.text[self.deadline_range.end..])
     }
 
     /// The text before and after the digits of the wait.
-    pub fn text_around_deadline(&self) -> (&[u8], &[u8]) {
+    pub(crate) fn text_around_deadline(&self) -> (&[u8], &[u8]) {
         (&self.text[..self.deadline_range.start], &self.text[self.deadline_range.end..])
     }
 
     /// The request for the router, by the rules of its class. `waited` is the time since the statement arrived, which is part of
     /// the client's wait.
-    pub fn routing_request(
+    pub(crate) fn routing_request(
         &self,
         class_id: ClassId,
         class: &RequestClass,
--- a/proxy/src/pg/statement/parser.rs
+++ b/proxy/src/pg/statement/parser.rs
@@ -16,7 +16,7 @@
 
 impl Statement {
     /// Parses a statement. `None`: the text has neither of the two forms.
-    pub fn parse(text: Vec<u8>) -> Option<Statement> {
+    pub(crate) fn parse(text: Vec<u8>) -> Option<Statement> {
         let mut parser = Parser { text: &text, position: 0 };
         let is_write = if parser.accept(READ_PREFIX) {
             false
--- a/proxy/src/reply.rs
+++ b/proxy/src/reply.rs
@@ -6,7 +6,7 @@
 
 /// A value as a database sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Value {
+pub(crate) struct Value {
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// The bytes are in the databases' binary format, not in the text format.
@@ -15,7 +15,7 @@
 
 /// The result of an attempt or a health check.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
+pub(crate) struct Reply {
     /// How it ended.
     pub outcome: AttemptOutcome,
     /// The value that was read.
@@ -32,7 +32,7 @@
 
 impl Reply {
     /// A result with nothing but an outcome.
-    pub fn with_outcome(outcome: AttemptOutcome) -> Reply {
+    pub(crate) fn with_outcome(outcome: AttemptOutcome) -> Reply {
         Reply {
             outcome,
             value: None,
@@ -44,7 +44,7 @@
     }
 
     /// The result of an attempt whose connection was refused.
-    pub fn connection_refused() -> Reply {
+    pub(crate) fn connection_refused() -> Reply {
         Reply { connection_refused: true, ..Reply::with_outcome(AttemptOutcome::ConnectFailed) }
     }
 }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -17,7 +17,7 @@
 use std::mem::Discriminant;
 
 /// The verifier of a split as an observer of the core.
-pub struct SplitObserver {
+pub(crate) struct SplitObserver {
     /// The decisions.
     pub verifier: SplitVerifier,
     hasher: NameHasher,
@@ -29,7 +29,7 @@
 }
 
 /// The crate's settings from the options and the number of configured processes.
-pub fn settings(options: &birchreach_options::SplitOptions, configured_members: u32) -> Settings {
+pub(crate) fn settings(options: &birchreach_options::SplitOptions, configured_members: u32) -> Settings {
     let micros = |span: std::time::Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
     let birchreach_options::SplitOptions {
         parent,
@@ -52,7 +52,7 @@
 
 impl SplitObserver {
     /// An observer that has seen nothing; `own_origin` is this process's number in reports.
-    pub fn new(
+    pub(crate) fn new(
         settings: Settings,
         own_origin: u64,
         hasher: NameHasher,
@@ -69,7 +69,11 @@
     }
 
     /// The result of a query from the answers of the database.
-    pub fn query_result(&self, query: ComparisonQuery, completed: &BackgroundQueryResult) -> QueryResult {
+    pub(crate) fn query_result(
+        &self,
+        query: ComparisonQuery,
+        completed: &BackgroundQueryResult,
+    ) -> QueryResult {
         let result = if completed.complete { self.parse_replies(query, completed) } else { None };
         result.unwrap_or(QueryResult::NoAnswer)
     }
@@ -115,7 +119,7 @@
     }
 
     /// The verdict, if it is of another kind than the one that was logged last.
-    pub fn verdict_to_log(&mut self, heard_members: usize) -> Option<Verdict> {
+    pub(crate) fn verdict_to_log(&mut self, heard_members: usize) -> Option<Verdict> {
         let verdict = self.verifier.verdict(heard_members);
         let kind = std::mem::discriminant(&verdict);
         let logged = self.logged_verdict.replace(kind);
@@ -124,7 +128,7 @@
 
     /// The reply to the call `split`: a summary line, one for each range that is not covered, and one for each difference that this
     /// process confirmed.
-    pub fn status_lines(&self, heard_members: usize) -> String {
+    pub(crate) fn status_lines(&self, heard_members: usize) -> String {
         let settings = self.verifier.settings();
         let mut lines = self.summary_line(heard_members);
         for range in 0..RANGES {
@@ -174,7 +178,7 @@
     }
 
     /// A confirmed difference as operators see it, in the log and in the admin call.
-    pub fn difference_fields(&self, range: usize, difference: &ConfirmedDifference) -> String {
+    pub(crate) fn difference_fields(&self, range: usize, difference: &ConfirmedDifference) -> String {
         let row = |row: RowDigest| row.map_or("none".into(), |digest| format!("{digest:016x}"));
         let class = self.class_names.get(usize::from(difference.class)).map_or("?", String::as_str);
         format!(
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -19,11 +19,11 @@
 
 /// The index of a class's counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClassRowIndex(usize);
+pub(crate) struct ClassRowIndex(usize);
 
 /// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestResult {
+pub(crate) enum RequestResult {
     /// It was served.
     Served,
     /// It was not served, and may be retried.
@@ -34,7 +34,7 @@
 
 /// All counters. A request is counted when it gets its answer, an attempt when the last byte of its query is written.
 #[derive(Debug, Default)]
-pub struct Stats {
+pub(crate) struct Stats {
     classes: Vec<ClassRow>,
     /// Attempts written to databases.
     pub attempts: u64,
@@ -46,7 +46,7 @@
 
 /// Values of the present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Gauges {
+pub(crate) struct Gauges {
     /// Requests without an answer.
     pub in_progress: usize,
     /// Databases in the endpoint list.
@@ -57,7 +57,7 @@
 
 impl Stats {
     /// The index of a class's row. A class that was known before keeps its counters.
-    pub fn class_row(&mut self, name: &str) -> ClassRowIndex {
+    pub(crate) fn class_row(&mut self, name: &str) -> ClassRowIndex {
         let known = self.classes.iter().position(|row| row.name == name);
         ClassRowIndex(known.unwrap_or_else(|| {
             self.classes.push(ClassRow { name: name.to_string(), counts: ResultCounts::default() });
@@ -66,7 +66,7 @@
     }
 
     /// Counts a request of the class with this row.
-    pub fn count_result(&mut self, row: ClassRowIndex, result: RequestResult) {
+    pub(crate) fn count_result(&mut self, row: ClassRowIndex, result: RequestResult) {
         let Some(ClassRow { counts, .. }) = self.classes.get_mut(row.0) else { return };
         match result {
             RequestResult::Served => counts.served += 1,
@@ -76,7 +76,7 @@
     }
 
     /// Every counter and gauge, a line each. The names are public and must not change.
-    pub fn lines(&self, gauges: Gauges) -> String {
+    pub(crate) fn lines(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
             // Writing to a string does not fail.
--- a/proxy/src/units.rs
+++ b/proxy/src/units.rs
@@ -3,4 +3,4 @@
 use birchreach::Micros;
 
 /// Microseconds in a millisecond.
-pub const MICROS_PER_MILLI: Micros = 1_000;
+pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
--- a/proxy/tests/configuration_messages/support.rs
+++ b/proxy/tests/configuration_messages/support.rs
@@ -8,32 +8,32 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
 const INVALID_CONFIGURATION: i32 = 2;
 /// A configuration without faults and warnings.
-pub const VALID: &str = include_str!("../../../example/config.json");
+pub(crate) const VALID: &str = include_str!("../../../example/config.json");
 
 /// A folder of one test.
-pub struct Folder(pub PathBuf);
+pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
-    pub fn new(name: &str) -> Folder {
+    pub(crate) fn new(name: &str) -> Folder {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("configuration_messages").join(name);
         std::fs::create_dir_all(&folder).unwrap();
         Folder(folder)
     }
 
     /// Writes a file that only its owner may read.
-    pub fn write(&self, name: &str, text: &str) -> PathBuf {
+    pub(crate) fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, text).unwrap();
         std::fs::set_permissions(&path, Permissions::from_mode(0o600)).unwrap();
         path
     }
 
-    pub fn write_options(&self, elements: &str) -> PathBuf {
+    pub(crate) fn write_options(&self, elements: &str) -> PathBuf {
         self.write("options.xml", &format!("<birchreach-options>\n{elements}\n</birchreach-options>"))
     }
 
     /// What `check` prints, line by line.
-    pub fn check(&self, config: &Path, options: Option<&Path>) -> Vec<String> {
+    pub(crate) fn check(&self, config: &Path, options: Option<&Path>) -> Vec<String> {
         let mut command = program();
         command.arg("check").arg("--config").arg(config);
         let output = run(command, options);
@@ -41,7 +41,7 @@
     }
 
     /// What the program prints that does not start with a configuration.
-    pub fn start_error(&self, config: &Path, options: Option<&Path>) -> String {
+    pub(crate) fn start_error(&self, config: &Path, options: Option<&Path>) -> String {
         let mut command = program();
         command.env("RELAY_CONFIG", config);
         let output = run(command, options);
@@ -64,7 +64,7 @@
 }
 
 /// The program without variables of the platform.
-pub fn program() -> Command {
+pub(crate) fn program() -> Command {
     let mut command = Command::new(PROGRAM);
     for variable in ["CONFIG", "NAME", "LISTEN", "DISCOVERY", "OPERATOR"] {
         command.env_remove(format!("RELAY_{variable}"));
@@ -73,7 +73,7 @@
 }
 
 /// The valid configuration after one replacement.
-pub fn replaced(old: &str, new: &str) -> String {
+pub(crate) fn replaced(old: &str, new: &str) -> String {
     assert!(VALID.contains(old), "{old}");
     VALID.replacen(old, new, 1)
 }
--- a/proxy/tests/player/bytes.rs
+++ b/proxy/tests/player/bytes.rs
@@ -3,21 +3,21 @@
 use std::collections::HashMap;
 
 /// Bytes to be sent, or matched; `None` matches any byte.
-pub type Bytes = Vec<Option<u8>>;
+pub(super) type Bytes = Vec<Option<u8>>;
 
 /// Named bytes, as `$NAME` refers to them.
-pub type NamedBytes = HashMap<String, Bytes>;
+pub(super) type NamedBytes = HashMap<String, Bytes>;
 
 /// The size of the length field of messages and values.
 const LENGTH_BYTES: usize = 4;
 
 /// The bytes of a text itself.
-pub fn literal(text: &str) -> Bytes {
+pub(super) fn literal(text: &str) -> Bytes {
     text.bytes().map(Some).collect()
 }
 
 /// Parses the notation.
-pub fn parse(text: &str, names: &NamedBytes) -> Bytes {
+pub(super) fn parse(text: &str, names: &NamedBytes) -> Bytes {
     let mut parser = Parser { names, output: Bytes::new(), open_brackets: Vec::new() };
     let mut rest = text.trim();
     while !rest.is_empty() {
--- a/proxy/tests/player/mod.rs
+++ b/proxy/tests/player/mod.rs
@@ -25,7 +25,7 @@
 }
 
 /// Plays the steps of one exchange.
-pub struct Player {
+pub(crate) struct Player {
     /// The one that the steps speak of comes first.
     processes: Vec<Process>,
     shell_command: String,
@@ -44,7 +44,7 @@
 
 impl Player {
     /// Starts the program as an exchange needs it.
-    pub fn start(exchange: &str, script: &str) -> Player {
+    pub(crate) fn start(exchange: &str, script: &str) -> Player {
         let listeners = setup::bind_listeners(exchange);
         let Setup { config, shell_command, inherited_listener } = Setup::parse(script, &listeners);
         let path = format!("{}/{exchange}.json", env!("CARGO_TARGET_TMPDIR"));
--- a/proxy/tests/player/process.rs
+++ b/proxy/tests/player/process.rs
@@ -12,7 +12,7 @@
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A process of the program, which is killed when this is dropped.
-pub struct Process {
+pub(super) struct Process {
     program: Child,
     /// The lines of its log that are not read yet.
     pub log: Receiver<String>,
@@ -33,7 +33,7 @@
 
 impl Process {
     /// Starts the program by a shell command and waits until it serves.
-    pub fn start(shell_command: &str, config_path: &str, inherited: Option<&TcpListener>) -> Process {
+    pub(super) fn start(shell_command: &str, config_path: &str, inherited: Option<&TcpListener>) -> Process {
         let mut command = Command::new("/bin/sh");
         command
             .args(["-c", shell_command])
@@ -56,7 +56,7 @@
     }
 
     /// Waits until it has stopped itself.
-    pub fn wait_until_stopped(&self) {
+    pub(super) fn wait_until_stopped(&self) {
         let stat_path = format!("/proc/{}/stat", self.program.id());
         let start = Instant::now();
         while !std::fs::read_to_string(&stat_path).unwrap().contains(") T ") {
@@ -66,7 +66,7 @@
     }
 
     /// Waits until it has ended.
-    pub fn wait_for_exit(&mut self) -> ExitStatus {
+    pub(super) fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.program.try_wait().unwrap() {
@@ -78,7 +78,7 @@
     }
 
     /// Sends it a signal, such as `HUP`.
-    pub fn signal(&self, name: &str) {
+    pub(super) fn signal(&self, name: &str) {
         let pid = self.program.id().to_string();
         assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
     }
--- a/proxy/tests/player/setup.rs
+++ b/proxy/tests/player/setup.rs
@@ -4,15 +4,15 @@
 use std::net::{IpAddr, TcpListener};
 
 /// The listeners of discovery and of the databases, which the configuration or discovery's answers name.
-pub const LISTENERS: [&str; 4] = ["agent", "p", "r", "q"];
+pub(super) const LISTENERS: [&str; 4] = ["agent", "p", "r", "q"];
 /// File descriptors that the system gives, if an exchange doesn't say another number.
 const DEFAULT_DESCRIPTORS: &str = "256";
 
 /// Listeners by their names.
-pub type Listeners = HashMap<&'static str, TcpListener>;
+pub(super) type Listeners = HashMap<&'static str, TcpListener>;
 
 /// The settings of an exchange, from the lines that the player reads before it starts the program.
-pub struct Setup {
+pub(super) struct Setup {
     /// The text of the configuration.
     pub config: String,
     /// The shell command that starts the program.
@@ -23,7 +23,7 @@
 
 impl Setup {
     /// Reads the settings of an exchange.
-    pub fn parse(script: &str, listeners: &Listeners) -> Setup {
+    pub(super) fn parse(script: &str, listeners: &Listeners) -> Setup {
         let inherited_listener =
             script.lines().any(|line| line == "inherited").then(|| TcpListener::bind("127.0.0.1:0").unwrap());
         Setup {
@@ -35,7 +35,7 @@
 }
 
 /// Listeners at a loopback address that no other exchange has: a port that one gives up is not taken by another.
-pub fn bind_listeners(exchange: &str) -> Listeners {
+pub(super) fn bind_listeners(exchange: &str) -> Listeners {
     let hash = exchange.bytes().fold(1u16, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte.into()));
     let [high, low] = hash.to_be_bytes();
     let address = IpAddr::from([127, 1 | high, low, 1]);
@@ -43,7 +43,7 @@
 }
 
 /// The address of a listener.
-pub fn address(listeners: &Listeners, name: &str) -> String {
+pub(super) fn address(listeners: &Listeners, name: &str) -> String {
     listeners[name].local_addr().unwrap().to_string()
 }
 
--- a/proxy/tests/player/step.rs
+++ b/proxy/tests/player/step.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// A change of the configuration's text.
-pub enum ConfigChange<'a> {
+pub(super) enum ConfigChange<'a> {
     /// `* => NEW`
     ReplaceAll { new: &'a str },
     /// `OLD => NEW`
@@ -11,7 +11,7 @@
 }
 
 /// What a line of an exchange does. Bytes are in the notation of the exchanges, which refers to names that earlier steps define.
-pub enum Step<'a> {
+pub(super) enum Step<'a> {
     /// Read before the program starts; see [`super::setup`].
     Setup,
     WaitUntilStopped,
@@ -81,7 +81,7 @@
 
 impl<'a> Step<'a> {
     /// Parses a line that is neither empty nor a comment.
-    pub fn parse(line: &'a str) -> Step<'a> {
+    pub(super) fn parse(line: &'a str) -> Step<'a> {
         let (subject, predicate) = split_word(line);
         Step::parse_process_step(subject, predicate)
             .or_else(|| Step::parse_party_step(subject, predicate))
--- a/proxy/tests/player/steps.rs
+++ b/proxy/tests/player/steps.rs
@@ -15,7 +15,7 @@
 
 impl Player {
     /// Does what a line of an exchange says.
-    pub fn step(&mut self, line: &str) {
+    pub(crate) fn step(&mut self, line: &str) {
         match Step::parse(line) {
             Step::Setup => {}
             Step::WaitUntilStopped => self.processes[0].wait_until_stopped(),
--- a/settings/src/reader.rs
+++ b/settings/src/reader.rs
@@ -28,7 +28,7 @@
 }
 
 impl<'a> Reader<'a> {
-    pub fn new(root: &'a Value) -> Reader<'a> {
+    pub(crate) fn new(root: &'a Value) -> Reader<'a> {
         let reader = Reader { root, errors: RefCell::default() };
         if !root.is_object() {
             reader.unexpected(ROOT_KEY, ExpectedValue::Object);
@@ -37,12 +37,12 @@
     }
 
     /// The errors, in the order in which they were found.
-    pub fn into_errors(self) -> Vec<SettingsError> {
+    pub(crate) fn into_errors(self) -> Vec<SettingsError> {
         self.errors.into_inner()
     }
 
     /// Records a value of the wrong kind.
-    pub fn unexpected(&self, key: &str, expected: ExpectedValue) {
+    pub(crate) fn unexpected(&self, key: &str, expected: ExpectedValue) {
         self.record(SettingsError::UnexpectedValue { key: key.to_string(), expected });
     }
 
@@ -52,17 +52,17 @@
     }
 
     /// A number that must be present.
-    pub fn required_number(&self, path: &str) -> f64 {
+    pub(crate) fn required_number(&self, path: &str) -> f64 {
         self.required_number_in(find(self.root, path), path)
     }
 
     /// A number, or its default if it is absent.
-    pub fn number_or(&self, path: &str, default: f64) -> f64 {
+    pub(crate) fn number_or(&self, path: &str, default: f64) -> f64 {
         self.number_in(find(self.root, path), path, default)
     }
 
     /// A number that must be present.
-    pub fn required_number_in(&self, value: Option<&Value>, key: &str) -> f64 {
+    pub(crate) fn required_number_in(&self, value: Option<&Value>, key: &str) -> f64 {
         if value.is_none() {
             self.record(SettingsError::MissingNumber { key: key.to_string() });
         }
@@ -70,7 +70,7 @@
     }
 
     /// A number, or its default if it is absent.
-    pub fn number_in(&self, value: Option<&Value>, key: &str, default: f64) -> f64 {
+    pub(crate) fn number_in(&self, value: Option<&Value>, key: &str, default: f64) -> f64 {
         let Some(value) = value else { return default };
         match value.as_f64() {
             Some(number) if number.is_finite() && number >= 0.0 => number,
@@ -82,17 +82,17 @@
     }
 
     /// A time in milliseconds that must be present.
-    pub fn required_micros(&self, path: &str) -> Micros {
+    pub(crate) fn required_micros(&self, path: &str) -> Micros {
         micros_from_ms(self.required_number(path))
     }
 
     /// A time in milliseconds, or its default if it is absent.
-    pub fn micros_or(&self, path: &str, default_ms: f64) -> Micros {
+    pub(crate) fn micros_or(&self, path: &str, default_ms: f64) -> Micros {
         micros_from_ms(self.number_or(path, default_ms))
     }
 
     /// A boolean, false if it is absent.
-    pub fn flag(&self, path: &str) -> bool {
+    pub(crate) fn flag(&self, path: &str) -> bool {
         let Some(value) = find(self.root, path) else { return false };
         value.as_bool().unwrap_or_else(|| {
             self.unexpected(path, ExpectedValue::Boolean);
@@ -101,12 +101,12 @@
     }
 
     /// The value that `choices` has for a string, or the default if the string is absent.
-    pub fn choice<T: Copy>(&self, path: &str, choices: &[(&'static str, T)], default: T) -> T {
+    pub(crate) fn choice<T: Copy>(&self, path: &str, choices: &[(&'static str, T)], default: T) -> T {
         self.choice_in(find(self.root, path), path, choices, default)
     }
 
     /// The value that `choices` has for a string, or the default if the string is absent.
-    pub fn choice_in<T: Copy>(
+    pub(crate) fn choice_in<T: Copy>(
         &self,
         value: Option<&Value>,
         key: &str,
@@ -122,12 +122,12 @@
     }
 
     /// A string; none if it is absent.
-    pub fn string(&self, path: &str) -> Option<&'a str> {
+    pub(crate) fn string(&self, path: &str) -> Option<&'a str> {
         self.string_in(find(self.root, path), path)
     }
 
     /// A string; none if it is absent.
-    pub fn string_in<'value>(&self, value: Option<&'value Value>, key: &str) -> Option<&'value str> {
+    pub(crate) fn string_in<'value>(&self, value: Option<&'value Value>, key: &str) -> Option<&'value str> {
         let string = value?.as_str();
         if string.is_none() {
             self.unexpected(key, ExpectedValue::String);
@@ -136,7 +136,7 @@
     }
 
     /// The elements of a list; none if it is absent.
-    pub fn list(&self, path: &str) -> &'a [Value] {
+    pub(crate) fn list(&self, path: &str) -> &'a [Value] {
         let Some(value) = find(self.root, path) else { return &[] };
         value.as_array().map_or_else(
             || {
@@ -148,7 +148,7 @@
     }
 
     /// The strings of a list. An element of another kind becomes an empty string, so that the others keep their index.
-    pub fn strings(&self, path: &str) -> Vec<String> {
+    pub(crate) fn strings(&self, path: &str) -> Vec<String> {
         self.list(path).iter().map(|value| value.as_str().unwrap_or_default().to_string()).collect()
     }
 }
--- a/shard-split/tests/common/databases.rs
+++ b/shard-split/tests/common/databases.rs
@@ -12,7 +12,7 @@
 
 /// A value of a row, by the time of its commit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Commit {
+pub(crate) struct Commit {
     committed_at: Micros,
     pub value: u64,
 }
@@ -32,7 +32,7 @@
 }
 
 /// A parent and its two children.
-pub struct Databases {
+pub(crate) struct Databases {
     /// Keys that have a row.
     pub keys: usize,
     disturbances: Disturbances,
@@ -47,13 +47,13 @@
 }
 
 /// Whether something that happens so often in a second happens within a span.
-pub fn happens(rng: &mut fastrand::Rng, per_s: f64, span: Micros) -> bool {
+pub(super) fn happens(rng: &mut fastrand::Rng, per_s: f64, span: Micros) -> bool {
     rng.f64() < per_s * span as f64 / 1e6
 }
 
 impl Databases {
     /// Databases with one value of each key.
-    pub fn new(keys: usize, disturbances: Disturbances) -> Databases {
+    pub(crate) fn new(keys: usize, disturbances: Disturbances) -> Databases {
         let first_commit = |number: usize| vec![Commit { committed_at: 0, value: number as u64 }];
         let child = |process| ChildDatabase { position: 0, lag: 20 * MILLI, process };
         Databases {
@@ -68,7 +68,7 @@
     }
 
     /// Writes, changes of lag, failovers and restarts that happen within a step.
-    pub fn disturb(&mut self, rng: &mut fastrand::Rng, now: Micros, step: Micros) {
+    pub(crate) fn disturb(&mut self, rng: &mut fastrand::Rng, now: Micros, step: Micros) {
         let Disturbances { writes, lag, failovers, restarts, .. } = self.disturbances;
         if happens(rng, writes, step) {
             let number = rng.usize(..self.keys.min(20));
@@ -103,7 +103,7 @@
     }
 
     /// The parent's newest commit of a key up to a position.
-    pub fn parent_commit(&self, number: usize, position: Micros) -> Commit {
+    pub(crate) fn parent_commit(&self, number: usize, position: Micros) -> Commit {
         let commits = self.log[&number].iter().filter(|commit| commit.committed_at <= position);
         commits.copied().max().unwrap_or_default()
     }
@@ -139,7 +139,7 @@
     }
 
     /// What a database answers: positions are of other instants than rows.
-    pub fn answer(
+    pub(crate) fn answer(
         &mut self,
         rng: &mut fastrand::Rng,
         now: Micros,
--- a/shard-split/tests/common/disturbances.rs
+++ b/shard-split/tests/common/disturbances.rs
@@ -4,7 +4,7 @@
 
 /// A fault of one key in a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChildFault {
+pub(crate) enum ChildFault {
     /// The owner lacks the row.
     Missing,
     /// The other child has the row too.
@@ -15,7 +15,7 @@
 
 /// What happens to the databases.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Disturbances {
+pub(crate) struct Disturbances {
     /// Writes in a second, to a few of the keys.
     pub writes: f64,
     /// Replication lags change at random, up to this.
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -9,20 +9,20 @@
     SplitVerifier,
 };
 use databases::{Databases, happens};
-pub use disturbances::{ChildFault, Disturbances};
+pub(crate) use disturbances::{ChildFault, Disturbances};
 use std::collections::BTreeSet;
 
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 const MILLI: Micros = 1_000;
 const STEP_MICROS: Micros = 20 * MILLI;
 
 /// A group that splits in the middle.
-pub fn definition() -> Definition {
+pub(crate) fn definition() -> Definition {
     Definition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
 }
 
 /// Settings that want two comparisons a range by one process.
-pub fn settings(configured: usize) -> Settings {
+pub(crate) fn settings(configured: usize) -> Settings {
     Settings {
         definition: definition(),
         min_comparisons: 2,
@@ -34,12 +34,12 @@
 }
 
 /// A key, by its number.
-pub fn key(number: usize) -> Vec<u8> {
+pub(crate) fn key(number: usize) -> Vec<u8> {
     format!("key-{number}").into_bytes()
 }
 
 /// The header of a report that was made just now.
-pub fn header(origin: u64, sequence: u64) -> ReportHeader {
+pub(crate) fn header(origin: u64, sequence: u64) -> ReportHeader {
     ReportHeader { origin, sequence, age: 0 }
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// The databases, and verifiers that compare what clients read.
-pub struct World {
+pub(crate) struct World {
     pub now: Micros,
     rng: fastrand::Rng,
     pub databases: Databases,
@@ -65,7 +65,7 @@
 }
 
 /// What was confirmed, compared with the faults that there are.
-pub struct ConfirmedKeys<'a> {
+pub(crate) struct ConfirmedKeys<'a> {
     /// Keys with a fault for which a difference of its kind was confirmed.
     pub faulty: BTreeSet<usize>,
     /// Confirmed differences of other keys, or of another kind.
@@ -73,7 +73,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> World {
+    pub(crate) fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> World {
         let now = 1_000_000 * SECOND;
         let verifier = |process| SplitVerifier::new(settings(processes), process as u64 + 1, now);
         World {
@@ -88,7 +88,7 @@
     }
 
     /// Passes time in small steps, with so many reads a second.
-    pub fn pass(&mut self, span: Micros, reads_per_s: f64) {
+    pub(crate) fn pass(&mut self, span: Micros, reads_per_s: f64) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP_MICROS;
@@ -144,7 +144,7 @@
     }
 
     /// The confirmed differences, by whether there is such a fault.
-    pub fn confirmed_keys(&self) -> ConfirmedKeys<'_> {
+    pub(crate) fn confirmed_keys(&self) -> ConfirmedKeys<'_> {
         let mut confirmed = ConfirmedKeys { faulty: BTreeSet::new(), wrong: Vec::new() };
         for difference in &self.differences {
             let has_hash = |number: &usize| Definition::hash(&key(*number)) == difference.key_hash;
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/verdicts.rs
@@ -17,7 +17,7 @@
     split
 }
 
-pub fn check_clean_verdict() -> CheckResult {
+pub(crate) fn check_clean_verdict() -> CheckResult {
     let covered = verifier_with_reports(|_| 1).verdict(3);
     ensure!(covered == Verdict::Clean, "three times one is enough: {covered:?}");
     let one_uncovered = verifier_with_reports(|range| u32::from(range != 7)).verdict(3);
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A router and the settings that it was started with.
-pub struct Instance {
+pub(crate) struct Instance {
     router: Router,
     /// They determine what the fields of load reports and requests mean.
     pub settings: DeploymentSettings,
@@ -16,7 +16,7 @@
 
 /// All routers, and the endpoint lists that records refer to by number.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     instances: BTreeMap<RouterId, Instance>,
     lists: BTreeMap<ListId, Vec<EndpointRecord>>,
     /// Unknown event codes that were reported already.
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// A record that cannot be decoded.
-    pub fn handle(&mut self, batch: &Batch) -> Result<Reply, FrameError> {
+    pub(crate) fn handle(&mut self, batch: &Batch) -> Result<Reply, FrameError> {
         let now = micros_rounded_down(batch.clock_ms);
         let mut reply = Reply::new(batch.number);
         for index in 0..batch.records {
--- a/simulator-adapter/src/wire/batch.rs
+++ b/simulator-adapter/src/wire/batch.rs
@@ -9,7 +9,7 @@
 const HEADER_BYTES: usize = 20;
 
 /// A batch of records, all of one instant.
-pub struct Batch {
+pub(crate) struct Batch {
     /// Time of the batch in milliseconds.
     pub clock_ms: f64,
     /// Number of the batch, which its reply repeats.
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// Input that fails or ends within a batch, and a header that contradicts itself.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
+pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
     let Some(header) = read_header(input)? else { return Ok(None) };
     let header = Fields(&header);
     let (length, records) = (header.u32(0) as usize, header.u32(4) as usize);
@@ -62,7 +62,7 @@
 
 impl Batch {
     /// The fields of a record.
-    pub fn record(&self, index: usize) -> Fields<'_> {
+    pub(crate) fn record(&self, index: usize) -> Fields<'_> {
         Fields(&self.body[index * EVENT_BYTES..(index + 1) * EVENT_BYTES])
     }
 
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// They lie outside the tail.
-    pub fn tail(&self, offset: u32, length: usize) -> Result<&[u8], FrameError> {
+    pub(crate) fn tail(&self, offset: u32, length: usize) -> Result<&[u8], FrameError> {
         let tail = &self.body[self.records * EVENT_BYTES..];
         let start = offset as usize;
         let end = start.checked_add(length);
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -6,7 +6,7 @@
 
 /// A frame that cannot be read or written, or a record that cannot be decoded.
 #[derive(Debug)]
-pub enum FrameError {
+pub(crate) enum FrameError {
     /// The input ended within a header.
     TruncatedHeader { got: usize, expected: usize },
     /// Reading a header failed.
@@ -39,7 +39,7 @@
 
 impl FrameError {
     /// Adds the batch and the index of the record in which the error occurred.
-    pub fn in_record(self, batch: u32, index: usize) -> FrameError {
+    pub(crate) fn in_record(self, batch: u32, index: usize) -> FrameError {
         FrameError::Record { batch, index, error: Box::new(self) }
     }
 }
--- a/simulator-adapter/src/wire/fields.rs
+++ b/simulator-adapter/src/wire/fields.rs
@@ -1,7 +1,7 @@
 //! Little-endian numbers at fixed offsets of a record.
 
 /// The bytes of one record. Every offset that is read lies inside it.
-pub struct Fields<'a>(pub &'a [u8]);
+pub(crate) struct Fields<'a>(pub &'a [u8]);
 
 impl Fields<'_> {
     /// The bytes of a number.
@@ -11,27 +11,27 @@
         bytes
     }
 
-    pub fn u8(&self, offset: usize) -> u8 {
+    pub(crate) fn u8(&self, offset: usize) -> u8 {
         self.0[offset]
     }
 
-    pub fn u16(&self, offset: usize) -> u16 {
+    pub(crate) fn u16(&self, offset: usize) -> u16 {
         u16::from_le_bytes(self.bytes(offset))
     }
 
-    pub fn u32(&self, offset: usize) -> u32 {
+    pub(crate) fn u32(&self, offset: usize) -> u32 {
         u32::from_le_bytes(self.bytes(offset))
     }
 
-    pub fn u64(&self, offset: usize) -> u64 {
+    pub(crate) fn u64(&self, offset: usize) -> u64 {
         u64::from_le_bytes(self.bytes(offset))
     }
 
-    pub fn f32(&self, offset: usize) -> f32 {
+    pub(crate) fn f32(&self, offset: usize) -> f32 {
         f32::from_le_bytes(self.bytes(offset))
     }
 
-    pub fn f64(&self, offset: usize) -> f64 {
+    pub(crate) fn f64(&self, offset: usize) -> f64 {
         f64::from_le_bytes(self.bytes(offset))
     }
 }
--- a/simulator-adapter/src/wire/reply.rs
+++ b/simulator-adapter/src/wire/reply.rs
@@ -8,15 +8,15 @@
 
 /// Codes of action records.
 mod code {
-    pub const FAIL: u16 = 256;
-    pub const HEALTH_CHECK: u16 = 257;
-    pub const WATCH_ENDPOINTS: u16 = 259;
-    pub const CANCEL: u16 = 260;
-    pub const SEND: u16 = 262;
-    pub const TIMER: u16 = 263;
-    pub const START_FAILED: u16 = 264;
-    pub const REJECT: u16 = 265;
-    pub const LOG: u16 = 267;
+    pub(super) const FAIL: u16 = 256;
+    pub(super) const HEALTH_CHECK: u16 = 257;
+    pub(super) const WATCH_ENDPOINTS: u16 = 259;
+    pub(super) const CANCEL: u16 = 260;
+    pub(super) const SEND: u16 = 262;
+    pub(super) const TIMER: u16 = 263;
+    pub(super) const START_FAILED: u16 = 264;
+    pub(super) const REJECT: u16 = 265;
+    pub(super) const LOG: u16 = 267;
 }
 
 /// An action record, and its text, whose offset and length are known only once the reply is complete.
@@ -84,34 +84,34 @@
 }
 
 /// A reply under construction.
-pub struct Reply {
+pub(crate) struct Reply {
     batch: u32,
     records: Vec<Record>,
 }
 
 impl Reply {
     /// A reply without actions.
-    pub fn new(batch: u32) -> Reply {
+    pub(crate) fn new(batch: u32) -> Reply {
         Reply { batch, records: Vec::new() }
     }
 
     /// Adds the actions of a router and leaves the list empty.
-    pub fn push_actions(&mut self, router: RouterId, actions: &mut Vec<Action>) {
+    pub(crate) fn push_actions(&mut self, router: RouterId, actions: &mut Vec<Action>) {
         self.records.extend(actions.drain(..).map(|action| Record::from_action(router, action)));
     }
 
     /// Reports that a router could not be started.
-    pub fn push_start_failure(&mut self, router: RouterId, message: &str) {
+    pub(crate) fn push_start_failure(&mut self, router: RouterId, message: &str) {
         self.records.push(Record::with_text(code::START_FAILED, router, message.to_string()));
     }
 
     /// Drops the actions of a router that was stopped within the batch.
-    pub fn discard(&mut self, router: RouterId) {
+    pub(crate) fn discard(&mut self, router: RouterId) {
         self.records.retain(|record| record.router != router);
     }
 
     /// The bytes of the reply.
-    pub fn encode(mut self) -> Vec<u8> {
+    pub(crate) fn encode(mut self) -> Vec<u8> {
         let mut tail = Vec::new();
         for record in &mut self.records {
             if let Some(text) = record.text.take() {
--- a/simulator-adapter/tests/pipe.rs
+++ b/simulator-adapter/tests/pipe.rs
@@ -14,20 +14,20 @@
 
 /// Codes of event records.
 mod event {
-    pub const START: u16 = 256;
-    pub const ENDPOINTS: u16 = 257;
-    pub const REQUEST: u16 = 258;
-    pub const HEALTH_CHECK_COMPLETED: u16 = 263;
-    pub const STOP: u16 = 265;
-    pub const DEFINE_LIST: u16 = 266;
-    pub const UNKNOWN: u16 = 999;
+    pub(crate) const START: u16 = 256;
+    pub(crate) const ENDPOINTS: u16 = 257;
+    pub(crate) const REQUEST: u16 = 258;
+    pub(crate) const HEALTH_CHECK_COMPLETED: u16 = 263;
+    pub(crate) const STOP: u16 = 265;
+    pub(crate) const DEFINE_LIST: u16 = 266;
+    pub(crate) const UNKNOWN: u16 = 999;
 }
 
 /// Codes of action records.
 mod action {
-    pub const WATCH_ENDPOINTS: u16 = 259;
-    pub const SEND: u16 = 262;
-    pub const START_FAILED: u16 = 264;
+    pub(crate) const WATCH_ENDPOINTS: u16 = 259;
+    pub(crate) const SEND: u16 = 262;
+    pub(crate) const START_FAILED: u16 = 264;
 }
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "my_zone": 0, "registry_mode": "subscribe", "an_unknown_key": [1],
--- a/src/estimates.rs
+++ b/src/estimates.rs
@@ -11,15 +11,15 @@
 /// Fraction of the latency objective that is the first estimate of latency and of its deviation.
 const INITIAL_LATENCY_FRACTION: f64 = 0.125;
 /// Minimum of a latency bound: a request that is looked at again without a delay would find nothing changed.
-pub const MIN_WAKE_DELAY: Micros = 1_000;
+pub(crate) const MIN_WAKE_DELAY: Micros = 1_000;
 
 /// Moves a running mean towards a new sample.
-pub fn update_mean(mean: &mut f64, sample: f64, weight: f64) {
+pub(crate) fn update_mean(mean: &mut f64, sample: f64, weight: f64) {
     *mean += (sample - *mean) * weight;
 }
 
 /// Estimated latency of a class of which no answer has been seen, in microseconds.
-pub fn initial_latency(class: &RequestClass) -> f64 {
+pub(crate) fn initial_latency(class: &RequestClass) -> f64 {
     class.latency_objective as f64 * INITIAL_LATENCY_FRACTION
 }
 
@@ -43,16 +43,16 @@
 }
 
 /// Latency estimates of all classes, by [`ClassId`].
-pub struct LatencyEstimates(Vec<LatencyEstimate>);
+pub(crate) struct LatencyEstimates(Vec<LatencyEstimate>);
 
 impl LatencyEstimates {
     /// Initial estimates of these classes.
-    pub fn new(classes: &[RequestClass]) -> LatencyEstimates {
+    pub(crate) fn new(classes: &[RequestClass]) -> LatencyEstimates {
         LatencyEstimates(classes.iter().map(LatencyEstimate::new).collect())
     }
 
     /// Keeps the estimates of classes that stayed the same; those of all others start again.
-    pub fn apply_classes(&mut self, before: &[RequestClass], after: &[RequestClass]) {
+    pub(crate) fn apply_classes(&mut self, before: &[RequestClass], after: &[RequestClass]) {
         self.0.resize(after.len(), LatencyEstimate::default());
         for (index, class) in after.iter().enumerate() {
             if before.get(index) != Some(class) {
@@ -62,17 +62,17 @@
     }
 
     /// Records the latency of an attempt of the class.
-    pub fn record(&mut self, class: ClassId, latency: Micros) {
+    pub(crate) fn record(&mut self, class: ClassId, latency: Micros) {
         self.0[class.index()].record(latency as f64);
     }
 
     /// The mean latency of a class.
-    pub fn mean(&self, class: ClassId) -> Micros {
+    pub(crate) fn mean(&self, class: ClassId) -> Micros {
         self.0[class.index()].mean as Micros
     }
 
     /// The mean latency of a class plus a number of mean deviations.
-    pub fn upper_bound(&self, class: ClassId, deviations: f64) -> Micros {
+    pub(crate) fn upper_bound(&self, class: ClassId, deviations: f64) -> Micros {
         let LatencyEstimate { mean, mean_deviation } = self.0[class.index()];
         ((mean + deviations * mean_deviation) as Micros).max(MIN_WAKE_DELAY)
     }
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -64,7 +64,7 @@
 
 impl InFlightAttempt {
     /// Time from sending to the start of the response, or until now.
-    pub fn latency(&self, now: Micros) -> Micros {
+    pub(super) fn latency(&self, now: Micros) -> Micros {
         self.response_started_at.unwrap_or(now) - self.sent_at
     }
 }
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -24,7 +24,7 @@
 
 impl Server {
     /// A server that has just been listed.
-    pub fn new(endpoint: EndpointStatus, slow_start: SlowStart) -> Self {
+    pub(super) fn new(endpoint: EndpointStatus, slow_start: SlowStart) -> Self {
         Server {
             endpoint,
             replication: ReplicationState::default(),
@@ -36,7 +36,7 @@
     }
 
     /// A new process runs at this server: of the previous one only the log position still holds.
-    pub fn reset_for_new_process(&mut self, slow_start: SlowStart) {
+    pub(super) fn reset_for_new_process(&mut self, slow_start: SlowStart) {
         self.replication.reset_for_new_process();
         self.slow_start.reset_for_new_process(slow_start);
         self.outlier.reset_for_new_process();
@@ -55,7 +55,7 @@
 
 impl Group {
     /// It has no members, and no request waits in it.
-    pub fn is_unused(&self) -> bool {
+    pub(super) fn is_unused(&self) -> bool {
         self.members.is_empty() && self.queued.is_empty()
     }
 }
--- a/test-support/src/groups/cluster_rig.rs
+++ b/test-support/src/groups/cluster_rig.rs
@@ -86,7 +86,7 @@
 }
 
 /// The list as it should be: the running members, with the present primaries.
-pub fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
+pub(super) fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut listed = Vec::new();
     for (group_index, group) in groups.iter().enumerate() {
         let (primary, members) = group.with_state(|state| (state.primary, state.members.clone()));
--- a/test-support/src/groups/database_faults.rs
+++ b/test-support/src/groups/database_faults.rs
@@ -23,7 +23,7 @@
 
 /// A fault of a database, or the end of one. Groups and members are indices.
 #[derive(Clone, Debug)]
-pub enum DatabaseFault {
+pub(super) enum DatabaseFault {
     /// Another member becomes the primary. The old one is notified, or it keeps reporting to be the primary.
     FailOver { group: usize, new_primary: usize, old_primary_notified: bool },
     /// All members of a group apply their log so late.
@@ -36,7 +36,7 @@
 
 /// A fault and its time from the start.
 #[derive(Clone, Debug)]
-pub struct TimedDatabaseFault {
+pub(super) struct TimedDatabaseFault {
     pub after: Duration,
     pub fault: DatabaseFault,
 }
@@ -55,7 +55,7 @@
 }
 
 /// All faults of a run.
-pub struct GeneratedFaults {
+pub(super) struct GeneratedFaults {
     /// The faults of processes and of their network.
     pub schedule: Schedule,
     /// The faults of databases, by time.
@@ -63,7 +63,7 @@
 }
 
 /// Draws the faults of processes and those of databases.
-pub fn generate_faults(seed: u64) -> GeneratedFaults {
+pub(super) fn generate_faults(seed: u64) -> GeneratedFaults {
     let mut rng = fastrand::Rng::with_seed(seed ^ SEED_MASK);
     let schedule = Schedule::generate(seed, PROCESS_COUNT, rng.usize(2..8), FAULT_PERIOD);
     let fault_count = rng.usize(2..7);
--- a/test-support/src/groups/sql.rs
+++ b/test-support/src/groups/sql.rs
@@ -5,7 +5,7 @@
 
 /// A parsed statement.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Statement {
+pub(super) enum Statement {
     /// A read of a row, by a client or (`background`) by a proxy.
     Read { key: String, background: bool },
     /// A client's write; `id` is its request's.
@@ -29,7 +29,7 @@
 }
 
 /// Parses a statement.
-pub fn parse(query: &str) -> Statement {
+pub(super) fn parse(query: &str) -> Statement {
     parse_known(query).unwrap_or(Statement::Unknown)
 }
 
--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A router driven by hand.
-pub struct RouterFixture {
+pub(crate) struct RouterFixture {
     pub router: Router,
     pub now: Micros,
     /// Every action so far, with its time.
@@ -14,19 +14,19 @@
 
 impl RouterFixture {
     /// A router that knows the primary and both replicas.
-    pub fn new(settings: Settings) -> RouterFixture {
+    pub(crate) fn new(settings: Settings) -> RouterFixture {
         RouterFixture::seeded(settings, 1)
     }
 
     /// The same with a seed of its own: one of many.
-    pub fn seeded(settings: Settings, seed: u64) -> RouterFixture {
+    pub(crate) fn seeded(settings: Settings, seed: u64) -> RouterFixture {
         let mut fixture = RouterFixture::without_endpoints_seeded(settings, seed);
         fixture.set_endpoints(&ready(ALL_SERVERS));
         fixture
     }
 
     /// A router that has just started, at 100 s, and knows no server.
-    pub fn without_endpoints(settings: Settings) -> RouterFixture {
+    pub(crate) fn without_endpoints(settings: Settings) -> RouterFixture {
         RouterFixture::without_endpoints_seeded(settings, 1)
     }
 
@@ -50,26 +50,26 @@
     }
 
     /// Passes an event to the router.
-    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         self.record(actions)
     }
 
     /// Passes a complete endpoint list to the router.
-    pub fn set_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
+    pub(crate) fn set_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
         let list = EndpointList { complete: true, endpoints: endpoints.to_vec() };
         self.handle(Event::EndpointsChanged(list))
     }
 
     /// Passes changed entries of the endpoint list to the router.
-    pub fn change_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
+    pub(crate) fn change_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
         let list = EndpointList { complete: false, endpoints: endpoints.to_vec() };
         self.handle(Event::EndpointsChanged(list))
     }
 
     /// Lets time pass; each timer expires when it is due.
-    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while let Some(&due_at) = self.timers.iter().filter(|at| **at <= end).min() {
@@ -82,12 +82,16 @@
     }
 
     /// A client sends a request of this class. Returns its id and the actions.
-    pub fn request(&mut self, class: u16) -> (u64, Vec<Action>) {
+    pub(crate) fn request(&mut self, class: u16) -> (u64, Vec<Action>) {
         self.request_with(class, |_| {})
     }
 
     /// The same, after a change to the request.
-    pub fn request_with(&mut self, class: u16, change: impl FnOnce(&mut Request)) -> (u64, Vec<Action>) {
+    pub(crate) fn request_with(
+        &mut self,
+        class: u16,
+        change: impl FnOnce(&mut Request),
+    ) -> (u64, Vec<Action>) {
         self.last_request += 1;
         let mut request = Request {
             id: RequestId(self.last_request),
@@ -105,7 +109,7 @@
     }
 
     /// An attempt ends; if it was served, so is its request.
-    pub fn complete_attempt(
+    pub(crate) fn complete_attempt(
         &mut self,
         request: u64,
         attempt: u16,
@@ -116,7 +120,7 @@
     }
 
     /// The same, with a status in the response.
-    pub fn complete_attempt_with_status(
+    pub(crate) fn complete_attempt_with_status(
         &mut self,
         request: u64,
         attempt: u16,
@@ -137,7 +141,7 @@
     }
 
     /// Answers what these actions sent, each as this attempt of its request. Returns the actions that follow.
-    pub fn answer_sends(&mut self, attempt: u16, actions: &[Action]) -> Vec<Action> {
+    pub(crate) fn answer_sends(&mut self, attempt: u16, actions: &[Action]) -> Vec<Action> {
         let sent = actions.iter().filter_map(|action| match action {
             Action::Send { request, server, .. } => Some((request.0, server.0)),
             _ => None,
@@ -147,12 +151,12 @@
     }
 
     /// A health check ends without a load report.
-    pub fn complete_health_check(&mut self, server: u32, outcome: AttemptOutcome) -> Vec<Action> {
+    pub(crate) fn complete_health_check(&mut self, server: u32, outcome: AttemptOutcome) -> Vec<Action> {
         self.handle(Event::HealthCheckCompleted { server: ServerId(server), outcome, load_report: None })
     }
 
     /// A health check reports the role of a server and a position that is this far behind the present.
-    pub fn report_position(&mut self, server: u32, role: Role, behind: Micros) -> Vec<Action> {
+    pub(crate) fn report_position(&mut self, server: u32, role: Role, behind: Micros) -> Vec<Action> {
         let report = LoadReport { position: Some(self.now - behind), role: Some(role) };
         self.handle(Event::HealthCheckCompleted {
             server: ServerId(server),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,24 +4,24 @@
 mod fixture;
 
 use birchreach::*;
-pub use fixture::RouterFixture;
+pub(crate) use fixture::RouterFixture;
 
 /// A millisecond.
-pub const MS: Micros = 1_000;
+pub(crate) const MS: Micros = 1_000;
 
 /// Classes of [`settings`], by their consistency.
-pub const WRITE: u16 = 0;
-pub const SESSION: u16 = 1;
-pub const BOUNDED: u16 = 2;
-pub const ANY: u16 = 3;
+pub(crate) const WRITE: u16 = 0;
+pub(crate) const SESSION: u16 = 1;
+pub(crate) const BOUNDED: u16 = 2;
+pub(crate) const ANY: u16 = 3;
 
 /// Servers of the fixture.
-pub const PRIMARY: u32 = 1;
-pub const REPLICA_1: u32 = 2;
-pub const REPLICA_2: u32 = 3;
-pub const ALL_SERVERS: [u32; 3] = [PRIMARY, REPLICA_1, REPLICA_2];
+pub(crate) const PRIMARY: u32 = 1;
+pub(crate) const REPLICA_1: u32 = 2;
+pub(crate) const REPLICA_2: u32 = 3;
+pub(crate) const ALL_SERVERS: [u32; 3] = [PRIMARY, REPLICA_1, REPLICA_2];
 
-pub fn class(consistency: Consistency, idempotency: Idempotency) -> RequestClass {
+pub(crate) fn class(consistency: Consistency, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         consistency,
         idempotency,
@@ -33,7 +33,7 @@
 }
 
 /// Settings of a single proxy, with the classes named above.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         proxy_count: 1,
         zone: ZoneId(0),
@@ -65,12 +65,12 @@
 }
 
 /// Idempotency by a key that all servers of the group recognise for 600 ms.
-pub fn with_idempotency_key() -> Idempotency {
+pub(crate) fn with_idempotency_key() -> Idempotency {
     Idempotency::WithKey { scope: DedupScope::Group, dedup_window: 600 * MS }
 }
 
 /// An entry of the endpoint list for a server of group 0.
-pub fn endpoint(id: u32, state: EndpointState) -> Endpoint {
+pub(crate) fn endpoint(id: u32, state: EndpointState) -> Endpoint {
     Endpoint {
         server: ServerId(id),
         group: GroupId(0),
@@ -83,12 +83,12 @@
 }
 
 /// Entries for servers that are all ready.
-pub fn ready<const COUNT: usize>(ids: [u32; COUNT]) -> [Endpoint; COUNT] {
+pub(crate) fn ready<const COUNT: usize>(ids: [u32; COUNT]) -> [Endpoint; COUNT] {
     ids.map(|id| endpoint(id, EndpointState::Ready))
 }
 
 /// Fixtures for all routers of a fleet that shares the fixture's servers. Each sees its own events alone.
-pub fn fleet(routers: u32, change: impl Fn(&mut Settings)) -> Vec<RouterFixture> {
+pub(crate) fn fleet(routers: u32, change: impl Fn(&mut Settings)) -> Vec<RouterFixture> {
     let mut settings = settings();
     settings.proxy_count = routers;
     change(&mut settings);
@@ -96,7 +96,7 @@
 }
 
 /// The servers to which these actions send requests.
-pub fn servers_sent_to(actions: &[Action]) -> Vec<u32> {
+pub(crate) fn servers_sent_to(actions: &[Action]) -> Vec<u32> {
     let server_of = |action: &Action| match action {
         Action::Send { server, .. } => Some(server.0),
         _ => None,
@@ -104,23 +104,23 @@
     actions.iter().filter_map(server_of).collect()
 }
 
-pub fn is_rejected(actions: &[Action]) -> bool {
+pub(crate) fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-pub fn is_failed(actions: &[Action]) -> bool {
+pub(crate) fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-pub fn health_check_count(actions: &[Action]) -> usize {
+pub(crate) fn health_check_count(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
 }
 
 /// A status in a response.
-pub fn status(role: Role, position: Micros) -> Option<ServerStatus> {
+pub(crate) fn status(role: Role, position: Micros) -> Option<ServerStatus> {
     Some(ServerStatus { role, position: Some(position) })
 }
 
-pub fn copy_candidate(server: u32, likely_position: Micros) -> CopyCandidate {
+pub(crate) fn copy_candidate(server: u32, likely_position: Micros) -> CopyCandidate {
     CopyCandidate { server: ServerId(server), likely_position }
 }
--- a/tests/property/checker.rs
+++ b/tests/property/checker.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// An attempt that the router sent.
-pub struct Attempt {
+pub(crate) struct Attempt {
     pub server: u32,
     pub sent_at: Micros,
     pub times_out_at: Micros,
@@ -11,7 +11,7 @@
 }
 
 /// A request that a client sent.
-pub struct TrackedRequest {
+pub(crate) struct TrackedRequest {
     pub class: usize,
     pub group: u32,
     pub session: Option<SessionId>,
@@ -32,7 +32,7 @@
 }
 
 impl Attempt {
-    pub fn is_in_flight(&self) -> bool {
+    pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
@@ -43,7 +43,7 @@
 
 /// What the router was told of a server.
 #[derive(Default)]
-pub struct TrackedServer {
+pub(crate) struct TrackedServer {
     pub group: u32,
     /// Since when it may not be sent new work.
     pub closed_at: Option<Micros>,
@@ -53,7 +53,7 @@
     pub is_primary: bool,
 }
 
-pub struct Checker {
+pub(crate) struct Checker {
     pub settings: Settings,
     pub now: Micros,
     pub requests: BTreeMap<u64, TrackedRequest>,
@@ -67,7 +67,7 @@
 }
 
 impl Checker {
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub(crate) fn new(settings: Settings, seed: u64) -> Self {
         let now = 100_000 * MS;
         let mut actions = Vec::new();
         let router = Router::new(settings.clone(), seed, now, &mut actions);
@@ -87,20 +87,20 @@
     }
 
     /// Passes an event to the router and checks its actions.
-    pub fn handle(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(self.now, event.clone(), &mut actions);
         self.last_event = Some(event);
         self.check(actions);
     }
 
-    pub fn assert_all_finished(&self) {
+    pub(crate) fn assert_all_finished(&self) {
         assert!(self.requests.values().all(|request| request.finished), "a request without a final answer");
         assert_eq!(self.router.open_request_count(), 0);
     }
 
     /// Every action so far, with its time.
-    pub fn into_history(self) -> Vec<(Micros, Action)> {
+    pub(crate) fn into_history(self) -> Vec<(Micros, Action)> {
         self.history
     }
 
--- a/tests/property/results.rs
+++ b/tests/property/results.rs
@@ -4,7 +4,7 @@
 
 impl Checker {
     /// An attempt ends with this outcome; what the server states is drawn from `y`.
-    pub fn complete_attempt(&mut self, id: u64, attempt: usize, outcome: AttemptOutcome, y: u32) {
+    pub(crate) fn complete_attempt(&mut self, id: u64, attempt: usize, outcome: AttemptOutcome, y: u32) {
         let now = self.now;
         let status = draw_status(outcome, now, y);
         let request = self.requests.get_mut(&id).unwrap();
@@ -42,7 +42,7 @@
     }
 
     /// A health check ends, with a load report of its server.
-    pub fn complete_health_check(&mut self, x: u32, y: u32) {
+    pub(crate) fn complete_health_check(&mut self, x: u32, y: u32) {
         let report = LoadReport {
             position: Some(self.now - Micros::from(y % 900) * MS),
             role: Some(if y & 1 == 0 { Role::Primary } else { Role::Replica }),
--- a/tests/property/steps.rs
+++ b/tests/property/steps.rs
@@ -4,9 +4,9 @@
 use super::*;
 
 /// What kind of event, and two numbers from which its details are drawn.
-pub type Step = (u8, u32, u32);
+pub(crate) type Step = (u8, u32, u32);
 
-pub const OUTCOMES: [AttemptOutcome; 9] = [
+pub(crate) const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Ok,
     AttemptOutcome::Error,
     AttemptOutcome::Overloaded,
@@ -45,7 +45,7 @@
 }
 
 impl Checker {
-    pub fn run_step(&mut self, (kind, x, y): Step) {
+    pub(crate) fn run_step(&mut self, (kind, x, y): Step) {
         let in_flight = self.in_flight();
         let unfinished: Vec<u64> = self.unfinished_requests();
         match kind % 12 {
@@ -75,7 +75,7 @@
         )
     }
 
-    pub fn change_endpoints(&mut self, complete: bool, x: u32, y: u32) {
+    pub(crate) fn change_endpoints(&mut self, complete: bool, x: u32, y: u32) {
         let endpoints = self.draw_endpoints(x, y);
         let (now, removal_is_advisory) = (self.now, self.settings.removal_is_advisory);
         let listed: Vec<u32> = endpoints.iter().map(|endpoint| endpoint.server.0).collect();
@@ -198,7 +198,7 @@
     }
 
     /// Lets time pass: timers expire when they are due, and attempts time out.
-    pub fn advance(&mut self, span: Micros) {
+    pub(crate) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         let times_out_at =
             |checker: &Self, (id, attempt): InFlight| checker.requests[&id].attempts[attempt].times_out_at;
