--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -10,18 +10,20 @@
 use birchreach_health::{Change, HealthEvent};
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
 /// How often the load is reported to the monitor.
 const LOAD_INTERVAL_MICROS: Micros = 250_000;
 /// The handover happens this long after it is announced, so that the announcement has arrived and both processes act
-/// at the same time.
-const HANDOVER_DELAY_MICROS: Micros = 20_000;
+/// at the same time, even if one of them is held up for 150 ms.
+const HANDOVER_DELAY_MICROS: Micros = 300_000;
 /// A process that replaces another waits this long for the announcement, which earlier releases don't send.
 const ANNOUNCEMENT_TIMEOUT_MICROS: Micros = 1_000_000;
-/// It opens its check listeners this long before it answers, so that no balancer finds the address closed.
-const LISTEN_AHEAD_MICROS: Micros = 10_000;
+/// It opens its check listeners this long before it answers, so that no balancer finds the address closed, even if it is
+/// held up for 150 ms.
+const LISTEN_AHEAD_MICROS: Micros = 250_000;
+/// A process that has not taken over yet is ready at a time that is not known.
+const UNKNOWN_TIME: Micros = Micros::MAX / 4;
 
 /// The state of health reporting.
 #[derive(Default)]
@@ -53,11 +55,19 @@
         let opened = self.checks.open(if has_predecessor { None } else { options.as_ref() })?;
         self.checks.apply_options(&mut self.context, options, opened);
         if has_predecessor {
-            self.set_ready_at(self.context.now + ANNOUNCEMENT_TIMEOUT_MICROS);
+            self.set_ready_at(UNKNOWN_TIME);
         }
         Ok(())
     }
 
+    /// Takes over from the predecessor, if there is one: it hands over clients and balancers from now on.
+    pub(super) fn take_over(&mut self) {
+        if self.handover.announce_serving(&mut self.context) {
+            self.set_ready_at(self.context.now + ANNOUNCEMENT_TIMEOUT_MICROS);
+            self.after_handover();
+        }
+    }
+
     /// Starts, reconfigures or ends the monitor according to the current configuration.
     pub(super) fn configure_health(&mut self) {
         let Some(options) = &self.config.options.health else {
@@ -101,26 +111,24 @@
     /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both
     /// unavailable, nor both available.
     pub(super) fn negotiate_handover(&mut self) {
-        if self.health.observer.is_none() {
-            return;
+        if self.health.observer.is_some() {
+            self.announce_handover();
         }
-        let unix_now = unix_micros();
-        self.announce_handover(unix_now);
-        self.await_handover(unix_now);
+        self.await_handover();
     }
 
     /// Announces the handover to a process that replaces this one, or revokes it when that process has disconnected.
-    fn announce_handover(&mut self, unix_now: Micros) {
+    fn announce_handover(&mut self) {
         let replaced = self.handover.is_replaced();
         if replaced == self.health.handing_over {
             return;
         }
         self.health.handing_over = replaced;
-        let handover_at = replaced.then_some(self.context.now + HANDOVER_DELAY_MICROS);
+        let handover_at = replaced.then(|| self.clock.now() + HANDOVER_DELAY_MICROS);
         self.record_health_event(HealthEvent::HandoverAt(handover_at));
         match handover_at {
             Some(at) => {
-                let unix_at = unix_now + HANDOVER_DELAY_MICROS;
+                let unix_at = at + self.clock.unix_offset();
                 self.handover.announce_stop_accepting(&mut self.context, unix_at);
                 self.context.timers.set(at, TimerEvent::StopAcceptingChecks);
             }
@@ -129,17 +137,21 @@
     }
 
     /// Becomes ready at the time that the predecessor announces, or immediately if it has disconnected.
-    fn await_handover(&mut self, unix_now: Micros) {
-        if self.health.ready_at <= self.context.now || self.health.handover_time_known {
+    fn await_handover(&mut self) {
+        let now = self.context.now;
+        if self.health.ready_at <= now || self.health.handover_time_known {
             return;
         }
-        let time_left = match self.handover.predecessor_stops_accepting_at() {
-            Some(at) => (at - unix_now).clamp(0, ANNOUNCEMENT_TIMEOUT_MICROS),
+        let ready_at = match self.handover.predecessor_stops_accepting_at() {
+            Some(unix_at) => {
+                let at = unix_at - self.clock.unix_offset();
+                at.clamp(now, now + ANNOUNCEMENT_TIMEOUT_MICROS)
+            }
             None if self.handover.has_predecessor() => return,
-            None => 0,
+            None => now,
         };
         self.health.handover_time_known = true;
-        self.set_ready_at(self.context.now + time_left);
+        self.set_ready_at(ready_at);
     }
 
     /// Reports the load to the monitor. The pressure is the greater of two fractions: of the time that the loop did not
@@ -215,9 +227,3 @@
         }
     }
 }
-
-/// The time of day, by which two processes agree on an instant.
-fn unix_micros() -> Micros {
-    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    i64::try_from(since_epoch.as_micros()).unwrap_or(i64::MAX)
-}
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Applies an update of the endpoint list, and closes idle connections to servers that moved.
+    /// Applies an update of the endpoint list, and closes idle connections to servers that moved. With its first servers, this
+    /// process takes over from its predecessor.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         info!(
             event = "endpoint-list",
@@ -60,10 +61,14 @@
             all = update.complete,
             lines = update.endpoints.len()
         );
+        let lists_servers = !update.endpoints.is_empty();
         let moved = self.context.core.update_endpoints(self.context.now, update);
         for server in moved {
             self.pool.server_moved(&mut self.context, server);
         }
+        if lists_servers {
+            self.take_over();
+        }
         self.carry_out();
     }
 }
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -73,11 +73,12 @@
     listener: Option<UnixListener>,
     predecessor: Option<Link>,
     successor: Option<Link>,
+    /// The predecessor was informed that this process serves.
+    serving_announced: bool,
 }
 
 impl ProcessHandover {
-    /// Connects to the process that serves at this address, if there is one, and informs it that this one serves now; then listens
-    /// for the next one.
+    /// Connects to the process that serves at this address, if there is one, and listens for the next one.
     pub(super) fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
@@ -132,6 +133,17 @@
         }
     }
 
+    /// Informs the predecessor that this process serves, unless it was informed before. Returns whether it was informed now.
+    pub(super) fn announce_serving(&mut self, context: &mut EventLoopContext) -> bool {
+        let Some(predecessor) = &mut self.predecessor else { return false };
+        if std::mem::replace(&mut self.serving_announced, true) {
+            return false;
+        }
+        predecessor.protocol.send(HandoverMessage::Serving);
+        self.predecessor_ready(context);
+        true
+    }
+
     /// Informs the successor how many descriptors this process still has open.
     pub(super) fn announce_stopping(&mut self, context: &mut EventLoopContext, descriptors: usize) {
         self.send_to_successor(context, HandoverMessage::Stopping(descriptors));
@@ -182,9 +194,7 @@
     if !register(registry, &mut stream, Source::Predecessor) {
         return None;
     }
-    let mut link = Link::new(stream);
-    link.protocol.send(HandoverMessage::Serving);
-    Some(link)
+    Some(Link::new(stream))
 }
 
 /// Registers a link's stream. Returns whether that succeeded.
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -146,7 +146,7 @@
     }
 
     /// Another process of this proxy has connected, sent a message or disconnected.
-    fn after_handover(&mut self) {
+    pub(super) fn after_handover(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
             fleet.set_replaced(&self.context, self.handover.is_replaced());
--- a/proxy/src/net/timers.rs
+++ b/proxy/src/net/timers.rs
@@ -14,14 +14,24 @@
 impl Clock {
     /// A clock that starts now.
     pub(super) fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), started_unix: micros(unix) }
+        Clock { started: Instant::now(), started_unix: unix_micros() }
     }
 
     /// The time.
     pub(super) fn now(&self) -> Micros {
         self.started_unix + micros(self.started.elapsed())
     }
+
+    /// How far the system's clock, by which two processes agree on an instant, is ahead of this one: it may have been set since the
+    /// start.
+    pub(super) fn unix_offset(&self) -> Micros {
+        unix_micros() - self.now()
+    }
+}
+
+/// The Unix time by the system's clock.
+fn unix_micros() -> Micros {
+    micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
 
 /// The duration in microseconds. One that is too long for the type becomes one that can still be added to another without overflow.
--- a/proxy/tests/health/rotation.rs
+++ b/proxy/tests/health/rotation.rs
@@ -4,7 +4,9 @@
 use birchreach_test_support::balancer::{Balancer, Check, CheckPolicy, ServerAddresses};
 use birchreach_test_support::client::{Client, Reply};
 use birchreach_test_support::process::{MAX_WAIT, Process};
+use birchreach_test_support::rig::Rig;
 use std::net::{SocketAddr, TcpListener};
+use std::thread;
 use std::time::{Duration, Instant};
 
 const CHECK_POLICY: CheckPolicy =
@@ -43,22 +45,59 @@
     is_up(address, &Check::Agent(String::new()))
 }
 
-/// Checks two processes in turn until the successor has taken over: at any time, exactly one of them is up.
-fn check_that_exactly_one_is_up(predecessor: SocketAddr, successor: SocketAddr) {
-    let start = Instant::now();
-    let (mut taken_over, mut certain_count) = (false, 0);
-    while start.elapsed() < MAX_WAIT && (!taken_over || certain_count < 200) {
-        // The predecessor is checked before and after: if both answers are equal, it was so in between.
-        let predecessor_up = agent_is_up(predecessor);
-        let successor_up = agent_is_up(successor);
-        if agent_is_up(predecessor) == predecessor_up {
-            let state = if predecessor_up { "up" } else { "down" };
-            assert_ne!(predecessor_up, successor_up, "both {state} after {:?}", start.elapsed());
-            certain_count += 1;
-            taken_over |= successor_up;
+/// A process of a proxy and the one that replaces it. Each has check addresses of its own, so that both can be checked.
+struct Replacement {
+    predecessor: Process,
+    successor: Process,
+    predecessor_address: SocketAddr,
+    successor_address: SocketAddr,
+    /// Options with the predecessor's check addresses.
+    predecessor_options: String,
+    shared_listener: TcpListener,
+}
+
+impl Replacement {
+    /// Starts a process, and its successor once the process is up and `before_successor` has run. Does not wait for the successor.
+    fn start(rig: &Rig, before_successor: impl FnOnce()) -> Replacement {
+        let shared_listener = TcpListener::bind((rig.loopback_address(), 0)).unwrap();
+        let (first, second) = (CheckAddresses::free(rig), CheckAddresses::free(rig));
+        let predecessor_options = first.options(64);
+        let predecessor = rig.start(1, Some(&predecessor_options), Some(&shared_listener)).unwrap();
+        wait_until("the predecessor is up", || agent_check(&predecessor, "").up);
+        before_successor();
+        let successor = rig.spawn(2, Some(&second.options(64)), Some(&shared_listener)).unwrap();
+        Replacement {
+            predecessor,
+            successor,
+            predecessor_address: first.agent,
+            successor_address: second.agent,
+            predecessor_options,
+            shared_listener,
+        }
+    }
+
+    /// Checks both in turn until the successor has taken over: at any time, exactly one of them is up.
+    fn check_that_exactly_one_is_up(&self) {
+        let start = Instant::now();
+        let (mut taken_over, mut certain_count) = (false, 0);
+        while start.elapsed() < MAX_WAIT && (!taken_over || certain_count < 200) {
+            // The predecessor is checked before and after: if both answers are equal, it was so in between.
+            let predecessor_up = agent_is_up(self.predecessor_address);
+            let successor_up = agent_is_up(self.successor_address);
+            if agent_is_up(self.predecessor_address) == predecessor_up {
+                let (state, elapsed) = (if predecessor_up { "up" } else { "down" }, start.elapsed());
+                assert_ne!(predecessor_up, successor_up, "both {state} after {elapsed:?}: {}", self.logs());
+                certain_count += 1;
+                taken_over |= successor_up;
+            }
         }
+        assert!(taken_over && certain_count > 10, "{taken_over}, {certain_count}");
+    }
+
+    /// What both have logged.
+    fn logs(&self) -> String {
+        format!("predecessor {:#?}, successor {:#?}", self.predecessor.log(), self.successor.log())
     }
-    assert!(taken_over && certain_count > 10, "{taken_over}, {certain_count}");
 }
 
 /// Two processes of one proxy, checked in turn as fast as possible, are never both down, nor both up.
@@ -66,25 +105,72 @@
 fn a_handover_happens_at_one_instant() {
     // Given a process and its successor
     let rig = new_rig(4, 1);
-    let shared = TcpListener::bind((rig.loopback_address(), 0)).unwrap();
-    // Each has addresses of its own, so that both can be checked.
-    let (first, second) = (CheckAddresses::free(&rig), CheckAddresses::free(&rig));
-    let mut predecessor = rig.start(1, Some(&first.options(64)), Some(&shared)).unwrap();
-    wait_until("the predecessor is up", || agent_check(&predecessor, "").up);
-    let successor = rig.start(2, Some(&second.options(64)), Some(&shared)).unwrap();
+    let replacement = Replacement::start(&rig, || ());
     // When both are checked until the successor has taken over, then exactly one is up at any time
-    check_that_exactly_one_is_up(first.agent, second.agent);
+    replacement.check_that_exactly_one_is_up();
     // When the successor dies, then the predecessor is up again
+    let Replacement { mut predecessor, successor, predecessor_address, .. } = replacement;
     drop(successor);
-    wait_until("the predecessor is up again", || agent_is_up(first.agent));
+    wait_until("the predecessor is up again", || agent_is_up(predecessor_address));
     // When the next successor has taken over and the predecessor ends, then it answers at the same address
-    let successor = rig.start(3, Some(&first.options(64)), Some(&shared)).unwrap();
+    let options = Some(replacement.predecessor_options.as_str());
+    let successor = rig.start(3, options, Some(&replacement.shared_listener)).unwrap();
     wait_until("the next answers at the same address", || {
-        successor.check_address("agent").is_some() && agent_is_up(first.agent)
+        successor.check_address("agent").is_some() && agent_is_up(predecessor_address)
     });
     predecessor.signal("TERM");
     assert_eq!(predecessor.wait_for_exit(), Some(0));
-    assert!(agent_is_up(first.agent));
+    assert!(agent_is_up(predecessor_address));
+}
+
+/// A successor that can't serve anybody yet leaves clients and balancers to its predecessor.
+#[test]
+fn a_successor_without_an_endpoint_list_does_not_take_over() {
+    // Given a process, and a successor that finds no discovery
+    let rig = new_rig(10, 1);
+    let replacement = Replacement::start(&rig, || rig.discovery.stop());
+    assert!(replacement.predecessor.wait_for_log_line(&["event=successor-connected"]).is_some());
+    // When both are checked for longer than the successor waits for an announcement, then the predecessor is up alone
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_millis(1500) {
+        let up = [replacement.predecessor_address, replacement.successor_address].map(agent_is_up);
+        assert_eq!(up, [true, false], "{}", replacement.logs());
+    }
+    // When discovery answers again, then the successor takes over
+    let _discovery = rig.discovery.restarted().unwrap();
+    replacement.check_that_exactly_one_is_up();
+}
+
+/// How long a process may be held up.
+const PAUSE: Duration = Duration::from_millis(150);
+
+/// Stops a process for [`PAUSE`], this long after its predecessor has met its successor.
+fn pause_after_meeting(replacement: &Replacement, paused: &Process, delay: Duration) {
+    assert!(replacement.predecessor.wait_for_log_line(&["event=successor-connected"]).is_some());
+    thread::sleep(delay);
+    paused.signal("STOP");
+    thread::sleep(PAUSE);
+    paused.signal("CONT");
+}
+
+/// Whichever process is held up, and whenever: balancers find exactly one of them up.
+#[test]
+fn a_handover_happens_at_one_instant_while_a_process_is_held_up() {
+    for pauses_successor in [false, true] {
+        for delay in [0, 10, 100, 280].map(Duration::from_millis) {
+            // Given a process and its successor
+            let rig = new_rig(11, 1);
+            let replacement = Replacement::start(&rig, || ());
+            let Replacement { predecessor, successor, .. } = &replacement;
+            let paused = if pauses_successor { successor } else { predecessor };
+            thread::scope(|scope| {
+                // When one of them is held up around the handover
+                scope.spawn(|| pause_after_meeting(&replacement, paused, delay));
+                // Then exactly one is up at any time
+                replacement.check_that_exactly_one_is_up();
+            });
+        }
+    }
 }
 
 /// Sends writes, each on a connection of its own, to the servers that the balancer chooses. Returns how many each of two served.
--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -69,6 +69,11 @@
         let _ = TcpStream::connect(self.address);
     }
 
+    /// Starts a service with the same list at the same address, after [`Discovery::stop`].
+    pub fn restarted(&self) -> io::Result<Discovery> {
+        Discovery::start(self.address, lock(&self.inner.list).databases.clone())
+    }
+
     /// Replaces the list.
     pub fn set_databases(&self, databases: Vec<ListedDatabase>) {
         let mut list = lock(&self.inner.list);
--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -134,7 +134,21 @@
         options: Option<&str>,
         inherited_listener: Option<&TcpListener>,
     ) -> io::Result<Process> {
-        let settings = ProcessSettings {
+        let mut process = self.spawn(number, options, inherited_listener)?;
+        process
+            .wait_until_serving()
+            .ok_or_else(|| io::Error::other(format!("it does not serve: {:?}", process.log())))?;
+        Ok(process)
+    }
+
+    /// Starts the proxy `p{number}`.
+    pub fn spawn(
+        &self,
+        number: u64,
+        options: Option<&str>,
+        inherited_listener: Option<&TcpListener>,
+    ) -> io::Result<Process> {
+        Process::start(&ProcessSettings {
             program: &self.program,
             folder: &self.folder,
             name: &format!("p{number}"),
@@ -142,12 +156,7 @@
             options,
             inherited_listener,
             max_descriptors: Some(self.max_descriptors + EXTRA_DESCRIPTORS),
-        };
-        let mut process = Process::start(&settings)?;
-        process
-            .wait_until_serving()
-            .ok_or_else(|| io::Error::other(format!("it does not serve: {:?}", process.log())))?;
-        Ok(process)
+        })
     }
 
     /// Starts the proxy `p{number}` with both health check listeners at free ports.
