--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -31,7 +31,7 @@
     }
 
     fn without_endpoints_seeded(settings: Settings, seed: u64) -> RouterFixture {
-        let now = 100_000 * MS;
+        let now = 100_000 * MILLISECOND;
         let mut actions = Vec::new();
         let router = Router::new(settings, seed, now, &mut actions);
         let mut fixture = RouterFixture { router, now, history: vec![], timers: vec![], last_request: 0 };
@@ -98,7 +98,7 @@
             class: ClassId(class),
             group: GroupId(0),
             tenant: TenantId(0),
-            timeout: 2_000 * MS,
+            timeout: 2_000 * MILLISECOND,
             session: None,
             last_write_position: None,
             copy_candidates: vec![],
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub(crate) use fixture::RouterFixture;
 
 /// A millisecond.
-pub(crate) const MS: Micros = 1_000;
+pub(crate) const MILLISECOND: Micros = 1_000;
 
 /// Classes of [`settings`], by their consistency.
 pub(crate) const WRITE: u16 = 0;
@@ -25,8 +25,8 @@
     RequestClass {
         consistency,
         idempotency,
-        latency_objective: 500 * MS,
-        client_timeout: 2_000 * MS,
+        latency_objective: 500 * MILLISECOND,
+        client_timeout: 2_000 * MILLISECOND,
         priority_weight: 1.0,
         late_weight_fraction: 0.5,
     }
@@ -40,7 +40,7 @@
         classes: vec![
             class(Consistency::Write, Idempotency::NotIdempotent),
             class(Consistency::Session, Idempotency::Idempotent),
-            class(Consistency::BoundedStaleness(300 * MS), Idempotency::Idempotent),
+            class(Consistency::BoundedStaleness(300 * MILLISECOND), Idempotency::Idempotent),
             class(Consistency::Any, Idempotency::Idempotent),
         ],
         tenants: vec![],
@@ -53,20 +53,20 @@
         hedging_allowed: true,
         cancellation_allowed: true,
         health_checks_allowed: false,
-        max_retry_after: Some(1_000 * MS),
-        connect_timeout: 250 * MS,
-        drain_grace: 500 * MS,
+        max_retry_after: Some(1_000 * MILLISECOND),
+        connect_timeout: 250 * MILLISECOND,
+        drain_grace: 500 * MILLISECOND,
         removal_is_advisory: false,
         slow_start_initial_fraction: 0.2,
-        slow_start_window: 10_000 * MS,
+        slow_start_window: 10_000 * MILLISECOND,
         overload_factor: 2.0,
-        overload_window: 1_500 * MS,
+        overload_window: 1_500 * MILLISECOND,
     }
 }
 
 /// Idempotency by a key that all servers of the group recognise for 600 ms.
 pub(crate) fn with_idempotency_key() -> Idempotency {
-    Idempotency::WithKey { scope: DedupScope::Group, dedup_window: 600 * MS }
+    Idempotency::WithKey { scope: DedupScope::Group, dedup_window: 600 * MILLISECOND }
 }
 
 /// An entry of the endpoint list for a server of group 0.
--- a/tests/copy_candidates.rs
+++ b/tests/copy_candidates.rs
@@ -51,11 +51,11 @@
 fn only_a_copy_that_is_likely_fresh_enough_is_tried() {
     let mut fixture = fixture_with_copy_holder();
     let now = fixture.now;
-    let too_old = servers_for_reads(&mut fixture, BOUNDED, 1, now - 301 * MS);
+    let too_old = servers_for_reads(&mut fixture, BOUNDED, 1, now - 301 * MILLISECOND);
     assert_eq!(too_old, [PRIMARY], "older than the class allows");
-    assert_eq!(servers_for_reads(&mut fixture, BOUNDED, 1, now - 299 * MS), [COPY_HOLDER]);
+    assert_eq!(servers_for_reads(&mut fixture, BOUNDED, 1, now - 299 * MILLISECOND), [COPY_HOLDER]);
 
-    let written_at = now - 50 * MS;
+    let written_at = now - 50 * MILLISECOND;
     let (id, actions) = fixture.request_with(SESSION, |request| {
         request.last_write_position = Some(written_at);
         request.copy_candidates = vec![copy_candidate(COPY_HOLDER, written_at)];
@@ -67,25 +67,29 @@
         "it has to prove the write of the session"
     );
 
-    fixture.advance(30 * MS);
+    fixture.advance(30 * MILLISECOND);
     let (id, _) = fixture.request_with(BOUNDED, |request| {
         request.copy_candidates = vec![copy_candidate(COPY_HOLDER, now)];
     });
-    fixture.advance(10 * MS);
+    fixture.advance(10 * MILLISECOND);
     let required = fixture.router.required_copy_position(fixture.now, RequestId(id));
-    assert_eq!(required, Some(fixture.now - 300 * MS), "as of the moment at which the attempt is written");
+    assert_eq!(
+        required,
+        Some(fixture.now - 300 * MILLISECOND),
+        "as of the moment at which the attempt is written"
+    );
 }
 
 #[test]
 fn writes_and_strong_reads_never_go_to_a_copy() {
     let mut fixture = fixture_with_copy_holder();
     let now = fixture.now;
-    assert_eq!(servers_for_reads(&mut fixture, WRITE, 4, now + 1_000 * MS), [PRIMARY; 4]);
+    assert_eq!(servers_for_reads(&mut fixture, WRITE, 4, now + 1_000 * MILLISECOND), [PRIMARY; 4]);
 
     let mut settings = settings();
     settings.classes[BOUNDED as usize].consistency = Consistency::Strong;
     fixture.handle(Event::Settings(Box::new(settings)));
-    assert!(!servers_for_reads(&mut fixture, BOUNDED, 4, now + 1_000 * MS).contains(&COPY_HOLDER));
+    assert!(!servers_for_reads(&mut fixture, BOUNDED, 4, now + 1_000 * MILLISECOND).contains(&COPY_HOLDER));
 }
 
 #[test]
--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -32,7 +32,7 @@
     endpoints[0].state = EndpointState::Draining;
     fixture.set_endpoints(&endpoints);
 
-    assert!(!servers_sent_to(&fixture.advance(2_000 * MS)).contains(&PRIMARY));
+    assert!(!servers_sent_to(&fixture.advance(2_000 * MILLISECOND)).contains(&PRIMARY));
 }
 
 #[test]
@@ -77,12 +77,12 @@
 
     // Data ages.
     let mut fixture = RouterFixture::new(settings());
-    fixture.report_position(REPLICA_1, Role::Replica, 100 * MS);
+    fixture.report_position(REPLICA_1, Role::Replica, 100 * MILLISECOND);
     let (id, actions) = fixture.request(BOUNDED);
     assert!(servers_sent_to(&actions) == [REPLICA_1] && may_still_send(&fixture, id));
-    fixture.now += 200 * MS;
+    fixture.now += 200 * MILLISECOND;
     assert!(may_still_send(&fixture, id), "300 ms old at most");
-    fixture.now += MS;
+    fixture.now += MILLISECOND;
     assert!(!may_still_send(&fixture, id));
 
     // The server begins to drain.
@@ -98,7 +98,7 @@
     let (id, actions) = fixture.request(BOUNDED);
     assert!(servers_sent_to(&actions) == [PRIMARY] && may_still_send(&fixture, id));
     let (write, _) = fixture.request(WRITE);
-    let replica_status = status(Role::Replica, fixture.now - 1_000 * MS);
+    let replica_status = status(Role::Replica, fixture.now - 1_000 * MILLISECOND);
     fixture.complete_attempt_with_status(write, 0, PRIMARY, AttemptOutcome::Ineligible, replica_status);
     assert!(!may_still_send(&fixture, id));
 
@@ -116,7 +116,7 @@
     assert_eq!(servers_sent_to(&actions), [PRIMARY]);
     for next in 10..200 {
         fixture.set_endpoints(&ready([next]));
-        fixture.advance(1_000 * MS);
+        fixture.advance(1_000 * MILLISECOND);
         assert!(fixture.router.is_known(ServerId(next)) && fixture.router.is_known(ServerId(PRIMARY)));
     }
     let known = (0..200).filter(|server| fixture.router.is_known(ServerId(*server))).count();
@@ -139,7 +139,7 @@
         // What never ran is retried at the same primary after a backoff, and so is the next write.
         let never_ran = outcome == AttemptOutcome::ClosedBeforeExecution;
         let retried = if never_ran { vec![PRIMARY] } else { vec![] };
-        assert_eq!(servers_sent_to(&fixture.advance(50 * MS)), retried);
+        assert_eq!(servers_sent_to(&fixture.advance(50 * MILLISECOND)), retried);
         assert_eq!(servers_sent_to(&fixture.request(WRITE).1), [PRIMARY], "{outcome:?}");
     }
 }
@@ -150,12 +150,12 @@
         let mut fixture = RouterFixture::new(settings());
         let (early, actions) = fixture.request(WRITE);
         assert_eq!(servers_sent_to(&actions), [PRIMARY]);
-        fixture.advance(5 * MS);
+        fixture.advance(5 * MILLISECOND);
         let (late, _) = fixture.request(WRITE);
         fixture.complete_attempt(late, 0, PRIMARY, AttemptOutcome::ConnectFailed);
         let early_outcome = if is_answered { AttemptOutcome::Ok } else { AttemptOutcome::ConnectionReset };
         fixture.complete_attempt(early, 0, PRIMARY, early_outcome);
-        fixture.advance(100 * MS);
+        fixture.advance(100 * MILLISECOND);
         (0..3).filter(|_| servers_sent_to(&fixture.request(WRITE).1) == [PRIMARY]).count()
     };
     assert_eq!(writes_sent(true), 3);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,14 +10,14 @@
         let run_proxy = |fixture: &mut RouterFixture| {
             for _ in 0..40 {
                 let (id, actions) = fixture.request(ANY);
-                fixture.advance(100 * MS);
+                fixture.advance(100 * MILLISECOND);
                 fixture.complete_attempt(id, 0, servers_sent_to(&actions)[0], AttemptOutcome::Ok);
             }
             // All servers stop answering: each proxy may spend the tokens that it has.
             for _ in 0..4 {
                 fixture.request(ANY);
             }
-            servers_sent_to(&fixture.advance(450 * MS)).len()
+            servers_sent_to(&fixture.advance(450 * MILLISECOND)).len()
         };
         fleet(proxies, |_| {}).iter_mut().map(run_proxy).sum()
     };
@@ -42,7 +42,7 @@
                     // The first attempt of each proxy is no retry.
                     sent += usize::from(is_unresponsive && tenth_of_second >= 50);
                 }
-                fixture.now += 100 * MS;
+                fixture.now += 100 * MILLISECOND;
             }
             sent
         };
@@ -74,12 +74,12 @@
                 actions = fixture.answer_sends(0, &actions);
             }
             // All pauses are over: only the outcome of the last reads keeps the next ones away.
-            fixture.now += 20_000 * MS;
+            fixture.now += 20_000 * MILLISECOND;
         }
         queries
     };
-    let while_in_time = count_queries(50 * MS);
+    let while_in_time = count_queries(50 * MILLISECOND);
     assert!(while_in_time < 100, "{while_in_time} of 200 query while the primary takes them");
-    let while_late = count_queries(900 * MS);
+    let while_late = count_queries(900 * MILLISECOND);
     assert!(while_late > 140, "{while_late} of 200 query where it does not");
 }
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -8,9 +8,9 @@
 fn a_bounded_read_needs_a_replica_that_is_proven_fresh_enough() {
     let mut fixture = RouterFixture::new(settings());
     assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [PRIMARY], "nothing is proven yet");
-    fixture.report_position(REPLICA_1, Role::Replica, 250 * MS);
+    fixture.report_position(REPLICA_1, Role::Replica, 250 * MILLISECOND);
     assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [REPLICA_1]);
-    fixture.advance(50 * MS);
+    fixture.advance(50 * MILLISECOND);
     assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [REPLICA_1], "just inside the bound");
     fixture.advance(1);
     assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [PRIMARY], "just outside");
@@ -41,8 +41,8 @@
     fixture.report_position(REPLICA_2, Role::Replica, 0);
     let (id, _) = fixture.request_with(WRITE, |request| request.session = Some(SessionId(9)));
     fixture.handle(Event::ClientDisconnected { request: RequestId(id) });
-    let committed_at = fixture.now + MS;
-    fixture.advance(5 * MS);
+    let committed_at = fixture.now + MILLISECOND;
+    fixture.advance(5 * MILLISECOND);
     let committed = status(Role::Primary, committed_at);
     fixture.complete_attempt_with_status(id, 0, PRIMARY, AttemptOutcome::Ok, committed);
 
@@ -70,13 +70,13 @@
     let mut settings = settings();
     settings.stale_reads = StaleReadPolicy::Rejected;
     let mut fixture = RouterFixture::new(settings);
-    fixture.report_position(REPLICA_1, Role::Replica, 900 * MS);
-    fixture.report_position(REPLICA_2, Role::Replica, 800 * MS);
-    fixture.advance(600 * MS);
+    fixture.report_position(REPLICA_1, Role::Replica, 900 * MILLISECOND);
+    fixture.report_position(REPLICA_2, Role::Replica, 800 * MILLISECOND);
+    fixture.advance(600 * MILLISECOND);
     let (id, actions) = fixture.request(BOUNDED);
     assert_eq!(servers_sent_to(&actions), [REPLICA_2]);
 
-    let behind = status(Role::Replica, fixture.now - 800 * MS);
+    let behind = status(Role::Replica, fixture.now - 800 * MILLISECOND);
     let mut reject = |attempt, server| {
         let outcome = AttemptOutcome::Ineligible;
         servers_sent_to(&fixture.complete_attempt_with_status(id, attempt, server, outcome, behind))
@@ -98,13 +98,13 @@
         let mut attempt = 0;
         while server != PRIMARY {
             tries += 1;
-            let behind = status(Role::Replica, fixture.now - 900 * MS);
+            let behind = status(Role::Replica, fixture.now - 900 * MILLISECOND);
             let outcome = AttemptOutcome::Ineligible;
             let actions = fixture.complete_attempt_with_status(id, attempt, server, outcome, behind);
             server = servers_sent_to(&actions)[0];
             attempt += 1;
         }
-        fixture.advance(MS);
+        fixture.advance(MILLISECOND);
         fixture.complete_attempt(id, attempt, PRIMARY, AttemptOutcome::Ok);
         assert!(index > 0 || tries == 2, "the first read is tried at each replica");
     }
@@ -126,18 +126,18 @@
     let (id, actions) = fixture.request(BOUNDED);
     assert!(servers_sent_to(&actions).is_empty(), "it waits");
     let first = checked_server(&actions).expect("a health check");
-    let actions = fixture.report_position(first, Role::Replica, 100 * MS);
+    let actions = fixture.report_position(first, Role::Replica, 100 * MILLISECOND);
     assert_eq!(servers_sent_to(&actions), [first]);
     fixture.complete_attempt(id, 0, first, AttemptOutcome::Ok);
 
-    fixture.advance(1_000 * MS);
+    fixture.advance(1_000 * MILLISECOND);
     let (_, actions) = fixture.request(BOUNDED);
     let first = checked_server(&actions).expect("a health check");
-    let actions = fixture.report_position(first, Role::Replica, 400 * MS);
+    let actions = fixture.report_position(first, Role::Replica, 400 * MILLISECOND);
     let second = checked_server(&actions).expect("another one where the first is behind");
     assert_ne!(first, second);
     // The second never responds: the read waits for a part of its latency objective only.
-    assert_eq!(servers_sent_to(&fixture.advance(100 * MS)), [PRIMARY]);
+    assert_eq!(servers_sent_to(&fixture.advance(100 * MILLISECOND)), [PRIMARY]);
 }
 
 /// Sends writes one after the other, each answered after this time.
@@ -157,18 +157,18 @@
         health_check_count(&fixture.request(BOUNDED).1) > 0
     };
     // The latency objective is 500 ms.
-    assert_eq!([50 * MS, 150 * MS].map(queries_position), [false, true]);
+    assert_eq!([50 * MILLISECOND, 150 * MILLISECOND].map(queries_position), [false, true]);
 }
 
 #[test]
 fn a_read_queries_the_position_again_after_one_that_fell_back_was_late() {
     let mut fixture = RouterFixture::new(Settings { health_checks_allowed: true, ..settings() });
-    run_writes(&mut fixture, 20, MS);
+    run_writes(&mut fixture, 20, MILLISECOND);
     let (id, actions) = fixture.request(BOUNDED);
     assert_eq!(servers_sent_to(&actions), [PRIMARY]);
-    fixture.advance(600 * MS);
+    fixture.advance(600 * MILLISECOND);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
 
-    run_writes(&mut fixture, 10, MS);
+    run_writes(&mut fixture, 10, MILLISECOND);
     assert!(health_check_count(&fixture.request(BOUNDED).1) > 0);
 }
--- a/tests/invalid_input.rs
+++ b/tests/invalid_input.rs
@@ -12,7 +12,7 @@
     let (id, actions) = fixture.request(WRITE);
     assert!(servers_sent_to(&actions).is_empty());
 
-    let actions = fixture.advance(2_000 * MS);
+    let actions = fixture.advance(2_000 * MILLISECOND);
     assert!(is_rejected(&actions), "request {id}");
     assert_eq!(fixture.router.open_request_count(), 0);
 }
@@ -36,8 +36,8 @@
 #[test]
 fn a_position_from_the_far_future_proves_nothing_beyond_the_present() {
     let mut fixture = RouterFixture::new(settings());
-    fixture.report_position(REPLICA_1, Role::Replica, -3_600_000 * MS);
-    fixture.advance(400 * MS);
+    fixture.report_position(REPLICA_1, Role::Replica, -3_600_000 * MILLISECOND);
+    fixture.advance(400 * MILLISECOND);
 
     let (_, actions) = fixture.request(BOUNDED);
     assert_eq!(servers_sent_to(&actions), [PRIMARY], "400 ms later it is too old for 300 ms");
@@ -60,14 +60,14 @@
         let (id, _) = fixture.request(class);
         fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
     }
-    fixture.advance(5_000 * MS);
+    fixture.advance(5_000 * MILLISECOND);
     assert_eq!(fixture.router.open_request_count(), 0);
 }
 
 /// Guards against an initial value of 0 that stands for "in the past".
 #[test]
 fn a_clock_below_zero_is_as_good_as_any_other() {
-    let now = -1_000_000 * MS;
+    let now = -1_000_000 * MILLISECOND;
     let mut actions = Vec::new();
     let mut router = Router::new(settings(), 1, now, &mut actions);
     let endpoints = ALL_SERVERS.map(|id| endpoint(id, EndpointState::Draining)).to_vec();
@@ -79,7 +79,7 @@
         class: ClassId(WRITE),
         group: GroupId(0),
         tenant: TenantId(0),
-        timeout: 2_000 * MS,
+        timeout: 2_000 * MILLISECOND,
         session: None,
         last_write_position: None,
         copy_candidates: vec![],
@@ -91,14 +91,14 @@
         _ => None,
     };
     let delay = actions.iter().find_map(delay_of).expect("a timer");
-    assert!(delay <= 200 * MS, "it is tried again soon, not after {delay} us");
+    assert!(delay <= 200 * MILLISECOND, "it is tried again soon, not after {delay} us");
 }
 
 #[test]
 fn a_slow_start_window_shorter_than_the_overload_window_does_not_panic() {
     let mut settings = settings();
-    settings.slow_start_window = 1_000 * MS;
-    settings.overload_window = 1_500 * MS;
+    settings.slow_start_window = 1_000 * MILLISECOND;
+    settings.overload_window = 1_500 * MILLISECOND;
     let mut fixture = RouterFixture::without_endpoints(settings);
     let started_at = Some(fixture.now);
     let endpoints = ready([PRIMARY, REPLICA_1]).map(|endpoint| Endpoint { started_at, ..endpoint });
@@ -107,7 +107,7 @@
     let mut sent = 0;
     for _ in 0..20 {
         sent += servers_sent_to(&fixture.request(ANY).1).len();
-        sent += servers_sent_to(&fixture.advance(100 * MS)).len();
+        sent += servers_sent_to(&fixture.advance(100 * MILLISECOND)).len();
     }
     assert!(sent > 0, "servers in slow start get work where a group has no others");
 }
@@ -119,7 +119,7 @@
     let mut fixture = RouterFixture::new(settings());
     fixture.report_position(REPLICA_1, Role::Replica, 0);
     fixture.report_position(REPLICA_2, Role::Replica, 0);
-    fixture.report_position(REPLICA_2, Role::Replica, 90_000 * MS);
+    fixture.report_position(REPLICA_2, Role::Replica, 90_000 * MILLISECOND);
 
     let mut servers = [ANY, ANY, ANY].map(|class| servers_sent_to(&fixture.request(class).1)[0]);
     servers[..2].sort();
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -6,16 +6,16 @@
 use common::*;
 use std::collections::HashMap;
 
-const IN_TIME: Micros = 100 * MS;
+const IN_TIME: Micros = 100 * MILLISECOND;
 /// Longer than the latency objective of 500 ms.
-const TOO_LATE: Micros = 900 * MS;
+const TOO_LATE: Micros = 900 * MILLISECOND;
 
 #[test]
 fn a_fraction_of_reads_is_shed_when_they_end_too_late_until_they_end_in_time_again() {
     let mut fixture = RouterFixture::seeded(settings(), 7);
     // Nothing is in flight when the next read arrives.
     let read_is_shed = |fixture: &mut RouterFixture, latency: Micros| {
-        let (id, actions) = fixture.request_with(ANY, |request| request.timeout = 60_000 * MS);
+        let (id, actions) = fixture.request_with(ANY, |request| request.timeout = 60_000 * MILLISECOND);
         fixture.now += latency;
         for server in servers_sent_to(&actions) {
             fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
@@ -41,7 +41,7 @@
     let mut sent = 0;
     // When many reads arrive, one after the other
     for _ in 0..READS {
-        let (_, actions) = fixture.request_with(ANY, |request| request.timeout = 60_000 * MS);
+        let (_, actions) = fixture.request_with(ANY, |request| request.timeout = 60_000 * MILLISECOND);
         if is_rejected(&actions) {
             continue;
         }
@@ -66,7 +66,7 @@
             let mut sent = 0;
             for second in 0..60 {
                 let mut actions = fixture.request(WRITE).1;
-                actions.extend(fixture.advance(1_000 * MS));
+                actions.extend(fixture.advance(1_000 * MILLISECOND));
                 for (id, attempt, server) in std::mem::take(&mut in_flight) {
                     actions.extend(fixture.complete_attempt(id, attempt, server, AttemptOutcome::Ok));
                 }
@@ -98,7 +98,7 @@
         for (group, latency) in [(0, TOO_LATE), (1, IN_TIME)] {
             let (_, actions) = fixture.request_with(ANY, |request| {
                 request.group = GroupId(group as u32);
-                request.timeout = 60_000 * MS;
+                request.timeout = 60_000 * MILLISECOND;
             });
             shed[group] += usize::from(is_rejected(&actions));
             fixture.now += latency;
@@ -158,7 +158,7 @@
         let actions = fixture.request(WRITE).1;
         fixture.now += TOO_LATE;
         fixture.answer_sends(0, &actions);
-        fixture.now += 20_000 * MS;
+        fixture.now += 20_000 * MILLISECOND;
     }
     let actions = fixture.request(WRITE).1;
     fixture.now += TOO_LATE;
@@ -166,8 +166,8 @@
     assert!(write_is_queued(&mut fixture), "a congested primary gets nothing for a while");
 
     let [primary, replica] = ready([PRIMARY, REPLICA_1]);
-    let started_at = Some(fixture.now - 9_900 * MS);
+    let started_at = Some(fixture.now - 9_900 * MILLISECOND);
     fixture.set_endpoints(&[Endpoint { started_at, ..primary }, replica]);
-    fixture.now += 200 * MS;
+    fixture.now += 200 * MILLISECOND;
     assert!(!write_is_queued(&mut fixture), "its next process has its full capacity and no pause");
 }
--- a/tests/overdue_attempts.rs
+++ b/tests/overdue_attempts.rs
@@ -19,7 +19,7 @@
     let (id, actions) = fixture.request(ANY);
     let unresponsive = servers_sent_to(&actions)[0];
 
-    let hedged = servers_sent_to(&fixture.advance(400 * MS));
+    let hedged = servers_sent_to(&fixture.advance(400 * MILLISECOND));
     assert_eq!(hedged.len(), 1, "one hedged request, which the settings allow");
     assert_ne!(hedged[0], unresponsive);
 
@@ -35,7 +35,7 @@
     let mut fixture = RouterFixture::new(settings());
     for _ in 0..4 {
         assert_eq!(servers_sent_to(&fixture.request(WRITE).1), [PRIMARY], "each of these is lost");
-        fixture.advance(2 * MS);
+        fixture.advance(2 * MILLISECOND);
     }
     assert!(servers_sent_to(&fixture.request(WRITE).1).is_empty(), "the initial limit is reached");
 
@@ -46,7 +46,7 @@
     // The queued write was sent and is answered: the server is alive, and what was sent before is lost.
     fixture.complete_attempt_with_status(queued, 0, PRIMARY, AttemptOutcome::Ok, answer);
 
-    fixture.advance(1_500 * MS);
+    fixture.advance(1_500 * MILLISECOND);
     let sent = (0..3).filter(|_| servers_sent_to(&fixture.request(WRITE).1) == [PRIMARY]).count();
     assert_eq!(sent, 3);
 }
@@ -58,12 +58,12 @@
     let (id, actions) = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
 
-    let actions = fixture.advance(400 * MS);
+    let actions = fixture.advance(400 * MILLISECOND);
     assert!(actions.contains(&Action::HealthCheck { server: ServerId(server) }));
     assert_eq!(cancel_count(&actions), 0);
 
     fixture.complete_health_check(server, AttemptOutcome::Ok);
-    assert_eq!(cancel_count(&fixture.advance(1_500 * MS)), 0);
+    assert_eq!(cancel_count(&fixture.advance(1_500 * MILLISECOND)), 0);
     assert!(!fixture.router.is_avoided(fixture.now, ServerId(server)), "nor is the server ejected");
     assert!(!is_rejected(&fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok)));
 }
@@ -73,10 +73,10 @@
     let mut fixture = RouterFixture::new(without_hedging());
     let (id, actions) = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
-    fixture.advance(400 * MS);
+    fixture.advance(400 * MILLISECOND);
     fixture.complete_health_check(server, AttemptOutcome::Timeout);
 
-    let actions = fixture.advance(300 * MS);
+    let actions = fixture.advance(300 * MILLISECOND);
     assert_eq!(cancel_count(&actions), 1);
     assert!(fixture.router.is_avoided(fixture.now, ServerId(server)));
 
@@ -89,9 +89,9 @@
 fn read_with_health_check(fixture: &mut RouterFixture, outcome: AttemptOutcome) -> (u64, u32, Vec<Action>) {
     let (id, actions) = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
-    fixture.advance(400 * MS);
+    fixture.advance(400 * MILLISECOND);
     fixture.complete_health_check(server, outcome);
-    (id, server, fixture.advance(300 * MS))
+    (id, server, fixture.advance(300 * MILLISECOND))
 }
 
 #[test]
@@ -113,10 +113,10 @@
 
     // The server is alive after all: the answer came just before the attempt was cancelled.
     fixture.complete_attempt(id, 0, REPLICA_1, AttemptOutcome::Ok);
-    fixture.advance(1_000 * MS);
+    fixture.advance(1_000 * MILLISECOND);
 
     assert_eq!(servers_sent_to(&fixture.request(ANY).1), [REPLICA_1]);
-    let actions = fixture.advance(700 * MS);
+    let actions = fixture.advance(700 * MILLISECOND);
     assert_eq!(cancel_count(&actions), 0, "no health check since this attempt was sent");
     assert!(actions.contains(&Action::HealthCheck { server: ServerId(REPLICA_1) }));
 }
@@ -124,13 +124,13 @@
 #[test]
 fn a_read_whose_answer_was_lost_is_cancelled_and_retried() {
     let mut fixture = RouterFixture::new(without_hedging());
-    let (lost, actions) = fixture.request_with(ANY, |request| request.timeout = 20_000 * MS);
+    let (lost, actions) = fixture.request_with(ANY, |request| request.timeout = 20_000 * MILLISECOND);
     let server = servers_sent_to(&actions)[0];
-    fixture.advance(10 * MS);
+    fixture.advance(10 * MILLISECOND);
     // The server answers what it was sent later; the other replica is as busy.
     for _ in 0..12 {
         let requests = [fixture.request(ANY), fixture.request(ANY)];
-        fixture.advance(10 * MS);
+        fixture.advance(10 * MILLISECOND);
         for (id, actions) in requests {
             fixture.complete_attempt(id, 0, servers_sent_to(&actions)[0], AttemptOutcome::Ok);
         }
@@ -138,7 +138,7 @@
 
     let mut cancelled = 0;
     for _ in 0..400 {
-        cancelled += cancel_count(&fixture.advance(5 * MS));
+        cancelled += cancel_count(&fixture.advance(5 * MILLISECOND));
         if cancelled > 0 {
             break;
         }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -39,13 +39,13 @@
     fill_to_limits(&mut fixture);
     let (id, _) = fixture.request(ANY);
     let requested_at = fixture.now;
-    fixture.advance(1_000 * MS);
+    fixture.advance(1_000 * MILLISECOND);
 
     let is_rejection = |action: &Action| matches!(action, Action::Reject { request, .. } if request.0 == id);
     let rejection = fixture.history.iter().find(|(_, action)| is_rejection(action));
     let rejected_at = rejection.unwrap().0;
     assert!(
-        rejected_at < requested_at + 500 * MS,
+        rejected_at < requested_at + 500 * MILLISECOND,
         "before the latency objective, not at it: {}",
         rejected_at - requested_at
     );
@@ -57,7 +57,7 @@
     let mut fixture = RouterFixture::new(settings());
     let (id, actions) = fixture.request(ANY);
     let overloaded = servers_sent_to(&actions)[0];
-    fixture.advance(5 * MS);
+    fixture.advance(5 * MILLISECOND);
     let actions = fixture.complete_attempt(id, 0, overloaded, AttemptOutcome::Overloaded);
 
     let other = if overloaded == REPLICA_1 { REPLICA_2 } else { REPLICA_1 };
@@ -73,14 +73,14 @@
         let (id, actions) = fixture.request(ANY);
         let mut server = servers_sent_to(&actions)[0];
         let mut attempt = 0;
-        fixture.advance(5 * MS);
+        fixture.advance(5 * MILLISECOND);
         while server == REPLICA_1 {
             failures += 1;
             let actions = fixture.complete_attempt(id, attempt, REPLICA_1, AttemptOutcome::Error);
             attempt += 1;
             server = servers_sent_to(&actions)[0];
         }
-        fixture.advance(5 * MS);
+        fixture.advance(5 * MILLISECOND);
         fixture.complete_attempt(id, attempt, server, AttemptOutcome::Ok);
     }
     assert!(failures <= 5, "{failures}");
--- a/tests/property/checker.rs
+++ b/tests/property/checker.rs
@@ -68,7 +68,7 @@
 
 impl Checker {
     pub(crate) fn new(settings: Settings, seed: u64) -> Self {
-        let now = 100_000 * MS;
+        let now = 100_000 * MILLISECOND;
         let mut actions = Vec::new();
         let router = Router::new(settings.clone(), seed, now, &mut actions);
         let mut checker = Checker {
--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -10,7 +10,7 @@
 
 use birchreach::*;
 use checker::Checker;
-use common::{MS, WRITE, copy_candidate};
+use common::{MILLISECOND, WRITE, copy_candidate};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
     settings.hedging_allowed = bit(6);
     settings.cancellation_allowed = bit(7);
     settings.health_checks_allowed = bit(8);
-    settings.max_retry_after = bit(9).then_some(1_000 * MS);
+    settings.max_retry_after = bit(9).then_some(1_000 * MILLISECOND);
     settings.max_attempts = if bit(10) { 2 } else { 8 };
     settings.classes[WRITE as usize].idempotency = match bits >> 11 & 3 {
         0 => Idempotency::NotIdempotent,
@@ -50,7 +50,7 @@
     for step in steps {
         checker.run_step(*step);
     }
-    checker.advance(60_000 * MS);
+    checker.advance(60_000 * MILLISECOND);
     checker.assert_all_finished();
     checker.into_history()
 }
--- a/tests/property/results.rs
+++ b/tests/property/results.rs
@@ -44,7 +44,7 @@
     /// A health check ends, with a load report of its server.
     pub(crate) fn complete_health_check(&mut self, x: u32, y: u32) {
         let report = LoadReport {
-            position: Some(self.now - Micros::from(y % 900) * MS),
+            position: Some(self.now - Micros::from(y % 900) * MILLISECOND),
             role: Some(if y & 1 == 0 { Role::Primary } else { Role::Replica }),
         };
         let outcome = OUTCOMES[x as usize % OUTCOMES.len()];
@@ -71,6 +71,6 @@
         AttemptOutcome::Ok | AttemptOutcome::Ineligible | AttemptOutcome::Overloaded | AttemptOutcome::Error
     );
     let role = if y & 1 == 0 { Role::Primary } else { Role::Replica };
-    let position = (y & 2 == 0).then_some(now - Micros::from(y >> 3 & 1023) * MS);
+    let position = (y & 2 == 0).then_some(now - Micros::from(y >> 3 & 1023) * MILLISECOND);
     (is_response && y & 4 == 0).then_some(ServerStatus { role, position })
 }
--- a/tests/property/steps.rs
+++ b/tests/property/steps.rs
@@ -54,7 +54,7 @@
                 let (id, attempt) = in_flight[x as usize % in_flight.len()];
                 self.complete_attempt(id, attempt, OUTCOMES[(y >> 16) as usize % OUTCOMES.len()], y);
             }
-            7 => self.advance(Micros::from(x % 900) * MS),
+            7 => self.advance(Micros::from(x % 900) * MILLISECOND),
             8 => self.change_endpoints(y & 4 != 0, x, y),
             9 => self.complete_health_check(x, y),
             10 if !unfinished.is_empty() => {
@@ -110,7 +110,7 @@
                 group: GroupId(id % 2),
                 zone: ZoneId(0),
                 state,
-                started_at: has_started.then_some(self.now - 100 * MS),
+                started_at: has_started.then_some(self.now - 100 * MILLISECOND),
                 weight: [1.0, 0.5, f64::NAN, -1.0][(y.rotate_right(id) & 3) as usize],
                 primary: id <= 2,
             });
@@ -126,8 +126,8 @@
         let id = self.requests.len() as u64 + 1;
         let class = (x % 6) as usize; // one more than there are
         let session = SessionId(u64::from(y % 3));
-        let last_write_position = (y & 8 != 0).then_some(self.now - Micros::from(y % 400) * MS);
-        let timeout = Micros::from(x % 2_000) * MS;
+        let last_write_position = (y & 8 != 0).then_some(self.now - Micros::from(y % 400) * MILLISECOND);
+        let timeout = Micros::from(x % 2_000) * MILLISECOND;
         let group = y >> 4 & 1;
         let copies = self.draw_copies(x, y);
         let tracked = TrackedRequest {
@@ -176,7 +176,7 @@
         }
         let copy = |index: u32| {
             let server = 1 + (y >> (8 + index)) % 7;
-            (server, self.now - Micros::from(y >> index & 511) * MS)
+            (server, self.now - Micros::from(y >> index & 511) * MILLISECOND)
         };
         (0..3).map(copy).collect()
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,8 +17,8 @@
 fn a_request_for_a_group_without_members_is_rejected_in_time() {
     let mut fixture = RouterFixture::without_endpoints(settings());
     let (id, _) = fixture.request(ANY);
-    let deadline = fixture.now + 2_000 * MS;
-    fixture.advance(3_000 * MS);
+    let deadline = fixture.now + 2_000 * MILLISECOND;
+    fixture.advance(3_000 * MILLISECOND);
 
     assert_eq!(final_answer_count(&fixture, id), 1);
     let rejection = fixture.history.iter().find(|(_, action)| matches!(action, Action::Reject { .. }));
@@ -30,11 +30,11 @@
 fn nothing_is_sent_after_the_final_answer() {
     let mut fixture = RouterFixture::new(settings());
     let (id, _) = fixture.request(WRITE);
-    fixture.advance(2_000 * MS);
+    fixture.advance(2_000 * MILLISECOND);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Timeout);
     assert_eq!(final_answer_count(&fixture, id), 1);
 
-    fixture.advance(5_000 * MS);
+    fixture.advance(5_000 * MILLISECOND);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
     assert_eq!(final_answer_count(&fixture, id), 1);
     let sends = fixture.history.iter().filter(|(_, action)| matches!(action, Action::Send { .. }));
@@ -53,7 +53,7 @@
         let (id, _) = fixture.request(WRITE);
         let actions = fixture.complete_attempt(id, 0, PRIMARY, outcome);
         assert!(is_failed(&actions) && !is_rejected(&actions), "{outcome:?}");
-        assert!(servers_sent_to(&fixture.advance(3_000 * MS)).is_empty());
+        assert!(servers_sent_to(&fixture.advance(3_000 * MILLISECOND)).is_empty());
     }
 }
 
@@ -64,16 +64,16 @@
 
     let mut fixture = RouterFixture::new(settings.clone());
     let (id, _) = fixture.request(WRITE);
-    fixture.advance(200 * MS);
+    fixture.advance(200 * MILLISECOND);
     let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
-    actions.extend(fixture.advance(100 * MS));
+    actions.extend(fixture.advance(100 * MILLISECOND));
     assert_eq!(servers_sent_to(&actions), [PRIMARY], "inside");
 
     let mut fixture = RouterFixture::new(settings);
     let (id, _) = fixture.request(WRITE);
-    fixture.now += 600 * MS;
+    fixture.now += 600 * MILLISECOND;
     let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
-    actions.extend(fixture.advance(1_000 * MS));
+    actions.extend(fixture.advance(1_000 * MILLISECOND));
     assert!(servers_sent_to(&actions).is_empty(), "outside");
     assert!(is_failed(&actions) && !is_rejected(&actions), "outside");
 }
@@ -86,7 +86,7 @@
     let (id, actions) = fixture.request(ANY);
     let first = servers_sent_to(&actions)[0];
 
-    let actions = fixture.advance(1_000 * MS);
+    let actions = fixture.advance(1_000 * MILLISECOND);
     assert!(servers_sent_to(&actions).is_empty());
     assert!(actions.contains(&Action::Cancel { request: RequestId(id), attempt: AttemptNo(0) }));
 
@@ -98,9 +98,9 @@
 #[test]
 fn an_old_load_report_of_a_primary_yields_to_a_newer_status_that_it_is_none() {
     let mut fixture = RouterFixture::new(settings());
-    let report_position = fixture.now - 10 * MS;
+    let report_position = fixture.now - 10 * MILLISECOND;
     let (id, _) = fixture.request(WRITE);
-    let replica_status = status(Role::Replica, fixture.now - 900 * MS);
+    let replica_status = status(Role::Replica, fixture.now - 900 * MILLISECOND);
     let outcome = AttemptOutcome::Ineligible;
     fixture.complete_attempt_with_status(id, 0, PRIMARY, outcome, replica_status);
 
@@ -110,7 +110,7 @@
         outcome: AttemptOutcome::Ok,
         load_report: Some(report),
     });
-    fixture.advance(400 * MS);
+    fixture.advance(400 * MILLISECOND);
     let servers = servers_sent_to(&fixture.request(BOUNDED).1);
     assert!(!servers.contains(&PRIMARY), "that would be a stale read");
 }
@@ -132,7 +132,7 @@
     assert!(is_rejected(&fixture.request(99).1), "a class that does not exist");
     assert_eq!(servers_sent_to(&fixture.request(ANY).1).len(), 1);
     let (id, _) = fixture.request_with(ANY, |request| request.timeout = -5);
-    fixture.advance(MS);
+    fixture.advance(MILLISECOND);
     assert_eq!(final_answer_count(&fixture, id), 1);
 }
 
@@ -143,7 +143,7 @@
         for index in 0..200 {
             let (id, actions) = fixture.request(index % 4);
             if let Some(server) = servers_sent_to(&actions).first() {
-                fixture.advance(7 * MS);
+                fixture.advance(7 * MILLISECOND);
                 let outcome = if index % 5 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
                 fixture.complete_attempt(id, 0, *server, outcome);
             }
@@ -167,7 +167,7 @@
         let replica_status = status(Role::Replica, fixture.now);
         let outcome = AttemptOutcome::Ineligible;
         let mut actions = fixture.complete_attempt_with_status(id, 0, PRIMARY, outcome, replica_status);
-        actions.extend(fixture.advance(500 * MS));
+        actions.extend(fixture.advance(500 * MILLISECOND));
         assert_eq!(!servers_sent_to(&actions).is_empty(), is_tried, "{stale_reads:?}");
     }
 }
@@ -184,8 +184,8 @@
             fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::ClosedBeforeExecution);
             fixture.set_endpoints(&[]);
         }
-        assert!(!is_rejected(&fixture.advance(900 * MS)));
-        assert!(is_rejected(&fixture.advance(100 * MS)));
+        assert!(!is_rejected(&fixture.advance(900 * MILLISECOND)));
+        assert!(is_rejected(&fixture.advance(100 * MILLISECOND)));
     }
 
     // A request that a server rejected has reached it.
@@ -193,5 +193,5 @@
     let (id, _) = fixture.request(WRITE);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Overloaded);
     fixture.set_endpoints(&[]);
-    assert!(!is_rejected(&fixture.advance(1_200 * MS)));
+    assert!(!is_rejected(&fixture.advance(1_200 * MILLISECOND)));
 }
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -58,7 +58,7 @@
 fn reads_of_any_age_leave_the_fresh_replica_to_bounded_reads() {
     let mut fixture = RouterFixture::new(settings());
     fixture.report_position(REPLICA_1, Role::Replica, 0);
-    fixture.report_position(REPLICA_2, Role::Replica, 400 * MS);
+    fixture.report_position(REPLICA_2, Role::Replica, 400 * MILLISECOND);
 
     let servers = [ANY, ANY, ANY].map(|class| servers_sent_to(&fixture.request(class).1)[0]);
     assert_eq!(
@@ -76,7 +76,7 @@
 
     let mut to_unreported = 0;
     for _ in 0..40 {
-        fixture.advance(50 * MS);
+        fixture.advance(50 * MILLISECOND);
         fixture.report_position(REPLICA_1, Role::Replica, 0);
         let (id, actions) = fixture.request(ANY);
         to_unreported += usize::from(servers_sent_to(&actions) == [REPLICA_2]);
@@ -95,7 +95,7 @@
     let now = fixture.now;
     let mut tried = vec![PRIMARY];
     for attempt in 0..3 {
-        fixture.advance(5 * MS);
+        fixture.advance(5 * MILLISECOND);
         let server = tried[attempt as usize];
         let replica_status = status(Role::Replica, now);
         let actions = fixture.complete_attempt_with_status(
@@ -107,7 +107,7 @@
         );
         tried.extend(servers_sent_to(&actions));
         if tried.len() < attempt as usize + 2 {
-            tried.extend(servers_sent_to(&fixture.advance(100 * MS)));
+            tried.extend(servers_sent_to(&fixture.advance(100 * MILLISECOND)));
         }
         if attempt == 2 {
             assert!(!is_rejected(&actions) && !is_failed(&actions), "queued, not finished");
@@ -125,10 +125,10 @@
     fixture.complete_attempt(write, 0, PRIMARY, AttemptOutcome::ConnectFailed);
     let (read, actions) = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
-    fixture.advance(5 * MS);
+    fixture.advance(5 * MILLISECOND);
 
     let primary_status = status(Role::Primary, fixture.now);
     let actions = fixture.complete_attempt_with_status(read, 0, server, AttemptOutcome::Ok, primary_status);
-    let later = fixture.advance(300 * MS);
+    let later = fixture.advance(300 * MILLISECOND);
     assert!(servers_sent_to(&actions).contains(&server) || servers_sent_to(&later).contains(&server));
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -13,7 +13,7 @@
             let (id, actions) = fixture.request(ANY);
             count += usize::from(servers_sent_to(&actions) == [REPLICA_1]);
             let server = servers_sent_to(&actions)[0];
-            fixture.advance((4 + turn % 13) * MS);
+            fixture.advance((4 + turn % 13) * MILLISECOND);
             fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
         }
         count
@@ -37,14 +37,14 @@
     for _ in 0..1_000 {
         let (id, actions) = fixture.request(ANY);
         let server = servers_sent_to(&actions)[0];
-        fixture.advance(10 * MS);
+        fixture.advance(10 * MILLISECOND);
         fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
     }
     let mut endpoints = ready(ALL_SERVERS);
     endpoints[1].started_at = Some(fixture.now);
     endpoints[2].started_at = Some(fixture.now);
     fixture.set_endpoints(&endpoints);
-    fixture.advance(4_000 * MS);
+    fixture.advance(4_000 * MILLISECOND);
 
     let mut sent = 0;
     for _ in 0..60 {
@@ -53,7 +53,7 @@
             sent += usize::from(server != PRIMARY);
             fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
         }
-        fixture.advance(5 * MS);
+        fixture.advance(5 * MILLISECOND);
     }
     assert!(sent > 6, "{sent}");
 }
@@ -67,21 +67,25 @@
     fixture.set_endpoints(&[primary, in_other_group(replica_1), in_other_group(replica_2)]);
     for _ in 0..500 {
         let (id, _) = fixture.request(WRITE);
-        fixture.advance(5 * MS);
+        fixture.advance(5 * MILLISECOND);
         fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
-        fixture.advance(5 * MS);
+        fixture.advance(5 * MILLISECOND);
     }
 
     // It refuses a connection at once: no process is running, and the next one begins with slow start.
     let (id, _) = fixture.request(WRITE);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::ConnectFailed);
-    assert_eq!(servers_sent_to(&fixture.advance(1_500 * MS)), [PRIMARY], "the retry after its ejection");
+    assert_eq!(
+        servers_sent_to(&fixture.advance(1_500 * MILLISECOND)),
+        [PRIMARY],
+        "the retry after its ejection"
+    );
     fixture.complete_attempt(id, 1, PRIMARY, AttemptOutcome::Ok);
 
     let mut sent = 0;
     for _ in 0..100 {
         sent += servers_sent_to(&fixture.request(WRITE).1).len();
-        sent += servers_sent_to(&fixture.advance(10 * MS)).len();
+        sent += servers_sent_to(&fixture.advance(10 * MILLISECOND)).len();
     }
     assert!(sent > 0, "it takes work again");
 }
@@ -99,7 +103,7 @@
     for fixture in &mut fleet(600, |_| {}) {
         let started_at = fixture.now;
         list_started_replica(fixture, started_at);
-        fixture.advance(500 * MS);
+        fixture.advance(500 * MILLISECOND);
         let servers = servers_sent_to(&fixture.request(ANY).1);
         sent += servers.iter().filter(|server| **server == REPLICA_1).count();
     }
@@ -110,7 +114,7 @@
 fn a_starting_server_is_not_starved_by_budgets_of_less_than_one_token() {
     let mut sent = 0;
     for fixture in &mut fleet(600, |_| {}) {
-        let started_at = fixture.now + 13_000 * MS;
+        let started_at = fixture.now + 13_000 * MILLISECOND;
         // One request per second for each proxy.
         for second in 0..26 {
             if second == 13 {
@@ -120,7 +124,7 @@
             let server = servers_sent_to(&actions)[0];
             fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
             sent += usize::from(second >= 13 && server == REPLICA_1);
-            fixture.advance(1_000 * MS);
+            fixture.advance(1_000 * MILLISECOND);
         }
     }
     // A third of 600 requests per second is 200, of which it gets a fifth at first and all in the end.
@@ -143,15 +147,15 @@
             fixture.now += connect_time;
             let actions = fixture.complete_attempt(id, 0, REPLICA_1, AttemptOutcome::ConnectFailed);
             fixture.answer_sends(1, &actions);
-            fixture.advance(5_100 * MS);
+            fixture.advance(5_100 * MILLISECOND);
             let servers = servers_sent_to(&fixture.request(ANY).1);
             sent += servers.iter().filter(|server| **server == REPLICA_1).count();
         }
         sent
     };
-    let after_timeout = sends_after_connect_failure(250 * MS);
+    let after_timeout = sends_after_connect_failure(250 * MILLISECOND);
     assert!(after_timeout > 20, "the network may cause a timeout: {after_timeout} of 100");
     // As nothing has been served yet, one from all proxies in each overload window, of which three have passed.
-    let after_refusal = sends_after_connect_failure(MS);
+    let after_refusal = sends_after_connect_failure(MILLISECOND);
     assert!(after_refusal <= 10, "refused at once: {after_refusal} of 100");
 }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -5,7 +5,7 @@
 use birchreach::*;
 use common::*;
 
-const SECOND: Micros = 1_000 * MS;
+const SECOND: Micros = 1_000 * MILLISECOND;
 /// Requests per second that a server with its full capacity serves.
 const FULL_THROUGHPUT: f64 = 50.0;
 const FLEET_SIZES: [u32; 5] = [5, 20, 30, 100, 300];
