--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -2,12 +2,15 @@
 
 use super::*;
 
+/// The time at which a fixture starts.
+const START: Micros = 100_000 * MILLISECOND;
+
 /// A router driven by hand.
 pub(crate) struct RouterFixture {
     pub router: Router,
     pub now: Micros,
-    /// Every action so far, with its time.
-    pub history: Vec<(Micros, Action)>,
+    /// Every action so far.
+    pub history: Vec<TimedAction>,
     timers: Vec<Micros>,
     last_request: u64,
 }
@@ -30,8 +33,9 @@
         RouterFixture::without_endpoints_seeded(settings, 1)
     }
 
+    /// A router that has just started and knows no server, with this seed.
     fn without_endpoints_seeded(settings: Settings, seed: u64) -> RouterFixture {
-        let now = 100_000 * MILLISECOND;
+        let now = START;
         let mut actions = Vec::new();
         let router = Router::new(settings, seed, now, &mut actions);
         let mut fixture = RouterFixture { router, now, history: vec![], timers: vec![], last_request: 0 };
@@ -39,12 +43,13 @@
         fixture
     }
 
+    /// Adds actions to the history, and their timers to those that expire.
     fn record(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             if let Action::Timer { delay, .. } = action {
                 self.timers.push(self.now + delay);
             }
-            self.history.push((self.now, action.clone()));
+            self.history.push(TimedAction { at: self.now, action: action.clone() });
         }
         actions
     }
@@ -81,17 +86,13 @@
         actions
     }
 
-    /// A client sends a request of this class. Returns its id and the actions.
-    pub(crate) fn request(&mut self, class: u16) -> (u64, Vec<Action>) {
+    /// A client sends a request of this class.
+    pub(crate) fn request(&mut self, class: u16) -> ClientRequest {
         self.request_with(class, |_| {})
     }
 
     /// The same, after a change to the request.
-    pub(crate) fn request_with(
-        &mut self,
-        class: u16,
-        change: impl FnOnce(&mut Request),
-    ) -> (u64, Vec<Action>) {
+    pub(crate) fn request_with(&mut self, class: u16, change: impl FnOnce(&mut Request)) -> ClientRequest {
         self.last_request += 1;
         let mut request = Request {
             id: RequestId(self.last_request),
@@ -105,7 +106,7 @@
         };
         change(&mut request);
         let id = request.id.0;
-        (id, self.handle(Event::Request(request)))
+        ClientRequest { id, actions: self.handle(Event::Request(request)) }
     }
 
     /// An attempt ends; if it was served, so is its request.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,6 @@
 use birchreach::*;
 pub(crate) use fixture::RouterFixture;
 
-/// A millisecond.
 pub(crate) const MILLISECOND: Micros = 1_000;
 
 /// Classes of [`settings`], by their consistency.
@@ -21,6 +20,32 @@
 pub(crate) const REPLICA_2: u32 = 3;
 pub(crate) const ALL_SERVERS: [u32; 3] = [PRIMARY, REPLICA_1, REPLICA_2];
 
+/// A request of a client, and the actions that the router took at once.
+pub(crate) struct ClientRequest {
+    pub id: u64,
+    pub actions: Vec<Action>,
+}
+
+impl ClientRequest {
+    /// The servers to which the router sent it at once: none where it is queued or rejected.
+    pub(crate) fn servers(&self) -> Vec<u32> {
+        servers_sent_to(&self.actions)
+    }
+
+    /// The server to which the router sent it at once; there has to be one.
+    pub(crate) fn server(&self) -> u32 {
+        self.servers()[0]
+    }
+}
+
+/// An action of the router, with its time.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct TimedAction {
+    pub at: Micros,
+    pub action: Action,
+}
+
+/// A class of requests with the latency objective, timeout and priority that all classes here have.
 pub(crate) fn class(consistency: Consistency, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         consistency,
@@ -87,6 +112,14 @@
     ids.map(|id| endpoint(id, EndpointState::Ready))
 }
 
+/// Entries for all servers of the fixture, which are ready, after a change to the entry of one of them.
+pub(crate) fn ready_with_change(id: u32, change: impl FnOnce(&mut Endpoint)) -> [Endpoint; 3] {
+    let mut endpoints = ready(ALL_SERVERS);
+    let changed = endpoints.iter_mut().find(|endpoint| endpoint.server.0 == id);
+    change(changed.expect("a server of the fixture"));
+    endpoints
+}
+
 /// Fixtures for all routers of a fleet that shares the fixture's servers. Each sees its own events alone.
 pub(crate) fn fleet(routers: u32, change: impl Fn(&mut Settings)) -> Vec<RouterFixture> {
     let mut settings = settings();
@@ -104,14 +137,17 @@
     actions.iter().filter_map(server_of).collect()
 }
 
+/// Whether one of these actions rejects a request.
 pub(crate) fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
+/// Whether one of these actions ends a request with an error.
 pub(crate) fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
+/// The number of health checks among these actions.
 pub(crate) fn health_check_count(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
 }
@@ -121,6 +157,7 @@
     Some(ServerStatus { role, position: Some(position) })
 }
 
+/// A copy candidate of a read: this server, whose copy is likely to have reached this position.
 pub(crate) fn copy_candidate(server: u32, likely_position: Micros) -> CopyCandidate {
     CopyCandidate { server: ServerId(server), likely_position }
 }
--- a/tests/copy_candidates.rs
+++ b/tests/copy_candidates.rs
@@ -30,7 +30,7 @@
     let candidates = vec![copy_candidate(COPY_HOLDER, likely_position)];
     let mut servers = Vec::new();
     for _ in 0..count {
-        let (_, actions) =
+        let ClientRequest { actions, .. } =
             fixture.request_with(class, |request| request.copy_candidates = candidates.clone());
         servers.extend(servers_sent_to(&actions));
     }
@@ -56,7 +56,7 @@
     assert_eq!(servers_for_reads(&mut fixture, BOUNDED, 1, now - 299 * MILLISECOND), [COPY_HOLDER]);
 
     let written_at = now - 50 * MILLISECOND;
-    let (id, actions) = fixture.request_with(SESSION, |request| {
+    let ClientRequest { id, actions } = fixture.request_with(SESSION, |request| {
         request.last_write_position = Some(written_at);
         request.copy_candidates = vec![copy_candidate(COPY_HOLDER, written_at)];
     });
@@ -68,7 +68,7 @@
     );
 
     fixture.advance(30 * MILLISECOND);
-    let (id, _) = fixture.request_with(BOUNDED, |request| {
+    let ClientRequest { id, .. } = fixture.request_with(BOUNDED, |request| {
         request.copy_candidates = vec![copy_candidate(COPY_HOLDER, now)];
     });
     fixture.advance(10 * MILLISECOND);
@@ -99,7 +99,7 @@
     let candidates = vec![copy_candidate(COPY_HOLDER, fixture.now)];
     let mut missing = 0;
     for _ in 0..4 {
-        let (id, actions) =
+        let ClientRequest { id, actions } =
             fixture.request_with(BOUNDED, |request| request.copy_candidates = candidates.clone());
         if servers_sent_to(&actions) == [COPY_HOLDER] {
             missing += 1;
@@ -126,7 +126,7 @@
     let now = fixture.now;
     assert!(!servers_for_reads(&mut fixture, ANY, 6, now).contains(&COPY_HOLDER));
 
-    let (_, actions) =
+    let ClientRequest { actions, .. } =
         fixture.request_with(ANY, |request| request.copy_candidates = vec![copy_candidate(99, now)]);
     assert_ne!(servers_sent_to(&actions), [99]);
 }
@@ -146,7 +146,7 @@
     assert_ne!(candidate(&fixture, false, true), None);
 
     // Clients use more than half of what the server may have in flight for this proxy.
-    let sent: Vec<u32> = (0..40).flat_map(|_| servers_sent_to(&fixture.request(WRITE).1)).collect();
+    let sent: Vec<u32> = (0..40).flat_map(|_| fixture.request(WRITE).servers()).collect();
     assert!(
         sent.len() >= 2 && candidate(&fixture, true, true).is_none(),
         "{} writes are in flight",
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,7 +9,7 @@
     let hedged_requests = |proxies: u32| -> usize {
         let run_proxy = |fixture: &mut RouterFixture| {
             for _ in 0..40 {
-                let (id, actions) = fixture.request(ANY);
+                let ClientRequest { id, actions } = fixture.request(ANY);
                 fixture.advance(100 * MILLISECOND);
                 fixture.complete_attempt(id, 0, servers_sent_to(&actions)[0], AttemptOutcome::Ok);
             }
@@ -32,7 +32,7 @@
         let run_proxy = |fixture: &mut RouterFixture| {
             let mut sent = 0;
             for tenth_of_second in 0..600 {
-                let (id, actions) = fixture.request(ANY);
+                let ClientRequest { id, actions } = fixture.request(ANY);
                 for server in servers_sent_to(&actions) {
                     let is_unresponsive = server == REPLICA_1;
                     let outcome =
@@ -62,7 +62,7 @@
     let mut count_queries = |latency: Micros| {
         let mut queries = 0;
         for _ in 0..200 {
-            let mut actions = fixture.request(BOUNDED).1;
+            let mut actions = fixture.request(BOUNDED).actions;
             queries += health_check_count(&actions);
             // No replica tells its position: reads that queried go to the primary too, or are finished.
             for replica in [REPLICA_1, REPLICA_2] {
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -7,13 +7,13 @@
 #[test]
 fn a_bounded_read_needs_a_replica_that_is_proven_fresh_enough() {
     let mut fixture = RouterFixture::new(settings());
-    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [PRIMARY], "nothing is proven yet");
+    assert_eq!(fixture.request(BOUNDED).servers(), [PRIMARY], "nothing is proven yet");
     fixture.report_position(REPLICA_1, Role::Replica, 250 * MILLISECOND);
-    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [REPLICA_1]);
+    assert_eq!(fixture.request(BOUNDED).servers(), [REPLICA_1]);
     fixture.advance(50 * MILLISECOND);
-    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [REPLICA_1], "just inside the bound");
+    assert_eq!(fixture.request(BOUNDED).servers(), [REPLICA_1], "just inside the bound");
     fixture.advance(1);
-    assert_eq!(servers_sent_to(&fixture.request(BOUNDED).1), [PRIMARY], "just outside");
+    assert_eq!(fixture.request(BOUNDED).servers(), [PRIMARY], "just outside");
 }
 
 #[test]
@@ -22,13 +22,13 @@
     fixture.report_position(REPLICA_2, Role::Replica, 0);
     let reported = fixture.now;
     let mut read_after_write_at = |position: Micros| {
-        let (_, actions) =
+        let ClientRequest { actions, .. } =
             fixture.request_with(SESSION, |request| request.last_write_position = Some(position));
         servers_sent_to(&actions)
     };
     assert_eq!(read_after_write_at(reported), [REPLICA_2]);
     assert_eq!(read_after_write_at(reported + 1), [PRIMARY]);
-    let without_write = servers_sent_to(&fixture.request(SESSION).1);
+    let without_write = fixture.request(SESSION).servers();
     assert_ne!(without_write, [PRIMARY], "without a write any replica will do");
 }
 
@@ -39,7 +39,8 @@
     let mut fixture = RouterFixture::new(settings);
     fixture.report_position(REPLICA_1, Role::Replica, 0);
     fixture.report_position(REPLICA_2, Role::Replica, 0);
-    let (id, _) = fixture.request_with(WRITE, |request| request.session = Some(SessionId(9)));
+    let ClientRequest { id, .. } =
+        fixture.request_with(WRITE, |request| request.session = Some(SessionId(9)));
     fixture.handle(Event::ClientDisconnected { request: RequestId(id) });
     let committed_at = fixture.now + MILLISECOND;
     fixture.advance(5 * MILLISECOND);
@@ -47,7 +48,7 @@
     fixture.complete_attempt_with_status(id, 0, PRIMARY, AttemptOutcome::Ok, committed);
 
     let mut read_of_session = |session: u64| {
-        let (_, actions) =
+        let ClientRequest { actions, .. } =
             fixture.request_with(SESSION, |request| request.session = Some(SessionId(session)));
         servers_sent_to(&actions)
     };
@@ -62,7 +63,7 @@
     let mut fixture = RouterFixture::without_endpoints(settings);
     let actions = fixture.set_endpoints(&ready(ALL_SERVERS));
     assert_eq!(health_check_count(&actions), 0, "hundreds of proxies may start at the same time");
-    assert!(health_check_count(&fixture.request(BOUNDED).1) > 0);
+    assert!(health_check_count(&fixture.request(BOUNDED).actions) > 0);
 }
 
 #[test]
@@ -73,7 +74,7 @@
     fixture.report_position(REPLICA_1, Role::Replica, 900 * MILLISECOND);
     fixture.report_position(REPLICA_2, Role::Replica, 800 * MILLISECOND);
     fixture.advance(600 * MILLISECOND);
-    let (id, actions) = fixture.request(BOUNDED);
+    let ClientRequest { id, actions } = fixture.request(BOUNDED);
     assert_eq!(servers_sent_to(&actions), [REPLICA_2]);
 
     let behind = status(Role::Replica, fixture.now - 800 * MILLISECOND);
@@ -93,7 +94,7 @@
     let mut fixture = RouterFixture::new(settings);
     let mut tries = 0;
     for index in 0..20 {
-        let (id, actions) = fixture.request(BOUNDED);
+        let ClientRequest { id, actions } = fixture.request(BOUNDED);
         let mut server = servers_sent_to(&actions)[0];
         let mut attempt = 0;
         while server != PRIMARY {
@@ -123,7 +124,7 @@
         };
         actions.iter().find_map(server_of)
     };
-    let (id, actions) = fixture.request(BOUNDED);
+    let ClientRequest { id, actions } = fixture.request(BOUNDED);
     assert!(servers_sent_to(&actions).is_empty(), "it waits");
     let first = checked_server(&actions).expect("a health check");
     let actions = fixture.report_position(first, Role::Replica, 100 * MILLISECOND);
@@ -131,7 +132,7 @@
     fixture.complete_attempt(id, 0, first, AttemptOutcome::Ok);
 
     fixture.advance(1_000 * MILLISECOND);
-    let (_, actions) = fixture.request(BOUNDED);
+    let ClientRequest { actions, .. } = fixture.request(BOUNDED);
     let first = checked_server(&actions).expect("a health check");
     let actions = fixture.report_position(first, Role::Replica, 400 * MILLISECOND);
     let second = checked_server(&actions).expect("another one where the first is behind");
@@ -143,7 +144,7 @@
 /// Sends writes one after the other, each answered after this time.
 fn run_writes(fixture: &mut RouterFixture, count: usize, latency: Micros) {
     for _ in 0..count {
-        let (id, _) = fixture.request(WRITE);
+        let ClientRequest { id, .. } = fixture.request(WRITE);
         fixture.advance(latency);
         fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
     }
@@ -154,7 +155,7 @@
     let queries_position = |latency: Micros| {
         let mut fixture = RouterFixture::new(Settings { health_checks_allowed: true, ..settings() });
         run_writes(&mut fixture, 20, latency);
-        health_check_count(&fixture.request(BOUNDED).1) > 0
+        health_check_count(&fixture.request(BOUNDED).actions) > 0
     };
     // The latency objective is 500 ms.
     assert_eq!([50 * MILLISECOND, 150 * MILLISECOND].map(queries_position), [false, true]);
@@ -164,11 +165,11 @@
 fn a_read_queries_the_position_again_after_one_that_fell_back_was_late() {
     let mut fixture = RouterFixture::new(Settings { health_checks_allowed: true, ..settings() });
     run_writes(&mut fixture, 20, MILLISECOND);
-    let (id, actions) = fixture.request(BOUNDED);
+    let ClientRequest { id, actions } = fixture.request(BOUNDED);
     assert_eq!(servers_sent_to(&actions), [PRIMARY]);
     fixture.advance(600 * MILLISECOND);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
 
     run_writes(&mut fixture, 10, MILLISECOND);
-    assert!(health_check_count(&fixture.request(BOUNDED).1) > 0);
+    assert!(health_check_count(&fixture.request(BOUNDED).actions) > 0);
 }
--- a/tests/invalid_input.rs
+++ b/tests/invalid_input.rs
@@ -9,7 +9,7 @@
     let mut fixture = RouterFixture::without_endpoints(settings());
     fixture.set_endpoints(&[]);
 
-    let (id, actions) = fixture.request(WRITE);
+    let ClientRequest { id, actions } = fixture.request(WRITE);
     assert!(servers_sent_to(&actions).is_empty());
 
     let actions = fixture.advance(2_000 * MILLISECOND);
@@ -25,11 +25,11 @@
     fixture.set_endpoints(&[primary, replica, in_other_group]);
 
     for _ in 0..10 {
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         assert_eq!(servers_sent_to(&actions), [PRIMARY], "never a server of another group");
         fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
     }
-    let (_, actions) = fixture.request_with(ANY, |request| request.group = GroupId(1));
+    let ClientRequest { actions, .. } = fixture.request_with(ANY, |request| request.group = GroupId(1));
     assert_eq!(servers_sent_to(&actions), [REPLICA_1]);
 }
 
@@ -39,7 +39,7 @@
     fixture.report_position(REPLICA_1, Role::Replica, -3_600_000 * MILLISECOND);
     fixture.advance(400 * MILLISECOND);
 
-    let (_, actions) = fixture.request(BOUNDED);
+    let ClientRequest { actions, .. } = fixture.request(BOUNDED);
     assert_eq!(servers_sent_to(&actions), [PRIMARY], "400 ms later it is too old for 300 ms");
 }
 
@@ -57,7 +57,7 @@
     let mut fixture = RouterFixture::new(settings);
 
     for class in 0..9 {
-        let (id, _) = fixture.request(class);
+        let ClientRequest { id, .. } = fixture.request(class);
         fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
     }
     fixture.advance(5_000 * MILLISECOND);
@@ -106,7 +106,7 @@
 
     let mut sent = 0;
     for _ in 0..20 {
-        sent += servers_sent_to(&fixture.request(ANY).1).len();
+        sent += fixture.request(ANY).servers().len();
         sent += servers_sent_to(&fixture.advance(100 * MILLISECOND)).len();
     }
     assert!(sent > 0, "servers in slow start get work where a group has no others");
@@ -121,9 +121,9 @@
     fixture.report_position(REPLICA_2, Role::Replica, 0);
     fixture.report_position(REPLICA_2, Role::Replica, 90_000 * MILLISECOND);
 
-    let mut servers = [ANY, ANY, ANY].map(|class| servers_sent_to(&fixture.request(class).1)[0]);
+    let mut servers = [ANY, ANY, ANY].map(|class| fixture.request(class).servers()[0]);
     servers[..2].sort();
     assert_eq!(servers[..2], [REPLICA_1, REPLICA_2], "one each");
-    let bounded = servers_sent_to(&fixture.request(BOUNDED).1);
+    let bounded = fixture.request(BOUNDED).servers();
     assert_eq!(bounded.len(), 1, "the position that was proven still holds");
 }
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -15,7 +15,8 @@
     let mut fixture = RouterFixture::seeded(settings(), 7);
     // Nothing is in flight when the next read arrives.
     let read_is_shed = |fixture: &mut RouterFixture, latency: Micros| {
-        let (id, actions) = fixture.request_with(ANY, |request| request.timeout = 60_000 * MILLISECOND);
+        let ClientRequest { id, actions } =
+            fixture.request_with(ANY, |request| request.timeout = 60_000 * MILLISECOND);
         fixture.now += latency;
         for server in servers_sent_to(&actions) {
             fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
@@ -41,7 +42,8 @@
     let mut sent = 0;
     // When many reads arrive, one after the other
     for _ in 0..READS {
-        let (_, actions) = fixture.request_with(ANY, |request| request.timeout = 60_000 * MILLISECOND);
+        let ClientRequest { actions, .. } =
+            fixture.request_with(ANY, |request| request.timeout = 60_000 * MILLISECOND);
         if is_rejected(&actions) {
             continue;
         }
@@ -65,7 +67,7 @@
             let mut attempt_counts = HashMap::new();
             let mut sent = 0;
             for second in 0..60 {
-                let mut actions = fixture.request(WRITE).1;
+                let mut actions = fixture.request(WRITE).actions;
                 actions.extend(fixture.advance(1_000 * MILLISECOND));
                 for (id, attempt, server) in std::mem::take(&mut in_flight) {
                     actions.extend(fixture.complete_attempt(id, attempt, server, AttemptOutcome::Ok));
@@ -96,7 +98,7 @@
     let mut shed = [0, 0];
     for _ in 0..100 {
         for (group, latency) in [(0, TOO_LATE), (1, IN_TIME)] {
-            let (_, actions) = fixture.request_with(ANY, |request| {
+            let ClientRequest { actions, .. } = fixture.request_with(ANY, |request| {
                 request.group = GroupId(group as u32);
                 request.timeout = 60_000 * MILLISECOND;
             });
@@ -125,13 +127,14 @@
             fixture.set_endpoints(&ids.map(endpoint_of).collect::<Vec<_>>());
 
             let mut read =
-                |group: u32| fixture.request_with(BOUNDED, |request| request.group = GroupId(group)).1;
+                |group: u32| fixture.request_with(BOUNDED, |request| request.group = GroupId(group)).actions;
             let reads_of_other_groups: Vec<Vec<Action>> = (1..GROUPS).map(&mut read).collect();
             fixture.now += latency;
             for actions in &reads_of_other_groups {
                 fixture.answer_sends(0, actions);
             }
-            let (_, actions) = fixture.request_with(BOUNDED, |request| request.group = GroupId(0));
+            let ClientRequest { actions, .. } =
+                fixture.request_with(BOUNDED, |request| request.group = GroupId(0));
             servers_sent_to(&actions).len()
         };
         let mut proxies = fleet(300, |settings| settings.health_checks_allowed = true);
@@ -153,14 +156,14 @@
 #[test]
 fn a_restarted_server_does_not_continue_the_pause_of_its_previous_process() {
     let mut fixture = RouterFixture::seeded(Settings { proxy_count: 100, ..settings() }, 1);
-    let write_is_queued = |fixture: &mut RouterFixture| servers_sent_to(&fixture.request(WRITE).1).is_empty();
+    let write_is_queued = |fixture: &mut RouterFixture| fixture.request(WRITE).servers().is_empty();
     for _ in 0..20 {
-        let actions = fixture.request(WRITE).1;
+        let actions = fixture.request(WRITE).actions;
         fixture.now += TOO_LATE;
         fixture.answer_sends(0, &actions);
         fixture.now += 20_000 * MILLISECOND;
     }
-    let actions = fixture.request(WRITE).1;
+    let actions = fixture.request(WRITE).actions;
     fixture.now += TOO_LATE;
     fixture.answer_sends(0, &actions);
     assert!(write_is_queued(&mut fixture), "a congested primary gets nothing for a while");
--- a/tests/overdue_attempts.rs
+++ b/tests/overdue_attempts.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_server_that_answers_nothing_is_avoided_and_its_read_hedged() {
     let mut fixture = RouterFixture::new(settings());
-    let (id, actions) = fixture.request(ANY);
+    let ClientRequest { id, actions } = fixture.request(ANY);
     let unresponsive = servers_sent_to(&actions)[0];
 
     let hedged = servers_sent_to(&fixture.advance(400 * MILLISECOND));
@@ -25,7 +25,7 @@
 
     fixture.complete_attempt(id, 1, hedged[0], AttemptOutcome::Ok);
     for _ in 0..3 {
-        assert_ne!(servers_sent_to(&fixture.request(ANY).1), [unresponsive]);
+        assert_ne!(fixture.request(ANY).servers(), [unresponsive]);
     }
 }
 
@@ -34,10 +34,10 @@
 fn lost_attempts_no_longer_count_against_the_concurrency_limit() {
     let mut fixture = RouterFixture::new(settings());
     for _ in 0..4 {
-        assert_eq!(servers_sent_to(&fixture.request(WRITE).1), [PRIMARY], "each of these is lost");
+        assert_eq!(fixture.request(WRITE).servers(), [PRIMARY], "each of these is lost");
         fixture.advance(2 * MILLISECOND);
     }
-    assert!(servers_sent_to(&fixture.request(WRITE).1).is_empty(), "the initial limit is reached");
+    assert!(fixture.request(WRITE).servers().is_empty(), "the initial limit is reached");
 
     let (first, queued) = (1, 5);
     let now = fixture.now;
@@ -47,7 +47,7 @@
     fixture.complete_attempt_with_status(queued, 0, PRIMARY, AttemptOutcome::Ok, answer);
 
     fixture.advance(1_500 * MILLISECOND);
-    let sent = (0..3).filter(|_| servers_sent_to(&fixture.request(WRITE).1) == [PRIMARY]).count();
+    let sent = (0..3).filter(|_| fixture.request(WRITE).servers() == [PRIMARY]).count();
     assert_eq!(sent, 3);
 }
 
@@ -55,7 +55,7 @@
 #[test]
 fn without_hedging_a_slow_attempt_at_a_server_that_responds_is_not_cancelled() {
     let mut fixture = RouterFixture::new(without_hedging());
-    let (id, actions) = fixture.request(ANY);
+    let ClientRequest { id, actions } = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
 
     let actions = fixture.advance(400 * MILLISECOND);
@@ -71,7 +71,7 @@
 #[test]
 fn a_server_that_does_not_answer_a_health_check_either_loses_its_read() {
     let mut fixture = RouterFixture::new(without_hedging());
-    let (id, actions) = fixture.request(ANY);
+    let ClientRequest { id, actions } = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
     fixture.advance(400 * MILLISECOND);
     fixture.complete_health_check(server, AttemptOutcome::Timeout);
@@ -87,7 +87,7 @@
 
 /// A read whose server is then checked with this outcome. Returns its id, the server and the actions some time later.
 fn read_with_health_check(fixture: &mut RouterFixture, outcome: AttemptOutcome) -> (u64, u32, Vec<Action>) {
-    let (id, actions) = fixture.request(ANY);
+    let ClientRequest { id, actions } = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
     fixture.advance(400 * MILLISECOND);
     fixture.complete_health_check(server, outcome);
@@ -115,7 +115,7 @@
     fixture.complete_attempt(id, 0, REPLICA_1, AttemptOutcome::Ok);
     fixture.advance(1_000 * MILLISECOND);
 
-    assert_eq!(servers_sent_to(&fixture.request(ANY).1), [REPLICA_1]);
+    assert_eq!(fixture.request(ANY).servers(), [REPLICA_1]);
     let actions = fixture.advance(700 * MILLISECOND);
     assert_eq!(cancel_count(&actions), 0, "no health check since this attempt was sent");
     assert!(actions.contains(&Action::HealthCheck { server: ServerId(REPLICA_1) }));
@@ -124,14 +124,15 @@
 #[test]
 fn a_read_whose_answer_was_lost_is_cancelled_and_retried() {
     let mut fixture = RouterFixture::new(without_hedging());
-    let (lost, actions) = fixture.request_with(ANY, |request| request.timeout = 20_000 * MILLISECOND);
+    let ClientRequest { id: lost, actions } =
+        fixture.request_with(ANY, |request| request.timeout = 20_000 * MILLISECOND);
     let server = servers_sent_to(&actions)[0];
     fixture.advance(10 * MILLISECOND);
     // The server answers what it was sent later; the other replica is as busy.
     for _ in 0..12 {
         let requests = [fixture.request(ANY), fixture.request(ANY)];
         fixture.advance(10 * MILLISECOND);
-        for (id, actions) in requests {
+        for ClientRequest { id, actions } in requests {
             fixture.complete_attempt(id, 0, servers_sent_to(&actions)[0], AttemptOutcome::Ok);
         }
     }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -9,7 +9,7 @@
 fn fill_to_limits(fixture: &mut RouterFixture) -> Vec<(u64, u32)> {
     let mut in_flight = Vec::new();
     loop {
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         match servers_sent_to(&actions).first() {
             Some(server) => in_flight.push((id, *server)),
             None => return in_flight,
@@ -22,7 +22,7 @@
 fn at_all_limits_a_read_is_queued_and_the_newest_goes_first() {
     let mut fixture = RouterFixture::new(settings());
     let in_flight = fill_to_limits(&mut fixture);
-    let (newest, actions) = fixture.request(ANY);
+    let ClientRequest { id: newest, actions } = fixture.request(ANY);
     assert!(servers_sent_to(&actions).is_empty() && !is_rejected(&actions));
 
     let (id, server) = in_flight[0];
@@ -37,13 +37,13 @@
     settings.classes[ANY as usize].late_weight_fraction = 0.0;
     let mut fixture = RouterFixture::new(settings);
     fill_to_limits(&mut fixture);
-    let (id, _) = fixture.request(ANY);
+    let ClientRequest { id, .. } = fixture.request(ANY);
     let requested_at = fixture.now;
     fixture.advance(1_000 * MILLISECOND);
 
     let is_rejection = |action: &Action| matches!(action, Action::Reject { request, .. } if request.0 == id);
-    let rejection = fixture.history.iter().find(|(_, action)| is_rejection(action));
-    let rejected_at = rejection.unwrap().0;
+    let rejection = fixture.history.iter().find(|timed| is_rejection(&timed.action));
+    let rejected_at = rejection.unwrap().at;
     assert!(
         rejected_at < requested_at + 500 * MILLISECOND,
         "before the latency objective, not at it: {}",
@@ -55,14 +55,14 @@
 #[test]
 fn an_overloaded_server_gets_no_reads_for_a_while() {
     let mut fixture = RouterFixture::new(settings());
-    let (id, actions) = fixture.request(ANY);
+    let ClientRequest { id, actions } = fixture.request(ANY);
     let overloaded = servers_sent_to(&actions)[0];
     fixture.advance(5 * MILLISECOND);
     let actions = fixture.complete_attempt(id, 0, overloaded, AttemptOutcome::Overloaded);
 
     let other = if overloaded == REPLICA_1 { REPLICA_2 } else { REPLICA_1 };
     assert_eq!(servers_sent_to(&actions), [other]);
-    assert_eq!(servers_sent_to(&fixture.request(ANY).1), [other]);
+    assert_eq!(fixture.request(ANY).servers(), [other]);
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let mut fixture = RouterFixture::new(settings());
     let mut failures = 0;
     for _ in 0..40 {
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         let mut server = servers_sent_to(&actions)[0];
         let mut attempt = 0;
         fixture.advance(5 * MILLISECOND);
--- a/tests/priorities.rs
+++ b/tests/priorities.rs
@@ -10,10 +10,10 @@
     fixture.report_position(PRIMARY, Role::Primary, 0);
 
     // Nothing is known of the replicas: bounded reads fall back, up to half of the initial limit of four.
-    let reads: Vec<u32> = (0..6).flat_map(|_| servers_sent_to(&fixture.request(BOUNDED).1)).collect();
+    let reads: Vec<u32> = (0..6).flat_map(|_| fixture.request(BOUNDED).servers()).collect();
     assert_eq!(reads, [PRIMARY, PRIMARY]);
 
-    let writes: Vec<u32> = (0..6).flat_map(|_| servers_sent_to(&fixture.request(WRITE).1)).collect();
+    let writes: Vec<u32> = (0..6).flat_map(|_| fixture.request(WRITE).servers()).collect();
     assert_eq!(writes, [PRIMARY, PRIMARY], "the other half is for writes");
 }
 
@@ -24,12 +24,12 @@
     settings.classes.push(RequestClass { priority_weight: 9.0, ..settings.classes[0].clone() });
     let mut fixture = RouterFixture::new(settings);
     fixture.report_position(PRIMARY, Role::Primary, 0);
-    let in_flight: Vec<u64> = (0..4).map(|_| fixture.request(WRITE).0).collect();
+    let in_flight: Vec<u64> = (0..4).map(|_| fixture.request(WRITE).id).collect();
 
-    assert!(servers_sent_to(&fixture.request(WRITE).1).is_empty(), "at the concurrency limit: queued");
-    let (high_priority, actions) = fixture.request(high_priority_class);
+    assert!(fixture.request(WRITE).servers().is_empty(), "at the concurrency limit: queued");
+    let ClientRequest { id: high_priority, actions } = fixture.request(high_priority_class);
     assert!(servers_sent_to(&actions).is_empty(), "queued too");
-    assert!(servers_sent_to(&fixture.request(WRITE).1).is_empty(), "and the one that came last");
+    assert!(fixture.request(WRITE).servers().is_empty(), "and the one that came last");
 
     let actions = fixture.complete_attempt(in_flight[0], 0, PRIMARY, AttemptOutcome::Ok);
     assert_eq!(first_request_sent(&actions), Some(high_priority));
@@ -40,9 +40,9 @@
     // Given a primary at its concurrency limit and two queued writes of one class
     let mut fixture = RouterFixture::new(settings());
     fixture.report_position(PRIMARY, Role::Primary, 0);
-    let in_flight: Vec<u64> = (0..4).map(|_| fixture.request(WRITE).0).collect();
-    let (_, older_actions) = fixture.request(WRITE);
-    let (newer, newer_actions) = fixture.request(WRITE);
+    let in_flight: Vec<u64> = (0..4).map(|_| fixture.request(WRITE).id).collect();
+    let ClientRequest { actions: older_actions, .. } = fixture.request(WRITE);
+    let ClientRequest { id: newer, actions: newer_actions } = fixture.request(WRITE);
     assert!(servers_sent_to(&older_actions).is_empty() && servers_sent_to(&newer_actions).is_empty());
     // When an attempt ends
     let actions = fixture.complete_attempt(in_flight[0], 0, PRIMARY, AttemptOutcome::Ok);
--- a/tests/property/checker.rs
+++ b/tests/property/checker.rs
@@ -63,7 +63,7 @@
     pub timers: Vec<Micros>,
     pub last_event: Option<Event>,
     router: Router,
-    history: Vec<(Micros, Action)>,
+    history: Vec<TimedAction>,
 }
 
 impl Checker {
@@ -99,14 +99,14 @@
         assert_eq!(self.router.open_request_count(), 0);
     }
 
-    /// Every action so far, with its time.
-    pub(crate) fn into_history(self) -> Vec<(Micros, Action)> {
+    /// Every action so far.
+    pub(crate) fn into_history(self) -> Vec<TimedAction> {
         self.history
     }
 
     fn check(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.history.push((self.now, action.clone()));
+            self.history.push(TimedAction { at: self.now, action: action.clone() });
             match action {
                 Action::Send { request, server, timeout } => self.check_send(request.0, server.0, timeout),
                 Action::Reject { request, .. } => self.check_rejection(request.0),
--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -10,7 +10,7 @@
 
 use birchreach::*;
 use checker::Checker;
-use common::{MILLISECOND, WRITE, copy_candidate};
+use common::{MILLISECOND, TimedAction, WRITE, copy_candidate};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -43,8 +43,8 @@
     settings
 }
 
-/// Runs a sequence of steps and, at the end, lets all requests time out. Returns the actions with their times.
-fn run_sequence(bits: u32, seed: u64, steps: &[Step]) -> Vec<(Micros, Action)> {
+/// Runs a sequence of steps and, at the end, lets all requests time out. Returns every action.
+fn run_sequence(bits: u32, seed: u64, steps: &[Step]) -> Vec<TimedAction> {
     let mut checker = Checker::new(settings_from(bits), seed);
     checker.change_endpoints(true, 0x2492_4924, 1);
     for step in steps {
--- a/tests/property/recorded.rs
+++ b/tests/property/recorded.rs
@@ -37,9 +37,9 @@
         }
     }
 
-    fn action(&mut self, at: Micros, action: &Action) {
-        self.word(at);
-        let words = match action {
+    fn action(&mut self, timed: &TimedAction) {
+        self.word(timed.at);
+        let words = match &timed.action {
             Action::Send { request, server, timeout } => [1, request.0 as i64, i64::from(server.0), *timeout],
             Action::Reject { request, retry_after } => [2, request.0 as i64, retry_after.unwrap_or(-1), 0],
             Action::Fail { request } => [3, request.0 as i64, 0, 0],
@@ -61,7 +61,7 @@
         let steps: Vec<Step> = (0..STEPS_PER_SEQUENCE).map(|_| numbers.step()).collect();
         let actions = run_sequence(bits, seed, &steps);
         let mut digest = Digest(0xcbf2_9ce4_8422_2325);
-        actions.iter().for_each(|(at, action)| digest.action(*at, action));
+        actions.iter().for_each(|timed| digest.action(timed));
         writeln!(lines, "{bits:08x} {} {:016x}", actions.len(), digest.0).unwrap();
     }
     lines
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,26 +10,26 @@
         Action::Reject { request, .. } | Action::Fail { request } => request.0 == id,
         _ => false,
     };
-    fixture.history.iter().filter(|(_, action)| is_final_answer(action)).count()
+    fixture.history.iter().filter(|timed| is_final_answer(&timed.action)).count()
 }
 
 #[test]
 fn a_request_for_a_group_without_members_is_rejected_in_time() {
     let mut fixture = RouterFixture::without_endpoints(settings());
-    let (id, _) = fixture.request(ANY);
+    let ClientRequest { id, .. } = fixture.request(ANY);
     let deadline = fixture.now + 2_000 * MILLISECOND;
     fixture.advance(3_000 * MILLISECOND);
 
     assert_eq!(final_answer_count(&fixture, id), 1);
-    let rejection = fixture.history.iter().find(|(_, action)| matches!(action, Action::Reject { .. }));
-    assert!(rejection.is_some_and(|(at, _)| *at <= deadline));
+    let rejection = fixture.history.iter().find(|timed| matches!(timed.action, Action::Reject { .. }));
+    assert!(rejection.is_some_and(|timed| timed.at <= deadline));
     assert_eq!(fixture.router.open_request_count(), 0);
 }
 
 #[test]
 fn nothing_is_sent_after_the_final_answer() {
     let mut fixture = RouterFixture::new(settings());
-    let (id, _) = fixture.request(WRITE);
+    let ClientRequest { id, .. } = fixture.request(WRITE);
     fixture.advance(2_000 * MILLISECOND);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Timeout);
     assert_eq!(final_answer_count(&fixture, id), 1);
@@ -37,7 +37,7 @@
     fixture.advance(5_000 * MILLISECOND);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
     assert_eq!(final_answer_count(&fixture, id), 1);
-    let sends = fixture.history.iter().filter(|(_, action)| matches!(action, Action::Send { .. }));
+    let sends = fixture.history.iter().filter(|timed| matches!(timed.action, Action::Send { .. }));
     assert_eq!(sends.count(), 1);
 }
 
@@ -50,7 +50,7 @@
         AttemptOutcome::Cancelled,
     ] {
         let mut fixture = RouterFixture::new(settings());
-        let (id, _) = fixture.request(WRITE);
+        let ClientRequest { id, .. } = fixture.request(WRITE);
         let actions = fixture.complete_attempt(id, 0, PRIMARY, outcome);
         assert!(is_failed(&actions) && !is_rejected(&actions), "{outcome:?}");
         assert!(servers_sent_to(&fixture.advance(3_000 * MILLISECOND)).is_empty());
@@ -63,14 +63,14 @@
     settings.classes[WRITE as usize] = class(Consistency::Write, with_idempotency_key());
 
     let mut fixture = RouterFixture::new(settings.clone());
-    let (id, _) = fixture.request(WRITE);
+    let ClientRequest { id, .. } = fixture.request(WRITE);
     fixture.advance(200 * MILLISECOND);
     let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
     actions.extend(fixture.advance(100 * MILLISECOND));
     assert_eq!(servers_sent_to(&actions), [PRIMARY], "inside");
 
     let mut fixture = RouterFixture::new(settings);
-    let (id, _) = fixture.request(WRITE);
+    let ClientRequest { id, .. } = fixture.request(WRITE);
     fixture.now += 600 * MILLISECOND;
     let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
     actions.extend(fixture.advance(1_000 * MILLISECOND));
@@ -83,7 +83,7 @@
     let mut settings = settings();
     settings.hedging_allowed = false;
     let mut fixture = RouterFixture::new(settings);
-    let (id, actions) = fixture.request(ANY);
+    let ClientRequest { id, actions } = fixture.request(ANY);
     let first = servers_sent_to(&actions)[0];
 
     let actions = fixture.advance(1_000 * MILLISECOND);
@@ -99,7 +99,7 @@
 fn an_old_load_report_of_a_primary_yields_to_a_newer_status_that_it_is_none() {
     let mut fixture = RouterFixture::new(settings());
     let report_position = fixture.now - 10 * MILLISECOND;
-    let (id, _) = fixture.request(WRITE);
+    let ClientRequest { id, .. } = fixture.request(WRITE);
     let replica_status = status(Role::Replica, fixture.now - 900 * MILLISECOND);
     let outcome = AttemptOutcome::Ineligible;
     fixture.complete_attempt_with_status(id, 0, PRIMARY, outcome, replica_status);
@@ -111,7 +111,7 @@
         load_report: Some(report),
     });
     fixture.advance(400 * MILLISECOND);
-    let servers = servers_sent_to(&fixture.request(BOUNDED).1);
+    let servers = fixture.request(BOUNDED).servers();
     assert!(!servers.contains(&PRIMARY), "that would be a stale read");
 }
 
@@ -129,9 +129,9 @@
     endpoints[2].weight = 0.0;
     fixture.set_endpoints(&endpoints);
 
-    assert!(is_rejected(&fixture.request(99).1), "a class that does not exist");
-    assert_eq!(servers_sent_to(&fixture.request(ANY).1).len(), 1);
-    let (id, _) = fixture.request_with(ANY, |request| request.timeout = -5);
+    assert!(is_rejected(&fixture.request(99).actions), "a class that does not exist");
+    assert_eq!(fixture.request(ANY).servers().len(), 1);
+    let ClientRequest { id, .. } = fixture.request_with(ANY, |request| request.timeout = -5);
     fixture.advance(MILLISECOND);
     assert_eq!(final_answer_count(&fixture, id), 1);
 }
@@ -141,7 +141,7 @@
     let run = || {
         let mut fixture = RouterFixture::new(settings());
         for index in 0..200 {
-            let (id, actions) = fixture.request(index % 4);
+            let ClientRequest { id, actions } = fixture.request(index % 4);
             if let Some(server) = servers_sent_to(&actions).first() {
                 fixture.advance(7 * MILLISECOND);
                 let outcome = if index % 5 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
@@ -160,7 +160,7 @@
         settings.stale_reads = stale_reads;
         settings.classes[ANY as usize] = class(Consistency::Strong, Idempotency::Idempotent);
         let mut fixture = RouterFixture::new(settings);
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         assert_eq!(servers_sent_to(&actions), [PRIMARY]);
 
         // The server turns out not to be primary; a replica that does not check would answer with stale data.
@@ -179,7 +179,7 @@
         let mut fixture = RouterFixture::without_endpoints(settings());
         let endpoints = servers.iter().map(|id| endpoint(*id, EndpointState::Ready));
         fixture.set_endpoints(&endpoints.collect::<Vec<_>>());
-        let (id, actions) = fixture.request(WRITE);
+        let ClientRequest { id, actions } = fixture.request(WRITE);
         for _ in servers_sent_to(&actions) {
             fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::ClosedBeforeExecution);
             fixture.set_endpoints(&[]);
@@ -190,7 +190,7 @@
 
     // A request that a server rejected has reached it.
     let mut fixture = RouterFixture::new(settings());
-    let (id, _) = fixture.request(WRITE);
+    let ClientRequest { id, .. } = fixture.request(WRITE);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Overloaded);
     fixture.set_endpoints(&[]);
     assert!(!is_rejected(&fixture.advance(1_200 * MILLISECOND)));
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -8,9 +8,9 @@
 fn writes_go_to_the_primary_and_other_reads_to_replicas() {
     let mut fixture = RouterFixture::new(settings());
     for _ in 0..4 {
-        assert_eq!(servers_sent_to(&fixture.request(WRITE).1), [PRIMARY]);
+        assert_eq!(fixture.request(WRITE).servers(), [PRIMARY]);
     }
-    let mut servers: Vec<u32> = (0..4).flat_map(|_| servers_sent_to(&fixture.request(ANY).1)).collect();
+    let mut servers: Vec<u32> = (0..4).flat_map(|_| fixture.request(ANY).servers()).collect();
     servers.sort_unstable();
     assert_eq!(servers, [REPLICA_1, REPLICA_1, REPLICA_2, REPLICA_2], "equal counts are kept equal");
 }
@@ -22,7 +22,7 @@
     endpoints[1].weight = 3.0;
     fixture.set_endpoints(&endpoints);
 
-    let servers: Vec<u32> = (0..4).flat_map(|_| servers_sent_to(&fixture.request(ANY).1)).collect();
+    let servers: Vec<u32> = (0..4).flat_map(|_| fixture.request(ANY).servers()).collect();
     assert_eq!(servers.iter().filter(|server| **server == REPLICA_1).count(), 3);
 }
 
@@ -33,8 +33,8 @@
     endpoints[1].zone = ZoneId(1);
     fixture.set_endpoints(&endpoints);
 
-    assert_eq!(servers_sent_to(&fixture.request(ANY).1), [REPLICA_2]);
-    assert_eq!(servers_sent_to(&fixture.request(ANY).1), [REPLICA_1]);
+    assert_eq!(fixture.request(ANY).servers(), [REPLICA_2]);
+    assert_eq!(fixture.request(ANY).servers(), [REPLICA_1]);
 }
 
 #[test]
@@ -46,7 +46,7 @@
 
     let mut heavy = 0;
     for _ in 0..400 {
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         let server = servers_sent_to(&actions)[0];
         heavy += usize::from(servers_sent_to(&actions) == [REPLICA_1]);
         fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
@@ -60,7 +60,7 @@
     fixture.report_position(REPLICA_1, Role::Replica, 0);
     fixture.report_position(REPLICA_2, Role::Replica, 400 * MILLISECOND);
 
-    let servers = [ANY, ANY, ANY].map(|class| servers_sent_to(&fixture.request(class).1)[0]);
+    let servers = [ANY, ANY, ANY].map(|class| fixture.request(class).servers()[0]);
     assert_eq!(
         servers,
         [REPLICA_2, REPLICA_2, REPLICA_1],
@@ -78,7 +78,7 @@
     for _ in 0..40 {
         fixture.advance(50 * MILLISECOND);
         fixture.report_position(REPLICA_1, Role::Replica, 0);
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         to_unreported += usize::from(servers_sent_to(&actions) == [REPLICA_2]);
         fixture.complete_attempt(id, 0, servers_sent_to(&actions)[0], AttemptOutcome::Ok);
     }
@@ -91,7 +91,7 @@
 #[test]
 fn a_write_is_tried_once_at_each_member_and_then_queued() {
     let mut fixture = RouterFixture::new(settings());
-    let (id, _) = fixture.request(WRITE);
+    let ClientRequest { id, .. } = fixture.request(WRITE);
     let now = fixture.now;
     let mut tried = vec![PRIMARY];
     for attempt in 0..3 {
@@ -121,9 +121,9 @@
 #[test]
 fn a_queued_write_goes_to_the_new_primary_at_once() {
     let mut fixture = RouterFixture::new(settings());
-    let (write, _) = fixture.request(WRITE);
+    let ClientRequest { id: write, .. } = fixture.request(WRITE);
     fixture.complete_attempt(write, 0, PRIMARY, AttemptOutcome::ConnectFailed);
-    let (read, actions) = fixture.request(ANY);
+    let ClientRequest { id: read, actions } = fixture.request(ANY);
     let server = servers_sent_to(&actions)[0];
     fixture.advance(5 * MILLISECOND);
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -10,7 +10,7 @@
     let count_sends_to_replica_1 = |fixture: &mut RouterFixture| {
         let mut count = 0;
         for turn in 0..300 {
-            let (id, actions) = fixture.request(ANY);
+            let ClientRequest { id, actions } = fixture.request(ANY);
             count += usize::from(servers_sent_to(&actions) == [REPLICA_1]);
             let server = servers_sent_to(&actions)[0];
             fixture.advance((4 + turn % 13) * MILLISECOND);
@@ -35,7 +35,7 @@
 fn a_fleet_that_is_mostly_in_slow_start_still_gets_its_budget() {
     let mut fixture = RouterFixture::new(settings());
     for _ in 0..1_000 {
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         let server = servers_sent_to(&actions)[0];
         fixture.advance(10 * MILLISECOND);
         fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
@@ -48,7 +48,7 @@
 
     let mut sent = 0;
     for _ in 0..60 {
-        let (id, actions) = fixture.request(ANY);
+        let ClientRequest { id, actions } = fixture.request(ANY);
         for server in servers_sent_to(&actions) {
             sent += usize::from(server != PRIMARY);
             fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
@@ -66,14 +66,14 @@
     let in_other_group = |endpoint| Endpoint { group: GroupId(1), ..endpoint };
     fixture.set_endpoints(&[primary, in_other_group(replica_1), in_other_group(replica_2)]);
     for _ in 0..500 {
-        let (id, _) = fixture.request(WRITE);
+        let ClientRequest { id, .. } = fixture.request(WRITE);
         fixture.advance(5 * MILLISECOND);
         fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
         fixture.advance(5 * MILLISECOND);
     }
 
     // It refuses a connection at once: no process is running, and the next one begins with slow start.
-    let (id, _) = fixture.request(WRITE);
+    let ClientRequest { id, .. } = fixture.request(WRITE);
     fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::ConnectFailed);
     assert_eq!(
         servers_sent_to(&fixture.advance(1_500 * MILLISECOND)),
@@ -84,7 +84,7 @@
 
     let mut sent = 0;
     for _ in 0..100 {
-        sent += servers_sent_to(&fixture.request(WRITE).1).len();
+        sent += fixture.request(WRITE).servers().len();
         sent += servers_sent_to(&fixture.advance(10 * MILLISECOND)).len();
     }
     assert!(sent > 0, "it takes work again");
@@ -104,7 +104,7 @@
         let started_at = fixture.now;
         list_started_replica(fixture, started_at);
         fixture.advance(500 * MILLISECOND);
-        let servers = servers_sent_to(&fixture.request(ANY).1);
+        let servers = fixture.request(ANY).servers();
         sent += servers.iter().filter(|server| **server == REPLICA_1).count();
     }
     assert!(sent <= 3, "{sent} sends to a server with a fifth of its capacity, within one overload window");
@@ -120,7 +120,7 @@
             if second == 13 {
                 list_started_replica(fixture, started_at);
             }
-            let (id, actions) = fixture.request(ANY);
+            let ClientRequest { id, actions } = fixture.request(ANY);
             let server = servers_sent_to(&actions)[0];
             fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
             sent += usize::from(second >= 13 && server == REPLICA_1);
@@ -138,7 +138,7 @@
         for fixture in &mut fleet(100, |_| {}) {
             // Each proxy sees the failure with its first request to the server; then the server is back.
             let id = loop {
-                let (id, actions) = fixture.request(ANY);
+                let ClientRequest { id, actions } = fixture.request(ANY);
                 match servers_sent_to(&actions)[0] {
                     REPLICA_1 => break id,
                     other => drop(fixture.complete_attempt(id, 0, other, AttemptOutcome::Ok)),
@@ -148,7 +148,7 @@
             let actions = fixture.complete_attempt(id, 0, REPLICA_1, AttemptOutcome::ConnectFailed);
             fixture.answer_sends(1, &actions);
             fixture.advance(5_100 * MILLISECOND);
-            let servers = servers_sent_to(&fixture.request(ANY).1);
+            let servers = fixture.request(ANY).servers();
             sent += servers.iter().filter(|server| **server == REPLICA_1).count();
         }
         sent
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -69,7 +69,7 @@
                 let restarted = Endpoint { started_at: Some(started_at), ..replica };
                 fixture.set_endpoints(&[primary, restarted, other_replica]);
             }
-            let (id, actions) = fixture.request(ANY);
+            let ClientRequest { id, actions } = fixture.request(ANY);
             for server in servers_sent_to(&actions) {
                 if is_listed && server == REPLICA_1 {
                     sends.push(fixture.now - started_at);
