--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 use birchreach::*;
 use common::*;
 
-/// Number of final answers by the router for this request.
+/// The number of final answers by the router to this request.
 fn final_answer_count(fixture: &RouterFixture, id: u64) -> usize {
     let is_final_answer = |action: &Action| match action {
         Action::Reject { request, .. } | Action::Fail { request } => request.0 == id,
@@ -13,14 +13,21 @@
     fixture.history.iter().filter(|timed| is_final_answer(&timed.action)).count()
 }
 
+/// The number of attempts that the router has sent.
+fn send_count(fixture: &RouterFixture) -> usize {
+    fixture.history.iter().filter(|timed| matches!(timed.action, Action::Send { .. })).count()
+}
+
 #[test]
 fn a_request_for_a_group_without_members_is_rejected_in_time() {
+    // Given a router that knows no server
     let mut fixture = RouterFixture::without_endpoints(settings());
-    let ClientRequest { id, .. } = fixture.request(ANY);
+    // When a request arrives and its timeout passes
+    let read = fixture.request(ANY);
     let deadline = fixture.now + 2_000 * MILLISECOND;
     fixture.advance(3_000 * MILLISECOND);
-
-    assert_eq!(final_answer_count(&fixture, id), 1);
+    // Then it has been rejected once, before its deadline
+    assert_eq!(final_answer_count(&fixture, read.id), 1);
     let rejection = fixture.history.iter().find(|timed| matches!(timed.action, Action::Reject { .. }));
     assert!(rejection.is_some_and(|timed| timed.at <= deadline));
     assert_eq!(fixture.router.open_request_count(), 0);
@@ -28,17 +35,18 @@
 
 #[test]
 fn nothing_is_sent_after_the_final_answer() {
+    // Given a write that has its final answer
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, .. } = fixture.request(WRITE);
+    let write = fixture.request(WRITE);
     fixture.advance(2_000 * MILLISECOND);
-    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Timeout);
-    assert_eq!(final_answer_count(&fixture, id), 1);
-
+    fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Timeout);
+    assert_eq!(final_answer_count(&fixture, write.id), 1);
+    // When time passes and the server answers after all
     fixture.advance(5_000 * MILLISECOND);
-    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Ok);
-    assert_eq!(final_answer_count(&fixture, id), 1);
-    let sends = fixture.history.iter().filter(|timed| matches!(timed.action, Action::Send { .. }));
-    assert_eq!(sends.count(), 1);
+    fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Ok);
+    // Then there is neither a second final answer nor a second attempt
+    assert_eq!(final_answer_count(&fixture, write.id), 1);
+    assert_eq!(send_count(&fixture), 1);
 }
 
 #[test]
@@ -49,67 +57,84 @@
         AttemptOutcome::Timeout,
         AttemptOutcome::Cancelled,
     ] {
+        // Given a write that is not idempotent
         let mut fixture = RouterFixture::new(settings());
-        let ClientRequest { id, .. } = fixture.request(WRITE);
-        let actions = fixture.complete_attempt(id, 0, PRIMARY, outcome);
+        let write = fixture.request(WRITE);
+        // When its attempt ends and the server may have run it
+        let actions = fixture.complete_attempt(write.id, 0, PRIMARY, outcome);
+        // Then it fails, instead of being rejected, and is not retried
         assert!(is_failed(&actions) && !is_rejected(&actions), "{outcome:?}");
         assert!(servers_sent_to(&fixture.advance(3_000 * MILLISECOND)).is_empty());
     }
 }
 
-#[test]
-fn a_request_with_an_idempotency_key_is_retried_within_the_window_only() {
+/// A router whose writes have an idempotency key.
+fn fixture_with_idempotency_key() -> RouterFixture {
     let mut settings = settings();
     settings.classes[WRITE as usize] = class(Consistency::Write, with_idempotency_key());
+    RouterFixture::new(settings)
+}
 
-    let mut fixture = RouterFixture::new(settings.clone());
-    let ClientRequest { id, .. } = fixture.request(WRITE);
+#[test]
+fn a_request_with_an_idempotency_key_is_retried_within_the_window() {
+    // Given a write with an idempotency key
+    let mut fixture = fixture_with_idempotency_key();
+    let write = fixture.request(WRITE);
+    // When its attempt fails within the deduplication window
     fixture.advance(200 * MILLISECOND);
-    let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
+    let mut actions = fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Error);
     actions.extend(fixture.advance(100 * MILLISECOND));
+    // Then it is retried
     assert_eq!(servers_sent_to(&actions), [PRIMARY], "inside");
+}
 
-    let mut fixture = RouterFixture::new(settings);
-    let ClientRequest { id, .. } = fixture.request(WRITE);
+#[test]
+fn a_request_with_an_idempotency_key_is_not_retried_after_the_window() {
+    // Given a write with an idempotency key
+    let mut fixture = fixture_with_idempotency_key();
+    let write = fixture.request(WRITE);
+    // When its attempt fails at the end of the deduplication window
     fixture.now += 600 * MILLISECOND;
-    let mut actions = fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Error);
+    let mut actions = fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Error);
     actions.extend(fixture.advance(1_000 * MILLISECOND));
+    // Then it fails and is not retried
     assert!(servers_sent_to(&actions).is_empty(), "outside");
     assert!(is_failed(&actions) && !is_rejected(&actions), "outside");
 }
 
 #[test]
 fn without_hedging_a_request_never_has_two_attempts_in_flight() {
-    let mut settings = settings();
-    settings.hedging_allowed = false;
-    let mut fixture = RouterFixture::new(settings);
-    let ClientRequest { id, actions } = fixture.request(ANY);
-    let first = servers_sent_to(&actions)[0];
-
+    // Given settings without hedging, and a read
+    let mut fixture = RouterFixture::new(Settings { hedging_allowed: false, ..settings() });
+    let read = fixture.request(ANY);
+    let first = read.server();
+    // When its server does not answer, then its attempt is cancelled first
     let actions = fixture.advance(1_000 * MILLISECOND);
     assert!(servers_sent_to(&actions).is_empty());
-    assert!(actions.contains(&Action::Cancel { request: RequestId(id), attempt: AttemptNo(0) }));
-
-    let actions = fixture.complete_attempt(id, 0, first, AttemptOutcome::Cancelled);
-    assert_eq!(servers_sent_to(&actions).len(), 1);
-    assert_ne!(servers_sent_to(&actions)[0], first);
+    assert!(actions.contains(&Action::Cancel { request: RequestId(read.id), attempt: AttemptNo(0) }));
+    // When the attempt has been cancelled, then the read goes to another server
+    let retried = servers_sent_to(&fixture.complete_attempt(read.id, 0, first, AttemptOutcome::Cancelled));
+    assert_eq!(retried.len(), 1);
+    assert_ne!(retried[0], first);
 }
 
 #[test]
 fn an_old_load_report_of_a_primary_yields_to_a_newer_status_that_it_is_none() {
+    // Given a primary whose response to a write says that it is a replica that lags
     let mut fixture = RouterFixture::new(settings());
     let report_position = fixture.now - 10 * MILLISECOND;
-    let ClientRequest { id, .. } = fixture.request(WRITE);
+    let write = fixture.request(WRITE);
     let replica_status = status(Role::Replica, fixture.now - 900 * MILLISECOND);
     let outcome = AttemptOutcome::Ineligible;
-    fixture.complete_attempt_with_status(id, 0, PRIMARY, outcome, replica_status);
-
+    fixture.complete_attempt_with_status(write.id, 0, PRIMARY, outcome, replica_status);
+    // When an older load report says that it is primary
     let report = LoadReport { position: Some(report_position), role: Some(Role::Primary) };
     fixture.handle(Event::HealthCheckCompleted {
         server: ServerId(PRIMARY),
         outcome: AttemptOutcome::Ok,
         load_report: Some(report),
     });
+    // Then it gets no read that needs fresher data than was reported
     fixture.advance(400 * MILLISECOND);
     let servers = fixture.request(BOUNDED).servers();
     assert!(!servers.contains(&PRIMARY), "that would be a stale read");
@@ -117,6 +142,7 @@
 
 #[test]
 fn unexpected_events_are_ignored() {
+    // Given a router that was told of unknown requests and servers, and of invalid weights
     let mut fixture = RouterFixture::new(settings());
     fixture.complete_attempt(77, 3, REPLICA_1, AttemptOutcome::Ok);
     fixture.complete_attempt(77, 3, 999, AttemptOutcome::Error);
@@ -128,70 +154,80 @@
     endpoints[1].weight = f64::NAN;
     endpoints[2].weight = 0.0;
     fixture.set_endpoints(&endpoints);
-
+    // When requests arrive, then each is served or rejected as usual
     assert!(is_rejected(&fixture.request(99).actions), "a class that does not exist");
     assert_eq!(fixture.request(ANY).servers().len(), 1);
-    let ClientRequest { id, .. } = fixture.request_with(ANY, |request| request.timeout = -5);
+    // When a timeout is negative, then there is one final answer
+    let late = fixture.request_with(ANY, |request| request.timeout = -5);
     fixture.advance(MILLISECOND);
-    assert_eq!(final_answer_count(&fixture, id), 1);
+    assert_eq!(final_answer_count(&fixture, late.id), 1);
+}
+
+/// Every action of a new router to which requests of all classes come, one of five of which fails.
+fn history_of_200_requests() -> Vec<TimedAction> {
+    let mut fixture = RouterFixture::new(settings());
+    for index in 0..200 {
+        let request = fixture.request(index % 4);
+        if let Some(server) = request.servers().first() {
+            fixture.advance(7 * MILLISECOND);
+            let outcome = if index % 5 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
+            fixture.complete_attempt(request.id, 0, *server, outcome);
+        }
+    }
+    fixture.history
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let run = || {
-        let mut fixture = RouterFixture::new(settings());
-        for index in 0..200 {
-            let ClientRequest { id, actions } = fixture.request(index % 4);
-            if let Some(server) = servers_sent_to(&actions).first() {
-                fixture.advance(7 * MILLISECOND);
-                let outcome = if index % 5 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Ok };
-                fixture.complete_attempt(id, 0, *server, outcome);
-            }
-        }
-        fixture.history
-    };
-    assert_eq!(run(), run());
+    // When two routers with the same seed get the same events, then their actions are the same
+    assert_eq!(history_of_200_requests(), history_of_200_requests());
 }
 
 #[test]
 fn a_strong_read_is_tried_at_other_members_only_where_they_reject_it() {
     for (stale_reads, is_tried) in [(StaleReadPolicy::Served, false), (StaleReadPolicy::Rejected, true)] {
+        // Given a strong read that was sent to the primary
         let mut settings = settings();
         settings.stale_reads = stale_reads;
         settings.classes[ANY as usize] = class(Consistency::Strong, Idempotency::Idempotent);
         let mut fixture = RouterFixture::new(settings);
-        let ClientRequest { id, actions } = fixture.request(ANY);
-        assert_eq!(servers_sent_to(&actions), [PRIMARY]);
-
-        // The server turns out not to be primary; a replica that does not check would answer with stale data.
+        let read = fixture.request(ANY);
+        assert_eq!(read.servers(), [PRIMARY]);
+        // When the server turns out not to be primary
         let replica_status = status(Role::Replica, fixture.now);
         let outcome = AttemptOutcome::Ineligible;
-        let mut actions = fixture.complete_attempt_with_status(id, 0, PRIMARY, outcome, replica_status);
+        let mut actions = fixture.complete_attempt_with_status(read.id, 0, PRIMARY, outcome, replica_status);
         actions.extend(fixture.advance(500 * MILLISECOND));
+        // Then only replicas that check are tried: one that does not would answer with stale data
         assert_eq!(!servers_sent_to(&actions).is_empty(), is_tried, "{stale_reads:?}");
     }
 }
 
 #[test]
 fn a_request_that_reached_no_server_is_rejected_at_half_of_its_timeout_and_not_much_before() {
-    // No connection can be made, or there is no server.
     for servers in [&[PRIMARY][..], &[]] {
+        // Given a write for which no connection can be made, or for which there is no server
         let mut fixture = RouterFixture::without_endpoints(settings());
         let endpoints = servers.iter().map(|id| endpoint(*id, EndpointState::Ready));
         fixture.set_endpoints(&endpoints.collect::<Vec<_>>());
-        let ClientRequest { id, actions } = fixture.request(WRITE);
-        for _ in servers_sent_to(&actions) {
-            fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::ClosedBeforeExecution);
+        let write = fixture.request(WRITE);
+        for _ in write.servers() {
+            fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::ClosedBeforeExecution);
             fixture.set_endpoints(&[]);
         }
+        // When half of its timeout has passed, then it is rejected
         assert!(!is_rejected(&fixture.advance(900 * MILLISECOND)));
         assert!(is_rejected(&fixture.advance(100 * MILLISECOND)));
     }
+}
 
-    // A request that a server rejected has reached it.
+#[test]
+fn a_request_that_a_server_rejected_has_reached_it_and_waits_longer() {
+    // Given a write that its server rejected, and no other server
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, .. } = fixture.request(WRITE);
-    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Overloaded);
+    let write = fixture.request(WRITE);
+    fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Overloaded);
     fixture.set_endpoints(&[]);
+    // When more than half of its timeout has passed, then it still waits
     assert!(!is_rejected(&fixture.advance(1_200 * MILLISECOND)));
 }
