--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -7,113 +7,151 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_removed_server() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
+        // Given a replica that is listed with this state
         let mut fixture = RouterFixture::new(settings());
-        let mut endpoints = ready(ALL_SERVERS);
-        endpoints[1].state = state;
-        fixture.set_endpoints(&endpoints);
+        fixture.set_endpoints(&ready_with_change(REPLICA_1, |replica| replica.state = state));
+        // When reads arrive, then the other replica gets all of them
         for _ in 0..20 {
-            let ClientRequest { id, actions } = fixture.request(ANY);
-            assert_eq!(servers_sent_to(&actions), [REPLICA_2]);
-            fixture.complete_attempt(id, 0, REPLICA_2, AttemptOutcome::Ok);
+            let read = fixture.request(ANY);
+            assert_eq!(read.servers(), [REPLICA_2]);
+            fixture.complete_attempt(read.id, 0, REPLICA_2, AttemptOutcome::Ok);
         }
     }
+}
+
+#[test]
+fn a_server_that_is_missing_from_a_complete_list_is_removed() {
+    // Given a router that knows two replicas
     let mut fixture = RouterFixture::new(settings());
+    // When a complete list names only the second
     fixture.set_endpoints(&ready([PRIMARY, REPLICA_2]));
+    // Then that gets the read
     let servers = fixture.request(ANY).servers();
     assert_eq!(servers, [REPLICA_2], "missing from a complete list means removed");
 }
 
 #[test]
 fn a_queued_request_does_not_go_to_a_server_that_began_to_drain() {
+    // Given a write that the primary rejected
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, .. } = fixture.request(WRITE);
-    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Overloaded);
-    let mut endpoints = ready(ALL_SERVERS);
-    endpoints[0].state = EndpointState::Draining;
-    fixture.set_endpoints(&endpoints);
-
+    let write = fixture.request(WRITE);
+    fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Overloaded);
+    // When the primary begins to drain
+    let draining = |primary: &mut Endpoint| primary.state = EndpointState::Draining;
+    fixture.set_endpoints(&ready_with_change(PRIMARY, draining));
+    // Then the write is not retried there
     assert!(!servers_sent_to(&fixture.advance(2_000 * MILLISECOND)).contains(&PRIMARY));
 }
 
+/// Settings under which a list without a server, or with one as removed, is only advisory.
+fn with_advisory_removal() -> Settings {
+    Settings { removal_is_advisory: true, ..settings() }
+}
+
+/// The servers that get some of 20 reads.
+fn servers_in_use(fixture: &mut RouterFixture) -> Vec<u32> {
+    let mut servers: Vec<u32> = (0..20).flat_map(|_| fixture.request(ANY).servers()).collect();
+    servers.sort_unstable();
+    servers.dedup();
+    servers
+}
+
 #[test]
-fn where_removal_is_advisory_a_wrong_list_empties_no_group_but_draining_binds() {
-    let mut settings = settings();
-    settings.removal_is_advisory = true;
-    let servers_in_use = |fixture: &mut RouterFixture| -> Vec<u32> {
-        let mut servers: Vec<u32> = (0..20).flat_map(|_| fixture.request(ANY).servers()).collect();
-        servers.sort_unstable();
-        servers.dedup();
-        servers
-    };
-
-    let mut fixture = RouterFixture::new(settings.clone());
+fn where_removal_is_advisory_a_wrong_list_empties_no_group() {
+    // When an empty list arrives, then all servers stay in use
+    let mut fixture = RouterFixture::new(with_advisory_removal());
     fixture.set_endpoints(&[]);
     assert_eq!(servers_in_use(&mut fixture), ALL_SERVERS, "all missing");
-
-    let mut fixture = RouterFixture::new(settings.clone());
+    // When a list arrives in which all are removed, then they stay in use as well
+    let mut fixture = RouterFixture::new(with_advisory_removal());
     fixture.set_endpoints(&ALL_SERVERS.map(|id| endpoint(id, EndpointState::Removed)));
     assert_eq!(servers_in_use(&mut fixture), ALL_SERVERS, "all listed as removed");
+}
 
-    let mut fixture = RouterFixture::new(settings.clone());
+#[test]
+fn where_removal_is_advisory_draining_binds() {
+    // Given a replica that drained before it was removed
+    let mut fixture = RouterFixture::new(with_advisory_removal());
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        let mut endpoints = ready(ALL_SERVERS);
-        endpoints[1].state = state;
-        fixture.set_endpoints(&endpoints);
+        fixture.set_endpoints(&ready_with_change(REPLICA_1, |replica| replica.state = state));
     }
+    // Then it is not in use, until it is ready again
     assert_eq!(servers_in_use(&mut fixture), [PRIMARY, REPLICA_2], "draining, then removed");
     fixture.set_endpoints(&ready(ALL_SERVERS));
     assert!(servers_in_use(&mut fixture).contains(&REPLICA_1), "ready again");
+}
 
-    let mut fixture = RouterFixture::without_endpoints(settings);
+#[test]
+fn where_removal_is_advisory_a_server_never_seen_ready_is_not_used() {
+    // Given a replica that is removed in the first list
+    let mut fixture = RouterFixture::without_endpoints(with_advisory_removal());
     let [primary, replica] = ready([PRIMARY, REPLICA_1]);
     fixture.set_endpoints(&[primary, Endpoint { state: EndpointState::Removed, ..replica }]);
+    // Then it is not in use
     assert_eq!(servers_in_use(&mut fixture), [PRIMARY], "never seen ready");
 }
 
-#[test]
-fn what_becomes_known_while_a_connection_opens_can_forbid_the_attempt() {
-    let may_still_send =
-        |fixture: &RouterFixture, id| fixture.router.may_still_send(fixture.now, RequestId(id), AttemptNo(0));
+/// Whether the first attempt of a request, for which a connection is being opened, may still be sent.
+fn may_still_send(fixture: &RouterFixture, request: u64) -> bool {
+    fixture.router.may_still_send(fixture.now, RequestId(request), AttemptNo(0))
+}
 
-    // Data ages.
+#[test]
+fn a_read_is_not_sent_once_the_position_of_its_replica_is_too_old() {
+    // Given a bounded read for which a connection to a fresh replica is being opened
     let mut fixture = RouterFixture::new(settings());
     fixture.report_position(REPLICA_1, Role::Replica, 100 * MILLISECOND);
-    let ClientRequest { id, actions } = fixture.request(BOUNDED);
-    assert!(servers_sent_to(&actions) == [REPLICA_1] && may_still_send(&fixture, id));
+    let read = fixture.request(BOUNDED);
+    assert!(read.servers() == [REPLICA_1] && may_still_send(&fixture, read.id));
+    // When the position becomes too old meanwhile, then the read may no longer be sent
     fixture.now += 200 * MILLISECOND;
-    assert!(may_still_send(&fixture, id), "300 ms old at most");
+    assert!(may_still_send(&fixture, read.id), "300 ms old at most");
     fixture.now += MILLISECOND;
-    assert!(!may_still_send(&fixture, id));
+    assert!(!may_still_send(&fixture, read.id));
+}
 
-    // The server begins to drain.
+#[test]
+fn a_write_is_not_sent_once_its_server_drains() {
+    // Given a write for which a connection is being opened
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, actions } = fixture.request(WRITE);
-    assert!(servers_sent_to(&actions) == [PRIMARY] && may_still_send(&fixture, id));
+    let write = fixture.request(WRITE);
+    assert!(write.servers() == [PRIMARY] && may_still_send(&fixture, write.id));
+    // When the server begins to drain, then the write may no longer be sent
     let [primary, replica] = ready([PRIMARY, REPLICA_1]);
     fixture.set_endpoints(&[Endpoint { state: EndpointState::Draining, ..primary }, replica]);
-    assert!(!may_still_send(&fixture, id));
+    assert!(!may_still_send(&fixture, write.id));
+}
 
-    // The server that was selected as primary states that it is none.
+#[test]
+fn a_read_is_not_sent_once_its_server_states_that_it_is_no_primary() {
+    // Given a read for which a connection to the primary is being opened
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, actions } = fixture.request(BOUNDED);
-    assert!(servers_sent_to(&actions) == [PRIMARY] && may_still_send(&fixture, id));
-    let ClientRequest { id: write, .. } = fixture.request(WRITE);
+    let read = fixture.request(BOUNDED);
+    assert!(read.servers() == [PRIMARY] && may_still_send(&fixture, read.id));
+    // When that server states in another response that it is a replica, then the read may no longer be sent
+    let write = fixture.request(WRITE);
     let replica_status = status(Role::Replica, fixture.now - 1_000 * MILLISECOND);
-    fixture.complete_attempt_with_status(write, 0, PRIMARY, AttemptOutcome::Ineligible, replica_status);
-    assert!(!may_still_send(&fixture, id));
+    fixture.complete_attempt_with_status(write.id, 0, PRIMARY, AttemptOutcome::Ineligible, replica_status);
+    assert!(!may_still_send(&fixture, read.id));
+}
 
-    // The request is finished.
+#[test]
+fn a_request_is_not_sent_once_it_is_finished() {
+    // Given a read for which a connection is being opened
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, .. } = fixture.request(ANY);
-    fixture.handle(Event::ClientDisconnected { request: RequestId(id) });
-    assert!(!may_still_send(&fixture, id));
+    let read = fixture.request(ANY);
+    // When its client disconnects, then it may no longer be sent
+    fixture.handle(Event::ClientDisconnected { request: RequestId(read.id) });
+    assert!(!may_still_send(&fixture, read.id));
 }
 
 #[test]
 fn removed_servers_are_forgotten_but_not_while_an_attempt_is_in_flight() {
+    // Given a write in flight at the primary
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, actions } = fixture.request(WRITE);
-    assert_eq!(servers_sent_to(&actions), [PRIMARY]);
+    let write = fixture.request(WRITE);
+    assert_eq!(write.servers(), [PRIMARY]);
+    // When each second another server is the only one, then the primary and the newest are known
     for next in 10..200 {
         fixture.set_endpoints(&ready([next]));
         fixture.advance(1_000 * MILLISECOND);
@@ -121,8 +159,8 @@
     }
     let known = (0..200).filter(|server| fixture.router.is_known(ServerId(*server))).count();
     assert_eq!(known, 22, "the primary, and those of the last 20 s");
-
-    fixture.complete_attempt(id, 0, PRIMARY, AttemptOutcome::Timeout);
+    // When the write has ended, then the primary is forgotten too
+    fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Timeout);
     fixture.set_endpoints(&ready([199]));
     assert!(!fixture.router.is_known(ServerId(PRIMARY)));
 }
@@ -130,13 +168,14 @@
 #[test]
 fn broken_connections_neither_eject_a_server_nor_start_slow_start() {
     for outcome in [AttemptOutcome::ClosedBeforeExecution, AttemptOutcome::ConnectionReset] {
+        // Given a write at the primary
         let mut fixture = RouterFixture::new(settings());
-        let ClientRequest { id, actions } = fixture.request(WRITE);
-        assert_eq!(servers_sent_to(&actions), [PRIMARY]);
-        let actions = fixture.complete_attempt(id, 0, PRIMARY, outcome);
+        let write = fixture.request(WRITE);
+        assert_eq!(write.servers(), [PRIMARY]);
+        // When its connection breaks, then it fails if it may have run
+        let actions = fixture.complete_attempt(write.id, 0, PRIMARY, outcome);
         assert_eq!(is_failed(&actions), outcome == AttemptOutcome::ConnectionReset);
-
-        // What never ran is retried at the same primary after a backoff, and so is the next write.
+        // Then what never ran is retried at the same primary after a backoff, and the next write goes there too
         let never_ran = outcome == AttemptOutcome::ClosedBeforeExecution;
         let retried = if never_ran { vec![PRIMARY] } else { vec![] };
         assert_eq!(servers_sent_to(&fixture.advance(50 * MILLISECOND)), retried);
@@ -144,20 +183,25 @@
     }
 }
 
+/// The number of three writes that are sent after the primary refused a connection, and an attempt that was sent
+/// before ended with this outcome.
+fn writes_sent_after_refused_connection(early_outcome: AttemptOutcome) -> usize {
+    let mut fixture = RouterFixture::new(settings());
+    let early = fixture.request(WRITE);
+    assert_eq!(early.servers(), [PRIMARY]);
+    fixture.advance(5 * MILLISECOND);
+    let late = fixture.request(WRITE);
+    fixture.complete_attempt(late.id, 0, PRIMARY, AttemptOutcome::ConnectFailed);
+    fixture.complete_attempt(early.id, 0, PRIMARY, early_outcome);
+    fixture.advance(100 * MILLISECOND);
+    (0..3).filter(|_| fixture.request(WRITE).servers() == [PRIMARY]).count()
+}
+
 #[test]
 fn an_answer_to_an_attempt_sent_before_a_refused_connection_shows_that_the_process_runs() {
-    let writes_sent = |is_answered: bool| {
-        let mut fixture = RouterFixture::new(settings());
-        let ClientRequest { id: early, actions } = fixture.request(WRITE);
-        assert_eq!(servers_sent_to(&actions), [PRIMARY]);
-        fixture.advance(5 * MILLISECOND);
-        let ClientRequest { id: late, .. } = fixture.request(WRITE);
-        fixture.complete_attempt(late, 0, PRIMARY, AttemptOutcome::ConnectFailed);
-        let early_outcome = if is_answered { AttemptOutcome::Ok } else { AttemptOutcome::ConnectionReset };
-        fixture.complete_attempt(early, 0, PRIMARY, early_outcome);
-        fixture.advance(100 * MILLISECOND);
-        (0..3).filter(|_| fixture.request(WRITE).servers() == [PRIMARY]).count()
-    };
-    assert_eq!(writes_sent(true), 3);
-    assert!(writes_sent(false) < 3, "a server in slow start has its budget");
+    // When the earlier attempt is answered, then all writes are sent
+    assert_eq!(writes_sent_after_refused_connection(AttemptOutcome::Ok), 3);
+    // When its connection is reset too, then the server is in slow start
+    let sent = writes_sent_after_refused_connection(AttemptOutcome::ConnectionReset);
+    assert!(sent < 3, "a server in slow start has its budget");
 }
