--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -175,7 +175,7 @@
         // When its connection breaks, then it fails if it may have run
         let actions = fixture.complete_attempt(write.id, 0, PRIMARY, outcome);
         assert_eq!(is_failed(&actions), outcome == AttemptOutcome::ConnectionReset);
-        // Then what never ran is retried at the same primary after a backoff, and the next write goes there too
+        // Then what never ran is retried at the same primary after a backoff, which also gets the next write
         let never_ran = outcome == AttemptOutcome::ClosedBeforeExecution;
         let retried = if never_ran { vec![PRIMARY] } else { vec![] };
         assert_eq!(servers_sent_to(&fixture.advance(50 * MILLISECOND)), retried);
@@ -183,8 +183,8 @@
     }
 }
 
-/// The number of three writes that are sent after the primary refused a connection, and an attempt that was sent
-/// before ended with this outcome.
+/// How many of three writes are sent after the primary refused a connection, and an attempt that was sent before
+/// ended with this outcome.
 fn writes_sent_after_refused_connection(early_outcome: AttemptOutcome) -> usize {
     let mut fixture = RouterFixture::new(settings());
     let early = fixture.request(WRITE);
