--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! Slow start: what all proxies of a fleet together send to one server that has just started. In each overload window it
-//! can take the N requests that the settings allow, plus 2 sqrt(N) + 2 for random variation.
+//! Slow start: what all proxies of a fleet together send to one server that has just started. In each overload
+//! window it can take the N requests that the settings allow, plus 2 sqrt(N) + 2 for random variation.
 
 mod common;
 use birchreach::*;
@@ -14,8 +14,9 @@
 /// What happens to the fleet while a server that started at time 0 warms up.
 #[derive(Clone, Copy)]
 struct Scenario {
-    /// Request rate relative to the usual one, up to `burst_at` and from then on.
+    /// Request rate relative to the usual one, up to `burst_at`.
     rate_before: f64,
+    /// The same from `burst_at` on.
     rate_after: f64,
     burst_at: Micros,
     /// The last proxy learns of the start this much later than the first.
@@ -35,75 +36,141 @@
     processes: 1,
 };
 
+/// Settings of one of this many proxies.
 fn fleet_settings(proxy_count: u32) -> Settings {
     Settings { proxy_count, overload_factor: 3.0, slow_start_initial_fraction: 0.15, ..settings() }
 }
 
-/// Times, relative to its start, at which the starting server is sent a request by proxies that know of the start. The
-/// proxies share what three servers serve; some are several times busier than the mean.
-fn sends_to_starting_server(fleet_size: u32, seed: u64, scenario: Scenario) -> Vec<Micros> {
-    let proxy_count = fleet_size * scenario.processes;
-    let settings = fleet_settings(proxy_count);
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let mut sends = Vec::new();
-    for proxy in 0..proxy_count {
-        let relative_rate = if proxy % 7 == 0 { 4.0 } else { 0.5 };
-        let mean_interval = f64::from(proxy_count) / (2.0 * FULL_THROUGHPUT) / relative_rate;
-        let mut fixture = RouterFixture::seeded(settings.clone(), u64::from(proxy) + seed * 1_000);
+/// One proxy of the fleet, with its clients.
+struct ProxyRun {
+    fixture: RouterFixture,
+    scenario: Scenario,
+    /// Mean time between two requests of its clients at the usual rate, in seconds.
+    mean_interval: f64,
+    /// When the server starts.
+    started_at: Micros,
+    /// When this proxy learns of the start.
+    listed_at: Micros,
+    /// Whether it has learnt of it.
+    is_listed: bool,
+}
+
+impl ProxyRun {
+    /// A proxy that starts 20 s before the server, or 1 s if it is one of those that restarted.
+    fn new(index: u32, settings: &Settings, seed: u64, scenario: Scenario, rng: &mut fastrand::Rng) -> Self {
+        let relative_rate = if index.is_multiple_of(7) { 4.0 } else { 0.5 };
+        let mean_interval = f64::from(settings.proxy_count) / (2.0 * FULL_THROUGHPUT) / relative_rate;
+        let mut fixture = RouterFixture::seeded(settings.clone(), u64::from(index) + seed * 1_000);
         let started_at = fixture.now + 20 * SECOND;
-        if proxy % scenario.one_restarted_in == scenario.one_restarted_in - 1 {
+        if index % scenario.one_restarted_in == scenario.one_restarted_in - 1 {
             fixture.now = started_at - SECOND;
         }
         let listed_at = started_at + rng.i64(0..=scenario.endpoint_list_delay);
-        let mut is_listed = false;
+        ProxyRun { fixture, scenario, mean_interval, started_at, listed_at, is_listed: false }
+    }
+
+    /// Runs to the end of slow start. Adds the times of requests that the server is sent after the proxy has learnt
+    /// of its start.
+    fn run(&mut self, end: Micros, rng: &mut fastrand::Rng, sends: &mut Vec<Micros>) {
         loop {
-            let is_before_burst = fixture.now - started_at < scenario.burst_at;
-            let rate = if is_before_burst { scenario.rate_before } else { scenario.rate_after };
-            fixture.advance((-(1.0 - rng.f64()).ln() * mean_interval / rate * 1e6) as Micros);
-            if fixture.now >= started_at + settings.slow_start_window {
+            let interval = self.draw_interval(rng);
+            self.fixture.advance(interval);
+            if self.fixture.now >= end {
                 break;
             }
-            if fixture.now >= listed_at && !is_listed {
-                is_listed = true;
-                let [primary, replica, other_replica] = ready(ALL_SERVERS);
-                let restarted = Endpoint { started_at: Some(started_at), ..replica };
-                fixture.set_endpoints(&[primary, restarted, other_replica]);
+            if self.fixture.now >= self.listed_at && !self.is_listed {
+                self.list_started_server();
             }
-            let ClientRequest { id, actions } = fixture.request(ANY);
-            for server in servers_sent_to(&actions) {
-                if is_listed && server == REPLICA_1 {
-                    sends.push(fixture.now - started_at);
-                }
-                fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
+            self.serve_read(sends);
+        }
+    }
+
+    /// The time to the next request, which is distributed exponentially.
+    fn draw_interval(&self, rng: &mut fastrand::Rng) -> Micros {
+        let is_before_burst = self.fixture.now - self.started_at < self.scenario.burst_at;
+        let rate = if is_before_burst { self.scenario.rate_before } else { self.scenario.rate_after };
+        (-(1.0 - rng.f64()).ln() * self.mean_interval / rate * 1e6) as Micros
+    }
+
+    /// The endpoint list tells the proxy that the server has started.
+    fn list_started_server(&mut self) {
+        self.is_listed = true;
+        let started_at = Some(self.started_at);
+        let endpoints = ready_with_change(REPLICA_1, |replica| replica.started_at = started_at);
+        self.fixture.set_endpoints(&endpoints);
+    }
+
+    /// A read, which is answered at once.
+    fn serve_read(&mut self, sends: &mut Vec<Micros>) {
+        let read = self.fixture.request(ANY);
+        for server in read.servers() {
+            if self.is_listed && server == REPLICA_1 {
+                sends.push(self.fixture.now - self.started_at);
             }
+            self.fixture.complete_attempt(read.id, 0, server, AttemptOutcome::Ok);
         }
     }
+}
+
+/// Times, relative to its start, at which the starting server is sent a request by proxies that know of the start.
+/// The proxies share what three servers serve; some are several times busier than the mean.
+fn sends_to_starting_server(fleet_size: u32, seed: u64, scenario: Scenario) -> Vec<Micros> {
+    let proxy_count = fleet_size * scenario.processes;
+    let settings = fleet_settings(proxy_count);
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut sends = Vec::new();
+    for index in 0..proxy_count {
+        let mut proxy = ProxyRun::new(index, &settings, seed, scenario, &mut rng);
+        let end = proxy.started_at + settings.slow_start_window;
+        proxy.run(end, &mut rng, &mut sends);
+    }
     sends.sort_unstable();
     sends
 }
 
-/// The overload window that is worst for the server: how many requests it was sent in it, and how many it can take.
-fn worst_window(sends: &[Micros]) -> (usize, f64) {
-    let settings = fleet_settings(1);
-    let initial = settings.slow_start_initial_fraction;
-    let windows = sends.iter().enumerate().map(|(index, window_start)| {
-        let in_window = sends[index..].iter().take_while(|at| **at - window_start < settings.overload_window);
-        let elapsed_fraction = *window_start as f64 / settings.slow_start_window as f64;
+/// An overload window of the starting server.
+struct Window {
+    /// Requests that it was sent.
+    sent: usize,
+    /// Requests that it can take.
+    allowed: f64,
+}
+
+impl Window {
+    /// The window that begins with the first of these requests.
+    fn beginning_with(sends: &[Micros], settings: &Settings) -> Self {
+        let start = sends[0];
+        let sent = sends.iter().take_while(|at| **at - start < settings.overload_window).count();
+        let initial = settings.slow_start_initial_fraction;
+        let elapsed_fraction = start as f64 / settings.slow_start_window as f64;
         let capacity_fraction = initial + (1.0 - initial) * elapsed_fraction;
-        let capacity =
-            settings.overload_factor * capacity_fraction * FULL_THROUGHPUT * settings.overload_window as f64
-                / 1e6;
-        (in_window.count(), capacity + 2.0 * capacity.sqrt() + 2.0)
-    });
-    let load = |window: &(usize, f64)| window.0 as f64 / window.1;
-    windows.max_by(|left, right| load(left).total_cmp(&load(right))).unwrap_or((0, 1.0))
+        let requests_per_second = settings.overload_factor * capacity_fraction * FULL_THROUGHPUT;
+        let capacity = requests_per_second * settings.overload_window as f64 / 1e6;
+        Window { sent, allowed: capacity + 2.0 * capacity.sqrt() + 2.0 }
+    }
+
+    /// Requests sent, as a fraction of those allowed.
+    fn load(&self) -> f64 {
+        self.sent as f64 / self.allowed
+    }
 }
 
+/// The window with the highest load for the server.
+fn worst_window(sends: &[Micros]) -> Window {
+    let settings = fleet_settings(1);
+    let windows = (0..sends.len()).map(|index| Window::beginning_with(&sends[index..], &settings));
+    let worst = windows.max_by(|left, right| left.load().total_cmp(&right.load()));
+    worst.unwrap_or(Window { sent: 0, allowed: 1.0 })
+}
+
+/// Runs the scenario with fleets of all sizes and checks that no window is overloaded.
 fn assert_never_overloaded(name: &str, scenario: Scenario) {
     for fleet_size in FLEET_SIZES {
         for seed in SEEDS {
+            // When the server warms up
             let sends = sends_to_starting_server(fleet_size, seed, scenario);
-            let (sent, allowed) = worst_window(&sends);
+            // Then it is sent no more in any window than it can take
+            let Window { sent, allowed } = worst_window(&sends);
             let total = sends.len();
             println!("{name}, {fleet_size} proxies, seed {seed}: {sent} of {allowed:.1}, {total} in all");
             assert!(
@@ -119,12 +186,13 @@
     assert_never_overloaded("steady", STEADY);
 }
 
-/// Low, usual and high load, as fractions of full throughput, followed by bursts of 2.2 times as much: tokens that the
-/// proxies accumulated before must not be spent at once.
+/// Low, usual and high load, as fractions of full throughput, followed by bursts of 2.2 times as much: tokens that
+/// the proxies accumulated before must not be spent at once.
 #[test]
 fn accumulated_tokens_do_not_overload_it_in_a_burst() {
     for load in [0.26, 0.5, 0.76] {
         for burst_at in [2 * SECOND, 5 * SECOND] {
+            // Given a load that rises while the server warms up
             let scenario = Scenario { rate_before: load, rate_after: 2.2 * load, burst_at, ..STEADY };
             assert_never_overloaded("burst", scenario);
         }
@@ -132,9 +200,20 @@
 }
 
 #[test]
-fn late_endpoint_lists_restarted_proxies_and_second_processes_do_not_overload_it() {
+fn late_endpoint_lists_do_not_overload_it() {
+    // Given proxies that learn of the start up to 4 s later than others
     assert_never_overloaded("late list", Scenario { endpoint_list_delay: 4 * SECOND, ..STEADY });
+}
+
+#[test]
+fn restarted_proxies_do_not_overload_it() {
+    // Given a fleet of which every third proxy has just started
     assert_never_overloaded("restarts", Scenario { one_restarted_in: 3, ..STEADY });
+}
+
+#[test]
+fn second_processes_do_not_overload_it() {
+    // Given proxies with two processes each
     assert_never_overloaded("two processes", Scenario { processes: 2, ..STEADY });
 }
 
@@ -142,6 +221,7 @@
 #[test]
 fn a_starting_server_is_used_while_it_warms_up() {
     for fleet_size in FLEET_SIZES {
+        // When a server warms up under steady load, then it gets more than a few requests
         let sent = sends_to_starting_server(fleet_size, 1, STEADY).len();
         assert!(sent > 100, "{fleet_size} proxies: {sent}");
     }
