--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -4,14 +4,19 @@
 use birchreach::*;
 use common::*;
 
-/// Sends reads until all replicas are at their concurrency limits. Returns the ids of those in flight and their
-/// servers; the last read is queued.
-fn fill_to_limits(fixture: &mut RouterFixture) -> Vec<(u64, u32)> {
+/// A read in flight at a server.
+struct InFlightRead {
+    id: u64,
+    server: u32,
+}
+
+/// Sends reads until all replicas are at their concurrency limits. Returns those in flight; the last read is queued.
+fn fill_to_limits(fixture: &mut RouterFixture) -> Vec<InFlightRead> {
     let mut in_flight = Vec::new();
     loop {
-        let ClientRequest { id, actions } = fixture.request(ANY);
-        match servers_sent_to(&actions).first() {
-            Some(server) => in_flight.push((id, *server)),
+        let read = fixture.request(ANY);
+        match read.servers().first() {
+            Some(server) => in_flight.push(InFlightRead { id: read.id, server: *server }),
             None => return in_flight,
         }
     }
@@ -20,28 +25,34 @@
 /// In order of arrival, requests would be started that can no longer be answered in time.
 #[test]
 fn at_all_limits_a_read_is_queued_and_the_newest_goes_first() {
+    // Given replicas at their limits and a queued read
     let mut fixture = RouterFixture::new(settings());
     let in_flight = fill_to_limits(&mut fixture);
-    let ClientRequest { id: newest, actions } = fixture.request(ANY);
-    assert!(servers_sent_to(&actions).is_empty() && !is_rejected(&actions));
-
-    let (id, server) = in_flight[0];
+    // When another read arrives, then it is queued too
+    let newest = fixture.request(ANY);
+    assert!(newest.servers().is_empty() && !is_rejected(&newest.actions));
+    // When a read in flight is answered, then the newest is sent
+    let InFlightRead { id, server } = in_flight[0];
     let actions = fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
-    let is_newest = |action: &Action| matches!(action, Action::Send { request, .. } if request.0 == newest);
+    let is_newest =
+        |action: &Action| matches!(action, Action::Send { request, .. } if request.0 == newest.id);
     assert!(actions.iter().any(is_newest));
 }
 
 #[test]
 fn a_queued_read_is_rejected_while_a_retry_may_help_instead_of_started_too_late() {
+    // Given a queued read whose late answer is worth nothing
     let mut settings = settings();
     settings.classes[ANY as usize].late_weight_fraction = 0.0;
     let mut fixture = RouterFixture::new(settings);
     fill_to_limits(&mut fixture);
-    let ClientRequest { id, .. } = fixture.request(ANY);
+    let queued = fixture.request(ANY);
     let requested_at = fixture.now;
+    // When more time passes than its latency objective
     fixture.advance(1_000 * MILLISECOND);
-
-    let is_rejection = |action: &Action| matches!(action, Action::Reject { request, .. } if request.0 == id);
+    // Then it has been rejected before that
+    let is_rejection =
+        |action: &Action| matches!(action, Action::Reject { request, .. } if request.0 == queued.id);
     let rejection = fixture.history.iter().find(|timed| is_rejection(&timed.action));
     let rejected_at = rejection.unwrap().at;
     assert!(
@@ -54,34 +65,41 @@
 /// An overloaded server has nothing in flight and looks idle: it would attract every read.
 #[test]
 fn an_overloaded_server_gets_no_reads_for_a_while() {
+    // Given a read in flight at one of two replicas
     let mut fixture = RouterFixture::new(settings());
-    let ClientRequest { id, actions } = fixture.request(ANY);
-    let overloaded = servers_sent_to(&actions)[0];
-    fixture.advance(5 * MILLISECOND);
-    let actions = fixture.complete_attempt(id, 0, overloaded, AttemptOutcome::Overloaded);
-
+    let read = fixture.request(ANY);
+    let overloaded = read.server();
     let other = if overloaded == REPLICA_1 { REPLICA_2 } else { REPLICA_1 };
+    // When that replica rejects it because it is overloaded
+    fixture.advance(5 * MILLISECOND);
+    let actions = fixture.complete_attempt(read.id, 0, overloaded, AttemptOutcome::Overloaded);
+    // Then the other gets it, and the next read too
     assert_eq!(servers_sent_to(&actions), [other]);
     assert_eq!(fixture.request(ANY).servers(), [other]);
 }
 
+/// Sends a read, which the first replica fails at once and any other server answers. Returns the number of attempts
+/// that failed.
+fn failed_attempts_of_read(fixture: &mut RouterFixture) -> u16 {
+    let read = fixture.request(ANY);
+    let mut server = read.server();
+    let mut attempt = 0;
+    fixture.advance(5 * MILLISECOND);
+    while server == REPLICA_1 {
+        let actions = fixture.complete_attempt(read.id, attempt, REPLICA_1, AttemptOutcome::Error);
+        attempt += 1;
+        server = servers_sent_to(&actions)[0];
+    }
+    fixture.advance(5 * MILLISECOND);
+    fixture.complete_attempt(read.id, attempt, server, AttemptOutcome::Ok);
+    attempt
+}
+
 #[test]
 fn a_server_that_fails_its_requests_at_once_stops_attracting_reads() {
+    // Given a replica that fails every request
     let mut fixture = RouterFixture::new(settings());
-    let mut failures = 0;
-    for _ in 0..40 {
-        let ClientRequest { id, actions } = fixture.request(ANY);
-        let mut server = servers_sent_to(&actions)[0];
-        let mut attempt = 0;
-        fixture.advance(5 * MILLISECOND);
-        while server == REPLICA_1 {
-            failures += 1;
-            let actions = fixture.complete_attempt(id, attempt, REPLICA_1, AttemptOutcome::Error);
-            attempt += 1;
-            server = servers_sent_to(&actions)[0];
-        }
-        fixture.advance(5 * MILLISECOND);
-        fixture.complete_attempt(id, attempt, server, AttemptOutcome::Ok);
-    }
+    // When reads arrive, then only a few are sent to it
+    let failures: u16 = (0..40).map(|_| failed_attempts_of_read(&mut fixture)).sum();
     assert!(failures <= 5, "{failures}");
 }
