--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -1,5 +1,5 @@
-//! Limits on the source of the decision module: files that the deploy file names, their size, and nothing that reads a clock, does
-//! I/O or starts a thread.
+//! Limits on the source of the decision module: files that the deploy file names, their size, and nothing that reads
+//! a clock, does I/O or starts a thread.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -27,47 +27,63 @@
     "dbg!",
     "unsafe",
 ];
+/// The one line that contains a forbidden word in order to forbid it.
+const UNSAFE_FORBIDDEN: &str = "#![forbid(unsafe_code)]";
 
+/// The repository's root.
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Every Rust file below a folder, as a path relative to the repository's root.
-fn sources(folder: &Path, found: &mut BTreeSet<String>) {
+/// Adds every file below a folder to `found`, as a path relative to the repository's root.
+fn find_sources(folder: &Path, found: &mut BTreeSet<String>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            sources(&path, found);
+            find_sources(&path, found);
         } else {
             found.insert(path.strip_prefix(root()).unwrap().to_str().unwrap().to_string());
         }
     }
 }
 
+/// Every file below a folder of the repository.
 fn sources_in(folder: &str) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
-    sources(&root().join(folder), &mut found);
+    find_sources(&root().join(folder), &mut found);
     found
 }
 
+/// The contents of a file of the repository.
 fn text_of(file: &str) -> String {
     fs::read_to_string(root().join(file)).unwrap()
 }
 
+/// A line without its comment.
+fn code_of(line: &str) -> &str {
+    line.split("//").next().unwrap_or_default()
+}
+
 #[test]
 fn the_deploy_file_names_every_policy_file() {
+    // Given the line of the deploy file that names the policy files
     let deploy = text_of("deploy/balancer.toml");
     let line = deploy.lines().find(|line| line.starts_with("policy")).unwrap();
+    // Then it names those that there are
     let named: BTreeSet<String> = line.split('"').skip(1).step_by(2).map(String::from).collect();
     assert_eq!(named, sources_in("src/policy"));
 }
 
 #[test]
-fn files_are_short_and_narrow() {
+fn files_are_short() {
     for file in sources_in("src") {
         let text = text_of(&file);
         assert!(text.lines().count() <= MAX_LINES, "{file}");
     }
+}
+
+#[test]
+fn policy_files_are_narrow() {
     for file in sources_in("src/policy") {
         assert!(text_of(&file).lines().all(|line| line.chars().count() <= MAX_LINE_WIDTH), "{file}");
     }
@@ -76,11 +92,11 @@
 #[test]
 fn the_module_uses_no_io_clock_or_thread() {
     for file in sources_in("src") {
-        for (number, line) in text_of(&file).lines().enumerate() {
-            let code = line.split("//").next().unwrap_or_default();
+        for (index, line) in text_of(&file).lines().enumerate() {
+            let code = code_of(line);
             let found = FORBIDDEN.iter().find(|word| code.contains(**word));
-            let allowed = code.trim() == "#![forbid(unsafe_code)]";
-            assert!(found.is_none() || allowed, "{file}:{}: {}", number + 1, line);
+            let allowed = code.trim() == UNSAFE_FORBIDDEN;
+            assert!(found.is_none() || allowed, "{file}:{}: {}", index + 1, line);
         }
     }
 }
