--- a/tests/property/checker.rs
+++ b/tests/property/checker.rs
@@ -19,23 +19,25 @@
     pub required_session_position: Option<Micros>,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    /// Servers of other groups and the likely positions of their copies.
-    pub copies: Vec<(u32, Micros)>,
+    pub copy_candidates: Vec<CopyCandidate>,
     /// It has its final answer, or its client has disconnected.
     pub finished: bool,
 }
 
 impl TrackedRequest {
+    /// Whether one of its attempts may have run at a server.
     fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 }
 
 impl Attempt {
+    /// Whether it has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
+    /// Whether the server may have run it, or may still run it.
     fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(AttemptOutcome::never_executed)
     }
@@ -53,6 +55,7 @@
     pub is_primary: bool,
 }
 
+/// A router, and what has to be known to check its actions.
 pub(crate) struct Checker {
     pub settings: Settings,
     pub now: Micros,
@@ -67,6 +70,7 @@
 }
 
 impl Checker {
+    /// A router that has just started.
     pub(crate) fn new(settings: Settings, seed: u64) -> Self {
         let now = 100_000 * MILLISECOND;
         let mut actions = Vec::new();
@@ -94,6 +98,7 @@
         self.check(actions);
     }
 
+    /// Checks that no request is without a final answer.
     pub(crate) fn assert_all_finished(&self) {
         assert!(self.requests.values().all(|request| request.finished), "a request without a final answer");
         assert_eq!(self.router.open_request_count(), 0);
@@ -104,6 +109,7 @@
         self.history
     }
 
+    /// Checks actions and follows what they do.
     fn check(&mut self, actions: Vec<Action>) {
         for action in actions {
             self.history.push(TimedAction { at: self.now, action: action.clone() });
@@ -127,6 +133,7 @@
         }
     }
 
+    /// A rejection invites the client to retry: nothing may have run that must not run twice.
     fn check_rejection(&mut self, id: u64) {
         let request = &self.requests[&id];
         let class = self.settings.classes.get(request.class);
@@ -135,6 +142,7 @@
         self.check_final_answer(id);
     }
 
+    /// There is one final answer, and it is in time.
     fn check_final_answer(&mut self, id: u64) {
         let request = self.requests.get_mut(&id).expect("an answer to a request that was sent");
         assert!(!request.finished, "a second final answer");
@@ -142,6 +150,7 @@
         request.finished = true;
     }
 
+    /// Attempts are few enough, and each goes to a server that may get it.
     fn check_send(&mut self, id: u64, server_id: u32, timeout: Micros) {
         let request = &self.requests[&id];
         assert!(!request.finished, "sent after the final answer");
@@ -154,6 +163,7 @@
         self.requests.get_mut(&id).unwrap().attempts.push(attempt);
     }
 
+    /// No work goes to a server that is draining or removed for longer than the grace.
     fn check_server_accepts_work(&self, server_id: u32) {
         let server = self.servers.get(&server_id).expect("a server that was listed");
         let is_in_time = server.closed_at.is_none_or(|at| self.now <= at + self.settings.drain_grace);
@@ -175,24 +185,19 @@
         }
     }
 
-    /// A read goes to a server that is proven to be fresh enough, to a copy that is likely to be, or to one that rejects
-    /// stale reads itself.
+    /// A read goes to a server that is proven to be fresh enough, to a copy that is likely to be, or to one that
+    /// rejects stale reads itself.
     fn check_server_may_answer(&self, request: &TrackedRequest, server_id: u32) {
         let server = &self.servers[&server_id];
-        let copies = request.copies.iter().filter(|copy| copy.0 == server_id);
-        let copy_position = copies.map(|copy| copy.1).max();
+        let copies = request.copy_candidates.iter().filter(|copy| copy.server.0 == server_id);
+        let copy_position = copies.map(|copy| copy.likely_position).max();
         let is_in_group = server.group == request.group;
         assert!(is_in_group || copy_position.is_some(), "a server of another group");
 
         let consistency = self.settings.classes[request.class].consistency;
-        let required = match consistency {
-            Consistency::Any | Consistency::Write => None,
-            Consistency::Strong => Some(Micros::MAX),
-            Consistency::BoundedStaleness(max_age) => Some(self.now - max_age),
-            Consistency::Session => request.required_session_position,
-        };
         let is_copy = !is_in_group;
         assert!(!is_copy || !consistency.requires_primary(), "a copy was sent a write or strong read");
+        let required = self.required_position(request, consistency);
         let has_reached =
             |position: Option<Micros>| required.is_none_or(|required| position >= Some(required));
         let is_proven = server.is_primary || has_reached(server.position);
@@ -200,4 +205,14 @@
         let is_checked_by_server = self.settings.stale_reads == StaleReadPolicy::Rejected;
         assert!(is_proven || is_likely || is_checked_by_server, "a read sent without proof");
     }
+
+    /// The position that the server of a request has to have reached.
+    fn required_position(&self, request: &TrackedRequest, consistency: Consistency) -> Option<Micros> {
+        match consistency {
+            Consistency::Any | Consistency::Write => None,
+            Consistency::Strong => Some(Micros::MAX),
+            Consistency::BoundedStaleness(max_age) => Some(self.now - max_age),
+            Consistency::Session => request.required_session_position,
+        }
+    }
 }
--- /dev/null
+++ b/tests/property/draws.rs
@@ -0,0 +1,67 @@
+//! Endpoints, copy candidates and statuses, drawn from numbers.
+
+use super::*;
+
+/// The last server that may be listed.
+const MAX_SERVER: u32 = 6;
+
+impl Checker {
+    /// Entries for some servers. The first may be listed twice.
+    pub(crate) fn draw_endpoints(&self, first: u32, second: u32) -> Vec<Endpoint> {
+        let drawn = (1..=MAX_SERVER).filter_map(|id| self.draw_endpoint(id, first, second));
+        let mut endpoints: Vec<Endpoint> = drawn.collect();
+        let lists_first_twice = second & 1 == 0;
+        if lists_first_twice && !endpoints.is_empty() {
+            endpoints.push(endpoints[0].clone());
+        }
+        endpoints
+    }
+
+    /// An entry for this server, unless it is missing from the list.
+    fn draw_endpoint(&self, id: u32, first: u32, second: u32) -> Option<Endpoint> {
+        let bits = first.rotate_right(id * 5);
+        let is_missing = bits & 3 == 3;
+        if is_missing {
+            return None;
+        }
+        let state = match bits >> 2 & 7 {
+            0 => EndpointState::Draining,
+            1 => EndpointState::Removed,
+            _ => EndpointState::Ready,
+        };
+        let has_started = second.rotate_right(id * 3) & 7 == 0;
+        Some(Endpoint {
+            server: ServerId(id),
+            group: GroupId(id % 2),
+            zone: ZoneId(0),
+            state,
+            started_at: has_started.then_some(self.now - 100 * MILLISECOND),
+            weight: [1.0, 0.5, f64::NAN, -1.0][(second.rotate_right(id) & 3) as usize],
+            primary: id <= 2,
+        })
+    }
+
+    /// Copy candidates. Some are members of the group itself, or unknown: the router must not rely on them.
+    pub(crate) fn draw_copy_candidates(&self, first: u32, second: u32) -> Vec<CopyCandidate> {
+        if first & 64 == 0 {
+            return vec![];
+        }
+        let candidate = |index: u32| {
+            let server = 1 + (second >> (8 + index)) % 7;
+            let age = Micros::from(second >> index & 511) * MILLISECOND;
+            copy_candidate(server, self.now - age)
+        };
+        (0..3).map(candidate).collect()
+    }
+}
+
+/// The status that a server states, if it responded.
+pub(crate) fn draw_status(outcome: AttemptOutcome, now: Micros, number: u32) -> Option<ServerStatus> {
+    let is_response = matches!(
+        outcome,
+        AttemptOutcome::Ok | AttemptOutcome::Ineligible | AttemptOutcome::Overloaded | AttemptOutcome::Error
+    );
+    let role = if number & 1 == 0 { Role::Primary } else { Role::Replica };
+    let position = (number & 2 == 0).then_some(now - Micros::from(number >> 3 & 1023) * MILLISECOND);
+    (is_response && number & 4 == 0).then_some(ServerStatus { role, position })
+}
--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -1,9 +1,10 @@
-//! Property test of the rules that one router alone can keep, under any legal sequence of events and any combination of
-//! settings. The checker knows only what passes through the public interface; it models no server.
+//! Property test of the rules that one router alone can keep, under any legal sequence of events and any combination
+//! of settings. The checker knows only what passes through the public interface; it models no server.
 
 mod checker;
 #[path = "../common/mod.rs"]
 mod common;
+mod draws;
 mod recorded;
 mod results;
 mod steps;
@@ -57,10 +58,12 @@
 
 #[test]
 fn the_rules_hold_under_any_legal_sequence_of_events() {
+    // Given any settings, seed and sequence of steps
     let config = Config { cases: 1_500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-    let steps = prop::collection::vec(any::<Step>(), 1..120);
+    let steps = prop::collection::vec(Step::any(), 1..120);
     let sequences = (any::<u32>(), any::<u64>(), steps);
+    // When a router gets the events, then the checker accepts its actions, which are the same in a second run
     let result = runner.run(&sequences, |(bits, seed, steps)| {
         let actions = run_sequence(bits, seed, &steps);
         assert_eq!(actions, run_sequence(bits, seed, &steps), "the same events, other actions");
--- a/tests/property/recorded.rs
+++ b/tests/property/recorded.rs
@@ -1,7 +1,8 @@
 //! Regression test of the routing decisions: the same events with the same seed give the recorded actions.
 //!
-//! `recorded.txt` has one line for each generated event sequence: the bits its settings are drawn from, the number of actions
-//! returned, and a digest of these actions with their times. The text of log actions is not part of the digest.
+//! `recorded.txt` has one line for each generated event sequence: the bits its settings are drawn from, the number of
+//! actions returned, and a digest of these actions with their times. The text of log actions is not part of the
+//! digest.
 
 use super::*;
 use std::fmt::Write;
@@ -13,6 +14,7 @@
 struct Numbers(u64);
 
 impl Numbers {
+    /// The next number.
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -21,9 +23,10 @@
         mixed ^ (mixed >> 31)
     }
 
-    fn step(&mut self) -> Step {
+    /// The next step.
+    fn next_step(&mut self) -> Step {
         let (kind, numbers) = (self.next(), self.next());
-        (kind as u8, (numbers >> 32) as u32, numbers as u32)
+        Step { kind: kind as u8, first: (numbers >> 32) as u32, second: numbers as u32 }
     }
 }
 
@@ -31,12 +34,19 @@
 struct Digest(u64);
 
 impl Digest {
+    /// A digest of nothing.
+    fn new() -> Self {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+
+    /// Adds a word, byte by byte.
     fn word(&mut self, word: i64) {
         for byte in word.to_le_bytes() {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
+    /// Adds an action and its time.
     fn action(&mut self, timed: &TimedAction) {
         self.word(timed.at);
         let words = match &timed.action {
@@ -53,14 +63,15 @@
     }
 }
 
+/// A line for each sequence, as in the recorded file.
 fn digests() -> String {
     let mut lines = String::new();
     for number in 0..SEQUENCES {
         let mut numbers = Numbers(number);
         let (bits, seed) = (numbers.next() as u32, numbers.next());
-        let steps: Vec<Step> = (0..STEPS_PER_SEQUENCE).map(|_| numbers.step()).collect();
+        let steps: Vec<Step> = (0..STEPS_PER_SEQUENCE).map(|_| numbers.next_step()).collect();
         let actions = run_sequence(bits, seed, &steps);
-        let mut digest = Digest(0xcbf2_9ce4_8422_2325);
+        let mut digest = Digest::new();
         actions.iter().for_each(|timed| digest.action(timed));
         writeln!(lines, "{bits:08x} {} {:016x}", actions.len(), digest.0).unwrap();
     }
@@ -69,8 +80,11 @@
 
 #[test]
 fn the_same_events_give_the_recorded_actions() {
+    // Given what was recorded
     let recorded = include_str!("recorded.txt");
+    // When the same events are passed to routers with the same seeds
     let computed = digests();
+    // Then each sequence gives the recorded number of actions and their digest
     for (number, (recorded, computed)) in recorded.lines().zip(computed.lines()).enumerate() {
         assert_eq!(recorded, computed, "sequence {number}");
     }
--- a/tests/property/results.rs
+++ b/tests/property/results.rs
@@ -1,12 +1,13 @@
 //! How attempts and health checks end, drawn from numbers.
 
 use super::*;
+use draws::draw_status;
 
 impl Checker {
-    /// An attempt ends with this outcome; what the server states is drawn from `y`.
-    pub(crate) fn complete_attempt(&mut self, id: u64, attempt: usize, outcome: AttemptOutcome, y: u32) {
+    /// An attempt ends with this outcome; what the server states is drawn from `number`.
+    pub(crate) fn complete_attempt(&mut self, id: u64, attempt: usize, outcome: AttemptOutcome, number: u32) {
         let now = self.now;
-        let status = draw_status(outcome, now, y);
+        let status = draw_status(outcome, now, number);
         let request = self.requests.get_mut(&id).unwrap();
         let tracked = &mut request.attempts[attempt];
         tracked.outcome = Some(outcome);
@@ -42,13 +43,13 @@
     }
 
     /// A health check ends, with a load report of its server.
-    pub(crate) fn complete_health_check(&mut self, x: u32, y: u32) {
+    pub(crate) fn complete_health_check(&mut self, first: u32, second: u32) {
         let report = LoadReport {
-            position: Some(self.now - Micros::from(y % 900) * MILLISECOND),
-            role: Some(if y & 1 == 0 { Role::Primary } else { Role::Replica }),
+            position: Some(self.now - Micros::from(second % 900) * MILLISECOND),
+            role: Some(if second & 1 == 0 { Role::Primary } else { Role::Replica }),
         };
-        let outcome = OUTCOMES[x as usize % OUTCOMES.len()];
-        let server_id = 1 + x % 7;
+        let outcome = OUTCOMES[first as usize % OUTCOMES.len()];
+        let server_id = 1 + first % 7;
         if outcome == AttemptOutcome::Ok
             && let Some(server) = self.servers.get_mut(&server_id)
         {
@@ -63,14 +64,3 @@
         });
     }
 }
-
-/// The status that a server states, if it responded.
-fn draw_status(outcome: AttemptOutcome, now: Micros, y: u32) -> Option<ServerStatus> {
-    let is_response = matches!(
-        outcome,
-        AttemptOutcome::Ok | AttemptOutcome::Ineligible | AttemptOutcome::Overloaded | AttemptOutcome::Error
-    );
-    let role = if y & 1 == 0 { Role::Primary } else { Role::Replica };
-    let position = (y & 2 == 0).then_some(now - Micros::from(y >> 3 & 1023) * MILLISECOND);
-    (is_response && y & 4 == 0).then_some(ServerStatus { role, position })
-}
--- a/tests/property/steps.rs
+++ b/tests/property/steps.rs
@@ -3,9 +3,22 @@
 use super::checker::{TrackedRequest, TrackedServer};
 use super::*;
 
-/// What kind of event, and two numbers from which its details are drawn.
-pub(crate) type Step = (u8, u32, u32);
+/// A kind of event, and two numbers from which its details are drawn.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Step {
+    pub kind: u8,
+    pub first: u32,
+    pub second: u32,
+}
 
+impl Step {
+    /// Any step.
+    pub(crate) fn any() -> impl Strategy<Value = Step> {
+        any::<(u8, u32, u32)>().prop_map(|(kind, first, second)| Step { kind, first, second })
+    }
+}
+
+/// The outcomes that an attempt or a health check may have.
 pub(crate) const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Ok,
     AttemptOutcome::Error,
@@ -18,10 +31,19 @@
     AttemptOutcome::Ineligible,
 ];
 
-/// An attempt in flight: the request's id and the number of the attempt.
-type InFlight = (u64, usize);
+/// Classes that requests are drawn from: one more than there are.
+const CLASS_COUNT: u32 = 6;
+
+/// An attempt in flight.
+#[derive(Clone, Copy)]
+struct InFlightAttempt {
+    request: u64,
+    /// Its number among the attempts of the request.
+    attempt: usize,
+}
 
 impl TrackedServer {
+    /// Takes over an entry of the endpoint list.
     fn apply(&mut self, endpoint: &Endpoint, now: Micros, removal_is_advisory: bool) {
         self.group = endpoint.group.0;
         self.is_primary |= endpoint.primary && self.position.is_none();
@@ -39,34 +61,42 @@
         }
     }
 
+    /// From now on the server may not be sent new work.
     fn close(&mut self, now: Micros) {
         self.closed_at = self.closed_at.or(Some(now));
     }
 }
 
 impl Checker {
-    pub(crate) fn run_step(&mut self, (kind, x, y): Step) {
+    /// Passes the event that a step stands for to the router, or lets time pass.
+    pub(crate) fn run_step(&mut self, step: Step) {
+        let Step { kind, first, second } = step;
         let in_flight = self.in_flight();
         let unfinished: Vec<u64> = self.unfinished_requests();
         match kind % 12 {
-            0..=3 => self.send_request(x, y),
+            0..=3 => self.send_request(first, second),
             4..=6 if !in_flight.is_empty() => {
-                let (id, attempt) = in_flight[x as usize % in_flight.len()];
-                self.complete_attempt(id, attempt, OUTCOMES[(y >> 16) as usize % OUTCOMES.len()], y);
+                let InFlightAttempt { request, attempt } = in_flight[first as usize % in_flight.len()];
+                let outcome = OUTCOMES[(second >> 16) as usize % OUTCOMES.len()];
+                self.complete_attempt(request, attempt, outcome, second);
             }
-            7 => self.advance(Micros::from(x % 900) * MILLISECOND),
-            8 => self.change_endpoints(y & 4 != 0, x, y),
-            9 => self.complete_health_check(x, y),
+            7 => self.advance(Micros::from(first % 900) * MILLISECOND),
+            8 => self.change_endpoints(second & 4 != 0, first, second),
+            9 => self.complete_health_check(first, second),
             10 if !unfinished.is_empty() => {
-                let id = unfinished[x as usize % unfinished.len()];
-                self.requests.get_mut(&id).unwrap().finished = true;
-                self.handle(Event::ClientDisconnected { request: RequestId(id) });
+                self.disconnect_client(unfinished[first as usize % unfinished.len()]);
             }
             11 if self.may_repeat_last_event() => self.handle(self.last_event.clone().unwrap()),
             _ => self.handle(Event::EndpointPollFailed),
         }
     }
 
+    /// The client of a request disconnects.
+    fn disconnect_client(&mut self, id: u64) {
+        self.requests.get_mut(&id).unwrap().finished = true;
+        self.handle(Event::ClientDisconnected { request: RequestId(id) });
+    }
+
     /// Whether the router has to ignore the last event when it comes twice.
     fn may_repeat_last_event(&self) -> bool {
         matches!(
@@ -75,8 +105,9 @@
         )
     }
 
-    pub(crate) fn change_endpoints(&mut self, complete: bool, x: u32, y: u32) {
-        let endpoints = self.draw_endpoints(x, y);
+    /// A list of endpoints arrives, either all of them or only some.
+    pub(crate) fn change_endpoints(&mut self, complete: bool, first: u32, second: u32) {
+        let endpoints = self.draw_endpoints(first, second);
         let (now, removal_is_advisory) = (self.now, self.settings.removal_is_advisory);
         let listed: Vec<u32> = endpoints.iter().map(|endpoint| endpoint.server.0).collect();
         for (id, server) in &mut self.servers {
@@ -91,45 +122,16 @@
         self.handle(Event::EndpointsChanged(EndpointList { complete, endpoints }));
     }
 
-    fn draw_endpoints(&self, x: u32, y: u32) -> Vec<Endpoint> {
-        let mut endpoints = Vec::new();
-        for id in 1..=6_u32 {
-            let bits = x.rotate_right(id * 5);
-            let is_missing = bits & 3 == 3;
-            if is_missing {
-                continue;
-            }
-            let state = match bits >> 2 & 7 {
-                0 => EndpointState::Draining,
-                1 => EndpointState::Removed,
-                _ => EndpointState::Ready,
-            };
-            let has_started = y.rotate_right(id * 3) & 7 == 0;
-            endpoints.push(Endpoint {
-                server: ServerId(id),
-                group: GroupId(id % 2),
-                zone: ZoneId(0),
-                state,
-                started_at: has_started.then_some(self.now - 100 * MILLISECOND),
-                weight: [1.0, 0.5, f64::NAN, -1.0][(y.rotate_right(id) & 3) as usize],
-                primary: id <= 2,
-            });
-        }
-        let lists_first_twice = y & 1 == 0;
-        if lists_first_twice && !endpoints.is_empty() {
-            endpoints.push(endpoints[0].clone());
-        }
-        endpoints
-    }
-
-    fn send_request(&mut self, x: u32, y: u32) {
+    /// A client sends a request.
+    fn send_request(&mut self, first: u32, second: u32) {
         let id = self.requests.len() as u64 + 1;
-        let class = (x % 6) as usize; // one more than there are
-        let session = SessionId(u64::from(y % 3));
-        let last_write_position = (y & 8 != 0).then_some(self.now - Micros::from(y % 400) * MILLISECOND);
-        let timeout = Micros::from(x % 2_000) * MILLISECOND;
-        let group = y >> 4 & 1;
-        let copies = self.draw_copies(x, y);
+        let class = (first % CLASS_COUNT) as usize;
+        let session = SessionId(u64::from(second % 3));
+        let write_age = Micros::from(second % 400) * MILLISECOND;
+        let last_write_position = (second & 8 != 0).then_some(self.now - write_age);
+        let timeout = Micros::from(first % 2_000) * MILLISECOND;
+        let group = second >> 4 & 1;
+        let copy_candidates = self.draw_copy_candidates(first, second);
         let tracked = TrackedRequest {
             class,
             group,
@@ -137,7 +139,7 @@
             required_session_position: self.session_position(class, session, last_write_position),
             deadline: self.now + timeout,
             attempts: vec![],
-            copies: copies.clone(),
+            copy_candidates: copy_candidates.clone(),
             finished: false,
         };
         self.requests.insert(id, tracked);
@@ -149,10 +151,11 @@
             timeout,
             session: Some(session),
             last_write_position,
-            copy_candidates: copies.into_iter().map(|(id, at)| copy_candidate(id, at)).collect(),
+            copy_candidates,
         }));
     }
 
+    /// The position that a read of this class has to see for its session.
     fn session_position(
         &self,
         class: usize,
@@ -169,51 +172,44 @@
         }
     }
 
-    /// Copy candidates. Some are members of the group itself, or unknown: the router must not rely on them.
-    fn draw_copies(&self, x: u32, y: u32) -> Vec<(u32, Micros)> {
-        if x & 64 == 0 {
-            return vec![];
-        }
-        let copy = |index: u32| {
-            let server = 1 + (y >> (8 + index)) % 7;
-            (server, self.now - Micros::from(y >> index & 511) * MILLISECOND)
-        };
-        (0..3).map(copy).collect()
-    }
-
-    fn in_flight(&self) -> Vec<InFlight> {
+    /// All attempts in flight.
+    fn in_flight(&self) -> Vec<InFlightAttempt> {
         let mut in_flight = Vec::new();
         for (id, request) in &self.requests {
             for (number, attempt) in request.attempts.iter().enumerate() {
                 if attempt.is_in_flight() {
-                    in_flight.push((*id, number));
+                    in_flight.push(InFlightAttempt { request: *id, attempt: number });
                 }
             }
         }
         in_flight
     }
 
+    /// The ids of all requests that are not finished.
     fn unfinished_requests(&self) -> Vec<u64> {
         self.requests.iter().filter(|(_, request)| !request.finished).map(|(id, _)| *id).collect()
     }
 
+    /// When an attempt in flight times out.
+    fn times_out_at(&self, in_flight: InFlightAttempt) -> Micros {
+        self.requests[&in_flight.request].attempts[in_flight.attempt].times_out_at
+    }
+
     /// Lets time pass: timers expire when they are due, and attempts time out.
     pub(crate) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
-        let times_out_at =
-            |checker: &Self, (id, attempt): InFlight| checker.requests[&id].attempts[attempt].times_out_at;
         loop {
             let next_timer = self.timers.iter().copied().min().unwrap_or(Micros::MAX);
             let next_timeout =
-                self.in_flight().into_iter().min_by_key(|in_flight| times_out_at(self, *in_flight));
-            let timeout_at = next_timeout.map_or(Micros::MAX, |in_flight| times_out_at(self, in_flight));
+                self.in_flight().into_iter().min_by_key(|in_flight| self.times_out_at(*in_flight));
+            let timeout_at = next_timeout.map_or(Micros::MAX, |in_flight| self.times_out_at(in_flight));
             if next_timer.min(timeout_at) > end {
                 break;
             }
             self.now = self.now.max(next_timer.min(timeout_at));
             if timeout_at <= next_timer {
-                let (id, attempt) = next_timeout.unwrap();
-                self.complete_attempt(id, attempt, AttemptOutcome::Timeout, 7);
+                let InFlightAttempt { request, attempt } = next_timeout.unwrap();
+                self.complete_attempt(request, attempt, AttemptOutcome::Timeout, 7);
             } else {
                 self.timers.retain(|at| *at != next_timer);
                 self.handle(Event::Timer { id: 0 });
