--- a/settings/tests/known_keys.rs
+++ b/settings/tests/known_keys.rs
@@ -1,8 +1,10 @@
-//! Every settings key that is read, with a value other than its default: the keys and units of the platform's JSON stay as they are.
+//! Every settings key that is read, with a value other than its default: the keys and units of the platform's JSON
+//! stay as they are.
 
 use birchreach::*;
 use birchreach_settings::DeploymentSettings;
 
+/// Settings with every key.
 const EVERY_KEY: &str = r#"{
     "balancers": 7, "my_zone": 1, "registry_mode": "subscribe", "dcs": ["north", "south"],
     "classes": [
@@ -25,43 +27,77 @@
 
 const MILLISECOND: Micros = 1_000;
 
-fn class(
-    consistency: Consistency,
-    idempotency: Idempotency,
-    objective_ms: f64,
-    timeout_ms: i64,
-    weight: f64,
-) -> RequestClass {
-    RequestClass {
-        consistency,
-        idempotency,
-        latency_objective: (objective_ms * 1_000.0) as Micros,
-        client_timeout: timeout_ms * MILLISECOND,
-        priority_weight: weight,
-        late_weight_fraction: 0.0,
-    }
+/// Idempotency by a key that these servers recognise for this time.
+fn with_key(scope: DedupScope, dedup_window: Micros) -> Idempotency {
+    Idempotency::WithKey { scope, dedup_window }
 }
 
-fn classes() -> Vec<RequestClass> {
-    let with_key = |scope, dedup_window| Idempotency::WithKey { scope, dedup_window };
-    let write = class(Consistency::Write, Idempotency::NotIdempotent, 750.5, 3_000, 6.0);
-    vec![
-        RequestClass { late_weight_fraction: 0.5, ..write },
-        class(Consistency::Write, with_key(DedupScope::Zone, 400 * MILLISECOND), 700.0, 2_000, 5.0),
-        class(Consistency::BoundedStaleness(800 * MILLISECOND), Idempotency::Idempotent, 300.0, 1_200, 3.0),
-        class(Consistency::Session, Idempotency::Idempotent, 500.0, 1_500, 2.0),
-        class(Consistency::Any, Idempotency::Idempotent, 600.0, 2_500, 1.0),
-        class(Consistency::Strong, with_key(DedupScope::AllServers, 1_500), 200.0, 900, 1.5),
+/// The classes of [`EVERY_KEY`] that read.
+fn read_classes() -> [RequestClass; 4] {
+    [
+        RequestClass {
+            consistency: Consistency::BoundedStaleness(800 * MILLISECOND),
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 300 * MILLISECOND,
+            client_timeout: 1_200 * MILLISECOND,
+            priority_weight: 3.0,
+            late_weight_fraction: 0.0,
+        },
+        RequestClass {
+            consistency: Consistency::Session,
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 500 * MILLISECOND,
+            client_timeout: 1_500 * MILLISECOND,
+            priority_weight: 2.0,
+            late_weight_fraction: 0.0,
+        },
+        RequestClass {
+            consistency: Consistency::Any,
+            idempotency: Idempotency::Idempotent,
+            latency_objective: 600 * MILLISECOND,
+            client_timeout: 2_500 * MILLISECOND,
+            priority_weight: 1.0,
+            late_weight_fraction: 0.0,
+        },
+        RequestClass {
+            consistency: Consistency::Strong,
+            idempotency: with_key(DedupScope::AllServers, 1_500),
+            latency_objective: 200 * MILLISECOND,
+            client_timeout: 900 * MILLISECOND,
+            priority_weight: 1.5,
+            late_weight_fraction: 0.0,
+        },
     ]
 }
 
-#[test]
-fn every_key_is_read_into_its_field() {
-    let settings = birchreach_settings::parse(EVERY_KEY).unwrap();
-    let routing = Settings {
+/// The classes of [`EVERY_KEY`] that write.
+fn write_classes() -> [RequestClass; 2] {
+    [
+        RequestClass {
+            consistency: Consistency::Write,
+            idempotency: Idempotency::NotIdempotent,
+            latency_objective: 750_500,
+            client_timeout: 3_000 * MILLISECOND,
+            priority_weight: 6.0,
+            late_weight_fraction: 0.5,
+        },
+        RequestClass {
+            consistency: Consistency::Write,
+            idempotency: with_key(DedupScope::Zone, 400 * MILLISECOND),
+            latency_objective: 700 * MILLISECOND,
+            client_timeout: 2_000 * MILLISECOND,
+            priority_weight: 5.0,
+            late_weight_fraction: 0.0,
+        },
+    ]
+}
+
+/// The routing part of [`EVERY_KEY`].
+fn expected_routing() -> Settings {
+    Settings {
         proxy_count: 7,
         zone: ZoneId(1),
-        classes: classes(),
+        classes: write_classes().into_iter().chain(read_classes()).collect(),
         tenants: vec![Tenant { quota_per_second: 12.5 }],
         session_positions: SessionPositionSource::FromObservedWrites,
         stale_reads: StaleReadPolicy::Rejected,
@@ -80,13 +116,24 @@
         slow_start_window: 18_000 * MILLISECOND,
         overload_factor: 3.0,
         overload_window: 1_500 * MILLISECOND,
-    };
-    let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
+    }
+}
+
+/// These names as owned strings.
+fn owned(names: &[&str]) -> Vec<String> {
+    names.iter().map(ToString::to_string).collect()
+}
+
+#[test]
+fn every_key_is_read_into_its_field() {
+    // When settings with every key are read
+    let settings = birchreach_settings::parse(EVERY_KEY).unwrap();
+    // Then each value is in its field
     let expected = DeploymentSettings {
-        routing,
-        class_names: names(&["write", "keyed", "bounded", "session", "any", "fresh"]),
-        zone_names: names(&["north", "south"]),
-        load_report_fields: names(&["load", "x1", "x0"]),
+        routing: expected_routing(),
+        class_names: owned(&["write", "keyed", "bounded", "session", "any", "fresh"]),
+        zone_names: owned(&["north", "south"]),
+        load_report_fields: owned(&["load", "x1", "x0"]),
         connection_idle_timeout: 20_000 * MILLISECOND,
         position_epoch: 1_500 * MILLISECOND,
         session_position_in_request: vec![false; 6],
@@ -96,18 +143,39 @@
     assert_eq!(settings, expected);
 }
 
+/// The routing settings that are read where this key has another word than in [`EVERY_KEY`].
+fn routing_with(key: &str, word: &str, other_word: &str) -> Settings {
+    let [from, to] = [word, other_word].map(|word| format!(r#""{key}": "{word}""#));
+    birchreach_settings::parse(&EVERY_KEY.replace(&from, &to)).unwrap().routing
+}
+
 #[test]
-fn each_choice_is_read_into_its_variant() {
-    let read = |key: &str, from: &str, to: &str| {
-        let text = EVERY_KEY.replace(&format!(r#""{key}": "{from}""#), &format!(r#""{key}": "{to}""#));
-        birchreach_settings::parse(&text).unwrap().routing
-    };
-    assert_eq!(read("guards", "wait", "silent").stale_reads, StaleReadPolicy::Served);
-    assert_eq!(read("guards", "wait", "refuse").stale_reads, StaleReadPolicy::Rejected);
-    assert_eq!(read("tokens", "remembered", "carried").session_positions, SessionPositionSource::FromRequest);
-    assert_eq!(read("registry_mode", "subscribe", "automatic").endpoint_discovery, EndpointDiscovery::Pushed);
-    assert_eq!(read("via", "piggyback", "pull").load_reports, LoadReportSource::HealthChecks);
-    assert_eq!(read("via", "piggyback", "silent").load_reports, LoadReportSource::Never);
-    let cell = Idempotency::WithKey { scope: DedupScope::Group, dedup_window: 400 * MILLISECOND };
-    assert_eq!(read("dedup_scope", "zone", "cell").classes[1].idempotency, cell);
+fn each_word_for_stale_reads_is_read_into_its_variant() {
+    assert_eq!(routing_with("guards", "wait", "silent").stale_reads, StaleReadPolicy::Served);
+    assert_eq!(routing_with("guards", "wait", "refuse").stale_reads, StaleReadPolicy::Rejected);
+}
+
+#[test]
+fn each_word_for_session_positions_is_read_into_its_variant() {
+    let routing = routing_with("tokens", "remembered", "carried");
+    assert_eq!(routing.session_positions, SessionPositionSource::FromRequest);
+}
+
+#[test]
+fn each_word_for_endpoint_discovery_is_read_into_its_variant() {
+    let routing = routing_with("registry_mode", "subscribe", "automatic");
+    assert_eq!(routing.endpoint_discovery, EndpointDiscovery::Pushed);
+}
+
+#[test]
+fn each_word_for_load_reports_is_read_into_its_variant() {
+    let routing = routing_with("via", "piggyback", "pull");
+    assert_eq!(routing.load_reports, LoadReportSource::HealthChecks);
+    assert_eq!(routing_with("via", "piggyback", "silent").load_reports, LoadReportSource::Never);
+}
+
+#[test]
+fn each_word_for_a_deduplication_scope_is_read_into_its_variant() {
+    let routing = routing_with("dedup_scope", "zone", "cell");
+    assert_eq!(routing.classes[1].idempotency, with_key(DedupScope::Group, 400 * MILLISECOND));
 }
--- a/settings/tests/messages.rs
+++ b/settings/tests/messages.rs
@@ -15,10 +15,12 @@
     settings
 }
 
+/// The errors of settings, as they are printed.
 fn error_texts(settings: &Value) -> Vec<String> {
     from_value_with_errors(settings).1.iter().map(ToString::to_string).collect()
 }
 
+/// The warnings for settings without errors, as they are printed.
 fn warning_texts(settings: &Value) -> Vec<String> {
     let (deployment, errors) = from_value_with_errors(settings);
     assert!(errors.is_empty(), "{errors:?}");
@@ -27,15 +29,17 @@
 
 #[test]
 fn a_text_that_is_not_json_gives_the_error_of_its_parser() {
+    // When a text that is not JSON is read
     let error = parse("{").unwrap_err();
-
+    // Then the error has the message of the parser
     assert_eq!(error.to_string(), "settings: info: EOF while parsing an object at line 1 column 1");
 }
 
 #[test]
 fn settings_that_are_not_an_object_give_this_error_first() {
+    // When settings are a list
     let errors = error_texts(&json!([]));
-
+    // Then the first error says so
     assert_eq!(errors[0], "settings: info: expected an object");
 }
 
@@ -74,18 +78,20 @@
         ),
     ];
     for (pointer, value, text) in cases {
+        // When one value is unusable
         let errors = error_texts(&settings_with(pointer, value));
-
+        // Then the one error has this text
         assert_eq!(errors, [format!("settings: {text}")], "{pointer}");
     }
 }
 
 #[test]
 fn each_error_of_a_keyed_class_has_its_own_text_in_the_order_of_reading() {
+    // Given a class with an idempotency key, in which one value is unusable and two are absent
     let class = json!({"idempotency": "guarded", "dedup_scope": "x", "credit": 1, "goal_time_ms": 1});
-
+    // When it is read
     let errors = error_texts(&settings_with("/classes/1", class));
-
+    // Then each of these has its error
     let expected = [
         "settings: classes[1].dedup_scope: expected all, zone or cell",
         "settings: classes[1].repeat_window_ms: expected a number, but it is absent",
@@ -134,33 +140,36 @@
         ("/load_info/names", json!(["x1"]), &without_position),
     ];
     for (pointer, value, text) in cases {
+        // When one value is unknown or contradicts another
         let warnings = warning_texts(&settings_with(pointer, value));
-
+        // Then the one warning has this text
         assert_eq!(warnings, [format!("settings: {text}")], "{pointer}");
     }
 }
 
 #[test]
 fn a_retry_after_of_no_time_gives_a_warning() {
+    // Given a Retry-After of 0 ms
     let mut settings = settings_with("/limits/retry_after", json!(true));
     settings["limits"]["max_retry_after_ms"] = json!(0);
-
+    // When it is read
     let warnings = warning_texts(&settings);
-
+    // Then the warning says what that leads to
     let expected = "settings: limits.max_retry_after_ms: 0, though limits.retry_after is true: refusals advise to return at once";
     assert_eq!(warnings, [expected]);
 }
 
 #[test]
 fn unknown_keys_come_before_contradictions_which_have_an_order_of_their_own() {
+    // Given an unknown key and four contradictions
     let mut settings = settings_with("/my_zone", json!(9));
     settings["zebra"] = json!(1);
     settings["classes"][0]["goal_time_ms"] = json!(9e9);
     settings["limits"]["may_probe"] = json!(false);
     settings["limits"]["connect_timeout_ms"] = json!(0);
-
+    // When they are read
     let warnings = warning_texts(&settings);
-
+    // Then the unknown key comes first
     let keys: Vec<&str> = warnings.iter().filter_map(|text| text.split(": ").nth(1)).collect();
     let expected =
         ["zebra", "classes[0].goal_time_ms", "load_info.via", "my_zone", "limits.connect_timeout_ms"];
