--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -1,24 +1,33 @@
 //! Every error names line and element, and nothing of a file with errors is applied.
 
-use birchreach_health::{HealthSettings, ProbeSettings};
+use birchreach_health::{HealthSettings, Micros, ProbeSettings};
 use birchreach_options::{Options, parse};
 
+const MILLISECOND: Micros = 1_000;
 const EXAMPLE: &str = include_str!("../../deploy/options.xml");
 
 #[test]
 fn the_example_has_the_default_of_every_option() {
-    let options = parse(EXAMPLE).unwrap();
-    let health = options.health.unwrap();
+    // When the example is read
+    let health = parse(EXAMPLE).unwrap().health.unwrap();
+    // Then each value in it is the default
     assert_eq!(
         health.settings,
         HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
     );
-    assert_eq!((health.http.unwrap().listener.max_connections, health.shutdown_notice), (64, 3_000_000));
-    // An absent option has the same default.
+    assert_eq!(health.http.unwrap().listener.max_connections, 64);
+    assert_eq!(health.shutdown_notice, 3_000 * MILLISECOND);
+}
+
+#[test]
+fn an_absent_option_has_its_default() {
+    // When only a listener is given, then the other values are the defaults
     let listener_alone =
         "<birchreach-options><health><http listen='127.0.0.1:7081'/></health></birchreach-options>";
     let health = parse(listener_alone).unwrap().health.unwrap();
-    assert_eq!((health.settings, health.shutdown_notice), (HealthSettings::default(), 3_000_000));
+    assert_eq!(health.settings, HealthSettings::default());
+    assert_eq!(health.shutdown_notice, 3_000 * MILLISECOND);
+    // When no element is given, then all options are the defaults
     assert_eq!(parse("<birchreach-options/>"), Ok(Options::default()));
 }
 
@@ -50,55 +59,83 @@
         ("</health>", "", 17, "file", "not XML"),
         ("<birchreach-options>", "<options>", 17, "file", "not XML"),
     ] {
+        // When the example has one error
         let errors = error_texts(old, new);
-
+        // Then an error names the line, the element and what is wrong
         let start = format!("line {line}: {element}");
         assert!(
             errors.iter().any(|error| error.starts_with(&start) && error.contains(expected)),
             "{new}: {errors:?}"
         );
     }
-    let two_errors = EXAMPLE.replace("callers=\"64\"", "callers=\"2\"");
-    assert_eq!(parse(&two_errors).unwrap_err().len(), 3, "all of them are reported");
+}
+
+#[test]
+fn all_errors_are_reported() {
+    // Given the example with an error in each of three listeners
+    let three_errors = EXAMPLE.replace("callers=\"64\"", "callers=\"2\"");
+    // When it is read, then there are three errors
+    assert_eq!(parse(&three_errors).unwrap_err().len(), 3, "all of them are reported");
 }
 
 #[test]
 fn a_text_that_is_not_an_options_file_gives_an_error() {
     for text in ["", "{}", "<a", "<other/>", "<!DOCTYPE x [<!ENTITY a 'b'>]><birchreach-options/>"] {
+        // When such a text is read, then there is an error
         assert!(!parse(text).unwrap_err().is_empty(), "{text}");
     }
+}
+
+#[test]
+fn a_file_that_is_too_long_or_nested_too_deeply_gives_an_error() {
+    // When a file is 300 KiB long, then the error says so
     let long = format!("<birchreach-options>{}</birchreach-options>", " ".repeat(300 << 10));
     assert!(parse(&long).unwrap_err()[0].kind.to_string().contains("longer"));
+    // When elements are nested 40,000 deep, then there is an error
     let deep = format!("{}{}", "<a>".repeat(40_000), "</a>".repeat(40_000));
     assert!(parse(&deep).is_err());
+}
+
+#[test]
+fn health_without_a_listener_gives_an_error() {
+    // When no listener is given
     let no_listener = "<birchreach-options>\n<health/>\n</birchreach-options>";
-    assert_eq!(
-        parse(no_listener).unwrap_err()[0].to_string(),
-        "line 2: health: neither http, agent nor grpc: nobody could ask"
-    );
+    let errors = parse(no_listener).unwrap_err();
+    // Then the error says that nobody could ask
+    assert_eq!(errors[0].to_string(), "line 2: health: neither http, agent nor grpc: nobody could ask");
 }
 
 #[test]
 fn an_address_of_the_platform_gives_a_conflict() {
+    // Given the example
     let options = parse(EXAMPLE).unwrap();
+    // When the platform uses another address, then there is no conflict
     let conflicts = options.address_conflicts(&[("listen", "127.0.0.1:5432".parse().unwrap())]);
     assert_eq!(conflicts, []);
+    // When it uses one of the example, then the conflict names both
     let conflicts = options.address_conflicts(&[("operator", "127.0.0.1:7082".parse().unwrap())]);
     assert_eq!(conflicts[0].to_string(), "line 7: agent: listen: 127.0.0.1:7082 is used as operator already");
 }
 
+/// The example with three bytes replaced at random.
+fn damaged_example(seed: u64) -> Vec<u8> {
+    let mut random = seed;
+    let mut bytes = EXAMPLE.as_bytes().to_vec();
+    for _ in 0..3 {
+        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let index = (random >> 33) as usize % bytes.len();
+        bytes[index] = (random >> 25) as u8 & 0x7f;
+    }
+    bytes
+}
+
 /// Random damage: errors or options, never a panic.
 #[test]
 fn a_damaged_file_gives_options_or_errors_with_lines() {
-    for seed in 0..400u64 {
-        let mut n = seed;
-        let mut bytes = EXAMPLE.as_bytes().to_vec();
-        for _ in 0..3 {
-            n = n.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            let at = (n >> 33) as usize % bytes.len();
-            bytes[at] = (n >> 25) as u8 & 0x7f;
-        }
-        if let Err(errors) = parse(&String::from_utf8_lossy(&bytes)) {
+    for seed in 0..400 {
+        // When a damaged file is read, then each error has a line and a text
+        let damaged = damaged_example(seed);
+        if let Err(errors) = parse(&String::from_utf8_lossy(&damaged)) {
             assert!(errors.iter().all(|error| error.line >= 1 && !error.kind.to_string().is_empty()));
         }
     }
--- a/options/tests/fleet.rs
+++ b/options/tests/fleet.rs
@@ -1,24 +1,42 @@
 //! The elements `fleet`, `hot` and `split`: their defaults, and their errors with lines.
 
-use birchreach_options::parse;
+use birchreach_options::{Options, OptionsError, parse};
+use std::time::Duration;
 
-fn fleet(attributes: &str) -> String {
-    format!("<birchreach-options>\n<fleet {attributes}/>\n</birchreach-options>")
+const FLEET: &str = "<fleet listen='127.0.0.1:7100' key-file='/k' peers='127.0.0.1:7101'/>";
+
+/// Reads options with an element `fleet` on line 2, which has these attributes.
+fn parse_fleet(attributes: &str) -> Result<Options, Vec<OptionsError>> {
+    parse(&format!("<birchreach-options>\n<fleet {attributes}/>\n</birchreach-options>"))
+}
+
+/// Reads options with these elements. Returns errors as they are printed.
+fn parse_elements(elements: &str) -> Result<Options, Vec<String>> {
+    let text = format!("<birchreach-options>{elements}</birchreach-options>");
+    parse(&text).map_err(|errors| errors.iter().map(ToString::to_string).collect())
 }
 
 #[test]
 fn defaults_of_the_fleet_are_derived_from_its_addresses() {
-    let text =
-        fleet("listen='10.0.0.1:7100' key-file='keys' peers='10.0.0.1:7100 10.0.0.2:7100 10.0.0.3:7100'");
-    let fleet_options = parse(&text).unwrap().fleet.unwrap();
+    // When the peers include this proxy
+    let peers = "10.0.0.1:7100 10.0.0.2:7100 10.0.0.3:7100";
+    let attributes = format!("listen='10.0.0.1:7100' key-file='keys' peers='{peers}'");
+    let fleet = parse_fleet(&attributes).unwrap().fleet.unwrap();
+    // Then it advertises the address that it listens on, and is counted once
     assert_eq!(
-        (fleet_options.configured_members, fleet_options.advertise),
-        (3, fleet_options.listen),
+        (fleet.configured_members, fleet.advertise),
+        (3, fleet.listen),
         "this one is not counted twice"
     );
-    let text = fleet("listen='0.0.0.0:7100' advertise='10.0.0.1:7100' key-file='keys' named='9'");
-    let fleet_options = parse(&text).unwrap().fleet.unwrap();
-    assert_eq!((fleet_options.configured_members, fleet_options.peers.len()), (9, 0));
+}
+
+#[test]
+fn the_size_of_a_fleet_may_be_named() {
+    // When the fleet has no peers, but a number of members
+    let attributes = "listen='0.0.0.0:7100' advertise='10.0.0.1:7100' key-file='keys' named='9'";
+    let fleet = parse_fleet(attributes).unwrap().fleet.unwrap();
+    // Then that number counts
+    assert_eq!((fleet.configured_members, fleet.peers.len()), (9, 0));
 }
 
 #[test]
@@ -33,57 +51,65 @@
         ("listen='10.0.0.1:7100' key-file='keys' named='5000'", "named"),
         ("listen='10.0.0.1:7100' key-file='keys' loud='1'", "loud"),
     ] {
-        let errors = parse(&fleet(attributes)).unwrap_err();
-
+        // When the attributes of the element are invalid
+        let errors = parse_fleet(attributes).unwrap_err();
+        // Then an error names its line and what is wrong
         assert!(
             errors.iter().any(|error| error.line == 2 && error.to_string().contains(expected)),
             "{attributes}: {errors:?}"
         );
     }
+}
+
+#[test]
+fn an_address_that_health_uses_too_gives_an_error() {
+    // When health and fleet listen on the same address
     let both = "<birchreach-options>\n<health><http listen='10.0.0.1:7100'/></health>\n\
                 <fleet listen='10.0.0.1:7100' key-file='keys'/></birchreach-options>";
     let errors = parse(both).unwrap_err();
+    // Then an error of the second says so
     assert!(
         errors.iter().any(|error| error.line == 3 && error.kind.to_string().contains("is used by http too")),
         "{errors:?}"
     );
 }
 
-const FLEET: &str = "<fleet listen='127.0.0.1:7100' key-file='/k' peers='127.0.0.1:7101'/>";
+#[test]
+fn hot_keys_are_read_with_their_defaults() {
+    // When only the required attribute is given
+    let options = parse_elements(&format!("{FLEET}<hot bears='120.5'/>")).unwrap();
+    // Then the others have their defaults
+    let hot = options.hot.unwrap();
+    assert_eq!((hot.database_reads_per_s, hot.copy_cost_reads, hot.max_copies), (120.5, 2.0, 3));
+    assert_eq!(
+        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.all_per_s),
+        (10.0, 10.0, 100.0)
+    );
+    assert_eq!(hot.window, Duration::from_secs(10));
+}
 
-fn read(parts: &str) -> Result<birchreach_options::Options, Vec<String>> {
-    let text = format!("<birchreach-options>{parts}</birchreach-options>");
-    parse(&text).map_err(|errors| errors.iter().map(ToString::to_string).collect())
+#[test]
+fn hot_keys_are_off_without_their_element() {
+    assert_eq!(parse_elements(FLEET).unwrap().hot, None, "off without its element");
 }
 
 #[test]
-fn background_work_is_read_with_its_defaults() {
-    let hot = "<hot bears='120.5'/>";
+fn a_split_is_read_with_its_defaults() {
+    // When only the required attributes are given
     let split = "<split from='3' below='7' above='8' at='2147483648'/>";
-    let options = read(&format!("{FLEET}{hot}{split}")).unwrap();
-    let (hot, split) = (options.hot.unwrap(), options.split.unwrap());
-    assert_eq!((hot.database_reads_per_s, hot.copy_cost_reads, hot.max_copies), (120.5, 2.0, 3));
-    assert_eq!(
-        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.all_per_s, hot.window.as_millis()),
-        (10.0, 10.0, 100.0, 10_000)
-    );
+    let options = parse_elements(&format!("{FLEET}{split}")).unwrap();
+    // Then the others have their defaults
+    let split = options.split.unwrap();
     assert_eq!((split.parent, split.lower_child, split.upper_child, split.split_at), (3, 7, 8, 1 << 31));
-    assert_eq!(
-        (
-            split.min_comparisons,
-            split.min_processes,
-            split.coverage_window.as_secs(),
-            split.confirmation_delay.as_secs()
-        ),
-        (3, 1, 600, 10)
-    );
-    assert_eq!(read(FLEET).unwrap().hot, None, "off without its element");
+    assert_eq!((split.min_comparisons, split.min_processes), (3, 1));
+    assert_eq!(split.coverage_window.as_secs(), 600);
+    assert_eq!(split.confirmation_delay.as_secs(), 10);
 }
 
 #[test]
 fn invalid_background_work_gives_an_error_with_its_element() {
     let split = |groups: &str| format!("<split {groups} at='5'/>");
-    for (parts, element, expected) in [
+    for (elements, element, expected) in [
         ("<hot bears='120'/>".to_string(), "hot", "no element fleet"),
         (split("from='1' below='2' above='3'"), "split", "no element fleet"),
         (format!("{FLEET}<hot/>"), "hot", "bears"),
@@ -95,11 +121,12 @@
         (format!("{FLEET}{}", split("from='1' below='2'")), "split", "above"),
         (format!("<knowledge listen='127.0.0.1:7100' key-file='/k'/>{FLEET}"), "fleet", "used by knowledge"),
     ] {
-        let errors = read(&parts).unwrap_err();
-
+        // When an element is invalid or needs another one
+        let errors = parse_elements(&elements).unwrap_err();
+        // Then an error names it and what is wrong
         assert!(
             errors.iter().any(|error| error.contains(element) && error.contains(expected)),
-            "{parts}: {errors:?}"
+            "{elements}: {errors:?}"
         );
     }
 }
