--- a/options/tests/known_options.rs
+++ b/options/tests/known_options.rs
@@ -1,14 +1,17 @@
-//! Every attribute of the options, with a value other than its default: the names and units of the file stay as they are.
+//! Every attribute of the options, with a value other than its default: the names and units of the file stay as they
+//! are.
 
 use birchreach_health::{
-    AggregationRule, IdleGroupPolicy, OverloadPolicy, ProbeSettings, SharedCausePolicy, WeightSettings,
+    AggregationRule, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings, SharedCausePolicy,
+    WeightSettings,
 };
 use birchreach_options::{CheckListener, parse};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const MILLISECOND: i64 = 1_000;
+const MILLISECOND: Micros = 1_000;
 
+/// Every attribute of the health options.
 const HEALTH: &str = "<birchreach-options>
 <health>
 <http listen='127.0.0.1:1' callers='5' silent-ms='1001' idle-ms='1002'/>
@@ -22,7 +25,8 @@
 </health>
 </birchreach-options>";
 
-fn listener(port: u16, line: usize, max_connections: usize, silence_ms: i64) -> CheckListener {
+/// A listener at this port of the loopback address, named on this line of the file, with these limits.
+fn listener(port: u16, line: usize, max_connections: usize, silence_ms: Micros) -> CheckListener {
     CheckListener {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         line,
@@ -33,7 +37,9 @@
 
 #[test]
 fn every_attribute_of_the_health_listeners_is_read() {
+    // When options with every attribute are read
     let health = parse(HEALTH).unwrap().health.unwrap();
+    // Then each listener has its values
     let http = health.http.unwrap();
     assert_eq!((http.listener, http.idle_timeout), (listener(1, 3, 5, 1_001), 1_002 * MILLISECOND));
     let agent = health.agent.unwrap();
@@ -46,7 +52,9 @@
 
 #[test]
 fn every_attribute_of_the_health_claims_is_read() {
+    // When options with every attribute are read
     let settings = parse(HEALTH).unwrap().health.unwrap().settings;
+    // Then each field has its value
     assert_eq!(settings.idle_groups, IdleGroupPolicy::Withdraw);
     assert_eq!(settings.shared_causes, SharedCausePolicy::ReportDown);
     assert_eq!(settings.overload, OverloadPolicy::ReportDown);
@@ -65,7 +73,9 @@
 
 #[test]
 fn every_attribute_of_probes_and_weight_is_read() {
+    // When options with every attribute are read
     let settings = parse(HEALTH).unwrap().health.unwrap().settings;
+    // Then each field has its value
     let probes = ProbeSettings {
         interval: 701 * MILLISECOND,
         suspect_after: 401 * MILLISECOND,
@@ -85,6 +95,7 @@
     assert_eq!(settings.weight, weight);
 }
 
+/// Every attribute of the options of links among proxies, and of background work.
 const LINKS: &str = "<birchreach-options>
 <knowledge listen='127.0.0.1:1' key-file='a' donors='127.0.0.1:2 127.0.0.1:3' patience-ms='701' refresh-ms='60001' at-once='5'
  bytes-per-s='100001'/>
@@ -96,7 +107,9 @@
 
 #[test]
 fn every_attribute_of_hot_keys_is_read() {
+    // When options with every attribute are read
     let hot = parse(LINKS).unwrap().hot.unwrap();
+    // Then each field has its value
     assert_eq!((hot.line, hot.database_reads_per_s, hot.copy_cost_reads, hot.max_copies), (5, 401.5, 2.5, 4));
     assert_eq!(
         (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.all_per_s),
@@ -107,7 +120,9 @@
 
 #[test]
 fn every_attribute_of_a_split_is_read() {
+    // When options with every attribute are read
     let split = parse(LINKS).unwrap().split.unwrap();
+    // Then each field has its value
     assert_eq!(
         (split.line, split.parent, split.lower_child, split.upper_child, split.split_at),
         (6, 1, 2, 3, 2_147_483_648)
--- a/options/tests/messages.rs
+++ b/options/tests/messages.rs
@@ -9,6 +9,7 @@
     parse(&format!("<birchreach-options>\n{elements}\n</birchreach-options>"))
 }
 
+/// The errors as they are printed.
 fn texts(errors: &[OptionsError]) -> Vec<String> {
     errors.iter().map(ToString::to_string).collect()
 }
@@ -22,8 +23,9 @@
         ("<a", "line 1: file: not XML: Unexpected end of input"),
     ];
     for (text, expected) in cases {
+        // When a file cannot be parsed
         let errors = parse(text).unwrap_err();
-
+        // Then the one error has this text
         assert_eq!(texts(&errors), [expected]);
     }
 }
@@ -38,8 +40,9 @@
         ("<hot/>", "hot: Required attribute 'bears' is missing"),
     ];
     for (elements, expected) in cases {
+        // When an element violates the schema
         let errors = read(elements).unwrap_err();
-
+        // Then the first error has this text
         assert_eq!(texts(&errors)[0], format!("line 2: {expected}"));
     }
 }
@@ -89,27 +92,38 @@
         ),
     ];
     for (elements, expected) in cases {
+        // When elements contradict themselves or each other
         let errors = read(&elements).unwrap_err();
-
+        // Then one of the errors has this text
         assert!(texts(&errors).contains(&format!("line 2: {expected}")), "{elements}: {errors:?}");
     }
 }
 
-#[test]
-fn a_conflict_with_the_process_has_its_own_text() {
-    let options = read(&format!("{FLEET}<health><http listen='127.0.0.1:1' callers='9'/></health>")).unwrap();
+/// Options with a fleet, and a listener for health checks.
+fn fleet_and_health() -> Options {
+    read(&format!("{FLEET}<health><http listen='127.0.0.1:1' callers='9'/></health>")).unwrap()
+}
 
-    let conflicts = options.address_conflicts(&[
+#[test]
+fn an_address_conflict_with_the_process_has_its_own_text() {
+    // When the process uses the addresses of both elements
+    let conflicts = fleet_and_health().address_conflicts(&[
         ("operator", "127.0.0.1:7100".parse().unwrap()),
         ("listen", "0.0.0.0:1".parse().unwrap()),
     ]);
+    // Then each conflict has its text
     let expected = [
         "line 2: http: listen: 127.0.0.1:1 is used as listen already",
         "line 2: fleet: listen: 127.0.0.1:7100 is used as operator already",
     ];
     assert_eq!(texts(&conflicts), expected);
+}
 
-    let excess = options.excess_descriptors(19).map(|error| error.to_string());
+#[test]
+fn too_many_descriptors_for_checks_have_their_own_text() {
+    // When the process has fewer than twice the descriptors that checks may need
+    let excess = fleet_and_health().excess_descriptors(19).map(|error| error.to_string());
+    // Then the error has this text
     let expected = "line 2: http: callers: 10 descriptors for checks are more than half of 19";
     assert_eq!(excess.as_deref(), Some(expected));
 }
