--- a/fault-injection/tests/switch.rs
+++ b/fault-injection/tests/switch.rs
@@ -1,4 +1,5 @@
-//! A fault is on where a test switched it on and nowhere else, and no manifest lets it into a build without dev-dependencies.
+//! A fault is on where a test switched it on and nowhere else, and no manifest lets it into a build without
+//! dev-dependencies.
 
 mod faults {
     birchreach_fault_injection::declare_faults! {
@@ -11,6 +12,8 @@
 
 use birchreach_fault_injection::fault_injected;
 use faults::{Fault, set, with};
+use std::fs;
+use std::path::Path;
 
 #[test]
 fn a_fault_is_on_while_it_is_injected_and_off_afterwards() {
@@ -40,6 +43,7 @@
     text: String,
 }
 
+/// The lines of a manifest with their sections.
 fn manifest_lines(manifest: &str) -> Vec<ManifestLine> {
     let mut section = String::new();
     let mut lines = Vec::new();
@@ -52,17 +56,26 @@
     lines
 }
 
+/// The text of the manifest in a folder of the repository.
+fn manifest_of(folder: &str) -> String {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
+    fs::read_to_string(root.join(folder).join("Cargo.toml")).unwrap()
+}
+
+/// The folders of all crates, with the root last.
+fn crate_folders() -> Vec<String> {
+    let workspace = manifest_of(".");
+    let members = workspace.lines().find(|line| line.starts_with("members")).unwrap();
+    members.split('"').skip(1).step_by(2).chain(["."]).map(String::from).collect()
+}
+
 #[test]
 fn only_dev_dependencies_switch_fault_injection_on() {
-    // Given the manifests of all crates
-    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
-    let members = std::fs::read_to_string(root.join("Cargo.toml")).unwrap();
-    let members = members.lines().find(|line| line.starts_with("members")).unwrap();
-    let folders = members.split('"').skip(1).step_by(2).chain(["."]);
     let mut users = 0;
-    for folder in folders {
+    for folder in crate_folders() {
+        // Given the manifest of a crate
+        let manifest = manifest_of(&folder);
         // Then the feature is enabled in dev-dependencies and nowhere else
-        let manifest = std::fs::read_to_string(root.join(folder).join("Cargo.toml")).unwrap();
         for ManifestLine { section, text } in manifest_lines(&manifest) {
             let is_table_form = section.contains("dependencies.") && section.contains("fault-injection");
             assert!(!is_table_form, "{folder}: the table form hides its features: {section}");
