--- a/simulator-adapter/tests/common/mod.rs
+++ b/simulator-adapter/tests/common/mod.rs
@@ -26,6 +26,7 @@
 pub(crate) struct ActionRecord(pub [u8; ACTION_BYTES]);
 
 impl ActionRecord {
+    /// What kind of action it is.
     pub(crate) fn code(&self) -> u16 {
         u16::from_le_bytes([self.0[0], self.0[1]])
     }
--- a/simulator-adapter/tests/pipe.rs
+++ b/simulator-adapter/tests/pipe.rs
@@ -30,6 +30,7 @@
     pub(crate) const START_FAILED: u16 = 264;
 }
 
+/// Valid settings, with one key that is unknown.
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "my_zone": 0, "registry_mode": "subscribe", "an_unknown_key": [1],
  "classes": [{"credit": 1.0, "deadline_ms": 2000.0, "goal_time_ms": 500.0, "idempotency": "free", "late_worth": 0.5,
   "dedup_scope": "all", "repeat_window_ms": 5000.0}],
@@ -52,9 +53,10 @@
 }
 
 /// A field of a record: its offset and its bytes.
-struct Field<'a>(usize, &'a [u8]);
+struct Field<'bytes>(usize, &'bytes [u8]);
 
 impl Frame {
+    /// A frame without records.
     fn new() -> Frame {
         Frame { records: Vec::new(), tail: Vec::new() }
     }
@@ -64,6 +66,7 @@
         Frame::new().start(SETTINGS)
     }
 
+    /// Adds a record with this code and id.
     fn record(mut self, code: u16, id: u16, fields: &[Field]) -> Frame {
         let mut record = [0; EVENT_BYTES];
         record[0..2].copy_from_slice(&code.to_le_bytes());
@@ -75,6 +78,7 @@
         self
     }
 
+    /// Starts the router with these settings.
     fn start(mut self, settings: &str) -> Frame {
         let offset = (self.tail.len() as u32).to_le_bytes();
         let length = (settings.len() as u32).to_le_bytes();
@@ -100,11 +104,13 @@
         self.record(event::ENDPOINTS, ROUTER, &[Field(4, &[1]), Field(13, &list.to_le_bytes())])
     }
 
+    /// Sends the router a request with a timeout of 1,500 ms.
     fn request(self, id: u64) -> Frame {
         let fields = [Field(4, &id.to_le_bytes()), Field(12, &1500f64.to_le_bytes())];
         self.record(event::REQUEST, ROUTER, &fields)
     }
 
+    /// The bytes of the frame.
     fn encode(&self, batch: u32, clock_ms: f64) -> Vec<u8> {
         let length = self.records.len() * EVENT_BYTES + self.tail.len();
         let mut frame = Vec::new();
--- a/simulator-adapter/tests/recorded.rs
+++ b/simulator-adapter/tests/recorded.rs
@@ -1,7 +1,7 @@
 //! Frames of the simulator as recorded: the adapter has to read the recorded input and answer with the recorded output.
 //!
-//! `recorded/input.bin` holds sixteen batches with every kind of record; `recorded/output.bin` what the adapter replied. The text of log
-//! records may be worded anew; their number and place may not change.
+//! `recorded/input.bin` holds sixteen batches with every kind of record; `recorded/output.bin` what the adapter
+//! replied. The text of log records may be worded anew; their number and place may not change.
 
 mod common;
 
@@ -18,10 +18,12 @@
     records: Vec<Vec<u8>>,
 }
 
+/// What is compared of a reply.
 fn compared(reply: &Reply) -> ComparedReply {
     ComparedReply { batch: reply.batch, records: reply.actions.iter().map(without_text).collect() }
 }
 
+/// What is compared of a record.
 fn without_text(record: &ActionRecord) -> Vec<u8> {
     let compared_bytes = if record.code() == LOG_CODE { RECORD_PREFIX_BYTES } else { record.0.len() };
     record.0[..compared_bytes].to_vec()
