--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -23,19 +23,18 @@
 
     /// The same with a seed of its own: one of many.
     pub(crate) fn seeded(settings: Settings, seed: u64) -> RouterFixture {
-        let mut fixture = RouterFixture::without_endpoints_seeded(settings, seed);
+        let mut fixture = RouterFixture::starting_at(START, settings, seed);
         fixture.set_endpoints(&ready(ALL_SERVERS));
         fixture
     }
 
-    /// A router that has just started, at 100 s, and knows no server.
+    /// A router that has just started and knows no server.
     pub(crate) fn without_endpoints(settings: Settings) -> RouterFixture {
-        RouterFixture::without_endpoints_seeded(settings, 1)
+        RouterFixture::starting_at(START, settings, 1)
     }
 
-    /// A router that has just started and knows no server, with this seed.
-    fn without_endpoints_seeded(settings: Settings, seed: u64) -> RouterFixture {
-        let now = START;
+    /// A router that starts at this time and knows no server.
+    pub(crate) fn starting_at(now: Micros, settings: Settings, seed: u64) -> RouterFixture {
         let mut actions = Vec::new();
         let router = Router::new(settings, seed, now, &mut actions);
         let mut fixture = RouterFixture { router, now, history: vec![], timers: vec![], last_request: 0 };
@@ -109,6 +108,15 @@
         ClientRequest { id, actions: self.handle(Event::Request(request)) }
     }
 
+    /// A client sends a request of this class, which its server answers after this time. Returns the server.
+    pub(crate) fn serve(&mut self, class: u16, latency: Micros) -> u32 {
+        let request = self.request(class);
+        let server = request.server();
+        self.advance(latency);
+        self.complete_attempt(request.id, 0, server, AttemptOutcome::Ok);
+        server
+    }
+
     /// An attempt ends; if it was served, so is its request.
     pub(crate) fn complete_attempt(
         &mut self,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,9 +8,7 @@
 /// sends for four further reads.
 fn hedged_requests_of(fixture: &mut RouterFixture) -> usize {
     for _ in 0..40 {
-        let read = fixture.request(ANY);
-        fixture.advance(100 * MILLISECOND);
-        fixture.complete_attempt(read.id, 0, read.server(), AttemptOutcome::Ok);
+        fixture.serve(ANY, 100 * MILLISECOND);
     }
     for _ in 0..4 {
         fixture.request(ANY);
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -165,9 +165,7 @@
 /// Sends writes one after the other, each answered after this time.
 fn run_writes(fixture: &mut RouterFixture, count: usize, latency: Micros) {
     for _ in 0..count {
-        let write = fixture.request(WRITE);
-        fixture.advance(latency);
-        fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Ok);
+        fixture.serve(WRITE, latency);
     }
 }
 
--- a/tests/invalid_input.rs
+++ b/tests/invalid_input.rs
@@ -76,30 +76,16 @@
 #[test]
 fn a_clock_below_zero_is_as_good_as_any_other() {
     // Given a router whose clock is below zero, and servers that are all draining
-    let now = -1_000_000 * MILLISECOND;
-    let mut actions = Vec::new();
-    let mut router = Router::new(settings(), 1, now, &mut actions);
-    let endpoints = ALL_SERVERS.map(|id| endpoint(id, EndpointState::Draining)).to_vec();
-    let list = EndpointList { complete: true, endpoints };
-    router.handle(now, Event::EndpointsChanged(list), &mut actions);
+    let mut fixture = RouterFixture::starting_at(-1_000_000 * MILLISECOND, settings(), 1);
+    fixture.set_endpoints(&ALL_SERVERS.map(|id| endpoint(id, EndpointState::Draining)));
     // When a write arrives
-    let request = Request {
-        id: RequestId(1),
-        class: ClassId(WRITE),
-        group: GroupId(0),
-        tenant: TenantId(0),
-        timeout: 2_000 * MILLISECOND,
-        session: None,
-        last_write_position: None,
-        copy_candidates: vec![],
-    };
-    router.handle(now, Event::Request(request), &mut actions);
+    fixture.request(WRITE);
     // Then it is tried again soon
-    let delay_of = |action: &Action| match action {
-        Action::Timer { delay, .. } => Some(*delay),
+    let delay_of = |timed: &TimedAction| match timed.action {
+        Action::Timer { delay, .. } => Some(delay),
         _ => None,
     };
-    let delay = actions.iter().find_map(delay_of).expect("a timer");
+    let delay = fixture.history.iter().find_map(delay_of).expect("a timer");
     assert!(delay <= 200 * MILLISECOND, "it is tried again soon, not after {delay} us");
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -25,11 +25,8 @@
 fn reads_at_replica_1(fixture: &mut RouterFixture) -> usize {
     let mut count = 0;
     for turn in 0..300 {
-        let read = fixture.request(ANY);
-        count += usize::from(read.servers() == [REPLICA_1]);
-        let server = read.server();
-        fixture.advance((4 + turn % 13) * MILLISECOND);
-        fixture.complete_attempt(read.id, 0, server, AttemptOutcome::Ok);
+        let server = fixture.serve(ANY, (4 + turn % 13) * MILLISECOND);
+        count += usize::from(server == REPLICA_1);
     }
     count
 }
@@ -68,10 +65,7 @@
     // Given a router that knows what its servers serve
     let mut fixture = RouterFixture::new(settings());
     for _ in 0..1_000 {
-        let read = fixture.request(ANY);
-        let server = read.server();
-        fixture.advance(10 * MILLISECOND);
-        fixture.complete_attempt(read.id, 0, server, AttemptOutcome::Ok);
+        fixture.serve(ANY, 10 * MILLISECOND);
     }
     // When both replicas restart, and reads arrive some seconds later
     list_both_replicas_started(&mut fixture);
@@ -88,9 +82,7 @@
     let in_other_group = |endpoint| Endpoint { group: GroupId(1), ..endpoint };
     fixture.set_endpoints(&[primary, in_other_group(replica_1), in_other_group(replica_2)]);
     for _ in 0..500 {
-        let write = fixture.request(WRITE);
-        fixture.advance(5 * MILLISECOND);
-        fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Ok);
+        fixture.serve(WRITE, 5 * MILLISECOND);
         fixture.advance(5 * MILLISECOND);
     }
     fixture
