--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -2,12 +2,15 @@
 
 use super::*;
 
+/// The time at which a fixture starts.
+const START: Micros = 100_000 * MILLISECOND;
+
 /// A router driven by hand.
 pub(crate) struct RouterFixture {
     pub router: Router,
     pub now: Micros,
-    /// Every action so far, with its time.
-    pub history: Vec<(Micros, Action)>,
+    /// Every action so far.
+    pub history: Vec<TimedAction>,
     timers: Vec<Micros>,
     last_request: u64,
 }
@@ -20,18 +23,18 @@
 
     /// The same with a seed of its own: one of many.
     pub(crate) fn seeded(settings: Settings, seed: u64) -> RouterFixture {
-        let mut fixture = RouterFixture::without_endpoints_seeded(settings, seed);
+        let mut fixture = RouterFixture::starting_at(START, settings, seed);
         fixture.set_endpoints(&ready(ALL_SERVERS));
         fixture
     }
 
-    /// A router that has just started, at 100 s, and knows no server.
+    /// A router that has just started and knows no server.
     pub(crate) fn without_endpoints(settings: Settings) -> RouterFixture {
-        RouterFixture::without_endpoints_seeded(settings, 1)
+        RouterFixture::starting_at(START, settings, 1)
     }
 
-    fn without_endpoints_seeded(settings: Settings, seed: u64) -> RouterFixture {
-        let now = 100_000 * MS;
+    /// A router that starts at this time and knows no server.
+    pub(crate) fn starting_at(now: Micros, settings: Settings, seed: u64) -> RouterFixture {
         let mut actions = Vec::new();
         let router = Router::new(settings, seed, now, &mut actions);
         let mut fixture = RouterFixture { router, now, history: vec![], timers: vec![], last_request: 0 };
@@ -39,12 +42,13 @@
         fixture
     }
 
+    /// Adds actions to the history, and their timers to those that expire.
     fn record(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             if let Action::Timer { delay, .. } = action {
                 self.timers.push(self.now + delay);
             }
-            self.history.push((self.now, action.clone()));
+            self.history.push(TimedAction { at: self.now, action: action.clone() });
         }
         actions
     }
@@ -81,31 +85,36 @@
         actions
     }
 
-    /// A client sends a request of this class. Returns its id and the actions.
-    pub(crate) fn request(&mut self, class: u16) -> (u64, Vec<Action>) {
+    /// A client sends a request of this class.
+    pub(crate) fn request(&mut self, class: u16) -> ClientRequest {
         self.request_with(class, |_| {})
     }
 
     /// The same, after a change to the request.
-    pub(crate) fn request_with(
-        &mut self,
-        class: u16,
-        change: impl FnOnce(&mut Request),
-    ) -> (u64, Vec<Action>) {
+    pub(crate) fn request_with(&mut self, class: u16, change: impl FnOnce(&mut Request)) -> ClientRequest {
         self.last_request += 1;
         let mut request = Request {
             id: RequestId(self.last_request),
             class: ClassId(class),
             group: GroupId(0),
             tenant: TenantId(0),
-            timeout: 2_000 * MS,
+            timeout: 2_000 * MILLISECOND,
             session: None,
             last_write_position: None,
             copy_candidates: vec![],
         };
         change(&mut request);
         let id = request.id.0;
-        (id, self.handle(Event::Request(request)))
+        ClientRequest { id, actions: self.handle(Event::Request(request)) }
+    }
+
+    /// A client sends a request of this class, which its server answers after this time. Returns the server.
+    pub(crate) fn serve(&mut self, class: u16, latency: Micros) -> u32 {
+        let request = self.request(class);
+        let server = request.server();
+        self.advance(latency);
+        self.complete_attempt(request.id, 0, server, AttemptOutcome::Ok);
+        server
     }
 
     /// An attempt ends; if it was served, so is its request.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,8 +6,7 @@
 use birchreach::*;
 pub(crate) use fixture::RouterFixture;
 
-/// A millisecond.
-pub(crate) const MS: Micros = 1_000;
+pub(crate) const MILLISECOND: Micros = 1_000;
 
 /// Classes of [`settings`], by their consistency.
 pub(crate) const WRITE: u16 = 0;
@@ -21,12 +20,38 @@
 pub(crate) const REPLICA_2: u32 = 3;
 pub(crate) const ALL_SERVERS: [u32; 3] = [PRIMARY, REPLICA_1, REPLICA_2];
 
+/// A request of a client, and the actions that the router took at once.
+pub(crate) struct ClientRequest {
+    pub id: u64,
+    pub actions: Vec<Action>,
+}
+
+impl ClientRequest {
+    /// The servers to which the router sent it at once: none where it is queued or rejected.
+    pub(crate) fn servers(&self) -> Vec<u32> {
+        servers_sent_to(&self.actions)
+    }
+
+    /// The server to which the router sent it at once; there has to be one.
+    pub(crate) fn server(&self) -> u32 {
+        self.servers()[0]
+    }
+}
+
+/// An action of the router, with its time.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct TimedAction {
+    pub at: Micros,
+    pub action: Action,
+}
+
+/// A class of requests with the latency objective, timeout and priority that all classes here have.
 pub(crate) fn class(consistency: Consistency, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         consistency,
         idempotency,
-        latency_objective: 500 * MS,
-        client_timeout: 2_000 * MS,
+        latency_objective: 500 * MILLISECOND,
+        client_timeout: 2_000 * MILLISECOND,
         priority_weight: 1.0,
         late_weight_fraction: 0.5,
     }
@@ -40,7 +65,7 @@
         classes: vec![
             class(Consistency::Write, Idempotency::NotIdempotent),
             class(Consistency::Session, Idempotency::Idempotent),
-            class(Consistency::BoundedStaleness(300 * MS), Idempotency::Idempotent),
+            class(Consistency::BoundedStaleness(300 * MILLISECOND), Idempotency::Idempotent),
             class(Consistency::Any, Idempotency::Idempotent),
         ],
         tenants: vec![],
@@ -53,20 +78,20 @@
         hedging_allowed: true,
         cancellation_allowed: true,
         health_checks_allowed: false,
-        max_retry_after: Some(1_000 * MS),
-        connect_timeout: 250 * MS,
-        drain_grace: 500 * MS,
+        max_retry_after: Some(1_000 * MILLISECOND),
+        connect_timeout: 250 * MILLISECOND,
+        drain_grace: 500 * MILLISECOND,
         removal_is_advisory: false,
         slow_start_initial_fraction: 0.2,
-        slow_start_window: 10_000 * MS,
+        slow_start_window: 10_000 * MILLISECOND,
         overload_factor: 2.0,
-        overload_window: 1_500 * MS,
+        overload_window: 1_500 * MILLISECOND,
     }
 }
 
 /// Idempotency by a key that all servers of the group recognise for 600 ms.
 pub(crate) fn with_idempotency_key() -> Idempotency {
-    Idempotency::WithKey { scope: DedupScope::Group, dedup_window: 600 * MS }
+    Idempotency::WithKey { scope: DedupScope::Group, dedup_window: 600 * MILLISECOND }
 }
 
 /// An entry of the endpoint list for a server of group 0.
@@ -87,6 +112,14 @@
     ids.map(|id| endpoint(id, EndpointState::Ready))
 }
 
+/// Entries for all servers of the fixture, which are ready, after a change to the entry of one of them.
+pub(crate) fn ready_with_change(id: u32, change: impl FnOnce(&mut Endpoint)) -> [Endpoint; 3] {
+    let mut endpoints = ready(ALL_SERVERS);
+    let changed = endpoints.iter_mut().find(|endpoint| endpoint.server.0 == id);
+    change(changed.expect("a server of the fixture"));
+    endpoints
+}
+
 /// Fixtures for all routers of a fleet that shares the fixture's servers. Each sees its own events alone.
 pub(crate) fn fleet(routers: u32, change: impl Fn(&mut Settings)) -> Vec<RouterFixture> {
     let mut settings = settings();
@@ -104,14 +137,17 @@
     actions.iter().filter_map(server_of).collect()
 }
 
+/// Whether one of these actions rejects a request.
 pub(crate) fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
+/// Whether one of these actions ends a request with an error.
 pub(crate) fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
+/// The number of health checks among these actions.
 pub(crate) fn health_check_count(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
 }
@@ -121,6 +157,7 @@
     Some(ServerStatus { role, position: Some(position) })
 }
 
+/// A copy candidate of a read: this server, whose copy is likely to have reached this position.
 pub(crate) fn copy_candidate(server: u32, likely_position: Micros) -> CopyCandidate {
     CopyCandidate { server: ServerId(server), likely_position }
 }
--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -1,16 +1,17 @@
-//! Property test of the rules that one router alone can keep, under any legal sequence of events and any combination of
-//! settings. The checker knows only what passes through the public interface; it models no server.
+//! Property test of the rules that one router alone can keep, under any legal sequence of events and any combination
+//! of settings. The checker knows only what passes through the public interface; it models no server.
 
 mod checker;
 #[path = "../common/mod.rs"]
 mod common;
+mod draws;
 mod recorded;
 mod results;
 mod steps;
 
 use birchreach::*;
 use checker::Checker;
-use common::{MS, WRITE, copy_candidate};
+use common::{MILLISECOND, TimedAction, WRITE, copy_candidate};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
@@ -29,7 +30,7 @@
     settings.hedging_allowed = bit(6);
     settings.cancellation_allowed = bit(7);
     settings.health_checks_allowed = bit(8);
-    settings.max_retry_after = bit(9).then_some(1_000 * MS);
+    settings.max_retry_after = bit(9).then_some(1_000 * MILLISECOND);
     settings.max_attempts = if bit(10) { 2 } else { 8 };
     settings.classes[WRITE as usize].idempotency = match bits >> 11 & 3 {
         0 => Idempotency::NotIdempotent,
@@ -43,24 +44,26 @@
     settings
 }
 
-/// Runs a sequence of steps and, at the end, lets all requests time out. Returns the actions with their times.
-fn run_sequence(bits: u32, seed: u64, steps: &[Step]) -> Vec<(Micros, Action)> {
+/// Runs a sequence of steps and, at the end, lets all requests time out. Returns every action.
+fn run_sequence(bits: u32, seed: u64, steps: &[Step]) -> Vec<TimedAction> {
     let mut checker = Checker::new(settings_from(bits), seed);
     checker.change_endpoints(true, 0x2492_4924, 1);
     for step in steps {
         checker.run_step(*step);
     }
-    checker.advance(60_000 * MS);
+    checker.advance(60_000 * MILLISECOND);
     checker.assert_all_finished();
     checker.into_history()
 }
 
 #[test]
 fn the_rules_hold_under_any_legal_sequence_of_events() {
+    // Given any settings, seed and sequence of steps
     let config = Config { cases: 1_500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-    let steps = prop::collection::vec(any::<Step>(), 1..120);
+    let steps = prop::collection::vec(Step::any(), 1..120);
     let sequences = (any::<u32>(), any::<u64>(), steps);
+    // When a router gets the events, then the checker accepts its actions, which are the same in a second run
     let result = runner.run(&sequences, |(bits, seed, steps)| {
         let actions = run_sequence(bits, seed, &steps);
         assert_eq!(actions, run_sequence(bits, seed, &steps), "the same events, other actions");
