--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -150,6 +150,29 @@
     assert_eq!(tracker.table_sizes().reports, 1);
 }
 
+#[test]
+fn a_rejected_report_has_a_word_for_metrics_and_a_text() {
+    // Given a tracker that keeps a report of another process.
+    let valid = full_report().encode();
+    let of_another_secret = Report { secret_id: 2, ..full_report() }.encode();
+    let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
+    assert!(tracker.receive_report(SECOND, header(2, 5), &valid).is_ok());
+    let mut rejection = |origin, bytes: &[u8]| {
+        let error = tracker.receive_report(SECOND, header(origin, 5), bytes).unwrap_err();
+        (error.as_str(), error.to_string())
+    };
+
+    // When reports are rejected.
+    let malformed = rejection(3, &[]);
+    let mismatched = rejection(3, &of_another_secret);
+    let outdated = rejection(2, &valid);
+
+    // Then each reason has its word and its text.
+    assert_eq!(malformed, ("form", "the report of hot keys is malformed".into()));
+    assert_eq!(mismatched, ("other-secret", "the report's keys are hashed with another secret".into()));
+    assert_eq!(outdated, ("old", "a newer report of this origin was received before".into()));
+}
+
 #[test]
 fn counters_are_bounded_whatever_is_read() {
     let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
--- a/shard-split/tests/malformed_reports.rs
+++ b/shard-split/tests/malformed_reports.rs
@@ -1,4 +1,4 @@
-//! Malformed reports are rejected, and what is kept of all that is received is bounded.
+//! Malformed reports are rejected, each rejection has its reason, and what is kept of all that is received is bounded.
 
 mod common;
 use birchreach_shard_split::{RANGES, RangeDifferences, Report, SplitVerifier};
@@ -47,3 +47,26 @@
     assert!(is_rejected(Report { differences: vec![entry(3, 0, 1)], ..valid_report() }));
     assert!(is_rejected(Report { differences: vec![entry(0, RANGES as u8, 1)], ..valid_report() }));
 }
+
+#[test]
+fn a_rejected_report_has_a_word_for_metrics_and_a_text() {
+    // Given a verifier that keeps a report of another process.
+    let valid = valid_report().encode();
+    let of_another_definition = Report { definition_digest: 0, ..valid_report() }.encode();
+    let mut split = SplitVerifier::new(settings(2), 1, 0);
+    assert!(split.receive_report(SECOND, header(2, 5), &valid).is_ok());
+    let mut rejection = |origin, bytes: &[u8]| {
+        let error = split.receive_report(SECOND, header(origin, 5), bytes).unwrap_err();
+        (error.as_str(), error.to_string())
+    };
+
+    // When reports are rejected.
+    let malformed = rejection(3, &[]);
+    let mismatched = rejection(3, &of_another_definition);
+    let outdated = rejection(2, &valid);
+
+    // Then each reason has its word and its text.
+    assert_eq!(malformed, ("form", "the report of comparisons is malformed".into()));
+    assert_eq!(mismatched, ("other-definition", "the report is of another definition of the split".into()));
+    assert_eq!(outdated, ("old", "a newer report of this origin was received before".into()));
+}
