--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -25,7 +25,7 @@
 //!    `kept_reports_are_bounded_whatever_is_received`, `counters_are_bounded_whatever_is_read`).
 //! 8. Nearly every refresh slot of a key is taken by one of its reporters (`each_refresh_slot_has_one_owner`).
 //!
-//! Reports of other processes are kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
+//! Reports are encoded, decoded and kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
 //! other subsystem, and a number of microseconds needs no conversion.
 
 #![forbid(unsafe_code)]
@@ -44,10 +44,10 @@
 mod tracker;
 mod update;
 
-pub use birchreach_peer_reports::{RecordError, ReportHeader};
+pub use birchreach_peer_reports::{PeerReport, RecordError, ReportError, ReportHeader};
 pub use copy_holders::Database;
 pub use refresh::DueCopy;
-pub use report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+pub use report::{MAX_REPORT_ENTRIES, Report, ReportEntry};
 pub use reporting::ReportAgreement;
 pub use settings::{CopyCost, CopyRequirement, Settings};
 pub use sketch::{KeyRate, ReadSketch};
--- a/hot-keys/src/report.rs
+++ b/hot-keys/src/report.rs
@@ -1,9 +1,8 @@
 //! What processes report to one another: the highest read rates of each.
 
 use crate::Key;
-use birchreach_peer_reports::RecordError;
+use birchreach_peer_reports::{Mismatch, PeerReport};
 use serde::{Deserialize, Serialize};
-use std::fmt;
 
 /// Keys in one report.
 pub const MAX_REPORT_ENTRIES: usize = 16;
@@ -32,67 +31,22 @@
     pub entries: Vec<ReportEntry>,
 }
 
-/// Why a report is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportError {
-    /// It cannot be decoded, or holds more than a report may.
-    Malformed,
-    /// Its hashes are made with another secret: the key file is being changed.
-    OtherSecret,
-    /// It is outdated, or there are too many.
-    NotRecorded(RecordError),
-}
+/// A report's keys are hashed with another secret than this process's: the key file is being changed.
+pub(crate) const OTHER_SECRET: Mismatch =
+    Mismatch { name: "other-secret", description: "the report's keys are hashed with another secret" };
 
-impl ReportError {
-    /// The reason as metrics name it.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            ReportError::Malformed => "form",
-            ReportError::OtherSecret => "other-secret",
-            ReportError::NotRecorded(error) => error.as_str(),
-        }
-    }
-}
+impl PeerReport for Report {
+    const SUBJECT: &'static str = "hot keys";
 
-impl fmt::Display for ReportError {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ReportError::Malformed => formatter.write_str("the report of hot keys is malformed"),
-            ReportError::OtherSecret => {
-                formatter.write_str("the report's keys are hashed with another secret")
-            }
-            ReportError::NotRecorded(error) => error.fmt(formatter),
-        }
-    }
-}
-
-impl std::error::Error for ReportError {}
-
-impl From<RecordError> for ReportError {
-    fn from(error: RecordError) -> ReportError {
-        ReportError::NotRecorded(error)
+    /// It holds no key twice, not too many keys and no rate that is too high.
+    fn is_valid(&self) -> bool {
+        self.entries.len() <= MAX_REPORT_ENTRIES
+            && self.entries.iter().all(|entry| entry.reads_per_1000_s <= MAX_READS_PER_1000_S)
+            && !self.has_a_key_twice()
     }
 }
 
 impl Report {
-    /// The bytes that are sent to other processes.
-    pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default()
-    }
-
-    /// Reads a report from bytes that another process sent.
-    ///
-    /// # Errors
-    ///
-    /// [`ReportError::Malformed`] if they are no report, or hold a key twice, too many keys or too high a rate.
-    pub fn decode(bytes: &[u8]) -> Result<Report, ReportError> {
-        let report: Report = postcard::from_bytes(bytes).map_err(|_| ReportError::Malformed)?;
-        let is_valid = report.entries.len() <= MAX_REPORT_ENTRIES
-            && report.entries.iter().all(|entry| entry.reads_per_1000_s <= MAX_READS_PER_1000_S)
-            && !report.has_a_key_twice();
-        if is_valid { Ok(report) } else { Err(ReportError::Malformed) }
-    }
-
     fn has_a_key_twice(&self) -> bool {
         let is_repeated = |(position, entry): (usize, &ReportEntry)| {
             self.entries[..position].iter().any(|earlier| earlier.key == entry.key)
--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,10 +1,10 @@
 //! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
 
-use crate::report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+use crate::report::{MAX_REPORT_ENTRIES, OTHER_SECRET, Report, ReportEntry};
 use crate::sketch::KeyRate;
 use crate::tracker::HotKeyTracker;
 use crate::{Key, Micros, mix};
-use birchreach_peer_reports::{PeerReports, ReportHeader};
+use birchreach_peer_reports::{PeerReport, PeerReports, ReportError, ReportHeader};
 
 /// A key is reported from this fraction of the rate that would make it hot if all processes read it alike.
 const REPORT_THRESHOLD_FRACTION: f64 = 0.25;
@@ -34,7 +34,7 @@
     ) -> Result<(), ReportError> {
         let report = Report::decode(bytes)?;
         if report.secret_id != self.secret_id {
-            return Err(ReportError::OtherSecret);
+            return Err(ReportError::Mismatch(OTHER_SECRET));
         }
         self.reports.record(now, header, report)?;
         Ok(())
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -2,7 +2,8 @@
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 use birchreach_hot_keys::{
-    CopyRequirement, Database, HotKeyTracker, Key, Micros, Report, ReportEntry, ReportHeader, Settings,
+    CopyRequirement, Database, HotKeyTracker, Key, Micros, PeerReport, Report, ReportEntry, ReportHeader,
+    Settings,
 };
 use birchreach_membership::GossipReports;
 use std::collections::BTreeMap;
--- a/hot-keys/tests/recorded_bytes.rs
+++ b/hot-keys/tests/recorded_bytes.rs
@@ -2,7 +2,7 @@
 //! sets of hot keys have the digest that an earlier version gives them.
 
 mod common;
-use birchreach_hot_keys::{Key, Report, ReportEntry};
+use birchreach_hot_keys::{Key, PeerReport, Report, ReportEntry};
 use common::tracker_with_reports;
 
 fn hex(bytes: &[u8]) -> String {
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -2,7 +2,7 @@
 //! worthwhile.
 
 mod common;
-use birchreach_hot_keys::{Database, HotKeyTracker, Key, Micros, Report, ReportEntry, Settings};
+use birchreach_hot_keys::{Database, HotKeyTracker, Key, Micros, PeerReport, Report, ReportEntry, Settings};
 use common::{Fleet, SECOND, header, key, settings, tracker_with_reports};
 use std::collections::BTreeSet;
 
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -21,7 +21,7 @@
 //!    (`the_verdict_is_clean_only_for_full_coverage`).
 //! 5. Comparisons, confirmed differences and origins are bounded (`tables_are_bounded`).
 //!
-//! Reports of other processes are kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
+//! Reports are encoded, decoded and kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
 //! other subsystem, and a number of microseconds needs no conversion.
 //! Groups are plain numbers for the same reason.
 
@@ -42,13 +42,13 @@
 mod verifier;
 mod window;
 
-pub use birchreach_peer_reports::{RecordError, ReportHeader};
+pub use birchreach_peer_reports::{PeerReport, RecordError, ReportError, ReportHeader};
 pub use coverage::RangeCoverage;
 pub use definition::{Children, Definition, RANGES};
 pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
 pub use judge::{Outcome, ParentSample, PositionSample, RowDigest};
 pub use query::{Child, ComparisonQuery, DueQuery, QueryResult};
-pub use report::{RangeDifferences, Report, ReportError};
+pub use report::{RangeDifferences, Report};
 pub use settings::{ComparisonCounts, Settings};
 pub use verdict::{IncompleteReason, Verdict};
 pub use verifier::SplitVerifier;
--- a/shard-split/src/report.rs
+++ b/shard-split/src/report.rs
@@ -2,9 +2,8 @@
 
 use crate::RANGES;
 use crate::difference::DifferenceKind;
-use birchreach_peer_reports::RecordError;
+use birchreach_peer_reports::{Mismatch, PeerReport};
 use serde::{Deserialize, Serialize};
-use std::fmt;
 
 /// Confirmed differences of one kind in one range. The order of the fields is the format on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,67 +27,24 @@
     pub differences: Vec<RangeDifferences>,
 }
 
-/// Why a report is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportError {
-    /// It cannot be decoded, or names ranges or kinds that do not exist.
-    Malformed,
-    /// Its process compares by another definition.
-    OtherDefinition,
-    /// It is outdated, or there are too many.
-    NotRecorded(RecordError),
-}
+/// A report's process compares by another definition than this one.
+pub(crate) const OTHER_DEFINITION: Mismatch =
+    Mismatch { name: "other-definition", description: "the report is of another definition of the split" };
 
-impl ReportError {
-    /// The reason as metrics name it.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            ReportError::Malformed => "form",
-            ReportError::OtherDefinition => "other-definition",
-            ReportError::NotRecorded(error) => error.as_str(),
-        }
-    }
-}
+impl PeerReport for Report {
+    const SUBJECT: &'static str = "comparisons";
 
-impl fmt::Display for ReportError {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ReportError::Malformed => formatter.write_str("the report of comparisons is malformed"),
-            ReportError::OtherDefinition => {
-                formatter.write_str("the report is of another definition of the split")
-            }
-            ReportError::NotRecorded(error) => error.fmt(formatter),
-        }
+    /// It counts each range, and names only ranges and kinds that exist.
+    fn is_valid(&self) -> bool {
+        self.compared.len() == RANGES
+            && self.differences.len() <= DifferenceKind::ALL.len() * RANGES
+            && self.differences.iter().all(RangeDifferences::exists)
     }
 }
 
-impl std::error::Error for ReportError {}
-
-impl From<RecordError> for ReportError {
-    fn from(error: RecordError) -> ReportError {
-        ReportError::NotRecorded(error)
-    }
-}
-
-impl Report {
-    /// The bytes that are sent to other processes.
-    pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default()
-    }
-
-    /// Reads a report from bytes that another process sent.
-    ///
-    /// # Errors
-    ///
-    /// [`ReportError::Malformed`] if they are no report, or name ranges or kinds that do not exist.
-    pub fn decode(bytes: &[u8]) -> Result<Report, ReportError> {
-        let report: Report = postcard::from_bytes(bytes).map_err(|_| ReportError::Malformed)?;
-        let exists = |entry: &RangeDifferences| {
-            DifferenceKind::from_number(entry.kind).is_some() && usize::from(entry.range) < RANGES
-        };
-        let is_valid = report.compared.len() == RANGES
-            && report.differences.len() <= DifferenceKind::ALL.len() * RANGES
-            && report.differences.iter().all(exists);
-        if is_valid { Ok(report) } else { Err(ReportError::Malformed) }
+impl RangeDifferences {
+    /// Whether its range and its kind exist.
+    fn exists(&self) -> bool {
+        DifferenceKind::from_number(self.kind).is_some() && usize::from(self.range) < RANGES
     }
 }
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -4,10 +4,10 @@
 use crate::coverage::RangeCoverage;
 use crate::definition::RANGES;
 use crate::difference::DifferenceKind;
-use crate::report::{RangeDifferences, Report, ReportError};
+use crate::report::{RangeDifferences, Report};
 use crate::verdict::{Verdict, verdict};
 use crate::verifier::SplitVerifier;
-use birchreach_peer_reports::ReportHeader;
+use birchreach_peer_reports::{PeerReport, ReportError, ReportHeader};
 use std::collections::BTreeMap;
 
 impl SplitVerifier {
--- a/shard-split/tests/malformed_reports.rs
+++ b/shard-split/tests/malformed_reports.rs
@@ -1,7 +1,7 @@
 //! Malformed reports are rejected, each rejection has its reason, and what is kept of all that is received is bounded.
 
 mod common;
-use birchreach_shard_split::{RANGES, RangeDifferences, Report, SplitVerifier};
+use birchreach_shard_split::{PeerReport, RANGES, RangeDifferences, Report, SplitVerifier};
 use common::{SECOND, definition, header, settings};
 
 fn entry(kind: u8, range: u8, count: u32) -> RangeDifferences {
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
 //! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
 
-use birchreach_shard_split::{Definition, RANGES, RangeDifferences, Report};
+use birchreach_shard_split::{Definition, PeerReport, RANGES, RangeDifferences, Report};
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -7,8 +7,8 @@
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
-    ComparisonQuery, Definition, DueQuery, ParentSample, PositionSample, QueryResult, RANGES, RangeCoverage,
-    RangeDifferences, Report, SplitVerifier, Verdict,
+    ComparisonQuery, Definition, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGES,
+    RangeCoverage, RangeDifferences, Report, SplitVerifier, Verdict,
 };
 use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, header, key, settings};
 use verdicts::check_clean_verdict;
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/verdicts.rs
@@ -3,7 +3,7 @@
 use crate::CheckResult;
 use crate::common::{Disturbances, SECOND, World, definition, header, settings};
 use birchreach_fault_injection::ensure;
-use birchreach_shard_split::{IncompleteReason, RANGES, Report, SplitVerifier, Verdict};
+use birchreach_shard_split::{IncompleteReason, PeerReport, RANGES, Report, SplitVerifier, Verdict};
 
 /// A verifier of three processes, of which two must compare each range, that has received equal reports of the others.
 fn verifier_with_reports(compared: impl Fn(usize) -> u32) -> SplitVerifier {
