--- a/hot-keys/examples/hot_key_agreement.rs
+++ b/hot-keys/examples/hot_key_agreement.rs
@@ -46,10 +46,10 @@
 
     fn sample(&mut self, fleet: &Fleet, hot_key: Key, true_rate: f64) {
         for tracker in &fleet.trackers {
-            let found = tracker.hot_keys().find(|(key, _)| *key == hot_key);
-            self.rate_ratios.push(found.map_or(0.0, |(_, found)| found.reads_per_s) / true_rate);
+            let found = tracker.hot_keys().find(|found| found.key == hot_key);
+            self.rate_ratios.push(found.map_or(0.0, |found| found.reads_per_s) / true_rate);
             self.differing_sets += usize::from(tracker.digest() != fleet.trackers[0].digest());
-            self.wrongly_hot += tracker.hot_keys().filter(|(key, _)| *key != hot_key).count();
+            self.wrongly_hot += tracker.hot_keys().filter(|found| found.key != hot_key).count();
             self.samples += 1;
         }
     }
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -18,6 +18,8 @@
 /// A hot key as this process has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HotKey {
+    /// The key.
+    pub key: Key,
     /// Its reads a second over all processes.
     pub reads_per_s: f64,
     /// When it became hot here.
@@ -116,8 +118,8 @@
     pub fn update_databases(&mut self, databases: Vec<Database>, replicas: BTreeMap<u32, usize>) {
         self.databases = databases;
         self.replicas = replicas;
-        for (key, hot_key) in &mut self.hot_keys {
-            hot_key.copy_holders = copy_holders(*key, &self.databases, hot_key.wanted_copies);
+        for hot_key in self.hot_keys.values_mut() {
+            hot_key.copy_holders = copy_holders(hot_key.key, &self.databases, hot_key.wanted_copies);
         }
     }
 
@@ -167,18 +169,19 @@
     pub fn due_copies(&mut self, now: Micros) -> Vec<DueCopy> {
         let interval = self.settings.refresh_interval();
         let mut due = Vec::new();
-        for (key, hot_key) in &mut self.hot_keys {
-            let slot = refresh::slot_at(now, *key, interval);
+        for hot_key in self.hot_keys.values_mut() {
+            let key = hot_key.key;
+            let slot = refresh::slot_at(now, key, interval);
             let is_new = std::mem::replace(&mut hot_key.last_slot, slot) != slot;
             if !is_new || hot_key.copy_holders.is_empty() {
                 continue;
             }
-            let Some(key_bytes) = self.sketch.key_bytes(*key) else { continue };
-            let is_copyable = self.uncopyable_until.get(key).is_none_or(|until| now >= *until);
-            let reporters = reporters(&self.reports, *key);
-            if is_copyable && refresh::is_own_slot(slot, *key, self.reports.own_origin(), reporters) {
+            let Some(key_bytes) = self.sketch.key_bytes(key) else { continue };
+            let is_copyable = self.uncopyable_until.get(&key).is_none_or(|until| now >= *until);
+            let reporters = reporters(&self.reports, key);
+            if is_copyable && refresh::is_own_slot(slot, key, self.reports.own_origin(), reporters) {
                 let holders = hot_key.copy_holders.clone();
-                due.push(DueCopy { key: *key, key_bytes: key_bytes.to_vec(), holders });
+                due.push(DueCopy { key, key_bytes: key_bytes.to_vec(), holders });
             }
         }
         due
@@ -192,9 +195,9 @@
         slots.chain(regular).min().unwrap_or(Micros::MAX)
     }
 
-    /// The hot keys.
-    pub fn hot_keys(&self) -> impl Iterator<Item = (Key, &HotKey)> {
-        self.hot_keys.iter().map(|(key, hot_key)| (*key, hot_key))
+    /// The hot keys, in the order of keys.
+    pub fn hot_keys(&self) -> impl Iterator<Item = &HotKey> {
+        self.hot_keys.values()
     }
 
     /// How often a key became hot, or ceased to be.
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -49,6 +49,7 @@
         let Hotness { reads_per_s, wanted_copies } = hotness;
         let last_slot = refresh::slot_at(now, key, self.settings.refresh_interval());
         let hot_key = self.hot_keys.entry(key).or_insert(HotKey {
+            key,
             reads_per_s,
             hot_since: now,
             confirmed_at: now,
@@ -70,11 +71,10 @@
     /// Evicts keys until the limit holds: first those that only stay for the minimum time, then those with the lowest rates.
     fn enforce_limit(&mut self) {
         while self.hot_keys.len() > MAX_HOT_KEYS {
-            let least = self.hot_keys.iter().min_by(|a, b| {
-                let rank = |hot_key: &HotKey| (hot_key.confirmed_at, hot_key.reads_per_s);
-                rank(a.1).partial_cmp(&rank(b.1)).unwrap_or(Ordering::Equal)
-            });
-            let Some(least) = least.map(|(key, _)| *key) else { return };
+            let rank = |hot_key: &HotKey| (hot_key.confirmed_at, hot_key.reads_per_s);
+            let by_rank = |a: &&HotKey, b: &&HotKey| rank(a).partial_cmp(&rank(b)).unwrap_or(Ordering::Equal);
+            let least = self.hot_keys.values().min_by(by_rank);
+            let Some(least) = least.map(|hot_key| hot_key.key) else { return };
             self.hot_keys.remove(&least);
         }
     }
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -179,7 +179,7 @@
 
     /// How many have the key in their hot set.
     pub(crate) fn processes_with_hot_key(&self, key: Key) -> usize {
-        let is_hot_at = |tracker: &&HotKeyTracker| tracker.hot_keys().any(|(hot_key, _)| hot_key == key);
+        let is_hot_at = |tracker: &&HotKeyTracker| tracker.hot_keys().any(|hot_key| hot_key.key == key);
         self.trackers.iter().filter(is_hot_at).count()
     }
 
--- a/hot-keys/tests/invariants.rs
+++ b/hot-keys/tests/invariants.rs
@@ -46,7 +46,7 @@
 }
 
 fn keys_of(tracker: &HotKeyTracker) -> BTreeSet<Key> {
-    tracker.hot_keys().map(|(key, _)| key).collect()
+    tracker.hot_keys().map(|hot_key| hot_key.key).collect()
 }
 
 /// Processes that receive equal reports, in whatever order, derive equal sets with equal holders.
@@ -73,7 +73,7 @@
             keys_of(&second)
         );
         let holders = |tracker: &HotKeyTracker| {
-            tracker.hot_keys().map(|(key, hot_key)| (key, hot_key.copy_holders.clone())).collect::<Vec<_>>()
+            tracker.hot_keys().map(|hot_key| (hot_key.key, hot_key.copy_holders.clone())).collect::<Vec<_>>()
         };
         ensure!(holders(&first) == holders(&second), "round {round}: other holders");
     }
@@ -146,7 +146,7 @@
     for number in 0..300 {
         let key = key((number % 6) as u32, number);
         let tracker = tracker_with_reports(1, 6, &reports_of_hot_key(key), false);
-        let (_, hot_key) = tracker.hot_keys().next().ok_or("it is not hot")?;
+        let hot_key = tracker.hot_keys().next().ok_or("it is not hot")?;
         let groups: BTreeSet<u32> = hot_key.copy_holders.iter().map(|holder| holder.group).collect();
         ensure!(hot_key.copy_holders.len() == 3 && groups.len() == 3, "{:?}", hot_key.copy_holders);
         ensure!(!groups.contains(&key.group), "{key:?} in its own group: {:?}", hot_key.copy_holders);
@@ -163,7 +163,7 @@
 /// A database that is not listed any more holds no copies, and all other holders stay.
 fn check_removed_copy_holder() -> CheckResult {
     let holders = |tracker: &HotKeyTracker| -> Vec<Database> {
-        tracker.hot_keys().flat_map(|(_, hot_key)| hot_key.copy_holders.clone()).collect()
+        tracker.hot_keys().flat_map(|hot_key| hot_key.copy_holders.clone()).collect()
     };
     let mut tracker = tracker_with_reports(1, 6, &reports_of_hot_key(key(0, 1)), false);
     let before = holders(&tracker);
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -20,7 +20,7 @@
 /// The copy holders of each hot key at each process.
 fn copy_holders(fleet: &Fleet) -> BTreeSet<Vec<Database>> {
     let hot_keys = fleet.trackers.iter().flat_map(|tracker| tracker.hot_keys());
-    hot_keys.map(|(_, hot_key)| hot_key.copy_holders.clone()).collect()
+    hot_keys.map(|hot_key| hot_key.copy_holders.clone()).collect()
 }
 
 #[test]
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -123,22 +123,22 @@
             self.copy_hits,
             self.copy_misses
         );
-        for (key, hot_key) in self.tracker.hot_keys() {
-            let _ = writeln!(lines, "{}", self.key_line(now, key, hot_key));
+        for hot_key in self.tracker.hot_keys() {
+            let _ = writeln!(lines, "{}", self.key_line(now, hot_key));
         }
         lines
     }
 
     /// The line for a hot key.
-    fn key_line(&self, now: Micros, key: Key, hot_key: &HotKey) -> String {
+    fn key_line(&self, now: Micros, hot_key: &HotKey) -> String {
         let uid = |holder: &Database| {
             self.listed.get(&ServerId(holder.server)).map_or("?", |server| server.uid.as_str())
         };
         let holders: Vec<&str> = hot_key.copy_holders.iter().map(uid).collect();
         format!(
             "key group={} hash={:016x} rate={:.1} for_ms={} guests={}",
-            key.group,
-            key.hash,
+            hot_key.key.group,
+            hot_key.key.hash,
             hot_key.reads_per_s,
             (now - hot_key.hot_since) / MICROS_PER_MILLI,
             holders.join(",")
--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -129,7 +129,7 @@
         let mut observer = observer.borrow_mut();
         observer.apply_list_changes();
         observer.tracker.set_fleet(members, report_interval);
-        let before: Vec<Key> = observer.tracker.hot_keys().map(|(key, _)| key).collect();
+        let before: Vec<Key> = observer.tracker.hot_keys().map(|hot_key| hot_key.key).collect();
         if observer.tracker.update(now) {
             log_changes(&observer, &before);
         }
@@ -144,11 +144,12 @@
 /// Logs the keys that became hot, and those that ceased to be.
 fn log_changes(observer: &HotKeyObserver, before: &[Key]) {
     let tracker = &observer.tracker;
-    for (key, hot_key) in tracker.hot_keys().filter(|(key, _)| !before.contains(key)) {
+    for hot_key in tracker.hot_keys().filter(|hot_key| !before.contains(&hot_key.key)) {
+        let key = hot_key.key;
         let (hash, rate) = (format!("{:016x}", key.hash), format!("{:.1}", hot_key.reads_per_s));
         info!(event = "hot-key", group = key.group, hash, rate, guests = hot_key.copy_holders.len());
     }
-    for key in before.iter().filter(|key| tracker.hot_keys().all(|(other, _)| other != **key)) {
+    for key in before.iter().filter(|key| tracker.hot_keys().all(|hot_key| hot_key.key != **key)) {
         info!(event = "hot-key-over", group = key.group, hash = format!("{:016x}", key.hash));
     }
 }
