--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -84,7 +84,7 @@
         let own_digest = self.digest();
         let mut agreement = ReportAgreement { agreeing: 0, reporting: 0 };
         let own_origin = self.reports.own_origin();
-        for (_, received) in self.reports.newest().filter(|(origin, _)| *origin != own_origin) {
+        for received in self.reports.newest().filter(|received| received.origin != own_origin) {
             agreement.reporting += 1;
             agreement.agreeing += usize::from(received.report.set_digest == own_digest);
         }
@@ -95,5 +95,5 @@
 /// Origins whose newest report names a key, in their order.
 pub(crate) fn reporters(reports: &PeerReports<Report>, key: Key) -> impl Iterator<Item = u64> {
     let names_key = move |report: &Report| report.entries.iter().any(|entry| entry.key == key);
-    reports.newest().filter(move |(_, received)| names_key(&received.report)).map(|(origin, _)| origin)
+    reports.newest().filter(move |received| names_key(&received.report)).map(|received| received.origin)
 }
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -72,9 +72,9 @@
     /// Adds up all reports. `thresholds` gets the threshold of each group that they name.
     fn totals(&self, thresholds: &mut BTreeMap<u32, f64>) -> BTreeMap<Key, KeyTotals> {
         let mut totals = BTreeMap::new();
-        for (origin, received) in self.reports.newest() {
+        for received in self.reports.newest() {
             let report_weight = weight(self.now - received.made_at, self.reports.lifetime());
-            self.add_report(origin, report_weight, &received.report, thresholds, &mut totals);
+            self.add_report(received.origin, report_weight, &received.report, thresholds, &mut totals);
         }
         totals
     }
--- a/peer-reports/src/reports.rs
+++ b/peer-reports/src/reports.rs
@@ -24,6 +24,8 @@
 /// A report that is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedReport<R> {
+    /// The incarnation of a process that made it.
+    pub origin: u64,
     /// Increases with each report of an origin.
     sequence: u64,
     /// When it was made, on this process's clock.
@@ -102,7 +104,8 @@
             None if self.by_origin.len() >= MAX_ORIGINS => return Err(RecordError::TooManyOrigins),
             _ => {}
         }
-        self.by_origin.insert(origin, ReceivedReport { sequence, made_at: now - age.max(0), report });
+        let received = ReceivedReport { origin, sequence, made_at: now - age.max(0), report };
+        self.by_origin.insert(origin, received);
         Ok(())
     }
 
@@ -113,8 +116,8 @@
     }
 
     /// The newest report of each origin, in the order of origins.
-    pub fn newest(&self) -> impl Iterator<Item = (u64, &ReceivedReport<R>)> + Clone {
-        self.by_origin.iter().map(|(origin, received)| (*origin, received))
+    pub fn newest(&self) -> impl Iterator<Item = &ReceivedReport<R>> + Clone {
+        self.by_origin.values()
     }
 
     /// Origins of which a report is kept, this process included.
--- a/peer-reports/tests/reports.rs
+++ b/peer-reports/tests/reports.rs
@@ -7,7 +7,7 @@
 
 /// The reports that are kept, with their origins.
 fn kept(reports: &PeerReports<&'static str>) -> Vec<(u64, &'static str)> {
-    reports.newest().map(|(origin, received)| (origin, received.report)).collect()
+    reports.newest().map(|received| (received.origin, received.report)).collect()
 }
 
 fn header(origin: u64, sequence: u64) -> ReportHeader {
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -50,7 +50,7 @@
 
     /// How well a range is covered.
     pub(crate) fn of_range(&self, range: usize) -> RangeCoverage {
-        let counts = self.reports.newest().filter_map(|(_, received)| received.report.compared.get(range));
+        let counts = self.reports.newest().filter_map(|received| received.report.compared.get(range));
         let comparisons = counts.clone().fold(self.injected_excess, |sum, count| sum.saturating_add(*count));
         RangeCoverage { comparisons, processes: counts.filter(|count| **count > 0).count() }
     }
@@ -58,7 +58,7 @@
     /// Confirmed differences over all processes.
     pub(crate) fn difference_counts(&self) -> DifferenceCounts {
         let mut counts = DifferenceCounts::default();
-        for entry in self.reports.newest().flat_map(|(_, received)| &received.report.differences) {
+        for entry in self.reports.newest().flat_map(|received| &received.report.differences) {
             if let Some(kind) = DifferenceKind::from_number(entry.kind) {
                 counts.add(kind, entry.count);
             }
