--- a/peer-state/src/advice.rs
+++ b/peer-state/src/advice.rs
@@ -1,7 +1,7 @@
 //! The decisions that peer state may influence, one function each, and no others. None of them leads to a write being sent to a
 //! server.
 
-use crate::{Micros, Observation, PeerState, ServerFacts};
+use crate::{KnownServer, Micros, Observation, PeerState, ServerFacts};
 
 /// This proxy's own suspicion of a server halves in this time; a received one in half of it for each hop.
 const SUSPICION_HALF_LIFE: Micros = 4_000_000;
@@ -56,9 +56,9 @@
 /// Servers to *query* whether they are the group's primary, the likeliest first. Left out are those observed as a replica since,
 /// and those whose observation as primary is so much older than another's that they have been replaced.
 pub fn primary_candidates(state: &PeerState, group: u32, now: Micros) -> Vec<Candidate> {
-    let of_group = state.servers().filter(|(_, facts)| facts.group == group);
+    let of_group = state.servers().filter(|server| server.facts.group == group);
     let mut seen: Vec<(&str, Observation<()>)> =
-        of_group.filter_map(|(uid, facts)| Some((uid, primary_observation(facts)?))).collect();
+        of_group.filter_map(|server| Some((server.uid, primary_observation(server.facts)?))).collect();
     seen.sort_by_key(|(uid, primary)| (std::cmp::Reverse(primary.observed_at), *uid));
     let Some((_, newest)) = seen.first().copied() else { return Vec::new() };
     seen.retain(|(_, primary)| newest.observed_at - primary.observed_at < CONTRADICTION_WINDOW);
@@ -79,10 +79,11 @@
 pub fn is_former_primary(state: &PeerState, uid: &str) -> bool {
     let Some(facts) = state.facts(uid) else { return false };
     let Some(primary) = facts.primary else { return false };
-    let replaces = |other: &ServerFacts| {
-        primary_observation(other)
-            .is_some_and(|seen| seen.observed_at >= primary.observed_at + CONTRADICTION_WINDOW)
+    let replaces = |other: KnownServer| {
+        let is_another_of_group = other.uid != uid && other.facts.group == facts.group;
+        let seen = primary_observation(other.facts);
+        is_another_of_group
+            && seen.is_some_and(|seen| seen.observed_at >= primary.observed_at + CONTRADICTION_WINDOW)
     };
-    primary_observation(facts).is_none()
-        || state.servers().any(|(name, other)| name != uid && other.group == facts.group && replaces(other))
+    primary_observation(facts).is_none() || state.servers().any(replaces)
 }
--- a/peer-state/src/lib.rs
+++ b/peer-state/src/lib.rs
@@ -43,7 +43,7 @@
 
 pub use keys::{KeysError, NameHasher};
 pub use observation::{Observation, ObservationSource, Role};
-pub use peer_state::PeerState;
+pub use peer_state::{KnownServer, PeerState};
 pub use server_facts::{ServerFacts, ServerIncarnation};
 pub use transfer::{TransferPart, TransferredFact, TransferredServer};
 
--- a/peer-state/src/peer_state.rs
+++ b/peer-state/src/peer_state.rs
@@ -11,6 +11,15 @@
 /// All of a slow start remains.
 pub(crate) const FULL_SLOW_START_PERMILLE: u16 = 1000;
 
+/// A listed server of which something is known.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownServer<'a> {
+    /// Its name.
+    pub uid: &'a str,
+    /// What is known of it.
+    pub facts: &'a ServerFacts,
+}
+
 /// Everything that one proxy knows of the servers on its endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerState {
@@ -59,8 +68,8 @@
     }
 
     /// Listed servers of which something is known, by name.
-    pub fn servers(&self) -> impl Iterator<Item = (&str, &ServerFacts)> {
-        self.list.keys().filter_map(|uid| Some((uid.as_str(), self.facts(uid)?)))
+    pub fn servers(&self) -> impl Iterator<Item = KnownServer<'_>> {
+        self.list.keys().filter_map(|uid| Some(KnownServer { uid, facts: self.facts(uid)? }))
     }
 
     /// Merges facts of one server. Facts of a server or incarnation that is not listed are dropped.
--- a/peer-state/src/transfer.rs
+++ b/peer-state/src/transfer.rs
@@ -2,7 +2,7 @@
 //! dropped on the way in.
 
 use crate::peer_state::{FULL_SLOW_START_PERMILLE, MAX_SERVER_NAME_BYTES};
-use crate::{Micros, Observation, ObservationSource, PeerState, ServerFacts};
+use crate::{KnownServer, Micros, Observation, ObservationSource, PeerState, ServerFacts};
 use serde::{Deserialize, Serialize};
 
 /// Facts forwarded this often are neither accepted nor sent.
@@ -82,7 +82,7 @@
 impl PeerState {
     /// What is sent of each server, by name.
     pub fn export_facts(&self, now: Micros) -> impl Iterator<Item = TransferredServer> {
-        self.servers().map(move |(uid, facts)| TransferredServer {
+        self.servers().map(move |KnownServer { uid, facts }| TransferredServer {
             uid: uid.into(),
             started_ms: facts.started_ms,
             group: facts.group,
