--- a/peer-state/src/server_facts.rs
+++ b/peer-state/src/server_facts.rs
@@ -11,7 +11,10 @@
     pub group: u32,
 }
 
-/// What is known of one incarnation of one server.
+/// What is known of one incarnation of one server, as this proxy keeps it: the time of each observation is an instant on its own clock.
+///
+/// It has no serialized form, because no other process can read such an instant: [`TransferredServer`](crate::TransferredServer) is what
+/// proxies send one another and store, with ages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerFacts {
     /// When this incarnation started: Unix time in milliseconds, 0 where the list does not name it.
--- a/peer-state/src/transfer.rs
+++ b/peer-state/src/transfer.rs
@@ -10,7 +10,7 @@
 /// Older facts are not sent.
 pub(crate) const MAX_AGE: Micros = 600_000_000;
 
-/// An observation with its age at the sender.
+/// An [`Observation`] as it is sent and stored: with its age at the sender in place of an instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferredFact<T> {
     /// What was observed.
@@ -25,7 +25,10 @@
     pub observer: u64,
 }
 
-/// What is sent of one server. The fields are those of [`ServerFacts`].
+/// The [`ServerFacts`] of one server as they are sent and stored: under the server's name, and with ages in place of instants.
+///
+/// The order of the fields is the format on the wire and in snapshots (postcard). [`ServerFacts`] can change without a change of the
+/// format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "the fields are documented at ServerFacts")]
 pub struct TransferredServer {
