--- a/hot-keys/tests/recorded_bytes.rs
+++ b/hot-keys/tests/recorded_bytes.rs
@@ -3,23 +3,15 @@
 
 mod common;
 use birchreach_hot_keys::{Key, PeerReport, Report, ReportEntry};
+use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
 use common::tracker_with_reports;
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
 fn entry(group: u32, hash: u64, reads_per_1000_s: u32, is_hot: bool) -> ReportEntry {
     ReportEntry { key: Key { group, hash }, reads_per_1000_s, is_hot }
 }
 
 fn assert_recorded(report: &Report, recorded: &str) {
-    assert_eq!(hex(&report.encode()), recorded);
+    assert_eq!(to_hex(&report.encode()), recorded);
     assert_eq!(Report::decode(&from_hex(recorded)).as_ref(), Ok(report));
 }
 
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -4,24 +4,18 @@
 use birchreach_membership::{
     GossipReports, Membership, MembershipSettings, Micros, OutgoingPayload, ReceivedReport, ViewState,
 };
+use birchreach_test_support::recorded_bytes::{find_recorded, to_hex};
 use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
 fn recorded(name: &str) -> Vec<u8> {
-    let lines = include_str!("recorded/payloads.txt").lines();
-    let line = lines.filter_map(|line| line.split_once(' ')).find(|(other, _)| *other == name);
-    let digits = line.unwrap_or_else(|| panic!("{name} is not recorded")).1;
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    find_recorded(include_str!("recorded/payloads.txt"), name)
 }
 
 /// What was written now is what was recorded.
 fn assert_recorded(name: &str, written: &[u8]) {
-    assert_eq!(hex(written), hex(&recorded(name)), "{name}");
+    assert_eq!(to_hex(written), to_hex(&recorded(name)), "{name}");
 }
 
 fn address(index: usize) -> SocketAddr {
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -2,18 +2,10 @@
 //! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
 
 use birchreach_shard_split::{Definition, PeerReport, RANGES, RangeDifferences, Report};
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
-    (0..text.len()).step_by(2).map(digits).collect()
-}
+use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
 
 fn assert_recorded(report: &Report, recorded: &str) {
-    assert_eq!(hex(&report.encode()), recorded);
+    assert_eq!(to_hex(&report.encode()), recorded);
     assert_eq!(Report::decode(&from_hex(recorded)).as_ref(), Ok(report));
 }
 
--- a/test-support/src/groups/traffic_client.rs
+++ b/test-support/src/groups/traffic_client.rs
@@ -5,6 +5,7 @@
 use super::{Change, Group, now_ms};
 use crate::client::{Client, Reply};
 use crate::lock;
+use crate::recorded_bytes::to_hex;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -163,7 +164,7 @@
             Ok(Reply::Served(value)) => {
                 result.served += 1;
                 result.read_times_micros.push(duration.as_micros() as u64);
-                let value: String = value.iter().map(|byte| format!("{byte:02x}")).collect();
+                let value = to_hex(&value);
                 let read = ServedRead { key, required_position_ms, value };
                 result.reads.push(GroupRead { group: self.profile.group, read });
             }
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -1,5 +1,6 @@
 //! Test doubles for everything a proxy talks to, on loopback addresses: scripted databases, discovery, a load balancer
-//! that runs health checks, clients, a network with faults, and the built program as a child process.
+//! that runs health checks, clients, a network with faults, and the built program as a child process; and what tests need to compare
+//! with recorded bytes.
 //!
 //! They use threads and blocking sockets, because simple code matters more here than speed. Nothing here is meant for
 //! production, and nothing here depends on the proxy's code.
@@ -15,6 +16,7 @@
 pub mod groups;
 mod links;
 pub mod process;
+pub mod recorded_bytes;
 pub mod relay;
 pub mod rig;
 pub mod schedule;
