--- a/peer-state/tests/common/mod.rs
+++ b/peer-state/tests/common/mod.rs
@@ -31,6 +31,13 @@
     state
 }
 
+/// A state with the list of another one, without facts.
+pub(crate) fn with_list_of(state: &PeerState, observer: u64) -> PeerState {
+    let mut other = PeerState::new(observer);
+    state.listed_servers().for_each(|(uid, listed)| other.add_listed_server(uid, listed.clone()));
+    other
+}
+
 /// What a proxy sends at this time on its clock.
 pub(crate) fn exported(state: &PeerState, now: Micros) -> TransferPart {
     TransferPart { servers: state.export_facts(now).collect() }
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -1,6 +1,8 @@
 //! Bytes that proxies send each other and that rest in a file, recorded from the release before: they are read as they were, and
 //! the same are written again. `recorded/bytes.txt` holds them, a name and its bytes in hexadecimal on each line.
 
+mod common;
+
 use birchreach_peer_state::datagram::{DatagramCodec, OpenedDatagram};
 use birchreach_peer_state::frame::{Key, Keys, Side};
 use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange};
@@ -9,8 +11,8 @@
     Micros, ObservationSource, PeerState, Role, ServerIncarnation, TransferPart, snapshot,
 };
 use birchreach_test_support::recorded_bytes::{find_recorded, to_hex};
+use common::{SECOND, with_list_of};
 
-const SECOND: Micros = 1_000_000;
 const REQUESTER_NONCE: [u8; 16] = [1; 16];
 const PROVIDER_NONCE: [u8; 16] = [2; 16];
 
@@ -48,8 +50,7 @@
 
 /// The facts of [`state`] as another proxy holds them, given `age` since they were exported.
 fn assert_received(part: &TransferPart, age: Micros) {
-    let mut receiver = PeerState::new(2);
-    state().listed_servers().for_each(|(uid, listed)| receiver.add_listed_server(uid, listed.clone()));
+    let mut receiver = with_list_of(&state(), 2);
     receiver.apply_transfer(200 * SECOND, part);
     let primary = receiver.facts("primary-1").unwrap();
     let seen = primary.primary.unwrap();
--- a/peer-state/tests/snapshots.rs
+++ b/peer-state/tests/snapshots.rs
@@ -4,7 +4,7 @@
 
 use birchreach_peer_state::snapshot::{self, SnapshotError};
 use birchreach_peer_state::{ObservationSource, PeerState, Role, ServerIncarnation, advice};
-use common::{SECOND, server};
+use common::{SECOND, server, with_list_of};
 
 /// The positions of 50 servers, and a primary.
 fn state() -> PeerState {
@@ -18,13 +18,6 @@
     state
 }
 
-/// A state with the list of another one, without facts.
-fn with_list_of(state: &PeerState, observer: u64) -> PeerState {
-    let mut other = PeerState::new(observer);
-    state.listed_servers().for_each(|(uid, listed)| other.add_listed_server(uid, listed.clone()));
-    other
-}
-
 #[test]
 fn a_snapshot_is_read_with_the_age_that_it_has() {
     let state = state();
--- a/peer-state/tests/transfer_protocol.rs
+++ b/peer-state/tests/transfer_protocol.rs
@@ -5,7 +5,7 @@
 use birchreach_peer_state::frame::FrameError;
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
 use birchreach_peer_state::{ObservationSource, PeerState, ServerIncarnation, advice};
-use common::{MILLISECOND, SECOND, keys};
+use common::{MILLISECOND, SECOND, keys, with_list_of};
 
 const SERVERS: u32 = 1000;
 
@@ -39,8 +39,7 @@
 fn a_transfer_sends_everything_in_parts_whatever_the_pieces() {
     let provider = state();
     for piece in [1, 1000, 1 << 20] {
-        let mut receiver = PeerState::new(2);
-        provider.listed_servers().for_each(|(uid, listed)| receiver.add_listed_server(uid, listed.clone()));
+        let mut receiver = with_list_of(&provider, 2);
         let (mut requester, mut sender) = connection();
         let mut named = None;
         let mut parts = 0;
