--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -15,17 +15,22 @@
 
 #[test]
 fn datagrams_are_accepted_once_and_complete() {
+    // Given datagrams of one sender.
     let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
     let sent: Vec<Vec<u8>> = (0..200u32).map(|number| sender.seal(&number.to_be_bytes()).unwrap()).collect();
+
+    // Then each is accepted once.
     let first = OpenedDatagram { sender_incarnation: 7, payload: &0u32.to_be_bytes() };
     assert_eq!(receiver.open(0, &sent[0]), Ok(first));
     assert_eq!(receiver.open(0, &sent[0]), Err(DatagramError::Replayed));
+
     // In another order, but not from too far back.
     assert!(receiver.open(0, &sent[90]).is_ok() && receiver.open(0, &sent[50]).is_ok());
     assert_eq!(receiver.open(0, &sent[50]), Err(DatagramError::Replayed));
     let window = REPLAY_WINDOW as usize;
     assert_eq!(receiver.open(0, &sent[90 - window]), Err(DatagramError::Replayed), "too late");
     assert!(receiver.open(0, &sent[91 - window]).is_ok());
+
     // Truncated at any length, changed at any byte, under another key, too long.
     let unused = &sent[199];
     assert!((0..unused.len()).all(|length| receiver.open(0, &unused[..length]).is_err()));
@@ -43,7 +48,9 @@
 #[test]
 fn the_longest_payload_makes_the_longest_datagram() {
     let mut sender = codec(1, 7);
+
     let longest = sender.seal(&[0; MAX_PAYLOAD_BYTES]);
+
     assert!(longest.is_some_and(|datagram| datagram.len() == MAX_DATAGRAM_BYTES));
     assert!(sender.seal(&[0; MAX_PAYLOAD_BYTES + 1]).is_none());
 }
@@ -51,8 +58,11 @@
 #[test]
 fn the_rate_of_valid_datagrams_is_limited() {
     let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
+
     let accepted = (0..10_000).filter(|_| receiver.open(0, &sender.seal(b"burst").unwrap()).is_ok()).count();
+
     assert_eq!(accepted, 400);
+
     // Another sender is not affected, and the limited one is accepted again a second later.
     assert!(receiver.open(0, &codec(1, 9).seal(b"next").unwrap()).is_ok());
     assert!(receiver.open(SECOND, &sender.seal(b"later").unwrap()).is_ok());
--- a/peer-state/tests/frames.rs
+++ b/peer-state/tests/frames.rs
@@ -31,6 +31,7 @@
         ];
         let sealed = sent.iter().flat_map(|frame| provider.seal(frame.kind, &frame.payload));
         let bytes: Vec<u8> = sealed.collect();
+
         let mut received = Vec::new();
         for piece in bytes.chunks(piece) {
             requester.feed(piece);
@@ -38,6 +39,7 @@
                 received.push(frame);
             }
         }
+
         assert_eq!(received, sent);
         assert!(provider.seal(FrameKind::Part, &vec![0; MAX_PAYLOAD_BYTES + 1]).is_empty());
     }
@@ -47,16 +49,20 @@
 fn two_keys_are_valid_during_a_rotation() {
     // The requester already seals with the new key, the provider still with the old one.
     let (mut requester, mut provider) = connected(keys(&[2, 1]), keys(&[1, 2])).unwrap();
+
     provider.feed(&requester.seal(FrameKind::Request, b""));
     assert_eq!(provider.next_frame(), Ok(Some(Frame { kind: FrameKind::Request, payload: Vec::new() })));
+
     requester.feed(&provider.seal(FrameKind::Last, b"x"));
     assert_eq!(requester.next_frame(), Ok(Some(Frame { kind: FrameKind::Last, payload: b"x".to_vec() })));
+
     assert_eq!(connected(keys(&[2]), keys(&[1])).err(), Some(FrameError::UnknownKey));
 }
 
 #[test]
 fn invalid_keys_are_rejected() {
     let key = |number, secret: &[u8]| Key { number, secret: secret.to_vec() };
+
     for invalid in [vec![], vec![key(1, b"short")], vec![key(1, &[0; 16]), key(1, &[1; 16])]] {
         assert!(Keys::new(invalid).is_err());
     }
@@ -82,6 +88,7 @@
             frame
         })
     };
+
     // The kind, the payload, the code.
     for at in [3, 14, 25] {
         assert_eq!(changed(at), Some(FrameError::WrongCode), "byte {at}");
@@ -101,13 +108,16 @@
         frame
     });
     assert_eq!(replayed, Some(FrameError::WrongCode));
+
     let after_a_lost_one = error_of(|_, provider| {
         provider.seal(FrameKind::Part, b"lost");
         provider.seal(FrameKind::Last, b"x")
     });
     assert_eq!(after_a_lost_one, Some(FrameError::WrongCode));
+
     let reflected = error_of(|requester, _| requester.seal(FrameKind::Part, b"x"));
     assert_eq!(reflected, Some(FrameError::WrongCode));
+
     let of_another_connection = error_of(|_, _| {
         let mut provider = FrameLink::new(Side::Provider, keys(&[1]), [3; 16]);
         let mut requester = FrameLink::new(Side::Requester, keys(&[1]), [1; 16]);
@@ -122,9 +132,12 @@
 #[test]
 fn a_hello_is_accepted_first_and_only_then() {
     assert_eq!(error_of(|_, provider| provider.hello()), Some(FrameError::OutOfOrder));
+
     let mut provider = FrameLink::new(Side::Provider, keys(&[1]), [2; 16]);
     let (mut requester, _) = connected(keys(&[1]), keys(&[1])).unwrap();
+
     provider.feed(&requester.seal(FrameKind::Request, b""));
+
     assert_eq!(provider.next_frame(), Err(FrameError::OutOfOrder));
 }
 
@@ -133,6 +146,7 @@
 fn malformed_frames_are_rejected() {
     let (mut requester, mut provider) = connected(keys(&[1]), keys(&[1])).unwrap();
     let valid = [requester.seal(FrameKind::Request, b"something"), provider.seal(FrameKind::Part, &[5; 300])];
+
     for seed in 0..5_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut bytes = valid[rng.usize(0..2)].repeat(2);
@@ -140,10 +154,12 @@
             let at = rng.usize(0..bytes.len());
             bytes[at] = rng.u8(..);
         }
+
         let side = if rng.bool() { Side::Requester } else { Side::Provider };
         let mut link = FrameLink::new(side, keys(&[1]), [9; 16]);
         link.feed(&bytes);
         while let Ok(Some(_)) = link.next_frame() {}
+
         // A frame's payload may be anything too.
         let part: Result<TransferPart, _> = postcard::from_bytes(&bytes);
         if let Ok(part) = part {
--- a/peer-state/tests/full_exchange.rs
+++ b/peer-state/tests/full_exchange.rs
@@ -41,14 +41,19 @@
 #[test]
 fn a_full_exchange_is_complete_or_rejected() {
     for piece in [1, 100, ALL_AT_ONCE] {
+        // Given two sides that have sent Hello.
         let (mut requester, mut provider) = sides();
         assert_eq!(deliver(&mut requester, &mut provider, piece), Ok(vec![]));
         assert_eq!(deliver(&mut provider, &mut requester, piece), Ok(vec![ExchangeEvent::Connected]));
+
+        // When the requester sends its parts, then the provider has them complete.
         let (request, answer) = (vec![vec![1; 40_000], vec![2; 3]], vec![vec![3; 10]]);
         requester.send_parts(&request);
         let received = deliver(&mut requester, &mut provider, piece);
         assert_eq!(received, Ok(vec![ExchangeEvent::Complete(request)]));
         assert!(!provider.is_finished());
+
+        // When the provider sends its own, then the exchange is complete at both.
         provider.send_parts(&answer);
         let received = deliver(&mut provider, &mut requester, piece);
         assert_eq!(received, Ok(vec![ExchangeEvent::Complete(answer)]));
@@ -60,7 +65,9 @@
 fn a_provider_that_sends_first_is_rejected() {
     let (mut requester, mut provider) = sides();
     deliver(&mut requester, &mut provider, 100).unwrap();
+
     provider.send_parts(&[]);
+
     assert!(deliver(&mut provider, &mut requester, ALL_AT_ONCE).is_err());
 }
 
@@ -69,7 +76,9 @@
     let (mut requester, mut provider) = connected();
     requester.send_parts(&[]);
     deliver(&mut requester, &mut provider, 100).unwrap();
+
     requester.send_parts(&[vec![1]]);
+
     assert_eq!(deliver(&mut requester, &mut provider, 100), Err(FrameError::OutOfOrder));
 }
 
@@ -77,6 +86,8 @@
 fn a_changed_frame_ends_an_exchange() {
     let (mut requester, mut provider) = connected();
     (0..2).for_each(|_| requester.send_parts(&vec![vec![1]; MAX_PARTS]));
+
     requester.output[100] ^= 1;
+
     assert!(deliver(&mut requester, &mut provider, ALL_AT_ONCE).is_err());
 }
--- a/peer-state/tests/histories.rs
+++ b/peer-state/tests/histories.rs
@@ -116,6 +116,7 @@
         let mut history = History::new(seed);
         for _ in 0..120 {
             history.step();
+
             for proxy in &history.proxies {
                 for server_number in 0..SERVERS {
                     let Some(facts) = proxy.state.facts(&server(server_number)) else { continue };
@@ -127,6 +128,7 @@
             }
         }
     }
+
     assert!(received > 1000, "histories without received observations show nothing");
 }
 
@@ -138,6 +140,7 @@
         (0..80).for_each(|_| history.step());
         let answers: Vec<TransferPart> =
             (0..history.proxies.len()).map(|proxy_index| history.exported(proxy_index)).collect();
+
         let merged = |order: &[usize]| {
             let mut new_proxy = new_state(99);
             order
@@ -146,6 +149,7 @@
             new_proxy.dropped = 0;
             new_proxy
         };
+
         let expected = merged(&[0, 1, 2, 3]);
         for order in [&[3, 2, 1, 0][..], &[2, 0, 3, 1, 1, 0], &[0, 0, 1, 1, 2, 3]] {
             assert_eq!(merged(order), expected, "seed {seed}");
--- a/peer-state/tests/merging.rs
+++ b/peer-state/tests/merging.rs
@@ -43,7 +43,9 @@
     for seed in 0..20_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (first, second, third) = (draw_facts(&mut rng), draw_facts(&mut rng), draw_facts(&mut rng));
+
         let both = first.merge(&second);
+
         assert_eq!(both, second.merge(&first), "seed {seed}: commutative");
         assert_eq!(both.merge(&third), first.merge(&second.merge(&third)), "seed {seed}: associative");
         assert_eq!(first.merge(&first), first, "seed {seed}: idempotent");
@@ -64,25 +66,33 @@
 #[test]
 fn another_incarnation_is_another_server() {
     let part = exported(&provider_of_incarnation_5(), 11 * SECOND);
+
     // A later incarnation, an earlier one, another group.
     for (started_ms, group) in [(6, 0), (0, 0), (5, 1)] {
         let listed = ServerIncarnation { started_ms, group };
         let mut receiver = new_state(2);
         receiver.add_listed_server("s-0", listed.clone());
+
         receiver.apply_transfer(11 * SECOND, &part);
+
         assert_eq!((receiver.facts("s-0"), receiver.dropped), (None, 1), "{listed:?}");
     }
 }
 
 #[test]
 fn facts_are_discarded_with_their_incarnation() {
+    // Given a proxy that received facts of a server.
     let part = exported(&provider_of_incarnation_5(), 11 * SECOND);
     let mut receiver = new_state(2);
     receiver.add_listed_server("s-0", ServerIncarnation { started_ms: 5, group: 0 });
     receiver.apply_transfer(11 * SECOND, &part);
     assert!(advice::position(&receiver, "s-0").is_some());
+
+    // When a later incarnation is listed, then they are discarded.
     receiver.add_listed_server("s-0", ServerIncarnation { started_ms: 7, group: 0 });
     assert_eq!(receiver.facts("s-0"), None);
+
+    // When the former incarnation is listed again, then they stay so.
     receiver.add_listed_server("s-0", ServerIncarnation { started_ms: 5, group: 0 });
     assert_eq!(receiver.facts("s-0"), None, "they do not come back");
 }
@@ -100,23 +110,28 @@
 fn own_observations_do_not_come_back() {
     let (_, receiver) = observer_and_receiver();
     let mut restarted = new_state(1);
+
     restarted.apply_transfer(12 * SECOND, &exported(&receiver, 12 * SECOND));
+
     assert_eq!(restarted.facts("s-0"), None);
 }
 
 #[test]
 fn no_observation_is_forwarded_without_end() {
     let (_, mut last) = observer_and_receiver();
+
     for observer in 3..8 {
         let mut next = new_state(observer);
         next.apply_transfer(12 * SECOND, &exported(&last, 12 * SECOND));
         last = next;
     }
+
     assert_eq!(last.facts("s-0"), None);
 }
 
 #[test]
 fn tables_are_bounded() {
+    // When more servers are listed than are kept, and one with too long a name.
     let mut state = PeerState::new(1);
     let listed = ServerIncarnation { started_ms: 0, group: 0 };
     for number in 0..10_000 {
@@ -124,7 +139,11 @@
         state.record_role(SECOND, &server(number), Role::Replica, ObservationSource::ServerStatus);
     }
     state.add_listed_server(&"x".repeat(1000), listed);
+
+    // Then as many are kept as possible.
     assert_eq!((state.listed_servers().count(), state.servers().count()), (4096, 4096));
+
+    // When another proxy receives all of them, then it keeps those on its list alone.
     let mut receiver = new_state(2);
     receiver.apply_transfer(SECOND, &exported(&state, SECOND));
     assert!(receiver.servers().count() <= SERVERS as usize);
--- a/peer-state/tests/provider.rs
+++ b/peer-state/tests/provider.rs
@@ -18,8 +18,10 @@
     let mut retries_at: Vec<Micros> = vec![0; NEW_PROXIES];
     let mut unsent: Vec<usize> = Vec::new();
     let (mut now, mut sent, mut most_served, mut rejected) = (0, 0u64, 0, 0);
+
     while !(retries_at.is_empty() && unsent.is_empty()) {
         assert!(now < 120 * SECOND, "they are not all served");
+
         let (due, later): (Vec<_>, Vec<_>) = retries_at.into_iter().partition(|at| *at <= now);
         retries_at = later;
         for _ in due {
@@ -31,6 +33,7 @@
                 }
             }
         }
+
         most_served = most_served.max(unsent.len());
         for remaining in &mut unsent {
             let part = (*remaining).min(FRAME_BYTES);
@@ -39,13 +42,16 @@
                 sent += part as u64;
             }
         }
+
         let before = unsent.len();
         unsent.retain(|remaining| *remaining > 0);
         (unsent.len()..before).for_each(|_| provider.finish(true));
+
         let budget = 65_536.0 + settings.bytes_per_s as f64 * now as f64 / 1e6;
         assert!(sent as f64 <= budget + 65_536.0);
         now += MILLISECOND;
     }
+
     assert!(most_served <= settings.at_once && provider.completed_transfers == NEW_PROXIES as u64);
     assert!(rejected < 3_000, "{rejected} requests rejected");
 }
@@ -53,9 +59,13 @@
 #[test]
 fn nothing_is_sent_under_load() {
     let mut provider = StateProvider::new(ProviderSettings::default(), 0);
+
     provider.set_load(0.9);
+
     assert!(matches!(provider.admit(0), Admission::Busy(_)));
     assert!(provider.take_send_budget(0, 1).is_err());
+
     provider.set_load(0.2);
+
     assert_eq!(provider.admit(0), Admission::Serve);
 }
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -52,6 +52,7 @@
 fn assert_received(part: &TransferPart, age: Micros) {
     let mut receiver = with_list_of(&state(), 2);
     receiver.apply_transfer(200 * SECOND, part);
+
     let primary = receiver.facts("primary-1").unwrap();
     let seen = primary.primary.unwrap();
     assert_eq!(
@@ -64,6 +65,7 @@
         Some((99 * SECOND, ObservationSource::LoadReport))
     );
     assert_eq!(primary.suspect.map(|seen| seen.value), Some(false));
+
     let replica = receiver.facts("replica-1").unwrap();
     assert_eq!(
         (replica.position.map(|seen| seen.value), replica.lag.map(|seen| seen.value)),
@@ -78,25 +80,34 @@
         (replica.latency.map(|seen| seen.value), replica.slow_start_permille.map(|seen| seen.value)),
         (Some(12_345), Some(250))
     );
+
     assert_eq!(receiver.facts("unknown"), None);
 }
 
 #[test]
 fn the_requests_frames_are_written_as_recorded() {
     let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
+
     assert_recorded("requester-hello", &std::mem::take(&mut requester.output));
+
     requester.feed(&recorded("provider-hello"));
+
     assert_eq!(requester.next_event(), Ok(None));
     assert_recorded("request", &requester.output);
 }
 
 #[test]
 fn the_answers_frames_are_written_as_recorded() {
+    // Given a sender whose Hello is the recorded one.
     let mut sender = StateSender::new(keys(), PROVIDER_NONCE);
     assert_recorded("provider-hello", &std::mem::take(&mut sender.output));
+
+    // When the recorded request arrives, then it is accepted.
     sender.feed(&recorded("requester-hello"));
     sender.feed(&recorded("request"));
     assert_eq!(sender.receive_request(), Ok(true));
+
+    // When the state is sent, then each frame is the recorded one.
     sender.start_sending(state().export_facts(102 * SECOND), &["127.0.0.1:7001".into(), "[::1]:7002".into()]);
     assert!(sender.send_next_part().is_some());
     assert_recorded("part", &std::mem::take(&mut sender.output));
@@ -108,9 +119,11 @@
 #[test]
 fn a_recorded_answer_is_read() {
     let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
+
     for name in ["provider-hello", "part", "last"] {
         requester.feed(&recorded(name));
     }
+
     let Ok(Some(TransferEvent::Part(part))) = requester.next_event() else { panic!("no part") };
     assert_received(&part, 0);
     let named = vec!["127.0.0.1:7001".to_string(), "[::1]:7002".to_string()];
@@ -120,13 +133,18 @@
 
 #[test]
 fn a_busy_answer_is_written_and_read_as_recorded() {
+    // Given a request that has arrived.
     let mut sender = StateSender::new(keys(), PROVIDER_NONCE);
     sender.output.clear();
     sender.feed(&recorded("requester-hello"));
     sender.feed(&recorded("request"));
     assert_eq!(sender.receive_request(), Ok(true));
+
+    // When it is answered as busy, then the answer is the recorded one.
     sender.send_busy(1_234_567);
     assert_recorded("busy", &sender.output);
+
+    // When a requester reads it, then it knows when to retry.
     let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
     requester.feed(&recorded("provider-hello"));
     requester.feed(&recorded("busy"));
@@ -135,22 +153,31 @@
 
 #[test]
 fn a_full_exchange_is_written_and_read_as_recorded() {
+    // Given two sides of an exchange.
     let (mut requester, mut provider) = (
         FullExchange::new(Side::Requester, keys(), REQUESTER_NONCE),
         FullExchange::new(Side::Provider, keys(), PROVIDER_NONCE),
     );
     let (request, answer) = (vec![b"first".to_vec(), vec![0, 255]], vec![vec![1, 2, 3]]);
+
+    // Then both sides write the recorded Hello.
     assert_recorded("requester-hello", &std::mem::take(&mut requester.output));
     assert_recorded("provider-hello", &std::mem::take(&mut provider.output));
+
+    // When the requester sends its parts, then the frames are the recorded ones.
     requester.feed(&recorded("provider-hello"));
     assert_eq!(requester.next_event(), Ok(Some(ExchangeEvent::Connected)));
     requester.send_parts(&request);
     assert_recorded("exchange-requester", &std::mem::take(&mut requester.output));
+
+    // When the provider reads them and sends its own, then its frames are the recorded ones.
     provider.feed(&recorded("requester-hello"));
     provider.feed(&recorded("exchange-requester"));
     assert_eq!(provider.next_event(), Ok(Some(ExchangeEvent::Complete(request))));
     provider.send_parts(&answer);
     assert_recorded("exchange-provider", &std::mem::take(&mut provider.output));
+
+    // When the requester reads those, then the exchange is complete at both.
     requester.feed(&recorded("exchange-provider"));
     assert_eq!(requester.next_event(), Ok(Some(ExchangeEvent::Complete(answer))));
     assert!(requester.is_finished() && provider.is_finished());
@@ -160,6 +187,7 @@
 fn datagrams_are_written_and_read_as_recorded() {
     let mut sender = DatagramCodec::new(keys(), 0x1112_1314_1516_1718);
     let mut receiver = DatagramCodec::new(keys(), 1);
+
     for (name, payload) in [("datagram-1", &b"payload"[..]), ("datagram-2", &[])] {
         assert_recorded(name, &sender.seal(payload).unwrap());
         let opened = OpenedDatagram { sender_incarnation: 0x1112_1314_1516_1718, payload };
@@ -170,13 +198,16 @@
 #[test]
 fn a_snapshot_is_written_and_read_as_recorded() {
     assert_recorded("snapshot", &snapshot::write(&state(), 102 * SECOND, 1_700_000_500_000));
+
     let part = snapshot::read(&recorded("snapshot"), 1_700_000_503_000).unwrap();
+
     assert_received(&part, 3 * SECOND);
 }
 
 #[test]
 fn the_numbers_of_names_are_as_recorded() {
     let hasher = keys().name_hasher(b"purpose");
+
     assert_recorded("number", &hasher.hash(3, b"name").to_be_bytes());
     assert_eq!(hasher.key_id, 7);
 }
--- a/peer-state/tests/request_scheduler.rs
+++ b/peer-state/tests/request_scheduler.rs
@@ -18,10 +18,13 @@
 
 #[test]
 fn a_start_waits_for_one_complete_answer() {
+    // Given a start that has sent as many requests as it sends at once.
     let mut scheduler = scheduler(&["a", "b", "c", "d"]);
     let requested = scheduler.due_requests(0);
     assert!(requested.len() == 3 && !scheduler.is_startup_complete());
     assert!(scheduler.due_requests(MILLISECOND).is_empty());
+
+    // When one answer is complete, then the start waits no longer.
     scheduler.record_outcome(5 * MILLISECOND, &requested[0], RequestOutcome::Complete(vec!["e".into()]));
     assert!(scheduler.is_startup_complete());
 }
@@ -31,16 +34,20 @@
     let mut scheduler = scheduler(&["a", "b"]);
     assert_eq!(scheduler.due_requests(0).len(), 2);
     assert_eq!(scheduler.next_change(0), 300 * MILLISECOND);
+
     scheduler.due_requests(300 * MILLISECOND);
+
     assert!(scheduler.is_startup_complete());
 }
 
 #[test]
 fn a_start_does_not_wait_once_all_providers_failed() {
     let mut scheduler = scheduler(&["a", "b"]);
+
     for provider in scheduler.due_requests(0) {
         scheduler.record_outcome(2 * MILLISECOND, &provider, RequestOutcome::Failed);
     }
+
     assert!(scheduler.is_startup_complete());
 }
 
@@ -69,6 +76,7 @@
         let mut scheduler = scheduler(&providers[..rng.usize(1..5)]);
         let (mut now, mut requests) = (0, 0);
         let mut pending: Vec<Pending> = Vec::new();
+
         while now < 600 * SECOND {
             for provider in scheduler.due_requests(now) {
                 requests += 1;
@@ -77,6 +85,7 @@
                     pending.push(Pending { at, provider, outcome });
                 }
             }
+
             pending.sort_by_key(|pending| pending.at);
             let due = pending.first().map_or(Micros::MAX, |pending| pending.at);
             let next = scheduler.next_change(now);
@@ -87,6 +96,7 @@
                 scheduler.record_outcome(at, &provider, outcome);
             }
         }
+
         assert!(scheduler.is_startup_complete());
         assert!((20..3_000).contains(&requests), "seed {seed}: {requests} requests in ten minutes");
     }
--- a/peer-state/tests/snapshots.rs
+++ b/peer-state/tests/snapshots.rs
@@ -22,9 +22,11 @@
 fn a_snapshot_is_read_with_the_age_that_it_has() {
     let state = state();
     let file = snapshot::write(&state, 101 * SECOND, 1_000_000);
-    let part = snapshot::read(&file, 1_030_000).unwrap();
     let mut new_proxy = with_list_of(&state, 2);
+
+    let part = snapshot::read(&file, 1_030_000).unwrap();
     new_proxy.apply_transfer(500 * SECOND, &part);
+
     let primary = new_proxy.facts("s-0").unwrap().primary.unwrap();
     assert_eq!((primary.age(500 * SECOND), primary.hop_count), (31 * SECOND, 1));
     assert_eq!(advice::position(&new_proxy, "s-7").unwrap().value, 99 * SECOND);
@@ -34,15 +36,20 @@
 fn a_proxy_does_not_take_its_own_observations_from_a_snapshot() {
     let state = state();
     let file = snapshot::write(&state, 101 * SECOND, 1_000_000);
-    let part = snapshot::read(&file, 1_030_000).unwrap();
     let mut restarted = with_list_of(&state, 1);
+
+    let part = snapshot::read(&file, 1_030_000).unwrap();
     restarted.apply_transfer(500 * SECOND, &part);
+
     assert_eq!(restarted.servers().count(), 0);
 }
 
 #[test]
 fn a_snapshot_that_is_not_complete_is_rejected() {
+    // Given a snapshot.
     let file = snapshot::write(&state(), 101 * SECOND, 1_000_000);
+
+    // Then none that is truncated, changed, or no snapshot of this version is read.
     for length in 0..file.len() {
         assert!(snapshot::read(&file[..length], 1_000_000).is_err(), "{length} bytes");
     }
@@ -53,6 +60,8 @@
     }
     assert_eq!(snapshot::read(b"{}", 0), Err(SnapshotError::UnknownFormat));
     assert_eq!(snapshot::read(b"bknow-2\n........", 0), Err(SnapshotError::UnknownFormat));
+
+    // Then one that is from the future, too old or too long is not read either.
     assert_eq!(snapshot::read(&file, 999_999), Err(SnapshotError::WrittenInFuture));
     assert_eq!(snapshot::read(&file, 1_700_000), Err(SnapshotError::TooOld));
     assert_eq!(snapshot::read(&vec![0; snapshot::MAX_FILE_BYTES + 1], 0), Err(SnapshotError::TooLong));
--- a/peer-state/tests/transfer_protocol.rs
+++ b/peer-state/tests/transfer_protocol.rs
@@ -38,11 +38,13 @@
 #[test]
 fn a_transfer_sends_everything_in_parts_whatever_the_pieces() {
     let provider = state();
+
     for piece in [1, 1000, 1 << 20] {
         let mut receiver = with_list_of(&provider, 2);
         let (mut requester, mut sender) = connection();
         let mut named = None;
         let mut parts = 0;
+
         for _ in 0..1_000_000 {
             sender.feed(&take(&mut requester.output, piece));
             if sender.receive_request().unwrap() {
@@ -63,6 +65,7 @@
                 break;
             }
         }
+
         assert_eq!(named, Some(vec!["127.0.0.1:1".to_string()]));
         assert_eq!((parts, receiver.servers().count()), (9, SERVERS as usize));
         let last = advice::position(&receiver, &long_name(SERVERS - 1)).unwrap();
@@ -72,8 +75,11 @@
 
 #[test]
 fn a_requester_without_the_key_receives_nothing() {
+    // Given a requester that has another key.
     let mut unauthorized = StateRequester::new(keys(&[3]), [1; 16]);
     let (_, mut sender) = connection();
+
+    // When it sends Hello, then it is rejected, and rejects the answer.
     sender.feed(&unauthorized.output);
     assert_eq!(sender.receive_request(), Err(FrameError::UnknownKey));
     unauthorized.feed(&sender.output);
@@ -82,6 +88,7 @@
 
 #[test]
 fn a_rejected_requester_receives_when_to_retry() {
+    // Given a request that has arrived.
     let (mut requester, mut sender) = connection();
     sender.feed(&std::mem::take(&mut requester.output));
     assert_eq!(sender.receive_request(), Ok(false));
@@ -89,8 +96,12 @@
     assert_eq!(requester.next_event(), Ok(None));
     sender.feed(&std::mem::take(&mut requester.output));
     assert_eq!(sender.receive_request(), Ok(true));
+
+    // When it is answered as busy.
     sender.send_busy(1500 * MILLISECOND);
     requester.feed(&std::mem::take(&mut sender.output));
+
+    // Then the requester receives when to retry, and both have finished.
     assert_eq!(requester.next_event(), Ok(Some(TransferEvent::Busy(1500 * MILLISECOND))));
     assert!(requester.is_finished() && sender.is_finished());
 }
