--- a/hot-keys/tests/invariants/copies.rs
+++ b/hot-keys/tests/invariants/copies.rs
@@ -15,9 +15,11 @@
 /// Copies are held outside the key's group, in different groups, and by all databases about equally often.
 pub(crate) fn check_copy_holders() -> CheckResult {
     let mut copies_by_server = BTreeMap::<u32, usize>::new();
+
     for number in 0..300 {
         let key = key((number % 6) as u32, number);
         let tracker = tracker_with_reports(1, 6, &reports_of_hot_key(key), false);
+
         let hot_key = tracker.hot_keys().next().ok_or("it is not hot")?;
         let groups: BTreeSet<u32> = hot_key.copy_holders.iter().map(|holder| holder.group).collect();
         ensure!(hot_key.copy_holders.len() == 3 && groups.len() == 3, "{:?}", hot_key.copy_holders);
@@ -26,6 +28,7 @@
             *copies_by_server.entry(holder.server).or_default() += 1;
         }
     }
+
     let fewest = copies_by_server.values().min().copied().unwrap_or(0);
     let most = copies_by_server.values().max().copied().unwrap_or(0);
     ensure!(copies_by_server.len() == databases(6).len() && most < 4 * fewest, "{copies_by_server:?}");
@@ -39,9 +42,11 @@
     };
     let mut tracker = tracker_with_reports(1, 6, &reports_of_hot_key(key(0, 1)), false);
     let before = holders(&tracker);
+
     let listed = databases(6).into_iter().filter(|database| *database != before[0]).collect();
     tracker.update_databases(listed, (0..6).map(|group| (group, REPLICAS)).collect());
     let after = holders(&tracker);
+
     ensure!(
         !after.contains(&before[0]) && before[1..].iter().all(|holder| after.contains(holder)),
         "{before:?}, {after:?}"
@@ -56,9 +61,11 @@
     fleet.reads_per_s = vec![(hot_key, 400.0)];
     fleet.pass_until(hot_key, true, 20 * SECOND).ok_or("it is not found")?;
     fleet.pass(5 * SECOND);
+
     fleet.refreshes.clear();
     fleet.pass(20 * SECOND);
     let refreshes = fleet.refreshes.get(&hot_key).cloned().unwrap_or_default();
+
     let owners: BTreeSet<usize> = refreshes.iter().map(|(_, owner)| *owner).collect();
     let count = refreshes.len();
     ensure!((46..=54).contains(&count) && owners.len() == 5, "{count} refreshes by {owners:?}");
--- a/hot-keys/tests/invariants/main.rs
+++ b/hot-keys/tests/invariants/main.rs
@@ -17,11 +17,13 @@
 fn check_reported_rates() -> CheckResult {
     let mut rng = fastrand::Rng::with_seed(1);
     let (mut sketch, mut counts) = (ReadSketch::new(0), BTreeMap::<Key, Vec<Micros>>::new());
+
     for now in (0..20 * SECOND).step_by(1_000) {
         let number = if rng.u8(..3) == 0 { rng.u64(..40) } else { rng.u64(..2_000) };
         sketch.record_read(now, key(0, number), b"");
         counts.entry(key(0, number)).or_default().push(now);
     }
+
     for KeyRate { key, reads_per_s } in sketch.top_keys(20 * SECOND, 1_000) {
         // The same decaying mean of all reads that there were.
         let decayed = |read_at: &Micros| (-((20 * SECOND - read_at) as f64) / 5e6).exp();
@@ -34,16 +36,19 @@
 /// A key that is read twice a second keeps its counter while thousands of keys are read once each; none of those is reported.
 fn check_flood() -> CheckResult {
     let mut sketch = ReadSketch::new(0);
+
     for now in (0..30 * SECOND).step_by(500) {
         if now % 500_000 == 0 {
             sketch.record_read(now, key(0, 7), b"steady");
         }
         sketch.record_read(now, key(0, 1_000 + now as u64), b"once");
     }
+
     let top = sketch.top_keys(30 * SECOND, 1_000);
     let steady_rate = top.iter().find(|top| top.key == key(0, 7)).map_or(0.0, |top| top.reads_per_s);
     let others = top.iter().filter(|top| top.key != key(0, 7));
     let highest_of_others = others.map(|top| top.reads_per_s).fold(0.0, f64::max);
+
     ensure!((1.0..2.5).contains(&steady_rate), "of 2 a second: {steady_rate}");
     ensure!(highest_of_others < 1.0, "a key that is read once is reported with {highest_of_others}");
     Ok(())
@@ -67,9 +72,11 @@
             let keys: Vec<u64> = (0..8).filter(|_| rng.bool()).collect();
             reports.push((origin, keys.into_iter().map(|number| entry(&mut rng, number)).collect()));
         }
+
         // Received by different processes, in different orders.
         let first = tracker_with_reports(11, 6, &reports, false);
         let second = tracker_with_reports(12, 6, &reports, true);
+
         ensure!(
             keys_of(&first) == keys_of(&second) && first.digest() == second.digest(),
             "round {round}: {:?}, {:?}",
@@ -89,9 +96,11 @@
     let entry = |is_hot| ReportEntry { key: key(0, 1), reads_per_1000_s: 26_000, is_hot };
     let reports: Vec<(u64, Vec<ReportEntry>)> =
         (1..=3).map(|origin| (origin, vec![entry(origin != 3)])).collect();
+
     let agreeing = tracker_with_reports(1, 6, &reports, false);
     let disagreeing = tracker_with_reports(3, 6, &reports, false);
     let (keys, other_keys) = (keys_of(&agreeing), keys_of(&disagreeing));
+
     ensure!(keys.len() == 1 && keys == other_keys, "{keys:?}, {other_keys:?}");
     Ok(())
 }
@@ -106,8 +115,12 @@
         };
         (0..16).map(entry).collect()
     };
+
+    // One origin.
     let from_one = tracker_with_reports(9, 5, &[(1, highest_rates(1))], false);
     ensure!(keys_of(&from_one).is_empty(), "one origin makes {} keys hot", keys_of(&from_one).len());
+
+    // Forty pairs of origins.
     let pairs: Vec<(u64, Vec<ReportEntry>)> = (0..40)
         .flat_map(|pair| [(100 + 2 * pair, highest_rates(pair)), (101 + 2 * pair, highest_rates(pair))])
         .collect();
@@ -118,6 +131,7 @@
 
 /// A key stays in the set for its minimum time, also where the reads move to another key each second.
 fn check_flapping() -> CheckResult {
+    // When the reads move to another key each second, then the sets seldom change.
     let mut fleet = Fleet::new(5, 3);
     let steady = key(0, 1);
     for _ in 0..10 {
@@ -126,9 +140,12 @@
             fleet.pass(SECOND);
         }
     }
+
     let most = fleet.trackers.iter().map(|tracker| tracker.change_count()).max().unwrap_or(0);
     // Six keys, each of which enters and leaves at most once in its minimum time of ten seconds.
     ensure!(most <= 6 * 2 * 6, "{most} changes in 60 s");
+
+    // When a hot key is not read any more, then it stays for the minimum time.
     let mut fleet = Fleet::new(5, 4);
     fleet.reads_per_s = vec![(steady, 400.0)];
     fleet.pass_until(steady, true, 20 * SECOND).ok_or("it is not found")?;
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -139,10 +139,12 @@
 
     assert!(tracker.receive_report(SECOND, header(2, 5), &valid).is_err(), "twice");
     assert!(tracker.receive_report(SECOND, header(2, 4), &valid).is_err(), "overtaken");
+
     for length in 0..valid.len() {
         let truncated = &valid[..length];
         assert!(tracker.receive_report(SECOND, header(3, 1), truncated).is_err(), "{length} bytes of it");
     }
+
     let of_another_secret = Report { secret_id: 2, ..full_report() }.encode();
     let rejected = tracker.receive_report(SECOND, header(3, 1), &of_another_secret);
     assert!(rejected.is_err(), "under another secret");
@@ -185,26 +187,34 @@
 #[test]
 fn copies_prove_their_position() {
     use birchreach_hot_keys::copy::{Copy, can_serve, copy_from_reads, newer_copy};
+
     let copy = |position| Copy { value: position, position };
+
     assert_eq!(
         copy_from_reads(None, 1, Some(5)),
         None,
         "without a position before the read there is no copy"
     );
+
     assert_eq!(newer_copy(Some(copy(5)), copy(3)), copy(5));
     assert_eq!(newer_copy(Some(copy(5)), copy(7)), copy(7));
+
     assert!(can_serve(Some(&copy(5)), 5) && !can_serve(Some(&copy(5)), 6) && !can_serve::<i64>(None, 0));
 }
 
 #[test]
 fn keys_are_copied_only_where_it_is_worthwhile() {
     let settings = settings(5);
+
     assert_eq!(settings.refresh_interval(), 400_000);
+
     // A database serves 100 reads a second. At 300 with two replicas, four more holders would leave each half of its capacity; three
     // are allowed.
     assert_eq!(settings.cost(300.0, 2).copies, 3);
     assert_eq!(settings.cost(150.0, 2).copies, 1);
+
     assert!(settings.is_worthwhile(101.0, 2) && !settings.is_worthwhile(99.0, 2));
+
     let expensive_copies = Settings { copy_cost_reads: 60.0, ..settings };
     assert!(!expensive_copies.is_worthwhile(300.0, 2), "600 reads a second for copies, to save 180");
     assert!(expensive_copies.hot_threshold(2) > 300.0);
--- a/membership/tests/common/scenarios/limits.rs
+++ b/membership/tests/common/scenarios/limits.rs
@@ -36,13 +36,16 @@
 pub(crate) fn what_is_received_is_bounded() -> Result<(), String> {
     let mut network = Network::started(2, 10);
     agreement(&mut network, 2, 10 * SECOND, "join")?;
+
     for round in 0..400 {
         let to = membership(&mut network, 0)?.own().clone();
         let payload = invented_gossip(to, round)?;
         network.deliver(0, invented(0).incarnation, payload);
     }
+
     let member = membership(&mut network, 0)?;
     let (members, addresses) = (member.members().count(), member.known_address_count());
+
     ensure!(members > 100, "the scenario shows nothing: {members}");
     ensure!(members <= MAX_MEMBERS, "{members} members");
     ensure!(addresses <= MAX_MEMBERS + 2, "{addresses} addresses");
--- a/membership/tests/common/scenarios/mod.rs
+++ b/membership/tests/common/scenarios/mod.rs
@@ -44,8 +44,10 @@
     for (loss, seed) in [(0.0, 1), (0.05, 2), (0.05, 3)] {
         let mut network = Network::started(40, seed);
         network.loss = loss;
+
         network.advance(120 * SECOND);
         ensure_eq!(removals(&network, |_| true), 0, "loss {loss}, seed {seed}");
+
         network.kill(7);
         network.advance(10 * SECOND);
         ensure_eq!(removals(&network, |index| index != 7), 0, "loss {loss}, seed {seed}");
@@ -59,6 +61,7 @@
 pub(crate) fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
     let mut network = Network::started(20, 5);
     agreement(&mut network, 20, 20 * SECOND, "join")?;
+
     partition(&mut network, 7);
     for _ in 0..200 {
         network.advance(SECOND / 5);
@@ -66,6 +69,7 @@
         ensure!(sum <= 1.0 + 1e-9, "{sum} at {}", network.now);
     }
     ensure!(network.live().all(|member| member.view().members < 20), "each partition sees itself alone");
+
     // More members than the options name: those seen count.
     end_partition(&mut network);
     (20..25).for_each(|index| network.start(index, 0));
@@ -80,10 +84,12 @@
         let mut network = Network::started(10, 6);
         agreement(&mut network, 10, 20 * SECOND, "join")?;
         let before = membership(&mut network, 4)?.own().incarnation;
+
         // Before any other member has noticed, and once with a clock that went back.
         network.kill(4);
         network.start(4, clock_offset);
         agreement(&mut network, 10, 30 * SECOND, &format!("restart, clock off by {clock_offset}"))?;
+
         let after = membership(&mut network, 4)?.own().incarnation;
         let seen = |view: &Membership| {
             view.members().find(|member| member.address == address(4)).map(|member| member.incarnation)
@@ -97,21 +103,26 @@
 /// A member that receives nothing reports itself blind, and one that is alone by its options does not.
 pub(crate) fn a_partitioned_member_reports_itself_blind() -> Result<(), String> {
     let state = |network: &mut Network| membership(network, 0).map(|member| member.view().state);
+
     let mut network = Network::new(3, 7);
     network.start(0, 0);
     network.advance(4 * SECOND);
     ensure_eq!(state(&mut network)?, ViewState::Blind { since: 0 });
+
     (1..3).for_each(|index| network.start(index, 0));
     agreement(&mut network, 3, 10 * SECOND, "join")?;
+
     partition(&mut network, 1);
     let partitioned_at = network.now;
     network.advance(4 * SECOND);
+
     let about_then = partitioned_at - SECOND..=partitioned_at + SECOND;
     let state_after = state(&mut network)?;
     ensure!(
         matches!(state_after, ViewState::Blind { since } if about_then.contains(&since)),
         "{state_after:?}"
     );
+
     let mut alone = Network::started(1, 8);
     alone.advance(10 * SECOND);
     ensure_eq!(state(&mut alone)?, ViewState::Alone);
@@ -121,13 +132,16 @@
 /// All report that two members have one name, and that this has ended.
 pub(crate) fn name_conflicts_are_reported() -> Result<(), String> {
     let mut network = Network::started(4, 9);
+
     network.start_named(4, "p2", 0);
     network.advance(10 * SECOND);
     let reports = |member: &Membership| member.view().name_conflicts == ["p2"];
     ensure!(network.live().all(reports), "by all, also by those with the name");
+
     network.kill(4);
     network.advance(10 * SECOND);
     ensure!(network.live().all(|member| member.view().name_conflicts.is_empty()));
+
     let (conflict, resolved) =
         (MembershipChange::NameConflict("p2".into()), MembershipChange::NameConflictResolved("p2".into()));
     for process in &network.processes[..4] {
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -29,6 +29,7 @@
         for (index, member) in members.iter_mut().enumerate() {
             member.publish(0, 1, vec![index as u8; 110]);
         }
+
         for now in (0..interval).step_by(50_000) {
             for index in 0..count {
                 let others: Vec<SocketAddr> =
@@ -39,6 +40,7 @@
                 received += members[to].apply_gossip(now, count, |_| true, &outgoing.payload).unwrap().len();
             }
         }
+
         let fraction = received as f64 / (count * (count - 1)) as f64;
         let rate = datagrams as f64 / count as f64 / (interval as f64 / 1e6);
         assert!(fraction > 0.98, "{count}: {fraction} received in an interval");
@@ -48,6 +50,7 @@
 
 /// The newest of two reports counts, once, and the one before it does not after it.
 fn the_newest_report_counts_once() -> Result<(), String> {
+    // Given two reports of one member.
     let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(2, 2));
     sender.publish(0, CHANNEL, b"first".to_vec());
     let first = next_datagram(&mut sender, 0).ok_or("nothing sent")?;
@@ -55,6 +58,8 @@
     let second = next_datagram(&mut sender, SECOND).ok_or("nothing sent")?;
     let mut receive =
         |now, bytes: &[u8]| receiver.apply_gossip(now, 2, |_| true, bytes).map_err(|error| error.to_string());
+
+    // When the second arrives, then it counts.
     let new = receive(SECOND, &second)?;
     let is_second = |report: &birchreach_membership::ReceivedReport| {
         report.payload == b"second" && report.origin == 1 && report.sequence == 2
@@ -62,6 +67,8 @@
     if new.len() != 1 || !is_second(&new[0]) {
         return Err(format!("{new:?}"));
     }
+
+    // When it arrives again, or the first after it, then neither counts.
     for bytes in [&second, &first, &second] {
         let again = receive(SECOND + 1, bytes)?;
         if !again.is_empty() {
@@ -74,6 +81,7 @@
 #[test]
 fn reports_count_once() {
     the_newest_report_counts_once().unwrap();
+
     let with_fault = with(Fault::DuplicatesCounted, the_newest_report_counts_once);
     assert!(with_fault.is_err(), "the check finds nothing");
 }
@@ -107,7 +115,9 @@
     let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(4, 4));
     sender.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut sender, SECOND / 2).unwrap();
+
     let received = receiver.apply_gossip(0, 3, |origin| origin != 1, &sent).unwrap();
+
     assert!(received.is_empty());
     assert_eq!(receiver.len(), 0);
 }
@@ -115,7 +125,9 @@
 #[test]
 fn a_report_that_is_too_long_is_not_sent() {
     let mut sender = GossipReports::new(1, 1);
+
     sender.publish(0, 1, vec![7; MAX_REPORT_BYTES + 1]);
+
     assert!(next_datagram(&mut sender, 0).is_none());
 }
 
@@ -163,12 +175,14 @@
 fn reports_of_many_members_are_bounded() {
     let mut receiver = GossipReports::new(9, 2);
     receiver.publish(0, 1, b"own".to_vec());
+
     for origin in 10..20_010u64 {
         let mut sender = GossipReports::new(origin, 1);
         sender.publish(0, 1, b"x".to_vec());
         let bytes = next_datagram(&mut sender, 0).unwrap();
         receiver.apply_gossip(0, 2, |_| true, &bytes).unwrap();
     }
+
     assert!(receiver.len() <= MAX_REPORTS, "{}", receiver.len());
     assert!(next_datagram(&mut receiver, 0).is_some());
 }
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -41,6 +41,7 @@
 /// The second joins the first; each is fed the recorded payloads of the other for five seconds.
 #[test]
 fn a_join_and_the_gossip_after_it_are_written_and_read_as_recorded() {
+    // When both exchange the recorded payloads, then each writes those that were recorded.
     let mut members = [member(0, 0), member(1, 0)];
     let incarnations = [0, 1].map(|index| members[index].own().incarnation);
     let mut sent = 0;
@@ -57,11 +58,15 @@
         }
     }
     assert!(sent > 30, "{sent} payloads");
+
+    // Then both have settled on one view.
     for member in &members {
         assert_eq!(member.view().members, 2);
         assert_recorded("digest-of-two", &member.view().digest.to_be_bytes());
         assert!(matches!(member.view().state, ViewState::Settled { .. }));
     }
+
+    // When the second leaves, then the first has no other member.
     members[1].leave(5 * SECOND);
     let leaving = members[1].next_payload().unwrap().payload;
     assert_recorded("goodbye", &leaving);
@@ -71,10 +76,13 @@
 
 #[test]
 fn a_full_exchange_is_written_and_read_as_recorded() {
+    // When one exports its members, then the payload is the recorded one.
     let (mut first, second) = (member(0, 0), member(1, 0));
     let parts = second.export_members();
     assert_eq!(parts.len(), 1);
     assert_recorded("exchange", &parts[0]);
+
+    // When the other imports it, then it has both members.
     first.import_members(SECOND, &[recorded("exchange")]).unwrap();
     let members: Vec<_> = first.members().cloned().collect();
     assert_eq!(members, [second.own().clone()]);
@@ -84,11 +92,14 @@
 
 #[test]
 fn reports_are_written_and_read_as_recorded() {
+    // When reports are published, then the payload is the recorded one.
     let (mut sender, mut receiver) = (GossipReports::new(0x2122_2324_2526_2728, 1), GossipReports::new(2, 2));
     sender.publish(0, 1, b"first channel".to_vec());
     sender.publish(SECOND, 200, vec![0, 255, 7]);
     let payload = sender.encode_gossip(SECOND + 1, &[address(0)]).unwrap().payload;
     assert_recorded("reports", &payload);
+
+    // When another member reads it, then it has both reports.
     let mut new_reports = receiver.apply_gossip(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
     new_reports.sort_by_key(|report| report.channel);
     let report = |channel, age, payload: &[u8]| ReceivedReport {
--- a/peer-reports/tests/reports.rs
+++ b/peer-reports/tests/reports.rs
@@ -56,6 +56,7 @@
     reports.set_interval(2 * SECOND);
     let lifetime = reports.lifetime();
     let aged = |origin, age| ReportHeader { origin, sequence: 1, age };
+
     assert_eq!(reports.record(10 * SECOND, aged(2, 0), "made now"), Ok(()));
     assert_eq!(reports.record(10 * SECOND, aged(3, SECOND), "made a second ago"), Ok(()));
     assert_eq!(reports.record(10 * SECOND, aged(4, -SECOND), "made later, by its age"), Ok(()));
--- a/shard-split/tests/malformed_reports.rs
+++ b/shard-split/tests/malformed_reports.rs
@@ -38,6 +38,7 @@
 #[test]
 fn malformed_reports_are_rejected() {
     let valid = valid_report().encode();
+
     for length in 0..valid.len() {
         assert!(Report::decode(&valid[..length]).is_err(), "{length} bytes of it");
     }
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -45,6 +45,7 @@
         let definition = Definition { parent, lower_child, upper_child, split_at };
         format!("{:016x}", definition.digest())
     };
+
     assert_eq!(digest(0, 1, 2, 1 << 31), "67d9e9a838b6c520");
     assert_eq!(digest(7, 300, 70_000, 0x1234_5678), "dd562d5dc7971fc4");
 }
@@ -55,6 +56,7 @@
         let hash = Definition::hash(key);
         format!("{hash:08x} {}", Definition::range(hash))
     };
+
     assert_eq!(hashed(b""), "e3b0c442 56");
     assert_eq!(hashed(b"key-0"), "d5ead6fd 53");
     assert_eq!(hashed("Žluťoučký".as_bytes()), "64e6f4a0 25");
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -22,7 +22,9 @@
 fn check_no_false_difference() -> CheckResult {
     for seed in 0..40 {
         let mut world = World::new(seed, 3, 60, ROUGH_DISTURBANCES);
+
         world.pass(60 * SECOND, 60.0);
+
         let wrong = world.confirmed_keys().wrong;
         ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
         let agreed: u64 = world.verifiers.iter().map(|verifier| verifier.counts().agreed).sum();
@@ -44,7 +46,9 @@
         let mut world =
             World::new(seed, 3, 60, Disturbances { failovers: 0.02, restarts: 0.01, ..ROUGH_DISTURBANCES });
         world.databases.faults.extend(faults);
+
         world.pass(150 * SECOND, 60.0);
+
         let ConfirmedKeys { faulty, wrong } = world.confirmed_keys();
         ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
         ensure!(faulty.len() == 5, "seed {seed}: of five only {faulty:?}");
@@ -85,9 +89,11 @@
     let orders: [[usize; 6]; 3] = [[0, 1, 2, 3, 4, 5], [5, 4, 3, 2, 1, 0], [1, 0, 2, 5, 3, 4]];
     for order in orders {
         let mut split = SplitVerifier::new(settings(3), 1, 0);
+
         for SentReport { origin, sequence, comparisons } in order.map(|index| reports[index]) {
             let _ = split.receive_report(SECOND, header(origin, sequence), &encoded(comparisons));
         }
+
         ensure!(
             split.coverage(0) == RangeCoverage { comparisons: 8, processes: 2 },
             "{order:?}: {:?}",
@@ -106,6 +112,7 @@
         differences: vec![RangeDifferences { kind: 0, range: 3, count: 1 }],
     };
     let mut split = SplitVerifier::new(settings(2), 1, 0);
+
     ensure!(split.receive_report(SECOND, header(2, 1), &report.encode()).is_err(), "it is accepted");
     ensure!(
         split.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
@@ -117,9 +124,12 @@
 
 /// Comparisons in progress, differences and origins are bounded.
 fn check_bounds() -> CheckResult {
+    // Given a world in which every key differs.
     let mut world = World::new(2, 1, 3_000, Disturbances { lost: 0.0, ..Disturbances::default() });
     world.databases.faults.extend((0..3_000).map(|number| (number, ChildFault::Other)));
     world.pass(120 * SECOND, 400.0);
+
+    // Then comparisons and differences are bounded.
     let split = &world.verifiers[0];
     let differences = split.differences().count();
     ensure!(differences > 100, "it shows nothing: {differences}");
@@ -128,6 +138,8 @@
         "{} in progress, {differences} differences",
         split.comparison_count()
     );
+
+    // When more origins report than are kept, then their number is bounded.
     let mut flooded = SplitVerifier::new(settings(2), 1, 0);
     let report =
         Report { definition_digest: definition().digest(), compared: vec![1; RANGES], differences: vec![] }
@@ -164,6 +176,7 @@
         }
         confirmed
     };
+
     ensure!(confirmed(&mut split, 20 * SECOND, 1, 1).is_none(), "at once");
     ensure!(confirmed(&mut split, 24 * SECOND, 1, 2).is_none(), "the parent failed over in between");
     ensure!(confirmed(&mut split, 28 * SECOND, 2, 2).is_none(), "the child was restarted in between");
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/verdicts.rs
@@ -20,6 +20,7 @@
 pub(crate) fn check_clean_verdict() -> CheckResult {
     let covered = verifier_with_reports(|_| 1).verdict(3);
     ensure!(covered == Verdict::Clean, "three times one is enough: {covered:?}");
+
     let one_uncovered = verifier_with_reports(|range| u32::from(range != 7)).verdict(3);
     let reason = IncompleteReason {
         ranges_below_comparisons: 1,
@@ -27,6 +28,7 @@
         ..IncompleteReason::default()
     };
     ensure!(one_uncovered == Verdict::Incomplete(reason), "{one_uncovered:?}");
+
     let partitioned = verifier_with_reports(|_| 9).verdict(2);
     let reason = IncompleteReason { unreachable_members: 1, ..IncompleteReason::default() };
     ensure!(partitioned == Verdict::Incomplete(reason), "{partitioned:?}");
@@ -39,11 +41,13 @@
     world.pass(60 * SECOND, 200.0);
     let verdict = world.verifiers[0].verdict(1);
     ensure!(verdict == Verdict::Clean, "{verdict:?}");
+
     world.pass(700 * SECOND, 0.0);
     let verdict = world.verifiers[0].verdict(1);
     let is_uncovered =
         matches!(verdict, Verdict::Incomplete(reason) if reason.ranges_below_comparisons == RANGES);
     ensure!(is_uncovered, "{verdict:?}");
+
     let mut split = SplitVerifier::new(settings(1), 1, 0);
     let has_reported = split.report_if_due(2 * SECOND).is_some();
     ensure!(has_reported && matches!(split.verdict(1), Verdict::Incomplete(_)), "nothing was compared");
