--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,10 +1,10 @@
 //! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
 
-use crate::report::{MAX_REPORT_ENTRIES, Report, ReportEntry, ReportError};
+use crate::report::{MAX_REPORT_ENTRIES, OTHER_SECRET, Report, ReportEntry};
 use crate::sketch::KeyRate;
 use crate::tracker::HotKeyTracker;
 use crate::{Key, Micros, mix};
-use birchreach_peer_reports::{PeerReports, ReportHeader};
+use birchreach_peer_reports::{PeerReport, PeerReports, ReportError, ReportHeader};
 
 /// A key is reported from this fraction of the rate that would make it hot if all processes read it alike.
 const REPORT_THRESHOLD_FRACTION: f64 = 0.25;
@@ -34,7 +34,7 @@
     ) -> Result<(), ReportError> {
         let report = Report::decode(bytes)?;
         if report.secret_id != self.secret_id {
-            return Err(ReportError::OtherSecret);
+            return Err(ReportError::Mismatch(OTHER_SECRET));
         }
         self.reports.record(now, header, report)?;
         Ok(())
@@ -84,7 +84,7 @@
         let own_digest = self.digest();
         let mut agreement = ReportAgreement { agreeing: 0, reporting: 0 };
         let own_origin = self.reports.own_origin();
-        for (_, received) in self.reports.newest().filter(|(origin, _)| *origin != own_origin) {
+        for received in self.reports.newest().filter(|received| received.origin != own_origin) {
             agreement.reporting += 1;
             agreement.agreeing += usize::from(received.report.set_digest == own_digest);
         }
@@ -95,5 +95,5 @@
 /// Origins whose newest report names a key, in their order.
 pub(crate) fn reporters(reports: &PeerReports<Report>, key: Key) -> impl Iterator<Item = u64> {
     let names_key = move |report: &Report| report.entries.iter().any(|entry| entry.key == key);
-    reports.newest().filter(move |(_, received)| names_key(&received.report)).map(|(origin, _)| origin)
+    reports.newest().filter(move |received| names_key(&received.report)).map(|received| received.origin)
 }
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -2,7 +2,8 @@
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 use birchreach_hot_keys::{
-    CopyRequirement, Database, HotKeyTracker, Key, Micros, Report, ReportEntry, ReportHeader, Settings,
+    CopyRequirement, Database, HotKeyTracker, Key, Micros, PeerReport, Report, ReportEntry, ReportHeader,
+    Settings,
 };
 use birchreach_membership::GossipReports;
 use std::collections::BTreeMap;
@@ -178,7 +179,7 @@
 
     /// How many have the key in their hot set.
     pub(crate) fn processes_with_hot_key(&self, key: Key) -> usize {
-        let is_hot_at = |tracker: &&HotKeyTracker| tracker.hot_keys().any(|(hot_key, _)| hot_key == key);
+        let is_hot_at = |tracker: &&HotKeyTracker| tracker.hot_keys().any(|hot_key| hot_key.key == key);
         self.trackers.iter().filter(is_hot_at).count()
     }
 
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -2,7 +2,7 @@
 //! worthwhile.
 
 mod common;
-use birchreach_hot_keys::{Database, HotKeyTracker, Key, Micros, Report, ReportEntry, Settings};
+use birchreach_hot_keys::{Database, HotKeyTracker, Key, Micros, PeerReport, Report, ReportEntry, Settings};
 use common::{Fleet, SECOND, header, key, settings, tracker_with_reports};
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
 /// The copy holders of each hot key at each process.
 fn copy_holders(fleet: &Fleet) -> BTreeSet<Vec<Database>> {
     let hot_keys = fleet.trackers.iter().flat_map(|tracker| tracker.hot_keys());
-    hot_keys.map(|(_, hot_key)| hot_key.copy_holders.clone()).collect()
+    hot_keys.map(|hot_key| hot_key.copy_holders.clone()).collect()
 }
 
 #[test]
@@ -139,10 +139,12 @@
 
     assert!(tracker.receive_report(SECOND, header(2, 5), &valid).is_err(), "twice");
     assert!(tracker.receive_report(SECOND, header(2, 4), &valid).is_err(), "overtaken");
+
     for length in 0..valid.len() {
         let truncated = &valid[..length];
         assert!(tracker.receive_report(SECOND, header(3, 1), truncated).is_err(), "{length} bytes of it");
     }
+
     let of_another_secret = Report { secret_id: 2, ..full_report() }.encode();
     let rejected = tracker.receive_report(SECOND, header(3, 1), &of_another_secret);
     assert!(rejected.is_err(), "under another secret");
@@ -150,6 +152,29 @@
     assert_eq!(tracker.table_sizes().reports, 1);
 }
 
+#[test]
+fn a_rejected_report_has_a_word_for_metrics_and_a_text() {
+    // Given a tracker that keeps a report of another process.
+    let valid = full_report().encode();
+    let of_another_secret = Report { secret_id: 2, ..full_report() }.encode();
+    let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
+    assert!(tracker.receive_report(SECOND, header(2, 5), &valid).is_ok());
+    let mut rejection = |origin, bytes: &[u8]| {
+        let error = tracker.receive_report(SECOND, header(origin, 5), bytes).unwrap_err();
+        (error.as_str(), error.to_string())
+    };
+
+    // When reports are rejected.
+    let malformed = rejection(3, &[]);
+    let mismatched = rejection(3, &of_another_secret);
+    let outdated = rejection(2, &valid);
+
+    // Then each reason has its word and its text.
+    assert_eq!(malformed, ("form", "the report of hot keys is malformed".into()));
+    assert_eq!(mismatched, ("other-secret", "the report's keys are hashed with another secret".into()));
+    assert_eq!(outdated, ("old", "a newer report of this origin was received before".into()));
+}
+
 #[test]
 fn counters_are_bounded_whatever_is_read() {
     let mut tracker = HotKeyTracker::new(settings(5), 1, 1, 0);
@@ -162,26 +187,34 @@
 #[test]
 fn copies_prove_their_position() {
     use birchreach_hot_keys::copy::{Copy, can_serve, copy_from_reads, newer_copy};
+
     let copy = |position| Copy { value: position, position };
+
     assert_eq!(
         copy_from_reads(None, 1, Some(5)),
         None,
         "without a position before the read there is no copy"
     );
+
     assert_eq!(newer_copy(Some(copy(5)), copy(3)), copy(5));
     assert_eq!(newer_copy(Some(copy(5)), copy(7)), copy(7));
+
     assert!(can_serve(Some(&copy(5)), 5) && !can_serve(Some(&copy(5)), 6) && !can_serve::<i64>(None, 0));
 }
 
 #[test]
 fn keys_are_copied_only_where_it_is_worthwhile() {
     let settings = settings(5);
+
     assert_eq!(settings.refresh_interval(), 400_000);
+
     // A database serves 100 reads a second. At 300 with two replicas, four more holders would leave each half of its capacity; three
     // are allowed.
     assert_eq!(settings.cost(300.0, 2).copies, 3);
     assert_eq!(settings.cost(150.0, 2).copies, 1);
+
     assert!(settings.is_worthwhile(101.0, 2) && !settings.is_worthwhile(99.0, 2));
+
     let expensive_copies = Settings { copy_cost_reads: 60.0, ..settings };
     assert!(!expensive_copies.is_worthwhile(300.0, 2), "600 reads a second for copies, to save 180");
     assert!(expensive_copies.hot_threshold(2) > 300.0);
--- a/peer-reports/tests/reports.rs
+++ b/peer-reports/tests/reports.rs
@@ -7,7 +7,7 @@
 
 /// The reports that are kept, with their origins.
 fn kept(reports: &PeerReports<&'static str>) -> Vec<(u64, &'static str)> {
-    reports.newest().map(|(origin, received)| (origin, received.report)).collect()
+    reports.newest().map(|received| (received.origin, received.report)).collect()
 }
 
 fn header(origin: u64, sequence: u64) -> ReportHeader {
@@ -56,6 +56,7 @@
     reports.set_interval(2 * SECOND);
     let lifetime = reports.lifetime();
     let aged = |origin, age| ReportHeader { origin, sequence: 1, age };
+
     assert_eq!(reports.record(10 * SECOND, aged(2, 0), "made now"), Ok(()));
     assert_eq!(reports.record(10 * SECOND, aged(3, SECOND), "made a second ago"), Ok(()));
     assert_eq!(reports.record(10 * SECOND, aged(4, -SECOND), "made later, by its age"), Ok(()));
--- a/peer-state/src/transfer.rs
+++ b/peer-state/src/transfer.rs
@@ -2,7 +2,7 @@
 //! dropped on the way in.
 
 use crate::peer_state::{FULL_SLOW_START_PERMILLE, MAX_SERVER_NAME_BYTES};
-use crate::{Micros, Observation, ObservationSource, PeerState, ServerFacts};
+use crate::{KnownServer, Micros, Observation, ObservationSource, PeerState, ServerFacts};
 use serde::{Deserialize, Serialize};
 
 /// Facts forwarded this often are neither accepted nor sent.
@@ -10,7 +10,7 @@
 /// Older facts are not sent.
 pub(crate) const MAX_AGE: Micros = 600_000_000;
 
-/// An observation with its age at the sender.
+/// An [`Observation`] as it is sent and stored: with its age at the sender in place of an instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferredFact<T> {
     /// What was observed.
@@ -25,7 +25,10 @@
     pub observer: u64,
 }
 
-/// What is sent of one server. The fields are those of [`ServerFacts`].
+/// The [`ServerFacts`] of one server as they are sent and stored: under the server's name, and with ages in place of instants.
+///
+/// The order of the fields is the format on the wire and in snapshots (postcard). [`ServerFacts`] can change without a change of the
+/// format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "the fields are documented at ServerFacts")]
 pub struct TransferredServer {
@@ -82,7 +85,7 @@
 impl PeerState {
     /// What is sent of each server, by name.
     pub fn export_facts(&self, now: Micros) -> impl Iterator<Item = TransferredServer> {
-        self.servers().map(move |(uid, facts)| TransferredServer {
+        self.servers().map(move |KnownServer { uid, facts }| TransferredServer {
             uid: uid.into(),
             started_ms: facts.started_ms,
             group: facts.group,
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -1,10 +1,10 @@
 //! What all processes have compared and found, by range, by the newest report of each origin.
 
 use crate::difference::{DifferenceCounts, DifferenceKind};
-use crate::report::{Report, ReportError};
+use crate::report::{OTHER_DEFINITION, Report};
 use crate::{Definition, Micros};
 use birchreach_fault_injection::fault_injected;
-use birchreach_peer_reports::{PeerReports, RecordError, ReportHeader};
+use birchreach_peer_reports::{PeerReports, RecordError, ReportError, ReportHeader};
 
 /// How well a range is covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     ) -> Result<(), ReportError> {
         let is_of_definition = report.definition_digest == definition.digest();
         if !is_of_definition && !fault_injected!(MixesDefinitions) {
-            return Err(ReportError::OtherDefinition);
+            return Err(ReportError::Mismatch(OTHER_DEFINITION));
         }
         let recorded = self.reports.record(now, header, report);
         if recorded == Err(RecordError::Outdated) && fault_injected!(CountsTwice) {
@@ -50,7 +50,7 @@
 
     /// How well a range is covered.
     pub(crate) fn of_range(&self, range: usize) -> RangeCoverage {
-        let counts = self.reports.newest().filter_map(|(_, received)| received.report.compared.get(range));
+        let counts = self.reports.newest().filter_map(|received| received.report.compared.get(range));
         let comparisons = counts.clone().fold(self.injected_excess, |sum, count| sum.saturating_add(*count));
         RangeCoverage { comparisons, processes: counts.filter(|count| **count > 0).count() }
     }
@@ -58,7 +58,7 @@
     /// Confirmed differences over all processes.
     pub(crate) fn difference_counts(&self) -> DifferenceCounts {
         let mut counts = DifferenceCounts::default();
-        for entry in self.reports.newest().flat_map(|(_, received)| &received.report.differences) {
+        for entry in self.reports.newest().flat_map(|received| &received.report.differences) {
             if let Some(kind) = DifferenceKind::from_number(entry.kind) {
                 counts.add(kind, entry.count);
             }
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,19 +1,11 @@
 //! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
 //! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
 
-use birchreach_shard_split::{Definition, RANGES, RangeDifferences, Report};
-
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
-    (0..text.len()).step_by(2).map(digits).collect()
-}
+use birchreach_shard_split::{Definition, PeerReport, RANGES, RangeDifferences, Report};
+use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
 
 fn assert_recorded(report: &Report, recorded: &str) {
-    assert_eq!(hex(&report.encode()), recorded);
+    assert_eq!(to_hex(&report.encode()), recorded);
     assert_eq!(Report::decode(&from_hex(recorded)).as_ref(), Ok(report));
 }
 
@@ -53,6 +45,7 @@
         let definition = Definition { parent, lower_child, upper_child, split_at };
         format!("{:016x}", definition.digest())
     };
+
     assert_eq!(digest(0, 1, 2, 1 << 31), "67d9e9a838b6c520");
     assert_eq!(digest(7, 300, 70_000, 0x1234_5678), "dd562d5dc7971fc4");
 }
@@ -63,6 +56,7 @@
         let hash = Definition::hash(key);
         format!("{hash:08x} {}", Definition::range(hash))
     };
+
     assert_eq!(hashed(b""), "e3b0c442 56");
     assert_eq!(hashed(b"key-0"), "d5ead6fd 53");
     assert_eq!(hashed("Žluťoučký".as_bytes()), "64e6f4a0 25");
