--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -2,31 +2,15 @@
 
 use crate::MeasurementResult;
 use birchreach_test_support::groups::play::{Summary, play_schedule};
-use sha2::{Digest, Sha256};
+use birchreach_test_support::groups::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
 use std::ops::RangeInclusive;
 use std::path::Path;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Hashes from here on belong to the upper child of the split.
-const SPLIT_POINT: u32 = 1 << 31;
 /// Addresses are used again after so many seeds.
 const SEEDS_PER_ADDRESS_RANGE: u64 = 250;
 
-/// The hash by which the options split.
-fn hash(key: &str) -> u32 {
-    let digest = Sha256::digest(key.as_bytes());
-    digest.first_chunk().map_or(0, |first_bytes| u32::from_be_bytes(*first_bytes))
-}
-
-fn is_lower_child(key: &str) -> bool {
-    hash(key) < SPLIT_POINT
-}
-
-fn is_upper_child(key: &str) -> bool {
-    !is_lower_child(key)
-}
-
 /// The schedules that were played.
 #[derive(Default)]
 struct Played {
@@ -70,7 +54,8 @@
 fn play(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
     let address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
     let folder = folder.join(format!("seed-{seed}"));
-    let result = play_schedule(seed, address, program, &folder, hash, is_lower_child, is_upper_child);
+    let result =
+        play_schedule(seed, address, program, &folder, hash, goes_to_lower_child, goes_to_upper_child);
     let _ = std::fs::remove_dir_all(folder);
     result
 }
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -1,11 +1,8 @@
 //! Seeded schedules of faults on four processes with hot keys and a split: the same ones each time. Thousands more are played by
 //! `birchreach-measure schedules`; a seed that failed there once stands here for good.
 
-#[path = "split/keys.rs"]
-mod keys;
-
 use birchreach_test_support::groups::play::{Summary, play_schedule};
-use keys::{goes_to_lower_child, goes_to_upper_child, hash};
+use birchreach_test_support::groups::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
 use std::path::Path;
 
 /// Seed 7 has a child's primary that is deposed without knowing it, seed 31 a process that is suspended while a database restarts.
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -1,13 +1,12 @@
 //! Reads that are compared while a group splits, on several real processes: faults alone are confirmed, all of them, and the verdict
 //! speaks for all processes.
 
-mod keys;
 mod rig;
 
 use birchreach_test_support::fleet::admin_call;
+use birchreach_test_support::groups::split_keys::{goes_to_lower_child, hash};
 use birchreach_test_support::groups::{PlantedDifference, State, now_ms};
 use birchreach_test_support::relay::NetworkFaults;
-use keys::{goes_to_lower_child, hash};
 use rig::{CHILD_LAG_MS, LOWER_CHILD, PARENT, SPLIT_OPTIONS, SplitRig, UPPER_CHILD};
 use std::thread::sleep;
 use std::time::Duration;
--- a/proxy/tests/split/rig.rs
+++ b/proxy/tests/split/rig.rs
@@ -1,8 +1,8 @@
 //! Proxies in front of a group that splits into two children, and clients that read all its keys.
 
-use crate::keys::{goes_to_lower_child, goes_to_upper_child, hash};
 use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
+use birchreach_test_support::groups::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
 use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile};
 use birchreach_test_support::groups::{
     CapacityModel, Change, ClusterRig, Group, ParentLog, State, StatementKind, now_ms,
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -11,6 +11,7 @@
 pub mod play;
 mod run;
 mod run_checks;
+pub mod split_keys;
 mod sql;
 mod state;
 pub mod traffic;
