--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -2,7 +2,6 @@
 
 use crate::MeasurementResult;
 use birchreach_test_support::groups::play::{Summary, play_schedule};
-use birchreach_test_support::groups::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
 use std::ops::RangeInclusive;
 use std::path::Path;
 use std::sync::Mutex;
@@ -54,8 +53,7 @@
 fn play(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
     let address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
     let folder = folder.join(format!("seed-{seed}"));
-    let result =
-        play_schedule(seed, address, program, &folder, hash, goes_to_lower_child, goes_to_upper_child);
+    let result = play_schedule(seed, address, program, &folder);
     let _ = std::fs::remove_dir_all(folder);
     result
 }
--- a/proxy/tests/hot/rig.rs
+++ b/proxy/tests/hot/rig.rs
@@ -2,7 +2,7 @@
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::traffic::{ProxyAddresses, ReadRate, Traffic, TrafficProfile};
-use birchreach_test_support::groups::{CapacityModel, ClusterRig};
+use birchreach_test_support::groups::{CapacityModel, ClusterRig, GroupProfile};
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -21,11 +21,15 @@
 /// How late replicas apply the log.
 pub(crate) const LAG_MS: i64 = 20;
 
-const CAPACITY: CapacityModel = CapacityModel {
-    max_concurrent: 2,
-    statement_time: Duration::from_millis(3),
-    slow_start_initial_fraction: 0.3,
-    slow_start_window: Duration::from_secs(3),
+const GROUP_PROFILE: GroupProfile = GroupProfile {
+    member_count: MEMBER_COUNT,
+    lag_ms: LAG_MS,
+    capacity: CapacityModel {
+        max_concurrent: 2,
+        statement_time: Duration::from_millis(3),
+        slow_start_initial_fraction: 0.3,
+        slow_start_window: Duration::from_secs(3),
+    },
 };
 
 /// So many clients write, too.
@@ -44,8 +48,7 @@
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hot-{test_number}"));
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
         let loopback_address = [127, 87, test_number, 1];
-        let groups =
-            ClusterRig::groups(GROUP_COUNT, MEMBER_COUNT, loopback_address, LAG_MS, &CAPACITY).unwrap();
+        let groups = ClusterRig::groups(GROUP_COUNT, loopback_address, &GROUP_PROFILE).unwrap();
         let seed = u64::from(test_number);
         let cluster =
             ClusterRig::new(groups, process_count, loopback_address, program, &folder, seed, HOT_OPTIONS)
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -4,10 +4,11 @@
 mod rig;
 
 use birchreach_test_support::fleet::admin_call;
+use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD};
 use birchreach_test_support::groups::split_keys::{goes_to_lower_child, hash};
 use birchreach_test_support::groups::{PlantedDifference, State, now_ms};
 use birchreach_test_support::relay::NetworkFaults;
-use rig::{CHILD_LAG_MS, LOWER_CHILD, PARENT, SPLIT_OPTIONS, SplitRig, UPPER_CHILD};
+use rig::{CHILD_LAG_MS, SPLIT_OPTIONS, SplitRig};
 use std::thread::sleep;
 use std::time::Duration;
 
--- a/proxy/tests/split/rig.rs
+++ b/proxy/tests/split/rig.rs
@@ -2,13 +2,13 @@
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
-use birchreach_test_support::groups::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
-use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile};
-use birchreach_test_support::groups::{
-    CapacityModel, Change, ClusterRig, Group, ParentLog, State, StatementKind, now_ms,
+use birchreach_test_support::groups::split_groups::{
+    LOWER_CHILD, PARENT, UPPER_CHILD, start_split_groups, write_initial_rows,
 };
+use birchreach_test_support::groups::split_keys::hash;
+use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile};
+use birchreach_test_support::groups::{CapacityModel, ClusterRig, GroupProfile, State, StatementKind};
 use birchreach_test_support::process::{MAX_WAIT, Process};
-use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 use std::thread::sleep;
@@ -17,18 +17,9 @@
 pub(crate) const SPLIT_OPTIONS: &str = "<split from='0' below='1' above='2' at='2147483648' least='1' within-ms='60000' confirm-ms='2500' \
                      reads-per-s='60' all-per-s='200' window-ms='1000'/>";
 
-/// The groups, by their index.
-pub(crate) const PARENT: usize = 0;
-pub(crate) const LOWER_CHILD: usize = 1;
-pub(crate) const UPPER_CHILD: usize = 2;
-
-/// How late replicas apply the log.
-const PARENT_LAG_MS: i64 = 20;
+/// How late replicas of the children apply the log.
 pub(crate) const CHILD_LAG_MS: i64 = 30;
 
-/// How long ago the keys' first values were committed.
-const INITIAL_AGE_MS: i64 = 10_000;
-
 /// There is a key in each of these ranges of hashes.
 const RANGE_COUNT: usize = 64;
 const HASHES_PER_RANGE: usize = 1 << 26;
@@ -40,6 +31,10 @@
     slow_start_window: Duration::from_secs(2),
 };
 
+const PARENT_PROFILE: GroupProfile = GroupProfile { member_count: 3, lag_ms: 20, capacity: CAPACITY };
+const CHILD_PROFILE: GroupProfile =
+    GroupProfile { member_count: 2, lag_ms: CHILD_LAG_MS, capacity: CAPACITY };
+
 const BUDGET_WINDOW_MS: i64 = 1_000;
 
 /// Reads that a child may get in a window: a sample reads twice; and what was in flight before a suspension.
@@ -59,7 +54,7 @@
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
         let loopback_address = [127, 86, test_number, 1];
         let keys = key_in_each_range();
-        let groups = start_groups(loopback_address);
+        let groups = start_split_groups(loopback_address, &PARENT_PROFILE, &CHILD_PROFILE).unwrap();
         write_initial_rows(&groups[PARENT], &keys);
         let seed = u64::from(test_number);
         let cluster =
@@ -166,24 +161,6 @@
     by_range.into_iter().flatten().collect()
 }
 
-/// The group that splits, and its two children, which follow its log.
-fn start_groups(loopback_address: [u8; 4]) -> Vec<Group> {
-    let address = SocketAddr::new(IpAddr::from(loopback_address), 0);
-    let parent = Group::start(address, 3, PARENT_LAG_MS, CAPACITY, None).unwrap();
-    let start_child = |owns_key: fn(&str) -> bool| {
-        let parent_log = ParentLog { group: parent.clone(), owns_key };
-        Group::start(address, 2, CHILD_LAG_MS, CAPACITY, Some(parent_log)).unwrap()
-    };
-    vec![parent.clone(), start_child(goes_to_lower_child), start_child(goes_to_upper_child)]
-}
-
-fn write_initial_rows(parent: &Group, keys: &[String]) {
-    for (index, key) in keys.iter().enumerate() {
-        let change = Change::Row { key: key.clone(), value: format!("{index:04x}") };
-        parent.with_state(|state| state.commit(0, now_ms() - INITIAL_AGE_MS, "", change));
-    }
-}
-
 /// The kind and hash in a log line that reports a difference.
 fn reported_difference(line: &str) -> Option<String> {
     let value_of = |key: &str| line.split([' ', '"']).find_map(|word| word.strip_prefix(key));
--- a/test-support/src/groups/cluster_rig.rs
+++ b/test-support/src/groups/cluster_rig.rs
@@ -1,6 +1,6 @@
 //! A test rig of several groups, the discovery service that lists them, and a fleet of proxies that know one another.
 
-use super::member::{CapacityModel, Group};
+use super::member::{Group, GroupProfile};
 use super::now_ms;
 use crate::discovery::{Discovery, ListedDatabase};
 use crate::fleet::Fleet;
@@ -45,16 +45,10 @@
         Ok(ClusterRig { groups, discovery, fleet })
     }
 
-    /// Starts groups of so many members each, none of which follows another.
-    pub fn groups(
-        count: usize,
-        member_count: usize,
-        loopback_address: [u8; 4],
-        lag_ms: i64,
-        capacity: &CapacityModel,
-    ) -> io::Result<Vec<Group>> {
+    /// Starts so many groups, none of which follows another.
+    pub fn groups(count: usize, loopback_address: [u8; 4], profile: &GroupProfile) -> io::Result<Vec<Group>> {
         let address = SocketAddr::new(IpAddr::from(loopback_address), 0);
-        (0..count).map(|_| Group::start(address, member_count, lag_ms, capacity.clone(), None)).collect()
+        (0..count).map(|_| Group::start(address, profile, None)).collect()
     }
 
     /// Starts a proxy process.
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -38,6 +38,17 @@
     }
 }
 
+/// The members of a group, which are all alike.
+#[derive(Clone, Debug)]
+pub struct GroupProfile {
+    /// How many there are.
+    pub member_count: usize,
+    /// How late replicas apply the log.
+    pub lag_ms: i64,
+    /// What each can do.
+    pub capacity: CapacityModel,
+}
+
 /// The log that a child of a split follows.
 pub struct ParentLog {
     /// The group that splits.
@@ -63,14 +74,13 @@
 pub struct Group(pub(super) Arc<Inner>);
 
 impl Group {
-    /// Starts a group whose first member is the primary; port 0 takes free ports. `lag_ms`: how late replicas apply the log.
+    /// Starts a group whose first member is the primary; port 0 takes free ports.
     pub fn start(
         address: SocketAddr,
-        member_count: usize,
-        lag_ms: i64,
-        capacity: CapacityModel,
+        profile: &GroupProfile,
         parent_log: Option<ParentLog>,
     ) -> io::Result<Group> {
+        let GroupProfile { member_count, lag_ms, capacity } = profile.clone();
         let listeners =
             (0..member_count).map(|_| TcpListener::bind(address)).collect::<io::Result<Vec<_>>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -11,6 +11,7 @@
 pub mod play;
 mod run;
 mod run_checks;
+pub mod split_groups;
 pub mod split_keys;
 mod sql;
 mod state;
@@ -19,7 +20,7 @@
 
 pub use cluster_rig::ClusterRig;
 pub use history::{Change, Entry, GroupHistory, PlantedDifference, Record, StatementKind};
-pub use member::{CapacityModel, Group, ParentLog};
+pub use member::{CapacityModel, Group, GroupProfile, ParentLog};
 pub use state::{State, VisibleCopy, VisibleRow};
 
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -8,12 +8,13 @@
 };
 use super::run::Run;
 use super::run_checks::FinishedRun;
+use super::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, start_split_groups, write_initial_rows};
+use super::split_keys::{goes_to_lower_child, hash};
 use super::traffic::{Traffic, TrafficResult};
-use super::{CapacityModel, Change, ClusterRig, Group, ParentLog, PlantedDifference, now_ms};
+use super::{CapacityModel, ClusterRig, Group, GroupProfile, PlantedDifference};
 use crate::process::Process;
 use std::collections::BTreeSet;
 use std::io;
-use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
 use std::thread::sleep;
 use std::time::Duration;
@@ -29,20 +30,21 @@
 /// How long processes may take to agree on the fleet.
 pub(super) const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
 
-/// Capacity of each database.
-const CAPACITY: CapacityModel = CapacityModel {
-    max_concurrent: 4,
-    statement_time: Duration::from_millis(1),
-    slow_start_initial_fraction: 0.3,
-    slow_start_window: Duration::from_secs(3),
+/// The members of each group.
+const GROUP_PROFILE: GroupProfile = GroupProfile {
+    member_count: MEMBER_COUNT,
+    lag_ms: NORMAL_LAG_MS,
+    capacity: CapacityModel {
+        max_concurrent: 4,
+        statement_time: Duration::from_millis(1),
+        slow_start_initial_fraction: 0.3,
+        slow_start_window: Duration::from_secs(3),
+    },
 };
 
 /// Keys that are read; each client writes the first of its list.
 const KEY_COUNT: usize = 24;
 
-/// How long ago the keys' first values were committed.
-const INITIAL_AGE_MS: i64 = 10_000;
-
 /// Keys below this one may be written, so no difference is planted in them.
 const FIRST_UNWRITTEN_KEY: usize = 8;
 
@@ -87,27 +89,20 @@
     pub planted_differences: usize,
 }
 
-/// The hash by which the options split, as a test computes it.
-pub type Hash = fn(&str) -> u32;
-
-/// Runs a seed. `below` and `above`: which keys each child of the split has. The error says which check failed, with the
-/// faults.
+/// Runs a seed. The error says which check failed, with the faults.
 pub fn play_schedule(
     seed: u64,
     loopback_address: [u8; 4],
     program: &Path,
     folder: &Path,
-    hash: Hash,
-    below: fn(&str) -> bool,
-    above: fn(&str) -> bool,
 ) -> Result<Summary, String> {
     let GeneratedFaults { schedule, database_faults } = generate_faults(seed);
     let describe = |error: String| format!("seed {seed}: {error}\n{schedule:?}\n{database_faults:?}");
     let describe_io = |error: io::Error| describe(error.to_string());
     let keys: Vec<String> = (0..KEY_COUNT).map(|n| format!("key-{n}")).collect();
-    let groups = start_groups(loopback_address, below, above).map_err(describe_io)?;
-    write_initial_rows(&groups[0], &keys);
-    let planted = plant_differences(seed, &groups, &keys, hash, below);
+    let groups = start_groups(loopback_address).map_err(describe_io)?;
+    write_initial_rows(&groups[PARENT], &keys);
+    let planted = plant_differences(seed, &groups, &keys);
     let rig = ClusterRig::new(groups, PROCESS_COUNT, loopback_address, program, folder, seed, EXTRA_OPTIONS)
         .map_err(describe_io)?;
     let mut run = Run::start(rig).map_err(describe_io)?;
@@ -133,37 +128,14 @@
 }
 
 /// The group that splits, its two children, and a group that holds copies.
-fn start_groups(
-    loopback_address: [u8; 4],
-    below: fn(&str) -> bool,
-    above: fn(&str) -> bool,
-) -> io::Result<Vec<Group>> {
-    let address = SocketAddr::new(IpAddr::from(loopback_address), 0);
-    let start = |parent| Group::start(address, MEMBER_COUNT, NORMAL_LAG_MS, CAPACITY, parent);
-    let parent = start(None)?;
-    let lower = start(Some(ParentLog { group: parent.clone(), owns_key: below }))?;
-    let upper = start(Some(ParentLog { group: parent.clone(), owns_key: above }))?;
-    let other = start(None)?;
-    let groups: [Group; GROUP_COUNT] = [parent, lower, upper, other];
-    Ok(groups.into())
-}
-
-/// Commits a value of each key, so long ago that all replicas have it.
-fn write_initial_rows(parent: &Group, keys: &[String]) {
-    for (index, key) in keys.iter().enumerate() {
-        let change = Change::Row { key: key.clone(), value: format!("{index:04x}") };
-        parent.with_state(|state| state.commit(0, now_ms() - INITIAL_AGE_MS, "", change));
-    }
+fn start_groups(loopback_address: [u8; 4]) -> io::Result<Vec<Group>> {
+    let mut groups = start_split_groups(loopback_address, &GROUP_PROFILE, &GROUP_PROFILE)?;
+    groups.extend(ClusterRig::groups(GROUP_COUNT - groups.len(), loopback_address, &GROUP_PROFILE)?);
+    Ok(groups)
 }
 
 /// Plants differences in the children of the split, for even seeds, and returns them as logs report them.
-fn plant_differences(
-    seed: u64,
-    groups: &[Group],
-    keys: &[String],
-    hash: Hash,
-    below: fn(&str) -> bool,
-) -> BTreeSet<String> {
+fn plant_differences(seed: u64, groups: &[Group], keys: &[String]) -> BTreeSet<String> {
     let mut planted = BTreeSet::new();
     if !seed.is_multiple_of(2) {
         return planted;
@@ -173,7 +145,10 @@
         if rng.u8(..KEYS_PER_DIFFERENCE) > 0 {
             continue;
         }
-        let (owner, other) = if below(key) { (1, 2) } else { (2, 1) };
+        let (owner, other) = match goes_to_lower_child(key) {
+            true => (LOWER_CHILD, UPPER_CHILD),
+            false => (UPPER_CHILD, LOWER_CHILD),
+        };
         let (group, difference, word) = match rng.u8(..3) {
             0 => (owner, PlantedDifference::Missing, "missing"),
             1 => (other, PlantedDifference::Extra, "extra"),
@@ -187,5 +162,5 @@
 
 /// Whether a fault leaves a former primary of the splitting group that was not notified.
 fn leaves_stale_primary(timed: &TimedDatabaseFault) -> bool {
-    matches!(timed.fault, DatabaseFault::FailOver { group: 0, old_primary_notified: false, .. })
+    matches!(timed.fault, DatabaseFault::FailOver { group: PARENT, old_primary_notified: false, .. })
 }
