--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -89,42 +89,54 @@
     pub planted_differences: usize,
 }
 
-/// Runs a seed. The error says which check failed, with the faults.
-pub fn play_schedule(
-    seed: u64,
-    loopback_address: [u8; 4],
-    program: &Path,
-    folder: &Path,
-) -> Result<Summary, String> {
-    let GeneratedFaults { schedule, database_faults } = generate_faults(seed);
-    let describe = |error: String| format!("seed {seed}: {error}\n{schedule:?}\n{database_faults:?}");
-    let describe_io = |error: io::Error| describe(error.to_string());
-    let keys: Vec<String> = (0..KEY_COUNT).map(|n| format!("key-{n}")).collect();
-    let groups = start_groups(loopback_address).map_err(describe_io)?;
-    write_initial_rows(&groups[PARENT], &keys);
-    let planted = plant_differences(seed, &groups, &keys);
-    let rig = ClusterRig::new(groups, PROCESS_COUNT, loopback_address, program, folder, seed, EXTRA_OPTIONS)
-        .map_err(describe_io)?;
-    let mut run = Run::start(rig).map_err(describe_io)?;
-    run.wait_until_settled().map_err(describe)?;
-    let traffic = run.start_traffic(&keys, seed);
-    sleep(QUIET_PERIOD);
-    run.apply_faults(&schedule, &database_faults).map_err(describe_io)?;
-    clear_database_faults(&run.rig);
-    schedule.recover(&run.rig.fleet, &mut run.processes, RECOVERY_LIMIT)?;
-    run.update_addresses();
-    sleep(QUIET_PERIOD);
-    let results: Vec<TrafficResult> = traffic.into_iter().map(Traffic::stop).collect();
-    run.log_lines.extend(run.processes.iter().flatten().flat_map(Process::log));
-    let finished = FinishedRun {
-        groups: &run.rig.groups,
-        traffic: &results,
-        killed: &run.killed,
-        log_lines: &run.log_lines,
-        planted: &planted,
-        stale_primary: database_faults.iter().any(leaves_stale_primary),
-    };
-    finished.check().map_err(describe)
+/// A schedule of faults, and what it is played with.
+#[derive(Clone, Copy, Debug)]
+pub struct SeededSchedule<'a> {
+    /// The faults, the requests and the planted differences are drawn from it.
+    pub seed: u64,
+    /// A loopback address that nobody else uses meanwhile.
+    pub loopback_address: [u8; 4],
+    /// The built proxy.
+    pub program: &'a Path,
+    /// The processes' files; it is deleted and created.
+    pub folder: &'a Path,
+}
+
+impl SeededSchedule<'_> {
+    /// Plays the schedule on processes and runs all checks. The error says which check failed, with the faults.
+    pub fn play(&self) -> Result<Summary, String> {
+        let SeededSchedule { seed, loopback_address, program, folder } = *self;
+        let GeneratedFaults { schedule, database_faults } = generate_faults(seed);
+        let describe = |error: String| format!("seed {seed}: {error}\n{schedule:?}\n{database_faults:?}");
+        let describe_io = |error: io::Error| describe(error.to_string());
+        let keys: Vec<String> = (0..KEY_COUNT).map(|n| format!("key-{n}")).collect();
+        let groups = start_groups(loopback_address).map_err(describe_io)?;
+        write_initial_rows(&groups[PARENT], &keys);
+        let planted = plant_differences(seed, &groups, &keys);
+        let rig =
+            ClusterRig::new(groups, PROCESS_COUNT, loopback_address, program, folder, seed, EXTRA_OPTIONS)
+                .map_err(describe_io)?;
+        let mut run = Run::start(rig).map_err(describe_io)?;
+        run.wait_until_settled().map_err(describe)?;
+        let traffic = run.start_traffic(&keys, seed);
+        sleep(QUIET_PERIOD);
+        run.apply_faults(&schedule, &database_faults).map_err(describe_io)?;
+        clear_database_faults(&run.rig);
+        schedule.recover(&run.rig.fleet, &mut run.processes, RECOVERY_LIMIT)?;
+        run.update_addresses();
+        sleep(QUIET_PERIOD);
+        let results: Vec<TrafficResult> = traffic.into_iter().map(Traffic::stop).collect();
+        run.log_lines.extend(run.processes.iter().flatten().flat_map(Process::log));
+        let finished = FinishedRun {
+            groups: &run.rig.groups,
+            traffic: &results,
+            killed: &run.killed,
+            log_lines: &run.log_lines,
+            planted: &planted,
+            stale_primary: database_faults.iter().any(leaves_stale_primary),
+        };
+        finished.check().map_err(describe)
+    }
 }
 
 /// The group that splits, its two children, and a group that holds copies.
