--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on several processes with hot keys and a split, many side by side; each that fails is printed whole.
 
 use crate::MeasurementResult;
-use birchreach_test_support::groups::play::{Summary, play_schedule};
+use birchreach_test_support::groups::play::{SeededSchedule, Summary};
 use std::ops::RangeInclusive;
 use std::path::Path;
 use std::sync::Mutex;
@@ -51,9 +51,9 @@
 
 /// Plays one seed at addresses that no other thread uses meanwhile.
 fn play(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
-    let address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
+    let loopback_address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
     let folder = folder.join(format!("seed-{seed}"));
-    let result = play_schedule(seed, address, program, &folder);
+    let result = SeededSchedule { seed, loopback_address, program, folder: &folder }.play();
     let _ = std::fs::remove_dir_all(folder);
     result
 }
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on four processes with hot keys and a split: the same ones each time. Thousands more are played by
 //! `birchreach-measure schedules`; a seed that failed there once stands here for good.
 
-use birchreach_test_support::groups::play::{Summary, play_schedule};
+use birchreach_test_support::groups::play::{SeededSchedule, Summary};
 use std::path::Path;
 
 /// Seed 7 has a child's primary that is deposed without knowing it, seed 31 a process that is suspended while a database restarts.
@@ -12,7 +12,8 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("schedule-{seed}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let loopback_address = [127, 85, (seed % 250) as u8, 1];
-    play_schedule(seed, loopback_address, program, &folder).unwrap_or_else(|failure| panic!("{failure}"))
+    let schedule = SeededSchedule { seed, loopback_address, program, folder: &folder };
+    schedule.play().unwrap_or_else(|failure| panic!("{failure}"))
 }
 
 #[test]
