--- a/proxy/tests/grpc.rs
+++ b/proxy/tests/grpc.rs
@@ -64,6 +64,19 @@
     }
 }
 
+/// The start of a response, whose messages and trailers are read as they come.
+struct RpcResponse {
+    headers: HeaderMap,
+    body: RecvStream,
+}
+
+impl RpcResponse {
+    /// gRPC's status code in the headers, which a response without messages has there.
+    fn status_code(&self) -> Option<&str> {
+        self.headers.get("grpc-status").map(|code| code.to_str().unwrap())
+    }
+}
+
 /// A client with one connection, which makes progress only while the client waits.
 struct Client {
     request_sender: SendRequest<Bytes>,
@@ -88,8 +101,8 @@
         })
     }
 
-    /// Sends a message to a method. Returns headers and body of the response.
-    fn call(&mut self, method: &str, message: &[u8], content_type: &str) -> (HeaderMap, RecvStream) {
+    /// Sends a message to a method and waits for the start of the response.
+    fn call(&mut self, method: &str, message: &[u8], content_type: &str) -> RpcResponse {
         let request = Request::post(format!("http://proxy/grpc.health.v1.Health/{method}"))
             .header("content-type", content_type)
             .header("te", "trailers")
@@ -99,23 +112,24 @@
         body.send_data(frame(message).into(), true).unwrap();
         let response = self.wait(|context| Pin::new(&mut reply).poll(context)).unwrap();
         let (head, body) = response.into_parts();
-        (head.headers, body)
+        RpcResponse { headers: head.headers, body }
     }
 
     /// The serving status of a service, or gRPC's status code if there is none.
     fn check(&mut self, service: &str) -> Result<u8, String> {
-        let (headers, mut body) = self.call("Check", &request_for(service), CONTENT_TYPE);
-        if let Some(code) = headers.get("grpc-status") {
-            return Err(code.to_str().unwrap().into());
+        let mut response = self.call("Check", &request_for(service), CONTENT_TYPE);
+        if let Some(code) = response.status_code() {
+            return Err(code.into());
         }
-        let status = self.next(&mut body).unwrap();
-        let trailers = self.wait(|context| body.poll_trailers(context)).unwrap().unwrap();
+        let status = self.next(&mut response).unwrap();
+        let trailers = self.wait(|context| response.body.poll_trailers(context)).unwrap().unwrap();
         assert_eq!(trailers["grpc-status"], OK);
         Ok(status)
     }
 
     /// The serving status in the next message of a response.
-    fn next(&mut self, body: &mut RecvStream) -> Option<u8> {
+    fn next(&mut self, response: &mut RpcResponse) -> Option<u8> {
+        let body = &mut response.body;
         let bytes = self.wait(|context| body.poll_data(context))?.unwrap();
         body.flow_control().release_capacity(bytes.len()).unwrap();
         assert_eq!(bytes[..6], [0, 0, 0, 0, 2, 8], "one message with one field");
@@ -159,14 +173,14 @@
 /// Calls that are invalid or name something unknown get their status code.
 fn check_invalid_calls(client: &mut Client) {
     assert_eq!(client.check("none"), Err(NOT_FOUND.into()));
-    let (headers, _) = client.call("List", &[], CONTENT_TYPE);
-    assert_eq!(headers["grpc-status"], UNIMPLEMENTED);
-    let (headers, _) = client.call("Check", &[0xff; 9], CONTENT_TYPE);
-    assert_eq!(headers["grpc-status"], INVALID_ARGUMENT);
-    let (headers, _) = client.call("Check", &request_for("x").repeat(700), CONTENT_TYPE);
-    assert_eq!(headers["grpc-status"], RESOURCE_EXHAUSTED);
-    let (headers, _) = client.call("Check", &request_for(""), "text/plain");
-    assert!(headers.get("grpc-status").is_none());
+    let response = client.call("List", &[], CONTENT_TYPE);
+    assert_eq!(response.status_code(), Some(UNIMPLEMENTED));
+    let response = client.call("Check", &[0xff; 9], CONTENT_TYPE);
+    assert_eq!(response.status_code(), Some(INVALID_ARGUMENT));
+    let response = client.call("Check", &request_for("x").repeat(700), CONTENT_TYPE);
+    assert_eq!(response.status_code(), Some(RESOURCE_EXHAUSTED));
+    let response = client.call("Check", &request_for(""), "text/plain");
+    assert!(response.status_code().is_none());
 }
 
 /// Sends what is no gRPC, and waits for each connection to be closed.
@@ -220,9 +234,9 @@
     let mut client = Client::connect(address);
     assert_eq!(client.check("file-entry"), Ok(SERVING));
     // Given watches on a connection, when it is idle for longer than the limit, then pings keep it open
-    let (_, mut watch) = client.call("Watch", &request_for("group=1 write"), CONTENT_TYPE);
+    let mut watch = client.call("Watch", &request_for("group=1 write"), CONTENT_TYPE);
     assert_eq!(client.next(&mut watch), Some(SERVING));
-    let (_, mut unknown) = client.call("Watch", &request_for("none"), CONTENT_TYPE);
+    let mut unknown = client.call("Watch", &request_for("none"), CONTENT_TYPE);
     assert_eq!(client.next(&mut unknown), Some(SERVICE_UNKNOWN));
     client.stay_idle(Duration::from_millis(1500));
     // When the primary stops responding, responds again, and the proxy shuts down, then the watch is sent each change
