--- a/proxy/src/discovery/tests/responses.rs
+++ b/proxy/src/discovery/tests/responses.rs
@@ -6,11 +6,17 @@
 
 const LIST: &str = r#"{"rev":43,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"up"}]}"#;
 
-/// A watch at revision 41 that was fed these bytes, and what it returned.
-fn feed(bytes: &str) -> (EndpointWatch, Result<Option<PollResponse>, PollError>) {
+/// A watch that was fed bytes, and what it returned.
+struct FedWatch {
+    watch: EndpointWatch,
+    result: Result<Option<PollResponse>, PollError>,
+}
+
+/// Feeds these bytes to a watch at revision 41.
+fn feed(bytes: &str) -> FedWatch {
     let mut watch = EndpointWatch::new("agent".into(), Some(41));
     let result = watch.feed(bytes.as_bytes());
-    (watch, result)
+    FedWatch { watch, result }
 }
 
 /// The result is the list of [`LIST`].
@@ -39,7 +45,7 @@
             assert!(is_the_list(&watch.feed(&[*last])));
             assert!(!watch.response_started());
         }
-        let (mut watch, result) = feed(&format!("HTTP/1.1 200 OK\r\n\r\n{body}"));
+        let FedWatch { mut watch, result } = feed(&format!("HTTP/1.1 200 OK\r\n\r\n{body}"));
         assert_eq!(result, Ok(None), "it may go on");
         assert!(is_the_list(&watch.finish_on_close()));
     }
@@ -51,7 +57,7 @@
 Content-Length: 35
 
 {"rev":43"#;
-    let (mut watch, result) = feed(&truncated.replace('\n', "\r\n"));
+    let FedWatch { mut watch, result } = feed(&truncated.replace('\n', "\r\n"));
     assert_eq!(result, Ok(None));
     assert_eq!(watch.finish_on_close(), Err(PollError::Truncated));
     let list = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -71,7 +77,7 @@
             "line 1 column 69",
         ),
     ] {
-        let (mut watch, result) = feed(&text);
+        let FedWatch { mut watch, result } = feed(&text);
         let error = result.expect_err(&text);
         assert!(error.to_string().contains(wanted), "{error} of {text}");
         watch.record_failure();
@@ -84,10 +90,10 @@
 fn old_changes_are_not_applied_and_an_old_complete_list_is() {
     let old_changes = r#"{"rev":40,"all":false,"targets":[]}"#;
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{old_changes}", old_changes.len());
-    let (mut watch, result) = feed(&text);
+    let FedWatch { mut watch, result } = feed(&text);
     assert_eq!(result, Ok(Some(PollResponse::Stale)));
     assert!(watch.next_request().starts_with(b"GET /v1/endpoints HTTP/1.1\r\n"));
-    let (_, result) = feed(&text.replace("false", "true ").replace("true ,", "true, "));
+    let result = feed(&text.replace("false", "true ").replace("true ,", "true, ")).result;
     assert!(matches!(result, Ok(Some(PollResponse::Updated(update))) if update.revision == 40));
 }
 
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -4,8 +4,7 @@
 mod rig;
 
 use birchreach_test_support::fleet::admin_call;
-use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD};
-use birchreach_test_support::groups::split_keys::{goes_to_lower_child, hash};
+use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, plant_difference};
 use birchreach_test_support::groups::{PlantedDifference, State, now_ms};
 use birchreach_test_support::relay::NetworkFaults;
 use rig::{CHILD_LAG_MS, SPLIT_OPTIONS, SplitRig};
@@ -48,18 +47,12 @@
 fn plant_differences(rig: &SplitRig) -> Vec<String> {
     let mut planted = Vec::new();
     for (index, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
-        let (owner, other) = match goes_to_lower_child(key) {
-            true => (LOWER_CHILD, UPPER_CHILD),
-            false => (UPPER_CHILD, LOWER_CHILD),
+        let difference = match index % 3 {
+            0 => PlantedDifference::Missing,
+            1 => PlantedDifference::Extra,
+            _ => PlantedDifference::OtherValue("ffff".into()),
         };
-        let (group, difference, word) = match index % 3 {
-            0 => (owner, PlantedDifference::Missing, "missing"),
-            1 => (other, PlantedDifference::Extra, "extra"),
-            _ => (owner, PlantedDifference::OtherValue("ffff".into()), "differs"),
-        };
-        rig.cluster.groups[group]
-            .with_state(|state| state.planted_differences.insert(key.clone(), difference));
-        planted.push(format!("{word} {:08x}", hash(key)));
+        planted.push(plant_difference(&rig.cluster.groups, key, difference));
     }
     planted.sort();
     planted
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -8,8 +8,7 @@
 };
 use super::run::Run;
 use super::run_checks::FinishedRun;
-use super::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, start_split_groups, write_initial_rows};
-use super::split_keys::{goes_to_lower_child, hash};
+use super::split_groups::{PARENT, plant_difference, start_split_groups, write_initial_rows};
 use super::traffic::{Traffic, TrafficResult};
 use super::{CapacityModel, ClusterRig, Group, GroupProfile, PlantedDifference};
 use crate::process::Process;
@@ -157,17 +156,12 @@
         if rng.u8(..KEYS_PER_DIFFERENCE) > 0 {
             continue;
         }
-        let (owner, other) = match goes_to_lower_child(key) {
-            true => (LOWER_CHILD, UPPER_CHILD),
-            false => (UPPER_CHILD, LOWER_CHILD),
+        let difference = match rng.u8(..3) {
+            0 => PlantedDifference::Missing,
+            1 => PlantedDifference::Extra,
+            _ => PlantedDifference::OtherValue("ffff".into()),
         };
-        let (group, difference, word) = match rng.u8(..3) {
-            0 => (owner, PlantedDifference::Missing, "missing"),
-            1 => (other, PlantedDifference::Extra, "extra"),
-            _ => (owner, PlantedDifference::OtherValue("ffff".into()), "differs"),
-        };
-        groups[group].with_state(|state| state.planted_differences.insert(key.clone(), difference));
-        planted.insert(format!("{word} {:08x}", hash(key)));
+        planted.insert(plant_difference(groups, key, difference));
     }
     planted
 }
--- a/test-support/src/groups/split_groups.rs
+++ b/test-support/src/groups/split_groups.rs
@@ -1,7 +1,7 @@
 //! A group that splits into two children, and the rows that it has at first.
 
-use super::split_keys::{goes_to_lower_child, goes_to_upper_child};
-use super::{Change, Group, GroupProfile, ParentLog, now_ms};
+use super::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
+use super::{Change, Group, GroupProfile, ParentLog, PlantedDifference, now_ms};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
@@ -37,3 +37,25 @@
         parent.with_state(|state| state.commit(0, now_ms() - INITIAL_AGE_MS, "", change));
     }
 }
+
+/// Plants a difference at a key, in the child that has to have the key or in the one that must not have it. Returns the
+/// difference as logs report it.
+pub fn plant_difference(groups: &[Group], key: &str, difference: PlantedDifference) -> String {
+    let reported = format!("{} {:08x}", logged_kind(&difference), hash(key));
+    let (owner, other) = match goes_to_lower_child(key) {
+        true => (LOWER_CHILD, UPPER_CHILD),
+        false => (UPPER_CHILD, LOWER_CHILD),
+    };
+    let child = if difference == PlantedDifference::Extra { other } else { owner };
+    groups[child].with_state(|state| state.planted_differences.insert(key.into(), difference));
+    reported
+}
+
+/// The word by which logs name a difference of this kind.
+fn logged_kind(difference: &PlantedDifference) -> &'static str {
+    match difference {
+        PlantedDifference::Missing => "missing",
+        PlantedDifference::Extra => "extra",
+        PlantedDifference::OtherValue(_) => "differs",
+    }
+}
