--- a/proxy/tests/configuration.rs
+++ b/proxy/tests/configuration.rs
@@ -59,6 +59,7 @@
 
 #[test]
 fn a_configuration_that_cannot_be_read_is_refused_in_one_plain_line() {
+    // Given configurations with one fault each.
     let configurations = [
         InvalidConfiguration::missing("RELAY_CONFIG"),
         InvalidConfiguration::text("{", "not JSON"),
@@ -70,8 +71,10 @@
         InvalidConfiguration::changed("\"sockets\": 40", "\"sockets\": 4", "sockets"),
     ];
     for (file_number, configuration) in configurations.iter().enumerate() {
+        // When the program starts with each.
         let Refusal { exit_code, message } = configuration.refusal(file_number);
 
+        // Then it ends with one line that names the fault.
         let named = configuration.named;
         assert_eq!(exit_code, Some(INVALID_CONFIGURATION), "{named}: {message}");
         assert_eq!(message.lines().count(), 1, "{named}: {message}");
--- a/proxy/tests/configuration_messages/platform_file.rs
+++ b/proxy/tests/configuration_messages/platform_file.rs
@@ -4,6 +4,7 @@
 
 #[test]
 fn check_prints_each_fault_of_the_platforms_json_with_its_line() {
+    // Given configurations with one fault each
     let folder = Folder::new("json");
     let first_key = "\"name\": \"example\"";
     let cases = [
@@ -44,20 +45,25 @@
     for (text, expected) in cases {
         let config = folder.write("config.json", &text);
 
+        // When each is checked
         let lines = folder.check(&config, None);
 
+        // Then the fault is printed
         assert_eq!(lines, [format!("config.json:{expected}")]);
     }
 }
 
 #[test]
 fn check_prints_settings_that_are_no_object_with_all_that_is_absent() {
+    // Given settings that are a list
     let folder = Folder::new("no_object");
     let (before, _) = VALID.split_once("\"settings\"").unwrap();
     let config = folder.write("config.json", &format!("{before}\"settings\": []}}"));
 
+    // When the configuration is checked
     let lines = folder.check(&config, None);
 
+    // Then all that is absent is printed
     let expected = [
         "info: expected an object",
         "balancers: expected a number, but it is absent",
@@ -75,13 +81,16 @@
 
 #[test]
 fn check_prints_faults_of_all_parts_in_their_order() {
+    // Given a configuration with a fault in each part
     let folder = Folder::new("order");
     let text = replaced("127.0.0.1:6432", "here").replace("127.0.0.1:6433", "there");
     let text = text.replace("\"sockets\": 1024", "\"sockets\": 4").replace("1200.0", "0");
     let config = folder.write("config.json", &text);
 
+    // When it is checked
     let lines = folder.check(&config, None);
 
+    // Then the faults are printed in their order
     let expected = [
         "config.json:1: operator: expected an address and a port, found 'there'",
         "config.json:2: limits.sockets: expected 40 or more",
@@ -93,6 +102,7 @@
 
 #[test]
 fn check_prints_each_warning_with_its_line() {
+    // Given configurations with one doubtful value each
     let folder = Folder::new("warnings");
     let attempts = "\"attempts_cap\": 6";
     let cases = [
@@ -109,27 +119,44 @@
     for (old, new, expected) in cases {
         let config = folder.write("config.json", &replaced(old, new));
 
+        // When each is checked
         let lines = folder.check(&config, None);
 
+        // Then the warning is printed, and that there are no faults
         assert_eq!(lines, [format!("doubt: config.json:{expected}"), "no faults".into()]);
     }
 }
 
 #[test]
-fn check_prints_files_that_are_not_named_or_not_there() {
+fn check_prints_that_no_configuration_file_is_named() {
+    // Given neither a variable nor an argument that names the file, when `check` runs
+    let output = program().arg("check").output().unwrap();
+
+    // Then it prints which variable is not set
+    let printed = String::from_utf8(output.stdout).unwrap();
+    assert_eq!(printed, "RELAY_CONFIG:1: file: not set: it must name the configuration file\n");
+}
+
+#[test]
+fn check_prints_files_that_are_not_there() {
+    // Given a path where no file is
     let folder = Folder::new("absent");
     let valid = folder.write("config.json", VALID);
     let absent = folder.0.join("absent");
-    let unset = String::from_utf8(program().arg("check").output().unwrap().stdout).unwrap();
 
-    assert_eq!(unset, "RELAY_CONFIG:1: file: not set: it must name the configuration file\n");
+    // When it is checked as the configuration, or as the options
+    let as_config = folder.check(&absent, None);
+    let as_options = folder.check(&valid, Some(&absent));
+
+    // Then the system's error is printed
     let expected = ["absent:1: file: No such file or directory (os error 2)"];
-    assert_eq!(folder.check(&absent, None), expected);
-    assert_eq!(folder.check(&valid, Some(&absent)), expected);
+    assert_eq!(as_config, expected);
+    assert_eq!(as_options, expected);
 }
 
 #[test]
 fn the_start_fails_with_the_first_fault_of_the_platforms_json() {
+    // Given faulty configurations
     let folder = Folder::new("start");
     let two_faults = replaced("1200.0", "0").replace("127.0.0.1:6432", "here");
     let cases = [
@@ -140,13 +167,32 @@
     for (text, expected) in cases {
         let config = folder.write("config.json", &text);
 
+        // When the program starts with each
         let message = folder.start_error(&config, None);
 
+        // Then it prints the first fault
         assert_eq!(message, format!("birchreach-proxy: config.json: {expected}\n"));
     }
-    let absent = folder.start_error(&folder.0.join("absent"), None);
-    assert_eq!(absent, "birchreach-proxy: absent: No such file or directory (os error 2)\n");
-    let unset = program().output().unwrap().stderr;
+}
+
+#[test]
+fn the_start_fails_without_a_configuration_file() {
+    // Given a path where no file is
+    let folder = Folder::new("start_absent");
+
+    // When the program starts with it
+    let message = folder.start_error(&folder.0.join("absent"), None);
+
+    // Then it prints the system's error
+    assert_eq!(message, "birchreach-proxy: absent: No such file or directory (os error 2)\n");
+}
+
+#[test]
+fn the_start_fails_when_no_configuration_file_is_named() {
+    // Given no variable that names the file, when the program starts
+    let output = program().output().unwrap();
+
+    // Then it prints which variable is not set
     let expected = "birchreach-proxy: RELAY_CONFIG is not set: it must name the configuration file\n";
-    assert_eq!(String::from_utf8(unset).unwrap(), expected);
+    assert_eq!(String::from_utf8(output.stderr).unwrap(), expected);
 }
--- a/proxy/tests/log_words.rs
+++ b/proxy/tests/log_words.rs
@@ -46,12 +46,17 @@
 
 #[test]
 fn each_event_stands_in_the_table() {
+    // Given the page and the events in the proxy's sources
     let page = fs::read_to_string(repository().join("docs/on-call.md")).unwrap();
     let texts = texts();
     let events: BTreeSet<&str> = texts.iter().flat_map(|text| values(text, "event")).collect();
     assert!(events.len() > 30, "{events:?}");
+
+    // When they are looked up on the page
     let is_listed = |event: &str| [" ", "`"].iter().any(|end| page.contains(&format!("`event={event}{end}")));
     let missing: Vec<_> = events.iter().filter(|event| !is_listed(event)).collect();
+
+    // Then all stand there
     assert!(missing.is_empty(), "{missing:?} do not stand in docs/on-call.md");
 }
 
@@ -76,6 +81,7 @@
 
 #[test]
 fn each_reason_stands_in_the_table() {
+    // Given the page and the reasons in the proxy's sources
     let page = fs::read_to_string(repository().join("docs/on-call.md")).unwrap();
     let texts = texts();
     let blocks = texts.iter().flat_map(|text| reason_blocks(text));
@@ -83,6 +89,10 @@
     reasons
         .extend(texts.iter().flat_map(|text| values(text, "reason")).filter(|reason| !reason.contains(' ')));
     assert!(reasons.len() > 30, "{reasons:?}");
+
+    // When they are looked up on the page
     let missing: Vec<_> = reasons.iter().filter(|reason| !page.contains(&format!("`{reason}`"))).collect();
+
+    // Then all stand there
     assert!(missing.is_empty(), "{missing:?} do not stand in docs/on-call.md");
 }
