--- a/proxy/src/discovery/tests/deadlines.rs
+++ b/proxy/src/discovery/tests/deadlines.rs
@@ -8,6 +8,10 @@
 use super::{polling_backoff, settings};
 use birchreach::{EndpointDiscovery, Micros};
 
+/// The answer to a poll at revision 41 when nothing has changed.
+const NO_CHANGES: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\n{\"rev\":41,\"all\":false,\"targets\":[]}";
+
 /// The next request, as text.
 fn request(watch: &mut EndpointWatch) -> String {
     String::from_utf8(watch.next_request()).unwrap()
@@ -16,6 +20,7 @@
 /// Whatever failed, and however often: wait, connect, poll and response together end within the deadline.
 #[test]
 fn after_any_failure_the_list_comes_within_the_deadline_for_any_number_of_proxies() {
+    // Given polls that fail in any way, a hundred in a row
     let errors = [
         PollError::Overloaded,
         PollError::NoSocket,
@@ -36,6 +41,7 @@
                 let mut backoff = Backoff::new(&settings(list, proxies, 2_000_000), seed);
                 for n in 0..100 {
                     let error = &errors[fastrand::Rng::with_seed(seed * 100 + n).usize(..errors.len())];
+                    // When the wait is over and discovery can be reached, then the answer comes within the deadline
                     let wait = backoff.wait_after(error);
                     // An overloaded discovery was reached: its connection was established at once.
                     let connect = if *error == PollError::Overloaded { 0 } else { CONNECT_TIMEOUT_MICROS };
@@ -53,20 +59,30 @@
 /// into the deadline.
 #[test]
 fn the_poll_after_a_failed_one_is_answered_at_once_or_times_out_soon() {
+    // Given a watch whose poll waits for a change
     let mut watch = EndpointWatch::new("agent".into(), Some(41));
     assert!(request(&mut watch).contains("?from=41&hold_ms=20000 "));
     let long_poll_timeout = watch.response_timeout();
+    // When it fails, then the next one asks for an answer at once, and times out soon
     watch.record_failure();
     assert!(request(&mut watch).contains("?from=41&hold_ms=0 "));
     assert!(
         2 * watch.response_timeout() + MAX_WAIT_MICROS < NOTIFICATION_DEADLINE_MICROS
             && watch.response_timeout() < long_poll_timeout
     );
-    let response = b"HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\n{\"rev\":41,\"all\":false,\"targets\":[]}";
-    assert!(watch.feed(response).unwrap().is_some());
+    // When this one is answered, then the next one waits for a change again
+    assert!(watch.feed(NO_CHANGES).unwrap().is_some());
     assert!(request(&mut watch).contains("?from=41&hold_ms=20000 "));
     assert_eq!(watch.response_timeout(), long_poll_timeout);
-    // Another host answers the first poll at once as well.
+}
+
+#[test]
+fn the_first_poll_of_another_host_is_answered_at_once() {
+    // Given a watch that was answered, and whose polls wait for a change
+    let mut watch = EndpointWatch::new("agent".into(), Some(41));
+    assert!(watch.feed(NO_CHANGES).unwrap().is_some());
+    assert!(request(&mut watch).contains("?from=41&hold_ms=20000 "));
+    // When discovery has moved to another host, then that one is asked for an answer at once
     watch.set_host("other".into());
     assert!(request(&mut watch).contains("?from=41&hold_ms=0 HTTP/1.1\r\nHost: other\r\n"));
 }
@@ -75,26 +91,40 @@
 /// before.
 #[test]
 fn an_unresponsive_poll_is_repeated_before_the_notification_deadline() {
+    // Given polls without and with a wait for a change
     for (revision, deadline) in [(None, 6_000_000), (Some(41), 22_000_000)] {
         let watch = EndpointWatch::new("agent".into(), revision);
+        // When one is unresponsive, then the next one is sent before the deadline
         let repeated_at =
             watch.response_timeout() + polling_backoff(300, 7).wait_after(&PollError::Unresponsive);
         assert!(repeated_at <= deadline - 300_000, "{repeated_at} of {deadline}");
     }
 }
 
-/// Where lists are pushed an agent of the proxy's own answers: no poll waits for other proxies. The first one is spread within the
-/// grace all the same: watches of all proxies that are opened at one moment would time out together.
+/// A backoff where lists are pushed, as with an agent of the proxy's own.
+fn pushed_backoff(seed: u64) -> Backoff {
+    Backoff::new(&settings(EndpointDiscovery::Pushed, 300, 500_000), seed)
+}
+
+/// Watches of all proxies that are opened at one moment would time out together.
 #[test]
-fn a_pushed_list_is_polled_again_at_once_and_first_at_a_random_time() {
-    let first: Vec<Micros> = (0..50)
-        .map(|seed| Backoff::new(&settings(EndpointDiscovery::Pushed, 300, 500_000), seed).initial_wait())
-        .collect();
+fn a_pushed_list_is_polled_first_at_a_random_time_within_the_grace() {
+    // Given proxies to which lists are pushed, when they start
+    let first: Vec<Micros> = (0..50).map(|seed| pushed_backoff(seed).initial_wait()).collect();
+    // Then their first polls are spread within the grace
     assert!(first.iter().all(|at| *at <= 375_000));
     assert!(first.iter().max() > Some(&300_000) && first.iter().min() < Some(&75_000), "{first:?}");
+}
+
+/// An agent of the proxy's own answers: no poll waits for other proxies.
+#[test]
+fn a_pushed_list_is_polled_again_at_once() {
     for seed in 0..50 {
-        let mut backoff = Backoff::new(&settings(EndpointDiscovery::Pushed, 300, 500_000), seed);
+        // Given a proxy to which lists are pushed
+        let mut backoff = pushed_backoff(seed);
+        // When polls are rejected
         let waits: Vec<Micros> = (0..10).map(|_| backoff.wait_after(&PollError::Overloaded)).collect();
+        // Then each is repeated within the grace
         assert!(waits.iter().all(|wait| *wait <= 500_000), "{waits:?}");
     }
 }
@@ -105,7 +135,9 @@
 fn after_an_outage_of_any_length_the_next_poll_comes_within_the_grace() {
     for grace in [500_000, 2_000_000] {
         for seed in 0..200 {
+            // Given a proxy that polls discovery
             let mut backoff = Backoff::new(&settings(EndpointDiscovery::Polled, 300, grace), seed);
+            // When discovery cannot be reached, however often, then the next poll comes within the grace
             assert!((0..5_000).all(|_| backoff.wait_after(&PollError::ConnectionRefused) <= grace / 3));
         }
     }
@@ -114,20 +146,26 @@
 /// After a mass restart each proxy has an old list: it must poll well before that list is no longer valid.
 #[test]
 fn the_first_poll_comes_within_the_grace_however_many_proxies_there_are() {
+    // Given proxies that start at once
     let first = |proxies| (0..500).map(|seed| polling_backoff(proxies, seed).initial_wait()).max();
+    // When they are many, then the last one polls within the grace
     assert!(first(100) <= Some(1_500_000) && first(1_000) <= Some(1_500_000));
+    // When they are few, then it polls soon
     assert!(first(5) <= Some(240_000), "few proxies poll soon");
-    // A single proxy does not wait at its start.
+    // When there is a single one, then it does not wait at its start
     assert_eq!(first(1), Some(0));
 }
 
 /// A rejected poll is repeated within the bound, and a reload changes the length of a round.
 #[test]
 fn a_reload_changes_how_many_proxies_share_a_round() {
+    // Given one of many proxies, whose rejected polls are repeated within the bound
     let mut backoff = polling_backoff(300, 3);
     let longest = |backoff: &mut Backoff| (0..50).map(|_| backoff.wait_after(&PollError::Overloaded)).max();
     assert!((Some(1_000_000)..=Some(MAX_OVERLOAD_WAIT_MICROS)).contains(&longest(&mut backoff)));
+    // When a reload says that there are two
     backoff.update_settings(&settings(EndpointDiscovery::Polled, 2, 2_000_000));
     backoff.reset();
+    // Then rejected polls are repeated sooner
     assert!(longest(&mut backoff) <= Some(480_000));
 }
--- a/proxy/src/discovery/tests/mass_restart.rs
+++ b/proxy/src/discovery/tests/mass_restart.rs
@@ -47,7 +47,9 @@
 fn all_proxies_of_a_mass_restart_are_notified_as_fast_as_discovery_can() {
     for seed in 1..=5 {
         for proxies in [1, 5, 20, 48, 100, 300] {
+            // Given so many proxies, when all start at once
             let Restart { notified_at, longest_wait } = restart(proxies, seed);
+            // Then none waits longer than the bound, and the last one has the list as soon as the capacity allows
             let last = notified_at[notified_at.len() - 1];
             let capacity = proxies as Micros * POLL_SLOT_MICROS;
             assert!(longest_wait <= MAX_OVERLOAD_WAIT_MICROS);
@@ -57,22 +59,28 @@
     }
 }
 
+/// The most of these times that one second has.
+fn most_in_a_second(times: &[Micros]) -> Option<usize> {
+    times.iter().map(|at| times.iter().filter(|t| (0..1_000_000).contains(&(*t - at))).count()).max()
+}
+
 /// 48 proxies that start at one moment: their polls must not come in bursts.
 #[test]
 fn proxies_that_start_at_once_spread_their_polls() {
+    // Given proxies that start at once, half of which are rejected
     let mut backoffs: Vec<_> = (0..48).map(|seed| polling_backoff(48, seed)).collect();
-    let most_in_a_second = |times: &[Micros]| {
-        times.iter().map(|at| times.iter().filter(|t| (0..1_000_000).contains(&(*t - at))).count()).max()
-    };
-    // Half of them are rejected: they fit into half a round, and into a longer one if that was not enough.
     let mut rejected = || -> Vec<Micros> {
         backoffs[..24].iter_mut().map(|backoff| backoff.wait_after(&PollError::Overloaded)).collect()
     };
-    let (second, third) = (rejected(), rejected());
+    // When they are rejected once, then they fit into half a round, and are spread over it
+    let second = rejected();
     assert!(most_in_a_second(&second) < Some(26) && second.iter().all(|t| *t <= 1_440_000), "{second:?}");
+    // When they are rejected again, then they are spread over a longer one
+    let third = rejected();
     assert!(third.iter().any(|t| *t > 1_440_000) && third.iter().all(|t| *t <= 2_880_000), "{third:?}");
-    // After a broken connection the watch goes on if the next poll comes soon.
+    // When connections break, then all poll again at once: the watch goes on if the next poll comes soon
     assert!(backoffs.iter_mut().all(|backoff| backoff.wait_after(&PollError::Closed) <= 20_000));
+    // When they had an answer meanwhile, then the round has its first length again
     backoffs.iter_mut().for_each(|backoff| backoff.reset());
     assert!(backoffs.iter_mut().all(|backoff| backoff.wait_after(&PollError::Overloaded) <= 1_440_000));
 }
--- a/proxy/src/discovery/tests/responses.rs
+++ b/proxy/src/discovery/tests/responses.rs
@@ -24,43 +24,67 @@
     matches!(result, Ok(Some(PollResponse::Updated(update))) if update.revision == 43 && update.endpoints.len() == 1)
 }
 
-/// Byte by byte, with a length, in chunks, indented, without a length up to the close.
+/// The bodies that are a list: [`LIST`] as it stands, and indented.
+fn list_bodies() -> [String; 2] {
+    let parsed: serde_json::Value = serde_json::from_str(LIST).unwrap();
+    [LIST.into(), serde_json::to_string_pretty(&parsed).unwrap()]
+}
+
+/// A response with the length of its body.
+fn response_with_length(body: &str) -> String {
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
 #[test]
-fn a_list_is_read_in_every_form_that_http_has() {
-    let indented =
-        serde_json::to_string_pretty(&serde_json::from_str::<serde_json::Value>(LIST).unwrap()).unwrap();
-    for body in [LIST, &indented] {
+fn a_list_with_a_length_or_in_chunks_is_read_byte_by_byte() {
+    for body in list_bodies() {
+        // Given responses that say where they end
         let length = body.len();
         let responses = [
-            format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"),
+            response_with_length(&body),
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n"),
         ];
         for text in responses {
+            // When they come byte by byte, then nothing is returned before the last
             let mut watch = EndpointWatch::new("agent".into(), Some(41));
             let (last, beginning) = text.as_bytes().split_last().unwrap();
             for byte in beginning {
                 assert_eq!(watch.feed(&[*byte]), Ok(None));
                 assert!(watch.response_started());
             }
+            // And the last completes the list
             assert!(is_the_list(&watch.feed(&[*last])));
             assert!(!watch.response_started());
         }
+    }
+}
+
+#[test]
+fn a_list_without_a_length_ends_with_the_connection() {
+    for body in list_bodies() {
+        // Given a response that does not say where it ends
         let FedWatch { mut watch, result } = feed(&format!("HTTP/1.1 200 OK\r\n\r\n{body}"));
         assert_eq!(result, Ok(None), "it may go on");
+        // When the connection is closed, then the list is complete
         assert!(is_the_list(&watch.finish_on_close()));
     }
 }
 
 #[test]
-fn an_invalid_response_is_reported_with_its_fault_and_changes_nothing() {
+fn a_response_that_the_connection_cuts_short_is_reported() {
+    // Given the beginning of a response
     let truncated = r#"HTTP/1.1 200 OK
 Content-Length: 35
 
 {"rev":43"#;
     let FedWatch { mut watch, result } = feed(&truncated.replace('\n', "\r\n"));
     assert_eq!(result, Ok(None));
+    // When the connection is closed, then the fault is returned
     assert_eq!(watch.finish_on_close(), Err(PollError::Truncated));
-    let list = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+}
+
+#[test]
+fn an_invalid_response_is_reported_with_its_fault_and_changes_nothing() {
     for (text, wanted) in [
         ("HTTP/1.1 503 Service Unavailable\r\n\r\n".to_string(), "status 503"),
         ("HTTP/1.1 404 Not Found\r\n\r\n".to_string(), "status 404"),
@@ -69,44 +93,61 @@
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_string(), "a chunk without a size"),
         ("SSH-2.0-x\r\n\r\n".to_string(), "invalid HTTP"),
         (format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(20_000)), "too long"),
-        (list("{"), "line 1 column 1"),
-        (list(r#"{"all":true,"targets":[]}"#), "`rev`"),
-        (list(r#"{"rev":1,"all":true,"targets":[{"uid":"s","state":"asleep"}]}"#), "`asleep`"),
+        (response_with_length("{"), "line 1 column 1"),
+        (response_with_length(r#"{"all":true,"targets":[]}"#), "`rev`"),
         (
-            list(r#"{"rev":1,"all":true,"targets":[{"uid":"s","state":"up","pod_group":-1}]}"#),
+            response_with_length(r#"{"rev":1,"all":true,"targets":[{"uid":"s","state":"asleep"}]}"#),
+            "`asleep`",
+        ),
+        (
+            response_with_length(
+                r#"{"rev":1,"all":true,"targets":[{"uid":"s","state":"up","pod_group":-1}]}"#,
+            ),
             "line 1 column 69",
         ),
     ] {
+        // Given an invalid response, when it comes
         let FedWatch { mut watch, result } = feed(&text);
+        // Then the error names its fault
         let error = result.expect_err(&text);
         assert!(error.to_string().contains(wanted), "{error} of {text}");
+        // And the next poll asks for what follows the same revision
         watch.record_failure();
         assert!(watch.next_request().starts_with(b"GET /v1/endpoints?from=41&"), "the revision stays");
     }
 }
 
-/// An agent that is behind sends old changes: the complete list is requested next. A complete list counts, however old.
 #[test]
-fn old_changes_are_not_applied_and_an_old_complete_list_is() {
-    let old_changes = r#"{"rev":40,"all":false,"targets":[]}"#;
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{old_changes}", old_changes.len());
-    let FedWatch { mut watch, result } = feed(&text);
+fn after_old_changes_the_complete_list_is_requested() {
+    // Given an agent that is behind, when it sends changes that are older than what the watch has
+    let FedWatch { mut watch, result } =
+        feed(&response_with_length(r#"{"rev":40,"all":false,"targets":[]}"#));
+    // Then they are not applied, and the complete list is requested next
     assert_eq!(result, Ok(Some(PollResponse::Stale)));
     assert!(watch.next_request().starts_with(b"GET /v1/endpoints HTTP/1.1\r\n"));
-    let result = feed(&text.replace("false", "true ").replace("true ,", "true, ")).result;
+}
+
+#[test]
+fn a_complete_list_counts_however_old_it_is() {
+    // Given an agent that is behind, when it sends a complete list that is older than what the watch has
+    let result = feed(&response_with_length(r#"{"rev":40,"all":true, "targets":[]}"#)).result;
+    // Then it is applied
     assert!(matches!(result, Ok(Some(PollResponse::Updated(update))) if update.revision == 40));
 }
 
 /// Each name of the list's JSON, literally: discovery's names are not ours.
 #[test]
 fn every_key_of_the_list_is_read() {
+    // Given a list with every key
     let list = r#"{"rev":43,"all":false,"targets":[
         {"uid":"s","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"draining","capacity_hint":2.5,"boot_ms":1700000000123,
          "access":"writer"},
         {"uid":"t","state":"removed","access":"reader"}]}"#;
 
+    // When it is read
     let update: EndpointUpdate = serde_json::from_str(list).unwrap();
 
+    // Then each value is where it belongs, and what is absent has its default
     let first = ListedEndpoint {
         uid: "s".into(),
         endpoint: "127.0.0.1:1".into(),
