--- a/proxy/src/cli/tests.rs
+++ b/proxy/src/cli/tests.rs
@@ -5,29 +5,36 @@
 
 #[test]
 fn the_definition_is_consistent() {
+    // Given the definition, when clap checks it, then it finds no contradiction
     Cli::command().debug_assert();
 }
 
 #[test]
 fn without_a_command_it_serves_without_options() {
+    // Given a command line without a command, when it is read
     let serve = Cli::parse_from(["birchreach-proxy"]);
 
+    // Then it has neither a command nor options
     assert!(serve.command.is_none() && serve.options.is_none());
 }
 
 #[test]
 fn global_arguments_may_follow_a_command() {
+    // Given a command line with a global argument at its end
     let arguments =
         ["birchreach-proxy", "health", "--at", "127.0.0.1:1", "--group", "3", "--log-format", "json"];
 
+    // When it is read
     let Cli { command: Some(Command::Health(health)), log_format, .. } = Cli::parse_from(arguments) else {
         panic!("another command")
     };
 
+    // Then it has the command's arguments and the global one
     assert_eq!((health.group, health.timeout, log_format), (Some(3), 2000, Format::Json));
 }
 
 #[test]
 fn an_unknown_log_level_is_rejected() {
+    // Given a filter with an unknown level, when the command line is read, then it is rejected
     assert!(Cli::try_parse_from(["birchreach-proxy", "--log-filter", "birchreach_proxy=loud"]).is_err());
 }
--- a/proxy/src/config/tests.rs
+++ b/proxy/src/config/tests.rs
@@ -16,6 +16,7 @@
 
 #[test]
 fn a_successor_that_lacks_what_is_in_force_is_rejected_with_its_key() {
+    // Given a configuration in force, and successors that lack something of it or do not fit it
     let in_force = config(include_str!("../../../example/config.json"));
     let cases = [
         ("\"cores\": 1.0, ", "", "limits.cores: absent, or not of its kind"),
@@ -30,8 +31,10 @@
         ("[800.0, 0.0, 0.0, 0.0]", "[800.0]", "settings.extra.max_age_ms: expected one for each class"),
     ];
     for (old, new, expected) in cases {
+        // When each is to take its place
         let error = in_force.check_successor(&replaced(old, new)).err();
 
+        // Then the error names the key; an unknown key is no error
         assert_eq!(error.map_or_else(String::new, |error| error.to_string()), expected, "{old}");
     }
 }
--- a/proxy/src/core/endpoints/tests.rs
+++ b/proxy/src/core/endpoints/tests.rs
@@ -14,7 +14,9 @@
 
 #[test]
 fn servers_removed_long_ago_are_dropped_and_numbers_are_not_reused() {
+    // Given a core
     let mut core: Core<()> = Core::new(&settings(), 1, 0);
+    // When each list has a new server and removes the one before, then the new one has a number of its own
     for n in 0..100u32 {
         let old = target(&format!("s-{}", i64::from(n) - 1), "removed");
         let new = target(&format!("s-{n}"), "up");
@@ -23,6 +25,7 @@
         core.update_endpoints(Micros::from(n) * 1_000_000, update);
         assert_eq!(core.servers.numbers[&format!("s-{n}")], ServerId(n + 1), "s--1 was the first");
     }
+    // And servers that were removed long ago are kept no longer
     let (listed, numbers) = (core.servers.listed.len(), core.servers.numbers.len());
     assert!(listed < 30 && numbers < 30, "{listed} kept");
     assert_eq!(core.server_name(ServerId(100)), "s-99");
--- a/proxy/src/handover_protocol/tests.rs
+++ b/proxy/src/handover_protocol/tests.rs
@@ -16,8 +16,10 @@
 #[test]
 fn each_message_is_written_as_its_line() {
     for (message, line) in MESSAGES {
+        // Given a message, when it is sent
         let mut sender = HandoverProtocol::default();
         sender.send(message);
+        // Then its line is to be written
         assert_eq!(sender.outbox.pending(), line, "{message:?}");
     }
 }
@@ -25,8 +27,10 @@
 #[test]
 fn each_line_is_read_as_its_message() {
     for (message, line) in MESSAGES {
+        // Given a message's line, when it arrives
         let mut receiver = HandoverProtocol::default();
         receiver.feed(line);
+        // Then the message is read, once
         assert_eq!(receiver.next_message(), Ok(Some(message)));
         assert_eq!(receiver.next_message(), Ok(None));
     }
@@ -34,32 +38,39 @@
 
 #[test]
 fn a_time_before_the_epoch_and_a_carriage_return_are_read() {
+    // Given lines that end with a carriage return, one with a time before the epoch, when they arrive
     let mut receiver = HandoverProtocol::default();
     receiver.feed(b"yields -5\r\nleaving 0\r\n");
+    // Then their messages are read
     assert_eq!(receiver.next_message(), Ok(Some(HandoverMessage::StopsAcceptingAt(-5))));
     assert_eq!(receiver.next_message(), Ok(Some(HandoverMessage::Stopping(0))));
 }
 
 #[test]
 fn messages_arrive_in_order_when_fed_byte_by_byte() {
+    // Given the bytes of several messages
     let mut sender = HandoverProtocol::default();
     for (message, _) in MESSAGES {
         sender.send(message);
     }
+    // When they arrive one by one
     let mut receiver = HandoverProtocol::default();
     let mut received = Vec::new();
     for byte in sender.outbox.pending() {
         receiver.feed(&[*byte]);
         received.extend(receiver.next_message().unwrap());
     }
+    // Then all messages are read in their order
     assert_eq!(received, MESSAGES.map(|(message, _)| message));
 }
 
 #[test]
 fn invalid_lines_are_reported() {
     for line in ["leaving\n", "leaving -1\n", "yields soon\n", "\n", &"x".repeat(65)] {
+        // Given a line that is no message, when it arrives
         let mut receiver = HandoverProtocol::default();
         receiver.feed(line.as_bytes());
+        // Then it is reported
         assert_eq!(receiver.next_message(), Err(InvalidMessage), "{line}");
     }
 }
--- a/proxy/src/health_command/tests.rs
+++ b/proxy/src/health_command/tests.rs
@@ -23,6 +23,13 @@
 
 #[test]
 fn the_whole_proxy_has_a_line_for_each_class_and_two_for_each_group() {
+    // Given an answer about the whole proxy
+    let answer = whole_proxy();
+
+    // When it is written for people
+    let text = text(&answer);
+
+    // Then it has a line for the proxy, one for its load, and those of classes and groups
     let lines = [
         "degraded: able in part, weight 40%, pressure, for 1.2 s",
         "pressure 0.85, 12 in progress (3 held), places for 20 clients, discovery heard 0.3 s ago",
@@ -32,12 +39,14 @@
         "group 7     write          no         0%  no-primary         0.0 s      primary db-1, proven 0.1 s ago",
     ];
 
-    assert_eq!(text(&whole_proxy()), lines.join("\n") + "\n");
+    assert_eq!(text, lines.join("\n") + "\n");
 }
 
 #[test]
 fn one_class_alone_has_one_line() {
+    // Given an answer about one class
     let answer = json!({"able": true, "weight": 100, "reason": "ok", "since_ms": 500});
 
+    // When it is written for people, then it has one line
     assert_eq!(text(&answer), "able yes, weight 100%, ok, for 0.5 s\n");
 }
--- a/proxy/src/log/tests.rs
+++ b/proxy/src/log/tests.rs
@@ -7,8 +7,10 @@
 
 #[test]
 fn a_flood_of_lines_is_limited() {
+    // Given a limit, when more lines come at once than it allows, then it passes a burst
     let (mut limit, start) = (RateLimit::default(), Instant::now());
     assert_eq!((0..1000).filter(|_| limit.allows(start)).count(), BURST_LINES as usize);
+    // When more come a moment later, then it passes as many as that time allows
     let later = start + Duration::from_millis(100);
     assert_eq!((0..1000).filter(|_| limit.allows(later)).count(), 5);
 }
@@ -42,27 +44,45 @@
     debug!(event = "debug-only");
 }
 
+/// The warning of [`log_some`] in logfmt.
+const QUOTED_WARNING: &str = r#"conn=discovery rev=3 all=true reason="a \"b\"\u000ac""#;
+
 #[test]
-fn lines_keep_names_and_order_in_both_formats() {
+fn logfmt_lines_keep_names_and_order() {
+    // Given events with values of each kind, when they are logged
     let plain = written(Format::Logfmt, "info", log_some);
-    let quoted = r#"conn=discovery rev=3 all=true reason="a \"b\"\u000ac""#;
-    assert_eq!(plain, ["event=reloaded discovery=127.0.0.1:1 needs-restart=a,b", quoted]);
+    // Then each is a line with its names in their order
+    assert_eq!(plain, ["event=reloaded discovery=127.0.0.1:1 needs-restart=a,b", QUOTED_WARNING]);
+}
+
+#[test]
+fn json_lines_keep_names_and_types() {
+    // Given events with values of each kind, when they are logged
     let json = written(Format::Json, "info", log_some);
+    // Then each is an object whose values have their types
     let object: serde_json::Value = serde_json::from_str(&json[1]).unwrap();
     assert_eq!((&object["rev"], &object["reason"]), (&3.into(), &"a \"b\"\nc".into()));
     assert_eq!((&object["level"], json.len()), (&"WARN".into(), 2));
-    assert_eq!(written(Format::Logfmt, "warn", log_some), [quoted]);
+}
+
+#[test]
+fn lines_below_the_level_of_the_filter_are_not_written() {
+    // Given a filter for warnings, when other events are logged, too, then the warning alone is written
+    assert_eq!(written(Format::Logfmt, "warn", log_some), [QUOTED_WARNING]);
 }
 
 #[test]
 fn dropped_lines_are_counted_in_one_line() {
+    // Given a flood of lines, filtered ones among them, and one that comes later
     let flood = || {
         (0..1000).for_each(|n| info!(event = "flood", n));
         std::thread::sleep(Duration::from_millis(100));
         (0..500).for_each(|_| debug!(event = "filtered"));
         info!(event = "after");
     };
+    // When they are logged
     let lines = written(Format::Logfmt, "info", flood);
+    // Then one line counts those that were dropped
     let limited = lines.iter().position(|line| line.starts_with("event=log-limited dropped=")).unwrap();
     let dropped: usize = lines[limited].rsplit('=').next().unwrap().parse().unwrap();
     // Lines pass again after a while, so the line may stand anywhere; all are accounted for.
--- a/proxy/src/observe/tests.rs
+++ b/proxy/src/observe/tests.rs
@@ -15,14 +15,17 @@
 
 #[test]
 fn observers_are_notified_from_their_addition_to_their_removal() {
+    // Given two observers, one of which is removed between two events
     let (removed, stays) = (shared(Recorder::default()), shared(Recorder::default()));
     let mut observers = Observers::default();
+    // When events come before, between and after
     observers.notify(1, CoreEvent::DiscoveryAnswered);
     observers.add(removed.clone());
     observers.add(stays.clone());
     observers.notify(2, CoreEvent::DiscoveryAnswered);
     observers.remove(&(removed.clone() as Rc<RefCell<dyn Observer>>));
     observers.notify(3, CoreEvent::DiscoveryAnswered);
+    // Then each has been notified of those while it was there
     assert_eq!(removed.borrow().events_at, [2]);
     assert_eq!(stays.borrow().events_at, [2, 3]);
 }
--- a/proxy/src/peer_state/tests.rs
+++ b/proxy/src/peer_state/tests.rs
@@ -31,26 +31,34 @@
 
 #[test]
 fn a_recent_position_is_passed_on_once_and_the_primary_is_to_be_asked() {
+    // Given a proxy whose provider observed the primary and a replica a second ago
     let (provider, mut receiver) = (provider(), observer(2));
+    // When it receives the provider's state
     let first = transfer(&provider, &mut receiver, 11 * SECOND);
+    // Then it learns the position, and whom to ask for the primary's role
     let report = LoadReport { position: Some(9_900_000), role: None };
     assert_eq!(first.positions, [RemotePosition { uid: "r".into(), report }]);
     assert_eq!(first.primary_candidates, ["p"]);
+    // When it receives the same state again, then it learns no position
     let second = transfer(&provider, &mut receiver, 11_100_000);
     assert!(second.positions.is_empty(), "the decisions have it");
 }
 
 #[test]
 fn a_primary_that_this_proxy_observed_itself_is_not_asked() {
+    // Given a proxy that received the provider's state, and then observed the primary itself
     let (provider, mut receiver) = (provider(), observer(2));
     transfer(&provider, &mut receiver, 11 * SECOND);
     receiver.state.record_role(11_200_000, "p", Role::Primary, ObservationSource::ServerStatus);
+    // When it receives the state again, then it is to ask nobody
     assert!(transfer(&provider, &mut receiver, 11_300_000).primary_candidates.is_empty());
 }
 
 #[test]
 fn state_that_is_a_minute_old_has_no_effect() {
+    // Given a provider that observed its servers a minute ago
     let (provider, mut receiver) = (provider(), observer(3));
+    // When a proxy receives its state, then it learns nothing
     let advice = transfer(&provider, &mut receiver, 70 * SECOND);
     assert!(advice.positions.is_empty() && advice.primary_candidates.is_empty());
 }
--- a/proxy/src/pg/tests/commit_time_query.rs
+++ b/proxy/src/pg/tests/commit_time_query.rs
@@ -11,24 +11,38 @@
 }
 
 #[test]
-fn a_row_is_read_with_the_time_of_its_last_commit() {
+fn a_row_is_requested_with_the_time_of_its_last_commit() {
+    // Given a key, when a background statement reads its row.
     let query = String::from_utf8(read_row_with_commit_time(b"7f3a", 2, 7, 500)).unwrap();
 
+    // Then the query names the key and the statement.
     assert!(
         query.ends_with(
             "FROM rows WHERE handle = '7f3a' /* id=0000000000000007,c=background,d=500,cluster=2 */"
         )
     );
+}
 
+#[test]
+fn a_row_is_read_with_the_time_of_its_last_commit() {
+    // Given replies with a row and without one.
     let complete = reply_with_value(&[&5i64.to_be_bytes()[..], b"value"].concat());
     let absent = Reply::with_outcome(AttemptOutcome::Ok);
-    let too_short = reply_with_value(b"short");
-    let time_too_great = reply_with_value(&i64::MAX.to_be_bytes());
 
+    // When they are parsed, then they have the row and its time, or that there is none.
     let committed_row = CommittedRow { committed_at: 5_000, value: Some(&b"value"[..]) };
     assert_eq!(parse_row_with_commit_time(&complete), Some(committed_row));
     let no_row = CommittedRow { committed_at: 0, value: None };
     assert_eq!(parse_row_with_commit_time(&absent), Some(no_row));
+}
+
+#[test]
+fn a_reply_whose_time_cannot_be_read_says_nothing_of_the_row() {
+    // Given replies whose time is cut short, or too great.
+    let too_short = reply_with_value(b"short");
+    let time_too_great = reply_with_value(&i64::MAX.to_be_bytes());
+
+    // When they are parsed, then they say nothing.
     assert_eq!(parse_row_with_commit_time(&too_short), None);
     assert_eq!(parse_row_with_commit_time(&time_too_great), None);
 }
--- a/proxy/src/pg/tests/copies.rs
+++ b/proxy/src/pg/tests/copies.rs
@@ -24,9 +24,11 @@
 
 #[test]
 fn copy_reads_round_the_position_up_and_copy_writes_round_it_down() {
+    // Given positions between two milliseconds, when a copy is read at one and written at the other.
     let read = read_copy(&client_read(), 95, 1_234_001);
     let write = write_copy(2, b"7f3a", 1_234_999, &[0x9f, 3]);
 
+    // Then the read requires the next millisecond, and the write claims the one before.
     assert_eq!(
         String::from_utf8(read).unwrap(),
         "SELECT coalesce((SELECT int8send(at) || blob FROM copies WHERE home = 2 AND handle = '7f3a' \
