--- a/proxy/tests/configuration_messages/options.rs
+++ b/proxy/tests/configuration_messages/options.rs
@@ -5,6 +5,9 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 
+/// A key's secret.
+const SECRET: &str = "00112233445566778899aabbccddeeff";
+
 #[test]
 fn check_prints_conflicts_of_the_options_with_the_configuration() {
     // Given options that contradict the configuration, or that nobody could use
@@ -32,9 +35,6 @@
     }
 }
 
-/// A key's secret.
-const SECRET: &str = "00112233445566778899aabbccddeeff";
-
 /// A folder with a valid configuration and options that name a key file.
 struct KeyFileFolder {
     folder: Folder,
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -128,15 +128,21 @@
         "{metrics}"
     );
     assert_eq!((fleet_value(&one, "state="), fleet_value(&one, "members=")), ("blind".into(), "1".into()));
-    // Given a process without options, then it has neither call
+    // When a second process starts, then both settle
+    let two = fleet.start(1, None).unwrap();
+    wait_until_settled("two", 2, [&one, &two]);
+}
+
+#[test]
+fn a_process_without_options_has_no_call_about_the_fleet() {
+    // Given a process without options
+    let fleet = new_fleet(4, 1);
     let plain = fleet.rig.start(9, None, None).unwrap();
+    // When it is asked for the fleet and for metrics, then it has neither call
     assert!(
         admin_call(&plain, "fleet").starts_with("NO no such call")
             && admin_call(&plain, "metrics").starts_with("NO no such call")
     );
-    // When a second process starts, then both settle
-    let two = fleet.start(1, None).unwrap();
-    wait_until_settled("two", 2, [&one, &two]);
 }
 
 #[test]
--- a/test-support/tests/group_state.rs
+++ b/test-support/tests/group_state.rs
@@ -58,16 +58,21 @@
 
 #[test]
 fn commits_are_later_than_positions_reported_before() {
+    // Given a primary that has reported its position
     let mut state = group_with_two_commits();
     assert_eq!(state.position(0, 1_020), 1_019);
+    // When it commits in the same millisecond, then the commit is later than that position
     assert_eq!(state.commit(0, 1_020, "w4", row("k", "04")), Some(1_020));
 }
 
 #[test]
 fn of_two_copies_the_one_with_the_newer_position_counts() {
+    // Given two copies of a key at the primary, of which the later one has the older position
     let mut state = group_with_unreplicated_commits();
+    // When the copy is read there, then it is the one with the newer position
     let newer = VisibleCopy { position_ms: 500, value: "0a".into() };
     assert_eq!(state.copy(0, 1_040, HOME, "c"), Some(newer));
+    // When it is read at a replica, then there is none yet
     assert_eq!(state.copy(1, 1_040, HOME, "c"), None, "not applied there yet");
 }
 
