--- a/background-tasks/src/budget.rs
+++ b/background-tasks/src/budget.rs
@@ -1,4 +1,5 @@
-//! How many tasks of a kind one process may start: its quota of a budget that all processes share, counted over a sliding window.
+//! How many tasks of a kind one process may start: its quota of a budget that all processes share, counted over a
+//! sliding window.
 
 use crate::{Micros, TaskKind};
 use birchreach_fault_injection::fault_injected;
@@ -43,8 +44,8 @@
 }
 
 impl Budget {
-    /// What one of so many processes may start in a window: rounded down, so that the sum of all stays within the budget. It may be
-    /// nothing.
+    /// What one of so many processes may start in a window: rounded down, so that the sum of all stays within the
+    /// budget. It may be nothing.
     pub fn quota(&self, divisor: u32) -> Quota {
         Quota {
             per_database: self.starts_in_window(self.database_per_s, divisor),
--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -1,24 +1,28 @@
-//! One scheduler for work that no client waits for: rows that are read for copying, copies that are written, reads that are compared.
+//! One scheduler for work that no client waits for: rows that are read for copying, copies that are written, reads that
+//! are compared.
 //!
-//! It decides which task starts next and how many may start. At which database a task may run is decided by its caller with the routing
-//! decisions: clients' requests have precedence there, and a database in slow start gets no tasks. It does no I/O and reads no clock.
+//! It decides which task starts next and how many may start. At which database a task may run is decided by its caller
+//! with the routing decisions: clients' requests have precedence there, and a database in slow start gets no tasks. It
+//! does no I/O and reads no clock.
 //!
 //! [`Scheduler::submit`] queues a task, [`Scheduler::start_due`] returns the tasks that start now and their databases,
 //! [`Scheduler::finish`] records that one has ended.
 //!
-//! A budget is a rate over all processes of the fleet, in any span of its window's length. Each process keeps to its quota of it,
-//! rounded down, by a divisor that is never less than the number of processes that there may be. A new incarnation does not know what the
-//! one before it started, and waits for one window.
+//! A budget is a rate over all processes of the fleet, in any span of its window's length. Each process keeps to its
+//! quota of it, rounded down, by a divisor that is never less than the number of processes that there may be. A new
+//! incarnation does not know what the one before it started, and waits for one window.
 //!
 //! Invariants, each with the test that holds it (`tests/scheduler.rs`):
 //!
-//! 1. In no window does a database, nor do all together, get more tasks of a kind than the budget, whatever number of processes up to
-//!    the divisor starts tasks, restarts or is suspended in between (`budgets_hold_over_all_processes_in_every_window`).
+//! 1. In no window does a database, nor do all together, get more tasks of a kind than the budget, whatever number of
+//!    processes up to the divisor starts tasks, restarts or is suspended in between
+//!    (`budgets_hold_over_all_processes_in_every_window`).
 //! 2. Of two kinds the more urgent starts first, and of one kind the older task (`urgent_kinds_start_first`).
 //! 3. An expired task never starts (`expired_tasks_never_start`).
 //! 4. Queued and running tasks are bounded (`queued_and_running_tasks_are_bounded`).
 //!
-//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
+//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds
+//! needs no conversion.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -111,8 +111,8 @@
         true
     }
 
-    /// The tasks that start now. `select_database` returns the database at which a task may run, if any; `divisor` is no less than the
-    /// number of processes that share the budgets.
+    /// The tasks that start now. `select_database` returns the database at which a task may run, if any; `divisor` is
+    /// no less than the number of processes that share the budgets.
     pub fn start_due(
         &mut self,
         now: Micros,
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,12 +1,13 @@
 //! Faults that a crate's tests switch on in that crate, to show that its checks find them.
 //!
-//! A crate that uses this has a module `faults` at its root with one call of [`declare_faults!`], asks with [`fault_injected!`] at the
-//! line that the fault breaks, and names the feature `enabled` among its dev-dependencies only. A build without dev-dependencies, which
-//! each release is, then has neither the list of faults nor the switch: [`declare_faults!`] expands to nothing and
-//! [`fault_injected!`] to `false`.
+//! A crate that uses this has a module `faults` at its root with one call of [`declare_faults!`], asks with
+//! [`fault_injected!`] at the line that the fault breaks, and names the feature `enabled` among its dev-dependencies
+//! only. A build without dev-dependencies, which each release is, then has neither the list of faults nor the switch:
+//! [`declare_faults!`] expands to nothing and [`fault_injected!`] to `false`.
 //!
-//! A fault is switched on for one thread, so that tests of one process do not disturb one another. A check that must fail under a fault
-//! returns an error in place of a panic; `ensure!` and `ensure_eq!`, which the feature `enabled` adds, are its assertions.
+//! A fault is switched on for one thread, so that tests of one process do not disturb one another. A check that must
+//! fail under a fault returns an error in place of a panic; `ensure!` and `ensure_eq!`, which the feature `enabled`
+//! adds, are its assertions.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/health/src/settings.rs
+++ b/health/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of the monitor and the rules that hold among them. The XML options file calls them by other names, which
-//! `options/src/health.rs` maps.
+//! The settings of the monitor and the rules that hold among them. The XML options file calls them by other names,
+//! which `options/src/health.rs` maps.
 
 use crate::Micros;
 
--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -1,5 +1,5 @@
-//! Options of background work: copies of hot keys, and the comparison of dual reads while a group splits. Each rate is over all processes
-//! of the fleet.
+//! Options of background work: copies of hot keys, and the comparison of dual reads while a group splits. Each rate is
+//! over all processes of the fleet.
 
 use crate::OptionsErrorKind;
 use crate::reader::Reader;
@@ -84,7 +84,8 @@
 }
 
 impl Reader<'_> {
-    /// Element `split`. `has_fleet`: the file has an element `fleet`, without which no process learns what others have compared.
+    /// Element `split`. `has_fleet`: the file has an element `fleet`, without which no process learns what others have
+    /// compared.
     pub(crate) fn split(&mut self, node: NodeId, has_fleet: bool) -> Option<SplitOptions> {
         let mut split = SplitOptions {
             line: self.doc.node_line(node),
@@ -117,7 +118,8 @@
         Some(split)
     }
 
-    /// Element `hot`. `has_fleet`: the file has an element `fleet`, without which no process learns of the others' reads.
+    /// Element `hot`. `has_fleet`: the file has an element `fleet`, without which no process learns of the others'
+    /// reads.
     pub(crate) fn hot(&mut self, node: NodeId, has_fleet: bool) -> Option<HotKeyOptions> {
         let mut hot = HotKeyOptions {
             line: self.doc.node_line(node),
--- a/options/src/conflicts.rs
+++ b/options/src/conflicts.rs
@@ -76,7 +76,8 @@
         Some(OptionsError::new(listener.line, element, kind))
     }
 
-    /// An error for each address in the options that something else in the process uses. `others` has names and addresses.
+    /// An error for each address in the options that something else in the process uses. `others` has names and
+    /// addresses.
     pub fn address_conflicts(&self, others: &[(&str, SocketAddr)]) -> Vec<OptionsError> {
         let user_of = |address: SocketAddr| {
             let user = others.iter().find(|(_, other)| addresses_overlap(*other, address));
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -1,5 +1,5 @@
-//! Health reports to load balancers, and the listeners that give them: the element `health`. The names of its attributes are mapped
-//! here to those of the settings.
+//! Health reports to load balancers, and the listeners that give them: the element `health`. The names of its
+//! attributes are mapped here to those of the settings.
 
 use crate::conflicts::addresses_overlap;
 use crate::reader::Reader;
--- a/options/src/lib.rs
+++ b/options/src/lib.rs
@@ -1,8 +1,8 @@
 //! Options of our own: XML with a schema (`deploy/options.xsd`), read into typed values.
 //!
-//! The schema checks names, types and ranges. What it cannot express, such as an address that is used twice, is checked here on the same
-//! tree, so that every error has its line and element. A file is applied as a whole or not at all. The crate opens no address and reads
-//! no file.
+//! The schema checks names, types and ranges. What it cannot express, such as an address that is used twice, is checked
+//! here on the same tree, so that every error has its line and element. A file is applied as a whole or not at all. The
+//! crate opens no address and reads no file.
 #![forbid(unsafe_code)]
 
 mod background;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings JSON of the platform, as a proxy's configuration and the simulator's first message hold it.
 //!
-//! This crate is the only place that knows the platform's key names, values and units; it maps them to the types of the decision
-//! crate. Unknown keys are skipped; [`warnings`] lists them.
+//! This crate is the only place that knows the platform's key names, values and units; it maps them to the types of the
+//! decision crate. Unknown keys are skipped; [`warnings`] lists them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/settings/src/reader.rs
+++ b/settings/src/reader.rs
@@ -18,8 +18,8 @@
     (milliseconds * MICROS_PER_MILLISECOND) as Micros
 }
 
-/// Reads values from the settings. An unusable value is recorded as an error and replaced by a default, so that reading goes on and
-/// all errors are found.
+/// Reads values from the settings. An unusable value is recorded as an error and replaced by a default, so that reading
+/// goes on and all errors are found.
 ///
 /// Methods whose names end in `_in` take a value that the caller has looked up; `key` is its path, for the error.
 pub(crate) struct Reader<'a> {
--- a/settings/src/warnings.rs
+++ b/settings/src/warnings.rs
@@ -29,7 +29,8 @@
     found
 }
 
-/// Finds unknown keys below a node. `path` is that of the node with the indices of list elements, `form` the one without.
+/// Finds unknown keys below a node. `path` is that of the node with the indices of list elements, `form` the one
+/// without.
 fn unknown_keys(node: &Value, path: &str, form: &str, found: &mut Vec<SettingsWarning>) {
     match node {
         Value::Object(map) if !OPAQUE_KEYS.contains(&form) => {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! `birchreach-simulator-adapter`: connects routers to the simulator, which speaks binary frames over standard input and output.
+//! `birchreach-simulator-adapter`: connects routers to the simulator, which speaks binary frames over standard input
+//! and output.
 //!
-//! One process hosts many routers. The adapter translates events and actions between the wire and the decision crate and decides
-//! nothing itself.
+//! One process hosts many routers. The adapter translates events and actions between the wire and the decision crate
+//! and decides nothing itself.
 #![forbid(unsafe_code)]
 
 mod host;
--- a/simulator-adapter/src/wire/load_report.rs
+++ b/simulator-adapter/src/wire/load_report.rs
@@ -43,7 +43,8 @@
     Some(LoadReport { position, role })
 }
 
-/// Seconds to microseconds, rounded down, including the precision of the 32-bit float: a position must never read as later than it was.
+/// Seconds to microseconds, rounded down, including the precision of the 32-bit float: a position must never read as
+/// later than it was.
 fn micros_from_seconds_down(seconds: f32) -> Micros {
     const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
     let precision = f64::from(seconds.next_up()) - f64::from(seconds);
--- a/simulator-adapter/src/wire/mod.rs
+++ b/simulator-adapter/src/wire/mod.rs
@@ -1,6 +1,8 @@
-//! Frames of the simulator: a header, records of fixed size, then a tail with texts and lists that records refer to by offset.
+//! Frames of the simulator: a header, records of fixed size, then a tail with texts and lists that records refer to by
+//! offset.
 //!
-//! All numbers are little-endian. Times are in milliseconds on the wire and in microseconds inside; they are converted here.
+//! All numbers are little-endian. Times are in milliseconds on the wire and in microseconds inside; they are converted
+//! here.
 
 mod batch;
 mod error;
