--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -3,6 +3,7 @@
 
 use crate::OptionsErrorKind;
 use crate::reader::Reader;
+use std::collections::BTreeSet;
 use std::time::Duration;
 use uppsala::NodeId;
 
@@ -112,7 +113,7 @@
             self.add_error(node, OptionsErrorKind::SplitWithoutFleet);
         }
         let groups = [split.parent, split.lower_child, split.upper_child];
-        if (1..groups.len()).any(|n| groups[..n].contains(&groups[n])) {
+        if BTreeSet::from(groups).len() < groups.len() {
             self.add_error(node, OptionsErrorKind::GroupsNotDistinct);
         }
         Some(split)
