--- a/proxy/src/background_query.rs
+++ b/proxy/src/background_query.rs
@@ -1,13 +1,28 @@
 //! Background queries: statements that no client waits for, run one after the other on one connection to a database, and their
 //! replies.
 
+#[cfg(test)]
+mod tests;
+
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, ServerId};
+use std::fmt;
 
 /// The sender's number for a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct BackgroundQueryId(pub u64);
 
+/// The id in the comment of a background statement, as clients' statements have one. The statements of one query share it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct BackgroundStatementId(pub u64);
+
+/// Hands out the ids of this process's background statements. They count on from its incarnation, so that they differ among
+/// incarnations.
+#[derive(Debug)]
+pub(crate) struct BackgroundStatementIds {
+    last: BackgroundStatementId,
+}
+
 /// Statements, and the replies so far.
 pub(crate) struct BackgroundQuery {
     id: BackgroundQueryId,
@@ -29,6 +44,25 @@
     pub complete: bool,
 }
 
+impl fmt::Display for BackgroundStatementId {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{:016x}", self.0)
+    }
+}
+
+impl BackgroundStatementIds {
+    /// No id is handed out yet.
+    pub(crate) fn new(incarnation: u64) -> BackgroundStatementIds {
+        BackgroundStatementIds { last: BackgroundStatementId(incarnation) }
+    }
+
+    /// The id after the one that was handed out last.
+    pub(crate) fn next_id(&mut self) -> BackgroundStatementId {
+        self.last = BackgroundStatementId(self.last.0.wrapping_add(1));
+        self.last
+    }
+}
+
 impl BackgroundQuery {
     /// Statements for a server, in this order.
     pub(crate) fn new(id: BackgroundQueryId, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -2,11 +2,11 @@
 //! the databases that hold its copies.
 
 use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
-use crate::background_query::BackgroundQueryResult;
+use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
 use crate::hot::HotKeyObserver;
 use crate::metrics::CopyOutcome;
 use crate::pg::copies;
-use birchreach::{AttemptOutcome, Micros, Role};
+use birchreach::{AttemptOutcome, GroupId, Micros, Role, ServerId};
 use birchreach_background_tasks::{Task, TaskKind};
 use birchreach_hot_keys::copy::{Copy, copy_from_reads};
 use birchreach_hot_keys::{DueCopy, Key};
@@ -28,27 +28,28 @@
     key: Key,
     key_bytes: Vec<u8>,
     /// The database that holds the copy, and its group, whose primary takes the write.
-    holder: u32,
-    holder_group: u32,
+    holder: ServerId,
+    holder_group: GroupId,
     copy: Copy<Vec<u8>>,
 }
 
 impl CopyTask {
     pub(super) fn target(&self) -> TaskTarget {
         match self {
-            CopyTask::Read(due) => TaskTarget { group: due.key.group, writes: false },
+            CopyTask::Read(due) => TaskTarget { group: GroupId(due.key.group), writes: false },
             CopyTask::Write(write) => TaskTarget { group: write.holder_group, writes: true },
         }
     }
 
-    pub(super) fn statements(&self, id: u64) -> Vec<Vec<u8>> {
+    pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         match self {
             // The position in the first answer is known before the second read is sent.
             CopyTask::Read(due) => {
-                vec![copies::read_row(&due.key_bytes, due.key.group, id, STATEMENT_WAIT_MS); 2]
+                let group = GroupId(due.key.group);
+                vec![copies::read_row(&due.key_bytes, group, id, STATEMENT_WAIT_MS); 2]
             }
             CopyTask::Write(CopyWrite { key, key_bytes, copy, .. }) => {
-                vec![copies::write_copy(key.group, key_bytes, copy.position, &copy.value)]
+                vec![copies::write_copy(GroupId(key.group), key_bytes, copy.position, &copy.value)]
             }
         }
     }
@@ -80,7 +81,7 @@
             CopyTask::Write(write) => {
                 if result.complete {
                     self.metrics.count_copy(CopyOutcome::Written);
-                    observer.borrow_mut().tracker.record_copy_written(now, write.key, write.holder);
+                    observer.borrow_mut().tracker.record_copy_written(now, write.key, write.holder.0);
                 } else {
                     self.metrics.count_copy(CopyOutcome::NotWritten);
                 }
@@ -114,8 +115,8 @@
             let write = CopyWrite {
                 key: due.key,
                 key_bytes: due.key_bytes.clone(),
-                holder: holder.server,
-                holder_group: holder.group,
+                holder: ServerId(holder.server),
+                holder_group: GroupId(holder.group),
                 copy: copy.clone(),
             };
             let payload = BackgroundTask::Copy(CopyTask::Write(write));
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -2,9 +2,9 @@
 //! its result is returned to the verifier.
 
 use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
-use crate::background_query::BackgroundQueryResult;
+use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
 use crate::pg::{commit_time_query, copies};
-use birchreach::Micros;
+use birchreach::{GroupId, Micros};
 use birchreach_background_tasks::{Task, TaskKind};
 use birchreach_shard_split::{ComparisonQuery, Definition, DueQuery, QueryResult, Verdict};
 use tracing::{info, warn};
@@ -36,12 +36,13 @@
 impl DualRead {
     /// The group whose databases it runs at.
     pub(super) fn target(&self) -> TaskTarget {
-        TaskTarget { group: self.due.group, writes: false }
+        TaskTarget { group: GroupId(self.due.group), writes: false }
     }
 
     /// Its statements, in order.
-    pub(super) fn statements(&self, id: u64) -> Vec<Vec<u8>> {
-        let DueQuery { query, ref key_bytes, group, .. } = self.due;
+    pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
+        let DueQuery { query, ref key_bytes, .. } = self.due;
+        let group = GroupId(self.due.group);
         let read = copies::read_row(key_bytes, group, id, STATEMENT_WAIT_MS);
         match query {
             ComparisonQuery::SingleRead(_) => vec![read],
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -8,7 +8,9 @@
 
 use super::event_loop_context::EventLoopContext;
 use super::pool::Pool;
-use crate::background_query::{BackgroundQueryId, BackgroundQueryResult};
+use crate::background_query::{
+    BackgroundQueryId, BackgroundQueryResult, BackgroundStatementId, BackgroundStatementIds,
+};
 use crate::hot::HotKeyObserver;
 use crate::metrics::Metrics;
 use crate::observe::Shared;
@@ -47,7 +49,7 @@
 /// Where a task runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TaskTarget {
-    group: u32,
+    group: GroupId,
     writes: bool,
 }
 
@@ -67,7 +69,7 @@
     }
 
     /// Its statements, in order. `id` is the id of those that need one.
-    fn statements(&self, id: u64) -> Vec<Vec<u8>> {
+    fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         match self {
             BackgroundTask::Copy(task) => task.statements(id),
             BackgroundTask::DualRead(read) => read.statements(id),
@@ -91,9 +93,7 @@
 pub(super) struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
     in_flight: HashMap<BackgroundQueryId, TaskInFlight>,
-    /// The first id of this process's own statements, so that ids differ among incarnations.
-    incarnation: u64,
-    statements_sent: u64,
+    statement_ids: BackgroundStatementIds,
     hot_keys: Option<Shared<HotKeyObserver>>,
     split: Option<Shared<SplitObserver>>,
     /// The comparison in progress: results of an earlier one are ignored.
@@ -112,8 +112,7 @@
         BackgroundWork {
             scheduler: Scheduler::new(&[], now),
             in_flight: HashMap::new(),
-            incarnation,
-            statements_sent: 0,
+            statement_ids: BackgroundStatementIds::new(incarnation),
             hot_keys: None,
             split: None,
             split_generation: SplitGeneration::default(),
@@ -174,12 +173,11 @@
         let core = &context.core;
         let place = |task: &BackgroundTask| {
             let TaskTarget { group, writes } = task.target();
-            core.background_candidate(GroupId(group), writes, task.yields_to_clients()).map(|server| server.0)
+            core.background_candidate(group, writes, task.yields_to_clients()).map(|server| server.0)
         };
         let started = self.scheduler.start_due(context.now, divisor, place);
         for StartedTask { id, task, database } in started {
-            self.statements_sent += 1;
-            let statements = task.payload.statements(self.incarnation.wrapping_add(self.statements_sent));
+            let statements = task.payload.statements(self.statement_ids.next_id());
             let query = BackgroundQueryId(id);
             self.in_flight.insert(query, TaskInFlight { task: task.payload, started_at: context.now });
             pool.start_background_query(context, query, ServerId(database), statements);
--- a/proxy/src/pg/commit_time_query.rs
+++ b/proxy/src/pg/commit_time_query.rs
@@ -1,9 +1,11 @@
 //! A row of a group that is being split, with the time of its last commit, in plain SQL. The group's databases keep commit times
 //! (`track_commit_timestamp`).
 
+use super::copies::background_comment;
+use crate::background_query::BackgroundStatementId;
 use crate::reply::Reply;
 use crate::units::MICROS_PER_MILLI;
-use birchreach::Micros;
+use birchreach::{GroupId, Micros};
 
 /// The state of a row since its last commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,12 +17,17 @@
 }
 
 /// The query for the time of a row's last commit, in milliseconds and rounded up, followed by the row's value.
-pub(crate) fn read_row_with_commit_time(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
-    let comment = format!("' /* id={id:016x},c=background,d={wait_ms},cluster={group} */");
+pub(crate) fn read_row_with_commit_time(
+    key: &[u8],
+    group: GroupId,
+    id: BackgroundStatementId,
+    wait_ms: u64,
+) -> Vec<u8> {
+    let comment = background_comment(group, id, wait_ms);
     let select: &[u8] =
         b"SELECT int8send((extract(epoch FROM pg_xact_commit_timestamp(xmin)) * 1000)::int8 + 1) || blob \
                   FROM rows WHERE handle = '";
-    [select, key, comment.as_bytes()].concat()
+    [select, key, b"' ", comment.as_bytes()].concat()
 }
 
 /// Parses the reply to that query. `None`: it is not such a reply.
--- a/proxy/src/pg/copies.rs
+++ b/proxy/src/pg/copies.rs
@@ -4,9 +4,10 @@
 //!     CREATE TABLE copies (home int, handle text, at bigint NOT NULL, blob bytea NOT NULL, PRIMARY KEY (home, handle));
 
 use super::statement::Statement;
+use crate::background_query::BackgroundStatementId;
 use crate::reply::{Reply, Value};
 use crate::units::MICROS_PER_MILLI;
-use birchreach::{AttemptOutcome, Micros};
+use birchreach::{AttemptOutcome, GroupId, Micros};
 
 /// The longest value that is copied.
 pub(crate) const MAX_COPY_BYTES: usize = 16 << 10;
@@ -38,14 +39,19 @@
 }
 
 /// The query for a row in its own group, for copying or a comparison.
-pub(crate) fn read_row(key: &[u8], group: u32, id: u64, wait_ms: u64) -> Vec<u8> {
-    let comment = format!("' /* id={id:016x},c=background,d={wait_ms},cluster={group} */");
-    [b"SELECT blob FROM rows WHERE handle = '", key, comment.as_bytes()].concat()
+pub(crate) fn read_row(key: &[u8], group: GroupId, id: BackgroundStatementId, wait_ms: u64) -> Vec<u8> {
+    let comment = background_comment(group, id, wait_ms);
+    [b"SELECT blob FROM rows WHERE handle = '", key, b"' ", comment.as_bytes()].concat()
+}
+
+/// The comment of a background statement that reads a row in its own group.
+pub(super) fn background_comment(group: GroupId, id: BackgroundStatementId, wait_ms: u64) -> String {
+    format!("/* id={id},c=background,d={wait_ms},cluster={} */", group.0)
 }
 
 /// The statement that writes a copy, unless a newer one exists.
-pub(crate) fn write_copy(home: u32, key: &[u8], position: Micros, blob: &[u8]) -> Vec<u8> {
-    let insert = format!("INSERT INTO copies (home, handle, at, blob) VALUES ({home}, '");
+pub(crate) fn write_copy(home: GroupId, key: &[u8], position: Micros, blob: &[u8]) -> Vec<u8> {
+    let insert = format!("INSERT INTO copies (home, handle, at, blob) VALUES ({}, '", home.0);
     let values = format!("', {}, '\\x", position.div_euclid(MICROS_PER_MILLI));
     let hex: String = blob.iter().map(|byte| format!("{byte:02x}")).collect();
     let upsert = "') ON CONFLICT (home, handle) DO UPDATE SET at = excluded.at, blob = excluded.blob \
--- a/proxy/src/pg/tests/commit_time_query.rs
+++ b/proxy/src/pg/tests/commit_time_query.rs
@@ -1,8 +1,9 @@
 //! Rows read with the time of their last commit.
 
+use crate::background_query::BackgroundStatementId;
 use crate::pg::commit_time_query::{CommittedRow, parse_row_with_commit_time, read_row_with_commit_time};
 use crate::reply::{Reply, Value};
-use birchreach::AttemptOutcome;
+use birchreach::{AttemptOutcome, GroupId};
 
 /// A reply whose value has these bytes.
 fn reply_with_value(bytes: &[u8]) -> Reply {
@@ -12,7 +13,8 @@
 
 #[test]
 fn a_row_is_read_with_the_time_of_its_last_commit() {
-    let query = String::from_utf8(read_row_with_commit_time(b"7f3a", 2, 7, 500)).unwrap();
+    let query = read_row_with_commit_time(b"7f3a", GroupId(2), BackgroundStatementId(7), 500);
+    let query = String::from_utf8(query).unwrap();
 
     assert!(
         query.ends_with(
--- a/proxy/src/pg/tests/copies.rs
+++ b/proxy/src/pg/tests/copies.rs
@@ -1,9 +1,10 @@
 //! Queries for copies, and what their replies prove.
 
-use crate::pg::copies::{parse_copy, read_copy, write_copy};
+use crate::background_query::BackgroundStatementId;
+use crate::pg::copies::{parse_copy, read_copy, read_row, write_copy};
 use crate::pg::statement::Statement;
 use crate::reply::{Reply, Value};
-use birchreach::{AttemptOutcome, Micros};
+use birchreach::{AttemptOutcome, GroupId, Micros};
 
 /// A read that a client sent.
 fn client_read() -> Statement {
@@ -25,7 +26,7 @@
 #[test]
 fn copy_reads_round_the_position_up_and_copy_writes_round_it_down() {
     let read = read_copy(&client_read(), 95, 1_234_001);
-    let write = write_copy(2, b"7f3a", 1_234_999, &[0x9f, 3]);
+    let write = write_copy(GroupId(2), b"7f3a", 1_234_999, &[0x9f, 3]);
 
     assert_eq!(
         String::from_utf8(read).unwrap(),
@@ -39,6 +40,16 @@
     );
 }
 
+#[test]
+fn a_row_is_read_in_its_own_group_with_the_comment_of_a_background_statement() {
+    let read = read_row(b"7f3a", GroupId(2), BackgroundStatementId(0x2a), 500);
+
+    assert_eq!(
+        String::from_utf8(read).unwrap(),
+        "SELECT blob FROM rows WHERE handle = '7f3a' /* id=000000000000002a,c=background,d=500,cluster=2 */"
+    );
+}
+
 #[test]
 fn a_reply_proves_the_required_position_or_is_a_miss() {
     // Given a copy of position 5 ms.
