--- a/background-tasks/src/budget.rs
+++ b/background-tasks/src/budget.rs
@@ -1,6 +1,6 @@
 //! How many tasks of a kind one process may start: its quota of a budget that all processes share, counted over a sliding window.
 
-use crate::{Micros, TaskKind};
+use crate::{DatabaseId, Micros, TaskKind};
 use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -66,7 +66,7 @@
     usable_from: Micros,
     /// When tasks were started, the oldest first.
     starts: VecDeque<Micros>,
-    starts_by_database: BTreeMap<u32, VecDeque<Micros>>,
+    starts_by_database: BTreeMap<DatabaseId, VecDeque<Micros>>,
 }
 
 impl BudgetUsage {
@@ -82,7 +82,7 @@
     }
 
     /// Whether one more task may start at this database now.
-    pub(crate) fn allows_start(&mut self, now: Micros, database: u32, divisor: u32) -> bool {
+    pub(crate) fn allows_start(&mut self, now: Micros, database: DatabaseId, divisor: u32) -> bool {
         self.remove_old_starts(now);
         let quota = self.budget.quota(divisor);
         let at_database = self.starts_by_database.get(&database).map_or(0, VecDeque::len);
@@ -90,7 +90,7 @@
     }
 
     /// Counts a task that starts at this database now.
-    pub(crate) fn record_start(&mut self, now: Micros, database: u32) {
+    pub(crate) fn record_start(&mut self, now: Micros, database: DatabaseId) {
         self.starts.push_back(now);
         self.starts_by_database.entry(database).or_default().push_back(now);
     }
--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -19,15 +19,18 @@
 //! 4. Queued and running tasks are bounded (`queued_and_running_tasks_are_bounded`).
 //!
 //! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds needs no conversion.
+//! So is [`DatabaseId`], which the caller converts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod budget;
 pub mod faults;
+mod ids;
 mod scheduler;
 
 pub use budget::{Budget, Quota, TaskBudget};
+pub use ids::{DatabaseId, TaskId};
 pub use scheduler::{MAX_QUEUED_TASKS, MAX_RUNNING_TASKS, Scheduler, StartedTask, Task, TaskCounts};
 
 /// A span of time, or an instant on the caller's clock, in microseconds.
--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! The queue of tasks, the tasks that run, and which one starts next.
 
 use crate::budget::{BudgetUsage, Quota, TaskBudget};
-use crate::{Micros, TaskKind};
+use crate::{DatabaseId, Micros, TaskId, TaskKind};
 use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeMap;
 
@@ -27,11 +27,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartedTask<T> {
     /// The scheduler's number for it, by which it is reported as finished.
-    pub id: u64,
+    pub id: TaskId,
     /// The task.
     pub task: Task<T>,
     /// Where it runs.
-    pub database: u32,
+    pub database: DatabaseId,
 }
 
 /// How the tasks of a kind ended.
@@ -51,13 +51,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     kind: TaskKind,
-    id: u64,
+    id: TaskId,
 }
 
 /// What is kept of a task while it runs.
 struct RunningTask {
     kind: TaskKind,
-    database: u32,
+    database: DatabaseId,
 }
 
 /// Queues tasks and decides which of them start now.
@@ -65,9 +65,8 @@
     /// What this process started of each kind that has a budget.
     usage: BTreeMap<TaskKind, BudgetUsage>,
     queue: BTreeMap<QueuePosition, Task<T>>,
-    /// By task id.
-    running: BTreeMap<u64, RunningTask>,
-    last_task_id: u64,
+    running: BTreeMap<TaskId, RunningTask>,
+    last_task_id: TaskId,
     /// Payloads of expired tasks, until the caller takes them.
     expired: Vec<T>,
     counts: BTreeMap<TaskKind, TaskCounts>,
@@ -81,7 +80,7 @@
             usage: usage.collect(),
             queue: BTreeMap::new(),
             running: BTreeMap::new(),
-            last_task_id: 0,
+            last_task_id: TaskId::default(),
             expired: Vec::new(),
             counts: BTreeMap::new(),
         }
@@ -105,7 +104,7 @@
             self.counts.entry(task.kind).or_default().rejected += 1;
             return false;
         }
-        self.last_task_id += 1;
+        self.last_task_id = self.last_task_id.next();
         let kind = if fault_injected!(IgnoresPriority) { TaskKind::RowRead } else { task.kind };
         self.queue.insert(QueuePosition { kind, id: self.last_task_id }, task);
         true
@@ -117,7 +116,7 @@
         &mut self,
         now: Micros,
         divisor: u32,
-        mut select_database: impl FnMut(&T) -> Option<u32>,
+        mut select_database: impl FnMut(&T) -> Option<DatabaseId>,
     ) -> Vec<StartedTask<T>> {
         self.remove_expired(now);
         let positions: Vec<QueuePosition> = self.queue.keys().copied().collect();
@@ -137,7 +136,7 @@
         now: Micros,
         divisor: u32,
         position: QueuePosition,
-        select_database: &mut impl FnMut(&T) -> Option<u32>,
+        select_database: &mut impl FnMut(&T) -> Option<DatabaseId>,
     ) -> Option<StartedTask<T>> {
         let task = self.queue.get(&position)?;
         let usage = self.usage.get_mut(&task.kind)?;
@@ -168,7 +167,7 @@
     }
 
     /// Records that a task has ended, successfully or not; an unknown id is ignored.
-    pub fn finish(&mut self, id: u64) {
+    pub fn finish(&mut self, id: TaskId) {
         if let Some(task) = self.running.remove(&id) {
             self.counts.entry(task.kind).or_default().finished += 1;
         }
--- a/background-tasks/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -2,7 +2,9 @@
 //! that breaks what it holds.
 
 use birchreach_background_tasks::faults::{Fault, with};
-use birchreach_background_tasks::{Budget, Micros, Scheduler, Task, TaskBudget, TaskKind};
+use birchreach_background_tasks::{
+    Budget, DatabaseId, Micros, Scheduler, Task, TaskBudget, TaskId, TaskKind,
+};
 use birchreach_fault_injection::ensure;
 
 const SECOND: Micros = 1_000_000;
@@ -30,14 +32,14 @@
 
 /// The payloads of the tasks that start now, each at the database of the number in its payload.
 fn started_payloads(scheduler: &mut Scheduler<u32>, now: Micros) -> Vec<u32> {
-    let started = scheduler.start_due(now, 1, |payload| Some(*payload));
+    let started = scheduler.start_due(now, 1, |payload| Some(DatabaseId(*payload)));
     started.into_iter().map(|started| started.task.payload).collect()
 }
 
 /// The start of a task.
 struct Start {
     at: Micros,
-    database: u32,
+    database: DatabaseId,
 }
 
 /// The most starts in any window.
@@ -47,7 +49,7 @@
 }
 
 fn most_in_a_window(starts: &[Start]) -> MostStarts {
-    let within = |from: Micros, database: Option<u32>| {
+    let within = |from: Micros, database: Option<DatabaseId>| {
         let is_counted = |start: &&Start| database.is_none_or(|database| database == start.database);
         let window = from..from + BUDGET.window;
         starts.iter().filter(is_counted).filter(|start| window.contains(&start.at)).count()
@@ -68,7 +70,7 @@
                 *scheduler = new_scheduler(now);
             }
             scheduler.submit(task(TaskKind::CopyWrite, rng.u32(..3), now + SECOND));
-            for started in scheduler.start_due(now, count as u32, |payload| Some(*payload)) {
+            for started in scheduler.start_due(now, count as u32, |payload| Some(DatabaseId(*payload))) {
                 starts.push(Start { at: now, database: started.database });
                 scheduler.finish(started.id);
             }
@@ -124,8 +126,8 @@
     let mut scheduler = ready_scheduler(&[TaskBudget { kind: TaskKind::CopyWrite, budget: ample }]);
     let accepted =
         (0..10_000).filter(|payload| scheduler.submit(task(TaskKind::CopyWrite, *payload, SECOND))).count();
-    let started = scheduler.start_due(0, 1, |payload| Some(*payload)).len();
-    let further = scheduler.start_due(0, 1, |_| Some(7)).len();
+    let started = scheduler.start_due(0, 1, |payload| Some(DatabaseId(*payload))).len();
+    let further = scheduler.start_due(0, 1, |_| Some(DatabaseId(7))).len();
     let holds = accepted == 256 && scheduler.queued_count() <= 256 && started == 8 && further == 0;
     ensure!(holds, "{accepted} accepted, {started} started, then {further}");
     Ok(())
@@ -174,21 +176,21 @@
     // When the same budget is set again, it goes on.
     scheduler.set_budgets(&[budget_of(TaskKind::CopyWrite)], 0);
     scheduler.submit(task(TaskKind::CopyWrite, 1, 20 * SECOND));
-    assert_eq!(scheduler.start_due(0, 1, |_| Some(1)).len(), 1);
-    scheduler.finish(1);
+    assert_eq!(scheduler.start_due(0, 1, |_| Some(DatabaseId(1))).len(), 1);
+    scheduler.finish(TaskId(1));
 
     // When another one is set, it waits for a window.
     let other = Budget { database_per_s: 1.0, ..BUDGET };
     scheduler.set_budgets(&[TaskBudget { kind: TaskKind::CopyWrite, budget: other }], SECOND);
     scheduler.submit(task(TaskKind::CopyWrite, 2, 20 * SECOND));
-    assert_eq!(scheduler.start_due(4 * SECOND, 1, |_| Some(1)).len(), 0);
-    assert_eq!(scheduler.start_due(5 * SECOND, 1, |_| Some(1)).len(), 1);
+    assert_eq!(scheduler.start_due(4 * SECOND, 1, |_| Some(DatabaseId(1))).len(), 0);
+    assert_eq!(scheduler.start_due(5 * SECOND, 1, |_| Some(DatabaseId(1))).len(), 1);
 
     // When none is set, nothing starts.
     scheduler.set_budgets(&[], 6 * SECOND);
     scheduler.submit(task(TaskKind::CopyWrite, 3, 20 * SECOND));
     assert_eq!(
-        scheduler.start_due(19 * SECOND, 1, |_| Some(2)).len(),
+        scheduler.start_due(19 * SECOND, 1, |_| Some(DatabaseId(2))).len(),
         0,
         "a kind without a budget never starts"
     );
--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -5,7 +5,7 @@
 use super::servers::{Statement, StatementKind, StatementOwner};
 use super::simulation::{CopyMode, NETWORK_DELAY_MICROS, Simulation};
 use birchreach::{AttemptOutcome, GroupId, Micros};
-use birchreach_background_tasks::{StartedTask, Task, TaskKind};
+use birchreach_background_tasks::{DatabaseId, StartedTask, Task, TaskId, TaskKind};
 use birchreach_hot_keys::{DueCopy, ReportHeader};
 use std::net::SocketAddr;
 
@@ -52,7 +52,9 @@
 
     fn start_background_queries(&mut self, proxy: usize) {
         let proxies = self.proxies.len() as u32;
-        for StartedTask { id, task, database: server } in self.proxies[proxy].start_tasks(self.now, proxies) {
+        for StartedTask { id, task, database: DatabaseId(server) } in
+            self.proxies[proxy].start_tasks(self.now, proxies)
+        {
             let (query, kind) = match task.payload {
                 BackgroundTask::RowRead(copy) => {
                     (BackgroundQuery::FirstRead { copy, server }, StatementKind::Read)
@@ -68,7 +70,7 @@
     fn send_background_query(
         &mut self,
         proxy: usize,
-        id: u64,
+        id: TaskId,
         server: u32,
         kind: StatementKind,
         query: BackgroundQuery,
@@ -94,7 +96,7 @@
     }
 
     /// Handles the result of a background query: a row that was read twice is copied to all holders.
-    pub(super) fn continue_background_query(&mut self, proxy: usize, id: u64, result: &StatementResult) {
+    pub(super) fn continue_background_query(&mut self, proxy: usize, id: TaskId, result: &StatementResult) {
         let Some(query) = self.proxies[proxy].background_queries.remove(&id) else { return };
         let is_ok = result.outcome == AttemptOutcome::Ok;
         match query {
@@ -148,7 +150,7 @@
                     router.background_candidate(GroupId(write.group), true, true)
                 }
             };
-            server.map(|server| server.0)
+            server.map(|server| DatabaseId(server.0))
         };
         self.scheduler.start_due(now, proxies, place)
     }
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -9,7 +9,7 @@
     LoadReportSource, Micros, Role, Router, ServerId, SessionPositionSource, Settings, StaleReadPolicy,
     ZoneId,
 };
-use birchreach_background_tasks::{Budget, Scheduler, TaskBudget, TaskKind};
+use birchreach_background_tasks::{Budget, Scheduler, TaskBudget, TaskId, TaskKind};
 use birchreach_hot_keys::{CopyRequirement, Database, HotKeyTracker, Key};
 use birchreach_membership::GossipReports;
 use std::collections::HashMap;
@@ -34,8 +34,8 @@
     pub hot_keys: HotKeyTracker,
     pub gossip_reports: GossipReports,
     pub scheduler: Scheduler<BackgroundTask>,
-    /// Background queries at a database, by the scheduler's id.
-    pub background_queries: HashMap<u64, BackgroundQuery>,
+    /// Background queries at a database, by the task that each runs for.
+    pub background_queries: HashMap<TaskId, BackgroundQuery>,
     pub actions: Vec<Action>,
 }
 
--- a/benches/src/gain/servers.rs
+++ b/benches/src/gain/servers.rs
@@ -1,6 +1,7 @@
 //! Database servers on virtual time: bounded concurrency and queues, log positions, and copies of the hot key.
 
 use birchreach::{Micros, Role};
+use birchreach_background_tasks::TaskId;
 use std::collections::VecDeque;
 
 /// Groups of servers, each with a primary as its first server.
@@ -57,7 +58,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) enum StatementOwner {
     Attempt(AttemptKey),
-    BackgroundQuery { proxy: usize, id: u64 },
+    BackgroundQuery { proxy: usize, id: TaskId },
 }
 
 /// What a statement does.
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -16,7 +16,7 @@
 use crate::observe::Shared;
 use crate::split::SplitObserver;
 use birchreach::{GroupId, Micros, ServerId};
-use birchreach_background_tasks::{Scheduler, StartedTask};
+use birchreach_background_tasks::{DatabaseId, Scheduler, StartedTask, TaskId};
 use birchreach_hot_keys::ReportHeader;
 use birchreach_membership::ReceivedReport;
 use copy_tasks::CopyTask;
@@ -92,7 +92,7 @@
 /// The background subsystems that the options switch on, and their tasks.
 pub(super) struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
-    in_flight: HashMap<BackgroundQueryId, TaskInFlight>,
+    in_flight: HashMap<TaskId, TaskInFlight>,
     statement_ids: BackgroundStatementIds,
     hot_keys: Option<Shared<HotKeyObserver>>,
     split: Option<Shared<SplitObserver>>,
@@ -173,32 +173,33 @@
         let core = &context.core;
         let place = |task: &BackgroundTask| {
             let TaskTarget { group, writes } = task.target();
-            core.background_candidate(group, writes, task.yields_to_clients()).map(|server| server.0)
+            core.background_candidate(group, writes, task.yields_to_clients())
+                .map(|ServerId(id)| DatabaseId(id))
         };
         let started = self.scheduler.start_due(context.now, divisor, place);
         for StartedTask { id, task, database } in started {
             let statements = task.payload.statements(self.statement_ids.next_id());
-            let query = BackgroundQueryId(id);
-            self.in_flight.insert(query, TaskInFlight { task: task.payload, started_at: context.now });
-            pool.start_background_query(context, query, ServerId(database), statements);
+            self.in_flight.insert(id, TaskInFlight { task: task.payload, started_at: context.now });
+            pool.start_background_query(context, BackgroundQueryId(id.0), ServerId(database.0), statements);
         }
     }
 
     /// Takes the results of background queries, and gives up those whose end was not reported in time.
     fn finish_tasks(&mut self, now: Micros, results: Vec<BackgroundQueryResult>) {
         for result in results {
-            self.scheduler.finish(result.id.0);
-            let Some(finished) = self.in_flight.remove(&result.id) else { continue };
+            let id = TaskId(result.id.0);
+            self.scheduler.finish(id);
+            let Some(finished) = self.in_flight.remove(&id) else { continue };
             match finished.task {
                 BackgroundTask::Copy(task) => self.finish_copy_task(now, task, &result),
                 BackgroundTask::DualRead(read) => self.finish_dual_read(now, &read, Some(&result)),
             }
         }
         let is_lost = |task: &TaskInFlight| now - task.started_at >= MAX_QUERY_MICROS;
-        let lost: Vec<BackgroundQueryId> =
+        let lost: Vec<TaskId> =
             self.in_flight.iter().filter(|(_, task)| is_lost(task)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.scheduler.finish(id.0);
+            self.scheduler.finish(id);
             if let Some(BackgroundTask::DualRead(read)) = self.in_flight.remove(&id).map(|lost| lost.task) {
                 self.finish_dual_read(now, &read, None);
             }
