--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,5 +1,6 @@
 //! The metrics of background work and of the subsystems that it is done for. Each name is defined here and nowhere else.
 
+mod labels;
 #[cfg(test)]
 mod tests;
 
@@ -7,7 +8,8 @@
 use birchreach_background_tasks::TaskCounts;
 use birchreach_hot_keys::HotKeyTracker;
 use birchreach_shard_split::{ComparisonCounts, Verdict};
-use prometheus_client::encoding::EncodeLabelSet;
+pub(crate) use labels::CopyOutcome;
+use labels::CounterLabels;
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -15,43 +17,6 @@
 use prometheus_client::registry::{Metric, Registry};
 use std::sync::atomic::Ordering;
 
-/// What became of a copy of a row.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CopyOutcome {
-    /// It was written to its holder.
-    Written,
-    /// The write to its holder failed.
-    NotWritten,
-    /// The row's value is longer than a copy may be.
-    TooLong,
-    /// The database answered the read of the row with an error.
-    Unreadable,
-    /// The read of the row gave no value, or no position of a replica.
-    NotRead,
-}
-
-impl CopyOutcome {
-    /// Its value as a label.
-    fn as_str(self) -> &'static str {
-        match self {
-            CopyOutcome::Written => "written",
-            CopyOutcome::NotWritten => "unwritten",
-            CopyOutcome::TooLong => "long",
-            CopyOutcome::Unreadable => "unreadable",
-            CopyOutcome::NotRead => "unread",
-        }
-    }
-}
-
-/// The labels of counters: what is counted, and what became of it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub(crate) struct CounterLabels {
-    /// What is counted.
-    pub kind: &'static str,
-    /// What became of it.
-    pub end: &'static str,
-}
-
 /// The metrics, under the prefix `birchreach`.
 pub(crate) struct Metrics {
     registry: Registry,
--- /dev/null
+++ b/proxy/src/metrics/labels.rs
@@ -0,0 +1,40 @@
+//! The labels of counters: what is counted, and what became of it.
+
+use prometheus_client::encoding::EncodeLabelSet;
+
+/// What became of a copy of a row.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CopyOutcome {
+    /// It was written to its holder.
+    Written,
+    /// The write to its holder failed.
+    NotWritten,
+    /// The row's value is longer than a copy may be.
+    TooLong,
+    /// The database answered the read of the row with an error.
+    Unreadable,
+    /// The read of the row gave no value, or no position of a replica.
+    NotRead,
+}
+
+impl CopyOutcome {
+    /// Its value as a label.
+    pub(super) fn as_str(self) -> &'static str {
+        match self {
+            CopyOutcome::Written => "written",
+            CopyOutcome::NotWritten => "unwritten",
+            CopyOutcome::TooLong => "long",
+            CopyOutcome::Unreadable => "unreadable",
+            CopyOutcome::NotRead => "unread",
+        }
+    }
+}
+
+/// The labels of counters: what is counted, and what became of it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
+pub(super) struct CounterLabels {
+    /// What is counted.
+    pub kind: &'static str,
+    /// What became of it.
+    pub end: &'static str,
+}
