--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -5,11 +5,11 @@
 mod tests;
 
 use crate::hot::CopyReadCounts;
-use birchreach_background_tasks::TaskCounts;
+use birchreach_background_tasks::{TaskCounts, TaskKind};
 use birchreach_hot_keys::HotKeyTracker;
 use birchreach_shard_split::{ComparisonCounts, Verdict};
-pub(crate) use labels::CopyOutcome;
 use labels::CounterLabels;
+pub(crate) use labels::{CopyOutcome, RejectedReport};
 use prometheus_client::encoding::text::encode_registry;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -77,8 +77,9 @@
     }
 
     /// Counts a report of another member that was rejected.
-    pub(crate) fn count_rejected_report(&self, subsystem: &'static str, reason: &'static str) {
-        self.rejected_reports.get_or_create(&CounterLabels { kind: subsystem, end: reason }).inc();
+    pub(crate) fn count_rejected_report(&self, report: RejectedReport) {
+        let labels = CounterLabels { kind: report.subsystem(), end: report.reason() };
+        self.rejected_reports.get_or_create(&labels).inc();
     }
 
     /// Counts a copy, by what became of it.
@@ -87,10 +88,12 @@
     }
 
     /// Sets what became of the scheduler's tasks of a kind.
-    pub(crate) fn set_task_counts(&self, kind: &'static str, counts: TaskCounts) {
-        let TaskCounts { started, finished, expired, rejected } = counts;
-        let ends = [("started", started), ("ended", finished), ("late", expired), ("crowded", rejected)];
-        set_counters(&self.tasks, kind, &ends);
+    pub(crate) fn set_task_counts(&self, kind: TaskKind, counts: TaskCounts) {
+        let tasks = CountersOfKind { family: &self.tasks, kind: kind.as_str() };
+        tasks.set("started", counts.started);
+        tasks.set("ended", counts.finished);
+        tasks.set("late", counts.expired);
+        tasks.set("crowded", counts.rejected);
     }
 
     /// Sets the metrics of hot keys.
@@ -99,11 +102,9 @@
         set_gauge(&self.hot_keys, tracker.hot_keys().count());
         set_gauge(&self.differing_members, agreement.reporting - agreement.agreeing);
         set_counter(&self.hot_key_changes, tracker.change_count());
-        set_counters(
-            &self.copy_reads,
-            "guest",
-            &[("served", copy_reads.hits), ("missed", copy_reads.misses)],
-        );
+        let reads = CountersOfKind { family: &self.copy_reads, kind: "guest" };
+        reads.set("served", copy_reads.hits);
+        reads.set("missed", copy_reads.misses);
     }
 
     /// Sets the metrics of a split.
@@ -115,16 +116,14 @@
         };
         self.split_clean.set(clean);
         set_gauge(&self.ranges_lacking, lacking);
-        let ends = [
-            ("begun", counts.started),
-            ("agreed", counts.agreed),
-            ("late", counts.lagging),
-            ("unsure", counts.inconclusive),
-            ("silent", counts.unanswered),
-            ("flagged", counts.confirmed),
-            ("crowded", counts.rejected),
-        ];
-        set_counters(&self.comparisons, "read", &ends);
+        let comparisons = CountersOfKind { family: &self.comparisons, kind: "read" };
+        comparisons.set("begun", counts.started);
+        comparisons.set("agreed", counts.agreed);
+        comparisons.set("late", counts.lagging);
+        comparisons.set("unsure", counts.inconclusive);
+        comparisons.set("silent", counts.unanswered);
+        comparisons.set("flagged", counts.confirmed);
+        comparisons.set("crowded", counts.rejected);
     }
 
     /// All metrics in the text format, without the line that ends it.
@@ -136,6 +135,19 @@
     }
 }
 
+/// The counters of one kind in a family.
+struct CountersOfKind<'a> {
+    family: &'a Family<CounterLabels, Counter>,
+    kind: &'static str,
+}
+
+impl CountersOfKind<'_> {
+    /// Sets how many came to this end, a count that is kept elsewhere.
+    fn set(&self, end: &'static str, count: u64) {
+        set_counter(&self.family.get_or_create(&CounterLabels { kind: self.kind, end }), count);
+    }
+}
+
 /// Adds a metric to the registry.
 fn register<M: Metric + Clone + Default>(registry: &mut Registry, name: &str, help: &str) -> M {
     let metric = M::default();
@@ -152,10 +164,3 @@
 fn set_counter(counter: &Counter, value: u64) {
     counter.inner().store(value, Ordering::Relaxed);
 }
-
-/// Sets the counters of one kind, each with its label.
-fn set_counters(family: &Family<CounterLabels, Counter>, kind: &'static str, ends: &[(&'static str, u64)]) {
-    for (end, value) in ends {
-        set_counter(&family.get_or_create(&CounterLabels { kind, end }), *value);
-    }
-}
--- a/proxy/src/metrics/labels.rs
+++ b/proxy/src/metrics/labels.rs
@@ -1,5 +1,7 @@
 //! The labels of counters: what is counted, and what became of it.
 
+use birchreach_hot_keys::ReportError as HotKeysReportError;
+use birchreach_shard_split::ReportError as SplitReportError;
 use prometheus_client::encoding::EncodeLabelSet;
 
 /// What became of a copy of a row.
@@ -30,6 +32,37 @@
     }
 }
 
+/// A report of another member that was rejected, and why.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RejectedReport {
+    /// A report on hot keys.
+    HotKeys(HotKeysReportError),
+    /// A report on a split.
+    Split(SplitReportError),
+    /// The subsystem of its channel is switched off here or unknown.
+    SubsystemOff,
+}
+
+impl RejectedReport {
+    /// The subsystem that it is for, as a label.
+    pub(super) fn subsystem(self) -> &'static str {
+        match self {
+            RejectedReport::HotKeys(_) => "hot",
+            RejectedReport::Split(_) => "split",
+            RejectedReport::SubsystemOff => "other",
+        }
+    }
+
+    /// Why it was rejected, as a label.
+    pub(super) fn reason(self) -> &'static str {
+        match self {
+            RejectedReport::HotKeys(error) => error.as_str(),
+            RejectedReport::Split(error) => error.as_str(),
+            RejectedReport::SubsystemOff => "off",
+        }
+    }
+}
+
 /// The labels of counters: what is counted, and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct CounterLabels {
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -1,10 +1,10 @@
 //! The names, labels and help texts of the metrics, as monitoring reads them.
 
-use super::{CopyOutcome, Metrics};
+use super::{CopyOutcome, Metrics, RejectedReport};
 use crate::hot::CopyReadCounts;
-use birchreach_background_tasks::TaskCounts;
-use birchreach_hot_keys::{HotKeyTracker, Settings};
-use birchreach_shard_split::{ComparisonCounts, Verdict};
+use birchreach_background_tasks::{TaskCounts, TaskKind};
+use birchreach_hot_keys::{HotKeyTracker, ReportError as HotKeysReportError, Settings};
+use birchreach_shard_split::{ComparisonCounts, ReportError as SplitReportError, Verdict};
 
 /// A tracker that knows no hot key.
 fn tracker() -> HotKeyTracker {
@@ -53,7 +53,10 @@
 #[test]
 fn tasks_are_counted_by_what_became_of_them() {
     let metrics = Metrics::new();
-    metrics.set_task_counts("copy", TaskCounts { started: 4, finished: 3, expired: 2, rejected: 1 });
+    metrics.set_task_counts(
+        TaskKind::CopyWrite,
+        TaskCounts { started: 4, finished: 3, expired: 2, rejected: 1 },
+    );
 
     let expected = [
         "birchreach_background_tasks_total{kind=\"copy\",end=\"crowded\"} 1",
@@ -95,9 +98,22 @@
 #[test]
 fn a_report_that_is_not_taken_is_counted_by_subsystem_and_reason() {
     let metrics = Metrics::new();
-    metrics.count_rejected_report("other", "off");
+    for report in [
+        RejectedReport::HotKeys(HotKeysReportError::Malformed),
+        RejectedReport::HotKeys(HotKeysReportError::OtherSecret),
+        RejectedReport::Split(SplitReportError::OtherDefinition),
+        RejectedReport::Split(SplitReportError::OtherDefinition),
+        RejectedReport::SubsystemOff,
+    ] {
+        metrics.count_rejected_report(report);
+    }
 
-    let expected = ["birchreach_reports_refused_total{kind=\"other\",end=\"off\"} 1"];
+    let expected = [
+        "birchreach_reports_refused_total{kind=\"hot\",end=\"form\"} 1",
+        "birchreach_reports_refused_total{kind=\"hot\",end=\"other-secret\"} 1",
+        "birchreach_reports_refused_total{kind=\"other\",end=\"off\"} 1",
+        "birchreach_reports_refused_total{kind=\"split\",end=\"other-definition\"} 2",
+    ];
     assert_eq!(samples(&metrics, "birchreach_reports"), expected);
 }
 
@@ -116,8 +132,8 @@
 #[test]
 fn every_metric_has_its_name_type_and_help() {
     let metrics = Metrics::new();
-    metrics.set_task_counts("copy", TaskCounts::default());
-    metrics.count_rejected_report("other", "off");
+    metrics.set_task_counts(TaskKind::CopyWrite, TaskCounts::default());
+    metrics.count_rejected_report(RejectedReport::SubsystemOff);
     metrics.count_copy(CopyOutcome::Written);
     metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 0, misses: 0 });
     metrics.set_split(&Verdict::Clean, ComparisonCounts::default());
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -12,7 +12,7 @@
     BackgroundQueryId, BackgroundQueryResult, BackgroundStatementId, BackgroundStatementIds,
 };
 use crate::hot::HotKeyObserver;
-use crate::metrics::Metrics;
+use crate::metrics::{Metrics, RejectedReport};
 use crate::observe::Shared;
 use crate::split::SplitObserver;
 use birchreach::{GroupId, Micros, ServerId};
@@ -133,7 +133,7 @@
                     if let Err(error) =
                         tracker.receive_report(now, ReportHeader { origin, sequence, age }, payload)
                     {
-                        self.metrics.count_rejected_report("hot", error.as_str());
+                        self.metrics.count_rejected_report(RejectedReport::HotKeys(error));
                     }
                 }
                 (SPLIT_CHANNEL, _, Some(observer)) => {
@@ -142,11 +142,11 @@
                     if let Err(error) =
                         verifier.receive_report(now, ReportHeader { origin, sequence, age }, payload)
                     {
-                        self.metrics.count_rejected_report("split", error.as_str());
+                        self.metrics.count_rejected_report(RejectedReport::Split(error));
                     }
                 }
                 // This process has that subsystem switched off.
-                _ => self.metrics.count_rejected_report("other", "off"),
+                _ => self.metrics.count_rejected_report(RejectedReport::SubsystemOff),
             }
         }
     }
--- a/proxy/src/net/background/status.rs
+++ b/proxy/src/net/background/status.rs
@@ -44,7 +44,7 @@
     /// The metrics of background work, in the text format.
     pub(crate) fn metrics_text(&self, heard_members: usize) -> String {
         for kind in TaskKind::ALL {
-            self.metrics.set_task_counts(kind.as_str(), self.scheduler.counts(kind));
+            self.metrics.set_task_counts(kind, self.scheduler.counts(kind));
         }
         if let Some(observer) = &self.hot_keys {
             let observer = observer.borrow();
