--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -1,7 +1,8 @@
 //! The tasks that make copies of hot keys: a row is read twice on one connection to a replica of its group, and written to the groups of
 //! the databases that hold its copies.
 
-use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
+use super::BackgroundWork;
+use super::task::{BackgroundTask, STATEMENT_WAIT_MS, TaskTarget};
 use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
 use crate::hot::HotKeyObserver;
 use crate::metrics::CopyOutcome;
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -1,7 +1,8 @@
 //! The tasks that compare reads while a group splits: a query of the verifier is sent to a replica of a child or of the parent, and
 //! its result is returned to the verifier.
 
-use super::{BackgroundTask, BackgroundWork, STATEMENT_WAIT_MS, TaskTarget};
+use super::BackgroundWork;
+use super::task::{BackgroundTask, STATEMENT_WAIT_MS, TaskTarget};
 use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
 use crate::pg::{commit_time_query, copies};
 use birchreach::{GroupId, Micros};
