--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -19,7 +19,9 @@
 /// One step of making copies.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum CopyTask {
+    /// Reads the row whose copies are due.
     Read(DueCopy),
+    /// Writes its copy to one holder.
     Write(CopyWrite),
 }
 
@@ -35,6 +37,7 @@
 }
 
 impl CopyTask {
+    /// The group of the row if it is read, or of the holder if the copy is written.
     pub(super) fn target(&self) -> TaskTarget {
         match self {
             CopyTask::Read(due) => TaskTarget { group: GroupId(due.key.group), writes: false },
@@ -42,6 +45,7 @@
         }
     }
 
+    /// Its statements, in order. `id` is the id of the reads; writes have none.
     pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         match self {
             // The position in the first answer is known before the second read is sent.
@@ -75,21 +79,16 @@
 }
 
 impl BackgroundWork {
+    /// Submits the writes of a row that was read, or records the write of a copy.
     pub(super) fn finish_copy_task(&mut self, now: Micros, task: CopyTask, result: &BackgroundQueryResult) {
         let Some(observer) = self.hot_keys.clone() else { return };
         match task {
             CopyTask::Read(due) => self.finish_read(now, &mut observer.borrow_mut(), &due, result),
-            CopyTask::Write(write) => {
-                if result.complete {
-                    self.metrics.count_copy(CopyOutcome::Written);
-                    observer.borrow_mut().tracker.record_copy_written(now, write.key, write.holder.0);
-                } else {
-                    self.metrics.count_copy(CopyOutcome::NotWritten);
-                }
-            }
+            CopyTask::Write(write) => self.finish_write(now, &mut observer.borrow_mut(), &write, result),
         }
     }
 
+    /// Submits the writes of the copy that the reads give. A row that cannot be copied is not read again for a while.
     fn finish_read(
         &mut self,
         now: Micros,
@@ -97,20 +96,37 @@
         due: &DueCopy,
         result: &BackgroundQueryResult,
     ) {
-        let outcome = match copy_from_result(result) {
+        match copy_from_result(result) {
             Ok(copy) => {
                 let expires_at = now + observer.tracker.settings().refresh_interval();
                 self.submit_writes(due, &copy, expires_at);
-                return;
             }
-            Err(outcome) => outcome,
-        };
-        if matches!(outcome, CopyOutcome::TooLong | CopyOutcome::Unreadable) {
-            observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
+            Err(outcome) => {
+                if matches!(outcome, CopyOutcome::TooLong | CopyOutcome::Unreadable) {
+                    observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
+                }
+                self.metrics.count_copy(outcome);
+            }
         }
-        self.metrics.count_copy(outcome);
     }
 
+    /// Tells the tracker of a copy that was written, and counts the outcome.
+    fn finish_write(
+        &self,
+        now: Micros,
+        observer: &mut HotKeyObserver,
+        write: &CopyWrite,
+        result: &BackgroundQueryResult,
+    ) {
+        if result.complete {
+            self.metrics.count_copy(CopyOutcome::Written);
+            observer.tracker.record_copy_written(now, write.key, write.holder.0);
+        } else {
+            self.metrics.count_copy(CopyOutcome::NotWritten);
+        }
+    }
+
+    /// Submits a write for each holder of a copy.
     fn submit_writes(&mut self, due: &DueCopy, copy: &Copy<Vec<u8>>, expires_at: Micros) {
         for holder in &due.holders {
             let write = CopyWrite {
@@ -131,10 +147,12 @@
         let mut observer = observer.borrow_mut();
         observer.apply_list_changes();
         observer.tracker.set_fleet(members, report_interval);
-        let before: Vec<Key> = observer.tracker.hot_keys().map(|(key, _)| key).collect();
-        if observer.tracker.update(now) {
-            log_changes(&observer, &before);
-        }
+        update_hot_keys(now, &mut observer);
+        self.submit_reads(now, &mut observer);
+    }
+
+    /// Submits the reads of rows whose copies are due.
+    fn submit_reads(&mut self, now: Micros, observer: &mut HotKeyObserver) {
         let expires_at = now + observer.tracker.settings().refresh_interval();
         for due in observer.tracker.due_copies(now) {
             let payload = BackgroundTask::Copy(CopyTask::Read(due));
@@ -143,6 +161,14 @@
     }
 }
 
+/// Derives the hot set, and logs how it changed.
+fn update_hot_keys(now: Micros, observer: &mut HotKeyObserver) {
+    let before: Vec<Key> = observer.tracker.hot_keys().map(|(key, _)| key).collect();
+    if observer.tracker.update(now) {
+        log_changes(observer, &before);
+    }
+}
+
 /// Logs the keys that became hot, and those that ceased to be.
 fn log_changes(observer: &HotKeyObserver, before: &[Key]) {
     let tracker = &observer.tracker;
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -4,10 +4,14 @@
 use super::BackgroundWork;
 use super::task::{BackgroundTask, STATEMENT_WAIT_MS, TaskTarget};
 use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
+use crate::observe::Shared;
 use crate::pg::{commit_time_query, copies};
+use crate::split::SplitObserver;
 use birchreach::{GroupId, Micros};
 use birchreach_background_tasks::{Task, TaskKind};
-use birchreach_shard_split::{ComparisonQuery, Definition, DueQuery, QueryResult, Verdict};
+use birchreach_shard_split::{
+    ComparisonQuery, ConfirmedDifference, Definition, DueQuery, QueryResult, Verdict,
+};
 use tracing::{info, warn};
 
 /// The most queries that are submitted in one run.
@@ -35,12 +39,12 @@
 }
 
 impl DualRead {
-    /// The group whose databases it runs at.
+    /// The group that it reads from.
     pub(super) fn target(&self) -> TaskTarget {
         TaskTarget { group: GroupId(self.due.group), writes: false }
     }
 
-    /// Its statements, in order.
+    /// Its statements, in order, each with this id.
     pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         let DueQuery { query, ref key_bytes, .. } = self.due;
         let group = GroupId(self.due.group);
@@ -61,36 +65,50 @@
 impl BackgroundWork {
     /// Logs the verdict if it changed, and submits the queries that are due.
     pub(super) fn run_split(&mut self, now: Micros, heard_members: usize, report_interval: Micros) {
-        for task in self.scheduler.take_expired() {
-            if let BackgroundTask::DualRead(read) = task {
-                self.postpone(now, &read);
-            }
-        }
+        self.postpone_expired_reads(now);
         let Some(observer) = self.split.clone() else { return };
-        let due = {
+        let due_queries = {
             let mut observer = observer.borrow_mut();
             observer.verifier.set_report_interval(report_interval);
             log_verdict(observer.verdict_to_log(heard_members));
             observer.verifier.due_queries(now, MAX_QUERIES_PER_RUN)
         };
-        for due in due {
-            let read = DualRead { split_generation: self.split_generation, due };
-            let payload = BackgroundTask::DualRead(read.clone());
-            let expires_at = now + MAX_QUEUED_MICROS;
-            if !self.scheduler.submit(Task { kind: TaskKind::DualRead, expires_at, payload }) {
+        for due in due_queries {
+            self.submit_dual_read(now, due);
+        }
+    }
+
+    /// Postpones the queries that were queued for too long.
+    fn postpone_expired_reads(&mut self, now: Micros) {
+        for task in self.scheduler.take_expired() {
+            if let BackgroundTask::DualRead(read) = task {
                 self.postpone(now, &read);
             }
         }
     }
 
+    /// Submits a query, or postpones it if the queue is full.
+    fn submit_dual_read(&mut self, now: Micros, due: DueQuery) {
+        let read = DualRead { split_generation: self.split_generation, due };
+        let payload = BackgroundTask::DualRead(read.clone());
+        let expires_at = now + MAX_QUEUED_MICROS;
+        if !self.scheduler.submit(Task { kind: TaskKind::DualRead, expires_at, payload }) {
+            self.postpone(now, &read);
+        }
+    }
+
     /// The query was not started: the verifier makes it due again later.
     fn postpone(&self, now: Micros, read: &DualRead) {
-        if let Some(observer) = self.split.as_ref().filter(|_| read.split_generation == self.split_generation)
-        {
+        if let Some(observer) = self.observer_of(read) {
             observer.borrow_mut().verifier.postpone(now, read.due.comparison);
         }
     }
 
+    /// The observer of the comparison that a query belongs to; none if that is not in progress any more.
+    fn observer_of(&self, read: &DualRead) -> Option<&Shared<SplitObserver>> {
+        self.split.as_ref().filter(|_| read.split_generation == self.split_generation)
+    }
+
     /// Passes the result of a query to its verifier; none if the end of the query was not reported.
     pub(super) fn finish_dual_read(
         &self,
@@ -98,21 +116,23 @@
         read: &DualRead,
         result: Option<&BackgroundQueryResult>,
     ) {
-        if read.split_generation != self.split_generation {
-            return;
-        }
-        let Some(observer) = &self.split else { return };
+        let Some(observer) = self.observer_of(read) else { return };
         let mut observer = observer.borrow_mut();
         let result =
             result.map_or(QueryResult::NoAnswer, |result| observer.query_result(read.due.query, result));
         if let Some(difference) = observer.verifier.record_result(now, read.due.comparison, result) {
-            let range = Definition::range(difference.key_hash);
-            let fields = observer.difference_fields(range, &difference);
-            warn!(event = "split-flag", flag = %crate::log::Quoted(fields));
+            log_difference(&observer, &difference);
         }
     }
 }
 
+/// Logs a difference that is confirmed.
+fn log_difference(observer: &SplitObserver, difference: &ConfirmedDifference) {
+    let range = Definition::range(difference.key_hash);
+    let fields = observer.difference_fields(range, difference);
+    warn!(event = "split-flag", flag = %crate::log::Quoted(fields));
+}
+
 /// Logs a verdict that has changed.
 fn log_verdict(changed: Option<Verdict>) {
     match changed {
--- a/proxy/src/net/background/in_flight.rs
+++ b/proxy/src/net/background/in_flight.rs
@@ -18,49 +18,84 @@
     started_at: Micros,
 }
 
+impl TaskInFlight {
+    /// Whether its end is not to be expected any more.
+    fn is_lost(&self, now: Micros) -> bool {
+        now - self.started_at >= MAX_QUERY_MICROS
+    }
+}
+
 impl BackgroundWork {
-    /// Sends the tasks that the scheduler starts now.
+    /// Starts the tasks that the scheduler selects, unless the process was suspended a short time ago.
     pub(super) fn start_due_tasks(&mut self, context: &mut EventLoopContext, pool: &mut Pool, divisor: u32) {
-        if context.now - std::mem::replace(&mut self.last_run_at, context.now) > SUSPENDED_MICROS {
-            self.paused_until = context.now + SUSPENDED_MICROS;
-        }
+        self.pause_after_suspension(context.now);
         if context.now < self.paused_until {
             return;
         }
         let core = &context.core;
-        let place = |task: &BackgroundTask| {
+        let select_database = |task: &BackgroundTask| {
             let TaskTarget { group, writes } = task.target();
-            core.background_candidate(group, writes, task.yields_to_clients())
-                .map(|ServerId(id)| DatabaseId(id))
+            let server = core.background_candidate(group, writes, task.yields_to_clients())?;
+            Some(DatabaseId(server.0))
         };
-        let started = self.scheduler.start_due(context.now, divisor, place);
-        for StartedTask { id, task, database } in started {
-            let statements = task.payload.statements(self.statement_ids.next_id());
-            self.in_flight.insert(id, TaskInFlight { task: task.payload, started_at: context.now });
-            pool.start_background_query(context, BackgroundQueryId(id.0), ServerId(database.0), statements);
+        for started in self.scheduler.start_due(context.now, divisor, select_database) {
+            self.start_task(context, pool, started);
         }
     }
 
-    /// Takes the results of background queries, and gives up those whose end was not reported in time.
+    /// Pauses the start of tasks if the last run was so long ago that the process must have been suspended.
+    fn pause_after_suspension(&mut self, now: Micros) {
+        if now - self.last_run_at > SUSPENDED_MICROS {
+            self.paused_until = now + SUSPENDED_MICROS;
+        }
+        self.last_run_at = now;
+    }
+
+    /// Sends the statements of a task to its database.
+    fn start_task(
+        &mut self,
+        context: &mut EventLoopContext,
+        pool: &mut Pool,
+        started: StartedTask<BackgroundTask>,
+    ) {
+        let StartedTask { id, task, database } = started;
+        let statements = task.payload.statements(self.statement_ids.next_id());
+        self.in_flight.insert(id, TaskInFlight { task: task.payload, started_at: context.now });
+        pool.start_background_query(context, BackgroundQueryId(id.0), ServerId(database.0), statements);
+    }
+
+    /// Finishes the tasks with these results, and gives up those whose end was not reported in time.
     pub(super) fn finish_tasks(&mut self, now: Micros, results: Vec<BackgroundQueryResult>) {
         for result in results {
-            let id = TaskId(result.id.0);
-            self.scheduler.finish(id);
-            let Some(finished) = self.in_flight.remove(&id) else { continue };
-            match finished.task {
-                BackgroundTask::Copy(task) => self.finish_copy_task(now, task, &result),
-                BackgroundTask::DualRead(read) => self.finish_dual_read(now, &read, Some(&result)),
-            }
+            self.finish_task(now, &result);
+        }
+        self.give_up_lost_tasks(now);
+    }
+
+    /// Passes the result of a task to its subsystem. A task that was given up before is not in flight any more.
+    fn finish_task(&mut self, now: Micros, result: &BackgroundQueryResult) {
+        match self.remove_task(TaskId(result.id.0)) {
+            Some(BackgroundTask::Copy(task)) => self.finish_copy_task(now, task, result),
+            Some(BackgroundTask::DualRead(read)) => self.finish_dual_read(now, &read, Some(result)),
+            None => {}
         }
-        let is_lost = |task: &TaskInFlight| now - task.started_at >= MAX_QUERY_MICROS;
-        let lost: Vec<TaskId> =
-            self.in_flight.iter().filter(|(_, task)| is_lost(task)).map(|(id, _)| *id).collect();
+    }
+
+    /// Gives up the tasks whose end was not reported in time.
+    fn give_up_lost_tasks(&mut self, now: Micros) {
+        let in_flight = self.in_flight.iter();
+        let lost: Vec<TaskId> = in_flight.filter(|(_, task)| task.is_lost(now)).map(|(id, _)| *id).collect();
         for id in lost {
-            self.scheduler.finish(id);
-            if let Some(BackgroundTask::DualRead(read)) = self.in_flight.remove(&id).map(|lost| lost.task) {
+            if let Some(BackgroundTask::DualRead(read)) = self.remove_task(id) {
                 self.finish_dual_read(now, &read, None);
             }
             info!(event = "background-query-failed", number = id.0);
         }
     }
+
+    /// Removes a task that has ended or is given up. The scheduler may start another one in its place.
+    fn remove_task(&mut self, id: TaskId) -> Option<BackgroundTask> {
+        self.scheduler.finish(id);
+        self.in_flight.remove(&id).map(|task| task.task)
+    }
 }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -31,6 +31,7 @@
 /// The background subsystems that the options switch on, and their tasks.
 pub(super) struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
+    /// The tasks whose statements were sent.
     in_flight: HashMap<TaskId, TaskInFlight>,
     statement_ids: BackgroundStatementIds,
     hot_keys: Option<Shared<HotKeyObserver>>,
@@ -40,6 +41,7 @@
     metrics: Metrics,
     /// When the timer that is set expires.
     timer_at: Micros,
+    /// The last run that could start tasks.
     last_run_at: Micros,
     /// Nothing is started before this time: a process that was suspended has not received the current reports yet.
     paused_until: Micros,
--- a/proxy/src/net/background/reports.rs
+++ b/proxy/src/net/background/reports.rs
@@ -18,42 +18,48 @@
 }
 
 impl BackgroundWork {
-    /// Takes reports of other members.
-    pub(in crate::net) fn receive_reports(&mut self, now: Micros, reports: Vec<ReceivedReport>) {
+    /// Passes reports of other members to their subsystems, and counts those that are rejected.
+    pub(in crate::net) fn receive_reports(&self, now: Micros, reports: Vec<ReceivedReport>) {
         for report in reports {
-            match (report.channel, &self.hot_keys, &self.split) {
-                (HOT_KEYS_CHANNEL, Some(observer), _) => {
-                    let tracker = &mut observer.borrow_mut().tracker;
-                    let ReceivedReport { origin, sequence, age, ref payload, .. } = report;
-                    if let Err(error) =
-                        tracker.receive_report(now, ReportHeader { origin, sequence, age }, payload)
-                    {
-                        self.metrics.count_rejected_report(RejectedReport::HotKeys(error));
-                    }
-                }
-                (SPLIT_CHANNEL, _, Some(observer)) => {
-                    let verifier = &mut observer.borrow_mut().verifier;
-                    let ReceivedReport { origin, sequence, age, ref payload, .. } = report;
-                    if let Err(error) =
-                        verifier.receive_report(now, ReportHeader { origin, sequence, age }, payload)
-                    {
-                        self.metrics.count_rejected_report(RejectedReport::Split(error));
-                    }
-                }
-                // This process has that subsystem switched off.
-                _ => self.metrics.count_rejected_report(RejectedReport::SubsystemOff),
+            if let Err(rejected) = self.receive_report(now, &report) {
+                self.metrics.count_rejected_report(rejected);
             }
         }
     }
 
-    /// This process's reports, as far as they are due.
-    pub(super) fn due_reports(&mut self, now: Micros) -> Vec<OutgoingReport> {
-        let hot_keys =
-            self.hot_keys.as_ref().and_then(|observer| observer.borrow_mut().tracker.report_if_due(now));
-        let split =
-            self.split.as_ref().and_then(|observer| observer.borrow_mut().verifier.report_if_due(now));
-        let hot_keys = hot_keys.map(|payload| OutgoingReport { channel: HOT_KEYS_CHANNEL, payload });
-        let split = split.map(|payload| OutgoingReport { channel: SPLIT_CHANNEL, payload });
-        hot_keys.into_iter().chain(split).collect()
+    /// Passes a report to the subsystem of its channel.
+    fn receive_report(&self, now: Micros, report: &ReceivedReport) -> Result<(), RejectedReport> {
+        let ReceivedReport { channel, origin, sequence, age, ref payload } = *report;
+        let header = ReportHeader { origin, sequence, age };
+        match (channel, &self.hot_keys, &self.split) {
+            (HOT_KEYS_CHANNEL, Some(observer), _) => {
+                let tracker = &mut observer.borrow_mut().tracker;
+                tracker.receive_report(now, header, payload).map_err(RejectedReport::HotKeys)
+            }
+            (SPLIT_CHANNEL, _, Some(observer)) => {
+                let verifier = &mut observer.borrow_mut().verifier;
+                verifier.receive_report(now, header, payload).map_err(RejectedReport::Split)
+            }
+            _ => Err(RejectedReport::SubsystemOff),
+        }
+    }
+
+    /// This process's reports that are due.
+    pub(super) fn due_reports(&self, now: Micros) -> Vec<OutgoingReport> {
+        [self.due_hot_keys_report(now), self.due_split_report(now)].into_iter().flatten().collect()
+    }
+
+    /// The report on hot keys, if they are switched on and it is due.
+    fn due_hot_keys_report(&self, now: Micros) -> Option<OutgoingReport> {
+        let tracker = &mut self.hot_keys.as_ref()?.borrow_mut().tracker;
+        let payload = tracker.report_if_due(now)?;
+        Some(OutgoingReport { channel: HOT_KEYS_CHANNEL, payload })
+    }
+
+    /// The report on the split, if a comparison is switched on and it is due.
+    fn due_split_report(&self, now: Micros) -> Option<OutgoingReport> {
+        let verifier = &mut self.split.as_ref()?.borrow_mut().verifier;
+        let payload = verifier.report_if_due(now)?;
+        Some(OutgoingReport { channel: SPLIT_CHANNEL, payload })
     }
 }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -1,14 +1,17 @@
 //! How the event loop switches background subsystems on and off, and runs them.
 
 use super::BackgroundWork;
+use super::reports::OutgoingReport;
 use crate::hot::{self, HotKeyObserver};
 use crate::net::EventLoop;
+use crate::net::event_loop_context::EventLoopContext;
 use crate::net::timer_events::TimerEvent;
 use crate::observe::{CopyLocator, Observer, Shared, shared};
 use crate::split::{self, SplitObserver};
 use birchreach::Micros;
 use birchreach_background_tasks::{Budget, Quota, TaskBudget, TaskKind};
 use birchreach_membership::GossipReports;
+use birchreach_peer_state::NameHasher;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,6 +46,26 @@
     configured_members: u32,
 }
 
+impl BackgroundWork {
+    /// Warns of the kinds of tasks that never start, as the process's quota of their budget is empty.
+    fn warn_of_empty_quotas(&self, divisor: u32) {
+        for kind in TaskKind::ALL {
+            if self.scheduler.quota(kind, divisor).is_some_and(Quota::is_empty) {
+                warn!(event = "background-budget-empty", kind = kind.as_str(), processes = divisor);
+            }
+        }
+    }
+
+    /// Sets the timer for the next run, unless one is set that expires sooner.
+    fn schedule_next_run(&mut self, context: &mut EventLoopContext) {
+        let next = self.next_run_at(context.now);
+        if next < self.timer_at || self.timer_at <= context.now {
+            self.timer_at = next;
+            context.timers.set(next, TimerEvent::Background);
+        }
+    }
+}
+
 impl EventLoop {
     /// Switches on what the options name, and off what they no longer name.
     pub(in crate::net) fn start_background(&mut self) {
@@ -61,11 +84,7 @@
         self.start_split(&mut work, identity);
         let options = &self.config.options;
         work.scheduler.set_budgets(&budgets(options.hot.as_ref(), options.split.as_ref()), now);
-        for kind in TaskKind::ALL {
-            if work.scheduler.quota(kind, divisor).is_some_and(Quota::is_empty) {
-                warn!(event = "background-budget-empty", kind = kind.as_str(), processes = divisor);
-            }
-        }
+        work.warn_of_empty_quotas(divisor);
         if !work.is_idle() {
             self.background = Some(work);
             self.run_background();
@@ -75,69 +94,92 @@
     /// Switches copies of hot keys on or off, or updates their settings.
     fn start_hot_keys(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
-        let FleetIdentity { incarnation, configured_members } = identity;
-        let core = &mut self.context.core;
-        let settings = self
-            .config
-            .options
-            .hot
-            .as_ref()
-            .map(|options| hot::settings(options, configured_members, &core.consistencies()));
-        match (settings, work.hot_keys.take()) {
+        let hasher = keys.name_hasher(b"hot keys");
+        let options = self.config.options.hot.as_ref();
+        let consistencies = self.context.core.consistencies();
+        let settings =
+            options.map(|options| hot::settings(options, identity.configured_members, &consistencies));
+        work.hot_keys = match (settings, work.hot_keys.take()) {
             (Some(settings), Some(observer)) => {
                 observer.borrow_mut().tracker.update_settings(settings);
-                work.hot_keys = Some(observer);
-            }
-            (Some(settings), None) => {
-                let (hasher, now) = (keys.name_hasher(b"hot keys"), self.context.now);
-                let observer = shared(HotKeyObserver::new(settings, incarnation, hasher, now));
-                core.subscribe(now, observer.clone());
-                core.add_copy_locator(observer.clone());
-                work.hot_keys = Some(observer);
-                info!(event = "hot-on");
+                Some(observer)
             }
+            (Some(settings), None) => Some(self.switch_on_hot_keys(settings, identity, hasher)),
             (None, Some(observer)) => {
-                core.unsubscribe(&(observer.clone() as Rc<RefCell<dyn Observer>>));
-                core.remove_copy_locator(&(observer as Rc<RefCell<dyn CopyLocator>>));
-                info!(event = "hot-off");
+                self.switch_off_hot_keys(observer);
+                None
             }
-            (None, None) => {}
-        }
+            (None, None) => None,
+        };
+    }
+
+    /// Switches copies of hot keys on: an observer follows the requests and says where there are copies.
+    fn switch_on_hot_keys(
+        &mut self,
+        settings: birchreach_hot_keys::Settings,
+        identity: FleetIdentity,
+        hasher: NameHasher,
+    ) -> Shared<HotKeyObserver> {
+        let now = self.context.now;
+        let core = &mut self.context.core;
+        let observer = shared(HotKeyObserver::new(settings, identity.incarnation, hasher, now));
+        core.subscribe(now, observer.clone());
+        core.add_copy_locator(observer.clone());
+        info!(event = "hot-on");
+        observer
+    }
+
+    /// Switches copies of hot keys off.
+    fn switch_off_hot_keys(&mut self, observer: Shared<HotKeyObserver>) {
+        let core = &mut self.context.core;
+        core.unsubscribe(&(observer.clone() as Rc<RefCell<dyn Observer>>));
+        core.remove_copy_locator(&(observer as Rc<RefCell<dyn CopyLocator>>));
+        info!(event = "hot-off");
     }
 
     /// Switches the comparison of a split on or off. One whose settings are unchanged continues; with other settings a new one
     /// starts.
     fn start_split(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
-        let wanted = self
-            .config
-            .options
-            .split
-            .as_ref()
-            .map(|split| split::settings(split, identity.configured_members));
+        let hasher = keys.name_hasher(b"split");
+        let options = self.config.options.split.as_ref();
+        let wanted = options.map(|options| split::settings(options, identity.configured_members));
         let is_wanted =
             |observer: &Shared<SplitObserver>| Some(observer.borrow().verifier.settings()) == wanted.as_ref();
         if work.split.as_ref().is_some_and(is_wanted) {
             return;
         }
         if let Some(observer) = work.split.take() {
-            self.context.core.unsubscribe(&(observer as Rc<RefCell<dyn Observer>>));
-            info!(event = "split-off");
+            self.switch_off_split(observer);
         }
         if let Some(settings) = wanted {
-            let definition = format!("{:016x}", settings.definition.digest());
-            let (hasher, class_names) =
-                (keys.name_hasher(b"split"), self.config.deployment.class_names.clone());
-            let now = self.context.now;
-            let observer =
-                shared(SplitObserver::new(settings, identity.incarnation, hasher, class_names, now));
-            self.context.core.subscribe(now, observer.clone());
-            work.split = Some(observer);
+            work.split = Some(self.switch_on_split(settings, identity, hasher));
             work.split_generation = work.split_generation.next();
-            info!(event = "split-on", definition);
         }
     }
 
+    /// Switches a comparison on: an observer follows the requests and says what to read a second time.
+    fn switch_on_split(
+        &mut self,
+        settings: birchreach_shard_split::Settings,
+        identity: FleetIdentity,
+        hasher: NameHasher,
+    ) -> Shared<SplitObserver> {
+        let now = self.context.now;
+        let definition = format!("{:016x}", settings.definition.digest());
+        let class_names = self.config.deployment.class_names.clone();
+        let observer = shared(SplitObserver::new(settings, identity.incarnation, hasher, class_names, now));
+        self.context.core.subscribe(now, observer.clone());
+        info!(event = "split-on", definition);
+        observer
+    }
+
+    /// Switches a comparison off.
+    fn switch_off_split(&mut self, observer: Shared<SplitObserver>) {
+        self.context.core.unsubscribe(&(observer as Rc<RefCell<dyn Observer>>));
+        info!(event = "split-off");
+    }
+
     /// Runs the background subsystems once: takes finished queries, starts due tasks, sends reports, sets the timer.
     pub(in crate::net) fn run_background(&mut self) {
         let (Some(fleet), Some(work)) = (&self.fleet, &mut self.background) else { return };
@@ -153,16 +195,19 @@
             work.start_due_tasks(&mut self.context, &mut self.pool, view.divisor());
         }
         work.finish_tasks(now, self.pool.take_completed_queries());
-        let next = work.next_run_at(now);
-        if next < work.timer_at || work.timer_at <= now {
-            work.timer_at = next;
-            self.context.timers.set(next, TimerEvent::Background);
+        work.schedule_next_run(&mut self.context);
+        self.publish_reports(reports);
+    }
+
+    /// Publishes reports to the other members of the fleet.
+    fn publish_reports(&mut self, reports: Vec<OutgoingReport>) {
+        if reports.is_empty() {
+            return;
         }
-        if let (Some(fleet), false) = (&mut self.fleet, reports.is_empty()) {
-            for report in reports {
-                fleet.publish_report(now, report.channel, report.payload);
-            }
-            self.after_fleet();
+        let Some(fleet) = &mut self.fleet else { return };
+        for report in reports {
+            fleet.publish_report(self.context.now, report.channel, report.payload);
         }
+        self.after_fleet();
     }
 }
--- a/proxy/src/net/background/task.rs
+++ b/proxy/src/net/background/task.rs
@@ -11,19 +11,23 @@
 /// A task at one database.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum BackgroundTask {
+    /// A step of copying a row.
     Copy(CopyTask),
+    /// A read of the comparison while a group splits.
     DualRead(DualRead),
 }
 
 /// Where a task runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TaskTarget {
+    /// The group whose databases it runs at.
     pub group: GroupId,
+    /// It runs at the group's primary.
     pub writes: bool,
 }
 
 impl BackgroundTask {
-    /// The group whose databases it runs at.
+    /// Where it runs.
     pub(super) fn target(&self) -> TaskTarget {
         match self {
             BackgroundTask::Copy(task) => task.target(),
