--- a/proxy/src/pg/tests/mod.rs
+++ b/proxy/src/pg/tests/mod.rs
@@ -3,3 +3,4 @@
 mod arrival_times;
 mod commit_time_query;
 mod copies;
+mod statement;
--- /dev/null
+++ b/proxy/src/pg/tests/statement.rs
@@ -0,0 +1,103 @@
+//! The two forms of statement that clients send, and texts that have neither.
+
+use crate::pg::statement::Statement;
+use birchreach::GroupId;
+
+/// A read with every field that a comment may have.
+const READ: &str = "SELECT blob FROM rows WHERE handle = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=17,r=1,k=a-b_c.d */";
+
+/// A read of this key with this comment.
+fn read(key: &str, comment: &str) -> String {
+    format!("SELECT blob FROM rows WHERE handle = '{key}' /* {comment} */")
+}
+
+/// A write of this value with the required fields.
+fn write(hex_digits: &str) -> String {
+    format!(
+        "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x{hex_digits}') RETURNING blob /* id=1,c=entry,d=9,cluster=0 */"
+    )
+}
+
+/// The parsed statement, if the text is one.
+fn parse(text: &str) -> Option<Statement> {
+    Statement::parse(text.as_bytes().to_vec())
+}
+
+#[test]
+fn a_read_has_the_values_of_its_comment() {
+    let statement = parse(READ).unwrap();
+
+    assert!(!statement.is_write);
+    assert_eq!((statement.id(), statement.key()), (&b"9b1f"[..], &b"7f3a"[..]));
+    assert_eq!((statement.class.as_str(), statement.wait_ms), ("basket", 480));
+    assert_eq!((statement.group, statement.read_after_ms), (GroupId(2), Some(17)));
+    let (before, after) = statement.text_around_deadline();
+    assert!(before.ends_with(b",d=") && after.starts_with(b",cluster=2"));
+}
+
+#[test]
+fn a_write_has_the_values_of_its_comment() {
+    let statement = parse(&write("9f03")).unwrap();
+
+    assert!(statement.is_write);
+    assert_eq!((statement.id(), statement.key()), (&b"1"[..], &b"7f3a"[..]));
+    assert_eq!((statement.class.as_str(), statement.wait_ms), ("entry", 9));
+    assert_eq!((statement.group, statement.read_after_ms), (GroupId(0), None));
+}
+
+#[test]
+fn the_fields_of_a_comment_may_have_any_order() {
+    let statement = parse(&read("7f3a", "k=x,cluster=2,d=480,c=basket,id=9b1f")).unwrap();
+
+    assert_eq!((statement.id(), statement.wait_ms, statement.group), (&b"9b1f"[..], 480, GroupId(2)));
+}
+
+#[test]
+fn the_value_of_a_write_may_be_empty_and_has_whole_bytes() {
+    assert!(parse(&write("")).is_some());
+    for hex_digits in ["9", "9f0", "9g"] {
+        assert_eq!(parse(&write(hex_digits)), None, "{hex_digits}");
+    }
+}
+
+#[test]
+fn comments_that_lack_a_field_or_have_a_wrong_one_are_not_accepted() {
+    let comments = [
+        ("no id", "c=look,d=9,cluster=0"),
+        ("no class", "id=1,d=9,cluster=0"),
+        ("no wait", "id=1,c=look,cluster=0"),
+        ("no group", "id=1,c=look,d=9"),
+        ("a field twice", "id=1,id=1,c=look,d=9,cluster=0"),
+        ("an unknown field", "id=1,c=look,d=9,cluster=0,x=1"),
+        ("an empty value", "id=,c=look,d=9,cluster=0"),
+        ("a wait that is no number", "id=1,c=look,d=9s,cluster=0"),
+        ("a wait that is too great", "id=1,c=look,d=4294967296,cluster=0"),
+        ("a group that is no number", "id=1,c=look,d=9,cluster=a"),
+        ("a group that is too great", "id=1,c=look,d=9,cluster=4294967296"),
+        ("a position that is no number", "id=1,c=look,d=9,cluster=0,after=a"),
+        ("a position of sixteen digits", "id=1,c=look,d=9,cluster=0,after=1234567890123456"),
+        ("a retry that is no number", "id=1,c=look,d=9,cluster=0,r=a"),
+    ];
+    for (reason, comment) in comments {
+        assert_eq!(parse(&read("7f3a", comment)), None, "{reason}");
+    }
+    assert!(parse(&read("7f3a", "id=1,c=look,d=4294967295,cluster=4294967295")).is_some());
+    assert!(parse(&read("7f3a", "id=1,c=look,d=9,cluster=0,after=123456789012345")).is_some());
+}
+
+#[test]
+fn keys_are_bounded_and_have_no_quote_backslash_or_space() {
+    let comment = "id=1,c=look,d=9,cluster=0";
+    for key in ["", "a b", "a'b", "a\\b", &"a".repeat(1025)] {
+        assert_eq!(parse(&read(key, comment)), None, "{key}");
+    }
+    assert!(parse(&read(&"a".repeat(1024), comment)).is_some());
+}
+
+#[test]
+fn texts_that_go_on_after_the_comment_or_end_within_it_are_not_accepted() {
+    assert_eq!(parse(&format!("{READ} ")), None);
+    for length in 0..READ.len() {
+        assert_eq!(parse(&READ[..length]), None, "{length}");
+    }
+}
