--- a/proxy/src/pg/statement/parser.rs
+++ b/proxy/src/pg/statement/parser.rs
@@ -18,12 +18,10 @@
     /// Parses a statement. `None`: the text has neither of the two forms.
     pub(crate) fn parse(text: Vec<u8>) -> Option<Statement> {
         let mut parser = Parser { text: &text, position: 0 };
-        let is_write = if parser.accept(READ_PREFIX) {
-            false
-        } else {
-            parser.expect(WRITE_PREFIX)?;
-            true
-        };
+        let is_write = parser.accept(WRITE_PREFIX);
+        if !is_write {
+            parser.expect(READ_PREFIX)?;
+        }
         let key_range = parser.key()?;
         if is_write {
             parser.hex_value()?;
@@ -33,21 +31,10 @@
         let fields = parser.comment()?;
         parser.end()?;
 
-        let deadline_range = fields.wait?;
-        let wait_ms = u32::try_from(parser.number(&deadline_range)?).ok()?;
-        let group = GroupId(u32::try_from(parser.number(&fields.group?)?).ok()?);
-        let read_after_ms = match fields.read_after {
-            None => None,
-            Some(range) => Some(i64::try_from(parser.number(&range)?).ok()?),
-        };
-        if fields.retry.is_some_and(|range| parser.number(&range).is_none()) {
-            return None;
-        }
-        let class = String::from_utf8(text[fields.class?].to_vec()).ok()?;
-        let id_range = fields.id?;
+        let CommentValues { class, wait_ms, group, read_after_ms } = fields.values(&text)?;
         Some(Statement {
-            deadline_range,
-            id_range,
+            deadline_range: fields.wait?,
+            id_range: fields.id?,
             key_range,
             is_write,
             class,
@@ -59,7 +46,7 @@
     }
 }
 
-/// The values of a comment's fields in the text. The idempotency key is forwarded without being parsed.
+/// Where the values of a comment's fields are in the text. The idempotency key is forwarded without being parsed.
 #[derive(Default)]
 struct CommentFields {
     id: Option<Range<usize>>,
@@ -85,6 +72,38 @@
             _ => return None,
         })
     }
+
+    /// The values that a request is made of. `None`: a field is missing, or a number is none. The number of a retry is only checked.
+    fn values(&self, text: &[u8]) -> Option<CommentValues> {
+        let number = |range: &Range<usize>| parse_number(&text[range.clone()]);
+        if self.retry.as_ref().is_some_and(|range| number(range).is_none()) {
+            return None;
+        }
+        let read_after_ms = match &self.read_after {
+            Some(range) => Some(i64::try_from(number(range)?).ok()?),
+            None => None,
+        };
+        Some(CommentValues {
+            class: String::from_utf8(text[self.class.clone()?].to_vec()).ok()?,
+            wait_ms: u32::try_from(number(self.wait.as_ref()?)?).ok()?,
+            group: GroupId(u32::try_from(number(self.group.as_ref()?)?).ok()?),
+            read_after_ms,
+        })
+    }
+}
+
+/// The values of a comment that a request is made of.
+struct CommentValues {
+    class: String,
+    wait_ms: u32,
+    group: GroupId,
+    read_after_ms: Option<i64>,
+}
+
+/// The number that these digits are. `None`: there are too many, or other bytes among them.
+fn parse_number(digits: &[u8]) -> Option<u64> {
+    let is_number = digits.len() <= MAX_DIGITS && digits.iter().all(u8::is_ascii_digit);
+    is_number.then(|| digits.iter().fold(0, |number, digit| number * 10 + u64::from(digit - b'0')))
 }
 
 /// The text of a statement, and how far it is parsed.
@@ -136,13 +155,6 @@
         (self.position == self.text.len()).then_some(())
     }
 
-    /// The number in this range of the text.
-    fn number(&self, range: &Range<usize>) -> Option<u64> {
-        let digits = &self.text[range.clone()];
-        let is_number = digits.len() <= MAX_DIGITS && digits.iter().all(u8::is_ascii_digit);
-        is_number.then(|| digits.iter().fold(0, |number, digit| number * 10 + u64::from(digit - b'0')))
-    }
-
     /// Skips these bytes if they come next. Returns whether they did.
     fn accept(&mut self, bytes: &[u8]) -> bool {
         let found = self.text[self.position..].starts_with(bytes);
