--- a/background-tasks/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -2,7 +2,9 @@
 //! finds the fault that breaks what it holds.
 
 use birchreach_background_tasks::faults::{Fault, with};
-use birchreach_background_tasks::{Budget, Micros, Scheduler, Task, TaskBudget, TaskKind};
+use birchreach_background_tasks::{
+    Budget, DatabaseId, Micros, Scheduler, Task, TaskBudget, TaskId, TaskKind,
+};
 use birchreach_fault_injection::ensure;
 
 const SECOND: Micros = 1_000_000;
@@ -37,14 +39,14 @@
 
 /// The payloads of the tasks that start now, each at the database of the number in its payload.
 fn started_payloads(scheduler: &mut Scheduler<u32>, now: Micros) -> Vec<u32> {
-    let started = scheduler.start_due(now, 1, |payload| Some(*payload));
+    let started = scheduler.start_due(now, 1, |payload| Some(DatabaseId(*payload)));
     started.into_iter().map(|started| started.task.payload).collect()
 }
 
 /// The start of a task.
 struct Start {
     at: Micros,
-    database: u32,
+    database: DatabaseId,
 }
 
 /// The largest numbers of starts in any window.
@@ -55,7 +57,7 @@
 
 /// The largest numbers of starts in any window that begins with a start.
 fn most_in_a_window(starts: &[Start]) -> MostStarts {
-    let within = |from: Micros, database: Option<u32>| {
+    let within = |from: Micros, database: Option<DatabaseId>| {
         let is_counted = |start: &&Start| database.is_none_or(|database| database == start.database);
         let window = from..from + BUDGET.window;
         starts.iter().filter(is_counted).filter(|start| window.contains(&start.at)).count()
@@ -77,7 +79,7 @@
                 *scheduler = new_scheduler(now);
             }
             scheduler.submit(task(TaskKind::CopyWrite, rng.u32(..3), now + SECOND));
-            for started in scheduler.start_due(now, count as u32, |payload| Some(*payload)) {
+            for started in scheduler.start_due(now, count as u32, |payload| Some(DatabaseId(*payload))) {
                 starts.push(Start { at: now, database: started.database });
                 scheduler.finish(started.id);
             }
@@ -149,8 +151,8 @@
     for payload in 0..10_000 {
         accepted += usize::from(scheduler.submit(task(TaskKind::CopyWrite, payload, SECOND)));
     }
-    let started = scheduler.start_due(0, 1, |payload| Some(*payload)).len();
-    let further = scheduler.start_due(0, 1, |_| Some(7)).len();
+    let started = scheduler.start_due(0, 1, |payload| Some(DatabaseId(*payload))).len();
+    let further = scheduler.start_due(0, 1, |_| Some(DatabaseId(7))).len();
     // Then some are queued, some run, and none starts while those run
     let is_queue_bounded = accepted == MAX_QUEUED && scheduler.queued_count() <= MAX_QUEUED;
     let holds = is_queue_bounded && started == MAX_RUNNING && further == 0;
@@ -196,7 +198,7 @@
 
 /// The number of tasks that start now, all of which may start at this database.
 fn start_count(scheduler: &mut Scheduler<u32>, now: Micros, database: u32) -> usize {
-    scheduler.start_due(now, 1, |_| Some(database)).len()
+    scheduler.start_due(now, 1, |_| Some(DatabaseId(database))).len()
 }
 
 #[test]
@@ -216,7 +218,7 @@
     let mut scheduler = ready_scheduler(&[budget_of(TaskKind::CopyWrite)]);
     scheduler.submit(task(TaskKind::CopyWrite, 1, 20 * SECOND));
     assert_eq!(start_count(&mut scheduler, 0, 1), 1);
-    scheduler.finish(1);
+    scheduler.finish(TaskId(1));
     // When another budget is set
     let other = Budget { database_per_s: 1.0, ..BUDGET };
     scheduler.set_budgets(&[TaskBudget { kind: TaskKind::CopyWrite, budget: other }], SECOND);
--- a/hot-keys/src/report.rs
+++ b/hot-keys/src/report.rs
@@ -32,7 +32,7 @@
 }
 
 /// A report's keys are hashed with another secret than this process's: the key file is being changed.
-pub(crate) const OTHER_SECRET: Mismatch =
+pub const OTHER_SECRET: Mismatch =
     Mismatch { name: "other-secret", description: "the report's keys are hashed with another secret" };
 
 impl PeerReport for Report {
