--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_rejected_report_has_a_word_for_metrics_and_a_text() {
+fn a_rejected_report_has_a_label_and_a_text() {
     // Given a tracker that keeps a report of another process.
     let valid = full_report().encode();
     let of_another_secret = Report { secret_id: 2, ..full_report() }.encode();
@@ -169,7 +169,7 @@
     let mismatched = rejection(3, &of_another_secret);
     let outdated = rejection(2, &valid);
 
-    // Then each reason has its word and its text.
+    // Then each reason has its label and its text.
     assert_eq!(malformed, ("form", "the report of hot keys is malformed".into()));
     assert_eq!(mismatched, ("other-secret", "the report's keys are hashed with another secret".into()));
     assert_eq!(outdated, ("old", "a newer report of this origin was received before".into()));
--- a/peer-reports/tests/encoding.rs
+++ b/peer-reports/tests/encoding.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn each_reason_has_a_word_for_metrics_and_a_text() {
+fn each_reason_has_a_label_and_a_text() {
     let mismatch = Mismatch { name: "other-unit", description: "the report has another unit" };
     let named = |error: ReportError| (error.as_str(), error.to_string());
 
--- a/settings/tests/known_keys.rs
+++ b/settings/tests/known_keys.rs
@@ -143,39 +143,39 @@
     assert_eq!(settings, expected);
 }
 
-/// The routing settings that are read where this key has another word than in [`EVERY_KEY`].
-fn routing_with(key: &str, word: &str, other_word: &str) -> Settings {
-    let [from, to] = [word, other_word].map(|word| format!(r#""{key}": "{word}""#));
+/// The routing settings that are read where this key has another value than in [`EVERY_KEY`].
+fn routing_with(key: &str, value: &str, other_value: &str) -> Settings {
+    let [from, to] = [value, other_value].map(|value| format!(r#""{key}": "{value}""#));
     birchreach_settings::parse(&EVERY_KEY.replace(&from, &to)).unwrap().routing
 }
 
 #[test]
-fn each_word_for_stale_reads_is_read_into_its_variant() {
+fn each_value_of_stale_reads_is_read_into_its_variant() {
     assert_eq!(routing_with("guards", "wait", "silent").stale_reads, StaleReadPolicy::Served);
     assert_eq!(routing_with("guards", "wait", "refuse").stale_reads, StaleReadPolicy::Rejected);
 }
 
 #[test]
-fn each_word_for_session_positions_is_read_into_its_variant() {
+fn each_value_of_session_positions_is_read_into_its_variant() {
     let routing = routing_with("tokens", "remembered", "carried");
     assert_eq!(routing.session_positions, SessionPositionSource::FromRequest);
 }
 
 #[test]
-fn each_word_for_endpoint_discovery_is_read_into_its_variant() {
+fn each_value_of_endpoint_discovery_is_read_into_its_variant() {
     let routing = routing_with("registry_mode", "subscribe", "automatic");
     assert_eq!(routing.endpoint_discovery, EndpointDiscovery::Pushed);
 }
 
 #[test]
-fn each_word_for_load_reports_is_read_into_its_variant() {
+fn each_value_of_load_reports_is_read_into_its_variant() {
     let routing = routing_with("via", "piggyback", "pull");
     assert_eq!(routing.load_reports, LoadReportSource::HealthChecks);
     assert_eq!(routing_with("via", "piggyback", "silent").load_reports, LoadReportSource::Never);
 }
 
 #[test]
-fn each_word_for_a_deduplication_scope_is_read_into_its_variant() {
+fn each_value_of_deduplication_scope_is_read_into_its_variant() {
     let routing = routing_with("dedup_scope", "zone", "cell");
     assert_eq!(routing.classes[1].idempotency, with_key(DedupScope::Group, 400 * MILLISECOND));
 }
--- a/shard-split/tests/malformed_reports.rs
+++ b/shard-split/tests/malformed_reports.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_rejected_report_has_a_word_for_metrics_and_a_text() {
+fn a_rejected_report_has_a_label_and_a_text() {
     // Given a verifier that keeps a report of another process.
     let valid = valid_report().encode();
     let of_another_definition = Report { definition_digest: 0, ..valid_report() }.encode();
@@ -66,7 +66,7 @@
     let mismatched = rejection(3, &of_another_definition);
     let outdated = rejection(2, &valid);
 
-    // Then each reason has its word and its text.
+    // Then each reason has its label and its text.
     assert_eq!(malformed, ("form", "the report of comparisons is malformed".into()));
     assert_eq!(mismatched, ("other-definition", "the report is of another definition of the split".into()));
     assert_eq!(outdated, ("old", "a newer report of this origin was received before".into()));
