--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,6 +4,9 @@
 use birchreach::*;
 use common::*;
 
+/// Proxies of the largest fleet that the program has to serve.
+const LARGEST_FLEET_SIZE: u32 = 900;
+
 /// Serves 40 reads of a proxy, then all servers stop answering. Returns the number of hedged requests that the proxy
 /// sends for four further reads.
 fn hedged_requests_of(fixture: &mut RouterFixture) -> usize {
@@ -58,6 +61,17 @@
     assert!((100..=1_100).contains(&from_400_proxies), "{from_400_proxies} retries from 400 proxies");
 }
 
+#[test]
+fn an_unresponsive_server_gets_a_bounded_number_of_retries_from_the_largest_fleet() {
+    // Given the largest fleet
+    let mut proxies = fleet(LARGEST_FLEET_SIZE, |_| {});
+    // When a server is unresponsive
+    let sent: usize = proxies.iter_mut().map(retries_at_unresponsive_replica).sum();
+    println!("{sent} retries from {LARGEST_FLEET_SIZE} proxies");
+    // Then it gets, for 55 s, at most 20 retries per second from all proxies together
+    assert!((100..=1_100).contains(&sent), "{sent} retries from {LARGEST_FLEET_SIZE} proxies");
+}
+
 /// Sends 200 bounded reads, each of which the primary answers after this time if it gets it. Returns the number of
 /// position queries.
 fn position_queries(fixture: &mut RouterFixture, latency: Micros) -> usize {
