--- a/proxy/src/discovery/tests/deadlines.rs
+++ b/proxy/src/discovery/tests/deadlines.rs
@@ -5,7 +5,7 @@
 use super::super::watch::{
     CONNECT_TIMEOUT_MICROS, EndpointWatch, NOTIFICATION_DEADLINE_MICROS, RESPONSE_TIMEOUT_MICROS,
 };
-use super::{polling_backoff, settings};
+use super::{LARGEST_FLEET_SIZE, polling_backoff, settings};
 use birchreach::{EndpointDiscovery, Micros};
 
 /// The answer to a poll at revision 41 when nothing has changed.
@@ -35,7 +35,7 @@
         PollError::InvalidHttp(HttpFault::Head),
         PollError::InvalidList("x".into()),
     ];
-    for proxies in [1, 2, 5, 48, 100, 300, 1_000] {
+    for proxies in [1, 2, 5, 48, 100, 300, LARGEST_FLEET_SIZE, 1_000] {
         for list in [EndpointDiscovery::Pushed, EndpointDiscovery::Polled] {
             for seed in 0..50 {
                 let mut backoff = Backoff::new(&settings(list, proxies, 2_000_000), seed);
@@ -150,12 +150,30 @@
     let first = |proxies| (0..500).map(|seed| polling_backoff(proxies, seed).initial_wait()).max();
     // When they are many, then the last one polls within the grace
     assert!(first(100) <= Some(1_500_000) && first(1_000) <= Some(1_500_000));
+    assert!(first(LARGEST_FLEET_SIZE) <= Some(1_500_000));
     // When they are few, then it polls soon
     assert!(first(5) <= Some(240_000), "few proxies poll soon");
     // When there is a single one, then it does not wait at its start
     assert_eq!(first(1), Some(0));
 }
 
+/// Polls of 900 proxies that start at once must neither come late nor in bursts.
+#[test]
+fn first_polls_of_the_largest_fleet_are_spread_over_the_grace() {
+    for seed in 0..5 {
+        // Given 900 proxies, each with a seed of its own
+        let seeds = (0..LARGEST_FLEET_SIZE).map(|index| u64::from(index) + seed * 1_000);
+        // When all start at once
+        let first: Vec<Micros> =
+            seeds.map(|seed| polling_backoff(LARGEST_FLEET_SIZE, seed).initial_wait()).collect();
+        // Then all poll within the grace, and the polls are spread over it
+        assert!(first.iter().all(|at| *at <= 1_500_000), "{first:?}");
+        assert!(first.iter().max() > Some(&1_200_000) && first.iter().min() < Some(&300_000), "{first:?}");
+        let in_first_half = first.iter().filter(|at| **at < 750_000).count();
+        assert!((400..=500).contains(&in_first_half), "{in_first_half} of {LARGEST_FLEET_SIZE}");
+    }
+}
+
 /// A rejected poll is repeated within the bound, and a reload changes the length of a round.
 #[test]
 fn a_reload_changes_how_many_proxies_share_a_round() {
--- a/proxy/src/discovery/tests/mass_restart.rs
+++ b/proxy/src/discovery/tests/mass_restart.rs
@@ -2,7 +2,7 @@
 
 use super::super::backoff::{MAX_OVERLOAD_WAIT_MICROS, POLL_SLOT_MICROS};
 use super::super::error::PollError;
-use super::polling_backoff;
+use super::{LARGEST_FLEET_SIZE, polling_backoff};
 use birchreach::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -46,7 +46,7 @@
 #[test]
 fn all_proxies_of_a_mass_restart_are_notified_as_fast_as_discovery_can() {
     for seed in 1..=5 {
-        for proxies in [1, 5, 20, 48, 100, 300] {
+        for proxies in [1, 5, 20, 48, 100, 300, LARGEST_FLEET_SIZE as usize] {
             // Given so many proxies, when all start at once
             let Restart { notified_at, longest_wait } = restart(proxies, seed);
             // Then none waits longer than the bound, and the last one has the list as soon as the capacity allows
--- a/proxy/src/discovery/tests/mod.rs
+++ b/proxy/src/discovery/tests/mod.rs
@@ -15,6 +15,9 @@
     Settings { endpoint_discovery: discovery, proxy_count, drain_grace, ..deployment.routing }
 }
 
+/// Proxies of the largest fleet that the program has to serve.
+const LARGEST_FLEET_SIZE: u32 = 900;
+
 /// The backoff of one of so many proxies that poll one discovery.
 fn polling_backoff(proxy_count: u32, seed: u64) -> Backoff {
     Backoff::new(&settings(EndpointDiscovery::Polled, proxy_count, 2_000_000), seed)
