--- a/tests/fleet_simulation/mod.rs
+++ b/tests/fleet_simulation/mod.rs
@@ -20,7 +20,7 @@
 /// Between a router and a server, in each direction.
 const NETWORK_DELAY_MICROS: Micros = MILLISECOND / 2;
 /// Routers for each group of servers.
-const ROUTERS_PER_GROUP: u32 = 10;
+const ROUTERS_PER_GROUP: u32 = 15;
 /// Requests per second that the clients of each router send.
 const REQUESTS_PER_S: f64 = 1.0;
 /// Each request has one of this many numbers, which gives its class.
@@ -30,8 +30,8 @@
 /// The same for a read with bounded staleness; the others give a read of any server.
 const BOUNDED_DRAWS: u32 = 5;
 
-/// Of this many groups one has a restart, and another one a server that stops answering.
-const GROUPS_PER_FAULT: u32 = 3;
+/// Of this many groups, the first has a restart and the second a server that stops answering.
+const GROUPS_PER_FAULT: u32 = 2;
 const STOPS_AFTER: Micros = 3 * SECOND;
 const RESTART_MICROS: Micros = 2 * SECOND;
 /// The last router learns of a start this much later than the first.
--- a/tests/fleet_simulation/servers.rs
+++ b/tests/fleet_simulation/servers.rs
@@ -10,15 +10,15 @@
 pub(crate) const INITIAL_SPEED: f64 = 0.2;
 
 /// The mean time that a statement takes at full speed.
-const STATEMENT_MICROS: f64 = 150_000.0;
+const STATEMENT_MICROS: f64 = 100_000.0;
 /// A server rejects a statement that would wait longer.
 const MAX_QUEUE_MICROS: Micros = 1_000_000;
 /// How far the log of a replica is behind the primary's.
 const LAG_MICROS: Micros = 50_000;
-/// The same for the last replica of every third group: more than any read with a bound allows.
+/// The same for the last replica of every second group: more than any read with a bound allows.
 const LONG_LAG_MICROS: Micros = 1_000_000;
 /// One group of this many has a replica with a long lag.
-const GROUPS_PER_LONG_LAG: u32 = 3;
+const GROUPS_PER_LONG_LAG: u32 = 2;
 
 /// What a server does with a statement that arrives.
 #[derive(Clone, Copy, Debug)]
