--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -108,3 +108,16 @@
     let while_late = position_queries(&mut fixture, 900 * MILLISECOND);
     assert!(while_late > 140, "{while_late} of 200 query where it does not");
 }
+
+/// A proxy of the largest fleet, which knows no position.
+fn proxy_of_largest_fleet() -> RouterFixture {
+    let settings = Settings { proxy_count: LARGEST_FLEET_SIZE, health_checks_allowed: true, ..settings() };
+    RouterFixture::seeded(settings, 3)
+}
+
+#[test]
+fn in_the_largest_fleet_most_reads_go_to_the_primary_without_a_query_while_it_takes_them() {
+    // When the primary answers in time, then most reads go there without a query
+    let queries = position_queries(&mut proxy_of_largest_fleet(), 50 * MILLISECOND);
+    assert!(queries < 100, "{queries} of 200 query while the primary takes them");
+}
