--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -95,7 +95,7 @@
 
     /// Whether a new read is admitted, by the miss rate of its group.
     fn admits_read(&mut self, request: &PendingRequest) -> bool {
-        let rates = &mut self.groups.entry(request.group).or_default().miss_rates;
+        let rates = &mut self.groups.get_or_create(request.group).miss_rates;
         update_mean(&mut rates.objective_miss_rate, 0.0, MISS_RATE_DECAY);
         let served_fraction = 1.0 - rates.objective_miss_rate;
         request.admission_draw < served_fraction * ADMISSION_GAIN
@@ -105,7 +105,7 @@
     /// to each primary to learn its miss rate: the larger the fleet, the more the rate over all groups
     /// counts.
     pub(super) fn admits_fallback(&mut self, request: &PendingRequest) -> bool {
-        let rates = &mut self.groups.entry(request.group).or_default().miss_rates;
+        let rates = &mut self.groups.get_or_create(request.group).miss_rates;
         update_mean(&mut rates.fallback_miss_rate, 0.0, MISS_RATE_DECAY);
         update_mean(&mut self.fallback_miss_rate, 0.0, MISS_RATE_DECAY);
         let all_groups_weight =
@@ -133,7 +133,7 @@
         }
         let is_fallback = !consistency.requires_primary() && self.primary(group) == Some(attempt.server);
         let miss = f64::from(is_late || outcome != AttemptOutcome::Ok);
-        let rates = &mut self.groups.entry(group).or_default().miss_rates;
+        let rates = &mut self.groups.get_or_create(group).miss_rates;
         if is_fallback {
             update_mean(&mut rates.fallback_miss_rate, miss, RECENT_SAMPLE_WEIGHT);
             update_mean(&mut self.fallback_miss_rate, miss, MEAN_SAMPLE_WEIGHT);
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -16,6 +16,7 @@
     pub(super) fn on_attempt_completed(&mut self, result: AttemptResult, actions: &mut Vec<Action>) {
         let key = AttemptKey { request: result.request, attempt: result.attempt };
         let Some(attempt) = self.in_flight.remove(&key) else { return };
+        self.forget_attempt_at(attempt.server);
         let Some(server) = self.servers.get(&attempt.server) else { return };
         let group = server.endpoint.listed().group;
         self.update_server(&attempt, result.outcome);
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -39,6 +39,7 @@
         let Some(server) = self.servers.get_mut(&server_id) else { return };
         server.slow_start.set_tokens(tokens, self.now);
         server.concurrency.attempt_sent();
+        server.attempt_count += 1;
         let attempt = AttemptNo(request.attempts_sent);
         request.attempts_sent += 1;
         request.in_flight_attempts.push(attempt);
@@ -53,12 +54,22 @@
         };
         let useful_until = request.useful_until;
         let overdue_at = self.now + self.latencies.upper_bound(request.class, OVERDUE_DEVIATIONS);
-        self.in_flight.insert(AttemptKey { request: request_id, attempt }, in_flight);
+        let replaced = self.in_flight.insert(AttemptKey { request: request_id, attempt }, in_flight);
+        if let Some(replaced) = replaced {
+            self.forget_attempt_at(replaced.server);
+        }
         let timeout = useful_until - self.now;
         actions.push(Action::Send { request: request_id, server: server_id, timeout });
         self.schedule_wake(request_id, useful_until.min(overdue_at));
     }
 
+    /// The server has one attempt without an outcome less.
+    pub(super) fn forget_attempt_at(&mut self, id: ServerId) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.attempt_count -= 1;
+        }
+    }
+
     /// The attempts of the request that are in flight.
     pub(super) fn attempts_of(&self, request: &PendingRequest) -> impl Iterator<Item = &InFlightAttempt> {
         let request_id = request.queue_position.request;
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -56,8 +56,9 @@
         self.removed_at = self.removed_at.or(Some(now)).filter(|_| is_removed);
     }
 
-    fn is_removal_expired(&self, now: Micros) -> bool {
-        self.removed_at.is_some_and(|at| now - at >= REMOVED_SERVER_RETENTION)
+    /// Whether the list allows to send it new work.
+    pub(super) fn accepts_work(&self) -> bool {
+        self.accepts_work
     }
 }
 
@@ -68,25 +69,34 @@
 
 impl Router {
     /// Applies a complete endpoint list, or changes of it.
+    ///
+    /// Cost: O(entries), for a complete list also O(known servers), and O(servers that are removed and whose
+    /// retention has expired). Each of them costs O(log servers).
     pub(super) fn apply_endpoint_list(&mut self, list: EndpointList) {
+        let mut changed: Vec<ServerId> = list.endpoints.iter().map(|endpoint| endpoint.server).collect();
         if list.complete {
-            self.mark_unlisted_removed(&list.endpoints);
+            changed.extend(self.mark_unlisted_removed(&list.endpoints));
         }
         for endpoint in list.endpoints {
             self.apply_endpoint(endpoint);
         }
+        for id in changed {
+            self.track_removal(id);
+        }
         self.evict_removed_servers();
-        let ready_count = self.servers.values().filter(|server| server.endpoint.accepts_work).count();
-        self.ready_count = ready_count.max(1);
+        self.groups.remove_unused();
     }
 
-    /// A complete list removes the servers that it does not name.
-    fn mark_unlisted_removed(&mut self, endpoints: &[Endpoint]) {
+    /// A complete list removes the servers that it does not name. Returns these.
+    fn mark_unlisted_removed(&mut self, endpoints: &[Endpoint]) -> Vec<ServerId> {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
-        let unlisted = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
-        for (_, server) in unlisted {
-            server.endpoint.mark_removed(self.settings.removal_is_advisory);
+        let unlisted: Vec<ServerId> =
+            self.servers.keys().copied().filter(|id| !listed.contains(id)).collect();
+        let removal_is_advisory = self.settings.removal_is_advisory;
+        for id in &unlisted {
+            self.update_endpoint_status(*id, |status| status.mark_removed(removal_is_advisory));
         }
+        unlisted
     }
 
     /// Applies an entry of the list. A new start time shows that a new process runs there.
@@ -99,25 +109,55 @@
             server.reset_for_new_process(slow_start);
         }
         let previous_group = server.endpoint.listed.group;
-        self.groups.entry(previous_group).or_default().members.remove(&id);
-        self.groups.entry(endpoint.group).or_default().members.insert(id);
-        server.endpoint.update(endpoint, self.settings.removal_is_advisory);
+        if previous_group != endpoint.group {
+            self.groups.remove_member(previous_group, id);
+        }
+        self.groups.add_member(endpoint.group, id);
+        let removal_is_advisory = self.settings.removal_is_advisory;
+        self.update_endpoint_status(id, |status| status.update(endpoint, removal_is_advisory));
+    }
+
+    /// Changes what the list says of a server, and keeps the number of servers that accept work.
+    fn update_endpoint_status(&mut self, id: ServerId, change: impl FnOnce(&mut EndpointStatus)) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        self.accepting_count -= usize::from(server.endpoint.accepts_work);
+        change(&mut server.endpoint);
+        self.accepting_count += usize::from(server.endpoint.accepts_work);
+    }
+
+    /// Notes since when a server has been listed as removed.
+    fn track_removal(&mut self, id: ServerId) {
+        let Some(server) = self.servers.get_mut(&id) else { return };
+        if let Some(removed_at) = server.endpoint.removed_at {
+            self.removals.remove(&(removed_at, id));
+        }
+        server.endpoint.track_removal(self.now);
+        if let Some(removed_at) = server.endpoint.removed_at {
+            self.removals.insert((removed_at, id));
+        }
     }
 
     /// Forgets servers that have long been removed, unless an attempt is in flight there or, where removal is
     /// advisory, they still respond.
     fn evict_removed_servers(&mut self) {
-        let with_attempts: BTreeSet<ServerId> =
-            self.in_flight.values().map(|attempt| attempt.server).collect();
-        self.servers.retain(|id, server| {
-            server.endpoint.track_removal(self.now);
-            let is_in_use = server.endpoint.accepts_work && !server.outlier.is_unresponsive();
-            !server.endpoint.is_removal_expired(self.now) || is_in_use || with_attempts.contains(id)
-        });
-        for group in self.groups.values_mut() {
-            group.members.retain(|id| self.servers.contains_key(id));
+        let expired = self.removals.iter().take_while(|(at, _)| self.now - at >= REMOVED_SERVER_RETENTION);
+        let is_evicted = |id: &ServerId| self.servers.get(id).is_none_or(Server::is_unused);
+        let evicted: Vec<(Micros, ServerId)> = expired.filter(|(_, id)| is_evicted(id)).copied().collect();
+        for removal in evicted {
+            self.removals.remove(&removal);
+            self.forget_server(removal.1);
         }
-        self.groups.retain(|_, group| !group.is_unused());
+    }
+
+    fn forget_server(&mut self, id: ServerId) {
+        let Some(server) = self.servers.remove(&id) else { return };
+        self.accepting_count -= usize::from(server.endpoint.accepts_work);
+        self.groups.remove_member(server.endpoint.listed.group, id);
+    }
+
+    /// Number of servers that accept work, at least 1.
+    pub(super) fn ready_count(&self) -> usize {
+        self.accepting_count.max(1)
     }
 
     /// Polls the endpoint list again after a random delay, so that proxies whose polls failed together spread
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -12,7 +12,8 @@
 //! - `attempts`, `overdue_attempts`, `attempt_results`, `retry_budget`: an attempt is sent, is overdue, ends;
 //! - `queue`, `timers`, `final_answer`: a request waits, is looked at again, gets its final answer;
 //! - `endpoints`, `health_checks`: the endpoint list changes, a health check ends;
-//! - `servers`, `pending`: the state of a server, a group, a request and an attempt, composed of the above.
+//! - `servers`, `groups`, `pending`: the state of a server, a group, a request and an attempt, composed of
+//!   the above.
 
 mod admission;
 mod attempt_results;
@@ -20,6 +21,7 @@
 mod concurrency;
 mod endpoints;
 mod final_answer;
+mod groups;
 mod health_checks;
 mod outlier_detection;
 mod overdue_attempts;
@@ -36,14 +38,15 @@
 
 use crate::estimates::LatencyEstimates;
 use crate::interface::{
-    Action, EndpointDiscovery, Event, GroupId, Micros, RequestClass, RequestId, ServerId, Settings,
+    Action, EndpointDiscovery, Event, Micros, RequestClass, RequestId, ServerId, Settings,
 };
+use groups::Groups;
 use pending::{AttemptKey, InFlightAttempt, PendingRequest};
 use required_position::SessionPositions;
 use retry_budget::RetryBudget;
-use servers::{Group, Server};
+use servers::Server;
 use slow_start::ServedThroughput;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use timers::WakeSchedule;
 
 /// Weight of a new sample in a running mean.
@@ -60,7 +63,9 @@
     rng: fastrand::Rng,
     now: Micros,
     servers: BTreeMap<ServerId, Server>,
-    groups: BTreeMap<GroupId, Group>,
+    groups: Groups,
+    /// Servers that are listed as removed, by the time since when they have been.
+    removals: BTreeSet<(Micros, ServerId)>,
     /// Requests without a final answer.
     pending: BTreeMap<RequestId, PendingRequest>,
     /// Attempts without an outcome, those of finished requests included.
@@ -68,8 +73,8 @@
     wakes: WakeSchedule,
     latencies: LatencyEstimates,
     session_positions: SessionPositions,
-    /// Number of servers that accept work, at least 1.
-    ready_count: usize,
+    /// Number of servers that accept work.
+    accepting_count: usize,
     throughput: ServedThroughput,
     retry_budget: RetryBudget,
     /// Fraction of the reads of all groups that fell back on a primary and missed their latency objective.
@@ -89,13 +94,14 @@
             rng: fastrand::Rng::with_seed(seed),
             now,
             servers: BTreeMap::new(),
-            groups: BTreeMap::new(),
+            groups: Groups::default(),
+            removals: BTreeSet::new(),
             pending: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             wakes: WakeSchedule::default(),
             latencies: LatencyEstimates::new(&settings.classes),
             session_positions: SessionPositions::default(),
-            ready_count: 1,
+            accepting_count: 0,
             throughput: ServedThroughput::new(now),
             retry_budget: RetryBudget::new(settings.proxy_count),
             fallback_miss_rate: 0.0,
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -20,6 +20,14 @@
     pub request: RequestId,
 }
 
+/// Least possible position of a read: writes are before it, reads are not.
+const FIRST_READ: QueuePosition = QueuePosition {
+    is_read: true,
+    priority_weight_thousandths: Reverse(i64::MAX),
+    arrival: Reverse(i64::MAX),
+    request: RequestId(0),
+};
+
 impl Router {
     /// Queues a request and retries it after a delay, or finishes it if it can no longer be answered in time.
     pub(super) fn enqueue(&mut self, request_id: RequestId, delay: Micros, actions: &mut Vec<Action>) {
@@ -41,7 +49,7 @@
         }
         let retry_at = (self.now + delay).min(deadline - required_time);
         let position = request.queue_position;
-        self.groups.entry(request.group).or_default().queued.insert(position);
+        self.groups.get_or_create(request.group).queued.insert(position);
         self.schedule_wake(request_id, retry_at);
     }
 
@@ -52,23 +60,16 @@
 
     pub(super) fn dequeue(&mut self, request_id: RequestId) {
         let Some(request) = self.pending.get(&request_id) else { return };
-        let Some(group) = self.groups.get_mut(&request.group) else { return };
-        group.queued.remove(&request.queue_position);
-        // Clients may name any group; one without servers is kept only while a request waits in it.
-        if group.is_unused() {
-            self.groups.remove(&request.group);
-        }
+        self.groups.dequeue(request.group, &request.queue_position);
     }
 
     /// Retries queued requests of a group after an event that may have freed capacity or shown a fresh
-    /// replica.
+    /// replica. Cost: O(log of the group's queue) and the dispatch of at most two batches.
     pub(super) fn retry_queued(&mut self, group_id: GroupId, actions: &mut Vec<Action>) {
-        let Some(group) = self.groups.get(&group_id) else { return };
-        let first_of = |is_read: bool| {
-            let queued = group.queued.iter().filter(move |position| position.is_read == is_read);
-            queued.take(QUEUE_RETRY_BATCH).map(|position| position.request)
-        };
-        let request_ids: Vec<RequestId> = first_of(false).chain(first_of(true)).collect();
+        let Some(group) = self.groups.get(group_id) else { return };
+        let writes = group.queued.range(..FIRST_READ).take(QUEUE_RETRY_BATCH);
+        let reads = group.queued.range(FIRST_READ..).take(QUEUE_RETRY_BATCH);
+        let request_ids: Vec<RequestId> = writes.chain(reads).map(|position| position.request).collect();
         for request_id in request_ids {
             let is_untried =
                 self.pending.get(&request_id).is_some_and(|request| request.tried_servers.is_empty());
--- a/src/policy/replication.rs
+++ b/src/policy/replication.rs
@@ -72,7 +72,7 @@
 impl Router {
     /// The member that was last proven to be primary; without any proof, the one that is listed as primary.
     pub(super) fn primary(&self, group: GroupId) -> Option<ServerId> {
-        let members = &self.groups.get(&group)?.members;
+        let members = &self.groups.get(group)?.members;
         let rank = |id: &ServerId| {
             let server = self.accepting_server(*id)?;
             let replication = &server.replication;
--- a/src/policy/server_selection.rs
+++ b/src/policy/server_selection.rs
@@ -113,7 +113,7 @@
     /// The servers that can answer the read; none if the group is unknown.
     fn read_candidates(&self, request: &PendingRequest) -> Option<ReadCandidates> {
         let primary = self.primary(request.group);
-        let members = &self.groups.get(&request.group)?.members;
+        let members = &self.groups.get(request.group)?.members;
         let required = self.required_position(request, self.now);
         let replicas: Vec<ServerId> = members.iter().copied().filter(|id| Some(*id) != primary).collect();
         let is_fresh = |id: &ServerId| self.servers[id].replication.has_reached(required);
@@ -145,7 +145,7 @@
         let querying_fraction = POSITION_QUERYING_PROXIES / f64::from(self.settings.proxy_count);
         let may_query = request.admission_draw < querying_fraction;
         let is_served_well =
-            self.groups.get(&request.group).is_some_and(|group| group.miss_rates.is_fallback_served_well());
+            self.groups.get(request.group).is_some_and(|group| group.miss_rates.is_fallback_served_well());
         let has_spare_capacity = is_served_well && self.servers[&primary].concurrency.is_lightly_loaded();
         (!may_query || has_spare_capacity)
             && self.is_eligible(primary, request, PRIMARY_READ_FRACTION)
@@ -183,7 +183,7 @@
     /// The primary for a write or a strong read. While no responsive server is known to be primary, the
     /// members are tried in turn, unresponsive ones last: a replica rejects the request and nothing has run.
     fn select_primary(&self, request: &PendingRequest) -> Option<ServerId> {
-        let group = self.groups.get(&request.group)?;
+        let group = self.groups.get(request.group)?;
         let is_available = |id: &ServerId| self.is_available_as_primary(*id, request);
         let primary = self.primary(request.group);
         if let Some(primary) = primary.filter(|id| !self.servers[id].outlier.is_unresponsive()) {
@@ -218,7 +218,7 @@
         is_write: bool,
         yields_to_clients: bool,
     ) -> Option<ServerId> {
-        let members = &self.groups.get(&group)?.members;
+        let members = &self.groups.get(group)?.members;
         let primary = self.primary(group);
         let is_candidate = |id: &ServerId| {
             let Some(server) = self.accepting_server(*id) else { return false };
--- a/src/policy/servers.rs
+++ b/src/policy/servers.rs
@@ -1,16 +1,11 @@
-//! A server and a group of servers. Each part of a server's state belongs to the module that decides about
-//! it.
+//! A server. Each part of its state belongs to the module that decides about it.
 
-use super::admission::MissRates;
 use super::concurrency::ConcurrencyLimit;
 use super::endpoints::EndpointStatus;
 use super::health_checks::HealthCheckState;
 use super::outlier_detection::OutlierDetection;
-use super::queue::QueuePosition;
 use super::replication::ReplicationState;
 use super::slow_start::SlowStart;
-use crate::interface::ServerId;
-use std::collections::BTreeSet;
 
 /// What the router knows of a server.
 pub(super) struct Server {
@@ -20,6 +15,8 @@
     pub slow_start: SlowStart,
     pub outlier: OutlierDetection,
     pub health_check: HealthCheckState,
+    /// Attempts without an outcome, those that no longer count against the concurrency limit included.
+    pub attempt_count: usize,
 }
 
 impl Server {
@@ -32,6 +29,7 @@
             slow_start,
             outlier: OutlierDetection::new(),
             health_check: HealthCheckState::default(),
+            attempt_count: 0,
         }
     }
 
@@ -42,20 +40,10 @@
         self.outlier.reset_for_new_process();
         self.concurrency.reset_for_new_process();
     }
-}
-
-/// A replication group.
-#[derive(Default)]
-pub(super) struct Group {
-    pub members: BTreeSet<ServerId>,
-    /// Requests that wait for a server of the group.
-    pub queued: BTreeSet<QueuePosition>,
-    pub miss_rates: MissRates,
-}
 
-impl Group {
-    /// It has no members, and no request waits in it.
+    /// It has no attempt in flight, and accepts no work or does not respond.
     pub(super) fn is_unused(&self) -> bool {
-        self.members.is_empty() && self.queued.is_empty()
+        let is_in_use = self.endpoint.accepts_work() && !self.outlier.is_unresponsive();
+        self.attempt_count == 0 && !is_in_use
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -126,7 +126,7 @@
         let capacity_fraction = (fraction_before + self.capacity_fraction(server, self.now)) / 2.0;
         // While nothing has been served yet: one attempt in the overload window from all proxies together.
         let min_rate = 1.0 / (f64::from(self.settings.proxy_count) * overload_window.max(1) as f64);
-        let served_rate = self.throughput.per_server(self.now, self.ready_count, &self.settings);
+        let served_rate = self.throughput.per_server(self.now, self.ready_count(), &self.settings);
         let rate = SLOW_START_UTILIZATION * self.settings.overload_factor * capacity_fraction * served_rate;
         let rate = rate.max(min_rate);
         let capacity = (rate * overload_window as f64).max(1.0);
@@ -152,6 +152,7 @@
     /// Counts an answer for the throughput that servers give this proxy.
     pub(super) fn record_throughput(&mut self, outcome: AttemptOutcome) {
         let is_answer = outcome == AttemptOutcome::Ok;
-        self.throughput.record(is_answer, self.now, self.ready_count, self.settings.slow_start_window);
+        let ready_count = self.ready_count();
+        self.throughput.record(is_answer, self.now, ready_count, self.settings.slow_start_window);
     }
 }
