--- a/proxy/src/core/endpoints/tests.rs
+++ b/proxy/src/core/endpoints/tests.rs
@@ -1,6 +1,7 @@
 //! Numbers of servers that come and go.
 
 use super::*;
+use birchreach_settings::DeploymentSettings;
 use serde_json::Value as Json;
 
 fn settings() -> DeploymentSettings {
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -12,6 +12,7 @@
 mod endpoints;
 mod health_checks;
 mod requests;
+mod server_table;
 
 use crate::observe::{CopyLocator, Observers};
 use crate::stats::{Gauges, Stats};
@@ -21,8 +22,9 @@
 pub(crate) use command::{
     Answer, AttemptId, ClientKey, Command, LogRecord, RequestPayload, RoutingRequest, RoutingTimerId,
 };
-use endpoints::ServerTable;
+
 pub(crate) use requests::session_id;
+use server_table::ServerTable;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
--- /dev/null
+++ b/proxy/src/core/server_table.rs
@@ -0,0 +1,148 @@
+//! The servers of the endpoint list: their names, numbers and addresses.
+//!
+//! A number is never used for two servers. A removed server is dropped once the router has dropped it.
+
+use crate::discovery::{ListedEndpoint, ListedState};
+use crate::observe::CoreEvent;
+use crate::units::MICROS_PER_MILLI;
+use birchreach::{Endpoint, EndpointState, GroupId, ServerId, ZoneId};
+use birchreach_settings::DeploymentSettings;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+/// Shown in place of the name of a server that is no longer known.
+const UNKNOWN_SERVER: &str = "?";
+
+/// The latest entry of the endpoint list for a server.
+pub(super) struct ListedServer {
+    uid: String,
+    pub(super) address: Option<SocketAddr>,
+    pub(super) group: GroupId,
+    primary: Option<bool>,
+    up: bool,
+    started_ms: Option<i64>,
+    pub(super) removed: bool,
+}
+
+impl ListedServer {
+    /// A server that is new on the list; `update` sets the rest.
+    fn new(target: &ListedEndpoint) -> ListedServer {
+        ListedServer {
+            uid: target.uid.clone(),
+            address: None,
+            group: GroupId(target.group),
+            primary: None,
+            up: false,
+            started_ms: None,
+            removed: false,
+        }
+    }
+
+    /// Applies an entry of the list. Returns whether connections to the server cannot be used any more: it moved or was removed.
+    pub(super) fn update(&mut self, target: &ListedEndpoint) -> bool {
+        let address = target.endpoint.parse().ok();
+        self.group = GroupId(target.group);
+        self.primary = target.is_primary();
+        self.up = target.state == ListedState::Up;
+        self.started_ms = target.started_ms();
+        self.removed = target.state == ListedState::Removed;
+        let moved = self.address != address || self.removed;
+        if moved {
+            self.address = address.or(self.address);
+        }
+        moved
+    }
+
+    /// The event that notifies observers of this entry.
+    pub(super) fn event(&self, server: ServerId) -> CoreEvent<'_> {
+        if self.removed {
+            return CoreEvent::Unlisted { server, uid: &self.uid };
+        }
+        CoreEvent::Listed {
+            server,
+            uid: &self.uid,
+            group: self.group,
+            primary: self.primary,
+            up: self.up,
+            started_ms: self.started_ms.and_then(|ms| u64::try_from(ms).ok()).unwrap_or(0),
+        }
+    }
+}
+
+/// All servers that the list has named and the router has not dropped.
+pub(super) struct ServerTable {
+    zone_names: Vec<String>,
+    pub(super) numbers: HashMap<String, ServerId>,
+    pub(super) listed: HashMap<ServerId, ListedServer>,
+    /// The number for the next new server.
+    next_number: u32,
+}
+
+impl ServerTable {
+    /// A table without servers.
+    pub(super) fn new(settings: &DeploymentSettings) -> ServerTable {
+        ServerTable {
+            zone_names: settings.zone_names.clone(),
+            numbers: HashMap::new(),
+            listed: HashMap::new(),
+            next_number: 0,
+        }
+    }
+
+    /// Applies the zones of other settings.
+    pub(super) fn set_zones(&mut self, settings: &DeploymentSettings) {
+        self.zone_names.clone_from(&settings.zone_names);
+    }
+
+    /// Servers that were not removed.
+    pub(super) fn present(&self) -> impl Iterator<Item = ServerId> {
+        self.listed.iter().filter(|(_, server)| !server.removed).map(|(id, _)| *id)
+    }
+
+    /// Name of a server in the list.
+    pub(super) fn name(&self, server: ServerId) -> &str {
+        self.listed.get(&server).map_or(UNKNOWN_SERVER, |server| &server.uid)
+    }
+
+    /// The number of the server with this name.
+    pub(super) fn by_name(&self, uid: &str) -> Option<ServerId> {
+        self.numbers.get(uid).copied()
+    }
+
+    /// The number of a server, which is assigned if it is new; and whether it is new.
+    pub(super) fn number(&mut self, uid: &str) -> (ServerId, bool) {
+        if let Some(server) = self.by_name(uid) {
+            return (server, false);
+        }
+        let server = ServerId(self.next_number);
+        self.next_number += 1;
+        self.numbers.insert(uid.to_string(), server);
+        (server, true)
+    }
+
+    /// Applies an entry of the list. Returns it for the router, and whether the server moved or was removed.
+    pub(super) fn update(&mut self, server: ServerId, target: &ListedEndpoint) -> (Endpoint, bool) {
+        let listed = self.listed.entry(server).or_insert_with(|| ListedServer::new(target));
+        let moved = listed.update(target);
+        let endpoint = Endpoint {
+            server,
+            group: GroupId(target.group),
+            zone: self.zone(&target.zone),
+            state: match target.state {
+                ListedState::Up => EndpointState::Ready,
+                ListedState::Draining => EndpointState::Draining,
+                ListedState::Removed => EndpointState::Removed,
+            },
+            started_at: target.started_ms().and_then(|ms| ms.checked_mul(MICROS_PER_MILLI)),
+            weight: target.weight,
+            primary: target.is_primary() == Some(true),
+        };
+        (endpoint, moved)
+    }
+
+    /// The number of a zone. An unknown name has a number that no server or proxy has.
+    fn zone(&self, name: &str) -> ZoneId {
+        let index = self.zone_names.iter().position(|known| known == name);
+        ZoneId(index.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX))
+    }
+}
