--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -14,10 +14,9 @@
         self.servers.listed.get(&server)?.address
     }
 
-    /// Whether the endpoint list has servers of this group. While there is no list, any group may exist.
+    /// Whether the endpoint list has servers of this group. While there is no list, any group may exist. Cost: O(1).
     pub(crate) fn has_group(&self, group: GroupId) -> bool {
-        let listed = &self.servers.listed;
-        listed.is_empty() || listed.values().any(|server| server.group == group)
+        self.servers.listed.is_empty() || self.servers.group_sizes.contains_key(&group)
     }
 
     /// Name of a server in the list, for the log.
@@ -26,9 +25,11 @@
     }
 
     /// Applies a change of the endpoint list. Returns the servers that moved or were removed.
+    ///
+    /// Cost: O(entries and servers that were removed and are still known); for a complete list also O(known servers).
     pub(crate) fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate) -> Vec<ServerId> {
         if update.complete {
-            self.servers.listed.values_mut().for_each(|server| server.removed = true);
+            self.servers.mark_all_removed();
         }
         let (mut moved, mut endpoints) = (Vec::new(), Vec::new());
         for target in &update.endpoints {
@@ -62,16 +63,20 @@
                 self.observers.notify(now, server.event(endpoint.server));
             }
         }
-        for (id, server) in listed.iter().filter(|(_, server)| server.removed) {
-            self.observers.notify(now, server.event(*id));
+        for id in &self.servers.removed {
+            if let Some(server) = listed.get(id) {
+                self.observers.notify(now, server.event(*id));
+            }
         }
     }
 
-    /// Drops the servers that the router has dropped.
+    /// Drops the servers that the router has dropped; it drops none but removed ones.
     fn drop_unknown_servers(&mut self) {
-        let router = &self.router;
-        self.servers.listed.retain(|id, _| router.is_known(*id));
-        self.servers.numbers.retain(|_, id| router.is_known(*id));
+        let removed = self.servers.removed.iter().copied();
+        let unknown: Vec<ServerId> = removed.filter(|id| !self.router.is_known(*id)).collect();
+        for id in unknown {
+            self.servers.drop_server(id);
+        }
     }
 
     /// Adds an observer, and notifies it of all servers in the list.
--- a/proxy/src/core/endpoints/tests.rs
+++ b/proxy/src/core/endpoints/tests.rs
@@ -31,3 +31,30 @@
     assert!(listed < 30 && numbers < 30, "{listed} kept");
     assert_eq!(core.server_name(ServerId(100)), "s-99");
 }
+
+#[test]
+fn a_group_is_known_while_it_has_a_server() {
+    // Given a core without a list, for which any group may exist
+    let mut core: Core<()> = Core::new(&settings(), 1, 0);
+    assert!(core.has_group(GroupId(7)));
+    let list = |core: &mut Core<()>, seconds: i64, complete: bool, targets: &str| {
+        let list = format!(r#"{{"rev": {seconds}, "all": {complete}, "targets": [{targets}]}}"#);
+        core.update_endpoints(seconds * 1_000_000, serde_json::from_str(&list).unwrap());
+    };
+    let in_group =
+        |uid: &str, group: u32| format!(r#"{{"uid": "{uid}", "state": "up", "pod_group": {group}}}"#);
+    // When two servers of a group are listed, then the group is known and others are not
+    list(&mut core, 1, true, &format!("{}, {}", in_group("a", 1), in_group("b", 1)));
+    assert!(core.has_group(GroupId(1)) && !core.has_group(GroupId(2)));
+    // When one of them moves to another group, then both groups are known
+    list(&mut core, 2, false, &in_group("b", 2));
+    assert!(core.has_group(GroupId(1)) && core.has_group(GroupId(2)));
+    // When the other moves too, then its former group is not
+    list(&mut core, 3, false, &in_group("a", 2));
+    assert!(!core.has_group(GroupId(1)) && core.has_group(GroupId(2)));
+    // When a complete list names neither, then their group is known until they are dropped
+    list(&mut core, 4, true, &in_group("c", 3));
+    assert!(core.has_group(GroupId(2)) && core.has_group(GroupId(3)));
+    list(&mut core, 60, false, &in_group("c", 3));
+    assert!(!core.has_group(GroupId(2)) && core.has_group(GroupId(3)));
+}
--- a/proxy/src/core/server_table.rs
+++ b/proxy/src/core/server_table.rs
@@ -7,7 +7,7 @@
 use crate::units::MICROS_PER_MILLI;
 use birchreach::{Endpoint, EndpointState, GroupId, ServerId, ZoneId};
 use birchreach_settings::DeploymentSettings;
-use std::collections::HashMap;
+use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
 /// Shown in place of the name of a server that is no longer known.
@@ -74,6 +74,10 @@
     zone_names: Vec<String>,
     pub(super) numbers: HashMap<String, ServerId>,
     pub(super) listed: HashMap<ServerId, ListedServer>,
+    /// Those of them that were removed.
+    pub(super) removed: BTreeSet<ServerId>,
+    /// How many of them each group has; none has 0.
+    pub(super) group_sizes: HashMap<GroupId, usize>,
     /// The number for the next new server.
     next_number: u32,
 }
@@ -85,6 +89,8 @@
             zone_names: settings.zone_names.clone(),
             numbers: HashMap::new(),
             listed: HashMap::new(),
+            removed: BTreeSet::new(),
+            group_sizes: HashMap::new(),
             next_number: 0,
         }
     }
@@ -122,8 +128,19 @@
 
     /// Applies an entry of the list. Returns it for the router, and whether the server moved or was removed.
     pub(super) fn update(&mut self, server: ServerId, target: &ListedEndpoint) -> (Endpoint, bool) {
+        let previous_group = self.listed.get(&server).map(|listed| listed.group);
         let listed = self.listed.entry(server).or_insert_with(|| ListedServer::new(target));
         let moved = listed.update(target);
+        let (group, is_removed) = (listed.group, listed.removed);
+        if is_removed {
+            self.removed.insert(server);
+        } else {
+            self.removed.remove(&server);
+        }
+        if previous_group != Some(group) {
+            previous_group.into_iter().for_each(|previous| self.remove_from_group(previous));
+            *self.group_sizes.entry(group).or_default() += 1;
+        }
         let endpoint = Endpoint {
             server,
             group: GroupId(target.group),
@@ -140,6 +157,31 @@
         (endpoint, moved)
     }
 
+    /// Marks all servers as removed, before a complete list names those that are not.
+    pub(super) fn mark_all_removed(&mut self) {
+        for (id, server) in &mut self.listed {
+            server.removed = true;
+            self.removed.insert(*id);
+        }
+    }
+
+    /// Drops a server.
+    pub(super) fn drop_server(&mut self, id: ServerId) {
+        self.removed.remove(&id);
+        let Some(server) = self.listed.remove(&id) else { return };
+        self.numbers.remove(&server.uid);
+        self.remove_from_group(server.group);
+    }
+
+    /// A group has one server less.
+    fn remove_from_group(&mut self, group: GroupId) {
+        let Some(size) = self.group_sizes.get_mut(&group) else { return };
+        *size -= 1;
+        if *size == 0 {
+            self.group_sizes.remove(&group);
+        }
+    }
+
     /// The number of a zone. An unknown name has a number that no server or proxy has.
     fn zone(&self, name: &str) -> ZoneId {
         let index = self.zone_names.iter().position(|known| known == name);
