--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -38,7 +38,7 @@
 
 impl Router {
     /// A request arrives: it is dispatched, or rejected if its group sheds load. One whose id is pending is
-    /// ignored.
+    /// ignored. Cost: O(members of the group).
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.pending.contains_key(&request.id) {
             return;
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -13,6 +13,7 @@
 
 impl Router {
     /// An attempt ended. The result of one that is unknown, or whose server is, is ignored.
+    /// Cost: O(members of the group).
     pub(super) fn on_attempt_completed(&mut self, result: AttemptResult, actions: &mut Vec<Action>) {
         let key = AttemptKey { request: result.request, attempt: result.attempt };
         let Some(attempt) = self.in_flight.remove(&key) else { return };
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -90,8 +90,7 @@
     /// A complete list removes the servers that it does not name. Returns these.
     fn mark_unlisted_removed(&mut self, endpoints: &[Endpoint]) -> Vec<ServerId> {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
-        let unlisted: Vec<ServerId> =
-            self.servers.keys().copied().filter(|id| !listed.contains(id)).collect();
+        let unlisted: Vec<ServerId> = self.servers.ids().filter(|id| !listed.contains(id)).collect();
         let removal_is_advisory = self.settings.removal_is_advisory;
         for id in &unlisted {
             self.update_endpoint_status(*id, |status| status.mark_removed(removal_is_advisory));
@@ -104,7 +103,7 @@
         let id = endpoint.server;
         let slow_start = SlowStart::new(self.rng.f64(), self.now);
         let new_server = || Server::new(EndpointStatus::new(endpoint.clone()), slow_start);
-        let server = self.servers.entry(id).or_insert_with(new_server);
+        let server = self.servers.get_or_insert_with(id, new_server);
         if server.endpoint.shows_new_process(&endpoint) {
             server.reset_for_new_process(slow_start);
         }
@@ -170,7 +169,7 @@
 
     /// Whether the router still keeps state of this server.
     pub fn is_known(&self, id: ServerId) -> bool {
-        self.servers.contains_key(&id)
+        self.servers.contains(&id)
     }
 
     /// Whether nothing new is sent to this server: it is draining or removed, or it is ejected (for writes:
--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A health check ended; queued requests may profit from what it reports.
+    /// A health check ended; queued requests may profit from what it reports. Cost: O(members of the group).
     pub(super) fn on_health_check_completed(
         &mut self,
         id: ServerId,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -12,8 +12,8 @@
 //! - `attempts`, `overdue_attempts`, `attempt_results`, `retry_budget`: an attempt is sent, is overdue, ends;
 //! - `queue`, `timers`, `final_answer`: a request waits, is looked at again, gets its final answer;
 //! - `endpoints`, `health_checks`: the endpoint list changes, a health check ends;
-//! - `servers`, `groups`, `pending`: the state of a server, a group, a request and an attempt, composed of
-//!   the above.
+//! - `servers`, `server_table`, `groups`, `pending`: the state of a server, a group, a request and an
+//!   attempt, composed of the above.
 
 mod admission;
 mod attempt_results;
@@ -32,6 +32,7 @@
 mod required_position;
 mod retry_budget;
 mod server_selection;
+mod server_table;
 mod servers;
 mod slow_start;
 mod timers;
@@ -44,7 +45,7 @@
 use pending::{AttemptKey, InFlightAttempt, PendingRequest};
 use required_position::SessionPositions;
 use retry_budget::RetryBudget;
-use servers::Server;
+use server_table::ServerTable;
 use slow_start::ServedThroughput;
 use std::collections::{BTreeMap, BTreeSet};
 use timers::WakeSchedule;
@@ -62,7 +63,7 @@
     settings: Settings,
     rng: fastrand::Rng,
     now: Micros,
-    servers: BTreeMap<ServerId, Server>,
+    servers: ServerTable,
     groups: Groups,
     /// Servers that are listed as removed, by the time since when they have been.
     removals: BTreeSet<(Micros, ServerId)>,
@@ -93,7 +94,7 @@
         Router {
             rng: fastrand::Rng::with_seed(seed),
             now,
-            servers: BTreeMap::new(),
+            servers: ServerTable::default(),
             groups: Groups::default(),
             removals: BTreeSet::new(),
             pending: BTreeMap::new(),
@@ -116,6 +117,12 @@
         self.pending.len()
     }
 
+    /// How often state of a server was accessed so far: the work of an event, for tests.
+    #[cfg(feature = "operation-counts")]
+    pub fn server_access_count(&self) -> u64 {
+        self.servers.access_count()
+    }
+
     /// Processes one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -57,7 +57,7 @@
         request.next_wake = at;
     }
 
-    /// The timer expired: wakes what is due.
+    /// The timer expired: wakes what is due. Cost: O(members of the group) for each request that is due.
     pub(super) fn on_timer(&mut self, actions: &mut Vec<Action>) {
         self.wakes.timer_due_at = Micros::MAX;
         while let Some(request_id) = self.wakes.pop_due(self.now) {
