--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -3,6 +3,9 @@
 use std::error::Error;
 use std::fmt::{self, Display};
 
+/// The longest description of an error in a list. The parser quotes the value that it rejects, which may be as long as the list.
+const MAX_LIST_FAULT_CHARS: usize = 200;
+
 /// Why a poll failed. Its connection is not used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PollError {
@@ -32,6 +35,18 @@
     InvalidList(String),
 }
 
+impl PollError {
+    /// The parser's error for a body, with its position.
+    pub(super) fn invalid_list(error: &serde_json::Error) -> PollError {
+        let text = error.to_string();
+        let Some((end, _)) = text.char_indices().nth(MAX_LIST_FAULT_CHARS) else {
+            return PollError::InvalidList(text);
+        };
+        let (start, line, column) = (&text[..end], error.line(), error.column());
+        PollError::InvalidList(format!("{start}... at line {line} column {column}"))
+    }
+}
+
 /// The part of a response that is not valid HTTP/1.1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HttpFault {
--- /dev/null
+++ b/proxy/src/discovery/tests/large_lists.rs
@@ -0,0 +1,161 @@
+//! Lists of as many servers as the largest fleet has: complete, malformed at the end, or beyond the limit.
+
+use super::super::error::PollError;
+use super::super::http::MAX_BODY_BYTES;
+use super::super::list::EndpointUpdate;
+use super::super::watch::{EndpointWatch, PollResponse};
+
+/// The servers of the largest fleet.
+const SERVERS: usize = 3_200;
+/// The revision that the watch has before it is fed.
+const HELD_REVISION: u64 = 41;
+/// The longest name of a host that DNS allows, used for the uid and for the zone of each entry.
+const LONGEST_NAME_BYTES: usize = 253;
+/// What arrives in one read.
+const READ_BYTES: usize = 16 << 10;
+/// The lines of a list before its first entry.
+const LINES_BEFORE_ENTRIES: usize = 1;
+/// The longest text of an error: one line of the log.
+const MAX_ERROR_BYTES: usize = 400;
+
+/// An entry with every key, and names of the greatest length.
+fn entry(number: usize) -> String {
+    let uid = format!("{number:0>LONGEST_NAME_BYTES$}");
+    let zone = "z".repeat(LONGEST_NAME_BYTES);
+    format!(
+        r#"{{"uid":"{uid}","endpoint":"[2001:0db8:1111:2222:3333:4444:5555:{number:04x}]:15432","az":"{zone}","pod_group":{number},"state":"draining","capacity_hint":1.5,"boot_ms":1700000000123,"access":"writer"}}"#
+    )
+}
+
+/// The body of a complete list, with one entry on each line.
+fn list_of(entries: &[String]) -> String {
+    format!("{{\"rev\":42,\"all\":true,\"targets\":[\n{}\n]}}", entries.join(",\n"))
+}
+
+/// The entries of all servers.
+fn all_entries() -> Vec<String> {
+    (0..SERVERS).map(entry).collect()
+}
+
+/// A watch that holds a list, fed with a response in parts of [`READ_BYTES`], and what it returned.
+fn feed(body: &str) -> (EndpointWatch, Result<Option<PollResponse>, PollError>) {
+    let mut watch = EndpointWatch::new("agent".into(), Some(HELD_REVISION));
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let mut result = Ok(None);
+    for part in response.as_bytes().chunks(READ_BYTES) {
+        result = watch.feed(part);
+        if result != Ok(None) {
+            break;
+        }
+    }
+    (watch, result)
+}
+
+/// The update that a valid body is.
+fn read_update(body: &str) -> EndpointUpdate {
+    match feed(body).1 {
+        Ok(Some(PollResponse::Updated(update))) => update,
+        other => panic!("{other:?}"),
+    }
+}
+
+/// The error's text, after which the next poll asks for what follows the revision that is held.
+fn rejected(body: &str) -> String {
+    let (mut watch, result) = feed(body);
+    let error = result.expect_err("a malformed list");
+    watch.record_failure();
+    let request = String::from_utf8(watch.next_request()).unwrap();
+    assert!(request.starts_with(&format!("GET /v1/endpoints?from={HELD_REVISION}&")), "{request}");
+    error.to_string()
+}
+
+#[test]
+fn a_list_of_the_largest_fleet_with_the_longest_names_is_read() {
+    // Given a list with all servers, which is shorter than the limit
+    let body = list_of(&all_entries());
+    assert!(body.len() < MAX_BODY_BYTES, "{} bytes", body.len());
+
+    // When it arrives, then all entries are read
+    let update = read_update(&body);
+    assert_eq!((update.revision, update.endpoints.len()), (42, SERVERS));
+}
+
+#[test]
+fn a_list_that_is_malformed_at_its_last_entry_is_rejected_with_the_place() {
+    let last_line = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
+    let valid = entry(SERVERS - 1);
+    for (malformed, wanted) in [
+        (valid.replace("\"access\"", "\"access"), "expected"),
+        (valid.replace(":1.5,", ":1.5"), "expected `,` or `}`"),
+        (valid.replace("\"draining\"", "\"asleep\""), "unknown variant `asleep`"),
+        (valid.replace("\"uid\"", "\"name\""), "missing field `uid`"),
+        (valid.replace("\"pod_group\":3199", "\"pod_group\":-1"), "invalid value"),
+    ] {
+        // Given a list with an error on the line of its last entry
+        let mut entries = all_entries();
+        *entries.last_mut().unwrap() = malformed;
+
+        // When it arrives, then the error names what it is and where
+        let error = rejected(&list_of(&entries));
+        assert!(error.starts_with("invalid list: ") && error.contains(wanted), "{error}");
+        assert!(error.contains(&last_line), "{error}");
+    }
+}
+
+#[test]
+fn a_list_that_breaks_off_in_its_last_entry_is_rejected_with_the_place() {
+    // Given a list that lacks its end
+    let body = list_of(&all_entries());
+    let truncated = &body[..body.len() - "}\n]}".len()];
+
+    // When it arrives, then the error names the place where it ends
+    let place = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
+    let error = rejected(truncated);
+    assert!(error.contains("EOF") && error.contains(&place), "{error}");
+}
+
+#[test]
+fn the_error_of_a_long_value_is_short_and_names_the_place() {
+    // Given a list whose last state is very long
+    let mut entries = all_entries();
+    let last = entries.last_mut().unwrap();
+    *last = last.replace("draining", &"é".repeat(500_000));
+
+    // When it arrives, then the error is one short line with the place
+    let error = rejected(&list_of(&entries));
+    assert!(error.len() < MAX_ERROR_BYTES, "{} bytes", error.len());
+    let place = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
+    assert!(error.contains("unknown variant") && error.contains(&place), "{error}");
+}
+
+#[test]
+fn a_list_beyond_the_limit_is_rejected_before_it_is_received() {
+    // Given a valid list, followed by white space up to the limit or one byte more
+    let list = list_of(&all_entries());
+    let at_limit = list.clone() + &" ".repeat(MAX_BODY_BYTES - list.len());
+    let beyond_limit = format!("{at_limit} ");
+
+    // When it arrives, then one within the limit is read, and one beyond it is rejected
+    assert_eq!(read_update(&at_limit).endpoints.len(), SERVERS);
+    assert_eq!(rejected(&beyond_limit), "response too long");
+}
+
+#[test]
+fn a_list_beyond_the_limit_without_a_length_is_rejected_at_the_limit() {
+    let chunk = format!("{READ_BYTES:x}\r\n{}\r\n", " ".repeat(READ_BYTES));
+    let part = " ".repeat(READ_BYTES);
+    for (head, part) in [("", part), ("Transfer-Encoding: chunked\r\n", chunk)] {
+        // Given a response that does not say its length and never ends
+        let mut watch = EndpointWatch::new("agent".into(), Some(HELD_REVISION));
+        let mut result = watch.feed(format!("HTTP/1.1 200 OK\r\n{head}\r\n").as_bytes());
+
+        // When it goes on, then it is rejected as soon as it exceeds the limit
+        let mut received = 0;
+        while result == Ok(None) {
+            assert!(received <= MAX_BODY_BYTES, "{received} bytes are buffered");
+            received += READ_BYTES;
+            result = watch.feed(part.as_bytes());
+        }
+        assert_eq!(result, Err(PollError::TooLong));
+    }
+}
--- a/proxy/src/discovery/tests/mod.rs
+++ b/proxy/src/discovery/tests/mod.rs
@@ -1,6 +1,7 @@
 //! The watch and its backoff, as state machines without a socket or a clock.
 
 mod deadlines;
+mod large_lists;
 mod mass_restart;
 mod responses;
 
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -108,7 +108,7 @@
     fn parse_list(&mut self, body: &[u8]) -> Result<PollResponse, PollError> {
         self.input.clear();
         let update: EndpointUpdate =
-            serde_json::from_slice(body).map_err(|error| PollError::InvalidList(error.to_string()))?;
+            serde_json::from_slice(body).map_err(|error| PollError::invalid_list(&error))?;
         self.last_poll_failed = false;
         // An agent that is older than the list known at the start sends old changes. A complete list is applied even if it is old,
         // as the agent has no other.
