--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -4,7 +4,7 @@
 use std::fmt::{self, Display};
 
 /// The longest description of an error in a list. The parser quotes the value that it rejects, which may be as long as the list.
-const MAX_LIST_FAULT_CHARS: usize = 200;
+const MAX_LIST_FAULT_BYTES: usize = 200;
 
 /// Why a poll failed. Its connection is not used again.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,10 +39,11 @@
     /// The parser's error for a body, with its position.
     pub(super) fn invalid_list(error: &serde_json::Error) -> PollError {
         let text = error.to_string();
-        let Some((end, _)) = text.char_indices().nth(MAX_LIST_FAULT_CHARS) else {
+        if text.len() <= MAX_LIST_FAULT_BYTES {
             return PollError::InvalidList(text);
-        };
-        let (start, line, column) = (&text[..end], error.line(), error.column());
+        }
+        let start = &text[..text.floor_char_boundary(MAX_LIST_FAULT_BYTES)];
+        let (line, column) = (error.line(), error.column());
         PollError::InvalidList(format!("{start}... at line {line} column {column}"))
     }
 }
