--- a/proxy/src/core/endpoints/tests.rs
+++ b/proxy/src/core/endpoints/tests.rs
@@ -30,3 +30,24 @@
     assert!(listed < 30 && numbers < 30, "{listed} kept");
     assert_eq!(core.server_name(ServerId(100)), "s-99");
 }
+
+#[test]
+fn the_last_entry_of_a_server_counts() {
+    // Given a complete list with two entries for each server
+    let entry = |number: u32, port: u16| {
+        format!(r#"{{"uid": "s-{number}", "endpoint": "127.0.0.1:{port}", "state": "up"}}"#)
+    };
+    let entries: Vec<String> =
+        [1000, 2000].iter().flat_map(|port| (0..100).map(move |number| entry(number, *port))).collect();
+    let list = format!(r#"{{"rev": 1, "all": true, "targets": [{}]}}"#, entries.join(", "));
+
+    // When it is applied
+    let mut core: Core<()> = Core::new(&settings(), 1, 0);
+    core.update_endpoints(0, serde_json::from_str(&list).unwrap());
+
+    // Then each server is there once, with the address of its last entry
+    assert_eq!(core.servers.present().count(), 100);
+    for server in (0..100).map(ServerId) {
+        assert_eq!(core.address(server), Some(SocketAddr::from(([127, 0, 0, 1], 2000))));
+    }
+}
--- a/proxy/src/discovery/list.rs
+++ b/proxy/src/discovery/list.rs
@@ -1,6 +1,7 @@
 //! Discovery's endpoint list. The names in its JSON are mapped to those of this program here and nowhere else.
 
 use serde::Deserialize;
+use std::collections::HashMap;
 
 /// The state of a database on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -88,3 +89,32 @@
     #[serde(rename = "targets")]
     pub endpoints: Vec<ListedEndpoint>,
 }
+
+impl EndpointUpdate {
+    /// The first entry that names a server again. The last entry of a server is the one that counts.
+    pub(crate) fn first_duplicate(&self) -> Option<DuplicateEntry<'_>> {
+        let mut first_entries = HashMap::with_capacity(self.endpoints.len());
+        let mut found = None;
+        for (entry, endpoint) in self.endpoints.iter().enumerate() {
+            let uid = endpoint.uid.as_str();
+            let first_entry = *first_entries.entry(uid).or_insert(entry);
+            if first_entry != entry {
+                found.get_or_insert(DuplicateEntry { uid, entry, first_entry, count: 0 }).count += 1;
+            }
+        }
+        found
+    }
+}
+
+/// An entry of a list whose server an earlier entry names, too.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct DuplicateEntry<'a> {
+    /// The server's identity.
+    pub uid: &'a str,
+    /// The index of the entry.
+    pub entry: usize,
+    /// The index of the server's first entry.
+    pub first_entry: usize,
+    /// The number of such entries in the list.
+    pub count: usize,
+}
--- a/proxy/src/discovery/tests/large_lists.rs
+++ b/proxy/src/discovery/tests/large_lists.rs
@@ -1,8 +1,9 @@
-//! Lists of as many servers as the largest fleet has: complete, malformed at the end, or beyond the limit.
+//! Lists of as many servers as the largest fleet has: complete, malformed at the end, with each server
+//! twice, or beyond the limit.
 
 use super::super::error::PollError;
 use super::super::http::MAX_BODY_BYTES;
-use super::super::list::EndpointUpdate;
+use super::super::list::{DuplicateEntry, EndpointUpdate};
 use super::super::watch::{EndpointWatch, PollResponse};
 
 /// The servers of the largest fleet.
@@ -75,9 +76,10 @@
     let body = list_of(&all_entries());
     assert!(body.len() < MAX_BODY_BYTES, "{} bytes", body.len());
 
-    // When it arrives, then all entries are read
+    // When it arrives, then all entries are read and no server is named twice
     let update = read_update(&body);
     assert_eq!((update.revision, update.endpoints.len()), (42, SERVERS));
+    assert_eq!(update.first_duplicate(), None);
 }
 
 #[test]
@@ -159,3 +161,18 @@
         assert_eq!(result, Err(PollError::TooLong));
     }
 }
+
+#[test]
+fn the_first_entry_of_a_server_that_an_earlier_one_names_is_found() {
+    // Given a list in which each entry stands twice
+    let entry = |number| format!(r#"{{"uid":"s-{number}","state":"up"}}"#);
+    let entries: Vec<String> = (0..SERVERS).map(entry).collect();
+    let body = list_of(&[&entries[..], &entries[..]].concat());
+
+    // When it is read, then all entries are there, and the first that repeats one is named
+    let update = read_update(&body);
+    assert_eq!(update.endpoints.len(), 2 * SERVERS);
+    let uid = update.endpoints[0].uid.as_str();
+    let duplicate = DuplicateEntry { uid, entry: SERVERS, first_entry: 0, count: SERVERS };
+    assert_eq!(update.first_duplicate(), Some(duplicate));
+}
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -6,7 +6,7 @@
 use crate::core::{Command, LogRecord};
 use crate::discovery::EndpointUpdate;
 use crate::log::Quoted;
-use tracing::info;
+use tracing::{info, warn};
 
 impl EventLoop {
     /// Carries out the core's commands, and those that follow from them, until none is left.
@@ -61,6 +61,7 @@
             all = update.complete,
             lines = update.endpoints.len()
         );
+        log_duplicates(&update);
         let lists_servers = !update.endpoints.is_empty();
         let moved = self.context.core.update_endpoints(self.context.now, update);
         for server in moved {
@@ -72,3 +73,16 @@
         self.carry_out();
     }
 }
+
+/// Logs the first of the entries whose server an earlier entry names, too.
+fn log_duplicates(update: &EndpointUpdate) {
+    let Some(duplicate) = update.first_duplicate() else { return };
+    warn!(
+        event = "endpoint-list-duplicates",
+        rev = update.revision,
+        count = duplicate.count,
+        uid = duplicate.uid,
+        entry = duplicate.entry,
+        "first-entry" = duplicate.first_entry
+    );
+}
