--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -36,6 +36,8 @@
 struct Inner {
     list: Mutex<EndpointList>,
     changed: Condvar,
+    /// Sent once in place of the list, to the next poll that is answered.
+    next_body: Mutex<Option<String>>,
     stopped: AtomicBool,
 }
 
@@ -88,6 +90,13 @@
         self.set_databases(databases);
     }
 
+    /// Answers one poll with this body, be it a list or not: one that is waiting, or the next one.
+    pub fn send_body_once(&self, body: String) {
+        let _list = lock(&self.inner.list);
+        *lock(&self.inner.next_body) = Some(body);
+        self.inner.changed.notify_all();
+    }
+
     fn accept(&self, listener: &TcpListener) {
         for stream in listener.incoming().flatten() {
             if self.inner.stopped.load(Ordering::Relaxed) {
@@ -106,7 +115,8 @@
             let known_revision = query_parameter(&request, "from=");
             let wait = query_parameter(&request, "hold_ms=").map(Duration::from_millis);
             let list = self.wait_for_change(known_revision, wait);
-            let body = list.to_json(known_revision);
+            let next_body = lock(&self.inner.next_body).take();
+            let body = next_body.unwrap_or_else(|| list.to_json(known_revision));
             write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
         }
         Ok(())
@@ -118,6 +128,7 @@
         let mut list = lock(&self.inner.list);
         while let Some(left) = until.and_then(|at| at.checked_duration_since(Instant::now()))
             && known_revision == Some(list.revision)
+            && lock(&self.inner.next_body).is_none()
         {
             list = self.inner.changed.wait_timeout(list, left).map_or_else(|e| e.into_inner().0, |w| w.0);
         }
--- a/test-support/src/process.rs
+++ b/test-support/src/process.rs
@@ -176,7 +176,17 @@
 
     /// Resident memory in KiB.
     pub fn resident_memory_kib(&self) -> Option<u64> {
+        self.status_kib("VmRSS:")
+    }
+
+    /// The most resident memory so far, in KiB.
+    pub fn peak_memory_kib(&self) -> Option<u64> {
+        self.status_kib("VmHWM:")
+    }
+
+    /// A size in the system's account of the process.
+    fn status_kib(&self, name: &str) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).ok()?;
-        status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().split(' ').next()?.parse().ok()
+        status.lines().find_map(|l| l.strip_prefix(name))?.trim().split(' ').next()?.parse().ok()
     }
 }
