--- a/proxy/src/discovery/list.rs
+++ b/proxy/src/discovery/list.rs
@@ -1,5 +1,6 @@
 //! Discovery's endpoint list. The names in its JSON are mapped to those of this program here and nowhere else.
 
+use super::bounded_entries;
 use serde::Deserialize;
 use std::collections::HashMap;
 
@@ -86,7 +87,7 @@
     #[serde(rename = "all")]
     pub complete: bool,
     /// The databases that changed, or all of them.
-    #[serde(rename = "targets")]
+    #[serde(rename = "targets", deserialize_with = "bounded_entries::deserialize")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,6 +1,7 @@
 //! Discovery's endpoint list and the watch on it, over HTTP/1.1. State machines that are fed bytes and use no socket.
 
 mod backoff;
+mod bounded_entries;
 mod error;
 mod http;
 mod list;
--- a/proxy/src/discovery/tests/large_lists.rs
+++ b/proxy/src/discovery/tests/large_lists.rs
@@ -1,6 +1,7 @@
 //! Lists of as many servers as the largest fleet has: complete, malformed at the end, with each server
 //! twice, or beyond the limit.
 
+use super::super::bounded_entries::MAX_ENTRIES;
 use super::super::error::PollError;
 use super::super::http::MAX_BODY_BYTES;
 use super::super::list::{DuplicateEntry, EndpointUpdate};
@@ -28,6 +29,11 @@
     )
 }
 
+/// An entry with the keys that it must have.
+fn short_entry(number: usize) -> String {
+    format!(r#"{{"uid":"s-{number}","state":"up"}}"#)
+}
+
 /// The body of a complete list, with one entry on each line.
 fn list_of(entries: &[String]) -> String {
     format!("{{\"rev\":42,\"all\":true,\"targets\":[\n{}\n]}}", entries.join(",\n"))
@@ -165,8 +171,7 @@
 #[test]
 fn the_first_entry_of_a_server_that_an_earlier_one_names_is_found() {
     // Given a list in which each entry stands twice
-    let entry = |number| format!(r#"{{"uid":"s-{number}","state":"up"}}"#);
-    let entries: Vec<String> = (0..SERVERS).map(entry).collect();
+    let entries: Vec<String> = (0..SERVERS).map(short_entry).collect();
     let body = list_of(&[&entries[..], &entries[..]].concat());
 
     // When it is read, then all entries are there, and the first that repeats one is named
@@ -176,3 +181,16 @@
     let duplicate = DuplicateEntry { uid, entry: SERVERS, first_entry: 0, count: SERVERS };
     assert_eq!(update.first_duplicate(), Some(duplicate));
 }
+
+#[test]
+fn a_list_of_too_many_entries_is_rejected_with_the_place() {
+    // Given a list with the most entries, and one with two more
+    let entries: Vec<String> = (0..MAX_ENTRIES + 2).map(short_entry).collect();
+    let (most, too_many) = (list_of(&entries[..MAX_ENTRIES]), list_of(&entries));
+
+    // When they arrive, then the first is read, and the second is rejected at the first entry beyond the limit
+    assert_eq!(read_update(&most).endpoints.len(), MAX_ENTRIES);
+    // The parser has read that entry and the comma after it: it names the end of the entry's line.
+    let place = format!("line {} column 0", LINES_BEFORE_ENTRIES + MAX_ENTRIES + 2);
+    assert_eq!(rejected(&too_many), format!("invalid list: more than {MAX_ENTRIES} entries at {place}"));
+}
--- a/proxy/tests/large_lists.rs
+++ b/proxy/tests/large_lists.rs
@@ -12,6 +12,10 @@
 const SERVERS: usize = 3_200;
 /// The longest body that the proxy accepts.
 const MAX_BODY_BYTES: usize = 4 << 20;
+/// The most entries that the proxy accepts.
+const MAX_ENTRIES: usize = 16_384;
+/// The entries of a list of short ones that is almost as long as the longest body.
+const SHORT_ENTRIES: usize = 130_000;
 /// The most memory that the process may have used at any time: what it has without a list, some copies of the longest body, and
 /// the servers of the largest fleet.
 const MAX_PEAK_MEMORY_KIB: u64 = 64 << 10;
@@ -90,6 +94,11 @@
     )
 }
 
+/// An entry with the keys that it must have.
+fn short_entry(number: usize) -> String {
+    format!(r#"{{"uid":"{number:x}","state":"up"}}"#)
+}
+
 fn all_entries() -> Vec<String> {
     (0..SERVERS).map(entry).collect()
 }
@@ -112,9 +121,13 @@
     let mut served = Served::start("large_lists_invalid", [127, 88, 224, 1]);
     served.check_served();
 
-    // When lists come that are malformed at the last entry, cut short, or longer than the limit
+    // When lists come that are malformed at the last entry, cut short, or beyond a limit
     let valid = entry(SERVERS - 1);
     let whole = list_of(&all_entries());
+    let too_many = list_of(&(0..SHORT_ENTRIES).map(short_entry).collect::<Vec<_>>());
+    // The list has a line before its first entry. The parser stops after the comma of the first entry beyond the limit.
+    let line_after = 1 + (MAX_ENTRIES + 1) + 1;
+    let too_many_place = format!("more than {MAX_ENTRIES} entries at line {line_after} column ");
     let last_line = format!("line {} column ", 1 + SERVERS);
     let place = last_line.as_str();
     let cases = [
@@ -122,6 +135,7 @@
         (list_with_last(valid.replace("\"az\":", "\"az\"")), vec!["expected `:`", place]),
         (list_with_last(valid.replace("up", &"x".repeat(1 << 20))), vec!["unknown variant `xxx", place]),
         (whole.trim_end_matches("}\n]}").to_string(), vec!["EOF while parsing", place]),
+        (too_many, vec![too_many_place.as_str()]),
         (whole.clone() + &" ".repeat(MAX_BODY_BYTES), vec!["reason=\"response too long\""]),
     ];
     // Then each leaves one line with its place, and requests are served from the list before
