--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::lock;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -29,7 +29,11 @@
 #[derive(Clone, Debug, Default)]
 struct EndpointList {
     revision: u64,
+    /// The revision at which the whole list was replaced the last time.
+    replaced_at: u64,
     databases: Vec<ListedDatabase>,
+    /// For each database the revision of its last change.
+    changed_at: Vec<u64>,
 }
 
 #[derive(Default)]
@@ -37,6 +41,7 @@
     list: Mutex<EndpointList>,
     changed: Condvar,
     stopped: AtomicBool,
+    sent_body_bytes: AtomicU64,
 }
 
 /// A handle to a running discovery service; it ends with the process or with [`Discovery::stop`].
@@ -77,10 +82,26 @@
     /// Replaces the list.
     pub fn set_databases(&self, databases: Vec<ListedDatabase>) {
         let mut list = lock(&self.inner.list);
-        *list = EndpointList { revision: list.revision + 1, databases };
+        let revision = list.revision + 1;
+        let changed_at = vec![revision; databases.len()];
+        *list = EndpointList { revision, replaced_at: revision, databases, changed_at };
         self.inner.changed.notify_all();
     }
 
+    /// Changes the entry at an index; who knows the list as it was is told of this change alone.
+    pub fn change_database(&self, index: usize, change: impl FnOnce(&mut ListedDatabase)) {
+        let mut list = lock(&self.inner.list);
+        list.revision += 1;
+        list.changed_at[index] = list.revision;
+        change(&mut list.databases[index]);
+        self.inner.changed.notify_all();
+    }
+
+    /// Bytes of all lists and changes that it has sent, without HTTP headers.
+    pub fn sent_body_bytes(&self) -> u64 {
+        self.inner.sent_body_bytes.load(Ordering::Relaxed)
+    }
+
     /// Changes some entries of the list.
     pub fn change_databases(&self, change: impl FnOnce(&mut Vec<ListedDatabase>)) {
         let mut databases = lock(&self.inner.list).databases.clone();
@@ -107,6 +128,7 @@
             let wait = query_parameter(&request, "hold_ms=").map(Duration::from_millis);
             let list = self.wait_for_change(known_revision, wait);
             let body = list.to_json(known_revision);
+            self.inner.sent_body_bytes.fetch_add(body.len() as u64, Ordering::Relaxed);
             write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
         }
         Ok(())
@@ -132,14 +154,16 @@
 }
 
 impl EndpointList {
-    /// The answer to a poll: without entries if the known revision is the current one.
+    /// The answer to a poll: the changes since the known revision, or the whole list if it was replaced since.
     fn to_json(&self, known_revision: Option<u64>) -> String {
-        let revision = self.revision;
-        if known_revision == Some(revision) {
-            return format!(r#"{{"rev":{revision},"all":false,"targets":[]}}"#);
-        }
-        let targets: Vec<String> = self.databases.iter().map(ListedDatabase::to_json).collect();
-        format!(r#"{{"rev":{revision},"all":true,"targets":[{}]}}"#, targets.join(","))
+        let changes_since = known_revision.filter(|known| (self.replaced_at..=self.revision).contains(known));
+        let oldest_known = changes_since.unwrap_or(0);
+        let targets: Vec<String> = std::iter::zip(&self.databases, &self.changed_at)
+            .filter(|(_, changed_at)| **changed_at > oldest_known)
+            .map(|(database, _)| database.to_json())
+            .collect();
+        let complete = changes_since.is_none();
+        format!(r#"{{"rev":{},"all":{complete},"targets":[{}]}}"#, self.revision, targets.join(","))
     }
 }
 
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod fleet;
 pub mod groups;
 mod links;
+pub mod many_databases;
 pub mod process;
 pub mod recorded_bytes;
 pub mod relay;
--- /dev/null
+++ b/test-support/src/many_databases.rs
@@ -0,0 +1,153 @@
+//! Thousands of databases in one process: one listener accepts for all loopback addresses, and the address that a
+//! connection was made to tells which database answers. They share no rows: each read gets the same value.
+
+use crate::groups::now_ms;
+use crate::lock;
+use crate::statement_text::quoted_strings;
+use crate::wire::{error, message, role_and_position, row, usage_row};
+use std::collections::{HashMap, HashSet};
+use std::io::{self, Read, Write};
+use std::net::{IpAddr, Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+/// Bound on the body of one message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+
+/// The value of every row.
+const VALUE: &str = "\\x9f03";
+
+/// The first database's address; the others follow it.
+const FIRST_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 100, 0, 1);
+
+/// A handle to the running databases; their threads end with the process.
+#[derive(Clone)]
+pub struct ManyDatabases {
+    inner: Arc<Inner>,
+    port: u16,
+}
+
+struct Inner {
+    primaries: HashSet<IpAddr>,
+    open_connections: Mutex<HashMap<IpAddr, Vec<TcpStream>>>,
+    connection_count: AtomicU64,
+    statement_count: AtomicU64,
+}
+
+impl ManyDatabases {
+    /// Starts databases with these indices as primaries; the others are replicas.
+    pub fn start(primaries: impl Iterator<Item = u32>) -> io::Result<ManyDatabases> {
+        // A listener at the unspecified address is the only one that accepts for a whole range of addresses.
+        let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
+        let port = listener.local_addr()?.port();
+        let inner = Inner {
+            primaries: primaries.map(ip_address).collect(),
+            open_connections: Mutex::default(),
+            connection_count: AtomicU64::new(0),
+            statement_count: AtomicU64::new(0),
+        };
+        let databases = ManyDatabases { inner: Arc::new(inner), port };
+        let accepting = databases.clone();
+        thread::spawn(move || accepting.accept(&listener));
+        Ok(databases)
+    }
+
+    /// Where the database with this index listens.
+    pub fn address(&self, index: u32) -> SocketAddr {
+        SocketAddr::new(ip_address(index), self.port)
+    }
+
+    /// Connections accepted so far, by all databases.
+    pub fn connection_count(&self) -> u64 {
+        self.inner.connection_count.load(Ordering::Relaxed)
+    }
+
+    /// Statements received so far, health checks included, by all databases.
+    pub fn statement_count(&self) -> u64 {
+        self.inner.statement_count.load(Ordering::Relaxed)
+    }
+
+    /// Breaks the connections of a database, as its restart does.
+    pub fn break_connections(&self, index: u32) {
+        let streams = lock(&self.inner.open_connections).remove(&ip_address(index)).unwrap_or_default();
+        for stream in streams {
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+
+    fn accept(&self, listener: &TcpListener) {
+        for stream in listener.incoming().flatten() {
+            // The listener can be reached from other machines; nobody there has business with it.
+            if !stream.peer_addr().is_ok_and(|peer| peer.ip().is_loopback()) {
+                continue;
+            }
+            self.inner.connection_count.fetch_add(1, Ordering::Relaxed);
+            let databases = self.clone();
+            thread::spawn(move || databases.serve(stream));
+        }
+    }
+
+    /// Answers statements until either end breaks the connection.
+    fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+        let database = stream.local_addr()?.ip();
+        let peer = stream.peer_addr()?;
+        let for_break = stream.try_clone()?;
+        lock(&self.inner.open_connections).entry(database).or_default().push(for_break);
+        let result = self.answer_statements(&mut stream, self.inner.primaries.contains(&database));
+        if let Some(streams) = lock(&self.inner.open_connections).get_mut(&database) {
+            streams.retain(|other| other.peer_addr().is_ok_and(|other| other != peer));
+        }
+        result
+    }
+
+    fn answer_statements(&self, stream: &mut TcpStream, is_primary: bool) -> io::Result<()> {
+        stream.set_nodelay(true)?;
+        read_body(stream)?;
+        stream.write_all(&[message(b'R', &[0; 4]), ready()].concat())?;
+        let mut tag = [0];
+        loop {
+            stream.read_exact(&mut tag)?;
+            let body = read_body(stream)?;
+            if tag != [b'Q'] {
+                return Ok(());
+            }
+            self.inner.statement_count.fetch_add(1, Ordering::Relaxed);
+            let query = String::from_utf8_lossy(&body);
+            stream.write_all(&answer(query.trim_end_matches('\0'), is_primary))?;
+        }
+    }
+}
+
+/// The address of the database with this index.
+fn ip_address(index: u32) -> IpAddr {
+    Ipv4Addr::from_bits(FIRST_ADDRESS.to_bits() + index).into()
+}
+
+/// The messages that answer a statement.
+fn answer(query: &str, is_primary: bool) -> Vec<u8> {
+    let now = now_ms();
+    let result = match quoted_strings(query).len() {
+        _ if query == "SHOW usage" => usage_row(is_primary, now),
+        0 => error("42601", "not a statement that is known here"),
+        1 => row(VALUE),
+        _ if is_primary => row(VALUE),
+        _ => error("25006", "this is no primary"),
+    };
+    [result, role_and_position(is_primary, now), ready()].concat()
+}
+
+/// Says that the database is ready for the next statement, outside of a transaction.
+fn ready() -> Vec<u8> {
+    message(b'Z', b"I")
+}
+
+/// Reads a message from its length on and returns the body.
+fn read_body(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
+    let mut length = [0; 4];
+    stream.read_exact(&mut length)?;
+    let body_length = (u32::from_be_bytes(length) as usize).saturating_sub(length.len());
+    let mut body = vec![0; body_length.min(MAX_MESSAGE_BYTES)];
+    stream.read_exact(&mut body)?;
+    Ok(body)
+}
--- a/test-support/src/process.rs
+++ b/test-support/src/process.rs
@@ -176,7 +176,22 @@
 
     /// Resident memory in KiB.
     pub fn resident_memory_kib(&self) -> Option<u64> {
+        self.memory_kib("VmRSS:")
+    }
+
+    /// The most resident memory that it has had so far, in KiB.
+    pub fn peak_memory_kib(&self) -> Option<u64> {
+        self.memory_kib("VmHWM:")
+    }
+
+    /// A figure of the system's account of its memory, by its label.
+    fn memory_kib(&self, label: &str) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).ok()?;
-        status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().split(' ').next()?.parse().ok()
+        status.lines().find_map(|l| l.strip_prefix(label))?.trim().split(' ').next()?.parse().ok()
+    }
+
+    /// How many descriptors it has open.
+    pub fn open_descriptors(&self) -> Option<usize> {
+        Some(std::fs::read_dir(format!("/proc/{}/fd", self.pid())).ok()?.count())
     }
 }
