--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -8,11 +8,13 @@
 mod hangs;
 mod log_lines;
 mod process_cpu;
+mod scale;
 mod schedules;
 mod times;
 mod view;
 
 use clap::{Parser, Subcommand};
+use scale::ScaleSettings;
 use std::path::{Path, PathBuf};
 
 /// How a measurement ends, once its tables are printed.
@@ -85,6 +87,17 @@
         #[arg(long, default_value_t = 40)]
         processes: usize,
     },
+    /// What a proxy costs as its fleet grows from 120 to 3,200 databases, under the same load
+    Scale {
+        #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..))]
+        rounds: u32,
+        /// Seconds of each run
+        #[arg(long, default_value_t = 20)]
+        seconds: u64,
+        /// Requests a second over all clients
+        #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u32).range(1..))]
+        rate: u32,
+    },
 }
 
 fn main() -> MeasurementResult {
@@ -110,6 +123,9 @@
                 schedules::run(program, folder, from..=to, side_by_side)
             }
             Measurement::View { processes } => view::run(program, folder, processes, seed),
+            Measurement::Scale { rounds, seconds, rate: requests_per_second } => {
+                scale::run(program, folder, ScaleSettings { rounds, seconds, requests_per_second, seed })
+            }
         }
     }
 }
--- /dev/null
+++ b/benches/src/scale/load.rs
@@ -0,0 +1,102 @@
+//! The load on the proxy: requests at a fixed rate on a fixed number of connections, spread evenly over all groups.
+
+use birchreach_test_support::client::{Client, Reply};
+use fastrand::Rng;
+use std::io;
+use std::net::SocketAddr;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Connections of clients to the proxy.
+pub(super) const CLIENTS: u32 = 16;
+
+/// One in so many requests writes, the others read.
+const WRITE_INTERVAL: u32 = 4;
+
+const WRITE_TIMEOUT_MS: u32 = 3_000;
+const READ_TIMEOUT_MS: u32 = 2_500;
+
+/// What the clients send, and for how long.
+pub(super) struct Load {
+    pub(super) address: SocketAddr,
+    pub(super) group_count: u32,
+    pub(super) requests_per_second: u32,
+    pub(super) until: Instant,
+    pub(super) seed: u64,
+}
+
+/// How requests ended.
+#[derive(Clone, Copy, Default)]
+pub(super) struct Outcomes {
+    pub(super) served: u64,
+    /// Answered with an error.
+    pub(super) failed: u64,
+    /// Without an answer, or never sent as no connection came up.
+    pub(super) unanswered: u64,
+}
+
+impl Outcomes {
+    pub(super) fn total(self) -> u64 {
+        self.served + self.failed + self.unanswered
+    }
+
+    pub(super) fn share_served(self) -> f64 {
+        self.served as f64 / self.total() as f64
+    }
+
+    pub(super) fn plus(self, other: Outcomes) -> Outcomes {
+        Outcomes {
+            served: self.served + other.served,
+            failed: self.failed + other.failed,
+            unanswered: self.unanswered + other.unanswered,
+        }
+    }
+}
+
+impl Load {
+    /// Sends the requests and counts how they ended.
+    pub(super) fn run(&self) -> Outcomes {
+        thread::scope(|scope| {
+            let start_client = |number| scope.spawn(move || self.run_client(number));
+            let clients: Vec<_> = (0..CLIENTS).map(start_client).collect();
+            let outcomes = clients.into_iter().map(|client| client.join().unwrap_or_default());
+            outcomes.fold(Outcomes::default(), Outcomes::plus)
+        })
+    }
+
+    /// Sends a client's requests, each at its time even if the one before was late.
+    fn run_client(&self, number: u32) -> Outcomes {
+        let mut random = Rng::with_seed(self.seed ^ u64::from(number));
+        let interval = Duration::from_secs(1) * CLIENTS / self.requests_per_second;
+        let mut next = Instant::now() + interval * number / CLIENTS;
+        let mut connection = None;
+        let mut outcomes = Outcomes::default();
+        while next < self.until {
+            thread::sleep(next.saturating_duration_since(Instant::now()));
+            match self.request(&mut connection, &mut random) {
+                Ok(Reply::Served(_)) => outcomes.served += 1,
+                Ok(Reply::Error(_)) => outcomes.failed += 1,
+                Err(_) => {
+                    outcomes.unanswered += 1;
+                    connection = None;
+                }
+            }
+            next += interval;
+        }
+        outcomes
+    }
+
+    /// Makes one request of any group, on a new connection if there is none.
+    fn request(&self, connection: &mut Option<Client>, random: &mut Rng) -> io::Result<Reply> {
+        let client = match connection {
+            Some(client) => client,
+            None => connection.insert(Client::connect(self.address)?),
+        };
+        let group = random.u32(0..self.group_count);
+        if random.u32(0..WRITE_INTERVAL) == 0 {
+            client.write("file-entry", group, WRITE_TIMEOUT_MS)
+        } else {
+            client.read("tariff-lookup", group, READ_TIMEOUT_MS)
+        }
+    }
+}
