--- a/health/src/event.rs
+++ b/health/src/event.rs
@@ -41,12 +41,12 @@
     /// Discovery responded.
     DiscoveryAnswered,
     /// An attempt was sent to a server.
-    RequestSent {
+    AttemptSent {
         /// The server.
         server: ServerId,
     },
     /// An attempt ended.
-    RequestEnded {
+    AttemptEnded {
         /// The server.
         server: ServerId,
         /// The request was a write.
--- a/health/src/monitor/events.rs
+++ b/health/src/monitor/events.rs
@@ -22,8 +22,8 @@
                 self.update_by(now);
             }
             HealthEvent::DiscoveryAnswered => self.proxy.connectivity.discovery_responded_at = Some(now),
-            HealthEvent::RequestSent { server } => self.record_sent(now, server),
-            HealthEvent::RequestEnded { server, write, outcome, role } => {
+            HealthEvent::AttemptSent { server } => self.record_sent(now, server),
+            HealthEvent::AttemptEnded { server, write, outcome, role } => {
                 self.record_outcome(now, server, write, outcome);
                 self.record_role(now, server, role);
             }
--- a/health/tests/histories/history.rs
+++ b/health/tests/histories/history.rs
@@ -171,7 +171,7 @@
         } else {
             record.requests_in_flight += 1;
             record.sent_at = Some(now);
-            self.handle(HealthEvent::RequestSent { server: ServerId(server) });
+            self.handle(HealthEvent::AttemptSent { server: ServerId(server) });
         }
     }
 
@@ -197,7 +197,7 @@
         self.handle(if is_probe {
             HealthEvent::ProbeEnded { server, outcome, role }
         } else {
-            HealthEvent::RequestEnded { server, write, outcome, role }
+            HealthEvent::AttemptEnded { server, write, outcome, role }
         });
     }
 }
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -82,12 +82,12 @@
 
     /// Sends an attempt to a server.
     pub(crate) fn send(&mut self, server: u32) {
-        self.handle(HealthEvent::RequestSent { server: ServerId(server) });
+        self.handle(HealthEvent::AttemptSent { server: ServerId(server) });
     }
 
     /// Ends an attempt.
     pub(crate) fn end(&mut self, server: u32, write: bool, outcome: ProbeOutcome, role: Option<Role>) {
-        self.handle(HealthEvent::RequestEnded { server: ServerId(server), write, outcome, role });
+        self.handle(HealthEvent::AttemptEnded { server: ServerId(server), write, outcome, role });
     }
 
     /// Sends an attempt to a server that refuses the connection.
--- a/health/tests/wire_format.rs
+++ b/health/tests/wire_format.rs
@@ -25,8 +25,8 @@
     monitor.handle_event(1_000, HealthEvent::DiscoveryAnswered);
     monitor.update(1_000);
     let mut write = |now, server, outcome, role| {
-        monitor.handle_event(now, HealthEvent::RequestSent { server });
-        monitor.handle_event(now + 1_000, HealthEvent::RequestEnded { server, write: true, outcome, role });
+        monitor.handle_event(now, HealthEvent::AttemptSent { server });
+        monitor.handle_event(now + 1_000, HealthEvent::AttemptEnded { server, write: true, outcome, role });
     };
     write(2_000, ServerId(0), ProbeOutcome::Answered, Some(Role::Primary));
     write(3_000, ServerId(1), ProbeOutcome::Refused, None);
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -152,8 +152,8 @@
                 accepts_work: up,
             },
             CoreEvent::Unlisted { server, .. } => HealthEvent::ServerUnlisted { server: server_id(server) },
-            CoreEvent::AttemptSent { server } => HealthEvent::RequestSent { server: server_id(server) },
-            CoreEvent::AttemptEnded { server, write, reply, .. } => HealthEvent::RequestEnded {
+            CoreEvent::AttemptSent { server } => HealthEvent::AttemptSent { server: server_id(server) },
+            CoreEvent::AttemptEnded { server, write, reply, .. } => HealthEvent::AttemptEnded {
                 server: server_id(server),
                 write,
                 outcome: probe_outcome(reply),
