--- a/health/src/event.rs
+++ b/health/src/event.rs
@@ -4,11 +4,11 @@
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeOutcome {
+pub enum AttemptOutcome {
     /// The server answered, possibly with an error.
     Answered,
     /// It timed out.
-    Unanswered,
+    TimedOut,
     /// The connection was refused.
     Refused,
     /// The connection broke.
@@ -52,7 +52,7 @@
         /// The request was a write.
         write: bool,
         /// How it ended.
-        outcome: ProbeOutcome,
+        outcome: AttemptOutcome,
         /// The role that the server reported, if it did.
         role: Option<Role>,
     },
@@ -61,7 +61,7 @@
         /// The server.
         server: ServerId,
         /// How it ended.
-        outcome: ProbeOutcome,
+        outcome: AttemptOutcome,
         /// The role that the server reported, if it did.
         role: Option<Role>,
     },
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -47,7 +47,7 @@
 mod verdict;
 mod weight;
 
-pub use event::{HealthEvent, ProbeOutcome};
+pub use event::{AttemptOutcome, HealthEvent};
 pub use labels::{Operation, Reason, State};
 pub use monitor::Monitor;
 pub use query::HealthQuery;
--- a/health/src/monitor/events.rs
+++ b/health/src/monitor/events.rs
@@ -1,7 +1,7 @@
 //! The events: each goes to the part that owns the state concerned, and decides when the verdict must be computed anew.
 
 use super::Monitor;
-use crate::event::{HealthEvent, ProbeOutcome};
+use crate::event::{AttemptOutcome, HealthEvent};
 use crate::group::UpdateUrgency;
 use crate::overall::ProxyHealth;
 use crate::server_table::ServerListing;
@@ -94,21 +94,21 @@
     }
 
     /// An attempt or a probe in flight ended.
-    fn record_outcome(&mut self, now: Micros, server: ServerId, write: bool, outcome: ProbeOutcome) {
+    fn record_outcome(&mut self, now: Micros, server: ServerId, write: bool, outcome: AttemptOutcome) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         let evidence = &mut server.evidence;
         let awaited_sign_of_life = evidence.awaits_sign_of_life();
         match outcome {
-            ProbeOutcome::Answered => evidence.record_answer(now, write),
-            ProbeOutcome::Unanswered => evidence.record_timeout(now, write),
-            ProbeOutcome::Refused => evidence.record_refused(now),
-            ProbeOutcome::Reset => evidence.record_reset(now),
-            ProbeOutcome::Cancelled | ProbeOutcome::NotSent => evidence.record_cancelled(now),
+            AttemptOutcome::Answered => evidence.record_answer(now, write),
+            AttemptOutcome::TimedOut => evidence.record_timeout(now, write),
+            AttemptOutcome::Refused => evidence.record_refused(now),
+            AttemptOutcome::Reset => evidence.record_reset(now),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => evidence.record_cancelled(now),
         }
         let group = self.table.groups.get(&evidence.group);
         let urgency = match outcome {
             // The common case, an answer from a server of a healthy group, must cost no update.
-            ProbeOutcome::Answered => {
+            AttemptOutcome::Answered => {
                 let group_unavailable =
                     group.is_some_and(|group| !group.write.available || !group.read.available);
                 if awaited_sign_of_life && group_unavailable {
@@ -117,8 +117,8 @@
                     UpdateUrgency::None
                 }
             }
-            ProbeOutcome::Cancelled | ProbeOutcome::NotSent => UpdateUrgency::None,
-            ProbeOutcome::Unanswered | ProbeOutcome::Refused | ProbeOutcome::Reset => {
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => UpdateUrgency::None,
+            AttemptOutcome::TimedOut | AttemptOutcome::Refused | AttemptOutcome::Reset => {
                 UpdateUrgency::Immediate
             }
         };
@@ -126,11 +126,17 @@
     }
 
     /// A probe ended, perhaps later than it was waited for.
-    fn record_probe_outcome(&mut self, now: Micros, id: ServerId, outcome: ProbeOutcome, role: Option<Role>) {
+    fn record_probe_outcome(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        outcome: AttemptOutcome,
+        role: Option<Role>,
+    ) {
         let Some(server) = self.table.servers.get_mut(&id) else { return };
         if server.probe_sent_at.take().is_some() {
             self.record_outcome(now, id, false, outcome);
-        } else if outcome == ProbeOutcome::Answered {
+        } else if outcome == AttemptOutcome::Answered {
             // The probe had expired; its answer is a sign of life all the same.
             server.evidence.record_sign_of_life(now);
             self.request_update(now, UpdateUrgency::Deferred);
--- a/health/tests/histories/account.rs
+++ b/health/tests/histories/account.rs
@@ -1,7 +1,7 @@
 //! A record of what the monitor received, kept apart from it, against which its verdict is checked.
 
 use birchreach_health::{
-    HealthSettings, IdleGroupPolicy, Micros, ProbeOutcome, Reason, Role, State, Verdict,
+    AttemptOutcome, HealthSettings, IdleGroupPolicy, Micros, Reason, Role, State, Verdict,
 };
 use std::collections::HashMap;
 
@@ -86,20 +86,20 @@
     }
 
     /// An attempt or a probe ended.
-    pub(crate) fn record_outcome(&mut self, now: Micros, server: u32, write: bool, outcome: ProbeOutcome) {
+    pub(crate) fn record_outcome(&mut self, now: Micros, server: u32, write: bool, outcome: AttemptOutcome) {
         let record = self.server(server);
         match outcome {
-            ProbeOutcome::Unanswered if write => record.write_timeouts += 1,
-            ProbeOutcome::Refused => record.refused_at = record.refused_at.or(Some(now)),
-            ProbeOutcome::Reset => {
+            AttemptOutcome::TimedOut if write => record.write_timeouts += 1,
+            AttemptOutcome::Refused => record.refused_at = record.refused_at.or(Some(now)),
+            AttemptOutcome::Reset => {
                 record.consecutive_resets += 1;
                 let refuses = record.consecutive_resets >= MAX_CONSECUTIVE_FAILURES;
                 record.refused_at = record.refused_at.or(refuses.then_some(now));
             }
-            ProbeOutcome::Answered if write => record.write_timeouts = 0,
+            AttemptOutcome::Answered if write => record.write_timeouts = 0,
             _ => {}
         }
-        if outcome == ProbeOutcome::Answered {
+        if outcome == AttemptOutcome::Answered {
             self.record_sign_of_life(now, server);
         }
     }
--- a/health/tests/histories/history.rs
+++ b/health/tests/histories/history.rs
@@ -3,8 +3,8 @@
 use crate::account::{Account, WriteChange};
 use crate::common::request_classes;
 use birchreach_health::{
-    Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor, Operation, ProbeOutcome,
-    ProbeSettings, Role, ServerId,
+    AttemptOutcome, Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor,
+    Operation, ProbeSettings, Role, ServerId,
 };
 
 /// Steps of a history, each with one to three events.
@@ -178,14 +178,14 @@
     /// Ends an attempt or a probe with a random outcome.
     fn end_attempt(&mut self, server: u32, write: bool, is_probe: bool) {
         let outcome = match self.rng.u8(0..10) {
-            0..4 => ProbeOutcome::Answered,
-            4 | 5 => ProbeOutcome::Unanswered,
-            6 => ProbeOutcome::Refused,
-            7 => ProbeOutcome::Reset,
-            8 => ProbeOutcome::Cancelled,
-            _ => ProbeOutcome::NotSent,
+            0..4 => AttemptOutcome::Answered,
+            4 | 5 => AttemptOutcome::TimedOut,
+            6 => AttemptOutcome::Refused,
+            7 => AttemptOutcome::Reset,
+            8 => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::NotSent,
         };
-        let reports_role = outcome == ProbeOutcome::Answered && self.rng.u8(0..4) > 0;
+        let reports_role = outcome == AttemptOutcome::Answered && self.rng.u8(0..4) > 0;
         let role = reports_role.then(|| {
             // Sometimes the endpoint list is wrong.
             let is_primary = self.account.servers[&server].listed_as_primary != (self.rng.u8(0..8) == 0);
--- a/health/tests/verdicts/primary_faults.rs
+++ b/health/tests/verdicts/primary_faults.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{MILLISECOND, SECOND, probing, proxy_with_proven_primary, simulated_proxy};
 use birchreach_health::{
-    HealthEvent, HealthSettings, IdleGroupPolicy, ProbeOutcome, Role, ServerId, SharedCausePolicy, State,
+    AttemptOutcome, HealthEvent, HealthSettings, IdleGroupPolicy, Role, ServerId, SharedCausePolicy, State,
 };
 
 /// Writes are withdrawn within 2 s and reads stay. The endpoint list alone doesn't restore writes, a proof does.
@@ -31,7 +31,7 @@
     assert_eq!(proxy.agent_reply("group=0 write"), "ready down #primary-silent\n");
     // When that server proves to be the primary, then writes are restored after a delay
     proxy.send(1);
-    proxy.end(1, false, ProbeOutcome::Answered, Some(Role::Primary));
+    proxy.end(1, false, AttemptOutcome::Answered, Some(Role::Primary));
     proxy.advance(50 * MILLISECOND, |_| None);
     assert_eq!(
         proxy.agent_reply("file-entry"),
@@ -90,7 +90,7 @@
     for _ in 0..60 {
         proxy.send(0);
         proxy.advance(300 * MILLISECOND, |_| None);
-        proxy.end(0, true, ProbeOutcome::Answered, Some(Role::Primary));
+        proxy.end(0, true, AttemptOutcome::Answered, Some(Role::Primary));
         for _ in 0..7 {
             proxy.write(0, 100 * MILLISECOND);
         }
@@ -106,7 +106,7 @@
     for _ in 0..60 {
         proxy.send(0);
         proxy.advance(1900 * MILLISECOND, |_| None);
-        proxy.end(0, true, ProbeOutcome::Unanswered, None);
+        proxy.end(0, true, AttemptOutcome::TimedOut, None);
         proxy.write(0, 5 * MILLISECOND);
         proxy.advance(1200 * MILLISECOND, |_| None);
     }
@@ -124,7 +124,7 @@
         proxy.advance(8 * SECOND, |server| {
             Some(if server == ServerId(0) { Role::Primary } else { Role::Replica })
         });
-        proxy.end(0, true, ProbeOutcome::Answered, Some(Role::Primary));
+        proxy.end(0, true, AttemptOutcome::Answered, Some(Role::Primary));
     }
     assert_eq!(proxy.count_capability_changes(), 0);
 }
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -4,7 +4,7 @@
 use birchreach_health::agent::{self, AgentCheckConnection};
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::{
-    Change, GroupId, HealthEvent, HealthSettings, Micros, Monitor, ProbeOutcome, ProbeSettings, Role,
+    AttemptOutcome, Change, GroupId, HealthEvent, HealthSettings, Micros, Monitor, ProbeSettings, Role,
     ServerId,
 };
 
@@ -62,7 +62,7 @@
             self.monitor.update(self.now);
             for server in self.monitor.take_probes() {
                 if let Some(role) = role_of(server) {
-                    let (outcome, role) = (ProbeOutcome::Answered, Some(role));
+                    let (outcome, role) = (AttemptOutcome::Answered, Some(role));
                     self.handle(HealthEvent::ProbeEnded { server, outcome, role });
                 }
             }
@@ -86,21 +86,21 @@
     }
 
     /// Ends an attempt.
-    pub(crate) fn end(&mut self, server: u32, write: bool, outcome: ProbeOutcome, role: Option<Role>) {
+    pub(crate) fn end(&mut self, server: u32, write: bool, outcome: AttemptOutcome, role: Option<Role>) {
         self.handle(HealthEvent::AttemptEnded { server: ServerId(server), write, outcome, role });
     }
 
     /// Sends an attempt to a server that refuses the connection.
     pub(crate) fn send_refused(&mut self, server: u32, write: bool) {
         self.send(server);
-        self.end(server, write, ProbeOutcome::Refused, None);
+        self.end(server, write, AttemptOutcome::Refused, None);
     }
 
     /// Sends a write that the primary serves after this time.
     pub(crate) fn write(&mut self, server: u32, duration: Micros) {
         self.send(server);
         self.advance(duration, |_| None);
-        self.end(server, true, ProbeOutcome::Answered, Some(Role::Primary));
+        self.end(server, true, AttemptOutcome::Answered, Some(Role::Primary));
     }
 
     /// The reply to an agent-check with this line.
--- a/health/tests/wire_format.rs
+++ b/health/tests/wire_format.rs
@@ -7,7 +7,7 @@
 use birchreach_health::http::HttpCheckConnection;
 use birchreach_health::query::HealthQuery;
 use birchreach_health::{
-    GroupId, HealthEvent, HealthSettings, Monitor, ProbeOutcome, Reason, Role, ServerId, State, agent,
+    AttemptOutcome, GroupId, HealthEvent, HealthSettings, Monitor, Reason, Role, ServerId, State, agent,
 };
 use common::request_classes;
 
@@ -28,8 +28,8 @@
         monitor.handle_event(now, HealthEvent::AttemptSent { server });
         monitor.handle_event(now + 1_000, HealthEvent::AttemptEnded { server, write: true, outcome, role });
     };
-    write(2_000, ServerId(0), ProbeOutcome::Answered, Some(Role::Primary));
-    write(3_000, ServerId(1), ProbeOutcome::Refused, None);
+    write(2_000, ServerId(0), AttemptOutcome::Answered, Some(Role::Primary));
+    write(3_000, ServerId(1), AttemptOutcome::Refused, None);
     let load = HealthEvent::Load { pressure: 0.25, in_progress: 3, queued: 2, client_capacity: 40 };
     monitor.handle_event(4_000, load);
     monitor.update(4_000);
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -5,9 +5,7 @@
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Consistency, GroupId, Micros, Role, ServerId};
 use birchreach_health as health;
-use birchreach_health::{
-    Change, HealthEvent, HealthSettings, Monitor, ProbeOutcome, RequestClass, RequiredServer,
-};
+use birchreach_health::{Change, HealthEvent, HealthSettings, Monitor, RequestClass, RequiredServer};
 use birchreach_options::HealthOptions;
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
@@ -63,21 +61,21 @@
 }
 
 /// What the end of an attempt tells of its server.
-fn probe_outcome(reply: &Reply) -> ProbeOutcome {
+fn attempt_outcome(reply: &Reply) -> health::AttemptOutcome {
     match reply.outcome {
         // The server itself has answered each of these.
         AttemptOutcome::Ok
         | AttemptOutcome::Error
         | AttemptOutcome::Overloaded
-        | AttemptOutcome::Ineligible => ProbeOutcome::Answered,
-        AttemptOutcome::Timeout => ProbeOutcome::Unanswered,
-        AttemptOutcome::ConnectFailed if reply.connection_refused => ProbeOutcome::Refused,
+        | AttemptOutcome::Ineligible => health::AttemptOutcome::Answered,
+        AttemptOutcome::Timeout => health::AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectFailed if reply.connection_refused => health::AttemptOutcome::Refused,
         // A connect without any answer counts like a reset: only several in a row are evidence.
         AttemptOutcome::ConnectFailed
         | AttemptOutcome::ClosedBeforeExecution
-        | AttemptOutcome::ConnectionReset => ProbeOutcome::Reset,
-        AttemptOutcome::Cancelled => ProbeOutcome::Cancelled,
-        AttemptOutcome::NotSent => ProbeOutcome::NotSent,
+        | AttemptOutcome::ConnectionReset => health::AttemptOutcome::Reset,
+        AttemptOutcome::Cancelled => health::AttemptOutcome::Cancelled,
+        AttemptOutcome::NotSent => health::AttemptOutcome::NotSent,
     }
 }
 
@@ -156,12 +154,12 @@
             CoreEvent::AttemptEnded { server, write, reply, .. } => HealthEvent::AttemptEnded {
                 server: server_id(server),
                 write,
-                outcome: probe_outcome(reply),
+                outcome: attempt_outcome(reply),
                 role: reported_role(reply, write),
             },
             CoreEvent::MonitorCheckEnded { server, reply } => HealthEvent::ProbeEnded {
                 server: server_id(server),
-                outcome: probe_outcome(reply),
+                outcome: attempt_outcome(reply),
                 role: reported_role(reply, false),
             },
             CoreEvent::ServerAlive { server } => HealthEvent::ServerAlive { server: server_id(server) },
