--- a/health/src/connectivity.rs
+++ b/health/src/connectivity.rs
@@ -37,10 +37,10 @@
         let discovery_expires_at =
             self.discovery_responded_at.unwrap_or(self.started_at) + settings.discovery_timeout;
         let discovery_unresponsive = now >= discovery_expires_at;
-        let last_sign_of_life_at =
-            servers.values().filter_map(|server| server.evidence.last_sign_of_life_at).max();
-        let responded_recently = last_sign_of_life_at.is_some_and(|at| now - at < settings.silence_limit());
-        let databases_unresponsive = all_contacted_have_failed(now, servers, settings) && !responded_recently;
+        let last_contact_at = servers.values().filter_map(|server| server.evidence.last_contact_at).max();
+        let responded_recently = last_contact_at.is_some_and(|at| now - at < settings.silence_limit());
+        let databases_unresponsive =
+            all_awaited_servers_failed(now, servers, settings) && !responded_recently;
         let observed = if discovery_unresponsive && databases_unresponsive {
             Observation::unavailable(Reason::Isolated)
         } else {
@@ -49,19 +49,19 @@
         self.reported.observe(now, observed, settings);
         let waits_for_discovery = databases_unresponsive && !discovery_unresponsive;
         let discovery_expires_at = waits_for_discovery.then_some(discovery_expires_at);
-        let databases_expire_at = last_sign_of_life_at
+        let databases_expire_at = last_contact_at
             .map(|at| at + settings.silence_limit())
             .filter(|at| *at > now && !waits_for_discovery);
         earliest(self.reported.changes_at(settings), earliest(discovery_expires_at, databases_expire_at))
     }
 }
 
-/// Some server was contacted, and each that was has failed.
-fn all_contacted_have_failed(now: Micros, servers: &Servers, settings: &HealthSettings) -> bool {
-    let was_contacted = |server: &&MonitoredServer| server.evidence.awaits_sign_of_life();
+/// Some server was awaited, and each that was has failed.
+fn all_awaited_servers_failed(now: Micros, servers: &Servers, settings: &HealthSettings) -> bool {
+    let awaits_contact = |server: &&MonitoredServer| server.evidence.awaits_contact();
     let has_failed = |evidence: &ServerEvidence| {
         evidence.failure(now, settings).is_some_and(|failure| failure != FailureEvidence::WritesUnanswered)
     };
-    let mut contacted = servers.values().filter(was_contacted).peekable();
-    contacted.peek().is_some() && contacted.all(|server| has_failed(&server.evidence))
+    let mut awaited = servers.values().filter(awaits_contact).peekable();
+    awaited.peek().is_some() && awaited.all(|server| has_failed(&server.evidence))
 }
--- a/health/src/evidence.rs
+++ b/health/src/evidence.rs
@@ -35,7 +35,7 @@
     /// The role that it last reported.
     pub reported_role: Option<Role>,
     /// When it last gave a sign of life.
-    pub last_sign_of_life_at: Option<Micros>,
+    pub last_contact_at: Option<Micros>,
     /// Something was sent to it that it has not responded to.
     pub response_pending: bool,
     /// Attempts and probes in flight.
@@ -63,7 +63,7 @@
             accepts_work: true,
             listed_as_primary: None,
             reported_role: None,
-            last_sign_of_life_at: None,
+            last_contact_at: None,
             response_pending: false,
             in_flight: 0,
             earlier_silence: 0,
@@ -89,8 +89,8 @@
     }
 
     /// It responded, or a connection to it was established.
-    pub(crate) fn record_sign_of_life(&mut self, now: Micros) {
-        self.last_sign_of_life_at = Some(now);
+    pub(crate) fn record_contact(&mut self, now: Micros) {
+        self.last_contact_at = Some(now);
         self.earlier_silence = 0;
         self.unreachable = false;
         self.consecutive_resets = 0;
@@ -101,7 +101,7 @@
     /// An attempt or a probe was answered, possibly with an error.
     pub(crate) fn record_answer(&mut self, now: Micros, write: bool) {
         self.finish_attempt(now);
-        self.record_sign_of_life(now);
+        self.record_contact(now);
         if write {
             self.consecutive_write_timeouts = 0;
         }
@@ -158,7 +158,7 @@
     }
 
     /// A sign of life would change what is known of it.
-    pub(crate) fn awaits_sign_of_life(&self) -> bool {
+    pub(crate) fn awaits_contact(&self) -> bool {
         self.response_pending || self.unreachable
     }
 
--- a/health/src/group.rs
+++ b/health/src/group.rs
@@ -98,7 +98,7 @@
         if self.write.observe(now, write, settings) {
             let Observation { available, reason } = write;
             changes.push(Change::Capability { group, operation: Operation::Write, available, reason });
-            if !available && reason.is_evidence() {
+            if !available && reason.contradicts_endpoint_list() {
                 self.primary_proof = None;
                 self.withdrawn_for = Some(reason);
             }
@@ -153,7 +153,7 @@
         match evidence.failure(now, settings) {
             Some(failure) => Observation::unavailable(primary_failure(failure)),
             None if now - proof.at < settings.proof_window => Observation::available(Reason::Proven),
-            None => unproven(settings),
+            None => observe_unproven_primary(settings),
         }
     }
 
@@ -167,7 +167,7 @@
         match self.accepting(servers).find(|evidence| evidence.listed_as_primary == Some(true)) {
             // A list without roles doesn't prove a primary, but doesn't deny it either.
             None if self.accepting(servers).any(|evidence| evidence.listed_as_primary.is_none()) => {
-                unproven(settings)
+                observe_unproven_primary(settings)
             }
             None => Observation::unavailable(Reason::NoPrimary),
             Some(evidence) => match evidence.failure(now, settings) {
@@ -175,7 +175,7 @@
                 None if evidence.reported_role == Some(Role::Replica) => {
                     Observation::unavailable(Reason::PrimaryDemoted)
                 }
-                None => unproven(settings),
+                None => observe_unproven_primary(settings),
             },
         }
     }
@@ -184,7 +184,7 @@
     fn observe_reads(&mut self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Observation {
         let failing = self.reads.is_failing(now);
         let responded_recently = |evidence: &ServerEvidence| {
-            evidence.last_sign_of_life_at.is_some_and(|at| now - at < settings.proof_window)
+            evidence.last_contact_at.is_some_and(|at| now - at < settings.proof_window)
         };
         if self.accepting(servers).next().is_none() {
             Observation::unavailable(Reason::NoMembers)
@@ -201,7 +201,7 @@
 }
 
 /// What is reported of a primary without a proof and without evidence against it.
-fn unproven(settings: &HealthSettings) -> Observation {
+fn observe_unproven_primary(settings: &HealthSettings) -> Observation {
     match settings.idle_groups {
         IdleGroupPolicy::TrustEndpointList => Observation::available(Reason::Trusted),
         IdleGroupPolicy::Withdraw => Observation::unavailable(Reason::Unproven),
--- a/health/src/labels.rs
+++ b/health/src/labels.rs
@@ -122,7 +122,7 @@
 impl Reason {
     /// True where responses, or their absence, contradict the endpoint list. The list alone doesn't revoke such a
     /// reason.
-    pub(crate) fn is_evidence(self) -> bool {
+    pub(crate) fn contradicts_endpoint_list(self) -> bool {
         matches!(
             self,
             Reason::PrimaryUnresponsive
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -21,9 +21,9 @@
 //! 4. The rate of transitions is bounded by the minimum time in each state (`transitions_are_bounded`).
 //! 5. A cause that all proxies share doesn't change the overall weight (`histories/`).
 //! 6. The weight changes by a bounded factor per second, and is 0 only where the proxy as a whole is unavailable
-//!    (`weight_moves_boundedly`).
+//!    (`the_weight_changes_by_a_bounded_factor`).
 //! 7. Probes stay within their budgets (`probes_stay_within_their_budget`).
-//! 8. Between events the verdict changes at [`Monitor::next_change`] only (`sleepers_miss_nothing`).
+//! 8. Between events the verdict changes at [`Monitor::next_change`] only (`the_verdict_changes_only_at_next_change`).
 
 #![warn(missing_docs)]
 
--- a/health/src/monitor/events.rs
+++ b/health/src/monitor/events.rs
@@ -30,7 +30,7 @@
             HealthEvent::ProbeEnded { server, outcome, role } => {
                 self.record_probe_outcome(now, server, outcome, role);
             }
-            HealthEvent::ServerAlive { server } => self.record_sign_of_life(now, server),
+            HealthEvent::ServerAlive { server } => self.record_contact(now, server),
             HealthEvent::ReadEnded { group, served } => self.record_read(now, group, served),
             HealthEvent::WritesQueued { group, since } => self.record_queued_writes(now, group, since),
             HealthEvent::Load { pressure, in_progress, queued, client_capacity } => {
@@ -97,7 +97,7 @@
     fn record_outcome(&mut self, now: Micros, server: ServerId, write: bool, outcome: AttemptOutcome) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         let evidence = &mut server.evidence;
-        let awaited_sign_of_life = evidence.awaits_sign_of_life();
+        let awaited_contact = evidence.awaits_contact();
         match outcome {
             AttemptOutcome::Answered => evidence.record_answer(now, write),
             AttemptOutcome::TimedOut => evidence.record_timeout(now, write),
@@ -111,7 +111,7 @@
             AttemptOutcome::Answered => {
                 let group_unavailable =
                     group.is_some_and(|group| !group.write.available || !group.read.available);
-                if awaited_sign_of_life && group_unavailable {
+                if awaited_contact && group_unavailable {
                     UpdateUrgency::Deferred
                 } else {
                     UpdateUrgency::None
@@ -138,7 +138,7 @@
             self.record_outcome(now, id, false, outcome);
         } else if outcome == AttemptOutcome::Answered {
             // The probe had expired; its answer is a sign of life all the same.
-            server.evidence.record_sign_of_life(now);
+            server.evidence.record_contact(now);
             self.request_update(now, UpdateUrgency::Deferred);
         } else {
             return;
@@ -147,11 +147,11 @@
     }
 
     /// A connection to the server was established.
-    fn record_sign_of_life(&mut self, now: Micros, server: ServerId) {
+    fn record_contact(&mut self, now: Micros, server: ServerId) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
-        let awaited_sign_of_life = server.evidence.awaits_sign_of_life();
-        server.evidence.record_sign_of_life(now);
-        if awaited_sign_of_life {
+        let awaited_contact = server.evidence.awaits_contact();
+        server.evidence.record_contact(now);
+        if awaited_contact {
             self.request_update(now, UpdateUrgency::Deferred);
         }
     }
--- a/health/tests/fleet.rs
+++ b/health/tests/fleet.rs
@@ -28,16 +28,16 @@
 /// The weights of one proxy over a stretch of time.
 #[derive(Clone, Copy, Debug)]
 struct WeightRange {
-    least: u8,
-    greatest: u8,
+    min: u8,
+    max: u8,
 }
 
 /// What was seen over a stretch of time.
 #[derive(Default)]
 struct Observed {
-    /// The greatest difference in utilization between two proxies.
+    /// The largest difference in utilization between two proxies.
     spread: f64,
-    /// The greatest utilization.
+    /// The highest utilization.
     max_utilization: f64,
     /// The weights of each proxy.
     weights: Vec<WeightRange>,
@@ -46,7 +46,7 @@
 impl Observed {
     /// The widest that a weight moved, as a fraction of it.
     fn swing(&self) -> f64 {
-        let swing = |range: &WeightRange| f64::from(range.greatest - range.least) / f64::from(range.greatest);
+        let swing = |range: &WeightRange| f64::from(range.max - range.min) / f64::from(range.max);
         self.weights.iter().map(swing).fold(0.0, f64::max)
     }
 }
@@ -122,21 +122,19 @@
 
     /// Lets time pass and watches utilization and weights.
     fn run_seconds(&mut self, seconds: Micros) -> Observed {
-        let mut observed = Observed {
-            weights: vec![WeightRange { least: u8::MAX, greatest: 0 }; PROXIES],
-            ..Observed::default()
-        };
+        let mut observed =
+            Observed { weights: vec![WeightRange { min: u8::MAX, max: 0 }; PROXIES], ..Observed::default() };
         for _ in 0..seconds * SECOND / TICK {
             self.tick();
             let utilization = self.utilization();
-            let greatest = utilization.iter().copied().fold(0.0, f64::max);
-            let least = utilization.iter().copied().fold(f64::MAX, f64::min);
-            observed.spread = observed.spread.max(greatest - least);
-            observed.max_utilization = observed.max_utilization.max(greatest);
+            let max = utilization.iter().copied().fold(0.0, f64::max);
+            let min = utilization.iter().copied().fold(f64::MAX, f64::min);
+            observed.spread = observed.spread.max(max - min);
+            observed.max_utilization = observed.max_utilization.max(max);
             for (monitor, range) in self.monitors.iter().zip(&mut observed.weights) {
                 let weight = monitor.verdict().overall.weight_percent;
-                range.least = weight.min(range.least);
-                range.greatest = weight.max(range.greatest);
+                range.min = weight.min(range.min);
+                range.max = weight.max(range.max);
             }
         }
         observed
@@ -179,7 +177,7 @@
 }
 
 #[test]
-fn weight_moves_boundedly() {
+fn the_weight_changes_by_a_bounded_factor() {
     let settings = HealthSettings::default();
     let (max_rise, max_fall) = (settings.weight.max_rise_factor_per_s, settings.weight.max_fall_factor_per_s);
     for seed in 0..200 {
@@ -202,10 +200,10 @@
             let weight = f64::from(overall.weight_percent);
             let seconds = span as f64 / 1e6;
             // Both weights are rounded.
-            let most = (last + 0.5) * max_rise.powf(seconds) + 0.5;
-            let least = (last - 0.5) / max_fall.powf(seconds) - 0.5;
+            let max = (last + 0.5) * max_rise.powf(seconds) + 0.5;
+            let min = (last - 0.5) / max_fall.powf(seconds) - 0.5;
             assert!(
-                weight <= most + 1e-9 && weight >= least - 1e-9,
+                weight <= max + 1e-9 && weight >= min - 1e-9,
                 "seed {seed}: {last} to {weight} in {span} us"
             );
             last = weight;
--- a/health/tests/histories/history.rs
+++ b/health/tests/histories/history.rs
@@ -1,7 +1,7 @@
-//! A seeded history: random events at random times, handed to a monitor and recorded in the account.
+//! A seeded history: random events at random times, handed to a monitor and recorded in the model.
 
-use crate::account::{Account, WriteChange};
 use crate::common::request_classes;
+use crate::reference_model::{ReferenceModel, WriteChange};
 use birchreach_health::{
     AttemptOutcome, Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor,
     Operation, ProbeSettings, Role, ServerId,
@@ -17,7 +17,7 @@
     now: Micros,
     pub settings: HealthSettings,
     pub monitor: Monitor,
-    pub account: Account,
+    pub model: ReferenceModel,
     /// Every change of the verdict, with its time.
     pub changes: Vec<(Micros, Change)>,
     /// Every probe, with its time and server.
@@ -48,7 +48,7 @@
             rng: fastrand::Rng::with_seed(seed),
             now: start,
             monitor: Monitor::new(settings.clone(), start),
-            account: Account::new(seed, settings.clone()),
+            model: ReferenceModel::new(seed, settings.clone()),
             settings,
             changes: Vec::new(),
             probes: Vec::new(),
@@ -61,7 +61,7 @@
     }
 
     /// Plays the whole history.
-    pub(crate) fn play(mut self) -> History {
+    pub(crate) fn run(mut self) -> History {
         for _ in 0..STEPS {
             let is_long = self.rng.u8(0..8) == 0;
             let span = if is_long { self.rng.i64(0..4_000_000) } else { self.rng.i64(0..60_000) };
@@ -72,7 +72,7 @@
             if self.monitor.next_change() <= self.now {
                 self.update();
             }
-            self.account.check_verdict(self.now, self.monitor.verdict());
+            self.model.check_verdict(self.now, self.monitor.verdict());
         }
         self
     }
@@ -94,7 +94,7 @@
         let now = self.now;
         self.monitor.update(now);
         for server in self.monitor.take_probes() {
-            let record = self.account.server(server.0);
+            let record = self.model.server(server.0);
             record.probes_in_flight = 1;
             record.sent_at = Some(now);
             self.probes.push((now, server.0));
@@ -102,15 +102,15 @@
         for change in self.monitor.take_changes() {
             self.changes.push((now, change));
             if let Change::Capability { group, operation: Operation::Write, available, reason } = change {
-                self.account.check_change(WriteChange { at: now, group: group.0, available, reason });
+                self.model.check_change(WriteChange { at: now, group: group.0, available, reason });
             }
         }
     }
 
     /// Lets something happen to a random server or its group.
     pub(crate) fn random_event(&mut self) {
-        let server = self.rng.u32(0..self.account.servers.len() as u32);
-        let group = self.account.servers[&server].group;
+        let server = self.rng.u32(0..self.model.servers.len() as u32);
+        let group = self.model.servers[&server].group;
         match self.rng.u8(0..20) {
             0 => {
                 let (accepts_work, primary) = (self.rng.u8(0..4) > 0, self.rng.u8(0..3) == 0);
@@ -119,7 +119,7 @@
             1 => self.begin_or_end_queueing(group),
             2 => self.handle(HealthEvent::DiscoveryAnswered),
             3 => {
-                self.account.record_sign_of_life(self.now, server);
+                self.model.record_contact(self.now, server);
                 self.handle(HealthEvent::ServerAlive { server: ServerId(server) });
             }
             4 | 5 => {
@@ -137,7 +137,7 @@
 
     /// Lists a server, or changes what is listed of it.
     fn list(&mut self, server: u32, group: u32, primary: bool, accepts_work: bool) {
-        let record = self.account.servers.entry(server).or_default();
+        let record = self.model.servers.entry(server).or_default();
         record.group = group;
         record.listed_as_primary = primary;
         record.accepts_work = accepts_work;
@@ -151,16 +151,16 @@
 
     /// The group's oldest write is queued from now on, or is no longer.
     fn begin_or_end_queueing(&mut self, group: u32) {
-        let was_queued = self.account.queued_since.remove(&group).is_some();
+        let was_queued = self.model.queued_since.remove(&group).is_some();
         let since = if was_queued { None } else { Some(self.now) };
-        self.account.queued_since.extend(since.map(|at| (group, at)));
+        self.model.queued_since.extend(since.map(|at| (group, at)));
         self.handle(HealthEvent::WritesQueued { group: GroupId(group), since });
     }
 
     /// Sends an attempt to the server, or ends one or a probe.
     fn send_or_end(&mut self, server: u32) {
         let now = self.now;
-        let record = self.account.server(server);
+        let record = self.model.server(server);
         if record.probes_in_flight > 0 && self.rng.bool() {
             record.probes_in_flight -= 1;
             self.end_attempt(server, false, true);
@@ -188,11 +188,11 @@
         let reports_role = outcome == AttemptOutcome::Answered && self.rng.u8(0..4) > 0;
         let role = reports_role.then(|| {
             // Sometimes the endpoint list is wrong.
-            let is_primary = self.account.servers[&server].listed_as_primary != (self.rng.u8(0..8) == 0);
+            let is_primary = self.model.servers[&server].listed_as_primary != (self.rng.u8(0..8) == 0);
             if is_primary { Role::Primary } else { Role::Replica }
         });
-        self.account.record_outcome(self.now, server, write, outcome);
-        self.account.record_role(self.now, server, role);
+        self.model.record_outcome(self.now, server, write, outcome);
+        self.model.record_role(self.now, server, role);
         let server = ServerId(server);
         self.handle(if is_probe {
             HealthEvent::ProbeEnded { server, outcome, role }
--- a/health/tests/histories/main.rs
+++ b/health/tests/histories/main.rs
@@ -1,9 +1,9 @@
 //! The crate's invariants (see its documentation) over seeded histories. A seed that fails is printed, and fails again.
 
-mod account;
 #[path = "../common/mod.rs"]
 mod common;
 mod history;
+mod reference_model;
 
 use birchreach_health::{Change, GroupId, Micros, Operation};
 use history::{History, STEPS};
@@ -21,8 +21,8 @@
 fn histories_of_events_keep_the_invariants() {
     let (mut changes, mut withdrawals, mut probes) = (0, 0, 0);
     for seed in 0..HISTORIES {
-        // Given a seed, when its history is played, then the account checks each change and verdict
-        let history = History::new(seed).play();
+        // Given a seed, when its history is played, then the model checks each change and verdict
+        let history = History::new(seed).run();
         // And transitions and probes are bounded
         transitions_are_bounded(&history);
         probes_stay_within_their_budget(&history);
@@ -73,7 +73,7 @@
     let total: Vec<Micros> = history.probes.iter().map(|(at, _)| *at).collect();
     check_rate(history.seed, &total, settings.total_rate_per_s, TOTAL_BURST);
     for group in 0..2 {
-        let in_group = |(_, server): &&(Micros, u32)| history.account.servers[server].group == group;
+        let in_group = |(_, server): &&(Micros, u32)| history.model.servers[server].group == group;
         let times: Vec<Micros> = history.probes.iter().filter(in_group).map(|(at, _)| *at).collect();
         check_rate(history.seed, &times, settings.group_rate_per_s, GROUP_BURST);
     }
@@ -91,36 +91,36 @@
 
 /// Invariant 8: updates at other times than the monitor asks for change nothing.
 #[test]
-fn sleepers_miss_nothing() {
+fn the_verdict_changes_only_at_next_change() {
     for seed in (1..2_000).step_by(2) {
         // Given two equal histories
-        let mut sleeper = History::new(seed);
-        let mut restless = History::new(seed);
-        let mut odd_times = fastrand::Rng::with_seed(!seed);
+        let mut on_schedule = History::new(seed);
+        let mut with_extra_updates = History::new(seed);
+        let mut extra_update_rng = fastrand::Rng::with_seed(!seed);
         for _ in 0..STEPS {
-            let span = sleeper.rng.i64(0..400_000);
-            assert_eq!(restless.rng.i64(0..400_000), span);
+            let span = on_schedule.rng.i64(0..400_000);
+            assert_eq!(with_extra_updates.rng.i64(0..400_000), span);
             // When one is updated only at the times that the monitor asks for, and the other more often
-            sleeper.advance(span);
+            on_schedule.advance(span);
             let mut left = span;
-            for _ in 0..odd_times.u8(0..4) {
-                let part = odd_times.i64(0..=left);
-                restless.advance(part);
-                restless.update();
+            for _ in 0..extra_update_rng.u8(0..4) {
+                let part = extra_update_rng.i64(0..=left);
+                with_extra_updates.advance(part);
+                with_extra_updates.update();
                 left -= part;
             }
-            restless.advance(left);
-            for history in [&mut sleeper, &mut restless] {
+            with_extra_updates.advance(left);
+            for history in [&mut on_schedule, &mut with_extra_updates] {
                 history.random_event();
                 history.update();
             }
             // Then both report the same
-            assert_eq!(sleeper.changes, restless.changes, "seed {seed}");
+            assert_eq!(on_schedule.changes, with_extra_updates.changes, "seed {seed}");
             let reported = |history: &History| {
                 let verdict = history.monitor.verdict();
                 (verdict.state, verdict.overall, verdict.groups.clone())
             };
-            assert_eq!(reported(&sleeper), reported(&restless), "seed {seed}");
+            assert_eq!(reported(&on_schedule), reported(&with_extra_updates), "seed {seed}");
         }
     }
 }
--- a/health/tests/histories/account.rs
+++ b/health/tests/histories/reference_model.rs
@@ -17,7 +17,7 @@
     pub requests_in_flight: u32,
     pub probes_in_flight: u32,
     pub sent_at: Option<Micros>,
-    last_sign_of_life_at: Option<Micros>,
+    last_contact_at: Option<Micros>,
     /// When it first refused connections since the last sign of life.
     refused_at: Option<Micros>,
     consecutive_resets: u32,
@@ -47,7 +47,7 @@
 }
 
 /// The servers, proofs and withdrawals of one history.
-pub(crate) struct Account {
+pub(crate) struct ReferenceModel {
     seed: u64,
     settings: HealthSettings,
     pub servers: HashMap<u32, ServerRecord>,
@@ -59,10 +59,10 @@
     withdrawals: HashMap<u32, Withdrawal>,
 }
 
-impl Account {
-    /// An account without servers.
-    pub(crate) fn new(seed: u64, settings: HealthSettings) -> Account {
-        Account {
+impl ReferenceModel {
+    /// An model without servers.
+    pub(crate) fn new(seed: u64, settings: HealthSettings) -> ReferenceModel {
+        ReferenceModel {
             seed,
             settings,
             servers: HashMap::new(),
@@ -78,9 +78,9 @@
     }
 
     /// The server responded, or a connection to it was established.
-    pub(crate) fn record_sign_of_life(&mut self, now: Micros, server: u32) {
+    pub(crate) fn record_contact(&mut self, now: Micros, server: u32) {
         let record = self.server(server);
-        record.last_sign_of_life_at = Some(now);
+        record.last_contact_at = Some(now);
         record.refused_at = None;
         record.consecutive_resets = 0;
     }
@@ -100,7 +100,7 @@
             _ => {}
         }
         if outcome == AttemptOutcome::Answered {
-            self.record_sign_of_life(now, server);
+            self.record_contact(now, server);
         }
     }
 
@@ -146,7 +146,7 @@
     fn has_cause(&self, WriteChange { at: now, group, reason, .. }: WriteChange) -> bool {
         let (settings, proofs) = (&self.settings, self.proofs(group));
         let is_unresponsive = |record: &ServerRecord| {
-            let silent = record.last_sign_of_life_at.is_none_or(|at| now - at >= settings.silence_limit());
+            let silent = record.last_contact_at.is_none_or(|at| now - at >= settings.silence_limit());
             record.sent_at.is_some() && silent
         };
         match reason {
