--- a/health/src/agent.rs
+++ b/health/src/agent.rs
@@ -1,30 +1,30 @@
-//! Agent-check, HAProxy's line protocol: the balancer connects, sends at most one line, reads one line, and the
-//! connection ends.
+//! HAProxy's agent-check protocol. The balancer connects, sends at most one line and reads one line; then the
+//! connection is closed.
 //!
-//! A query that names something unknown is answered with `down`, so that a mistake in the balancer's configuration
-//! doesn't read as healthy.
+//! A query for an unknown class or group is answered with `down`. Otherwise a mistake in the balancer's configuration
+//! would look like a healthy proxy.
 
 use crate::labels::Reason;
 use crate::query::{HealthQuery, QueryError};
 use crate::verdict::{Capability, Verdict};
 
-/// The longest line that is read.
+/// A longer line is rejected with [`QueryError::LineTooLong`].
 const MAX_LINE_BYTES: usize = 256;
 
-/// What a line asks for, or why it is no query.
+/// The query that a line contains, or the reason why the line is not a valid query.
 pub type ParsedQuery = Result<HealthQuery, QueryError>;
 
-/// A balancer's connection.
+/// The input side of one agent-check connection.
 #[derive(Default)]
 pub struct AgentCheckConnection {
-    /// The line as far as it was received.
+    /// The bytes of the line received so far.
     line: Vec<u8>,
-    /// The query was returned; further input is ignored.
+    /// Set once the query was returned. Further input is ignored.
     finished: bool,
 }
 
 impl AgentCheckConnection {
-    /// Takes input. Returns the query once its line is complete.
+    /// Processes received bytes. Returns the query as soon as its line is complete, and `None` before and after that.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<ParsedQuery> {
         if self.finished {
             return None;
@@ -39,7 +39,8 @@
         line_end.and_then(|_| self.input_ended())
     }
 
-    /// No more input comes, or none came in time: what was sent is the query, even without the end of its line.
+    /// Ends the input, because the balancer closed its side or the query timeout expired. Returns the bytes received so
+    /// far as the query, even without a line end, or `None` if the query was returned before.
     pub fn input_ended(&mut self) -> Option<ParsedQuery> {
         if std::mem::replace(&mut self.finished, true) {
             return None;
@@ -48,7 +49,8 @@
     }
 }
 
-/// The reply to a query. `max_connections`: how many connections the balancer may open here, if the reply is to say so.
+/// Formats the reply to a query. If `max_connections` is set, an `up` reply limits the balancer to that many
+/// connections to this proxy.
 pub fn reply(query: &ParsedQuery, verdict: &Verdict, max_connections: Option<usize>) -> String {
     let capability = match query {
         Err(error) => return format!("ready down #{error}\n"),
--- a/health/src/connectivity.rs
+++ b/health/src/connectivity.rs
@@ -1,5 +1,5 @@
-//! Whether the proxy reaches discovery and databases at all. If it reaches neither, the cause is assumed to be its own
-//! and not the databases'.
+//! Detects that the proxy is isolated. If it reaches neither discovery nor any database, the fault is assumed to be the
+//! proxy's own and not that of the databases.
 
 use crate::evidence::{FailureEvidence, ServerEvidence};
 use crate::hysteresis::{Observation, ReportedCapability};
@@ -8,17 +8,17 @@
 use crate::settings::HealthSettings;
 use crate::{Micros, earliest};
 
-/// When discovery last responded, and the connectivity as it is reported.
+/// The proxy's connectivity to discovery and to the databases.
 pub(crate) struct Connectivity {
-    /// When discovery last responded.
+    /// When discovery last responded; `None` until the first response.
     pub discovery_responded_at: Option<Micros>,
     started_at: Micros,
-    /// Available while discovery or some database responds.
+    /// Available while discovery or at least one database responds.
     reported: ReportedCapability,
 }
 
 impl Connectivity {
-    /// A proxy that starts now and has received no response yet.
+    /// Creates the state of a proxy that starts now and has received no response yet.
     pub(crate) fn new(now: Micros) -> Connectivity {
         Connectivity { discovery_responded_at: None, started_at: now, reported: ReportedCapability::new(now) }
     }
@@ -27,7 +27,7 @@
         self.reported.available
     }
 
-    /// Computes the connectivity as of now. Returns when it may change next without an event.
+    /// Recomputes the connectivity. Returns when it may change next without an event.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Some server was awaited, and each that was has failed.
+/// True if a contact is awaited from at least one server, and all such servers have failed.
 fn all_awaited_servers_failed(now: Micros, servers: &Servers, settings: &HealthSettings) -> bool {
     let awaits_contact = |server: &&MonitoredServer| server.evidence.awaits_contact();
     let has_failed = |evidence: &ServerEvidence| {
--- a/health/src/event.rs
+++ b/health/src/event.rs
@@ -1,106 +1,106 @@
-//! The monitor's input: the events, and how attempts and probes ended.
+//! The events that the monitor receives, and the outcomes of attempts and probes.
 
 use crate::{GroupId, Micros, Role, ServerId};
 
-/// How an attempt or a probe ended.
+/// The outcome of an attempt or a probe, as far as it concerns the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The server answered, possibly with an error.
     Answered,
-    /// It timed out.
+    /// The server did not answer within the timeout.
     TimedOut,
-    /// The connection was refused.
+    /// The server refused the connection.
     Refused,
-    /// The connection broke.
+    /// The connection was reset or closed, or could not be established.
     Reset,
-    /// It was cancelled before its timeout.
+    /// The proxy cancelled the attempt before its timeout.
     Cancelled,
-    /// It was never sent, for no fault of the server's.
+    /// The attempt was never sent, for a reason other than a fault of the server.
     NotSent,
 }
 
-/// Something that happened, as far as it concerns the proxy's health.
+/// An event that concerns the proxy's health.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HealthEvent {
-    /// The endpoint list has a new server, or changed what it says of one.
+    /// The endpoint list added a server or changed its entry.
     ServerListed {
-        /// The server.
+        /// The listed server.
         server: ServerId,
-        /// Its group.
+        /// The group that the server belongs to.
         group: GroupId,
-        /// Whether it is the primary, if the list says.
+        /// Whether the server is the primary; `None` if the list doesn't say.
         primary: Option<bool>,
-        /// It takes new work.
+        /// Whether the list allows new work for the server.
         accepts_work: bool,
     },
-    /// The endpoint list no longer has the server.
+    /// The endpoint list no longer contains the server.
     ServerUnlisted {
-        /// The server.
+        /// The removed server.
         server: ServerId,
     },
     /// Discovery responded.
     DiscoveryAnswered,
     /// An attempt was sent to a server.
     AttemptSent {
-        /// The server.
+        /// The server that the attempt was sent to.
         server: ServerId,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The server.
+        /// The server that the attempt was sent to.
         server: ServerId,
-        /// The request was a write.
+        /// True if the request was a write.
         write: bool,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The role that the server reported, if it did.
+        /// The role that the server reported; `None` if it reported no role.
         role: Option<Role>,
     },
     /// A probe that the monitor requested ended.
     ProbeEnded {
-        /// The server.
+        /// The probed server.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: AttemptOutcome,
-        /// The role that the server reported, if it did.
+        /// The role that the server reported; `None` if it reported no role.
         role: Option<Role>,
     },
-    /// A sign of life other than an answer: a connection was established.
+    /// A connection to a server was established, or a response began to arrive.
     ServerAlive {
-        /// The server.
+        /// The server that responded.
         server: ServerId,
     },
     /// A read request got its final answer.
     ReadEnded {
-        /// The group it was for.
+        /// The group that the request was for.
         group: GroupId,
-        /// It was served, not rejected or failed.
+        /// True if the read was served, false if it was rejected or failed.
         served: bool,
     },
-    /// A group's oldest write that is queued because no server takes it has changed.
+    /// The oldest queued write of a group changed. Writes are queued while no server accepts them.
     WritesQueued {
-        /// The group.
+        /// The group that the writes are for.
         group: GroupId,
-        /// Since when that write is queued; none if no write is.
+        /// When the oldest queued write was queued; `None` if no write is queued.
         since: Option<Micros>,
     },
-    /// The proxy's own load since the last such event, and figures to report.
+    /// A measurement of the proxy's own load since the previous measurement.
     Load {
         /// From 0 (idle) to 1 (saturated).
         pressure: f64,
-        /// Open requests.
+        /// The number of open requests.
         in_progress: usize,
-        /// Requests without an attempt in flight.
+        /// The number of open requests without an attempt in flight.
         queued: usize,
-        /// Connections from clients that the proxy can hold.
+        /// The number of client connections that the proxy can hold.
         client_capacity: usize,
     },
-    /// The process isn't ready before this time.
+    /// The process will not be ready before this time.
     ReadyAt(Micros),
     /// The process begins its graceful shutdown.
     Stopping,
-    /// Another process takes over at this time; none if it doesn't after all.
+    /// Another process takes over at this time. `None` revokes an announced handover.
     HandoverAt(Option<Micros>),
-    /// An operator takes the proxy out of rotation (true) or back in.
+    /// An operator takes the proxy out of rotation (true) or puts it back (false).
     Maintenance(bool),
 }
--- a/health/src/evidence.rs
+++ b/health/src/evidence.rs
@@ -1,62 +1,65 @@
-//! What attempts and probes show of one server, and for how long it has been silent while something was in flight. What
-//! follows for its group is decided in `group`.
+//! The evidence that attempts and probes provide about one server, and how long the server has been silent while
+//! something was in flight. Module `group` derives the group's capabilities from it.
+//!
+//! A contact is a response or an established connection. A server is silent while something is in flight to it and it
+//! makes no contact.
 
 use crate::settings::HealthSettings;
 use crate::{GroupId, Micros, Role};
 
-/// Connections reset in a row, without a sign of life between, after which a server counts as unreachable.
+/// After this many consecutive connection resets without a contact in between, a server counts as unreachable.
 const MAX_CONSECUTIVE_RESETS: u32 = 3;
-/// Writes timed out in a row, without one answered between, after which the server counts as not responding to writes.
+/// After this many consecutive write timeouts without an answered write in between, a server counts as not responding
+/// to writes.
 const MAX_CONSECUTIVE_WRITE_TIMEOUTS: u32 = 3;
-/// With nothing in flight for this long, earlier silence no longer counts.
+/// Earlier silence no longer counts after nothing was in flight for this long.
 const SILENCE_EXPIRES_MICROS: Micros = 5_000_000;
-/// This long after the last write that timed out, writes are attempted again.
+/// Writes are attempted again this long after the last write timeout.
 const WRITE_RETRY_MICROS: Micros = 10_000_000;
 
-/// Why a server is not expected to respond.
+/// Why a server is considered failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureEvidence {
-    /// It has been silent for longer than the limit.
+    /// The server has been silent for longer than the limit.
     Unresponsive,
-    /// It refuses or resets connections.
+    /// The server refuses or resets connections.
     Unreachable,
-    /// It responds, but not to writes.
+    /// The server responds, but not to writes.
     WritesUnanswered,
 }
 
-/// What is known of one server from the endpoint list, from attempts and from probes.
+/// What the endpoint list, attempts and probes show about one server.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerEvidence {
     pub group: GroupId,
-    /// The endpoint list says that it takes work.
+    /// Whether the endpoint list allows new work for the server.
     pub accepts_work: bool,
-    /// Whether the endpoint list names it primary, if it says.
+    /// Whether the endpoint list names the server as primary; `None` if the list doesn't say.
     pub listed_as_primary: Option<bool>,
-    /// The role that it last reported.
+    /// The role that the server last reported.
     pub reported_role: Option<Role>,
-    /// When it last gave a sign of life.
     pub last_contact_at: Option<Micros>,
-    /// Something was sent to it that it has not responded to.
+    /// True while an attempt or a probe that was sent to the server has had no response.
     pub response_pending: bool,
-    /// Attempts and probes in flight.
+    /// The number of attempts and probes in flight.
     in_flight: u32,
-    /// Silence from times before `silent_since`.
+    /// The length of the silence before `silent_since`, in periods in which something was in flight.
     earlier_silence: Micros,
-    /// Since when it is silent with something in flight.
+    /// The start of the current silence; `None` while nothing is in flight.
     silent_since: Option<Micros>,
-    /// When something was last in flight.
+    /// When an attempt or a probe was last sent or ended.
     last_in_flight_at: Micros,
-    /// It refused or reset connections and has given no sign of life since.
+    /// The server refused or reset connections and has made no contact since.
     unreachable: bool,
-    /// Connections reset since the last sign of life.
+    /// The number of connection resets since the last contact.
     consecutive_resets: u32,
-    /// Writes timed out since the last one answered.
+    /// The number of write timeouts since the last answered write.
     consecutive_write_timeouts: u32,
     last_write_timeout_at: Micros,
 }
 
 impl ServerEvidence {
-    /// A server without evidence, in a group.
+    /// Creates the state of a newly listed server, about which there is no evidence.
     pub(crate) fn new(now: Micros, group: GroupId) -> ServerEvidence {
         ServerEvidence {
             group,
@@ -76,10 +79,11 @@
         }
     }
 
-    /// An attempt or a probe was sent.
+    /// Records that an attempt or a probe was sent.
     pub(crate) fn record_sent(&mut self, now: Micros) {
         if self.in_flight == 0 && now - self.last_in_flight_at >= SILENCE_EXPIRES_MICROS {
-            // Silence is summed over consecutive attempts only. A capability withdrawn for it stays withdrawn.
+            // Silence accumulates only over consecutive attempts. A capability that was withdrawn because of the
+            // earlier silence stays withdrawn.
             self.earlier_silence = 0;
         }
         self.in_flight = self.in_flight.saturating_add(1);
@@ -88,7 +92,7 @@
         self.last_in_flight_at = now;
     }
 
-    /// It responded, or a connection to it was established.
+    /// Records a response or an established connection.
     pub(crate) fn record_contact(&mut self, now: Micros) {
         self.last_contact_at = Some(now);
         self.earlier_silence = 0;
@@ -98,7 +102,7 @@
         self.silent_since = self.response_pending.then_some(now);
     }
 
-    /// An attempt or a probe was answered, possibly with an error.
+    /// Records that an attempt or a probe was answered, possibly with an error.
     pub(crate) fn record_answer(&mut self, now: Micros, write: bool) {
         self.finish_attempt(now);
         self.record_contact(now);
@@ -107,7 +111,7 @@
         }
     }
 
-    /// An attempt or a probe timed out.
+    /// Records that an attempt or a probe timed out.
     pub(crate) fn record_timeout(&mut self, now: Micros, write: bool) {
         self.finish_attempt(now);
         if write {
@@ -116,18 +120,19 @@
         }
     }
 
-    /// An attempt or a probe was cancelled or never sent: no evidence, but the silence until then counts.
+    /// Records that an attempt or a probe was cancelled or never sent. This is no evidence about the server, but the
+    /// silence until now counts.
     pub(crate) fn record_cancelled(&mut self, now: Micros) {
         self.finish_attempt(now);
     }
 
-    /// A connection was refused.
+    /// Records that the server refused a connection.
     pub(crate) fn record_refused(&mut self, now: Micros) {
         self.finish_attempt(now);
         self.unreachable = true;
     }
 
-    /// A connection was reset.
+    /// Records a connection reset.
     pub(crate) fn record_reset(&mut self, now: Micros) {
         self.finish_attempt(now);
         self.consecutive_resets = self.consecutive_resets.saturating_add(1);
@@ -136,7 +141,7 @@
         }
     }
 
-    /// An attempt or a probe is no longer in flight; with none left, the silence stops being measured.
+    /// Removes an attempt or a probe from those in flight. If it was the last one, the silence is no longer measured.
     fn finish_attempt(&mut self, now: Micros) {
         self.last_in_flight_at = now;
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -147,22 +152,21 @@
         }
     }
 
-    /// For how long it has been silent with something in flight.
+    /// Returns how long the server has been silent while something was in flight.
     pub(crate) fn silence(&self, now: Micros) -> Micros {
         self.earlier_silence + self.silent_since.map_or(0, |since| now - since)
     }
 
-    /// It refuses or resets connections.
     pub(crate) fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// A sign of life would change what is known of it.
+    /// True if a contact would change the evidence about the server.
     pub(crate) fn awaits_contact(&self) -> bool {
         self.response_pending || self.unreachable
     }
 
-    /// What speaks against its taking writes.
+    /// Returns why the server is not expected to answer a write; `None` if no evidence speaks against it.
     pub(crate) fn failure(&self, now: Micros, settings: &HealthSettings) -> Option<FailureEvidence> {
         if self.unreachable {
             Some(FailureEvidence::Unreachable)
@@ -177,7 +181,7 @@
         }
     }
 
-    /// It is not expected to serve reads either.
+    /// True if the server is unreachable or unresponsive and something was in flight recently.
     pub(crate) fn is_unusable_for_reads(&self, now: Micros, settings: &HealthSettings) -> bool {
         let recent = self.in_flight > 0 || now - self.last_in_flight_at < SILENCE_EXPIRES_MICROS;
         recent
@@ -187,7 +191,7 @@
             )
     }
 
-    /// When the passing of time alone will change `failure` or `is_unusable_for_reads`.
+    /// Returns when `failure` or `is_unusable_for_reads` will change without an event.
     pub(crate) fn next_change(&self, now: Micros, settings: &HealthSettings) -> Option<Micros> {
         let unresponsive_at = self.silence_reaches_at(now, settings.silence_limit());
         let usable_at = (self.in_flight == 0 && self.is_unusable_for_reads(now, settings))
@@ -198,7 +202,8 @@
         [unresponsive_at, usable_at, write_retry_at].into_iter().flatten().min()
     }
 
-    /// When its silence will reach this length, if it goes on; none if it has.
+    /// Returns when the silence will reach this length if it continues. `None` if the silence has reached the length,
+    /// or if nothing is in flight.
     pub(crate) fn silence_reaches_at(&self, now: Micros, limit: Micros) -> Option<Micros> {
         let since = self.silent_since?;
         (self.silence(now) < limit).then_some(since + limit - self.earlier_silence)
--- a/health/src/group.rs
+++ b/health/src/group.rs
@@ -1,4 +1,4 @@
-//! What is known of one group of servers, and what follows for its reads and writes.
+//! The state of one group of servers, from which the availability of the group's reads and writes is derived.
 
 use crate::evidence::{FailureEvidence, ServerEvidence};
 use crate::hysteresis::{Observation, ReportedCapability};
@@ -9,14 +9,14 @@
 use crate::verdict::Change;
 use crate::{GroupId, Micros, Role, ServerId, earliest};
 
-/// When the verdict must be computed anew after an event.
+/// How soon the verdict must be recomputed after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateUrgency {
-    /// The event changes nothing that is reported.
+    /// The event doesn't change the verdict.
     None,
-    /// Soon, but together with other events.
+    /// The update may be delayed and cover several events.
     Deferred,
-    /// At once.
+    /// The update must not be delayed.
     Immediate,
 }
 
@@ -27,27 +27,27 @@
     pub at: Micros,
 }
 
-/// The evidence about a group as a whole, and its capabilities as they are reported.
+/// The evidence about a group and the capabilities reported for it.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupState {
     pub write: ReportedCapability,
     pub read: ReportedCapability,
     /// The latest proof, until evidence contradicts it.
     pub primary_proof: Option<PrimaryProof>,
-    /// Evidence for which writes were withdrawn: the endpoint list no longer counts until there is a new proof.
+    /// The evidence that caused writes to be withdrawn. While this is set, the endpoint list is not trusted; a new
+    /// proof clears it.
     pub withdrawn_for: Option<Reason>,
-    /// Since when the oldest write is queued, if one is.
+    /// When the oldest queued write was queued; `None` if no write is queued.
     pub writes_queued_since: Option<Micros>,
-    /// How its recent reads ended.
     pub reads: ReadWindow,
-    /// Its servers by the endpoint list.
+    /// The servers that the endpoint list assigns to this group.
     pub members: Vec<ServerId>,
-    /// How many of them accepted work at the last update.
+    /// The number of members that accepted work at the last update.
     pub accepting_members: usize,
 }
 
 impl GroupState {
-    /// A group without servers.
+    /// Creates the state of a group without members.
     pub(crate) fn new(now: Micros) -> GroupState {
         GroupState {
             write: ReportedCapability::new(now),
@@ -61,13 +61,13 @@
         }
     }
 
-    /// The evidence about those of its servers that accept work.
+    /// Returns the evidence about each member that accepts work.
     pub(crate) fn accepting<'a>(&'a self, servers: &'a Servers) -> impl Iterator<Item = &'a ServerEvidence> {
         let members = self.members.iter().filter_map(|id| servers.get(id));
         members.map(|server| &server.evidence).filter(|evidence| evidence.accepts_work)
     }
 
-    /// A server of this group has reported its role.
+    /// Records the role that a member reported.
     pub(crate) fn record_role(&mut self, now: Micros, server: ServerId, role: Role) -> UpdateUrgency {
         let known = self.primary_proof.is_some_and(|proof| proof.server == server);
         match role {
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Computes both capabilities as of now. Returns when they may change next without an event.
+    /// Recomputes both capabilities and appends their changes to `changes`. Returns when the capabilities may change
+    /// next without an event.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -108,13 +109,13 @@
             let Observation { available, reason } = read;
             changes.push(Change::Capability { group, operation: Operation::Read, available, reason });
         }
-        // Reads withdrawn for failing are attempted again once the window has moved on.
+        // Reads that were withdrawn because they failed are attempted again when the window starts a new interval.
         let reads_failing = !self.read.available && read.reason == Reason::ReadsFailing;
         let reads_retried_at = reads_failing.then_some(now + INTERVAL_MICROS);
         earliest(self.next_change(now, settings), reads_retried_at)
     }
 
-    /// When a capability may change next without an event.
+    /// Returns when a capability may change next without an event.
     fn next_change(&self, now: Micros, settings: &HealthSettings) -> Option<Micros> {
         let proof_expires_at = self.primary_proof.map(|proof| proof.at + settings.proof_window);
         let queueing_counts_at = self.writes_queued_since.map(|since| since + settings.silence_limit());
@@ -123,7 +124,7 @@
         earliest(ahead, reported)
     }
 
-    /// Whether writes are available, by the evidence of this moment.
+    /// Derives from the current evidence whether writes are available.
     fn observe_writes(&self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Observation {
         if self.writes_queued_since.is_some_and(|since| now - since >= settings.silence_limit()) {
             return Observation::unavailable(Reason::WritesQueued);
@@ -137,7 +138,7 @@
         self.observe_listed_primary(now, servers, settings)
     }
 
-    /// The same, given a server that proved to be the primary.
+    /// Derives whether writes are available when a server has reported that it is the primary.
     fn observe_proven_primary(
         &self,
         now: Micros,
@@ -165,7 +166,7 @@
         settings: &HealthSettings,
     ) -> Observation {
         match self.accepting(servers).find(|evidence| evidence.listed_as_primary == Some(true)) {
-            // A list without roles doesn't prove a primary, but doesn't deny it either.
+            // An endpoint list without roles neither confirms nor rules out a primary.
             None if self.accepting(servers).any(|evidence| evidence.listed_as_primary.is_none()) => {
                 observe_unproven_primary(settings)
             }
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Whether reads are available, by the evidence of this moment.
+    /// Derives from the current evidence whether reads are available.
     fn observe_reads(&mut self, now: Micros, servers: &Servers, settings: &HealthSettings) -> Observation {
         let failing = self.reads.is_failing(now);
         let responded_recently = |evidence: &ServerEvidence| {
@@ -200,7 +201,7 @@
     }
 }
 
-/// What is reported of a primary without a proof and without evidence against it.
+/// Returns what the settings require for a primary without a proof and without evidence against it.
 fn observe_unproven_primary(settings: &HealthSettings) -> Observation {
     match settings.idle_groups {
         IdleGroupPolicy::TrustEndpointList => Observation::available(Reason::Trusted),
@@ -208,7 +209,7 @@
     }
 }
 
-/// The reason that is reported for a failed primary.
+/// Returns the reason to report for a failed primary.
 fn primary_failure(failure: FailureEvidence) -> Reason {
     match failure {
         FailureEvidence::Unreachable => Reason::PrimaryUnreachable,
--- a/health/src/hysteresis.rs
+++ b/health/src/hysteresis.rs
@@ -1,16 +1,16 @@
-//! Turns what is observed of a capability into what is reported: withdrawn sooner than restored, with a minimum time
-//! in each state and a restore delay that grows with repeated withdrawals.
+//! Derives the reported availability of a capability from its observed availability. A capability is withdrawn sooner
+//! than it is restored, stays in each state for a minimum time, and is restored later after repeated withdrawals.
 
 use crate::Micros;
 use crate::labels::Reason;
 use crate::settings::HealthSettings;
 
-/// Withdrawals within this time of one another lengthen the restore delay.
+/// A withdrawal within this time of the previous one doubles the restore delay.
 const REPEAT_WINDOW_MICROS: Micros = 60_000_000;
 /// The restore delay doubles at most this many times.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// What the evidence says of a capability at one moment.
+/// The availability of a capability at one point in time, derived from the evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Observation {
     pub available: bool,
@@ -27,25 +27,25 @@
     }
 }
 
-/// A capability as it is reported.
+/// The reported availability of a capability.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportedCapability {
     pub available: bool,
     pub reason: Reason,
-    /// Since when `available` is reported as it is.
+    /// When `available` last changed.
     pub since: Micros,
-    /// Since when the opposite is observed.
+    /// When the observations began to differ from `available`; `None` while they agree.
     opposite_since: Option<Micros>,
-    /// Withdrawals in close succession.
+    /// The number of withdrawals in close succession.
     repeated_withdrawals: u32,
-    /// When the last one was.
+    /// The time of the last withdrawal.
     withdrawn_at: Micros,
-    /// The first time that it becomes available is reported without delay.
+    /// True until the capability first becomes available. That first change is reported without delay.
     never_available: bool,
 }
 
 impl ReportedCapability {
-    /// A capability that was never available.
+    /// Creates a capability that was never available.
     pub(crate) fn new(now: Micros) -> ReportedCapability {
         ReportedCapability {
             available: false,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes the observation of this moment. True if `available` is reported differently from now on.
+    /// Records the current observation. Returns true if the reported availability changes.
     pub(crate) fn observe(&mut self, now: Micros, observed: Observation, settings: &HealthSettings) -> bool {
         let Observation { available, reason } = observed;
         if available == self.available {
@@ -84,7 +84,8 @@
         true
     }
 
-    /// When the opposite will be reported, if it goes on being observed.
+    /// Returns when the reported availability will change if the observations don't change until then. `None` if they
+    /// agree with it.
     pub(crate) fn changes_at(&self, settings: &HealthSettings) -> Option<Micros> {
         let opposite_since = self.opposite_since?;
         if self.never_available {
@@ -98,7 +99,7 @@
         Some((opposite_since + delay).max(self.since + min_time))
     }
 
-    /// Counts a withdrawal that closely follows the last one; else starts over.
+    /// Counts a withdrawal. The count restarts if the previous withdrawal is older than the repeat window.
     fn count_withdrawal(&mut self, now: Micros) {
         let repeated = now - self.withdrawn_at < REPEAT_WINDOW_MICROS;
         self.repeated_withdrawals =
@@ -106,7 +107,7 @@
         self.withdrawn_at = now;
     }
 
-    /// How long the capability must be observed as available before it is restored.
+    /// Returns how long the capability must be observed as available before it is restored.
     fn restore_delay(&self, settings: &HealthSettings) -> Micros {
         let doublings = self.repeated_withdrawals.saturating_sub(1).min(MAX_DOUBLINGS);
         (settings.restore_after << doublings).min(settings.restore_after_max)
--- a/health/src/labels.rs
+++ b/health/src/labels.rs
@@ -1,10 +1,10 @@
-//! The closed sets of labels that balancers, operators and log lines see, one table each. The labels are an interface
-//! and keep their wording; the variants have the terms of the code.
+//! The labels that balancers, operators and log lines see, one table for each set. Programs depend on the labels, which
+//! therefore never change. The variants use the terms of the code.
 
 use serde::{Serialize, Serializer};
 use std::fmt;
 
-/// Defines an enum together with the label of each variant, which is its `Display` and its JSON form.
+/// Defines an enum and the label of each variant. `Display` and JSON write the label.
 macro_rules! labels {
     ($(#[$doc:meta])* pub enum $type:ident {
         $($(#[$variant_doc:meta])* $variant:ident = $label:literal,)*
@@ -16,10 +16,10 @@
         }
 
         impl $type {
-            /// All variants in their order.
+            /// All variants in the order of their declaration.
             pub const ALL: &'static [$type] = &[$($type::$variant),*];
 
-            /// The label as every protocol and log line writes it.
+            /// Returns the label that protocols and log lines contain.
             pub fn as_str(self) -> &'static str {
                 match self { $($type::$variant => $label),* }
             }
@@ -42,41 +42,42 @@
 labels! {
     /// The state of the proxy as a whole.
     pub enum State {
-        /// It has no endpoint list yet, or waits for the process that it replaces.
+        /// The proxy has no endpoint list yet, or waits for the process that it replaces.
         Starting = "starting",
         /// Every capability of every group is available.
         Ready = "ready",
         /// Some capability is unavailable, for a cause that other proxies see too.
         Degraded = "degraded",
-        /// Its pressure is above the overload limit.
+        /// The proxy's pressure is above the overload limit.
         Overloaded = "overloaded",
-        /// No group has a primary that is proven or trusted.
+        /// No group has a proven or trusted primary.
         NoPrimary = "no-primary",
-        /// Neither discovery nor any database that was tried responds.
+        /// Neither discovery nor any database that the proxy tried responds.
         Isolated = "blind",
-        /// It takes no new work: it shuts down, or another process has taken over.
+        /// The proxy takes no new work, because it shuts down or another process has taken over.
         Draining = "draining",
-        /// An operator has taken it out of rotation.
+        /// An operator has taken the proxy out of rotation.
         Maintenance = "maintenance",
     }
 }
 
 labels! {
-    /// Why a capability is available or not. In ascending order of severity: of several, the greatest is reported.
+    /// Why a capability is available or unavailable, in ascending order of severity. If several reasons apply, the most
+    /// severe one is reported.
     pub enum Reason {
-        /// A response within the proof window shows it.
+        /// A response within the proof window proves that the capability is available.
         Proven = "proven",
-        /// The endpoint list says so, and no evidence contradicts it.
+        /// The endpoint list indicates that the capability is available, and no evidence contradicts it.
         Trusted = "trusted",
-        /// Available again, but not yet for long enough to be reported.
+        /// The capability is available again, but not yet for long enough to be reported as available.
         Recovering = "recovering",
         /// Nothing was observed yet.
         Starting = "starting",
-        /// No response within the proof window shows it.
+        /// No response within the proof window proves that the capability is available.
         Unproven = "unproven",
-        /// The endpoint list names no primary, and no server has reported to be one.
+        /// The endpoint list names no primary, and no server has reported that it is the primary.
         NoPrimary = "no-primary",
-        /// The primary is draining or removed, and no other has reported since.
+        /// The primary is draining or removed, and no other server has reported since that it is the primary.
         PrimaryDrainingOrRemoved = "primary-left",
         /// The primary accepts connections but doesn't respond.
         PrimaryUnresponsive = "primary-silent",
@@ -86,9 +87,9 @@
         PrimaryDemoted = "primary-demoted",
         /// The primary responds, but not to writes.
         WritesUnanswered = "writes-unanswered",
-        /// Writes are queued because no server takes them.
+        /// Writes are queued because no server accepts them.
         WritesQueued = "writes-held",
-        /// The endpoint list names no server of the group that takes work.
+        /// The endpoint list names no server of the group that accepts work.
         NoMembers = "no-members",
         /// No server of the group responds.
         MembersUnresponsive = "members-silent",
@@ -98,9 +99,9 @@
         NoGroups = "no-groups",
         /// The pressure is above the overload limit.
         Overloaded = "overloaded",
-        /// Neither discovery nor any database that was tried responds.
+        /// Neither discovery nor any database that the proxy tried responds.
         Isolated = "blind",
-        /// The process shuts down.
+        /// The process is shutting down.
         Draining = "draining",
         /// Another process has taken over.
         Replaced = "replaced",
@@ -110,18 +111,18 @@
 }
 
 labels! {
-    /// The operation that a capability is about.
+    /// The kind of request that a capability concerns.
     pub enum Operation {
-        /// Reads.
+        /// Requests that any member of a group may serve.
         Read = "read",
-        /// Writes.
+        /// Requests that only a primary may serve.
         Write = "write",
     }
 }
 
 impl Reason {
-    /// True where responses, or their absence, contradict the endpoint list. The list alone doesn't revoke such a
-    /// reason.
+    /// True if responses, or missing responses, contradict the endpoint list. A new endpoint list alone doesn't restore
+    /// a capability that was withdrawn for such a reason.
     pub(crate) fn contradicts_endpoint_list(self) -> bool {
         matches!(
             self,
@@ -133,7 +134,7 @@
         )
     }
 
-    /// True where the proxy leaves the rotation deliberately, for longer than a fault would last.
+    /// True if the proxy leaves the rotation deliberately, and for longer than a fault usually lasts.
     pub(crate) fn is_planned(self) -> bool {
         matches!(self, Reason::Draining | Reason::Replaced | Reason::Maintenance)
     }
