--- a/health/src/http/mod.rs
+++ b/health/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 health checks: GET, HEAD and OPTIONS on a handful of paths. A connection is fed bytes and answers from the
-//! verdict that it is handed; it knows no socket and no clock.
+//! HTTP/1.1 health checks: GET, HEAD and OPTIONS on a few paths. A connection receives bytes from the caller and
+//! answers from the verdict that the caller passes. It does no I/O and reads no clock.
 
 mod report;
 mod request;
@@ -11,62 +11,62 @@
 use request::{Method, Request};
 use response::{Response, Status};
 
-/// The longest request line and headers together.
+/// The maximum size of a request line and its headers together. Larger requests are rejected with status 431.
 pub const MAX_HEAD_BYTES: usize = 8 << 10;
-/// With this much output pending, further requests wait until the client reads.
+/// While at least this much output is pending, further requests wait until the client reads.
 pub const MAX_PENDING_OUTPUT_BYTES: usize = 16 << 10;
-/// The most headers in one request.
+/// The maximum number of headers in one request.
 const MAX_HEADERS: usize = 64;
-/// Buffers keep at most this much memory once they are empty.
+/// Empty buffers release the memory beyond this size.
 const IDLE_BUFFER_BYTES: usize = 4 << 10;
 
-/// Maps servers to the names that people read.
+/// Maps servers to the names that the reports contain.
 pub type ServerNames<'a> = &'a dyn Fn(ServerId) -> String;
 
-/// A balancer's connection.
+/// One connection of a balancer that sends HTTP checks.
 #[derive(Default)]
 pub struct HttpCheckConnection {
-    /// Input that was not processed yet.
+    /// Received bytes that were not processed yet.
     input: Vec<u8>,
-    /// Bytes of a request's body that are still to be skipped.
+    /// The number of bytes of the last request's body that must still be skipped.
     body_bytes_left: usize,
-    /// Output that waits to be written.
+    /// Output that the caller must write to the client and then report to [`HttpCheckConnection::output_written`].
     pub output: Vec<u8>,
-    /// The connection ends once the output is written.
+    /// The connection must be closed once the output is written.
     closing: bool,
     requests_answered: u64,
 }
 
-/// Whether processing goes on.
+/// The result of trying to answer one request.
 enum Progress {
-    /// A request was answered, another may follow.
+    /// A request was answered. Another one may follow.
     Answered,
-    /// The input has no further complete request.
+    /// No request can be answered: the input contains no complete request, or the connection is closing.
     Stopped,
 }
 
 impl HttpCheckConnection {
-    /// More input may be read.
+    /// Returns true while the caller may read more input. The limit bounds the memory that a client can occupy.
     pub fn wants_input(&self) -> bool {
         !self.closing && self.input.len() < 2 * MAX_HEAD_BYTES
     }
 
-    /// All output is written, and the connection is to be closed.
+    /// Returns true once all output is written and the caller must close the connection.
     pub fn is_finished(&self) -> bool {
         self.closing && self.output.is_empty()
     }
 
-    /// A request has begun and is incomplete.
+    /// Returns true if a request was begun but not completed or not answered yet.
     pub fn has_partial_request(&self) -> bool {
         self.body_bytes_left > 0 || !self.input.is_empty()
     }
 
-    /// The number of requests answered.
+    /// Returns the number of requests answered on this connection, including invalid ones.
     pub fn requests_answered(&self) -> u64 {
         self.requests_answered
     }
 
-    /// The first `length` bytes of the output were written.
+    /// Removes the first `length` bytes of the output, which the caller has written.
     pub fn output_written(&mut self, length: usize) {
         self.output.drain(..length.min(self.output.len()));
         if self.output.is_empty() {
@@ -74,15 +74,15 @@
         }
     }
 
-    /// Takes input.
+    /// Appends received bytes to the input. Bytes received while the connection is closing are discarded.
     pub fn feed(&mut self, bytes: &[u8]) {
         if !self.closing {
             self.input.extend_from_slice(bytes);
         }
     }
 
-    /// Answers the complete requests, up to the limit of pending output. False if requests may be left for when the
-    /// output is written.
+    /// Answers the complete requests until the limit of pending output is reached. Returns false if requests may be
+    /// left, which the caller must process after writing output.
     pub fn process(&mut self, now: Micros, verdict: &Verdict, names: ServerNames) -> bool {
         while !self.closing && self.output.len() < MAX_PENDING_OUTPUT_BYTES {
             if matches!(self.process_one(now, verdict, names), Progress::Stopped) {
@@ -92,7 +92,7 @@
         self.closing
     }
 
-    /// Answers the next request, if it is complete.
+    /// Answers the next request if it is complete.
     fn process_one(&mut self, now: Micros, verdict: &Verdict, names: ServerNames) -> Progress {
         self.skip_body();
         if self.body_bytes_left > 0 || self.input.is_empty() {
@@ -108,7 +108,7 @@
                 Progress::Answered
             }
             Err(status) => {
-                // Where the next request would begin is unknown.
+                // After an invalid request it is unknown where the next one begins.
                 self.closing = true;
                 self.input = Vec::new();
                 self.write(&Response::error(status), false);
@@ -117,14 +117,15 @@
         }
     }
 
-    /// Drops the input that belongs to the last request's body.
+    /// Discards the input that belongs to the last request's body.
     fn skip_body(&mut self) {
         let skipped = self.body_bytes_left.min(self.input.len());
         self.input.drain(..skipped);
         self.body_bytes_left -= skipped;
     }
 
-    /// Removes a request's head from the input; none if it is incomplete.
+    /// Removes the head of the next request from the input and parses it. Returns `None` if the head is incomplete, or
+    /// the status with which an invalid request is rejected.
     fn take_request(&mut self) -> Result<Option<Request>, Status> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
--- a/health/src/http/report.rs
+++ b/health/src/http/report.rs
@@ -1,4 +1,5 @@
-//! The JSON bodies. Their keys are an interface to programs; the structs here map the verdict to them.
+//! The JSON bodies of responses. Programs depend on their keys, so the structs here map the verdict's fields to the
+//! keys.
 
 use super::ServerNames;
 use crate::labels::{Reason, State};
@@ -7,7 +8,6 @@
 use crate::{GroupId, Micros};
 use serde::Serialize;
 
-/// A capability in JSON.
 #[derive(Serialize)]
 struct CapabilityReport {
     #[serde(rename = "able")]
@@ -31,7 +31,6 @@
     }
 }
 
-/// A group in JSON.
 #[derive(Serialize)]
 struct GroupReport {
     group: GroupId,
@@ -57,7 +56,6 @@
     }
 }
 
-/// A class of requests in JSON.
 #[derive(Serialize)]
 struct ClassReport<'a> {
     class: &'a str,
@@ -65,7 +63,7 @@
     capability: Option<CapabilityReport>,
 }
 
-/// The whole report in JSON.
+/// The body of `/health`.
 #[derive(Serialize)]
 struct Report<'a> {
     state: State,
@@ -84,7 +82,8 @@
     groups: Vec<GroupReport>,
 }
 
-/// Everything that is known, with reasons and ages in milliseconds, as one line of JSON.
+/// Returns the complete report as one line of JSON. It contains the overall state, all classes and all groups, with
+/// reasons and ages in milliseconds.
 pub fn report(now: Micros, verdict: &Verdict, names: ServerNames) -> String {
     let classes = verdict.classes.iter().map(|class| {
         let query = HealthQuery { class: Some(class.name.clone()), ..HealthQuery::default() };
@@ -109,18 +108,16 @@
     })
 }
 
-/// One capability as a line of JSON.
+/// Returns one capability as a line of JSON.
 pub(super) fn capability_report(now: Micros, capability: &Capability) -> String {
     to_json_line(&CapabilityReport::new(now, capability))
 }
 
-/// The time since then in milliseconds.
 fn age_ms(now: Micros, at: Micros) -> Micros {
     (now - at).max(0) / 1000
 }
 
-/// A value as one line of JSON.
 fn to_json_line(value: &impl Serialize) -> String {
-    // Numbers, strings and lists always have a JSON form.
+    // Serialization of numbers, strings and lists never fails.
     serde_json::to_string(value).map_or_else(|_| "{}\n".into(), |text| text + "\n")
 }
--- a/health/src/http/request.rs
+++ b/health/src/http/request.rs
@@ -1,4 +1,4 @@
-//! A request: its head is parsed, its path mapped to a resource, and its response built from the verdict.
+//! Parses the head of a request, maps its path to a resource and builds the response from the verdict.
 
 use super::ServerNames;
 use super::report::{capability_report, report};
@@ -8,20 +8,19 @@
 use crate::verdict::{Capability, Verdict};
 use crate::{GroupId, Micros};
 
-/// The longest request target.
 const MAX_TARGET_BYTES: usize = 1 << 10;
-/// Bodies have no meaning here: up to this length they are skipped, longer ones end the connection.
+/// Request bodies have no meaning. Bodies up to this length are skipped; a longer body ends the connection.
 const MAX_BODY_BYTES: usize = 4 << 10;
-/// When to ask again in seconds, while the cause may pass at any moment.
+/// Asks the client to retry after one second, because a fault may end at any time.
 const RETRY_AFTER_FAULT: Header = Header { name: "Retry-After", value: "1" };
-/// When to ask again in seconds, after a planned withdrawal.
+/// Asks the client to retry after ten seconds, because a planned withdrawal lasts longer than most faults.
 const RETRY_AFTER_PLANNED: Header = Header { name: "Retry-After", value: "10" };
 /// Tells Envoy that the capability is available with restrictions.
 const ENVOY_DEGRADED: Header = Header { name: "x-envoy-degraded", value: "true" };
 /// Tells Envoy to take the proxy out of rotation at once, without waiting for its threshold.
 const ENVOY_IMMEDIATE_FAIL: Header = Header { name: "x-envoy-immediate-health-check-fail", value: "true" };
 
-/// The methods that are served.
+/// The supported methods.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Method {
     Get,
@@ -29,30 +28,30 @@
     Options,
 }
 
-/// What a path names.
+/// The resource that a path names.
 enum Resource {
-    /// The process runs.
+    /// Always available while the process runs.
     Liveness,
-    /// Everything that is known.
+    /// The complete report.
     Report,
     /// One capability.
     Capability(HealthQuery),
-    /// Nothing that is served.
+    /// The path names no resource.
     Unknown,
 }
 
-/// A request whose head is valid.
+/// A request with a valid head.
 pub(super) struct Request {
     pub method: Method,
     resource: Resource,
     /// The connection stays open after the response.
     pub keep_alive: bool,
-    /// The bytes of the body, which follows the head.
+    /// The number of body bytes that follow the head.
     pub body_length: usize,
 }
 
 impl Request {
-    /// The request of a complete head, or the status with which it is rejected.
+    /// Builds the request from a complete head, or returns the status with which the request is rejected.
     pub(super) fn from_head(head: &httparse::Request) -> Result<Request, Status> {
         let target = head.path.unwrap_or_default();
         if target.len() > MAX_TARGET_BYTES {
@@ -83,7 +82,7 @@
         Ok(Request { method, resource: resource(target), keep_alive, body_length })
     }
 
-    /// The response that the verdict gives.
+    /// Builds the response from the verdict.
     pub(super) fn respond(&self, now: Micros, verdict: &Verdict, names: ServerNames) -> Response {
         if self.method == Method::Options {
             return Response { headers: vec![ALLOW], ..Response::new(Status::NoContent, "") };
@@ -104,12 +103,11 @@
     }
 }
 
-/// The response where a path names nothing that is served.
 fn unknown_resource() -> Response {
     Response::new(Status::NotFound, "no such capability\n")
 }
 
-/// Status and headers by which balancers see whether the capability is available.
+/// Builds the response for a capability. Balancers read its availability from the status and the headers.
 fn capability_response(capability: Capability, state: State, body: String) -> Response {
     if capability.available {
         let mut response = Response::new(Status::Ok, body);
@@ -128,13 +126,12 @@
     response
 }
 
-/// The values of all headers of this name.
 fn header_values<'a>(head: &'a httparse::Request, name: &'static str) -> impl Iterator<Item = &'a [u8]> {
     let matching = head.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name));
     matching.map(|header| header.value)
 }
 
-/// The length of the body, 0 without a header that states it.
+/// Returns the length of the body, which is 0 without a `Content-Length` header.
 fn body_length(head: &httparse::Request) -> Result<usize, Status> {
     let mut lengths = header_values(head, "content-length");
     let Some(value) = lengths.next() else { return Ok(0) };
@@ -145,14 +142,14 @@
     digits.and_then(|digits| digits.parse().ok()).ok_or(Status::BadRequest)
 }
 
-/// Whether the header `Connection` has this option.
+/// True if a `Connection` header contains the option.
 fn has_connection_option(head: &httparse::Request, option: &str) -> bool {
     let values = header_values(head, "connection").filter_map(|value| std::str::from_utf8(value).ok());
     let mut options = values.flat_map(|value| value.split(','));
     options.any(|given| given.trim().eq_ignore_ascii_case(option))
 }
 
-/// The resource of a request target: `/live`, `/ready`, `/health`, `/class/NAME[/group/N]` or
+/// Maps a request target to its resource: `/live`, `/ready`, `/health`, `/class/NAME[/group/N]` or
 /// `/group/N[/read|/write]`.
 fn resource(target: &str) -> Resource {
     let path = target.split(['?', '#']).next().unwrap_or_default();
@@ -165,7 +162,7 @@
     }
 }
 
-/// The query that a path's segments stand for, if they name a capability.
+/// Returns the query that the path segments name; `None` if they name no capability.
 fn capability_query(segments: &[&str]) -> Option<HealthQuery> {
     match *segments {
         ["ready"] => Some(HealthQuery::default()),
@@ -184,7 +181,7 @@
     text.parse().ok().map(GroupId)
 }
 
-/// The query of a class, whose name may be percent-encoded.
+/// Builds the query for a class whose name may be percent-encoded.
 fn class_query(name: &str, group: Option<GroupId>) -> Option<HealthQuery> {
     let name = percent_encoding::percent_decode_str(name).decode_utf8().ok()?;
     Some(HealthQuery { class: Some(name.into_owned()), group, operation: None })
--- a/health/src/http/response.rs
+++ b/health/src/http/response.rs
@@ -1,18 +1,17 @@
-//! A response and its bytes.
+//! HTTP responses and their serialization.
 
 use std::borrow::Cow;
 
-/// A header field of a response.
 #[derive(Clone, Copy)]
 pub(super) struct Header {
     pub name: &'static str,
     pub value: &'static str,
 }
 
-/// The methods that are served.
+/// Lists the supported methods.
 pub(super) const ALLOW: Header = Header { name: "Allow", value: "GET, HEAD, OPTIONS" };
 
-/// Defines the statuses in use with their codes and reason phrases.
+/// Defines the supported statuses with their codes and reason phrases.
 macro_rules! statuses {
     ($($status:ident = $code:literal $phrase:literal,)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,21 +45,20 @@
     VersionNotSupported = 505 "HTTP Version Not Supported",
 }
 
-/// The response to one request.
 pub(super) struct Response {
     pub status: Status,
-    /// Headers besides those that every response has.
+    /// Additional headers besides those that every response contains.
     pub headers: Vec<Header>,
     pub body: Cow<'static, str>,
 }
 
 impl Response {
-    /// A response without further headers.
+    /// Creates a response without additional headers.
     pub(super) fn new(status: Status, body: impl Into<Cow<'static, str>>) -> Response {
         Response { status, headers: Vec::new(), body: body.into() }
     }
 
-    /// The response to an invalid request.
+    /// Creates the response to an invalid request.
     pub(super) fn error(status: Status) -> Response {
         let mut response = Response::new(status, status.phrase());
         if status == Status::MethodNotAllowed {
@@ -69,7 +67,7 @@
         response
     }
 
-    /// Appends the response to the output.
+    /// Appends the serialized response to the output. `closing` adds `Connection: close`; `head_only` omits the body.
     pub(super) fn write(&self, output: &mut Vec<u8>, closing: bool, head_only: bool) {
         let mut append = |parts: &[&str]| {
             parts.iter().for_each(|part| output.extend_from_slice(part.as_bytes()));
--- a/health/src/monitor/events.rs
+++ b/health/src/monitor/events.rs
@@ -1,4 +1,5 @@
-//! The events: each goes to the part that owns the state concerned, and decides when the verdict must be computed anew.
+//! Event handling. Each event is passed to the component that owns the affected state, and determines when the verdict
+//! must be recomputed.
 
 use super::Monitor;
 use crate::event::{AttemptOutcome, HealthEvent};
@@ -7,11 +8,11 @@
 use crate::server_table::ServerListing;
 use crate::{GroupId, Micros, Role, ServerId, earliest};
 
-/// Updates that are not urgent are at least this far apart, which bounds their cost on a busy proxy.
+/// The minimum interval between updates that are not urgent. It bounds the cost of updates on a busy proxy.
 const DEFERRED_UPDATE_INTERVAL_MICROS: Micros = 10_000;
 
 impl Monitor {
-    /// Takes an event; the verdict follows with the next update.
+    /// Records an event. The verdict reflects it after the next update, which is due at [`Monitor::next_change`].
     pub fn handle_event(&mut self, now: Micros, event: HealthEvent) {
         match event {
             HealthEvent::ServerListed { server, group, primary, accepts_work } => {
@@ -47,18 +48,18 @@
         }
     }
 
-    /// Changes the lifecycle of the process, which concerns every capability.
+    /// Changes the state of the process's lifecycle, which affects every capability.
     fn change_lifecycle(&mut self, now: Micros, change: impl FnOnce(&mut ProxyHealth)) {
         change(&mut self.proxy);
         self.update_by(now);
     }
 
-    /// Has the verdict computed anew at this time at the latest.
+    /// Schedules an update at this time or earlier.
     fn update_by(&mut self, at: Micros) {
         self.next_update_at = self.next_update_at.min(at);
     }
 
-    /// Has the verdict computed anew as soon as the urgency demands.
+    /// Schedules an update as soon as the urgency requires.
     fn request_update(&mut self, now: Micros, urgency: UpdateUrgency) {
         match urgency {
             UpdateUrgency::None => {}
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes over an entry of the endpoint list, or counts it where the table is full.
+    /// Records an entry of the endpoint list. If the table is full, the entry is ignored and counted.
     fn list_server(&mut self, now: Micros, server: ServerId, listing: ServerListing) {
         self.proxy.list_received = true;
         self.update_by(now);
@@ -78,7 +79,7 @@
         }
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent and schedules the update at which the server would become a suspect.
     fn record_sent(&mut self, now: Micros, server: ServerId) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         server.evidence.record_sent(now);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// An attempt or a probe in flight ended.
+    /// Records the outcome of an attempt or a probe that was in flight.
     fn record_outcome(&mut self, now: Micros, server: ServerId, write: bool, outcome: AttemptOutcome) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         let evidence = &mut server.evidence;
@@ -107,7 +108,7 @@
         }
         let group = self.table.groups.get(&evidence.group);
         let urgency = match outcome {
-            // The common case, an answer from a server of a healthy group, must cost no update.
+            // The common case is an answer from a server of a healthy group. It must not cause an update.
             AttemptOutcome::Answered => {
                 let group_unavailable =
                     group.is_some_and(|group| !group.write.available || !group.read.available);
@@ -125,7 +126,7 @@
         self.request_update(now, urgency);
     }
 
-    /// A probe ended, perhaps later than it was waited for.
+    /// Records the outcome of a probe, which may arrive after the probe expired.
     fn record_probe_outcome(
         &mut self,
         now: Micros,
@@ -137,7 +138,7 @@
         if server.probe_sent_at.take().is_some() {
             self.record_outcome(now, id, false, outcome);
         } else if outcome == AttemptOutcome::Answered {
-            // The probe had expired; its answer is a sign of life all the same.
+            // The probe had expired, but its answer still counts as a contact.
             server.evidence.record_contact(now);
             self.request_update(now, UpdateUrgency::Deferred);
         } else {
@@ -146,7 +147,7 @@
         self.record_role(now, id, role);
     }
 
-    /// A connection to the server was established.
+    /// Records a contact other than an answer.
     fn record_contact(&mut self, now: Micros, server: ServerId) {
         let Some(server) = self.table.servers.get_mut(&server) else { return };
         let awaited_contact = server.evidence.awaits_contact();
@@ -156,7 +157,7 @@
         }
     }
 
-    /// The server reported its role, if one is given.
+    /// Records the role that the server reported, if any.
     fn record_role(&mut self, now: Micros, id: ServerId, role: Option<Role>) {
         let Some(role) = role else { return };
         let Some(server) = self.table.servers.get_mut(&id) else { return };
@@ -166,7 +167,7 @@
         self.request_update(now, urgency);
     }
 
-    /// A read request got its final answer.
+    /// Records the final answer to a read request.
     fn record_read(&mut self, now: Micros, group: GroupId, served: bool) {
         let Some(group) = self.table.groups.get_mut(&group) else { return };
         group.reads.record(now, served);
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The group's oldest queued write has changed.
+    /// Records a change of the group's oldest queued write.
     fn record_queued_writes(&mut self, now: Micros, group: GroupId, since: Option<Micros>) {
         let Some(group) = self.table.groups.get_mut(&group) else { return };
         if std::mem::replace(&mut group.writes_queued_since, since) != since {
--- a/health/src/monitor/mod.rs
+++ b/health/src/monitor/mod.rs
@@ -1,4 +1,5 @@
-//! The monitor: events in, one verdict out. It never reads a clock: every time is the caller's.
+//! The monitor, which computes one verdict from the events that it receives. It reads no clock; the caller passes every
+//! time.
 
 mod events;
 
@@ -9,22 +10,22 @@
 use crate::verdict::{Change, Verdict};
 use crate::{Micros, ServerId, earliest};
 
-/// Computes the verdict from the events that it receives, see the crate's documentation.
+/// Computes the verdict from health events. The crate's documentation describes how to drive it.
 pub struct Monitor {
     settings: HealthSettings,
     table: ServerTable,
     proxy: ProxyHealth,
     probes: ProbeScheduler,
     verdict: Verdict,
-    /// Changes of the verdict since they were last taken.
+    /// The changes of the verdict since the last call of `take_changes`.
     changes: Vec<Change>,
     last_update_at: Micros,
-    /// When the verdict may change, or a probe is due.
+    /// When the verdict may change next, or the next probe is due.
     next_update_at: Micros,
 }
 
 impl Monitor {
-    /// A monitor that starts now, without an endpoint list.
+    /// Creates the monitor of a proxy that starts now and has no endpoint list yet.
     pub fn new(settings: HealthSettings, now: Micros) -> Monitor {
         Monitor {
             table: ServerTable::default(),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Applies other settings from now on and keeps the evidence.
+    /// Replaces the settings. The evidence is kept.
     pub fn apply_settings(&mut self, now: Micros, settings: HealthSettings) {
         self.verdict.classes.clone_from(&settings.classes);
         self.verdict.aggregation = settings.aggregation;
@@ -46,27 +47,29 @@
         self.next_update_at = now;
     }
 
-    /// When [`Monitor::update`] must run next, unless an event comes first: the verdict may change, or a probe is due.
+    /// Returns when [`Monitor::update`] must run next, because the verdict may change or a probe is due. An event may
+    /// bring this time forward.
     pub fn next_change(&self) -> Micros {
         self.next_update_at
     }
 
-    /// The verdict as of the last update.
+    /// Returns the verdict of the last update.
     pub fn verdict(&self) -> &Verdict {
         &self.verdict
     }
 
-    /// The changes of the verdict since the last call.
+    /// Returns the changes of the verdict since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// The servers to probe now. The end of each probe must be reported as [`crate::HealthEvent::ProbeEnded`].
+    /// Returns the servers to probe now. The caller must report the end of each probe as
+    /// [`crate::HealthEvent::ProbeEnded`].
     pub fn take_probes(&mut self) -> Vec<ServerId> {
         self.probes.take_requested()
     }
 
-    /// Computes the verdict as of now and requests the probes that are due.
+    /// Recomputes the verdict and requests the probes that are due.
     pub fn update(&mut self, now: Micros) {
         self.last_update_at = now;
         for removed in self.table.refresh_groups() {
