--- a/health/src/overall.rs
+++ b/health/src/overall.rs
@@ -1,4 +1,5 @@
-//! The state of the proxy as a whole: its process's lifecycle, its own faults, and the sum of its groups.
+//! The state of the proxy as a whole. It combines the lifecycle of the process, the proxy's own faults and the states
+//! of its groups.
 
 use crate::connectivity::Connectivity;
 use crate::group::GroupState;
@@ -13,13 +14,13 @@
 
 type Groups = BTreeMap<GroupId, GroupState>;
 
-/// What concerns the proxy itself and none of its groups.
+/// The state that concerns the proxy itself and none of its groups.
 pub(crate) struct ProxyHealth {
-    /// Whether an endpoint list was received.
+    /// True once an endpoint list was received.
     pub list_received: bool,
-    /// The process isn't ready before this time.
+    /// The process will not be ready before this time.
     pub ready_at: Micros,
-    /// When another process takes over, if one does.
+    /// When another process takes over; `None` if no handover is announced.
     pub handover_at: Option<Micros>,
     /// The graceful shutdown has begun.
     pub stopping: bool,
@@ -32,7 +33,7 @@
 }
 
 impl ProxyHealth {
-    /// A proxy that starts now, without an endpoint list.
+    /// Creates the state of a proxy that starts now and has no endpoint list yet.
     pub(crate) fn new(now: Micros) -> ProxyHealth {
         ProxyHealth {
             list_received: false,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Computes connectivity and overload as of now. Returns when the overall state may change next without an event.
+    /// Recomputes connectivity and overload. Returns when the overall state may change next without an event.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -65,7 +66,7 @@
         earliest(connectivity, earliest(self.below_overload.changes_at(settings), lifecycle))
     }
 
-    /// The most significant state that applies, and its reason.
+    /// Returns the most significant state that applies, and its reason.
     fn classify(&self, now: Micros, groups: &Groups) -> (State, Reason) {
         if self.in_maintenance {
             (State::Maintenance, Reason::Maintenance)
@@ -89,14 +90,14 @@
     }
 }
 
-/// The most severe reason for which a capability of some group is unavailable.
+/// Returns the most severe reason why a capability of any group is unavailable.
 fn most_severe_reason(groups: &Groups) -> Reason {
     let capabilities = groups.values().flat_map(|group| [&group.write, &group.read]);
     let unavailable = capabilities.filter(|capability| !capability.available);
     unavailable.map(|capability| capability.reason).max().unwrap_or(Reason::NoGroups)
 }
 
-/// Whether a proxy in this state is to get any work.
+/// Returns whether balancers may send work to a proxy in this state.
 fn is_available(state: State, settings: &HealthSettings) -> bool {
     match state {
         State::Maintenance | State::Draining | State::Starting | State::Isolated => false,
@@ -107,7 +108,8 @@
 }
 
 impl Verdict {
-    /// Takes over the states of the proxy and its groups as of now. Returns the change of the overall state, if any.
+    /// Updates the verdict from the states of the proxy and its groups. Returns the change of the overall state, if
+    /// any.
     pub(crate) fn refresh(
         &mut self,
         now: Micros,
@@ -126,7 +128,7 @@
             since: if unchanged { self.overall.since } else { now },
             weight_percent: if available { percent } else { 0 },
         };
-        // A fault of the proxy itself makes every group unavailable; a shared cause doesn't.
+        // A fault of the proxy itself makes every group unavailable. A cause that all proxies share does not.
         let own_fault = (!available && state != State::NoPrimary).then_some(self.overall);
         let groups = groups.iter().map(|(&id, group)| group_verdict(id, group, percent, own_fault));
         self.groups = groups.collect();
@@ -137,7 +139,7 @@
     }
 }
 
-/// What is reported of a group: what was observed of it, unless a fault of the proxy itself overrides it.
+/// Builds the verdict on one group. A fault of the proxy itself overrides the group's own state.
 fn group_verdict(
     id: GroupId,
     group: &GroupState,
--- a/health/src/probe_budget.rs
+++ b/health/src/probe_budget.rs
@@ -1,15 +1,15 @@
-//! The rate limit of probes: a token bucket for each group and one for all together.
+//! The rate limits of probes: a token bucket for each group and one for all groups together.
 
 use crate::settings::ProbeSettings;
 use crate::{GroupId, Micros};
 use std::collections::BTreeMap;
 
-/// Probes that may be sent to one group at once, with a full bucket.
+/// The capacity of a group's bucket, which is the maximum number of probes sent to the group at once.
 const GROUP_BURST: f64 = 3.0;
-/// Probes that may be sent to all groups at once, with a full bucket.
+/// The capacity of the shared bucket, which is the maximum number of probes sent to all groups at once.
 const TOTAL_BURST: f64 = 8.0;
 
-/// Tokens that accrue at a rate up to the burst; each probe takes one.
+/// A token bucket. Each probe takes one token.
 #[derive(Clone, Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -21,7 +21,7 @@
         TokenBucket { tokens: burst, refilled_at: now }
     }
 
-    /// Adds the tokens that accrued since the last call.
+    /// Adds the tokens that accrued since the last call, up to the capacity `burst`.
     fn refill(&mut self, now: Micros, rate_per_s: f64, burst: f64) {
         let seconds = (now - self.refilled_at).max(0) as f64 / 1e6;
         self.tokens = (self.tokens + seconds * rate_per_s).min(burst);
@@ -29,7 +29,7 @@
     }
 }
 
-/// The token buckets of all groups.
+/// The token bucket of each group, and the one that all groups share.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeBudget {
     total: TokenBucket,
@@ -37,12 +37,13 @@
 }
 
 impl ProbeBudget {
-    /// A budget with full buckets.
+    /// Creates a budget with full buckets.
     pub(crate) fn new(now: Micros) -> ProbeBudget {
         ProbeBudget { total: TokenBucket::full(now, TOTAL_BURST), groups: BTreeMap::new() }
     }
 
-    /// Takes a token of both buckets for one probe. False if either has none.
+    /// Takes one token from the group's bucket and one from the shared bucket. Returns false, and takes no token, if
+    /// either bucket has none.
     pub(crate) fn take(&mut self, now: Micros, group: GroupId, settings: &ProbeSettings) -> bool {
         self.total.refill(now, settings.total_rate_per_s, TOTAL_BURST);
         let bucket = self.groups.entry(group).or_insert(TokenBucket::full(now, GROUP_BURST));
@@ -55,7 +56,7 @@
         true
     }
 
-    /// Drops the bucket of a group that is no longer listed.
+    /// Removes the bucket of a group that is no longer listed.
     pub(crate) fn remove_group(&mut self, group: GroupId) {
         self.groups.remove(&group);
     }
--- a/health/src/probe_scheduler.rs
+++ b/health/src/probe_scheduler.rs
@@ -1,5 +1,5 @@
-//! Decides which servers to probe, and when: primaries that are suspected or unproven for long, and every server of a
-//! group without an available primary.
+//! Decides which servers to probe, and when. Probes go to primaries that are suspected of a failure, to primaries
+//! without a recent proof, and to every server of a group whose writes are unavailable.
 
 use crate::group::GroupState;
 use crate::probe_budget::ProbeBudget;
@@ -7,27 +7,27 @@
 use crate::settings::{HealthSettings, ProbeSettings};
 use crate::{GroupId, Micros, ServerId, earliest};
 
-/// A probe that hasn't ended after this many times its timeout is no longer waited for.
+/// A probe expires if its end was not reported within this many timeouts.
 const EXPIRES_AFTER_TIMEOUTS: Micros = 4;
-/// With the budget exhausted, a probe that is due is attempted again after this time.
+/// If the budget is exhausted, a due probe is attempted again after this time.
 const BUDGET_RETRY_MICROS: Micros = 50_000;
 
-/// The probe budget and the probes that it has granted.
+/// Requests probes within the probe budget.
 pub(crate) struct ProbeScheduler {
     budget: ProbeBudget,
-    /// For the jitter that keeps proxies from probing in lockstep.
+    /// Provides the jitter that prevents proxies from probing in lockstep.
     rng: fastrand::Rng,
-    /// Probes requested since they were last taken.
+    /// The servers to probe that the caller has not taken yet.
     requested: Vec<ServerId>,
 }
 
-/// Why a server may have to be probed.
+/// The conditions that decide whether a server must be probed.
 struct ProbeNeed {
-    /// It is the group's proven primary, or the listed one if none is proven.
+    /// The server is the group's proven primary, or the listed one if none is proven.
     is_primary: bool,
-    /// It fails to respond.
+    /// The server is unreachable, or has been silent for longer than `suspect_after`.
     is_suspect: bool,
-    /// The group's writes are unavailable: any server may be the new primary.
+    /// The group's writes are unavailable, so any of its servers may be the new primary.
     primary_unavailable: bool,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// When the next probe is due, if one is.
+    /// Returns when the next probe is due; `None` if the server needs no probe.
     fn due_at(
         &self,
         now: Micros,
@@ -68,14 +68,14 @@
         }
     }
 
-    /// It is probed only because it may be the new primary.
+    /// True if the only reason for a probe is that the server may be the new primary.
     fn is_search(&self) -> bool {
         self.primary_unavailable && !self.is_suspect && !self.is_primary
     }
 }
 
 impl ProbeScheduler {
-    /// A scheduler whose jitter follows the seed.
+    /// Creates a scheduler with a full budget. The seed determines the jitter.
     pub(crate) fn new(now: Micros, seed: u64) -> ProbeScheduler {
         ProbeScheduler {
             budget: ProbeBudget::new(now),
@@ -84,17 +84,18 @@
         }
     }
 
-    /// The probes requested since the last call.
+    /// Returns the servers to probe that were requested since the last call.
     pub(crate) fn take_requested(&mut self) -> Vec<ServerId> {
         std::mem::take(&mut self.requested)
     }
 
-    /// Drops the budget of a group that is no longer listed.
+    /// Removes the budget of a group that is no longer listed.
     pub(crate) fn remove_group(&mut self, group: GroupId) {
         self.budget.remove_group(group);
     }
 
-    /// Requests the probes that are due. Returns when it must run next.
+    /// Requests the probes that are due. Returns when this function must run next; `None` if no further probe is
+    /// scheduled.
     pub(crate) fn schedule(
         &mut self,
         now: Micros,
@@ -129,7 +130,7 @@
         next
     }
 
-    /// Requests a probe and sets the earliest time of the server's next one.
+    /// Requests a probe and sets the earliest time of the server's next probe.
     fn request(
         &mut self,
         now: Micros,
@@ -141,14 +142,14 @@
         server.probe_sent_at = Some(now);
         server.evidence.record_sent(now);
         server.probe_advance = self.rng.i64(0..=settings.interval / 4);
-        // A suspect is probed again as soon as a probe times out, so that its silence is measured without gaps.
+        // A suspected server is probed again as soon as a probe times out. Its silence is then measured without gaps.
         let pause = if need.is_search() { settings.timeout + self.rng.i64(0..=settings.timeout) } else { 0 };
         server.probe_not_before = now + pause.max(settings.timeout / 2);
         self.requested.push(id);
     }
 }
 
-/// True while a probe is in flight. One that never ended is dropped: else the server would never be probed again.
+/// True while a probe is in flight. Removes an expired probe, because otherwise the server would never be probed again.
 fn has_probe_in_flight(now: Micros, server: &mut MonitoredServer, settings: &ProbeSettings) -> bool {
     let Some(sent_at) = server.probe_sent_at else { return false };
     if now - sent_at < EXPIRES_AFTER_TIMEOUTS * settings.timeout {
--- a/health/src/query.rs
+++ b/health/src/query.rs
@@ -1,37 +1,37 @@
-//! What a balancer asks for, and its text form, which agent-check lines and gRPC service names share.
+//! The queries of balancers and their text form, which agent-check lines and gRPC service names share.
 
 use crate::GroupId;
 use crate::labels::Operation;
 use std::fmt;
 
-/// What a balancer asks for. With no field set: the proxy as a whole.
+/// Selects the capability that a balancer asks about. If no field is set, the balancer asks about the proxy as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HealthQuery {
-    /// A class of requests, by its name.
+    /// The name of a class of requests; `None` for all requests.
     pub class: Option<String>,
-    /// One group of servers; all of them if absent.
+    /// The group of servers; `None` for all groups.
     pub group: Option<GroupId>,
-    /// Reads or writes.
+    /// Reads or writes. `None` for the operation of the class, or for both operations without a class.
     pub operation: Option<Operation>,
 }
 
-/// Why a text is no query. Replies to balancers name it by its label.
+/// Why a text is not a valid query. Replies to balancers contain the error's label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryError {
-    /// The text is longer than a line may be.
+    /// The line exceeds the maximum length.
     LineTooLong,
-    /// It is not UTF-8.
+    /// The text is not valid UTF-8.
     NotText,
     /// The value of `group=` is not a number.
     InvalidGroup,
-    /// A key other than `class` and `group`.
+    /// The text contains a key other than `class` and `group`.
     UnknownKey,
-    /// Class, group or operation is given twice.
+    /// The text gives a class, a group or an operation twice.
     DuplicateTerm,
 }
 
 impl QueryError {
-    /// The label in the reply.
+    /// Returns the label that replies to balancers contain.
     pub fn as_str(self) -> &'static str {
         match self {
             QueryError::LineTooLong => "line-too-long",
@@ -52,8 +52,8 @@
 impl std::error::Error for QueryError {}
 
 impl HealthQuery {
-    /// Parses terms in any order: a class's name, `class=NAME`, `group=N`, `read`, `write`. No term at all asks for the
-    /// proxy as a whole.
+    /// Parses terms in any order: a class's name, `class=NAME`, `group=N`, `read`, `write`. Terms are separated by
+    /// white space, commas or semicolons. A text without terms is a query for the proxy as a whole.
     pub fn parse(text: &[u8]) -> Result<HealthQuery, QueryError> {
         let text = std::str::from_utf8(text).map_err(|_| QueryError::NotText)?;
         let mut query = HealthQuery::default();
@@ -65,7 +65,7 @@
         Ok(query)
     }
 
-    /// Sets the field that a term is about.
+    /// Parses one term and sets the field that it gives.
     fn add_term(&mut self, term: &str) -> Result<(), QueryError> {
         let duplicate = match term.split_once('=') {
             Some(("group", number)) => {
--- a/health/src/read_window.rs
+++ b/health/src/read_window.rs
@@ -2,23 +2,23 @@
 
 use crate::Micros;
 
-/// Intervals in the window.
+/// The number of intervals in the window.
 const INTERVALS: usize = 3;
 /// The length of one interval.
 pub(crate) const INTERVAL_MICROS: Micros = 1_000_000;
-/// Fewer reads than this in the window say nothing.
+/// With fewer reads in the window, the success rate is not significant.
 const MIN_READS: u64 = 20;
-/// Reads are failing if fewer than one in this many are served.
+/// Reads are failing if fewer than one in this many is served.
 const MIN_SERVED_ONE_IN: u64 = 10;
 
-/// Reads that got their final answer in one interval.
+/// Counts the reads that got their final answer in one interval.
 #[derive(Clone, Copy, Debug, Default)]
 struct Interval {
     served: u64,
     finished: u64,
 }
 
-/// Counts of reads by interval, the current interval first.
+/// Counts the reads of each interval in the window. The current interval comes first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReadWindow {
     intervals: [Interval; INTERVALS],
@@ -26,14 +26,14 @@
 }
 
 impl ReadWindow {
-    /// Counts a read that got its final answer.
+    /// Records a read that got its final answer.
     pub(crate) fn record(&mut self, now: Micros, served: bool) {
         self.advance(now);
         self.intervals[0].served += u64::from(served);
         self.intervals[0].finished += 1;
     }
 
-    /// Nearly all reads of the window were rejected or failed.
+    /// True if nearly all reads in the window were rejected or failed.
     pub(crate) fn is_failing(&mut self, now: Micros) -> bool {
         self.advance(now);
         let served: u64 = self.intervals.iter().map(|interval| interval.served).sum();
@@ -41,7 +41,7 @@
         finished >= MIN_READS && served * MIN_SERVED_ONE_IN < finished
     }
 
-    /// Starts new intervals up to now and drops those that left the window.
+    /// Starts new intervals up to now and discards those that have left the window.
     fn advance(&mut self, now: Micros) {
         while now - self.current_started_at >= INTERVAL_MICROS {
             let passed = (now - self.current_started_at) / INTERVAL_MICROS;
--- a/health/src/server_table.rs
+++ b/health/src/server_table.rs
@@ -1,43 +1,41 @@
-//! The servers and groups of the endpoint list, both bounded in number.
+//! The table of the listed servers and their groups. Both are bounded in number.
 
 use crate::evidence::ServerEvidence;
 use crate::group::GroupState;
 use crate::{GroupId, Micros, ServerId};
 use std::collections::BTreeMap;
 
-/// Servers beyond this number are ignored and counted.
+/// Further servers are ignored and counted.
 const MAX_SERVERS: usize = 4096;
-/// Servers of groups beyond this number are ignored and counted.
+/// Servers of further groups are ignored and counted.
 const MAX_GROUPS: usize = 1024;
 
-/// A server and the state of its probes.
+/// A listed server and the state of its probes.
 pub(crate) struct MonitoredServer {
     pub evidence: ServerEvidence,
-    /// When the probe in flight was sent, if one is.
+    /// When the probe in flight was sent; `None` if no probe is in flight.
     pub probe_sent_at: Option<Micros>,
-    /// The next probe is not sent before this time.
+    /// The next probe must not be sent before this time.
     pub probe_not_before: Micros,
-    /// The next periodic probe is due this much early, so that proxies don't probe in lockstep.
+    /// The next periodic probe is due early by this random time, so that proxies don't probe in lockstep.
     pub probe_advance: Micros,
 }
 
-/// What the endpoint list says of a server.
+/// The entry of a server in the endpoint list.
 #[derive(Clone, Copy)]
 pub(crate) struct ServerListing {
     pub group: GroupId,
-    /// Whether it is the primary, if the list says.
+    /// Whether the server is the primary; `None` if the list doesn't say.
     pub primary: Option<bool>,
     pub accepts_work: bool,
 }
 
-/// All servers by their ids.
 pub(crate) type Servers = BTreeMap<ServerId, MonitoredServer>;
 
-/// The table has no capacity for another server or group.
+/// The error that the table has no capacity for another server or group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TableFull;
 
-/// The servers and groups of the endpoint list.
 #[derive(Default)]
 pub(crate) struct ServerTable {
     pub servers: Servers,
@@ -45,7 +43,7 @@
 }
 
 impl ServerTable {
-    /// Takes what the endpoint list says of a server.
+    /// Adds a server or updates its entry.
     pub(crate) fn list(
         &mut self,
         now: Micros,
@@ -64,7 +62,7 @@
         Ok(())
     }
 
-    /// Adds a server, or moves it to another group, where it starts without evidence.
+    /// Adds a server or moves it to another group. A moved server starts without evidence.
     fn insert(&mut self, now: Micros, id: ServerId, group: GroupId) -> Result<(), TableFull> {
         let server_fits = self.servers.len() < MAX_SERVERS || self.servers.contains_key(&id);
         let group_fits = self.groups.len() < MAX_GROUPS || self.groups.contains_key(&group);
--- a/health/src/settings.rs
+++ b/health/src/settings.rs
@@ -1,92 +1,93 @@
-//! The settings of the monitor and the rules that hold among them. The XML options file calls them by other names,
-//! which `options/src/health.rs` maps.
+//! The settings of the monitor and their defaults. The XML options file uses other names for them, which
+//! `options/src/health.rs` maps to these settings.
 
 use crate::Micros;
 
-/// What is reported of a group without a proof within the window and without evidence against it.
+/// How an idle group is reported. A group is idle without a proof within the proof window and without evidence against
+/// its primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleGroupPolicy {
-    /// What the endpoint list says.
+    /// Writes are available unless the endpoint list names no primary.
     TrustEndpointList,
-    /// Its writes are unavailable.
+    /// Writes are unavailable.
     Withdraw,
 }
 
-/// What a cause that all proxies share (no primary in any group) does to the proxy as a whole.
+/// How a cause that all proxies share affects the proxy as a whole. The shared cause is that no group has a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SharedCausePolicy {
-    /// It stays in rotation; only the capability concerned is unavailable.
+    /// The proxy stays in rotation. Only the affected capabilities are unavailable.
     StayInRotation,
-    /// It is unavailable.
+    /// The proxy is unavailable.
     ReportDown,
 }
 
-/// What overload does to the proxy as a whole.
+/// How overload affects the proxy as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverloadPolicy {
-    /// It stays available with a reduced weight.
+    /// The proxy stays available with a reduced weight.
     ReduceWeight,
-    /// It is unavailable.
+    /// The proxy is unavailable.
     ReportDown,
 }
 
-/// When an operation over all groups is available.
+/// When an operation counts as available in a query over all groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AggregationRule {
-    /// If it is in at least one group.
+    /// The operation must be available in at least one group.
     AnyGroup,
-    /// If it is in all groups.
+    /// The operation must be available in every group.
     AllGroups,
 }
 
 /// The server that a class of requests needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequiredServer {
-    /// The primary.
+    /// Only the primary can serve the class.
     Primary,
-    /// Any server of the group.
+    /// Any server of the group can serve the class.
     AnyMember,
 }
 
 /// A class of requests that balancers may ask for by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestClass {
-    /// Its name in the proxy's settings.
+    /// The name of the class in the proxy's settings.
     pub name: String,
-    /// The server that it needs.
+    /// Determines whether the class is available with the group's writes or with its reads.
     pub needs: RequiredServer,
 }
 
-/// When servers are probed, and how often at most.
+/// When servers are probed, and the limits on the rate of probes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeSettings {
-    /// The primary of a group without a proof for this long is probed.
+    /// A primary without a proof for this long is probed.
     pub interval: Micros,
     /// A primary that is silent for this long is probed.
     pub suspect_after: Micros,
-    /// The timeout of a probe.
+    /// A probe without an answer ends after this time.
     pub timeout: Micros,
-    /// The most probes a second to one group.
+    /// The maximum number of probes per second to one group.
     pub group_rate_per_s: f64,
-    /// The most probes a second to all groups together.
+    /// The maximum number of probes per second to all groups together.
     pub total_rate_per_s: f64,
 }
 
-/// How the weight follows the pressure, see `weight`.
+/// How the balancer weight follows the pressure. Module `weight` describes the control loop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightSettings {
     /// Up to this pressure (0 to 1) the weight is 100.
     pub reduce_above: f64,
     /// The weight in per cent at a pressure of 1, before the trim.
     pub percent_at_full_pressure: f64,
-    /// The weight rises at most by this factor a second.
+    /// The weight rises by at most this factor per second.
     pub max_rise_factor_per_s: f64,
-    /// The weight falls at most by this factor a second.
+    /// The weight falls by at most this factor per second.
     pub max_fall_factor_per_s: f64,
-    /// Time constant with which the weight approaches its target. It must exceed the time that balancers take to act
-    /// on a weight, or the loop oscillates.
+    /// The time constant with which the weight approaches its target. It must exceed the time that balancers take to
+    /// act on a weight; otherwise the control loop oscillates.
     pub settling_time: Micros,
-    /// Above this pressure the trim lowers the weight further.
+    /// Above this pressure (0 to 1) the trim lowers the weight further.
     pub trim_above: f64,
 }
 
@@ -95,40 +96,41 @@
 pub struct HealthSettings {
     /// The classes of requests that balancers may ask for.
     pub classes: Vec<RequestClass>,
-    /// What is reported of idle groups.
+    /// How the writes of idle groups are reported.
     pub idle_groups: IdleGroupPolicy,
-    /// What a shared cause does to the proxy as a whole.
+    /// How a shared cause affects the proxy as a whole.
     pub shared_causes: SharedCausePolicy,
-    /// What overload does to the proxy as a whole.
+    /// How overload affects the proxy as a whole.
     pub overload: OverloadPolicy,
-    /// When an operation over all groups is available.
+    /// When an operation counts as available in a query over all groups.
     pub aggregation: AggregationRule,
-    /// How long a server's report that it is the primary counts.
+    /// A server's report that it is the primary is valid for this long.
     pub proof_window: Micros,
     /// A capability must be observed as unavailable for this long before it is withdrawn.
     pub withdraw_after: Micros,
-    /// A capability must be observed as available for this long before it is restored. Doubles with each withdrawal
-    /// within a minute of the last.
+    /// A capability must be observed as available for this long before it is restored. The delay doubles with each
+    /// withdrawal within a minute of the previous one.
     pub restore_after: Micros,
-    /// The limit of that doubling.
+    /// The upper limit of the doubled restore delay.
     pub restore_after_max: Micros,
     /// A capability stays available for at least this long.
     pub min_time_available: Micros,
     /// A capability stays unavailable for at least this long.
     pub min_time_unavailable: Micros,
-    /// Without probes, a server that owes a response and is silent for this long counts as unresponsive.
+    /// Without probes, a server counts as unresponsive after it was silent for this long with a request in flight.
     pub silence_limit_unprobed: Micros,
-    /// The same with probes, which tell a slow server from an unresponsive one.
+    /// With probes, a server counts as unresponsive after it was silent for this long with a request or a probe in
+    /// flight. Probes distinguish a slow server from an unresponsive one.
     pub silence_limit_probed: Micros,
-    /// Discovery that has not responded for this long counts as unavailable.
+    /// Discovery counts as unavailable after it has not responded for this long.
     pub discovery_timeout: Micros,
-    /// From this pressure on the proxy is overloaded.
+    /// The proxy is overloaded at this pressure (0 to 1) or above.
     pub overload_pressure: f64,
-    /// Probes are sent if this is set.
+    /// The settings of probes. If `None`, the monitor requests no probes.
     pub probes: Option<ProbeSettings>,
-    /// How the weight follows the pressure.
+    /// How the balancer weight follows the pressure.
     pub weight: WeightSettings,
-    /// For the jitter of probes.
+    /// Determines the jitter of probes.
     pub seed: u64,
 }
 
@@ -183,7 +185,7 @@
 }
 
 impl HealthSettings {
-    /// For how long a server that owes a response may be silent.
+    /// Returns how long a server may be silent while something is in flight before it counts as unresponsive.
     pub fn silence_limit(&self) -> Micros {
         if self.probes.is_some() { self.silence_limit_probed } else { self.silence_limit_unprobed }
     }
--- a/health/src/verdict.rs
+++ b/health/src/verdict.rs
@@ -1,67 +1,69 @@
-//! The verdict: what is reported of the proxy as a whole, of each group and of each class of requests. Every protocol
-//! answers from the same verdict.
+//! The verdict: the reported health of the proxy as a whole, of each group and of each class of requests. All protocols
+//! answer from the same verdict.
 
 use crate::labels::{Operation, Reason, State};
 use crate::query::HealthQuery;
 use crate::settings::{AggregationRule, HealthSettings, RequestClass, RequiredServer};
 use crate::{GroupId, Micros, ServerId};
 
-/// Something that a balancer may send work for.
+/// Whether the proxy can serve requests of one kind, and why. The kind is an operation on a group, a class of requests,
+/// or all requests together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capability {
-    /// Work may be sent.
+    /// True if balancers may send such requests to the proxy.
     pub available: bool,
-    /// Available, but not in all of its parts.
+    /// True if the capability is available, but not for all groups or operations that it covers.
     pub partial: bool,
-    /// Why it is available or not.
+    /// Why the capability is available or unavailable. If it is partial, why a part is unavailable.
     pub reason: Reason,
-    /// Since when it is reported as it is.
+    /// When the reported availability last changed. For the proxy as a whole, also when its state last changed.
     pub since: Micros,
-    /// The balancer weight in per cent; 0 only if it is unavailable.
+    /// The balancer weight from 1 to 100, or 0 if the capability is unavailable.
     pub weight_percent: u8,
 }
 
-/// What is reported of one group.
+/// The reported health of one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupVerdict {
-    /// The group.
+    /// The id of the group.
     pub group: GroupId,
-    /// Its reads.
+    /// Whether reads of this group can be served.
     pub read: Capability,
-    /// Its writes.
+    /// Whether writes to this group can be served.
     pub write: Capability,
-    /// The server that last proved to be the primary.
+    /// The server that last reported that it is the primary. `None` without such a report, or if evidence contradicts
+    /// it.
     pub proven_primary: Option<ServerId>,
-    /// When it did.
+    /// When `proven_primary` last reported its role.
     pub proven_at: Option<Micros>,
-    /// How many of its servers take work.
+    /// The number of the group's servers that accept work.
     pub accepting_servers: usize,
 }
 
-/// What is reported to balancers and operators.
+/// The health that is reported to balancers and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     /// The state of the proxy as a whole.
     pub state: State,
-    /// The proxy as a whole: the answer to a query without any field.
+    /// The capability of the proxy as a whole, which answers a query without any field.
     pub overall: Capability,
-    /// In ascending order of the groups' ids.
+    /// The groups, in ascending order of their ids.
     pub groups: Vec<GroupVerdict>,
-    /// The classes of requests that may be asked for.
+    /// The classes of requests that balancers may ask for.
     pub classes: Vec<RequestClass>,
-    /// How groups are summed up for a class or an operation.
+    /// How the groups are combined for a query about a class or an operation.
     pub aggregation: AggregationRule,
-    /// When discovery last responded.
+    /// When discovery last responded; `None` if it never did.
     pub discovery_responded_at: Option<Micros>,
-    /// The proxy's pressure, smoothed, from 0 to 1.
+    /// The proxy's smoothed pressure, from 0 to 1.
     pub pressure: f64,
-    /// Requests without an attempt in flight.
+    /// The number of open requests without an attempt in flight.
     pub queued: usize,
-    /// Open requests.
+    /// The number of open requests.
     pub in_progress: usize,
-    /// Connections from clients that the proxy can hold.
+    /// The number of client connections that the proxy can hold.
     pub client_capacity: usize,
-    /// Entries of the endpoint list that were ignored because a table was full.
+    /// How many entries of the endpoint list were ignored because the table of servers or groups was full.
     pub ignored_servers: u64,
 }
 
@@ -70,28 +72,28 @@
 pub enum Change {
     /// The overall state changed.
     State {
-        /// The state before.
+        /// The previous state.
         from: State,
-        /// The state now.
+        /// The new state.
         to: State,
-        /// Why.
+        /// Why the proxy is in the new state.
         reason: Reason,
     },
     /// A capability of a group became available or unavailable.
     Capability {
-        /// The group.
+        /// The group that the capability belongs to.
         group: GroupId,
-        /// Its reads or its writes.
+        /// Whether the capability concerns reads or writes.
         operation: Operation,
-        /// Available now.
+        /// The new availability.
         available: bool,
-        /// Why.
+        /// Why the capability is available or unavailable now.
         reason: Reason,
     },
 }
 
 impl GroupVerdict {
-    /// The capability for one operation.
+    /// Returns the capability for one operation.
     pub fn capability(&self, operation: Operation) -> Capability {
         match operation {
             Operation::Read => self.read,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Reads and writes together: available with either of them, partially without both.
+    /// Combines reads and writes. The result is available if either of them is, and partial if only one of them is.
     fn combined(&self) -> Capability {
         let (read, write) = (self.read, self.write);
         match (read.available, write.available) {
@@ -111,7 +113,7 @@
 }
 
 impl Verdict {
-    /// The verdict of a proxy that starts.
+    /// Creates the verdict of a proxy that starts now.
     pub(crate) fn new(now: Micros, settings: &HealthSettings) -> Verdict {
         Verdict {
             state: State::Starting,
@@ -134,7 +136,8 @@
         }
     }
 
-    /// The answer to a query; none if it names an unknown class or group, or an operation that isn't its class's.
+    /// Returns the capability that a query selects. `None` if the query names an unknown class or group, or an
+    /// operation other than that of the class.
     pub fn capability(&self, query: &HealthQuery) -> Option<Capability> {
         let operation = match &query.class {
             None => query.operation,
@@ -151,7 +154,8 @@
         }
     }
 
-    /// The operation that a class needs; none if there is no such class, or another operation is asked for.
+    /// Returns the operation that a class needs. `None` if the class is unknown or the query asks for another
+    /// operation.
     fn class_operation(&self, name: &str, asked: Option<Operation>) -> Option<Operation> {
         let class = self.classes.iter().find(|class| class.name == name)?;
         let operation = match class.needs {
@@ -161,7 +165,8 @@
         asked.is_none_or(|asked| asked == operation).then_some(operation)
     }
 
-    /// An operation over all groups; its weight is in proportion to the groups that are available.
+    /// Combines an operation over all groups. The weight is proportional to the number of groups with the operation
+    /// available.
     fn aggregate(&self, operation: Operation) -> Capability {
         if !self.overall.available {
             return Capability { weight_percent: 0, ..self.overall };
@@ -173,7 +178,7 @@
             AggregationRule::AnyGroup => available > 0,
             AggregationRule::AllGroups => available > 0 && available == total,
         };
-        // The reason is the most severe one among the unavailable groups, or among all if all are available.
+        // The most severe reason of the unavailable groups is reported, or of all groups if all are available.
         let reported = || parts().filter(|part| available == total || !part.available);
         let reason = reported().map(|part| part.reason).max().unwrap_or(Reason::NoGroups);
         let since = reported().map(|part| part.since).max().unwrap_or(self.overall.since);
@@ -186,7 +191,7 @@
         }
     }
 
-    /// The overall weight, reduced to the fraction of groups that are available, and 1 at least.
+    /// Returns the overall weight multiplied by the fraction of available groups, but at least 1.
     fn proportional_weight(&self, available: usize, total: usize) -> u8 {
         let fraction = if total == 0 { 0.0 } else { available as f64 / total as f64 };
         (f64::from(self.overall.weight_percent) * fraction).round().max(1.0) as u8
