--- a/health/src/settings_error.rs
+++ b/health/src/settings_error.rs
@@ -1,25 +1,24 @@
-//! Which settings contradict one another. The errors name options as the options file does.
-
+//! Finds contradictions among the settings. The errors use the option names of the options file.
 use crate::Micros;
 use crate::settings::{HealthSettings, IdleGroupPolicy, ProbeSettings};
 use std::fmt;
 
-/// Settings that contradict one another.
+/// A contradiction between two or more settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// The silence limit with probes exceeds the one without.
+    /// The silence limit with probes exceeds the limit without probes.
     ProbedSilenceLimitTooLong,
-    /// An unresponsive primary would be reported later than promised.
+    /// An unresponsive primary would be reported later than after 2 s.
     DetectionTooSlow,
     /// A capability would have to stay available while its primary is known to be unresponsive.
     MinTimeAvailableTooLong,
-    /// The restore delay starts above its limit.
+    /// The initial restore delay exceeds its upper limit.
     RestoreDelayAboveLimit,
     /// The trim would begin before the weight is reduced.
     TrimBelowReduction,
     /// The proxy would be overloaded before the trim begins.
     OverloadBelowTrim,
-    /// Idle groups are withdrawn, and nothing would ever prove them again.
+    /// Writes to idle groups are withdrawn, and without probes nothing would restore them.
     IdleGroupsNeverRestored,
     /// A proof would expire before the next probe.
     ProbeIntervalTooLong,
@@ -29,13 +28,13 @@
     GroupRateAboveTotal,
 }
 
-/// An unresponsive primary must be reported within this time.
+/// The maximum time until an unresponsive primary must be reported.
 const MAX_DETECTION_MICROS: Micros = 2_000_000;
-/// The part of it that is reserved for delays of a busy event loop.
+/// The part of the detection time that is reserved for delays of a busy event loop.
 const EVENT_LOOP_ALLOWANCE_MICROS: Micros = 100_000;
 
 impl SettingsError {
-    /// The option at fault, by its name in the options file.
+    /// Returns the name of the invalid option in the options file.
     pub fn option(self) -> &'static str {
         match self {
             SettingsError::ProbedSilenceLimitTooLong => "hang-probed-ms",
@@ -51,23 +50,29 @@
         }
     }
 
-    /// What is wrong with the option's value.
+    /// Returns the requirement that the option's value violates.
     fn message(self) -> &'static str {
         match self {
-            SettingsError::ProbedSilenceLimitTooLong => "above hang-ms",
-            SettingsError::DetectionTooSlow => "with fall-ms, a hang would be told later than after 1.9 s",
-            SettingsError::MinTimeAvailableTooLong => "above the time after which a hang is told",
-            SettingsError::RestoreDelayAboveLimit => "above rise-most-ms",
-            SettingsError::TrimBelowReduction => "not below hot",
-            SettingsError::OverloadBelowTrim => "not below overload-at",
+            SettingsError::ProbedSilenceLimitTooLong => "must not exceed hang-ms",
+            SettingsError::DetectionTooSlow => {
+                "hang-ms plus fall-ms must not exceed 1.9 s, so that an unresponsive primary is reported within 2 s"
+            }
+            SettingsError::MinTimeAvailableTooLong => {
+                "must not exceed the time after which a server counts as unresponsive (hang-ms, or hang-probed-ms with \
+                 probes)"
+            }
+            SettingsError::RestoreDelayAboveLimit => "must not exceed rise-most-ms",
+            SettingsError::TrimBelowReduction => "must be below hot",
+            SettingsError::OverloadBelowTrim => "must be below overload-at",
             SettingsError::IdleGroupsNeverRestored => {
-                "with withdraw and no probes, an idle group would never be claimed again"
+                "withdraw requires probes, because nothing else would restore the writes of an idle group"
             }
-            SettingsError::ProbeIntervalTooLong => "above half of window-ms",
+            SettingsError::ProbeIntervalTooLong => "must not exceed half of window-ms",
             SettingsError::ProbeTimeoutTooLong => {
-                "with suspect-ms, above hang-probed-ms: a slow server would be told as a silent one"
+                "suspect-ms plus timeout-ms must not exceed hang-probed-ms, so that a slow server is not reported as \
+                 unresponsive"
             }
-            SettingsError::GroupRateAboveTotal => "above whole-per-s",
+            SettingsError::GroupRateAboveTotal => "must not exceed whole-per-s",
         }
     }
 }
@@ -81,7 +86,8 @@
 impl std::error::Error for SettingsError {}
 
 impl HealthSettings {
-    /// The contradictions that the options' schema can't express: sums and orders of values.
+    /// Returns the contradictions between the settings, in a fixed order. The schema of the options file can't express
+    /// them, because they concern sums and the order of values.
     pub fn errors(&self) -> Vec<SettingsError> {
         let detection = self.silence_limit_unprobed + self.withdraw_after;
         let idle_groups_restorable =
@@ -105,7 +111,7 @@
         errors
     }
 
-    /// The contradictions between probes and the other settings.
+    /// Returns the contradictions between the settings of probes and the other settings.
     fn probe_errors(&self, probes: &ProbeSettings) -> Vec<SettingsError> {
         let response_due_after = probes.suspect_after + probes.timeout;
         violated([
@@ -116,7 +122,7 @@
     }
 }
 
-/// The errors of the rules that don't hold.
+/// Returns the errors of the violated rules.
 fn violated<const RULES: usize>(rules: [(bool, SettingsError); RULES]) -> Vec<SettingsError> {
     rules.into_iter().filter(|(holds, _)| !holds).map(|(_, error)| error).collect()
 }
--- a/health/tests/settings_errors.rs
+++ b/health/tests/settings_errors.rs
@@ -1,15 +1,15 @@
-//! Settings that contradict one another, and what operators read of each.
+//! Contradictions between settings, and the message that operators read about each.
 
 use birchreach_health::{HealthSettings, IdleGroupPolicy, ProbeSettings};
 
-/// The messages about the default settings with one change.
+/// Returns the error messages for the default settings after `change`.
 fn messages(change: impl FnOnce(&mut HealthSettings)) -> Vec<String> {
     let mut settings = HealthSettings::default();
     change(&mut settings);
     settings.errors().iter().map(ToString::to_string).collect()
 }
 
-/// The messages about the default settings with changed probes.
+/// Returns the error messages for the default settings with default probes after `change`.
 fn probe_messages(change: impl FnOnce(&mut ProbeSettings)) -> Vec<String> {
     let mut probes = ProbeSettings::default();
     change(&mut probes);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_defaults_contradict_nothing() {
+fn the_defaults_have_no_contradictions() {
     assert_eq!(messages(|_| ()), [""; 0]);
     assert_eq!(probe_messages(|_| ()), [""; 0]);
 }
@@ -26,19 +26,22 @@
 fn contradictory_times_are_rejected_with_the_option() {
     assert_eq!(
         messages(|settings| settings.silence_limit_probed = settings.silence_limit_unprobed + 1),
-        ["hang-probed-ms: above hang-ms"]
+        ["hang-probed-ms: must not exceed hang-ms"]
     );
     assert_eq!(
         messages(|settings| settings.withdraw_after = 200_001),
-        ["hang-ms: with fall-ms, a hang would be told later than after 1.9 s"]
+        [
+            "hang-ms: hang-ms plus fall-ms must not exceed 1.9 s, so that an unresponsive primary is reported within 2 s"
+        ]
     );
     assert_eq!(
         messages(|settings| settings.min_time_available = settings.silence_limit() + 1),
-        ["hold-able-ms: above the time after which a hang is told"]
+        ["hold-able-ms: must not exceed the time after which a server counts as unresponsive \
+          (hang-ms, or hang-probed-ms with probes)"]
     );
     assert_eq!(
         messages(|settings| settings.restore_after = settings.restore_after_max + 1),
-        ["rise-ms: above rise-most-ms"]
+        ["rise-ms: must not exceed rise-most-ms"]
     );
 }
 
@@ -46,11 +49,11 @@
 fn contradictory_weights_are_rejected_with_the_option() {
     assert_eq!(
         messages(|settings| settings.weight.reduce_above = settings.weight.trim_above),
-        ["knee: not below hot"]
+        ["knee: must be below hot"]
     );
     assert_eq!(
         messages(|settings| settings.overload_pressure = settings.weight.trim_above),
-        ["hot: not below overload-at"]
+        ["hot: must be below overload-at"]
     );
 }
 
@@ -58,32 +61,36 @@
 fn contradictory_probes_are_rejected_with_the_option() {
     assert_eq!(
         messages(|settings| settings.idle_groups = IdleGroupPolicy::Withdraw),
-        ["idle: with withdraw and no probes, an idle group would never be claimed again"]
+        ["idle: withdraw requires probes, because nothing else would restore the writes of an idle group"]
+    );
+    assert_eq!(
+        probe_messages(|probes| probes.interval = 7_500_001),
+        ["every-ms: must not exceed half of window-ms"]
     );
-    assert_eq!(probe_messages(|probes| probes.interval = 7_500_001), ["every-ms: above half of window-ms"]);
     assert_eq!(
         probe_messages(|probes| probes.suspect_after = 500_001),
-        ["timeout-ms: with suspect-ms, above hang-probed-ms: a slow server would be told as a silent one"]
+        ["timeout-ms: suspect-ms plus timeout-ms must not exceed hang-probed-ms, \
+          so that a slow server is not reported as unresponsive"]
     );
     assert_eq!(
         probe_messages(|probes| probes.group_rate_per_s = probes.total_rate_per_s + 1.0),
-        ["group-per-s: above whole-per-s"]
+        ["group-per-s: must not exceed whole-per-s"]
     );
 }
 
 #[test]
-fn several_contradictions_are_reported_in_their_order() {
-    // Given two contradictions
+fn several_contradictions_are_reported_in_a_fixed_order() {
+    // Given settings with two contradictions
     let both = messages(|settings| {
         settings.withdraw_after = 200_001;
         settings.idle_groups = IdleGroupPolicy::Withdraw;
     });
-    // Then both are reported
+    // Then both are reported, in the order of the rules
     assert_eq!(
         both,
         [
-            "hang-ms: with fall-ms, a hang would be told later than after 1.9 s",
-            "idle: with withdraw and no probes, an idle group would never be claimed again"
+            "hang-ms: hang-ms plus fall-ms must not exceed 1.9 s, so that an unresponsive primary is reported within 2 s",
+            "idle: withdraw requires probes, because nothing else would restore the writes of an idle group"
         ]
     );
 }
--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -54,7 +54,7 @@
         ("hang-ms=\"1700\"", "hang-ms=\"1900\"", 9, "claims", "1.9 s"),
         ("idle=\"trust\"", "idle=\"trust\">text</claims><claims", 9, "", ""),
         ("every-ms=\"800\"", "every-ms=\"8000\"", 13, "probes", "half of window-ms"),
-        ("knee=\"0.6\"", "knee=\"0.96\"", 14, "weight", "not below hot"),
+        ("knee=\"0.6\"", "knee=\"0.96\"", 14, "weight", "must be below hot"),
         ("<stopping", "<health/><stopping", 15, "health", ""),
         ("</health>", "", 17, "file", "not XML"),
         ("<birchreach-options>", "<options>", 17, "file", "not XML"),
--- a/options/tests/messages.rs
+++ b/options/tests/messages.rs
@@ -58,7 +58,7 @@
         ),
         (
             "<health><http listen='127.0.0.1:1'/><claims hang-probed-ms='1701'/></health>".into(),
-            "claims: hang-probed-ms: above hang-ms",
+            "claims: hang-probed-ms: must not exceed hang-ms",
         ),
         (
             "<health><http listen='999.0.0.1:1'/></health>".into(),
