--- a/health/tests/agent_check.rs
+++ b/health/tests/agent_check.rs
@@ -1,39 +1,38 @@
-//! The agent-check connection: what a line asks for, however its bytes arrive.
+//! Parsing of agent-check lines, independent of how the bytes of a line are split.
 
 use birchreach_health::agent::{AgentCheckConnection, ParsedQuery};
 use birchreach_health::query::QueryError;
 use birchreach_health::{GroupId, HealthQuery, Operation};
 
-/// The query of a line, which is the same if the line arrives byte by byte.
+/// Parses a line that arrives at once, and checks that the result is the same if the line arrives byte by byte.
 fn query_of(line: &str) -> ParsedQuery {
     let mut at_once = AgentCheckConnection::default();
     let query = at_once.feed(line.as_bytes());
     let mut split = AgentCheckConnection::default();
     let pieces: Vec<ParsedQuery> = line.bytes().filter_map(|byte| split.feed(&[byte])).collect();
     assert_eq!(query.iter().collect::<Vec<_>>(), pieces.iter().collect::<Vec<_>>());
-    assert_eq!(at_once.feed(b"more\n"), None, "one line is all that is read");
+    assert_eq!(at_once.feed(b"more\n"), None, "input after the first line is ignored");
     query.unwrap()
 }
 
-/// The query, or the label of the error.
+/// Replaces the error by its label.
 fn error_label(query: ParsedQuery) -> Result<HealthQuery, &'static str> {
     query.map_err(QueryError::as_str)
 }
 
-/// The query with these fields.
 fn expected(class: Option<&str>, group: Option<u32>, operation: Option<Operation>) -> ParsedQuery {
     Ok(HealthQuery { class: class.map(Into::into), group: group.map(GroupId), operation })
 }
 
 #[test]
-fn lines_are_queries_or_rejected_with_the_reason() {
-    // When a line has known terms in any order, then it is the query of them
+fn a_line_is_parsed_into_a_query_or_rejected_with_a_reason() {
+    // When a line contains known terms in any order, then the query has their fields
     assert_eq!(query_of("\n"), expected(None, None, None));
     assert_eq!(query_of("file-entry\r\n"), expected(Some("file-entry"), None, None));
     assert_eq!(query_of("group=3\n"), expected(None, Some(3), None));
     assert_eq!(query_of(" group=3, class=file-entry \n"), expected(Some("file-entry"), Some(3), None));
     assert_eq!(query_of("write;group=0\n"), expected(None, Some(0), Some(Operation::Write)));
-    // When a line is invalid, then the error says why
+    // When a line is invalid, then the error states the reason
     assert_eq!(error_label(query_of("group=x\n")), Err("group-is-no-number"));
     assert_eq!(error_label(query_of("group=1 group=2\n")), Err("word-twice"));
     assert_eq!(error_label(query_of("a b\n")), Err("word-twice"));
@@ -45,12 +44,13 @@
 }
 
 #[test]
-fn input_that_ends_without_a_line_end_is_the_query() {
-    // Given a balancer that sends nothing, when its input ends, then it asks for the proxy as a whole, once
+fn input_without_a_line_end_is_parsed_when_the_input_ends() {
+    // Given a balancer that sends nothing, when its input ends, then the query for the proxy as a whole is returned
+    // once
     let mut silent = AgentCheckConnection::default();
     assert_eq!(silent.input_ended(), Some(expected(None, None, None)));
     assert_eq!(silent.input_ended(), None);
-    // Given one that sends a line without its end, when its input ends, then the line is the query
+    // Given a balancer that sends a line without a line end, when its input ends, then the line is parsed
     let mut unfinished = AgentCheckConnection::default();
     assert_eq!(
         (unfinished.feed(b"file-entry"), unfinished.input_ended()),
--- a/health/tests/common/mod.rs
+++ b/health/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What several tests of the crate set up alike.
+//! Set-up that several tests of the crate share.
 
 use birchreach_health::{RequestClass, RequiredServer};
 
-/// A class of writes, `file-entry`, and one of reads, `tariff-lookup`.
+/// Returns a class of writes, `file-entry`, and a class of reads, `tariff-lookup`.
 pub(crate) fn request_classes() -> Vec<RequestClass> {
     vec![
         RequestClass { name: "file-entry".into(), needs: RequiredServer::Primary },
--- a/health/tests/fleet.rs
+++ b/health/tests/fleet.rs
@@ -1,57 +1,56 @@
-//! The weight as a control loop: 16 proxies and two balancers that act on weights late, in virtual time.
+//! Simulates the control loop of the balancer weight in virtual time, with 16 proxies and two balancers that read the
+//! weights with a delay.
 
 use birchreach_health::{GroupId, HealthEvent, HealthSettings, Micros, Monitor, ServerId};
 
-/// Proxies in the fleet.
 const PROXIES: usize = 16;
-/// How often proxies measure their load.
+/// The interval at which proxies measure their load.
 const TICK: Micros = 250_000;
 const SECOND: Micros = 1_000_000;
-/// The proxy that loses half its core.
+/// The index of the proxy that loses half of its CPU core.
 const WEAK_PROXY: usize = 5;
 
-/// Proxies behind two balancers.
+/// A fleet of proxies behind two balancers.
 struct Fleet {
     now: Micros,
     monitors: Vec<Monitor>,
-    /// What each proxy can serve, as a fraction of a whole core.
+    /// The capacity of each proxy, as a fraction of one CPU core.
     capacity: Vec<f64>,
-    /// The weight of each proxy as each balancer last read it.
+    /// The weight of each proxy that each balancer last read.
     weights_read: [Vec<f64>; 2],
     /// The load of all proxies together, as a fraction of their full capacity.
     load: f64,
-    /// How often a balancer reads a proxy's weight.
+    /// The interval at which a balancer reads the weight of a proxy.
     read_interval: Micros,
     rng: fastrand::Rng,
 }
 
-/// The weights of one proxy over a stretch of time.
+/// The range of one proxy's weight during a period.
 #[derive(Clone, Copy, Debug)]
 struct WeightRange {
     min: u8,
     max: u8,
 }
 
-/// What was seen over a stretch of time.
+/// The measurements of a period.
 #[derive(Default)]
 struct Observed {
     /// The largest difference in utilization between two proxies.
     spread: f64,
     /// The highest utilization.
     max_utilization: f64,
-    /// The weights of each proxy.
     weights: Vec<WeightRange>,
 }
 
 impl Observed {
-    /// The widest that a weight moved, as a fraction of it.
+    /// Returns the largest change of a proxy's weight, as a fraction of the proxy's highest weight.
     fn swing(&self) -> f64 {
         let swing = |range: &WeightRange| f64::from(range.max - range.min) / f64::from(range.max);
         self.weights.iter().map(swing).fold(0.0, f64::max)
     }
 }
 
-/// A monitor with one group, whose primary is listed.
+/// Creates a monitor with one group that has a listed primary.
 fn monitor(settings: HealthSettings) -> Monitor {
     let mut monitor = Monitor::new(settings, 0);
     let (server, group) = (ServerId(0), GroupId(0));
@@ -62,13 +61,12 @@
     monitor
 }
 
-/// A measurement of the proxy's own load.
 fn load(pressure: f64) -> HealthEvent {
     HealthEvent::Load { pressure, in_progress: 0, queued: 0, client_capacity: 0 }
 }
 
 impl Fleet {
-    /// A fleet in which all proxies have the full weight.
+    /// Creates a fleet in which all proxies have the full weight.
     fn new(load: f64, read_interval: Micros, seed: u64) -> Fleet {
         let monitors = (0..PROXIES).map(|_| {
             let mut monitor = monitor(HealthSettings::default());
@@ -86,8 +84,8 @@
         }
     }
 
-    /// The work that each proxy is sent, as a fraction of its capacity: each balancer distributes half of the load in
-    /// proportion to the weights.
+    /// Returns the load of each proxy as a fraction of its capacity. Each balancer distributes half of the total load
+    /// in proportion to the weights that it read.
     fn utilization(&self) -> Vec<f64> {
         let total = self.load * PROXIES as f64;
         let mut work = vec![0.0; PROXIES];
@@ -98,19 +96,19 @@
         work.iter().zip(&self.capacity).map(|(work, capacity)| work / capacity).collect()
     }
 
-    /// One measurement of each proxy, and the reads of balancers that are due.
+    /// Lets each proxy measure its load once, and each balancer read the weights that are due.
     fn tick(&mut self) {
         self.now += TICK;
         let utilization = self.utilization();
         for (monitor, utilization) in self.monitors.iter_mut().zip(utilization) {
-            // A proxy measures with noise, and never more than its capacity.
+            // The measurement is noisy and limited to the proxy's capacity.
             let pressure = (utilization + 0.02 * (self.rng.f64() - 0.5)).min(1.0);
             monitor.handle_event(self.now, load(pressure));
             monitor.update(self.now);
         }
         for (balancer, weights) in self.weights_read.iter_mut().enumerate() {
             for (proxy, weight) in weights.iter_mut().enumerate() {
-                // Balancers read the proxies one after another, each at its own times.
+                // The reads of the balancers are spread over the interval.
                 let offset = self.read_interval / PROXIES as Micros * proxy as Micros
                     + balancer as Micros * self.read_interval / 2;
                 if (self.now + offset) % self.read_interval < TICK {
@@ -120,7 +118,7 @@
         }
     }
 
-    /// Lets time pass and watches utilization and weights.
+    /// Advances the time and records utilization and weights.
     fn run_seconds(&mut self, seconds: Micros) -> Observed {
         let mut observed =
             Observed { weights: vec![WeightRange { min: u8::MAX, max: 0 }; PROXIES], ..Observed::default() };
@@ -142,37 +140,45 @@
 }
 
 #[test]
-fn weights_settle_and_a_weak_proxy_sheds_load_until_it_is_even() {
+fn weights_converge_and_balance_utilization_after_a_capacity_loss() {
     for (interval, seed) in [(1_000_000, 1), (2_000_000, 2), (5_000_000, 3)] {
-        // Given a fleet under high load, then weights settle and utilization is even
+        // Given a fleet under high load, then the weights converge and utilization is balanced
         let mut fleet = Fleet::new(0.9, interval, seed);
         fleet.run_seconds(120);
-        let calm = fleet.run_seconds(120);
-        println!("every {interval}: calm swing {:.3} spread {:.3}", calm.swing(), calm.spread);
-        assert!(calm.swing() <= 0.15 && calm.spread <= 0.10, "balancers every {interval} us");
-        // When one proxy loses half its core, then it is overloaded at first, and utilization gets even by the weights
+        let steady = fleet.run_seconds(120);
+        println!(
+            "read interval {interval} us: steady swing {:.3} spread {:.3}",
+            steady.swing(),
+            steady.spread
+        );
+        assert!(steady.swing() <= 0.15 && steady.spread <= 0.10, "read interval {interval} us");
+        // When one proxy loses half of its core, then it is overloaded at first, and the weights balance utilization
+        // again
         fleet.capacity[WEAK_PROXY] = 0.5;
-        let shock = fleet.run_seconds(90);
+        let overload = fleet.run_seconds(90);
         let after = fleet.run_seconds(120);
         println!(
-            "shock top {:.2}; after: swing {:.3} spread {:.3} top {:.3} weights {:?}",
-            shock.max_utilization,
+            "overload max {:.2}; after: swing {:.3} spread {:.3} max {:.3} weights {:?}",
+            overload.max_utilization,
             after.swing(),
             after.spread,
             after.max_utilization,
             &after.weights[4..7]
         );
-        assert!(shock.max_utilization > 1.5, "it was overloaded");
+        assert!(overload.max_utilization > 1.5, "the weak proxy was not overloaded");
         assert!(
             after.max_utilization < 1.0 && after.spread <= 0.12,
-            "it is even again, with balancers every {interval} us"
+            "utilization is not balanced again, read interval {interval} us"
         );
-        // When it has its core back, then it gets its part of the load again
+        // When the proxy has its full core again, then it receives its share of the load again
         fleet.capacity[WEAK_PROXY] = 1.0;
         fleet.run_seconds(240);
-        let back = fleet.run_seconds(60);
-        println!("back: spread {:.3} weights {:?}", back.spread, &back.weights[4..7]);
-        assert!(back.spread <= 0.12, "it carries its share again, with balancers every {interval} us");
+        let recovered = fleet.run_seconds(60);
+        println!("recovered: spread {:.3} weights {:?}", recovered.spread, &recovered.weights[4..7]);
+        assert!(
+            recovered.spread <= 0.12,
+            "the proxy doesn't carry its share again, read interval {interval} us"
+        );
     }
 }
 
@@ -195,16 +201,16 @@
             let overall = monitor.verdict().overall;
             assert!(
                 overall.available && overall.weight_percent >= 1,
-                "seed {seed}: the weight alone takes nobody out"
+                "seed {seed}: pressure alone made the proxy unavailable"
             );
             let weight = f64::from(overall.weight_percent);
             let seconds = span as f64 / 1e6;
-            // Both weights are rounded.
+            // The limits allow for the rounding of both weights.
             let max = (last + 0.5) * max_rise.powf(seconds) + 0.5;
             let min = (last - 0.5) / max_fall.powf(seconds) - 0.5;
             assert!(
                 weight <= max + 1e-9 && weight >= min - 1e-9,
-                "seed {seed}: {last} to {weight} in {span} us"
+                "seed {seed}: the weight changed from {last} to {weight} in {span} us"
             );
             last = weight;
         }
--- a/health/tests/verdicts/main.rs
+++ b/health/tests/verdicts/main.rs
@@ -1,4 +1,4 @@
-//! The verdict in the cases that matter to operators, in virtual time, and what balancers then read.
+//! The verdict in cases that matter to operators, in virtual time, and the replies that balancers then receive.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/health/tests/verdicts/primary_faults.rs
+++ b/health/tests/verdicts/primary_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of a group's primary: it is unresponsive, missing, or only slow.
 
-use crate::support::{MILLISECOND, SECOND, probing, proxy_with_proven_primary, simulated_proxy};
+use crate::support::{MILLISECOND, SECOND, proxy_with_proven_primary, settings_with_probes, simulated_proxy};
 use birchreach_health::{
     AttemptOutcome, HealthEvent, HealthSettings, IdleGroupPolicy, Role, ServerId, SharedCausePolicy, State,
 };
@@ -117,7 +117,7 @@
 #[test]
 fn with_probes_requests_of_any_duration_withdraw_nothing() {
     // Given probes and a proven primary
-    let mut proxy = proxy_with_proven_primary(probing());
+    let mut proxy = proxy_with_proven_primary(settings_with_probes());
     // When requests take longer than any limit, then nothing is withdrawn
     for _ in 0..20 {
         proxy.send(0);
@@ -146,8 +146,10 @@
     // Given idle groups and servers that answer probes, then writes stay available
     let role_of =
         |server: ServerId| Some(if server.0.is_multiple_of(10) { Role::Primary } else { Role::Replica });
-    let mut proxy =
-        simulated_proxy(4, HealthSettings { idle_groups: IdleGroupPolicy::Withdraw, ..probing() });
+    let mut proxy = simulated_proxy(
+        4,
+        HealthSettings { idle_groups: IdleGroupPolicy::Withdraw, ..settings_with_probes() },
+    );
     proxy.advance(60 * SECOND, role_of);
     assert_eq!(proxy.agent_reply("file-entry"), "ready up 100%\n", "without any request from clients");
     proxy.count_capability_changes();
@@ -162,7 +164,7 @@
 #[test]
 fn probes_of_many_groups_at_once_are_bounded_in_all() {
     // Given twenty groups, of which no primary is proven
-    let mut proxy = simulated_proxy(20, probing());
+    let mut proxy = simulated_proxy(20, settings_with_probes());
     // When all their probes are due
     proxy.monitor.update(proxy.now);
     // Then eight are sent at once, and the others at 20 a second
--- a/health/tests/verdicts/support.rs
+++ b/health/tests/verdicts/support.rs
@@ -1,4 +1,4 @@
-//! A proxy in virtual time.
+//! Simulates the health monitor of a proxy in virtual time.
 
 use crate::common::request_classes;
 use birchreach_health::agent::{self, AgentCheckConnection};
@@ -11,13 +11,13 @@
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// A monitor and the time that it is driven by.
+/// A monitor and its virtual time.
 pub(crate) struct SimulatedProxy {
     pub now: Micros,
     pub monitor: Monitor,
 }
 
-/// A proxy with some groups. Group g has the primary 10 g and the replica 10 g + 1.
+/// Creates a proxy with some groups. Group g has the primary 10 g and the replica 10 g + 1.
 pub(crate) fn simulated_proxy(groups: u32, settings: HealthSettings) -> SimulatedProxy {
     let classes = request_classes();
     let settings = HealthSettings { classes, ..settings };
@@ -32,7 +32,7 @@
     proxy
 }
 
-/// A proxy with one group, whose primary is proven. Capability changes are counted from here on.
+/// Creates a proxy with one group that has a proven primary. The count of capability changes starts at 0.
 pub(crate) fn proxy_with_proven_primary(settings: HealthSettings) -> SimulatedProxy {
     let mut proxy = simulated_proxy(1, settings);
     proxy.write(0, 5 * MILLISECOND);
@@ -40,13 +40,12 @@
     proxy
 }
 
-/// Settings with probes.
-pub(crate) fn probing() -> HealthSettings {
+pub(crate) fn settings_with_probes() -> HealthSettings {
     HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
 }
 
 impl SimulatedProxy {
-    /// Hands an event to the monitor, which is updated if that is due.
+    /// Passes an event to the monitor and updates the monitor if that is due.
     pub(crate) fn handle(&mut self, event: HealthEvent) {
         self.monitor.handle_event(self.now, event);
         if self.monitor.next_change() <= self.now {
@@ -54,7 +53,8 @@
         }
     }
 
-    /// Lets time pass. A probe sent meanwhile is answered at once if `role_of` has a role for its server, else never.
+    /// Advances the time. A probe sent during that time is answered at once if `role_of` returns a role for the probed
+    /// server, and never otherwise.
     pub(crate) fn advance(&mut self, span: Micros, role_of: impl Fn(ServerId) -> Option<Role>) {
         let until = self.now + span;
         while self.monitor.next_change() <= until {
@@ -80,12 +80,11 @@
         });
     }
 
-    /// Sends an attempt to a server.
     pub(crate) fn send(&mut self, server: u32) {
         self.handle(HealthEvent::AttemptSent { server: ServerId(server) });
     }
 
-    /// Ends an attempt.
+    /// Ends an attempt that was sent to the server.
     pub(crate) fn end(&mut self, server: u32, write: bool, outcome: AttemptOutcome, role: Option<Role>) {
         self.handle(HealthEvent::AttemptEnded { server: ServerId(server), write, outcome, role });
     }
@@ -96,25 +95,25 @@
         self.end(server, write, AttemptOutcome::Refused, None);
     }
 
-    /// Sends a write that the primary serves after this time.
+    /// Sends a write that the server, as primary, answers after `duration`.
     pub(crate) fn write(&mut self, server: u32, duration: Micros) {
         self.send(server);
         self.advance(duration, |_| None);
         self.end(server, true, AttemptOutcome::Answered, Some(Role::Primary));
     }
 
-    /// The reply to an agent-check with this line.
+    /// Returns the reply to an agent-check with this line.
     pub(crate) fn agent_reply(&self, line: &str) -> String {
         let query = AgentCheckConnection::default().feed(format!("{line}\n").as_bytes()).unwrap();
         agent::reply(&query, self.monitor.verdict(), None)
     }
 
-    /// The response to a GET of this path.
+    /// Returns the response to a GET request for this path.
     pub(crate) fn http_get(&self, path: &str) -> String {
         self.http_exchange(&format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n"))
     }
 
-    /// What a connection answers to this input.
+    /// Returns the output of a new HTTP connection that receives this input.
     pub(crate) fn http_exchange(&self, input: &str) -> String {
         let mut connection = HttpCheckConnection::default();
         connection.feed(input.as_bytes());
@@ -122,7 +121,7 @@
         String::from_utf8(connection.output).unwrap()
     }
 
-    /// How many capabilities changed since the last call.
+    /// Returns the number of capability changes since the last call.
     pub(crate) fn count_capability_changes(&mut self) -> usize {
         let changes = self.monitor.take_changes();
         changes.iter().filter(|change| matches!(change, Change::Capability { .. })).count()
--- a/health/tests/wire_format.rs
+++ b/health/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes that balancers read, and the words in them, as a run of commit b41bd8a wrote them. Balancers'
-//! configurations and operators' scripts depend on each of them.
+//! The bytes of replies to balancers, and the labels in them, as recorded from a run of commit b41bd8a. The
+//! configurations of balancers and the scripts of operators depend on them.
 
 mod common;
 
@@ -11,7 +11,8 @@
 };
 use common::request_classes;
 
-/// A proxy with two groups: the primary of the first is proven, that of the second refuses connections.
+/// Creates a proxy with two groups. The primary of the first group is proven; the primary of the second refuses
+/// connections.
 fn degraded_proxy() -> Monitor {
     let settings = HealthSettings { classes: request_classes(), ..HealthSettings::default() };
     let mut monitor = Monitor::new(settings, 0);
@@ -38,8 +39,8 @@
 }
 
 #[test]
-fn http_responses_have_their_recorded_bytes() {
-    // Given a proxy of which one group is unavailable
+fn http_responses_match_the_recorded_bytes() {
+    // Given a proxy with one unavailable group
     let monitor = degraded_proxy();
     let name = |server: ServerId| format!("s-{}", server.0);
     for (path, recorded) in [
@@ -76,18 +77,18 @@
             "HTTP/1.1 404 Not Found\r\nContent-Type: text/plain\r\nContent-Length: 19\r\nCache-Control: no-store\r\n\r\nno such capability\n",
         ),
     ] {
-        // When a balancer asks for a path
+        // When a balancer requests a path
         let mut connection = HttpCheckConnection::default();
         connection.feed(format!("GET {path} HTTP/1.1\r\nHost: p\r\n\r\n").as_bytes());
         connection.process(1_000_000, monitor.verdict(), &name);
-        // Then it reads the recorded bytes
+        // Then the response consists of the recorded bytes
         assert_eq!(String::from_utf8(connection.output).unwrap(), recorded, "{path}");
     }
 }
 
 #[test]
-fn agent_check_replies_have_their_recorded_bytes() {
-    // Given a proxy of which one group is unavailable
+fn agent_check_replies_match_the_recorded_bytes() {
+    // Given a proxy with one unavailable group
     let monitor = degraded_proxy();
     let reply = |query| agent::reply(&query, monitor.verdict(), Some(40));
     for (line, recorded) in [
@@ -103,18 +104,18 @@
         ("port=1", "ready down #unknown-word\n"),
         ("é", "ready down #no-such-capability\n"),
     ] {
-        // When a balancer sends a line, then it reads the recorded reply
+        // When a balancer sends a line, then it receives the recorded reply
         let query = AgentCheckConnection::default().feed(format!("{line}\n").as_bytes()).unwrap();
         assert_eq!(reply(query), recorded, "{line}");
     }
-    // When the line is too long or no text, then the reply names that
+    // When the line is too long or not UTF-8, then the reply states the reason
     let too_long = AgentCheckConnection::default().feed(&[b'x'; 4096]).unwrap();
     assert_eq!(reply(too_long), "ready down #line-too-long\n");
     assert_eq!(reply(HealthQuery::parse(b"\xff\xfe")), "ready down #not-text\n");
 }
 
 #[test]
-fn states_and_reasons_have_their_recorded_words() {
+fn states_and_reasons_match_the_recorded_labels() {
     // Given the recorded labels
     let states =
         ["starting", "ready", "degraded", "overloaded", "no-primary", "blind", "draining", "maintenance"];
@@ -141,10 +142,10 @@
         "replaced",
         "maintenance",
     ];
-    // Then the variants have them in their order
+    // Then the variants have these labels in this order
     assert_eq!(State::ALL.iter().map(|state| state.as_str()).collect::<Vec<_>>(), states);
     assert_eq!(Reason::ALL.iter().map(|reason| reason.as_str()).collect::<Vec<_>>(), reasons);
-    // And JSON and the log have the same
+    // And JSON and the log contain the same labels
     assert_eq!(serde_json::to_string(State::ALL).unwrap(), serde_json::to_string(&states).unwrap());
     assert_eq!(serde_json::to_string(Reason::ALL).unwrap(), serde_json::to_string(&reasons).unwrap());
     assert_eq!(Reason::ALL.iter().map(|reason| reason.to_string()).collect::<Vec<_>>(), reasons);
