--- a/health/tests/histories/history.rs
+++ b/health/tests/histories/history.rs
@@ -1,4 +1,4 @@
-//! A seeded history: random events at random times, handed to a monitor and recorded in the model.
+//! A seeded history: random events at random times, which the monitor and the reference model receive.
 
 use crate::common::request_classes;
 use crate::reference_model::{ReferenceModel, WriteChange};
@@ -7,10 +7,10 @@
     Operation, ProbeSettings, Role, ServerId,
 };
 
-/// Steps of a history, each with one to three events.
+/// The number of steps in a history. Each step has one to three events.
 pub(crate) const STEPS: usize = 120;
 
-/// A monitor, the random generator that drives it, and what it did.
+/// A monitor, the random generator that drives it, and the monitor's output.
 pub(crate) struct History {
     pub seed: u64,
     pub rng: fastrand::Rng,
@@ -18,13 +18,13 @@
     pub settings: HealthSettings,
     pub monitor: Monitor,
     pub model: ReferenceModel,
-    /// Every change of the verdict, with its time.
+    /// Every change of the verdict with its time.
     pub changes: Vec<(Micros, Change)>,
-    /// Every probe, with its time and server.
+    /// The time and the server of every probe.
     pub probes: Vec<(Micros, u32)>,
 }
 
-/// Every second seed has probes, and every fourth withdraws idle groups.
+/// Returns the settings of a history. Every second seed has probes, and every fourth withdraws idle groups.
 fn settings(seed: u64) -> HealthSettings {
     let classes = request_classes();
     let probes = seed.is_multiple_of(2).then(ProbeSettings::default);
@@ -39,7 +39,7 @@
 }
 
 impl History {
-    /// A history of two groups with two to six servers in all.
+    /// Creates a history of two groups with two to six servers in total.
     pub(crate) fn new(seed: u64) -> History {
         let settings = settings(seed);
         let start = 1_000_000;
@@ -60,7 +60,7 @@
         history
     }
 
-    /// Plays the whole history.
+    /// Runs all steps of the history and checks the verdict after each step.
     pub(crate) fn run(mut self) -> History {
         for _ in 0..STEPS {
             let is_long = self.rng.u8(0..8) == 0;
@@ -77,19 +77,19 @@
         self
     }
 
-    /// Lets time pass; the monitor is updated when it asks to be.
+    /// Advances the time and updates the monitor whenever an update is due.
     pub(crate) fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.monitor.next_change() <= until {
             let next = self.monitor.next_change();
-            assert!(next > self.now, "seed {}: it asks for updates without end", self.seed);
+            assert!(next > self.now, "seed {}: the next update is not in the future", self.seed);
             self.now = next;
             self.update();
         }
         self.now = until;
     }
 
-    /// Updates the monitor and takes its probes and changes.
+    /// Updates the monitor, records its probes and changes, and checks the changes of write capabilities.
     pub(crate) fn update(&mut self) {
         let now = self.now;
         self.monitor.update(now);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Lets something happen to a random server or its group.
+    /// Sends a random event for a random server or its group.
     pub(crate) fn random_event(&mut self) {
         let server = self.rng.u32(0..self.model.servers.len() as u32);
         let group = self.model.servers[&server].group;
@@ -130,12 +130,11 @@
         }
     }
 
-    /// Hands an event to the monitor.
     fn handle(&mut self, event: HealthEvent) {
         self.monitor.handle_event(self.now, event);
     }
 
-    /// Lists a server, or changes what is listed of it.
+    /// Lists a server or changes its entry.
     fn list(&mut self, server: u32, group: u32, primary: bool, accepts_work: bool) {
         let record = self.model.servers.entry(server).or_default();
         record.group = group;
@@ -149,7 +148,7 @@
         });
     }
 
-    /// The group's oldest write is queued from now on, or is no longer.
+    /// Begins queueing of the group's writes, or ends it if writes are queued.
     fn begin_or_end_queueing(&mut self, group: u32) {
         let was_queued = self.model.queued_since.remove(&group).is_some();
         let since = if was_queued { None } else { Some(self.now) };
@@ -157,7 +156,7 @@
         self.handle(HealthEvent::WritesQueued { group: GroupId(group), since });
     }
 
-    /// Sends an attempt to the server, or ends one or a probe.
+    /// Sends an attempt to the server, or ends an attempt or a probe that is in flight.
     fn send_or_end(&mut self, server: u32) {
         let now = self.now;
         let record = self.model.server(server);
@@ -187,7 +186,7 @@
         };
         let reports_role = outcome == AttemptOutcome::Answered && self.rng.u8(0..4) > 0;
         let role = reports_role.then(|| {
-            // Sometimes the endpoint list is wrong.
+            // With a probability of 1/8 the server's report contradicts the endpoint list.
             let is_primary = self.model.servers[&server].listed_as_primary != (self.rng.u8(0..8) == 0);
             if is_primary { Role::Primary } else { Role::Replica }
         });
--- a/health/tests/histories/main.rs
+++ b/health/tests/histories/main.rs
@@ -1,4 +1,5 @@
-//! The crate's invariants (see its documentation) over seeded histories. A seed that fails is printed, and fails again.
+//! Checks the invariants of the crate's documentation over seeded histories. Failures print the seed, which reproduces
+//! them.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -9,21 +10,21 @@
 use history::{History, STEPS};
 use std::collections::HashMap;
 
-/// Seeds 0 to this number, exclusive.
+/// The number of histories. Their seeds are 0 to this number, exclusive.
 const HISTORIES: u64 = 10_000;
-/// The probes that may be sent to all groups at once.
+/// The maximum number of probes sent to all groups at once.
 const TOTAL_BURST: f64 = 8.0;
-/// The probes that may be sent to one group at once.
+/// The maximum number of probes sent to one group at once.
 const GROUP_BURST: f64 = 3.0;
 
-/// Invariants 1, 2, 3 and 5 are checked during a history, 4 and 7 at its end.
+/// Checks invariants 1, 2, 3 and 5 during each history, and invariants 4 and 7 at its end.
 #[test]
 fn histories_of_events_keep_the_invariants() {
     let (mut changes, mut withdrawals, mut probes) = (0, 0, 0);
     for seed in 0..HISTORIES {
-        // Given a seed, when its history is played, then the model checks each change and verdict
+        // When the history of a seed runs, then the reference model confirms each change and verdict
         let history = History::new(seed).run();
-        // And transitions and probes are bounded
+        // And the rates of transitions and probes are bounded
         transitions_are_bounded(&history);
         probes_stay_within_their_budget(&history);
         let is_withdrawal =
@@ -35,18 +36,18 @@
     println!("{HISTORIES} histories: {changes} changes, {withdrawals} withdrawals, {probes} probes");
     assert!(
         withdrawals > HISTORIES as usize / 2 && probes > 0,
-        "histories in which nothing happens show nothing"
+        "the histories contain too few withdrawals or no probes: {withdrawals} withdrawals, {probes} probes"
     );
 }
 
-/// The last transition of a capability.
+/// The last transition of a capability, and how often the capability was withdrawn until then.
 #[derive(Clone, Copy)]
 struct Transition {
     at: Micros,
     earlier_withdrawals: u32,
 }
 
-/// Invariant 4: a capability keeps each state for its minimum time.
+/// Checks invariant 4: a capability keeps each state for its minimum time.
 fn transitions_are_bounded(history: &History) {
     let settings = &history.settings;
     let mut last: HashMap<(GroupId, bool), Transition> = HashMap::new();
@@ -61,13 +62,13 @@
             settings.min_time_available
         };
         let is_first = before.earlier_withdrawals == 0 && available;
-        assert!(is_first || at - before.at >= min_time, "seed {}: changed too soon at {at}", history.seed);
+        assert!(is_first || at - before.at >= min_time, "seed {}: changed too early at {at}", history.seed);
         let earlier_withdrawals = before.earlier_withdrawals + u32::from(!available);
         last.insert(key, Transition { at, earlier_withdrawals });
     }
 }
 
-/// Invariant 7: the probes to all groups and to each stay within their rates and bursts.
+/// Checks invariant 7: the probes to each group and to all groups together stay within their rates and bursts.
 fn probes_stay_within_their_budget(history: &History) {
     let Some(settings) = &history.settings.probes else { return assert!(history.probes.is_empty()) };
     let total: Vec<Micros> = history.probes.iter().map(|(at, _)| *at).collect();
@@ -79,28 +80,28 @@
     }
 }
 
-/// In every interval there are no more probes than the burst and the rate allow.
+/// Checks that no interval contains more probes than the burst and the rate allow.
 fn check_rate(seed: u64, times: &[Micros], rate_per_s: f64, burst: f64) {
     for (first, from) in times.iter().enumerate() {
         for (further, to) in times[first..].iter().enumerate() {
             let allowed = burst + rate_per_s * (to - from) as f64 / 1e6;
-            assert!((further + 1) as f64 <= allowed + 1e-6, "seed {seed}: probes beyond the budget");
+            assert!((further + 1) as f64 <= allowed + 1e-6, "seed {seed}: the probes exceed the budget");
         }
     }
 }
 
-/// Invariant 8: updates at other times than the monitor asks for change nothing.
+/// Checks invariant 8: updates at other times than [`birchreach_health::Monitor::next_change`] change nothing.
 #[test]
 fn the_verdict_changes_only_at_next_change() {
     for seed in (1..2_000).step_by(2) {
-        // Given two equal histories
+        // Given two histories with the same seed
         let mut on_schedule = History::new(seed);
         let mut with_extra_updates = History::new(seed);
         let mut extra_update_rng = fastrand::Rng::with_seed(!seed);
         for _ in 0..STEPS {
             let span = on_schedule.rng.i64(0..400_000);
             assert_eq!(with_extra_updates.rng.i64(0..400_000), span);
-            // When one is updated only at the times that the monitor asks for, and the other more often
+            // When the first is updated only at the times that the monitor requests, and the second more often
             on_schedule.advance(span);
             let mut left = span;
             for _ in 0..extra_update_rng.u8(0..4) {
@@ -114,7 +115,7 @@
                 history.random_event();
                 history.update();
             }
-            // Then both report the same
+            // Then both report the same changes and verdicts
             assert_eq!(on_schedule.changes, with_extra_updates.changes, "seed {seed}");
             let reported = |history: &History| {
                 let verdict = history.monitor.verdict();
--- a/health/tests/histories/reference_model.rs
+++ b/health/tests/histories/reference_model.rs
@@ -1,14 +1,15 @@
-//! A record of what the monitor received, kept apart from it, against which its verdict is checked.
+//! A reference model of the monitor. It receives the same events, keeps its own simple records, and checks the verdict
+//! against them.
 
 use birchreach_health::{
     AttemptOutcome, HealthSettings, IdleGroupPolicy, Micros, Reason, Role, State, Verdict,
 };
 use std::collections::HashMap;
 
-/// Resets in a row that count as a refusal, and write timeouts in a row that are evidence.
+/// After this many consecutive resets a server counts as unreachable, and after this many consecutive write timeouts as
+/// not responding to writes.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
-/// What is known of a server.
 #[derive(Clone, Default)]
 pub(crate) struct ServerRecord {
     pub group: u32,
@@ -18,7 +19,7 @@
     pub probes_in_flight: u32,
     pub sent_at: Option<Micros>,
     last_contact_at: Option<Micros>,
-    /// When it first refused connections since the last sign of life.
+    /// When the server first refused connections after the last contact.
     refused_at: Option<Micros>,
     consecutive_resets: u32,
     reported_role: Option<Role>,
@@ -31,7 +32,7 @@
     server: u32,
 }
 
-/// Writes were withdrawn for evidence.
+/// A withdrawal of writes because of evidence.
 struct Withdrawal {
     at: Micros,
     reason: Reason,
@@ -46,16 +47,16 @@
     pub reason: Reason,
 }
 
-/// The servers, proofs and withdrawals of one history.
+/// The model's records of one history.
 pub(crate) struct ReferenceModel {
     seed: u64,
     settings: HealthSettings,
     pub servers: HashMap<u32, ServerRecord>,
-    /// Since when each group's oldest write is queued.
+    /// When each group's oldest queued write was queued. Groups without queued writes are absent.
     pub queued_since: HashMap<u32, Micros>,
-    /// Each group's reports of a primary.
+    /// The proofs of each group, in the order of their times.
     proofs: HashMap<u32, Vec<Proof>>,
-    /// Withdrawals of writes for evidence, by group, until the writes are restored.
+    /// The withdrawal of each group whose writes were withdrawn because of evidence and not restored yet.
     withdrawals: HashMap<u32, Withdrawal>,
 }
 
@@ -72,12 +73,12 @@
         }
     }
 
-    /// The record of a server that is known.
+    /// Returns the record of a listed server.
     pub(crate) fn server(&mut self, server: u32) -> &mut ServerRecord {
         self.servers.get_mut(&server).unwrap()
     }
 
-    /// The server responded, or a connection to it was established.
+    /// Records a response or an established connection.
     pub(crate) fn record_contact(&mut self, now: Micros, server: u32) {
         let record = self.server(server);
         record.last_contact_at = Some(now);
@@ -85,7 +86,7 @@
         record.consecutive_resets = 0;
     }
 
-    /// An attempt or a probe ended.
+    /// Records the outcome of an attempt or a probe.
     pub(crate) fn record_outcome(&mut self, now: Micros, server: u32, write: bool, outcome: AttemptOutcome) {
         let record = self.server(server);
         match outcome {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The server reported its role, if one is given.
+    /// Records the role that the server reported, if any.
     pub(crate) fn record_role(&mut self, now: Micros, server: u32, role: Option<Role>) {
         let record = self.server(server);
         record.reported_role = role.or(record.reported_role);
@@ -114,35 +115,34 @@
         }
     }
 
-    /// The servers of a group.
     fn members(&self, group: u32) -> impl Iterator<Item = &ServerRecord> {
         self.servers.values().filter(move |record| record.group == group)
     }
 
-    /// A group's reports of a primary, in their order.
     fn proofs(&self, group: u32) -> &[Proof] {
         self.proofs.get(&group).map_or(&[], Vec::as_slice)
     }
 
-    /// Invariants 2 and 3: a withdrawal has its cause, and one for evidence ends by a later proof alone.
+    /// Checks invariants 2 and 3. A withdrawal must have a cause, and only a later proof may end a withdrawal because
+    /// of evidence.
     pub(crate) fn check_change(&mut self, change: WriteChange) {
         let WriteChange { at, group, available, reason } = change;
         if available {
             if let Some(withdrawal) = self.withdrawals.remove(&group) {
                 let proven_since = self.proofs(group).iter().any(|proof| proof.at >= withdrawal.at);
                 let (seed, reason) = (self.seed, withdrawal.reason);
-                assert!(proven_since, "seed {seed}: restored after {reason} without a proof");
+                assert!(proven_since, "seed {seed}: writes restored after {reason} without a proof");
             }
             return;
         }
         let seed = self.seed;
-        assert!(self.has_cause(change), "seed {seed}: withdrawn at {at} for {reason} without cause");
+        assert!(self.has_cause(change), "seed {seed}: writes withdrawn at {at} for {reason} without a cause");
         if !matches!(reason, Reason::Unproven | Reason::NoPrimary | Reason::PrimaryDrainingOrRemoved) {
             self.withdrawals.insert(group, Withdrawal { at, reason });
         }
     }
 
-    /// Whether the reason for a withdrawal holds.
+    /// Returns whether the records confirm the reason for a withdrawal.
     fn has_cause(&self, WriteChange { at: now, group, reason, .. }: WriteChange) -> bool {
         let (settings, proofs) = (&self.settings, self.proofs(group));
         let is_unresponsive = |record: &ServerRecord| {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Invariants 1 and 5, and that an unavailable capability has no weight.
+    /// Checks invariants 1 and 5, and that an unavailable capability has the weight 0.
     pub(crate) fn check_verdict(&self, now: Micros, verdict: &Verdict) {
         let (seed, settings) = (self.seed, &self.settings);
         let delay = settings.withdraw_after + settings.min_time_available;
@@ -184,11 +184,11 @@
             if settings.idle_groups == IdleGroupPolicy::Withdraw && write.available {
                 let proof = self.proofs(id).last();
                 let fresh = proof.is_some_and(|proof| now - proof.at <= settings.proof_window + delay);
-                assert!(fresh, "seed {seed}: group {id} has writes at {now} without a proof");
+                assert!(fresh, "seed {seed}: writes of group {id} are available at {now} without a proof");
             }
             assert!(
                 write.weight_percent == 0 || write.available,
-                "seed {seed}: weight without the capability"
+                "seed {seed}: writes of group {id} are unavailable and have a weight"
             );
         }
         let own_fault = matches!(verdict.state, State::Starting | State::Isolated);
