--- a/health/src/connectivity.rs
+++ b/health/src/connectivity.rs
@@ -1,4 +1,4 @@
-//! Detects that the proxy is isolated. If it reaches neither discovery nor any database, the fault is assumed to be the
+//! Detection of an isolated proxy. If it reaches neither discovery nor any database, the fault is assumed to be the
 //! proxy's own and not that of the databases.
 
 use crate::evidence::{FailureEvidence, ServerEvidence};
--- a/health/src/http/request.rs
+++ b/health/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Parses the head of a request, maps its path to a resource and builds the response from the verdict.
+//! HTTP requests: parsing the head, mapping the path to a resource and building the response from the verdict.
 
 use super::ServerNames;
 use super::report::{capability_report, report};
--- a/health/src/hysteresis.rs
+++ b/health/src/hysteresis.rs
@@ -1,4 +1,4 @@
-//! Derives the reported availability of a capability from its observed availability. A capability is withdrawn sooner
+//! Hysteresis between the observed and the reported availability of a capability. A capability is withdrawn sooner
 //! than it is restored, stays in each state for a minimum time, and is restored later after repeated withdrawals.
 
 use crate::Micros;
@@ -84,7 +84,7 @@
         true
     }
 
-    /// Returns when the reported availability will change if the observations don't change until then. `None` if they
+    /// Returns when the reported availability will change if the observations stay the same until then. `None` if they
     /// agree with it.
     pub(crate) fn changes_at(&self, settings: &HealthSettings) -> Option<Micros> {
         let opposite_since = self.opposite_since?;
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -1,5 +1,6 @@
-//! Decides what a proxy reports to the load balancers in front of it. Also implements the connection state machines of
-//! two protocols by which balancers poll the proxy, agent-check and HTTP. The crate does no I/O and reads no clock.
+//! The crate decides what a proxy reports to the load balancers in front of it. It also implements the connection state
+//! machines of two protocols by which balancers poll the proxy, agent-check and HTTP. The crate does no I/O and reads
+//! no clock.
 //!
 //! [`Monitor`] receives [`HealthEvent`]s with their times and maintains one [`Verdict`]. The caller runs
 //! [`Monitor::update`] at [`Monitor::next_change`] and sends the probes that the monitor requests. [`query`] parses the
--- a/health/src/probe_scheduler.rs
+++ b/health/src/probe_scheduler.rs
@@ -1,5 +1,5 @@
-//! Decides which servers to probe, and when. Probes go to primaries that are suspected of a failure, to primaries
-//! without a recent proof, and to every server of a group whose writes are unavailable.
+//! The scheduler decides which servers to probe, and when. Probes go to primaries that are suspected of a failure, to
+//! primaries without a recent proof, and to every server of a group whose writes are unavailable.
 
 use crate::group::GroupState;
 use crate::probe_budget::ProbeBudget;
--- a/health/src/settings_error.rs
+++ b/health/src/settings_error.rs
@@ -1,4 +1,4 @@
-//! Finds contradictions among the settings. The errors use the option names of the options file.
+//! Validation of the settings against one another. The errors use the option names of the options file.
 use crate::Micros;
 use crate::settings::{HealthSettings, IdleGroupPolicy, ProbeSettings};
 use std::fmt;
