--- a/health/tests/histories/history.rs
+++ b/health/tests/histories/history.rs
@@ -1,30 +1,30 @@
-//! A seeded history: random events at random times, handed to a monitor and recorded in the account.
+//! A seeded history: random events at random times, which the monitor and the reference model receive.
 
-use crate::account::{Account, WriteChange};
 use crate::common::request_classes;
+use crate::reference_model::{ReferenceModel, WriteChange};
 use birchreach_health::{
-    Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor, Operation, ProbeOutcome,
-    ProbeSettings, Role, ServerId,
+    AttemptOutcome, Change, GroupId, HealthEvent, HealthSettings, IdleGroupPolicy, Micros, Monitor,
+    Operation, ProbeSettings, Role, ServerId,
 };
 
-/// Steps of a history, each with one to three events.
+/// The number of steps in a history. Each step has one to three events.
 pub(crate) const STEPS: usize = 120;
 
-/// A monitor, the random generator that drives it, and what it did.
+/// A monitor, the random generator that drives it, and the monitor's output.
 pub(crate) struct History {
     pub seed: u64,
     pub rng: fastrand::Rng,
     now: Micros,
     pub settings: HealthSettings,
     pub monitor: Monitor,
-    pub account: Account,
-    /// Every change of the verdict, with its time.
+    pub model: ReferenceModel,
+    /// Every change of the verdict with its time.
     pub changes: Vec<(Micros, Change)>,
-    /// Every probe, with its time and server.
+    /// The time and the server of every probe.
     pub probes: Vec<(Micros, u32)>,
 }
 
-/// Every second seed has probes, and every fourth withdraws idle groups.
+/// Returns the settings of a history. Every second seed has probes, and every fourth withdraws idle groups.
 fn settings(seed: u64) -> HealthSettings {
     let classes = request_classes();
     let probes = seed.is_multiple_of(2).then(ProbeSettings::default);
@@ -39,7 +39,7 @@
 }
 
 impl History {
-    /// A history of two groups with two to six servers in all.
+    /// Creates a history of two groups with two to six servers in total.
     pub(crate) fn new(seed: u64) -> History {
         let settings = settings(seed);
         let start = 1_000_000;
@@ -48,7 +48,7 @@
             rng: fastrand::Rng::with_seed(seed),
             now: start,
             monitor: Monitor::new(settings.clone(), start),
-            account: Account::new(seed, settings.clone()),
+            model: ReferenceModel::new(seed, settings.clone()),
             settings,
             changes: Vec::new(),
             probes: Vec::new(),
@@ -60,8 +60,8 @@
         history
     }
 
-    /// Plays the whole history.
-    pub(crate) fn play(mut self) -> History {
+    /// Runs all steps of the history and checks the verdict after each step.
+    pub(crate) fn run(mut self) -> History {
         for _ in 0..STEPS {
             let is_long = self.rng.u8(0..8) == 0;
             let span = if is_long { self.rng.i64(0..4_000_000) } else { self.rng.i64(0..60_000) };
@@ -72,29 +72,29 @@
             if self.monitor.next_change() <= self.now {
                 self.update();
             }
-            self.account.check_verdict(self.now, self.monitor.verdict());
+            self.model.check_verdict(self.now, self.monitor.verdict());
         }
         self
     }
 
-    /// Lets time pass; the monitor is updated when it asks to be.
+    /// Advances the time and updates the monitor whenever an update is due.
     pub(crate) fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.monitor.next_change() <= until {
             let next = self.monitor.next_change();
-            assert!(next > self.now, "seed {}: it asks for updates without end", self.seed);
+            assert!(next > self.now, "seed {}: the next update is not in the future", self.seed);
             self.now = next;
             self.update();
         }
         self.now = until;
     }
 
-    /// Updates the monitor and takes its probes and changes.
+    /// Updates the monitor, records its probes and changes, and checks the changes of write capabilities.
     pub(crate) fn update(&mut self) {
         let now = self.now;
         self.monitor.update(now);
         for server in self.monitor.take_probes() {
-            let record = self.account.server(server.0);
+            let record = self.model.server(server.0);
             record.probes_in_flight = 1;
             record.sent_at = Some(now);
             self.probes.push((now, server.0));
@@ -102,15 +102,15 @@
         for change in self.monitor.take_changes() {
             self.changes.push((now, change));
             if let Change::Capability { group, operation: Operation::Write, available, reason } = change {
-                self.account.check_change(WriteChange { at: now, group: group.0, available, reason });
+                self.model.check_change(WriteChange { at: now, group: group.0, available, reason });
             }
         }
     }
 
-    /// Lets something happen to a random server or its group.
+    /// Sends a random event for a random server or its group.
     pub(crate) fn random_event(&mut self) {
-        let server = self.rng.u32(0..self.account.servers.len() as u32);
-        let group = self.account.servers[&server].group;
+        let server = self.rng.u32(0..self.model.servers.len() as u32);
+        let group = self.model.servers[&server].group;
         match self.rng.u8(0..20) {
             0 => {
                 let (accepts_work, primary) = (self.rng.u8(0..4) > 0, self.rng.u8(0..3) == 0);
@@ -119,7 +119,7 @@
             1 => self.begin_or_end_queueing(group),
             2 => self.handle(HealthEvent::DiscoveryAnswered),
             3 => {
-                self.account.record_sign_of_life(self.now, server);
+                self.model.record_contact(self.now, server);
                 self.handle(HealthEvent::ServerAlive { server: ServerId(server) });
             }
             4 | 5 => {
@@ -130,14 +130,13 @@
         }
     }
 
-    /// Hands an event to the monitor.
     fn handle(&mut self, event: HealthEvent) {
         self.monitor.handle_event(self.now, event);
     }
 
-    /// Lists a server, or changes what is listed of it.
+    /// Lists a server or changes its entry.
     fn list(&mut self, server: u32, group: u32, primary: bool, accepts_work: bool) {
-        let record = self.account.servers.entry(server).or_default();
+        let record = self.model.servers.entry(server).or_default();
         record.group = group;
         record.listed_as_primary = primary;
         record.accepts_work = accepts_work;
@@ -149,18 +148,18 @@
         });
     }
 
-    /// The group's oldest write is queued from now on, or is no longer.
+    /// Begins queueing of the group's writes, or ends it if writes are queued.
     fn begin_or_end_queueing(&mut self, group: u32) {
-        let was_queued = self.account.queued_since.remove(&group).is_some();
+        let was_queued = self.model.queued_since.remove(&group).is_some();
         let since = if was_queued { None } else { Some(self.now) };
-        self.account.queued_since.extend(since.map(|at| (group, at)));
+        self.model.queued_since.extend(since.map(|at| (group, at)));
         self.handle(HealthEvent::WritesQueued { group: GroupId(group), since });
     }
 
-    /// Sends an attempt to the server, or ends one or a probe.
+    /// Sends an attempt to the server, or ends an attempt or a probe that is in flight.
     fn send_or_end(&mut self, server: u32) {
         let now = self.now;
-        let record = self.account.server(server);
+        let record = self.model.server(server);
         if record.probes_in_flight > 0 && self.rng.bool() {
             record.probes_in_flight -= 1;
             self.end_attempt(server, false, true);
@@ -171,33 +170,33 @@
         } else {
             record.requests_in_flight += 1;
             record.sent_at = Some(now);
-            self.handle(HealthEvent::RequestSent { server: ServerId(server) });
+            self.handle(HealthEvent::AttemptSent { server: ServerId(server) });
         }
     }
 
     /// Ends an attempt or a probe with a random outcome.
     fn end_attempt(&mut self, server: u32, write: bool, is_probe: bool) {
         let outcome = match self.rng.u8(0..10) {
-            0..4 => ProbeOutcome::Answered,
-            4 | 5 => ProbeOutcome::Unanswered,
-            6 => ProbeOutcome::Refused,
-            7 => ProbeOutcome::Reset,
-            8 => ProbeOutcome::Cancelled,
-            _ => ProbeOutcome::NotSent,
+            0..4 => AttemptOutcome::Answered,
+            4 | 5 => AttemptOutcome::TimedOut,
+            6 => AttemptOutcome::Refused,
+            7 => AttemptOutcome::Reset,
+            8 => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::NotSent,
         };
-        let reports_role = outcome == ProbeOutcome::Answered && self.rng.u8(0..4) > 0;
+        let reports_role = outcome == AttemptOutcome::Answered && self.rng.u8(0..4) > 0;
         let role = reports_role.then(|| {
-            // Sometimes the endpoint list is wrong.
-            let is_primary = self.account.servers[&server].listed_as_primary != (self.rng.u8(0..8) == 0);
+            // With a probability of 1/8 the server's report contradicts the endpoint list.
+            let is_primary = self.model.servers[&server].listed_as_primary != (self.rng.u8(0..8) == 0);
             if is_primary { Role::Primary } else { Role::Replica }
         });
-        self.account.record_outcome(self.now, server, write, outcome);
-        self.account.record_role(self.now, server, role);
+        self.model.record_outcome(self.now, server, write, outcome);
+        self.model.record_role(self.now, server, role);
         let server = ServerId(server);
         self.handle(if is_probe {
             HealthEvent::ProbeEnded { server, outcome, role }
         } else {
-            HealthEvent::RequestEnded { server, write, outcome, role }
+            HealthEvent::AttemptEnded { server, write, outcome, role }
         });
     }
 }
