--- a/background-tasks/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -1,7 +1,7 @@
 //! Budgets hold over all processes, urgent tasks start first, expired ones never, tables are bounded; and each check
 //! finds the fault that breaks what it holds.
 
-use birchreach_background_tasks::faults::{Fault, with};
+use birchreach_background_tasks::faults::{Fault, run_with_fault};
 use birchreach_background_tasks::{
     Budget, DatabaseId, Micros, Scheduler, Task, TaskBudget, TaskId, TaskKind,
 };
@@ -192,7 +192,7 @@
     ];
     for (fault, check) in checks {
         // When a fault is injected, then its check finds it
-        assert!(with(fault, check).is_err(), "{fault:?} was not found");
+        assert!(run_with_fault(fault, check).is_err(), "{fault:?} was not found");
     }
 }
 
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -55,15 +55,15 @@
         }
 
         /// Runs something while a fault is on in this thread.
-        pub fn with<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
-            set(Some(fault));
+        pub fn run_with_fault<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
+            set_fault(Some(fault));
             let result = run();
-            set(None);
+            set_fault(None);
             result
         }
 
         /// Switches a fault of this thread on, or all off; for checkers that run the crate in threads of their own.
-        pub fn set(fault: Option<Fault>) {
+        pub fn set_fault(fault: Option<Fault>) {
             SWITCH.with(|switch| switch.set(fault));
         }
 
--- a/fault-injection/tests/switch.rs
+++ b/fault-injection/tests/switch.rs
@@ -11,7 +11,7 @@
 }
 
 use birchreach_fault_injection::fault_injected;
-use faults::{Fault, set, with};
+use faults::{Fault, run_with_fault, set_fault};
 use std::fs;
 use std::path::Path;
 
@@ -20,7 +20,7 @@
     // Given that no fault is on
     assert!(!fault_injected!(First));
     // When one is injected, then it is on, and it alone
-    let inside = with(Fault::First, || (fault_injected!(First), fault_injected!(Second)));
+    let inside = run_with_fault(Fault::First, || (fault_injected!(First), fault_injected!(Second)));
     assert_eq!(inside, (true, false));
     // And it is off afterwards
     assert!(!fault_injected!(First));
@@ -29,11 +29,11 @@
 #[test]
 fn a_fault_is_on_in_the_thread_that_switched_it_on_alone() {
     // When a thread switches a fault on
-    set(Some(Fault::Second));
+    set_fault(Some(Fault::Second));
     let elsewhere = std::thread::spawn(|| fault_injected!(Second)).join().unwrap();
     // Then it is on in this thread and in no other, until it is switched off
     assert!(fault_injected!(Second) && !elsewhere);
-    set(None);
+    set_fault(None);
     assert!(!fault_injected!(Second));
 }
 
--- a/hot-keys/tests/invariants/main.rs
+++ b/hot-keys/tests/invariants/main.rs
@@ -5,7 +5,7 @@
 mod copies;
 
 use birchreach_fault_injection::ensure;
-use birchreach_hot_keys::faults::{Fault, with};
+use birchreach_hot_keys::faults::{Fault, run_with_fault};
 use birchreach_hot_keys::{HotKeyTracker, Key, KeyRate, Micros, ReadSketch, ReportEntry};
 use common::{Fleet, SECOND, key, tracker_with_reports};
 use copies::{check_copy_holders, check_refresh_slots};
@@ -202,6 +202,6 @@
         (Fault::ClaimsEverySlot, check_refresh_slots),
     ];
     for (fault, check) in all {
-        assert!(with(fault, check).is_err(), "{fault:?} was not found");
+        assert!(run_with_fault(fault, check).is_err(), "{fault:?} was not found");
     }
 }
--- a/hot-keys/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -105,7 +105,7 @@
     }
 
     fn next_state(&self, state: &State, step: Step) -> Option<State> {
-        faults::set(self.0);
+        faults::set_fault(self.0);
         let mut state = state.clone();
         match step {
             Step::Commit => state.committed += 1,
--- a/membership/tests/faults_are_caught.rs
+++ b/membership/tests/faults_are_caught.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use birchreach_membership::faults::{Fault, with};
+use birchreach_membership::faults::{Fault, run_with_fault};
 use common::{scenarios, schedule};
 
 type Scenario = fn() -> Result<(), String>;
@@ -21,6 +21,6 @@
         (Fault::NoMemberLimit, scenarios::limits::what_is_received_is_bounded),
     ];
     for (fault, scenario) in scenarios {
-        assert!(with(fault, scenario).is_err(), "{fault:?} was not caught");
+        assert!(run_with_fault(fault, scenario).is_err(), "{fault:?} was not caught");
     }
 }
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -1,6 +1,6 @@
 //! Reports of members: each counts once, the newest alone, nearly all members receive it, and what is received is bounded.
 
-use birchreach_membership::faults::{Fault, with};
+use birchreach_membership::faults::{Fault, run_with_fault};
 use birchreach_membership::{GossipReports, LIFETIME_INTERVALS, MAX_REPORT_BYTES, Micros};
 use std::net::SocketAddr;
 
@@ -82,7 +82,7 @@
 fn reports_count_once() {
     the_newest_report_counts_once().unwrap();
 
-    let with_fault = with(Fault::DuplicatesCounted, the_newest_report_counts_once);
+    let with_fault = run_with_fault(Fault::DuplicatesCounted, the_newest_report_counts_once);
     assert!(with_fault.is_err(), "the check finds nothing");
 }
 
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -117,7 +117,7 @@
     }
 
     fn next_state(&self, state: &State, step: Step) -> Option<State> {
-        faults::set(self.fault);
+        faults::set_fault(self.fault);
         let mut state = state.clone();
         match (step, state.stage.clone()) {
             (Step::Commit(value), _) => state.log.push(value),
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -5,7 +5,7 @@
 mod verdicts;
 
 use birchreach_fault_injection::ensure;
-use birchreach_shard_split::faults::{Fault, with};
+use birchreach_shard_split::faults::{Fault, run_with_fault};
 use birchreach_shard_split::{
     ComparisonQuery, Definition, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGES,
     RangeCoverage, RangeDifferences, Report, SplitVerifier, Verdict,
@@ -232,6 +232,6 @@
         (Fault::KeepsEverything, check_bounds),
     ];
     for (fault, check) in all {
-        assert!(with(fault, check).is_err(), "{fault:?} was not found");
+        assert!(run_with_fault(fault, check).is_err(), "{fault:?} was not found");
     }
 }
