--- a/background-tasks/src/budget.rs
+++ b/background-tasks/src/budget.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// Starts at one database in a second.
-    pub database_per_s: f64,
+    pub database_starts_per_s: f64,
     /// Starts at all databases together in a second.
-    pub all_per_s: f64,
+    pub total_starts_per_s: f64,
     /// Both bounds hold in any span of this length.
     pub window: Micros,
 }
@@ -48,8 +48,8 @@
     /// budget. It may be nothing.
     pub fn quota(&self, divisor: u32) -> Quota {
         Quota {
-            per_database: self.starts_in_window(self.database_per_s, divisor),
-            total: self.starts_in_window(self.all_per_s, divisor),
+            per_database: self.starts_in_window(self.database_starts_per_s, divisor),
+            total: self.starts_in_window(self.total_starts_per_s, divisor),
         }
     }
 
--- a/background-tasks/tests/scheduler.rs
+++ b/background-tasks/tests/scheduler.rs
@@ -8,7 +8,7 @@
 use birchreach_fault_injection::ensure;
 
 const SECOND: Micros = 1_000_000;
-const BUDGET: Budget = Budget { database_per_s: 6.5, all_per_s: 11.0, window: 4 * SECOND };
+const BUDGET: Budget = Budget { database_starts_per_s: 6.5, total_starts_per_s: 11.0, window: 4 * SECOND };
 /// The starts at one database that the budget allows in a window: 6.5 x 4.
 const MAX_AT_ONE_DATABASE: usize = 26;
 /// The starts at all databases that it allows in a window: 11 x 4.
@@ -144,7 +144,7 @@
 /// The tables of queued and running tasks are bounded.
 fn check_bounds() -> CheckResult {
     // Given a budget that allows any number of tasks
-    let ample = Budget { database_per_s: 1e6, all_per_s: 1e6, window: SECOND };
+    let ample = Budget { database_starts_per_s: 1e6, total_starts_per_s: 1e6, window: SECOND };
     let mut scheduler = ready_scheduler(&[TaskBudget { kind: TaskKind::CopyWrite, budget: ample }]);
     // When 10,000 are submitted and started twice
     let mut accepted = 0;
@@ -220,7 +220,7 @@
     assert_eq!(start_count(&mut scheduler, 0, 1), 1);
     scheduler.finish(TaskId(1));
     // When another budget is set
-    let other = Budget { database_per_s: 1.0, ..BUDGET };
+    let other = Budget { database_starts_per_s: 1.0, ..BUDGET };
     scheduler.set_budgets(&[TaskBudget { kind: TaskKind::CopyWrite, budget: other }], SECOND);
     // Then a task starts after a window of 4 s, and not before
     scheduler.submit(task(TaskKind::CopyWrite, 2, 20 * SECOND));
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -23,7 +23,7 @@
 const MAX_COPIES: usize = 3;
 const COPY_COST_READS: f64 = 2.0;
 const MAX_COPY_AGE_MICROS: Micros = 800_000;
-const BUDGET: Budget = Budget { database_per_s: 30.0, all_per_s: 60.0, window: 10_000_000 };
+const BUDGET: Budget = Budget { database_starts_per_s: 30.0, total_starts_per_s: 60.0, window: 10_000_000 };
 /// Longer than the budget's window: the scheduler has nothing to allow for of an earlier incarnation.
 const SCHEDULER_AGE_MICROS: Micros = 20_000_000;
 const GOSSIP_SEED_MASK: u64 = 0xabc;
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -25,14 +25,20 @@
     let micros = |span: Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
     let mut budgets = Vec::new();
     if let Some(hot) = hot {
-        let budget =
-            |database_per_s| Budget { database_per_s, all_per_s: hot.all_per_s, window: micros(hot.window) };
+        let budget = |database_starts_per_s| Budget {
+            database_starts_per_s,
+            total_starts_per_s: hot.all_per_s,
+            window: micros(hot.window),
+        };
         budgets.push(TaskBudget { kind: TaskKind::RowRead, budget: budget(hot.database_copy_reads_per_s) });
         budgets.push(TaskBudget { kind: TaskKind::CopyWrite, budget: budget(hot.database_copies_per_s) });
     }
     if let Some(split) = split {
-        let (database_per_s, all_per_s) = (split.database_reads_per_s, split.all_per_s);
-        let budget = Budget { database_per_s, all_per_s, window: micros(split.window) };
+        let budget = Budget {
+            database_starts_per_s: split.database_reads_per_s,
+            total_starts_per_s: split.all_per_s,
+            window: micros(split.window),
+        };
         budgets.push(TaskBudget { kind: TaskKind::DualRead, budget });
     }
     budgets
