--- a/background-tasks/src/budget.rs
+++ b/background-tasks/src/budget.rs
@@ -1,5 +1,5 @@
-//! How many tasks of a kind one process may start: its quota of a budget that all processes share, counted over a
-//! sliding window.
+//! Limits the starts of tasks. All processes share a budget for each kind of task. Each process may use its quota of
+//! the budget, counted over a sliding window.
 
 use crate::{DatabaseId, Micros, TaskKind};
 use birchreach_fault_injection::fault_injected;
@@ -7,45 +7,45 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// How many tasks of a kind may start over all processes.
+/// The highest rates at which all processes together may start tasks of one kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Starts at one database in a second.
+    /// Starts per second at one database.
     pub database_starts_per_s: f64,
-    /// Starts at all databases together in a second.
+    /// Starts per second at all databases together.
     pub total_starts_per_s: f64,
-    /// Both bounds hold in any span of this length.
+    /// Neither rate is exceeded in any span of this length.
     pub window: Micros,
 }
 
 /// The budget of one kind of task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskBudget {
-    /// The kind.
+    /// The kind of task that the budget limits.
     pub kind: TaskKind,
-    /// Its budget.
+    /// The budget that all processes share.
     pub budget: Budget,
 }
 
-/// How many tasks one process may start in a window.
+/// The number of tasks of one kind that one process may start in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
-    /// At one database.
+    /// Starts at one database.
     pub per_database: usize,
-    /// At all databases together.
+    /// Starts at all databases together.
     pub total: usize,
 }
 
 impl Quota {
-    /// Whether nothing can ever start.
+    /// Returns whether the quota allows no start at all.
     pub fn is_empty(self) -> bool {
         self.per_database == 0 || self.total == 0
     }
 }
 
 impl Budget {
-    /// What one of so many processes may start in a window: rounded down, so that the sum of all stays within the
-    /// budget. It may be nothing.
+    /// Returns the quota of one process when `divisor` processes share the budget. The quota is rounded down, so that
+    /// the sum over all processes stays within the budget. It can be zero.
     pub fn quota(&self, divisor: u32) -> Quota {
         Quota {
             per_database: self.starts_in_window(self.database_starts_per_s, divisor),
@@ -53,36 +53,35 @@
         }
     }
 
-    /// The starts in a window that one of so many processes gets of a rate.
+    /// Returns the share of a rate that one process may use in a window.
     fn starts_in_window(&self, per_s: f64, divisor: u32) -> usize {
         let starts = per_s * self.window as f64 / MICROS_PER_SECOND / f64::from(divisor.max(1));
         if fault_injected!(RoundsQuotaUp) { starts.ceil() as usize } else { starts as usize }
     }
 }
 
-/// The starts of one kind within the last window.
+/// The starts of tasks of one kind within the last window.
 pub(crate) struct BudgetUsage {
     budget: Budget,
-    /// Until then an earlier incarnation may have used the quota.
+    /// An earlier incarnation may have used the quota until this instant.
     usable_from: Micros,
-    /// When tasks were started, the oldest first.
+    /// Instants of the starts, the oldest first.
     starts: VecDeque<Micros>,
     starts_by_database: BTreeMap<DatabaseId, VecDeque<Micros>>,
 }
 
 impl BudgetUsage {
-    /// No starts are known; the budget may be used after a window.
+    /// Creates a usage without starts. The budget is usable after one window.
     pub(crate) fn new(budget: Budget, now: Micros) -> BudgetUsage {
         let usable_from = if fault_injected!(StartsWithoutDelay) { now } else { now + budget.window };
         BudgetUsage { budget, usable_from, starts: VecDeque::new(), starts_by_database: BTreeMap::new() }
     }
 
-    /// The budget that is counted against.
     pub(crate) fn budget(&self) -> Budget {
         self.budget
     }
 
-    /// Whether one more task may start at this database now.
+    /// Returns whether one more task may start at this database now.
     pub(crate) fn allows_start(&mut self, now: Micros, database: DatabaseId, divisor: u32) -> bool {
         self.remove_old_starts(now);
         let quota = self.budget.quota(divisor);
@@ -90,7 +89,6 @@
         now >= self.usable_from && at_database < quota.per_database && self.starts.len() < quota.total
     }
 
-    /// Counts a task that starts at this database now.
     pub(crate) fn record_start(&mut self, now: Micros, database: DatabaseId) {
         self.starts.push_back(now);
         self.starts_by_database.entry(database).or_default().push_back(now);
--- a/background-tasks/src/faults.rs
+++ b/background-tasks/src/faults.rs
@@ -1,16 +1,16 @@
-//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
+//! Faults that the tests inject into this crate to show that their checks detect them.
 
 birchreach_fault_injection::declare_faults! {
-    /// A process's quota of a budget is rounded up.
+    /// The quota of a process is rounded up instead of down.
     RoundsQuotaUp,
-    /// A new incarnation uses its quota at once.
+    /// A new incarnation uses its quota immediately instead of waiting for a window.
     StartsWithoutDelay,
-    /// Windows begin at fixed times, so that two quotas fit into one span of a window's length.
+    /// Windows start at fixed times instead of sliding, so that two quotas fit into a span as long as one window.
     FixedWindows,
-    /// The oldest task starts first, whatever its kind.
+    /// The oldest task starts first, regardless of its kind.
     IgnoresPriority,
-    /// Expired tasks are started.
+    /// Expired tasks stay in the queue and can start.
     StartsExpiredTasks,
-    /// The queue is unbounded.
+    /// The length of the queue is not limited.
     AcceptsAllTasks,
 }
--- a/background-tasks/src/ids.rs
+++ b/background-tasks/src/ids.rs
@@ -1,15 +1,15 @@
-//! Ids of tasks and databases. Each has a type of its own, so that one cannot be used in place of another.
+//! Ids of tasks and databases. Each has its own type, so that one cannot be passed in place of the other.
 
-/// The scheduler's number for a task, never used again.
+/// Identifies a task of one scheduler. The scheduler does not reuse the number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId(pub u64);
 
-/// A database, by the number that the caller gives it.
+/// Identifies a database by a number that the caller chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DatabaseId(pub u32);
 
 impl TaskId {
-    /// The number of the task after this one.
+    /// Returns the id of the next task.
     pub(crate) fn next(self) -> TaskId {
         TaskId(self.0 + 1)
     }
--- a/background-tasks/src/lib.rs
+++ b/background-tasks/src/lib.rs
@@ -1,29 +1,28 @@
-//! One scheduler for work that no client waits for: rows that are read for copying, copies that are written, reads that
-//! are compared.
+//! Scheduler for background tasks: reading rows to be copied, writing the copies, and dual reads for comparison.
 //!
-//! It decides which task starts next and how many may start. At which database a task may run is decided by its caller
-//! with the routing decisions: clients' requests have precedence there, and a database in slow start gets no tasks. It
-//! does no I/O and reads no clock.
+//! The scheduler decides which task starts next and how many tasks may start. The caller decides at which database a
+//! task runs, based on the routing decisions: client requests have precedence there, and a database in slow start gets
+//! no tasks. The scheduler does no I/O and reads no clock.
 //!
-//! [`Scheduler::submit`] queues a task, [`Scheduler::start_due`] returns the tasks that start now and their databases,
-//! [`Scheduler::finish`] records that one has ended.
+//! [`Scheduler::submit`] queues a task, [`Scheduler::start_due`] returns the tasks that start now with their databases,
+//! and [`Scheduler::finish`] records that a task has ended.
 //!
-//! A budget is a rate over all processes of the fleet, in any span of its window's length. Each process keeps to its
-//! quota of it, rounded down, by a divisor that is never less than the number of processes that there may be. A new
-//! incarnation does not know what the one before it started, and waits for one window.
+//! A budget limits the rate of starts over all processes of the fleet, in any span as long as its window. Each process
+//! keeps to its quota: the budget divided by a divisor and rounded down. The divisor is never less than the largest
+//! possible number of processes. A new incarnation does not know what its predecessor started, and waits for one
+//! window.
 //!
-//! Invariants, each with the test that holds it (`tests/scheduler.rs`):
+//! Invariants, each with its test in `tests/scheduler.rs`:
 //!
-//! 1. In no window does a database, nor do all together, get more tasks of a kind than the budget, whatever number of
-//!    processes up to the divisor starts tasks, restarts or is suspended in between
+//! 1. In every window the number of tasks of a kind stays within the budget, at each database and in total. This holds
+//!    for any number of processes up to the divisor, also when processes restart or are suspended
 //!    (`budgets_hold_over_all_processes_in_every_window`).
-//! 2. Of two kinds the more urgent starts first, and of one kind the older task (`urgent_kinds_start_first`).
+//! 2. The most urgent kind starts first, and within a kind the oldest task (`urgent_kinds_start_first`).
 //! 3. An expired task never starts (`expired_tasks_never_start`).
-//! 4. Queued and running tasks are bounded (`queued_and_running_tasks_are_bounded`).
+//! 4. The numbers of queued and of running tasks are bounded (`queued_and_running_tasks_are_bounded`).
 //!
-//! [`Micros`] is defined here and not shared: the crate depends on no other subsystem, and a number of microseconds
-//! needs no conversion.
-//! So is [`DatabaseId`], which the caller converts.
+//! The crate defines its own [`Micros`], so that it depends on no other subsystem; a number of microseconds needs no
+//! conversion. It also defines its own [`DatabaseId`], which the caller converts.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -40,14 +39,14 @@
 /// A span of time, or an instant on the caller's clock, in microseconds.
 pub type Micros = i64;
 
-/// What a task does; the most urgent kind first.
+/// What a task does. The kinds are in order of urgency, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TaskKind {
-    /// Reads a row in its own group, to be copied.
+    /// Reads a row from the group that owns it, so that the row can be copied.
     RowRead,
-    /// Writes a copy of a row to a database of another group.
+    /// Writes a copy of a row to a database in another group.
     CopyWrite,
-    /// Reads a row a second time, to be compared with an answer that a client got.
+    /// Repeats a read, so that the result can be compared with the response that a client got.
     DualRead,
 }
 
@@ -55,7 +54,7 @@
     /// All kinds, the most urgent first.
     pub const ALL: [TaskKind; 3] = [TaskKind::RowRead, TaskKind::CopyWrite, TaskKind::DualRead];
 
-    /// The kind as operators see it, in metrics and log lines.
+    /// Returns the name of the kind in metrics and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             TaskKind::RowRead => "read",
--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -1,60 +1,59 @@
-//! The queue of tasks, the tasks that run, and which one starts next.
+//! Queues tasks and selects the tasks that start.
 
 use crate::budget::{BudgetUsage, Quota, TaskBudget};
 use crate::{DatabaseId, Micros, TaskId, TaskKind};
 use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeMap;
 
-/// Tasks that are queued at once; a further one is rejected.
+/// The most tasks that can be queued at a time. A task submitted to a full queue is rejected.
 pub const MAX_QUEUED_TASKS: usize = 256;
-/// Tasks that run at once, at all databases together.
+/// The most tasks that run at a time at all databases together.
 pub const MAX_RUNNING_TASKS: usize = 8;
-/// Tasks that run at once at one database.
+/// The most tasks that run at a time at one database.
 const MAX_RUNNING_PER_DATABASE: usize = 1;
 
-/// Work to be done once.
+/// Background work that is to be done once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Task<T> {
-    /// What it does, which gives its priority and budget.
+    /// Determines the priority and the budget of the task.
     pub kind: TaskKind,
-    /// From this instant on its result is useless, and it never starts.
+    /// The task does not start at or after this instant, because its result would be useless.
     pub expires_at: Micros,
-    /// The caller's own description of it.
+    /// The caller's description of the work.
     pub payload: T,
 }
 
 /// A task that starts now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartedTask<T> {
-    /// The scheduler's number for it, by which it is reported as finished.
+    /// The id to pass to [`Scheduler::finish`].
     pub id: TaskId,
-    /// The task.
+    /// The task as it was submitted.
     pub task: Task<T>,
-    /// Where it runs.
+    /// The database at which the task runs.
     pub database: DatabaseId,
 }
 
-/// How the tasks of a kind ended.
+/// Numbers of tasks of one kind since the scheduler was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Were started.
+    /// Tasks that have started.
     pub started: u64,
-    /// Have ended, successfully or not.
+    /// Tasks that have ended, successfully or not.
     pub finished: u64,
-    /// Were queued for too long.
+    /// Tasks that expired in the queue.
     pub expired: u64,
-    /// Were not queued, as the queue was full.
+    /// Tasks that were not queued because the queue was full.
     pub rejected: u64,
 }
 
-/// The position of a task in the queue: urgent kinds first, and the oldest first within a kind.
+/// Position of a task in the queue: the most urgent kind first, and the oldest task first within a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     kind: TaskKind,
     id: TaskId,
 }
 
-/// What is kept of a task while it runs.
 struct RunningTask {
     kind: TaskKind,
     database: DatabaseId,
@@ -62,7 +61,7 @@
 
 /// Queues tasks and decides which of them start now.
 pub struct Scheduler<T> {
-    /// What this process started of each kind that has a budget.
+    /// The starts of this process, for each kind that has a budget.
     usage: BTreeMap<TaskKind, BudgetUsage>,
     queue: BTreeMap<QueuePosition, Task<T>>,
     running: BTreeMap<TaskId, RunningTask>,
@@ -73,7 +72,7 @@
 }
 
 impl<T> Scheduler<T> {
-    /// A scheduler of these kinds; tasks of a kind without a budget never start.
+    /// Creates a scheduler. Tasks of a kind without a budget never start.
     pub fn new(budgets: &[TaskBudget], now: Micros) -> Scheduler<T> {
         let usage = budgets.iter().map(|entry| (entry.kind, BudgetUsage::new(entry.budget, now)));
         Scheduler {
@@ -86,7 +85,8 @@
         }
     }
 
-    /// Replaces the budgets. A kind whose budget is unchanged goes on; a kind with a new one waits for a window.
+    /// Replaces the budgets. A kind whose budget is unchanged is not interrupted. A kind with a new budget waits for a
+    /// window. Queued tasks of a kind without a budget are dropped.
     pub fn set_budgets(&mut self, budgets: &[TaskBudget], now: Micros) {
         let is_unchanged = |kind: TaskKind, usage: &BudgetUsage| {
             budgets.contains(&TaskBudget { kind, budget: usage.budget() })
@@ -98,7 +98,7 @@
         self.queue.retain(|position, _| self.usage.contains_key(&position.kind));
     }
 
-    /// Queues a task; false if the queue is full.
+    /// Queues a task. Returns `false` if the queue is full.
     pub fn submit(&mut self, task: Task<T>) -> bool {
         if self.queue.len() >= MAX_QUEUED_TASKS && !fault_injected!(AcceptsAllTasks) {
             self.counts.entry(task.kind).or_default().rejected += 1;
@@ -110,8 +110,8 @@
         true
     }
 
-    /// The tasks that start now. `select_database` returns the database at which a task may run, if any; `divisor` is
-    /// no less than the number of processes that share the budgets.
+    /// Starts all tasks that may start now, and returns them. `select_database` returns the database at which a task
+    /// may run, or `None` if there is none. `divisor` must be at least the number of processes that share the budgets.
     pub fn start_due(
         &mut self,
         now: Micros,
@@ -130,7 +130,7 @@
         started
     }
 
-    /// Starts a task if its budget and the limits allow it and a database is selected for it.
+    /// Starts a task if a database is selected for it, and its budget and the limits allow the start.
     fn try_start(
         &mut self,
         now: Micros,
@@ -141,8 +141,9 @@
         let task = self.queue.get(&position)?;
         let usage = self.usage.get_mut(&task.kind)?;
         let database = select_database(&task.payload)?;
-        let running_there = self.running.values().filter(|running| running.database == database).count();
-        if running_there >= MAX_RUNNING_PER_DATABASE || !usage.allows_start(now, database, divisor) {
+        let running_at_database =
+            self.running.values().filter(|running| running.database == database).count();
+        if running_at_database >= MAX_RUNNING_PER_DATABASE || !usage.allows_start(now, database, divisor) {
             return None;
         }
         usage.record_start(now, database);
@@ -152,7 +153,7 @@
         Some(StartedTask { id: position.id, task, database })
     }
 
-    /// Removes expired tasks from the queue; their payloads are kept for the caller.
+    /// Removes expired tasks from the queue, and keeps their payloads for [`Scheduler::take_expired`].
     fn remove_expired(&mut self, now: Micros) {
         let is_expired = |task: &Task<T>| task.expires_at <= now && !fault_injected!(StartsExpiredTasks);
         for (_, task) in self.queue.extract_if(.., |_, task| is_expired(task)) {
@@ -161,34 +162,34 @@
         }
     }
 
-    /// The payloads of tasks that expired since the last call.
+    /// Returns the payloads of the tasks that expired since the last call.
     pub fn take_expired(&mut self) -> Vec<T> {
         std::mem::take(&mut self.expired)
     }
 
-    /// Records that a task has ended, successfully or not; an unknown id is ignored.
+    /// Records that a task has ended, successfully or not. An unknown id is ignored.
     pub fn finish(&mut self, id: TaskId) {
         if let Some(task) = self.running.remove(&id) {
             self.counts.entry(task.kind).or_default().finished += 1;
         }
     }
 
-    /// How the tasks of a kind ended since the start.
+    /// Returns the numbers of tasks of a kind since the scheduler was created.
     pub fn counts(&self, kind: TaskKind) -> TaskCounts {
         self.counts.get(&kind).copied().unwrap_or_default()
     }
 
-    /// What one process may start of a kind in a window; none for a kind without a budget.
+    /// Returns the quota of one process for a kind; `None` for a kind without a budget.
     pub fn quota(&self, kind: TaskKind, divisor: u32) -> Option<Quota> {
         self.usage.get(&kind).map(|usage| usage.budget().quota(divisor))
     }
 
-    /// Tasks that are queued.
+    /// Returns the number of queued tasks, including expired ones that have not been removed yet.
     pub fn queued_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Tasks that run.
+    /// Returns the number of tasks that have started and not ended.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,13 +1,13 @@
-//! Faults that a crate's tests switch on in that crate, to show that its checks find them.
+//! Fault injection for tests: a crate's tests enable a fault in that crate to show that their checks detect it.
 //!
-//! A crate that uses this has a module `faults` at its root with one call of [`declare_faults!`], asks with
-//! [`fault_injected!`] at the line that the fault breaks, and names the feature `enabled` among its dev-dependencies
-//! only. A build without dev-dependencies, which each release is, then has neither the list of faults nor the switch:
+//! A crate that uses fault injection calls [`declare_faults!`] once, in a module `faults` at its root. It calls
+//! [`fault_injected!`] in the code that the fault breaks, and enables the feature `enabled` in its dev-dependencies
+//! only. A release is built without dev-dependencies and therefore has neither the faults nor the switch:
 //! [`declare_faults!`] expands to nothing and [`fault_injected!`] to `false`.
 //!
-//! A fault is switched on for one thread, so that tests of one process do not disturb one another. A check that must
-//! fail under a fault returns an error in place of a panic; `ensure!` and `ensure_eq!`, which the feature `enabled`
-//! adds, are its assertions.
+//! A fault is enabled for one thread, so that tests that run in the same process do not affect each other. A check
+//! that must fail under a fault returns an error instead of panicking. Its assertions are `ensure!` and `ensure_eq!`,
+//! which exist only with the feature `enabled`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -15,36 +15,36 @@
 #[cfg(feature = "enabled")]
 use std::cell::Cell;
 
-/// The fault that is switched on in a thread, if any.
+/// Holds the fault that is enabled in a thread, if any.
 #[cfg(feature = "enabled")]
 pub struct Switch<F>(Cell<Option<F>>);
 
 #[cfg(feature = "enabled")]
 impl<F: Copy + PartialEq> Switch<F> {
-    /// A switch of a thread in which no fault is on.
+    /// Creates a switch with no fault enabled.
     pub const fn off() -> Switch<F> {
         Switch(Cell::new(None))
     }
 
-    /// Switches a fault on in place of the one before, or all off.
+    /// Enables `fault` instead of the fault that was enabled before; `None` disables all faults.
     #[inline]
     pub fn set(&self, fault: Option<F>) {
         self.0.set(fault);
     }
 
-    /// Whether this fault is on.
+    /// Returns whether `fault` is enabled.
     #[inline]
     pub fn is_on(&self, fault: F) -> bool {
         self.0.get() == Some(fault)
     }
 }
 
-/// Declares the faults of a crate as an enum named `Fault`, and the functions that switch them on.
+/// Declares the faults of a crate as an enum `Fault`, with functions that enable and disable them.
 #[cfg(feature = "enabled")]
 #[macro_export]
 macro_rules! declare_faults {
     ($($(#[doc = $text:literal])+ $fault:ident,)+) => {
-        /// Faults of this crate that a test can switch on; each breaks one of its invariants.
+        /// Faults that a test can enable in this crate. Each one breaks an invariant of the crate.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Fault {
             $($(#[doc = $text])+ $fault,)+
@@ -54,7 +54,7 @@
             static SWITCH: $crate::Switch<Fault> = const { $crate::Switch::off() };
         }
 
-        /// Runs something while a fault is on in this thread.
+        /// Runs a closure with `fault` enabled in this thread, and disables all faults afterwards.
         pub fn run_with_fault<T>(fault: Fault, run: impl FnOnce() -> T) -> T {
             set_fault(Some(fault));
             let result = run();
@@ -62,36 +62,36 @@
             result
         }
 
-        /// Switches a fault of this thread on, or all off; for checkers that run the crate in threads of their own.
+        /// Enables a fault in this thread; `None` disables all. A model checker calls this in each of its threads.
         pub fn set_fault(fault: Option<Fault>) {
             SWITCH.with(|switch| switch.set(fault));
         }
 
-        /// Whether this fault is on in this thread.
+        /// Returns whether `fault` is enabled in this thread.
         pub(crate) fn is_on(fault: Fault) -> bool {
             SWITCH.with(|switch| switch.is_on(fault))
         }
     };
 }
 
-/// Declares the faults of a crate; in a build without fault injection it expands to nothing.
+/// Declares the faults of a crate. Without the feature `enabled` it expands to nothing.
 #[cfg(not(feature = "enabled"))]
 #[macro_export]
 macro_rules! declare_faults {
-    ($($anything:tt)*) => {};
+    ($($token:tt)*) => {};
 }
 
-/// Whether a fault of the calling crate's module `faults`, named by its variant, is on in this thread.
+/// Returns whether a fault of the calling crate is enabled in this thread. The argument is a variant of its `Fault`.
 #[cfg(feature = "enabled")]
 #[macro_export]
-#[allow(clippy::crate_in_macro_def, reason = "the faults are the calling crate's")]
+#[allow(clippy::crate_in_macro_def, reason = "each calling crate has its own faults")]
 macro_rules! fault_injected {
     ($fault:ident) => {
         crate::faults::is_on(crate::faults::Fault::$fault)
     };
 }
 
-/// Whether a fault of the calling crate is on: never, in a build without fault injection.
+/// Returns whether a fault of the calling crate is enabled. Without the feature `enabled` it is always `false`.
 #[cfg(not(feature = "enabled"))]
 #[macro_export]
 macro_rules! fault_injected {
@@ -100,7 +100,7 @@
     };
 }
 
-/// Returns from the calling check with an error of type `String`, unless a condition holds.
+/// Returns an error of type `String` from the calling function unless the condition holds.
 #[cfg(feature = "enabled")]
 #[macro_export]
 macro_rules! ensure {
@@ -113,7 +113,7 @@
     };
 }
 
-/// Returns from the calling check with an error of type `String`, unless two values are equal.
+/// Returns an error of type `String` from the calling function unless both values are equal.
 #[cfg(feature = "enabled")]
 #[macro_export]
 macro_rules! ensure_eq {
