--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! `birchreach-simulator-adapter`: connects routers to the simulator, which speaks binary frames over standard input
-//! and output.
+//! `birchreach-simulator-adapter` connects routers to the simulator. The adapter and the simulator exchange binary
+//! frames over standard input and output.
 //!
-//! One process hosts many routers. The adapter translates events and actions between the wire and the decision crate
-//! and decides nothing itself.
+//! One process hosts many routers. The adapter translates events and actions between the wire format and the decision
+//! crate, and makes no decisions itself.
 #![forbid(unsafe_code)]
 
 mod host;
@@ -12,7 +12,6 @@
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use wire::{FrameError, read_batch};
 
-/// Buffer of the input and of the output.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 fn main() {
@@ -24,7 +23,7 @@
     }
 }
 
-/// Answers each batch of the input with one reply, up to the end of the input.
+/// Replies to each batch of the input until the input ends.
 fn run(mut input: impl Read, mut output: impl Write) -> Result<(), FrameError> {
     let mut host = Host::default();
     while let Some(batch) = read_batch(&mut input)? {
--- a/simulator-adapter/src/wire/batch.rs
+++ b/simulator-adapter/src/wire/batch.rs
@@ -1,33 +1,33 @@
-//! Reading of batches: the header, the records and the tail.
+//! Reads batches, which have a header, records and a tail.
 
 use super::error::FrameError;
 use super::events::EVENT_BYTES;
 use super::fields::Fields;
 use std::io::{ErrorKind, Read};
 
-/// Length of a header: the body's length, the number of records, the clock and the batch number.
+/// Length of a header: length of the body, number of records, clock and batch number.
 const HEADER_BYTES: usize = 20;
 
-/// A batch of records, all of one instant.
+/// A batch of records that all occurred at the same instant.
 pub(crate) struct Batch {
-    /// Time of the batch in milliseconds.
+    /// The instant at which the records occurred, in milliseconds.
     pub clock_ms: f64,
-    /// Number of the batch, which its reply repeats.
+    /// The number of the batch, which the reply repeats.
     pub number: u32,
-    /// How many records it has.
-    pub records: usize,
-    /// The records and the tail.
+    pub record_count: usize,
+    /// The bytes of the records and of the tail.
     body: Vec<u8>,
 }
 
-/// Reads the next batch; `None` at the end of the input.
+/// Reads the next batch. Returns `None` at the end of the input.
 ///
 /// # Errors
-/// Input that fails or ends within a batch, and a header that contradicts itself.
+/// Returns an error if reading fails, if the input ends within a batch, if a header has more records than the body can
+/// hold, or if its clock is not a finite number.
 pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
     let Some(header) = read_header(input)? else { return Ok(None) };
     let header = Fields(&header);
-    let (length, records) = (header.u32(0) as usize, header.u32(4) as usize);
+    let (length, record_count) = (header.u32(0) as usize, header.u32(4) as usize);
     let (clock_ms, number) = (header.f64(8), header.u32(16));
     let mut body = Vec::new();
     match input.take(length as u64).read_to_end(&mut body) {
@@ -35,16 +35,16 @@
         Ok(got) => return Err(FrameError::TruncatedBody { batch: number, got, expected: length }),
         Err(error) => return Err(FrameError::ReadBody { batch: number, error }),
     }
-    if records.checked_mul(EVENT_BYTES).is_none_or(|needed| needed > length) {
-        return Err(FrameError::TooManyRecords { batch: number, records, length });
+    if record_count.checked_mul(EVENT_BYTES).is_none_or(|needed| needed > length) {
+        return Err(FrameError::TooManyRecords { batch: number, record_count, length });
     }
     if !clock_ms.is_finite() {
         return Err(FrameError::InvalidClock { batch: number });
     }
-    Ok(Some(Batch { clock_ms, number, records, body }))
+    Ok(Some(Batch { clock_ms, number, record_count, body }))
 }
 
-/// Reads a header; `None` if the input ends before it.
+/// Reads a header. Returns `None` if the input ends before the first byte.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_BYTES]>, FrameError> {
     let mut header = [0; HEADER_BYTES];
     let mut got = 0;
@@ -61,20 +61,20 @@
 }
 
 impl Batch {
-    /// The fields of a record.
+    /// Returns the fields of the record at this index.
     pub(crate) fn record(&self, index: usize) -> Fields<'_> {
         Fields(&self.body[index * EVENT_BYTES..(index + 1) * EVENT_BYTES])
     }
 
-    /// Bytes of the tail.
+    /// Returns `length` bytes of the tail, starting at `offset`.
     ///
     /// # Errors
-    /// They lie outside the tail.
-    pub(crate) fn tail(&self, offset: u32, length: usize) -> Result<&[u8], FrameError> {
-        let tail = &self.body[self.records * EVENT_BYTES..];
-        let start = offset as usize;
-        let end = start.checked_add(length);
-        let bytes = end.and_then(|end| tail.get(start..end));
-        bytes.ok_or(FrameError::OutsideTail { start, length, tail: tail.len() })
+    /// Returns an error if these bytes are not all within the tail.
+    pub(crate) fn tail_bytes(&self, offset: u32, length: usize) -> Result<&[u8], FrameError> {
+        let tail = &self.body[self.record_count * EVENT_BYTES..];
+        let offset = offset as usize;
+        let end = offset.checked_add(length);
+        let bytes = end.and_then(|end| tail.get(offset..end));
+        bytes.ok_or(FrameError::OutsideTail { offset, length, tail_length: tail.len() })
     }
 }
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -1,6 +1,6 @@
-//! Errors on the simulator's wire.
+//! Errors in the frames that the adapter exchanges with the simulator.
 
-use super::events::ListId;
+use super::events::EndpointListId;
 use std::fmt;
 use std::io;
 
@@ -16,17 +16,17 @@
     /// Reading the body of a batch failed.
     ReadBody { batch: u32, error: io::Error },
     /// The body is too short for the number of records in the header.
-    TooManyRecords { batch: u32, records: usize, length: usize },
+    TooManyRecords { batch: u32, record_count: usize, length: usize },
     /// The clock of a batch is not a finite number.
     InvalidClock { batch: u32 },
-    /// A record refers to bytes outside the tail.
-    OutsideTail { start: usize, length: usize, tail: usize },
-    /// The length of an endpoint list overflows.
-    ListTooLong,
+    /// A record refers to bytes that are not all within the tail.
+    OutsideTail { offset: usize, length: usize, tail_length: usize },
+    /// The length of an endpoint list in bytes overflows.
+    EndpointListTooLong,
     /// A record refers to an endpoint list that was never defined.
-    UndefinedList(ListId),
-    /// The mode of a list record is unknown.
-    UnknownListMode(u8),
+    UndefinedEndpointList(EndpointListId),
+    /// The mode of a change of the endpoint list is unknown.
+    UnknownEndpointListMode(u8),
     /// The state of an endpoint is unknown.
     UnknownEndpointState(u8),
     /// The outcome of an attempt or a health check is unknown.
@@ -48,29 +48,37 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             FrameError::TruncatedHeader { got, expected } => {
-                write!(f, "input ends {got} bytes into a header of {expected}")
+                write!(f, "input ended after {got} of the {expected} bytes of a batch header")
             }
-            FrameError::ReadHeader(error) => write!(f, "reading a header: {error}"),
+            FrameError::ReadHeader(error) => write!(f, "cannot read a batch header: {error}"),
             FrameError::TruncatedBody { batch, got, expected } => {
-                write!(f, "batch {batch}: input ends after {got} of {expected} bytes")
+                write!(f, "batch {batch}: input ended after {got} of the {expected} bytes of the body")
             }
-            FrameError::ReadBody { batch, error } => write!(f, "batch {batch}: {error}"),
-            FrameError::TooManyRecords { batch, records, length } => {
-                write!(f, "batch {batch}: {records} records do not fit into {length} bytes")
+            FrameError::ReadBody { batch, error } => {
+                write!(f, "batch {batch}: cannot read the body: {error}")
             }
-            FrameError::InvalidClock { batch } => write!(f, "batch {batch}: the clock is not a number"),
-            FrameError::OutsideTail { start, length, tail } => {
-                write!(f, "tail reference {start}+{length} lies outside a tail of {tail}")
+            FrameError::TooManyRecords { batch, record_count, length } => {
+                write!(f, "batch {batch}: {record_count} records do not fit into a body of {length} bytes")
             }
-            FrameError::ListTooLong => f.write_str("the length of a list overflows"),
-            FrameError::UndefinedList(ListId(list)) => write!(f, "list {list} was never defined"),
-            FrameError::UnknownListMode(mode) => write!(f, "unknown mode {mode} of a list"),
-            FrameError::UnknownEndpointState(mode) => write!(f, "unknown mode {mode} of a list entry"),
-            FrameError::UnknownOutcome(code) => write!(f, "unknown completion code {code}"),
+            FrameError::InvalidClock { batch } => {
+                write!(f, "batch {batch}: the clock is not a finite number")
+            }
+            FrameError::OutsideTail { offset, length, tail_length } => {
+                write!(f, "{length} bytes at offset {offset} are not within the tail of {tail_length} bytes")
+            }
+            FrameError::EndpointListTooLong => {
+                f.write_str("the length of an endpoint list in bytes overflows")
+            }
+            FrameError::UndefinedEndpointList(EndpointListId(list)) => {
+                write!(f, "endpoint list {list} is not defined")
+            }
+            FrameError::UnknownEndpointListMode(mode) => write!(f, "unknown endpoint list mode {mode}"),
+            FrameError::UnknownEndpointState(state) => write!(f, "unknown endpoint state {state}"),
+            FrameError::UnknownOutcome(code) => write!(f, "unknown outcome code {code}"),
             FrameError::Record { batch, index, error } => {
                 write!(f, "batch {batch}, record {index}: {error}")
             }
-            FrameError::WriteReply(error) => write!(f, "writing a reply: {error}"),
+            FrameError::WriteReply(error) => write!(f, "cannot write a reply: {error}"),
         }
     }
 }
--- a/simulator-adapter/src/wire/events.rs
+++ b/simulator-adapter/src/wire/events.rs
@@ -1,11 +1,11 @@
-//! Event records of the simulator, decoded into the router's events.
+//! Decodes the simulator's event records into events of the router.
 
 use super::batch::Batch;
 use super::error::FrameError;
 use super::fields::Fields;
 use super::load_report::{decode_load_report, decode_status};
 use super::{micros_rounded_down, micros_rounded_up};
-use crate::host::Instance;
+use crate::host::RouterInstance;
 use birchreach::{
     AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointList, EndpointState, Event, GroupId,
     Request, RequestId, ServerId, SessionId, TenantId, ZoneId,
@@ -13,9 +13,9 @@
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
 
-/// Length of an event record.
+/// Length of an event record in bytes.
 pub(super) const EVENT_BYTES: usize = 56;
-/// Length of an endpoint in the tail.
+/// Length of an endpoint in the tail, in bytes.
 const ENDPOINT_BYTES: usize = 25;
 
 /// Codes of event records.
@@ -30,7 +30,7 @@
     pub(super) const HEALTH_CHECK_COMPLETED: u16 = 263;
     pub(super) const PEER_MESSAGE: u16 = 264;
     pub(super) const STOP: u16 = 265;
-    pub(super) const DEFINE_LIST: u16 = 266;
+    pub(super) const DEFINE_ENDPOINT_LIST: u16 = 266;
 }
 
 /// Number of a router on the wire.
@@ -39,52 +39,54 @@
 
 /// Number of an endpoint list on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ListId(pub u16);
+pub(crate) struct EndpointListId(pub u16);
 
 /// An entry of an endpoint list.
 #[derive(Clone)]
 pub(crate) struct EndpointRecord(Endpoint);
 
-/// A decoded record.
-pub(crate) enum Incoming {
-    /// Defines an endpoint list for later records.
-    DefineList { list: ListId, endpoints: Vec<EndpointRecord> },
-    /// Starts a router with settings in JSON.
+/// A decoded event record.
+pub(crate) enum DecodedRecord {
+    /// Defines an endpoint list that later records can refer to.
+    DefineEndpointList { list: EndpointListId, endpoints: Vec<EndpointRecord> },
+    /// Starts a router. The settings are JSON that has not been parsed yet.
     Start { router: RouterId, seed: u64, settings: String },
     /// Stops a router.
     Stop { router: RouterId },
-    /// An event for a router.
+    /// Passes an event to a router.
     Event { router: RouterId, event: Event },
-    /// A record that is valid and has no meaning here.
+    /// A valid record without an effect in the adapter.
     Ignored,
     /// A record with an unknown code.
     Unknown { code: u16 },
 }
 
 impl Batch {
-    /// Decodes one record, with the endpoint lists that were defined before it.
+    /// Decodes the record at this index. `lists` holds the endpoint lists that earlier records defined.
     ///
     /// # Errors
-    /// The record is malformed or refers to something that does not exist.
-    pub(crate) fn decode(
+    /// Returns an error if the record is malformed or refers to an endpoint list or bytes that do not exist.
+    pub(crate) fn decode_record(
         &self,
         index: usize,
-        lists: &BTreeMap<ListId, Vec<EndpointRecord>>,
-        instances: &BTreeMap<RouterId, Instance>,
-    ) -> Result<Incoming, FrameError> {
+        lists: &BTreeMap<EndpointListId, Vec<EndpointRecord>>,
+        instances: &BTreeMap<RouterId, RouterInstance>,
+    ) -> Result<DecodedRecord, FrameError> {
         let record = self.record(index);
         let router = RouterId(record.u16(2));
         let settings = instances.get(&router).map(|instance| &instance.settings);
         let event = match record.u16(0) {
             code::START => return self.decode_start(router, &record),
-            code::STOP => return Ok(Incoming::Stop { router }),
-            code::DEFINE_LIST => return self.decode_list(ListId(record.u16(2)), &record),
+            code::STOP => return Ok(DecodedRecord::Stop { router }),
+            code::DEFINE_ENDPOINT_LIST => {
+                return self.decode_endpoint_list(EndpointListId(record.u16(2)), &record);
+            }
             code::PEER_MESSAGE => {
-                // The router has no peers in the simulator; only the reference into the tail is checked.
-                self.tail(record.u32(8), record.u32(12) as usize)?;
-                return Ok(Incoming::Ignored);
+                // Routers have no peers in the simulator. Only the reference to the tail is checked.
+                self.tail_bytes(record.u32(8), record.u32(12) as usize)?;
+                return Ok(DecodedRecord::Ignored);
             }
-            code::ENDPOINTS => decode_endpoints(&record, lists)?,
+            code::ENDPOINTS => decode_endpoint_list_change(&record, lists)?,
             code::REQUEST => Event::Request(self.decode_request(&record, settings)),
             code::RESPONSE_STARTED => Event::ResponseStarted {
                 request: RequestId(record.u64(4)),
@@ -98,28 +100,32 @@
                 outcome: decode_outcome(record.u8(16))?,
                 load_report: settings.and_then(|settings| decode_load_report(&record, 17, settings)),
             },
-            code => return Ok(Incoming::Unknown { code }),
+            code => return Ok(DecodedRecord::Unknown { code }),
         };
-        Ok(Incoming::Event { router, event })
+        Ok(DecodedRecord::Event { router, event })
     }
 
-    /// Decodes the start of a router, whose settings are in the tail.
-    fn decode_start(&self, router: RouterId, record: &Fields) -> Result<Incoming, FrameError> {
-        let settings = self.tail(record.u32(12), record.u32(16) as usize)?;
+    /// Decodes the start of a router. The settings are in the tail.
+    fn decode_start(&self, router: RouterId, record: &Fields) -> Result<DecodedRecord, FrameError> {
+        let settings = self.tail_bytes(record.u32(12), record.u32(16) as usize)?;
         let settings = String::from_utf8_lossy(settings).into_owned();
-        Ok(Incoming::Start { router, seed: record.u64(4), settings })
+        Ok(DecodedRecord::Start { router, seed: record.u64(4), settings })
     }
 
-    /// Decodes the definition of an endpoint list, whose entries are in the tail.
-    fn decode_list(&self, list: ListId, record: &Fields) -> Result<Incoming, FrameError> {
+    /// Decodes the definition of an endpoint list. The entries are in the tail.
+    fn decode_endpoint_list(
+        &self,
+        list: EndpointListId,
+        record: &Fields,
+    ) -> Result<DecodedRecord, FrameError> {
         let count = record.u32(8) as usize;
-        let length = count.checked_mul(ENDPOINT_BYTES).ok_or(FrameError::ListTooLong)?;
-        let bytes = self.tail(record.u32(4), length)?;
+        let length = count.checked_mul(ENDPOINT_BYTES).ok_or(FrameError::EndpointListTooLong)?;
+        let bytes = self.tail_bytes(record.u32(4), length)?;
         let endpoints: Result<Vec<_>, _> = bytes.chunks_exact(ENDPOINT_BYTES).map(decode_endpoint).collect();
-        Ok(Incoming::DefineList { list, endpoints: endpoints? })
+        Ok(DecodedRecord::DefineEndpointList { list, endpoints: endpoints? })
     }
 
-    /// Decodes a request of a client.
+    /// Decodes a client request.
     fn decode_request(&self, record: &Fields, settings: Option<&DeploymentSettings>) -> Request {
         let class = record.u16(20);
         let carries_position = settings.is_some_and(|settings| {
@@ -133,7 +139,7 @@
             tenant: TenantId(record.u16(46)),
             timeout: micros_rounded_down(record.f64(12)),
             session: Some(record.u64(38)).filter(|session| *session != 0).map(SessionId),
-            // Rounded up, including the precision of the 32-bit float: the read has to see the write.
+            // Rounded up, including the precision of the 32-bit float, because the read must see the write.
             last_write_position: (carries_position && since_write_ms > 0.0)
                 .then(|| micros_rounded_up(self.clock_ms - f64::from(since_write_ms.next_down()))),
             copy_candidates: Vec::new(),
@@ -141,22 +147,22 @@
     }
 }
 
-/// Decodes a change of the endpoint list, which refers to a list that was defined before.
-fn decode_endpoints(
+/// Decodes a change of the endpoint list. The record refers to a list that an earlier record defined.
+fn decode_endpoint_list_change(
     record: &Fields,
-    lists: &BTreeMap<ListId, Vec<EndpointRecord>>,
+    lists: &BTreeMap<EndpointListId, Vec<EndpointRecord>>,
 ) -> Result<Event, FrameError> {
     const CHANGES: u8 = 0;
     const POLL_FAILED: u8 = 3;
     match record.u8(4) {
         POLL_FAILED => Ok(Event::EndpointPollFailed),
         mode if mode < POLL_FAILED => {
-            let list = ListId(record.u16(13));
-            let endpoints = lists.get(&list).ok_or(FrameError::UndefinedList(list))?;
+            let list = EndpointListId(record.u16(13));
+            let endpoints = lists.get(&list).ok_or(FrameError::UndefinedEndpointList(list))?;
             let endpoints = endpoints.iter().map(|endpoint| endpoint.0.clone()).collect();
             Ok(Event::EndpointsChanged(EndpointList { complete: mode != CHANGES, endpoints }))
         }
-        mode => Err(FrameError::UnknownListMode(mode)),
+        mode => Err(FrameError::UnknownEndpointListMode(mode)),
     }
 }
 
--- a/simulator-adapter/src/wire/fields.rs
+++ b/simulator-adapter/src/wire/fields.rs
@@ -1,10 +1,9 @@
-//! Little-endian numbers at fixed offsets of a record.
+//! Reads little-endian numbers at fixed offsets.
 
-/// The bytes of one record. Every offset that is read lies inside it.
+/// The bytes of a header, a record or an endpoint. Callers read only at offsets within these bytes.
 pub(crate) struct Fields<'a>(pub &'a [u8]);
 
 impl Fields<'_> {
-    /// The bytes of a number.
     fn bytes<const LENGTH: usize>(&self, offset: usize) -> [u8; LENGTH] {
         let mut bytes = [0; LENGTH];
         bytes.copy_from_slice(&self.0[offset..offset + LENGTH]);
--- a/simulator-adapter/src/wire/mod.rs
+++ b/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! Frames of the simulator: a header, records of fixed size, then a tail with texts and lists that records refer to by
-//! offset.
+//! Wire format of the simulator. A frame has a header, records of fixed size, and a tail with texts and lists that
+//! records refer to by offset.
 //!
-//! All numbers are little-endian. Times are in milliseconds on the wire and in microseconds inside; they are converted
-//! here.
+//! All numbers are little-endian. Times are in milliseconds on the wire and in microseconds in the decision crate; this
+//! module converts them.
 
 mod batch;
 mod error;
@@ -13,19 +13,19 @@
 
 pub(crate) use batch::{Batch, read_batch};
 pub(crate) use error::FrameError;
-pub(crate) use events::{EndpointRecord, Incoming, ListId, RouterId};
+pub(crate) use events::{DecodedRecord, EndpointListId, EndpointRecord, RouterId};
 pub(crate) use reply::Reply;
 
 use birchreach::Micros;
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Milliseconds to microseconds, rounded down. The cast saturates and turns NaN into 0.
+/// Converts milliseconds to microseconds, rounded down. The cast saturates and turns NaN into 0.
 pub(crate) fn micros_rounded_down(milliseconds: f64) -> Micros {
     (milliseconds * MICROS_PER_MILLISECOND as f64).floor() as Micros
 }
 
-/// Milliseconds to microseconds, rounded up.
+/// Converts milliseconds to microseconds, rounded up. The cast saturates and turns NaN into 0.
 fn micros_rounded_up(milliseconds: f64) -> Micros {
     (milliseconds * MICROS_PER_MILLISECOND as f64).ceil() as Micros
 }
--- a/simulator-adapter/src/wire/reply.rs
+++ b/simulator-adapter/src/wire/reply.rs
@@ -1,9 +1,9 @@
-//! The reply to a batch: action records, then a tail with their texts.
+//! Encodes the reply to a batch, which has a header, action records, and a tail with the texts of the records.
 
 use super::{MICROS_PER_MILLISECOND, RouterId};
 use birchreach::{Action, Micros, RequestId};
 
-/// Length of an action record.
+/// Length of an action record in bytes.
 const ACTION_BYTES: usize = 24;
 
 /// Codes of action records.
@@ -19,7 +19,7 @@
     pub(super) const LOG: u16 = 267;
 }
 
-/// An action record, and its text, whose offset and length are known only once the reply is complete.
+/// An action record and its text. The offset of the text is known only when the reply is encoded.
 struct Record {
     router: RouterId,
     bytes: [u8; ACTION_BYTES],
@@ -27,59 +27,59 @@
 }
 
 impl Record {
-    /// A record without fields.
+    /// Creates a record with a code and a router, and without further fields.
     fn new(code: u16, router: RouterId) -> Record {
         let empty = Record { router, bytes: [0; ACTION_BYTES], text: None };
-        empty.with(0, code.to_le_bytes()).with(2, router.0.to_le_bytes())
+        empty.with_field(0, code.to_le_bytes()).with_field(2, router.0.to_le_bytes())
     }
 
-    /// A record with a text in the tail and no other fields.
+    /// Creates a record with a text in the tail and without further fields.
     fn with_text(code: u16, router: RouterId, text: String) -> Record {
         Record { text: Some(text), ..Record::new(code, router) }
     }
 
-    /// Writes a field at its offset.
-    fn put<const LENGTH: usize>(&mut self, offset: usize, bytes: [u8; LENGTH]) {
+    /// Sets the bytes of a field.
+    fn set_field<const LENGTH: usize>(&mut self, offset: usize, bytes: [u8; LENGTH]) {
         self.bytes[offset..offset + LENGTH].copy_from_slice(&bytes);
     }
 
-    /// The record with a further field.
-    fn with<const LENGTH: usize>(mut self, offset: usize, bytes: [u8; LENGTH]) -> Record {
-        self.put(offset, bytes);
+    /// Returns the record with a further field.
+    fn with_field<const LENGTH: usize>(mut self, offset: usize, bytes: [u8; LENGTH]) -> Record {
+        self.set_field(offset, bytes);
         self
     }
 
-    /// The record of an action about a request, whose id is the first field.
-    fn about_request(code: u16, router: RouterId, request: RequestId) -> Record {
-        Record::new(code, router).with(4, request.0.to_le_bytes())
+    /// Creates the record of an action for a request. The id of the request follows the router.
+    fn for_request(code: u16, router: RouterId, request: RequestId) -> Record {
+        Record::new(code, router).with_field(4, request.0.to_le_bytes())
     }
 
-    /// Encodes an action.
+    /// Creates the record of an action.
     fn from_action(router: RouterId, action: Action) -> Record {
         match action {
-            Action::Send { request, server, timeout } => Record::about_request(code::SEND, router, request)
-                .with(12, server.0.to_le_bytes())
-                .with(16, milliseconds(timeout)),
-            Action::Reject { request, retry_after } => Record::about_request(code::REJECT, router, request)
-                .with(12, milliseconds(retry_after.unwrap_or(0))),
-            Action::Fail { request } => Record::about_request(code::FAIL, router, request),
+            Action::Send { request, server, timeout } => Record::for_request(code::SEND, router, request)
+                .with_field(12, server.0.to_le_bytes())
+                .with_field(16, encode_milliseconds(timeout)),
+            Action::Reject { request, retry_after } => Record::for_request(code::REJECT, router, request)
+                .with_field(12, encode_milliseconds(retry_after.unwrap_or(0))),
+            Action::Fail { request } => Record::for_request(code::FAIL, router, request),
             Action::Cancel { request, attempt } => {
-                Record::about_request(code::CANCEL, router, request).with(12, attempt.0.to_le_bytes())
+                Record::for_request(code::CANCEL, router, request).with_field(12, attempt.0.to_le_bytes())
             }
             Action::HealthCheck { server } => {
-                Record::new(code::HEALTH_CHECK, router).with(4, server.0.to_le_bytes())
+                Record::new(code::HEALTH_CHECK, router).with_field(4, server.0.to_le_bytes())
             }
-            Action::Timer { id, delay } => {
-                Record::new(code::TIMER, router).with(4, milliseconds(delay)).with(12, id.to_le_bytes())
-            }
-            Action::WatchEndpoints => Record::new(code::WATCH_ENDPOINTS, router).with(4, [1]),
+            Action::Timer { id, delay } => Record::new(code::TIMER, router)
+                .with_field(4, encode_milliseconds(delay))
+                .with_field(12, id.to_le_bytes()),
+            Action::WatchEndpoints => Record::new(code::WATCH_ENDPOINTS, router).with_field(4, [1]),
             Action::Log(text) => Record::with_text(code::LOG, router, text),
         }
     }
 }
 
-/// Microseconds as the wire has them.
-fn milliseconds(span: Micros) -> [u8; 8] {
+/// Encodes a span for the wire, in milliseconds.
+fn encode_milliseconds(span: Micros) -> [u8; 8] {
     (span as f64 / MICROS_PER_MILLISECOND as f64).to_le_bytes()
 }
 
@@ -90,33 +90,33 @@
 }
 
 impl Reply {
-    /// A reply without actions.
+    /// Creates a reply without actions.
     pub(crate) fn new(batch: u32) -> Reply {
         Reply { batch, records: Vec::new() }
     }
 
-    /// Adds the actions of a router and leaves the list empty.
+    /// Moves the actions of a router to the reply and leaves `actions` empty.
     pub(crate) fn push_actions(&mut self, router: RouterId, actions: &mut Vec<Action>) {
         self.records.extend(actions.drain(..).map(|action| Record::from_action(router, action)));
     }
 
-    /// Reports that a router could not be started.
+    /// Adds the report that a router could not be started.
     pub(crate) fn push_start_failure(&mut self, router: RouterId, message: &str) {
         self.records.push(Record::with_text(code::START_FAILED, router, message.to_string()));
     }
 
-    /// Drops the actions of a router that was stopped within the batch.
-    pub(crate) fn discard(&mut self, router: RouterId) {
+    /// Removes the actions of a router that was stopped within the batch.
+    pub(crate) fn discard_actions(&mut self, router: RouterId) {
         self.records.retain(|record| record.router != router);
     }
 
-    /// The bytes of the reply.
+    /// Returns the bytes of the reply.
     pub(crate) fn encode(mut self) -> Vec<u8> {
         let mut tail = Vec::new();
         for record in &mut self.records {
             if let Some(text) = record.text.take() {
-                record.put(4, (tail.len() as u32).to_le_bytes());
-                record.put(8, (text.len() as u32).to_le_bytes());
+                record.set_field(4, (tail.len() as u32).to_le_bytes());
+                record.set_field(8, (text.len() as u32).to_le_bytes());
                 tail.extend_from_slice(text.as_bytes());
             }
         }
--- a/simulator-adapter/tests/common/mod.rs
+++ b/simulator-adapter/tests/common/mod.rs
@@ -1,21 +1,21 @@
-//! Runs the built adapter and parses its replies.
+//! Helpers that run the built adapter and parse its replies.
 
 use std::io::{self, Write};
 use std::process::{Command, Output, Stdio};
 
-/// Length of a reply's header: the body's length, the number of records and the batch number.
+/// Length of a reply's header: length of the body, number of records and batch number.
 const REPLY_HEADER_BYTES: usize = 12;
-/// Length of an action record.
+/// Length of an action record in bytes.
 pub(crate) const ACTION_BYTES: usize = 24;
 
-/// A run of the adapter that has ended.
+/// The result of a run of the adapter.
 pub(crate) struct AdapterRun {
     pub output: Output,
-    /// Whether the adapter read all of its input.
+    /// `Ok` if all of the input was written to the adapter.
     pub input_written: io::Result<()>,
 }
 
-/// The action records of a reply.
+/// A parsed reply.
 pub(crate) struct Reply {
     pub batch: u32,
     pub actions: Vec<ActionRecord>,
@@ -26,13 +26,13 @@
 pub(crate) struct ActionRecord(pub [u8; ACTION_BYTES]);
 
 impl ActionRecord {
-    /// What kind of action it is.
+    /// Returns the code of the action.
     pub(crate) fn code(&self) -> u16 {
         u16::from_le_bytes([self.0[0], self.0[1]])
     }
 }
 
-/// Runs the adapter with this input, up to its exit.
+/// Runs the adapter with this input until the adapter exits.
 pub(crate) fn run_adapter(input: &[u8]) -> AdapterRun {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_birchreach-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -42,14 +42,14 @@
         .unwrap();
     let mut stdin = adapter.stdin.take().unwrap();
     std::thread::scope(|scope| {
-        // Moved in, so that the pipe is closed once all is written.
+        // The thread takes ownership of the pipe, so that the pipe is closed after the last byte is written.
         let writer = scope.spawn(move || stdin.write_all(input));
         let output = adapter.wait_with_output().unwrap();
         AdapterRun { output, input_written: writer.join().unwrap() }
     })
 }
 
-/// Parses the adapter's output.
+/// Parses the output of the adapter.
 pub(crate) fn parse_replies(output: &[u8]) -> Vec<Reply> {
     let number_at = |start: usize| u32::from_le_bytes(output[start..start + 4].try_into().unwrap());
     let mut replies = Vec::new();
--- a/simulator-adapter/tests/pipe.rs
+++ b/simulator-adapter/tests/pipe.rs
@@ -1,15 +1,15 @@
-//! The built adapter over a pipe, with hand-made frames.
+//! Runs the built adapter over a pipe with frames that the tests construct.
 
 mod common;
 
 use common::{ActionRecord, parse_replies, run_adapter};
 use std::process::Output;
 
-/// Length of an event record.
+/// Length of an event record in bytes.
 const EVENT_BYTES: usize = 56;
-/// Length of an endpoint in the tail.
+/// Length of an endpoint in the tail, in bytes.
 const ENDPOINT_BYTES: usize = 25;
-/// The router that the tests start.
+/// Number of the router that the tests start.
 const ROUTER: u16 = 3;
 
 /// Codes of event records.
@@ -19,7 +19,7 @@
     pub(crate) const REQUEST: u16 = 258;
     pub(crate) const HEALTH_CHECK_COMPLETED: u16 = 263;
     pub(crate) const STOP: u16 = 265;
-    pub(crate) const DEFINE_LIST: u16 = 266;
+    pub(crate) const DEFINE_ENDPOINT_LIST: u16 = 266;
     pub(crate) const UNKNOWN: u16 = 999;
 }
 
@@ -30,7 +30,7 @@
     pub(crate) const START_FAILED: u16 = 264;
 }
 
-/// Valid settings, with one key that is unknown.
+/// Valid settings with one unknown key.
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "my_zone": 0, "registry_mode": "subscribe", "an_unknown_key": [1],
  "classes": [{"credit": 1.0, "deadline_ms": 2000.0, "goal_time_ms": 500.0, "idempotency": "free", "late_worth": 0.5,
   "dedup_scope": "all", "repeat_window_ms": 5000.0}],
@@ -39,35 +39,34 @@
   "max_retry_after_ms": 1000.0}, "load_info": {"names": ["x0", "x1"], "via": "pull"},
  "obligations": {"cold_ms": 1000.0, "cold_share": 0.2, "drain_grace_ms": 500.0, "fall_ms": 1000.0, "fall_multiple": 2.0}}"#;
 
-/// The output of the adapter, which exits before it has read everything only where it fails.
-fn output_for(input: &[u8]) -> Output {
+/// Returns the output of the adapter. Only a run that fails may exit before it has read all of its input.
+fn run_to_exit(input: &[u8]) -> Output {
     let run = run_adapter(input);
     assert!(run.input_written.is_ok() || !run.output.status.success());
     run.output
 }
 
-/// The records and the tail of a batch.
-struct Frame {
+/// Builds a batch from records and a tail.
+struct BatchBuilder {
     records: Vec<[u8; EVENT_BYTES]>,
     tail: Vec<u8>,
 }
 
-/// A field of a record: its offset and its bytes.
+/// The offset and the bytes of a field of a record.
 struct Field<'bytes>(usize, &'bytes [u8]);
 
-impl Frame {
-    /// A frame without records.
-    fn new() -> Frame {
-        Frame { records: Vec::new(), tail: Vec::new() }
+impl BatchBuilder {
+    fn new() -> BatchBuilder {
+        BatchBuilder { records: Vec::new(), tail: Vec::new() }
     }
 
-    /// A frame that starts the router with valid settings.
-    fn starting_router() -> Frame {
-        Frame::new().start(SETTINGS)
+    /// Creates a batch that starts the router with valid settings.
+    fn starting_router() -> BatchBuilder {
+        BatchBuilder::new().start(SETTINGS)
     }
 
-    /// Adds a record with this code and id.
-    fn record(mut self, code: u16, id: u16, fields: &[Field]) -> Frame {
+    /// Adds a record. `id` is the number of a router or of an endpoint list, depending on the code.
+    fn record(mut self, code: u16, id: u16, fields: &[Field]) -> BatchBuilder {
         let mut record = [0; EVENT_BYTES];
         record[0..2].copy_from_slice(&code.to_le_bytes());
         record[2..4].copy_from_slice(&id.to_le_bytes());
@@ -78,8 +77,8 @@
         self
     }
 
-    /// Starts the router with these settings.
-    fn start(mut self, settings: &str) -> Frame {
+    /// Adds a record that starts the router with these settings.
+    fn start(mut self, settings: &str) -> BatchBuilder {
         let offset = (self.tail.len() as u32).to_le_bytes();
         let length = (settings.len() as u32).to_le_bytes();
         self.tail.extend_from_slice(settings.as_bytes());
@@ -87,8 +86,8 @@
         self.record(event::START, ROUTER, &fields)
     }
 
-    /// Defines a list with one ready server of group 0, and applies it to the router.
-    fn list(mut self, list: u16, server: u32) -> Frame {
+    /// Adds records that define an endpoint list with one ready server of group 0 and apply it to the router.
+    fn define_and_apply_list(mut self, list: u16, server: u32) -> BatchBuilder {
         let offset = (self.tail.len() as u32).to_le_bytes();
         let mut endpoint = [0u8; ENDPOINT_BYTES];
         endpoint[0] = 2;
@@ -96,21 +95,21 @@
         endpoint[21..25].copy_from_slice(&server.to_le_bytes());
         self.tail.extend_from_slice(&endpoint);
         let fields = [Field(4, &offset), Field(8, &1u32.to_le_bytes())];
-        self.record(event::DEFINE_LIST, list, &fields).apply_list(list)
+        self.record(event::DEFINE_ENDPOINT_LIST, list, &fields).apply_list(list)
     }
 
-    /// Applies a list to the router, in place of the one before.
-    fn apply_list(self, list: u16) -> Frame {
+    /// Adds a record that replaces the router's endpoint list with this one.
+    fn apply_list(self, list: u16) -> BatchBuilder {
         self.record(event::ENDPOINTS, ROUTER, &[Field(4, &[1]), Field(13, &list.to_le_bytes())])
     }
 
-    /// Sends the router a request with a timeout of 1,500 ms.
-    fn request(self, id: u64) -> Frame {
+    /// Adds a request with a timeout of 1,500 ms.
+    fn request(self, id: u64) -> BatchBuilder {
         let fields = [Field(4, &id.to_le_bytes()), Field(12, &1500f64.to_le_bytes())];
         self.record(event::REQUEST, ROUTER, &fields)
     }
 
-    /// The bytes of the frame.
+    /// Returns the bytes of the batch.
     fn encode(&self, batch: u32, clock_ms: f64) -> Vec<u8> {
         let length = self.records.len() * EVENT_BYTES + self.tail.len();
         let mut frame = Vec::new();
@@ -125,27 +124,31 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_a_clean_exit() {
+fn the_adapter_replies_to_an_empty_batch_and_exits_with_success_when_the_input_ends() {
     // When the adapter reads a batch without records
-    let output = output_for(&Frame::new().encode(1, 15_424.0));
-    // Then it replies with the batch number alone
+    let output = run_to_exit(&BatchBuilder::new().encode(1, 15_424.0));
+    // Then the reply has no records, and the adapter exits with success
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0]);
 }
 
 #[test]
-fn a_request_goes_to_the_listed_server_with_lists_taken_in_event_order() {
-    // Given a batch that uses one number for two lists
-    let frame = Frame::starting_router().list(0, 77).request(1).list(0, 78).request(2);
-    // When the adapter reads it
-    let output = output_for(&frame.encode(12, 15_424.0));
-    // Then each request goes to the server of the list as it was then
+fn a_request_goes_to_the_server_of_the_list_that_was_defined_last_before_it() {
+    // Given a batch that defines two endpoint lists with the same number, one after the other
+    let batch = BatchBuilder::starting_router()
+        .define_and_apply_list(0, 77)
+        .request(1)
+        .define_and_apply_list(0, 78)
+        .request(2);
+    // When the adapter reads the batch
+    let output = run_to_exit(&batch.encode(12, 15_424.0));
+    // Then each request goes to the server of the list that was defined last before it
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = parse_replies(&output.stdout);
     assert_eq!(replies[0].batch, 12);
     let watches_endpoints =
         |record: &ActionRecord| record.code() == action::WATCH_ENDPOINTS && record.0[4] == 1;
-    assert!(replies[0].actions.iter().any(watches_endpoints), "it watches the endpoint list");
+    assert!(replies[0].actions.iter().any(watches_endpoints), "the router does not watch the endpoint list");
     let is_send = |record: &&ActionRecord| record.code() == action::SEND;
     let sends: Vec<&ActionRecord> = replies[0].actions.iter().filter(is_send).collect();
     assert_eq!(sends[0].0[4..16], [1, 0, 0, 0, 0, 0, 0, 0, 77, 0, 0, 0]);
@@ -154,20 +157,23 @@
 }
 
 #[test]
-fn a_router_may_stop_and_start_again_in_one_batch() {
+fn a_router_can_stop_and_start_again_in_one_batch() {
     // Given a batch that starts a router, stops it and starts it again
-    let frame = Frame::starting_router().list(0, 77).record(event::STOP, ROUTER, &[]).start(SETTINGS);
-    // When the adapter reads it
-    let output = output_for(&frame.list(1, 78).request(5).encode(2, 0.0));
-    // Then the reply has the actions of the second start alone
+    let batch = BatchBuilder::starting_router()
+        .define_and_apply_list(0, 77)
+        .record(event::STOP, ROUTER, &[])
+        .start(SETTINGS);
+    // When the adapter reads the batch
+    let output = run_to_exit(&batch.define_and_apply_list(1, 78).request(5).encode(2, 0.0));
+    // Then the reply has only the actions of the second start
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = parse_replies(&output.stdout);
     let watches = replies[0].actions.iter().filter(|record| record.code() == action::WATCH_ENDPOINTS);
-    assert_eq!(watches.count(), 1, "the actions of the stopped router are dropped");
+    assert_eq!(watches.count(), 1, "the actions of the stopped router are in the reply");
 }
 
 #[test]
-fn invalid_settings_are_reported_with_the_key() {
+fn invalid_settings_are_reported_with_their_key() {
     for (settings, key) in [
         ("{", "info"),
         (&SETTINGS.replace("\"cold_ms\": 1000.0", "\"cold_ms\": \"soon\""), "obligations.cold_ms"),
@@ -175,8 +181,8 @@
         (&SETTINGS.replace("\"free\"", "\"sometimes\""), "classes[0].idempotency"),
     ] {
         // When a router is started with invalid settings
-        let output = output_for(&Frame::new().start(settings).encode(1, 0.0));
-        // Then the reply says that it failed, and names the key
+        let output = run_to_exit(&BatchBuilder::new().start(settings).encode(1, 0.0));
+        // Then the reply reports the failed start and names the key
         assert!(output.status.success());
         assert_eq!(parse_replies(&output.stdout)[0].actions[0].code(), action::START_FAILED);
         assert!(String::from_utf8_lossy(&output.stdout).contains(key), "{key}");
@@ -184,28 +190,31 @@
 }
 
 #[test]
-fn malformed_frames_end_with_one_plain_line_and_no_guessed_reply() {
-    // Given frames that are cut off, contradict themselves or refer to what doesn't exist
-    let valid = Frame::starting_router().list(0, 77);
+fn a_malformed_frame_ends_the_adapter_with_one_message_and_without_a_reply() {
+    // Given frames that are truncated, have invalid headers or refer to undefined lists, outcomes or bytes
+    let valid = BatchBuilder::starting_router().define_and_apply_list(0, 77);
     let complete = valid.encode(9, 0.0);
     let mut too_many_records = valid.encode(9, 0.0);
     too_many_records[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
     let list_fields = [Field(4, &500u32.to_le_bytes()), Field(8, &1u32.to_le_bytes())];
-    let outside_tail = Frame::new().record(event::DEFINE_LIST, 0, &list_fields);
-    let undefined_list = Frame::starting_router().apply_list(9);
+    let outside_tail = BatchBuilder::new().record(event::DEFINE_ENDPOINT_LIST, 0, &list_fields);
+    let undefined_list = BatchBuilder::starting_router().apply_list(9);
     let unknown_outcome =
-        Frame::starting_router().record(event::HEALTH_CHECK_COMPLETED, ROUTER, &[Field(16, &[99])]);
+        BatchBuilder::starting_router().record(event::HEALTH_CHECK_COMPLETED, ROUTER, &[Field(16, &[99])]);
     for (input, message) in [
-        (&complete[..complete.len() - 3], "batch 9"),
-        (&complete[..7], "header"),
-        (&too_many_records[..], "do not fit"),
-        (&outside_tail.encode(9, 0.0)[..], "tail reference"),
-        (&undefined_list.encode(9, 0.0)[..], "list 9"),
-        (&unknown_outcome.encode(9, 0.0)[..], "completion code 99"),
-        (&valid.encode(9, f64::NAN)[..], "clock"),
+        (&complete[..complete.len() - 3], "batch 9: input ended after"),
+        (&complete[..7], "input ended after 7 of the 20 bytes of a batch header"),
+        (&too_many_records[..], "batch 9: 4294967295 records do not fit"),
+        (
+            &outside_tail.encode(9, 0.0)[..],
+            "batch 9, record 0: 25 bytes at offset 500 are not within the tail of 0 bytes",
+        ),
+        (&undefined_list.encode(9, 0.0)[..], "batch 9, record 1: endpoint list 9 is not defined"),
+        (&unknown_outcome.encode(9, 0.0)[..], "batch 9, record 1: unknown outcome code 99"),
+        (&valid.encode(9, f64::NAN)[..], "batch 9: the clock is not a finite number"),
     ] {
-        // When the adapter reads one, then it exits with one line on standard error and without a reply
-        let output = output_for(input);
+        // When the adapter reads one of them, then it fails with one line on standard error and without a reply
+        let output = run_to_exit(input);
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && output.stdout.is_empty(), "{message}");
         assert!(
@@ -217,11 +226,13 @@
 
 #[test]
 fn unknown_event_codes_are_skipped_and_reported_once() {
-    // Given a batch with two records of an unknown code
-    let frame = Frame::new().record(event::UNKNOWN, ROUTER, &[]).record(event::UNKNOWN, ROUTER, &[]);
-    // When the adapter reads it
-    let output = output_for(&frame.encode(1, 0.0));
-    // Then it reports the code once
+    // Given a batch with two records of the same unknown code
+    let batch = BatchBuilder::new().record(event::UNKNOWN, ROUTER, &[]).record(event::UNKNOWN, ROUTER, &[]);
+    // When the adapter reads the batch
+    let output = run_to_exit(&batch.encode(1, 0.0));
+    // Then one message names the code
     assert!(output.status.success());
-    assert_eq!(String::from_utf8_lossy(&output.stderr).lines().count(), 1);
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(stderr.lines().count(), 1);
+    assert!(stderr.contains("unknown event code 999"), "{stderr}");
 }
