--- a/proxy/tests/configuration_messages/platform_file.rs
+++ b/proxy/tests/configuration_messages/platform_file.rs
@@ -24,7 +24,7 @@
         (replaced("\"settings\"", "\"setting\""), "1: settings: absent"),
         (
             replaced("1200.0", "\"x\""),
-            "6: settings: classes[0].deadline_ms: expected a number that is not negative",
+            "6: settings: classes[0].deadline_ms: expected a non-negative number, found \"x\"",
         ),
         (replaced("1200.0", "0"), "6: settings: classes[0].deadline_ms: expected a positive number"),
         (replaced("own-draft", ""), "7: settings: classes[1].name: expected a name of its own"),
@@ -39,7 +39,7 @@
         ),
         (
             replaced("\"attempts_cap\": 6", "\"attempts_cap\": []"),
-            "12: settings: limits.attempts_cap: expected a number that is not negative",
+            "12: settings: limits.attempts_cap: expected a non-negative number, found a list",
         ),
     ];
     for (text, expected) in cases {
@@ -65,15 +65,15 @@
 
     // Then all that is absent is printed
     let expected = [
-        "info: expected an object",
-        "balancers: expected a number, but it is absent",
-        "my_zone: expected a number, but it is absent",
-        "limits.attempts_cap: expected a number, but it is absent",
-        "obligations.drain_grace_ms: expected a number, but it is absent",
-        "obligations.cold_share: expected a number, but it is absent",
-        "obligations.cold_ms: expected a number, but it is absent",
-        "obligations.fall_multiple: expected a number, but it is absent",
-        "obligations.fall_ms: expected a number, but it is absent",
+        "info: expected an object, found a list",
+        "balancers: missing, expected a non-negative number",
+        "my_zone: missing, expected a non-negative number",
+        "limits.attempts_cap: missing, expected a non-negative number",
+        "obligations.drain_grace_ms: missing, expected a non-negative number",
+        "obligations.cold_share: missing, expected a non-negative number",
+        "obligations.cold_ms: missing, expected a non-negative number",
+        "obligations.fall_multiple: missing, expected a non-negative number",
+        "obligations.fall_ms: missing, expected a non-negative number",
         "classes: expected one at least",
     ];
     assert_eq!(lines, expected.map(|text| format!("config.json:3: settings: {text}")));
@@ -109,12 +109,12 @@
         (
             "600.0",
             "6000.0",
-            "8: settings: classes[2].goal_time_ms: later than deadline_ms, when clients have left",
+            "8: settings: classes[2].goal_time_ms: greater than deadline_ms; clients give up before the latency objective",
         ),
-        (attempts, "\"attempts_cap\": 6, \"x\": 1", "12: settings: limits.x: unknown, and skipped"),
-        (attempts, "\"attempts_cap\": 6, \"x.y\": 1", "12: settings: limits.x.y: unknown, and skipped"),
-        (attempts, "\"attempts_cap\": 6, \"\": 1", "12: settings: limits.: unknown, and skipped"),
-        (attempts, "\"attempts_cap\": 6, \"x y\": 1", "3: settings: limits.x y: unknown, and skipped"),
+        (attempts, "\"attempts_cap\": 6, \"x\": 1", "12: settings: limits.x: unknown key, ignored"),
+        (attempts, "\"attempts_cap\": 6, \"x.y\": 1", "12: settings: limits.x.y: unknown key, ignored"),
+        (attempts, "\"attempts_cap\": 6, \"\": 1", "12: settings: limits.: unknown key, ignored"),
+        (attempts, "\"attempts_cap\": 6, \"x y\": 1", "3: settings: limits.x y: unknown key, ignored"),
     ];
     for (old, new, expected) in cases {
         let config = folder.write("config.json", &replaced(old, new));
--- a/settings/src/classes.rs
+++ b/settings/src/classes.rs
@@ -1,6 +1,5 @@
 //! Request classes in the settings: their rules are spread over `classes` and lists of `extra`.
 
-use crate::error::ExpectedValue;
 use crate::reader::{Reader, micros_from_ms};
 use birchreach::{Consistency, DedupScope, Idempotency, Micros, RequestClass};
 use serde_json::Value;
@@ -18,32 +17,51 @@
     let classes = reader.list("classes").iter().enumerate();
     classes
         .map(|(index, value)| {
-            let consistency = consistency(reader, consistencies.get(index), max_ages.get(index));
+            let consistency = read_consistency(reader, consistencies.get(index), max_ages.get(index));
             ClassReader { reader, value, index }.read(consistency)
         })
         .collect()
 }
 
-/// A class without an entry goes to the primary alone.
-fn consistency(reader: &Reader, entry: Option<&Value>, max_age_ms: Option<&Value>) -> Consistency {
-    let key = "extra.class_read";
-    match reader.string_in(entry, key) {
-        Some("write") => Consistency::Write,
-        None | Some("fresh") => Consistency::Strong,
-        Some("session") => Consistency::Session,
-        Some("bounded") => {
+/// The consistencies that `extra.class_read` can name. The maximum age of a bounded class is in another list.
+#[derive(Clone, Copy)]
+enum ConsistencyName {
+    Write,
+    Fresh,
+    Session,
+    Bounded,
+    Any,
+}
+
+/// Reads the consistency of a class. A class without an entry goes to the primary only.
+fn read_consistency(reader: &Reader, entry: Option<&Value>, max_age_ms: Option<&Value>) -> Consistency {
+    let choices = [
+        ("write", ConsistencyName::Write),
+        ("fresh", ConsistencyName::Fresh),
+        ("session", ConsistencyName::Session),
+        ("bounded", ConsistencyName::Bounded),
+        ("any", ConsistencyName::Any),
+    ];
+    match reader.choice_in(entry, "extra.class_read", &choices, ConsistencyName::Fresh) {
+        ConsistencyName::Write => Consistency::Write,
+        ConsistencyName::Fresh => Consistency::Strong,
+        ConsistencyName::Session => Consistency::Session,
+        ConsistencyName::Bounded => {
             let max_age_ms = reader.required_number_in(max_age_ms, "extra.max_age_ms");
             Consistency::BoundedStaleness(micros_from_ms(max_age_ms))
         }
-        Some("any") => Consistency::Any,
-        Some(_) => {
-            let expected = vec!["write", "fresh", "session", "bounded", "any"];
-            reader.unexpected(key, ExpectedValue::OneOf(expected));
-            Consistency::Strong
-        }
+        ConsistencyName::Any => Consistency::Any,
     }
 }
 
+/// The values of `idempotency`. The scope and the window of a guarded class are in keys of their own.
+#[derive(Clone, Copy)]
+enum IdempotencyName {
+    Free,
+    Guarded,
+    SingleShot,
+}
+
 /// Reads one element of `classes`.
 struct ClassReader<'a> {
     reader: &'a Reader<'a>,
@@ -69,18 +87,18 @@
     }
 
     fn idempotency(&self) -> Idempotency {
-        match self.string("idempotency") {
-            Some("free") => Idempotency::Idempotent,
-            Some("guarded") => {
+        let choices = [
+            ("free", IdempotencyName::Free),
+            ("guarded", IdempotencyName::Guarded),
+            ("single_shot", IdempotencyName::SingleShot),
+        ];
+        match self.choice("idempotency", &choices, IdempotencyName::SingleShot) {
+            IdempotencyName::Free => Idempotency::Idempotent,
+            IdempotencyName::Guarded => {
                 let scope = self.dedup_scope();
                 Idempotency::WithKey { scope, dedup_window: self.required_micros("repeat_window_ms") }
             }
-            None | Some("single_shot") => Idempotency::NotIdempotent,
-            Some(_) => {
-                let expected = vec!["free", "guarded", "single_shot"];
-                self.reader.unexpected(&self.key("idempotency"), ExpectedValue::OneOf(expected));
-                Idempotency::NotIdempotent
-            }
+            IdempotencyName::SingleShot => Idempotency::NotIdempotent,
         }
     }
 
@@ -88,8 +106,7 @@
     fn dedup_scope(&self) -> DedupScope {
         let choices =
             [("all", DedupScope::AllServers), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
-        let key = self.key("dedup_scope");
-        self.reader.choice_in(self.get("dedup_scope"), &key, &choices, DedupScope::Group)
+        self.choice("dedup_scope", &choices, DedupScope::Group)
     }
 
     fn get(&self, name: &str) -> Option<&Value> {
@@ -105,6 +122,10 @@
         self.reader.string_in(self.get(name), &self.key(name))
     }
 
+    fn choice<T: Copy>(&self, name: &str, choices: &[(&'static str, T)], default: T) -> T {
+        self.reader.choice_in(self.get(name), &self.key(name), choices, default)
+    }
+
     fn required_number(&self, name: &str) -> f64 {
         self.reader.required_number_in(self.get(name), &self.key(name))
     }
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,30 +1,33 @@
 //! Errors in the settings.
 
+use serde_json::Value;
 use std::fmt;
 
-/// What errors of the settings as a whole name in place of a key.
+/// The key of errors that concern the settings as a whole.
 pub(crate) const ROOT_KEY: &str = "info";
 
-/// A key of the settings that is absent or has an unusable value, or a text that is not JSON.
+/// A text that is not valid JSON, or a key of the settings that is missing or has an unusable value.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     InvalidJson(serde_json::Error),
-    /// A number without a default is absent.
+    /// A number without a default is missing.
     MissingNumber {
-        /// Path of the key, with the index of each list element: `classes[2].deadline_ms`.
+        /// Path of the key, with the index of each list element, such as `classes[2].deadline_ms`.
         key: String,
     },
-    /// The value of a key is of the wrong kind.
+    /// The value of a key is not one that the key can have.
     UnexpectedValue {
-        /// Path of the key, as above.
+        /// Path of the key, with the index of each list element, such as `classes[2].deadline_ms`.
         key: String,
-        /// What the key should hold.
+        /// The values that the key can have.
         expected: ExpectedValue,
+        /// The value of the key.
+        found: FoundValue,
     },
 }
 
-/// What a key of the settings should hold.
+/// The values that a key of the settings can have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExpectedValue {
     /// An object.
@@ -35,14 +38,35 @@
     NonNegativeNumber,
     /// A boolean.
     Boolean,
-    /// A string, whichever.
+    /// Any string.
     String,
-    /// One of these strings, of which there are two or more.
+    /// One of these strings. There are at least two.
     OneOf(Vec<&'static str>),
 }
 
+/// A value of the settings, as an error message shows it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum FoundValue {
+    /// An object, whose contents the message leaves out.
+    Object,
+    /// A list, whose elements the message leaves out.
+    List,
+    /// The JSON text of a value of another kind.
+    Scalar(String),
+}
+
+impl From<&Value> for FoundValue {
+    fn from(value: &Value) -> FoundValue {
+        match value {
+            Value::Object(_) => FoundValue::Object,
+            Value::Array(_) => FoundValue::List,
+            scalar => FoundValue::Scalar(scalar.to_string()),
+        }
+    }
+}
+
 impl SettingsError {
-    /// Path of the key at fault.
+    /// Path of the key that is missing or has an unusable value; `info` if the error concerns the settings as a whole.
     pub fn key(&self) -> &str {
         match self {
             SettingsError::InvalidJson(_) => ROOT_KEY,
@@ -55,9 +79,13 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "settings: {}: ", self.key())?;
         match self {
-            SettingsError::InvalidJson(error) => error.fmt(f),
-            SettingsError::MissingNumber { .. } => f.write_str("expected a number, but it is absent"),
-            SettingsError::UnexpectedValue { expected, .. } => write!(f, "expected {expected}"),
+            SettingsError::InvalidJson(error) => write!(f, "invalid JSON: {error}"),
+            SettingsError::MissingNumber { .. } => {
+                write!(f, "missing, expected {}", ExpectedValue::NonNegativeNumber)
+            }
+            SettingsError::UnexpectedValue { expected, found, .. } => {
+                write!(f, "expected {expected}, found {found}")
+            }
         }
     }
 }
@@ -67,17 +95,30 @@
         match self {
             ExpectedValue::Object => f.write_str("an object"),
             ExpectedValue::List => f.write_str("a list"),
-            ExpectedValue::NonNegativeNumber => f.write_str("a number that is not negative"),
+            ExpectedValue::NonNegativeNumber => f.write_str("a non-negative number"),
             ExpectedValue::Boolean => f.write_str("true or false"),
-            ExpectedValue::String => f.write_str("a word"),
+            ExpectedValue::String => f.write_str("a string"),
             ExpectedValue::OneOf(strings) => match strings.split_last() {
-                Some((last, others)) => write!(f, "{} or {last}", others.join(", ")),
+                Some((last, others)) => {
+                    let others: Vec<String> = others.iter().map(|string| format!("\"{string}\"")).collect();
+                    write!(f, "{} or \"{last}\"", others.join(", "))
+                }
                 None => Ok(()),
             },
         }
     }
 }
 
+impl fmt::Display for FoundValue {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            FoundValue::Object => f.write_str("an object"),
+            FoundValue::List => f.write_str("a list"),
+            FoundValue::Scalar(text) => f.write_str(text),
+        }
+    }
+}
+
 impl std::error::Error for SettingsError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -16,7 +16,7 @@
     StaleReadPolicy, Tenant, ZoneId,
 };
 use classes::{NamedClass, classes};
-pub use error::{ExpectedValue, SettingsError};
+pub use error::{ExpectedValue, FoundValue, SettingsError};
 use reader::Reader;
 use serde_json::Value;
 pub use warning::{SettingsWarning, WarningKind};
@@ -143,15 +143,11 @@
 
 /// Where the position of a session's last write is taken from.
 fn session_positions(reader: &Reader) -> SessionPositionSource {
-    let key = "extra.tokens";
-    match reader.string(key) {
-        None | Some("carried") => SessionPositionSource::FromRequest,
-        Some("remembered") => SessionPositionSource::FromObservedWrites,
-        Some(_) => {
-            reader.unexpected(key, ExpectedValue::OneOf(vec!["'carried'", "'remembered'"]));
-            SessionPositionSource::FromRequest
-        }
-    }
+    let choices = [
+        ("carried", SessionPositionSource::FromRequest),
+        ("remembered", SessionPositionSource::FromObservedWrites),
+    ];
+    reader.choice("extra.tokens", &choices, SessionPositionSource::FromRequest)
 }
 
 fn tenants(reader: &Reader) -> Vec<Tenant> {
--- a/settings/src/reader.rs
+++ b/settings/src/reader.rs
@@ -1,6 +1,6 @@
 //! Typed access to the keys of the settings JSON. An absent key and `null` are the same.
 
-use crate::error::{ExpectedValue, ROOT_KEY, SettingsError};
+use crate::error::{ExpectedValue, FoundValue, ROOT_KEY, SettingsError};
 use birchreach::Micros;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -31,7 +31,7 @@
     pub(crate) fn new(root: &'a Value) -> Reader<'a> {
         let reader = Reader { root, errors: RefCell::default() };
         if !root.is_object() {
-            reader.unexpected(ROOT_KEY, ExpectedValue::Object);
+            reader.record_unexpected(ROOT_KEY, ExpectedValue::Object, root);
         }
         reader
     }
@@ -41,12 +41,12 @@
         self.errors.into_inner()
     }
 
-    /// Records a value of the wrong kind.
-    pub(crate) fn unexpected(&self, key: &str, expected: ExpectedValue) {
-        self.record(SettingsError::UnexpectedValue { key: key.to_string(), expected });
+    /// Records that a key does not have one of the expected values.
+    pub(crate) fn record_unexpected(&self, key: &str, expected: ExpectedValue, found: &Value) {
+        let found = FoundValue::from(found);
+        self.record(SettingsError::UnexpectedValue { key: key.to_string(), expected, found });
     }
 
-    /// Adds an error.
     fn record(&self, error: SettingsError) {
         self.errors.borrow_mut().push(error);
     }
@@ -75,7 +75,7 @@
         match value.as_f64() {
             Some(number) if number.is_finite() && number >= 0.0 => number,
             _ => {
-                self.unexpected(key, ExpectedValue::NonNegativeNumber);
+                self.record_unexpected(key, ExpectedValue::NonNegativeNumber, value);
                 default
             }
         }
@@ -95,7 +95,7 @@
     pub(crate) fn flag(&self, path: &str) -> bool {
         let Some(value) = find(self.root, path) else { return false };
         value.as_bool().unwrap_or_else(|| {
-            self.unexpected(path, ExpectedValue::Boolean);
+            self.record_unexpected(path, ExpectedValue::Boolean, value);
             false
         })
     }
@@ -113,24 +113,22 @@
         choices: &[(&'static str, T)],
         default: T,
     ) -> T {
-        let Some(string) = self.string_in(value, key) else { return default };
+        let Some(value) = value else { return default };
+        let Some(string) = self.string_in(Some(value), key) else { return default };
         let Some((_, chosen)) = choices.iter().find(|(choice, _)| *choice == string) else {
-            self.unexpected(key, ExpectedValue::OneOf(choices.iter().map(|(choice, _)| *choice).collect()));
+            let expected = choices.iter().map(|(choice, _)| *choice).collect();
+            self.record_unexpected(key, ExpectedValue::OneOf(expected), value);
             return default;
         };
         *chosen
     }
 
-    /// A string; none if it is absent.
-    pub(crate) fn string(&self, path: &str) -> Option<&'a str> {
-        self.string_in(find(self.root, path), path)
-    }
-
     /// A string; none if it is absent.
     pub(crate) fn string_in<'value>(&self, value: Option<&'value Value>, key: &str) -> Option<&'value str> {
-        let string = value?.as_str();
+        let value = value?;
+        let string = value.as_str();
         if string.is_none() {
-            self.unexpected(key, ExpectedValue::String);
+            self.record_unexpected(key, ExpectedValue::String, value);
         }
         string
     }
@@ -140,7 +138,7 @@
         let Some(value) = find(self.root, path) else { return &[] };
         value.as_array().map_or_else(
             || {
-                self.unexpected(path, ExpectedValue::List);
+                self.record_unexpected(path, ExpectedValue::List, value);
                 &[][..]
             },
             Vec::as_slice,
--- a/settings/src/warning.rs
+++ b/settings/src/warning.rs
@@ -1,43 +1,44 @@
-//! Warnings about usable settings. An error keeps a proxy from starting; a warning says what is done instead.
+//! Warnings about settings that can be used but are probably not intended. An error prevents a proxy from starting; a
+//! warning does not, and its text says what the proxy does with the value.
 
 use std::fmt;
 
-/// What the settings probably do not mean.
+/// A key of usable settings whose value is probably not intended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsWarning {
-    /// Path of the key, with the index of each list element: `classes[2].goal_time_ms`.
+    /// Path of the key, with the index of each list element, such as `classes[2].goal_time_ms`.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the value is probably not intended.
     pub kind: WarningKind,
 }
 
-/// What is wrong with a key of usable settings.
+/// The reason for a warning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarningKind {
-    /// The platform documents no such key.
+    /// The platform does not document the key.
     UnknownKey,
-    /// The proxy's zone is not on the list of zones.
+    /// The zone of the proxy is not in the list of zones.
     ZoneNotListed,
-    /// A fraction is more than 1.
+    /// A fraction is greater than 1.
     FractionAboveOne,
-    /// Rejections have a Retry-After, which is at most 0.
+    /// Rejections have a Retry-After, and its maximum is 0.
     ZeroRetryAfter,
-    /// There is no connect timeout, or it is 0.
+    /// The connect timeout is missing or 0.
     NoConnectTimeout,
-    /// The list of consistencies has not one for each class.
+    /// The number of consistencies differs from the number of classes.
     ConsistencyCountMismatch,
     /// The latency objective of a class is longer than its client timeout.
     ObjectiveAfterTimeout,
-    /// A class with bounded staleness allows none.
+    /// The maximum age of a class with bounded staleness is 0.
     ZeroMaxAge {
         /// Index of the class.
         class: usize,
     },
-    /// A write is called idempotent.
+    /// A write class is configured as idempotent.
     IdempotentWrite,
-    /// Load reports come from health checks, which are not allowed, and positions from them are needed.
+    /// The log positions in load reports are needed, but load reports come from health checks, which are not allowed.
     HealthChecksNotAllowed,
-    /// Load reports have no position, and positions from them are needed.
+    /// The log positions in load reports are needed, but load reports do not contain them.
     NoPositionInLoadReports,
 }
 
@@ -50,27 +51,34 @@
 impl fmt::Display for WarningKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            WarningKind::UnknownKey => "unknown, and skipped",
-            WarningKind::ZoneNotListed => "names no place in dcs; every server counts as elsewhere",
-            WarningKind::FractionAboveOne => "more than 1; counts as 1",
+            WarningKind::UnknownKey => "unknown key, ignored",
+            WarningKind::ZoneNotListed => {
+                "the zone is not listed in dcs; every server is treated as being in another zone"
+            }
+            WarningKind::FractionAboveOne => "greater than 1; 1 is used instead",
             WarningKind::ZeroRetryAfter => {
-                "0, though limits.retry_after is true: refusals advise to return at once"
+                "0 although limits.retry_after is true; rejected clients are told to retry immediately"
             }
             WarningKind::NoConnectTimeout => {
-                "absent or 0; no failed connection counts as turned down at once"
+                "missing or 0; no failed connection attempt is treated as refused by the server"
             }
             WarningKind::ConsistencyCountMismatch => {
-                "not one for each class; a class without goes to the primary alone"
+                "the number of entries differs from the number of classes; \
+                 requests of a class without an entry go to the primary only"
+            }
+            WarningKind::ObjectiveAfterTimeout => {
+                "greater than deadline_ms; clients give up before the latency objective"
             }
-            WarningKind::ObjectiveAfterTimeout => "later than deadline_ms, when clients have left",
             WarningKind::ZeroMaxAge { class } => {
-                return write!(f, "0 for the bounded class {class}, which goes to the primary alone");
+                return write!(f, "0 for the bounded class {class}; its requests go to the primary only");
             }
-            WarningKind::IdempotentWrite => "free for a write, which may run more than once then",
+            WarningKind::IdempotentWrite => "free for a write class; a write may be executed more than once",
             WarningKind::HealthChecksNotAllowed => {
-                "pull, but limits.may_probe is not true: only answers may tell of positions"
+                "pull, but limits.may_probe is not true; log positions can be reported only in responses"
+            }
+            WarningKind::NoPositionInLoadReports => {
+                "x0 is missing; log positions can be reported only in responses"
             }
-            WarningKind::NoPositionInLoadReports => "without x0: only answers may tell of positions",
         })
     }
 }
