--- a/settings/src/classes.rs
+++ b/settings/src/classes.rs
@@ -1,4 +1,5 @@
-//! Request classes in the settings: their rules are spread over `classes` and lists of `extra`.
+//! Reads the request classes. The settings of a class are in an element of `classes` and in elements of lists in
+//! `extra`.
 
 use crate::reader::{Reader, micros_from_ms};
 use birchreach::{Consistency, DedupScope, Idempotency, Micros, RequestClass};
@@ -10,20 +11,20 @@
     pub rules: RequestClass,
 }
 
-/// Reads the request classes, in their order.
-pub(crate) fn classes(reader: &Reader) -> Vec<NamedClass> {
+/// Reads the request classes in the order of the settings.
+pub(crate) fn read_classes(reader: &Reader) -> Vec<NamedClass> {
     let consistencies = reader.list("extra.class_read");
     let max_ages = reader.list("extra.max_age_ms");
     let classes = reader.list("classes").iter().enumerate();
     classes
-        .map(|(index, value)| {
+        .map(|(index, element)| {
             let consistency = read_consistency(reader, consistencies.get(index), max_ages.get(index));
-            ClassReader { reader, value, index }.read(consistency)
+            ClassReader { reader, element, index }.read(consistency)
         })
         .collect()
 }
 
-/// The consistencies that `extra.class_read` can name. The maximum age of a bounded class is in another list.
+/// The values in `extra.class_read`. The maximum age of a bounded class is in `extra.max_age_ms`.
 #[derive(Clone, Copy)]
 enum ConsistencyName {
     Write,
@@ -42,19 +43,19 @@
         ("bounded", ConsistencyName::Bounded),
         ("any", ConsistencyName::Any),
     ];
-    match reader.choice_in(entry, "extra.class_read", &choices, ConsistencyName::Fresh) {
+    match reader.choice_from(entry, "extra.class_read", &choices, ConsistencyName::Fresh) {
         ConsistencyName::Write => Consistency::Write,
         ConsistencyName::Fresh => Consistency::Strong,
         ConsistencyName::Session => Consistency::Session,
         ConsistencyName::Bounded => {
-            let max_age_ms = reader.required_number_in(max_age_ms, "extra.max_age_ms");
+            let max_age_ms = reader.required_number_from(max_age_ms, "extra.max_age_ms");
             Consistency::BoundedStaleness(micros_from_ms(max_age_ms))
         }
         ConsistencyName::Any => Consistency::Any,
     }
 }
 
-/// The values of `idempotency`. The scope and the window of a guarded class are in keys of their own.
+/// The values of `idempotency`. The scope and the window of a guarded class are in other keys.
 #[derive(Clone, Copy)]
 enum IdempotencyName {
     Free,
@@ -65,13 +66,12 @@
 /// Reads one element of `classes`.
 struct ClassReader<'a> {
     reader: &'a Reader<'a>,
-    /// The element.
-    value: &'a Value,
+    element: &'a Value,
     index: usize,
 }
 
 impl ClassReader<'_> {
-    /// Reads the class, whose consistency comes from lists beside the element.
+    /// Reads the class. The caller passes the consistency because it is not in the element.
     fn read(&self, consistency: Consistency) -> NamedClass {
         let idempotency = self.idempotency();
         let name = self.string("name").unwrap_or_default().to_string();
@@ -81,7 +81,11 @@
             latency_objective: self.required_micros("goal_time_ms"),
             client_timeout: self.required_micros("deadline_ms"),
             priority_weight: self.required_number("credit"),
-            late_weight_fraction: self.reader.number_in(self.get("late_worth"), &self.key("late_worth"), 0.0),
+            late_weight_fraction: self.reader.number_from(
+                self.get("late_worth"),
+                &self.path("late_worth"),
+                0.0,
+            ),
         };
         NamedClass { name, rules }
     }
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Which servers recognise a repeated request by its key.
+    /// Reads which servers recognise a repeated request by its idempotency key.
     fn dedup_scope(&self) -> DedupScope {
         let choices =
             [("all", DedupScope::AllServers), ("zone", DedupScope::Zone), ("cell", DedupScope::Group)];
@@ -110,24 +114,24 @@
     }
 
     fn get(&self, name: &str) -> Option<&Value> {
-        self.value.get(name)
+        self.element.get(name)
     }
 
-    /// The path of a key of this class.
-    fn key(&self, name: &str) -> String {
+    /// Returns the path of a key of this class.
+    fn path(&self, name: &str) -> String {
         format!("classes[{}].{name}", self.index)
     }
 
     fn string(&self, name: &str) -> Option<&str> {
-        self.reader.string_in(self.get(name), &self.key(name))
+        self.reader.string_from(self.get(name), &self.path(name))
     }
 
     fn choice<T: Copy>(&self, name: &str, choices: &[(&'static str, T)], default: T) -> T {
-        self.reader.choice_in(self.get(name), &self.key(name), choices, default)
+        self.reader.choice_from(self.get(name), &self.path(name), choices, default)
     }
 
     fn required_number(&self, name: &str) -> f64 {
-        self.reader.required_number_in(self.get(name), &self.key(name))
+        self.reader.required_number_from(self.get(name), &self.path(name))
     }
 
     fn required_micros(&self, name: &str) -> Micros {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings JSON of the platform, as a proxy's configuration and the simulator's first message hold it.
+//! Reads the platform's settings JSON, which is part of a proxy's configuration and of the simulator's start records.
 //!
-//! This crate is the only place that knows the platform's key names, values and units; it maps them to the types of the
-//! decision crate. Unknown keys are skipped; [`warnings`] lists them.
+//! Only this crate depends on the platform's key names, values and units. It maps them to the types of the decision
+//! crate. Unknown keys are ignored; [`warnings()`] lists them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -15,21 +15,21 @@
     Consistency, EndpointDiscovery, LoadReportSource, Micros, RequestClass, SessionPositionSource, Settings,
     StaleReadPolicy, Tenant, ZoneId,
 };
-use classes::{NamedClass, classes};
+use classes::{NamedClass, read_classes};
 pub use error::{ExpectedValue, FoundValue, SettingsError};
 use reader::Reader;
 use serde_json::Value;
 pub use warning::{SettingsWarning, WarningKind};
 pub use warnings::warnings;
 
-/// Name of the value in a load report that holds the log position.
+/// Name of the value in a load report that contains the log position.
 const POSITION_FIELD: &str = "x0";
-/// Name of the value in a load report that holds the role.
+/// Name of the value in a load report that contains the role.
 const ROLE_FIELD: &str = "x1";
-/// How long servers keep an idle connection where the platform doesn't say.
+/// The idle timeout of connections if the settings have none.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 30_000.0;
 
-/// Settings of a deployment: those of the router, and what its hosts need beside them.
+/// Settings of a deployment: those of the router, and those that only the program around the router needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentSettings {
     /// Settings of the router.
@@ -38,24 +38,24 @@
     pub class_names: Vec<String>,
     /// Names of the zones; a [`ZoneId`] is an index into this list.
     pub zone_names: Vec<String>,
-    /// Names of the values in a load report, in their order.
+    /// Names of the values in a load report, in the order of the values.
     pub load_report_fields: Vec<String>,
-    /// Servers close a connection that has been idle for this time, or sooner.
+    /// Servers close a connection after this idle time or earlier.
     pub connection_idle_timeout: Micros,
     /// The clock time from which log positions are counted.
     pub position_epoch: Micros,
-    /// For each class: its requests carry the time since their session's last write.
+    /// For each class, whether its requests carry the time since the last write of their session.
     pub session_position_in_request: Vec<bool>,
-    /// Index of the log position among the values of a load report.
+    /// Index of the log position among the values of a load report; `None` if load reports do not contain it.
     pub load_report_position_index: Option<usize>,
-    /// Index of the role among the values of a load report.
+    /// Index of the role among the values of a load report; `None` if load reports do not contain it.
     pub load_report_role_index: Option<usize>,
 }
 
-/// Reads the settings from their text.
+/// Reads the settings from JSON text.
 ///
 /// # Errors
-/// The first error found.
+/// Returns the first error that is found.
 pub fn parse(text: &str) -> Result<DeploymentSettings, SettingsError> {
     let root: Value = serde_json::from_str(text).map_err(SettingsError::InvalidJson)?;
     from_value(&root)
@@ -64,32 +64,33 @@
 /// Reads the settings from parsed JSON.
 ///
 /// # Errors
-/// The first error found.
+/// Returns the first error that is found.
 pub fn from_value(root: &Value) -> Result<DeploymentSettings, SettingsError> {
     let (settings, errors) = from_value_with_errors(root);
     errors.into_iter().next().map_or(Ok(settings), Err)
 }
 
-/// Reads the settings from parsed JSON and returns all errors. A value with an error is replaced by a default.
+/// Reads the settings from parsed JSON and returns all errors. Each unusable value is replaced by a default.
 pub fn from_value_with_errors(root: &Value) -> (DeploymentSettings, Vec<SettingsError>) {
     let reader = Reader::new(root);
-    let settings = read(&reader);
+    let settings = read_deployment(&reader);
     (settings, reader.into_errors())
 }
 
-/// Reads all settings. The order of reading is that of the errors.
-fn read(reader: &Reader) -> DeploymentSettings {
+/// Reads all settings. Errors are reported in the order in which this function reads the keys.
+fn read_deployment(reader: &Reader) -> DeploymentSettings {
     let position_epoch = reader.micros_or("extra.counted_from_ms", 0.0);
-    let session_positions = session_positions(reader);
-    let (class_names, classes) = split_names(classes(reader));
-    let tenants = tenants(reader);
+    let session_positions = read_session_positions(reader);
+    let (class_names, classes) = split_names(read_classes(reader));
+    let tenants = read_tenants(reader);
     let load_report_fields = reader.strings("load_info.names");
     let index_of = |field: &str| load_report_fields.iter().position(|name| name == field);
     let (position_index, role_index) = (index_of(POSITION_FIELD), index_of(ROLE_FIELD));
-    let from_request = session_positions == SessionPositionSource::FromRequest;
-    let carries = |class: &RequestClass| class.consistency == Consistency::Session && from_request;
-    let session_position_in_request = classes.iter().map(carries).collect();
-    let routing = routing(reader, classes, tenants, session_positions, position_index.is_some());
+    let positions_in_requests = session_positions == SessionPositionSource::FromRequest;
+    let carries_position =
+        |class: &RequestClass| positions_in_requests && class.consistency == Consistency::Session;
+    let session_position_in_request = classes.iter().map(carries_position).collect();
+    let routing = read_routing(reader, classes, tenants, session_positions, position_index.is_some());
     DeploymentSettings {
         routing,
         class_names,
@@ -103,8 +104,8 @@
     }
 }
 
-/// Reads the settings of the router, except for those that the caller has read already.
-fn routing(
+/// Reads the settings of the router, except for those that the caller has read and passes in.
+fn read_routing(
     reader: &Reader,
     classes: Vec<RequestClass>,
     tenants: Vec<Tenant>,
@@ -115,11 +116,11 @@
         classes,
         tenants,
         session_positions,
-        load_reports: load_reports(reader),
+        load_reports: read_load_reports(reader),
         load_reports_have_position,
-        endpoint_discovery: endpoint_discovery(reader),
-        stale_reads: stale_reads(reader),
-        max_retry_after: max_retry_after(reader),
+        endpoint_discovery: read_endpoint_discovery(reader),
+        stale_reads: read_stale_reads(reader),
+        max_retry_after: read_max_retry_after(reader),
         proxy_count: reader.required_number("balancers") as u32,
         zone: ZoneId(reader.required_number("my_zone") as u16),
         max_attempts: reader.required_number("limits.attempts_cap") as u16,
@@ -136,13 +137,13 @@
     }
 }
 
-/// The names of the classes, and apart from them their rules.
+/// Splits the classes into their names and their rules.
 fn split_names(classes: Vec<NamedClass>) -> (Vec<String>, Vec<RequestClass>) {
     classes.into_iter().map(|class| (class.name, class.rules)).unzip()
 }
 
-/// Where the position of a session's last write is taken from.
-fn session_positions(reader: &Reader) -> SessionPositionSource {
+/// Reads where the position of a session's last write comes from.
+fn read_session_positions(reader: &Reader) -> SessionPositionSource {
     let choices = [
         ("carried", SessionPositionSource::FromRequest),
         ("remembered", SessionPositionSource::FromObservedWrites),
@@ -150,18 +151,18 @@
     reader.choice("extra.tokens", &choices, SessionPositionSource::FromRequest)
 }
 
-fn tenants(reader: &Reader) -> Vec<Tenant> {
+fn read_tenants(reader: &Reader) -> Vec<Tenant> {
     let tenants = reader.list("parties").iter().enumerate();
     tenants
         .map(|(index, tenant)| {
             let key = format!("parties[{index}].quota_per_s");
-            Tenant { quota_per_second: reader.required_number_in(tenant.get("quota_per_s"), &key) }
+            Tenant { quota_per_second: reader.required_number_from(tenant.get("quota_per_s"), &key) }
         })
         .collect()
 }
 
-/// Which messages of servers have load reports.
-fn load_reports(reader: &Reader) -> LoadReportSource {
+/// Reads which messages of servers contain load reports.
+fn read_load_reports(reader: &Reader) -> LoadReportSource {
     let choices = [
         ("piggyback", LoadReportSource::Responses),
         ("pull", LoadReportSource::HealthChecks),
@@ -170,14 +171,14 @@
     reader.choice("load_info.via", &choices, LoadReportSource::Never)
 }
 
-/// Whether the endpoint list is pushed or polled.
-fn endpoint_discovery(reader: &Reader) -> EndpointDiscovery {
+/// Reads whether the endpoint list is pushed or polled.
+fn read_endpoint_discovery(reader: &Reader) -> EndpointDiscovery {
     let choices = [("automatic", EndpointDiscovery::Pushed), ("subscribe", EndpointDiscovery::Polled)];
     reader.choice("registry_mode", &choices, EndpointDiscovery::Pushed)
 }
 
-/// What servers do with a read that they are too far behind for.
-fn stale_reads(reader: &Reader) -> StaleReadPolicy {
+/// Reads what a server does with a read for which its data is too old.
+fn read_stale_reads(reader: &Reader) -> StaleReadPolicy {
     let choices = [
         ("silent", StaleReadPolicy::Served),
         ("refuse", StaleReadPolicy::Rejected),
@@ -186,8 +187,8 @@
     reader.choice("extra.guards", &choices, StaleReadPolicy::Served)
 }
 
-/// The longest Retry-After; none if rejections have none.
-fn max_retry_after(reader: &Reader) -> Option<Micros> {
-    let advised = reader.flag("limits.retry_after");
-    advised.then(|| reader.required_micros("limits.max_retry_after_ms"))
+/// Reads the longest Retry-After. Returns `None` if rejections do not have a Retry-After.
+fn read_max_retry_after(reader: &Reader) -> Option<Micros> {
+    let is_allowed = reader.flag("limits.retry_after");
+    is_allowed.then(|| reader.required_micros("limits.max_retry_after_ms"))
 }
--- a/settings/src/warnings.rs
+++ b/settings/src/warnings.rs
@@ -1,12 +1,12 @@
-//! Finds unknown keys, and settings that contradict each other.
+//! Finds unknown keys and contradictory settings.
 
 use crate::DeploymentSettings;
-use crate::reader::find;
+use crate::reader::value_at;
 use crate::{SettingsWarning, WarningKind};
 use birchreach::{Consistency, Idempotency, LoadReportSource, RequestClass, Settings, StaleReadPolicy};
 use serde_json::Value;
 
-/// Every key that the platform documents, including those that are not read here.
+/// All keys that the platform documents, including those that this crate does not read.
 const KNOWN_KEYS: &str = "balancers classes classes[].aim_stretch classes[].goal_time_ms classes[].deadline_ms \
     classes[].idempotency classes[].dedup_scope classes[].late_worth classes[].name classes[].stream \
     classes[].repeat_window_ms classes[].credit client_habits counted_by registry_mode family extra extra.guards \
@@ -18,27 +18,29 @@
     load_info.via obligations obligations.answer_slack_ms obligations.ask_within_ms obligations.cold_share \
     obligations.cold_ms obligations.drain_grace_ms obligations.fall_multiple obligations.fall_ms \
     obligations.soft_removal parties parties[].name parties[].quota_per_s parties[].share stage tick_ms tiers weights";
-/// Keys whose value is not looked into.
+/// Documented keys whose contents are not checked.
 const OPAQUE_KEYS: [&str; 3] = ["client_habits", "objective_mix", "prices"];
 
-/// All warnings about the settings in `root`.
+/// Returns all warnings about the settings in `root`, those about unknown keys first. `settings` must have been read
+/// from `root`.
 pub fn warnings(root: &Value, settings: &DeploymentSettings) -> Vec<SettingsWarning> {
     let mut found = Vec::new();
-    unknown_keys(root, "", "", &mut found);
-    contradictions(root, settings, &mut found);
+    find_unknown_keys(root, "", "", &mut found);
+    find_contradictions(root, settings, &mut found);
     found
 }
 
-/// Finds unknown keys below a node. `path` is that of the node with the indices of list elements, `form` the one
-/// without.
-fn unknown_keys(node: &Value, path: &str, form: &str, found: &mut Vec<SettingsWarning>) {
+/// Finds unknown keys below a node. `path` is the path of the node with the indices of list elements. `pattern` is the
+/// same path without the indices, as in [`KNOWN_KEYS`].
+fn find_unknown_keys(node: &Value, path: &str, pattern: &str, found: &mut Vec<SettingsWarning>) {
     match node {
-        Value::Object(map) if !OPAQUE_KEYS.contains(&form) => {
+        Value::Object(map) if !OPAQUE_KEYS.contains(&pattern) => {
             for (key, value) in map {
-                let joined = |to: &str| if to.is_empty() { key.clone() } else { format!("{to}.{key}") };
-                let (path, form) = (joined(path), joined(form));
-                if KNOWN_KEYS.split(' ').any(|known| known == form) {
-                    unknown_keys(value, &path, &form, found);
+                let append_key =
+                    |prefix: &str| if prefix.is_empty() { key.clone() } else { format!("{prefix}.{key}") };
+                let (path, pattern) = (append_key(path), append_key(pattern));
+                if KNOWN_KEYS.split(' ').any(|known| known == pattern) {
+                    find_unknown_keys(value, &path, &pattern, found);
                 } else {
                     found.push(SettingsWarning { key: path, kind: WarningKind::UnknownKey });
                 }
@@ -46,19 +48,19 @@
         }
         Value::Array(list) => {
             for (index, value) in list.iter().enumerate() {
-                unknown_keys(value, &format!("{path}[{index}]"), &format!("{form}[]"), found);
+                find_unknown_keys(value, &format!("{path}[{index}]"), &format!("{pattern}[]"), found);
             }
         }
         _ => {}
     }
 }
 
-/// Finds settings that contradict each other, or cannot be meant as they are.
-fn contradictions(root: &Value, settings: &DeploymentSettings, found: &mut Vec<SettingsWarning>) {
+/// Finds settings that contradict each other or are probably not intended.
+fn find_contradictions(root: &Value, settings: &DeploymentSettings, found: &mut Vec<SettingsWarning>) {
     let routing = &settings.routing;
     let mut warn = |key: &str, kind| found.push(SettingsWarning { key: key.to_string(), kind });
-    class_contradictions(root, &routing.classes, &mut warn);
-    position_contradictions(routing, &mut warn);
+    find_class_contradictions(root, &routing.classes, &mut warn);
+    find_position_contradictions(routing, &mut warn);
     if usize::from(routing.zone.0) >= settings.zone_names.len() {
         warn("my_zone", WarningKind::ZoneNotListed);
     }
@@ -73,9 +75,13 @@
     }
 }
 
-/// Finds contradictions within the request classes.
-fn class_contradictions(root: &Value, classes: &[RequestClass], warn: &mut impl FnMut(&str, WarningKind)) {
-    let consistencies = find(root, "extra.class_read").and_then(Value::as_array).map_or(0, Vec::len);
+/// Finds contradictions in the settings of the request classes.
+fn find_class_contradictions(
+    root: &Value,
+    classes: &[RequestClass],
+    warn: &mut impl FnMut(&str, WarningKind),
+) {
+    let consistencies = value_at(root, "extra.class_read").and_then(Value::as_array).map_or(0, Vec::len);
     if consistencies != classes.len() {
         warn("extra.class_read", WarningKind::ConsistencyCountMismatch);
     }
@@ -92,8 +98,9 @@
     }
 }
 
-/// Replicas are of use to bounded and session reads only if their positions are reported.
-fn position_contradictions(routing: &Settings, warn: &mut impl FnMut(&str, WarningKind)) {
+/// Finds settings that keep log positions out of the load reports. A replica can serve bounded and session reads only
+/// if its position is known. Positions are not needed if servers reject stale reads.
+fn find_position_contradictions(routing: &Settings, warn: &mut impl FnMut(&str, WarningKind)) {
     let needs_position = |class: &RequestClass| {
         matches!(class.consistency, Consistency::BoundedStaleness(_) | Consistency::Session)
     };
--- a/settings/tests/example.rs
+++ b/settings/tests/example.rs
@@ -1,4 +1,4 @@
-//! The settings of the example, read as both programs read them.
+//! Reads the settings of the example from parsed JSON, and invalid settings from text.
 
 use birchreach::{Consistency, Idempotency, Micros};
 use birchreach_settings::{from_value, parse};
@@ -6,13 +6,13 @@
 const MILLISECOND: Micros = 1_000;
 
 #[test]
-fn the_example_is_read_into_its_fields() {
+fn the_settings_of_the_example_are_read_into_their_fields() {
     // Given the configuration of the example
     let text = include_str!("../../example/config.json");
     let root: serde_json::Value = serde_json::from_str(text).unwrap();
-    // When its settings are read
+    // When the settings in it are read
     let settings = from_value(&root["settings"]).unwrap();
-    // Then each value is in its field
+    // Then each field has its value
     assert_eq!(settings.class_names, ["status-check", "own-draft", "tariff-lookup", "file-entry"]);
     let classes = &settings.routing.classes;
     let consistencies: Vec<Consistency> = classes.iter().map(|class| class.consistency).collect();
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn an_error_names_the_key_at_fault() {
+fn an_error_names_the_key_with_the_invalid_value() {
     for (text, key) in [("[]", "info"), ("{", "info"), (r#"{"balancers": "two"}"#, "balancers")] {
-        // When a text is read that is not valid, then the error names what is wrong
+        // When invalid settings are read, then the error names the key
         let error = parse(text).unwrap_err().to_string();
         assert!(error.starts_with("settings: ") && error.contains(key), "{error}");
     }
--- a/settings/tests/known_keys.rs
+++ b/settings/tests/known_keys.rs
@@ -1,10 +1,10 @@
-//! Every settings key that is read, with a value other than its default: the keys and units of the platform's JSON
-//! stay as they are.
+//! Reads every settings key with a value other than its default. The keys and units are those of the platform's JSON
+//! and must not change.
 
 use birchreach::*;
 use birchreach_settings::DeploymentSettings;
 
-/// Settings with every key.
+/// Settings with every key that is read.
 const EVERY_KEY: &str = r#"{
     "balancers": 7, "my_zone": 1, "registry_mode": "subscribe", "dcs": ["north", "south"],
     "classes": [
@@ -27,12 +27,12 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// Idempotency by a key that these servers recognise for this time.
+/// Idempotency with a key that the servers in `scope` recognise for the time `dedup_window`.
 fn with_key(scope: DedupScope, dedup_window: Micros) -> Idempotency {
     Idempotency::WithKey { scope, dedup_window }
 }
 
-/// The classes of [`EVERY_KEY`] that read.
+/// The expected read classes of [`EVERY_KEY`].
 fn read_classes() -> [RequestClass; 4] {
     [
         RequestClass {
@@ -70,7 +70,7 @@
     ]
 }
 
-/// The classes of [`EVERY_KEY`] that write.
+/// The expected write classes of [`EVERY_KEY`].
 fn write_classes() -> [RequestClass; 2] {
     [
         RequestClass {
@@ -92,7 +92,7 @@
     ]
 }
 
-/// The routing part of [`EVERY_KEY`].
+/// The expected routing settings of [`EVERY_KEY`].
 fn expected_routing() -> Settings {
     Settings {
         proxy_count: 7,
@@ -119,7 +119,6 @@
     }
 }
 
-/// These names as owned strings.
 fn owned(names: &[&str]) -> Vec<String> {
     names.iter().map(ToString::to_string).collect()
 }
@@ -128,7 +127,7 @@
 fn every_key_is_read_into_its_field() {
     // When settings with every key are read
     let settings = birchreach_settings::parse(EVERY_KEY).unwrap();
-    // Then each value is in its field
+    // Then each field has its value
     let expected = DeploymentSettings {
         routing: expected_routing(),
         class_names: owned(&["write", "keyed", "bounded", "session", "any", "fresh"]),
@@ -143,7 +142,7 @@
     assert_eq!(settings, expected);
 }
 
-/// The routing settings that are read where this key has another value than in [`EVERY_KEY`].
+/// Reads the routing settings of [`EVERY_KEY`] with `other_value` in place of `value`.
 fn routing_with(key: &str, value: &str, other_value: &str) -> Settings {
     let [from, to] = [value, other_value].map(|value| format!(r#""{key}": "{value}""#));
     birchreach_settings::parse(&EVERY_KEY.replace(&from, &to)).unwrap().routing
