--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -10,14 +10,14 @@
 
 impl<P: RequestPayload> Core<P> {
     /// Carries out the actions that the router has returned.
-    pub(super) fn carry_out_actions(&mut self, now: Micros) {
+    pub(super) fn execute_actions(&mut self, now: Micros) {
         for action in std::mem::take(&mut self.actions) {
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
     }
 
     /// Translates one action.
-    fn carry_out(&mut self, now: Micros, action: Action) {
+    fn execute_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.start_attempt(now, request, server, timeout),
             Action::Reject { request, retry_after } => {
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -92,7 +92,7 @@
             actions,
             commands: VecDeque::new(),
         };
-        core.carry_out_actions(now);
+        core.execute_actions(now);
         core
     }
 
@@ -120,6 +120,6 @@
     /// Passes an event to the router, and carries out its actions.
     fn handle(&mut self, now: Micros, event: Event) {
         self.router.handle(now, event, &mut self.actions);
-        self.carry_out_actions(now);
+        self.execute_actions(now);
     }
 }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -208,6 +208,6 @@
         for report in reports {
             fleet.publish_report(self.context.now, report.channel, report.payload);
         }
-        self.after_fleet();
+        self.apply_fleet_changes();
     }
 }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -36,7 +36,7 @@
     load_timer_set: bool,
     load_reported_at: Micros,
     /// How long the loop has slept since the last load report.
-    pub slept: Micros,
+    pub idle_time: Micros,
     /// This process has announced its handover to the next one.
     pub handing_over: bool,
     /// This process isn't ready before this time.
@@ -61,10 +61,10 @@
     }
 
     /// Takes over from the predecessor, if there is one: it hands over clients and balancers from now on.
-    pub(super) fn take_over(&mut self) {
+    pub(super) fn take_over_from_predecessor(&mut self) {
         if self.handover.announce_serving(&mut self.context) {
             self.set_ready_at(self.context.now + ANNOUNCEMENT_TIMEOUT_MICROS);
-            self.after_handover();
+            self.apply_handover_state();
         }
     }
 
@@ -95,7 +95,7 @@
         }
         if !std::mem::replace(&mut self.health.load_timer_set, true) {
             self.health.load_reported_at = now;
-            self.health.slept = 0;
+            self.health.idle_time = 0;
             self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
         }
     }
@@ -163,9 +163,9 @@
         }
         let now = self.context.now;
         let elapsed = (now - self.health.load_reported_at).max(1);
-        let busy = 1.0 - self.health.slept as f64 / elapsed as f64;
+        let busy = 1.0 - self.health.idle_time as f64 / elapsed as f64;
         self.health.load_reported_at = now;
-        self.health.slept = 0;
+        self.health.idle_time = 0;
         let queued = self.context.core.report_queued(now);
         let in_progress = self.context.core.open_request_count();
         self.record_health_event(HealthEvent::Load {
@@ -193,7 +193,7 @@
             for server in probes {
                 self.pool.start_monitor_check(&mut self.context, server);
             }
-            self.carry_out();
+            self.execute_commands();
         }
     }
 
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -10,10 +10,10 @@
 
 impl EventLoop {
     /// Carries out the core's commands, and those that follow from them, until none is left.
-    pub(super) fn carry_out(&mut self) {
+    pub(super) fn execute_commands(&mut self) {
         loop {
             if let Some(command) = self.context.core.next_command() {
-                self.carry_out_one(command);
+                self.execute_command(command);
             } else if let Some(attempt) = self.clients.next_ready_for_more() {
                 // A client that has taken what there was of a long value gets more of it.
                 self.pool.resume_reading(&mut self.context, attempt);
@@ -24,7 +24,7 @@
     }
 
     /// Carries out one command.
-    fn carry_out_one(&mut self, command: Command<StatementPayload>) {
+    fn execute_command(&mut self, command: Command<StatementPayload>) {
         let context = &mut self.context;
         match command {
             Command::StartAttempt { attempt, server, payload, deadline, from_copy } => {
@@ -68,9 +68,9 @@
             self.pool.server_moved(&mut self.context, server);
         }
         if lists_servers {
-            self.take_over();
+            self.take_over_from_predecessor();
         }
-        self.carry_out();
+        self.execute_commands();
     }
 }
 
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -93,13 +93,13 @@
     pub(in crate::net) fn fleet_due(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.process_timer(&self.context);
-            self.after_fleet();
+            self.apply_fleet_changes();
         }
     }
 
     /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take the results of the
     /// call.
-    pub(in crate::net) fn after_fleet(&mut self) {
+    pub(in crate::net) fn apply_fleet_changes(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
         let due_exchange = due_exchange.filter(|_| fleet.is_active());
@@ -115,7 +115,7 @@
         }
         if let (Some(peer), Some(gossip)) = (due_exchange, &mut self.gossip) {
             gossip.begin_exchange(&mut self.context, peer);
-            self.after_gossip();
+            self.apply_gossip_progress();
         }
     }
 }
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -34,7 +34,7 @@
 /// The most connections that are accepted of each listener in one turn.
 const ACCEPTS_PER_TURN: usize = 16;
 /// The timer is set at least this often.
-const MAX_STEP_INTERVAL_MICROS: Micros = 1_000_000;
+const MAX_TIMER_INTERVAL_MICROS: Micros = 1_000_000;
 
 /// All links, and the subsystems that use them.
 #[derive(Default)]
@@ -79,14 +79,16 @@
     }
 
     /// Closes links that have timed out, accepts connections and sends requests that are due.
-    pub(super) fn step(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn advance(&mut self, context: &mut EventLoopContext) {
         self.close_timed_out_links(context);
         self.accept(context);
         self.send_due_requests(context);
-        let next_step = context.now + MAX_STEP_INTERVAL_MICROS;
+        let latest_timer_at = context.now + MAX_TIMER_INTERVAL_MICROS;
         let next_request =
             self.state_transfer.as_ref().map(|transfer| transfer.requests.next_change(context.now));
-        context.timers.set(next_request.map_or(next_step, |at| at.min(next_step)), TimerEvent::Gossip);
+        context
+            .timers
+            .set(next_request.map_or(latest_timer_at, |at| at.min(latest_timer_at)), TimerEvent::Gossip);
     }
 
     /// Closes links that have not ended in time.
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -60,7 +60,7 @@
         self.clients.shut_down(&mut self.context);
         if let Some(fleet) = &mut self.fleet {
             fleet.leave(&self.context);
-            self.after_fleet();
+            self.apply_fleet_changes();
         }
         self.clients_closed = true;
     }
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -121,18 +121,18 @@
     }
 
     /// Gossip's timer is due, or another proxy connects.
-    fn step_gossip(&mut self) {
+    fn advance_gossip(&mut self) {
         if let Some(gossip) = &mut self.gossip {
-            gossip.step(&mut self.context);
-            self.after_gossip();
+            gossip.advance(&mut self.context);
+            self.apply_gossip_progress();
         }
     }
 
     /// Follows each call of gossip: no client is accepted while the start still waits for peers' state, and what the core now
     /// commands is carried out.
-    fn after_gossip(&mut self) {
+    fn apply_gossip_progress(&mut self) {
         let Some(gossip) = &self.gossip else { return };
         self.clients.set_awaiting_peer_state(!gossip.is_startup_complete());
-        self.carry_out();
+        self.execute_commands();
     }
 }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -82,7 +82,7 @@
         self.configure_health();
         self.checks.apply_options(&mut self.context, self.config.options.health.clone(), check_listeners);
         self.start_background();
-        self.carry_out();
+        self.execute_commands();
     }
 
     /// Copies what changes only with a restart from the current configuration to a new one.
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -27,7 +27,7 @@
             if !source.has_priority() {
                 self.handle_event(source, event, signals);
             }
-            self.carry_out();
+            self.execute_commands();
         }
         self.continue_connections();
         self.handle_due_timers();
@@ -48,7 +48,7 @@
             _ => {}
         }
         self.context.now = self.clock.now();
-        self.health.slept += if has_work { 0 } else { self.context.now - waiting_since };
+        self.health.idle_time += if has_work { 0 } else { self.context.now - waiting_since };
         Ok(())
     }
 
@@ -82,15 +82,15 @@
             Source::Discovery => self.handle_discovery(),
             Source::HandoverListener => {
                 self.handover.accept(&mut self.context);
-                self.after_handover();
+                self.apply_handover_state();
             }
             Source::Predecessor => {
                 self.handover.predecessor_ready(&mut self.context);
-                self.after_handover();
+                self.apply_handover_state();
             }
             Source::Successor => {
                 self.handover.successor_ready(&mut self.context);
-                self.after_handover();
+                self.apply_handover_state();
             }
             Source::Fleet => self.handle_fleet(),
             Source::GossipListener | Source::MembershipListener => self.accept_links(source),
@@ -116,7 +116,7 @@
     fn accept_links(&mut self, listener: Source) {
         if let Some(gossip) = &mut self.gossip {
             gossip.accept_ready(listener);
-            self.step_gossip();
+            self.advance_gossip();
         }
     }
 
@@ -124,7 +124,7 @@
     fn handle_link(&mut self, key: LinkKey) {
         if let Some(gossip) = &mut self.gossip {
             gossip.process_link(&mut self.context, key);
-            self.after_gossip();
+            self.apply_gossip_progress();
         }
     }
 
@@ -146,11 +146,11 @@
     }
 
     /// Another process of this proxy has connected, sent a message or disconnected.
-    pub(super) fn after_handover(&mut self) {
+    pub(super) fn apply_handover_state(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
             fleet.set_replaced(&self.context, self.handover.is_replaced());
-            self.after_fleet();
+            self.apply_fleet_changes();
         }
         self.negotiate_handover();
     }
@@ -159,7 +159,7 @@
     fn handle_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.receive_datagrams(self.context.now);
-            self.after_fleet();
+            self.apply_fleet_changes();
         }
     }
 
@@ -173,7 +173,7 @@
         if self.discovery.take_descriptors_exhausted() {
             self.clients.release_descriptor(&mut self.context);
         }
-        self.carry_out();
+        self.execute_commands();
     }
 
     /// Handles the timers that are due, at a time read after the events.
@@ -181,7 +181,7 @@
         self.context.now = self.clock.now();
         while let Some(due) = self.context.timers.due(self.context.now) {
             self.handle_timer(due);
-            self.carry_out();
+            self.execute_commands();
         }
     }
 }
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -119,7 +119,7 @@
         if let Some(update) = known_endpoints {
             self.update_endpoints(EndpointUpdate { complete: true, ..update });
         }
-        self.step_gossip();
+        self.advance_gossip();
         if self.handover.process_count() > 1 {
             info!(event = "predecessor-connected");
         }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -31,7 +31,7 @@
                 self.checks.reopen_listeners(context);
             }
             TimerEvent::StopAcceptingChecks | TimerEvent::OpenCheckListeners => {}
-            TimerEvent::Gossip => self.step_gossip(),
+            TimerEvent::Gossip => self.advance_gossip(),
             TimerEvent::GossipSend(key, serial) => self.continue_gossip_send(key, serial),
             TimerEvent::Fleet => self.fleet_due(),
             TimerEvent::Background => self.run_background(),
@@ -48,7 +48,7 @@
     fn continue_gossip_send(&mut self, key: LinkKey, serial: LinkSerial) {
         if let Some(gossip) = &mut self.gossip {
             gossip.continue_sending(&mut self.context, key, serial);
-            self.after_gossip();
+            self.apply_gossip_progress();
         }
     }
 
@@ -73,7 +73,7 @@
         let pressure = self.database_connections_in_use();
         if let Some(gossip) = &mut self.gossip {
             gossip.set_load(pressure);
-            self.after_gossip();
+            self.apply_gossip_progress();
         }
         self.reopen_check_listeners();
     }
