--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -23,7 +23,7 @@
 pub(crate) fn check(variable: impl Fn(&str) -> Option<String>, options: Option<&Path>) -> CheckReport {
     let mut report = CheckReport::default();
     let Some(file) = variable(CONFIG_VARIABLE).map(PathBuf::from) else {
-        report.faults.push(ConfigFault::of_file(Path::new(CONFIG_VARIABLE), FaultKind::NotNamed));
+        report.faults.push(ConfigFault::for_file(Path::new(CONFIG_VARIABLE), FaultKind::FileNotSpecified));
         return report;
     };
     let config = report.check_config(&file, variable);
@@ -39,7 +39,7 @@
         let text = match std::fs::read_to_string(file) {
             Ok(text) => text,
             Err(error) => {
-                self.faults.push(ConfigFault::of_file(file, FaultKind::Unreadable(error)));
+                self.faults.push(ConfigFault::for_file(file, FaultKind::Unreadable(error)));
                 return None;
             }
         };
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(crate) enum FaultKind {
     /// The environment variable that should name the file is not set.
-    NotNamed,
+    FileNotSpecified,
     /// The file cannot be read.
     Unreadable(io::Error),
     /// The platform's JSON is faulty.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) enum ConfigError {
     /// `RELAY_CONFIG` names no file.
-    NotNamed,
+    FileNotSpecified,
     /// The file cannot be read.
     Unreadable { file: String, error: io::Error },
     /// The file's JSON is faulty; this is the first fault.
@@ -51,14 +51,14 @@
     /// A file of keys is faulty.
     KeyFile(ConfigFault),
     /// A key of the configuration in force is absent, or has a value of another kind.
-    KeyAbsent(String),
+    MissingKey(String),
     /// A list of settings has not one value for each class.
-    NotOneForEachClass(&'static str),
+    ClassListLengthMismatch(&'static str),
 }
 
 impl ConfigFault {
     /// A fault of a file as a whole.
-    pub(super) fn of_file(file: &Path, kind: FaultKind) -> ConfigFault {
+    pub(super) fn for_file(file: &Path, kind: FaultKind) -> ConfigFault {
         ConfigFault { file: file.into(), line: 1, kind }
     }
 }
@@ -72,7 +72,7 @@
 impl Display for FaultKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FaultKind::NotNamed => f.write_str("file: not set: it must name the configuration file"),
+            FaultKind::FileNotSpecified => f.write_str("file: not set: it must name the configuration file"),
             FaultKind::Unreadable(error) => write!(f, "file: {error}"),
             FaultKind::PlatformFile(error @ PlatformFileError::InvalidJson(_)) => write!(f, "file: {error}"),
             FaultKind::PlatformFile(error) => error.fmt(f),
@@ -86,7 +86,7 @@
 impl Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConfigError::NotNamed => {
+            ConfigError::FileNotSpecified => {
                 f.write_str("RELAY_CONFIG is not set: it must name the configuration file")
             }
             ConfigError::Unreadable { file, error } => write!(f, "{file}: {error}"),
@@ -101,8 +101,8 @@
                 if *more > 0 { write!(f, " (and {more} more)") } else { Ok(()) }
             }
             ConfigError::KeyFile(fault) => fault.fmt(f),
-            ConfigError::KeyAbsent(path) => write!(f, "{path}: absent, or not of its kind"),
-            ConfigError::NotOneForEachClass(key) => {
+            ConfigError::MissingKey(path) => write!(f, "{path}: absent, or not of its kind"),
+            ConfigError::ClassListLengthMismatch(key) => {
                 write!(f, "settings.extra.{key}: expected one for each class")
             }
         }
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -74,7 +74,7 @@
     variable: impl Fn(&str) -> Option<String>,
     options: Option<&Path>,
 ) -> Result<Config, ConfigError> {
-    let file = variable(CONFIG_VARIABLE).ok_or(ConfigError::NotNamed)?;
+    let file = variable(CONFIG_VARIABLE).ok_or(ConfigError::FileNotSpecified)?;
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(error) => return Err(ConfigError::Unreadable { file, error }),
--- a/proxy/src/config/options.rs
+++ b/proxy/src/config/options.rs
@@ -18,7 +18,7 @@
 /// The options by themselves.
 pub(super) fn parse_options(file: &Path) -> Result<Options, Vec<ConfigFault>> {
     let text = std::fs::read_to_string(file)
-        .map_err(|error| vec![ConfigFault::of_file(file, FaultKind::Unreadable(error))])?;
+        .map_err(|error| vec![ConfigFault::for_file(file, FaultKind::Unreadable(error))])?;
     birchreach_options::parse(&text).map_err(|errors| faults(file, errors))
 }
 
--- a/proxy/src/config/successor.rs
+++ b/proxy/src/config/successor.rs
@@ -5,19 +5,19 @@
 use serde_json::Value;
 
 /// The lists of settings that have one value for each class.
-const LISTS_BY_CLASS: [&str; 2] = ["class_read", "max_age_ms"];
+const PER_CLASS_LISTS: [&str; 2] = ["class_read", "max_age_ms"];
 
 impl Config {
     /// Checks that another configuration may replace this one. It must have each key of the settings and limits in force, even those
     /// without which a proxy starts.
-    pub(crate) fn check_successor(&self, new: &Config) -> Result<(), ConfigError> {
+    pub(crate) fn validate_replacement(&self, new: &Config) -> Result<(), ConfigError> {
         if let Some(path) = first_missing_key(&self.raw, &new.raw, "") {
-            return Err(ConfigError::KeyAbsent(path));
+            return Err(ConfigError::MissingKey(path));
         }
-        for key in LISTS_BY_CLASS {
+        for key in PER_CLASS_LISTS {
             let list = new.raw.pointer(&format!("/settings/extra/{key}")).and_then(Value::as_array);
             if list.is_some_and(|list| list.len() != new.deployment.class_names.len()) {
-                return Err(ConfigError::NotOneForEachClass(key));
+                return Err(ConfigError::ClassListLengthMismatch(key));
             }
         }
         Ok(())
--- a/proxy/src/config/tests.rs
+++ b/proxy/src/config/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_successor_that_lacks_what_is_in_force_is_rejected_with_its_key() {
+fn a_reload_that_omits_a_key_in_use_is_rejected_with_its_path() {
     // Given a configuration in force, and successors that lack something of it or do not fit it
     let in_force = config(include_str!("../../../example/config.json"));
     let cases = [
@@ -32,7 +32,7 @@
     ];
     for (old, new, expected) in cases {
         // When each is to take its place
-        let error = in_force.check_successor(&replaced(old, new)).err();
+        let error = in_force.validate_replacement(&replaced(old, new)).err();
 
         // Then the error names the key; an unknown key is no error
         assert_eq!(error.map_or_else(String::new, |error| error.to_string()), expected, "{old}");
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -47,7 +47,7 @@
     /// Reads the configuration again. Discovery's address, settings and limits change immediately, the rest with a restart. An
     /// invalid configuration changes nothing.
     pub(super) fn reload(&mut self) {
-        match self.load_successor() {
+        match self.load_replacement() {
             Ok((config, check_listeners)) => self.apply_configuration(config, check_listeners),
             Err(error) => {
                 self.context.core.stats.configuration_load_errors += 1;
@@ -57,10 +57,10 @@
     }
 
     /// The new configuration, with the listeners that it needs in addition.
-    fn load_successor(&self) -> Result<(Config, OpenedListeners), ReloadError> {
+    fn load_replacement(&self) -> Result<(Config, OpenedListeners), ReloadError> {
         let config =
             config::load(config::environment, self.options.as_deref()).map_err(ReloadError::Configuration)?;
-        self.config.check_successor(&config).map_err(ReloadError::Configuration)?;
+        self.config.validate_replacement(&config).map_err(ReloadError::Configuration)?;
         let check_listeners =
             self.checks.open(config.options.health.as_ref()).map_err(ReloadError::Listen)?;
         Ok((config, check_listeners))
