--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -156,7 +156,7 @@
             call = call.or_else(|| protocol.feed(bytes));
             read_bytes < READ_BYTES_PER_TURN
         });
-        if drained == Err(stream::Ended::Reset) {
+        if drained == Err(stream::StreamEnd::Reset) {
             self.close(context, key, CloseReason::Reset);
             return None;
         }
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -97,11 +97,11 @@
         return Turn { progress: Progress::Finished(CheckCloseReason::Answered), was_active };
     }
     let progress = match (read, written) {
-        (_, Err(_)) | (Err(stream::Ended::Reset), _) => Progress::Finished(CheckCloseReason::Reset),
-        (Err(stream::Ended::Closed), _) if http.has_partial_request() => {
+        (_, Err(_)) | (Err(stream::StreamEnd::Reset), _) => Progress::Finished(CheckCloseReason::Reset),
+        (Err(stream::StreamEnd::Closed), _) if http.has_partial_request() => {
             Progress::Finished(CheckCloseReason::CutShort)
         }
-        (Err(stream::Ended::Closed), _) => Progress::Finished(CheckCloseReason::Closed),
+        (Err(stream::StreamEnd::Closed), _) => Progress::Finished(CheckCloseReason::Closed),
         // The socket reports when it can be written again. It doesn't report input again that was left unread or unanswered.
         (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => Progress::WaitsForSocket,
         _ => Progress::MoreToDo,
@@ -126,7 +126,7 @@
     } else {
         Ok(false)
     };
-    if read == Err(stream::Ended::Reset) {
+    if read == Err(stream::StreamEnd::Reset) {
         return Turn::inactive(Progress::Finished(CheckCloseReason::Reset));
     }
     if read.is_err() {
@@ -163,7 +163,7 @@
         query.is_none()
     });
     if reply.is_none() {
-        if read == Err(stream::Ended::Closed) {
+        if read == Err(stream::StreamEnd::Closed) {
             query = query.or_else(|| line.input_ended());
         }
         *reply = query.map(|query| agent_reply(context, &query, source));
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -1,7 +1,7 @@
 //! One client: its socket, protocol state and request, and its rank among the clients that can be shed.
 
 use super::super::statement_payload::StatementPayload;
-use super::super::stream::Ended;
+use super::super::stream::StreamEnd;
 use super::close_reason::ClientCloseReason;
 use crate::core::AttemptId;
 use crate::pg::frontend::{EndReason, Frontend};
@@ -164,13 +164,13 @@
     }
 
     /// Why the connection ends after its socket ended in this way.
-    pub(super) fn reason_of_end(&self, ended: Ended) -> ClientCloseReason {
-        self.close_reason_or(match ended {
-            Ended::Closed if self.protocol.only_terminate_left() => {
+    pub(super) fn close_reason_for(&self, end: StreamEnd) -> ClientCloseReason {
+        self.close_reason_or(match end {
+            StreamEnd::Closed if self.protocol.only_terminate_left() => {
                 ClientCloseReason::Protocol(EndReason::Terminate)
             }
-            Ended::Closed => ClientCloseReason::ClientClosed,
-            Ended::Reset => ClientCloseReason::ClientReset,
+            StreamEnd::Closed => ClientCloseReason::ClientClosed,
+            StreamEnd::Reset => ClientCloseReason::ClientReset,
         })
     }
 }
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -3,7 +3,7 @@
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::statement_payload::StatementPayload;
-use super::super::stream::{self, Ended};
+use super::super::stream::{self, StreamEnd};
 use super::Clients;
 use super::client::{Client, CloseMode, Closing, OpenRequest};
 use super::close_reason::ClientCloseReason;
@@ -123,7 +123,7 @@
         let read = match read {
             Ok(read) => read,
             // The client has disconnected: none of its commands is started any more.
-            Err(ended) => return Round::Close(self.reason_of_end(ended)),
+            Err(end) => return Round::Close(self.close_reason_for(end)),
         };
         self.run_commands(context, admission, key);
         match self.write_output(context, read.bytes > 0) {
@@ -148,7 +148,7 @@
     }
 
     /// Reads the socket, up to the limit of one read.
-    fn read_input(&mut self, context: &mut EventLoopContext) -> Result<InputRead, Ended> {
+    fn read_input(&mut self, context: &mut EventLoopContext) -> Result<InputRead, StreamEnd> {
         let mut bytes = 0;
         let protocol = &mut self.protocol;
         let now = context.now;
@@ -161,7 +161,7 @@
     }
 
     /// Writes the output. Returns whether all of it is written.
-    fn write_output(&mut self, context: &EventLoopContext, was_read: bool) -> Result<bool, Ended> {
+    fn write_output(&mut self, context: &EventLoopContext, was_read: bool) -> Result<bool, StreamEnd> {
         let bytes_before = self.protocol.out.pending().len();
         let written = stream::write(&mut self.stream, &mut self.protocol.out);
         if was_read || self.protocol.out.pending().len() < bytes_before {
--- a/proxy/src/net/discovery_connection/responses.rs
+++ b/proxy/src/net/discovery_connection/responses.rs
@@ -1,7 +1,7 @@
 //! Responses of discovery: read from the connection, and the next poll that follows each.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::stream::{self, Ended};
+use super::super::stream::{self, StreamEnd};
 use super::close_reason::CloseReason;
 use super::{DiscoveryConnection, PollState};
 use crate::discovery::{EndpointUpdate, PollError, PollResponse, RESPONSE_TIMEOUT_MICROS};
@@ -13,7 +13,7 @@
 /// The result of reading the connection once.
 struct DiscoveryEvent {
     response: Result<Option<PollResponse>, PollError>,
-    ended: Option<Ended>,
+    ended: Option<StreamEnd>,
 }
 
 impl DiscoveryConnection {
@@ -26,8 +26,8 @@
         match (response, ended) {
             (Err(error), _) => self.fail(context, &error),
             (Ok(Some(response)), ended) => return self.finish_poll(context, response, ended.is_some()),
-            (Ok(None), Some(Ended::Closed)) => self.fail(context, &PollError::Closed),
-            (Ok(None), Some(Ended::Reset)) => self.fail(context, &PollError::Reset),
+            (Ok(None), Some(StreamEnd::Closed)) => self.fail(context, &PollError::Closed),
+            (Ok(None), Some(StreamEnd::Reset)) => self.fail(context, &PollError::Reset),
             (Ok(None), None) => {
                 if self.watch.response_started() && self.state == PollState::Requested {
                     self.enter(context, PollState::Receiving, RESPONSE_TIMEOUT_MICROS);
@@ -50,7 +50,7 @@
             true
         });
         // A reset does not complete a response without a length.
-        if ended == Err(Ended::Closed) && response == Ok(None) {
+        if ended == Err(StreamEnd::Closed) && response == Ok(None) {
             response = watch.finish_on_close();
         }
         Some(DiscoveryEvent { response, ended: ended.err() })
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -102,7 +102,7 @@
     }
 
     /// Reads what has arrived.
-    pub(super) fn read_input(&mut self, scratch: &mut [u8]) -> Result<(), stream::Ended> {
+    pub(super) fn read_input(&mut self, scratch: &mut [u8]) -> Result<(), stream::StreamEnd> {
         if !self.is_connected() {
             return Ok(());
         }
@@ -115,7 +115,7 @@
     }
 
     /// Writes the output as far as the socket accepts it.
-    pub(super) fn write_output(&mut self) -> Result<(), stream::Ended> {
+    pub(super) fn write_output(&mut self) -> Result<(), stream::StreamEnd> {
         if !self.is_connected() {
             return Ok(());
         }
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -2,7 +2,7 @@
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::ConnectionKey;
-use super::super::stream::{self, Ended};
+use super::super::stream::{self, StreamEnd};
 use super::Pool;
 use super::close_reason::DatabaseCloseReason;
 use super::connection::{ConnectionState, ConnectionTask, QueryProgress};
@@ -81,8 +81,8 @@
             let reason = match read {
                 Ok(true) => return ConnectionState::Open,
                 Ok(false) => continue,
-                Err(Ended::Closed) => DatabaseCloseReason::Closed,
-                Err(Ended::Reset) => DatabaseCloseReason::Reset,
+                Err(StreamEnd::Closed) => DatabaseCloseReason::Closed,
+                Err(StreamEnd::Reset) => DatabaseCloseReason::Reset,
             };
             self.connection_ended(context, key, reason);
             return ConnectionState::Closed;
--- a/proxy/src/net/stream.rs
+++ b/proxy/src/net/stream.rs
@@ -5,7 +5,7 @@
 
 /// How a connection ended, as far as the socket reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ended {
+pub(super) enum StreamEnd {
     /// The other side closed it.
     Closed,
     /// It was reset, or failed in another way.
@@ -18,10 +18,10 @@
     stream: &mut impl Read,
     scratch: &mut [u8],
     mut take: impl FnMut(&[u8]) -> bool,
-) -> Result<bool, Ended> {
+) -> Result<bool, StreamEnd> {
     loop {
         match stream.read(scratch) {
-            Ok(0) => return Err(Ended::Closed),
+            Ok(0) => return Err(StreamEnd::Closed),
             Ok(count) => {
                 if !take(&scratch[..count]) {
                     return Ok(false);
@@ -29,28 +29,28 @@
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(true),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return Err(Ended::Reset),
+            Err(_) => return Err(StreamEnd::Reset),
         }
     }
 }
 
 /// Writes the output as far as the socket accepts it. Returns whether all of it is written.
-pub(super) fn write(stream: &mut impl Write, out: &mut Outbox) -> Result<bool, Ended> {
+pub(super) fn write(stream: &mut impl Write, out: &mut Outbox) -> Result<bool, StreamEnd> {
     let written = write_some(stream, out.pending())?;
     out.advance(written);
     Ok(out.pending().is_empty())
 }
 
 /// Writes bytes as far as the socket accepts them. Returns how many are written.
-pub(super) fn write_some(stream: &mut impl Write, bytes: &[u8]) -> Result<usize, Ended> {
+pub(super) fn write_some(stream: &mut impl Write, bytes: &[u8]) -> Result<usize, StreamEnd> {
     let mut written = 0;
     while written < bytes.len() {
         match stream.write(&bytes[written..]) {
-            Ok(0) => return Err(Ended::Reset),
+            Ok(0) => return Err(StreamEnd::Reset),
             Ok(count) => written += count,
             Err(error) if error.kind() == ErrorKind::WouldBlock => break,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return Err(Ended::Reset),
+            Err(_) => return Err(StreamEnd::Reset),
         }
     }
     Ok(written)
