--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -104,7 +104,7 @@
     fn set_ready_at(&mut self, at: Micros) {
         self.health.ready_at = at;
         self.record_health_event(HealthEvent::ReadyAt(at));
-        self.checks.accept_from(at);
+        self.checks.set_accept_start(at);
         self.context.timers.set(at - LISTEN_AHEAD_MICROS, TimerEvent::OpenCheckListeners);
     }
 
@@ -208,7 +208,7 @@
     pub(super) fn reopen_check_listeners(&mut self) {
         self.checks.close_inactive(&mut self.context);
         let may_listen = self.context.now >= self.health.ready_at - LISTEN_AHEAD_MICROS;
-        if self.checks.lacks_listener() && !self.health.handing_over && may_listen {
+        if self.checks.is_missing_listener() && !self.health.handing_over && may_listen {
             self.checks.reopen_listeners(&mut self.context);
         }
     }
--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -50,7 +50,7 @@
     /// It had no request for long enough.
     Idle,
     /// The balancer closed it within a request.
-    CutShort,
+    RequestTruncated,
     /// It broke.
     Reset,
     /// It makes room for another.
@@ -58,7 +58,7 @@
     /// No complete request came, or the response was not read, in time.
     Unresponsive,
     /// Health reporting is switched off.
-    Off,
+    ListenerDisabled,
 }
 
 impl CheckCloseReason {
@@ -68,16 +68,16 @@
             CheckCloseReason::Answered => "answered",
             CheckCloseReason::Closed => "closed",
             CheckCloseReason::Idle => "idle",
-            CheckCloseReason::CutShort => "cut-short",
+            CheckCloseReason::RequestTruncated => "cut-short",
             CheckCloseReason::Reset => "reset",
             CheckCloseReason::Shed => "shed",
             CheckCloseReason::Unresponsive => "unresponsive",
-            CheckCloseReason::Off => "off",
+            CheckCloseReason::ListenerDisabled => "off",
         }
     }
 
     /// The connection ended as it should. There are hundreds of these a second.
-    pub(super) fn is_ordinary(self) -> bool {
+    pub(super) fn is_expected(self) -> bool {
         matches!(self, CheckCloseReason::Answered | CheckCloseReason::Closed | CheckCloseReason::Idle)
     }
 }
@@ -129,7 +129,7 @@
     }
 
     /// Sends a ping if watches leave it without traffic for long.
-    pub(super) fn ping_if_quiet(&mut self, now: Micros, options: &HealthOptions) -> bool {
+    pub(super) fn ping_if_idle(&mut self, now: Micros, options: &HealthOptions) -> bool {
         let idle_timeout = options.grpc.as_ref().map_or(0, |grpc| grpc.idle_timeout);
         match &mut self.state {
             ProtocolState::Grpc(grpc) if grpc.has_watches() && now - self.active_at >= idle_timeout / 2 => {
@@ -141,7 +141,7 @@
     }
 
     /// Why it is to be closed for inactivity, if it is.
-    pub(super) fn inactivity(&self, now: Micros, options: &HealthOptions) -> Option<CheckCloseReason> {
+    pub(super) fn inactivity_reason(&self, now: Micros, options: &HealthOptions) -> Option<CheckCloseReason> {
         let (timeout, reason) = match &self.state {
             ProtocolState::Http(http)
                 if http.requests_answered() > 0 && !http.has_partial_request() && http.output.is_empty() =>
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -26,7 +26,7 @@
     socket: TcpListener,
     address: SocketAddr,
     /// Connections may wait to be accepted.
-    pub(super) may_have_waiting: bool,
+    pub(super) accept_pending: bool,
 }
 
 /// Listeners opened for options that aren't in force yet.
@@ -62,7 +62,7 @@
                 address,
                 error,
             })?;
-            opened.push(OpenListener { protocol, socket, address, may_have_waiting: true });
+            opened.push(OpenListener { protocol, socket, address, accept_pending: true });
         }
         Ok(OpenedListeners(opened))
     }
@@ -86,7 +86,7 @@
         }
         if options.is_none() {
             let keys: Vec<CheckKey> = self.connections.iter().map(|(key, _)| CheckKey(key)).collect();
-            keys.into_iter().for_each(|key| self.close(context, key, CheckCloseReason::Off));
+            keys.into_iter().for_each(|key| self.close(context, key, CheckCloseReason::ListenerDisabled));
         }
         self.options = options;
     }
@@ -120,37 +120,37 @@
         if !self.shares_addresses {
             return;
         }
-        self.listeners.iter_mut().for_each(|listener| listener.may_have_waiting = true);
+        self.listeners.iter_mut().for_each(|listener| listener.accept_pending = true);
         self.accept(context);
         self.listeners.drain(..).for_each(|listener| close_listener(context, listener));
     }
 
     /// Some listener that the options require isn't open.
-    pub(crate) fn lacks_listener(&self) -> bool {
+    pub(crate) fn is_missing_listener(&self) -> bool {
         let wanted = self.options.iter().flat_map(wanted_listeners).count();
         wanted > self.listeners.len()
     }
 
     /// No connection is accepted before this time.
-    pub(crate) fn accept_from(&mut self, at: Micros) {
-        self.accepts_from = at;
+    pub(crate) fn set_accept_start(&mut self, at: Micros) {
+        self.accept_start = at;
     }
 
     /// A listener has connections to accept.
     pub(crate) fn listener_ready(&mut self, source: Source) {
         let ready = self.listeners.iter_mut().filter(|listener| listener.protocol.source() == source);
-        ready.for_each(|listener| listener.may_have_waiting = true);
+        ready.for_each(|listener| listener.accept_pending = true);
     }
 
     /// Accepts connections of all listeners, a bounded number of each.
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
-        if context.now < self.accepts_from {
+        if context.now < self.accept_start {
             return;
         }
         for index in 0..self.listeners.len() {
             for _ in 0..MAX_ACCEPTED_PER_TURN {
                 let listener = &mut self.listeners[index];
-                if !listener.may_have_waiting {
+                if !listener.accept_pending {
                     break;
                 }
                 match listener.socket.accept() {
@@ -160,7 +160,7 @@
                     }
                     // After other errors, the next connection or `close_inactive` makes it try again.
                     Err(error) => {
-                        listener.may_have_waiting =
+                        listener.accept_pending =
                             matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted);
                     }
                 }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -41,7 +41,7 @@
     unfinished: Vec<CheckKey>,
     last_serial: CheckSerial,
     /// No connection is accepted before this time: another process answers until then.
-    accepts_from: Micros,
+    accept_start: Micros,
     /// Another process of this proxy may listen at the same addresses.
     shares_addresses: bool,
 }
@@ -56,16 +56,16 @@
             connections: Slab::new(),
             unfinished: Vec::new(),
             last_serial: CheckSerial::default(),
-            accepts_from: 0,
+            accept_start: 0,
             shares_addresses,
         }
     }
 
     /// There is work left for which no socket will report an event.
     pub(super) fn has_pending_work(&self, now: Micros) -> bool {
-        let may_accept = now >= self.accepts_from;
+        let may_accept = now >= self.accept_start;
         !self.unfinished.is_empty()
-            || (may_accept && self.listeners.iter().any(|listener| listener.may_have_waiting))
+            || (may_accept && self.listeners.iter().any(|listener| listener.accept_pending))
     }
 
     /// Goes on with unfinished work and accepts connections.
@@ -83,8 +83,8 @@
         let Some(connection) = self.connections.get_mut(key.0) else { return };
         match serve(context, connection, source) {
             Progress::Finished(reason) => self.close(context, key, reason),
-            Progress::MoreToDo => self.unfinished.push(key),
-            Progress::WaitsForSocket => {}
+            Progress::WorkRemaining => self.unfinished.push(key),
+            Progress::WaitingForSocket => {}
         }
     }
 
@@ -108,19 +108,18 @@
 
     /// Closes connections that are inactive for too long.
     pub(super) fn close_inactive(&mut self, context: &mut EventLoopContext) {
-        self.listeners.iter_mut().for_each(|listener| listener.may_have_waiting = true);
+        self.listeners.iter_mut().for_each(|listener| listener.accept_pending = true);
         let Some(options) = &self.options else { return };
         let now = context.now;
         let mut pinged = Vec::new();
         for (key, connection) in &mut self.connections {
-            if connection.ping_if_quiet(now, options) {
+            if connection.ping_if_idle(now, options) {
                 pinged.push(CheckKey(key));
             }
         }
-        let inactive = self
-            .connections
-            .iter()
-            .filter_map(|(key, connection)| Some((CheckKey(key), connection.inactivity(now, options)?)));
+        let inactive = self.connections.iter().filter_map(|(key, connection)| {
+            Some((CheckKey(key), connection.inactivity_reason(now, options)?))
+        });
         for (key, reason) in inactive.collect::<Vec<_>>() {
             self.close(context, key, reason);
         }
@@ -179,8 +178,8 @@
         let mut connection = self.connections.remove(key.0);
         // Fails only if the socket isn't registered, which is as well.
         let _ = context.poll.registry().deregister(&mut connection.stream);
-        let (kind, ordinary, reason) = (connection.protocol.as_str(), reason.is_ordinary(), reason.as_str());
-        if ordinary {
+        let (kind, expected, reason) = (connection.protocol.as_str(), reason.is_expected(), reason.as_str());
+        if expected {
             debug!(conn = "check", kind, reason);
         } else {
             info!(conn = "check", kind, reason);
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -21,21 +21,21 @@
     /// It is to be closed.
     Finished(CheckCloseReason),
     /// It has more to do, for which the socket will report no event.
-    MoreToDo,
+    WorkRemaining,
     /// It waits for its socket.
-    WaitsForSocket,
+    WaitingForSocket,
 }
 
 /// What a turn of a connection came to.
-struct Turn {
+struct TurnResult {
     progress: Progress,
     /// It completed a request, or its output went on.
     was_active: bool,
 }
 
-impl Turn {
-    fn inactive(progress: Progress) -> Turn {
-        Turn { progress, was_active: false }
+impl TurnResult {
+    fn inactive(progress: Progress) -> TurnResult {
+        TurnResult { progress, was_active: false }
     }
 }
 
@@ -58,9 +58,9 @@
         (ProtocolState::Http(http), Some(observer)) => serve_http(context, stream, http, observer),
         (ProtocolState::Grpc(grpc), Some(observer)) => serve_grpc(context, stream, grpc, observer),
         (ProtocolState::Agent { line, reply }, Some(_)) => {
-            Turn::inactive(serve_agent(context, stream, line, reply, source))
+            TurnResult::inactive(serve_agent(context, stream, line, reply, source))
         }
-        (_, None) => Turn::inactive(Progress::Finished(CheckCloseReason::Off)),
+        (_, None) => TurnResult::inactive(Progress::Finished(CheckCloseReason::ListenerDisabled)),
     };
     if turn.was_active {
         connection.active_at = now;
@@ -75,7 +75,7 @@
     stream: &mut TcpStream,
     http: &mut HttpCheckConnection,
     observer: &Shared<HealthObserver>,
-) -> Turn {
+) -> TurnResult {
     let answered_before = http.requests_answered();
     let read = if http.wants_input() {
         let length = MAX_READ_BYTES.min(context.scratch.len());
@@ -94,19 +94,21 @@
     let was_active = http.requests_answered() > answered_before || http.output.len() < pending;
     if http.is_finished() {
         let _ = stream.shutdown(Shutdown::Write);
-        return Turn { progress: Progress::Finished(CheckCloseReason::Answered), was_active };
+        return TurnResult { progress: Progress::Finished(CheckCloseReason::Answered), was_active };
     }
     let progress = match (read, written) {
         (_, Err(_)) | (Err(stream::StreamEnd::Reset), _) => Progress::Finished(CheckCloseReason::Reset),
         (Err(stream::StreamEnd::Closed), _) if http.has_partial_request() => {
-            Progress::Finished(CheckCloseReason::CutShort)
+            Progress::Finished(CheckCloseReason::RequestTruncated)
         }
         (Err(stream::StreamEnd::Closed), _) => Progress::Finished(CheckCloseReason::Closed),
         // The socket reports when it can be written again. It doesn't report input again that was left unread or unanswered.
-        (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => Progress::WaitsForSocket,
-        _ => Progress::MoreToDo,
+        (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => {
+            Progress::WaitingForSocket
+        }
+        _ => Progress::WorkRemaining,
     };
-    Turn { progress, was_active }
+    TurnResult { progress, was_active }
 }
 
 /// Serves a gRPC connection.
@@ -115,7 +117,7 @@
     stream: &mut TcpStream,
     grpc: &mut GrpcCheckConnection,
     observer: &Shared<HealthObserver>,
-) -> Turn {
+) -> TurnResult {
     let activity_before = grpc.activity();
     let read = if grpc.wants_input() {
         let length = MAX_READ_BYTES.min(context.scratch.len());
@@ -127,7 +129,7 @@
         Ok(false)
     };
     if read == Err(stream::StreamEnd::Reset) {
-        return Turn::inactive(Progress::Finished(CheckCloseReason::Reset));
+        return TurnResult::inactive(Progress::Finished(CheckCloseReason::Reset));
     }
     if read.is_err() {
         grpc.input_ended();
@@ -135,18 +137,18 @@
     let more_to_process = grpc.process(observer.borrow_mut().verdict(context.now));
     let output = grpc.take_output();
     let Ok(written) = stream::write_some(stream, &output) else {
-        return Turn::inactive(Progress::Finished(CheckCloseReason::Reset));
+        return TurnResult::inactive(Progress::Finished(CheckCloseReason::Reset));
     };
     grpc.return_output(&output[written..]);
     let was_active = grpc.activity() > activity_before;
     if grpc.is_finished() {
-        return Turn { progress: Progress::Finished(CheckCloseReason::Closed), was_active };
+        return TurnResult { progress: Progress::Finished(CheckCloseReason::Closed), was_active };
     }
     // Written output makes room for more, which no socket reports.
-    let may_go_on = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
+    let may_continue = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
     let progress =
-        if may_go_on && !grpc.has_output() { Progress::MoreToDo } else { Progress::WaitsForSocket };
-    Turn { progress, was_active }
+        if may_continue && !grpc.has_output() { Progress::WorkRemaining } else { Progress::WaitingForSocket };
+    TurnResult { progress, was_active }
 }
 
 /// Serves an agent-check.
@@ -172,14 +174,14 @@
         return if read.is_err() {
             Progress::Finished(CheckCloseReason::Reset)
         } else {
-            Progress::WaitsForSocket
+            Progress::WaitingForSocket
         };
     };
     match stream::write_some(stream, unwritten) {
         Err(_) => Progress::Finished(CheckCloseReason::Reset),
         Ok(written) if written < unwritten.len() => {
             unwritten.drain(..written);
-            Progress::WaitsForSocket
+            Progress::WaitingForSocket
         }
         Ok(_) => {
             let _ = stream.shutdown(Shutdown::Write);
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -27,7 +27,7 @@
             TimerEvent::StopAcceptingChecks if self.health.handing_over => {
                 self.checks.stop_listening(context)
             }
-            TimerEvent::OpenCheckListeners if self.checks.lacks_listener() => {
+            TimerEvent::OpenCheckListeners if self.checks.is_missing_listener() => {
                 self.checks.reopen_listeners(context);
             }
             TimerEvent::StopAcceptingChecks | TimerEvent::OpenCheckListeners => {}
