--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -64,7 +64,7 @@
                 Err(_) if self.reserve_descriptor.take().is_some() => continue,
                 Err(error) => {
                     warn!(event = "accept-failed", error = %Quoted(error));
-                    self.shed(context, None, ShedClass::Newcomer);
+                    self.shed(context, None, ShedClass::InGracePeriod);
                     self.pause_accepting(context);
                 }
             }
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -54,7 +54,7 @@
         if let Some(value) = &mut client.streamed_value {
             value.chunk_unsent = true;
         }
-        client.protocol.out.append(bytes);
+        client.protocol.outbox.append(bytes);
         self.process_client(context, key);
     }
 
@@ -66,8 +66,8 @@
     }
 
     /// A streamed value of which the client has taken all that was received.
-    pub(crate) fn next_ready_for_more(&mut self) -> Option<AttemptId> {
-        self.ready_for_more.pop()
+    pub(crate) fn next_attempt_to_resume(&mut self) -> Option<AttemptId> {
+        self.attempts_to_resume.pop()
     }
 
     /// The client, if it still waits for the answer to this request.
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -56,7 +56,7 @@
     /// It has been answered, and has no open request.
     Idle,
     /// It was accepted within the grace period, and has made no request yet.
-    Newcomer,
+    InGracePeriod,
 }
 
 /// The rank in the order in which clients are shed: by class, then the longest idle. Of clients idle equally long, as many are that
@@ -140,19 +140,19 @@
     /// Its rank among the clients that can be shed.
     pub(super) fn shed_rank(&self, now: Micros) -> ShedRank {
         let since = self.incomplete_since.unwrap_or(self.last_active_at);
-        let had_time = self.protocol.has_received_command() || now - since >= FIRST_REQUEST_GRACE_MICROS;
+        let grace_expired = self.protocol.has_received_command() || now - since >= FIRST_REQUEST_GRACE_MICROS;
         let class = match self.answered_requests {
             _ if self.is_draining() => ShedClass::Draining,
-            0 if had_time => ShedClass::NoRequest,
-            0 => ShedClass::Newcomer,
+            0 if grace_expired => ShedClass::NoRequest,
+            0 => ShedClass::InGracePeriod,
             _ => ShedClass::Idle,
         };
         ShedRank { class, since, serial: self.serial }
     }
 
     /// The attempt whose value can be read on, if the client has taken what was received of it. Returned once for each chunk.
-    pub(super) fn take_ready_for_more(&mut self) -> Option<AttemptId> {
-        let output_is_empty = self.protocol.out.pending().is_empty();
+    pub(super) fn take_attempt_to_resume(&mut self) -> Option<AttemptId> {
+        let output_is_empty = self.protocol.outbox.pending().is_empty();
         let value = self.streamed_value.as_mut().filter(|value| value.chunk_unsent && output_is_empty)?;
         value.chunk_unsent = false;
         Some(value.attempt)
@@ -166,7 +166,7 @@
     /// Why the connection ends after its socket ended in this way.
     pub(super) fn close_reason_for(&self, end: StreamEnd) -> ClientCloseReason {
         self.close_reason_or(match end {
-            StreamEnd::Closed if self.protocol.only_terminate_left() => {
+            StreamEnd::Closed if self.protocol.only_terminate_unprocessed() => {
                 ClientCloseReason::Protocol(EndReason::Terminate)
             }
             StreamEnd::Closed => ClientCloseReason::ClientClosed,
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -33,7 +33,7 @@
         }
         let is_incomplete =
             self.incomplete_since.is_some_and(|since| now - since >= INCOMPLETE_MESSAGE_TIMEOUT_MICROS);
-        if !self.protocol.out.pending().is_empty() {
+        if !self.protocol.outbox.pending().is_empty() {
             (inactive_for > UNREAD_OUTPUT_TIMEOUT_MICROS).then_some(ClientCloseReason::Unresponsive)
         } else if is_incomplete {
             Some(ClientCloseReason::IncompleteMessage)
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -52,7 +52,7 @@
     /// Clients with more input than one turn takes.
     turn_incomplete: Vec<ClientKey>,
     /// Streamed values of which the clients have taken all that was received.
-    ready_for_more: Vec<AttemptId>,
+    attempts_to_resume: Vec<AttemptId>,
     /// Closed when the system has no free descriptor, so that one more accept tells whether a client waits.
     reserve_descriptor: Option<File>,
 }
@@ -87,7 +87,7 @@
             handing_over: false,
             awaiting_peer_state: false,
             turn_incomplete: Vec::new(),
-            ready_for_more: Vec::new(),
+            attempts_to_resume: Vec::new(),
             reserve_descriptor: open_reserve_descriptor(),
         })
     }
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -21,7 +21,7 @@
         self.max_clients = max_clients;
         self.early_shed_threshold = early_shed_threshold(max_clients);
         for _ in self.max_clients..self.counted_clients() {
-            self.shed(context, None, ShedClass::Newcomer);
+            self.shed(context, None, ShedClass::InGracePeriod);
         }
     }
 
@@ -33,7 +33,7 @@
 
     /// Connections to databases or to discovery need a descriptor: one client is shed.
     pub(crate) fn release_descriptor(&mut self, context: &mut EventLoopContext) {
-        self.shed(context, None, ShedClass::Newcomer);
+        self.shed(context, None, ShedClass::InGracePeriod);
     }
 
     /// How many clients count towards the limit.
@@ -43,24 +43,24 @@
 
     /// A new client counts towards the limit: another one is shed if necessary. This follows the accept, which alone tells that a
     /// client has arrived.
-    pub(super) fn shed_for(&mut self, context: &mut EventLoopContext, newcomer: Option<ClientKey>) {
+    pub(super) fn shed_for(&mut self, context: &mut EventLoopContext, new_client: Option<ClientKey>) {
         if self.counted_clients() > self.max_clients || self.reserve_descriptor.is_none() {
-            self.shed(context, newcomer, ShedClass::Newcomer);
+            self.shed(context, new_client, ShedClass::InGracePeriod);
         } else if self.counted_clients() > self.early_shed_threshold {
-            self.shed(context, newcomer, ShedClass::Idle);
+            self.shed(context, new_client, ShedClass::Idle);
         }
     }
 
-    /// Closes the client with the first rank, but not the newcomer, nor one of a later class.
+    /// Closes the client with the first rank, but not the new client, nor one of a later class.
     pub(super) fn shed(
         &mut self,
         context: &mut EventLoopContext,
-        newcomer: Option<ClientKey>,
+        new_client: Option<ClientKey>,
         last_class: ShedClass,
     ) {
         for _ in 0..MAX_SHED_ATTEMPTS {
             let clients = self.connections.iter().map(|(key, client)| (ClientKey(key), client));
-            let candidates = clients.filter(|(key, client)| Some(*key) != newcomer && client.can_be_shed());
+            let candidates = clients.filter(|(key, client)| Some(*key) != new_client && client.can_be_shed());
             let ranks = candidates.map(|(key, client)| (client.shed_rank(context.now), key));
             let first = ranks.filter(|(rank, _)| rank.class <= last_class).min();
             let Some((rank, key)) = first else { return };
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -49,7 +49,7 @@
         let close_reason = client.process_turn(context, &mut self.admission, key);
         let made_first_request = client.unclassified && client.open_request.is_some();
         client.unclassified &= !made_first_request;
-        self.ready_for_more.extend(client.take_ready_for_more());
+        self.attempts_to_resume.extend(client.take_attempt_to_resume());
         let has_request = client.open_request.is_some();
         if let Some(reason) = close_reason {
             self.close(context, key, reason);
@@ -139,7 +139,7 @@
         self.run_commands(context, admission, key);
         let more_may_have_arrived = !wants_input || !read.is_drained;
         let has_unread_input = more_may_have_arrived && self.protocol.wants_input();
-        let has_output = self.closing.is_some() || !self.protocol.out.pending().is_empty();
+        let has_output = self.closing.is_some() || !self.protocol.outbox.pending().is_empty();
         if has_unread_input || has_output {
             return Round::Continue;
         }
@@ -162,9 +162,9 @@
 
     /// Writes the output. Returns whether all of it is written.
     fn write_output(&mut self, context: &EventLoopContext, was_read: bool) -> Result<bool, StreamEnd> {
-        let bytes_before = self.protocol.out.pending().len();
-        let written = stream::write(&mut self.stream, &mut self.protocol.out);
-        if was_read || self.protocol.out.pending().len() < bytes_before {
+        let bytes_before = self.protocol.outbox.pending().len();
+        let written = stream::write(&mut self.stream, &mut self.protocol.outbox);
+        if was_read || self.protocol.outbox.pending().len() < bytes_before {
             self.last_active_at = context.now;
         }
         written
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -14,7 +14,7 @@
         loop {
             if let Some(command) = self.context.core.next_command() {
                 self.execute_command(command);
-            } else if let Some(attempt) = self.clients.next_ready_for_more() {
+            } else if let Some(attempt) = self.clients.next_attempt_to_resume() {
                 // A client that has taken what there was of a long value gets more of it.
                 self.pool.resume_reading(&mut self.context, attempt);
             } else {
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -27,7 +27,7 @@
         if connection.is_connecting() {
             return self.check_connecting(context, key);
         }
-        match stream::write(&mut connection.stream, &mut connection.protocol.out) {
+        match stream::write(&mut connection.stream, &mut connection.protocol.outbox) {
             Ok(all_written) => {
                 if all_written && connection.query == QueryProgress::Queued {
                     connection.query = QueryProgress::Written;
--- a/proxy/src/net/stream.rs
+++ b/proxy/src/net/stream.rs
@@ -35,10 +35,10 @@
 }
 
 /// Writes the output as far as the socket accepts it. Returns whether all of it is written.
-pub(super) fn write(stream: &mut impl Write, out: &mut Outbox) -> Result<bool, StreamEnd> {
-    let written = write_some(stream, out.pending())?;
-    out.advance(written);
-    Ok(out.pending().is_empty())
+pub(super) fn write(stream: &mut impl Write, outbox: &mut Outbox) -> Result<bool, StreamEnd> {
+    let written = write_some(stream, outbox.pending())?;
+    outbox.advance(written);
+    Ok(outbox.pending().is_empty())
 }
 
 /// Writes bytes as far as the socket accepts them. Returns how many are written.
--- a/proxy/src/pg/backend/mod.rs
+++ b/proxy/src/pg/backend/mod.rs
@@ -69,7 +69,7 @@
     phase: Phase,
     inbox: Inbox,
     /// Output that waits to be written.
-    pub out: Outbox,
+    pub outbox: Outbox,
     partial_reply: PartialReply,
     load_report_format: LoadReportFormat,
 }
@@ -77,12 +77,12 @@
 impl Backend {
     /// A new connection. The startup message waits to be written.
     pub(crate) fn new(load_report_format: LoadReportFormat) -> Backend {
-        let mut out = Outbox::default();
-        out.startup("api", "ledger");
+        let mut outbox = Outbox::default();
+        outbox.startup("api", "ledger");
         Backend {
             phase: Phase::Startup,
             inbox: Inbox::default(),
-            out,
+            outbox,
             partial_reply: PartialReply::default(),
             load_report_format,
         }
@@ -112,7 +112,7 @@
 
     /// Puts a query, in parts, into the output.
     fn send(&mut self, phase: Phase, query_parts: &[&[u8]]) {
-        self.out.query(query_parts);
+        self.outbox.query(query_parts);
         self.phase = phase;
         self.partial_reply = PartialReply::default();
     }
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -26,7 +26,7 @@
             None => Progress::NeedsInput,
             Some(Startup::EncryptionRequest) => {
                 // Encryption is not supported.
-                self.out.append(b"N");
+                self.outbox.append(b"N");
                 Progress::Continue
             }
             Some(Startup::CancelRequest) => {
@@ -48,13 +48,13 @@
     /// Answers the startup of a client that is accepted.
     fn accept_startup(&mut self, minor: u16, options: &[String]) {
         if minor > 0 || !options.is_empty() {
-            self.out.negotiate_version(options);
+            self.outbox.negotiate_version(options);
         }
-        self.out.authentication_ok();
+        self.outbox.authentication_ok();
         for (name, value) in PARAMETERS {
-            self.out.parameter_status(name, value);
+            self.outbox.parameter_status(name, value);
         }
-        self.out.ready_for_query();
+        self.outbox.ready_for_query();
         self.phase = Phase::Ready;
     }
 
@@ -78,7 +78,7 @@
             }
             ClientMessage::Sync => {
                 self.phase = Phase::Ready;
-                self.out.ready_for_query();
+                self.outbox.ready_for_query();
                 Progress::Continue
             }
             _ if self.phase == Phase::SkippingUntilSync => Progress::Continue,
@@ -86,7 +86,7 @@
             ClientMessage::Flush => Progress::Continue,
             ClientMessage::Extended => {
                 let message = "only simple queries are taken";
-                self.out.error(Severity::Error, SqlState::NOT_SUPPORTED, message, None);
+                self.outbox.error(Severity::Error, SqlState::NOT_SUPPORTED, message, None);
                 self.phase = Phase::SkippingUntilSync;
                 Progress::Continue
             }
@@ -100,8 +100,8 @@
     /// Parses a query. A statement becomes a command; anything else is answered here.
     fn process_query(&mut self, text: Vec<u8>, arrived_at: Micros) -> Progress {
         if text.trim_ascii().is_empty() {
-            self.out.empty_query_response();
-            self.out.ready_for_query();
+            self.outbox.empty_query_response();
+            self.outbox.ready_for_query();
             return Progress::Continue;
         }
         let Some(statement) = Statement::parse(text) else {
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -91,7 +91,7 @@
     /// No more input is read: only what has been read is answered.
     reading_stopped: bool,
     /// Output that waits to be written.
-    pub out: Outbox,
+    pub outbox: Outbox,
     /// How many more commands this turn may process.
     commands_left_in_turn: u32,
     /// How many messages have arrived after the startup.
@@ -107,7 +107,7 @@
             inbox: Inbox::default(),
             arrivals: ArrivalTimes::default(),
             reading_stopped: false,
-            out: Outbox::default(),
+            outbox: Outbox::default(),
             commands_left_in_turn: MAX_COMMANDS_PER_TURN,
             commands_received: 0,
             message_incomplete: true,
@@ -139,7 +139,7 @@
     pub(crate) fn all_input_answered(&self) -> bool {
         self.reading_stopped
             && self.accepts_messages()
-            && self.out.pending().is_empty()
+            && self.outbox.pending().is_empty()
             && (self.message_incomplete || self.inbox.len() == 0)
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// The only input that is left is the message that ends the connection.
-    pub(crate) fn only_terminate_left(&self) -> bool {
+    pub(crate) fn only_terminate_unprocessed(&self) -> bool {
         self.inbox.unread() == TERMINATE_MESSAGE
     }
 
@@ -180,7 +180,7 @@
     pub(crate) fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Ready | Phase::SkippingUntilSync)
             && self.inbox.len() == 0
-            && self.out.pending().is_empty()
+            && self.outbox.pending().is_empty()
     }
 
     /// The startup is not complete.
@@ -222,7 +222,7 @@
 
     /// Sends an error that ends the connection.
     fn fail(&mut self, code: SqlState, message: &str) {
-        self.out.error(Severity::Fatal, code, message, None);
+        self.outbox.error(Severity::Fatal, code, message, None);
         self.phase = Phase::Over;
     }
 
@@ -233,7 +233,7 @@
 
     /// Whether the client must read output before more commands are processed.
     fn output_is_full(&self) -> bool {
-        self.out.pending().len() > MAX_BUFFERED_BYTES
+        self.outbox.pending().len() > MAX_BUFFERED_BYTES
     }
 
     /// When the last of the bytes arrived that were decoded since `bytes_before` were waiting.
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -11,14 +11,14 @@
 impl Frontend {
     /// Answers the command with an error, and is ready for the next.
     pub(crate) fn reject(&mut self, code: SqlState, message: &str) {
-        self.out.error(Severity::Error, code, message, None);
-        self.out.ready_for_query();
+        self.outbox.error(Severity::Error, code, message, None);
+        self.outbox.ready_for_query();
         self.phase = Phase::Ready;
     }
 
     /// A value of this length begins.
     pub(crate) fn start_value(&mut self, binary: bool, length: usize) {
-        self.out.row_header(COLUMN, binary, length);
+        self.outbox.row_header(COLUMN, binary, length);
     }
 
     /// Sends the final answer to the statement that was returned as a command.
@@ -28,22 +28,22 @@
         match answer {
             Answer::Served(value) => {
                 self.start_value(value.binary, value.bytes.len());
-                self.out.append(&value.bytes);
-                self.out.command_complete(tag);
+                self.outbox.append(&value.bytes);
+                self.outbox.command_complete(tag);
             }
-            Answer::Streamed => self.out.command_complete(tag),
+            Answer::Streamed => self.outbox.command_complete(tag),
             Answer::Rejected { retry_after_ms } => {
                 let detail = retry_after_ms.map(|millis| millis.to_string());
                 let message = "not now; nothing ran, or a repeat is harmless";
                 let code = SqlState::TOO_MANY_CONNECTIONS;
-                self.out.error(Severity::Error, code, message, detail.as_deref());
+                self.outbox.error(Severity::Error, code, message, detail.as_deref());
             }
             Answer::Failed => {
                 let message = "no answer; it may have run";
-                self.out.error(Severity::Error, SqlState::SYSTEM_ERROR, message, None);
+                self.outbox.error(Severity::Error, SqlState::SYSTEM_ERROR, message, None);
             }
         }
-        self.out.ready_for_query();
+        self.outbox.ready_for_query();
         self.phase = Phase::Ready;
     }
 }
