--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -2,7 +2,7 @@
 //! the databases that hold its copies.
 
 use super::BackgroundWork;
-use super::task::{BackgroundTask, STATEMENT_WAIT_MS, TaskTarget};
+use super::task::{BackgroundTask, STATEMENT_TIMEOUT_MS, TaskTarget};
 use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
 use crate::hot::HotKeyObserver;
 use crate::metrics::CopyOutcome;
@@ -51,7 +51,7 @@
             // The position in the first answer is known before the second read is sent.
             CopyTask::Read(due) => {
                 let group = GroupId(due.key.group);
-                vec![copies::read_row(&due.key_bytes, group, id, STATEMENT_WAIT_MS); 2]
+                vec![copies::read_row(&due.key_bytes, group, id, STATEMENT_TIMEOUT_MS); 2]
             }
             CopyTask::Write(CopyWrite { key, key_bytes, copy, .. }) => {
                 vec![copies::write_copy(GroupId(key.group), key_bytes, copy.position, &copy.value)]
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -2,7 +2,7 @@
 //! its result is returned to the verifier.
 
 use super::BackgroundWork;
-use super::task::{BackgroundTask, STATEMENT_WAIT_MS, TaskTarget};
+use super::task::{BackgroundTask, STATEMENT_TIMEOUT_MS, TaskTarget};
 use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
 use crate::observe::Shared;
 use crate::pg::{commit_time_query, copies};
@@ -48,14 +48,14 @@
     pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         let DueQuery { query, ref key_bytes, .. } = self.due;
         let group = GroupId(self.due.group);
-        let read = copies::read_row(key_bytes, group, id, STATEMENT_WAIT_MS);
+        let read = copies::read_row(key_bytes, group, id, STATEMENT_TIMEOUT_MS);
         match query {
             ComparisonQuery::SingleRead(_) => vec![read],
             // Positions come with answers: one before the read that counts, one with it.
             ComparisonQuery::Sample(_) => vec![read; 2],
             ComparisonQuery::SampleParent => {
                 let with_commit_time =
-                    commit_time_query::read_row_with_commit_time(key_bytes, group, id, STATEMENT_WAIT_MS);
+                    commit_time_query::read_row_with_commit_time(key_bytes, group, id, STATEMENT_TIMEOUT_MS);
                 vec![read, with_commit_time]
             }
         }
--- a/proxy/src/net/background/task.rs
+++ b/proxy/src/net/background/task.rs
@@ -6,7 +6,7 @@
 use birchreach::GroupId;
 
 /// The time limit that a statement names, in milliseconds.
-pub(super) const STATEMENT_WAIT_MS: u64 = 1_000;
+pub(super) const STATEMENT_TIMEOUT_MS: u64 = 1_000;
 
 /// A task at one database.
 #[derive(Clone, Debug, PartialEq)]
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -54,12 +54,13 @@
     /// Puts an attempt's statement into the output, with the time that is left of its deadline.
     fn queue_statement(&mut self, context: &EventLoopContext, key: ConnectionKey, task: &AttemptTask) {
         let protocol = &mut self.connections[key].protocol;
-        let left_ms = u64::try_from((task.deadline - context.now) / MICROS_PER_MILLI).unwrap_or(1).max(1);
+        let remaining_ms =
+            u64::try_from((task.deadline - context.now) / MICROS_PER_MILLI).unwrap_or(1).max(1);
         if task.from_copy {
             let position = context.core.required_copy_position(context.now, task.attempt);
-            protocol.send_copy_read(&task.statement, left_ms, position);
+            protocol.send_copy_read(&task.statement, remaining_ms, position);
         } else {
-            protocol.send_statement(&task.statement, left_ms);
+            protocol.send_statement(&task.statement, remaining_ms);
         }
         self.attempt_connections.insert(task.attempt, key);
     }
--- a/proxy/src/pg/backend/messages.rs
+++ b/proxy/src/pg/backend/messages.rs
@@ -53,11 +53,11 @@
     fn handle_error(&mut self, code: SqlState) -> Result<Option<BackendEvent>, DecodeError> {
         if self.phase == Phase::Startup {
             self.partial_reply.error = Some(code);
-            self.phase = Phase::Over;
+            self.phase = Phase::Closed;
             return Ok(Some(BackendEvent::Rejected(self.take_reply(ExpectedReply::Value))));
         }
         if self.phase.expected_reply().is_none() || self.partial_reply.stage == ReplyStage::Complete {
-            return Err(DecodeError::OutOfPlace);
+            return Err(DecodeError::UnexpectedMessage);
         }
         self.partial_reply.error = Some(code);
         self.partial_reply.stage = ReplyStage::Complete;
@@ -68,7 +68,7 @@
     fn handle_row_description(&mut self, binary: bool) -> Result<Option<BackendEvent>, DecodeError> {
         let is_expected = self.phase.expected_reply().is_some() && (binary || !self.phase.serves_client());
         if !is_expected || self.partial_reply.stage != ReplyStage::Nothing {
-            return Err(DecodeError::OutOfPlace);
+            return Err(DecodeError::UnexpectedMessage);
         }
         self.partial_reply.stage = ReplyStage::Description;
         Ok(None)
@@ -77,7 +77,7 @@
     /// The reply's one row, which follows its description.
     fn handle_row(&mut self, bytes: Vec<u8>) -> Result<Option<BackendEvent>, DecodeError> {
         if self.partial_reply.stage != ReplyStage::Description {
-            return Err(DecodeError::OutOfPlace);
+            return Err(DecodeError::UnexpectedMessage);
         }
         let binary = self.phase != Phase::LoadReportQuery;
         self.partial_reply.value = Some(Value { bytes, binary });
@@ -91,7 +91,7 @@
             ReplyStage::Row => {}
             // No row, or a statement that returns none.
             ReplyStage::Nothing | ReplyStage::Description if self.phase == Phase::BackgroundQuery => {}
-            _ => return Err(DecodeError::OutOfPlace),
+            _ => return Err(DecodeError::UnexpectedMessage),
         }
         self.partial_reply.stage = ReplyStage::Complete;
         Ok(None)
@@ -106,7 +106,7 @@
         }
         let expected =
             self.phase.expected_reply().filter(|_| self.partial_reply.stage == ReplyStage::Complete);
-        let expected = expected.ok_or(DecodeError::OutOfPlace)?;
+        let expected = expected.ok_or(DecodeError::UnexpectedMessage)?;
         self.phase = Phase::Idle;
         Ok(BackendEvent::QueryCompleted(self.take_reply(expected)))
     }
--- a/proxy/src/pg/backend/mod.rs
+++ b/proxy/src/pg/backend/mod.rs
@@ -27,14 +27,14 @@
     /// A statement that no client sent.
     BackgroundQuery,
     /// The connection cannot be used any more.
-    Over,
+    Closed,
 }
 
 impl Phase {
     /// The kind of reply to the query in flight, if there is one.
     fn expected_reply(self) -> Option<ExpectedReply> {
         match self {
-            Phase::Startup | Phase::Idle | Phase::Over => None,
+            Phase::Startup | Phase::Idle | Phase::Closed => None,
             Phase::Statement | Phase::BackgroundQuery => Some(ExpectedReply::Value),
             Phase::CopyRead { required_position } => Some(ExpectedReply::Copy { required_position }),
             Phase::LoadReportQuery => Some(ExpectedReply::LoadReport),
@@ -89,14 +89,19 @@
     }
 
     /// Forwards a statement, unchanged except for the remaining wait.
-    pub(crate) fn send_statement(&mut self, statement: &Statement, left_ms: u64) {
-        let (head, tail) = statement.text_around_deadline();
-        self.send(Phase::Statement, &[head, left_ms.to_string().as_bytes(), tail]);
+    pub(crate) fn send_statement(&mut self, statement: &Statement, remaining_ms: u64) {
+        let (head, tail) = statement.text_around_timeout();
+        self.send(Phase::Statement, &[head, remaining_ms.to_string().as_bytes(), tail]);
     }
 
     /// Asks for the copy of what the statement reads, if it has this position.
-    pub(crate) fn send_copy_read(&mut self, statement: &Statement, left_ms: u64, required_position: Micros) {
-        let query = copies::read_copy(statement, left_ms, required_position);
+    pub(crate) fn send_copy_read(
+        &mut self,
+        statement: &Statement,
+        remaining_ms: u64,
+        required_position: Micros,
+    ) {
+        let query = copies::read_copy(statement, remaining_ms, required_position);
         self.send(Phase::CopyRead { required_position }, &[&query]);
     }
 
@@ -124,7 +129,7 @@
 
     /// The next event in the bytes received so far.
     pub(crate) fn next_event(&mut self) -> Option<BackendEvent> {
-        while self.phase != Phase::Over {
+        while self.phase != Phase::Closed {
             if self.is_streaming() {
                 return self.next_value_chunk();
             }
@@ -165,7 +170,7 @@
 
     /// The connection has ended. A reply that was complete except for the last message still counts.
     pub(crate) fn connection_ended(&mut self) -> Option<BackendEvent> {
-        let phase = std::mem::replace(&mut self.phase, Phase::Over);
+        let phase = std::mem::replace(&mut self.phase, Phase::Closed);
         let expected = phase.expected_reply().filter(|_| self.partial_reply.stage == ReplyStage::Complete)?;
         Some(BackendEvent::QueryCompleted(self.take_reply(expected)))
     }
--- a/proxy/src/pg/codec/error.rs
+++ b/proxy/src/pg/codec/error.rs
@@ -21,7 +21,7 @@
     /// The parts of a database's message do not add up to its length.
     InvalidContents,
     /// A database sent a message that is not allowed in the present state.
-    OutOfPlace,
+    UnexpectedMessage,
     /// A database requests a password.
     PasswordRequested,
 }
@@ -36,7 +36,7 @@
             DecodeError::StartupParameterWithoutValue => "a startup parameter without a value",
             DecodeError::UnterminatedQuery => "a query without its end",
             DecodeError::InvalidContents => "a message whose parts do not fit it",
-            DecodeError::OutOfPlace => "a message out of place",
+            DecodeError::UnexpectedMessage => "a message out of place",
             DecodeError::PasswordRequested => "a password is wanted",
         })
     }
--- a/proxy/src/pg/codec/server.rs
+++ b/proxy/src/pg/codec/server.rs
@@ -48,7 +48,7 @@
             },
             b'E' => ServerMessage::Error { code: error_code(body).ok_or(invalid)? },
             b'N' | b'A' | b'K' | b'v' => ServerMessage::Skipped,
-            _ => return Err(DecodeError::OutOfPlace),
+            _ => return Err(DecodeError::UnexpectedMessage),
         })
     }
 }
--- a/proxy/src/pg/commit_time_query.rs
+++ b/proxy/src/pg/commit_time_query.rs
@@ -21,9 +21,9 @@
     key: &[u8],
     group: GroupId,
     id: BackgroundStatementId,
-    wait_ms: u64,
+    timeout_ms: u64,
 ) -> Vec<u8> {
-    let comment = background_comment(group, id, wait_ms);
+    let comment = background_comment(group, id, timeout_ms);
     let select: &[u8] =
         b"SELECT int8send((extract(epoch FROM pg_xact_commit_timestamp(xmin)) * 1000)::int8 + 1) || blob \
                   FROM rows WHERE handle = '";
--- a/proxy/src/pg/copies.rs
+++ b/proxy/src/pg/copies.rs
@@ -14,16 +14,23 @@
 
 /// The query for the copy of the row that a statement reads: the position and the value in one column, or an empty one. The comment
 /// is forwarded as it arrived, except for the wait.
-pub(crate) fn read_copy(statement: &Statement, left_ms: u64, required_position: Micros) -> Vec<u8> {
-    let (comment_head, comment_tail) = statement.comment_around_deadline();
+pub(crate) fn read_copy(statement: &Statement, remaining_ms: u64, required_position: Micros) -> Vec<u8> {
+    let (comment_head, comment_tail) = statement.comment_around_timeout();
     let select = format!(
         "SELECT coalesce((SELECT int8send(at) || blob FROM copies WHERE home = {} AND handle = '",
         statement.group.0
     );
     let condition = format!("' AND at >= {}), '')", to_millis_rounded_up(required_position));
-    let left = left_ms.to_string();
-    [select.as_bytes(), statement.key(), condition.as_bytes(), comment_head, left.as_bytes(), comment_tail]
-        .concat()
+    let remaining = remaining_ms.to_string();
+    [
+        select.as_bytes(),
+        statement.key(),
+        condition.as_bytes(),
+        comment_head,
+        remaining.as_bytes(),
+        comment_tail,
+    ]
+    .concat()
 }
 
 /// Parses the reply to that query: a copy that has reached the position, or else `miss`.
@@ -39,14 +46,14 @@
 }
 
 /// The query for a row in its own group, for copying or a comparison.
-pub(crate) fn read_row(key: &[u8], group: GroupId, id: BackgroundStatementId, wait_ms: u64) -> Vec<u8> {
-    let comment = background_comment(group, id, wait_ms);
+pub(crate) fn read_row(key: &[u8], group: GroupId, id: BackgroundStatementId, timeout_ms: u64) -> Vec<u8> {
+    let comment = background_comment(group, id, timeout_ms);
     [b"SELECT blob FROM rows WHERE handle = '", key, b"' ", comment.as_bytes()].concat()
 }
 
 /// The comment of a background statement that reads a row in its own group.
-pub(super) fn background_comment(group: GroupId, id: BackgroundStatementId, wait_ms: u64) -> String {
-    format!("/* id={id},c=background,d={wait_ms},cluster={} */", group.0)
+pub(super) fn background_comment(group: GroupId, id: BackgroundStatementId, timeout_ms: u64) -> String {
+    format!("/* id={id},c=background,d={timeout_ms},cluster={} */", group.0)
 }
 
 /// The statement that writes a copy, unless a newer one exists.
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -31,7 +31,7 @@
             }
             Some(Startup::CancelRequest) => {
                 // No cancellation keys are issued: a client cancels a request by closing its connection.
-                self.phase = Phase::Over;
+                self.phase = Phase::Closed;
                 Progress::Command(ClientCommand::Close(EndReason::CancelRequest))
             }
             Some(Startup::UnsupportedVersion) => {
@@ -65,15 +65,15 @@
         let arrived_at = self.take_arrival_time(bytes_before, now);
         let Some(message) = message else {
             // A message that cannot become valid is rejected before it has arrived in full.
-            let may_become_valid = self.inbox.incomplete_body().is_none_or(Statement::may_become_valid);
-            return if may_become_valid { Ok(Progress::NeedsInput) } else { Err(DecodeError::TooLong) };
+            let has_valid_prefix = self.inbox.incomplete_body().is_none_or(Statement::has_valid_prefix);
+            return if has_valid_prefix { Ok(Progress::NeedsInput) } else { Err(DecodeError::TooLong) };
         };
         self.commands_received += 1;
-        self.commands_left_in_turn -= 1;
+        self.remaining_commands_in_turn -= 1;
         self.message_incomplete = false;
         Ok(match message {
             ClientMessage::Terminate => {
-                self.phase = Phase::Over;
+                self.phase = Phase::Closed;
                 Progress::Command(ClientCommand::Close(EndReason::Terminate))
             }
             ClientMessage::Sync => {
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -31,7 +31,7 @@
     /// The next Sync, after an error in the extended protocol: messages before it are skipped.
     SkippingUntilSync,
     /// Nothing: the connection is to be closed.
-    Over,
+    Closed,
 }
 
 /// Why the protocol ends a client's connection.
@@ -93,7 +93,7 @@
     /// Output that waits to be written.
     pub outbox: Outbox,
     /// How many more commands this turn may process.
-    commands_left_in_turn: u32,
+    remaining_commands_in_turn: u32,
     /// How many messages have arrived after the startup.
     commands_received: u64,
     /// The next message has not arrived completely.
@@ -108,7 +108,7 @@
             arrivals: ArrivalTimes::default(),
             reading_stopped: false,
             outbox: Outbox::default(),
-            commands_left_in_turn: MAX_COMMANDS_PER_TURN,
+            remaining_commands_in_turn: MAX_COMMANDS_PER_TURN,
             commands_received: 0,
             message_incomplete: true,
         }
@@ -125,7 +125,7 @@
     /// Whether input should be read now. Only a little is read ahead of the command that is being answered.
     pub(crate) fn wants_input(&self) -> bool {
         let completes_message = self.accepts_messages() && self.message_incomplete && !self.output_is_full();
-        self.phase != Phase::Over
+        self.phase != Phase::Closed
             && !self.reading_stopped
             && (self.inbox.len() < MAX_BUFFERED_BYTES || completes_message)
     }
@@ -145,12 +145,12 @@
 
     /// A new turn of the loop begins.
     pub(crate) fn start_turn(&mut self) {
-        self.commands_left_in_turn = MAX_COMMANDS_PER_TURN;
+        self.remaining_commands_in_turn = MAX_COMMANDS_PER_TURN;
     }
 
     /// Commands wait for the next turn.
     pub(crate) fn commands_deferred(&self) -> bool {
-        self.commands_left_in_turn == 0
+        self.remaining_commands_in_turn == 0
             && matches!(self.phase, Phase::Ready | Phase::SkippingUntilSync)
             && self.inbox.len() > 0
     }
@@ -167,8 +167,9 @@
 
     /// No message after the startup has arrived yet, or one is incomplete.
     pub(crate) fn has_incomplete_message(&self) -> bool {
-        let message_begun = self.inbox.len() > 0 && self.message_incomplete;
-        self.commands_received == 0 || (message_begun && !matches!(self.phase, Phase::AnswerPending { .. }))
+        let has_partial_message = self.inbox.len() > 0 && self.message_incomplete;
+        self.commands_received == 0
+            || (has_partial_message && !matches!(self.phase, Phase::AnswerPending { .. }))
     }
 
     /// The rest of a message did not arrive in time: sends the error.
@@ -190,11 +191,11 @@
 
     /// The next command in the input. None while an answer is pending.
     pub(crate) fn next_command(&mut self, now: Micros) -> Option<ClientCommand> {
-        while !self.output_is_full() && self.commands_left_in_turn > 0 {
+        while !self.output_is_full() && self.remaining_commands_in_turn > 0 {
             let progress = match self.phase {
                 Phase::Startup => self.process_startup(now),
                 Phase::Ready | Phase::SkippingUntilSync => self.process_message(now),
-                Phase::AnswerPending { .. } | Phase::Over => return None,
+                Phase::AnswerPending { .. } | Phase::Closed => return None,
             };
             match progress {
                 Ok(Progress::Command(command)) => return Some(command),
@@ -223,7 +224,7 @@
     /// Sends an error that ends the connection.
     fn fail(&mut self, code: SqlState, message: &str) {
         self.outbox.error(Severity::Fatal, code, message, None);
-        self.phase = Phase::Over;
+        self.phase = Phase::Closed;
     }
 
     /// Whether messages are processed: no answer is pending.
--- a/proxy/src/pg/load_report.rs
+++ b/proxy/src/pg/load_report.rs
@@ -30,7 +30,7 @@
         };
         let position = match &self.position_field {
             None => None,
-            Some(name) => Some(position_rounded_down(number(text, name)?)),
+            Some(name) => Some(seconds_to_position_rounded_down(number(text, name)?)),
         };
         Some(LoadReport { position, role })
     }
@@ -44,7 +44,7 @@
 }
 
 /// Rounded down by half a millisecond, as its last digit may have been rounded up: it is never later than the true position.
-fn position_rounded_down(seconds: f64) -> Micros {
+fn seconds_to_position_rounded_down(seconds: f64) -> Micros {
     (seconds * MILLIS_PER_SECOND - 0.5).floor() as Micros * MICROS_PER_MILLI
 }
 
--- a/proxy/src/pg/statement/mod.rs
+++ b/proxy/src/pg/statement/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Statement {
     text: Vec<u8>,
     /// The digits of the wait (`d`) in the text.
-    deadline_range: Range<usize>,
+    timeout_range: Range<usize>,
     /// The id (`id`) in the text.
     id_range: Range<usize>,
     /// The key between the quotes in the text.
@@ -24,7 +24,7 @@
     /// The name of its class (`c`).
     pub class: String,
     /// How long the client waits, in milliseconds (`d`).
-    pub wait_ms: u32,
+    pub timeout_ms: u32,
     /// The group that the row is in (`cluster`).
     pub group: GroupId,
     /// The position that the read must see, as a Unix time in milliseconds (`after`).
@@ -40,7 +40,7 @@
 
 impl Statement {
     /// Whether a statement with this beginning can be valid. If not, it is rejected before the rest arrives.
-    pub(crate) fn may_become_valid(beginning: &[u8]) -> bool {
+    pub(crate) fn has_valid_prefix(beginning: &[u8]) -> bool {
         beginning.len() <= MAX_VALUELESS_STATEMENT_BYTES || beginning.starts_with(WRITE_PREFIX)
     }
 
@@ -55,24 +55,24 @@
     }
 
     /// The comment before and after the digits of the wait, with the space before the comment.
-    pub(crate) fn comment_around_deadline(&self) -> (&[u8], &[u8]) {
+    pub(crate) fn comment_around_timeout(&self) -> (&[u8], &[u8]) {
         let comment_start = self.key_range.end + 1;
-        (&self.text[comment_start..self.deadline_range.start], &self.text[self.deadline_range.end..])
+        (&self.text[comment_start..self.timeout_range.start], &self.text[self.timeout_range.end..])
     }
 
     /// The text before and after the digits of the wait.
-    pub(crate) fn text_around_deadline(&self) -> (&[u8], &[u8]) {
-        (&self.text[..self.deadline_range.start], &self.text[self.deadline_range.end..])
+    pub(crate) fn text_around_timeout(&self) -> (&[u8], &[u8]) {
+        (&self.text[..self.timeout_range.start], &self.text[self.timeout_range.end..])
     }
 
-    /// The request for the router, by the rules of its class. `waited` is the time since the statement arrived, which is part of
+    /// The request for the router, by the rules of its class. `elapsed` is the time since the statement arrived, which is part of
     /// the client's wait.
     pub(crate) fn routing_request(
         &self,
         class_id: ClassId,
         class: &RequestClass,
         position_source: SessionPositionSource,
-        waited: Micros,
+        elapsed: Micros,
     ) -> Result<RoutingRequest, StatementError> {
         if self.is_write != (class.consistency == Consistency::Write) {
             return Err(StatementError::ClassMismatch);
@@ -81,8 +81,8 @@
         let carries_position = class.consistency == Consistency::Session
             && position_source == SessionPositionSource::FromRequest;
         // The wait in the statement is limited by that of the class.
-        let wait = (Micros::from(self.wait_ms) * MICROS_PER_MILLI).min(class.client_timeout);
-        let margin = CLIENT_CLOCK_MARGIN_MICROS.min(wait / 10);
+        let timeout = (Micros::from(self.timeout_ms) * MICROS_PER_MILLI).min(class.client_timeout);
+        let margin = CLIENT_CLOCK_MARGIN_MICROS.min(timeout / 10);
         Ok(RoutingRequest {
             class: class_id,
             group: self.group,
@@ -91,7 +91,7 @@
                 .read_after_ms
                 .filter(|_| carries_position)
                 .map(|ms| ms * MICROS_PER_MILLI),
-            timeout: (wait - margin - waited.max(0)).max(0),
+            timeout: (timeout - margin - elapsed.max(0)).max(0),
         })
     }
 }
--- a/proxy/src/pg/statement/parser.rs
+++ b/proxy/src/pg/statement/parser.rs
@@ -24,21 +24,21 @@
         }
         let key_range = parser.key()?;
         if is_write {
-            parser.hex_value()?;
+            parser.skip_hex_value()?;
         } else {
             parser.expect(b"'")?;
         }
         let fields = parser.comment()?;
         parser.end()?;
 
-        let CommentValues { class, wait_ms, group, read_after_ms } = fields.values(&text)?;
+        let CommentValues { class, timeout_ms, group, read_after_ms } = fields.parse_values(&text)?;
         Some(Statement {
-            deadline_range: fields.wait?,
+            timeout_range: fields.timeout?,
             id_range: fields.id?,
             key_range,
             is_write,
             class,
-            wait_ms,
+            timeout_ms,
             group,
             read_after_ms,
             text,
@@ -51,7 +51,7 @@
 struct CommentFields {
     id: Option<Range<usize>>,
     class: Option<Range<usize>>,
-    wait: Option<Range<usize>>,
+    timeout: Option<Range<usize>>,
     group: Option<Range<usize>>,
     read_after: Option<Range<usize>>,
     retry: Option<Range<usize>>,
@@ -60,11 +60,11 @@
 
 impl CommentFields {
     /// The field with this name on the wire.
-    fn named(&mut self, name: &[u8]) -> Option<&mut Option<Range<usize>>> {
+    fn field_mut(&mut self, name: &[u8]) -> Option<&mut Option<Range<usize>>> {
         Some(match name {
             b"id" => &mut self.id,
             b"c" => &mut self.class,
-            b"d" => &mut self.wait,
+            b"d" => &mut self.timeout,
             b"cluster" => &mut self.group,
             b"after" => &mut self.read_after,
             b"r" => &mut self.retry,
@@ -74,7 +74,7 @@
     }
 
     /// The values that a request is made of. `None`: a field is missing, or a number is none. The number of a retry is only checked.
-    fn values(&self, text: &[u8]) -> Option<CommentValues> {
+    fn parse_values(&self, text: &[u8]) -> Option<CommentValues> {
         let number = |range: &Range<usize>| parse_number(&text[range.clone()]);
         if self.retry.as_ref().is_some_and(|range| number(range).is_none()) {
             return None;
@@ -85,7 +85,7 @@
         };
         Some(CommentValues {
             class: String::from_utf8(text[self.class.clone()?].to_vec()).ok()?,
-            wait_ms: u32::try_from(number(self.wait.as_ref()?)?).ok()?,
+            timeout_ms: u32::try_from(number(self.timeout.as_ref()?)?).ok()?,
             group: GroupId(u32::try_from(number(self.group.as_ref()?)?).ok()?),
             read_after_ms,
         })
@@ -95,7 +95,7 @@
 /// The values of a comment that a request is made of.
 struct CommentValues {
     class: String,
-    wait_ms: u32,
+    timeout_ms: u32,
     group: GroupId,
     read_after_ms: Option<i64>,
 }
@@ -119,7 +119,7 @@
     }
 
     /// The value of a write, from the end of the key to the comment.
-    fn hex_value(&mut self) -> Option<()> {
+    fn skip_hex_value(&mut self) -> Option<()> {
         self.expect(b"', '\\x")?;
         let empty = self.position..self.position;
         let digits = self.take_run(|byte| byte.is_ascii_hexdigit(), usize::MAX).unwrap_or(empty);
@@ -138,7 +138,7 @@
             self.expect(b"=")?;
             let value = self
                 .take_run(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte), MAX_FIELD_BYTES)?;
-            let field = fields.named(&self.text[name])?;
+            let field = fields.field_mut(&self.text[name])?;
             if field.replace(value).is_some() {
                 return None;
             }
@@ -168,8 +168,8 @@
     }
 
     /// One byte or more of a kind, up to this number.
-    fn take_run(&mut self, is_of_kind: impl Fn(u8) -> bool, max_bytes: usize) -> Option<Range<usize>> {
-        let length = self.text[self.position..].iter().take_while(|byte| is_of_kind(**byte)).count();
+    fn take_run(&mut self, is_accepted: impl Fn(u8) -> bool, max_bytes: usize) -> Option<Range<usize>> {
+        let length = self.text[self.position..].iter().take_while(|byte| is_accepted(**byte)).count();
         let run = self.position..self.position + length;
         self.position = run.end;
         (1..=max_bytes).contains(&length).then_some(run)
--- a/proxy/src/pg/tests/arrival_times.rs
+++ b/proxy/src/pg/tests/arrival_times.rs
@@ -87,9 +87,9 @@
     let statement = next_statement(&mut client, 0).statement;
 
     // When it is routed after some waiting.
-    let timeout_after = |waited| -> Micros {
+    let timeout_after = |elapsed| -> Micros {
         let source = SessionPositionSource::FromRequest;
-        let request: RoutingRequest = statement.routing_request(ClassId(0), &class, source, waited).unwrap();
+        let request: RoutingRequest = statement.routing_request(ClassId(0), &class, source, elapsed).unwrap();
         request.timeout
     };
 
--- a/proxy/src/pg/tests/statement.rs
+++ b/proxy/src/pg/tests/statement.rs
@@ -29,9 +29,9 @@
 
     assert!(!statement.is_write);
     assert_eq!((statement.id(), statement.key()), (&b"9b1f"[..], &b"7f3a"[..]));
-    assert_eq!((statement.class.as_str(), statement.wait_ms), ("basket", 480));
+    assert_eq!((statement.class.as_str(), statement.timeout_ms), ("basket", 480));
     assert_eq!((statement.group, statement.read_after_ms), (GroupId(2), Some(17)));
-    let (before, after) = statement.text_around_deadline();
+    let (before, after) = statement.text_around_timeout();
     assert!(before.ends_with(b",d=") && after.starts_with(b",cluster=2"));
 }
 
@@ -41,7 +41,7 @@
 
     assert!(statement.is_write);
     assert_eq!((statement.id(), statement.key()), (&b"1"[..], &b"7f3a"[..]));
-    assert_eq!((statement.class.as_str(), statement.wait_ms), ("entry", 9));
+    assert_eq!((statement.class.as_str(), statement.timeout_ms), ("entry", 9));
     assert_eq!((statement.group, statement.read_after_ms), (GroupId(0), None));
 }
 
@@ -49,7 +49,7 @@
 fn the_fields_of_a_comment_may_have_any_order() {
     let statement = parse(&read("7f3a", "k=x,cluster=2,d=480,c=basket,id=9b1f")).unwrap();
 
-    assert_eq!((statement.id(), statement.wait_ms, statement.group), (&b"9b1f"[..], 480, GroupId(2)));
+    assert_eq!((statement.id(), statement.timeout_ms, statement.group), (&b"9b1f"[..], 480, GroupId(2)));
 }
 
 #[test]
