--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -33,15 +33,15 @@
 /// The monitor's settings from the options and the deployment's settings. Probes are sent only if both allow them.
 pub(crate) fn monitor_settings(
     options: &HealthOptions,
-    site: &DeploymentSettings,
+    deployment: &DeploymentSettings,
     seed: u64,
 ) -> HealthSettings {
-    let names = site.class_names.iter();
+    let names = deployment.class_names.iter();
     let classes = names
-        .zip(&site.routing.classes)
+        .zip(&deployment.routing.classes)
         .map(|(name, class)| RequestClass { name: name.clone(), needs: required_server(&class.consistency) });
     let mut settings = HealthSettings { classes: classes.collect(), seed, ..options.settings.clone() };
-    settings.probes = settings.probes.filter(|_| site.routing.health_checks_allowed);
+    settings.probes = settings.probes.filter(|_| deployment.routing.health_checks_allowed);
     settings
 }
 
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -64,15 +64,15 @@
 }
 
 impl HotKeyObserver {
-    /// An observer that has seen nothing; `own_origin` is this process's number in reports.
+    /// An observer that has seen nothing; `local_origin` is this process's number in reports.
     pub(crate) fn new(
         settings: Settings,
-        own_origin: u64,
+        local_origin: u64,
         hasher: NameHasher,
         now: Micros,
     ) -> HotKeyObserver {
         HotKeyObserver {
-            tracker: HotKeyTracker::new(settings, own_origin, hasher.key_id, now),
+            tracker: HotKeyTracker::new(settings, local_origin, hasher.key_id, now),
             hasher,
             listed: HashMap::new(),
             list_changed: false,
--- a/proxy/src/metrics/labels.rs
+++ b/proxy/src/metrics/labels.rs
@@ -9,13 +9,13 @@
     /// It was written to its holder.
     Written,
     /// The write to its holder failed.
-    NotWritten,
+    WriteFailed,
     /// The row's value is longer than a copy may be.
     TooLong,
     /// The database answered the read of the row with an error.
-    Unreadable,
+    ReadFailed,
     /// The read of the row gave no value, or no position of a replica.
-    NotRead,
+    ReadIncomplete,
 }
 
 impl CopyOutcome {
@@ -23,10 +23,10 @@
     pub(super) fn as_str(self) -> &'static str {
         match self {
             CopyOutcome::Written => "written",
-            CopyOutcome::NotWritten => "unwritten",
+            CopyOutcome::WriteFailed => "unwritten",
             CopyOutcome::TooLong => "long",
-            CopyOutcome::Unreadable => "unreadable",
-            CopyOutcome::NotRead => "unread",
+            CopyOutcome::ReadFailed => "unreadable",
+            CopyOutcome::ReadIncomplete => "unread",
         }
     }
 }
@@ -39,7 +39,7 @@
     /// A report on a split.
     Split(ReportError),
     /// The subsystem of its channel is switched off here or unknown.
-    SubsystemOff,
+    SubsystemDisabled,
 }
 
 impl RejectedReport {
@@ -48,7 +48,7 @@
         match self {
             RejectedReport::HotKeys(_) => "hot",
             RejectedReport::Split(_) => "split",
-            RejectedReport::SubsystemOff => "other",
+            RejectedReport::SubsystemDisabled => "other",
         }
     }
 
@@ -57,7 +57,7 @@
         match self {
             RejectedReport::HotKeys(error) => error.as_str(),
             RejectedReport::Split(error) => error.as_str(),
-            RejectedReport::SubsystemOff => "off",
+            RejectedReport::SubsystemDisabled => "off",
         }
     }
 }
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -31,11 +31,11 @@
     let metrics = Metrics::new();
     for outcome in [
         CopyOutcome::Written,
-        CopyOutcome::NotWritten,
+        CopyOutcome::WriteFailed,
         CopyOutcome::TooLong,
-        CopyOutcome::Unreadable,
-        CopyOutcome::NotRead,
-        CopyOutcome::NotRead,
+        CopyOutcome::ReadFailed,
+        CopyOutcome::ReadIncomplete,
+        CopyOutcome::ReadIncomplete,
     ] {
         metrics.count_copy(outcome);
     }
@@ -103,7 +103,7 @@
         RejectedReport::HotKeys(ReportError::Mismatch(OTHER_SECRET)),
         RejectedReport::Split(ReportError::Mismatch(OTHER_DEFINITION)),
         RejectedReport::Split(ReportError::Mismatch(OTHER_DEFINITION)),
-        RejectedReport::SubsystemOff,
+        RejectedReport::SubsystemDisabled,
     ] {
         metrics.count_rejected_report(report);
     }
@@ -133,7 +133,7 @@
 fn every_metric_has_its_name_type_and_help() {
     let metrics = Metrics::new();
     metrics.set_task_counts(TaskKind::CopyWrite, TaskCounts::default());
-    metrics.count_rejected_report(RejectedReport::SubsystemOff);
+    metrics.count_rejected_report(RejectedReport::SubsystemDisabled);
     metrics.count_copy(CopyOutcome::Written);
     metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 0, misses: 0 });
     metrics.set_split(&Verdict::Clean, ComparisonCounts::default());
--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -14,7 +14,7 @@
 use tracing::info;
 
 /// How long a row that cannot be copied is not read for copying.
-const UNCOPYABLE_MICROS: Micros = 60_000_000;
+const UNCOPYABLE_ROW_PAUSE_MICROS: Micros = 60_000_000;
 
 /// One step of making copies.
 #[derive(Clone, Debug, PartialEq)]
@@ -63,18 +63,18 @@
 /// The copy that the reads of a row give, or why they give none.
 fn copy_from_result(result: &BackgroundQueryResult) -> Result<Copy<Vec<u8>>, CopyOutcome> {
     if result.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error) {
-        return Err(CopyOutcome::Unreadable);
+        return Err(CopyOutcome::ReadFailed);
     }
     // A primary may have been deposed without knowing it, and would state the present; a replica's position is what it has applied.
-    let position = |n: usize| {
-        let status = result.replies.get(n)?.status.filter(|status| status.role == Role::Replica)?;
+    let position = |index: usize| {
+        let status = result.replies.get(index)?.status.filter(|status| status.role == Role::Replica)?;
         status.position
     };
     let value = result.replies.get(1).and_then(|reply| reply.value.as_ref()).filter(|_| result.complete);
     match value.and_then(|value| copy_from_reads(position(0), value.bytes.clone(), position(1))) {
         Some(copy) if copy.value.len() > copies::MAX_COPY_BYTES => Err(CopyOutcome::TooLong),
         Some(copy) => Ok(copy),
-        None => Err(CopyOutcome::NotRead),
+        None => Err(CopyOutcome::ReadIncomplete),
     }
 }
 
@@ -102,8 +102,8 @@
                 self.submit_writes(due, &copy, expires_at);
             }
             Err(outcome) => {
-                if matches!(outcome, CopyOutcome::TooLong | CopyOutcome::Unreadable) {
-                    observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_MICROS);
+                if matches!(outcome, CopyOutcome::TooLong | CopyOutcome::ReadFailed) {
+                    observer.tracker.mark_uncopyable(due.key, now + UNCOPYABLE_ROW_PAUSE_MICROS);
                 }
                 self.metrics.count_copy(outcome);
             }
@@ -122,7 +122,7 @@
             self.metrics.count_copy(CopyOutcome::Written);
             observer.tracker.record_copy_written(now, write.key, write.holder.0);
         } else {
-            self.metrics.count_copy(CopyOutcome::NotWritten);
+            self.metrics.count_copy(CopyOutcome::WriteFailed);
         }
     }
 
@@ -142,11 +142,11 @@
     }
 
     /// Derives the hot set, and submits the reads of rows whose copies are due.
-    pub(super) fn run_hot_keys(&mut self, now: Micros, members: usize, report_interval: Micros) {
+    pub(super) fn run_hot_keys(&mut self, now: Micros, member_count: usize, report_interval: Micros) {
         let Some(observer) = self.hot_keys.clone() else { return };
         let mut observer = observer.borrow_mut();
         observer.apply_list_changes();
-        observer.tracker.set_fleet(members, report_interval);
+        observer.tracker.set_fleet(member_count, report_interval);
         update_hot_keys(now, &mut observer);
         self.submit_reads(now, &mut observer);
     }
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -64,13 +64,13 @@
 
 impl BackgroundWork {
     /// Logs the verdict if it changed, and submits the queries that are due.
-    pub(super) fn run_split(&mut self, now: Micros, heard_members: usize, report_interval: Micros) {
+    pub(super) fn run_split(&mut self, now: Micros, member_count: usize, report_interval: Micros) {
         self.postpone_expired_reads(now);
         let Some(observer) = self.split.clone() else { return };
         let due_queries = {
             let mut observer = observer.borrow_mut();
             observer.verifier.set_report_interval(report_interval);
-            log_verdict(observer.verdict_to_log(heard_members));
+            log_verdict(observer.verdict_to_log(member_count));
             observer.verifier.due_queries(now, MAX_QUERIES_PER_RUN)
         };
         for due in due_queries {
--- a/proxy/src/net/background/in_flight.rs
+++ b/proxy/src/net/background/in_flight.rs
@@ -3,7 +3,7 @@
 use super::super::event_loop_context::EventLoopContext;
 use super::super::pool::Pool;
 use super::task::{BackgroundTask, TaskTarget};
-use super::{BackgroundWork, SUSPENDED_MICROS};
+use super::{BackgroundWork, SUSPENSION_THRESHOLD_MICROS};
 use crate::background_query::{BackgroundQueryId, BackgroundQueryResult};
 use birchreach::{Micros, ServerId};
 use birchreach_background_tasks::{DatabaseId, StartedTask, TaskId};
@@ -20,7 +20,7 @@
 
 impl TaskInFlight {
     /// Whether its end is not to be expected any more.
-    fn is_lost(&self, now: Micros) -> bool {
+    fn is_overdue(&self, now: Micros) -> bool {
         now - self.started_at >= MAX_QUERY_MICROS
     }
 }
@@ -45,8 +45,8 @@
 
     /// Pauses the start of tasks if the last run was so long ago that the process must have been suspended.
     fn pause_after_suspension(&mut self, now: Micros) {
-        if now - self.last_run_at > SUSPENDED_MICROS {
-            self.paused_until = now + SUSPENDED_MICROS;
+        if now - self.last_run_at > SUSPENSION_THRESHOLD_MICROS {
+            self.paused_until = now + SUSPENSION_THRESHOLD_MICROS;
         }
         self.last_run_at = now;
     }
@@ -69,7 +69,7 @@
         for result in results {
             self.finish_task(now, &result);
         }
-        self.give_up_lost_tasks(now);
+        self.abandon_overdue_tasks(now);
     }
 
     /// Passes the result of a task to its subsystem. A task that was given up before is not in flight any more.
@@ -82,10 +82,11 @@
     }
 
     /// Gives up the tasks whose end was not reported in time.
-    fn give_up_lost_tasks(&mut self, now: Micros) {
+    fn abandon_overdue_tasks(&mut self, now: Micros) {
         let in_flight = self.in_flight.iter();
-        let lost: Vec<TaskId> = in_flight.filter(|(_, task)| task.is_lost(now)).map(|(id, _)| *id).collect();
-        for id in lost {
+        let overdue: Vec<TaskId> =
+            in_flight.filter(|(_, task)| task.is_overdue(now)).map(|(id, _)| *id).collect();
+        for id in overdue {
             if let Some(BackgroundTask::DualRead(read)) = self.remove_task(id) {
                 self.finish_dual_read(now, &read, None);
             }
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -22,7 +22,7 @@
 use task::BackgroundTask;
 
 /// A run that is later than this follows a suspension of the process: runs are at most half of this apart.
-const SUSPENDED_MICROS: Micros = 1_500_000;
+const SUSPENSION_THRESHOLD_MICROS: Micros = 1_500_000;
 /// How soon tasks are tried again that wait for capacity or for their budget.
 const QUEUE_RETRY_MICROS: Micros = 20_000;
 /// The shortest time between two runs.
@@ -69,7 +69,7 @@
         let hot_keys = self.hot_keys.as_ref().map(|observer| observer.borrow().tracker.next_change(now));
         let split = self.split.as_ref().map(|observer| observer.borrow().verifier.next_change(now));
         let queue = (self.scheduler.queued_count() > 0).then_some(now + QUEUE_RETRY_MICROS);
-        let latest = now + SUSPENDED_MICROS / 2;
+        let latest = now + SUSPENSION_THRESHOLD_MICROS / 2;
         let earliest = [hot_keys, split, queue].into_iter().flatten().fold(latest, Micros::min);
         earliest.max(now + MIN_RUN_INTERVAL_MICROS)
     }
--- a/proxy/src/net/background/reports.rs
+++ b/proxy/src/net/background/reports.rs
@@ -40,7 +40,7 @@
                 let verifier = &mut observer.borrow_mut().verifier;
                 verifier.receive_report(now, header, payload).map_err(RejectedReport::Split)
             }
-            _ => Err(RejectedReport::SubsystemOff),
+            _ => Err(RejectedReport::SubsystemDisabled),
         }
     }
 
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -48,7 +48,7 @@
 
 impl BackgroundWork {
     /// Warns of the kinds of tasks that never start, as the process's quota of their budget is empty.
-    fn warn_of_empty_quotas(&self, divisor: u32) {
+    fn warn_about_empty_quotas(&self, divisor: u32) {
         for kind in TaskKind::ALL {
             if self.scheduler.quota(kind, divisor).is_some_and(Quota::is_empty) {
                 warn!(event = "background-budget-empty", kind = kind.as_str(), processes = divisor);
@@ -68,7 +68,7 @@
 
 impl EventLoop {
     /// Switches on what the options name, and off what they no longer name.
-    pub(in crate::net) fn start_background(&mut self) {
+    pub(in crate::net) fn configure_background(&mut self) {
         let (Some(fleet), Some(_)) = (&self.fleet, &self.config.fleet_keys) else { return };
         let identity = FleetIdentity {
             incarnation: fleet.incarnation(),
@@ -80,11 +80,11 @@
             .background
             .take()
             .unwrap_or_else(|| Box::new(BackgroundWork::new(identity.incarnation, now)));
-        self.start_hot_keys(&mut work, identity);
-        self.start_split(&mut work, identity);
+        self.configure_hot_keys(&mut work, identity);
+        self.configure_split(&mut work, identity);
         let options = &self.config.options;
         work.scheduler.set_budgets(&budgets(options.hot.as_ref(), options.split.as_ref()), now);
-        work.warn_of_empty_quotas(divisor);
+        work.warn_about_empty_quotas(divisor);
         if !work.is_idle() {
             self.background = Some(work);
             self.run_background();
@@ -92,7 +92,7 @@
     }
 
     /// Switches copies of hot keys on or off, or updates their settings.
-    fn start_hot_keys(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
+    fn configure_hot_keys(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
         let hasher = keys.name_hasher(b"hot keys");
         let options = self.config.options.hot.as_ref();
@@ -104,9 +104,9 @@
                 observer.borrow_mut().tracker.update_settings(settings);
                 Some(observer)
             }
-            (Some(settings), None) => Some(self.switch_on_hot_keys(settings, identity, hasher)),
+            (Some(settings), None) => Some(self.enable_hot_keys(settings, identity, hasher)),
             (None, Some(observer)) => {
-                self.switch_off_hot_keys(observer);
+                self.disable_hot_keys(observer);
                 None
             }
             (None, None) => None,
@@ -114,7 +114,7 @@
     }
 
     /// Switches copies of hot keys on: an observer follows the requests and says where there are copies.
-    fn switch_on_hot_keys(
+    fn enable_hot_keys(
         &mut self,
         settings: birchreach_hot_keys::Settings,
         identity: FleetIdentity,
@@ -130,7 +130,7 @@
     }
 
     /// Switches copies of hot keys off.
-    fn switch_off_hot_keys(&mut self, observer: Shared<HotKeyObserver>) {
+    fn disable_hot_keys(&mut self, observer: Shared<HotKeyObserver>) {
         let core = &mut self.context.core;
         core.unsubscribe(&(observer.clone() as Rc<RefCell<dyn Observer>>));
         core.remove_copy_locator(&(observer as Rc<RefCell<dyn CopyLocator>>));
@@ -139,7 +139,7 @@
 
     /// Switches the comparison of a split on or off. One whose settings are unchanged continues; with other settings a new one
     /// starts.
-    fn start_split(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
+    fn configure_split(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
         let hasher = keys.name_hasher(b"split");
         let options = self.config.options.split.as_ref();
@@ -150,16 +150,16 @@
             return;
         }
         if let Some(observer) = work.split.take() {
-            self.switch_off_split(observer);
+            self.disable_split(observer);
         }
         if let Some(settings) = wanted {
-            work.split = Some(self.switch_on_split(settings, identity, hasher));
+            work.split = Some(self.enable_split(settings, identity, hasher));
             work.split_generation = work.split_generation.next();
         }
     }
 
     /// Switches a comparison on: an observer follows the requests and says what to read a second time.
-    fn switch_on_split(
+    fn enable_split(
         &mut self,
         settings: birchreach_shard_split::Settings,
         identity: FleetIdentity,
@@ -175,7 +175,7 @@
     }
 
     /// Switches a comparison off.
-    fn switch_off_split(&mut self, observer: Shared<SplitObserver>) {
+    fn disable_split(&mut self, observer: Shared<SplitObserver>) {
         self.context.core.unsubscribe(&(observer as Rc<RefCell<dyn Observer>>));
         info!(event = "split-off");
     }
--- a/proxy/src/net/background/status.rs
+++ b/proxy/src/net/background/status.rs
@@ -13,9 +13,9 @@
     }
 
     /// The answer to the admin call `split`; none while no comparison is switched on.
-    pub(crate) fn split_lines(&self, heard_members: usize, divisor: u32) -> Option<String> {
+    pub(crate) fn split_lines(&self, member_count: usize, divisor: u32) -> Option<String> {
         let observer = self.split.as_ref()?;
-        Some(observer.borrow().status_lines(heard_members) + &self.scheduler_lines(divisor))
+        Some(observer.borrow().status_lines(member_count) + &self.scheduler_lines(divisor))
     }
 
     /// A line for each kind of task that has a budget, and one for all.
@@ -42,7 +42,7 @@
     }
 
     /// The metrics of background work, in the text format.
-    pub(crate) fn metrics_text(&self, heard_members: usize) -> String {
+    pub(crate) fn metrics_text(&self, member_count: usize) -> String {
         for kind in TaskKind::ALL {
             self.metrics.set_task_counts(kind, self.scheduler.counts(kind));
         }
@@ -52,7 +52,7 @@
         }
         if let Some(observer) = &self.split {
             let verifier = &observer.borrow().verifier;
-            self.metrics.set_split(&verifier.verdict(heard_members), verifier.counts());
+            self.metrics.set_split(&verifier.verdict(member_count), verifier.counts());
         }
         self.metrics.text()
     }
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -49,7 +49,7 @@
         let sync = MembershipSync::new(options.listen, keys.clone(), membership);
         self.gossip.get_or_insert_default().set_membership_sync(sync);
         self.fleet = Some(fleet);
-        self.fleet_due();
+        self.handle_fleet_timer();
         Ok(())
     }
 
@@ -79,18 +79,18 @@
     pub(in crate::net) fn admin_reports(&self) -> AdminReports {
         let Some(fleet) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fleet.view());
-        let (divisor, members) = (view.divisor(), view.members);
-        let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(members));
+        let (divisor, member_count) = (view.divisor(), view.members);
+        let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(member_count));
         AdminReports {
             fleet: Some(fleet.report(self.context.now)),
             hot: background.and_then(|work| work.hot_key_lines(self.context.now, divisor)),
-            split: background.and_then(|work| work.split_lines(members, divisor)),
+            split: background.and_then(|work| work.split_lines(member_count, divisor)),
             metrics: Some(fleet.metrics_text() + &background_metrics + "# EOF\n"),
         }
     }
 
     /// The fleet's timer is due.
-    pub(in crate::net) fn fleet_due(&mut self) {
+    pub(in crate::net) fn handle_fleet_timer(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.process_timer(&self.context);
             self.apply_fleet_changes();
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -81,7 +81,7 @@
         self.config = new;
         self.configure_health();
         self.checks.apply_options(&mut self.context, self.config.options.health.clone(), check_listeners);
-        self.start_background();
+        self.configure_background();
         self.execute_commands();
     }
 
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -115,7 +115,7 @@
         self.start_health()?;
         self.start_gossip()?;
         self.start_fleet()?;
-        self.start_background();
+        self.configure_background();
         if let Some(update) = known_endpoints {
             self.update_endpoints(EndpointUpdate { complete: true, ..update });
         }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -33,7 +33,7 @@
             TimerEvent::StopAcceptingChecks | TimerEvent::OpenCheckListeners => {}
             TimerEvent::Gossip => self.advance_gossip(),
             TimerEvent::GossipSend(key, serial) => self.continue_gossip_send(key, serial),
-            TimerEvent::Fleet => self.fleet_due(),
+            TimerEvent::Fleet => self.handle_fleet_timer(),
             TimerEvent::Background => self.run_background(),
             TimerEvent::StopListening => self.stop_listening(),
             TimerEvent::CloseIdleClients => self.close_idle_clients(),
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -51,15 +51,15 @@
 }
 
 impl SplitObserver {
-    /// An observer that has seen nothing; `own_origin` is this process's number in reports.
+    /// An observer that has seen nothing; `local_origin` is this process's number in reports.
     pub(crate) fn new(
         settings: Settings,
-        own_origin: u64,
+        local_origin: u64,
         hasher: NameHasher,
         class_names: Vec<String>,
         now: Micros,
     ) -> SplitObserver {
-        let verifier = SplitVerifier::new(settings, own_origin, now);
+        let verifier = SplitVerifier::new(settings, local_origin, now);
         SplitObserver { verifier, hasher, processes: HashMap::new(), class_names, logged_verdict: None }
     }
 
@@ -119,8 +119,8 @@
     }
 
     /// The verdict, if it is of another kind than the one that was logged last.
-    pub(crate) fn verdict_to_log(&mut self, heard_members: usize) -> Option<Verdict> {
-        let verdict = self.verifier.verdict(heard_members);
+    pub(crate) fn verdict_to_log(&mut self, member_count: usize) -> Option<Verdict> {
+        let verdict = self.verifier.verdict(member_count);
         let kind = std::mem::discriminant(&verdict);
         let logged = self.logged_verdict.replace(kind);
         (logged != Some(kind)).then_some(verdict)
@@ -128,9 +128,9 @@
 
     /// The reply to the call `split`: a summary line, one for each range that is not covered, and one for each difference that this
     /// process confirmed.
-    pub(crate) fn status_lines(&self, heard_members: usize) -> String {
+    pub(crate) fn status_lines(&self, member_count: usize) -> String {
         let settings = self.verifier.settings();
-        let mut lines = self.summary_line(heard_members);
+        let mut lines = self.summary_line(member_count);
         for range in 0..RANGES {
             let coverage = self.verifier.coverage(range);
             let (compared, seen_by) = (coverage.comparisons, coverage.processes);
@@ -145,8 +145,8 @@
     }
 
     /// The first line of the reply to the call `split`.
-    fn summary_line(&self, heard_members: usize) -> String {
-        let verdict = self.verifier.verdict(heard_members);
+    fn summary_line(&self, member_count: usize) -> String {
+        let verdict = self.verifier.verdict(member_count);
         let differences =
             if let Verdict::Dirty(counts) = verdict { counts } else { DifferenceCounts::default() };
         let reason =
@@ -158,7 +158,7 @@
              missing={} extra={} differs={} begun={} agreed={} late={} unsure={} silent={} flagged={} crowded={} under_way={}\n",
             verdict.as_str(),
             settings.definition.digest(),
-            heard_members.min(self.verifier.origin_count()),
+            member_count.min(self.verifier.origin_count()),
             settings.configured_members,
             reason.unreachable_members,
             reason.ranges_below_comparisons,
