--- a/proxy/src/health_command.rs
+++ b/proxy/src/health_command.rs
@@ -13,18 +13,18 @@
 use std::time::Duration;
 
 /// The exit code if the proxy can serve the requests that the command names.
-pub(crate) const ABLE: i32 = 0;
+pub(crate) const EXIT_AVAILABLE: i32 = 0;
 /// The exit code if it cannot.
-pub(crate) const UNABLE: i32 = 1;
+pub(crate) const EXIT_UNAVAILABLE: i32 = 1;
 /// The exit code if there is no answer.
-pub(crate) const UNREACHED: i32 = 2;
+pub(crate) const EXIT_NO_ANSWER: i32 = 2;
 
 /// The longest answer that is read.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 /// The HTTP status of a proxy that can serve the requests.
-const STATUS_ABLE: u16 = 200;
+const STATUS_AVAILABLE: u16 = 200;
 /// The HTTP status of one that cannot.
-const STATUS_UNABLE: u16 = 503;
+const STATUS_UNAVAILABLE: u16 = 503;
 
 /// The proxy's answer.
 struct Answer {
@@ -36,7 +36,7 @@
 pub(crate) fn run(arguments: &HealthArguments, options: Option<&Options>) -> (i32, String) {
     match query_proxy(arguments, options) {
         Ok((code, text)) => (code, text),
-        Err(error) => (UNREACHED, error.to_string()),
+        Err(error) => (EXIT_NO_ANSWER, error.to_string()),
     }
 }
 
@@ -55,22 +55,26 @@
     arguments: &HealthArguments,
     options: Option<&Options>,
 ) -> Result<(i32, String), HealthCommandError> {
-    let Answer { status, body } = request(arguments, options)?;
+    let Answer { status, body } = send_request(arguments, options)?;
     let code = match status {
-        STATUS_ABLE => ABLE,
-        STATUS_UNABLE => UNABLE,
+        STATUS_AVAILABLE => EXIT_AVAILABLE,
+        STATUS_UNAVAILABLE => EXIT_UNAVAILABLE,
         _ => return Err(HealthCommandError::UnexpectedStatus { status, body }),
     };
     if arguments.json {
         return Ok((code, body));
     }
     let answer = serde_json::from_str(&body).map_err(HealthCommandError::NotJson)?;
-    Ok((code, report::text(&answer)))
+    Ok((code, report::format_answer(&answer)))
 }
 
 /// Sends the HTTP request, and reads the answer.
-fn request(arguments: &HealthArguments, options: Option<&Options>) -> Result<Answer, HealthCommandError> {
-    let configured = || options?.health.as_ref()?.http.as_ref().map(|http| reachable(http.listener.address));
+fn send_request(
+    arguments: &HealthArguments,
+    options: Option<&Options>,
+) -> Result<Answer, HealthCommandError> {
+    let configured =
+        || options?.health.as_ref()?.http.as_ref().map(|http| connectable_address(http.listener.address));
     let address = arguments.at.or_else(configured).ok_or(HealthCommandError::NoAddress)?;
     let failed = |error| HealthCommandError::Request { address, error };
     let client = ureq::Agent::config_builder()
@@ -80,28 +84,29 @@
         .max_redirects(0)
         .build()
         .new_agent();
-    let mut response = client.get(format!("http://{address}{}", path(arguments))).call().map_err(failed)?;
+    let mut response =
+        client.get(format!("http://{address}{}", request_path(arguments))).call().map_err(failed)?;
     let body = response.body_mut().with_config().limit(MAX_ANSWER_BYTES).read_to_string();
     Ok(Answer { status: response.status().as_u16(), body: body.map_err(failed)? })
 }
 
 /// The path for the class and group in the arguments.
-fn path(arguments: &HealthArguments) -> String {
+fn request_path(arguments: &HealthArguments) -> String {
     match (&arguments.class, arguments.group) {
         (None, None) => "/health".to_string(),
-        (Some(class), None) => format!("/class/{}", escape(class)),
+        (Some(class), None) => format!("/class/{}", percent_encode(class)),
         (None, Some(group)) => format!("/group/{group}"),
-        (Some(class), Some(group)) => format!("/class/{}/group/{group}", escape(class)),
+        (Some(class), Some(group)) => format!("/class/{}/group/{group}", percent_encode(class)),
     }
 }
 
 /// The name in the form that a path needs.
-fn escape(name: &str) -> String {
+fn percent_encode(name: &str) -> String {
     percent_encoding::utf8_percent_encode(name, percent_encoding::NON_ALPHANUMERIC).to_string()
 }
 
 /// The address to connect to: the loopback address for a proxy that listens on every address.
-fn reachable(address: SocketAddr) -> SocketAddr {
+fn connectable_address(address: SocketAddr) -> SocketAddr {
     let ip = match address.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => IpAddr::V4(Ipv4Addr::LOCALHOST),
         IpAddr::V6(ip) if ip.is_unspecified() => IpAddr::V6(Ipv6Addr::LOCALHOST),
--- a/proxy/src/health_command/tests.rs
+++ b/proxy/src/health_command/tests.rs
@@ -1,6 +1,6 @@
 //! The answer of a proxy about its health, as people read it.
 
-use super::report::text;
+use super::report::format_answer;
 use serde_json::{Value, json};
 
 /// An answer about the whole proxy, with each kind of value that a line shows.
@@ -27,7 +27,7 @@
     let answer = whole_proxy();
 
     // When it is written for people
-    let text = text(&answer);
+    let text = format_answer(&answer);
 
     // Then it has a line for the proxy, one for its load, and those of classes and groups
     let lines = [
@@ -48,5 +48,5 @@
     let answer = json!({"able": true, "weight": 100, "reason": "ok", "since_ms": 500});
 
     // When it is written for people, then it has one line
-    assert_eq!(text(&answer), "able yes, weight 100%, ok, for 0.5 s\n");
+    assert_eq!(format_answer(&answer), "able yes, weight 100%, ok, for 0.5 s\n");
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -33,9 +33,9 @@
 use std::path::Path;
 
 /// The exit code if the proxy could not start or could not continue.
-const FAILED: i32 = 1;
+const EXIT_FAILURE: i32 = 1;
 /// The exit code if the configuration or the options are invalid.
-const INVALID_CONFIGURATION: i32 = 2;
+const EXIT_INVALID_CONFIGURATION: i32 = 2;
 
 fn main() {
     let Cli { options, log_format, log_filter, command } = Cli::parse();
@@ -53,10 +53,11 @@
 /// Serves clients until a graceful shutdown is complete.
 fn serve(options: Option<&Path>) {
     // This comes first: until signals are caught, they terminate the process.
-    let signals = net::signals().unwrap_or_else(|error| quit(&error, FAILED));
+    let signals = net::signals().unwrap_or_else(|error| exit_with_error(&error, EXIT_FAILURE));
     let config = config::load(config::environment, options)
-        .unwrap_or_else(|error| quit(&error, INVALID_CONFIGURATION));
-    net::run(config, options.map(Path::to_path_buf), signals).unwrap_or_else(|error| quit(&error, FAILED));
+        .unwrap_or_else(|error| exit_with_error(&error, EXIT_INVALID_CONFIGURATION));
+    net::run(config, options.map(Path::to_path_buf), signals)
+        .unwrap_or_else(|error| exit_with_error(&error, EXIT_FAILURE));
 }
 
 /// The command `check`: prints the errors and warnings of the configuration and the options.
@@ -71,27 +72,27 @@
     if faults.is_empty() {
         text.push_str("no faults\n");
     }
-    finish(if faults.is_empty() { 0 } else { INVALID_CONFIGURATION }, &text);
+    print_and_exit(if faults.is_empty() { 0 } else { EXIT_INVALID_CONFIGURATION }, &text);
 }
 
 /// The command `health`: prints the state of a running proxy.
 fn health(arguments: &cli::HealthArguments, options: Option<&Path>) {
     let options = options.map(|file| match health_command::read_options(file) {
         Ok(options) => options,
-        Err(error) => quit(&error, health_command::UNREACHED),
+        Err(error) => exit_with_error(&error, health_command::EXIT_NO_ANSWER),
     });
     let (code, text) = health_command::run(arguments, options.as_ref());
-    finish(code, &text);
+    print_and_exit(code, &text);
 }
 
 /// Prints and exits. A failure to print does not change the exit code.
-fn finish(code: i32, text: &str) -> ! {
+fn print_and_exit(code: i32, text: &str) -> ! {
     let _ = std::io::stdout().write_all(text.as_bytes());
     std::process::exit(code)
 }
 
 /// Prints an error and exits.
-fn quit(error: &dyn Display, code: i32) -> ! {
+fn exit_with_error(error: &dyn Display, code: i32) -> ! {
     eprintln!("birchreach-proxy: {error}");
     std::process::exit(code)
 }
