--- a/proxy/src/core/attempts.rs
+++ b/proxy/src/core/attempts.rs
@@ -49,7 +49,7 @@
         let Some(in_flight) = self.in_flight.remove(&attempt) else { return };
         let (request, server) = (attempt.request, in_flight.server);
         self.notify_attempt_ended(now, server, self.classes.is_write(in_flight.class), &reply);
-        if self.observers.any() {
+        if self.observers.has_any() {
             self.notify_read_served(now, request, &in_flight, &reply);
         }
         self.release_attempt(now, request);
@@ -62,8 +62,8 @@
             outcome,
             elapsed: now - in_flight.sent_at,
             request_finished: !self.requests.contains_key(&request),
-            status: status.map(|status| credible_status(status, now)),
-            load_report: credible_report(load_report, now),
+            status: status.map(|status| without_future_position(status, now)),
+            load_report: discard_if_in_future(load_report, now),
         };
         self.handle(now, Event::AttemptCompleted(result));
     }
@@ -118,12 +118,12 @@
 }
 
 /// The status without a position in the future, which would be wrong.
-fn credible_status(status: ServerStatus, now: Micros) -> ServerStatus {
+fn without_future_position(status: ServerStatus, now: Micros) -> ServerStatus {
     let position = status.position.filter(|position| *position <= now + MAX_CLOCK_SKEW_MICROS);
     ServerStatus { position, ..status }
 }
 
 /// The report, unless its position is in the future: such a report is corrupt and not used at all.
-pub(super) fn credible_report(report: Option<LoadReport>, now: Micros) -> Option<LoadReport> {
+pub(super) fn discard_if_in_future(report: Option<LoadReport>, now: Micros) -> Option<LoadReport> {
     report.filter(|report| report.position.is_none_or(|position| position <= now + MAX_CLOCK_SKEW_MICROS))
 }
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -14,7 +14,7 @@
 
 /// A class and its number's history.
 #[derive(Clone, Debug)]
-struct NumberedClass {
+struct ClassEntry {
     name: String,
     rules: RequestClass,
     /// Index of its row in the statistics.
@@ -23,7 +23,7 @@
     accepted_until: Option<Micros>,
 }
 
-impl NumberedClass {
+impl ClassEntry {
     /// Whether the current settings have this class.
     fn is_current(&self) -> bool {
         self.accepted_until.is_none()
@@ -38,7 +38,7 @@
 /// All classes, and the settings of the router.
 pub(super) struct ClassTable {
     /// By number, including classes that were dropped.
-    classes: Vec<NumberedClass>,
+    classes: Vec<ClassEntry>,
     /// Settings of the router; its list of classes is replaced by the one above.
     routing: Settings,
     /// Processes that share the quota of this proxy.
@@ -49,7 +49,7 @@
     /// The classes of these settings.
     pub(super) fn new(settings: &DeploymentSettings, stats: &mut Stats) -> ClassTable {
         let named = settings.class_names.iter().zip(&settings.routing.classes);
-        let numbered = named.map(|(name, rules)| NumberedClass {
+        let numbered = named.map(|(name, rules)| ClassEntry {
             name: name.clone(),
             rules: rules.clone(),
             stats_row: stats.class_row(name),
@@ -59,7 +59,7 @@
     }
 
     /// The class with this number.
-    fn get(&self, class: ClassId) -> Option<&NumberedClass> {
+    fn get(&self, class: ClassId) -> Option<&ClassEntry> {
         self.classes.get(usize::from(class.0))
     }
 
@@ -111,9 +111,9 @@
     fn drop_missing(&mut self, now: Micros, settings: &DeploymentSettings) {
         for class in &mut self.classes {
             let mut named = settings.class_names.iter().zip(&settings.routing.classes);
-            let stays = named.any(|(name, rules)| *rules == class.rules && *name == class.name);
+            let is_unchanged = named.any(|(name, rules)| *rules == class.rules && *name == class.name);
             let until = class.accepted_until.unwrap_or(now + DROPPED_CLASS_GRACE_MICROS);
-            class.accepted_until = (!stays).then_some(until);
+            class.accepted_until = (!is_unchanged).then_some(until);
         }
     }
 
@@ -126,13 +126,13 @@
         used: &HashSet<ClassId>,
         stats: &mut Stats,
     ) {
-        let added = NumberedClass {
+        let added = ClassEntry {
             name: name.to_string(),
             rules: rules.clone(),
             stats_row: stats.class_row(name),
             accepted_until: None,
         };
-        let is_free = |(index, class): (usize, &NumberedClass)| {
+        let is_free = |(index, class): (usize, &ClassEntry)| {
             !class.accepts_requests(now) && !used.iter().any(|used| usize::from(used.0) == index)
         };
         match self.classes.iter().enumerate().position(is_free) {
@@ -186,7 +186,7 @@
     }
 
     /// Where the required positions of session reads come from.
-    pub(crate) fn session_positions(&self) -> SessionPositionSource {
+    pub(crate) fn session_position_source(&self) -> SessionPositionSource {
         self.classes.routing.session_positions
     }
 }
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -46,7 +46,7 @@
 
     /// The number of a server. One that is new is logged.
     fn number_server(&mut self, target: &ListedEndpoint) -> ServerId {
-        let (server, is_new) = self.servers.number(&target.uid);
+        let (server, is_new) = self.servers.assign_number(&target.uid);
         if is_new {
             let (uid, endpoint) = (target.uid.clone(), target.endpoint.clone());
             let record = LogRecord::ServerListed { server, uid, endpoint };
--- a/proxy/src/core/health_checks.rs
+++ b/proxy/src/core/health_checks.rs
@@ -1,6 +1,6 @@
 //! Health checks of servers, by the router and by observers, and reports of other proxies about servers.
 
-use super::attempts::credible_report;
+use super::attempts::discard_if_in_future;
 use super::{Command, Core, RequestPayload};
 use crate::observe::CoreEvent;
 use crate::reply::Reply;
@@ -16,7 +16,7 @@
     /// A health check of the router ended.
     pub(crate) fn health_check_completed(&mut self, now: Micros, server: ServerId, reply: &Reply) {
         self.notify_attempt_ended(now, server, false, reply);
-        let load_report = credible_report(reply.load_report, now);
+        let load_report = discard_if_in_future(reply.load_report, now);
         self.handle(now, Event::HealthCheckCompleted { server, outcome: reply.outcome, load_report });
     }
 
@@ -28,8 +28,8 @@
     /// Another proxy has observed a position of the present process of a listed server. The router uses it as a lower bound, like a
     /// load report.
     pub(crate) fn record_remote_position(&mut self, now: Micros, uid: &str, report: LoadReport) {
-        let load_report = credible_report(Some(report), now);
-        if let (Some(server), Some(_)) = (self.servers.by_name(uid), load_report) {
+        let load_report = discard_if_in_future(Some(report), now);
+        if let (Some(server), Some(_)) = (self.servers.find_by_uid(uid), load_report) {
             let outcome = AttemptOutcome::Ok;
             self.handle(now, Event::HealthCheckCompleted { server, outcome, load_report });
         }
@@ -37,7 +37,7 @@
 
     /// Checks the role of a server, where health checks are allowed.
     pub(crate) fn check_role(&mut self, now: Micros, uid: &str) {
-        if let Some(server) = self.servers.by_name(uid).filter(|_| self.classes.health_checks_allowed()) {
+        if let Some(server) = self.servers.find_by_uid(uid).filter(|_| self.classes.health_checks_allowed()) {
             self.start_health_check(now, server);
         }
     }
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -81,7 +81,7 @@
     }
 
     /// Notifies observers of the writes without an attempt in flight. Returns how many requests, including reads, have none.
-    pub(crate) fn report_queued(&self, now: Micros) -> usize {
+    pub(crate) fn report_queued_requests(&self, now: Micros) -> usize {
         let queued = self.requests.values().filter(|pending| pending.attempts_in_flight == 0);
         let queued_count = queued.clone().count();
         let writes = queued.filter(|pending| self.classes.is_write(pending.class));
--- a/proxy/src/core/server_table.rs
+++ b/proxy/src/core/server_table.rs
@@ -111,13 +111,13 @@
     }
 
     /// The number of the server with this name.
-    pub(super) fn by_name(&self, uid: &str) -> Option<ServerId> {
+    pub(super) fn find_by_uid(&self, uid: &str) -> Option<ServerId> {
         self.numbers.get(uid).copied()
     }
 
     /// The number of a server, which is assigned if it is new; and whether it is new.
-    pub(super) fn number(&mut self, uid: &str) -> (ServerId, bool) {
-        if let Some(server) = self.by_name(uid) {
+    pub(super) fn assign_number(&mut self, uid: &str) -> (ServerId, bool) {
+        if let Some(server) = self.find_by_uid(uid) {
             return (server, false);
         }
         let server = ServerId(self.next_number);
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -166,7 +166,7 @@
         let busy = 1.0 - self.health.idle_time as f64 / elapsed as f64;
         self.health.load_reported_at = now;
         self.health.idle_time = 0;
-        let queued = self.context.core.report_queued(now);
+        let queued = self.context.core.report_queued_requests(now);
         let in_progress = self.context.core.open_request_count();
         self.record_health_event(HealthEvent::Load {
             pressure: busy.max(self.database_connections_in_use()),
--- a/proxy/src/net/clients/statement_admission.rs
+++ b/proxy/src/net/clients/statement_admission.rs
@@ -22,7 +22,7 @@
     ) -> Result<RoutingRequest, StatementError> {
         let class = context.core.find_class(context.now, &statement.class);
         let (class_id, class) = class.ok_or(StatementError::UnknownClass)?;
-        let position_source = context.core.session_positions();
+        let position_source = context.core.session_position_source();
         let elapsed = context.now - arrived_at;
         let request = statement.routing_request(class_id, class, position_source, elapsed)?;
         if !context.core.has_group(request.group) {
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -33,12 +33,11 @@
         let outcome = match requester.next_event() {
             Ok(None) => return LinkStep::Continue,
             Ok(Some(TransferEvent::Part(part))) => {
-                let advice =
-                    transfer.peer_state.borrow_mut().apply_transfer(context.now, requested_at, &part);
-                for position in advice.positions {
+                let hints = transfer.peer_state.borrow_mut().apply_transfer(context.now, requested_at, &part);
+                for position in hints.positions {
                     context.core.record_remote_position(context.now, &position.uid, position.report);
                 }
-                advice.primary_candidates.iter().for_each(|uid| context.core.check_role(context.now, uid));
+                hints.primary_candidates.iter().for_each(|uid| context.core.check_role(context.now, uid));
                 continue;
             }
             Ok(Some(TransferEvent::Complete(providers))) => RequestOutcome::Complete(providers),
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether there is any.
-    pub(crate) fn any(&self) -> bool {
+    pub(crate) fn has_any(&self) -> bool {
         !self.0.is_empty()
     }
 
--- a/proxy/src/peer_state.rs
+++ b/proxy/src/peer_state.rs
@@ -38,7 +38,7 @@
 
 /// What the router may use of another proxy's state.
 #[derive(Debug, Default)]
-pub(crate) struct PeerAdvice {
+pub(crate) struct PeerHints {
     /// Positions of servers on the endpoint list.
     pub positions: Vec<RemotePosition>,
     /// Servers whose role should be checked, as each may be its group's primary.
@@ -91,7 +91,7 @@
         now: Micros,
         requested_at: Micros,
         part: &TransferPart,
-    ) -> PeerAdvice {
+    ) -> PeerHints {
         self.state.apply_transfer(requested_at, part);
         let positions =
             part.servers.iter().filter_map(|server| self.new_position(now, &server.uid)).collect();
@@ -102,7 +102,7 @@
             .collect();
         let state = &self.state;
         self.reported_positions.retain(|uid, _| state.facts(uid).is_some());
-        PeerAdvice { positions, primary_candidates }
+        PeerHints { positions, primary_candidates }
     }
 
     /// A recent position that another proxy observed, if it is later than those reported to the router.
--- a/proxy/src/peer_state/tests.rs
+++ b/proxy/src/peer_state/tests.rs
@@ -1,6 +1,6 @@
 //! What the decisions learn from another proxy's state.
 
-use super::{PeerAdvice, PeerStateObserver, RemotePosition};
+use super::{PeerHints, PeerStateObserver, RemotePosition};
 use birchreach::{LoadReport, Micros};
 use birchreach_peer_state::{ObservationSource, Role, ServerIncarnation, TransferPart};
 
@@ -24,7 +24,7 @@
 }
 
 /// Transfers the provider's state without delay.
-fn transfer(provider: &PeerStateObserver, receiver: &mut PeerStateObserver, now: Micros) -> PeerAdvice {
+fn transfer(provider: &PeerStateObserver, receiver: &mut PeerStateObserver, now: Micros) -> PeerHints {
     let part = TransferPart { servers: provider.state.export_facts(now).collect() };
     receiver.apply_transfer(now, now, &part)
 }
@@ -59,6 +59,6 @@
     // Given a provider that observed its servers a minute ago
     let (provider, mut receiver) = (provider(), observer(3));
     // When a proxy receives its state, then it learns nothing
-    let advice = transfer(&provider, &mut receiver, 70 * SECOND);
-    assert!(advice.positions.is_empty() && advice.primary_candidates.is_empty());
+    let hints = transfer(&provider, &mut receiver, 70 * SECOND);
+    assert!(hints.positions.is_empty() && hints.primary_candidates.is_empty());
 }
