--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -56,7 +56,7 @@
 }
 
 /// The metrics of the fleet.
-pub(crate) struct Metrics {
+pub(crate) struct FleetMetrics {
     registry: Registry,
     datagrams: Family<DirectionLabel, Counter>,
     bytes: Family<DirectionLabel, Counter>,
@@ -65,10 +65,10 @@
     settled: Gauge,
 }
 
-impl Metrics {
+impl FleetMetrics {
     /// All metrics at zero.
-    pub(crate) fn new() -> Metrics {
-        let mut metrics = Metrics {
+    pub(crate) fn new() -> FleetMetrics {
+        let mut metrics = FleetMetrics {
             registry: Registry::with_prefix("birchreach_fleet"),
             datagrams: Family::default(),
             bytes: Family::default(),
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -18,7 +18,7 @@
 use std::sync::atomic::Ordering;
 
 /// The metrics, under the prefix `birchreach`.
-pub(crate) struct Metrics {
+pub(crate) struct BackgroundMetrics {
     registry: Registry,
     tasks: Family<CounterLabels, Counter>,
     rejected_reports: Family<CounterLabels, Counter>,
@@ -32,12 +32,12 @@
     split_clean: Gauge,
 }
 
-impl Metrics {
+impl BackgroundMetrics {
     /// All metrics, at zero.
-    pub(crate) fn new() -> Metrics {
+    pub(crate) fn new() -> BackgroundMetrics {
         let mut registry = Registry::with_prefix("birchreach");
         let target = &mut registry;
-        Metrics {
+        BackgroundMetrics {
             tasks: register(
                 target,
                 "background_tasks",
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -1,6 +1,6 @@
 //! The names, labels and help texts of the metrics, as monitoring reads them.
 
-use super::{CopyOutcome, Metrics, RejectedReport};
+use super::{BackgroundMetrics, CopyOutcome, RejectedReport};
 use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::{TaskCounts, TaskKind};
 use birchreach_hot_keys::{HotKeyTracker, OTHER_SECRET, PeerReport, Report, ReportError, Settings};
@@ -19,7 +19,7 @@
 }
 
 /// The values of a metric, in the order of their labels.
-fn samples(metrics: &Metrics, name: &str) -> Vec<String> {
+fn samples(metrics: &BackgroundMetrics, name: &str) -> Vec<String> {
     let text = metrics.text();
     let mut samples: Vec<_> = text.lines().filter(|line| line.starts_with(name)).map(Into::into).collect();
     samples.sort();
@@ -28,7 +28,7 @@
 
 #[test]
 fn copies_are_counted_by_what_became_of_them() {
-    let metrics = Metrics::new();
+    let metrics = BackgroundMetrics::new();
     for outcome in [
         CopyOutcome::Written,
         CopyOutcome::WriteFailed,
@@ -52,7 +52,7 @@
 
 #[test]
 fn tasks_are_counted_by_what_became_of_them() {
-    let metrics = Metrics::new();
+    let metrics = BackgroundMetrics::new();
     metrics.set_task_counts(
         TaskKind::CopyWrite,
         TaskCounts { started: 4, finished: 3, expired: 2, rejected: 1 },
@@ -69,7 +69,7 @@
 
 #[test]
 fn comparisons_are_counted_by_what_came_of_them() {
-    let metrics = Metrics::new();
+    let metrics = BackgroundMetrics::new();
     let counts = ComparisonCounts {
         started: 7,
         agreed: 6,
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_report_that_is_not_taken_is_counted_by_subsystem_and_reason() {
-    let metrics = Metrics::new();
+    let metrics = BackgroundMetrics::new();
     for report in [
         RejectedReport::HotKeys(ReportError::Malformed { subject: Report::SUBJECT }),
         RejectedReport::HotKeys(ReportError::Mismatch(OTHER_SECRET)),
@@ -119,7 +119,7 @@
 
 #[test]
 fn reads_that_were_sent_to_holders_of_copies_are_counted_by_whether_they_had_one() {
-    let metrics = Metrics::new();
+    let metrics = BackgroundMetrics::new();
     metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 2, misses: 1 });
 
     let expected = [
@@ -131,7 +131,7 @@
 
 #[test]
 fn every_metric_has_its_name_type_and_help() {
-    let metrics = Metrics::new();
+    let metrics = BackgroundMetrics::new();
     metrics.set_task_counts(TaskKind::CopyWrite, TaskCounts::default());
     metrics.count_rejected_report(RejectedReport::SubsystemDisabled);
     metrics.count_copy(CopyOutcome::Written);
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -39,7 +39,7 @@
 
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CloseReason {
+enum AdminCloseReason {
     /// It was closed for a newer one.
     Shed,
     /// It was reset.
@@ -52,15 +52,15 @@
     Unresponsive,
 }
 
-impl CloseReason {
+impl AdminCloseReason {
     /// The word for the log.
     fn as_str(self) -> &'static str {
         match self {
-            CloseReason::Shed => "shed",
-            CloseReason::Reset => "reset",
-            CloseReason::Closed => "closed",
-            CloseReason::Answered => "answered",
-            CloseReason::Unresponsive => "unresponsive",
+            AdminCloseReason::Shed => "shed",
+            AdminCloseReason::Reset => "reset",
+            AdminCloseReason::Closed => "closed",
+            AdminCloseReason::Answered => "answered",
+            AdminCloseReason::Unresponsive => "unresponsive",
         }
     }
 }
@@ -134,7 +134,7 @@
         if self.connections.len() >= MAX_CONNECTIONS {
             let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.accepted_at);
             if let Some((slot, _)) = oldest {
-                self.close(context, AdminKey(slot), CloseReason::Shed);
+                self.close(context, AdminKey(slot), AdminCloseReason::Shed);
             }
         }
         let slot = self.connections.vacant_entry();
@@ -157,13 +157,13 @@
             read_bytes < READ_BYTES_PER_TURN
         });
         if drained == Err(stream::StreamEnd::Reset) {
-            self.close(context, key, CloseReason::Reset);
+            self.close(context, key, AdminCloseReason::Reset);
             return None;
         }
         if drained.is_err() && call.is_none() {
             call = connection.protocol.input_ended();
             if call.is_none() && !connection.protocol.is_answered() {
-                self.close(context, key, CloseReason::Closed);
+                self.close(context, key, AdminCloseReason::Closed);
                 return None;
             }
         }
@@ -191,9 +191,9 @@
             Ok(false) => {}
             Ok(true) => {
                 let _ = connection.stream.shutdown(Shutdown::Write);
-                self.close(context, key, CloseReason::Answered);
+                self.close(context, key, AdminCloseReason::Answered);
             }
-            Err(_) => self.close(context, key, CloseReason::Reset),
+            Err(_) => self.close(context, key, AdminCloseReason::Reset),
         }
     }
 
@@ -204,12 +204,12 @@
         let unresponsive = self.connections.iter().filter(|(_, connection)| timed_out(connection));
         let keys: Vec<AdminKey> = unresponsive.map(|(slot, _)| AdminKey(slot)).collect();
         for key in keys {
-            self.close(context, key, CloseReason::Unresponsive);
+            self.close(context, key, AdminCloseReason::Unresponsive);
         }
     }
 
     /// Closes the connection and logs why.
-    fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: CloseReason) {
+    fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: AdminCloseReason) {
         let mut connection = self.connections.remove(key.0);
         let _ = context.poll.registry().deregister(&mut connection.stream);
         info!(conn = "operator", reason = reason.as_str());
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::background_query::BackgroundStatementIds;
 use crate::hot::HotKeyObserver;
-use crate::metrics::Metrics;
+use crate::metrics::BackgroundMetrics;
 use crate::observe::Shared;
 use crate::split::SplitObserver;
 use birchreach::Micros;
@@ -38,7 +38,7 @@
     split: Option<Shared<SplitObserver>>,
     /// The comparison in progress: results of an earlier one are ignored.
     split_generation: SplitGeneration,
-    metrics: Metrics,
+    metrics: BackgroundMetrics,
     /// When the timer that is set expires.
     timer_at: Micros,
     /// The last run that could start tasks.
@@ -57,7 +57,7 @@
             hot_keys: None,
             split: None,
             split_generation: SplitGeneration::default(),
-            metrics: Metrics::new(),
+            metrics: BackgroundMetrics::new(),
             timer_at: Micros::MAX,
             last_run_at: now,
             paused_until: now,
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -22,7 +22,7 @@
 pub(super) use listeners::OpenedListeners;
 use mio::Interest;
 use mio::net::TcpStream;
-use serve::{AnswerSource, Progress, agent_reply, serve};
+use serve::{AnswerSource, CheckProgress, agent_reply, serve};
 use slab::Slab;
 use tracing::{debug, info};
 
@@ -82,9 +82,9 @@
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
         let Some(connection) = self.connections.get_mut(key.0) else { return };
         match serve(context, connection, source) {
-            Progress::Finished(reason) => self.close(context, key, reason),
-            Progress::WorkRemaining => self.unfinished.push(key),
-            Progress::WaitingForSocket => {}
+            CheckProgress::Finished(reason) => self.close(context, key, reason),
+            CheckProgress::WorkRemaining => self.unfinished.push(key),
+            CheckProgress::WaitingForSocket => {}
         }
     }
 
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -17,7 +17,7 @@
 const MAX_READ_BYTES: usize = 8 << 10;
 
 /// How a connection goes on after its turn.
-pub(super) enum Progress {
+pub(super) enum CheckProgress {
     /// It is to be closed.
     Finished(CheckCloseReason),
     /// It has more to do, for which the socket will report no event.
@@ -28,13 +28,13 @@
 
 /// What a turn of a connection came to.
 struct TurnResult {
-    progress: Progress,
+    progress: CheckProgress,
     /// It completed a request, or its output went on.
     was_active: bool,
 }
 
 impl TurnResult {
-    fn inactive(progress: Progress) -> TurnResult {
+    fn inactive(progress: CheckProgress) -> TurnResult {
         TurnResult { progress, was_active: false }
     }
 }
@@ -51,7 +51,7 @@
     context: &mut EventLoopContext,
     connection: &mut CheckConnection,
     source: AnswerSource,
-) -> Progress {
+) -> CheckProgress {
     let (stream, state) = (&mut connection.stream, &mut connection.state);
     let now = context.now;
     let turn = match (state, source.observer) {
@@ -60,7 +60,7 @@
         (ProtocolState::Agent { line, reply }, Some(_)) => {
             TurnResult::inactive(serve_agent(context, stream, line, reply, source))
         }
-        (_, None) => TurnResult::inactive(Progress::Finished(CheckCloseReason::ListenerDisabled)),
+        (_, None) => TurnResult::inactive(CheckProgress::Finished(CheckCloseReason::ListenerDisabled)),
     };
     if turn.was_active {
         connection.active_at = now;
@@ -94,19 +94,19 @@
     let was_active = http.requests_answered() > answered_before || http.output.len() < pending;
     if http.is_finished() {
         let _ = stream.shutdown(Shutdown::Write);
-        return TurnResult { progress: Progress::Finished(CheckCloseReason::Answered), was_active };
+        return TurnResult { progress: CheckProgress::Finished(CheckCloseReason::Answered), was_active };
     }
     let progress = match (read, written) {
-        (_, Err(_)) | (Err(stream::StreamEnd::Reset), _) => Progress::Finished(CheckCloseReason::Reset),
+        (_, Err(_)) | (Err(stream::StreamEnd::Reset), _) => CheckProgress::Finished(CheckCloseReason::Reset),
         (Err(stream::StreamEnd::Closed), _) if http.has_partial_request() => {
-            Progress::Finished(CheckCloseReason::RequestTruncated)
+            CheckProgress::Finished(CheckCloseReason::RequestTruncated)
         }
-        (Err(stream::StreamEnd::Closed), _) => Progress::Finished(CheckCloseReason::Closed),
+        (Err(stream::StreamEnd::Closed), _) => CheckProgress::Finished(CheckCloseReason::Closed),
         // The socket reports when it can be written again. It doesn't report input again that was left unread or unanswered.
         (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => {
-            Progress::WaitingForSocket
+            CheckProgress::WaitingForSocket
         }
-        _ => Progress::WorkRemaining,
+        _ => CheckProgress::WorkRemaining,
     };
     TurnResult { progress, was_active }
 }
@@ -129,7 +129,7 @@
         Ok(false)
     };
     if read == Err(stream::StreamEnd::Reset) {
-        return TurnResult::inactive(Progress::Finished(CheckCloseReason::Reset));
+        return TurnResult::inactive(CheckProgress::Finished(CheckCloseReason::Reset));
     }
     if read.is_err() {
         grpc.input_ended();
@@ -137,17 +137,20 @@
     let more_to_process = grpc.process(observer.borrow_mut().verdict(context.now));
     let output = grpc.take_output();
     let Ok(written) = stream::write_some(stream, &output) else {
-        return TurnResult::inactive(Progress::Finished(CheckCloseReason::Reset));
+        return TurnResult::inactive(CheckProgress::Finished(CheckCloseReason::Reset));
     };
     grpc.return_output(&output[written..]);
     let was_active = grpc.activity() > activity_before;
     if grpc.is_finished() {
-        return TurnResult { progress: Progress::Finished(CheckCloseReason::Closed), was_active };
+        return TurnResult { progress: CheckProgress::Finished(CheckCloseReason::Closed), was_active };
     }
     // Written output makes room for more, which no socket reports.
     let may_continue = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
-    let progress =
-        if may_continue && !grpc.has_output() { Progress::WorkRemaining } else { Progress::WaitingForSocket };
+    let progress = if may_continue && !grpc.has_output() {
+        CheckProgress::WorkRemaining
+    } else {
+        CheckProgress::WaitingForSocket
+    };
     TurnResult { progress, was_active }
 }
 
@@ -158,7 +161,7 @@
     line: &mut AgentCheckConnection,
     reply: &mut Option<Vec<u8>>,
     source: AnswerSource,
-) -> Progress {
+) -> CheckProgress {
     let mut query = None;
     let read = stream::read(stream, &mut context.scratch, |bytes| {
         query = query.take().or_else(|| line.feed(bytes));
@@ -172,20 +175,20 @@
     }
     let Some(unwritten) = reply else {
         return if read.is_err() {
-            Progress::Finished(CheckCloseReason::Reset)
+            CheckProgress::Finished(CheckCloseReason::Reset)
         } else {
-            Progress::WaitingForSocket
+            CheckProgress::WaitingForSocket
         };
     };
     match stream::write_some(stream, unwritten) {
-        Err(_) => Progress::Finished(CheckCloseReason::Reset),
+        Err(_) => CheckProgress::Finished(CheckCloseReason::Reset),
         Ok(written) if written < unwritten.len() => {
             unwritten.drain(..written);
-            Progress::WaitingForSocket
+            CheckProgress::WaitingForSocket
         }
         Ok(_) => {
             let _ = stream.shutdown(Shutdown::Write);
-            Progress::Finished(CheckCloseReason::Answered)
+            CheckProgress::Finished(CheckCloseReason::Answered)
         }
     }
 }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -12,7 +12,7 @@
 use crate::log::Quoted;
 use crate::outbox::Outbox;
 use birchreach::{Micros, Settings};
-use close_reason::CloseReason;
+use close_reason::DiscoveryCloseReason;
 use mio::Interest;
 use mio::net::TcpStream;
 use std::net::SocketAddr;
@@ -89,7 +89,7 @@
         self.address = address;
         self.watch.set_host(address.to_string());
         self.backoff.reset();
-        self.disconnect(context, &CloseReason::Moved);
+        self.disconnect(context, &DiscoveryCloseReason::Moved);
         self.poll(context);
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Closes the connection, if there is one, and logs why.
-    fn disconnect(&mut self, context: &mut EventLoopContext, reason: &CloseReason) {
+    fn disconnect(&mut self, context: &mut EventLoopContext, reason: &DiscoveryCloseReason) {
         if let Some(mut stream) = self.stream.take() {
             let _ = context.poll.registry().deregister(&mut stream);
         }
@@ -161,7 +161,7 @@
 
     /// The poll failed: the connection is closed, and the next poll waits.
     fn fail(&mut self, context: &mut EventLoopContext, error: &PollError) {
-        self.disconnect(context, &CloseReason::Failed(error.clone()));
+        self.disconnect(context, &DiscoveryCloseReason::Failed(error.clone()));
         self.watch.record_failure();
         let wait = self.backoff.wait_after(error);
         self.poll_after(context, wait);
--- a/proxy/src/net/discovery_connection/responses.rs
+++ b/proxy/src/net/discovery_connection/responses.rs
@@ -2,7 +2,7 @@
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream::{self, StreamEnd};
-use super::close_reason::CloseReason;
+use super::close_reason::DiscoveryCloseReason;
 use super::{DiscoveryConnection, PollState};
 use crate::discovery::{EndpointUpdate, PollError, PollResponse, RESPONSE_TIMEOUT_MICROS};
 use birchreach::Micros;
@@ -75,7 +75,7 @@
         }
         if ended {
             // The poll did not fail: the next one may be a long poll.
-            self.disconnect(context, &CloseReason::Failed(PollError::Closed));
+            self.disconnect(context, &DiscoveryCloseReason::Failed(PollError::Closed));
             let wait = self.backoff.wait_after(&PollError::Closed);
             self.poll_after(context, wait);
         } else if context.now - self.polled_at < MIN_POLL_INTERVAL_MICROS && no_change {
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -6,7 +6,7 @@
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
-use crate::fleet::{self, Metrics};
+use crate::fleet::{self, FleetMetrics};
 use crate::log::Quoted;
 use crate::observe::Shared;
 use birchreach::Micros;
@@ -32,7 +32,7 @@
     /// Reports that were received and not yet taken.
     new_reports: Vec<ReceivedReport>,
     datagrams: DatagramCodec,
-    metrics: Metrics,
+    metrics: FleetMetrics,
     /// When the timer that is set is due.
     timer_at: Micros,
     /// The socket may hold more datagrams than one turn takes.
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -6,7 +6,7 @@
 use super::super::gossip::MembershipSync;
 use super::super::timer_events::TimerEvent;
 use super::FleetMembership;
-use crate::fleet::Metrics;
+use crate::fleet::FleetMetrics;
 use crate::observe::shared;
 use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
@@ -34,7 +34,7 @@
             gossip_reports: GossipReports::new(incarnation, self.config.seed ^ incarnation.rotate_left(32)),
             new_reports: Vec::new(),
             datagrams: DatagramCodec::new(keys.clone(), incarnation),
-            metrics: Metrics::new(),
+            metrics: FleetMetrics::new(),
             timer_at: Micros::MAX,
             may_have_unread: false,
             is_replaced: false,
--- a/proxy/src/net/gossip/close_reason.rs
+++ b/proxy/src/net/gossip/close_reason.rs
@@ -5,16 +5,16 @@
 use std::fmt;
 
 /// Whether a link stays open after a step of its protocol.
-pub(super) enum LinkStep {
+pub(super) enum LinkProgress {
     /// The link stays open.
     Continue,
     /// The link ends.
-    Close(CloseReason),
+    Close(LinkCloseReason),
 }
 
 /// Why a link ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CloseReason {
+pub(super) enum LinkCloseReason {
     /// This proxy has sent all it had to send.
     Sent,
     /// This proxy has received a complete answer.
@@ -29,27 +29,27 @@
     Members(PayloadError),
 }
 
-impl CloseReason {
+impl LinkCloseReason {
     /// The link has served its purpose.
     pub(super) fn is_complete(self) -> bool {
-        matches!(self, CloseReason::Sent | CloseReason::Received)
+        matches!(self, LinkCloseReason::Sent | LinkCloseReason::Received)
     }
 
     /// What was received was rejected.
     pub(super) fn is_rejection(self) -> bool {
-        matches!(self, CloseReason::Frame(_) | CloseReason::Members(_))
+        matches!(self, LinkCloseReason::Frame(_) | LinkCloseReason::Members(_))
     }
 }
 
-impl fmt::Display for CloseReason {
+impl fmt::Display for LinkCloseReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            CloseReason::Sent => f.write_str("sent"),
-            CloseReason::Received => f.write_str("received"),
-            CloseReason::Closed => f.write_str("closed"),
-            CloseReason::Unresponsive => f.write_str("unresponsive"),
-            CloseReason::Frame(error) => error.fmt(f),
-            CloseReason::Members(error) => f.write_str(error.as_str()),
+            LinkCloseReason::Sent => f.write_str("sent"),
+            LinkCloseReason::Received => f.write_str("received"),
+            LinkCloseReason::Closed => f.write_str("closed"),
+            LinkCloseReason::Unresponsive => f.write_str("unresponsive"),
+            LinkCloseReason::Frame(error) => error.fmt(f),
+            LinkCloseReason::Members(error) => f.write_str(error.as_str()),
         }
     }
 }
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -4,7 +4,7 @@
 use super::super::ids::LinkKey;
 use super::super::timer_events::TimerEvent;
 use super::Gossip;
-use super::close_reason::{CloseReason, LinkStep};
+use super::close_reason::{LinkCloseReason, LinkProgress};
 use super::link::LinkRole;
 use super::peer_protocol::{self, LinkId};
 
@@ -14,7 +14,7 @@
         let Some(link) = self.links.get_mut(key.0) else { return };
         let id = LinkId { key, serial: link.serial };
         let read_failed = link.read_input(&mut context.scratch).is_err();
-        let step = match (&mut link.role, &mut self.state_transfer, &self.membership_sync) {
+        let progress = match (&mut link.role, &mut self.state_transfer, &self.membership_sync) {
             (LinkRole::RequestsState { requester, provider, requested_at }, Some(transfer), _) => {
                 peer_protocol::receive_state(context, requester, provider, *requested_at, transfer)
             }
@@ -22,22 +22,22 @@
                 peer_protocol::answer_request(context, sender, admitted, transfer, id)
             }
             (LinkRole::ExchangesMembers(exchange), _, Some(sync)) => sync.process_exchange(context, exchange),
-            _ => LinkStep::Close(CloseReason::Closed),
+            _ => LinkProgress::Close(LinkCloseReason::Closed),
         };
         let write_failed = link.write_output().is_err();
         let is_written = link.role.output().is_empty();
         let has_failed =
             read_failed || write_failed || matches!(link.stream.take_error(), Ok(Some(_)) | Err(_));
-        match step {
-            LinkStep::Close(reason) => self.close_link(context, key, reason),
-            LinkStep::Continue if is_written && link.role.has_sent_everything() => {
-                self.close_link(context, key, CloseReason::Sent);
+        match progress {
+            LinkProgress::Close(reason) => self.close_link(context, key, reason),
+            LinkProgress::Continue if is_written && link.role.has_sent_everything() => {
+                self.close_link(context, key, LinkCloseReason::Sent);
             }
-            LinkStep::Continue if has_failed => self.close_link(context, key, CloseReason::Closed),
-            LinkStep::Continue if is_written && link.role.is_sending() => {
+            LinkProgress::Continue if has_failed => self.close_link(context, key, LinkCloseReason::Closed),
+            LinkProgress::Continue if is_written && link.role.is_sending() => {
                 context.timers.set(context.now + 1, TimerEvent::GossipSend(key, id.serial));
             }
-            LinkStep::Continue => {}
+            LinkProgress::Continue => {}
         }
     }
 }
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -5,7 +5,7 @@
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
 use super::super::timer_events::TimerEvent;
-use super::close_reason::{CloseReason, LinkError, LinkStep};
+use super::close_reason::{LinkCloseReason, LinkError, LinkProgress};
 use super::listener::listen;
 use super::nonce::nonce;
 use crate::observe::Shared;
@@ -87,11 +87,11 @@
         &self,
         context: &mut EventLoopContext,
         exchange: &mut FullExchange,
-    ) -> LinkStep {
+    ) -> LinkProgress {
         loop {
             match exchange.next_event() {
-                Err(error) => return LinkStep::Close(CloseReason::Frame(error)),
-                Ok(None) => return LinkStep::Continue,
+                Err(error) => return LinkProgress::Close(LinkCloseReason::Frame(error)),
+                Ok(None) => return LinkProgress::Continue,
                 Ok(Some(ExchangeEvent::Connected)) => self.send_members(exchange),
                 Ok(Some(ExchangeEvent::Complete(parts))) => {
                     let sent_first = exchange.has_sent();
@@ -99,8 +99,8 @@
                         self.send_members(exchange);
                     }
                     match self.import_members(context, &parts) {
-                        Err(error) => return LinkStep::Close(CloseReason::Members(error)),
-                        Ok(()) if sent_first => return LinkStep::Close(CloseReason::Received),
+                        Err(error) => return LinkProgress::Close(LinkCloseReason::Members(error)),
+                        Ok(()) if sent_first => return LinkProgress::Close(LinkCloseReason::Received),
                         Ok(()) => {}
                     }
                 }
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -17,7 +17,7 @@
 use super::timer_events::TimerEvent;
 use birchreach::Micros;
 use birchreach_peer_state::request_scheduler::RequestOutcome;
-use close_reason::{CloseReason, LinkError};
+use close_reason::{LinkCloseReason, LinkError};
 use link::{LinkKind, LinkRole, PeerLink};
 pub(super) use membership_sync::MembershipSync;
 use mio::net::TcpStream;
@@ -96,7 +96,7 @@
         let is_timed_out = |link: &PeerLink| context.now - link.opened_at >= LINK_TIMEOUT_MICROS;
         let timed_out: Vec<LinkKey> =
             self.links.iter().filter(|(_, link)| is_timed_out(link)).map(|(slot, _)| LinkKey(slot)).collect();
-        timed_out.into_iter().for_each(|key| self.close_link(context, key, CloseReason::Unresponsive));
+        timed_out.into_iter().for_each(|key| self.close_link(context, key, LinkCloseReason::Unresponsive));
     }
 
     /// Requests state from the providers whose request is due.
@@ -198,7 +198,7 @@
     }
 
     /// Closes a link, reports its outcome and logs why.
-    fn close_link(&mut self, context: &mut EventLoopContext, key: LinkKey, reason: CloseReason) {
+    fn close_link(&mut self, context: &mut EventLoopContext, key: LinkKey, reason: LinkCloseReason) {
         let mut link = self.links.remove(key.0);
         let _ = context.poll.registry().deregister(&mut link.stream);
         let is_complete = reason.is_complete();
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -4,7 +4,7 @@
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{LinkKey, LinkSerial};
 use super::super::timer_events::TimerEvent;
-use super::close_reason::{CloseReason, LinkStep};
+use super::close_reason::{LinkCloseReason, LinkProgress};
 use super::state_transfer::StateTransfer;
 use birchreach::Micros;
 use birchreach_peer_state::provider::Admission;
@@ -28,10 +28,10 @@
     provider: &str,
     requested_at: Micros,
     transfer: &mut StateTransfer,
-) -> LinkStep {
+) -> LinkProgress {
     loop {
         let outcome = match requester.next_event() {
-            Ok(None) => return LinkStep::Continue,
+            Ok(None) => return LinkProgress::Continue,
             Ok(Some(TransferEvent::Part(part))) => {
                 let hints = transfer.peer_state.borrow_mut().apply_transfer(context.now, requested_at, &part);
                 for position in hints.positions {
@@ -42,10 +42,10 @@
             }
             Ok(Some(TransferEvent::Complete(providers))) => RequestOutcome::Complete(providers),
             Ok(Some(TransferEvent::Busy(retry_after))) => RequestOutcome::Busy(retry_after),
-            Err(error) => return LinkStep::Close(CloseReason::Frame(error)),
+            Err(error) => return LinkProgress::Close(LinkCloseReason::Frame(error)),
         };
         transfer.requests.record_outcome(context.now, provider, outcome);
-        return LinkStep::Close(CloseReason::Received);
+        return LinkProgress::Close(LinkCloseReason::Received);
     }
 }
 
@@ -56,9 +56,9 @@
     admitted: &mut bool,
     transfer: &mut StateTransfer,
     link: LinkId,
-) -> LinkStep {
+) -> LinkProgress {
     match sender.receive_request() {
-        Err(error) => return LinkStep::Close(CloseReason::Frame(error)),
+        Err(error) => return LinkProgress::Close(LinkCloseReason::Frame(error)),
         Ok(false) => {}
         Ok(true) => match transfer.provider.admit(context.now) {
             Admission::Busy(retry_after) => sender.send_busy(retry_after),
@@ -75,5 +75,5 @@
             Err(at) => context.timers.set(at, TimerEvent::GossipSend(link.key, link.serial)),
         }
     }
-    LinkStep::Continue
+    LinkProgress::Continue
 }
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -1,6 +1,6 @@
 //! The handling of each message of a client, depending on the state of the connection.
 
-use super::{ClientCommand, EndReason, Frontend, Phase, Progress};
+use super::{ClientCommand, DecodeProgress, EndReason, Frontend, Phase};
 use crate::pg::codec::{ClientMessage, DecodeError, Severity, Startup};
 use crate::pg::sqlstate::SqlState;
 use crate::pg::statement::Statement;
@@ -18,29 +18,29 @@
 
 impl Frontend {
     /// Handles the startup message, or a request for encryption before it.
-    pub(super) fn process_startup(&mut self, now: Micros) -> Result<Progress, DecodeError> {
+    pub(super) fn process_startup(&mut self, now: Micros) -> Result<DecodeProgress, DecodeError> {
         let bytes_before = self.inbox.len();
         let message = self.inbox.startup()?;
         self.take_arrival_time(bytes_before, now);
         Ok(match message {
-            None => Progress::NeedsInput,
+            None => DecodeProgress::NeedsInput,
             Some(Startup::EncryptionRequest) => {
                 // Encryption is not supported.
                 self.outbox.append(b"N");
-                Progress::Continue
+                DecodeProgress::Continue
             }
             Some(Startup::CancelRequest) => {
                 // No cancellation keys are issued: a client cancels a request by closing its connection.
                 self.phase = Phase::Closed;
-                Progress::Command(ClientCommand::Close(EndReason::CancelRequest))
+                DecodeProgress::Command(ClientCommand::Close(EndReason::CancelRequest))
             }
             Some(Startup::UnsupportedVersion) => {
                 self.fail(SqlState::NOT_SUPPORTED, "only version 3 of the protocol is spoken here");
-                Progress::Command(ClientCommand::CloseWithError(EndReason::UnsupportedVersion))
+                DecodeProgress::Command(ClientCommand::CloseWithError(EndReason::UnsupportedVersion))
             }
             Some(Startup::Version3 { minor, options }) => {
                 self.accept_startup(minor, &options);
-                Progress::Continue
+                DecodeProgress::Continue
             }
         })
     }
@@ -59,14 +59,14 @@
     }
 
     /// Handles a message after the startup.
-    pub(super) fn process_message(&mut self, now: Micros) -> Result<Progress, DecodeError> {
+    pub(super) fn process_message(&mut self, now: Micros) -> Result<DecodeProgress, DecodeError> {
         let bytes_before = self.inbox.len();
         let message = self.inbox.client_message()?;
         let arrived_at = self.take_arrival_time(bytes_before, now);
         let Some(message) = message else {
             // A message that cannot become valid is rejected before it has arrived in full.
             let has_valid_prefix = self.inbox.incomplete_body().is_none_or(Statement::has_valid_prefix);
-            return if has_valid_prefix { Ok(Progress::NeedsInput) } else { Err(DecodeError::TooLong) };
+            return if has_valid_prefix { Ok(DecodeProgress::NeedsInput) } else { Err(DecodeError::TooLong) };
         };
         self.commands_received += 1;
         self.remaining_commands_in_turn -= 1;
@@ -74,41 +74,41 @@
         Ok(match message {
             ClientMessage::Terminate => {
                 self.phase = Phase::Closed;
-                Progress::Command(ClientCommand::Close(EndReason::Terminate))
+                DecodeProgress::Command(ClientCommand::Close(EndReason::Terminate))
             }
             ClientMessage::Sync => {
                 self.phase = Phase::Ready;
                 self.outbox.ready_for_query();
-                Progress::Continue
+                DecodeProgress::Continue
             }
-            _ if self.phase == Phase::SkippingUntilSync => Progress::Continue,
+            _ if self.phase == Phase::SkippingUntilSync => DecodeProgress::Continue,
             ClientMessage::Query(text) => self.process_query(text, arrived_at),
-            ClientMessage::Flush => Progress::Continue,
+            ClientMessage::Flush => DecodeProgress::Continue,
             ClientMessage::Extended => {
                 let message = "only simple queries are taken";
                 self.outbox.error(Severity::Error, SqlState::NOT_SUPPORTED, message, None);
                 self.phase = Phase::SkippingUntilSync;
-                Progress::Continue
+                DecodeProgress::Continue
             }
             ClientMessage::FunctionCall => {
                 self.reject(SqlState::NOT_SUPPORTED, "function calls are not taken");
-                Progress::Continue
+                DecodeProgress::Continue
             }
         })
     }
 
     /// Parses a query. A statement becomes a command; anything else is answered here.
-    fn process_query(&mut self, text: Vec<u8>, arrived_at: Micros) -> Progress {
+    fn process_query(&mut self, text: Vec<u8>, arrived_at: Micros) -> DecodeProgress {
         if text.trim_ascii().is_empty() {
             self.outbox.empty_query_response();
             self.outbox.ready_for_query();
-            return Progress::Continue;
+            return DecodeProgress::Continue;
         }
         let Some(statement) = Statement::parse(text) else {
             self.reject(SqlState::SYNTAX_ERROR, "not a statement of the form that is taken here");
-            return Progress::Continue;
+            return DecodeProgress::Continue;
         };
         self.phase = Phase::AnswerPending { is_write: statement.is_write };
-        Progress::Command(ClientCommand::Run(statement, arrived_at))
+        DecodeProgress::Command(ClientCommand::Run(statement, arrived_at))
     }
 }
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -74,7 +74,7 @@
 }
 
 /// How decoding continues after a message.
-enum Progress {
+enum DecodeProgress {
     /// With the next message.
     Continue,
     /// Once more input has arrived.
@@ -198,9 +198,9 @@
                 Phase::AnswerPending { .. } | Phase::Closed => return None,
             };
             match progress {
-                Ok(Progress::Command(command)) => return Some(command),
-                Ok(Progress::Continue) => {}
-                Ok(Progress::NeedsInput) => {
+                Ok(DecodeProgress::Command(command)) => return Some(command),
+                Ok(DecodeProgress::Continue) => {}
+                Ok(DecodeProgress::NeedsInput) => {
                     self.message_incomplete = true;
                     self.inbox.release_empty_buffer();
                     return None;
