--- a/proxy/src/net/admin_calls.rs
+++ b/proxy/src/net/admin_calls.rs
@@ -12,7 +12,7 @@
         let reply = self.admin_reply(call);
         self.admin.answer(&mut self.context, key, &reply);
         if let AdminCall::Maintenance(on) = call
-            && self.has_balancers()
+            && self.has_health_reporting()
         {
             self.record_health_event(HealthEvent::Maintenance(on));
         }
@@ -35,14 +35,14 @@
                 self.admin_reports().metrics.map_or(AdminReply::UnknownCall, AdminReply::Text)
             }
             // Without balancers there is no rotation to be taken out of.
-            AdminCall::Maintenance(_) if !self.has_balancers() => AdminReply::UnknownCall,
+            AdminCall::Maintenance(_) if !self.has_health_reporting() => AdminReply::UnknownCall,
             AdminCall::Maintenance(true) => AdminReply::Yes("balancers are told maintenance"),
             AdminCall::Maintenance(false) => AdminReply::Yes("maintenance is over"),
         }
     }
 
     /// Whether balancers check this proxy.
-    fn has_balancers(&self) -> bool {
+    fn has_health_reporting(&self) -> bool {
         self.health.observer.is_some()
     }
 }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -21,9 +21,9 @@
 const ANNOUNCEMENT_TIMEOUT_MICROS: Micros = 1_000_000;
 /// It opens its check listeners this long before it answers, so that no balancer finds the address closed, even if it is
 /// held up for 150 ms.
-const LISTEN_AHEAD_MICROS: Micros = 250_000;
+const LISTEN_LEAD_TIME_MICROS: Micros = 250_000;
 /// A process that has not taken over yet is ready at a time that is not known.
-const UNKNOWN_TIME: Micros = Micros::MAX / 4;
+const UNKNOWN_READY_TIME: Micros = Micros::MAX / 4;
 
 /// The state of health reporting.
 #[derive(Default)]
@@ -55,7 +55,7 @@
         let opened = self.checks.open(if has_predecessor { None } else { options.as_ref() })?;
         self.checks.apply_options(&mut self.context, options, opened);
         if has_predecessor {
-            self.set_ready_at(UNKNOWN_TIME);
+            self.set_ready_at(UNKNOWN_READY_TIME);
         }
         Ok(())
     }
@@ -96,7 +96,7 @@
         if !std::mem::replace(&mut self.health.load_timer_set, true) {
             self.health.load_reported_at = now;
             self.health.idle_time = 0;
-            self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
+            self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthLoadReport);
         }
     }
 
@@ -105,7 +105,7 @@
         self.health.ready_at = at;
         self.record_health_event(HealthEvent::ReadyAt(at));
         self.checks.set_accept_start(at);
-        self.context.timers.set(at - LISTEN_AHEAD_MICROS, TimerEvent::OpenCheckListeners);
+        self.context.timers.set(at - LISTEN_LEAD_TIME_MICROS, TimerEvent::OpenCheckListeners);
     }
 
     /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both
@@ -114,7 +114,7 @@
         if self.health.observer.is_some() {
             self.announce_handover();
         }
-        self.await_handover();
+        self.update_ready_time();
     }
 
     /// Announces the handover to a process that replaces this one, or revokes it when that process has disconnected.
@@ -137,7 +137,7 @@
     }
 
     /// Becomes ready at the time that the predecessor announces, or immediately if it has disconnected.
-    fn await_handover(&mut self) {
+    fn update_ready_time(&mut self) {
         let now = self.context.now;
         if self.health.ready_at <= now || self.health.handover_time_known {
             return;
@@ -174,7 +174,7 @@
             queued,
             client_capacity: self.connection_limits().clients,
         });
-        self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
+        self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthLoadReport);
     }
 
     /// Updates the verdict if it may have changed, and sends the probes that are due.
@@ -187,7 +187,7 @@
         }
         if self.health.update_timer.is_none_or(|at| next_update_at < at) {
             self.health.update_timer = Some(next_update_at);
-            self.context.timers.set(next_update_at, TimerEvent::HealthChange);
+            self.context.timers.set(next_update_at, TimerEvent::HealthUpdate);
         }
         if !probes.is_empty() {
             for server in probes {
@@ -207,7 +207,7 @@
     /// Closes inactive check connections, and opens check listeners that should be open and are not.
     pub(super) fn reopen_check_listeners(&mut self) {
         self.checks.close_inactive(&mut self.context);
-        let may_listen = self.context.now >= self.health.ready_at - LISTEN_AHEAD_MICROS;
+        let may_listen = self.context.now >= self.health.ready_at - LISTEN_LEAD_TIME_MICROS;
         if self.checks.is_missing_listener() && !self.health.handing_over && may_listen {
             self.checks.reopen_listeners(&mut self.context);
         }
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -1,7 +1,7 @@
 //! Timeouts of clients.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::test_hooks::{self, Point};
+use super::super::test_hooks::{self, StopPoint};
 use super::Clients;
 use super::client::{Client, CloseMode, Closing};
 use super::close_reason::ClientCloseReason;
@@ -52,7 +52,7 @@
         let expired = self.connections.iter().filter(|(_, client)| is_expired(client));
         let expired: Vec<ClientKey> = expired.map(|(key, _)| ClientKey(key)).collect();
         for key in expired {
-            test_hooks::at(Point::Sweep);
+            test_hooks::stop_process_at(StopPoint::Sweep);
             // What has arrived meanwhile is read first: a request must not cross with the close.
             self.handle_ready(context, key);
             self.close_if_expired(context, key);
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -69,7 +69,7 @@
         mut listener: TcpListener,
         max_clients: usize,
     ) -> Result<Clients, EventLoopError> {
-        let registered = registry.register(&mut listener, Source::Listener.token(), Interest::READABLE);
+        let registered = registry.register(&mut listener, Source::ClientListener.token(), Interest::READABLE);
         let source = RegisteredSource::ClientListener;
         registered.map_err(|error| EventLoopError::Register { source, error })?;
         Ok(Clients {
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -1,7 +1,7 @@
 //! The limit on the number of clients, and which of them are closed to stay within it.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::test_hooks::{self, Point};
+use super::super::test_hooks::{self, StopPoint};
 use super::Clients;
 use super::client::ShedClass;
 use super::close_reason::ClientCloseReason;
@@ -64,7 +64,7 @@
             let ranks = candidates.map(|(key, client)| (client.shed_rank(context.now), key));
             let first = ranks.filter(|(rank, _)| rank.class <= last_class).min();
             let Some((rank, key)) = first else { return };
-            test_hooks::at(Point::Shed);
+            test_hooks::stop_process_at(StopPoint::Shed);
             // What has arrived meanwhile is read first: a request must not cross with the close.
             self.handle_ready(context, key);
             let Some(client) = self.connections.get(key.0) else { return };
--- a/proxy/src/net/clients/shutdown.rs
+++ b/proxy/src/net/clients/shutdown.rs
@@ -1,7 +1,7 @@
 //! How clients are handed over to another process, and how all are closed in a graceful shutdown.
 
 use super::super::event_loop_context::EventLoopContext;
-use super::super::test_hooks::{self, Point};
+use super::super::test_hooks::{self, StopPoint};
 use super::Clients;
 use super::close_reason::ClientCloseReason;
 use crate::core::ClientKey;
@@ -17,7 +17,7 @@
     /// Accepts and reads what has arrived, then nothing more, and closes each connection once that is answered. Otherwise a client
     /// that sends one command after the other would have one unanswered when the process is killed.
     pub(crate) fn shut_down(&mut self, context: &mut EventLoopContext) {
-        test_hooks::at(Point::Leave);
+        test_hooks::stop_process_at(StopPoint::CloseIdleClients);
         self.accept_pending = true;
         self.accept_paused = false;
         while self.can_accept() {
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -65,7 +65,7 @@
         let lists_servers = !update.endpoints.is_empty();
         let moved = self.context.core.update_endpoints(self.context.now, update);
         for server in moved {
-            self.pool.server_moved(&mut self.context, server);
+            self.pool.close_idle_connections(&mut self.context, server);
         }
         if lists_servers {
             self.take_over_from_predecessor();
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -6,7 +6,7 @@
 use crate::config::Config;
 
 /// Descriptors reserved for standard streams, poll, signals, listeners, discovery, the handover and operators.
-const OWN_DESCRIPTORS: usize = 16 + admin::MAX_CONNECTIONS;
+const BASE_DESCRIPTORS: usize = 16 + admin::MAX_CONNECTIONS;
 /// The lowest limit: the reserved descriptors are seldom all in use.
 const MIN_CONNECTIONS: usize = 8;
 /// Balancers that connect to the clients' listener without sending a request count as no clients, up to this number.
@@ -26,19 +26,19 @@
     /// has open.
     pub(super) fn new(config: &Config, handover: &ProcessHandover) -> ConnectionLimits {
         let processes = handover.process_count() as usize;
-        let reserved = (OWN_DESCRIPTORS + reserved_descriptors(config)) * processes;
-        let free = config.max_descriptors.saturating_sub(reserved);
-        let free = match handover.predecessor_descriptors() {
-            Some(held) => free.saturating_sub(held),
-            None => free / processes,
+        let reserved = (BASE_DESCRIPTORS + subsystem_descriptors(config)) * processes;
+        let available = config.max_descriptors.saturating_sub(reserved);
+        let available = match handover.predecessor_descriptors() {
+            Some(held) => available.saturating_sub(held),
+            None => available / processes,
         };
-        let free = free.max(MIN_CONNECTIONS);
-        ConnectionLimits { clients: free - free / 2, databases: free / 2 }
+        let available = available.max(MIN_CONNECTIONS);
+        ConnectionLimits { clients: available - available / 2, databases: available / 2 }
     }
 }
 
 /// Descriptors reserved for balancers' checks, for balancers at the clients' listener, and for other proxies.
-fn reserved_descriptors(config: &Config) -> usize {
+fn subsystem_descriptors(config: &Config) -> usize {
     let options = &config.options;
     let links =
         if options.peer_state.is_some() || options.fleet.is_some() { gossip::MAX_LINKS + 1 } else { 0 };
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -28,7 +28,7 @@
     /// None: another process of this proxy has the listener.
     listener: Option<TcpListener>,
     /// Where others reach this process.
-    own_address: SocketAddr,
+    local_address: SocketAddr,
     keys: Keys,
     membership: Shared<Membership>,
     /// Connections may wait to be accepted.
@@ -37,8 +37,12 @@
 
 impl MembershipSync {
     /// The listener opens with [`MembershipSync::set_active`].
-    pub(crate) fn new(own_address: SocketAddr, keys: Keys, membership: Shared<Membership>) -> MembershipSync {
-        MembershipSync { listener: None, own_address, keys, membership, accept_pending: false }
+    pub(crate) fn new(
+        local_address: SocketAddr,
+        keys: Keys,
+        membership: Shared<Membership>,
+    ) -> MembershipSync {
+        MembershipSync { listener: None, local_address, keys, membership, accept_pending: false }
     }
 
     /// The listener is open while this process represents the proxy in the fleet. Where another process still has the address,
@@ -46,7 +50,7 @@
     pub(crate) fn set_active(&mut self, registry: &Registry, active: bool) {
         if active && self.listener.is_none() {
             self.listener =
-                listen(registry, self.own_address, Source::MembershipListener, ListenPurpose::Fleet).ok();
+                listen(registry, self.local_address, Source::MembershipListener, ListenPurpose::Fleet).ok();
             self.accept_pending = true;
         } else if !active && let Some(mut listener) = self.listener.take() {
             let _ = registry.deregister(&mut listener);
@@ -58,9 +62,9 @@
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, Some(Protocol::TCP));
         let socket = socket.map_err(|_| LinkError::NoSocket)?;
         socket.set_nonblocking(true).map_err(|_| LinkError::NoSocket)?;
-        let own_ip = self.own_address.ip();
-        if !own_ip.is_unspecified() {
-            socket.bind(&SocketAddr::new(own_ip, 0).into()).map_err(|_| LinkError::NoSocket)?;
+        let local_ip = self.local_address.ip();
+        if !local_ip.is_unspecified() {
+            socket.bind(&SocketAddr::new(local_ip, 0).into()).map_err(|_| LinkError::NoSocket)?;
         }
         match socket.connect(&peer.into()) {
             Ok(()) => {}
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -11,12 +11,13 @@
 use tracing::info;
 
 /// Connections may still arrive for this time after SIGTERM, and are served.
-const ARRIVALS_MICROS: Micros = 400_000;
+const LATE_ARRIVAL_PERIOD_MICROS: Micros = 400_000;
 /// A request that is accepted later than this after SIGTERM may not have its whole timeout before SIGKILL: that comes the longest
 /// timeout and this time after SIGTERM, or later.
-const LAST_ACCEPTED_MICROS: Micros = 700_000;
+const SAFE_ACCEPT_PERIOD_MICROS: Micros = 700_000;
 /// When idle clients are closed: halfway between those two times.
-const CLOSE_IDLE_AFTER_MICROS: Micros = ARRIVALS_MICROS + (LAST_ACCEPTED_MICROS - ARRIVALS_MICROS) / 2;
+const CLOSE_IDLE_AFTER_MICROS: Micros =
+    LATE_ARRIVAL_PERIOD_MICROS + (SAFE_ACCEPT_PERIOD_MICROS - LATE_ARRIVAL_PERIOD_MICROS) / 2;
 /// The same if another process has the listener too, so that no new client arrives here. If an idle client sends another request
 /// within this time, the connection is closed right after the response, when no further request can be under way.
 const CLOSE_IDLE_AFTER_HANDOVER_MICROS: Micros = 600_000;
@@ -26,20 +27,20 @@
 impl EventLoop {
     /// Begins the shutdown. Where balancers check this proxy they first have some time to send clients elsewhere; a second signal
     /// ends that time.
-    pub(super) fn stop(&mut self) {
+    pub(super) fn begin_shutdown(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.context.core.open_request_count());
             self.record_health_event(HealthEvent::Stopping);
             let notice = self.config.options.health.as_ref().map_or(0, |health| health.shutdown_notice);
             if notice > 0 && !self.handover.is_replaced() {
-                return self.context.timers.set(self.context.now + notice, TimerEvent::StopListening);
+                return self.context.timers.set(self.context.now + notice, TimerEvent::ShutdownNoticeEnded);
             }
         }
-        self.stop_listening();
+        self.schedule_client_shutdown();
     }
 
     /// Sets the times at which idle clients are closed and the process exits.
-    pub(super) fn stop_listening(&mut self) {
+    pub(super) fn schedule_client_shutdown(&mut self) {
         if std::mem::replace(&mut self.listener_closed, true) {
             return;
         }
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -37,7 +37,7 @@
     ) {
         let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
         let outcome = match self.connections[key].query {
-            QueryProgress::NotQueued => return self.withdraw_task(context, key),
+            QueryProgress::NotQueued => return self.unassign_task(context, key),
             QueryProgress::Queued => AttemptOutcome::NotSent,
             QueryProgress::Written => outcome,
         };
@@ -47,7 +47,7 @@
     }
 
     /// Takes the task from a connection that is still being opened, or rests. The connection may serve another.
-    fn withdraw_task(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
+    fn unassign_task(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         let task = self.connections[key].task.take();
         if self.connections[key].established {
             self.return_to_idle(context, key);
@@ -112,15 +112,15 @@
             self.fail_connection(context, key, DatabaseCloseReason::ResponseStalled, reply);
         }
         self.idle.retain(|_, keys| !keys.is_empty());
-        let is_old = |key: &&ConnectionKey| now - self.connections[**key].idle_since >= self.idle_timeout;
-        let old: Vec<ConnectionKey> = self.idle.values().flatten().filter(is_old).copied().collect();
-        for key in old {
+        let is_expired = |key: &&ConnectionKey| now - self.connections[**key].idle_since >= self.idle_timeout;
+        let expired: Vec<ConnectionKey> = self.idle.values().flatten().filter(is_expired).copied().collect();
+        for key in expired {
             self.close(context, key, DatabaseCloseReason::Idle);
         }
     }
 
     /// Closes the idle connections of a server that moved or was removed.
-    pub(crate) fn server_moved(&mut self, context: &mut EventLoopContext, server: ServerId) {
+    pub(crate) fn close_idle_connections(&mut self, context: &mut EventLoopContext, server: ServerId) {
         for key in self.idle.remove(&server).unwrap_or_default() {
             self.close(context, key, DatabaseCloseReason::Moved);
         }
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -14,7 +14,7 @@
 use tracing::{info, warn};
 
 /// A connection to another process, and the state that it has reported.
-struct Link {
+struct ProcessLink {
     stream: UnixStream,
     protocol: HandoverProtocol,
     /// A successor takes clients.
@@ -25,10 +25,10 @@
     stops_accepting_at: Option<i64>,
 }
 
-impl Link {
+impl ProcessLink {
     /// A link on a connection that is registered.
-    fn new(stream: UnixStream) -> Link {
-        Link {
+    fn new(stream: UnixStream) -> ProcessLink {
+        ProcessLink {
             stream,
             protocol: HandoverProtocol::default(),
             is_serving: false,
@@ -71,8 +71,8 @@
 pub(super) struct ProcessHandover {
     path: Option<PathBuf>,
     listener: Option<UnixListener>,
-    predecessor: Option<Link>,
-    successor: Option<Link>,
+    predecessor: Option<ProcessLink>,
+    successor: Option<ProcessLink>,
     /// The predecessor was informed that this process serves.
     serving_announced: bool,
 }
@@ -111,7 +111,7 @@
                 let _ = context.poll.registry().deregister(&mut older.stream);
             }
             if register(context.poll.registry(), &mut stream, Source::Successor) {
-                self.successor = Some(Link::new(stream));
+                self.successor = Some(ProcessLink::new(stream));
                 info!(event = "successor-connected");
             }
         }
@@ -189,12 +189,12 @@
 }
 
 /// Connects to a process that serves. Returns none if there is none: the socket does not exist, or refuses the connection.
-fn connect(registry: &Registry, path: &Path) -> Option<Link> {
+fn connect(registry: &Registry, path: &Path) -> Option<ProcessLink> {
     let mut stream = UnixStream::connect(path).ok()?;
     if !register(registry, &mut stream, Source::Predecessor) {
         return None;
     }
-    Some(Link::new(stream))
+    Some(ProcessLink::new(stream))
 }
 
 /// Registers a link's stream. Returns whether that succeeded.
@@ -203,7 +203,7 @@
 }
 
 /// Reads and writes a link, if there is one, and removes it if it is no longer usable. Returns whether it was removed.
-fn disconnected(link: &mut Option<Link>, context: &mut EventLoopContext) -> bool {
+fn disconnected(link: &mut Option<ProcessLink>, context: &mut EventLoopContext) -> bool {
     let Some(open) = link else { return false };
     if open.exchange(&mut context.scratch) {
         return false;
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -77,7 +77,7 @@
     /// Serves one of the other sources.
     fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
         match source {
-            Source::Listener => self.clients.listener_ready(),
+            Source::ClientListener => self.clients.listener_ready(),
             Source::Signals => self.handle_signals(signals),
             Source::Discovery => self.handle_discovery(),
             Source::HandoverListener => {
@@ -133,7 +133,7 @@
         for signal in signals.pending() {
             match signal {
                 SIGHUP => self.reload(),
-                _ => self.stop(),
+                _ => self.begin_shutdown(),
             }
         }
     }
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     /// The clients' listener.
-    Listener,
+    ClientListener,
     /// The signals.
     Signals,
     /// The connection to discovery.
@@ -49,8 +49,8 @@
 }
 
 /// The sources without a key. The token of each is its index.
-const SINGLE: [Source; 13] = [
-    Source::Listener,
+const FIXED_SOURCES: [Source; 13] = [
+    Source::ClientListener,
     Source::Signals,
     Source::Discovery,
     Source::AdminListener,
@@ -65,8 +65,8 @@
     Source::Fleet,
 ];
 /// Constructors of the sources that have a key, by the number of their slab. Their tokens follow those of the single sources: key k
-/// of slab n has the token `SINGLE.len() + k * SLABS.len() + n`.
-const SLABS: [fn(usize) -> Source; 5] = [
+/// of slab n has the token `FIXED_SOURCES.len() + k * KEYED_SOURCES.len() + n`.
+const KEYED_SOURCES: [fn(usize) -> Source; 5] = [
     |key| Source::Client(ClientKey(key)),
     |key| Source::Database(ConnectionKey(key)),
     |key| Source::Admin(AdminKey(key)),
@@ -77,22 +77,22 @@
 impl Source {
     /// The token by which the poll names this source.
     pub(super) fn token(self) -> Token {
-        let slab = |slab: usize, key: usize| SINGLE.len() + key * SLABS.len() + slab;
+        let keyed = |index: usize, key: usize| FIXED_SOURCES.len() + key * KEYED_SOURCES.len() + index;
         Token(match self {
-            Source::Client(ClientKey(key)) => slab(0, key),
-            Source::Database(ConnectionKey(key)) => slab(1, key),
-            Source::Admin(AdminKey(key)) => slab(2, key),
-            Source::Check(CheckKey(key)) => slab(3, key),
-            Source::Gossip(LinkKey(key)) => slab(4, key),
-            single => SINGLE.iter().position(|source| *source == single).unwrap_or(usize::MAX),
+            Source::Client(ClientKey(key)) => keyed(0, key),
+            Source::Database(ConnectionKey(key)) => keyed(1, key),
+            Source::Admin(AdminKey(key)) => keyed(2, key),
+            Source::Check(CheckKey(key)) => keyed(3, key),
+            Source::Gossip(LinkKey(key)) => keyed(4, key),
+            fixed => FIXED_SOURCES.iter().position(|source| *source == fixed).unwrap_or(usize::MAX),
         })
     }
 
     /// The source that the poll names by this token.
     pub(super) fn from_token(Token(token): Token) -> Source {
-        SINGLE.get(token).copied().unwrap_or_else(|| {
-            let slab_token = token - SINGLE.len();
-            SLABS[slab_token % SLABS.len()](slab_token / SLABS.len())
+        FIXED_SOURCES.get(token).copied().unwrap_or_else(|| {
+            let keyed_token = token - FIXED_SOURCES.len();
+            KEYED_SOURCES[keyed_token % KEYED_SOURCES.len()](keyed_token / KEYED_SOURCES.len())
         })
     }
 
--- a/proxy/src/net/sources/tests.rs
+++ b/proxy/src/net/sources/tests.rs
@@ -9,8 +9,8 @@
 #[test]
 fn every_source_has_a_token_of_its_own() {
     // Given all sources, those of slabs with many keys
-    let slabs = (0..KEYS).flat_map(|key| SLABS.map(|slab| slab(key)));
-    let all: Vec<Source> = SINGLE.into_iter().chain(slabs).collect();
+    let keyed = (0..KEYS).flat_map(|key| KEYED_SOURCES.map(|source| source(key)));
+    let all: Vec<Source> = FIXED_SOURCES.into_iter().chain(keyed).collect();
 
     // When each is named by a token
     let tokens: HashSet<Token> = all.iter().map(|source| source.token()).collect();
--- a/proxy/src/net/test_hooks.rs
+++ b/proxy/src/net/test_hooks.rs
@@ -3,24 +3,24 @@
 
 /// Points at which the process can stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Point {
+pub(super) enum StopPoint {
     /// A client was idle for too long; it has not been read once more.
     Sweep,
     /// A client is to be shed; it has not been read once more.
     Shed,
     /// The last idle clients are to be closed; none has been read once more.
-    Leave,
+    CloseIdleClients,
 }
 
 /// Stops the process here, once, if the environment of the test names this point.
 #[cfg(debug_assertions)]
-pub(super) fn at(point: Point) {
+pub(super) fn stop_process_at(point: StopPoint) {
     use std::sync::atomic::{AtomicBool, Ordering};
     static STOPPED: AtomicBool = AtomicBool::new(false);
     let name = match point {
-        Point::Sweep => "sweep",
-        Point::Shed => "shed",
-        Point::Leave => "leave",
+        StopPoint::Sweep => "sweep",
+        StopPoint::Shed => "shed",
+        StopPoint::CloseIdleClients => "leave",
     };
     let wanted = std::env::var_os("BIRCHREACH_TEST_STOP_AT").is_some_and(|wanted| wanted == name);
     if wanted && !STOPPED.swap(true, Ordering::Relaxed) {
@@ -30,4 +30,4 @@
 
 /// Does nothing in a build without debug assertions.
 #[cfg(not(debug_assertions))]
-pub fn at(_: Point) {}
+pub fn stop_process_at(_: StopPoint) {}
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -20,10 +20,10 @@
             TimerEvent::Sweep => self.sweep(),
             TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
             // `update_health` at the end of the turn does the rest.
-            TimerEvent::HealthChange => {
+            TimerEvent::HealthUpdate => {
                 self.health.update_timer = self.health.update_timer.filter(|at| *at > context.now)
             }
-            TimerEvent::HealthTick => self.report_load(),
+            TimerEvent::HealthLoadReport => self.report_load(),
             TimerEvent::StopAcceptingChecks if self.health.handing_over => {
                 self.checks.stop_listening(context)
             }
@@ -35,7 +35,7 @@
             TimerEvent::GossipSend(key, serial) => self.continue_gossip_send(key, serial),
             TimerEvent::Fleet => self.handle_fleet_timer(),
             TimerEvent::Background => self.run_background(),
-            TimerEvent::StopListening => self.stop_listening(),
+            TimerEvent::ShutdownNoticeEnded => self.schedule_client_shutdown(),
             TimerEvent::CloseIdleClients => self.close_idle_clients(),
             TimerEvent::Exit => {
                 info!(event = "stopped", open = context.core.open_request_count());
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -27,9 +27,9 @@
     /// A balancer has sent no query in time.
     CheckTimeout(CheckKey, CheckSerial),
     /// The verdict for balancers may change.
-    HealthChange,
+    HealthUpdate,
     /// The load is reported to the health monitor.
-    HealthTick,
+    HealthLoadReport,
     /// Checks are answered by the process that replaces this one.
     StopAcceptingChecks,
     /// The process that this one replaces no longer answers checks.
@@ -43,7 +43,7 @@
     /// Background work may be due.
     Background,
     /// The shutdown notice to balancers is over: the listener is closed.
-    StopListening,
+    ShutdownNoticeEnded,
     /// Idle clients are closed in a graceful shutdown.
     CloseIdleClients,
     /// The process exits.
