--- a/proxy/src/background_query/tests.rs
+++ b/proxy/src/background_query/tests.rs
@@ -3,7 +3,7 @@
 use super::{BackgroundStatementId, BackgroundStatementIds};
 
 #[test]
-fn statement_ids_count_on_from_the_incarnation() {
+fn statement_ids_increase_from_the_incarnation() {
     let mut ids = BackgroundStatementIds::new(41);
 
     assert_eq!(ids.next_id(), BackgroundStatementId(42));
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn statement_ids_continue_at_zero_after_the_greatest() {
+fn statement_ids_wrap_around_to_zero() {
     let mut ids = BackgroundStatementIds::new(u64::MAX);
 
     assert_eq!(ids.next_id(), BackgroundStatementId(0));
 }
 
 #[test]
-fn a_statement_id_is_written_with_sixteen_hexadecimal_digits() {
+fn a_statement_id_has_sixteen_hexadecimal_digits() {
     assert_eq!(BackgroundStatementId(0x2a).to_string(), "000000000000002a");
     assert_eq!(BackgroundStatementId(u64::MAX).to_string(), "ffffffffffffffff");
 }
--- a/proxy/src/cli/tests.rs
+++ b/proxy/src/cli/tests.rs
@@ -4,13 +4,13 @@
 use clap::CommandFactory;
 
 #[test]
-fn the_definition_is_consistent() {
+fn the_command_line_definition_is_consistent() {
     // Given the definition, when clap checks it, then it finds no contradiction
     Cli::command().debug_assert();
 }
 
 #[test]
-fn without_a_command_it_serves_without_options() {
+fn the_default_command_is_serve_without_options() {
     // Given a command line without a command, when it is read
     let serve = Cli::parse_from(["birchreach-proxy"]);
 
--- a/proxy/src/core/endpoints/tests.rs
+++ b/proxy/src/core/endpoints/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_group_is_known_while_it_has_a_server() {
+fn a_group_exists_while_it_has_a_server() {
     // Given a core without a list, for which any group may exist
     let mut core: Core<()> = Core::new(&settings(), 1, 0);
     assert!(core.has_group(GroupId(7)));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_last_entry_of_a_server_counts() {
+fn the_last_duplicate_entry_of_a_server_is_applied() {
     // Given a complete list with two entries for each server
     let entry = |number: u32, port: u16| {
         format!(r#"{{"uid": "s-{number}", "endpoint": "127.0.0.1:{port}", "state": "up"}}"#)
--- a/proxy/src/discovery/tests/deadlines.rs
+++ b/proxy/src/discovery/tests/deadlines.rs
@@ -19,7 +19,7 @@
 
 /// Whatever failed, and however often: wait, connect, poll and response together end within the deadline.
 #[test]
-fn after_any_failure_the_list_comes_within_the_deadline_for_any_number_of_proxies() {
+fn after_any_failed_poll_the_list_arrives_before_the_notification_deadline() {
     // Given polls that fail in any way, a hundred in a row
     let errors = [
         PollError::Overloaded,
@@ -58,7 +58,7 @@
 /// After a poll that failed the next one does not wait for a change: if it is unresponsive too that shows soon, and a further one fits
 /// into the deadline.
 #[test]
-fn the_poll_after_a_failed_one_is_answered_at_once_or_times_out_soon() {
+fn the_poll_after_a_failed_one_is_a_short_poll_with_a_short_timeout() {
     // Given a watch whose poll waits for a change
     let mut watch = EndpointWatch::new("agent".into(), Some(41));
     assert!(request(&mut watch).contains("?from=41&hold_ms=20000 "));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_first_poll_of_another_host_is_answered_at_once() {
+fn the_first_poll_of_another_host_is_a_short_poll() {
     // Given a watch that was answered, and whose polls wait for a change
     let mut watch = EndpointWatch::new("agent".into(), Some(41));
     assert!(watch.feed(NO_CHANGES).unwrap().is_some());
@@ -90,7 +90,7 @@
 /// The proxy counts as notified of what a poll missed 6 s after it became unresponsive, or 2 s after its wait: the next poll is sent
 /// before.
 #[test]
-fn an_unresponsive_poll_is_repeated_before_the_notification_deadline() {
+fn an_unresponsive_poll_is_retried_before_the_notification_deadline() {
     // Given polls without and with a wait for a change
     for (revision, deadline) in [(None, 6_000_000), (Some(41), 22_000_000)] {
         let watch = EndpointWatch::new("agent".into(), revision);
@@ -108,7 +108,7 @@
 
 /// Watches of all proxies that are opened at one moment would time out together.
 #[test]
-fn a_pushed_list_is_polled_first_at_a_random_time_within_the_grace() {
+fn the_first_poll_of_a_pushed_list_is_randomized_within_the_drain_grace() {
     // Given proxies to which lists are pushed, when they start
     let first: Vec<Micros> = (0..50).map(|seed| pushed_backoff(seed).initial_wait()).collect();
     // Then their first polls are spread within the grace
@@ -118,7 +118,7 @@
 
 /// An agent of the proxy's own answers: no poll waits for other proxies.
 #[test]
-fn a_pushed_list_is_polled_again_at_once() {
+fn a_pushed_list_is_polled_again_without_a_slot_for_each_proxy() {
     for seed in 0..50 {
         // Given a proxy to which lists are pushed
         let mut backoff = pushed_backoff(seed);
@@ -132,7 +132,7 @@
 /// A discovery that can be reached again sends at once what was missed, and that must take effect within the grace: the next poll comes
 /// within it, however long the outage was and however short the grace.
 #[test]
-fn after_an_outage_of_any_length_the_next_poll_comes_within_the_grace() {
+fn after_an_outage_the_next_poll_comes_within_the_drain_grace() {
     for grace in [500_000, 2_000_000] {
         for seed in 0..200 {
             // Given a proxy that polls discovery
@@ -145,7 +145,7 @@
 
 /// After a mass restart each proxy has an old list: it must poll well before that list is no longer valid.
 #[test]
-fn the_first_poll_comes_within_the_grace_however_many_proxies_there_are() {
+fn the_first_poll_comes_within_the_drain_grace_for_any_number_of_proxies() {
     // Given proxies that start at once
     let first = |proxies| (0..500).map(|seed| polling_backoff(proxies, seed).initial_wait()).max();
     // When they are many, then the last one polls within the grace
@@ -159,7 +159,7 @@
 
 /// Polls of 900 proxies that start at once must neither come late nor in bursts.
 #[test]
-fn first_polls_of_the_largest_fleet_are_spread_over_the_grace() {
+fn first_polls_of_the_largest_fleet_are_spread_over_the_drain_grace() {
     for seed in 0..5 {
         // Given 900 proxies, each with a seed of its own
         let seeds = (0..LARGEST_FLEET_SIZE).map(|index| u64::from(index) + seed * 1_000);
@@ -176,7 +176,7 @@
 
 /// A rejected poll is repeated within the bound, and a reload changes the length of a round.
 #[test]
-fn a_reload_changes_how_many_proxies_share_a_round() {
+fn a_reload_changes_the_number_of_proxies_in_a_round() {
     // Given one of many proxies, whose rejected polls are repeated within the bound
     let mut backoff = polling_backoff(300, 3);
     let longest = |backoff: &mut Backoff| (0..50).map(|_| backoff.wait_after(&PollError::Overloaded)).max();
--- a/proxy/src/discovery/tests/large_lists.rs
+++ b/proxy/src/discovery/tests/large_lists.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_list_of_the_largest_fleet_with_the_longest_names_is_read() {
+fn a_list_of_maximum_size_is_read() {
     // Given a list with all servers, which is shorter than the limit
     let body = list_of(&all_entries());
     assert!(body.len() < MAX_BODY_BYTES, "{} bytes", body.len());
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_list_that_is_malformed_at_its_last_entry_is_rejected_with_the_place() {
+fn a_malformed_last_entry_is_rejected_with_its_position() {
     let last_line = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
     let valid = entry(SERVERS - 1);
     for (malformed, wanted) in [
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_list_that_breaks_off_in_its_last_entry_is_rejected_with_the_place() {
+fn a_truncated_last_entry_is_rejected_with_its_position() {
     // Given a list that lacks its end
     let body = list_of(&all_entries());
     let truncated = &body[..body.len() - "}\n]}".len()];
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn the_error_of_a_long_value_is_short_and_names_the_place() {
+fn the_error_about_a_long_value_is_short_and_has_its_position() {
     // Given a list whose last state is very long
     let mut entries = all_entries();
     let last = entries.last_mut().unwrap();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_list_beyond_the_limit_is_rejected_before_it_is_received() {
+fn a_content_length_above_the_limit_is_rejected() {
     // Given a valid list, followed by white space up to the limit or one byte more
     let list = list_of(&all_entries());
     let at_limit = list.clone() + &" ".repeat(MAX_BODY_BYTES - list.len());
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_list_beyond_the_limit_without_a_length_is_rejected_at_the_limit() {
+fn a_list_without_a_length_is_rejected_once_it_exceeds_the_limit() {
     let chunk = format!("{READ_BYTES:x}\r\n{}\r\n", " ".repeat(READ_BYTES));
     let part = " ".repeat(READ_BYTES);
     for (head, part) in [("", part), ("Transfer-Encoding: chunked\r\n", chunk)] {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn the_first_entry_of_a_server_that_an_earlier_one_names_is_found() {
+fn the_first_duplicate_entry_is_found() {
     // Given a list in which each entry stands twice
     let entries: Vec<String> = (0..SERVERS).map(short_entry).collect();
     let body = list_of(&[&entries[..], &entries[..]].concat());
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_list_of_too_many_entries_is_rejected_with_the_place() {
+fn a_list_with_too_many_entries_is_rejected_with_the_position() {
     // Given a list with the most entries, and one with two more
     let entries: Vec<String> = (0..MAX_ENTRIES + 2).map(short_entry).collect();
     let (most, too_many) = (list_of(&entries[..MAX_ENTRIES]), list_of(&entries));
--- a/proxy/src/discovery/tests/mass_restart.rs
+++ b/proxy/src/discovery/tests/mass_restart.rs
@@ -44,7 +44,7 @@
 /// Up to fifty proxies all have the list within the notification deadline. For more the capacity does not suffice: it is used to the
 /// last slot, no proxy is left out, and none waits longer than the bound between two polls.
 #[test]
-fn all_proxies_of_a_mass_restart_are_notified_as_fast_as_discovery_can() {
+fn after_a_mass_restart_all_proxies_are_notified_at_the_capacity_of_discovery() {
     for seed in 1..=5 {
         for proxies in [1, 5, 20, 48, 100, 300, LARGEST_FLEET_SIZE as usize] {
             // Given so many proxies, when all start at once
@@ -66,7 +66,7 @@
 
 /// 48 proxies that start at one moment: their polls must not come in bursts.
 #[test]
-fn proxies_that_start_at_once_spread_their_polls() {
+fn proxies_started_simultaneously_spread_their_first_polls() {
     // Given proxies that start at once, half of which are rejected
     let mut backoffs: Vec<_> = (0..48).map(|seed| polling_backoff(48, seed)).collect();
     let mut rejected = || -> Vec<Micros> {
--- a/proxy/src/discovery/tests/responses.rs
+++ b/proxy/src/discovery/tests/responses.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_list_with_a_length_or_in_chunks_is_read_byte_by_byte() {
+fn a_list_with_a_length_or_in_chunks_can_arrive_byte_by_byte() {
     for body in list_bodies() {
         // Given responses that say where they end
         let length = body.len();
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_response_that_the_connection_cuts_short_is_reported() {
+fn a_response_truncated_by_a_closed_connection_is_an_error() {
     // Given the beginning of a response
     let truncated = r#"HTTP/1.1 200 OK
 Content-Length: 35
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_invalid_response_is_reported_with_its_fault_and_changes_nothing() {
+fn an_invalid_response_is_an_error_and_changes_nothing() {
     for (text, wanted) in [
         ("HTTP/1.1 503 Service Unavailable\r\n\r\n".to_string(), "status 503"),
         ("HTTP/1.1 404 Not Found\r\n\r\n".to_string(), "status 404"),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn after_old_changes_the_complete_list_is_requested() {
+fn the_complete_list_is_requested_after_stale_changes() {
     // Given an agent that is behind, when it sends changes that are older than what the watch has
     let FedWatch { mut watch, result } =
         feed(&response_with_length(r#"{"rev":40,"all":false,"targets":[]}"#));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_complete_list_counts_however_old_it_is() {
+fn a_complete_list_is_applied_whatever_its_revision() {
     // Given an agent that is behind, when it sends a complete list that is older than what the watch has
     let result = feed(&response_with_length(r#"{"rev":40,"all":true, "targets":[]}"#)).result;
     // Then it is applied
@@ -137,7 +137,7 @@
 
 /// Each name of the list's JSON, literally: discovery's names are not ours.
 #[test]
-fn every_key_of_the_list_is_read() {
+fn every_key_of_a_list_entry_is_read() {
     // Given a list with every key
     let list = r#"{"rev":43,"all":false,"targets":[
         {"uid":"s","endpoint":"127.0.0.1:1","az":"a","pod_group":3,"state":"draining","capacity_hint":2.5,"boot_ms":1700000000123,
--- a/proxy/src/handover_protocol/tests.rs
+++ b/proxy/src/handover_protocol/tests.rs
@@ -14,7 +14,7 @@
 ];
 
 #[test]
-fn each_message_is_written_as_its_line() {
+fn each_message_is_encoded_as_one_line() {
     for (message, line) in MESSAGES {
         // Given a message, when it is sent
         let mut sender = HandoverProtocol::default();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_line_is_read_as_its_message() {
+fn each_line_is_decoded_into_its_message() {
     for (message, line) in MESSAGES {
         // Given a message's line, when it arrives
         let mut receiver = HandoverProtocol::default();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_time_before_the_epoch_and_a_carriage_return_are_read() {
+fn negative_times_and_carriage_returns_are_accepted() {
     // Given lines that end with a carriage return, one with a time before the epoch, when they arrive
     let mut receiver = HandoverProtocol::default();
     receiver.feed(b"yields -5\r\nleaving 0\r\n");
--- a/proxy/src/health_command/tests.rs
+++ b/proxy/src/health_command/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_whole_proxy_has_a_line_for_each_class_and_two_for_each_group() {
+fn the_proxy_answer_has_one_line_per_class_and_two_per_group() {
     // Given an answer about the whole proxy
     let answer = whole_proxy();
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn one_class_alone_has_one_line() {
+fn the_answer_for_one_class_has_one_line() {
     // Given an answer about one class
     let answer = json!({"able": true, "weight": 100, "reason": "ok", "since_ms": 500});
 
--- a/proxy/src/log/tests.rs
+++ b/proxy/src/log/tests.rs
@@ -6,7 +6,7 @@
 use tracing::{debug, info, warn};
 
 #[test]
-fn a_flood_of_lines_is_limited() {
+fn log_lines_above_the_rate_limit_are_dropped() {
     // Given a limit, when more lines come at once than it allows, then it passes a burst
     let (mut limit, start) = (RateLimit::default(), Instant::now());
     assert_eq!((0..1000).filter(|_| limit.allows(start)).count(), BURST_LINES as usize);
@@ -48,7 +48,7 @@
 const QUOTED_WARNING: &str = r#"conn=discovery rev=3 all=true reason="a \"b\"\u000ac""#;
 
 #[test]
-fn logfmt_lines_keep_names_and_order() {
+fn logfmt_lines_preserve_field_names_and_order() {
     // Given events with values of each kind, when they are logged
     let plain = written(Format::Logfmt, "info", log_some);
     // Then each is a line with its names in their order
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn json_lines_keep_names_and_types() {
+fn json_lines_preserve_field_names_and_types() {
     // Given events with values of each kind, when they are logged
     let json = written(Format::Json, "info", log_some);
     // Then each is an object whose values have their types
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn lines_below_the_level_of_the_filter_are_not_written() {
+fn lines_below_the_filter_level_are_not_written() {
     // Given a filter for warnings, when other events are logged, too, then the warning alone is written
     assert_eq!(written(Format::Logfmt, "warn", log_some), [QUOTED_WARNING]);
 }
 
 #[test]
-fn dropped_lines_are_counted_in_one_line() {
+fn one_line_reports_the_number_of_dropped_lines() {
     // Given a flood of lines, filtered ones among them, and one that comes later
     let flood = || {
         (0..1000).for_each(|n| info!(event = "flood", n));
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn copies_are_counted_by_what_became_of_them() {
+fn copies_are_counted_by_outcome() {
     let metrics = BackgroundMetrics::new();
     for outcome in [
         CopyOutcome::Written,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn tasks_are_counted_by_what_became_of_them() {
+fn tasks_are_counted_by_outcome() {
     let metrics = BackgroundMetrics::new();
     metrics.set_task_counts(
         TaskKind::CopyWrite,
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn comparisons_are_counted_by_what_came_of_them() {
+fn comparisons_are_counted_by_outcome() {
     let metrics = BackgroundMetrics::new();
     let counts = ComparisonCounts {
         started: 7,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_report_that_is_not_taken_is_counted_by_subsystem_and_reason() {
+fn rejected_reports_are_counted_by_subsystem_and_reason() {
     let metrics = BackgroundMetrics::new();
     for report in [
         RejectedReport::HotKeys(ReportError::Malformed { subject: Report::SUBJECT }),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn reads_that_were_sent_to_holders_of_copies_are_counted_by_whether_they_had_one() {
+fn copy_reads_are_counted_as_hits_and_misses() {
     let metrics = BackgroundMetrics::new();
     metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 2, misses: 1 });
 
--- a/proxy/src/net/graceful_shutdown/tests.rs
+++ b/proxy/src/net/graceful_shutdown/tests.rs
@@ -8,7 +8,7 @@
 /// Each connection that arrives is accepted, and each request that is accepted has its whole timeout before the process may be
 /// killed.
 #[test]
-fn a_request_accepted_after_sigterm_has_its_timeout_before_sigkill() {
+fn a_request_accepted_after_sigterm_reaches_its_timeout_before_sigkill() {
     // Given the time after which a request has no whole timeout left before SIGKILL
     let latest = SAFE_ACCEPT_PERIOD_MICROS - MARGIN_MICROS;
 
--- a/proxy/src/net/sources/tests.rs
+++ b/proxy/src/net/sources/tests.rs
@@ -7,7 +7,7 @@
 const KEYS: usize = 100;
 
 #[test]
-fn every_source_has_a_token_of_its_own() {
+fn every_source_has_a_unique_token() {
     // Given all sources, those of slabs with many keys
     let keyed = (0..KEYS).flat_map(|key| KEYED_SOURCES.map(|source| source(key)));
     let all: Vec<Source> = FIXED_SOURCES.into_iter().chain(keyed).collect();
--- a/proxy/src/observe/tests.rs
+++ b/proxy/src/observe/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn observers_are_notified_from_their_addition_to_their_removal() {
+fn observers_are_notified_until_they_are_removed() {
     // Given two observers, one of which is removed between two events
     let (removed, stays) = (shared(Recorder::default()), shared(Recorder::default()));
     let mut observers = Observers::default();
--- a/proxy/src/peer_state/tests.rs
+++ b/proxy/src/peer_state/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_recent_position_is_passed_on_once_and_the_primary_is_to_be_asked() {
+fn a_recent_remote_position_is_reported_once_and_the_likely_primary_is_a_candidate() {
     // Given a proxy whose provider observed the primary and a replica a second ago
     let (provider, mut receiver) = (provider(), observer(2));
     // When it receives the provider's state
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_primary_that_this_proxy_observed_itself_is_not_asked() {
+fn a_primary_observed_locally_is_not_a_candidate() {
     // Given a proxy that received the provider's state, and then observed the primary itself
     let (provider, mut receiver) = (provider(), observer(2));
     transfer(&provider, &mut receiver, 11 * SECOND);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn state_that_is_a_minute_old_has_no_effect() {
+fn peer_state_older_than_a_minute_is_ignored() {
     // Given a provider that observed its servers a minute ago
     let (provider, mut receiver) = (provider(), observer(3));
     // When a proxy receives its state, then it learns nothing
--- a/proxy/src/pg/tests/arrival_times.rs
+++ b/proxy/src/pg/tests/arrival_times.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn each_command_counts_from_its_own_last_byte() {
+fn each_command_arrives_with_its_own_last_byte() {
     // Given three queries, of which the last one arrives in two parts.
     let mut client = started_client();
     let (first, second, third) = (read_query("1", 900), read_query("2", 900), read_query("3", 900));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_a_command_waited_is_taken_off_its_timeout() {
+fn time_since_arrival_is_subtracted_from_the_timeout() {
     // Given a statement whose client waits for 900 ms.
     let class = RequestClass {
         consistency: Consistency::Any,
@@ -102,7 +102,7 @@
 
 /// A message that comes byte by byte does not make the proxy keep a time for each.
 #[test]
-fn times_of_arrival_are_bounded_by_time_and_by_what_waits() {
+fn recorded_arrival_times_are_bounded_by_resolution_and_unread_input() {
     // Given 100,000 bytes, one each 10 microseconds.
     let mut arrivals = ArrivalTimes::default();
 
--- a/proxy/src/pg/tests/commit_time_query.rs
+++ b/proxy/src/pg/tests/commit_time_query.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_row_is_requested_with_the_time_of_its_last_commit() {
+fn the_query_selects_a_row_with_its_last_commit_time() {
     // Given a key, when a background statement reads its row.
     let query = read_row_with_commit_time(b"7f3a", GroupId(2), BackgroundStatementId(7), 500);
     let query = String::from_utf8(query).unwrap();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_row_is_read_with_the_time_of_its_last_commit() {
+fn a_reply_is_parsed_into_a_row_and_its_last_commit_time() {
     // Given replies with a row and without one.
     let complete = reply_with_value(&[&5i64.to_be_bytes()[..], b"value"].concat());
     let absent = Reply::with_outcome(AttemptOutcome::Ok);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_reply_whose_time_cannot_be_read_says_nothing_of_the_row() {
+fn a_reply_without_a_valid_commit_time_gives_no_row() {
     // Given replies whose time is cut short, or too great.
     let too_short = reply_with_value(b"short");
     let time_too_great = reply_with_value(&i64::MAX.to_be_bytes());
--- a/proxy/src/pg/tests/copies.rs
+++ b/proxy/src/pg/tests/copies.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn copy_reads_round_the_position_up_and_copy_writes_round_it_down() {
+fn copy_reads_round_positions_up_and_copy_writes_round_them_down() {
     // Given positions between two milliseconds, when a copy is read at one and written at the other.
     let read = read_copy(&client_read(), 95, 1_234_001);
     let write = write_copy(GroupId(2), b"7f3a", 1_234_999, &[0x9f, 3]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_row_is_read_in_its_own_group_with_the_comment_of_a_background_statement() {
+fn a_row_read_has_the_comment_of_a_background_statement() {
     let read = read_row(b"7f3a", GroupId(2), BackgroundStatementId(0x2a), 500);
 
     assert_eq!(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_reply_proves_the_required_position_or_is_a_miss() {
+fn a_copy_reply_below_the_required_position_is_a_miss() {
     // Given a copy of position 5 ms.
     let copy = [&5i64.to_be_bytes()[..], b"value"].concat();
 
--- a/proxy/src/pg/tests/statement.rs
+++ b/proxy/src/pg/tests/statement.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_read_has_the_values_of_its_comment() {
+fn a_read_is_parsed_with_its_comment_fields() {
     let statement = parse(READ).unwrap();
 
     assert!(!statement.is_write);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_write_has_the_values_of_its_comment() {
+fn a_write_is_parsed_with_its_comment_fields() {
     let statement = parse(&write("9f03")).unwrap();
 
     assert!(statement.is_write);
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn the_fields_of_a_comment_may_have_any_order() {
+fn comment_fields_may_be_in_any_order() {
     let statement = parse(&read("7f3a", "k=x,cluster=2,d=480,c=basket,id=9b1f")).unwrap();
 
     assert_eq!((statement.id(), statement.timeout_ms, statement.group), (&b"9b1f"[..], 480, GroupId(2)));
 }
 
 #[test]
-fn the_value_of_a_write_may_be_empty_and_has_whole_bytes() {
+fn a_write_value_may_be_empty_and_has_an_even_number_of_digits() {
     assert!(parse(&write("")).is_some());
     for hex_digits in ["9", "9f0", "9g"] {
         assert_eq!(parse(&write(hex_digits)), None, "{hex_digits}");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn comments_that_lack_a_field_or_have_a_wrong_one_are_not_accepted() {
+fn comments_with_missing_or_invalid_fields_are_rejected() {
     let comments = [
         ("no id", "c=look,d=9,cluster=0"),
         ("no class", "id=1,d=9,cluster=0"),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn keys_are_bounded_and_have_no_quote_backslash_or_space() {
+fn keys_have_a_maximum_length_and_no_quote_backslash_or_space() {
     let comment = "id=1,c=look,d=9,cluster=0";
     for key in ["", "a b", "a'b", "a\\b", &"a".repeat(1025)] {
         assert_eq!(parse(&read(key, comment)), None, "{key}");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn texts_that_go_on_after_the_comment_or_end_within_it_are_not_accepted() {
+fn statements_with_trailing_text_or_an_unterminated_comment_are_rejected() {
     assert_eq!(parse(&format!("{READ} ")), None);
     for length in 0..READ.len() {
         assert_eq!(parse(&READ[..length]), None, "{length}");
