--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -35,7 +35,7 @@
     /// There is no such call, or its subsystem is off.
     UnknownCall,
     /// Lines of figures, which are followed by an end line.
-    Figures(String),
+    Lines(String),
     /// A text that has its own end line.
     Text(String),
 }
@@ -95,7 +95,7 @@
             AdminReply::Yes(text) => self.write(&format!("YES {text}\n")),
             AdminReply::No(reason) => self.write(&format!("NO {reason}\n")),
             AdminReply::UnknownCall => self.write("NO no such call; calls are: status, stats\n"),
-            AdminReply::Figures(lines) => self.write(&format!("{lines}END\n")),
+            AdminReply::Lines(lines) => self.write(&format!("{lines}END\n")),
             AdminReply::Text(text) => self.write(text),
         }
         self.answered = true;
--- a/proxy/src/cli.rs
+++ b/proxy/src/cli.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::log::Format;
+use crate::log::LogFormat;
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,7 +21,7 @@
     pub options: Option<PathBuf>,
     /// How log lines are written to standard error
     #[arg(long, global = true, value_enum, default_value_t)]
-    pub log_format: Format,
+    pub log_format: LogFormat,
     /// Which log lines are written: a level, or levels by module, as warn,birchreach_proxy::net::pool=info
     #[arg(long, global = true, value_name = "FILTER", default_value = "info")]
     pub log_filter: Targets,
--- a/proxy/src/cli/tests.rs
+++ b/proxy/src/cli/tests.rs
@@ -30,7 +30,7 @@
     };
 
     // Then it has the command's arguments and the global one
-    assert_eq!((health.group, health.timeout, log_format), (Some(3), 2000, Format::Json));
+    assert_eq!((health.group, health.timeout, log_format), (Some(3), 2000, LogFormat::Json));
 }
 
 #[test]
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -61,7 +61,7 @@
     /// What the settings probably do not mean; they are applied all the same.
     pub warnings: Vec<SettingsWarning>,
     /// The settings and limits as the file has them, with which a successor is compared.
-    raw: Value,
+    limits_and_settings: Value,
 }
 
 /// A variable of the process's environment.
--- a/proxy/src/config/parse.rs
+++ b/proxy/src/config/parse.rs
@@ -67,7 +67,7 @@
         options: Options::default(),
         gossip_keys: None,
         fleet_keys: None,
-        raw: file.raw(),
+        limits_and_settings: file.limits_and_settings(),
     })
 }
 
@@ -163,7 +163,7 @@
     }
 
     /// The parts whose keys a successor must have too.
-    fn raw(&self) -> Value {
+    fn limits_and_settings(&self) -> Value {
         let part = |key: &str| (key.to_string(), self.root.get(key).cloned().unwrap_or(Value::Null));
         [part("limits"), part("settings")].into_iter().collect()
     }
--- a/proxy/src/config/successor.rs
+++ b/proxy/src/config/successor.rs
@@ -11,11 +11,12 @@
     /// Checks that another configuration may replace this one. It must have each key of the settings and limits in force, even those
     /// without which a proxy starts.
     pub(crate) fn validate_replacement(&self, new: &Config) -> Result<(), ConfigError> {
-        if let Some(path) = first_missing_key(&self.raw, &new.raw, "") {
+        if let Some(path) = first_missing_key(&self.limits_and_settings, &new.limits_and_settings, "") {
             return Err(ConfigError::MissingKey(path));
         }
         for key in PER_CLASS_LISTS {
-            let list = new.raw.pointer(&format!("/settings/extra/{key}")).and_then(Value::as_array);
+            let list =
+                new.limits_and_settings.pointer(&format!("/settings/extra/{key}")).and_then(Value::as_array);
             if list.is_some_and(|list| list.len() != new.deployment.class_names.len()) {
                 return Err(ConfigError::ClassListLengthMismatch(key));
             }
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -90,18 +90,18 @@
         self.routing.health_checks_allowed
     }
 
-    /// Applies new settings. `used` are the numbers of classes with open requests or attempts.
+    /// Applies new settings. `in_use` are the numbers of classes with open requests or attempts.
     fn update(
         &mut self,
         now: Micros,
         settings: &DeploymentSettings,
-        used: &HashSet<ClassId>,
+        in_use: &HashSet<ClassId>,
         stats: &mut Stats,
     ) {
         self.drop_missing(now, settings);
         for (name, rules) in settings.class_names.iter().zip(&settings.routing.classes) {
             if !self.classes.iter().any(|class| class.is_current() && class.name == *name) {
-                self.add(now, name, rules, used, stats);
+                self.add(now, name, rules, in_use, stats);
             }
         }
         self.routing = settings.routing.clone();
@@ -123,7 +123,7 @@
         now: Micros,
         name: &str,
         rules: &RequestClass,
-        used: &HashSet<ClassId>,
+        in_use: &HashSet<ClassId>,
         stats: &mut Stats,
     ) {
         let added = ClassEntry {
@@ -133,7 +133,7 @@
             accepted_until: None,
         };
         let is_free = |(index, class): (usize, &ClassEntry)| {
-            !class.accepts_requests(now) && !used.iter().any(|used| usize::from(used.0) == index)
+            !class.accepts_requests(now) && !in_use.iter().any(|class_id| usize::from(class_id.0) == index)
         };
         match self.classes.iter().enumerate().position(is_free) {
             Some(index) => self.classes[index] = added,
@@ -160,9 +160,9 @@
 impl<P: RequestPayload> Core<P> {
     /// Applies new settings.
     pub(crate) fn apply_settings(&mut self, now: Micros, settings: &DeploymentSettings) {
-        let mut used: HashSet<ClassId> = self.requests.values().map(|pending| pending.class).collect();
-        used.extend(self.in_flight.values().map(|attempt| attempt.class));
-        self.classes.update(now, settings, &used, &mut self.stats);
+        let mut in_use: HashSet<ClassId> = self.requests.values().map(|pending| pending.class).collect();
+        in_use.extend(self.in_flight.values().map(|attempt| attempt.class));
+        self.classes.update(now, settings, &in_use, &mut self.stats);
         self.servers.set_zones(settings);
         self.update_router_settings(now);
     }
--- a/proxy/src/discovery/tests/mass_restart.rs
+++ b/proxy/src/discovery/tests/mass_restart.rs
@@ -11,7 +11,7 @@
 const QUEUE_LIMIT_MICROS: Micros = 2_000_000;
 
 /// What came of a restart.
-struct Restart {
+struct RestartResult {
     /// When each proxy had the list, in order.
     notified_at: Vec<Micros>,
     /// The longest time between two polls of one proxy.
@@ -19,26 +19,27 @@
 }
 
 /// So many proxies, all started at once.
-fn restart(proxies: usize, seed: u64) -> Restart {
-    let backoffs = (0..proxies).map(|n| polling_backoff(proxies as u32, seed * 1_000 + n as u64));
+fn simulate_restart(proxies: usize, seed: u64) -> RestartResult {
+    let backoffs = (0..proxies).map(|index| polling_backoff(proxies as u32, seed * 1_000 + index as u64));
     let mut backoffs: Vec<_> = backoffs.collect();
-    let first = backoffs.iter_mut().enumerate().map(|(n, backoff)| Reverse((backoff.initial_wait(), n)));
+    let first =
+        backoffs.iter_mut().enumerate().map(|(index, backoff)| Reverse((backoff.initial_wait(), index)));
     let mut polls: BinaryHeap<_> = first.collect();
     let (mut free_at, mut longest_wait) = (0, 0);
     let mut notified_at = Vec::new();
-    while let Some(Reverse((now, n))) = polls.pop() {
+    while let Some(Reverse((now, index))) = polls.pop() {
         let slot = now.max(free_at);
         if slot - now <= QUEUE_LIMIT_MICROS {
             free_at = slot + POLL_SLOT_MICROS;
             notified_at.push(free_at);
         } else {
-            let wait = backoffs[n].wait_after(&PollError::Overloaded);
+            let wait = backoffs[index].wait_after(&PollError::Overloaded);
             longest_wait = longest_wait.max(wait);
-            polls.push(Reverse((now + wait, n)));
+            polls.push(Reverse((now + wait, index)));
         }
     }
     notified_at.sort_unstable();
-    Restart { notified_at, longest_wait }
+    RestartResult { notified_at, longest_wait }
 }
 
 /// Up to fifty proxies all have the list within the notification deadline. For more the capacity does not suffice: it is used to the
@@ -48,7 +49,7 @@
     for seed in 1..=5 {
         for proxies in [1, 5, 20, 48, 100, 300, LARGEST_FLEET_SIZE as usize] {
             // Given so many proxies, when all start at once
-            let Restart { notified_at, longest_wait } = restart(proxies, seed);
+            let RestartResult { notified_at, longest_wait } = simulate_restart(proxies, seed);
             // Then none waits longer than the bound, and the last one has the list as soon as the capacity allows
             let last = notified_at[notified_at.len() - 1];
             let capacity = proxies as Micros * POLL_SLOT_MICROS;
@@ -60,8 +61,8 @@
 }
 
 /// The most of these times that one second has.
-fn most_in_a_second(times: &[Micros]) -> Option<usize> {
-    times.iter().map(|at| times.iter().filter(|t| (0..1_000_000).contains(&(*t - at))).count()).max()
+fn max_polls_in_one_second(times: &[Micros]) -> Option<usize> {
+    times.iter().map(|at| times.iter().filter(|time| (0..1_000_000).contains(&(*time - at))).count()).max()
 }
 
 /// 48 proxies that start at one moment: their polls must not come in bursts.
@@ -74,10 +75,16 @@
     };
     // When they are rejected once, then they fit into half a round, and are spread over it
     let second = rejected();
-    assert!(most_in_a_second(&second) < Some(26) && second.iter().all(|t| *t <= 1_440_000), "{second:?}");
+    assert!(
+        max_polls_in_one_second(&second) < Some(26) && second.iter().all(|time| *time <= 1_440_000),
+        "{second:?}"
+    );
     // When they are rejected again, then they are spread over a longer one
     let third = rejected();
-    assert!(third.iter().any(|t| *t > 1_440_000) && third.iter().all(|t| *t <= 2_880_000), "{third:?}");
+    assert!(
+        third.iter().any(|time| *time > 1_440_000) && third.iter().all(|time| *time <= 2_880_000),
+        "{third:?}"
+    );
     // When connections break, then all poll again at once: the watch goes on if the next poll comes soon
     assert!(backoffs.iter_mut().all(|backoff| backoff.wait_after(&PollError::Closed) <= 20_000));
     // When they had an answer meanwhile, then the round has its first length again
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -121,7 +121,7 @@
 }
 
 /// The reply to the call `fleet`.
-pub(crate) fn report(membership: &Membership, now: Micros) -> String {
+pub(crate) fn status_lines(membership: &Membership, now: Micros) -> String {
     let view = membership.view();
     let own = membership.own();
     let for_ms = match view.state {
--- a/proxy/src/grpc/call.rs
+++ b/proxy/src/grpc/call.rs
@@ -21,12 +21,12 @@
 
 /// A call by its state.
 pub(super) enum Call {
-    Receiving(Receiving),
-    Watching(Watching),
+    Receiving(ReceivingCall),
+    Watching(WatchingCall),
 }
 
 /// A call whose request is not complete.
-pub(super) struct Receiving {
+pub(super) struct ReceivingCall {
     method: CallMethod,
     body: RecvStream,
     received: Vec<u8>,
@@ -34,7 +34,7 @@
 }
 
 /// A call that is sent each change of a status.
-pub(super) struct Watching {
+pub(super) struct WatchingCall {
     query: HealthQuery,
     last_sent: Option<ServingStatus>,
     stream: SendStream<Bytes>,
@@ -51,7 +51,7 @@
     /// It has ended without an answer.
     Ended,
     /// It continues as a watch.
-    Watches(Watching),
+    StartedWatch(WatchingCall),
 }
 
 /// How much of a request's body has arrived.
@@ -82,7 +82,7 @@
                 return None;
             }
         };
-        Some(Call::Receiving(Receiving { method, body, received: Vec::new(), respond }))
+        Some(Call::Receiving(ReceivingCall { method, body, received: Vec::new(), respond }))
     }
 
     /// Whether it is sent each change of a status.
@@ -99,7 +99,7 @@
     }
 }
 
-impl Receiving {
+impl ReceivingCall {
     /// Receives the request, and answers it once it is complete.
     fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
         let body = self.receive(context);
@@ -150,11 +150,11 @@
         // parsed is watched as the empty class name, which is unknown too.
         let query =
             query.unwrap_or_else(|_| HealthQuery { class: Some(String::new()), ..HealthQuery::default() });
-        CallProgress::Watches(Watching { query, last_sent: None, stream })
+        CallProgress::StartedWatch(WatchingCall { query, last_sent: None, stream })
     }
 }
 
-impl Watching {
+impl WatchingCall {
     /// Sends the status if it differs from the one sent last. If the peer reads slowly, only the newest is sent.
     fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
         if self.stream.poll_reset(context).is_ready() {
--- a/proxy/src/grpc/mod.rs
+++ b/proxy/src/grpc/mod.rs
@@ -207,7 +207,7 @@
                 *activity += 1;
                 false
             }
-            CallProgress::Watches(watch) => {
+            CallProgress::StartedWatch(watch) => {
                 *activity += 1;
                 *call = Call::Watching(watch);
                 true
--- a/proxy/src/log/json.rs
+++ b/proxy/src/log/json.rs
@@ -57,7 +57,7 @@
 }
 
 /// Appends an object with the time, the level and then these fields.
-pub(super) fn object(line: &mut String, level: Level, fields: impl FnOnce(&mut Json)) {
+pub(super) fn append_object(line: &mut String, level: Level, fields: impl FnOnce(&mut Json)) {
     let mut serializer = serde_json::Serializer::new(Vec::with_capacity(OBJECT_CAPACITY_BYTES));
     if let Ok(map) = serializer.serialize_map(None) {
         let mut map = JsonFields(map);
--- a/proxy/src/log/mod.rs
+++ b/proxy/src/log/mod.rs
@@ -9,7 +9,7 @@
 mod tests;
 
 use clap::ValueEnum;
-use json::{Json, object};
+use json::{Json, append_object};
 use logfmt::LogfmtFields;
 pub(crate) use logfmt::Quoted;
 use rate_limit::RateLimitLayer;
@@ -26,7 +26,7 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
-pub(crate) enum Format {
+pub(crate) enum LogFormat {
     /// key=value, for people
     #[default]
     Logfmt,
@@ -36,7 +36,7 @@
 
 /// The layer that writes lines, each in one call, preceded by the number of dropped lines if there are any.
 struct LineWriter<W> {
-    format: Format,
+    format: LogFormat,
     dropped: Arc<AtomicU64>,
     output: Mutex<Output<W>>,
 }
@@ -54,11 +54,11 @@
         line.clear();
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            self.format_dropped(line, dropped);
+            self.append_dropped_count(line, dropped);
         }
         match self.format {
-            Format::Logfmt => event.record(&mut LogfmtFields::new(line)),
-            Format::Json => object(line, *event.metadata().level(), |fields| event.record(fields)),
+            LogFormat::Logfmt => event.record(&mut LogfmtFields::new(line)),
+            LogFormat::Json => append_object(line, *event.metadata().level(), |fields| event.record(fields)),
         }
         line.push('\n');
         // A failure to write the log cannot be reported anywhere.
@@ -68,13 +68,13 @@
 
 impl<W> LineWriter<W> {
     /// Appends the line that reports how many lines were dropped.
-    fn format_dropped(&self, line: &mut String, dropped: u64) {
+    fn append_dropped_count(&self, line: &mut String, dropped: u64) {
         match self.format {
-            Format::Logfmt => {
+            LogFormat::Logfmt => {
                 // Writing to a string does not fail.
                 let _ = write!(line, "event=log-limited dropped={dropped}");
             }
-            Format::Json => object(line, Level::WARN, |fields: &mut Json| {
+            LogFormat::Json => append_object(line, Level::WARN, |fields: &mut Json| {
                 fields.entry("event", "log-limited");
                 fields.entry("dropped", &dropped);
             }),
@@ -85,7 +85,7 @@
 
 /// The layers of the log.
 fn subscriber<W: std::io::Write + Send + 'static>(
-    format: Format,
+    format: LogFormat,
     filter: Targets,
     writer: W,
 ) -> impl Subscriber + Send + Sync {
@@ -98,7 +98,7 @@
 }
 
 /// Writes events to standard error from now on. `filter` names levels by module, such as `warn,birchreach_proxy::net=info`.
-pub(crate) fn start(format: Format, filter: Targets) {
+pub(crate) fn init(format: LogFormat, filter: Targets) {
     // The first subscriber stays, if there is one.
     let _ = tracing::subscriber::set_global_default(subscriber(format, filter, std::io::stderr()));
 }
--- a/proxy/src/log/tests.rs
+++ b/proxy/src/log/tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn written(format: Format, filter: &str, act: impl FnOnce()) -> Vec<String> {
+fn written(format: LogFormat, filter: &str, act: impl FnOnce()) -> Vec<String> {
     let buffer = SharedBuffer::default();
     let subscriber = subscriber(format, filter.parse().unwrap(), buffer.clone());
     tracing::subscriber::with_default(subscriber, act);
@@ -50,7 +50,7 @@
 #[test]
 fn logfmt_lines_preserve_field_names_and_order() {
     // Given events with values of each kind, when they are logged
-    let plain = written(Format::Logfmt, "info", log_some);
+    let plain = written(LogFormat::Logfmt, "info", log_some);
     // Then each is a line with its names in their order
     assert_eq!(plain, ["event=reloaded discovery=127.0.0.1:1 needs-restart=a,b", QUOTED_WARNING]);
 }
@@ -58,7 +58,7 @@
 #[test]
 fn json_lines_preserve_field_names_and_types() {
     // Given events with values of each kind, when they are logged
-    let json = written(Format::Json, "info", log_some);
+    let json = written(LogFormat::Json, "info", log_some);
     // Then each is an object whose values have their types
     let object: serde_json::Value = serde_json::from_str(&json[1]).unwrap();
     assert_eq!((&object["rev"], &object["reason"]), (&3.into(), &"a \"b\"\nc".into()));
@@ -68,7 +68,7 @@
 #[test]
 fn lines_below_the_filter_level_are_not_written() {
     // Given a filter for warnings, when other events are logged, too, then the warning alone is written
-    assert_eq!(written(Format::Logfmt, "warn", log_some), [QUOTED_WARNING]);
+    assert_eq!(written(LogFormat::Logfmt, "warn", log_some), [QUOTED_WARNING]);
 }
 
 #[test]
@@ -81,7 +81,7 @@
         info!(event = "after");
     };
     // When they are logged
-    let lines = written(Format::Logfmt, "info", flood);
+    let lines = written(LogFormat::Logfmt, "info", flood);
     // Then one line counts those that were dropped
     let limited = lines.iter().position(|line| line.starts_with("event=log-limited dropped=")).unwrap();
     let dropped: usize = lines[limited].rsplit('=').next().unwrap().parse().unwrap();
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -42,7 +42,7 @@
     let options = options.as_deref();
     match command {
         None | Some(Command::Serve) => {
-            log::start(log_format, log_filter);
+            log::init(log_format, log_filter);
             serve(options);
         }
         Some(Command::Check(arguments)) => check(&arguments, options),
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -146,7 +146,11 @@
     }
 
     /// Reads a connection. The caller answers a returned call with [`AdminListener::answer`].
-    pub(super) fn ready(&mut self, context: &mut EventLoopContext, key: AdminKey) -> Option<AdminCall> {
+    pub(super) fn handle_ready(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: AdminKey,
+    ) -> Option<AdminCall> {
         let connection = self.connections.get_mut(key.0)?;
         let protocol = &mut connection.protocol;
         let mut call = None;
--- a/proxy/src/net/admin_calls.rs
+++ b/proxy/src/net/admin_calls.rs
@@ -8,7 +8,7 @@
 impl EventLoop {
     /// Reads an operator's connection, and answers its call once that is complete.
     pub(super) fn handle_admin(&mut self, key: AdminKey) {
-        let Some(call) = self.admin.ready(&mut self.context, key) else { return };
+        let Some(call) = self.admin.handle_ready(&mut self.context, key) else { return };
         let reply = self.admin_reply(call);
         self.admin.answer(&mut self.context, key, &reply);
         if let AdminCall::Maintenance(on) = call
@@ -20,13 +20,13 @@
 
     /// What a call is answered with.
     fn admin_reply(&self, call: AdminCall) -> AdminReply {
-        let report = |report: Option<String>| report.map_or(AdminReply::UnknownCall, AdminReply::Figures);
+        let report = |report: Option<String>| report.map_or(AdminReply::UnknownCall, AdminReply::Lines);
         match call {
             AdminCall::Status if self.stopping => AdminReply::No("stopping"),
             AdminCall::Status => AdminReply::Yes("it takes clients"),
             AdminCall::Stats => {
                 let core = &self.context.core;
-                AdminReply::Figures(core.stats.lines(core.gauges(self.context.now)))
+                AdminReply::Lines(core.stats.lines(core.gauges(self.context.now)))
             }
             AdminCall::Fleet => report(self.admin_reports().fleet),
             AdminCall::Hot => report(self.admin_reports().hot),
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -34,7 +34,7 @@
 const NO_INPUT_READ: InputRead = InputRead { bytes: 0, is_drained: true };
 
 /// The result of one round of a turn.
-enum Round {
+enum RoundResult {
     /// There is more to do.
     Continue,
     /// There is nothing more to do in this turn.
@@ -98,9 +98,9 @@
         // A bounded number of rounds, so that a client that sends continuously does not starve the others.
         for _ in 0..MAX_ROUNDS_PER_TURN {
             match self.process_round(context, admission, key) {
-                Round::Continue => {}
-                Round::Done => return None,
-                Round::Close(reason) => return Some(reason),
+                RoundResult::Continue => {}
+                RoundResult::Done => return None,
+                RoundResult::Close(reason) => return Some(reason),
             }
         }
         self.turn_incomplete = true;
@@ -113,22 +113,22 @@
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
         key: ClientKey,
-    ) -> Round {
+    ) -> RoundResult {
         let wants_input = self.closing.is_none() && self.protocol.wants_input();
         if self.peer_closed && !wants_input {
             // The end of the stream follows input that is not read now, and would be noticed too late.
-            return Round::Close(self.close_reason_or(ClientCloseReason::ClientClosed));
+            return RoundResult::Close(self.close_reason_or(ClientCloseReason::ClientClosed));
         }
         let read = if wants_input { self.read_input(context) } else { Ok(NO_INPUT_READ) };
         let read = match read {
             Ok(read) => read,
             // The client has disconnected: none of its commands is started any more.
-            Err(end) => return Round::Close(self.close_reason_for(end)),
+            Err(end) => return RoundResult::Close(self.close_reason_for(end)),
         };
         self.run_commands(context, admission, key);
         match self.write_output(context, read.bytes > 0) {
-            Err(_) => return Round::Close(ClientCloseReason::ClientReset),
-            Ok(false) => return Round::Done,
+            Err(_) => return RoundResult::Close(ClientCloseReason::ClientReset),
+            Ok(false) => return RoundResult::Done,
             Ok(true) => {}
         }
         if let Some(closing) = self.closing {
@@ -141,10 +141,10 @@
         let has_unread_input = more_may_have_arrived && self.protocol.wants_input();
         let has_output = self.closing.is_some() || !self.protocol.outbox.pending().is_empty();
         if has_unread_input || has_output {
-            return Round::Continue;
+            return RoundResult::Continue;
         }
         self.turn_incomplete = self.protocol.commands_deferred();
-        Round::Done
+        RoundResult::Done
     }
 
     /// Reads the socket, up to the limit of one read.
@@ -171,15 +171,15 @@
     }
 
     /// The output of a client that is to be closed is written: closes it, or begins to drain its input.
-    fn finish_closing(&mut self, context: &mut EventLoopContext, closing: Closing) -> Round {
+    fn finish_closing(&mut self, context: &mut EventLoopContext, closing: Closing) -> RoundResult {
         if closing.mode != CloseMode::AfterFlush {
-            return Round::Close(closing.reason);
+            return RoundResult::Close(closing.reason);
         }
         let _ = self.stream.shutdown(Shutdown::Write);
         let until = context.now + DRAIN_TIME_MICROS;
         let mode = CloseMode::Draining { until, max_bytes: MAX_DRAINED_BYTES };
         self.closing = Some(Closing { mode, ..closing });
-        self.drain_input(context).map_or(Round::Done, Round::Close)
+        self.drain_input(context).map_or(RoundResult::Done, RoundResult::Close)
     }
 
     /// Reads and drops the input of a client that is being closed. Returns the reason if the connection has ended.
@@ -213,8 +213,10 @@
         while self.open_request.is_none() && self.closing.is_none() {
             let Some(command) = self.protocol.next_command(context.now) else { return };
             match command {
-                ClientCommand::Close(reason) => self.end(reason.into(), CloseMode::Immediate),
-                ClientCommand::CloseWithError(reason) => self.end(reason.into(), CloseMode::AfterFlush),
+                ClientCommand::Close(reason) => self.mark_for_close(reason.into(), CloseMode::Immediate),
+                ClientCommand::CloseWithError(reason) => {
+                    self.mark_for_close(reason.into(), CloseMode::AfterFlush)
+                }
                 ClientCommand::Run(statement, arrived_at) => {
                     self.start_request(context, admission, key, statement, arrived_at);
                 }
@@ -223,7 +225,7 @@
     }
 
     /// Marks the connection as one that is to be closed.
-    fn end(&mut self, reason: ClientCloseReason, mode: CloseMode) {
+    fn mark_for_close(&mut self, reason: ClientCloseReason, mode: CloseMode) {
         self.closing = Some(Closing { reason, mode });
     }
 
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -94,7 +94,7 @@
     }
 
     /// Enters a state, and sets its timeout.
-    fn enter(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
+    fn enter_state(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
         self.state_serial = self.state_serial.next();
         context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
@@ -102,7 +102,7 @@
 
     /// Makes the next poll after this time.
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
-        self.enter(context, PollState::Waiting, wait);
+        self.enter_state(context, PollState::Waiting, wait);
     }
 
     /// Makes the next poll, on a new connection where there is none.
@@ -111,7 +111,7 @@
         self.long_poll = self.watch.is_long_poll();
         if self.stream.is_some() {
             self.outbox.append(&self.watch.next_request());
-            self.enter(context, PollState::Requested, self.watch.response_timeout());
+            self.enter_state(context, PollState::Requested, self.watch.response_timeout());
         } else {
             let Ok(stream) = self.connect(context) else {
                 self.descriptors_exhausted = true;
@@ -120,7 +120,7 @@
             self.stream = Some(stream);
             self.outbox = Outbox::default();
             self.outbox.append(&self.watch.next_request());
-            self.enter(context, PollState::Connecting, CONNECT_TIMEOUT_MICROS);
+            self.enter_state(context, PollState::Connecting, CONNECT_TIMEOUT_MICROS);
         }
         self.write(context);
     }
@@ -183,7 +183,7 @@
             return false;
         }
         if self.state == PollState::Connecting {
-            self.enter(context, PollState::Requested, self.watch.response_timeout());
+            self.enter_state(context, PollState::Requested, self.watch.response_timeout());
         }
         true
     }
--- a/proxy/src/net/discovery_connection/responses.rs
+++ b/proxy/src/net/discovery_connection/responses.rs
@@ -11,26 +11,26 @@
 const MIN_POLL_INTERVAL_MICROS: Micros = 20_000;
 
 /// The result of reading the connection once.
-struct DiscoveryEvent {
+struct ReadResult {
     response: Result<Option<PollResponse>, PollError>,
-    ended: Option<StreamEnd>,
+    end: Option<StreamEnd>,
 }
 
 impl DiscoveryConnection {
     /// The socket is ready: writes and reads as far as it goes. Returns an update of the list.
-    pub(crate) fn ready(&mut self, context: &mut EventLoopContext) -> Option<EndpointUpdate> {
+    pub(crate) fn handle_ready(&mut self, context: &mut EventLoopContext) -> Option<EndpointUpdate> {
         if !self.write(context) {
             return None;
         }
-        let DiscoveryEvent { response, ended } = self.read(context)?;
-        match (response, ended) {
+        let ReadResult { response, end } = self.read(context)?;
+        match (response, end) {
             (Err(error), _) => self.fail(context, &error),
-            (Ok(Some(response)), ended) => return self.finish_poll(context, response, ended.is_some()),
+            (Ok(Some(response)), end) => return self.finish_poll(context, response, end.is_some()),
             (Ok(None), Some(StreamEnd::Closed)) => self.fail(context, &PollError::Closed),
             (Ok(None), Some(StreamEnd::Reset)) => self.fail(context, &PollError::Reset),
             (Ok(None), None) => {
                 if self.watch.response_started() && self.state == PollState::Requested {
-                    self.enter(context, PollState::Receiving, RESPONSE_TIMEOUT_MICROS);
+                    self.enter_state(context, PollState::Receiving, RESPONSE_TIMEOUT_MICROS);
                 }
             }
         }
@@ -38,11 +38,11 @@
     }
 
     /// Reads what has arrived, and whether the connection ended after it.
-    fn read(&mut self, context: &mut EventLoopContext) -> Option<DiscoveryEvent> {
+    fn read(&mut self, context: &mut EventLoopContext) -> Option<ReadResult> {
         let stream = self.stream.as_mut()?;
         let watch = &mut self.watch;
         let mut response = Ok(None);
-        let ended = stream::read(stream, &mut context.scratch, |bytes| {
+        let read = stream::read(stream, &mut context.scratch, |bytes| {
             // Continues to the end of the input: the poll does not report again that the connection ended after the response.
             if response == Ok(None) {
                 response = watch.feed(bytes);
@@ -50,10 +50,10 @@
             true
         });
         // A reset does not complete a response without a length.
-        if ended == Err(StreamEnd::Closed) && response == Ok(None) {
+        if read == Err(StreamEnd::Closed) && response == Ok(None) {
             response = watch.finish_on_close();
         }
-        Some(DiscoveryEvent { response, ended: ended.err() })
+        Some(ReadResult { response, end: read.err() })
     }
 
     /// A response is complete, and the connection may have ended after it. The next poll follows.
@@ -61,7 +61,7 @@
         &mut self,
         context: &mut EventLoopContext,
         response: PollResponse,
-        ended: bool,
+        connection_ended: bool,
     ) -> Option<EndpointUpdate> {
         context.core.discovery_answered(context.now);
         let update = match response {
@@ -73,7 +73,7 @@
         if self.long_poll || !no_change {
             self.backoff.reset();
         }
-        if ended {
+        if connection_ended {
             // The poll did not fail: the next one may be a long poll.
             self.disconnect(context, &DiscoveryCloseReason::Failed(PollError::Closed));
             let wait = self.backoff.wait_after(&PollError::Closed);
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -153,8 +153,8 @@
     }
 
     /// The answer to the operators' `fleet`.
-    pub(super) fn report(&self, now: Micros) -> String {
-        fleet::report(&self.membership.borrow(), now)
+    pub(super) fn status_lines(&self, now: Micros) -> String {
+        fleet::status_lines(&self.membership.borrow(), now)
     }
 
     /// The fleet's figures, without the last line of their format.
@@ -163,7 +163,7 @@
     }
 
     /// When the timer is to be set, if that is sooner than the time for which it is set.
-    fn earlier_timer(&mut self, now: Micros) -> Option<Micros> {
+    fn reschedule_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = match &self.socket {
             _ if self.has_left => return None,
             None => now + BIND_RETRY_INTERVAL_MICROS,
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -82,7 +82,7 @@
         let (divisor, member_count) = (view.divisor(), view.members);
         let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(member_count));
         AdminReports {
-            fleet: Some(fleet.report(self.context.now)),
+            fleet: Some(fleet.status_lines(self.context.now)),
             hot: background.and_then(|work| work.hot_key_lines(self.context.now, divisor)),
             split: background.and_then(|work| work.split_lines(member_count, divisor)),
             metrics: Some(fleet.metrics_text() + &background_metrics + "# EOF\n"),
@@ -103,7 +103,7 @@
         let Some(fleet) = &mut self.fleet else { return };
         let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
         let due_exchange = due_exchange.filter(|_| fleet.is_active());
-        if let Some(at) = fleet.earlier_timer(self.context.now) {
+        if let Some(at) = fleet.reschedule_timer(self.context.now) {
             self.context.timers.set(at, TimerEvent::Fleet);
         }
         let (is_active, new_reports) = (fleet.is_active(), fleet.take_new_reports());
--- a/proxy/src/net/pool/responses.rs
+++ b/proxy/src/net/pool/responses.rs
@@ -68,7 +68,7 @@
             Some(task) => self.send_query(context, key, task),
             None => self.return_to_idle(context, key),
         }
-        self.state_of(key)
+        self.connection_state(key)
     }
 
     /// A value begins that is streamed to the client.
@@ -116,13 +116,13 @@
     ) -> ConnectionState {
         let Some(task) = self.connections[key].task.take() else {
             self.return_to_idle(context, key);
-            return self.state_of(key);
+            return self.connection_state(key);
         };
         if let Some((task, reply)) = self.continue_background_query(context, key, task, reply) {
             self.return_to_idle(context, key);
             self.complete_task(context, task, reply);
         }
-        self.state_of(key)
+        self.connection_state(key)
     }
 
     /// The database answered the startup with an error.
@@ -144,7 +144,7 @@
     }
 
     /// Whether the connection is still open.
-    fn state_of(&self, key: ConnectionKey) -> ConnectionState {
+    fn connection_state(&self, key: ConnectionKey) -> ConnectionState {
         if self.connections.contains(key) { ConnectionState::Open } else { ConnectionState::Closed }
     }
 }
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -119,14 +119,14 @@
 
     /// The predecessor's link is ready.
     pub(super) fn predecessor_ready(&mut self, context: &mut EventLoopContext) {
-        if disconnected(&mut self.predecessor, context) {
+        if exchange_or_remove(&mut self.predecessor, context) {
             info!(event = "predecessor-disconnected");
         }
     }
 
     /// The successor's link is ready.
     pub(super) fn successor_ready(&mut self, context: &mut EventLoopContext) {
-        if disconnected(&mut self.successor, context) {
+        if exchange_or_remove(&mut self.successor, context) {
             info!(event = "successor-disconnected");
             // It had bound the path of this process's socket.
             self.listen(context.poll.registry());
@@ -203,7 +203,7 @@
 }
 
 /// Reads and writes a link, if there is one, and removes it if it is no longer usable. Returns whether it was removed.
-fn disconnected(link: &mut Option<ProcessLink>, context: &mut EventLoopContext) -> bool {
+fn exchange_or_remove(link: &mut Option<ProcessLink>, context: &mut EventLoopContext) -> bool {
     let Some(open) = link else { return false };
     if open.exchange(&mut context.scratch) {
         return false;
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -140,7 +140,7 @@
 
     /// Reads discovery, and applies an update of the endpoint list.
     fn handle_discovery(&mut self) {
-        if let Some(update) = self.discovery.ready(&mut self.context) {
+        if let Some(update) = self.discovery.handle_ready(&mut self.context) {
             self.update_endpoints(update);
         }
     }
