--- a/proxy/src/cli/tests.rs
+++ b/proxy/src/cli/tests.rs
@@ -4,13 +4,13 @@
 use clap::CommandFactory;
 
 #[test]
-fn the_definition_is_consistent() {
+fn the_command_line_definition_is_consistent() {
     // Given the definition, when clap checks it, then it finds no contradiction
     Cli::command().debug_assert();
 }
 
 #[test]
-fn without_a_command_it_serves_without_options() {
+fn the_default_command_is_serve_without_options() {
     // Given a command line without a command, when it is read
     let serve = Cli::parse_from(["birchreach-proxy"]);
 
@@ -30,7 +30,7 @@
     };
 
     // Then it has the command's arguments and the global one
-    assert_eq!((health.group, health.timeout, log_format), (Some(3), 2000, Format::Json));
+    assert_eq!((health.group, health.timeout, log_format), (Some(3), 2000, LogFormat::Json));
 }
 
 #[test]
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -61,7 +61,7 @@
     /// What the settings probably do not mean; they are applied all the same.
     pub warnings: Vec<SettingsWarning>,
     /// The settings and limits as the file has them, with which a successor is compared.
-    raw: Value,
+    limits_and_settings: Value,
 }
 
 /// A variable of the process's environment.
@@ -74,7 +74,7 @@
     variable: impl Fn(&str) -> Option<String>,
     options: Option<&Path>,
 ) -> Result<Config, ConfigError> {
-    let file = variable(CONFIG_VARIABLE).ok_or(ConfigError::NotNamed)?;
+    let file = variable(CONFIG_VARIABLE).ok_or(ConfigError::FileNotSpecified)?;
     let text = match std::fs::read_to_string(&file) {
         Ok(text) => text,
         Err(error) => return Err(ConfigError::Unreadable { file, error }),
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -14,7 +14,7 @@
 
 /// A class and its number's history.
 #[derive(Clone, Debug)]
-struct NumberedClass {
+struct ClassEntry {
     name: String,
     rules: RequestClass,
     /// Index of its row in the statistics.
@@ -23,7 +23,7 @@
     accepted_until: Option<Micros>,
 }
 
-impl NumberedClass {
+impl ClassEntry {
     /// Whether the current settings have this class.
     fn is_current(&self) -> bool {
         self.accepted_until.is_none()
@@ -38,7 +38,7 @@
 /// All classes, and the settings of the router.
 pub(super) struct ClassTable {
     /// By number, including classes that were dropped.
-    classes: Vec<NumberedClass>,
+    classes: Vec<ClassEntry>,
     /// Settings of the router; its list of classes is replaced by the one above.
     routing: Settings,
     /// Processes that share the quota of this proxy.
@@ -49,7 +49,7 @@
     /// The classes of these settings.
     pub(super) fn new(settings: &DeploymentSettings, stats: &mut Stats) -> ClassTable {
         let named = settings.class_names.iter().zip(&settings.routing.classes);
-        let numbered = named.map(|(name, rules)| NumberedClass {
+        let numbered = named.map(|(name, rules)| ClassEntry {
             name: name.clone(),
             rules: rules.clone(),
             stats_row: stats.class_row(name),
@@ -59,7 +59,7 @@
     }
 
     /// The class with this number.
-    fn get(&self, class: ClassId) -> Option<&NumberedClass> {
+    fn get(&self, class: ClassId) -> Option<&ClassEntry> {
         self.classes.get(usize::from(class.0))
     }
 
@@ -90,18 +90,18 @@
         self.routing.health_checks_allowed
     }
 
-    /// Applies new settings. `used` are the numbers of classes with open requests or attempts.
+    /// Applies new settings. `in_use` are the numbers of classes with open requests or attempts.
     fn update(
         &mut self,
         now: Micros,
         settings: &DeploymentSettings,
-        used: &HashSet<ClassId>,
+        in_use: &HashSet<ClassId>,
         stats: &mut Stats,
     ) {
         self.drop_missing(now, settings);
         for (name, rules) in settings.class_names.iter().zip(&settings.routing.classes) {
             if !self.classes.iter().any(|class| class.is_current() && class.name == *name) {
-                self.add(now, name, rules, used, stats);
+                self.add(now, name, rules, in_use, stats);
             }
         }
         self.routing = settings.routing.clone();
@@ -111,9 +111,9 @@
     fn drop_missing(&mut self, now: Micros, settings: &DeploymentSettings) {
         for class in &mut self.classes {
             let mut named = settings.class_names.iter().zip(&settings.routing.classes);
-            let stays = named.any(|(name, rules)| *rules == class.rules && *name == class.name);
+            let is_unchanged = named.any(|(name, rules)| *rules == class.rules && *name == class.name);
             let until = class.accepted_until.unwrap_or(now + DROPPED_CLASS_GRACE_MICROS);
-            class.accepted_until = (!stays).then_some(until);
+            class.accepted_until = (!is_unchanged).then_some(until);
         }
     }
 
@@ -123,17 +123,17 @@
         now: Micros,
         name: &str,
         rules: &RequestClass,
-        used: &HashSet<ClassId>,
+        in_use: &HashSet<ClassId>,
         stats: &mut Stats,
     ) {
-        let added = NumberedClass {
+        let added = ClassEntry {
             name: name.to_string(),
             rules: rules.clone(),
             stats_row: stats.class_row(name),
             accepted_until: None,
         };
-        let is_free = |(index, class): (usize, &NumberedClass)| {
-            !class.accepts_requests(now) && !used.iter().any(|used| usize::from(used.0) == index)
+        let is_free = |(index, class): (usize, &ClassEntry)| {
+            !class.accepts_requests(now) && !in_use.iter().any(|class_id| usize::from(class_id.0) == index)
         };
         match self.classes.iter().enumerate().position(is_free) {
             Some(index) => self.classes[index] = added,
@@ -160,9 +160,9 @@
 impl<P: RequestPayload> Core<P> {
     /// Applies new settings.
     pub(crate) fn apply_settings(&mut self, now: Micros, settings: &DeploymentSettings) {
-        let mut used: HashSet<ClassId> = self.requests.values().map(|pending| pending.class).collect();
-        used.extend(self.in_flight.values().map(|attempt| attempt.class));
-        self.classes.update(now, settings, &used, &mut self.stats);
+        let mut in_use: HashSet<ClassId> = self.requests.values().map(|pending| pending.class).collect();
+        in_use.extend(self.in_flight.values().map(|attempt| attempt.class));
+        self.classes.update(now, settings, &in_use, &mut self.stats);
         self.servers.set_zones(settings);
         self.update_router_settings(now);
     }
@@ -186,7 +186,7 @@
     }
 
     /// Where the required positions of session reads come from.
-    pub(crate) fn session_positions(&self) -> SessionPositionSource {
+    pub(crate) fn session_position_source(&self) -> SessionPositionSource {
         self.classes.routing.session_positions
     }
 }
--- a/proxy/src/health_command/tests.rs
+++ b/proxy/src/health_command/tests.rs
@@ -1,6 +1,6 @@
 //! The answer of a proxy about its health, as people read it.
 
-use super::report::text;
+use super::report::format_answer;
 use serde_json::{Value, json};
 
 /// An answer about the whole proxy, with each kind of value that a line shows.
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn the_whole_proxy_has_a_line_for_each_class_and_two_for_each_group() {
+fn the_proxy_answer_has_one_line_per_class_and_two_per_group() {
     // Given an answer about the whole proxy
     let answer = whole_proxy();
 
     // When it is written for people
-    let text = text(&answer);
+    let text = format_answer(&answer);
 
     // Then it has a line for the proxy, one for its load, and those of classes and groups
     let lines = [
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn one_class_alone_has_one_line() {
+fn the_answer_for_one_class_has_one_line() {
     // Given an answer about one class
     let answer = json!({"able": true, "weight": 100, "reason": "ok", "since_ms": 500});
 
     // When it is written for people, then it has one line
-    assert_eq!(text(&answer), "able yes, weight 100%, ok, for 0.5 s\n");
+    assert_eq!(format_answer(&answer), "able yes, weight 100%, ok, for 0.5 s\n");
 }
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -39,7 +39,7 @@
 
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CloseReason {
+enum AdminCloseReason {
     /// It was closed for a newer one.
     Shed,
     /// It was reset.
@@ -52,15 +52,15 @@
     Unresponsive,
 }
 
-impl CloseReason {
+impl AdminCloseReason {
     /// The word for the log.
     fn as_str(self) -> &'static str {
         match self {
-            CloseReason::Shed => "shed",
-            CloseReason::Reset => "reset",
-            CloseReason::Closed => "closed",
-            CloseReason::Answered => "answered",
-            CloseReason::Unresponsive => "unresponsive",
+            AdminCloseReason::Shed => "shed",
+            AdminCloseReason::Reset => "reset",
+            AdminCloseReason::Closed => "closed",
+            AdminCloseReason::Answered => "answered",
+            AdminCloseReason::Unresponsive => "unresponsive",
         }
     }
 }
@@ -134,7 +134,7 @@
         if self.connections.len() >= MAX_CONNECTIONS {
             let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.accepted_at);
             if let Some((slot, _)) = oldest {
-                self.close(context, AdminKey(slot), CloseReason::Shed);
+                self.close(context, AdminKey(slot), AdminCloseReason::Shed);
             }
         }
         let slot = self.connections.vacant_entry();
@@ -146,7 +146,11 @@
     }
 
     /// Reads a connection. The caller answers a returned call with [`AdminListener::answer`].
-    pub(super) fn ready(&mut self, context: &mut EventLoopContext, key: AdminKey) -> Option<AdminCall> {
+    pub(super) fn handle_ready(
+        &mut self,
+        context: &mut EventLoopContext,
+        key: AdminKey,
+    ) -> Option<AdminCall> {
         let connection = self.connections.get_mut(key.0)?;
         let protocol = &mut connection.protocol;
         let mut call = None;
@@ -156,14 +160,14 @@
             call = call.or_else(|| protocol.feed(bytes));
             read_bytes < READ_BYTES_PER_TURN
         });
-        if drained == Err(stream::Ended::Reset) {
-            self.close(context, key, CloseReason::Reset);
+        if drained == Err(stream::StreamEnd::Reset) {
+            self.close(context, key, AdminCloseReason::Reset);
             return None;
         }
         if drained.is_err() && call.is_none() {
             call = connection.protocol.input_ended();
             if call.is_none() && !connection.protocol.is_answered() {
-                self.close(context, key, CloseReason::Closed);
+                self.close(context, key, AdminCloseReason::Closed);
                 return None;
             }
         }
@@ -191,9 +195,9 @@
             Ok(false) => {}
             Ok(true) => {
                 let _ = connection.stream.shutdown(Shutdown::Write);
-                self.close(context, key, CloseReason::Answered);
+                self.close(context, key, AdminCloseReason::Answered);
             }
-            Err(_) => self.close(context, key, CloseReason::Reset),
+            Err(_) => self.close(context, key, AdminCloseReason::Reset),
         }
     }
 
@@ -204,12 +208,12 @@
         let unresponsive = self.connections.iter().filter(|(_, connection)| timed_out(connection));
         let keys: Vec<AdminKey> = unresponsive.map(|(slot, _)| AdminKey(slot)).collect();
         for key in keys {
-            self.close(context, key, CloseReason::Unresponsive);
+            self.close(context, key, AdminCloseReason::Unresponsive);
         }
     }
 
     /// Closes the connection and logs why.
-    fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: CloseReason) {
+    fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: AdminCloseReason) {
         let mut connection = self.connections.remove(key.0);
         let _ = context.poll.registry().deregister(&mut connection.stream);
         info!(conn = "operator", reason = reason.as_str());
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -2,7 +2,7 @@
 //! its result is returned to the verifier.
 
 use super::BackgroundWork;
-use super::task::{BackgroundTask, STATEMENT_WAIT_MS, TaskTarget};
+use super::task::{BackgroundTask, STATEMENT_TIMEOUT_MS, TaskTarget};
 use crate::background_query::{BackgroundQueryResult, BackgroundStatementId};
 use crate::observe::Shared;
 use crate::pg::{commit_time_query, copies};
@@ -48,14 +48,14 @@
     pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         let DueQuery { query, ref key_bytes, .. } = self.due;
         let group = GroupId(self.due.group);
-        let read = copies::read_row(key_bytes, group, id, STATEMENT_WAIT_MS);
+        let read = copies::read_row(key_bytes, group, id, STATEMENT_TIMEOUT_MS);
         match query {
             ComparisonQuery::SingleRead(_) => vec![read],
             // Positions come with answers: one before the read that counts, one with it.
             ComparisonQuery::Sample(_) => vec![read; 2],
             ComparisonQuery::SampleParent => {
                 let with_commit_time =
-                    commit_time_query::read_row_with_commit_time(key_bytes, group, id, STATEMENT_WAIT_MS);
+                    commit_time_query::read_row_with_commit_time(key_bytes, group, id, STATEMENT_TIMEOUT_MS);
                 vec![read, with_commit_time]
             }
         }
@@ -64,13 +64,13 @@
 
 impl BackgroundWork {
     /// Logs the verdict if it changed, and submits the queries that are due.
-    pub(super) fn run_split(&mut self, now: Micros, heard_members: usize, report_interval: Micros) {
+    pub(super) fn run_split(&mut self, now: Micros, member_count: usize, report_interval: Micros) {
         self.postpone_expired_reads(now);
         let Some(observer) = self.split.clone() else { return };
         let due_queries = {
             let mut observer = observer.borrow_mut();
             observer.verifier.set_report_interval(report_interval);
-            log_verdict(observer.verdict_to_log(heard_members));
+            log_verdict(observer.verdict_to_log(member_count));
             observer.verifier.due_queries(now, MAX_QUERIES_PER_RUN)
         };
         for due in due_queries {
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::background_query::BackgroundStatementIds;
 use crate::hot::HotKeyObserver;
-use crate::metrics::Metrics;
+use crate::metrics::BackgroundMetrics;
 use crate::observe::Shared;
 use crate::split::SplitObserver;
 use birchreach::Micros;
@@ -22,7 +22,7 @@
 use task::BackgroundTask;
 
 /// A run that is later than this follows a suspension of the process: runs are at most half of this apart.
-const SUSPENDED_MICROS: Micros = 1_500_000;
+const SUSPENSION_THRESHOLD_MICROS: Micros = 1_500_000;
 /// How soon tasks are tried again that wait for capacity or for their budget.
 const QUEUE_RETRY_MICROS: Micros = 20_000;
 /// The shortest time between two runs.
@@ -38,7 +38,7 @@
     split: Option<Shared<SplitObserver>>,
     /// The comparison in progress: results of an earlier one are ignored.
     split_generation: SplitGeneration,
-    metrics: Metrics,
+    metrics: BackgroundMetrics,
     /// When the timer that is set expires.
     timer_at: Micros,
     /// The last run that could start tasks.
@@ -57,7 +57,7 @@
             hot_keys: None,
             split: None,
             split_generation: SplitGeneration::default(),
-            metrics: Metrics::new(),
+            metrics: BackgroundMetrics::new(),
             timer_at: Micros::MAX,
             last_run_at: now,
             paused_until: now,
@@ -69,7 +69,7 @@
         let hot_keys = self.hot_keys.as_ref().map(|observer| observer.borrow().tracker.next_change(now));
         let split = self.split.as_ref().map(|observer| observer.borrow().verifier.next_change(now));
         let queue = (self.scheduler.queued_count() > 0).then_some(now + QUEUE_RETRY_MICROS);
-        let latest = now + SUSPENDED_MICROS / 2;
+        let latest = now + SUSPENSION_THRESHOLD_MICROS / 2;
         let earliest = [hot_keys, split, queue].into_iter().flatten().fold(latest, Micros::min);
         earliest.max(now + MIN_RUN_INTERVAL_MICROS)
     }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -21,9 +21,9 @@
 const ANNOUNCEMENT_TIMEOUT_MICROS: Micros = 1_000_000;
 /// It opens its check listeners this long before it answers, so that no balancer finds the address closed, even if it is
 /// held up for 150 ms.
-const LISTEN_AHEAD_MICROS: Micros = 250_000;
+const LISTEN_LEAD_TIME_MICROS: Micros = 250_000;
 /// A process that has not taken over yet is ready at a time that is not known.
-const UNKNOWN_TIME: Micros = Micros::MAX / 4;
+const UNKNOWN_READY_TIME: Micros = Micros::MAX / 4;
 
 /// The state of health reporting.
 #[derive(Default)]
@@ -36,7 +36,7 @@
     load_timer_set: bool,
     load_reported_at: Micros,
     /// How long the loop has slept since the last load report.
-    pub slept: Micros,
+    pub idle_time: Micros,
     /// This process has announced its handover to the next one.
     pub handing_over: bool,
     /// This process isn't ready before this time.
@@ -55,16 +55,16 @@
         let opened = self.checks.open(if has_predecessor { None } else { options.as_ref() })?;
         self.checks.apply_options(&mut self.context, options, opened);
         if has_predecessor {
-            self.set_ready_at(UNKNOWN_TIME);
+            self.set_ready_at(UNKNOWN_READY_TIME);
         }
         Ok(())
     }
 
     /// Takes over from the predecessor, if there is one: it hands over clients and balancers from now on.
-    pub(super) fn take_over(&mut self) {
+    pub(super) fn take_over_from_predecessor(&mut self) {
         if self.handover.announce_serving(&mut self.context) {
             self.set_ready_at(self.context.now + ANNOUNCEMENT_TIMEOUT_MICROS);
-            self.after_handover();
+            self.apply_handover_state();
         }
     }
 
@@ -95,8 +95,8 @@
         }
         if !std::mem::replace(&mut self.health.load_timer_set, true) {
             self.health.load_reported_at = now;
-            self.health.slept = 0;
-            self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
+            self.health.idle_time = 0;
+            self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthLoadReport);
         }
     }
 
@@ -104,8 +104,8 @@
     fn set_ready_at(&mut self, at: Micros) {
         self.health.ready_at = at;
         self.record_health_event(HealthEvent::ReadyAt(at));
-        self.checks.accept_from(at);
-        self.context.timers.set(at - LISTEN_AHEAD_MICROS, TimerEvent::OpenCheckListeners);
+        self.checks.set_accept_start(at);
+        self.context.timers.set(at - LISTEN_LEAD_TIME_MICROS, TimerEvent::OpenCheckListeners);
     }
 
     /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both
@@ -114,7 +114,7 @@
         if self.health.observer.is_some() {
             self.announce_handover();
         }
-        self.await_handover();
+        self.update_ready_time();
     }
 
     /// Announces the handover to a process that replaces this one, or revokes it when that process has disconnected.
@@ -137,7 +137,7 @@
     }
 
     /// Becomes ready at the time that the predecessor announces, or immediately if it has disconnected.
-    fn await_handover(&mut self) {
+    fn update_ready_time(&mut self) {
         let now = self.context.now;
         if self.health.ready_at <= now || self.health.handover_time_known {
             return;
@@ -163,10 +163,10 @@
         }
         let now = self.context.now;
         let elapsed = (now - self.health.load_reported_at).max(1);
-        let busy = 1.0 - self.health.slept as f64 / elapsed as f64;
+        let busy = 1.0 - self.health.idle_time as f64 / elapsed as f64;
         self.health.load_reported_at = now;
-        self.health.slept = 0;
-        let queued = self.context.core.report_queued(now);
+        self.health.idle_time = 0;
+        let queued = self.context.core.report_queued_requests(now);
         let in_progress = self.context.core.open_request_count();
         self.record_health_event(HealthEvent::Load {
             pressure: busy.max(self.database_connections_in_use()),
@@ -174,7 +174,7 @@
             queued,
             client_capacity: self.connection_limits().clients,
         });
-        self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthTick);
+        self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthLoadReport);
     }
 
     /// Updates the verdict if it may have changed, and sends the probes that are due.
@@ -187,13 +187,13 @@
         }
         if self.health.update_timer.is_none_or(|at| next_update_at < at) {
             self.health.update_timer = Some(next_update_at);
-            self.context.timers.set(next_update_at, TimerEvent::HealthChange);
+            self.context.timers.set(next_update_at, TimerEvent::HealthUpdate);
         }
         if !probes.is_empty() {
             for server in probes {
                 self.pool.start_monitor_check(&mut self.context, server);
             }
-            self.carry_out();
+            self.execute_commands();
         }
     }
 
@@ -207,8 +207,8 @@
     /// Closes inactive check connections, and opens check listeners that should be open and are not.
     pub(super) fn reopen_check_listeners(&mut self) {
         self.checks.close_inactive(&mut self.context);
-        let may_listen = self.context.now >= self.health.ready_at - LISTEN_AHEAD_MICROS;
-        if self.checks.lacks_listener() && !self.health.handing_over && may_listen {
+        let may_listen = self.context.now >= self.health.ready_at - LISTEN_LEAD_TIME_MICROS;
+        if self.checks.is_missing_listener() && !self.health.handing_over && may_listen {
             self.checks.reopen_listeners(&mut self.context);
         }
     }
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -17,25 +17,25 @@
 const MAX_READ_BYTES: usize = 8 << 10;
 
 /// How a connection goes on after its turn.
-pub(super) enum Progress {
+pub(super) enum CheckProgress {
     /// It is to be closed.
     Finished(CheckCloseReason),
     /// It has more to do, for which the socket will report no event.
-    MoreToDo,
+    WorkRemaining,
     /// It waits for its socket.
-    WaitsForSocket,
+    WaitingForSocket,
 }
 
 /// What a turn of a connection came to.
-struct Turn {
-    progress: Progress,
+struct TurnResult {
+    progress: CheckProgress,
     /// It completed a request, or its output went on.
     was_active: bool,
 }
 
-impl Turn {
-    fn inactive(progress: Progress) -> Turn {
-        Turn { progress, was_active: false }
+impl TurnResult {
+    fn inactive(progress: CheckProgress) -> TurnResult {
+        TurnResult { progress, was_active: false }
     }
 }
 
@@ -51,16 +51,16 @@
     context: &mut EventLoopContext,
     connection: &mut CheckConnection,
     source: AnswerSource,
-) -> Progress {
+) -> CheckProgress {
     let (stream, state) = (&mut connection.stream, &mut connection.state);
     let now = context.now;
     let turn = match (state, source.observer) {
         (ProtocolState::Http(http), Some(observer)) => serve_http(context, stream, http, observer),
         (ProtocolState::Grpc(grpc), Some(observer)) => serve_grpc(context, stream, grpc, observer),
         (ProtocolState::Agent { line, reply }, Some(_)) => {
-            Turn::inactive(serve_agent(context, stream, line, reply, source))
+            TurnResult::inactive(serve_agent(context, stream, line, reply, source))
         }
-        (_, None) => Turn::inactive(Progress::Finished(CheckCloseReason::Off)),
+        (_, None) => TurnResult::inactive(CheckProgress::Finished(CheckCloseReason::ListenerDisabled)),
     };
     if turn.was_active {
         connection.active_at = now;
@@ -75,7 +75,7 @@
     stream: &mut TcpStream,
     http: &mut HttpCheckConnection,
     observer: &Shared<HealthObserver>,
-) -> Turn {
+) -> TurnResult {
     let answered_before = http.requests_answered();
     let read = if http.wants_input() {
         let length = MAX_READ_BYTES.min(context.scratch.len());
@@ -94,19 +94,21 @@
     let was_active = http.requests_answered() > answered_before || http.output.len() < pending;
     if http.is_finished() {
         let _ = stream.shutdown(Shutdown::Write);
-        return Turn { progress: Progress::Finished(CheckCloseReason::Answered), was_active };
+        return TurnResult { progress: CheckProgress::Finished(CheckCloseReason::Answered), was_active };
     }
     let progress = match (read, written) {
-        (_, Err(_)) | (Err(stream::Ended::Reset), _) => Progress::Finished(CheckCloseReason::Reset),
-        (Err(stream::Ended::Closed), _) if http.has_partial_request() => {
-            Progress::Finished(CheckCloseReason::CutShort)
+        (_, Err(_)) | (Err(stream::StreamEnd::Reset), _) => CheckProgress::Finished(CheckCloseReason::Reset),
+        (Err(stream::StreamEnd::Closed), _) if http.has_partial_request() => {
+            CheckProgress::Finished(CheckCloseReason::RequestTruncated)
         }
-        (Err(stream::Ended::Closed), _) => Progress::Finished(CheckCloseReason::Closed),
+        (Err(stream::StreamEnd::Closed), _) => CheckProgress::Finished(CheckCloseReason::Closed),
         // The socket reports when it can be written again. It doesn't report input again that was left unread or unanswered.
-        (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => Progress::WaitsForSocket,
-        _ => Progress::MoreToDo,
+        (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => {
+            CheckProgress::WaitingForSocket
+        }
+        _ => CheckProgress::WorkRemaining,
     };
-    Turn { progress, was_active }
+    TurnResult { progress, was_active }
 }
 
 /// Serves a gRPC connection.
@@ -115,7 +117,7 @@
     stream: &mut TcpStream,
     grpc: &mut GrpcCheckConnection,
     observer: &Shared<HealthObserver>,
-) -> Turn {
+) -> TurnResult {
     let activity_before = grpc.activity();
     let read = if grpc.wants_input() {
         let length = MAX_READ_BYTES.min(context.scratch.len());
@@ -126,8 +128,8 @@
     } else {
         Ok(false)
     };
-    if read == Err(stream::Ended::Reset) {
-        return Turn::inactive(Progress::Finished(CheckCloseReason::Reset));
+    if read == Err(stream::StreamEnd::Reset) {
+        return TurnResult::inactive(CheckProgress::Finished(CheckCloseReason::Reset));
     }
     if read.is_err() {
         grpc.input_ended();
@@ -135,18 +137,21 @@
     let more_to_process = grpc.process(observer.borrow_mut().verdict(context.now));
     let output = grpc.take_output();
     let Ok(written) = stream::write_some(stream, &output) else {
-        return Turn::inactive(Progress::Finished(CheckCloseReason::Reset));
+        return TurnResult::inactive(CheckProgress::Finished(CheckCloseReason::Reset));
     };
     grpc.return_output(&output[written..]);
     let was_active = grpc.activity() > activity_before;
     if grpc.is_finished() {
-        return Turn { progress: Progress::Finished(CheckCloseReason::Closed), was_active };
+        return TurnResult { progress: CheckProgress::Finished(CheckCloseReason::Closed), was_active };
     }
     // Written output makes room for more, which no socket reports.
-    let may_go_on = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
-    let progress =
-        if may_go_on && !grpc.has_output() { Progress::MoreToDo } else { Progress::WaitsForSocket };
-    Turn { progress, was_active }
+    let may_continue = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
+    let progress = if may_continue && !grpc.has_output() {
+        CheckProgress::WorkRemaining
+    } else {
+        CheckProgress::WaitingForSocket
+    };
+    TurnResult { progress, was_active }
 }
 
 /// Serves an agent-check.
@@ -156,34 +161,34 @@
     line: &mut AgentCheckConnection,
     reply: &mut Option<Vec<u8>>,
     source: AnswerSource,
-) -> Progress {
+) -> CheckProgress {
     let mut query = None;
     let read = stream::read(stream, &mut context.scratch, |bytes| {
         query = query.take().or_else(|| line.feed(bytes));
         query.is_none()
     });
     if reply.is_none() {
-        if read == Err(stream::Ended::Closed) {
+        if read == Err(stream::StreamEnd::Closed) {
             query = query.or_else(|| line.input_ended());
         }
         *reply = query.map(|query| agent_reply(context, &query, source));
     }
     let Some(unwritten) = reply else {
         return if read.is_err() {
-            Progress::Finished(CheckCloseReason::Reset)
+            CheckProgress::Finished(CheckCloseReason::Reset)
         } else {
-            Progress::WaitsForSocket
+            CheckProgress::WaitingForSocket
         };
     };
     match stream::write_some(stream, unwritten) {
-        Err(_) => Progress::Finished(CheckCloseReason::Reset),
+        Err(_) => CheckProgress::Finished(CheckCloseReason::Reset),
         Ok(written) if written < unwritten.len() => {
             unwritten.drain(..written);
-            Progress::WaitsForSocket
+            CheckProgress::WaitingForSocket
         }
         Ok(_) => {
             let _ = stream.shutdown(Shutdown::Write);
-            Progress::Finished(CheckCloseReason::Answered)
+            CheckProgress::Finished(CheckCloseReason::Answered)
         }
     }
 }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -12,7 +12,7 @@
 use crate::log::Quoted;
 use crate::outbox::Outbox;
 use birchreach::{Micros, Settings};
-use close_reason::CloseReason;
+use close_reason::DiscoveryCloseReason;
 use mio::Interest;
 use mio::net::TcpStream;
 use std::net::SocketAddr;
@@ -89,12 +89,12 @@
         self.address = address;
         self.watch.set_host(address.to_string());
         self.backoff.reset();
-        self.disconnect(context, &CloseReason::Moved);
+        self.disconnect(context, &DiscoveryCloseReason::Moved);
         self.poll(context);
     }
 
     /// Enters a state, and sets its timeout.
-    fn enter(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
+    fn enter_state(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
         self.state_serial = self.state_serial.next();
         context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
@@ -102,7 +102,7 @@
 
     /// Makes the next poll after this time.
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
-        self.enter(context, PollState::Waiting, wait);
+        self.enter_state(context, PollState::Waiting, wait);
     }
 
     /// Makes the next poll, on a new connection where there is none.
@@ -111,7 +111,7 @@
         self.long_poll = self.watch.is_long_poll();
         if self.stream.is_some() {
             self.outbox.append(&self.watch.next_request());
-            self.enter(context, PollState::Requested, self.watch.response_timeout());
+            self.enter_state(context, PollState::Requested, self.watch.response_timeout());
         } else {
             let Ok(stream) = self.connect(context) else {
                 self.descriptors_exhausted = true;
@@ -120,7 +120,7 @@
             self.stream = Some(stream);
             self.outbox = Outbox::default();
             self.outbox.append(&self.watch.next_request());
-            self.enter(context, PollState::Connecting, CONNECT_TIMEOUT_MICROS);
+            self.enter_state(context, PollState::Connecting, CONNECT_TIMEOUT_MICROS);
         }
         self.write(context);
     }
@@ -152,7 +152,7 @@
     }
 
     /// Closes the connection, if there is one, and logs why.
-    fn disconnect(&mut self, context: &mut EventLoopContext, reason: &CloseReason) {
+    fn disconnect(&mut self, context: &mut EventLoopContext, reason: &DiscoveryCloseReason) {
         if let Some(mut stream) = self.stream.take() {
             let _ = context.poll.registry().deregister(&mut stream);
         }
@@ -161,7 +161,7 @@
 
     /// The poll failed: the connection is closed, and the next poll waits.
     fn fail(&mut self, context: &mut EventLoopContext, error: &PollError) {
-        self.disconnect(context, &CloseReason::Failed(error.clone()));
+        self.disconnect(context, &DiscoveryCloseReason::Failed(error.clone()));
         self.watch.record_failure();
         let wait = self.backoff.wait_after(error);
         self.poll_after(context, wait);
@@ -183,7 +183,7 @@
             return false;
         }
         if self.state == PollState::Connecting {
-            self.enter(context, PollState::Requested, self.watch.response_timeout());
+            self.enter_state(context, PollState::Requested, self.watch.response_timeout());
         }
         true
     }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -6,7 +6,7 @@
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
-use crate::fleet::{self, Metrics};
+use crate::fleet::{self, FleetMetrics};
 use crate::log::Quoted;
 use crate::observe::Shared;
 use birchreach::Micros;
@@ -32,7 +32,7 @@
     /// Reports that were received and not yet taken.
     new_reports: Vec<ReceivedReport>,
     datagrams: DatagramCodec,
-    metrics: Metrics,
+    metrics: FleetMetrics,
     /// When the timer that is set is due.
     timer_at: Micros,
     /// The socket may hold more datagrams than one turn takes.
@@ -153,8 +153,8 @@
     }
 
     /// The answer to the operators' `fleet`.
-    pub(super) fn report(&self, now: Micros) -> String {
-        fleet::report(&self.membership.borrow(), now)
+    pub(super) fn status_lines(&self, now: Micros) -> String {
+        fleet::status_lines(&self.membership.borrow(), now)
     }
 
     /// The fleet's figures, without the last line of their format.
@@ -163,7 +163,7 @@
     }
 
     /// When the timer is to be set, if that is sooner than the time for which it is set.
-    fn earlier_timer(&mut self, now: Micros) -> Option<Micros> {
+    fn reschedule_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = match &self.socket {
             _ if self.has_left => return None,
             None => now + BIND_RETRY_INTERVAL_MICROS,
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -6,7 +6,7 @@
 use super::super::gossip::MembershipSync;
 use super::super::timer_events::TimerEvent;
 use super::FleetMembership;
-use crate::fleet::Metrics;
+use crate::fleet::FleetMetrics;
 use crate::observe::shared;
 use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
@@ -34,7 +34,7 @@
             gossip_reports: GossipReports::new(incarnation, self.config.seed ^ incarnation.rotate_left(32)),
             new_reports: Vec::new(),
             datagrams: DatagramCodec::new(keys.clone(), incarnation),
-            metrics: Metrics::new(),
+            metrics: FleetMetrics::new(),
             timer_at: Micros::MAX,
             may_have_unread: false,
             is_replaced: false,
@@ -49,7 +49,7 @@
         let sync = MembershipSync::new(options.listen, keys.clone(), membership);
         self.gossip.get_or_insert_default().set_membership_sync(sync);
         self.fleet = Some(fleet);
-        self.fleet_due();
+        self.handle_fleet_timer();
         Ok(())
     }
 
@@ -79,31 +79,31 @@
     pub(in crate::net) fn admin_reports(&self) -> AdminReports {
         let Some(fleet) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fleet.view());
-        let (divisor, members) = (view.divisor(), view.members);
-        let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(members));
+        let (divisor, member_count) = (view.divisor(), view.members);
+        let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(member_count));
         AdminReports {
-            fleet: Some(fleet.report(self.context.now)),
+            fleet: Some(fleet.status_lines(self.context.now)),
             hot: background.and_then(|work| work.hot_key_lines(self.context.now, divisor)),
-            split: background.and_then(|work| work.split_lines(members, divisor)),
+            split: background.and_then(|work| work.split_lines(member_count, divisor)),
             metrics: Some(fleet.metrics_text() + &background_metrics + "# EOF\n"),
         }
     }
 
     /// The fleet's timer is due.
-    pub(in crate::net) fn fleet_due(&mut self) {
+    pub(in crate::net) fn handle_fleet_timer(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.process_timer(&self.context);
-            self.after_fleet();
+            self.apply_fleet_changes();
         }
     }
 
     /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take the results of the
     /// call.
-    pub(in crate::net) fn after_fleet(&mut self) {
+    pub(in crate::net) fn apply_fleet_changes(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
         let due_exchange = due_exchange.filter(|_| fleet.is_active());
-        if let Some(at) = fleet.earlier_timer(self.context.now) {
+        if let Some(at) = fleet.reschedule_timer(self.context.now) {
             self.context.timers.set(at, TimerEvent::Fleet);
         }
         let (is_active, new_reports) = (fleet.is_active(), fleet.take_new_reports());
@@ -115,7 +115,7 @@
         }
         if let (Some(peer), Some(gossip)) = (due_exchange, &mut self.gossip) {
             gossip.begin_exchange(&mut self.context, peer);
-            self.after_gossip();
+            self.apply_gossip_progress();
         }
     }
 }
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -115,11 +115,11 @@
         self.start_health()?;
         self.start_gossip()?;
         self.start_fleet()?;
-        self.start_background();
+        self.configure_background();
         if let Some(update) = known_endpoints {
             self.update_endpoints(EndpointUpdate { complete: true, ..update });
         }
-        self.step_gossip();
+        self.advance_gossip();
         if self.handover.process_count() > 1 {
             info!(event = "predecessor-connected");
         }
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -20,22 +20,22 @@
             TimerEvent::Sweep => self.sweep(),
             TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
             // `update_health` at the end of the turn does the rest.
-            TimerEvent::HealthChange => {
+            TimerEvent::HealthUpdate => {
                 self.health.update_timer = self.health.update_timer.filter(|at| *at > context.now)
             }
-            TimerEvent::HealthTick => self.report_load(),
+            TimerEvent::HealthLoadReport => self.report_load(),
             TimerEvent::StopAcceptingChecks if self.health.handing_over => {
                 self.checks.stop_listening(context)
             }
-            TimerEvent::OpenCheckListeners if self.checks.lacks_listener() => {
+            TimerEvent::OpenCheckListeners if self.checks.is_missing_listener() => {
                 self.checks.reopen_listeners(context);
             }
             TimerEvent::StopAcceptingChecks | TimerEvent::OpenCheckListeners => {}
-            TimerEvent::Gossip => self.step_gossip(),
+            TimerEvent::Gossip => self.advance_gossip(),
             TimerEvent::GossipSend(key, serial) => self.continue_gossip_send(key, serial),
-            TimerEvent::Fleet => self.fleet_due(),
+            TimerEvent::Fleet => self.handle_fleet_timer(),
             TimerEvent::Background => self.run_background(),
-            TimerEvent::StopListening => self.stop_listening(),
+            TimerEvent::ShutdownNoticeEnded => self.schedule_client_shutdown(),
             TimerEvent::CloseIdleClients => self.close_idle_clients(),
             TimerEvent::Exit => {
                 info!(event = "stopped", open = context.core.open_request_count());
@@ -48,7 +48,7 @@
     fn continue_gossip_send(&mut self, key: LinkKey, serial: LinkSerial) {
         if let Some(gossip) = &mut self.gossip {
             gossip.continue_sending(&mut self.context, key, serial);
-            self.after_gossip();
+            self.apply_gossip_progress();
         }
     }
 
@@ -73,7 +73,7 @@
         let pressure = self.database_connections_in_use();
         if let Some(gossip) = &mut self.gossip {
             gossip.set_load(pressure);
-            self.after_gossip();
+            self.apply_gossip_progress();
         }
         self.reopen_check_listeners();
     }
