--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -73,7 +73,7 @@
     fn totals(&self, thresholds: &mut BTreeMap<u32, f64>) -> BTreeMap<Key, KeyTotals> {
         let mut totals = BTreeMap::new();
         for received in self.reports.newest() {
-            let report_weight = weight(self.now - received.made_at, self.reports.lifetime());
+            let report_weight = weight(self.now - received.created_at, self.reports.lifetime());
             self.add_report(received.origin, report_weight, &received.report, thresholds, &mut totals);
         }
         totals
--- a/peer-reports/src/reports.rs
+++ b/peer-reports/src/reports.rs
@@ -29,7 +29,7 @@
     /// Increases with each report of an origin.
     sequence: u64,
     /// When it was made, on this process's clock.
-    pub made_at: Micros,
+    pub created_at: Micros,
     /// Its content.
     pub report: R,
 }
@@ -40,7 +40,7 @@
     own_origin: u64,
     interval: Micros,
     /// When this process's last report was made; when it started, if it has made none.
-    last_made_at: Micros,
+    last_report_at: Micros,
     last_sequence: u64,
     by_origin: BTreeMap<u64, ReceivedReport<R>>,
 }
@@ -51,7 +51,7 @@
         PeerReports {
             own_origin,
             interval: INITIAL_INTERVAL_MICROS,
-            last_made_at: now,
+            last_report_at: now,
             last_sequence: 0,
             by_origin: BTreeMap::new(),
         }
@@ -74,7 +74,7 @@
 
     /// When this process's next report is due.
     pub fn next_due_at(&self) -> Micros {
-        self.last_made_at + self.interval
+        self.last_report_at + self.interval
     }
 
     /// Whether this process's next report is due.
@@ -86,7 +86,7 @@
     ///
     /// Where reports of too many origins are kept it does not count at this process. Others receive it all the same.
     pub fn record_own(&mut self, now: Micros, report: R) {
-        self.last_made_at = now;
+        self.last_report_at = now;
         self.last_sequence += 1;
         let header = ReportHeader { origin: self.own_origin, sequence: self.last_sequence, age: 0 };
         let _ = self.record(now, header, report);
@@ -104,7 +104,7 @@
             None if self.by_origin.len() >= MAX_ORIGINS => return Err(RecordError::TooManyOrigins),
             _ => {}
         }
-        let received = ReceivedReport { origin, sequence, made_at: now - age.max(0), report };
+        let received = ReceivedReport { origin, sequence, created_at: now - age.max(0), report };
         self.by_origin.insert(origin, received);
         Ok(())
     }
@@ -112,7 +112,7 @@
     /// Removes reports whose lifetime is over.
     pub fn remove_expired(&mut self, now: Micros) {
         let lifetime = self.lifetime();
-        self.by_origin.retain(|_, received| now - received.made_at < lifetime);
+        self.by_origin.retain(|_, received| now - received.created_at < lifetime);
     }
 
     /// The newest report of each origin, in the order of origins.
