--- a/peer-state/src/advice.rs
+++ b/peer-state/src/advice.rs
@@ -50,7 +50,7 @@
     /// 0 to 1: by age, hops and contradiction.
     pub trust: f64,
     /// The observation as primary.
-    pub seen: Observation<()>,
+    pub observation: Observation<()>,
 }
 
 /// Servers to *query* whether they are the group's primary, the likeliest first. Left out are those observed as a replica since,
@@ -63,12 +63,12 @@
     let Some((_, newest)) = seen.first().copied() else { return Vec::new() };
     seen.retain(|(_, primary)| newest.observed_at - primary.observed_at < CONTRADICTION_WINDOW);
     let contradiction = if seen.len() > 1 { CONTRADICTED_TRUST } else { 1.0 };
-    let candidate = |(uid, seen): (&str, Observation<()>)| Candidate {
+    let candidate = |(uid, observation): (&str, Observation<()>)| Candidate {
         uid: uid.into(),
-        trust: decayed_weight(&seen, now, TRUST_HALF_LIFE)
+        trust: decayed_weight(&observation, now, TRUST_HALF_LIFE)
             * contradiction
             * (1.0 - suspicion(state, uid, now)),
-        seen,
+        observation,
     };
     let mut candidates: Vec<Candidate> = seen.into_iter().map(candidate).collect();
     candidates.sort_by(|a, b| b.trust.total_cmp(&a.trust).then_with(|| a.uid.cmp(&b.uid)));
--- a/proxy/src/peer_state.rs
+++ b/proxy/src/peer_state.rs
@@ -132,7 +132,7 @@
     /// The most likely primary of a group, unless this proxy has observed it itself or trust is too low.
     fn primary_candidate(&self, now: Micros, group: u32) -> Option<String> {
         let first = advice::primary_candidates(&self.state, group, now).into_iter().next()?;
-        (first.seen.hop_count > 0 && first.trust >= MIN_TRUST).then_some(first.uid)
+        (first.observation.hop_count > 0 && first.trust >= MIN_TRUST).then_some(first.uid)
     }
 }
 
