--- a/options/src/links.rs
+++ b/options/src/links.rs
@@ -48,8 +48,8 @@
         requests.providers = self.addresses(node, "donors").iter().map(ToString::to_string).collect();
         self.read_milliseconds(node, "patience-ms", &mut requests.startup_timeout);
         self.read_milliseconds(node, "refresh-ms", &mut requests.refresh_interval);
-        self.read_number(node, "at-once", &mut provider.at_once);
-        self.read_number(node, "bytes-per-s", &mut provider.bytes_per_s);
+        self.read_number(node, "at-once", &mut provider.max_concurrent_requests);
+        self.read_number(node, "bytes-per-s", &mut provider.bytes_per_second);
         let listen = self.value(node, "listen");
         let key_file = PathBuf::from(self.doc.get_attribute(node, "key-file")?);
         if listen.is_none() && requests.providers.is_empty() {
--- a/peer-state/src/provider.rs
+++ b/peer-state/src/provider.rs
@@ -7,16 +7,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProviderSettings {
     /// Requests answered at once; further ones are rejected with a time to retry after.
-    pub at_once: usize,
+    pub max_concurrent_requests: usize,
     /// Bytes a second over all answers.
-    pub bytes_per_s: u64,
+    pub bytes_per_second: u64,
     /// At this load (0 to 1) or above nothing is sent.
     pub max_load: f64,
 }
 
 impl Default for ProviderSettings {
     fn default() -> ProviderSettings {
-        ProviderSettings { at_once: 4, bytes_per_s: 1 << 20, max_load: 0.85 }
+        ProviderSettings { max_concurrent_requests: 4, bytes_per_second: 1 << 20, max_load: 0.85 }
     }
 }
 
@@ -79,7 +79,8 @@
 
     /// Decides on a request. One that is served ends by [`StateProvider::finish`].
     pub fn admit(&mut self, now: Micros) -> Admission {
-        if self.active_transfers < self.settings.at_once && self.load < self.settings.max_load {
+        if self.active_transfers < self.settings.max_concurrent_requests && self.load < self.settings.max_load
+        {
             self.active_transfers += 1;
             return Admission::Serve;
         }
@@ -87,7 +88,7 @@
         let seconds = (now - self.recently_rejected_at).max(0) as f64 / 1e6;
         self.recently_rejected = self.recently_rejected * 0.5f64.powf(seconds) + 1.0;
         self.recently_rejected_at = now;
-        let per_slot = self.recently_rejected / self.settings.at_once.max(1) as f64;
+        let per_slot = self.recently_rejected / self.settings.max_concurrent_requests.max(1) as f64;
         Admission::Busy(RETRY_AFTER + (RETRY_AFTER as f64 * per_slot) as Micros)
     }
 
@@ -105,7 +106,7 @@
     pub fn take_send_budget(&mut self, now: Micros, bytes: usize) -> Result<(), Micros> {
         let seconds = (now - self.send_budget_updated_at).max(0) as f64 / 1e6;
         self.send_budget_updated_at = now;
-        let refill = seconds * self.settings.bytes_per_s as f64;
+        let refill = seconds * self.settings.bytes_per_second as f64;
         self.send_budget_bytes = (self.send_budget_bytes + refill).min(BURST_BYTES);
         if self.load >= self.settings.max_load {
             return Err(now + OVERLOAD_PAUSE);
@@ -113,7 +114,7 @@
         let wanted = (bytes as f64).min(BURST_BYTES);
         if self.send_budget_bytes < wanted {
             let missing = wanted - self.send_budget_bytes;
-            let wait = missing / self.settings.bytes_per_s.max(1) as f64 * 1e6;
+            let wait = missing / self.settings.bytes_per_second.max(1) as f64 * 1e6;
             return Err(now + (wait as Micros).max(MIN_BUDGET_WAIT));
         }
         self.send_budget_bytes -= wanted;
--- a/peer-state/src/request_scheduler.rs
+++ b/peer-state/src/request_scheduler.rs
@@ -25,7 +25,7 @@
     /// Addresses of configured providers.
     pub providers: Vec<String>,
     /// Requests in flight at once during the start.
-    pub at_once: usize,
+    pub max_concurrent_requests: usize,
     /// The longest time that the start waits for an answer.
     pub startup_timeout: Micros,
     /// The mean time between refreshes, each from one provider; 0 for none.
@@ -40,7 +40,7 @@
     fn default() -> RequestSettings {
         RequestSettings {
             providers: Vec::new(),
-            at_once: 3,
+            max_concurrent_requests: 3,
             startup_timeout: 300_000,
             refresh_interval: 10_000_000,
             request_timeout: 2_000_000,
@@ -131,7 +131,7 @@
         if !is_starting && (self.settings.refresh_interval == 0 || now < self.refresh_at) {
             return Vec::new();
         }
-        let max_in_flight = if is_starting { self.settings.at_once } else { 1 };
+        let max_in_flight = if is_starting { self.settings.max_concurrent_requests } else { 1 };
         let mut chosen: Vec<String> = self
             .providers
             .iter()
@@ -219,7 +219,9 @@
         let is_starting = self.completed_requests == 0;
         let next_request = match first_eligible {
             Some(at) if !is_starting && self.settings.refresh_interval > 0 => Some(at.max(self.refresh_at)),
-            Some(at) if is_starting && self.in_flight_count() < self.settings.at_once => Some(at),
+            Some(at) if is_starting && self.in_flight_count() < self.settings.max_concurrent_requests => {
+                Some(at)
+            }
             _ => None,
         };
         let next = timeouts.chain(startup_end).chain(next_request).min();
--- a/peer-state/tests/provider.rs
+++ b/peer-state/tests/provider.rs
@@ -47,12 +47,14 @@
         unsent.retain(|remaining| *remaining > 0);
         (unsent.len()..before).for_each(|_| provider.finish(true));
 
-        let budget = 65_536.0 + settings.bytes_per_s as f64 * now as f64 / 1e6;
+        let budget = 65_536.0 + settings.bytes_per_second as f64 * now as f64 / 1e6;
         assert!(sent as f64 <= budget + 65_536.0);
         now += MILLISECOND;
     }
 
-    assert!(most_served <= settings.at_once && provider.completed_transfers == NEW_PROXIES as u64);
+    assert!(
+        most_served <= settings.max_concurrent_requests && provider.completed_transfers == NEW_PROXIES as u64
+    );
     assert!(rejected < 3_000, "{rejected} requests rejected");
 }
 
