--- a/peer-state/src/datagram.rs
+++ b/peer-state/src/datagram.rs
@@ -157,7 +157,7 @@
         let mut datagram = Vec::with_capacity(HEADER_BYTES + payload.len() + CODE_BYTES);
         datagram.extend(MAGIC);
         datagram.push(VERSION);
-        datagram.extend(key.number.to_be_bytes());
+        datagram.extend(key.id.to_be_bytes());
         datagram.extend(self.incarnation.to_be_bytes());
         datagram.extend(self.last_sequence.to_be_bytes());
         datagram.extend(payload);
--- a/peer-state/src/frame/link.rs
+++ b/peer-state/src/frame/link.rs
@@ -99,7 +99,7 @@
 
     fn sealed_frame(&self, kind: FrameKind, payload: &[u8]) -> Option<Vec<u8>> {
         let key = self.keys.sealing_key()?;
-        let mut frame = Header { kind, key_id: key.number, payload_bytes: payload.len() }.encode();
+        let mut frame = Header { kind, key_id: key.id, payload_bytes: payload.len() }.encode();
         let code = self.code(&key.secret, self.side, self.frames_sealed, &frame, payload)?;
         frame.extend(payload);
         frame.extend(code.finalize().into_bytes());
--- a/peer-state/src/keys.rs
+++ b/peer-state/src/keys.rs
@@ -17,7 +17,7 @@
     /// A secret of fewer than 16 bytes.
     ShortSecret,
     /// Two keys have one number.
-    DuplicateNumber,
+    DuplicateId,
 }
 
 impl fmt::Display for KeysError {
@@ -25,7 +25,7 @@
         formatter.write_str(match self {
             KeysError::Count => "expected one to four keys",
             KeysError::ShortSecret => "a secret of fewer than 16 bytes",
-            KeysError::DuplicateNumber => "a key's number twice",
+            KeysError::DuplicateId => "a key's number twice",
         })
     }
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     /// The number, by which frames and datagrams name the key.
-    pub number: u32,
+    pub id: u32,
     /// The secret.
     pub secret: Vec<u8>,
 }
@@ -44,7 +44,7 @@
 /// Shows the number, never the secret.
 impl fmt::Debug for Key {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        self.number.fmt(formatter)
+        self.id.fmt(formatter)
     }
 }
 
@@ -73,9 +73,9 @@
             return Err(KeysError::ShortSecret);
         }
         let is_repeated =
-            |(index, key): (usize, &Key)| keys[..index].iter().any(|earlier| earlier.number == key.number);
+            |(index, key): (usize, &Key)| keys[..index].iter().any(|earlier| earlier.id == key.id);
         if keys.iter().enumerate().any(is_repeated) {
-            return Err(KeysError::DuplicateNumber);
+            return Err(KeysError::DuplicateId);
         }
         Ok(Keys(keys))
     }
@@ -85,12 +85,12 @@
     pub fn name_hasher(&self, purpose: &[u8]) -> NameHasher {
         let Some(key) = self.sealing_key() else { return NameHasher { key_id: 0, code: None } };
         let code = Hmac::<Sha256>::new_from_slice(&key.secret).ok();
-        NameHasher { key_id: key.number, code: code.map(|code| code.chain_update(purpose)) }
+        NameHasher { key_id: key.id, code: code.map(|code| code.chain_update(purpose)) }
     }
 
     /// The secret with this number.
-    pub(crate) fn secret(&self, number: u32) -> Option<&[u8]> {
-        self.0.iter().find(|key| key.number == number).map(|key| key.secret.as_slice())
+    pub(crate) fn secret(&self, id: u32) -> Option<&[u8]> {
+        self.0.iter().find(|key| key.id == id).map(|key| key.secret.as_slice())
     }
 
     /// The key that seals what is sent. There is always one.
--- a/peer-state/tests/common/mod.rs
+++ b/peer-state/tests/common/mod.rs
@@ -12,7 +12,7 @@
 /// Keys with these numbers; the first seals.
 pub(crate) fn keys(numbers: &[u32]) -> Keys {
     let secret = |number: u32| format!("a secret with the number {number}").into_bytes();
-    let keys = numbers.iter().map(|number| Key { number: *number, secret: secret(*number) });
+    let keys = numbers.iter().map(|number| Key { id: *number, secret: secret(*number) });
     Keys::new(keys.collect()).unwrap()
 }
 
--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -9,7 +9,7 @@
 use common::SECOND;
 
 fn codec(secret: u8, incarnation: u64) -> DatagramCodec {
-    let key = Key { number: 1, secret: vec![secret; 16] };
+    let key = Key { id: 1, secret: vec![secret; 16] };
     DatagramCodec::new(Keys::new(vec![key]).unwrap(), incarnation)
 }
 
--- a/peer-state/tests/frames.rs
+++ b/peer-state/tests/frames.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn invalid_keys_are_rejected() {
-    let key = |number, secret: &[u8]| Key { number, secret: secret.to_vec() };
+    let key = |id, secret: &[u8]| Key { id, secret: secret.to_vec() };
 
     for invalid in [vec![], vec![key(1, b"short")], vec![key(1, &[0; 16]), key(1, &[1; 16])]] {
         assert!(Keys::new(invalid).is_err());
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -17,8 +17,8 @@
 const PROVIDER_NONCE: [u8; 16] = [2; 16];
 
 fn keys() -> Keys {
-    let first = Key { number: 7, secret: b"a secret of the recorded bytes".to_vec() };
-    let second = Key { number: 9, secret: vec![5; 16] };
+    let first = Key { id: 7, secret: b"a secret of the recorded bytes".to_vec() };
+    let second = Key { id: 9, secret: vec![5; 16] };
     Keys::new(vec![first, second]).unwrap()
 }
 
--- a/proxy/src/config/key_file.rs
+++ b/proxy/src/config/key_file.rs
@@ -72,7 +72,7 @@
     let (number, secret) = line.trim().split_once(' ').ok_or(KeyFileError::MissingSecret)?;
     let number = number.parse().map_err(|_| KeyFileError::InvalidNumber)?;
     let secret = parse_secret(secret.trim()).ok_or(KeyFileError::InvalidSecret)?;
-    Ok(Key { number, secret })
+    Ok(Key { id: number, secret })
 }
 
 /// The bytes of a secret; none if the digits are not pairs of hexadecimal ones.
