--- a/peer-reports/src/lib.rs
+++ b/peer-reports/src/lib.rs
@@ -1,20 +1,24 @@
-//! Reports that the processes of one fleet send one another at intervals, as a subsystem keeps them.
+//! Reports that the processes of a fleet send one another at intervals.
 //!
-//! [`PeerReports`] decides when this process's next report is due ([`PeerReports::is_due`]), numbers it
-//! ([`PeerReports::record_own`]), and keeps the newest report of each origin ([`PeerReports::record`]) until its lifetime is over
-//! ([`PeerReports::remove_expired`]). An origin is one incarnation of a process.
+//! [`PeerReports`] decides when this process's next report is due ([`PeerReports::is_due`]) and gives it a
+//! sequence number ([`PeerReports::record_own`]). It keeps the newest report of each origin
+//! ([`PeerReports::record`]) until the report expires ([`PeerReports::remove_expired`]). An origin is one
+//! incarnation of a process.
 //!
-//! What a report contains, when its content is valid and what follows from it is the subsystem's, which implements [`PeerReport`] for it.
-//! How reports reach other processes is not known here. The crate does no I/O and reads no clock.
+//! The subsystem that uses the reports implements [`PeerReport`]: it defines their content, validates it and
+//! acts on it. The subsystem also sends reports to other processes. This crate does no I/O and reads no
+//! clock.
 //!
-//! Invariants, each with the test that holds it (`tests/`):
+//! Invariants, each with the test in `tests/` that checks it:
 //!
-//! 1. Of each origin the report with the highest sequence number counts, once, in whatever order reports arrive
-//!    (`the_newest_report_of_an_origin_counts_once`).
-//! 2. Reports of a bounded number of origins are kept (`reports_of_too_many_origins_are_not_recorded`).
+//! 1. The report with the highest sequence number of each origin counts once, in whatever order reports
+//!    arrive (`the_newest_report_of_an_origin_counts_once`).
+//! 2. The number of origins whose reports are kept is bounded
+//!    (`reports_of_too_many_origins_are_not_recorded`).
 //! 3. A report that is not renewed expires (`a_report_expires_after_its_lifetime`).
 //! 4. This process reports once in each interval (`a_report_is_due_once_in_each_interval`).
-//! 5. Bytes are a report only if they can be decoded and the content is valid (`bytes_that_are_no_valid_report_are_malformed`).
+//! 5. Bytes that cannot be decoded, or whose content is invalid, are rejected
+//!    (`bytes_that_are_no_valid_report_are_malformed`).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -29,5 +33,5 @@
 pub use report_error::{Mismatch, ReportError};
 pub use reports::{MAX_ORIGINS, PeerReports, ReceivedReport, ReportHeader};
 
-/// A span of time, or an instant on the caller's clock, in microseconds.
+/// A duration, or an instant on the caller's clock, in microseconds.
 pub type Micros = i64;
--- a/peer-reports/src/record_error.rs
+++ b/peer-reports/src/record_error.rs
@@ -1,18 +1,18 @@
-//! Why a report is not recorded.
+//! The errors of recording a report.
 
 use std::fmt;
 
 /// Why a report is not recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// A newer report of its origin, or the same one, was recorded before.
+    /// The same report or a newer one of its origin was already recorded.
     Outdated,
-    /// Reports of as many origins as possible are kept already.
+    /// Reports of [`MAX_ORIGINS`](crate::MAX_ORIGINS) other origins are already kept.
     TooManyOrigins,
 }
 
 impl RecordError {
-    /// The reason as metrics name it.
+    /// The label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RecordError::Outdated => "old",
--- a/peer-reports/src/report_error.rs
+++ b/peer-reports/src/report_error.rs
@@ -1,33 +1,34 @@
-//! Why a report is rejected.
+//! The errors of receiving a report.
 
 use crate::RecordError;
 use std::fmt;
 
-/// Why a report does not apply at this process: the two processes have different settings of the subsystem.
+/// A difference between the subsystem's settings at two processes. A report of one does not apply at the
+/// other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mismatch {
-    /// The reason as metrics name it.
+    /// The label value in metrics.
     pub name: &'static str,
-    /// The reason as a sentence.
+    /// The text for error messages.
     pub description: &'static str,
 }
 
 /// Why a report is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportError {
-    /// It cannot be decoded, or its content is not valid.
+    /// The report cannot be decoded, or its content is not valid.
     Malformed {
-        /// What the report is on.
+        /// The [`PeerReport::SUBJECT`](crate::PeerReport::SUBJECT) of the report.
         subject: &'static str,
     },
-    /// It does not apply at this process.
+    /// The sender has different settings, so that the report does not apply here.
     Mismatch(Mismatch),
-    /// It is outdated, or there are too many.
+    /// The report is valid, but was not recorded.
     NotRecorded(RecordError),
 }
 
 impl ReportError {
-    /// The reason as metrics name it.
+    /// The label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ReportError::Malformed { .. } => "form",
--- a/peer-reports/src/reports.rs
+++ b/peer-reports/src/reports.rs
@@ -1,52 +1,52 @@
-//! This process's reports and the newest one of each other origin.
+//! The newest report of each origin, and the schedule of this process's own reports.
 
 use crate::{Micros, RecordError};
 use std::collections::BTreeMap;
 
-/// Origins whose reports are kept.
+/// The maximum number of origins whose reports are kept.
 pub const MAX_ORIGINS: usize = 4_096;
-/// A report counts for so many report intervals.
+/// The lifetime of a report, in report intervals.
 const LIFETIME_INTERVALS: Micros = 4;
 /// The report interval until the size of the fleet is known.
 const INITIAL_INTERVAL_MICROS: Micros = 1_000_000;
 
-/// Where a received report comes from, and when it was made.
+/// The origin, sequence number and age of a received report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportHeader {
-    /// The incarnation of a process that made the report.
+    /// The process incarnation that created the report.
     pub origin: u64,
-    /// Increases with each report of an origin.
+    /// The sequence number, which increases with each report of an origin.
     pub sequence: u64,
-    /// How long ago the report was made.
+    /// The time since the report was created. A negative age counts as 0.
     pub age: Micros,
 }
 
-/// A report that is kept.
+/// The newest report of an origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedReport<R> {
-    /// The incarnation of a process that made it.
+    /// The process incarnation that created the report.
     pub origin: u64,
-    /// Increases with each report of an origin.
     sequence: u64,
-    /// When it was made, on this process's clock.
+    /// The time of creation, on this process's clock.
     pub created_at: Micros,
-    /// Its content.
+    /// The content, which the subsystem defines.
     pub report: R,
 }
 
-/// The newest report of each origin, this process's own included.
+/// The newest report of each origin, including this process.
 #[derive(Clone, Debug)]
 pub struct PeerReports<R> {
     own_origin: u64,
     interval: Micros,
-    /// When this process's last report was made; when it started, if it has made none.
+    /// The time of this process's last report, or of its start if it has not reported yet.
     last_report_at: Micros,
     last_sequence: u64,
     by_origin: BTreeMap<u64, ReceivedReport<R>>,
 }
 
 impl<R> PeerReports<R> {
-    /// No reports. `own_origin` is this process's number in reports; its first one is due after an interval.
+    /// Creates an empty table. `own_origin` identifies this process in its reports. Its first report is due
+    /// one interval after `now`.
     pub fn new(own_origin: u64, now: Micros) -> PeerReports<R> {
         PeerReports {
             own_origin,
@@ -57,34 +57,35 @@
         }
     }
 
-    /// This process's number in reports.
+    /// The origin that identifies this process in its reports.
     pub fn own_origin(&self) -> u64 {
         self.own_origin
     }
 
-    /// Sets how often each process reports.
+    /// Sets the time between two reports of one process. All processes of the fleet use the same interval.
     pub fn set_interval(&mut self, interval: Micros) {
         self.interval = interval;
     }
 
-    /// How long a report counts after it was made.
+    /// The time from a report's creation to its expiry.
     pub fn lifetime(&self) -> Micros {
         LIFETIME_INTERVALS * self.interval
     }
 
-    /// When this process's next report is due.
+    /// The time at which this process's next report is due.
     pub fn next_due_at(&self) -> Micros {
         self.last_report_at + self.interval
     }
 
-    /// Whether this process's next report is due.
+    /// Returns whether this process's next report is due.
     pub fn is_due(&self, now: Micros) -> bool {
         now >= self.next_due_at()
     }
 
-    /// Records this process's report; the next one is due after an interval.
+    /// Records a report of this process. The next one is due one interval after `now`.
     ///
-    /// Where reports of too many origins are kept it does not count at this process. Others receive it all the same.
+    /// If [`MAX_ORIGINS`] other origins are already kept, the report does not count at this process. The
+    /// caller still sends it to others.
     pub fn record_own(&mut self, now: Micros, report: R) {
         self.last_report_at = now;
         self.last_sequence += 1;
@@ -92,11 +93,11 @@
         let _ = self.record(now, header, report);
     }
 
-    /// Records a report in place of the older one of its origin.
+    /// Records a report, which replaces an older one of the same origin.
     ///
     /// # Errors
     ///
-    /// The reason why it is not recorded; nothing has changed then.
+    /// Returns why the report was not recorded. The table is unchanged then.
     pub fn record(&mut self, now: Micros, header: ReportHeader, report: R) -> Result<(), RecordError> {
         let ReportHeader { origin, sequence, age } = header;
         match self.by_origin.get(&origin) {
@@ -109,18 +110,18 @@
         Ok(())
     }
 
-    /// Removes reports whose lifetime is over.
+    /// Removes expired reports.
     pub fn remove_expired(&mut self, now: Micros) {
         let lifetime = self.lifetime();
         self.by_origin.retain(|_, received| now - received.created_at < lifetime);
     }
 
-    /// The newest report of each origin, in the order of origins.
+    /// The newest report of each origin, sorted by origin.
     pub fn newest(&self) -> impl Iterator<Item = &ReceivedReport<R>> + Clone {
         self.by_origin.values()
     }
 
-    /// Origins of which a report is kept, this process included.
+    /// The number of origins with a report, including this process.
     pub fn origin_count(&self) -> usize {
         self.by_origin.len()
     }
--- a/peer-reports/tests/encoding.rs
+++ b/peer-reports/tests/encoding.rs
@@ -1,9 +1,9 @@
-//! Which bytes are a report, and how the reasons for rejecting one are named.
+//! Encoding and decoding of reports, and the labels and messages of rejected ones.
 
 use birchreach_peer_reports::{Mismatch, PeerReport, RecordError, ReportError};
 use serde::{Deserialize, Serialize};
 
-/// A report that may hold up to two counts.
+/// A report that is valid with at most two counts.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Counts(Vec<u32>);
 
@@ -18,7 +18,7 @@
 const MALFORMED: ReportError = ReportError::Malformed { subject: "counts" };
 
 #[test]
-fn a_valid_report_is_read_as_it_was_written() {
+fn a_valid_report_is_unchanged_by_encoding_and_decoding() {
     let report = Counts(vec![1, 300]);
 
     let bytes = report.encode();
@@ -38,18 +38,21 @@
 }
 
 #[test]
-fn each_reason_has_a_label_and_a_text() {
+fn each_error_has_a_label_and_a_message() {
     let mismatch = Mismatch { name: "other-unit", description: "the report has another unit" };
-    let named = |error: ReportError| (error.as_str(), error.to_string());
+    let label_and_message = |error: ReportError| (error.as_str(), error.to_string());
 
-    assert_eq!(named(MALFORMED), ("form", "the report of counts is malformed".into()));
-    assert_eq!(named(ReportError::Mismatch(mismatch)), ("other-unit", "the report has another unit".into()));
+    assert_eq!(label_and_message(MALFORMED), ("form", "the report of counts is malformed".into()));
     assert_eq!(
-        named(RecordError::Outdated.into()),
+        label_and_message(ReportError::Mismatch(mismatch)),
+        ("other-unit", "the report has another unit".into())
+    );
+    assert_eq!(
+        label_and_message(RecordError::Outdated.into()),
         ("old", "a newer report of this origin was received before".into())
     );
     assert_eq!(
-        named(RecordError::TooManyOrigins.into()),
+        label_and_message(RecordError::TooManyOrigins.into()),
         ("too-many", "reports of too many origins are kept".into())
     );
 }
