--- a/peer-reports/src/lib.rs
+++ b/peer-reports/src/lib.rs
@@ -6,7 +6,7 @@
 //! incarnation of a process.
 //!
 //! The subsystem that uses the reports implements [`PeerReport`]: it defines their content, validates it and
-//! acts on it. The subsystem also sends reports to other processes. This crate does no I/O and reads no
+//! acts on it. The caller sends reports to other processes. This crate does no I/O and reads no
 //! clock.
 //!
 //! Invariants, each with the test in `tests/` that checks it:
--- a/peer-state/src/frame/link.rs
+++ b/peer-state/src/frame/link.rs
@@ -1,19 +1,19 @@
-//! One connection's framing: seals and opens frames in order, each bound to both nonces.
+//! The framing of one connection: seals and opens frames in order, and binds each frame to both nonces.
 
 use super::{
-    CODE_BYTES, Frame, FrameError, FrameKind, HEADER_BYTES, Header, MAGIC, MAX_PAYLOAD_BYTES, NONCE_BYTES,
+    Frame, FrameError, FrameKind, HEADER_BYTES, Header, MAC_BYTES, MAGIC, MAX_PAYLOAD_BYTES, NONCE_BYTES,
     Nonce,
 };
 use crate::keys::Keys;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Which side of a connection this is.
+/// The side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// It opened the connection and requests state.
+    /// The side that opened the connection and requests state.
     Requester,
-    /// It accepted the connection.
+    /// The side that accepted the connection.
     Provider,
 }
 
@@ -34,14 +34,15 @@
     peer_nonce: Option<Nonce>,
     frames_sealed: u64,
     frames_opened: u64,
-    /// Bytes that were read and not opened yet.
+    /// Bytes that were read but not opened yet.
     input: Vec<u8>,
-    /// A frame was rejected: no more are opened.
+    /// A frame was rejected, so that no more are opened.
     failed: bool,
 }
 
 impl FrameLink {
-    /// A new connection. `nonce` is random and used for this connection only.
+    /// Creates the framing of a new connection. `nonce` is random and must not be used for another
+    /// connection.
     pub fn new(side: Side, keys: Keys, nonce: Nonce) -> FrameLink {
         FrameLink {
             side,
@@ -55,14 +56,15 @@
         }
     }
 
-    /// The first frame to be sent.
+    /// Seals the Hello frame, which must be the first one sent.
     pub fn hello(&mut self) -> Vec<u8> {
         let nonce = self.own_nonce;
         self.seal(FrameKind::Hello, &nonce)
     }
 
-    /// The code that authenticates the frame with this number, sealed by `sender`.
-    fn code(
+    /// Computes the MAC of the frame that `sender` seals with this frame number. Returns `None` while the
+    /// nonces are not known.
+    fn mac(
         &self,
         secret: &[u8],
         sender: Side,
@@ -70,24 +72,25 @@
         header: &[u8],
         payload: &[u8],
     ) -> Option<Hmac<Sha256>> {
-        let mut code = Hmac::<Sha256>::new_from_slice(secret).ok()?;
+        let mut mac = Hmac::<Sha256>::new_from_slice(secret).ok()?;
         let (requester_nonce, provider_nonce) = match self.side {
             Side::Requester => (Some(self.own_nonce), self.peer_nonce),
             Side::Provider => (self.peer_nonce, Some(self.own_nonce)),
         };
-        // The peer's nonce is not known before its Hello, so that a Hello is bound to neither nonce.
+        // A Hello is bound to neither nonce, because its sender may not know the peer's nonce yet.
         let is_hello = frame_number == 0;
         let nonces = if is_hello { [[0; NONCE_BYTES]; 2] } else { [requester_nonce?, provider_nonce?] };
-        code.update(&[u8::from(sender == Side::Provider)]);
-        code.update(&nonces[0]);
-        code.update(&nonces[1]);
-        code.update(&frame_number.to_be_bytes());
-        code.update(header);
-        code.update(payload);
-        Some(code)
+        mac.update(&[u8::from(sender == Side::Provider)]);
+        mac.update(&nonces[0]);
+        mac.update(&nonces[1]);
+        mac.update(&frame_number.to_be_bytes());
+        mac.update(header);
+        mac.update(payload);
+        Some(mac)
     }
 
-    /// The next frame with this payload. A payload that is too long, or sealed before both sides sent Hello, gives no bytes.
+    /// Seals the next frame. Returns no bytes if the payload exceeds [`MAX_PAYLOAD_BYTES`], or if a frame other
+    /// than Hello is sealed before both sides have sent Hello.
     pub fn seal(&mut self, kind: FrameKind, payload: &[u8]) -> Vec<u8> {
         if payload.len() > MAX_PAYLOAD_BYTES {
             return Vec::new();
@@ -100,29 +103,30 @@
     fn sealed_frame(&self, kind: FrameKind, payload: &[u8]) -> Option<Vec<u8>> {
         let key = self.keys.sealing_key()?;
         let mut frame = Header { kind, key_id: key.id, payload_bytes: payload.len() }.encode();
-        let code = self.code(&key.secret, self.side, self.frames_sealed, &frame, payload)?;
+        let mac = self.mac(&key.secret, self.side, self.frames_sealed, &frame, payload)?;
         frame.extend(payload);
-        frame.extend(code.finalize().into_bytes());
+        frame.extend(mac.finalize().into_bytes());
         Some(frame)
     }
 
-    /// Appends bytes that were read.
+    /// Appends bytes that were read from the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         if !self.failed {
             self.input.extend_from_slice(bytes);
         }
     }
 
-    /// Whether more input may be read.
+    /// Returns whether the caller may read more input: the buffer holds less than a frame of maximum length,
+    /// and no frame was rejected.
     pub fn wants_input(&self) -> bool {
-        !self.failed && self.input.len() < HEADER_BYTES + MAX_PAYLOAD_BYTES + CODE_BYTES
+        !self.failed && self.input.len() < HEADER_BYTES + MAX_PAYLOAD_BYTES + MAC_BYTES
     }
 
-    /// The next frame, once it is complete. After an error there are no more.
+    /// Opens the next frame and returns it. Returns `None` until the frame is complete.
     ///
     /// # Errors
     ///
-    /// The reason why the connection is to be closed.
+    /// Returns why the frame was rejected. The caller closes the connection, and no later frame is opened.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         loop {
             match self.open() {
@@ -137,12 +141,13 @@
         }
     }
 
-    /// Whether the other side has sent its Hello: frames can be sealed then.
+    /// Returns whether the other side's Hello was received. Other frames than Hello can be sealed from then
+    /// on.
     pub fn is_established(&self) -> bool {
         self.peer_nonce.is_some()
     }
 
-    /// Opens the frame at the start of the input, once it is complete.
+    /// Opens the frame at the start of the input. Returns `None` until the frame is complete.
     fn open(&mut self) -> Result<Option<Frame>, FrameError> {
         let magic_bytes = self.input.len().min(MAGIC.len());
         if self.failed || self.input[..magic_bytes] != MAGIC[..magic_bytes] {
@@ -155,14 +160,14 @@
         }
         let secret = self.keys.secret(key_id).ok_or(FrameError::UnknownKey)?;
         let payload_end = HEADER_BYTES + payload_bytes;
-        let frame_end = payload_end + CODE_BYTES;
+        let frame_end = payload_end + MAC_BYTES;
         if self.input.len() < frame_end {
             return Ok(None);
         }
         let payload = self.input[HEADER_BYTES..payload_end].to_vec();
-        let code = self.code(secret, self.side.other(), self.frames_opened, &header_bytes, &payload);
-        let code = code.ok_or(FrameError::OutOfOrder)?;
-        code.verify_slice(&self.input[payload_end..frame_end]).map_err(|_| FrameError::WrongCode)?;
+        let mac = self.mac(secret, self.side.other(), self.frames_opened, &header_bytes, &payload);
+        let mac = mac.ok_or(FrameError::OutOfOrder)?;
+        mac.verify_slice(&self.input[payload_end..frame_end]).map_err(|_| FrameError::InvalidMac)?;
         self.input.drain(..frame_end);
         self.frames_opened += 1;
         if kind == FrameKind::Hello {
--- a/peer-state/src/frame/mod.rs
+++ b/peer-state/src/frame/mod.rs
@@ -1,9 +1,10 @@
-//! The frames that carry peer state: a header, a payload in postcard, and an HMAC-SHA-256 that binds the frame to one connection,
-//! one direction and one position in it. [`FrameLink`] is fed bytes; it knows no socket, and its nonces are passed in.
+//! The frames that carry peer state: a header, a payload (postcard in a state transfer), and an HMAC-SHA-256
+//! that binds the frame to its connection, direction and frame number. The payload is authenticated, but not
+//! encrypted. [`FrameLink`] does no I/O: callers pass the received bytes and the nonce.
 //!
-//! Both sides first send [`FrameKind::Hello`] with a fresh nonce. All later frames are authenticated over both nonces and a
-//! count, so that no frame is accepted twice, on another connection, or in the other direction. Without a common key nothing
-//! is sent and nothing accepted.
+//! Both sides first send [`FrameKind::Hello`] with a fresh nonce. The MAC of each later frame covers both
+//! nonces and the frame number, so that a frame is not accepted twice, on another connection, or in the other
+//! direction. Two sides without a common key exchange nothing after Hello.
 
 mod link;
 
@@ -11,37 +12,37 @@
 pub use link::{FrameLink, Side};
 use std::fmt;
 
-/// The version of the protocol, in each header.
+/// The protocol version in each header.
 pub const VERSION: u8 = 1;
-/// The longest payload; longer state is sent in parts.
+/// The maximum length of a payload. Longer state is sent in parts.
 pub const MAX_PAYLOAD_BYTES: usize = 64 << 10;
-/// The first bytes of each frame.
+/// The magic number at the start of each frame.
 const MAGIC: [u8; 2] = *b"bk";
-/// Magic number, version, kind, number of the key, length of the payload.
+/// The lengths of the magic number, version, kind, key identifier and payload length.
 const HEADER_BYTES: usize = 2 + 1 + 1 + 4 + 4;
-/// An HMAC-SHA-256.
-const CODE_BYTES: usize = 32;
+/// The length of an HMAC-SHA-256.
+const MAC_BYTES: usize = 32;
 const NONCE_BYTES: usize = 16;
 
 /// A random number that is used on one connection only.
 pub type Nonce = [u8; NONCE_BYTES];
 
-/// What a frame is for.
+/// The kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// The sender's nonce.
+    /// Contains the sender's nonce.
     Hello,
     /// Requests the receiver's state.
     Request,
-    /// A part of the state; more follow.
+    /// Contains a part of the state. Another frame follows.
     Part,
-    /// The end of the state, with other providers; or the end of one side of a full exchange.
+    /// Ends a state transfer and names other providers, or ends one side of a full exchange.
     Last,
-    /// The request is rejected for now: retry after the given number of milliseconds.
+    /// Rejects the request. The requester may retry after the number of milliseconds in the payload.
     Busy,
-    /// A part of a full exchange of the membership.
+    /// Contains a part of a full exchange of the membership.
     MembershipPart,
-    /// A kind of a later version: ignored.
+    /// A kind that a later version defines. Receivers ignore such frames.
     Unknown(u8),
 }
 
@@ -71,21 +72,21 @@
     }
 }
 
-/// Why a connection is closed. `Display` gives the reason for the log; the other side gets none, so that a sender without the key
-/// learns nothing.
+/// Why a connection is closed. `Display` gives the reason for the log. The other side receives no reason, so
+/// that a sender without the key learns nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The bytes do not begin a frame, or the connection has failed before.
+    /// The bytes do not start with the magic number, or an earlier frame was rejected.
     NotAFrame,
-    /// Another version of the protocol.
+    /// The frame has this other protocol version.
     Version(u8),
-    /// A payload, or a number of parts, beyond the limit.
+    /// The length of a payload or the number of parts is not allowed.
     TooLong,
-    /// The frame is sealed with a key that this side does not have.
+    /// The frame was sealed with a key that this side does not have.
     UnknownKey,
-    /// Forged, replayed, or out of its position.
-    WrongCode,
-    /// A frame that the protocol does not allow here.
+    /// The MAC does not match: the frame was forged, changed, replayed, or sent out of sequence.
+    InvalidMac,
+    /// The protocol does not allow this frame at this time.
     OutOfOrder,
     /// The payload cannot be decoded.
     InvalidPayload,
@@ -98,7 +99,7 @@
             FrameError::Version(version) => write!(formatter, "version-{version}"),
             FrameError::TooLong => formatter.write_str("too-long"),
             FrameError::UnknownKey => formatter.write_str("unknown-key"),
-            FrameError::WrongCode => formatter.write_str("wrong-code"),
+            FrameError::InvalidMac => formatter.write_str("wrong-code"),
             FrameError::OutOfOrder => formatter.write_str("out-of-order"),
             FrameError::InvalidPayload => formatter.write_str("payload"),
         }
@@ -107,12 +108,12 @@
 
 impl std::error::Error for FrameError {}
 
-/// A frame that was opened.
+/// An authenticated frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// What it is for.
+    /// The kind, which determines the format of the payload.
     pub kind: FrameKind,
-    /// Its content.
+    /// The content, without header and MAC.
     pub payload: Vec<u8>,
 }
 
@@ -125,7 +126,7 @@
 
 impl Header {
     fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEADER_BYTES + self.payload_bytes + CODE_BYTES);
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + self.payload_bytes + MAC_BYTES);
         bytes.extend(MAGIC);
         bytes.extend([VERSION, self.kind.to_byte()]);
         bytes.extend(self.key_id.to_be_bytes());
@@ -133,7 +134,7 @@
         bytes
     }
 
-    /// Reads a header whose magic number was checked.
+    /// Decodes a header. The caller has checked its magic number.
     fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<Header, FrameError> {
         let [_, _, version, kind, key0, key1, key2, key3, length0, length1, length2, length3] = *bytes;
         if version != VERSION {
@@ -141,8 +142,8 @@
         }
         let kind = FrameKind::from_byte(kind);
         let payload_bytes = u32::from_be_bytes([length0, length1, length2, length3]) as usize;
-        let is_wrong_hello = kind == FrameKind::Hello && payload_bytes != NONCE_BYTES;
-        if payload_bytes > MAX_PAYLOAD_BYTES || is_wrong_hello {
+        let is_invalid_hello = kind == FrameKind::Hello && payload_bytes != NONCE_BYTES;
+        if payload_bytes > MAX_PAYLOAD_BYTES || is_invalid_hello {
             return Err(FrameError::TooLong);
         }
         Ok(Header { kind, key_id: u32::from_be_bytes([key0, key1, key2, key3]), payload_bytes })
--- a/peer-state/src/full_exchange.rs
+++ b/peer-state/src/full_exchange.rs
@@ -1,5 +1,5 @@
-//! A full exchange over one link: both sides send everything they have, in parts that are opaque here, the requester first. Fed
-//! bytes, over the same frames as a state transfer.
+//! A full exchange over one link: both sides send everything they have, in parts that are opaque here, the
+//! requester first. Fed bytes, over the same frames as a state transfer.
 
 use crate::frame::{Frame, FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
 
--- a/peer-state/src/keys.rs
+++ b/peer-state/src/keys.rs
@@ -1,4 +1,5 @@
-//! The secrets that the proxies of one fleet share. Each has a number, so that they can be rotated while all proxies run.
+//! The secrets that the proxies of one fleet share. Each has a number, so that they can be rotated while all
+//! proxies run.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
@@ -80,8 +81,8 @@
         Ok(Keys(keys))
     }
 
-    /// Hashes names under the sealing key, so that nobody without it can construct a collision. `purpose` separates the hashes
-    /// of one use from those of another.
+    /// Hashes names under the sealing key, so that nobody without it can construct a collision. `purpose`
+    /// separates the hashes of one use from those of another.
     pub fn name_hasher(&self, purpose: &[u8]) -> NameHasher {
         let Some(key) = self.sealing_key() else { return NameHasher { key_id: 0, code: None } };
         let code = Hmac::<Sha256>::new_from_slice(&key.secret).ok();
--- a/peer-state/src/observation.rs
+++ b/peer-state/src/observation.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// How the first observer got to know a fact. Declared from the least to the most reliable; merging prefers the greater.
+/// How the first observer got to know a fact. Declared from the least to the most reliable; merging prefers
+/// the greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ObservationSource {
     /// The endpoint list.
@@ -42,8 +43,8 @@
 }
 
 impl<T: Copy + Ord> Observation<T> {
-    /// The later observation is the greater one; of the same instant, the one forwarded less often, then the more reliable
-    /// source. Observer and value only make the order total.
+    /// The later observation is the greater one; of the same instant, the one forwarded less often, then the
+    /// more reliable source. Observer and value only make the order total.
     fn order(&self) -> impl Ord + use<T> {
         (self.observed_at, Reverse(self.hop_count), self.source, self.observer, self.value)
     }
--- a/peer-state/src/peer_state.rs
+++ b/peer-state/src/peer_state.rs
@@ -1,5 +1,5 @@
-//! The table of server facts that one proxy keeps. Owns which servers are in it; what follows from a fact is decided in
-//! [`crate::advice`].
+//! The table of server facts that one proxy keeps. Owns which servers are in it; what follows from a fact is
+//! decided in [`crate::advice`].
 
 use crate::{Micros, Observation, ObservationSource, Role, ServerFacts, ServerIncarnation};
 use std::collections::BTreeMap;
--- a/peer-state/src/provider.rs
+++ b/peer-state/src/provider.rs
@@ -1,5 +1,5 @@
-//! Which requests for state a running proxy answers, and how fast, so that many proxies starting at once do not slow down its
-//! clients. Owns the budget; what is sent is decided elsewhere.
+//! Which requests for state a running proxy answers, and how fast, so that many proxies starting at once do
+//! not slow down its clients. Owns the budget; what is sent is decided elsewhere.
 
 use crate::Micros;
 
@@ -31,8 +31,8 @@
 
 /// Bytes that may be sent at once: a complete frame.
 const BURST_BYTES: f64 = 64.0 * 1024.0;
-/// The shortest time to retry after. It grows by as much, divided among the requests answered at once, for each recent
-/// rejection, so that rejected requesters do not retry together.
+/// The shortest time to retry after. It grows by as much, divided among the requests answered at once, for
+/// each recent rejection, so that rejected requesters do not retry together.
 const RETRY_AFTER: Micros = 100_000;
 /// A send that the load forbids is retried after this time.
 const OVERLOAD_PAUSE: Micros = 100_000;
--- a/peer-state/src/request_scheduler.rs
+++ b/peer-state/src/request_scheduler.rs
@@ -1,5 +1,5 @@
-//! Which peers a new proxy requests state from, how long its start waits for them, and when it requests state again. Owns the table of
-//! providers; a start never waits longer than its limit.
+//! Which peers a new proxy requests state from, how long its start waits for them, and when it requests state
+//! again. Owns the table of providers; a start never waits longer than its limit.
 
 use crate::Micros;
 use std::collections::BTreeMap;
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Whether the start need not wait any longer: an answer is complete, all providers failed, or the timeout has passed.
+    /// Whether the start need not wait any longer: an answer is complete, all providers failed, or the
+    /// timeout has passed.
     pub fn is_startup_complete(&self) -> bool {
         self.startup_complete
     }
@@ -123,7 +124,8 @@
         self.providers.values().filter(|provider| matches!(provider.state, RequestState::InFlight(_))).count()
     }
 
-    /// Providers to send a request to now; the end of each request is reported by [`RequestScheduler::record_outcome`].
+    /// Providers to send a request to now; the end of each request is reported by
+    /// [`RequestScheduler::record_outcome`].
     pub fn due_requests(&mut self, now: Micros) -> Vec<String> {
         self.fail_overdue_requests(now);
         self.startup_complete |= now - self.started_at >= self.settings.startup_timeout;
--- a/peer-state/src/server_facts.rs
+++ b/peer-state/src/server_facts.rs
@@ -11,10 +11,11 @@
     pub group: u32,
 }
 
-/// What is known of one incarnation of one server, as this proxy keeps it: the time of each observation is an instant on its own clock.
+/// What is known of one incarnation of one server, as this proxy keeps it: the time of each observation is an
+/// instant on its own clock.
 ///
-/// It has no serialized form, because no other process can read such an instant: [`TransferredServer`](crate::TransferredServer) is what
-/// proxies send one another and store, with ages.
+/// It has no serialized form, because no other process can read such an instant:
+/// [`TransferredServer`](crate::TransferredServer) is what proxies send one another and store, with ages.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerFacts {
     /// When this incarnation started: Unix time in milliseconds, 0 where the list does not name it.
@@ -43,8 +44,8 @@
         ServerFacts { started_ms, group, ..ServerFacts::default() }
     }
 
-    /// Merges two records. A later incarnation, or another group with the same start time, is another server: the facts of the
-    /// earlier one are discarded.
+    /// Merges two records. A later incarnation, or another group with the same start time, is another server:
+    /// the facts of the earlier one are discarded.
     pub fn merge(&self, other: &ServerFacts) -> ServerFacts {
         let (own, others) = ((self.started_ms, self.group), (other.started_ms, other.group));
         if own != others {
--- a/peer-state/src/snapshot.rs
+++ b/peer-state/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! Peer state as it is stored in a file: a magic number with the version, a checksum, the time of writing, and what would be
-//! sent to another proxy. Facts that are read are older by the time since the file was written. Reading and writing the file itself is the
-//! caller's.
+//! Peer state as it is stored in a file: a magic number with the version, a checksum, the time of writing,
+//! and what would be sent to another proxy. Facts that are read are older by the time since the file was
+//! written. Reading and writing the file itself is the caller's.
 
 use crate::transfer::MAX_AGE;
 use crate::{Micros, PeerState, TransferPart, TransferredServer};
--- a/peer-state/src/transfer.rs
+++ b/peer-state/src/transfer.rs
@@ -1,5 +1,5 @@
-//! Facts as they are sent and stored: with ages instead of instants. Owns both directions of that translation, and what is
-//! dropped on the way in.
+//! Facts as they are sent and stored: with ages instead of instants. Owns both directions of that
+//! translation, and what is dropped on the way in.
 
 use crate::peer_state::{FULL_SLOW_START_PERMILLE, MAX_SERVER_NAME_BYTES};
 use crate::{KnownServer, Micros, Observation, ObservationSource, PeerState, ServerFacts};
@@ -25,10 +25,11 @@
     pub observer: u64,
 }
 
-/// The [`ServerFacts`] of one server as they are sent and stored: under the server's name, and with ages in place of instants.
+/// The [`ServerFacts`] of one server as they are sent and stored: under the server's name, and with ages in
+/// place of instants.
 ///
-/// The order of the fields is the format on the wire and in snapshots (postcard). [`ServerFacts`] can change without a change of the
-/// format.
+/// The order of the fields is the format on the wire and in snapshots (postcard). [`ServerFacts`] can change
+/// without a change of the format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "the fields are documented at ServerFacts")]
 pub struct TransferredServer {
@@ -99,8 +100,9 @@
         })
     }
 
-    /// Merges what another proxy sent. Ages count from the instant of the *request*, so that the time of the transfer makes
-    /// facts older, never younger. This proxy's own observations are dropped, and those that were forwarded too often.
+    /// Merges what another proxy sent. Ages count from the instant of the *request*, so that the time of the
+    /// transfer makes facts older, never younger. This proxy's own observations are dropped, and those that
+    /// were forwarded too often.
     pub fn apply_transfer(&mut self, requested_at: Micros, part: &TransferPart) {
         for server in &part.servers {
             if server.uid.len() > MAX_SERVER_NAME_BYTES {
--- a/peer-state/src/transfer_protocol.rs
+++ b/peer-state/src/transfer_protocol.rs
@@ -1,6 +1,6 @@
-//! The two sides of a state transfer, over frames: [`StateRequester`] requests, [`StateSender`] sends in parts. Both are fed bytes
-//! and append what is to be written to `output`; which peer gets a request and which request is answered is decided by
-//! [`crate::request_scheduler`] and [`crate::provider`].
+//! The two sides of a state transfer, over frames: [`StateRequester`] requests, [`StateSender`] sends in
+//! parts. Both are fed bytes and append what is to be written to `output`; which peer gets a request and
+//! which request is answered is decided by [`crate::request_scheduler`] and [`crate::provider`].
 
 use crate::Micros;
 use crate::frame::{Frame, FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
@@ -154,7 +154,8 @@
         self.link.wants_input()
     }
 
-    /// Whether a request was received, to be answered by [`StateSender::start_sending`] or [`StateSender::send_busy`].
+    /// Whether a request was received, to be answered by [`StateSender::start_sending`] or
+    /// [`StateSender::send_busy`].
     ///
     /// # Errors
     ///
--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -40,7 +40,7 @@
         assert!(receiver.open(0, &changed).is_err(), "byte {at}");
     }
     let forged = codec(2, 7).seal(b"x").unwrap();
-    assert_eq!(receiver.open(0, &forged), Err(DatagramError::WrongCode));
+    assert_eq!(receiver.open(0, &forged), Err(DatagramError::InvalidMac));
     assert_eq!(receiver.open(0, &[b'b'; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Malformed));
     assert!(receiver.open(0, unused).is_ok(), "none of that has used its sequence number");
 }
--- a/peer-state/tests/frames.rs
+++ b/peer-state/tests/frames.rs
@@ -91,7 +91,7 @@
 
     // The kind, the payload, the code.
     for at in [3, 14, 25] {
-        assert_eq!(changed(at), Some(FrameError::WrongCode), "byte {at}");
+        assert_eq!(changed(at), Some(FrameError::InvalidMac), "byte {at}");
     }
     assert_eq!(changed(0), Some(FrameError::NotAFrame));
     assert_eq!(changed(2), Some(FrameError::Version(0)));
@@ -107,16 +107,16 @@
         assert!(requester.next_frame().unwrap().is_some());
         frame
     });
-    assert_eq!(replayed, Some(FrameError::WrongCode));
+    assert_eq!(replayed, Some(FrameError::InvalidMac));
 
     let after_a_lost_one = error_of(|_, provider| {
         provider.seal(FrameKind::Part, b"lost");
         provider.seal(FrameKind::Last, b"x")
     });
-    assert_eq!(after_a_lost_one, Some(FrameError::WrongCode));
+    assert_eq!(after_a_lost_one, Some(FrameError::InvalidMac));
 
     let reflected = error_of(|requester, _| requester.seal(FrameKind::Part, b"x"));
-    assert_eq!(reflected, Some(FrameError::WrongCode));
+    assert_eq!(reflected, Some(FrameError::InvalidMac));
 
     let of_another_connection = error_of(|_, _| {
         let mut provider = FrameLink::new(Side::Provider, keys(&[1]), [3; 16]);
@@ -126,7 +126,7 @@
         provider.hello();
         provider.seal(FrameKind::Part, b"x")
     });
-    assert_eq!(of_another_connection, Some(FrameError::WrongCode));
+    assert_eq!(of_another_connection, Some(FrameError::InvalidMac));
 }
 
 #[test]
