--- a/peer-state/src/frame/link.rs
+++ b/peer-state/src/frame/link.rs
@@ -89,8 +89,8 @@
         Some(mac)
     }
 
-    /// Seals the next frame. Returns no bytes if the payload exceeds [`MAX_PAYLOAD_BYTES`], or if a frame other
-    /// than Hello is sealed before both sides have sent Hello.
+    /// Seals the next frame. Returns no bytes if the payload exceeds [`MAX_PAYLOAD_BYTES`], or if a frame
+    /// other than Hello is sealed before both sides have sent Hello.
     pub fn seal(&mut self, kind: FrameKind, payload: &[u8]) -> Vec<u8> {
         if payload.len() > MAX_PAYLOAD_BYTES {
             return Vec::new();
--- a/peer-state/src/full_exchange.rs
+++ b/peer-state/src/full_exchange.rs
@@ -1,17 +1,19 @@
-//! A full exchange over one link: both sides send everything they have, in parts that are opaque here, the
-//! requester first. Fed bytes, over the same frames as a state transfer.
+//! A full exchange over one connection: first the requester and then the provider sends all that it has. The
+//! content is split into parts, which are opaque to this module. The exchange uses the frames of a state
+//! transfer and does no I/O: callers pass the received bytes.
 
 use crate::frame::{Frame, FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
 
-/// Parts that one side accepts.
+/// The maximum number of parts that one side sends and the other accepts.
 pub const MAX_PARTS: usize = 16;
 
-/// Progress of an exchange.
+/// The progress of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeEvent {
-    /// Both sides have sent Hello; it is the requester's turn to send.
+    /// Both sides have sent Hello, and the requester is to send its parts. Only the requester gets this
+    /// event.
     Connected,
-    /// All parts of the other side.
+    /// The other side has sent these parts, and no more follow.
     Complete(Vec<Vec<u8>>),
 }
 
@@ -19,19 +21,19 @@
 pub struct FullExchange {
     link: FrameLink,
     side: Side,
-    /// Bytes to be written.
+    /// Bytes that the caller is to write to the connection.
     pub output: Vec<u8>,
     /// Both sides have sent Hello.
     connected: bool,
     /// This side has sent all its parts.
-    sent: bool,
+    all_sent: bool,
     received_parts: Vec<Vec<u8>>,
     /// The other side has sent all its parts.
-    received: bool,
+    all_received: bool,
 }
 
 impl FullExchange {
-    /// A new connection; the nonce is random.
+    /// Creates one side of a new connection. `nonce` is random and must not be used for another connection.
     pub fn new(side: Side, keys: Keys, nonce: Nonce) -> FullExchange {
         let mut link = FrameLink::new(side, keys, nonce);
         let output = link.hello();
@@ -40,34 +42,34 @@
             side,
             output,
             connected: false,
-            sent: false,
+            all_sent: false,
             received_parts: Vec::new(),
-            received: false,
+            all_received: false,
         }
     }
 
-    /// Appends bytes that were read.
+    /// Appends bytes that were read from the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.link.feed(bytes);
     }
 
-    /// Whether more input may be read.
+    /// Returns whether the caller may read more input.
     pub fn wants_input(&self) -> bool {
-        !self.received && self.link.wants_input()
+        !self.all_received && self.link.wants_input()
     }
 
-    /// The next event, if any.
+    /// Returns the next event, or `None` if it needs more input.
     ///
     /// # Errors
     ///
-    /// The reason why the connection is to be closed.
+    /// Returns why the caller must close the connection.
     pub fn next_event(&mut self) -> Result<Option<ExchangeEvent>, FrameError> {
         let is_requester = self.side == Side::Requester;
         loop {
             let frame = self.link.next_frame()?;
             let just_connected = self.link.is_established() && !std::mem::replace(&mut self.connected, true);
             if just_connected && is_requester {
-                // The provider sends nothing but its Hello before the requester has sent its parts.
+                // The provider may only send Hello before the requester has sent its parts.
                 return match frame {
                     Some(_) => Err(FrameError::OutOfOrder),
                     None => Ok(Some(ExchangeEvent::Connected)),
@@ -76,13 +78,15 @@
             let Some(Frame { kind, payload }) = frame else { return Ok(None) };
             match kind {
                 FrameKind::Unknown(_) => {}
-                _ if self.received || (is_requester && !self.sent) => return Err(FrameError::OutOfOrder),
+                _ if self.all_received || (is_requester && !self.all_sent) => {
+                    return Err(FrameError::OutOfOrder);
+                }
                 FrameKind::MembershipPart if self.received_parts.len() >= MAX_PARTS => {
                     return Err(FrameError::TooLong);
                 }
                 FrameKind::MembershipPart => self.received_parts.push(payload),
                 FrameKind::Last if payload.is_empty() => {
-                    self.received = true;
+                    self.all_received = true;
                     let parts = std::mem::take(&mut self.received_parts);
                     return Ok(Some(ExchangeEvent::Complete(parts)));
                 }
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Sends everything that this side has.
+    /// Appends all parts of this side to `output`. Parts beyond [`MAX_PARTS`] are not sent.
     pub fn send_parts(&mut self, parts: &[Vec<u8>]) {
         for part in parts.iter().take(MAX_PARTS) {
             let frame = self.link.seal(FrameKind::MembershipPart, part);
@@ -99,16 +103,17 @@
         }
         let last = self.link.seal(FrameKind::Last, &[]);
         self.output.extend(last);
-        self.sent = true;
+        self.all_sent = true;
     }
 
-    /// Whether this side has sent its parts.
+    /// Returns whether this side has sent its parts.
     pub fn has_sent(&self) -> bool {
-        self.sent
+        self.all_sent
     }
 
-    /// Whether both sides have sent their parts; the connection ends once the output is written.
+    /// Returns whether both sides have sent their parts. The caller closes the connection after it has
+    /// written the output.
     pub fn is_finished(&self) -> bool {
-        self.sent && self.received
+        self.all_sent && self.all_received
     }
 }
--- a/peer-state/src/keys.rs
+++ b/peer-state/src/keys.rs
@@ -1,23 +1,23 @@
-//! The secrets that the proxies of one fleet share. Each has a number, so that they can be rotated while all
-//! proxies run.
+//! The secret keys that the proxies of one fleet share. Each key has an identifier, so that keys can be
+//! rotated while all proxies run.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use std::fmt;
 
-/// Keys that are valid at once: two while they are rotated.
+/// The maximum number of keys. A rotation needs two.
 const MAX_KEYS: usize = 4;
-/// A shorter secret is rejected.
+/// The minimum length of a secret.
 const MIN_SECRET_BYTES: usize = 16;
 
 /// Why a set of keys is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeysError {
-    /// None, or more than four.
+    /// The set is empty, or has more than four keys.
     Count,
-    /// A secret of fewer than 16 bytes.
+    /// A secret is shorter than 16 bytes.
     ShortSecret,
-    /// Two keys have one number.
+    /// Two keys have the same identifier.
     DuplicateId,
 }
 
@@ -25,35 +25,36 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
             KeysError::Count => "expected one to four keys",
-            KeysError::ShortSecret => "a secret of fewer than 16 bytes",
-            KeysError::DuplicateId => "a key's number twice",
+            KeysError::ShortSecret => "expected secrets of at least 16 bytes",
+            KeysError::DuplicateId => "two keys have the same number",
         })
     }
 }
 
 impl std::error::Error for KeysError {}
 
-/// A secret and its number.
+/// A secret and its identifier.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
-    /// The number, by which frames and datagrams name the key.
+    /// The identifier that frames and datagrams carry: the number in the key file.
     pub id: u32,
-    /// The secret.
+    /// The key of the HMAC, at least 16 bytes.
     pub secret: Vec<u8>,
 }
 
-/// Shows the number, never the secret.
+/// Shows the identifier, never the secret.
 impl fmt::Debug for Key {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         self.id.fmt(formatter)
     }
 }
 
-/// The keys of a fleet. The first seals what is sent; all are accepted in what is received.
+/// The keys of a fleet. The first key seals sent messages. Received messages may be sealed with any of the
+/// keys.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys(Vec<Key>);
 
-/// Shows the numbers, never the secrets.
+/// Shows the identifiers, never the secrets.
 impl fmt::Debug for Keys {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.debug_list().entries(&self.0).finish()
@@ -61,11 +62,11 @@
 }
 
 impl Keys {
-    /// These keys, the sealing one first.
+    /// Creates a set of keys. The first one seals.
     ///
     /// # Errors
     ///
-    /// The reason why they are rejected.
+    /// Returns why the keys were rejected.
     pub fn new(keys: Vec<Key>) -> Result<Keys, KeysError> {
         if keys.is_empty() || keys.len() > MAX_KEYS {
             return Err(KeysError::Count);
@@ -73,47 +74,47 @@
         if keys.iter().any(|key| key.secret.len() < MIN_SECRET_BYTES) {
             return Err(KeysError::ShortSecret);
         }
-        let is_repeated =
+        let is_duplicate =
             |(index, key): (usize, &Key)| keys[..index].iter().any(|earlier| earlier.id == key.id);
-        if keys.iter().enumerate().any(is_repeated) {
+        if keys.iter().enumerate().any(is_duplicate) {
             return Err(KeysError::DuplicateId);
         }
         Ok(Keys(keys))
     }
 
-    /// Hashes names under the sealing key, so that nobody without it can construct a collision. `purpose`
-    /// separates the hashes of one use from those of another.
+    /// Creates a hasher of names with the sealing key, so that a collision cannot be constructed without the
+    /// key. `purpose` separates the hashes of one use from those of another.
     pub fn name_hasher(&self, purpose: &[u8]) -> NameHasher {
-        let Some(key) = self.sealing_key() else { return NameHasher { key_id: 0, code: None } };
-        let code = Hmac::<Sha256>::new_from_slice(&key.secret).ok();
-        NameHasher { key_id: key.id, code: code.map(|code| code.chain_update(purpose)) }
+        let Some(key) = self.sealing_key() else { return NameHasher { key_id: 0, mac: None } };
+        let mac = Hmac::<Sha256>::new_from_slice(&key.secret).ok();
+        NameHasher { key_id: key.id, mac: mac.map(|mac| mac.chain_update(purpose)) }
     }
 
-    /// The secret with this number.
+    /// The secret of the key with this identifier.
     pub(crate) fn secret(&self, id: u32) -> Option<&[u8]> {
         self.0.iter().find(|key| key.id == id).map(|key| key.secret.as_slice())
     }
 
-    /// The key that seals what is sent. There is always one.
+    /// The key that seals sent messages. [`Keys::new`] ensures that there is one.
     pub(crate) fn sealing_key(&self) -> Option<&Key> {
         self.0.first()
     }
 }
 
-/// Keyed hashes of names, equal at all proxies that seal with the same key.
+/// A keyed hash function for names. Its results are equal at all proxies that seal with the same key.
 #[derive(Clone)]
 pub struct NameHasher {
-    /// The number of the key.
+    /// The identifier of the key.
     pub key_id: u32,
-    /// The code of the purpose; none if the secret cannot be used.
-    code: Option<Hmac<Sha256>>,
+    /// The HMAC after the purpose was hashed. `None` if HMAC does not accept the secret.
+    mac: Option<Hmac<Sha256>>,
 }
 
 impl NameHasher {
-    /// The hash of a name in a group.
+    /// Hashes a name in a group: the first 8 bytes of the HMAC, or 0 if there is no key.
     pub fn hash(&self, group: u32, name: &[u8]) -> u64 {
-        let code = self.code.clone().map(|code| code.chain_update(group.to_be_bytes()).chain_update(name));
-        let bytes = code.map(|code| code.finalize().into_bytes());
+        let mac = self.mac.clone().map(|mac| mac.chain_update(group.to_be_bytes()).chain_update(name));
+        let bytes = mac.map(|mac| mac.finalize().into_bytes());
         bytes.and_then(|bytes| bytes.first_chunk::<8>().copied()).map_or(0, u64::from_be_bytes)
     }
 }
--- a/peer-state/src/observation.rs
+++ b/peer-state/src/observation.rs
@@ -1,55 +1,57 @@
-//! One observation of a server: its value, age and origin, and the order that decides between two of them.
+//! An observation of a server: its value, time and origin, and the order that decides which of two is kept.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// How the first observer got to know a fact. Declared from the least to the most reliable; merging prefers
-/// the greater.
+/// The source from which the first observer learned a fact. The variants are declared from the least to the
+/// most reliable, and a merge prefers the more reliable one of two observations at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ObservationSource {
     /// The endpoint list.
     EndpointList,
-    /// The server's load report.
+    /// A load report of the server.
     LoadReport,
-    /// The status that the server attached to an answer.
+    /// The status that the server attached to a response.
     ServerStatus,
-    /// The server executed a write.
+    /// A write that the server executed.
     ServedWrite,
 }
 
 /// The role of a server in its replication group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Accepts writes.
+    /// The server accepts writes.
     Primary,
-    /// Replicates from the primary.
+    /// The server replicates from the primary.
     Replica,
 }
 
-/// A value as it was observed, with its age and origin.
+/// An observed value with its time and origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Observation<T> {
-    /// What was observed.
+    /// The observed value. Its unit depends on the fact.
     pub value: T,
-    /// When, on the local clock; never later than it truly was.
+    /// The time of the observation on the local clock. After a transfer it may be too early, but never too
+    /// late.
     pub observed_at: Micros,
-    /// How many proxies have forwarded it.
+    /// The number of proxies that have forwarded the observation.
     pub hop_count: u8,
-    /// How the observer got to know it.
+    /// The source from which the observer learned the value.
     pub source: ObservationSource,
-    /// The proxy that observed it.
+    /// The identity of the proxy that made the observation.
     pub observer: u64,
 }
 
 impl<T: Copy + Ord> Observation<T> {
-    /// The later observation is the greater one; of the same instant, the one forwarded less often, then the
-    /// more reliable source. Observer and value only make the order total.
+    /// The sort key of an observation. The later observation is greater. At the same time, the one with fewer
+    /// hops is greater, and then the one from the more reliable source. Observer and value only make the
+    /// order total.
     fn order(&self) -> impl Ord + use<T> {
         (self.observed_at, Reverse(self.hop_count), self.source, self.observer, self.value)
     }
 
-    /// The greater of two by a key, ties by the order of observations.
+    /// Returns the observation with the greater key. The order of observations breaks ties.
     pub(crate) fn max_by_key<K: Ord>(
         &self,
         other: &Observation<T>,
@@ -58,12 +60,12 @@
         if (key(self), self.order()) >= (key(other), other.order()) { *self } else { *other }
     }
 
-    /// The later of two.
+    /// Returns the greater of two observations: the later one.
     pub(crate) fn latest(&self, other: &Observation<T>) -> Observation<T> {
         self.max_by_key(other, |_| ())
     }
 
-    /// How long ago it was observed.
+    /// The time since the observation, at least 0.
     pub fn age(&self, now: Micros) -> Micros {
         (now - self.observed_at).max(0)
     }
--- a/peer-state/src/snapshot.rs
+++ b/peer-state/src/snapshot.rs
@@ -1,55 +1,56 @@
-//! Peer state as it is stored in a file: a magic number with the version, a checksum, the time of writing,
-//! and what would be sent to another proxy. Facts that are read are older by the time since the file was
-//! written. Reading and writing the file itself is the caller's.
+//! The stored form of peer state: a magic number with the version, the length and checksum of the body, the
+//! time of writing, and the facts as they are sent to other proxies. Reading adds the time since writing to
+//! the age of each fact. The caller reads and writes the file itself.
 
 use crate::transfer::MAX_AGE;
 use crate::{Micros, PeerState, TransferPart, TransferredServer};
 use serde::{Deserialize, Serialize};
 
-/// The first bytes of each snapshot, with its version.
+/// The magic number at the start of each snapshot, which includes the format version.
 const MAGIC: [u8; 8] = *b"bknow-1\n";
-/// A longer file is not read.
+/// The maximum size of a file that is read.
 pub const MAX_FILE_BYTES: usize = 8 << 20;
 
-/// The content behind the checksum. The order of the fields is the stored format (postcard).
+/// The content after the checksum, in postcard. The order of the fields is part of the stored format.
 #[derive(Serialize, Deserialize)]
 struct Body {
-    /// Unix time in milliseconds. Writer and reader are on one machine and so share a clock.
+    /// The Unix time of writing in milliseconds. The writer and the reader run on one machine and share its
+    /// clock.
     written_ms: u64,
     observer: u64,
     servers: Vec<TransferredServer>,
 }
 
-/// Why a snapshot is rejected; the proxy then starts without state.
+/// Why a snapshot is rejected. The proxy then starts without state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// Not a snapshot, or one of another version.
+    /// The file is not a snapshot, or has another format version.
     UnknownFormat,
-    /// More than [`MAX_FILE_BYTES`].
+    /// The file exceeds [`MAX_FILE_BYTES`].
     TooLong,
-    /// Truncated or changed.
+    /// The file was truncated or changed.
     Corrupt,
-    /// Written later than now: one of the clocks is wrong, and no age can be computed.
+    /// The time of writing is in the future. One of the clocks is wrong, and no age can be computed.
     WrittenInFuture,
-    /// All facts in it have expired.
+    /// The snapshot is so old that all its facts have expired.
     TooOld,
 }
 
 impl std::fmt::Display for SnapshotError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         formatter.write_str(match self {
-            SnapshotError::UnknownFormat => "the file is no snapshot of this version",
-            SnapshotError::TooLong => "the snapshot is too long",
-            SnapshotError::Corrupt => "the snapshot is truncated or its checksum is wrong",
-            SnapshotError::WrittenInFuture => "the snapshot was written later than now",
-            SnapshotError::TooOld => "the snapshot is too old",
+            SnapshotError::UnknownFormat => "not a snapshot, or an unsupported snapshot version",
+            SnapshotError::TooLong => "snapshot larger than 8 MiB",
+            SnapshotError::Corrupt => "snapshot truncated, or its checksum does not match",
+            SnapshotError::WrittenInFuture => "the snapshot's time of writing is in the future",
+            SnapshotError::TooOld => "snapshot older than 10 minutes",
         })
     }
 }
 
 impl std::error::Error for SnapshotError {}
 
-/// The complete content of the file.
+/// Encodes the state as the content of a snapshot file. `unix_ms` is the current Unix time.
 pub fn write(state: &PeerState, now: Micros, unix_ms: u64) -> Vec<u8> {
     let body =
         Body { written_ms: unix_ms, observer: state.observer, servers: state.export_facts(now).collect() };
@@ -61,11 +62,11 @@
     file
 }
 
-/// Reads a file; each fact is older by the time since it was written.
+/// Decodes the content of a snapshot file. Adds the time since writing to the age of each fact.
 ///
 /// # Errors
 ///
-/// The reason why the file is rejected.
+/// Returns why the file was rejected.
 pub fn read(file: &[u8], unix_ms: u64) -> Result<TransferPart, SnapshotError> {
     if file.len() > MAX_FILE_BYTES {
         return Err(SnapshotError::TooLong);
@@ -73,8 +74,8 @@
     let rest = file.strip_prefix(&MAGIC[..]).ok_or(SnapshotError::UnknownFormat)?;
     let (length, rest) = rest.split_first_chunk::<4>().ok_or(SnapshotError::Corrupt)?;
     let (checksum, body) = rest.split_first_chunk::<4>().ok_or(SnapshotError::Corrupt)?;
-    let complete = body.len() == u32::from_be_bytes(*length) as usize;
-    if !complete || crc32fast::hash(body) != u32::from_be_bytes(*checksum) {
+    let is_complete = body.len() == u32::from_be_bytes(*length) as usize;
+    if !is_complete || crc32fast::hash(body) != u32::from_be_bytes(*checksum) {
         return Err(SnapshotError::Corrupt);
     }
     let body: Body = postcard::from_bytes(body).map_err(|_| SnapshotError::Corrupt)?;
--- a/proxy/tests/configuration_messages/options.rs
+++ b/proxy/tests/configuration_messages/options.rs
@@ -86,8 +86,8 @@
         (format!("# a note\n\n1 {SECRET}\n2 zz"), "4: key: the secret is not in pairs of hexadecimal digits"),
         ("1 abc".into(), "1: key: the secret is not in pairs of hexadecimal digits"),
         (String::new(), "1: key: expected one to four keys"),
-        ("1 00".into(), "1: key: a secret of fewer than 16 bytes"),
-        (format!("1 {SECRET}\n1 {SECRET}"), "1: key: a key's number twice"),
+        ("1 00".into(), "1: key: expected secrets of at least 16 bytes"),
+        (format!("1 {SECRET}\n1 {SECRET}"), "1: key: two keys have the same number"),
     ];
     for (keys, expected) in cases {
         folder.write_keys(&keys);
