--- a/peer-state/src/request_scheduler.rs
+++ b/peer-state/src/request_scheduler.rs
@@ -1,38 +1,40 @@
-//! Which peers a new proxy requests state from, how long its start waits for them, and when it requests state
-//! again. Owns the table of providers; a start never waits longer than its limit.
+//! Schedules a proxy's requests for state: which providers receive a request, how long the start waits for an
+//! answer, and when the state is refreshed. The start never waits longer than its timeout.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Providers in the table: configured ones, and those that others named.
+/// The maximum number of providers in the table: configured ones, and those that other providers named.
 const MAX_PROVIDERS: usize = 64;
-/// The longest address of a provider that another named.
+/// The maximum length of the address of a provider that another provider named.
 const MAX_ADDRESS_BYTES: usize = 64;
-/// The backoff after a first failure is up to twice this; it doubles with each further one.
-const BACKOFF_UNIT: Micros = 100_000;
-/// The longest backoff, and the longest time to retry after that is honoured.
+/// The base of the exponential backoff. The backoff after the first failure is at most twice this time, and
+/// each further failure doubles the maximum.
+const BASE_BACKOFF: Micros = 100_000;
+/// The maximum backoff. A longer time to retry after, as received from a provider, is reduced to this.
 const MAX_BACKOFF: Micros = 30_000_000;
-/// The backoff stops doubling after so many failures.
+/// The number of consecutive failures after which the backoff stops doubling.
 const MAX_BACKOFF_DOUBLINGS: u32 = 9;
-/// The shortest time to retry after that is honoured.
+/// A shorter time to retry after, as received from a provider, is raised to this.
 const MIN_RETRY_AFTER: Micros = 10_000;
-/// A provider that is not configured is removed after so many failures in a row.
+/// The number of consecutive failures after which a provider that is not configured is removed.
 const FAILURES_BEFORE_REMOVAL: u32 = 3;
 
-/// Settings of the requests for state.
+/// The settings of the requests for state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestSettings {
-    /// Addresses of configured providers.
+    /// The addresses of the configured providers.
     pub providers: Vec<String>,
-    /// Requests in flight at once during the start.
+    /// The maximum number of requests in flight until the first answer is complete. There is one at a time
+    /// after that.
     pub max_concurrent_requests: usize,
-    /// The longest time that the start waits for an answer.
+    /// The maximum time that the start waits for an answer.
     pub startup_timeout: Micros,
-    /// The mean time between refreshes, each from one provider; 0 for none.
+    /// The mean time between refreshes, each from one provider. 0 disables refreshes.
     pub refresh_interval: Micros,
-    /// A request without a complete answer after this time has failed.
+    /// The time after which a request without a complete answer has failed.
     pub request_timeout: Micros,
-    /// The seed of the random choice among providers and of the jitter.
+    /// The seed of the random selection of providers and of the jitter.
     pub seed: u64,
 }
 
@@ -53,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
     Idle,
-    /// Since when.
+    /// A request was sent at this time and has not ended.
     InFlight(Micros),
 }
 
@@ -62,9 +64,9 @@
 struct KnownProvider {
     state: RequestState,
     consecutive_failures: u32,
-    /// When it may be sent a request again.
+    /// The earliest time of the next request.
     eligible_at: Micros,
-    /// The options name it: it is never removed.
+    /// The options name the provider, so that it is never removed.
     configured: bool,
 }
 
@@ -74,21 +76,21 @@
     }
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The answer is complete; addresses of other providers.
+    /// The answer is complete. It named these addresses of other providers.
     Complete(Vec<String>),
-    /// The provider rejected it; retry after this time.
+    /// The provider rejected the request. It may be retried after this time.
     Busy(Micros),
-    /// No complete answer was received.
+    /// The request ended without a complete answer.
     Failed,
 }
 
-/// The requests of one proxy.
+/// The schedule of one proxy's requests for state.
 pub struct RequestScheduler {
     settings: RequestSettings,
-    /// By address.
+    /// The providers by address.
     providers: BTreeMap<String, KnownProvider>,
     rng: fastrand::Rng,
     started_at: Micros,
@@ -98,7 +100,7 @@
 }
 
 impl RequestScheduler {
-    /// The requests of a proxy that starts now.
+    /// Creates the schedule of a proxy that starts at `now`.
     pub fn new(settings: RequestSettings, now: Micros) -> RequestScheduler {
         let configured = settings.providers.iter().take(MAX_PROVIDERS).cloned();
         let providers: BTreeMap<_, _> =
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Whether the start need not wait any longer: an answer is complete, all providers failed, or the
-    /// timeout has passed.
+    /// Returns whether the start need not wait: an answer is complete, all providers have failed, or the
+    /// timeout has expired.
     pub fn is_startup_complete(&self) -> bool {
         self.startup_complete
     }
@@ -124,8 +126,8 @@
         self.providers.values().filter(|provider| matches!(provider.state, RequestState::InFlight(_))).count()
     }
 
-    /// Providers to send a request to now; the end of each request is reported by
-    /// [`RequestScheduler::record_outcome`].
+    /// Returns the providers that are due for a request, and marks their requests as in flight. The caller
+    /// sends the requests and reports the end of each with [`RequestScheduler::record_outcome`].
     pub fn due_requests(&mut self, now: Micros) -> Vec<String> {
         self.fail_overdue_requests(now);
         self.startup_complete |= now - self.started_at >= self.settings.startup_timeout;
@@ -140,7 +142,7 @@
             .filter(|(_, provider)| provider.state == RequestState::Idle && provider.eligible_at <= now)
             .map(|(address, _)| address.clone())
             .collect();
-        // Proxies that start together distribute their requests over the providers.
+        // Shuffling distributes the requests of proxies that start at the same time over the providers.
         self.rng.shuffle(&mut chosen);
         chosen.truncate(max_in_flight.saturating_sub(self.in_flight_count()));
         for address in &chosen {
@@ -154,10 +156,13 @@
         chosen
     }
 
-    /// Ends requests that took longer than the timeout.
+    /// Records requests that have exceeded the timeout as failed.
     fn fail_overdue_requests(&mut self, now: Micros) {
         let timeout = self.settings.request_timeout;
-        let is_overdue = |provider: &KnownProvider| matches!(provider.state, RequestState::InFlight(since) if now - since >= timeout);
+        let is_overdue = |provider: &KnownProvider| match provider.state {
+            RequestState::InFlight(sent_at) => now - sent_at >= timeout,
+            RequestState::Idle => false,
+        };
         let overdue: Vec<String> = self
             .providers
             .iter()
@@ -167,23 +172,24 @@
         overdue.iter().for_each(|address| self.record_outcome(now, address, RequestOutcome::Failed));
     }
 
-    /// Draws the time of the next refresh: the mean interval with jitter.
+    /// Schedules the next refresh after the mean interval with a jitter of ±50 %.
     fn schedule_refresh(&mut self, now: Micros) {
         let interval = self.settings.refresh_interval;
         self.refresh_at = now + interval / 2 + self.rng.i64(0..=interval);
     }
 
-    /// Records how a request ended.
+    /// Records the outcome of a request and schedules the next one. Ignores a provider that is no longer in
+    /// the table.
     pub fn record_outcome(&mut self, now: Micros, address: &str, outcome: RequestOutcome) {
         let Some(provider) = self.providers.get_mut(address) else { return };
         provider.state = RequestState::Idle;
         match outcome {
-            RequestOutcome::Complete(named) => {
+            RequestOutcome::Complete(named_providers) => {
                 (provider.consecutive_failures, provider.eligible_at) = (0, now);
                 self.completed_requests += 1;
                 self.startup_complete = true;
                 self.schedule_refresh(now);
-                named.into_iter().for_each(|address| self.add_named_provider(now, address));
+                named_providers.into_iter().for_each(|address| self.add_named_provider(now, address));
             }
             RequestOutcome::Busy(retry_after) => {
                 provider.eligible_at = now + retry_after.clamp(MIN_RETRY_AFTER, MAX_BACKOFF);
@@ -191,7 +197,7 @@
             RequestOutcome::Failed => {
                 provider.consecutive_failures += 1;
                 let doublings = provider.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
-                let backoff = (BACKOFF_UNIT << doublings).min(MAX_BACKOFF);
+                let backoff = (BASE_BACKOFF << doublings).min(MAX_BACKOFF);
                 provider.eligible_at = now + backoff / 2 + self.rng.i64(0..=backoff / 2);
                 if !provider.configured && provider.consecutive_failures >= FAILURES_BEFORE_REMOVAL {
                     self.providers.remove(address);
@@ -202,22 +208,23 @@
         self.startup_complete |= !any_may_answer;
     }
 
-    /// Adds a provider that another one named, if the table is not full.
+    /// Adds a provider that another provider named, unless the table is full or the address is too long.
     fn add_named_provider(&mut self, now: Micros, address: String) {
         if self.providers.len() < MAX_PROVIDERS && address.len() <= MAX_ADDRESS_BYTES {
             self.providers.entry(address).or_insert(KnownProvider::new(now, false));
         }
     }
 
-    /// When [`RequestScheduler::due_requests`] may have something to do, unless a request ends first.
+    /// The time at which the caller must call [`RequestScheduler::due_requests`] next, always later than
+    /// `now`. [`RequestScheduler::record_outcome`] can make it earlier.
     pub fn next_change(&self, now: Micros) -> Micros {
         let startup_end = (!self.startup_complete).then_some(self.started_at + self.settings.startup_timeout);
         let timeouts = self.providers.values().filter_map(|provider| match provider.state {
-            RequestState::InFlight(since) => Some(since + self.settings.request_timeout),
+            RequestState::InFlight(sent_at) => Some(sent_at + self.settings.request_timeout),
             RequestState::Idle => None,
         });
-        let idle = self.providers.values().filter(|provider| provider.state == RequestState::Idle);
-        let first_eligible = idle.map(|provider| provider.eligible_at).min();
+        let idle_providers = self.providers.values().filter(|provider| provider.state == RequestState::Idle);
+        let first_eligible = idle_providers.map(|provider| provider.eligible_at).min();
         let is_starting = self.completed_requests == 0;
         let next_request = match first_eligible {
             Some(at) if !is_starting && self.settings.refresh_interval > 0 => Some(at.max(self.refresh_at)),
--- a/peer-state/src/transfer.rs
+++ b/peer-state/src/transfer.rs
@@ -1,35 +1,36 @@
-//! Facts as they are sent and stored: with ages instead of instants. Owns both directions of that
-//! translation, and what is dropped on the way in.
+//! The form in which facts are sent and stored, with ages instead of instants. This module converts in both
+//! directions, and drops received facts that are invalid or were forwarded too often.
 
 use crate::peer_state::{FULL_SLOW_START_PERMILLE, MAX_SERVER_NAME_BYTES};
 use crate::{KnownServer, Micros, Observation, ObservationSource, PeerState, ServerFacts};
 use serde::{Deserialize, Serialize};
 
-/// Facts forwarded this often are neither accepted nor sent.
+/// Facts that were forwarded by this number of proxies are neither accepted nor sent.
 const MAX_HOPS: u8 = 3;
-/// Older facts are not sent.
+/// The maximum age of a fact that is sent.
 pub(crate) const MAX_AGE: Micros = 600_000_000;
 
-/// An [`Observation`] as it is sent and stored: with its age at the sender in place of an instant.
+/// An [`Observation`] in the form in which it is sent and stored. It contains the age at the sender instead
+/// of an instant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferredFact<T> {
-    /// What was observed.
+    /// The observed value. Its unit depends on the fact.
     pub value: T,
-    /// Its age in milliseconds, rounded up.
+    /// The age of the observation in milliseconds, rounded up.
     pub age_ms: u32,
-    /// How many proxies forwarded it before the sender.
+    /// The number of proxies that forwarded the observation before the sender.
     pub hop_count: u8,
-    /// How the observer got to know it.
+    /// The source from which the observer learned the value.
     pub source: ObservationSource,
-    /// The proxy that observed it.
+    /// The identity of the proxy that made the observation.
     pub observer: u64,
 }
 
-/// The [`ServerFacts`] of one server as they are sent and stored: under the server's name, and with ages in
-/// place of instants.
+/// The [`ServerFacts`] of one server in the form in which they are sent and stored: with the server's name,
+/// and with ages instead of instants.
 ///
-/// The order of the fields is the format on the wire and in snapshots (postcard). [`ServerFacts`] can change
-/// without a change of the format.
+/// The order of the fields is part of the wire format and of the snapshot format (postcard). [`ServerFacts`]
+/// can change without a change of these formats.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs, reason = "the fields are documented at ServerFacts")]
 pub struct TransferredServer {
@@ -46,7 +47,7 @@
 }
 
 impl TransferredServer {
-    /// Adds so much to the age of every fact.
+    /// Increases the age of every fact.
     pub(crate) fn add_age(&mut self, age_ms: u32) {
         fn add<T>(fact: &mut Option<TransferredFact<T>>, age_ms: u32) {
             if let Some(fact) = fact {
@@ -63,28 +64,30 @@
     }
 }
 
-/// A part of the state that one proxy sends another.
+/// A part of the state that one proxy sends to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferPart {
-    /// Servers in this part.
+    /// The servers in this part, each with its facts.
     pub servers: Vec<TransferredServer>,
 }
 
-/// An observation as it is sent, if it is recent enough and was not forwarded too often.
-fn export<T: Copy + Ord>(seen: Option<Observation<T>>, now: Micros) -> Option<TransferredFact<T>> {
-    let seen = seen.filter(|seen| seen.hop_count < MAX_HOPS && seen.age(now) <= MAX_AGE)?;
-    let age_ms = u32::try_from((seen.age(now) + 999) / 1000).ok()?;
+/// Converts an observation for sending. Returns `None` if it is too old or was forwarded too often.
+fn export<T: Copy + Ord>(observation: Option<Observation<T>>, now: Micros) -> Option<TransferredFact<T>> {
+    let is_sendable =
+        |observation: &Observation<T>| observation.hop_count < MAX_HOPS && observation.age(now) <= MAX_AGE;
+    let observation = observation.filter(is_sendable)?;
+    let age_ms = u32::try_from((observation.age(now) + 999) / 1000).ok()?;
     Some(TransferredFact {
-        value: seen.value,
+        value: observation.value,
         age_ms,
-        hop_count: seen.hop_count,
-        source: seen.source,
-        observer: seen.observer,
+        hop_count: observation.hop_count,
+        source: observation.source,
+        observer: observation.observer,
     })
 }
 
 impl PeerState {
-    /// What is sent of each server, by name.
+    /// Converts the facts of each listed server for sending, sorted by server name.
     pub fn export_facts(&self, now: Micros) -> impl Iterator<Item = TransferredServer> {
         self.servers().map(move |KnownServer { uid, facts }| TransferredServer {
             uid: uid.into(),
@@ -100,9 +103,9 @@
         })
     }
 
-    /// Merges what another proxy sent. Ages count from the instant of the *request*, so that the time of the
-    /// transfer makes facts older, never younger. This proxy's own observations are dropped, and those that
-    /// were forwarded too often.
+    /// Merges a part of another proxy's state. Ages count from the time of the *request*, so that the
+    /// duration of the transfer can only make facts older. Drops observations that this proxy made itself and
+    /// those that were forwarded too often.
     pub fn apply_transfer(&mut self, requested_at: Micros, part: &TransferPart) {
         for server in &part.servers {
             if server.uid.len() > MAX_SERVER_NAME_BYTES {
@@ -116,7 +119,7 @@
         }
     }
 
-    /// The facts of one server as this proxy keeps them, without invalid values.
+    /// Converts the received facts of one server, without invalid values.
     fn receive_server(&mut self, server: &TransferredServer, requested_at: Micros) -> ServerFacts {
         let mut facts = ServerFacts::new(server.started_ms, server.group);
         facts.position = self.receive_fact(server.position, requested_at);
@@ -131,7 +134,8 @@
         facts
     }
 
-    /// An observation on this proxy's clock; none of its own, and none that was forwarded too often.
+    /// Converts a received fact to an observation on this proxy's clock. Returns `None` if there is no fact,
+    /// this proxy made the observation itself, or it was forwarded too often.
     fn receive_fact<T>(
         &mut self,
         fact: Option<TransferredFact<T>>,
--- a/peer-state/src/transfer_protocol.rs
+++ b/peer-state/src/transfer_protocol.rs
@@ -1,43 +1,47 @@
-//! The two sides of a state transfer, over frames: [`StateRequester`] requests, [`StateSender`] sends in
-//! parts. Both are fed bytes and append what is to be written to `output`; which peer gets a request and
-//! which request is answered is decided by [`crate::request_scheduler`] and [`crate::provider`].
+//! The protocol of a state transfer over frames: [`StateRequester`] requests state, and [`StateSender`] sends
+//! it in parts. Neither does I/O: callers pass the received bytes and write the bytes in `output` to the
+//! connection.
+//!
+//! [`crate::request_scheduler`] decides which peers receive a request, and [`crate::provider`] decides which
+//! requests are answered.
 
 use crate::Micros;
 use crate::frame::{Frame, FrameError, FrameKind, FrameLink, Keys, Nonce, Side};
 use crate::transfer::{TransferPart, TransferredServer};
 use serde::{Deserialize, Serialize};
 
-/// Servers in one part: with the longest names well under a frame.
+/// The maximum number of servers in one part. A part of this size fits well into a frame even if all names
+/// have the maximum length.
 const SERVERS_PER_PART: usize = 128;
-/// Parts that a requester accepts from one provider: more than the largest list needs.
+/// The maximum number of parts that a requester accepts from one provider: more than the longest list needs.
 const MAX_PARTS: usize = 64;
-/// Other providers that an answer names.
+/// The maximum number of other providers that an answer names.
 const MAX_NAMED_PROVIDERS: usize = 16;
-/// The longest address of one.
+/// The maximum length of a named provider's address.
 const MAX_ADDRESS_BYTES: usize = 64;
 
 /// The payload of the last frame.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Closing {
-    /// Addresses of other proxies that may be sent requests.
+struct LastPayload {
+    /// The addresses of other proxies that provide state.
     providers: Vec<String>,
 }
 
-/// What a requester has received.
+/// A message that a requester has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransferEvent {
-    /// A part of the state.
+    /// The provider sent a part of the state.
     Part(TransferPart),
-    /// All parts have come; the addresses of other providers.
+    /// The provider has sent all parts, and named these addresses of other providers.
     Complete(Vec<String>),
-    /// The provider rejected the request: retry after this time.
+    /// The provider rejected the request. It may be retried after this time.
     Busy(Micros),
 }
 
 /// The side that requests state.
 pub struct StateRequester {
     link: FrameLink,
-    /// Bytes to be written.
+    /// Bytes that the caller is to write to the connection.
     pub output: Vec<u8>,
     request_sent: bool,
     parts_received: usize,
@@ -45,35 +49,37 @@
 }
 
 impl StateRequester {
-    /// A new connection; the nonce is random.
+    /// Creates the requester's side of a new connection. `nonce` is random and must not be used for another
+    /// connection.
     pub fn new(keys: Keys, nonce: Nonce) -> StateRequester {
         let mut link = FrameLink::new(Side::Requester, keys, nonce);
         let output = link.hello();
         StateRequester { link, output, request_sent: false, parts_received: 0, finished: false }
     }
 
-    /// Whether more input may be read.
+    /// Returns whether the caller may read more input.
     pub fn wants_input(&self) -> bool {
         !self.finished && self.link.wants_input()
     }
 
-    /// Appends bytes that were read.
+    /// Appends bytes that were read from the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         if !self.finished {
             self.link.feed(bytes);
         }
     }
 
-    /// Whether the answer is complete, or the request was rejected: the connection is to be closed.
+    /// Returns whether the answer is complete or the request was rejected. The caller then closes the
+    /// connection.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// The next event, if any.
+    /// Returns the next event, or `None` if it needs more input or the transfer has ended.
     ///
     /// # Errors
     ///
-    /// The reason why the connection is to be closed.
+    /// Returns why the caller must close the connection.
     pub fn next_event(&mut self) -> Result<Option<TransferEvent>, FrameError> {
         while !self.finished {
             let frame = self.link.next_frame()?;
@@ -89,7 +95,7 @@
         Ok(None)
     }
 
-    /// Handles a frame; the event that it causes, if any.
+    /// Handles a frame and returns the event that it causes, if any.
     fn receive(&mut self, kind: FrameKind, payload: &[u8]) -> Result<Option<TransferEvent>, FrameError> {
         match kind {
             FrameKind::Part => {
@@ -101,7 +107,7 @@
             }
             FrameKind::Last => {
                 self.finished = true;
-                let Closing { mut providers } = decode(payload)?;
+                let LastPayload { mut providers } = decode(payload)?;
                 providers.retain(|address| address.len() <= MAX_ADDRESS_BYTES);
                 providers.truncate(MAX_NAMED_PROVIDERS);
                 Ok(Some(TransferEvent::Complete(providers)))
@@ -128,38 +134,39 @@
 /// The side that sends state.
 pub struct StateSender {
     link: FrameLink,
-    /// Bytes to be written.
+    /// Bytes that the caller is to write to the connection.
     pub output: Vec<u8>,
-    /// Servers that are still to be sent, the last first; none before a request was answered.
+    /// The servers that were not sent yet, in reverse order. `None` until sending starts.
     unsent_servers: Option<Vec<TransferredServer>>,
-    providers: Vec<String>,
+    named_providers: Vec<String>,
     finished: bool,
 }
 
 impl StateSender {
-    /// A new connection; the nonce is random.
+    /// Creates the sender's side of a new connection. `nonce` is random and must not be used for another
+    /// connection.
     pub fn new(keys: Keys, nonce: Nonce) -> StateSender {
         let mut link = FrameLink::new(Side::Provider, keys, nonce);
         let output = link.hello();
-        StateSender { link, output, unsent_servers: None, providers: Vec::new(), finished: false }
+        StateSender { link, output, unsent_servers: None, named_providers: Vec::new(), finished: false }
     }
 
-    /// Appends bytes that were read.
+    /// Appends bytes that were read from the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.link.feed(bytes);
     }
 
-    /// Whether more input may be read.
+    /// Returns whether the caller may read more input.
     pub fn wants_input(&self) -> bool {
         self.link.wants_input()
     }
 
-    /// Whether a request was received, to be answered by [`StateSender::start_sending`] or
-    /// [`StateSender::send_busy`].
+    /// Processes received frames and returns whether one of them was the request. The caller then calls
+    /// [`StateSender::start_sending`] or [`StateSender::send_busy`].
     ///
     /// # Errors
     ///
-    /// The reason why the connection is to be closed.
+    /// Returns why the caller must close the connection.
     pub fn receive_request(&mut self) -> Result<bool, FrameError> {
         while let Some(Frame { kind, payload }) = self.link.next_frame()? {
             let is_first = self.unsent_servers.is_none() && !self.finished;
@@ -172,15 +179,16 @@
         Ok(false)
     }
 
-    /// Answers the request: this state is sent part by part, and then the addresses of other providers.
+    /// Prepares the answer to the request: the facts of these servers, followed by the addresses of other
+    /// providers. [`StateSender::send_next_part`] sends it.
     pub fn start_sending(&mut self, servers: impl Iterator<Item = TransferredServer>, providers: &[String]) {
         let mut unsent: Vec<TransferredServer> = servers.take(SERVERS_PER_PART * MAX_PARTS).collect();
         unsent.reverse();
         self.unsent_servers = Some(unsent);
-        self.providers = providers.iter().take(MAX_NAMED_PROVIDERS).cloned().collect();
+        self.named_providers = providers.iter().take(MAX_NAMED_PROVIDERS).cloned().collect();
     }
 
-    /// Rejects the request; the requester may retry after this time.
+    /// Rejects the request. The requester may retry after this time.
     pub fn send_busy(&mut self, retry_after: Micros) {
         let retry_after_ms = u32::try_from(retry_after / 1000).unwrap_or(u32::MAX);
         let frame = self.link.seal(FrameKind::Busy, &encode(&retry_after_ms));
@@ -188,28 +196,30 @@
         self.finished = true;
     }
 
-    /// Appends the next frame to `output` and returns its length; none if all has been sent.
+    /// Appends the next frame to `output` and returns the frame's length. Returns `None` before sending
+    /// starts and after the last frame.
     pub fn send_next_part(&mut self) -> Option<usize> {
         let unsent = self.unsent_servers.as_mut().filter(|_| !self.finished)?;
         let frame = if unsent.is_empty() {
             self.finished = true;
-            let closing = Closing { providers: std::mem::take(&mut self.providers) };
-            self.link.seal(FrameKind::Last, &encode(&closing))
+            let payload = LastPayload { providers: std::mem::take(&mut self.named_providers) };
+            self.link.seal(FrameKind::Last, &encode(&payload))
         } else {
-            let from = unsent.len().saturating_sub(SERVERS_PER_PART);
-            let servers = unsent.drain(from..).rev().collect();
+            let part_start = unsent.len().saturating_sub(SERVERS_PER_PART);
+            let servers = unsent.drain(part_start..).rev().collect();
             self.link.seal(FrameKind::Part, &encode(&TransferPart { servers }))
         };
         self.output.extend(&frame);
         Some(frame.len())
     }
 
-    /// Whether all has been sent; the connection ends once it is written.
+    /// Returns whether `output` contains the end of the answer, or the rejection. The caller closes the
+    /// connection after it has written the output.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Whether a request was accepted and is not answered completely.
+    /// Returns whether a request was accepted and its answer is not complete.
     pub fn is_sending(&self) -> bool {
         self.unsent_servers.is_some() && !self.finished
     }
