--- a/peer-state/tests/advice.rs
+++ b/peer-state/tests/advice.rs
@@ -1,18 +1,18 @@
-//! Which server is queried first whether it is the primary, and how suspicion decays.
+//! The order of the servers that are queried for the primary role, and the decay of suspicion.
 
 mod common;
 
 use birchreach_peer_state::{ObservationSource, PeerState, Role, advice};
 use common::{SECOND, exported, new_state};
 
-/// A state that observed a server in a role, by its status.
+/// A state that observed a server's role at this time, in its status.
 fn observer_of(observer: u64, seconds: i64, uid: &str, role: Role) -> PeerState {
     let mut state = new_state(observer);
     state.record_role(seconds * SECOND, uid, role, ObservationSource::ServerStatus);
     state
 }
 
-/// A state that received all that others know, at 20 s.
+/// A state that received all facts of the others at 20 s.
 fn receiver_of(observer: u64, others: &[&PeerState]) -> PeerState {
     let mut receiver = new_state(observer);
     for other in others {
@@ -30,7 +30,7 @@
 fn trust_in_a_primary_decays_with_hops_and_age() {
     let receiver = receiver_of(3, &[&observer_of(1, 10, "s-0", Role::Primary)]);
 
-    assert_eq!(candidates(&receiver, 20), ["s-0"], "nothing else was received");
+    assert_eq!(candidates(&receiver, 20), ["s-0"], "only this server was received");
 
     let trust_at = |seconds| advice::primary_candidates(&receiver, 0, seconds * SECOND)[0].trust;
     assert!(trust_at(20) < 0.3 && trust_at(60) < trust_at(20) / 10.0);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_primary_that_was_seen_as_a_replica_since_is_no_candidate() {
+fn a_primary_later_observed_as_a_replica_is_not_a_candidate() {
     let mut receiver = receiver_of(4, &[&observer_of(1, 10, "s-0", Role::Primary)]);
 
     receiver.record_role(21 * SECOND, "s-0", Role::Replica, ObservationSource::ServerStatus);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn two_primaries_at_one_time_are_both_candidates_and_trusted_less() {
+fn concurrent_primaries_are_both_candidates_with_reduced_trust() {
     let before = observer_of(1, 10, "s-0", Role::Primary);
     let after = observer_of(2, 15, "s-2", Role::Primary);
     let partitioned = observer_of(5, 15, "s-4", Role::Primary);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn received_suspicion_decays_sooner_than_own() {
+fn received_suspicion_decays_faster_than_own() {
     let mut observer = new_state(1);
     observer.record_health(10 * SECOND, "s-0", true);
     let mut receiver = new_state(2);
--- a/peer-state/tests/common/mod.rs
+++ b/peer-state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers that several test files share.
+//! Helpers that the test files share.
 #![allow(dead_code, reason = "no test file uses all of them")]
 
 use birchreach_peer_state::frame::{Key, Keys};
@@ -6,22 +6,22 @@
 
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
-/// Servers on the list of [`new_state`].
+/// The number of servers on the list of [`new_state`].
 pub(crate) const SERVERS: u32 = 6;
 
-/// Keys with these numbers; the first seals.
-pub(crate) fn keys(numbers: &[u32]) -> Keys {
-    let secret = |number: u32| format!("a secret with the number {number}").into_bytes();
-    let keys = numbers.iter().map(|number| Key { id: *number, secret: secret(*number) });
+/// Keys with these identifiers. The first one seals.
+pub(crate) fn keys(ids: &[u32]) -> Keys {
+    let secret = |id: u32| format!("secret of the key {id}").into_bytes();
+    let keys = ids.iter().map(|id| Key { id: *id, secret: secret(*id) });
     Keys::new(keys.collect()).unwrap()
 }
 
-/// The name of a server.
+/// The name of the server with this number.
 pub(crate) fn server(number: u32) -> String {
     format!("s-{number}")
 }
 
-/// A state that knows nothing of the servers on its list: two groups of three.
+/// A state without facts, with six listed servers in two groups of three.
 pub(crate) fn new_state(observer: u64) -> PeerState {
     let mut state = PeerState::new(observer);
     for number in 0..SERVERS {
@@ -31,14 +31,14 @@
     state
 }
 
-/// A state with the list of another one, without facts.
+/// A state with the same list as another one, without facts.
 pub(crate) fn with_list_of(state: &PeerState, observer: u64) -> PeerState {
     let mut other = PeerState::new(observer);
     state.listed_servers().for_each(|(uid, listed)| other.add_listed_server(uid, listed.clone()));
     other
 }
 
-/// What a proxy sends at this time on its clock.
+/// The facts that a proxy sends at this time on its clock.
 pub(crate) fn exported(state: &PeerState, now: Micros) -> TransferPart {
     TransferPart { servers: state.export_facts(now).collect() }
 }
--- a/peer-state/tests/datagrams.rs
+++ b/peer-state/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams among proxies: those that are forged, truncated, replayed, late or beyond the rate are dropped.
+//! Datagrams that are forged, truncated, replayed, too late or beyond the rate limit are dropped.
 
 mod common;
 
@@ -19,19 +19,19 @@
     let (mut sender, mut receiver) = (codec(1, 7), codec(1, 8));
     let sent: Vec<Vec<u8>> = (0..200u32).map(|number| sender.seal(&number.to_be_bytes()).unwrap()).collect();
 
-    // Then each is accepted once.
+    // Then each of them is accepted once.
     let first = OpenedDatagram { sender_incarnation: 7, payload: &0u32.to_be_bytes() };
     assert_eq!(receiver.open(0, &sent[0]), Ok(first));
     assert_eq!(receiver.open(0, &sent[0]), Err(DatagramError::Replayed));
 
-    // In another order, but not from too far back.
+    // They are accepted out of order within the replay window, but not behind it.
     assert!(receiver.open(0, &sent[90]).is_ok() && receiver.open(0, &sent[50]).is_ok());
     assert_eq!(receiver.open(0, &sent[50]), Err(DatagramError::Replayed));
     let window = REPLAY_WINDOW as usize;
     assert_eq!(receiver.open(0, &sent[90 - window]), Err(DatagramError::Replayed), "too late");
     assert!(receiver.open(0, &sent[91 - window]).is_ok());
 
-    // Truncated at any length, changed at any byte, under another key, too long.
+    // They are rejected if they are truncated, changed, sealed with another key, or too long.
     let unused = &sent[199];
     assert!((0..unused.len()).all(|length| receiver.open(0, &unused[..length]).is_err()));
     for at in 0..unused.len() {
@@ -42,11 +42,11 @@
     let forged = codec(2, 7).seal(b"x").unwrap();
     assert_eq!(receiver.open(0, &forged), Err(DatagramError::InvalidMac));
     assert_eq!(receiver.open(0, &[b'b'; MAX_DATAGRAM_BYTES + 1]), Err(DatagramError::Malformed));
-    assert!(receiver.open(0, unused).is_ok(), "none of that has used its sequence number");
+    assert!(receiver.open(0, unused).is_ok(), "a rejected datagram does not use up its sequence number");
 }
 
 #[test]
-fn the_longest_payload_makes_the_longest_datagram() {
+fn a_payload_of_the_maximum_length_gives_a_datagram_of_the_maximum_length() {
     let mut sender = codec(1, 7);
 
     let longest = sender.seal(&[0; MAX_PAYLOAD_BYTES]);
@@ -63,7 +63,8 @@
 
     assert_eq!(accepted, 400);
 
-    // Another sender is not affected, and the limited one is accepted again a second later.
+    // Another sender is not affected, and datagrams of the limited sender are accepted again one second
+    // later.
     assert!(receiver.open(0, &codec(1, 9).seal(b"next").unwrap()).is_ok());
     assert!(receiver.open(SECOND, &sender.seal(b"later").unwrap()).is_ok());
 }
--- a/peer-state/tests/frames.rs
+++ b/peer-state/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: complete and in order, or rejected.
+//! Frames are received completely and in order, or rejected.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use birchreach_peer_state::{PeerState, TransferPart, snapshot};
 use common::{SECOND, keys};
 
-/// Two sides that have sent Hello.
+/// A requester and a provider that have received each other's Hello.
 fn connected(requester: Keys, provider: Keys) -> Result<(FrameLink, FrameLink), FrameError> {
     let mut requester = FrameLink::new(Side::Requester, requester, [1; 16]);
     let mut provider = FrameLink::new(Side::Provider, provider, [2; 16]);
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn frames_arrive_as_they_were_sealed_in_pieces_of_any_size() {
-    for piece in [1, 7, 100, 100_000] {
+fn frames_are_opened_unchanged_whatever_the_sizes_of_reads() {
+    for read_bytes in [1, 7, 100, 100_000] {
         let (mut requester, mut provider) = connected(keys(&[1]), keys(&[1])).unwrap();
         let sent = [
             Frame { kind: FrameKind::Part, payload: vec![7; MAX_PAYLOAD_BYTES] },
@@ -33,8 +33,8 @@
         let bytes: Vec<u8> = sealed.collect();
 
         let mut received = Vec::new();
-        for piece in bytes.chunks(piece) {
-            requester.feed(piece);
+        for chunk in bytes.chunks(read_bytes) {
+            requester.feed(chunk);
             while let Some(frame) = requester.next_frame().unwrap() {
                 received.push(frame);
             }
@@ -47,7 +47,7 @@
 
 #[test]
 fn two_keys_are_valid_during_a_rotation() {
-    // The requester already seals with the new key, the provider still with the old one.
+    // The requester already seals with the new key. The provider still seals with the old one.
     let (mut requester, mut provider) = connected(keys(&[2, 1]), keys(&[1, 2])).unwrap();
 
     provider.feed(&requester.seal(FrameKind::Request, b""));
@@ -62,19 +62,21 @@
 #[test]
 fn invalid_keys_are_rejected() {
     let key = |id, secret: &[u8]| Key { id, secret: secret.to_vec() };
+    let (short_secret, duplicate_id) = (vec![key(1, b"short")], vec![key(1, &[0; 16]), key(1, &[1; 16])]);
 
-    for invalid in [vec![], vec![key(1, b"short")], vec![key(1, &[0; 16]), key(1, &[1; 16])]] {
+    for invalid in [vec![], short_secret, duplicate_id] {
         assert!(Keys::new(invalid).is_err());
     }
 }
 
-/// The error that bytes made from a connected pair cause at the requester, after which nothing more is accepted.
-fn error_of(make: impl Fn(&mut FrameLink, &mut FrameLink) -> Vec<u8>) -> Option<FrameError> {
+/// Feeds bytes that `make_input` makes from a connected pair to the requester, and returns the error. Checks
+/// that the requester accepts no input after it.
+fn error_of(make_input: impl Fn(&mut FrameLink, &mut FrameLink) -> Vec<u8>) -> Option<FrameError> {
     let (mut requester, mut provider) = connected(keys(&[1]), keys(&[1])).unwrap();
-    let bytes = make(&mut requester, &mut provider);
+    let bytes = make_input(&mut requester, &mut provider);
     requester.feed(&bytes);
     let error = requester.next_frame().err();
-    assert_eq!(requester.next_frame(), Err(FrameError::NotAFrame), "nothing comes after an error");
+    assert_eq!(requester.next_frame(), Err(FrameError::NotAFrame), "no frame is opened after an error");
     assert!(!requester.wants_input());
     error
 }
@@ -89,7 +91,7 @@
         })
     };
 
-    // The kind, the payload, the code.
+    // A byte of the kind, of the payload, and of the MAC.
     for at in [3, 14, 25] {
         assert_eq!(changed(at), Some(FrameError::InvalidMac), "byte {at}");
     }
@@ -100,7 +102,7 @@
 }
 
 #[test]
-fn replayed_and_misplaced_frames_are_rejected() {
+fn replayed_and_out_of_order_frames_are_rejected() {
     let replayed = error_of(|requester, provider| {
         let frame = provider.seal(FrameKind::Part, b"x");
         requester.feed(&frame);
@@ -109,11 +111,11 @@
     });
     assert_eq!(replayed, Some(FrameError::InvalidMac));
 
-    let after_a_lost_one = error_of(|_, provider| {
+    let after_a_lost_frame = error_of(|_, provider| {
         provider.seal(FrameKind::Part, b"lost");
         provider.seal(FrameKind::Last, b"x")
     });
-    assert_eq!(after_a_lost_one, Some(FrameError::InvalidMac));
+    assert_eq!(after_a_lost_frame, Some(FrameError::InvalidMac));
 
     let reflected = error_of(|requester, _| requester.seal(FrameKind::Part, b"x"));
     assert_eq!(reflected, Some(FrameError::InvalidMac));
@@ -130,7 +132,7 @@
 }
 
 #[test]
-fn a_hello_is_accepted_first_and_only_then() {
+fn a_hello_is_only_accepted_as_the_first_frame() {
     assert_eq!(error_of(|_, provider| provider.hello()), Some(FrameError::OutOfOrder));
 
     let mut provider = FrameLink::new(Side::Provider, keys(&[1]), [2; 16]);
@@ -141,7 +143,7 @@
     assert_eq!(provider.next_frame(), Err(FrameError::OutOfOrder));
 }
 
-/// Whatever the bytes are, no reader of them panics.
+/// No decoder of received bytes panics, whatever the bytes are.
 #[test]
 fn malformed_frames_are_rejected() {
     let (mut requester, mut provider) = connected(keys(&[1]), keys(&[1])).unwrap();
@@ -160,7 +162,7 @@
         link.feed(&bytes);
         while let Ok(Some(_)) = link.next_frame() {}
 
-        // A frame's payload may be anything too.
+        // The payload of an authenticated frame can be malformed, too.
         let part: Result<TransferPart, _> = postcard::from_bytes(&bytes);
         if let Ok(part) = part {
             PeerState::new(1).apply_transfer(SECOND, &part);
--- a/peer-state/tests/full_exchange.rs
+++ b/peer-state/tests/full_exchange.rs
@@ -1,4 +1,4 @@
-//! A full exchange over one link: complete and in order, or rejected.
+//! A full exchange over one connection is complete and in order, or rejected.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use birchreach_peer_state::full_exchange::{ExchangeEvent, FullExchange, MAX_PARTS};
 use common::keys;
 
-/// Larger than any output here.
+/// A piece size that is larger than any output in these tests.
 const ALL_AT_ONCE: usize = 1 << 20;
 
 fn sides() -> (FullExchange, FullExchange) {
@@ -14,14 +14,14 @@
     (side(Side::Requester, 1), side(Side::Provider, 2))
 }
 
-/// Delivers one side's output to the other in pieces; the events there.
+/// Delivers one side's output to the other in pieces, and returns the events at the other.
 fn deliver(
     from: &mut FullExchange,
     to: &mut FullExchange,
-    piece: usize,
+    piece_bytes: usize,
 ) -> Result<Vec<ExchangeEvent>, FrameError> {
     let mut events = Vec::new();
-    for bytes in std::mem::take(&mut from.output).chunks(piece) {
+    for bytes in std::mem::take(&mut from.output).chunks(piece_bytes) {
         to.feed(bytes);
         while let Some(event) = to.next_event()? {
             events.push(event);
@@ -30,7 +30,7 @@
     Ok(events)
 }
 
-/// Two sides that have sent Hello.
+/// A requester and a provider that have received each other's Hello.
 fn connected() -> (FullExchange, FullExchange) {
     let (mut requester, mut provider) = sides();
     deliver(&mut requester, &mut provider, 100).unwrap();
@@ -40,22 +40,22 @@
 
 #[test]
 fn a_full_exchange_is_complete_or_rejected() {
-    for piece in [1, 100, ALL_AT_ONCE] {
+    for piece_bytes in [1, 100, ALL_AT_ONCE] {
         // Given two sides that have sent Hello.
         let (mut requester, mut provider) = sides();
-        assert_eq!(deliver(&mut requester, &mut provider, piece), Ok(vec![]));
-        assert_eq!(deliver(&mut provider, &mut requester, piece), Ok(vec![ExchangeEvent::Connected]));
+        assert_eq!(deliver(&mut requester, &mut provider, piece_bytes), Ok(vec![]));
+        assert_eq!(deliver(&mut provider, &mut requester, piece_bytes), Ok(vec![ExchangeEvent::Connected]));
 
-        // When the requester sends its parts, then the provider has them complete.
+        // When the requester sends its parts, then the provider receives all of them.
         let (request, answer) = (vec![vec![1; 40_000], vec![2; 3]], vec![vec![3; 10]]);
         requester.send_parts(&request);
-        let received = deliver(&mut requester, &mut provider, piece);
+        let received = deliver(&mut requester, &mut provider, piece_bytes);
         assert_eq!(received, Ok(vec![ExchangeEvent::Complete(request)]));
         assert!(!provider.is_finished());
 
-        // When the provider sends its own, then the exchange is complete at both.
+        // When the provider sends its parts, then the exchange is complete at both sides.
         provider.send_parts(&answer);
-        let received = deliver(&mut provider, &mut requester, piece);
+        let received = deliver(&mut provider, &mut requester, piece_bytes);
         assert_eq!(received, Ok(vec![ExchangeEvent::Complete(answer)]));
         assert!(requester.is_finished() && provider.is_finished());
     }
--- a/peer-state/tests/histories.rs
+++ b/peer-state/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Seeded histories of proxies that observe servers and transfer state over links with latency, on clocks that differ. A seed that
-//! fails is printed, and fails again.
+//! Random histories of proxies that observe servers and transfer state over links with latency, with clocks
+//! that differ. A failure prints the seed, which reproduces it.
 
 mod common;
 
@@ -7,22 +7,21 @@
 use common::{SECOND, SERVERS, exported, new_state, server};
 use std::collections::BTreeMap;
 
-/// A proxy with its clock.
 struct Proxy {
     state: PeerState,
-    /// How far its clock is ahead of the true one.
+    /// The lead of the proxy's clock over the true clock.
     clock_offset: Micros,
 }
 
-/// Some proxies, and the true state of the servers.
+/// Proxies that observe the servers, and a record of the true observations.
 struct History {
     rng: fastrand::Rng,
     now: Micros,
     proxies: Vec<Proxy>,
-    /// All positions of each server that anybody observed.
-    positions: BTreeMap<u32, Vec<Micros>>,
-    /// All instants, on the true clock, at which anybody observed each server as primary.
-    primary_at: BTreeMap<u32, Vec<Micros>>,
+    /// All observed positions by server number.
+    observed_positions: BTreeMap<u32, Vec<Micros>>,
+    /// The times on the true clock at which a server was observed as primary, by server number.
+    primary_times: BTreeMap<u32, Vec<Micros>>,
 }
 
 impl History {
@@ -31,10 +30,16 @@
         let proxies = (1..=4)
             .map(|id| Proxy { state: new_state(id), clock_offset: rng.i64(-15 * SECOND..15 * SECOND) })
             .collect();
-        History { rng, now: 1_000 * SECOND, proxies, positions: BTreeMap::new(), primary_at: BTreeMap::new() }
+        History {
+            rng,
+            now: 1_000 * SECOND,
+            proxies,
+            observed_positions: BTreeMap::new(),
+            primary_times: BTreeMap::new(),
+        }
     }
 
-    /// Advances the time, and one proxy observes a server or requests state.
+    /// Advances the time and lets a random proxy observe a server or request state.
     fn step(&mut self) {
         self.now += self.rng.i64(0..2 * SECOND);
         let server_number = self.rng.u32(0..SERVERS);
@@ -54,7 +59,7 @@
     fn observe_position(&mut self, proxy_index: usize, server_number: u32, local_time: Micros) {
         let position = self.now - self.rng.i64(0..3 * SECOND);
         let lag = self.now - position;
-        self.positions.entry(server_number).or_default().push(position);
+        self.observed_positions.entry(server_number).or_default().push(position);
         let source = ObservationSource::ServerStatus;
         self.proxies[proxy_index].state.record_position(
             local_time,
@@ -68,13 +73,13 @@
     fn observe_role(&mut self, proxy_index: usize, server_number: u32, local_time: Micros) {
         let role = if self.rng.bool() { Role::Primary } else { Role::Replica };
         if role == Role::Primary {
-            self.primary_at.entry(server_number).or_default().push(self.now);
+            self.primary_times.entry(server_number).or_default().push(self.now);
         }
         let source = ObservationSource::ServerStatus;
         self.proxies[proxy_index].state.record_role(local_time, &server(server_number), role, source);
     }
 
-    /// A proxy requests another's state; request and answer take time.
+    /// Lets a proxy request the state of another one. Request and answer each take up to a second.
     fn transfer(&mut self, proxy_index: usize, requested_at: Micros) {
         let provider = self.rng.usize(0..self.proxies.len());
         self.now += self.rng.i64(0..SECOND);
@@ -90,20 +95,22 @@
         exported(&proxy.state, self.now + proxy.clock_offset)
     }
 
-    /// Checks that a proxy's facts of a server are true; whether it received an observation of it as primary.
+    /// Checks a proxy's facts about a server against the true observations. Returns whether the proxy
+    /// received its observation of the server as primary from another proxy.
     fn check(&self, proxy: &Proxy, server_number: u32, facts: &ServerFacts) -> Result<bool, &'static str> {
         let position = advice::position(&proxy.state, &server(server_number));
-        if position.is_some_and(|position| !self.positions[&server_number].contains(&position.value)) {
-            return Err("nobody observed that position");
+        if position.is_some_and(|position| !self.observed_positions[&server_number].contains(&position.value))
+        {
+            return Err("the position was never observed");
         }
         let Some(primary) = facts.primary else { return Ok(false) };
         let observed_at = primary.observed_at - proxy.clock_offset;
-        if !self.primary_at[&server_number].iter().any(|at| *at >= observed_at) {
-            return Err("an observation is younger than it was");
+        if !self.primary_times[&server_number].iter().any(|at| *at >= observed_at) {
+            return Err("a transfer made an observation younger");
         }
         let is_received = primary.hop_count > 0;
         if is_received && primary.observer == proxy.state.observer {
-            return Err("an own observation came back");
+            return Err("an observation returned to its observer");
         }
         Ok(is_received)
     }
@@ -129,10 +136,10 @@
         }
     }
 
-    assert!(received > 1000, "histories without received observations show nothing");
+    assert!(received > 1000, "only {received} received observations were checked");
 }
 
-/// However the answers of one history arrive, and however often, the result is the same.
+/// The result of merging does not depend on the order of the answers or on how often each arrives.
 #[test]
 fn the_order_of_answers_does_not_matter() {
     for seed in 0..500 {
--- a/peer-state/tests/merging.rs
+++ b/peer-state/tests/merging.rs
@@ -1,4 +1,5 @@
-//! Merging: a semilattice, of listed incarnations only, without this proxy's own observations, and bounded.
+//! Merging forms a semilattice, is limited to listed incarnations, drops the receiver's own observations, and
+//! keeps a bounded number of servers.
 
 mod common;
 
@@ -7,7 +8,7 @@
 };
 use common::{SECOND, SERVERS, exported, new_state, server};
 
-fn draw_observation<T>(rng: &mut fastrand::Rng, value: T) -> Option<Observation<T>> {
+fn random_observation<T>(rng: &mut fastrand::Rng, value: T) -> Option<Observation<T>> {
     let sources = [
         ObservationSource::EndpointList,
         ObservationSource::LoadReport,
@@ -16,7 +17,7 @@
     ];
     rng.bool().then(|| Observation {
         value,
-        // Few values, so that ties are frequent.
+        // The ranges are small so that ties are frequent.
         observed_at: rng.i64(0..4),
         hop_count: rng.u8(0..3),
         source: sources[rng.usize(0..4)],
@@ -24,17 +25,17 @@
     })
 }
 
-fn draw_facts(rng: &mut fastrand::Rng) -> ServerFacts {
+fn random_facts(rng: &mut fastrand::Rng) -> ServerFacts {
     let mut facts = ServerFacts::new(rng.u64(0..2), rng.u32(0..2));
     let (position, lag, latency) = (rng.i64(0..3), rng.i64(0..3), rng.i64(0..3));
-    facts.position = draw_observation(rng, position);
-    facts.lag = draw_observation(rng, lag);
-    facts.latency = draw_observation(rng, latency);
-    facts.primary = draw_observation(rng, ());
-    facts.replica = draw_observation(rng, ());
+    facts.position = random_observation(rng, position);
+    facts.lag = random_observation(rng, lag);
+    facts.latency = random_observation(rng, latency);
+    facts.primary = random_observation(rng, ());
+    facts.replica = random_observation(rng, ());
     let (suspect, slow_start) = (rng.bool(), rng.u16(0..3));
-    facts.suspect = draw_observation(rng, suspect);
-    facts.slow_start_permille = draw_observation(rng, slow_start);
+    facts.suspect = random_observation(rng, suspect);
+    facts.slow_start_permille = random_observation(rng, slow_start);
     facts
 }
 
@@ -42,7 +43,7 @@
 fn merges_are_a_semilattice() {
     for seed in 0..20_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (first, second, third) = (draw_facts(&mut rng), draw_facts(&mut rng), draw_facts(&mut rng));
+        let (first, second, third) = (random_facts(&mut rng), random_facts(&mut rng), random_facts(&mut rng));
 
         let both = first.merge(&second);
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// A provider that observed a position and the role of `s-0`, started at 5 ms.
+/// A provider that observed the position and role of `s-0`, whose start time is 5 ms.
 fn provider_of_incarnation_5() -> PeerState {
     let mut provider = new_state(1);
     provider.add_listed_server("s-0", ServerIncarnation { started_ms: 5, group: 0 });
@@ -67,7 +68,7 @@
 fn another_incarnation_is_another_server() {
     let part = exported(&provider_of_incarnation_5(), 11 * SECOND);
 
-    // A later incarnation, an earlier one, another group.
+    // A later incarnation, an earlier incarnation, and another group.
     for (started_ms, group) in [(6, 0), (0, 0), (5, 1)] {
         let listed = ServerIncarnation { started_ms, group };
         let mut receiver = new_state(2);
@@ -88,16 +89,16 @@
     receiver.apply_transfer(11 * SECOND, &part);
     assert!(advice::position(&receiver, "s-0").is_some());
 
-    // When a later incarnation is listed, then they are discarded.
+    // When a later incarnation is listed, then the facts are discarded.
     receiver.add_listed_server("s-0", ServerIncarnation { started_ms: 7, group: 0 });
     assert_eq!(receiver.facts("s-0"), None);
 
-    // When the former incarnation is listed again, then they stay so.
+    // When the former incarnation is listed again, then the facts stay discarded.
     receiver.add_listed_server("s-0", ServerIncarnation { started_ms: 5, group: 0 });
-    assert_eq!(receiver.facts("s-0"), None, "they do not come back");
+    assert_eq!(receiver.facts("s-0"), None, "discarded facts must not return");
 }
 
-/// A state that observed `s-0` as primary at 10 s, and one that received the observation at 11 s.
+/// A state that observed `s-0` as primary at 10 s, and a state that received the observation at 11 s.
 fn observer_and_receiver() -> (PeerState, PeerState) {
     let mut observer = new_state(1);
     observer.record_role(10 * SECOND, "s-0", Role::Primary, ObservationSource::ServerStatus);
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn no_observation_is_forwarded_without_end() {
+fn an_observation_is_forwarded_a_limited_number_of_times() {
     let (_, mut last) = observer_and_receiver();
 
     for observer in 3..8 {
@@ -131,7 +132,7 @@
 
 #[test]
 fn tables_are_bounded() {
-    // When more servers are listed than are kept, and one with too long a name.
+    // When more servers than the maximum are listed, and one with too long a name.
     let mut state = PeerState::new(1);
     let listed = ServerIncarnation { started_ms: 0, group: 0 };
     for number in 0..10_000 {
@@ -140,10 +141,10 @@
     }
     state.add_listed_server(&"x".repeat(1000), listed);
 
-    // Then as many are kept as possible.
+    // Then the maximum number of servers is kept.
     assert_eq!((state.listed_servers().count(), state.servers().count()), (4096, 4096));
 
-    // When another proxy receives all of them, then it keeps those on its list alone.
+    // When another proxy receives all of them, then it keeps only those on its list.
     let mut receiver = new_state(2);
     receiver.apply_transfer(SECOND, &exported(&state, SECOND));
     assert!(receiver.servers().count() <= SERVERS as usize);
--- a/peer-state/tests/recorded_bytes.rs
+++ b/peer-state/tests/recorded_bytes.rs
@@ -1,5 +1,6 @@
-//! Bytes that proxies send each other and that rest in a file, recorded from the release before: they are read as they were, and
-//! the same are written again. `recorded/bytes.txt` holds them, a name and its bytes in hexadecimal on each line.
+//! Compatibility with the wire formats and the snapshot format of the previous release: recorded bytes are
+//! read correctly, and the same bytes are written again. Each line of `recorded/bytes.txt` has a name and its
+//! bytes in hexadecimal.
 
 mod common;
 
@@ -26,12 +27,12 @@
     find_recorded(include_str!("recorded/bytes.txt"), name)
 }
 
-/// What was written now is what was recorded.
+/// Checks that the written bytes are the recorded ones.
 fn assert_recorded(name: &str, written: &[u8]) {
     assert_eq!(to_hex(written), to_hex(&recorded(name)), "{name}");
 }
 
-/// Every kind of fact and every source.
+/// A state with facts of every kind and from every source.
 fn state() -> PeerState {
     let mut state = PeerState::new(0x0102_0304_0506_0708);
     state.add_listed_server("primary-1", ServerIncarnation { started_ms: 1_700_000_000_123, group: 0 });
@@ -48,36 +49,39 @@
     state
 }
 
-/// The facts of [`state`] as another proxy holds them, given `age` since they were exported.
+/// Checks that another proxy receives the facts of [`state`], older by `age` than at the export.
 fn assert_received(part: &TransferPart, age: Micros) {
     let mut receiver = with_list_of(&state(), 2);
     receiver.apply_transfer(200 * SECOND, part);
 
     let primary = receiver.facts("primary-1").unwrap();
-    let seen = primary.primary.unwrap();
+    let observation = primary.primary.unwrap();
     assert_eq!(
-        (seen.age(200 * SECOND), seen.hop_count, seen.source),
+        (observation.age(200 * SECOND), observation.hop_count, observation.source),
         (2 * SECOND + age, 1, ObservationSource::ServedWrite)
     );
-    assert_eq!(seen.observer, 0x0102_0304_0506_0708);
+    assert_eq!(observation.observer, 0x0102_0304_0506_0708);
     assert_eq!(
-        primary.position.map(|seen| (seen.value, seen.source)),
+        primary.position.map(|position| (position.value, position.source)),
         Some((99 * SECOND, ObservationSource::LoadReport))
     );
-    assert_eq!(primary.suspect.map(|seen| seen.value), Some(false));
+    assert_eq!(primary.suspect.map(|observation| observation.value), Some(false));
 
     let replica = receiver.facts("replica-1").unwrap();
     assert_eq!(
-        (replica.position.map(|seen| seen.value), replica.lag.map(|seen| seen.value)),
+        (replica.position.map(|position| position.value), replica.lag.map(|observation| observation.value)),
         (Some(-3), Some(7_000_001))
     );
     assert_eq!(
-        replica.replica.map(|seen| (seen.age(200 * SECOND), seen.source)),
+        replica.replica.map(|observation| (observation.age(200 * SECOND), observation.source)),
         Some((12 * SECOND + age, ObservationSource::EndpointList))
     );
-    assert_eq!(replica.suspect.map(|seen| seen.value), Some(true));
+    assert_eq!(replica.suspect.map(|observation| observation.value), Some(true));
     assert_eq!(
-        (replica.latency.map(|seen| seen.value), replica.slow_start_permille.map(|seen| seen.value)),
+        (
+            replica.latency.map(|observation| observation.value),
+            replica.slow_start_permille.map(|observation| observation.value)
+        ),
         (Some(12_345), Some(250))
     );
 
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn the_requests_frames_are_written_as_recorded() {
+fn the_frames_of_a_request_are_written_as_recorded() {
     let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
 
     assert_recorded("requester-hello", &std::mem::take(&mut requester.output));
@@ -97,12 +101,12 @@
 }
 
 #[test]
-fn the_answers_frames_are_written_as_recorded() {
+fn the_frames_of_an_answer_are_written_as_recorded() {
     // Given a sender whose Hello is the recorded one.
     let mut sender = StateSender::new(keys(), PROVIDER_NONCE);
     assert_recorded("provider-hello", &std::mem::take(&mut sender.output));
 
-    // When the recorded request arrives, then it is accepted.
+    // When the sender receives the recorded request, then it accepts the request.
     sender.feed(&recorded("requester-hello"));
     sender.feed(&recorded("request"));
     assert_eq!(sender.receive_request(), Ok(true));
@@ -126,25 +130,25 @@
 
     let Ok(Some(TransferEvent::Part(part))) = requester.next_event() else { panic!("no part") };
     assert_received(&part, 0);
-    let named = vec!["127.0.0.1:7001".to_string(), "[::1]:7002".to_string()];
-    assert_eq!(requester.next_event(), Ok(Some(TransferEvent::Complete(named))));
+    let named_providers = vec!["127.0.0.1:7001".to_string(), "[::1]:7002".to_string()];
+    assert_eq!(requester.next_event(), Ok(Some(TransferEvent::Complete(named_providers))));
     assert!(requester.is_finished());
 }
 
 #[test]
 fn a_busy_answer_is_written_and_read_as_recorded() {
-    // Given a request that has arrived.
+    // Given a sender that has received a request.
     let mut sender = StateSender::new(keys(), PROVIDER_NONCE);
     sender.output.clear();
     sender.feed(&recorded("requester-hello"));
     sender.feed(&recorded("request"));
     assert_eq!(sender.receive_request(), Ok(true));
 
-    // When it is answered as busy, then the answer is the recorded one.
+    // When the sender rejects it as busy, then the answer is the recorded one.
     sender.send_busy(1_234_567);
     assert_recorded("busy", &sender.output);
 
-    // When a requester reads it, then it knows when to retry.
+    // When a requester reads the answer, then it returns the time to retry after.
     let mut requester = StateRequester::new(keys(), REQUESTER_NONCE);
     requester.feed(&recorded("provider-hello"));
     requester.feed(&recorded("busy"));
@@ -160,7 +164,7 @@
     );
     let (request, answer) = (vec![b"first".to_vec(), vec![0, 255]], vec![vec![1, 2, 3]]);
 
-    // Then both sides write the recorded Hello.
+    // Then each side writes the recorded Hello.
     assert_recorded("requester-hello", &std::mem::take(&mut requester.output));
     assert_recorded("provider-hello", &std::mem::take(&mut provider.output));
 
@@ -170,14 +174,14 @@
     requester.send_parts(&request);
     assert_recorded("exchange-requester", &std::mem::take(&mut requester.output));
 
-    // When the provider reads them and sends its own, then its frames are the recorded ones.
+    // When the provider reads these frames and sends its parts, then its frames are the recorded ones.
     provider.feed(&recorded("requester-hello"));
     provider.feed(&recorded("exchange-requester"));
     assert_eq!(provider.next_event(), Ok(Some(ExchangeEvent::Complete(request))));
     provider.send_parts(&answer);
     assert_recorded("exchange-provider", &std::mem::take(&mut provider.output));
 
-    // When the requester reads those, then the exchange is complete at both.
+    // When the requester reads the provider's frames, then the exchange is complete at both sides.
     requester.feed(&recorded("exchange-provider"));
     assert_eq!(requester.next_event(), Ok(Some(ExchangeEvent::Complete(answer))));
     assert!(requester.is_finished() && provider.is_finished());
@@ -205,7 +209,7 @@
 }
 
 #[test]
-fn the_numbers_of_names_are_as_recorded() {
+fn the_hashes_of_names_are_as_recorded() {
     let hasher = keys().name_hasher(b"purpose");
 
     assert_recorded("number", &hasher.hash(3, b"name").to_be_bytes());
--- a/peer-state/tests/snapshots.rs
+++ b/peer-state/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: read back with the age that they have, or rejected.
+//! A snapshot is read with its age added to the facts, or rejected.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use birchreach_peer_state::{ObservationSource, PeerState, Role, ServerIncarnation, advice};
 use common::{SECOND, server, with_list_of};
 
-/// The positions of 50 servers, and a primary.
+/// A state with the positions of 50 servers and one primary.
 fn state() -> PeerState {
     let mut state = PeerState::new(1);
     for number in 0..50 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_snapshot_is_read_with_the_age_that_it_has() {
+fn reading_a_snapshot_adds_its_age_to_the_facts() {
     let state = state();
     let file = snapshot::write(&state, 101 * SECOND, 1_000_000);
     let mut new_proxy = with_list_of(&state, 2);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_proxy_does_not_take_its_own_observations_from_a_snapshot() {
+fn a_proxy_drops_its_own_observations_from_a_snapshot() {
     let state = state();
     let file = snapshot::write(&state, 101 * SECOND, 1_000_000);
     let mut restarted = with_list_of(&state, 1);
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn a_snapshot_that_is_not_complete_is_rejected() {
+fn an_invalid_snapshot_is_rejected() {
     // Given a snapshot.
     let file = snapshot::write(&state(), 101 * SECOND, 1_000_000);
 
-    // Then none that is truncated, changed, or no snapshot of this version is read.
+    // Then a truncated or changed file is rejected, and a file that is not a snapshot of this version.
     for length in 0..file.len() {
         assert!(snapshot::read(&file[..length], 1_000_000).is_err(), "{length} bytes");
     }
@@ -61,7 +61,7 @@
     assert_eq!(snapshot::read(b"{}", 0), Err(SnapshotError::UnknownFormat));
     assert_eq!(snapshot::read(b"bknow-2\n........", 0), Err(SnapshotError::UnknownFormat));
 
-    // Then one that is from the future, too old or too long is not read either.
+    // Then a file from the future, one that is too old, and one that is too long are rejected.
     assert_eq!(snapshot::read(&file, 999_999), Err(SnapshotError::WrittenInFuture));
     assert_eq!(snapshot::read(&file, 1_700_000), Err(SnapshotError::TooOld));
     assert_eq!(snapshot::read(&vec![0; snapshot::MAX_FILE_BYTES + 1], 0), Err(SnapshotError::TooLong));
--- a/peer-state/tests/transfer_protocol.rs
+++ b/peer-state/tests/transfer_protocol.rs
@@ -1,4 +1,4 @@
-//! A state transfer over frames: complete, with nothing added, or rejected.
+//! A state transfer over frames delivers the complete state, or is rejected.
 
 mod common;
 
@@ -13,7 +13,7 @@
     format!("server-with-a-long-name-{number}")
 }
 
-/// The positions of a thousand servers.
+/// A state with the positions of a thousand servers.
 fn state() -> PeerState {
     let mut state = PeerState::new(1);
     for number in 0..SERVERS {
@@ -29,36 +29,36 @@
     (StateRequester::new(keys(&[1]), [1; 16]), StateSender::new(keys(&[1]), [2; 16]))
 }
 
-/// Takes up to so many bytes from the front of an output.
+/// Removes up to `max` bytes from the front of an output and returns them.
 fn take(output: &mut Vec<u8>, max: usize) -> Vec<u8> {
     let length = output.len().min(max);
     output.drain(..length).collect()
 }
 
 #[test]
-fn a_transfer_sends_everything_in_parts_whatever_the_pieces() {
+fn a_transfer_sends_all_facts_in_parts_whatever_the_sizes_of_reads() {
     let provider = state();
 
-    for piece in [1, 1000, 1 << 20] {
+    for read_bytes in [1, 1000, 1 << 20] {
         let mut receiver = with_list_of(&provider, 2);
         let (mut requester, mut sender) = connection();
-        let mut named = None;
+        let mut named_providers = None;
         let mut parts = 0;
 
         for _ in 0..1_000_000 {
-            sender.feed(&take(&mut requester.output, piece));
+            sender.feed(&take(&mut requester.output, read_bytes));
             if sender.receive_request().unwrap() {
                 sender.start_sending(provider.export_facts(100 * SECOND), &["127.0.0.1:1".into()]);
             }
             if sender.output.is_empty() {
                 parts += usize::from(sender.send_next_part().is_some());
             }
-            requester.feed(&take(&mut sender.output, piece));
+            requester.feed(&take(&mut sender.output, read_bytes));
             while let Some(event) = requester.next_event().unwrap() {
                 match event {
                     TransferEvent::Part(part) => receiver.apply_transfer(99 * SECOND, &part),
-                    TransferEvent::Complete(providers) => named = Some(providers),
-                    TransferEvent::Busy(_) => panic!("it was not rejected"),
+                    TransferEvent::Complete(providers) => named_providers = Some(providers),
+                    TransferEvent::Busy(_) => panic!("the sender did not reject the request"),
                 }
             }
             if requester.is_finished() {
@@ -66,7 +66,7 @@
             }
         }
 
-        assert_eq!(named, Some(vec!["127.0.0.1:1".to_string()]));
+        assert_eq!(named_providers, Some(vec!["127.0.0.1:1".to_string()]));
         assert_eq!((parts, receiver.servers().count()), (9, SERVERS as usize));
         let last = advice::position(&receiver, &long_name(SERVERS - 1)).unwrap();
         assert_eq!(last.value, 99 * SECOND + 999);
@@ -75,11 +75,11 @@
 
 #[test]
 fn a_requester_without_the_key_receives_nothing() {
-    // Given a requester that has another key.
+    // Given a requester with another key.
     let mut unauthorized = StateRequester::new(keys(&[3]), [1; 16]);
     let (_, mut sender) = connection();
 
-    // When it sends Hello, then it is rejected, and rejects the answer.
+    // When it sends Hello, then the sender rejects it, and the requester rejects the sender's Hello.
     sender.feed(&unauthorized.output);
     assert_eq!(sender.receive_request(), Err(FrameError::UnknownKey));
     unauthorized.feed(&sender.output);
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn a_rejected_requester_receives_when_to_retry() {
-    // Given a request that has arrived.
+fn a_rejected_requester_receives_the_time_to_retry_after() {
+    // Given a sender that has received a request.
     let (mut requester, mut sender) = connection();
     sender.feed(&std::mem::take(&mut requester.output));
     assert_eq!(sender.receive_request(), Ok(false));
@@ -97,11 +97,11 @@
     sender.feed(&std::mem::take(&mut requester.output));
     assert_eq!(sender.receive_request(), Ok(true));
 
-    // When it is answered as busy.
+    // When the sender rejects it as busy.
     sender.send_busy(1500 * MILLISECOND);
     requester.feed(&std::mem::take(&mut sender.output));
 
-    // Then the requester receives when to retry, and both have finished.
+    // Then the requester receives the time to retry after, and both sides have finished.
     assert_eq!(requester.next_event(), Ok(Some(TransferEvent::Busy(1500 * MILLISECOND))));
     assert!(requester.is_finished() && sender.is_finished());
 }
