--- a/peer-reports/src/record_error.rs
+++ b/peer-reports/src/record_error.rs
@@ -7,7 +7,7 @@
 pub enum RecordError {
     /// The same report or a newer one of its origin was already recorded.
     Outdated,
-    /// Reports of [`MAX_ORIGINS`](crate::MAX_ORIGINS) other origins are already kept.
+    /// The origin is new, and reports of [`MAX_ORIGINS`](crate::MAX_ORIGINS) origins are already kept.
     TooManyOrigins,
 }
 
--- a/peer-state/src/advice.rs
+++ b/peer-state/src/advice.rs
@@ -3,8 +3,7 @@
 
 use crate::{KnownServer, Micros, Observation, PeerState, ServerFacts};
 
-/// The half-life of a suspicion that this proxy observed itself. Each hop halves the half-life of a received
-/// one.
+/// The half-life of a suspicion that this proxy observed itself. Each hop of a received suspicion halves it.
 const SUSPICION_HALF_LIFE: Micros = 4_000_000;
 /// Observations of two primaries within this time contradict each other: one observer was partitioned or
 /// late.
--- a/peer-state/src/datagram.rs
+++ b/peer-state/src/datagram.rs
@@ -134,7 +134,8 @@
     pub payload: &'a [u8],
 }
 
-/// Seals the datagrams that this incarnation sends, and opens those that it receives.
+/// Seals the datagrams that this process sends, and opens those that it receives. Sealing adds a header and a
+/// MAC to a payload. Opening verifies and removes them.
 pub struct DatagramCodec {
     keys: Keys,
     incarnation: u64,
--- a/peer-state/src/frame/link.rs
+++ b/peer-state/src/frame/link.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// The framing of one connection.
+/// The framing of one connection. Sealing adds a header and a MAC to a payload. Opening verifies and removes
+/// them.
 pub struct FrameLink {
     side: Side,
     keys: Keys,
@@ -141,8 +142,7 @@
         }
     }
 
-    /// Returns whether the other side's Hello was received. Other frames than Hello can be sealed from then
-    /// on.
+    /// Returns whether the other side's Hello was received. Frames other than Hello can be sealed after that.
     pub fn is_established(&self) -> bool {
         self.peer_nonce.is_some()
     }
