--- a/peer-state/src/frame/link.rs
+++ b/peer-state/src/frame/link.rs
@@ -90,8 +90,8 @@
         Some(mac)
     }
 
-    /// Seals the next frame. Returns no bytes if the payload exceeds [`MAX_PAYLOAD_BYTES`], or if a frame
-    /// other than Hello is sealed before both sides have sent Hello.
+    /// Seals the next frame. The first frame must be Hello. Returns no bytes if the payload exceeds
+    /// [`MAX_PAYLOAD_BYTES`], or if a later frame is sealed before the peer's Hello was received.
     pub fn seal(&mut self, kind: FrameKind, payload: &[u8]) -> Vec<u8> {
         if payload.len() > MAX_PAYLOAD_BYTES {
             return Vec::new();
