--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -103,7 +103,8 @@
 
     /// The gauges for operators.
     pub(crate) fn gauges(&self, now: Micros) -> Gauges {
-        let skipped = self.servers.present().filter(|server| self.router.is_avoided(now, *server)).count();
+        let skipped =
+            self.servers.present().filter(|server| self.router.is_out_of_rotation(now, *server)).count();
         Gauges { in_progress: self.requests.len(), known: self.servers.present().count(), skipped }
     }
 
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -177,7 +177,7 @@
     /// Whether the server is sent no new requests at this time. This is the case if it accepts no work, for
     /// instance since it is draining, or if it is ejected and not due for a retry. An ejected primary still
     /// receives writes while it is responsive.
-    pub fn is_avoided(&self, now: Micros, id: ServerId) -> bool {
+    pub fn is_out_of_rotation(&self, now: Micros, id: ServerId) -> bool {
         let Some(server) = self.accepting_server(id) else { return true };
         let takes_writes =
             !server.outlier.is_unresponsive() && self.primary(server.endpoint.listed.group) == Some(id);
--- a/tests/overdue_attempts.rs
+++ b/tests/overdue_attempts.rs
@@ -69,7 +69,7 @@
     // When the server responds to the health check, then the read goes on until it is answered
     fixture.complete_health_check(server, AttemptOutcome::Ok);
     assert_eq!(cancel_count(&fixture.advance(1_500 * MILLISECOND)), 0);
-    assert!(!fixture.router.is_avoided(fixture.now, ServerId(server)), "nor is the server ejected");
+    assert!(!fixture.router.is_out_of_rotation(fixture.now, ServerId(server)), "nor is the server ejected");
     assert!(!is_rejected(&fixture.complete_attempt(read.id, 0, server, AttemptOutcome::Ok)));
 }
 
@@ -97,7 +97,7 @@
     // When the health check of its server times out, then the read is cancelled and the server ejected
     let read = read_with_health_check(&mut fixture, AttemptOutcome::Timeout);
     assert_eq!(cancel_count(&read.actions), 1);
-    assert!(fixture.router.is_avoided(fixture.now, ServerId(read.server)));
+    assert!(fixture.router.is_out_of_rotation(fixture.now, ServerId(read.server)));
     // When the attempt has been cancelled, then the read goes to another server
     let actions = fixture.complete_attempt(read.id, 0, read.server, AttemptOutcome::Cancelled);
     let retried = servers_sent_to(&actions);
@@ -114,7 +114,7 @@
         let read = read_with_health_check(&mut fixture, outcome);
         // Then the read goes on
         assert_eq!(cancel_count(&read.actions), 0, "{outcome:?} is a response");
-        assert!(!fixture.router.is_avoided(fixture.now, ServerId(read.server)));
+        assert!(!fixture.router.is_out_of_rotation(fixture.now, ServerId(read.server)));
     }
 }
 
@@ -163,7 +163,7 @@
         }
     }
     assert_eq!(cancelled, 1);
-    assert!(!fixture.router.is_avoided(fixture.now, ServerId(server)), "it answers others");
+    assert!(!fixture.router.is_out_of_rotation(fixture.now, ServerId(server)), "it answers others");
     // When the attempt has been cancelled, then the read is retried
     let actions = fixture.complete_attempt(lost.id, 0, server, AttemptOutcome::Cancelled);
     assert_eq!(servers_sent_to(&actions).len(), 1, "{actions:?}");
