--- a/benches/src/gain/attempts.rs
+++ b/benches/src/gain/attempts.rs
@@ -6,7 +6,7 @@
 use super::servers::{AttemptKey, RequestKey, StatementKind, StatementOwner, role};
 use super::simulation::Simulation;
 use birchreach::{
-    AttemptNo, AttemptOutcome, AttemptResult, Event, Micros, RequestId, ServerId, ServerStatus,
+    AttemptNumber, AttemptOutcome, AttemptResult, Event, Micros, RequestId, ServerId, ServerStatus,
 };
 
 /// An attempt that has just ended.
@@ -85,7 +85,7 @@
         let AttemptKey { request: key, attempt: number } = attempt.key;
         let result = AttemptResult {
             request: RequestId(key.request),
-            attempt: AttemptNo(number),
+            attempt: AttemptNumber(number),
             server: ServerId(attempt.server),
             outcome,
             elapsed: self.now - attempt.sent_at,
--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -3,7 +3,7 @@
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload, RoutingTimerId};
 use crate::observe::CoreEvent;
 use crate::units::MICROS_PER_MILLI;
-use birchreach::{Action, AttemptNo, Micros, RequestId, ServerId};
+use birchreach::{Action, AttemptNumber, Micros, RequestId, ServerId};
 
 /// The shortest delay of a timer, so that a timer which the router sets again on its expiry cannot loop endlessly.
 const MIN_TIMER_DELAY_MICROS: Micros = 1;
@@ -46,7 +46,7 @@
     /// Records an attempt, and commands the event loop to send it.
     fn start_attempt(&mut self, now: Micros, request: RequestId, server: ServerId, timeout: Micros) {
         let Some(pending) = self.requests.get_mut(&request) else { return };
-        let attempt = AttemptId { request, number: AttemptNo(pending.attempts_started) };
+        let attempt = AttemptId { request, number: AttemptNumber(pending.attempts_started) };
         pending.attempts_started += 1;
         pending.attempts_in_flight += 1;
         let from_copy = pending.copy_holders.contains(&server);
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -1,7 +1,7 @@
 //! The values exchanged between the core, the protocol front ends and the event loop. They belong to no protocol.
 
 use crate::reply::Value;
-use birchreach::{AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId, SessionId};
+use birchreach::{AttemptNumber, ClassId, GroupId, Micros, RequestId, ServerId, SessionId};
 
 /// A front end's own form of a request.
 pub(crate) trait RequestPayload: Clone {
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct AttemptId {
     pub request: RequestId,
-    pub number: AttemptNo,
+    pub number: AttemptNumber,
 }
 
 /// Identifies a timer of the router.
--- a/simulator-adapter/src/wire/events.rs
+++ b/simulator-adapter/src/wire/events.rs
@@ -7,8 +7,8 @@
 use super::{micros_rounded_down, micros_rounded_up};
 use crate::host::Instance;
 use birchreach::{
-    AttemptNo, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointList, EndpointState, Event, GroupId,
-    Request, RequestId, ServerId, SessionId, TenantId, ZoneId,
+    AttemptNumber, AttemptOutcome, AttemptResult, ClassId, Endpoint, EndpointList, EndpointState, Event,
+    GroupId, Request, RequestId, ServerId, SessionId, TenantId, ZoneId,
 };
 use birchreach_settings::DeploymentSettings;
 use std::collections::BTreeMap;
@@ -88,7 +88,7 @@
             code::REQUEST => Event::Request(self.decode_request(&record, settings)),
             code::RESPONSE_STARTED => Event::ResponseStarted {
                 request: RequestId(record.u64(4)),
-                attempt: AttemptNo(record.u16(20)),
+                attempt: AttemptNumber(record.u16(20)),
             },
             code::ATTEMPT_COMPLETED => Event::AttemptCompleted(decode_result(&record, settings)?),
             code::CLIENT_DISCONNECTED => Event::ClientDisconnected { request: RequestId(record.u64(4)) },
@@ -188,7 +188,7 @@
 ) -> Result<AttemptResult, FrameError> {
     Ok(AttemptResult {
         request: RequestId(record.u64(4)),
-        attempt: AttemptNo(record.u16(21)),
+        attempt: AttemptNumber(record.u16(21)),
         server: ServerId(record.u32(16)),
         outcome: decode_outcome(record.u8(23))?,
         elapsed: micros_rounded_down(record.f64(24)),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -42,4 +42,4 @@
 pub struct SessionId(pub u64);
 /// Number of an attempt within its request, counted from 0 in the order of the [`Action::Send`]s.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AttemptNo(pub u16);
+pub struct AttemptNumber(pub u16);
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,7 +1,7 @@
 //! Events that the router receives and actions that it returns.
 
 use super::{
-    AttemptNo, ClassId, GroupId, Micros, RequestId, ServerId, SessionId, Settings, TenantId, ZoneId,
+    AttemptNumber, ClassId, GroupId, Micros, RequestId, ServerId, SessionId, Settings, TenantId, ZoneId,
 };
 
 /// State of a server according to the endpoint list.
@@ -142,7 +142,7 @@
     /// Id of the request.
     pub request: RequestId,
     /// Number of the attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// The server that the attempt was sent to.
     pub server: ServerId,
     /// How the attempt ended.
@@ -173,7 +173,7 @@
         /// Id of the request.
         request: RequestId,
         /// Number of the attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// An attempt ended.
     AttemptCompleted(AttemptResult),
@@ -227,7 +227,7 @@
         /// Id of the request.
         request: RequestId,
         /// Number of the attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// Check a server and request its load report.
     HealthCheck {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -85,7 +85,7 @@
 //! for (request, server) in sent {
 //!     let result = AttemptResult {
 //!         request,
-//!         attempt: AttemptNo(0),
+//!         attempt: AttemptNumber(0),
 //!         server,
 //!         outcome: AttemptOutcome::Ok,
 //!         elapsed: 30_000,
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use super::pending::{AttemptKey, InFlightAttempt, PendingRequest, PossibleExecution};
 use crate::interface::{
-    Action, AttemptNo, Consistency, DedupScope, Idempotency, Micros, RequestId, ServerId, StaleReadPolicy,
+    Action, AttemptNumber, Consistency, DedupScope, Idempotency, Micros, RequestId, ServerId, StaleReadPolicy,
 };
 
 /// An attempt is overdue after the mean latency plus this many mean deviations, as in TCP's retransmission
@@ -40,7 +40,7 @@
         server.slow_start.set_tokens(tokens, self.now);
         server.concurrency.attempt_sent();
         server.unfinished_attempt_count += 1;
-        let attempt = AttemptNo(request.attempts_sent);
+        let attempt = AttemptNumber(request.attempts_sent);
         request.attempts_sent += 1;
         request.in_flight_attempts.push(attempt);
         request.tried_servers.push(server_id);
@@ -107,7 +107,7 @@
     /// Whether an attempt may still be written to its server. The caller has to check this just before
     /// writing: while the connection was established, the server may have started to drain or lost its role,
     /// and its data may have become too old.
-    pub fn may_still_send(&self, now: Micros, request_id: RequestId, attempt: AttemptNo) -> bool {
+    pub fn may_still_send(&self, now: Micros, request_id: RequestId, attempt: AttemptNumber) -> bool {
         let Some(request) = self.pending.get(&request_id) else { return false };
         let key = AttemptKey { request: request_id, attempt };
         let Some(attempt) = self.in_flight.get(&key) else { return false };
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -1,7 +1,9 @@
 //! Requests without a final response and attempts without a result.
 
 use super::queue::QueuePosition;
-use crate::interface::{AttemptNo, ClassId, CopyCandidate, GroupId, Micros, RequestId, ServerId, SessionId};
+use crate::interface::{
+    AttemptNumber, ClassId, CopyCandidate, GroupId, Micros, RequestId, ServerId, SessionId,
+};
 
 /// An attempt whose server may have run the request. Ordered by the time of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +32,7 @@
     /// Number of attempts sent so far; also the number of the next attempt.
     pub attempts_sent: u16,
     pub max_attempts: u16,
-    pub in_flight_attempts: Vec<AttemptNo>,
+    pub in_flight_attempts: Vec<AttemptNumber>,
     /// Servers that were sent an attempt since the request was last queued.
     pub tried_servers: Vec<ServerId>,
     /// Replicas whose position was queried for this read.
@@ -48,7 +50,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub request: RequestId,
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
 }
 
 /// An attempt without a result.
--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -139,7 +139,7 @@
     ) -> Vec<Action> {
         self.handle(Event::AttemptCompleted(AttemptResult {
             request: RequestId(request),
-            attempt: AttemptNo(attempt),
+            attempt: AttemptNumber(attempt),
             server: ServerId(server),
             outcome,
             elapsed: 0,
--- a/tests/copy_candidates.rs
+++ b/tests/copy_candidates.rs
@@ -125,7 +125,7 @@
         if read.servers() == [COPY_HOLDER] {
             missing += 1;
             assert!(
-                fixture.router.may_still_send(fixture.now, RequestId(read.id), AttemptNo(0)),
+                fixture.router.may_still_send(fixture.now, RequestId(read.id), AttemptNumber(0)),
                 "its own position does not matter"
             );
             let actions = fixture.complete_attempt(read.id, 0, COPY_HOLDER, AttemptOutcome::Ineligible);
--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -93,7 +93,7 @@
 
 /// Whether the first attempt of a request, for which a connection is being opened, may still be sent.
 fn may_still_send(fixture: &RouterFixture, request: u64) -> bool {
-    fixture.router.may_still_send(fixture.now, RequestId(request), AttemptNo(0))
+    fixture.router.may_still_send(fixture.now, RequestId(request), AttemptNumber(0))
 }
 
 #[test]
--- a/tests/fleet_simulation/attempts.rs
+++ b/tests/fleet_simulation/attempts.rs
@@ -4,7 +4,7 @@
 use super::servers::{Admission, log_position, role};
 use super::{FleetSimulation, NETWORK_DELAY_MICROS, OpenAttempt};
 use birchreach::{
-    Action, AttemptNo, AttemptOutcome, AttemptResult, Event, LoadReport, Micros, RequestId, ServerId,
+    Action, AttemptNumber, AttemptOutcome, AttemptResult, Event, LoadReport, Micros, RequestId, ServerId,
     ServerStatus,
 };
 
@@ -73,7 +73,7 @@
         let status = ServerStatus { role: role(open.server), position };
         let result = AttemptResult {
             request: RequestId(attempt.request.request),
-            attempt: AttemptNo(attempt.number),
+            attempt: AttemptNumber(attempt.number),
             server: ServerId(open.server),
             outcome,
             elapsed: self.now - open.sent_at,
--- a/tests/property/results.rs
+++ b/tests/property/results.rs
@@ -24,7 +24,7 @@
         }
         self.handle(Event::AttemptCompleted(AttemptResult {
             request: RequestId(id),
-            attempt: AttemptNo(attempt as u16),
+            attempt: AttemptNumber(attempt as u16),
             server: ServerId(server),
             outcome,
             elapsed,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -111,7 +111,7 @@
     // When its server does not answer, then its attempt is cancelled first
     let actions = fixture.advance(1_000 * MILLISECOND);
     assert!(servers_sent_to(&actions).is_empty());
-    assert!(actions.contains(&Action::Cancel { request: RequestId(read.id), attempt: AttemptNo(0) }));
+    assert!(actions.contains(&Action::Cancel { request: RequestId(read.id), attempt: AttemptNumber(0) }));
     // When the attempt has been cancelled, then the read goes to another server
     let retried = servers_sent_to(&fixture.complete_attempt(read.id, 0, first, AttemptOutcome::Cancelled));
     assert_eq!(retried.len(), 1);
@@ -147,7 +147,7 @@
     fixture.complete_attempt(77, 3, REPLICA_1, AttemptOutcome::Ok);
     fixture.complete_attempt(77, 3, 999, AttemptOutcome::Error);
     fixture.handle(Event::ClientDisconnected { request: RequestId(5_000) });
-    fixture.handle(Event::ResponseStarted { request: RequestId(5_000), attempt: AttemptNo(0) });
+    fixture.handle(Event::ResponseStarted { request: RequestId(5_000), attempt: AttemptNumber(0) });
     fixture.handle(Event::Timer { id: 12 });
     fixture.complete_health_check(999, AttemptOutcome::Timeout);
     let mut endpoints = ready(ALL_SERVERS);
