--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -4,7 +4,7 @@
     AttemptNumber, ClassId, GroupId, Micros, RequestId, ServerId, SessionId, Settings, TenantId, ZoneId,
 };
 
-/// State of a server according to the endpoint list.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
     /// The server accepts work.
@@ -110,7 +110,7 @@
     Ok,
     /// The server responded with an error; the request may have run.
     Error,
-    /// The server rejected the request before execution, since its queue is full or it is draining.
+    /// The server rejected the request before execution because its queue is full or it is draining.
     Overloaded,
     /// No response arrived in time; the request may have run.
     Timeout,
@@ -124,7 +124,7 @@
     Cancelled,
     /// The attempt was never sent.
     NotSent,
-    /// The server rejected the request before execution, since it is not the primary or its data is too old.
+    /// The server rejected the request before execution because it is not the primary or its data is too old.
     Ineligible,
 }
 
@@ -229,7 +229,7 @@
         /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Check a server and request its load report.
+    /// Check the health of a server and request its load report.
     HealthCheck {
         /// The server to check.
         server: ServerId,
--- a/src/policy/attempt_results.rs
+++ b/src/policy/attempt_results.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Whether the server processed the request and answered it, with success or not.
+/// Whether the server processed the request and answered it, successfully or with an error.
 fn is_answer(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::Ok | AttemptOutcome::Ineligible | AttemptOutcome::Error)
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -175,7 +175,7 @@
     }
 
     /// Whether the server is sent no new requests at this time. This is the case if it accepts no work, for
-    /// instance since it is draining, or if it is ejected and not due for a retry. An ejected primary still
+    /// instance because it is draining, or if it is ejected and not due for a retry. An ejected primary still
     /// receives writes while it is responsive.
     pub fn is_out_of_rotation(&self, now: Micros, id: ServerId) -> bool {
         let Some(server) = self.accepting_server(id) else { return true };
@@ -184,7 +184,7 @@
         server.outlier.is_ejected_at(now) && !takes_writes
     }
 
-    /// Returns the server if the endpoint list allows to send it new work.
+    /// Returns the server if it may be sent new work according to the endpoint list.
     pub(super) fn accepting_server(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id).filter(|server| server.endpoint.accepts_work)
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -77,7 +77,7 @@
     wakeups: WakeupSchedule,
     latencies: LatencyEstimates,
     session_positions: SessionPositions,
-    /// Number of servers that the endpoint list allows to be sent new work.
+    /// Number of servers that may be sent new work according to the endpoint list.
     accepting_server_count: usize,
     throughput: ServedThroughput,
     retry_budget: RetryBudget,
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -59,7 +59,7 @@
     pub sent_at: Micros,
     pub class: ClassId,
     pub session: Option<SessionId>,
-    /// Whether the attempt no longer counts against the concurrency limit of its server, since it was
+    /// Whether the attempt no longer counts against the concurrency limit of its server because it was
     /// presumed lost or its response has started.
     pub released: bool,
     pub response_started_at: Option<Micros>,
--- a/src/policy/server_selection.rs
+++ b/src/policy/server_selection.rs
@@ -1,4 +1,4 @@
-//! Server selection: chooses the server for an attempt among those that may be sent it.
+//! Server selection: chooses the server for an attempt among those that are eligible for it.
 
 use super::pending::PendingRequest;
 use super::{POSITION_QUERYING_PROXIES, Router};
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -23,7 +23,7 @@
     /// Number of attempts that the server may still be sent, as of `updated_at`.
     tokens: f64,
     updated_at: Micros,
-    /// Time at which the server last refused a connection, which shows that no process was running.
+    /// Time at which the server last refused a connection. A refusal shows that no process was running.
     connection_refused_at: Option<Micros>,
 }
 
