--- a/membership/src/full_exchange.rs
+++ b/membership/src/full_exchange.rs
@@ -77,7 +77,7 @@
     /// All live members, this one included, in parts.
     pub fn export_members(&self) -> Vec<Vec<u8>> {
         let mut parts = vec![Vec::new()];
-        let own = Member::new(self.own().clone(), 0, State::Alive);
+        let own = Member::new(self.identity().clone(), 0, State::Alive);
         let others = self.foca.iter_membership_state().filter(|member| member.state() == State::Alive);
         for member in others.chain([&own]) {
             let mut bytes = Vec::new();
@@ -113,7 +113,7 @@
             return Err(PayloadError::TooManyMembers);
         }
         // Only live members are merged: that a member failed travels by gossip, which the member itself can contradict.
-        received.retain(|member| member.state() == State::Alive && member.id() != self.own());
+        received.retain(|member| member.state() == State::Alive && member.id() != self.identity());
         self.apply_members(now, received)
     }
 }
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -87,7 +87,7 @@
     }
 
     /// This process's current identity.
-    pub fn own(&self) -> &Peer {
+    pub fn identity(&self) -> &Peer {
         self.foca.identity()
     }
 
--- a/membership/tests/common/scenarios/limits.rs
+++ b/membership/tests/common/scenarios/limits.rs
@@ -38,7 +38,7 @@
     agreement(&mut network, 2, 10 * SECOND, "join")?;
 
     for round in 0..400 {
-        let to = membership(&mut network, 0)?.own().clone();
+        let to = membership(&mut network, 0)?.identity().clone();
         let payload = invented_gossip(to, round)?;
         network.deliver(0, invented(0).incarnation, payload);
     }
--- a/membership/tests/common/scenarios/mod.rs
+++ b/membership/tests/common/scenarios/mod.rs
@@ -83,14 +83,14 @@
     for clock_offset in [0, -3_600 * SECOND] {
         let mut network = Network::started(10, 6);
         agreement(&mut network, 10, 20 * SECOND, "join")?;
-        let before = membership(&mut network, 4)?.own().incarnation;
+        let before = membership(&mut network, 4)?.identity().incarnation;
 
         // Before any other member has noticed, and once with a clock that went back.
         network.kill(4);
         network.start(4, clock_offset);
         agreement(&mut network, 10, 30 * SECOND, &format!("restart, clock off by {clock_offset}"))?;
 
-        let after = membership(&mut network, 4)?.own().incarnation;
+        let after = membership(&mut network, 4)?.identity().incarnation;
         let seen = |view: &Membership| {
             view.members().find(|member| member.address == address(4)).map(|member| member.incarnation)
         };
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -108,7 +108,7 @@
         let joined = || network.live().filter(|membership| !membership.left());
         let quotas: f64 = joined().map(|membership| 1.0 / f64::from(membership.view().divisor())).sum();
         let is_own_member = |membership: &Membership| {
-            membership.members().any(|member| member.address == membership.own().address)
+            membership.members().any(|member| member.address == membership.identity().address)
         };
         let any_own_member = joined().any(is_own_member);
         let any_alone = joined().any(|membership| membership.view().state == ViewState::Alone);
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -43,7 +43,7 @@
 fn a_join_and_the_gossip_after_it_are_written_and_read_as_recorded() {
     // When both exchange the recorded payloads, then each writes those that were recorded.
     let mut members = [member(0, 0), member(1, 0)];
-    let incarnations = [0, 1].map(|index| members[index].own().incarnation);
+    let incarnations = [0, 1].map(|index| members[index].identity().incarnation);
     let mut sent = 0;
     for now in (0..5 * SECOND).step_by(100_000) {
         for index in [1, 0] {
@@ -85,8 +85,8 @@
     // When the other imports it, then it has both members.
     first.import_members(SECOND, &[recorded("exchange")]).unwrap();
     let members: Vec<_> = first.members().cloned().collect();
-    assert_eq!(members, [second.own().clone()]);
-    assert_eq!(first.own().name, "proxy-a");
+    assert_eq!(members, [second.identity().clone()]);
+    assert_eq!(first.identity().name, "proxy-a");
     assert_recorded("exchange-of-two", &first.export_members().concat());
 }
 
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -123,7 +123,7 @@
 /// The reply to the call `fleet`.
 pub(crate) fn status_lines(membership: &Membership, now: Micros) -> String {
     let view = membership.view();
-    let own = membership.own();
+    let identity = membership.identity();
     let for_ms = match view.state {
         ViewState::Settled { since } | ViewState::Blind { since } => {
             format!(" for_ms={}", (now - since) / MICROS_PER_MILLI)
@@ -140,9 +140,9 @@
         view.configured_members,
         view.divisor(),
         view.digest,
-        own.name,
-        own.incarnation,
-        own.epoch
+        identity.name,
+        identity.incarnation,
+        identity.epoch
     );
     for name in &view.name_conflicts {
         let _ = writeln!(text, "twins name={name}");
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -67,7 +67,7 @@
 
     /// The random number of this process.
     pub(super) fn incarnation(&self) -> u64 {
-        self.membership.borrow().own().incarnation
+        self.membership.borrow().identity().incarnation
     }
 
     /// Replaces this process's report on a channel.
