--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -52,7 +52,7 @@
 
 impl View {
     /// A quota of the whole fleet is divided by this: the larger of the configured and the seen number of members.
-    pub fn divisor(&self) -> u32 {
+    pub fn quota_divisor(&self) -> u32 {
         let configured = if fault_injected!(DivisorIgnoresOptions) { 0 } else { self.configured_members };
         configured.max(u32::try_from(self.members).unwrap_or(u32::MAX)).max(1)
     }
--- a/membership/tests/common/scenarios/mod.rs
+++ b/membership/tests/common/scenarios/mod.rs
@@ -65,7 +65,7 @@
     partition(&mut network, 7);
     for _ in 0..200 {
         network.advance(SECOND / 5);
-        let sum: f64 = network.live().map(|member| 1.0 / f64::from(member.view().divisor())).sum();
+        let sum: f64 = network.live().map(|member| 1.0 / f64::from(member.view().quota_divisor())).sum();
         ensure!(sum <= 1.0 + 1e-9, "{sum} at {}", network.now);
     }
     ensure!(network.live().all(|member| member.view().members < 20), "each partition sees itself alone");
@@ -74,7 +74,7 @@
     end_partition(&mut network);
     (20..25).for_each(|index| network.start(index, 0));
     agreement(&mut network, 25, 20 * SECOND, "join of five more")?;
-    ensure!(network.live().all(|member| member.view().divisor() == 25));
+    ensure!(network.live().all(|member| member.view().quota_divisor() == 25));
     Ok(())
 }
 
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -106,7 +106,7 @@
     /// reports itself alone.
     fn check(&self, network: &Network) -> Result<(), String> {
         let joined = || network.live().filter(|membership| !membership.left());
-        let quotas: f64 = joined().map(|membership| 1.0 / f64::from(membership.view().divisor())).sum();
+        let quotas: f64 = joined().map(|membership| 1.0 / f64::from(membership.view().quota_divisor())).sum();
         let is_own_member = |membership: &Membership| {
             membership.members().any(|member| member.address == membership.identity().address)
         };
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -138,7 +138,7 @@
         view.state.as_str(),
         view.members,
         view.configured_members,
-        view.divisor(),
+        view.quota_divisor(),
         view.digest,
         identity.name,
         identity.incarnation,
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -80,7 +80,7 @@
             incarnation: fleet.incarnation(),
             configured_members: fleet.view().configured_members,
         };
-        let divisor = fleet.view().divisor();
+        let divisor = fleet.view().quota_divisor();
         let now = self.context.now;
         let mut work = self
             .background
@@ -198,7 +198,7 @@
         work.finish_tasks(now, self.pool.take_completed_queries());
         // Of two processes of one proxy only the one that is a member of the fleet starts tasks.
         if is_active {
-            work.start_due_tasks(&mut self.context, &mut self.pool, view.divisor());
+            work.start_due_tasks(&mut self.context, &mut self.pool, view.quota_divisor());
         }
         work.finish_tasks(now, self.pool.take_completed_queries());
         work.schedule_next_run(&mut self.context);
