--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -133,6 +133,6 @@
         |server| Database { server, group: group_of(server), name_hash: u64::from(server) * 7 + 1 };
     let replica_counts = (0..GROUPS).map(|group| (group, SERVERS_PER_GROUP as usize - 1)).collect();
     tracker.update_databases((0..SERVERS).map(database).collect(), replica_counts);
-    tracker.set_fleet(proxies, GossipReports::interval(proxies));
+    tracker.set_fleet(proxies, GossipReports::renewal_interval(proxies));
     tracker
 }
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -90,7 +90,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let tracker = |process: usize| {
             let mut tracker = HotKeyTracker::new(settings(count), process as u64 + 1, 1, now);
-            tracker.set_fleet(count, GossipReports::interval(count));
+            tracker.set_fleet(count, GossipReports::renewal_interval(count));
             list_databases(&mut tracker);
             tracker
         };
--- a/membership/src/gossip_reports.rs
+++ b/membership/src/gossip_reports.rs
@@ -3,7 +3,7 @@
 //!
 //! Push gossip: a member with a new report sends it to [`SENDS_PER_REPORT`] members drawn at random, so that all but a few in a
 //! thousand have it after a number of rounds that grows with the logarithm of their number; those it missed get the next one. The datagrams a second are bounded whatever the
-//! fleet's size; the interval at which a report is renewed grows with it ([`GossipReports::interval`]).
+//! fleet's size; the interval at which a report is renewed grows with it ([`GossipReports::renewal_interval`]).
 
 use crate::swim::{OutgoingPayload, PayloadError};
 use crate::{MAX_PAYLOAD_BYTES, Micros};
@@ -107,14 +107,14 @@
     }
 
     /// How often each of so many members should renew its report; it expires after [`LIFETIME_INTERVALS`] of these.
-    pub fn interval(members: usize) -> Micros {
+    pub fn renewal_interval(members: usize) -> Micros {
         let members = Micros::try_from(members).unwrap_or(Micros::MAX / INTERVAL_PER_MEMBER);
         (INTERVAL_PER_MEMBER * members).max(MIN_INTERVAL)
     }
 
     /// How long a report counts after it was made.
     fn lifetime(members: usize) -> Micros {
-        GossipReports::interval(members) * LIFETIME_INTERVALS
+        GossipReports::renewal_interval(members) * LIFETIME_INTERVALS
     }
 
     /// Replaces this process's report on a channel. One that is too long is not sent.
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -24,7 +24,7 @@
         let mut members: Vec<GossipReports> = (0..count)
             .map(|index| GossipReports::new(index as u64 + 1, seed * 1_000 + index as u64))
             .collect();
-        let interval = GossipReports::interval(count);
+        let interval = GossipReports::renewal_interval(count);
         let (mut received, mut datagrams) = (0, 0);
         for (index, member) in members.iter_mut().enumerate() {
             member.publish(0, 1, vec![index as u8; 110]);
@@ -106,7 +106,7 @@
     assert!((5 * SECOND / 2..3 * SECOND).contains(&received[0].age), "{received:?}");
 
     // When its lifetime is over, then it is not forwarded any more.
-    let lifetime = GossipReports::interval(3) * LIFETIME_INTERVALS;
+    let lifetime = GossipReports::renewal_interval(3) * LIFETIME_INTERVALS;
     assert_eq!(next_datagram(&mut third, lifetime), None, "it has expired, and is not forwarded");
 }
 
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -191,7 +191,7 @@
         let (Some(fleet), Some(work)) = (&self.fleet, &mut self.background) else { return };
         let (view, is_active) = (fleet.view(), fleet.is_active());
         let now = self.context.now;
-        let report_interval = GossipReports::interval(view.members);
+        let report_interval = GossipReports::renewal_interval(view.members);
         work.run_split(now, view.members, report_interval);
         work.run_hot_keys(now, view.members, report_interval);
         let reports = work.due_reports(now);
