--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewState {
     /// It is the only member by its options, and has received from no other.
-    Alone,
+    Standalone,
     /// It receives from nobody: its view may be of its own partition only.
-    Blind {
+    Isolated {
         /// When it last received.
         since: Micros,
     },
@@ -27,8 +27,8 @@
     /// The state in logs and in the answers to operators.
     pub fn as_str(self) -> &'static str {
         match self {
-            ViewState::Alone => "alone",
-            ViewState::Blind { .. } => "blind",
+            ViewState::Standalone => "alone",
+            ViewState::Isolated { .. } => "blind",
             ViewState::Changing => "moving",
             ViewState::Settled { .. } => "settled",
         }
--- a/membership/src/view_state.rs
+++ b/membership/src/view_state.rs
@@ -19,7 +19,7 @@
             ViewState::Changing if self.members.is_empty() => blind_at,
             ViewState::Changing => (self.view_changed_at + SETTLED_AFTER).min(blind_at),
             ViewState::Settled { .. } => blind_at,
-            ViewState::Blind { .. } | ViewState::Alone => Micros::MAX,
+            ViewState::Isolated { .. } | ViewState::Standalone => Micros::MAX,
         }
     }
 
@@ -50,14 +50,14 @@
         let receives_nothing = now - self.last_received_at >= BLIND_AFTER && !fault_injected!(NeverBlind);
         let state = if self.members.is_empty() {
             match self.configured_members {
-                0 | 1 => ViewState::Alone,
+                0 | 1 => ViewState::Standalone,
                 _ if receives_nothing => {
-                    ViewState::Blind { since: self.last_received_at.max(self.started_at) }
+                    ViewState::Isolated { since: self.last_received_at.max(self.started_at) }
                 }
                 _ => ViewState::Changing,
             }
         } else if receives_nothing {
-            ViewState::Blind { since: self.last_received_at }
+            ViewState::Isolated { since: self.last_received_at }
         } else if now - self.view_changed_at >= SETTLED_AFTER {
             ViewState::Settled { since: self.view_changed_at }
         } else {
--- a/membership/tests/common/scenarios/mod.rs
+++ b/membership/tests/common/scenarios/mod.rs
@@ -107,7 +107,7 @@
     let mut network = Network::new(3, 7);
     network.start(0, 0);
     network.advance(4 * SECOND);
-    ensure_eq!(state(&mut network)?, ViewState::Blind { since: 0 });
+    ensure_eq!(state(&mut network)?, ViewState::Isolated { since: 0 });
 
     (1..3).for_each(|index| network.start(index, 0));
     agreement(&mut network, 3, 10 * SECOND, "join")?;
@@ -119,13 +119,13 @@
     let about_then = partitioned_at - SECOND..=partitioned_at + SECOND;
     let state_after = state(&mut network)?;
     ensure!(
-        matches!(state_after, ViewState::Blind { since } if about_then.contains(&since)),
+        matches!(state_after, ViewState::Isolated { since } if about_then.contains(&since)),
         "{state_after:?}"
     );
 
     let mut alone = Network::started(1, 8);
     alone.advance(10 * SECOND);
-    ensure_eq!(state(&mut alone)?, ViewState::Alone);
+    ensure_eq!(state(&mut alone)?, ViewState::Standalone);
     Ok(())
 }
 
--- a/membership/tests/common/scenarios/settling.rs
+++ b/membership/tests/common/scenarios/settling.rs
@@ -32,7 +32,7 @@
         network.is_partitioned = Box::new(move |_, to| to == last);
         network.advance(20 * SECOND);
         let state = membership(network, last)?.view().state;
-        ensure!(matches!(state, ViewState::Blind { .. }), "{state:?}");
+        ensure!(matches!(state, ViewState::Isolated { .. }), "{state:?}");
         end_partition(network);
         agreement(network, count, limit, &label("one-way partition"))?;
 
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -111,7 +111,7 @@
             membership.members().any(|member| member.address == membership.identity().address)
         };
         let any_own_member = joined().any(is_own_member);
-        let any_alone = joined().any(|membership| membership.view().state == ViewState::Alone);
+        let any_alone = joined().any(|membership| membership.view().state == ViewState::Standalone);
         if quotas > 1.0 + 1e-9 || any_own_member || any_alone {
             let now = network.now;
             return Err(format!(
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -125,10 +125,10 @@
     let view = membership.view();
     let identity = membership.identity();
     let for_ms = match view.state {
-        ViewState::Settled { since } | ViewState::Blind { since } => {
+        ViewState::Settled { since } | ViewState::Isolated { since } => {
             format!(" for_ms={}", (now - since) / MICROS_PER_MILLI)
         }
-        ViewState::Changing | ViewState::Alone => String::new(),
+        ViewState::Changing | ViewState::Standalone => String::new(),
     };
     let mut text = String::new();
     // Writing to a string does not fail.
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -141,7 +141,7 @@
             MembershipChange::NameConflictResolved(name) => {
                 info!(event = "fleet-name-conflict-resolved", name = %Quoted(name));
             }
-            MembershipChange::State(state @ ViewState::Blind { .. }) => {
+            MembershipChange::State(state @ ViewState::Isolated { .. }) => {
                 warn!(event = "fleet", state = state.as_str());
             }
             MembershipChange::State(state) => {
