--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -72,7 +72,7 @@
     /// No two members have this name any longer.
     NameConflictResolved(String),
     /// The state of the view.
-    State(ViewState),
+    StateChanged(ViewState),
 }
 
 /// The digest of a set of members; their order does not matter.
--- a/membership/src/view_state.rs
+++ b/membership/src/view_state.rs
@@ -64,7 +64,7 @@
             ViewState::Changing
         };
         if std::mem::replace(&mut self.state, state) != state {
-            self.push_change(MembershipChange::State(state));
+            self.push_change(MembershipChange::StateChanged(state));
         }
     }
 }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -141,10 +141,10 @@
             MembershipChange::NameConflictResolved(name) => {
                 info!(event = "fleet-name-conflict-resolved", name = %Quoted(name));
             }
-            MembershipChange::State(state @ ViewState::Isolated { .. }) => {
+            MembershipChange::StateChanged(state @ ViewState::Isolated { .. }) => {
                 warn!(event = "fleet", state = state.as_str());
             }
-            MembershipChange::State(state) => {
+            MembershipChange::StateChanged(state) => {
                 let view = self.view();
                 let digest = format!("{:016x}", view.digest);
                 info!(event = "fleet", state = state.as_str(), members = view.members, digest);
