--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -101,7 +101,7 @@
         View {
             state: self.state,
             digest: self.digest,
-            members: self.members.len() + 1,
+            member_count: self.members.len() + 1,
             configured_members: self.configured_members,
             name_conflicts: self.name_conflicts.iter().cloned().collect(),
         }
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -43,7 +43,7 @@
     /// Equal at all processes that see the same incarnations.
     pub digest: u64,
     /// Members in the view, this one included.
-    pub members: usize,
+    pub member_count: usize,
     /// Members that the options name, this one included.
     pub configured_members: u32,
     /// Names that two members have.
@@ -54,7 +54,7 @@
     /// A quota of the whole fleet is divided by this: the larger of the configured and the seen number of members.
     pub fn quota_divisor(&self) -> u32 {
         let configured = if fault_injected!(DivisorIgnoresOptions) { 0 } else { self.configured_members };
-        configured.max(u32::try_from(self.members).unwrap_or(u32::MAX)).max(1)
+        configured.max(u32::try_from(self.member_count).unwrap_or(u32::MAX)).max(1)
     }
 }
 
--- a/membership/tests/common/network.rs
+++ b/membership/tests/common/network.rs
@@ -220,9 +220,9 @@
     pub(crate) fn agrees(&self, members: usize) -> bool {
         let views: Vec<_> = self.live().map(Membership::view).collect();
         let is_settled = |state: ViewState| matches!(state, ViewState::Settled { .. });
-        views
-            .iter()
-            .all(|view| view.members == members && view.digest == views[0].digest && is_settled(view.state))
+        views.iter().all(|view| {
+            view.member_count == members && view.digest == views[0].digest && is_settled(view.state)
+        })
     }
 
     /// How long it takes until they agree; none if longer than the limit.
--- a/membership/tests/common/scenarios/mod.rs
+++ b/membership/tests/common/scenarios/mod.rs
@@ -68,7 +68,7 @@
         let sum: f64 = network.live().map(|member| 1.0 / f64::from(member.view().quota_divisor())).sum();
         ensure!(sum <= 1.0 + 1e-9, "{sum} at {}", network.now);
     }
-    ensure!(network.live().all(|member| member.view().members < 20), "each partition sees itself alone");
+    ensure!(network.live().all(|member| member.view().member_count < 20), "each partition sees itself alone");
 
     // More members than the options name: those seen count.
     end_partition(&mut network);
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -141,7 +141,7 @@
 
 fn views(network: &Network) -> Vec<(usize, u64, ViewState)> {
     let views = network.live().map(Membership::view);
-    views.map(|view| (view.members, view.digest, view.state)).collect()
+    views.map(|view| (view.member_count, view.digest, view.state)).collect()
 }
 
 /// The first 150 schedules settle.
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -61,7 +61,7 @@
 
     // Then both have settled on one view.
     for member in &members {
-        assert_eq!(member.view().members, 2);
+        assert_eq!(member.view().member_count, 2);
         assert_recorded("digest-of-two", &member.view().digest.to_be_bytes());
         assert!(matches!(member.view().state, ViewState::Settled { .. }));
     }
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -111,7 +111,7 @@
     /// All metrics in the text format, without its last line.
     pub(crate) fn text(&self, membership: &Membership) -> String {
         let view = membership.view();
-        self.members.set(i64::try_from(view.members).unwrap_or(i64::MAX));
+        self.members.set(i64::try_from(view.member_count).unwrap_or(i64::MAX));
         self.settled.set(i64::from(matches!(view.state, ViewState::Settled { .. })));
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -136,7 +136,7 @@
         text,
         "fleet state={}{for_ms} members={} named={} divisor={} digest={:016x} name={} boot={:016x} epoch={}",
         view.state.as_str(),
-        view.members,
+        view.member_count,
         view.configured_members,
         view.quota_divisor(),
         view.digest,
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -191,9 +191,9 @@
         let (Some(fleet), Some(work)) = (&self.fleet, &mut self.background) else { return };
         let (view, is_active) = (fleet.view(), fleet.is_active());
         let now = self.context.now;
-        let report_interval = GossipReports::renewal_interval(view.members);
-        work.run_split(now, view.members, report_interval);
-        work.run_hot_keys(now, view.members, report_interval);
+        let report_interval = GossipReports::renewal_interval(view.member_count);
+        work.run_split(now, view.member_count, report_interval);
+        work.run_hot_keys(now, view.member_count, report_interval);
         let reports = work.due_reports(now);
         work.finish_tasks(now, self.pool.take_completed_queries());
         // Of two processes of one proxy only the one that is a member of the fleet starts tasks.
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -147,7 +147,7 @@
             MembershipChange::StateChanged(state) => {
                 let view = self.view();
                 let digest = format!("{:016x}", view.digest);
-                info!(event = "fleet", state = state.as_str(), members = view.members, digest);
+                info!(event = "fleet", state = state.as_str(), members = view.member_count, digest);
             }
         }
     }
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -79,7 +79,7 @@
     pub(in crate::net) fn admin_reports(&self) -> AdminReports {
         let Some(fleet) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fleet.view());
-        let (divisor, member_count) = (view.quota_divisor(), view.members);
+        let (divisor, member_count) = (view.quota_divisor(), view.member_count);
         let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(member_count));
         AdminReports {
             fleet: Some(fleet.status_lines(self.context.now)),
