--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -23,9 +23,9 @@
     /// Unix time in milliseconds.
     pub epoch: u64,
     /// The seed of random choices among members.
-    pub seed: u64,
+    pub rng_seed: u64,
     /// Addresses of others by the options.
-    pub seeds: Vec<SocketAddr>,
+    pub seed_addresses: Vec<SocketAddr>,
     /// Members by the options, this one included.
     pub configured_members: u32,
 }
@@ -59,11 +59,18 @@
 impl Membership {
     /// The membership of a process that starts now.
     pub fn new(settings: MembershipSettings, now: Micros) -> Membership {
-        let MembershipSettings { name, address, incarnation, epoch, seed, seeds, configured_members } =
-            settings;
+        let MembershipSettings {
+            name,
+            address,
+            incarnation,
+            epoch,
+            rng_seed,
+            seed_addresses,
+            configured_members,
+        } = settings;
         let own = Peer { name, address, incarnation: incarnation.max(1), epoch, renewals: 0 };
-        let rng = rand::rngs::SmallRng::seed_from_u64(seed);
-        let others = seeds.into_iter().filter(|seed| *seed != address);
+        let rng = rand::rngs::SmallRng::seed_from_u64(rng_seed);
+        let others = seed_addresses.into_iter().filter(|seed| *seed != address);
         let mut membership = Membership {
             known_addresses: KnownAddresses::new(others, now),
             foca: Foca::new(own, config(), rng, PostcardCodec),
--- a/membership/tests/common/network.rs
+++ b/membership/tests/common/network.rs
@@ -73,8 +73,8 @@
             address: address(index),
             incarnation,
             epoch: ((STARTED_AT + self.now + clock_offset) / 1_000) as u64,
-            seed: self.rng.u64(..),
-            seeds: vec![address(0), address(1)],
+            rng_seed: self.rng.u64(..),
+            seed_addresses: vec![address(0), address(1)],
             configured_members: self.configured_members,
         };
         let process = Process::new(incarnation, Membership::new(settings, self.now));
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -31,8 +31,8 @@
         address: address(index),
         incarnation: 0x1000_0000_0000_0001 + index as u64,
         epoch: 1_700_000_000_000 + index as u64,
-        seed: index as u64 + 1,
-        seeds: vec![address(0)],
+        rng_seed: index as u64 + 1,
+        seed_addresses: vec![address(0)],
         configured_members: 2,
     };
     Membership::new(settings, now)
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -69,8 +69,8 @@
             address: options.advertise,
             incarnation,
             epoch: u64::try_from(self.context.now / MICROS_PER_MILLI).unwrap_or(0),
-            seed: self.config.seed ^ incarnation,
-            seeds: options.peers.clone(),
+            rng_seed: self.config.seed ^ incarnation,
+            seed_addresses: options.peers.clone(),
             configured_members: options.configured_members,
         })
     }
