--- a/membership/src/changes.rs
+++ b/membership/src/changes.rs
@@ -1,4 +1,5 @@
-//! Applies foca's output: its timers are set, its notifications change the members and are queued for the caller.
+//! Applies foca's output: schedules its timers, updates the members from its notifications and queues the
+//! resulting changes for the caller.
 
 use crate::membership::Membership;
 use crate::swim::{PayloadError, RequestedTimer};
@@ -7,26 +8,26 @@
 use foca::OwnedNotification::{MemberDown, MemberUp, Rejoin, Rename};
 use std::cmp::Reverse;
 
-/// Changes that wait to be taken; beyond this the oldest is dropped.
-const MAX_CHANGES: usize = 1_024;
-/// Timers of foca's that are kept; far more than it needs for so many members.
+/// Capacity of the queue of changes. When the queue is full, its oldest change is dropped.
+const MAX_PENDING_CHANGES: usize = 1_024;
+/// Maximum number of pending foca timers; further timers are dropped. foca needs far fewer for
+/// [`MAX_MEMBERS`] members.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
 impl Membership {
-    /// What has changed since the last call.
+    /// Removes and returns the queued changes, oldest first. At most 1,024 changes are queued between calls.
     pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         self.changes.drain(..).collect()
     }
 
-    /// Queues a change for the caller.
     pub(crate) fn push_change(&mut self, change: MembershipChange) {
-        if self.changes.len() >= MAX_CHANGES {
+        if self.changes.len() >= MAX_PENDING_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(change);
     }
 
-    /// Merges the members of a full exchange.
+    /// Merges the members received in a full exchange.
     pub(crate) fn apply_members(
         &mut self,
         now: Micros,
@@ -38,7 +39,7 @@
         result.map_err(|_| PayloadError::Malformed)
     }
 
-    /// Sets the timers that foca requested, and applies its notifications.
+    /// Schedules the timers that foca requested and applies its notifications.
     pub(crate) fn apply_output(&mut self, now: Micros) {
         for RequestedTimer { timer, after } in std::mem::take(&mut self.output.timers) {
             if self.timers.len() < MAX_TIMERS {
@@ -60,7 +61,7 @@
         self.update_name_conflicts();
     }
 
-    /// Changes the members by one of foca's notifications.
+    /// Updates the members and queues a change for the caller.
     fn apply_notification(&mut self, now: Micros, notification: foca::OwnedNotification<Peer>) {
         match notification {
             MemberUp(peer) => {
--- a/membership/src/faults.rs
+++ b/membership/src/faults.rs
@@ -1,22 +1,22 @@
-//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
+//! Faults that the tests inject into this crate, to show that each check detects the fault that it guards against.
 
 birchreach_fault_injection::declare_faults! {
-    /// Addresses outside the view are not retried.
+    /// Known addresses outside the view are not retried.
     NoAddressRetries,
-    /// No full exchange is started.
+    /// The process starts no full exchange.
     NoFullExchanges,
-    /// A suspected member is removed almost at once.
-    SuspectsRemovedAtOnce,
-    /// The divisor is the number of members in the view, without regard to the options.
-    DivisorIgnoresOptions,
-    /// A renewed epoch is greater by one only.
-    EpochStepsOfOne,
-    /// A partitioned process does not notice it.
-    NeverBlind,
-    /// Two members with one name are not reported.
+    /// A suspected member is removed after 1 ms.
+    SuspectsRemovedImmediately,
+    /// The quota divisor is the number of members in the view; the configured number is ignored.
+    DivisorIgnoresConfiguration,
+    /// Each renewal increases the epoch by one; the increment does not double.
+    EpochIncrementConstant,
+    /// An isolated process does not enter the state `Isolated`.
+    IsolationNotDetected,
+    /// Two members with the same name are not reported.
     NameConflictsIgnored,
-    /// Any number of members is accepted.
+    /// The number of members is not limited.
     NoMemberLimit,
-    /// A report counts each time it is received.
-    DuplicatesCounted,
+    /// A report that was already received is accepted again.
+    DuplicatesAccepted,
 }
--- a/membership/src/full_exchange.rs
+++ b/membership/src/full_exchange.rs
@@ -1,5 +1,7 @@
-//! The full exchange: all live members that one process knows, in parts for a link, and merging what another sent. It transfers at
-//! once what gossip would transfer over time: at a join, after a partition, and while two members' views differ.
+//! Full exchange: two processes send each other all live members that they know and merge what they receive.
+//!
+//! An exchange transfers at once what gossip transfers over many rounds. It runs after a join, after a partition
+//! and while the views of two members differ. The members are sent in parts, each of which fits one frame.
 
 use crate::membership::Membership;
 use crate::swim::PayloadError;
@@ -8,23 +10,23 @@
 use foca::{Codec, Member, PostcardCodec, State};
 use std::net::SocketAddr;
 
-/// The longest part, in bytes; a link carries it in one frame.
+/// Maximum size of a part in bytes. A connection between peers carries each part in one frame.
 pub const MAX_PART_BYTES: usize = 48 << 10;
-/// Parts that are accepted of one exchange: more than [`MAX_MEMBERS`] need.
+/// Maximum number of parts accepted in one exchange. [`MAX_MEMBERS`] members need fewer.
 pub const MAX_PARTS: usize = 16;
-/// An exchange is due once another member's view has differed for this time; gossip removes smaller differences sooner.
-const DIFFERENCE_BEFORE_EXCHANGE: Micros = 500_000;
-/// A process begins at most one exchange in this time.
+/// An exchange is due after views have differed for this long. Gossip resolves small differences sooner.
+const EXCHANGE_DELAY: Micros = 500_000;
+/// Minimum time between two exchanges that this process starts.
 const MIN_EXCHANGE_INTERVAL: Micros = 1_000_000;
 
-/// A member whose view differs.
+/// The member whose view most recently differed from the view of this process.
 struct DifferingMember {
     address: SocketAddr,
-    /// Since when some member's view has differed.
+    /// When views began to differ. A later difference with another member does not reset this time.
     since: Micros,
 }
 
-/// With which member an exchange is due, and when the next is allowed.
+/// Decides when the next full exchange is due and with which member.
 #[derive(Default)]
 pub(crate) struct ExchangeSchedule {
     differing_member: Option<DifferingMember>,
@@ -32,7 +34,7 @@
 }
 
 impl ExchangeSchedule {
-    /// Records that a member's digest was received, and whether it is the same as this process's.
+    /// Records a digest received from a member. `is_same` tells whether it equals the digest of this process.
     pub(crate) fn record_digest(&mut self, now: Micros, from: SocketAddr, is_same: bool) {
         match &mut self.differing_member {
             Some(member) if is_same && member.address == from => self.differing_member = None,
@@ -42,19 +44,19 @@
         }
     }
 
-    /// Records the first member of the view: an exchange with it is due at once.
+    /// Records the first member that joined the view. An exchange with this member is due immediately.
     pub(crate) fn record_first_member(&mut self, now: Micros, address: SocketAddr) {
-        let since = now - DIFFERENCE_BEFORE_EXCHANGE;
+        let since = now - EXCHANGE_DELAY;
         self.differing_member = Some(DifferingMember { address, since });
     }
 
-    /// When an exchange is due, unless views become the same before.
+    /// Returns when the next exchange is due, or [`Micros::MAX`] if no view differs.
     pub(crate) fn next_change(&self) -> Micros {
-        let due_at = |member: &DifferingMember| member.since + DIFFERENCE_BEFORE_EXCHANGE;
+        let due_at = |member: &DifferingMember| member.since + EXCHANGE_DELAY;
         self.differing_member.as_ref().map_or(Micros::MAX, |member| due_at(member).max(self.next_allowed_at))
     }
 
-    /// The member with which an exchange is due now; the next is allowed after an interval.
+    /// Returns the member with which an exchange is due now, and starts the interval before the next exchange.
     pub(crate) fn due(&mut self, now: Micros) -> Option<SocketAddr> {
         if now < self.next_change() {
             return None;
@@ -65,16 +67,18 @@
 }
 
 impl Membership {
-    /// The member with which a full exchange is due now.
+    /// Returns the address of the member with which a full exchange is due now. Each due exchange is returned once.
+    ///
+    /// `None` means that no exchange is due, that the member has left the view, or that this process has left.
     pub fn due_exchange(&mut self, now: Micros) -> Option<SocketAddr> {
-        if self.left || fault_injected!(NoFullExchanges) {
+        if self.has_left || fault_injected!(NoFullExchanges) {
             return None;
         }
         let members = &self.members;
         self.exchange_schedule.due(now).filter(|address| members.contains_key(address))
     }
 
-    /// All live members, this one included, in parts.
+    /// Encodes all live members, including this process, in parts of at most [`MAX_PART_BYTES`].
     pub fn export_members(&self) -> Vec<Vec<u8>> {
         let mut parts = vec![Vec::new()];
         let own = Member::new(self.identity().clone(), 0, State::Alive);
@@ -94,11 +98,12 @@
         parts
     }
 
-    /// Merges all members that another member sent, or none of them.
+    /// Merges the members that another process exported. If any part is rejected, no member is merged.
     ///
     /// # Errors
     ///
-    /// The reason why the parts are rejected.
+    /// [`PayloadError::Malformed`] if a part cannot be decoded, and [`PayloadError::TooManyMembers`] if the
+    /// members would exceed [`MAX_MEMBERS`].
     pub fn import_members(&mut self, now: Micros, parts: &[Vec<u8>]) -> Result<(), PayloadError> {
         let mut received = Vec::new();
         for mut part in parts.iter().map(Vec::as_slice) {
@@ -108,11 +113,12 @@
                 received.push(member);
             }
         }
-        let new = received.iter().filter(|member| !self.members.contains_key(&member.id().address)).count();
-        if self.foca.iter_membership_state().len() + new > MAX_MEMBERS {
+        let new_members =
+            received.iter().filter(|member| !self.members.contains_key(&member.id().address)).count();
+        if self.foca.iter_membership_state().len() + new_members > MAX_MEMBERS {
             return Err(PayloadError::TooManyMembers);
         }
-        // Only live members are merged: that a member failed travels by gossip, which the member itself can contradict.
+        // Only live members are merged. Failures spread by gossip, where the suspected member can refute them.
         received.retain(|member| member.state() == State::Alive && member.id() != self.identity());
         self.apply_members(now, received)
     }
--- a/membership/src/gossip_reports.rs
+++ b/membership/src/gossip_reports.rs
@@ -1,9 +1,12 @@
-//! Small reports of each member to all others: the newest of each origin counts, once, and one that is not renewed expires. Which
-//! member a report is sent to next, and how often, is decided here; what a report means is defined by its channel.
+//! Push gossip of small reports from each member to all other members.
 //!
-//! Push gossip: a member with a new report sends it to [`SENDS_PER_REPORT`] members drawn at random, so that all but a few in a
-//! thousand have it after a number of rounds that grows with the logarithm of their number; those it missed get the next one. The datagrams a second are bounded whatever the
-//! fleet's size; the interval at which a report is renewed grows with it ([`GossipReports::renewal_interval`]).
+//! Only the newest report of an origin on a channel is accepted, and only once. Reports that are not renewed expire.
+//! This module selects the recipients of a report and limits its sends. The channel defines the report's meaning.
+//!
+//! A member with a new report sends it to [`SENDS_PER_REPORT`] random members. All but a few members in a thousand
+//! receive it, after a number of rounds that grows with the logarithm of the fleet's size. The others receive the
+//! next report. The number of datagrams per second is bounded for all fleet sizes. In return, the interval at which a
+//! report is renewed grows with the fleet ([`GossipReports::renewal_interval`]).
 
 use crate::swim::{OutgoingPayload, PayloadError};
 use crate::{MAX_PAYLOAD_BYTES, Micros};
@@ -13,40 +16,41 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The longest report.
+/// Maximum size of a report's payload in bytes. Longer payloads are not published.
 pub const MAX_REPORT_BYTES: usize = 1_000;
-/// How often each member sends a report: 1 - e^-5 of a fleet receive it.
+/// Number of times that each member sends a report. With five sends, 1 - e^-5 of the fleet receives it.
 const SENDS_PER_REPORT: u32 = 5;
-/// The shortest time between two datagrams of one member: 20 a second, 26 KB, at most.
+/// Minimum time between two datagrams of a member. A member sends at most 20 datagrams, or 26 KB, per second.
 const SEND_INTERVAL: Micros = 50_000;
-/// The time that sending one member's report takes each member at that rate: five times a report of 130 bytes, ten to a
-/// datagram.
-const INTERVAL_PER_MEMBER: Micros = 25_000;
-/// The shortest interval at which a report is renewed.
-const MIN_INTERVAL: Micros = 1_000_000;
-/// A report that is not renewed expires after so many intervals.
+/// Time that each member spends on sending the report of one member at the maximum rate: five sends of a report of
+/// 130 bytes, with ten reports to a datagram.
+const RENEWAL_INTERVAL_PER_MEMBER: Micros = 25_000;
+/// Minimum interval at which a report is renewed.
+const MIN_RENEWAL_INTERVAL: Micros = 1_000_000;
+/// Number of intervals of [`GossipReports::renewal_interval`] after which a report expires.
 pub const LIFETIME_INTERVALS: Micros = 4;
-/// Reports that are kept, over all origins and channels.
+/// Maximum number of stored reports over all origins and channels.
 const MAX_REPORTS: usize = 16_384;
-/// For this time an expired report is kept for its sequence number when there are too many.
-const SEQUENCE_EXPIRES_AFTER: Micros = 600_000_000;
+/// An expired report is kept because its sequence number identifies duplicates. When [`MAX_REPORTS`] is reached,
+/// reports of other origins that are older than this are removed.
+const SEQUENCE_RETENTION: Micros = 600_000_000;
 
-/// A report that was received and is new.
+/// A report from another member that is newer than the stored report of its origin and channel.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedReport {
-    /// What it is about.
+    /// Identifies the kind of report. This crate does not interpret it.
     pub channel: u8,
-    /// The incarnation that published it.
+    /// Incarnation of the member that published the report.
     pub origin: u64,
-    /// Counts the reports of this origin on this channel.
+    /// Number of the report among those of its origin on its channel, starting at 1.
     pub sequence: u64,
-    /// How long ago it was published, at least.
+    /// Time since publication, rounded up to a millisecond at each hop. Time on the network is not included.
     pub age: Micros,
-    /// Its content.
+    /// Content of the report, at most [`MAX_REPORT_BYTES`].
     pub payload: Vec<u8>,
 }
 
-/// A report in a datagram. The order of the fields is the format on the wire (postcard).
+/// A report as encoded in a datagram. The order of the fields is the wire format (postcard).
 #[derive(Serialize, Deserialize)]
 struct EncodedReport<'a> {
     channel: u8,
@@ -56,24 +60,23 @@
     payload: &'a [u8],
 }
 
-/// The origin of a report, and its channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReportKey {
     channel: u8,
     origin: u64,
 }
 
-/// The newest report of an origin on a channel.
-struct KnownReport {
+/// The newest known report of an origin on a channel.
+struct StoredReport {
     sequence: u64,
-    /// On the local clock: later than it truly was, never sooner.
+    /// Publication time on the local clock. Time on the network is not included, so the value is late, not early.
     created_at: Micros,
     payload: Vec<u8>,
-    /// How often this process has sent it.
+    /// Number of times that this process has sent the report.
     times_sent: u32,
 }
 
-/// A report that may be sent now. Ordered by how often it was sent, the newest first, then by key.
+/// A report that is due to be sent. The derived order puts reports sent least often first, among these the newest.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueReport {
     times_sent: u32,
@@ -82,21 +85,21 @@
 }
 
 impl DueReport {
-    fn of(key: ReportKey, report: &KnownReport) -> DueReport {
+    fn new(key: ReportKey, report: &StoredReport) -> DueReport {
         DueReport { times_sent: report.times_sent, newest_first: Reverse(report.created_at), key }
     }
 }
 
-/// The reports that one process knows and forwards.
+/// The reports that one process stores and forwards.
 pub struct GossipReports {
     own_incarnation: u64,
     rng: fastrand::Rng,
-    reports: BTreeMap<ReportKey, KnownReport>,
+    reports: BTreeMap<ReportKey, StoredReport>,
     next_send_at: Micros,
 }
 
 impl GossipReports {
-    /// No report is known.
+    /// Creates an empty set of reports. `seed` determines to which members the process sends its reports.
     pub fn new(own_incarnation: u64, seed: u64) -> GossipReports {
         GossipReports {
             own_incarnation,
@@ -106,32 +109,33 @@
         }
     }
 
-    /// How often each of so many members should renew its report; it expires after [`LIFETIME_INTERVALS`] of these.
+    /// Returns the interval at which each member of a fleet of this size should renew its report.
     pub fn renewal_interval(members: usize) -> Micros {
-        let members = Micros::try_from(members).unwrap_or(Micros::MAX / INTERVAL_PER_MEMBER);
-        (INTERVAL_PER_MEMBER * members).max(MIN_INTERVAL)
+        let members = Micros::try_from(members).unwrap_or(Micros::MAX / RENEWAL_INTERVAL_PER_MEMBER);
+        (RENEWAL_INTERVAL_PER_MEMBER * members).max(MIN_RENEWAL_INTERVAL)
     }
 
-    /// How long a report counts after it was made.
+    /// Time between the publication and the expiry of a report.
     fn lifetime(members: usize) -> Micros {
         GossipReports::renewal_interval(members) * LIFETIME_INTERVALS
     }
 
-    /// Replaces this process's report on a channel. One that is too long is not sent.
+    /// Replaces the report of this process on a channel. A payload longer than [`MAX_REPORT_BYTES`] is ignored.
     pub fn publish(&mut self, now: Micros, channel: u8, payload: Vec<u8>) {
         if payload.len() > MAX_REPORT_BYTES {
             return;
         }
         let key = ReportKey { channel, origin: self.own_incarnation };
         let sequence = self.reports.get(&key).map_or(1, |report| report.sequence + 1);
-        self.reports.insert(key, KnownReport { sequence, created_at: now, payload, times_sent: 0 });
+        self.reports.insert(key, StoredReport { sequence, created_at: now, payload, times_sent: 0 });
     }
 
-    /// Applies a datagram of another member, and returns the reports in it that are new and whose origin is a member.
+    /// Stores the new reports of a datagram and returns them. Expired reports, reports of this process and reports
+    /// whose origin is not a member are ignored. `members` is the size of the fleet, including this process.
     ///
     /// # Errors
     ///
-    /// [`PayloadError::Malformed`]; nothing has changed then.
+    /// [`PayloadError::Malformed`] if the datagram cannot be decoded; no report of it is stored.
     pub fn apply_gossip(
         &mut self,
         now: Micros,
@@ -145,43 +149,44 @@
             let age = Micros::from(age_ms) * 1_000;
             let key = ReportKey { channel, origin };
             let is_newer = self.reports.get(&key).is_none_or(|report| report.sequence < sequence);
-            let is_duplicate = !is_newer && !fault_injected!(DuplicatesCounted);
+            let is_duplicate = !is_newer && !fault_injected!(DuplicatesAccepted);
             if origin == self.own_incarnation || age > lifetime || is_duplicate || !is_member(origin) {
                 continue;
             }
             self.evict_if_full(now, key);
             let payload = payload.to_vec();
             let created_at = now - age;
-            let report = KnownReport { sequence, created_at, payload: payload.clone(), times_sent: 0 };
+            let report = StoredReport { sequence, created_at, payload: payload.clone(), times_sent: 0 };
             self.reports.insert(key, report);
             new_reports.push(ReceivedReport { channel, origin, sequence, age, payload });
         }
         Ok(new_reports)
     }
 
-    /// Evicts the oldest report of another origin if there is no capacity for a new one.
+    /// Makes room for the report with this key if the maximum is reached. Reports of this process are not evicted.
     fn evict_if_full(&mut self, now: Micros, key: ReportKey) {
         if self.reports.len() < MAX_REPORTS || self.reports.contains_key(&key) {
             return;
         }
         let own = self.own_incarnation;
-        self.reports
-            .retain(|key, report| key.origin == own || now - report.created_at < SEQUENCE_EXPIRES_AFTER);
+        self.reports.retain(|key, report| key.origin == own || now - report.created_at < SEQUENCE_RETENTION);
         let others = self.reports.iter().filter(|(key, _)| key.origin != own);
         let oldest = others.min_by_key(|(_, report)| report.created_at).map(|(key, _)| *key);
         oldest.filter(|_| self.reports.len() >= MAX_REPORTS).map(|key| self.reports.remove(&key));
     }
 
-    /// The next datagram and its recipient, if one is due: the reports sent least often first, of these the newest.
+    /// Returns the next datagram and its recipient, or `None` if no datagram is due. Reports sent least often come
+    /// first, among these the newest. The recipient is selected at random from `members`, the other members.
     pub fn encode_gossip(&mut self, now: Micros, members: &[SocketAddr]) -> Option<OutgoingPayload> {
         if now < self.next_send_at || members.is_empty() {
             return None;
         }
         let lifetime = GossipReports::lifetime(members.len() + 1);
-        let is_due =
-            |report: &KnownReport| report.times_sent < SENDS_PER_REPORT && now - report.created_at < lifetime;
+        let is_due = |report: &StoredReport| {
+            report.times_sent < SENDS_PER_REPORT && now - report.created_at < lifetime
+        };
         let due = self.reports.iter().filter(|(_, report)| is_due(report));
-        let mut due: Vec<DueReport> = due.map(|(key, report)| DueReport::of(*key, report)).collect();
+        let mut due: Vec<DueReport> = due.map(|(key, report)| DueReport::new(*key, report)).collect();
         if due.is_empty() {
             return None;
         }
@@ -199,24 +204,24 @@
         Some(OutgoingPayload { recipient: members[self.rng.usize(..members.len())], payload })
     }
 
-    /// When a datagram may be due.
+    /// Returns when the next datagram may be due, or [`Micros::MAX`] if no report is left to be sent.
     pub fn next_change(&self, now: Micros) -> Micros {
         let any_unsent = self.reports.values().any(|report| report.times_sent < SENDS_PER_REPORT);
         if any_unsent { self.next_send_at.max(now) } else { Micros::MAX }
     }
 
-    /// Reports that are kept.
+    /// Returns the number of stored reports, including expired ones.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// Whether no report is kept.
+    /// Returns whether no report is stored.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 }
 
-/// All reports of a datagram, or an error.
+/// Decodes all reports of a datagram.
 fn decode(mut bytes: &[u8]) -> Result<Vec<EncodedReport<'_>>, PayloadError> {
     let mut reports = Vec::new();
     while !bytes.is_empty() {
@@ -231,8 +236,8 @@
     Ok(reports)
 }
 
-/// The bytes of a report in a datagram. Its age is rounded up, so that no report gets younger on its way.
-fn encode(now: Micros, key: ReportKey, report: &KnownReport) -> Option<Vec<u8>> {
+/// Encodes a report for a datagram. The age is rounded up, so that forwarding a report never reduces its age.
+fn encode(now: Micros, key: ReportKey, report: &StoredReport) -> Option<Vec<u8>> {
     let age_ms = u32::try_from((now - report.created_at) / 1_000 + 1).unwrap_or(u32::MAX);
     let encoded = EncodedReport {
         channel: key.channel,
--- a/membership/src/known_addresses.rs
+++ b/membership/src/known_addresses.rs
@@ -1,46 +1,48 @@
-//! Addresses from the options and of former members. Those outside the view are retried in turn, so that two partitions of a fleet
-//! merge again although each has removed the other.
+//! Addresses from the configuration and of former members.
+//!
+//! Addresses outside the view are retried one after another, so that two partitions of a fleet merge again after
+//! each has removed the members of the other.
 
 use crate::{MAX_MEMBERS, Micros};
 use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Addresses are retried at this interval, whatever the fleet's size.
+/// Interval between retries. It does not depend on the fleet's size.
 const RETRY_INTERVAL: Micros = 1_000_000;
-/// Addresses that are retried at a time.
+/// Maximum number of addresses in one retry.
 const ADDRESSES_PER_RETRY: usize = 2;
-/// An address that no member had for this time is removed; a configured one never is.
-const EXPIRES_AFTER: Micros = 24 * 3_600_000_000;
+/// An address is removed this long after a member last joined with it. Configured addresses are never removed.
+const ADDRESS_RETENTION: Micros = 24 * 3_600_000_000;
 
-/// The addresses that one process knows.
+/// The addresses that a process retries while no member in its view has them.
 pub(crate) struct KnownAddresses {
     configured: BTreeSet<SocketAddr>,
-    /// When a member last had the address.
+    /// When a member last joined with each address.
     last_seen_at: BTreeMap<SocketAddr, Micros>,
-    /// All addresses, the one to be retried next first.
-    rotation: VecDeque<SocketAddr>,
+    /// All addresses. The front of the queue is retried next.
+    retry_queue: VecDeque<SocketAddr>,
     next_retry_at: Micros,
 }
 
 impl KnownAddresses {
-    /// The configured addresses, which are retried from now on.
+    /// Starts with the configured addresses. The first retry is due at `now`.
     pub(crate) fn new(configured: impl IntoIterator<Item = SocketAddr>, now: Micros) -> KnownAddresses {
         let configured: BTreeSet<SocketAddr> = configured.into_iter().take(MAX_MEMBERS).collect();
         KnownAddresses {
             last_seen_at: BTreeMap::new(),
-            rotation: configured.iter().copied().collect(),
+            retry_queue: configured.iter().copied().collect(),
             configured,
             next_retry_at: now,
         }
     }
 
-    /// Records that a member has this address. Beyond the limit the address seen longest ago is removed.
+    /// Records that a member joined with this address. Beyond [`MAX_MEMBERS`] records the oldest is removed.
     pub(crate) fn record(&mut self, now: Micros, address: SocketAddr) {
         if self.last_seen_at.insert(address, now).is_some() || self.configured.contains(&address) {
             return;
         }
-        self.rotation.push_back(address);
+        self.retry_queue.push_back(address);
         if self.last_seen_at.len() > MAX_MEMBERS {
             let oldest = self.last_seen_at.iter().min_by_key(|(_, seen_at)| **seen_at);
             let oldest = oldest.map(|(address, _)| *address);
@@ -48,32 +50,31 @@
         }
     }
 
-    /// Removes an address of a former member; a configured one is still retried.
+    /// Removes the record of an address. A configured address stays in the retry queue.
     fn remove(&mut self, address: SocketAddr) {
         self.last_seen_at.remove(&address);
         if !self.configured.contains(&address) {
-            self.rotation.retain(|other| *other != address);
+            self.retry_queue.retain(|other| *other != address);
         }
     }
 
-    /// Removes addresses that no member had for long.
     fn remove_expired(&mut self, now: Micros) {
-        let expired = self.last_seen_at.iter().filter(|(_, seen_at)| now - **seen_at >= EXPIRES_AFTER);
+        let expired = self.last_seen_at.iter().filter(|(_, seen_at)| now - **seen_at >= ADDRESS_RETENTION);
         let expired: Vec<SocketAddr> = expired.map(|(address, _)| *address).collect();
         expired.into_iter().for_each(|address| self.remove(address));
     }
 
-    /// When addresses are retried next.
+    /// Returns when the next retry is due.
     pub(crate) fn next_change(&self) -> Micros {
         self.next_retry_at
     }
 
-    /// Addresses that are kept.
+    /// Returns the number of addresses, including those in the view.
     pub(crate) fn len(&self) -> usize {
-        self.rotation.len()
+        self.retry_queue.len()
     }
 
-    /// Addresses to be retried now, of those outside the view.
+    /// Returns the addresses outside the view to be retried now. The list is empty if no retry is due.
     pub(crate) fn due(&mut self, now: Micros, in_view: impl Fn(SocketAddr) -> bool) -> Vec<SocketAddr> {
         if now < self.next_retry_at {
             return Vec::new();
@@ -84,9 +85,9 @@
         }
         self.remove_expired(now);
         let mut due = Vec::new();
-        for _ in 0..self.rotation.len() {
-            let Some(address) = self.rotation.pop_front() else { break };
-            self.rotation.push_back(address);
+        for _ in 0..self.retry_queue.len() {
+            let Some(address) = self.retry_queue.pop_front() else { break };
+            self.retry_queue.push_back(address);
             if !in_view(address) {
                 due.push(address);
             }
--- a/membership/src/membership.rs
+++ b/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The membership itself: `foca` with our identities, retried addresses, digests of views, and a view with its state.
+//! [`Membership`]: connects `foca` with the retries of known addresses, the comparison of views and the view's state.
 
 use crate::full_exchange::ExchangeSchedule;
 use crate::known_addresses::KnownAddresses;
@@ -11,53 +11,50 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// The settings that a process starts with.
+/// Identity and configuration of a process that starts.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// Its name in the configuration.
+    /// Name of the process in the configuration, at most [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes.
     pub name: String,
-    /// Where others reach it.
+    /// Address at which other members send datagrams to this process.
     pub address: SocketAddr,
-    /// A random number.
+    /// Random number that identifies the process; 0 is replaced with 1.
     pub incarnation: u64,
-    /// Unix time in milliseconds.
+    /// Unix time at the start, in milliseconds.
     pub epoch: u64,
-    /// The seed of random choices among members.
+    /// Seed of the random number generator that selects members.
     pub rng_seed: u64,
-    /// Addresses of others by the options.
+    /// Configured addresses that the process contacts to join the fleet.
     pub seed_addresses: Vec<SocketAddr>,
-    /// Members by the options, this one included.
+    /// Configured number of members, including this process.
     pub configured_members: u32,
 }
 
-/// The membership of the fleet as one process sees it.
+/// Membership of the fleet, as seen by one process.
 pub struct Membership {
     pub(crate) foca: Foca<Peer, PostcardCodec, rand::rngs::SmallRng, NoCustomBroadcast>,
     pub(crate) output: FocaOutput,
-    /// By due time; those of one time in foca's own order.
+    /// Ordered by due time. Timers due at the same time are in foca's order.
     pub(crate) timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     pub(crate) known_addresses: KnownAddresses,
-    /// Other live members.
+    /// Live members except this process.
     pub(crate) members: BTreeMap<SocketAddr, Peer>,
-    /// Names that two members have.
+    /// Names shared by two or more members.
     pub(crate) name_conflicts: BTreeSet<String>,
-    /// The digest of the view.
     pub(crate) digest: u64,
     pub(crate) configured_members: u32,
-    /// When the view last changed, or another member last had a different one.
+    /// When the view last changed, or last differed from the view of another member.
     pub(crate) view_changed_at: Micros,
     pub(crate) last_received_at: Micros,
     pub(crate) started_at: Micros,
     pub(crate) state: ViewState,
-    /// Changes that the caller has not taken yet.
     pub(crate) changes: VecDeque<MembershipChange>,
     pub(crate) exchange_schedule: ExchangeSchedule,
-    /// This process has left the fleet.
-    pub(crate) left: bool,
+    pub(crate) has_left: bool,
 }
 
 impl Membership {
-    /// The membership of a process that starts now.
+    /// Creates the membership of a process that starts at `now`.
     pub fn new(settings: MembershipSettings, now: Micros) -> Membership {
         let MembershipSettings {
             name,
@@ -86,24 +83,24 @@
             state: ViewState::Changing,
             changes: VecDeque::new(),
             exchange_schedule: ExchangeSchedule::default(),
-            left: false,
+            has_left: false,
         };
         membership.digest = membership.compute_digest();
         membership.step(now);
         membership
     }
 
-    /// This process's current identity.
+    /// Returns the current identity of this process. A renewal of the epoch changes it.
     pub fn identity(&self) -> &Peer {
         self.foca.identity()
     }
 
-    /// Other live members.
+    /// Returns the live members except this process.
     pub fn members(&self) -> impl Iterator<Item = &Peer> {
         self.members.values()
     }
 
-    /// This process's view now.
+    /// Returns the current view of this process.
     pub fn view(&self) -> View {
         View {
             state: self.state,
@@ -114,11 +111,11 @@
         }
     }
 
-    /// Applies the payload of an opened datagram, whose sender has this incarnation.
+    /// Applies the payload of an authenticated datagram. `sender_incarnation` is the sender in the datagram's header.
     ///
     /// # Errors
     ///
-    /// The reason why the payload is rejected.
+    /// The reason for rejecting the payload. A payload that fails validation changes nothing.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -126,13 +123,13 @@
         payload: &[u8],
     ) -> Result<(), PayloadError> {
         let (digest, data) = payload.split_first_chunk::<DIGEST_BYTES>().ok_or(PayloadError::Malformed)?;
-        let kept = self.foca.iter_membership_state().len();
+        let stored_members = self.foca.iter_membership_state().len();
         let is_known = |address| self.members.contains_key(&address);
-        let header = validate(self.foca.identity(), sender_incarnation, data, kept, is_known)?;
+        let header = validate(self.foca.identity(), sender_incarnation, data, stored_members, is_known)?;
         self.foca.handle_data(data, &mut self.output).map_err(|_| PayloadError::Malformed)?;
         self.last_received_at = now;
         self.apply_output(now);
-        // The view of a sender that only announces itself, or counts as failed, is not compared yet.
+        // The digest is ignored while the sender is not a live member: it announces itself or is considered failed.
         let sender = self.members.get(&header.src.address);
         if sender.is_some_and(|member| member.incarnation == header.src.incarnation) {
             let is_same = u64::from_be_bytes(*digest) == self.digest;
@@ -143,15 +140,15 @@
         Ok(())
     }
 
-    /// Runs the timers that are due: probes, suspicions, retried addresses.
+    /// Runs all due timers (probes, suspicions, gossip) and retries of known addresses, and updates the view's state.
     pub fn step(&mut self, now: Micros) {
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             let Some(Reverse((_, timer))) = self.timers.pop() else { break };
-            // An error means that the process was paused during a probe; foca then begins a new one.
+            // foca returns an error if the process was paused during a probe. It then starts a new probe.
             let _ = self.foca.handle_timer(timer, &mut self.output);
             self.apply_output(now);
         }
-        if !self.left {
+        if !self.has_left {
             let members = &self.members;
             for address in self.known_addresses.due(now, |address| members.contains_key(&address)) {
                 let _ = self.foca.announce(Peer::unknown_at(address), &mut self.output);
@@ -161,23 +158,23 @@
         self.update_state(now);
     }
 
-    /// Whether this process has left.
-    pub fn left(&self) -> bool {
-        self.left
+    /// Returns whether this process has left the fleet and not rejoined.
+    pub fn has_left(&self) -> bool {
+        self.has_left
     }
 
-    /// Leaves the fleet: the others are notified, and nothing is sent afterwards.
+    /// Leaves the fleet. The payloads that notify other members are queued; no further payloads are created.
     pub fn leave(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.left, true) {
+        if !std::mem::replace(&mut self.has_left, true) {
             let _ = self.foca.leave_cluster(&mut self.output);
             self.apply_output(now);
             self.timers.clear();
         }
     }
 
-    /// Joins again under a new epoch, after the process that was to replace this one failed to.
+    /// Joins again under a new epoch. Used when the process that should have replaced this one failed to start.
     pub fn rejoin(&mut self, now: Micros) {
-        if std::mem::take(&mut self.left)
+        if std::mem::take(&mut self.has_left)
             && let Some(renewed) = foca::Identity::renew(self.foca.identity())
         {
             let _ = self.foca.change_identity(renewed, &mut self.output);
@@ -185,7 +182,7 @@
         }
     }
 
-    /// When [`Membership::step`] is due, if nothing is received.
+    /// Returns when [`Membership::step`] is due next, unless a payload is received earlier.
     pub fn next_change(&self) -> Micros {
         let timer = self.timers.peek().map_or(Micros::MAX, |Reverse((at, _))| *at);
         timer
@@ -194,13 +191,13 @@
             .min(self.exchange_schedule.next_change())
     }
 
-    /// The next payload to be sealed and sent, and its recipient.
+    /// Removes and returns the next payload to be sent, with its recipient.
     pub fn next_payload(&mut self) -> Option<OutgoingPayload> {
         let OutgoingPayload { recipient, payload } = self.output.payloads.pop_front()?;
         Some(OutgoingPayload { recipient, payload: [&self.digest.to_be_bytes()[..], &payload].concat() })
     }
 
-    /// Addresses that are retried when they are outside the view.
+    /// Returns the number of addresses that are retried while they are outside the view.
     pub fn known_address_count(&self) -> usize {
         self.known_addresses.len()
     }
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -1,32 +1,35 @@
-//! The identity of a member: name, address, incarnation and epoch.
+//! Identity of a member: name, address, incarnation and epoch.
 
 use birchreach_fault_injection::fault_injected;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest name, in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// After so many renewals the step of the epoch no longer doubles.
+/// Number of renewals after which the epoch's increment no longer doubles.
 const MAX_EPOCH_DOUBLINGS: u32 = 40;
 
-/// The identity of a member. Of two at one address the one of the later epoch counts; the incarnation distinguishes processes.
+/// Identity of a member.
+///
+/// If two identities have the same address, the later epoch wins, then the greater incarnation. The incarnation
+/// distinguishes processes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// The proxy's name in its configuration.
+    /// Name of the proxy in its configuration; at most [`MAX_NAME_BYTES`], without control characters.
     #[serde(with = "checked_name")]
     pub name: String,
-    /// Where it receives datagrams.
+    /// Address at which the process receives datagrams.
     pub address: SocketAddr,
-    /// A random number of the process; 0 where only the address is known.
+    /// Random number of the process, or 0 if only the address is known.
     pub incarnation: u64,
-    /// Starts as Unix time in milliseconds, and grows each time others considered the process failed.
+    /// Unix time at the start in milliseconds. Increased when others consider the process failed.
     pub epoch: u64,
-    /// How often the epoch was renewed.
+    /// Number of renewals of the epoch.
     pub renewals: u32,
 }
 
 impl Peer {
-    /// The unknown process that receives at this address.
+    /// Returns a placeholder for the process at this address, whose name and incarnation are not known yet.
     pub fn unknown_at(address: SocketAddr) -> Peer {
         Peer { name: String::new(), address, incarnation: 0, epoch: 0, renewals: 0 }
     }
@@ -35,11 +38,13 @@
 impl foca::Identity for Peer {
     type Addr = SocketAddr;
 
-    /// Others consider this process failed, or know a later epoch of its address; by how much is not known, so that each step
-    /// is twice the one before.
+    /// Returns this identity with a later epoch.
+    ///
+    /// foca calls this when others consider the process failed or know a later epoch of its address. The distance to
+    /// that epoch is not known, so each renewal doubles the increment.
     fn renew(&self) -> Option<Peer> {
         let doublings =
-            if fault_injected!(EpochStepsOfOne) { 0 } else { self.renewals.min(MAX_EPOCH_DOUBLINGS) };
+            if fault_injected!(EpochIncrementConstant) { 0 } else { self.renewals.min(MAX_EPOCH_DOUBLINGS) };
         let epoch = self.epoch.saturating_add(1 << doublings);
         Some(Peer { epoch, renewals: self.renewals.saturating_add(1), ..self.clone() })
     }
@@ -53,7 +58,7 @@
     }
 }
 
-/// Rejects names that are too long or hold control characters.
+/// Rejects names that are too long or contain control characters.
 mod checked_name {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,5 +1,4 @@
-//! `foca` with our identities: its configuration, the output that it requests, and the validation of a payload before any of it is
-//! applied.
+//! Interface to `foca`: its configuration, its output, and the validation of a payload before foca applies it.
 
 use crate::{MAX_MEMBERS, MAX_PAYLOAD_BYTES, Peer};
 use birchreach_fault_injection::fault_injected;
@@ -9,58 +8,59 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// The sender's digest, which precedes each payload of foca's.
+/// Size of the digest of the sender's view, which precedes each foca payload.
 pub(crate) const DIGEST_BYTES: usize = 8;
-/// A member is probed at this interval.
-const PROBE_PERIOD: Duration = Duration::from_millis(500);
-/// A probe that is not answered within this time is repeated by way of other members.
-const PROBE_ROUND_TRIP: Duration = Duration::from_millis(200);
-/// Members that repeat a probe.
+/// Interval between probes. Each probes one member.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// A probe that is not answered within this time is repeated through other members.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Number of members that repeat an unanswered probe.
 const INDIRECT_PROBES: usize = 3;
-/// How often an update is gossiped. About ten times reach thousands of members; the rest is for a failure of seven members in
-/// ten, when most recipients of an update are down.
+/// Number of times that an update is gossiped. About ten are enough to reach thousands of members. The others allow
+/// for a crash of 70% of the members, after which most recipients of an update are down.
 const MAX_TRANSMISSIONS: u8 = 33;
-/// A suspected member that does not refute the suspicion within this time counts as failed.
-const SUSPICION_PERIOD: Duration = Duration::from_millis(2_000);
-/// The same with the fault that removes suspects.
-const FAULTY_SUSPICION_PERIOD: Duration = Duration::from_millis(1);
-/// A failed member's record is kept for this time.
-const REMOVE_DOWN_AFTER: Duration = Duration::from_secs(600);
-/// The members of a member are requested at this interval, which repairs what gossip missed.
+/// A suspected member that does not refute the suspicion within this time is considered failed.
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Suspicion timeout while the fault `SuspectsRemovedImmediately` is injected.
+const INJECTED_SUSPICION_TIMEOUT: Duration = Duration::from_millis(1);
+/// Time for which the record of a failed member is kept.
+const FAILED_MEMBER_RETENTION: Duration = Duration::from_secs(600);
+/// Interval at which this process requests the members known to another member. This repairs updates that gossip
+/// did not deliver.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Members whose members are requested at a time.
+/// Number of members asked for their members at each interval.
 const ANNOUNCE_RECIPIENTS: usize = 1;
-/// Updates are gossiped at this interval.
+/// Interval at which updates are gossiped.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
-/// Members that updates are gossiped to at a time.
+/// Number of members that receive updates at each interval.
 const GOSSIP_RECIPIENTS: usize = 3;
 
-/// A payload to be sealed and sent.
+/// A payload to be sent in an authenticated datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingPayload {
-    /// Where it is sent.
+    /// Address to send the datagram to.
     pub recipient: SocketAddr,
-    /// Its content.
+    /// Content of the datagram, at most [`MAX_PAYLOAD_BYTES`].
     pub payload: Vec<u8>,
 }
 
-/// Why a payload was rejected.
+/// Reason for rejecting a payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadError {
-    /// It cannot be decoded.
+    /// The payload cannot be decoded.
     Malformed,
-    /// It names another incarnation as its sender than the one that sealed it.
+    /// The sender in the payload differs from the sender in the datagram's header.
     WrongSender,
-    /// It claims to come from this process.
+    /// The sender in the payload has the address or the incarnation of this process.
     FromSelf,
-    /// It names more members than are kept.
+    /// The payload would increase the number of members beyond [`MAX_MEMBERS`].
     TooManyMembers,
-    /// It is for another incarnation or epoch of this process.
+    /// The payload is addressed to another process, or to another incarnation or epoch of this process.
     WrongRecipient,
 }
 
 impl PayloadError {
-    /// The reason in logs and metrics.
+    /// Returns the value of the reason in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             PayloadError::Malformed => "form",
@@ -76,17 +76,20 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         formatter.write_str(match self {
             PayloadError::Malformed => "the payload cannot be decoded",
-            PayloadError::WrongSender => "the payload names another sender than the one that sealed it",
-            PayloadError::FromSelf => "the payload claims to come from this process",
-            PayloadError::TooManyMembers => "the payload names more members than are kept",
-            PayloadError::WrongRecipient => "the payload is for another incarnation or epoch of this process",
+            PayloadError::WrongSender => {
+                "the sender in the payload differs from the sender in the datagram's header"
+            }
+            PayloadError::FromSelf => "the sender in the payload is this process",
+            PayloadError::TooManyMembers => "the payload exceeds the maximum number of members",
+            PayloadError::WrongRecipient => {
+                "the payload is addressed to another process, incarnation or epoch"
+            }
         })
     }
 }
 
 impl std::error::Error for PayloadError {}
 
-/// A timer of foca's.
 pub(crate) type Timer = foca::Timer<Peer>;
 
 /// A timer that foca requested.
@@ -95,10 +98,10 @@
     pub(crate) after: Duration,
 }
 
-/// What foca requested since it was applied last.
+/// Output of foca that is not applied yet.
 #[derive(Default)]
 pub(crate) struct FocaOutput {
-    /// Payloads without the digest that precedes them.
+    /// Payloads without the preceding digest.
     pub(crate) payloads: VecDeque<OutgoingPayload>,
     pub(crate) timers: Vec<RequestedTimer>,
     pub(crate) notifications: Vec<foca::OwnedNotification<Peer>>,
@@ -118,41 +121,45 @@
     }
 }
 
-/// A constant above zero in the type that foca requires.
+/// Converts a constant greater than zero to the type that foca requires.
 const fn nonzero(value: usize) -> NonZeroUsize {
     NonZeroUsize::MIN.saturating_add(value - 1)
 }
 
-fn periodic(frequency: Duration, recipients: usize) -> Option<PeriodicParams> {
-    Some(PeriodicParams { frequency, num_members: nonzero(recipients) })
+fn periodic(interval: Duration, recipients: usize) -> Option<PeriodicParams> {
+    Some(PeriodicParams { frequency: interval, num_members: nonzero(recipients) })
 }
 
-/// foca's configuration, the same for fleets of all sizes.
+/// Returns foca's configuration, which does not depend on the fleet's size.
 pub(crate) fn config() -> Config {
-    let remove_suspects = fault_injected!(SuspectsRemovedAtOnce);
+    let remove_suspects = fault_injected!(SuspectsRemovedImmediately);
     Config {
-        probe_period: PROBE_PERIOD,
-        probe_rtt: PROBE_ROUND_TRIP,
+        probe_period: PROBE_INTERVAL,
+        probe_rtt: PROBE_TIMEOUT,
         num_indirect_probes: nonzero(INDIRECT_PROBES),
         max_transmissions: NonZeroU8::MIN.saturating_add(MAX_TRANSMISSIONS - 1),
-        suspect_to_down_after: if remove_suspects { FAULTY_SUSPICION_PERIOD } else { SUSPICION_PERIOD },
-        remove_down_after: Some(REMOVE_DOWN_AFTER),
+        suspect_to_down_after: if remove_suspects { INJECTED_SUSPICION_TIMEOUT } else { SUSPICION_TIMEOUT },
+        remove_down_after: Some(FAILED_MEMBER_RETENTION),
         max_packet_size: nonzero(MAX_PAYLOAD_BYTES - DIGEST_BYTES),
         notify_down_members: true,
         periodic_announce: periodic(ANNOUNCE_INTERVAL, ANNOUNCE_RECIPIENTS),
-        // KnownAddresses retries them.
+        // KnownAddresses retries the addresses of failed members.
         periodic_announce_to_down_members: None,
         periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_RECIPIENTS),
     }
 }
 
-/// Checks a payload before any of it is applied: it is for this incarnation and epoch, from the incarnation that sealed it, complete,
-/// and names no more members than are kept. `kept` members are in the table, and `is_known` holds for their addresses.
+/// Validates a payload before foca applies it.
+///
+/// The payload must be complete, name `sender_incarnation` as its sender and be addressed to this incarnation and
+/// epoch. An announcement may be addressed to this process by address only. The payload must not increase the number
+/// of members beyond [`MAX_MEMBERS`]: `stored_members` is the current number, and `is_known` returns whether a member
+/// in the view has the given address.
 pub(crate) fn validate(
     own: &Peer,
     sender_incarnation: u64,
     mut data: &[u8],
-    kept: usize,
+    stored_members: usize,
     is_known: impl Fn(SocketAddr) -> bool,
 ) -> Result<Header<Peer>, PayloadError> {
     let header: Header<Peer> = PostcardCodec.decode_header(&mut data).map_err(|_| PayloadError::Malformed)?;
@@ -162,11 +169,11 @@
     if header.src.address == own.address || header.src.incarnation == own.incarnation {
         return Err(PayloadError::FromSelf);
     }
-    let is_announce_here = header.message == Message::Announce && header.dst.address == own.address;
-    if header.dst != *own && !is_announce_here {
+    let is_announcement = header.message == Message::Announce && header.dst.address == own.address;
+    if header.dst != *own && !is_announcement {
         return Err(PayloadError::WrongRecipient);
     }
-    let mut members = kept + 1;
+    let mut members = stored_members + 1;
     if let Some((count, mut rest)) = data.split_first_chunk::<2>() {
         for _ in 0..u16::from_be_bytes(*count) {
             let member: Member<Peer> =
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,30 +1,30 @@
-//! The view that a process has of its fleet, and changes of it.
+//! View of the fleet that a process has, and changes of this view.
 
 use crate::{Micros, Peer};
 use birchreach_fault_injection::fault_injected;
 use sha2::{Digest, Sha256};
 
-/// How reliable a process's view is.
+/// Reliability of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewState {
-    /// It is the only member by its options, and has received from no other.
+    /// The process is configured as the only member and has no other member in its view.
     Standalone,
-    /// It receives from nobody: its view may be of its own partition only.
+    /// The process has received nothing for 3 s. Its view may be incomplete because of a partition.
     Isolated {
-        /// When it last received.
+        /// When the process last received a payload, or its start if it has not received any.
         since: Micros,
     },
-    /// Members join or leave, or another member has a different view.
+    /// Members have recently joined or left, or another member recently had a different view.
     Changing,
-    /// Nothing has changed, and no member has had a different view.
+    /// The view has not changed for 2 s, and no other member has had a different view in this time.
     Settled {
-        /// Since when.
+        /// When the view last changed, or last differed from the view of another member.
         since: Micros,
     },
 }
 
 impl ViewState {
-    /// The state in logs and in the answers to operators.
+    /// Returns the name of the state in logs and in answers to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             ViewState::Standalone => "alone",
@@ -35,47 +35,49 @@
     }
 }
 
-/// The view of one process.
+/// The members of the fleet, as seen by one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// How reliable it is.
+    /// Reliability of the view.
     pub state: ViewState,
-    /// Equal at all processes that see the same incarnations.
+    /// Hash of the members. Processes with the same incarnations in their views have the same digest.
     pub digest: u64,
-    /// Members in the view, this one included.
+    /// Number of members in the view, including this process.
     pub member_count: usize,
-    /// Members that the options name, this one included.
+    /// Configured number of members, including this process.
     pub configured_members: u32,
-    /// Names that two members have.
+    /// Names shared by two or more members, in ascending order.
     pub name_conflicts: Vec<String>,
 }
 
 impl View {
-    /// A quota of the whole fleet is divided by this: the larger of the configured and the seen number of members.
+    /// Returns the number by which a process divides a quota of the fleet to get its own share. It is the larger of
+    /// the configured number of members and the number in the view, and at least 1.
     pub fn quota_divisor(&self) -> u32 {
-        let configured = if fault_injected!(DivisorIgnoresOptions) { 0 } else { self.configured_members };
+        let configured =
+            if fault_injected!(DivisorIgnoresConfiguration) { 0 } else { self.configured_members };
         configured.max(u32::try_from(self.member_count).unwrap_or(u32::MAX)).max(1)
     }
 }
 
-/// A change of the membership, or of the view's state.
+/// Change of the membership or of the view's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A member is new, or has restarted.
+    /// A member joined or restarted.
     Joined(Peer),
-    /// A member failed, by its probes from this process and others, or has left.
+    /// A member left, or failed according to the probes of this process or other members.
     Removed(Peer),
-    /// Others considered this process failed: it continues under a new epoch.
+    /// Other members considered this process failed. It continues under the epoch given here.
     EpochRenewed(u64),
-    /// Two members have this name.
+    /// Two or more members now share this name.
     NameConflict(String),
-    /// No two members have this name any longer.
+    /// At most one member has this name now.
     NameConflictResolved(String),
-    /// The state of the view.
+    /// The view entered this state.
     StateChanged(ViewState),
 }
 
-/// The digest of a set of members; their order does not matter.
+/// Computes the digest of a set of members. The order of the members does not matter.
 pub(crate) fn digest<'a>(members: impl Iterator<Item = &'a Peer>) -> u64 {
     let mut sorted: Vec<&Peer> = members.collect();
     sorted.sort_unstable();
--- a/membership/src/view_state.rs
+++ b/membership/src/view_state.rs
@@ -1,4 +1,4 @@
-//! What follows from the members: the view's digest, name conflicts, and whether it is settled, changing, blind or alone.
+//! Values derived from the members: the view's digest, its name conflicts and its state.
 
 use crate::Micros;
 use crate::membership::Membership;
@@ -6,29 +6,30 @@
 use birchreach_fault_injection::fault_injected;
 use std::collections::BTreeSet;
 
-/// A process that received nothing for this time is blind: three rounds of probes, each with its indirect ones.
-const BLIND_AFTER: Micros = 3_000_000;
-/// A view that has not changed for this time is settled: gossip has reached every member by then.
+/// A process that receives nothing for this long is isolated. The time covers three rounds of probes, including
+/// indirect probes.
+const ISOLATED_AFTER: Micros = 3_000_000;
+/// A view that does not change for this long is settled. Gossip reaches every member within this time.
 const SETTLED_AFTER: Micros = 2_000_000;
 
 impl Membership {
-    /// When the state may change if nothing is received.
+    /// Returns when the state may change next, unless a payload is received earlier.
     pub(crate) fn next_state_change(&self) -> Micros {
-        let blind_at = self.last_received_at + BLIND_AFTER;
+        let isolated_at = self.last_received_at + ISOLATED_AFTER;
         match self.state {
-            ViewState::Changing if self.members.is_empty() => blind_at,
-            ViewState::Changing => (self.view_changed_at + SETTLED_AFTER).min(blind_at),
-            ViewState::Settled { .. } => blind_at,
+            ViewState::Changing if self.members.is_empty() => isolated_at,
+            ViewState::Changing => (self.view_changed_at + SETTLED_AFTER).min(isolated_at),
+            ViewState::Settled { .. } => isolated_at,
             ViewState::Isolated { .. } | ViewState::Standalone => Micros::MAX,
         }
     }
 
-    /// The digest of all members, this one included.
+    /// Computes the digest of all members, including this process.
     pub(crate) fn compute_digest(&self) -> u64 {
         digest(self.members.values().chain([self.foca.identity()]))
     }
 
-    /// Finds the names that two members have, and reports conflicts that are new or resolved.
+    /// Updates the names shared by two or more members, and queues a change for each new or resolved conflict.
     pub(crate) fn update_name_conflicts(&mut self) {
         let mut seen = BTreeSet::from([self.foca.identity().name.as_str()]);
         let repeated = self.members.values().filter(|member| !seen.insert(member.name.as_str()));
@@ -45,9 +46,10 @@
         }
     }
 
-    /// Derives the view's state, and reports it if it has changed.
+    /// Updates the view's state, and queues a change if the state differs from the previous one.
     pub(crate) fn update_state(&mut self, now: Micros) {
-        let receives_nothing = now - self.last_received_at >= BLIND_AFTER && !fault_injected!(NeverBlind);
+        let receives_nothing =
+            now - self.last_received_at >= ISOLATED_AFTER && !fault_injected!(IsolationNotDetected);
         let state = if self.members.is_empty() {
             match self.configured_members {
                 0 | 1 => ViewState::Standalone,
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -94,7 +94,7 @@
         for index in 0..self.processes {
             network.resume(index);
             let membership = network.processes[index].membership.as_ref();
-            if membership.is_none_or(Membership::left) {
+            if membership.is_none_or(Membership::has_left) {
                 network.start(index, 0);
             }
         }
@@ -105,7 +105,7 @@
     /// The invariants at any time: quotas never add up to more than the whole, no process is its own member, and none of several
     /// reports itself alone.
     fn check(&self, network: &Network) -> Result<(), String> {
-        let joined = || network.live().filter(|membership| !membership.left());
+        let joined = || network.live().filter(|membership| !membership.has_left());
         let quotas: f64 = joined().map(|membership| 1.0 / f64::from(membership.view().quota_divisor())).sum();
         let is_own_member = |membership: &Membership| {
             membership.members().any(|member| member.address == membership.identity().address)
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -82,7 +82,7 @@
 fn reports_count_once() {
     the_newest_report_counts_once().unwrap();
 
-    let with_fault = run_with_fault(Fault::DuplicatesCounted, the_newest_report_counts_once);
+    let with_fault = run_with_fault(Fault::DuplicatesAccepted, the_newest_report_counts_once);
     assert!(with_fault.is_err(), "the check finds nothing");
 }
 
