--- a/membership/examples/schedules.rs
+++ b/membership/examples/schedules.rs
@@ -1,4 +1,5 @@
-//! Schedules of faults on virtual time, thousands of them; one that fails is printed, and `schedules SEED SEED` runs it again.
+//! Runs thousands of random fault schedules on virtual time. The first schedule that fails is printed;
+//! `schedules SEED SEED` runs that schedule again.
 //!
 //!     cargo run --release -p birchreach-membership --example schedules -- 1 5000
 
@@ -13,11 +14,11 @@
     let last = seeds.get(1).copied().unwrap_or(1_000);
     let mut times = Vec::new();
     for seed in first..=last {
-        times.push(Schedule::draw(seed).run()?);
+        times.push(Schedule::from_seed(seed).run()?);
     }
     times.sort_unstable();
     let quantile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize] as f64 / 1e6;
-    println!("{} schedules, none failed; seconds to one settled view after the last fault:", times.len());
-    println!("median {:.1}, 99 in 100 {:.1}, most {:.1}", quantile(0.5), quantile(0.99), quantile(1.0));
+    println!("{} schedules passed; seconds from the end of the last fault to convergence:", times.len());
+    println!("median {:.1}, p99 {:.1}, max {:.1}", quantile(0.5), quantile(0.99), quantile(1.0));
     Ok(())
 }
--- a/membership/examples/settling_time.rs
+++ b/membership/examples/settling_time.rs
@@ -1,4 +1,4 @@
-//! How long views take to settle, which live members are removed, and what that costs: a table of figures on virtual time.
+//! Prints a table of convergence times, false removals and traffic, measured on virtual time.
 //!
 //!     cargo run --release -p birchreach-membership --example settling_time -- 10 40 300 [0% 5% 20%] [seed=1]
 
@@ -11,16 +11,16 @@
 use common::{SECOND, address};
 use std::time::Instant;
 
-/// The longest time that the fleet gets to notice a fault, or to agree after it.
+/// Maximum time for the fleet to detect a fault or to converge after a fault.
 const LIMIT: Micros = 120 * SECOND;
-/// How long the traffic of a settled fleet is counted.
-const QUIET_TIME: Micros = 60 * SECOND;
+/// Time over which the traffic of an idle fleet is counted.
+const IDLE_TIME: Micros = 60 * SECOND;
 
 fn seconds(took: Option<Micros>) -> String {
-    took.map_or("not in 120".into(), |took| format!("{:.1}", took as f64 / 1e6))
+    took.map_or("over 120".into(), |took| format!("{:.1}", took as f64 / 1e6))
 }
 
-/// How long until no live member has any of these in its view; whether it calls itself settled does not count.
+/// Returns the time until no live member has any of these processes in its view, whether or not the view is settled.
 fn time_to_removal(network: &mut Network, down: &[usize]) -> Option<Micros> {
     let start = network.now;
     let is_in_a_view = |network: &Network| {
@@ -36,7 +36,7 @@
     Some(network.now - start)
 }
 
-fn sent(network: &Network) -> Traffic {
+fn total_sent(network: &Network) -> Traffic {
     let mut sum = Traffic::default();
     for process in &network.processes {
         sum.messages += process.sent.messages;
@@ -45,61 +45,61 @@
     sum
 }
 
-fn removals(network: &Network) -> usize {
+fn count_removals(network: &Network) -> usize {
     let changes = network.processes.iter().flat_map(|process| &process.changes);
     changes.filter(|(_, change)| matches!(change, MembershipChange::Removed(_))).count()
 }
 
-/// The traffic of a fleet in which nothing happens.
-struct QuietTraffic {
-    /// Live members that were removed from a view.
+/// False removals and traffic of a fleet without faults.
+struct IdleTraffic {
+    /// Number of times that a live member was removed from a view, since the start of the fleet.
     false_removals: usize,
     datagrams_per_s: f64,
     bytes_per_s: f64,
 }
 
-impl QuietTraffic {
-    /// Of each process, over [`QUIET_TIME`].
-    fn of(network: &mut Network) -> QuietTraffic {
-        let before = sent(network);
-        network.advance(QUIET_TIME);
-        let after = sent(network);
-        let process_seconds = network.processes.len() as f64 * QUIET_TIME as f64 / 1e6;
-        QuietTraffic {
-            false_removals: removals(network),
+impl IdleTraffic {
+    /// Measures the traffic per process over [`IDLE_TIME`].
+    fn measure(network: &mut Network) -> IdleTraffic {
+        let before = total_sent(network);
+        network.advance(IDLE_TIME);
+        let after = total_sent(network);
+        let process_seconds = network.processes.len() as f64 * IDLE_TIME as f64 / 1e6;
+        IdleTraffic {
+            false_removals: count_removals(network),
             datagrams_per_s: (after.messages - before.messages) as f64 / process_seconds,
             bytes_per_s: (after.bytes - before.bytes) as f64 / process_seconds,
         }
     }
 }
 
-/// How long a fleet takes to notice a fault, or to agree after it has ended.
+/// Detection times of crashes, and times from the end of other faults to convergence. `None` means over [`LIMIT`].
 struct FaultTimes {
-    crash: Option<Micros>,
-    partition: Option<Micros>,
-    pause: Option<Micros>,
-    mass_crash: Option<Micros>,
+    crash_detection: Option<Micros>,
+    partition_recovery: Option<Micros>,
+    pause_recovery: Option<Micros>,
+    mass_crash_detection: Option<Micros>,
 }
 
 impl FaultTimes {
-    fn of(network: &mut Network, count: usize) -> FaultTimes {
+    fn measure(network: &mut Network, count: usize) -> FaultTimes {
         let middle = count / 2;
         network.kill(middle);
-        let crash = time_to_removal(network, &[middle]);
+        let crash_detection = time_to_removal(network, &[middle]);
         network.start(middle, 0);
-        let _ = network.time_to_agreement(count, LIMIT);
-        network.is_partitioned = Box::new(move |from, to| (from < middle) != (to < middle));
+        let _ = network.time_to_convergence(count, LIMIT);
+        network.is_blocked = Box::new(move |from, to| (from < middle) != (to < middle));
         network.advance(60 * SECOND);
-        network.is_partitioned = Box::new(|_, _| false);
-        let partition = network.time_to_agreement(count, LIMIT);
+        network.is_blocked = Box::new(|_, _| false);
+        let partition_recovery = network.time_to_convergence(count, LIMIT);
         network.pause(middle);
         network.advance(20 * SECOND);
         network.resume(middle);
-        let pause = network.time_to_agreement(count, LIMIT);
-        let seven_in_ten: Vec<usize> = (0..count * 7 / 10).collect();
-        seven_in_ten.iter().for_each(|index| network.kill(*index));
-        let mass_crash = time_to_removal(network, &seven_in_ten);
-        FaultTimes { crash, partition, pause, mass_crash }
+        let pause_recovery = network.time_to_convergence(count, LIMIT);
+        let crashed: Vec<usize> = (0..count * 7 / 10).collect();
+        crashed.iter().for_each(|index| network.kill(*index));
+        let mass_crash_detection = time_to_removal(network, &crashed);
+        FaultTimes { crash_detection, partition_recovery, pause_recovery, mass_crash_detection }
     }
 }
 
@@ -107,18 +107,18 @@
     let clock = Instant::now();
     let mut network = Network::started(count, seed);
     network.loss = loss;
-    let join = network.time_to_agreement(count, LIMIT);
-    let traffic = QuietTraffic::of(&mut network);
-    let exchanges = network.exchanged;
-    let times = FaultTimes::of(&mut network, count);
+    let join = network.time_to_convergence(count, LIMIT);
+    let traffic = IdleTraffic::measure(&mut network);
+    let exchanges = network.exchange_traffic;
+    let times = FaultTimes::measure(&mut network, count);
     println!(
         "| {count} | {:.0}% | {seed} | {} | {} | {} | {} | {} | {} | {:.1} | {:.0} | {} of {} | {:.0} |",
         loss * 100.0,
         seconds(join),
-        seconds(times.crash),
-        seconds(times.mass_crash),
-        seconds(times.partition),
-        seconds(times.pause),
+        seconds(times.crash_detection),
+        seconds(times.mass_crash_detection),
+        seconds(times.partition_recovery),
+        seconds(times.pause_recovery),
         traffic.false_removals,
         traffic.datagrams_per_s,
         traffic.bytes_per_s,
@@ -128,9 +128,9 @@
     );
 }
 
-/// The arguments that can be read as such values, or the default.
-fn arguments<T>(read: impl Fn(&str) -> Option<T>, default: Vec<T>) -> Vec<T> {
-    let found: Vec<T> = std::env::args().skip(1).filter_map(|argument| read(&argument)).collect();
+/// Returns the arguments that `parse` accepts, or the default if there are none.
+fn arguments<T>(parse: impl Fn(&str) -> Option<T>, default: Vec<T>) -> Vec<T> {
+    let found: Vec<T> = std::env::args().skip(1).filter_map(|argument| parse(&argument)).collect();
     if found.is_empty() { default } else { found }
 }
 
@@ -141,7 +141,7 @@
     let losses = arguments(percent, vec![0.0, 0.05, 0.2]);
     let seeds = arguments(|argument| argument.strip_prefix("seed=")?.parse().ok(), vec![1, 2]);
     println!(
-        "| members | loss | seed | join | one crash noticed | seven in ten noticed | heal | after a stop | false removals a minute | datagrams/s each | bytes/s each | full exchanges by then, bytes of one | computed in s |"
+        "| members | loss | seed | join s | one crash detected s | 70% crash detected s | after partition s | after pause s | false removals | datagrams/s per process | bytes/s per process | full exchange messages, bytes each | run time s |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for count in counts {
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -17,19 +17,20 @@
 //! Invariants, each with the test that checks it (`tests/`):
 //!
 //! 1. The views of members that receive from each other converge after joins, crashes, a partition into halves, a
-//!    one-way partition and a pause, even while the seeds are down (`the_view_settles_again`).
+//!    one-way partition and a pause, even while the seeds are down (`views_converge_after_each_fault`).
 //! 2. While up to 5% of the datagrams are lost, a live member that others receive from is not removed
 //!    (`no_live_member_is_removed`).
 //! 3. The quotas of all members, each divided by the number of members, never exceed the fleet's quota in total while
-//!    the fleet is partitioned in two (`quotas_of_partitions_never_exceed_the_whole`).
+//!    the fleet is partitioned in two (`quotas_of_partitions_never_exceed_the_fleet_quota`).
 //! 4. A restarted member replaces its former incarnation, even if its clock went back. Late messages of the former
 //!    incarnation do not restore it permanently (`a_restart_replaces_the_former_incarnation`).
 //! 5. A member that receives nothing reports that it is isolated. A member that is configured as the only one does
-//!    not (`a_partitioned_member_reports_itself_blind`).
-//! 6. Members, addresses and pending changes are bounded for any input (`what_is_received_is_bounded`).
+//!    not (`a_partitioned_member_reports_its_isolation`).
+//! 6. Members, addresses and pending changes are bounded for any input (`members_and_addresses_are_bounded`).
 //! 7. Two members with the same name remain distinct and are reported (`name_conflicts_are_reported`).
-//! 8. The newest report of an origin is accepted once, regardless of duplicates and delays (`reports_count_once`).
-//!    Nearly all members receive each report within a renewal interval (`reports_reach_nearly_all_members`).
+//! 8. The newest report of an origin is accepted once, regardless of duplicates and delays
+//!    (`the_newest_report_is_accepted_once`). Nearly all members receive each report within a renewal interval
+//!    (`reports_reach_nearly_all_members`).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/membership/tests/common/events.rs
+++ b/membership/tests/common/events.rs
@@ -1,18 +1,18 @@
-//! Scheduled events of the simulated fleet, ordered by time.
+//! Scheduled events of the simulated fleet. Their derived order is by time.
 
 use birchreach_membership::Micros;
 
-/// A datagram on its way. Ordered by arrival, then by number.
+/// A datagram in transit. Datagrams that arrive at the same time are delivered in the order of sending.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Datagram {
     pub arrives_at: Micros,
-    pub number: u64,
+    pub sequence: u64,
     pub to: usize,
     pub sender: u64,
     pub payload: Vec<u8>,
 }
 
-/// A full exchange at a time.
+/// A full exchange between two processes.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Exchange {
     pub at: Micros,
@@ -20,7 +20,7 @@
     pub to: usize,
 }
 
-/// A process wakes at a time.
+/// A wake-up of a process.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Wake {
     pub at: Micros,
--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet, and what must hold of it: shared by the tests and the examples.
+//! Simulated fleet and its invariants, shared by the tests and the examples.
 #![allow(dead_code, reason = "no test or example uses all of it")]
 
 pub(crate) mod events;
@@ -12,7 +12,7 @@
 
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// The address of a process, by its index.
+/// Returns the address of the process with this index.
 pub(crate) fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (index / 200) as u8, (index % 200) as u8 + 1], 7000))
 }
--- a/membership/tests/common/network.rs
+++ b/membership/tests/common/network.rs
@@ -1,67 +1,67 @@
-//! The membership of many processes on virtual time, with a network between them that loses and delays datagrams and is partitioned: a
-//! history from a seed.
+//! Simulation of a fleet on virtual time: many memberships, and a network that loses, delays and blocks datagrams.
+//! The seed determines the run.
 
 use super::events::{Datagram, Exchange, Wake};
-use super::process::{Process, Received, Traffic};
+use super::process::{Process, ReceivedPayload, Traffic};
 use super::{SECOND, address};
 use birchreach_membership::{Membership, MembershipSettings, Micros, OutgoingPayload, ViewState};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-/// Header and code of a datagram, and its first byte.
+/// Header and authentication code of a datagram, and the byte for the channel.
 const DATAGRAM_OVERHEAD_BYTES: u64 = 55;
-/// Header and code of a frame.
+/// Header and authentication code of a frame.
 const FRAME_OVERHEAD_BYTES: u64 = 44;
 const MIN_WAKE_INTERVAL: Micros = 1_000;
-/// Unix time at the start of a history.
-const STARTED_AT: Micros = 1_700_000_000 * SECOND;
+/// Unix time at the start of a simulation.
+const SIMULATION_START: Micros = 1_700_000_000 * SECOND;
 
-/// A fleet of processes, the network between them, and the time.
+/// A simulated fleet, the network between its processes and the virtual time.
 pub(crate) struct Network {
     pub now: Micros,
     pub processes: Vec<Process>,
     pub rng: fastrand::Rng,
-    /// The fraction of datagrams that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Whether the second process receives nothing from the first.
-    pub is_partitioned: Box<dyn Fn(usize, usize) -> bool>,
+    /// Whether datagrams from the first process to the second are blocked.
+    pub is_blocked: Box<dyn Fn(usize, usize) -> bool>,
     datagrams: BinaryHeap<Reverse<Datagram>>,
-    last_number: u64,
+    last_sequence: u64,
     wakes: BinaryHeap<Reverse<Wake>>,
     exchanges: BinaryHeap<Reverse<Exchange>>,
-    pub exchanged: Traffic,
-    by_address: HashMap<SocketAddr, usize>,
+    pub exchange_traffic: Traffic,
+    index_by_address: HashMap<SocketAddr, usize>,
     configured_members: u32,
 }
 
 impl Network {
-    /// A fleet of so many configured processes, of which none has started.
+    /// Creates a fleet in which no process has started.
     pub(crate) fn new(configured_members: usize, seed: u64) -> Network {
         Network {
             now: 0,
             processes: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             loss: 0.0,
-            is_partitioned: Box::new(|_, _| false),
+            is_blocked: Box::new(|_, _| false),
             datagrams: BinaryHeap::new(),
-            last_number: 0,
+            last_sequence: 0,
             wakes: BinaryHeap::new(),
             exchanges: BinaryHeap::new(),
-            exchanged: Traffic::default(),
-            by_address: (0..configured_members).map(|index| (address(index), index)).collect(),
+            exchange_traffic: Traffic::default(),
+            index_by_address: (0..configured_members).map(|index| (address(index), index)).collect(),
             configured_members: configured_members as u32,
         }
     }
 
-    /// A fleet of so many that all start now, each with the first two as seeds.
+    /// Creates a fleet and starts all its processes. The first two are the seeds of all others.
     pub(crate) fn started(count: usize, seed: u64) -> Network {
         let mut network = Network::new(count, seed);
         (0..count).for_each(|index| network.start(index, 0));
         network
     }
 
-    /// Starts a process, or restarts it without its state, on a clock with this offset.
+    /// Starts a process, or restarts it without its former state. `clock_offset` is added to its Unix time.
     pub(crate) fn start(&mut self, index: usize, clock_offset: Micros) {
         self.start_named(index, &format!("p{index}"), clock_offset);
     }
@@ -72,7 +72,7 @@
             name: name.into(),
             address: address(index),
             incarnation,
-            epoch: ((STARTED_AT + self.now + clock_offset) / 1_000) as u64,
+            epoch: ((SIMULATION_START + self.now + clock_offset) / 1_000) as u64,
             rng_seed: self.rng.u64(..),
             seed_addresses: vec![address(0), address(1)],
             configured_members: self.configured_members,
@@ -83,7 +83,7 @@
         } else {
             self.processes.push(process);
         }
-        self.by_address.insert(address(index), index);
+        self.index_by_address.insert(address(index), index);
         self.flush(index);
     }
 
@@ -99,7 +99,7 @@
     pub(crate) fn resume(&mut self, index: usize) {
         let process = &mut self.processes[index];
         process.paused = false;
-        for Received { sender, payload } in std::mem::take(&mut process.waiting) {
+        for ReceivedPayload { sender, payload } in std::mem::take(&mut process.queued) {
             if let Some(membership) = &mut process.membership {
                 let _ = membership.receive(self.now, sender, &payload);
             }
@@ -107,33 +107,32 @@
         self.flush(index);
     }
 
-    /// Leaves the fleet gracefully.
     pub(crate) fn leave(&mut self, index: usize) {
         let now = self.now;
         self.processes[index].membership.iter_mut().for_each(|membership| membership.leave(now));
     }
 
-    /// Sends the payloads of a process, records its changes, and schedules its next wake.
+    /// Sends the payloads of a process, starts a due exchange, records its changes and schedules its next wake-up.
     fn flush(&mut self, index: usize) {
         let process = &mut self.processes[index];
         let Some(membership) = &mut process.membership else { return };
         while let Some(OutgoingPayload { recipient, payload }) = membership.next_payload() {
             process.sent.add(payload.len() as u64 + DATAGRAM_OVERHEAD_BYTES);
-            let Some(&to) = self.by_address.get(&recipient) else { continue };
-            if self.rng.f64() < self.loss || (self.is_partitioned)(index, to) {
+            let Some(&to) = self.index_by_address.get(&recipient) else { continue };
+            if self.rng.f64() < self.loss || (self.is_blocked)(index, to) {
                 continue;
             }
-            self.last_number += 1;
+            self.last_sequence += 1;
             self.datagrams.push(Reverse(Datagram {
                 arrives_at: self.now + self.rng.i64(200..5_000),
-                number: self.last_number,
+                sequence: self.last_sequence,
                 to,
                 sender: process.incarnation,
                 payload,
             }));
         }
         let due_exchange = membership.due_exchange(self.now);
-        if let Some(&to) = due_exchange.and_then(|address| self.by_address.get(&address)) {
+        if let Some(&to) = due_exchange.and_then(|address| self.index_by_address.get(&address)) {
             let at = self.now + self.rng.i64(1_000..20_000);
             self.exchanges.push(Reverse(Exchange { at, from: index, to }));
         }
@@ -145,28 +144,28 @@
         self.wakes.push(Reverse(Wake { at: process.wake_at, process: index }));
     }
 
-    /// Delivers a payload to a process.
+    /// Delivers a payload to a process, or queues the payload while the process is paused.
     pub(crate) fn deliver(&mut self, to: usize, sender: u64, payload: Vec<u8>) {
         let Some(process) = self.processes.get_mut(to) else { return };
         if process.paused {
-            process.waiting.push(Received { sender, payload });
+            process.queued.push(ReceivedPayload { sender, payload });
         } else if let Some(membership) = &mut process.membership {
             let _ = membership.receive(self.now, sender, &payload);
             self.flush(to);
         }
     }
 
-    /// A full exchange takes place if both processes run and reach each other: a connection needs both ways.
+    /// Runs a full exchange if both processes run and neither direction is blocked, because a connection needs both.
     fn exchange(&mut self, from: usize, to: usize) {
-        let any_partition = (self.is_partitioned)(from, to) || (self.is_partitioned)(to, from);
-        if any_partition || [from, to].iter().any(|index| self.processes[*index].paused) {
+        let is_blocked = (self.is_blocked)(from, to) || (self.is_blocked)(to, from);
+        if is_blocked || [from, to].iter().any(|index| self.processes[*index].paused) {
             return;
         }
         for (sender, receiver) in [(from, to), (to, from)] {
             let Some(membership) = &self.processes[sender].membership else { return };
             let parts = membership.export_members();
             let bytes = parts.iter().map(|part| part.len() as u64 + FRAME_OVERHEAD_BYTES).sum();
-            self.exchanged.add(bytes);
+            self.exchange_traffic.add(bytes);
             let Some(membership) = &mut self.processes[receiver].membership else { return };
             let _ = membership.import_members(self.now, &parts);
             self.flush(receiver);
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Advances the time, with all events that are due within the span.
+    /// Advances the time and runs all events that are due within the span, in the order of their times.
     pub(crate) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
@@ -210,14 +209,14 @@
         self.now = end;
     }
 
-    /// Processes that run.
+    /// Returns the memberships of all processes that are neither down nor paused.
     pub(crate) fn live(&self) -> impl Iterator<Item = &Membership> {
         let running = self.processes.iter().filter(|process| !process.paused);
         running.filter_map(|process| process.membership.as_ref())
     }
 
-    /// Whether all that run have one settled view of so many members.
-    pub(crate) fn agrees(&self, members: usize) -> bool {
+    /// Returns whether all running processes have the same settled view with this number of members.
+    pub(crate) fn has_converged(&self, members: usize) -> bool {
         let views: Vec<_> = self.live().map(Membership::view).collect();
         let is_settled = |state: ViewState| matches!(state, ViewState::Settled { .. });
         views.iter().all(|view| {
@@ -225,10 +224,10 @@
         })
     }
 
-    /// How long it takes until they agree; none if longer than the limit.
-    pub(crate) fn time_to_agreement(&mut self, members: usize, limit: Micros) -> Option<Micros> {
+    /// Advances the time until the views converge and returns how long that took, or `None` beyond the limit.
+    pub(crate) fn time_to_convergence(&mut self, members: usize, limit: Micros) -> Option<Micros> {
         let start = self.now;
-        while !self.agrees(members) {
+        while !self.has_converged(members) {
             if self.now - start >= limit {
                 return None;
             }
--- a/membership/tests/common/process.rs
+++ b/membership/tests/common/process.rs
@@ -1,8 +1,8 @@
-//! One process of the simulated fleet, and its traffic.
+//! A process of the simulated fleet and its traffic.
 
 use birchreach_membership::{Membership, MembershipChange, Micros};
 
-/// What was sent.
+/// Number and total size of sent messages.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Traffic {
     pub messages: u64,
@@ -16,34 +16,33 @@
     }
 }
 
-/// A datagram's payload, and the incarnation that sealed it.
-pub(crate) struct Received {
+/// A payload received in a datagram.
+pub(crate) struct ReceivedPayload {
+    /// Incarnation in the datagram's header.
     pub sender: u64,
     pub payload: Vec<u8>,
 }
 
-/// A process of the simulated fleet.
 pub(crate) struct Process {
-    /// None while it is down.
+    /// `None` while the process is down.
     pub membership: Option<Membership>,
-    /// As by SIGSTOP: payloads are received when it resumes.
+    /// Whether the process is stopped, as by SIGSTOP. It receives queued payloads when it resumes.
     pub paused: bool,
-    /// Payloads that arrived while it was paused.
-    pub waiting: Vec<Received>,
+    /// Payloads that arrived while the process was paused.
+    pub queued: Vec<ReceivedPayload>,
     pub incarnation: u64,
-    /// When it is to be woken; other wakes of it have no effect.
+    /// Time of the next wake-up. Scheduled wake-ups at other times are ignored.
     pub wake_at: Micros,
     pub sent: Traffic,
     pub changes: Vec<(Micros, MembershipChange)>,
 }
 
 impl Process {
-    /// A process that has just started.
     pub(crate) fn new(incarnation: u64, membership: Membership) -> Process {
         Process {
             membership: Some(membership),
             paused: false,
-            waiting: vec![],
+            queued: vec![],
             incarnation,
             wake_at: Micros::MAX,
             sent: Traffic::default(),
--- a/membership/tests/common/scenarios/mod.rs
+++ b/membership/tests/common/scenarios/mod.rs
@@ -1,5 +1,5 @@
-//! Invariants of a fleet, as scenarios that return what was violated: the tests require that they pass, and that each injected fault
-//! makes one fail.
+//! Scenarios that check the invariants of a fleet and return the violation as an error. The tests require that each
+//! scenario passes, and that it fails while the fault that it guards against is injected.
 
 pub(crate) mod limits;
 pub(crate) mod settling;
@@ -9,26 +9,32 @@
 use birchreach_fault_injection::{ensure, ensure_eq};
 use birchreach_membership::{Membership, MembershipChange, Micros, Peer, ViewState};
 
-/// Separates the processes below an index from the others.
+/// Blocks all datagrams between the processes below an index and the others.
 fn partition(network: &mut Network, first: usize) {
-    network.is_partitioned = Box::new(move |from, to| (from < first) != (to < first));
+    network.is_blocked = Box::new(move |from, to| (from < first) != (to < first));
 }
 
 fn end_partition(network: &mut Network) {
-    network.is_partitioned = Box::new(|_, _| false);
+    network.is_blocked = Box::new(|_, _| false);
 }
 
 fn membership(network: &mut Network, index: usize) -> Result<&mut Membership, String> {
-    network.processes[index].membership.as_mut().ok_or(format!("{index} is down"))
+    network.processes[index].membership.as_mut().ok_or(format!("process {index} is down"))
 }
 
-/// Waits until all agree on so many members; the error names the event after which they do not.
-fn agreement(network: &mut Network, members: usize, limit: Micros, after: &str) -> Result<(), String> {
-    let took = network.time_to_agreement(members, limit);
-    took.map(drop).ok_or_else(|| format!("{after}: {members} members do not agree"))
+/// Advances the time until the views converge. The error names the preceding event.
+fn await_convergence(
+    network: &mut Network,
+    members: usize,
+    limit: Micros,
+    event: &str,
+) -> Result<(), String> {
+    let took = network.time_to_convergence(members, limit);
+    took.map(drop)
+        .ok_or_else(|| format!("{event}: the views of {members} members did not converge within {limit} µs"))
 }
 
-/// How often a process with such an index was removed from a view.
+/// Counts the removals of processes whose index satisfies `is_counted`, over the views of all processes.
 fn removals(network: &Network, is_counted: impl Fn(usize) -> bool) -> usize {
     let is_counted_peer = |peer: &Peer| {
         (0..network.processes.len()).any(|index| address(index) == peer.address && is_counted(index))
@@ -39,7 +45,7 @@
         .count()
 }
 
-/// At up to 5% of datagrams lost only a member that crashed is removed.
+/// While up to 5% of the datagrams are lost, only a crashed member is removed.
 pub(crate) fn no_live_member_is_removed() -> Result<(), String> {
     for (loss, seed) in [(0.0, 1), (0.05, 2), (0.05, 3)] {
         let mut network = Network::started(40, seed);
@@ -57,38 +63,46 @@
     Ok(())
 }
 
-/// Quotas by each view's divisor add up to no more than the whole, in a partitioned fleet too.
-pub(crate) fn quotas_of_partitions_never_exceed_the_whole() -> Result<(), String> {
+/// The quotas of all members never exceed the fleet's quota in total, even in a partitioned fleet.
+pub(crate) fn quotas_of_partitions_never_exceed_the_fleet_quota() -> Result<(), String> {
     let mut network = Network::started(20, 5);
-    agreement(&mut network, 20, 20 * SECOND, "join")?;
+    await_convergence(&mut network, 20, 20 * SECOND, "join")?;
 
     partition(&mut network, 7);
     for _ in 0..200 {
         network.advance(SECOND / 5);
         let sum: f64 = network.live().map(|member| 1.0 / f64::from(member.view().quota_divisor())).sum();
-        ensure!(sum <= 1.0 + 1e-9, "{sum} at {}", network.now);
+        ensure!(sum <= 1.0 + 1e-9, "sum of quotas {sum} at {} µs", network.now);
     }
-    ensure!(network.live().all(|member| member.view().member_count < 20), "each partition sees itself alone");
+    ensure!(
+        network.live().all(|member| member.view().member_count < 20),
+        "a view still has the members of both partitions"
+    );
 
-    // More members than the options name: those seen count.
+    // When there are more members than configured, the divisor is the number of members in the view.
     end_partition(&mut network);
     (20..25).for_each(|index| network.start(index, 0));
-    agreement(&mut network, 25, 20 * SECOND, "join of five more")?;
+    await_convergence(&mut network, 25, 20 * SECOND, "join of five more")?;
     ensure!(network.live().all(|member| member.view().quota_divisor() == 25));
     Ok(())
 }
 
-/// After a restart no view has the former incarnation.
+/// After a restart no view has the former incarnation, even if the clock of the process went back.
 pub(crate) fn a_restart_replaces_the_former_incarnation() -> Result<(), String> {
     for clock_offset in [0, -3_600 * SECOND] {
         let mut network = Network::started(10, 6);
-        agreement(&mut network, 10, 20 * SECOND, "join")?;
+        await_convergence(&mut network, 10, 20 * SECOND, "join")?;
         let before = membership(&mut network, 4)?.identity().incarnation;
 
-        // Before any other member has noticed, and once with a clock that went back.
+        // The process restarts before any other member has detected the crash.
         network.kill(4);
         network.start(4, clock_offset);
-        agreement(&mut network, 10, 30 * SECOND, &format!("restart, clock off by {clock_offset}"))?;
+        await_convergence(
+            &mut network,
+            10,
+            30 * SECOND,
+            &format!("restart with a clock offset of {clock_offset} µs"),
+        )?;
 
         let after = membership(&mut network, 4)?.identity().incarnation;
         let seen = |view: &Membership| {
@@ -100,8 +114,8 @@
     Ok(())
 }
 
-/// A member that receives nothing reports itself blind, and one that is alone by its options does not.
-pub(crate) fn a_partitioned_member_reports_itself_blind() -> Result<(), String> {
+/// A member that receives nothing is isolated. A member that is configured as the only one is standalone.
+pub(crate) fn a_partitioned_member_reports_its_isolation() -> Result<(), String> {
     let state = |network: &mut Network| membership(network, 0).map(|member| member.view().state);
 
     let mut network = Network::new(3, 7);
@@ -110,33 +124,33 @@
     ensure_eq!(state(&mut network)?, ViewState::Isolated { since: 0 });
 
     (1..3).for_each(|index| network.start(index, 0));
-    agreement(&mut network, 3, 10 * SECOND, "join")?;
+    await_convergence(&mut network, 3, 10 * SECOND, "join")?;
 
     partition(&mut network, 1);
     let partitioned_at = network.now;
     network.advance(4 * SECOND);
 
-    let about_then = partitioned_at - SECOND..=partitioned_at + SECOND;
+    let expected_since = partitioned_at - SECOND..=partitioned_at + SECOND;
     let state_after = state(&mut network)?;
     ensure!(
-        matches!(state_after, ViewState::Isolated { since } if about_then.contains(&since)),
+        matches!(state_after, ViewState::Isolated { since } if expected_since.contains(&since)),
         "{state_after:?}"
     );
 
-    let mut alone = Network::started(1, 8);
-    alone.advance(10 * SECOND);
-    ensure_eq!(state(&mut alone)?, ViewState::Standalone);
+    let mut standalone = Network::started(1, 8);
+    standalone.advance(10 * SECOND);
+    ensure_eq!(state(&mut standalone)?, ViewState::Standalone);
     Ok(())
 }
 
-/// All report that two members have one name, and that this has ended.
+/// All members, including the two with the same name, report the name conflict and its resolution.
 pub(crate) fn name_conflicts_are_reported() -> Result<(), String> {
     let mut network = Network::started(4, 9);
 
     network.start_named(4, "p2", 0);
     network.advance(10 * SECOND);
-    let reports = |member: &Membership| member.view().name_conflicts == ["p2"];
-    ensure!(network.live().all(reports), "by all, also by those with the name");
+    let reports_conflict = |member: &Membership| member.view().name_conflicts == ["p2"];
+    ensure!(network.live().all(reports_conflict), "a member does not report the conflict");
 
     network.kill(4);
     network.advance(10 * SECOND);
--- a/membership/tests/common/scenarios/settling.rs
+++ b/membership/tests/common/scenarios/settling.rs
@@ -1,75 +1,78 @@
-//! Scenarios in which all members come to one view within a limit: after joins, crashes, partitions and pauses.
+//! Scenarios in which the views of all members converge within a limit after joins, crashes, partitions and pauses.
 
-use super::{agreement, end_partition, membership, partition};
+use super::{await_convergence, end_partition, membership, partition};
 use crate::common::network::Network;
 use crate::common::{SECOND, address};
 use birchreach_fault_injection::ensure;
 use birchreach_membership::{Membership, ViewState};
 
-/// All come to one view after a join, a mass crash, a partition, a one-way partition, a pause and a graceful shutdown.
-pub(crate) fn the_view_settles_again() -> Result<(), String> {
+/// The views converge after a join, a mass crash, a partition, a one-way partition, a pause and a graceful shutdown.
+pub(crate) fn views_converge_after_each_fault() -> Result<(), String> {
     for (count, seed) in [(10, 1), (10, 2), (40, 3), (40, 4)] {
         let limit = 20 * SECOND;
         let label = |what: &str| format!("{what}, {count} members, seed {seed}");
         let network = &mut Network::started(count, seed);
 
-        agreement(network, count, limit, &label("join"))?;
+        await_convergence(network, count, limit, &label("join"))?;
 
-        // The seeds are down, and seven in ten with them.
+        // 70% of the processes crash, including the seeds.
         let killed = count * 7 / 10;
         (0..killed).for_each(|index| network.kill(index));
-        agreement(network, count - killed, limit, &label("crash of seven in ten"))?;
+        await_convergence(network, count - killed, limit, &label("crash of 70%"))?;
         (0..killed).for_each(|index| network.start(index, 0));
-        agreement(network, count, limit, &label("return of seven in ten"))?;
+        await_convergence(network, count, limit, &label("restart of 70%"))?;
 
-        // Long enough for each partition to remove the other.
+        // The partition lasts long enough for each side to remove the members of the other.
         partition(network, count / 2);
         network.advance(60 * SECOND);
         end_partition(network);
-        agreement(network, count, limit, &label("partition"))?;
+        await_convergence(network, count, limit, &label("partition"))?;
 
         let last = count - 1;
-        network.is_partitioned = Box::new(move |_, to| to == last);
+        network.is_blocked = Box::new(move |_, to| to == last);
         network.advance(20 * SECOND);
         let state = membership(network, last)?.view().state;
         ensure!(matches!(state, ViewState::Isolated { .. }), "{state:?}");
         end_partition(network);
-        agreement(network, count, limit, &label("one-way partition"))?;
+        await_convergence(network, count, limit, &label("one-way partition"))?;
 
         network.pause(last);
         network.advance(20 * SECOND);
         network.resume(last);
-        agreement(network, count, limit, &label("pause"))?;
+        await_convergence(network, count, limit, &label("pause"))?;
 
         leaves_and_rejoins(network, count, &label("leave"))?;
     }
     Ok(())
 }
 
-/// All members learn at once that the first process leaves, not only when its probes fail.
+/// All members learn within a second that the first process leaves, before its probes could fail.
 fn leaves_and_rejoins(network: &mut Network, count: usize, label: &str) -> Result<(), String> {
     let now = network.now;
     membership(network, 0)?.leave(now);
     network.advance(SECOND);
 
     let is_absent = |view: &Membership| view.members().all(|member| member.address != address(0));
-    ensure!(network.live().skip(1).all(is_absent), "{label}: not known to all at once");
+    ensure!(
+        network.live().skip(1).all(is_absent),
+        "{label}: a member still lists the process one second later"
+    );
 
     let now = network.now;
     membership(network, 0)?.rejoin(now);
-    agreement(network, count, 20 * SECOND, &format!("{label} and rejoin"))?;
+    await_convergence(network, count, 20 * SECOND, &format!("{label} and rejoin"))?;
 
     let now = network.now;
     membership(network, 0)?.leave(now);
     network.advance(SECOND / 10);
     network.kill(0);
-    agreement(network, count - 1, 10 * SECOND, label)
+    await_convergence(network, count - 1, 10 * SECOND, label)
 }
 
-/// A process that joins a settled fleet knows all of it without a round of gossip for each member.
-pub(crate) fn a_join_is_known_to_all_at_once() -> Result<(), String> {
+/// A process that joins a settled fleet receives all members in one exchange. Gossip would take many rounds.
+pub(crate) fn a_joining_process_learns_all_members_at_once() -> Result<(), String> {
     let mut network = Network::started(120, 11);
-    agreement(&mut network, 120, 20 * SECOND, "join")?;
+    await_convergence(&mut network, 120, 20 * SECOND, "join")?;
     network.kill(7);
     network.advance(20 * SECOND);
 
@@ -77,6 +80,6 @@
     network.advance(SECOND / 4);
 
     let known = membership(&mut network, 7)?.members().count();
-    ensure!(known == 119, "it knows {known} of 119 a quarter of a second after its start");
+    ensure!(known == 119, "the process knows {known} of 119 members 250 ms after its start");
     Ok(())
 }
--- a/membership/tests/common/schedule.rs
+++ b/membership/tests/common/schedule.rs
@@ -1,18 +1,18 @@
-//! Schedules of faults from seeds, on virtual time: invariants hold at any time, and once all faults have ended all processes come to
-//! one view.
+//! Random schedules of faults on virtual time. The invariants hold at all times, and the views converge after the
+//! last fault has ended.
 
 use super::SECOND;
 use super::network::Network;
 use birchreach_membership::{Membership, Micros, ViewState};
 
-/// The time within which all agree after the last fault.
-const AGREEMENT_LIMIT: Micros = 40 * SECOND;
+/// Maximum time between the end of the last fault and convergence.
+const CONVERGENCE_LIMIT: Micros = 40 * SECOND;
 
-/// A fault that is injected into a fleet, or the end of one.
+/// A fault injected into a fleet, or the end of a fault.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
     Kill(usize),
-    /// A process starts or restarts, on a clock with this offset.
+    /// A process starts or restarts with an offset on its clock.
     Start {
         index: usize,
         clock_offset: Micros,
@@ -20,29 +20,29 @@
     Pause(usize),
     Resume(usize),
     Leave(usize),
-    /// The processes below this index and the others do not reach each other.
+    /// The processes below this index cannot exchange datagrams with the others.
     Partition(usize),
-    /// A process receives nothing.
-    NothingReceived(usize),
-    /// Nothing that a process sends is received.
-    NothingSent(usize),
+    /// All datagrams to this process are blocked.
+    BlockIncoming(usize),
+    /// All datagrams from this process are blocked.
+    BlockOutgoing(usize),
     EndPartitions,
+    /// Fraction of datagrams that are lost from now on.
     Loss(f64),
 }
 
-/// A fault and its time.
 #[derive(Clone, Debug)]
-struct Scheduled {
+struct ScheduledFault {
     at: Micros,
     fault: Fault,
 }
 
-/// So many processes, and the faults that are injected.
+/// The faults injected into a fleet, in the order of their times.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     seed: u64,
     processes: usize,
-    faults: Vec<Scheduled>,
+    faults: Vec<ScheduledFault>,
 }
 
 fn draw_fault(rng: &mut fastrand::Rng, processes: usize) -> Fault {
@@ -57,16 +57,16 @@
         5 => Fault::Resume(index),
         6 => Fault::Leave(index),
         7 => Fault::Partition(rng.usize(1..processes)),
-        8 => Fault::NothingReceived(index),
-        9 => Fault::NothingSent(index),
+        8 => Fault::BlockIncoming(index),
+        9 => Fault::BlockOutgoing(index),
         10 => Fault::EndPartitions,
         _ => Fault::Loss([0.0, 0.05, 0.2][rng.usize(..3)]),
     }
 }
 
 impl Schedule {
-    /// The schedule of a seed.
-    pub(crate) fn draw(seed: u64) -> Schedule {
+    /// Generates the schedule that the seed determines.
+    pub(crate) fn from_seed(seed: u64) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let processes = rng.usize(3..=10);
         let mut at = 0;
@@ -74,15 +74,16 @@
         let mut faults = Vec::new();
         for _ in 0..count {
             at += rng.i64(SECOND / 10..6 * SECOND);
-            faults.push(Scheduled { at, fault: draw_fault(&mut rng, processes) });
+            faults.push(ScheduledFault { at, fault: draw_fault(&mut rng, processes) });
         }
         Schedule { seed, processes, faults }
     }
 
-    /// Runs it; then all faults end, and processes that are down or have left start again. How long they took to agree.
+    /// Runs the schedule, ends all faults, and restarts the processes that are down or have left. Returns the time
+    /// between that and convergence.
     pub(crate) fn run(&self) -> Result<Micros, String> {
         let mut network = Network::started(self.processes, self.seed);
-        for Scheduled { at, fault } in &self.faults {
+        for ScheduledFault { at, fault } in &self.faults {
             while network.now < *at {
                 network.advance((*at - network.now).min(SECOND / 2));
                 self.check(&network)?;
@@ -98,24 +99,27 @@
                 network.start(index, 0);
             }
         }
-        let took = network.time_to_agreement(self.processes, AGREEMENT_LIMIT);
-        took.ok_or_else(|| format!("{self:?}: they do not agree: {:?}", views(&network)))
+        let took = network.time_to_convergence(self.processes, CONVERGENCE_LIMIT);
+        took.ok_or_else(|| format!("{self:?}: the views did not converge: {:?}", views(&network)))
     }
 
-    /// The invariants at any time: quotas never add up to more than the whole, no process is its own member, and none of several
-    /// reports itself alone.
+    /// Checks the invariants that hold at all times. The quotas of all processes never exceed the fleet's quota in
+    /// total, no process lists itself as another member, and no process of a larger fleet is in the state
+    /// `Standalone`.
     fn check(&self, network: &Network) -> Result<(), String> {
         let joined = || network.live().filter(|membership| !membership.has_left());
-        let quotas: f64 = joined().map(|membership| 1.0 / f64::from(membership.view().quota_divisor())).sum();
-        let is_own_member = |membership: &Membership| {
+        let quota_sum: f64 =
+            joined().map(|membership| 1.0 / f64::from(membership.view().quota_divisor())).sum();
+        let lists_itself = |membership: &Membership| {
             membership.members().any(|member| member.address == membership.identity().address)
         };
-        let any_own_member = joined().any(is_own_member);
-        let any_alone = joined().any(|membership| membership.view().state == ViewState::Standalone);
-        if quotas > 1.0 + 1e-9 || any_own_member || any_alone {
+        let any_lists_itself = joined().any(lists_itself);
+        let any_standalone = joined().any(|membership| membership.view().state == ViewState::Standalone);
+        if quota_sum > 1.0 + 1e-9 || any_lists_itself || any_standalone {
             let now = network.now;
             return Err(format!(
-                "{self:?}: quotas of {quotas}, own member {any_own_member}, alone {any_alone}, at {now}"
+                "{self:?}: at {now} µs: sum of quotas {quota_sum}, lists itself {any_lists_itself}, \
+                 standalone {any_standalone}"
             ));
         }
         Ok(())
@@ -130,11 +134,11 @@
         Fault::Resume(index) => network.resume(index),
         Fault::Leave(index) => network.leave(index),
         Fault::Partition(first) => {
-            network.is_partitioned = Box::new(move |from, to| (from < first) != (to < first));
+            network.is_blocked = Box::new(move |from, to| (from < first) != (to < first));
         }
-        Fault::NothingReceived(index) => network.is_partitioned = Box::new(move |_, to| to == index),
-        Fault::NothingSent(index) => network.is_partitioned = Box::new(move |from, _| from == index),
-        Fault::EndPartitions => network.is_partitioned = Box::new(|_, _| false),
+        Fault::BlockIncoming(index) => network.is_blocked = Box::new(move |_, to| to == index),
+        Fault::BlockOutgoing(index) => network.is_blocked = Box::new(move |from, _| from == index),
+        Fault::EndPartitions => network.is_blocked = Box::new(|_, _| false),
         Fault::Loss(fraction) => network.loss = fraction,
     }
 }
@@ -144,7 +148,7 @@
     views.map(|view| (view.member_count, view.digest, view.state)).collect()
 }
 
-/// The first 150 schedules settle.
-pub(crate) fn some_schedules_settle() -> Result<(), String> {
-    (1..=150).try_for_each(|seed| Schedule::draw(seed).run().map(drop))
+/// The views converge after each of the first 150 schedules.
+pub(crate) fn views_converge_after_random_faults() -> Result<(), String> {
+    (1..=150).try_for_each(|seed| Schedule::from_seed(seed).run().map(drop))
 }
--- a/membership/tests/gossip_reports.rs
+++ b/membership/tests/gossip_reports.rs
@@ -1,4 +1,5 @@
-//! Reports of members: each counts once, the newest alone, nearly all members receive it, and what is received is bounded.
+//! Gossiped reports: nearly all members receive each report, the newest report is accepted once, and the number of
+//! stored reports is bounded.
 
 use birchreach_membership::faults::{Fault, run_with_fault};
 use birchreach_membership::{GossipReports, LIFETIME_INTERVALS, MAX_REPORT_BYTES, Micros};
@@ -6,14 +7,14 @@
 
 const SECOND: Micros = 1_000_000;
 const CHANNEL: u8 = 7;
-/// Reports that are kept, over all origins.
+/// Maximum number of stored reports over all origins. Equals the private constant of the crate.
 const MAX_REPORTS: usize = 16_384;
 
 fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (index / 200) as u8, (index % 200) as u8 + 1], 7000))
 }
 
-/// The next datagram to the only other member.
+/// Returns the next datagram to the only other member.
 fn next_datagram(reports: &mut GossipReports, now: Micros) -> Option<Vec<u8>> {
     reports.encode_gossip(now, &[address(1)]).map(|outgoing| outgoing.payload)
 }
@@ -43,14 +44,17 @@
 
         let fraction = received as f64 / (count * (count - 1)) as f64;
         let rate = datagrams as f64 / count as f64 / (interval as f64 / 1e6);
-        assert!(fraction > 0.98, "{count}: {fraction} received in an interval");
-        assert!(rate <= 20.5, "{count}: {rate} datagrams a second");
+        assert!(
+            fraction > 0.98,
+            "{count} members: fraction {fraction} of the reports received in one interval"
+        );
+        assert!(rate <= 20.5, "{count} members: {rate} datagrams per second and member");
     }
 }
 
-/// The newest of two reports counts, once, and the one before it does not after it.
-fn the_newest_report_counts_once() -> Result<(), String> {
-    // Given two reports of one member.
+/// The newer of two reports is accepted once. The older report is not accepted after it.
+fn check_newest_report_is_accepted_once() -> Result<(), String> {
+    // Given two reports of the same member.
     let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(2, 2));
     sender.publish(0, CHANNEL, b"first".to_vec());
     let first = next_datagram(&mut sender, 0).ok_or("nothing sent")?;
@@ -59,59 +63,59 @@
     let mut receive =
         |now, bytes: &[u8]| receiver.apply_gossip(now, 2, |_| true, bytes).map_err(|error| error.to_string());
 
-    // When the second arrives, then it counts.
+    // When the second report arrives, then it is accepted.
     let new = receive(SECOND, &second)?;
     let is_second = |report: &birchreach_membership::ReceivedReport| {
         report.payload == b"second" && report.origin == 1 && report.sequence == 2
     };
     if new.len() != 1 || !is_second(&new[0]) {
-        return Err(format!("{new:?}"));
+        return Err(format!("the second report was not accepted: {new:?}"));
     }
 
-    // When it arrives again, or the first after it, then neither counts.
+    // When the second report arrives again, or the first arrives late, then neither is accepted.
     for bytes in [&second, &first, &second] {
         let again = receive(SECOND + 1, bytes)?;
         if !again.is_empty() {
-            return Err(format!("it counts again: {again:?}"));
+            return Err(format!("a duplicate or older report was accepted: {again:?}"));
         }
     }
     Ok(())
 }
 
 #[test]
-fn reports_count_once() {
-    the_newest_report_counts_once().unwrap();
+fn the_newest_report_is_accepted_once() {
+    check_newest_report_is_accepted_once().unwrap();
 
-    let with_fault = run_with_fault(Fault::DuplicatesAccepted, the_newest_report_counts_once);
-    assert!(with_fault.is_err(), "the check finds nothing");
+    let with_fault = run_with_fault(Fault::DuplicatesAccepted, check_newest_report_is_accepted_once);
+    assert!(with_fault.is_err(), "the check passed although DuplicatesAccepted was injected");
 }
 
 #[test]
-fn ages_add_up_and_reports_expire() {
+fn ages_accumulate_over_hops_and_reports_expire() {
     let (mut first, mut second, mut third) =
         (GossipReports::new(1, 1), GossipReports::new(2, 2), GossipReports::new(3, 3));
 
-    // When a report is received half a second after it was published, on a clock that is not the sender's.
+    // When a report is received half a second after its publication by a process with another clock.
     first.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut first, SECOND / 2).unwrap();
     let clock = 500 * SECOND;
     let received = second.apply_gossip(clock, 3, |_| true, &sent).unwrap();
 
-    // Then it has this age.
+    // Then the age of the report is at least half a second.
     assert!((SECOND / 2..SECOND).contains(&received[0].age), "{received:?}");
 
-    // When it is forwarded two seconds later, then it is older by these.
+    // When the report is forwarded two seconds later, then its age has grown by two seconds.
     let forwarded = next_datagram(&mut second, clock + 2 * SECOND).unwrap();
     let received = third.apply_gossip(0, 3, |_| true, &forwarded).unwrap();
     assert!((5 * SECOND / 2..3 * SECOND).contains(&received[0].age), "{received:?}");
 
-    // When its lifetime is over, then it is not forwarded any more.
+    // When the report has expired, then it is not forwarded.
     let lifetime = GossipReports::renewal_interval(3) * LIFETIME_INTERVALS;
-    assert_eq!(next_datagram(&mut third, lifetime), None, "it has expired, and is not forwarded");
+    assert_eq!(next_datagram(&mut third, lifetime), None, "an expired report was forwarded");
 }
 
 #[test]
-fn a_report_of_no_member_is_not_kept() {
+fn a_report_whose_origin_is_not_a_member_is_not_stored() {
     let (mut sender, mut receiver) = (GossipReports::new(1, 1), GossipReports::new(4, 4));
     sender.publish(0, CHANNEL, b"data".to_vec());
     let sent = next_datagram(&mut sender, SECOND / 2).unwrap();
@@ -131,7 +135,7 @@
     assert!(next_datagram(&mut sender, 0).is_none());
 }
 
-/// A datagram with one report.
+/// Returns a datagram with one report.
 fn valid_datagram() -> Vec<u8> {
     let mut sender = GossipReports::new(1, 1);
     sender.publish(0, 1, vec![7; 300]);
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn kept_reports_are_bounded_whatever_is_received() {
+fn stored_reports_are_bounded_when_datagrams_are_corrupted() {
     let mut rng = fastrand::Rng::with_seed(9);
     let mut receiver = GossipReports::new(2, 2);
     let valid = valid_datagram();
@@ -165,14 +169,14 @@
 
     for length in 1..valid.len() {
         let result = receiver.apply_gossip(0, 2, |_| true, &valid[..length]);
-        assert!(result.is_err(), "{length} bytes of it");
+        assert!(result.is_err(), "a datagram truncated to {length} bytes was accepted");
     }
 
     assert!(receiver.is_empty());
 }
 
 #[test]
-fn reports_of_many_members_are_bounded() {
+fn stored_reports_of_many_members_are_bounded() {
     let mut receiver = GossipReports::new(9, 2);
     receiver.publish(0, 1, b"own".to_vec());
 
@@ -183,6 +187,6 @@
         receiver.apply_gossip(0, 2, |_| true, &bytes).unwrap();
     }
 
-    assert!(receiver.len() <= MAX_REPORTS, "{}", receiver.len());
+    assert!(receiver.len() <= MAX_REPORTS, "{} reports are stored", receiver.len());
     assert!(next_datagram(&mut receiver, 0).is_some());
 }
--- a/membership/tests/membership_view.rs
+++ b/membership/tests/membership_view.rs
@@ -1,11 +1,11 @@
-//! The view settles, keeps live members, and reports its state.
+//! Views converge after faults, keep live members and report their state.
 
 mod common;
 use common::{scenarios, schedule};
 
 #[test]
-fn the_view_settles_again() {
-    scenarios::settling::the_view_settles_again().unwrap();
+fn views_converge_after_each_fault() {
+    scenarios::settling::views_converge_after_each_fault().unwrap();
 }
 
 #[test]
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn quotas_of_partitions_never_exceed_the_whole() {
-    scenarios::quotas_of_partitions_never_exceed_the_whole().unwrap();
+fn quotas_of_partitions_never_exceed_the_fleet_quota() {
+    scenarios::quotas_of_partitions_never_exceed_the_fleet_quota().unwrap();
 }
 
 #[test]
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn a_partitioned_member_reports_itself_blind() {
-    scenarios::a_partitioned_member_reports_itself_blind().unwrap();
+fn a_partitioned_member_reports_its_isolation() {
+    scenarios::a_partitioned_member_reports_its_isolation().unwrap();
 }
 
 #[test]
@@ -34,16 +34,16 @@
 }
 
 #[test]
-fn what_is_received_is_bounded() {
-    scenarios::limits::what_is_received_is_bounded().unwrap();
+fn members_and_addresses_are_bounded() {
+    scenarios::limits::members_and_addresses_are_bounded().unwrap();
 }
 
 #[test]
-fn a_join_is_known_to_all_at_once() {
-    scenarios::settling::a_join_is_known_to_all_at_once().unwrap();
+fn a_joining_process_learns_all_members_at_once() {
+    scenarios::settling::a_joining_process_learns_all_members_at_once().unwrap();
 }
 
 #[test]
-fn schedules_settle() {
-    schedule::some_schedules_settle().unwrap();
+fn views_converge_after_random_faults() {
+    schedule::views_converge_after_random_faults().unwrap();
 }
--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Payloads that members send each other, recorded from the release before: they are read as they were, and the same are written
-//! again. `recorded/payloads.txt` holds them, a name and its bytes in hexadecimal on each line.
+//! Compatibility with the payloads of the previous release. Members still read the recorded payloads, and still write
+//! the same bytes. Each line of `recorded/payloads.txt` has the name of a payload and its bytes in hexadecimal.
 
 use birchreach_membership::{
     GossipReports, Membership, MembershipSettings, Micros, OutgoingPayload, ReceivedReport, ViewState,
@@ -13,7 +13,7 @@
     find_recorded(include_str!("recorded/payloads.txt"), name)
 }
 
-/// What was written now is what was recorded.
+/// Asserts that these bytes equal the recorded payload.
 fn assert_recorded(name: &str, written: &[u8]) {
     assert_eq!(to_hex(written), to_hex(&recorded(name)), "{name}");
 }
@@ -38,10 +38,10 @@
     Membership::new(settings, now)
 }
 
-/// The second joins the first; each is fed the recorded payloads of the other for five seconds.
+/// The second member joins the first. Each receives the recorded payloads of the other for five seconds.
 #[test]
 fn a_join_and_the_gossip_after_it_are_written_and_read_as_recorded() {
-    // When both exchange the recorded payloads, then each writes those that were recorded.
+    // When each member receives the recorded payloads of the other, then both write the recorded payloads.
     let mut members = [member(0, 0), member(1, 0)];
     let incarnations = [0, 1].map(|index| members[index].identity().incarnation);
     let mut sent = 0;
@@ -59,14 +59,14 @@
     }
     assert!(sent > 30, "{sent} payloads");
 
-    // Then both have settled on one view.
+    // Then both have the same settled view.
     for member in &members {
         assert_eq!(member.view().member_count, 2);
         assert_recorded("digest-of-two", &member.view().digest.to_be_bytes());
         assert!(matches!(member.view().state, ViewState::Settled { .. }));
     }
 
-    // When the second leaves, then the first has no other member.
+    // When the second member leaves, then the first has no other members.
     members[1].leave(5 * SECOND);
     let leaving = members[1].next_payload().unwrap().payload;
     assert_recorded("goodbye", &leaving);
@@ -76,13 +76,13 @@
 
 #[test]
 fn a_full_exchange_is_written_and_read_as_recorded() {
-    // When one exports its members, then the payload is the recorded one.
+    // When a member exports its view, then the part equals the recorded payload.
     let (mut first, second) = (member(0, 0), member(1, 0));
     let parts = second.export_members();
     assert_eq!(parts.len(), 1);
     assert_recorded("exchange", &parts[0]);
 
-    // When the other imports it, then it has both members.
+    // When the other member imports the part, then it knows both members.
     first.import_members(SECOND, &[recorded("exchange")]).unwrap();
     let members: Vec<_> = first.members().cloned().collect();
     assert_eq!(members, [second.identity().clone()]);
@@ -92,14 +92,14 @@
 
 #[test]
 fn reports_are_written_and_read_as_recorded() {
-    // When reports are published, then the payload is the recorded one.
+    // When reports are published, then the datagram equals the recorded payload.
     let (mut sender, mut receiver) = (GossipReports::new(0x2122_2324_2526_2728, 1), GossipReports::new(2, 2));
     sender.publish(0, 1, b"first channel".to_vec());
     sender.publish(SECOND, 200, vec![0, 255, 7]);
     let payload = sender.encode_gossip(SECOND + 1, &[address(0)]).unwrap().payload;
     assert_recorded("reports", &payload);
 
-    // When another member reads it, then it has both reports.
+    // When another member reads the datagram, then it receives both reports.
     let mut new_reports = receiver.apply_gossip(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
     new_reports.sort_by_key(|report| report.channel);
     let report = |channel, age, payload: &[u8]| ReceivedReport {
