--- a/membership/tests/recorded_bytes.rs
+++ b/membership/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Payloads that members send each other, recorded from the release before: they are read as they were, and the same are written
-//! again. `recorded/payloads.txt` holds them, a name and its bytes in hexadecimal on each line.
+//! Compatibility with the payloads of the previous release. Members still read the recorded payloads, and still write
+//! the same bytes. Each line of `recorded/payloads.txt` has the name of a payload and its bytes in hexadecimal.
 
 use birchreach_membership::{
     GossipReports, Membership, MembershipSettings, Micros, OutgoingPayload, ReceivedReport, ViewState,
@@ -13,7 +13,7 @@
     find_recorded(include_str!("recorded/payloads.txt"), name)
 }
 
-/// What was written now is what was recorded.
+/// Asserts that these bytes equal the recorded payload.
 fn assert_recorded(name: &str, written: &[u8]) {
     assert_eq!(to_hex(written), to_hex(&recorded(name)), "{name}");
 }
@@ -31,19 +31,19 @@
         address: address(index),
         incarnation: 0x1000_0000_0000_0001 + index as u64,
         epoch: 1_700_000_000_000 + index as u64,
-        seed: index as u64 + 1,
-        seeds: vec![address(0)],
+        rng_seed: index as u64 + 1,
+        seed_addresses: vec![address(0)],
         configured_members: 2,
     };
     Membership::new(settings, now)
 }
 
-/// The second joins the first; each is fed the recorded payloads of the other for five seconds.
+/// The second member joins the first. Each receives the recorded payloads of the other for five seconds.
 #[test]
 fn a_join_and_the_gossip_after_it_are_written_and_read_as_recorded() {
-    // When both exchange the recorded payloads, then each writes those that were recorded.
+    // When each member receives the recorded payloads of the other, then both write the recorded payloads.
     let mut members = [member(0, 0), member(1, 0)];
-    let incarnations = [0, 1].map(|index| members[index].own().incarnation);
+    let incarnations = [0, 1].map(|index| members[index].identity().incarnation);
     let mut sent = 0;
     for now in (0..5 * SECOND).step_by(100_000) {
         for index in [1, 0] {
@@ -59,14 +59,14 @@
     }
     assert!(sent > 30, "{sent} payloads");
 
-    // Then both have settled on one view.
+    // Then both have the same settled view.
     for member in &members {
-        assert_eq!(member.view().members, 2);
+        assert_eq!(member.view().member_count, 2);
         assert_recorded("digest-of-two", &member.view().digest.to_be_bytes());
         assert!(matches!(member.view().state, ViewState::Settled { .. }));
     }
 
-    // When the second leaves, then the first has no other member.
+    // When the second member leaves, then the first has no other members.
     members[1].leave(5 * SECOND);
     let leaving = members[1].next_payload().unwrap().payload;
     assert_recorded("goodbye", &leaving);
@@ -76,30 +76,30 @@
 
 #[test]
 fn a_full_exchange_is_written_and_read_as_recorded() {
-    // When one exports its members, then the payload is the recorded one.
+    // When a member exports its view, then the part equals the recorded payload.
     let (mut first, second) = (member(0, 0), member(1, 0));
     let parts = second.export_members();
     assert_eq!(parts.len(), 1);
     assert_recorded("exchange", &parts[0]);
 
-    // When the other imports it, then it has both members.
+    // When the other member imports the part, then it knows both members.
     first.import_members(SECOND, &[recorded("exchange")]).unwrap();
     let members: Vec<_> = first.members().cloned().collect();
-    assert_eq!(members, [second.own().clone()]);
-    assert_eq!(first.own().name, "proxy-a");
+    assert_eq!(members, [second.identity().clone()]);
+    assert_eq!(first.identity().name, "proxy-a");
     assert_recorded("exchange-of-two", &first.export_members().concat());
 }
 
 #[test]
 fn reports_are_written_and_read_as_recorded() {
-    // When reports are published, then the payload is the recorded one.
+    // When reports are published, then the datagram equals the recorded payload.
     let (mut sender, mut receiver) = (GossipReports::new(0x2122_2324_2526_2728, 1), GossipReports::new(2, 2));
     sender.publish(0, 1, b"first channel".to_vec());
     sender.publish(SECOND, 200, vec![0, 255, 7]);
     let payload = sender.encode_gossip(SECOND + 1, &[address(0)]).unwrap().payload;
     assert_recorded("reports", &payload);
 
-    // When another member reads it, then it has both reports.
+    // When another member reads the datagram, then it receives both reports.
     let mut new_reports = receiver.apply_gossip(9 * SECOND, 2, |_| true, &recorded("reports")).unwrap();
     new_reports.sort_by_key(|report| report.channel);
     let report = |channel, age, payload: &[u8]| ReceivedReport {
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -111,7 +111,7 @@
     /// All metrics in the text format, without its last line.
     pub(crate) fn text(&self, membership: &Membership) -> String {
         let view = membership.view();
-        self.members.set(i64::try_from(view.members).unwrap_or(i64::MAX));
+        self.members.set(i64::try_from(view.member_count).unwrap_or(i64::MAX));
         self.settled.set(i64::from(matches!(view.state, ViewState::Settled { .. })));
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -123,12 +123,12 @@
 /// The reply to the call `fleet`.
 pub(crate) fn status_lines(membership: &Membership, now: Micros) -> String {
     let view = membership.view();
-    let own = membership.own();
+    let identity = membership.identity();
     let for_ms = match view.state {
-        ViewState::Settled { since } | ViewState::Blind { since } => {
+        ViewState::Settled { since } | ViewState::Isolated { since } => {
             format!(" for_ms={}", (now - since) / MICROS_PER_MILLI)
         }
-        ViewState::Changing | ViewState::Alone => String::new(),
+        ViewState::Changing | ViewState::Standalone => String::new(),
     };
     let mut text = String::new();
     // Writing to a string does not fail.
@@ -136,13 +136,13 @@
         text,
         "fleet state={}{for_ms} members={} named={} divisor={} digest={:016x} name={} boot={:016x} epoch={}",
         view.state.as_str(),
-        view.members,
+        view.member_count,
         view.configured_members,
-        view.divisor(),
+        view.quota_divisor(),
         view.digest,
-        own.name,
-        own.incarnation,
-        own.epoch
+        identity.name,
+        identity.incarnation,
+        identity.epoch
     );
     for name in &view.name_conflicts {
         let _ = writeln!(text, "twins name={name}");
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -80,7 +80,7 @@
             incarnation: fleet.incarnation(),
             configured_members: fleet.view().configured_members,
         };
-        let divisor = fleet.view().divisor();
+        let divisor = fleet.view().quota_divisor();
         let now = self.context.now;
         let mut work = self
             .background
@@ -191,14 +191,14 @@
         let (Some(fleet), Some(work)) = (&self.fleet, &mut self.background) else { return };
         let (view, is_active) = (fleet.view(), fleet.is_active());
         let now = self.context.now;
-        let report_interval = GossipReports::interval(view.members);
-        work.run_split(now, view.members, report_interval);
-        work.run_hot_keys(now, view.members, report_interval);
+        let report_interval = GossipReports::renewal_interval(view.member_count);
+        work.run_split(now, view.member_count, report_interval);
+        work.run_hot_keys(now, view.member_count, report_interval);
         let reports = work.due_reports(now);
         work.finish_tasks(now, self.pool.take_completed_queries());
         // Of two processes of one proxy only the one that is a member of the fleet starts tasks.
         if is_active {
-            work.start_due_tasks(&mut self.context, &mut self.pool, view.divisor());
+            work.start_due_tasks(&mut self.context, &mut self.pool, view.quota_divisor());
         }
         work.finish_tasks(now, self.pool.take_completed_queries());
         work.schedule_next_run(&mut self.context);
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -67,7 +67,7 @@
 
     /// The random number of this process.
     pub(super) fn incarnation(&self) -> u64 {
-        self.membership.borrow().own().incarnation
+        self.membership.borrow().identity().incarnation
     }
 
     /// Replaces this process's report on a channel.
@@ -141,13 +141,13 @@
             MembershipChange::NameConflictResolved(name) => {
                 info!(event = "fleet-name-conflict-resolved", name = %Quoted(name));
             }
-            MembershipChange::State(state @ ViewState::Blind { .. }) => {
+            MembershipChange::StateChanged(state @ ViewState::Isolated { .. }) => {
                 warn!(event = "fleet", state = state.as_str());
             }
-            MembershipChange::State(state) => {
+            MembershipChange::StateChanged(state) => {
                 let view = self.view();
                 let digest = format!("{:016x}", view.digest);
-                info!(event = "fleet", state = state.as_str(), members = view.members, digest);
+                info!(event = "fleet", state = state.as_str(), members = view.member_count, digest);
             }
         }
     }
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -69,8 +69,8 @@
             address: options.advertise,
             incarnation,
             epoch: u64::try_from(self.context.now / MICROS_PER_MILLI).unwrap_or(0),
-            seed: self.config.seed ^ incarnation,
-            seeds: options.peers.clone(),
+            rng_seed: self.config.seed ^ incarnation,
+            seed_addresses: options.peers.clone(),
             configured_members: options.configured_members,
         })
     }
@@ -79,7 +79,7 @@
     pub(in crate::net) fn admin_reports(&self) -> AdminReports {
         let Some(fleet) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fleet.view());
-        let (divisor, member_count) = (view.divisor(), view.members);
+        let (divisor, member_count) = (view.quota_divisor(), view.member_count);
         let background_metrics = background.map_or_else(String::new, |work| work.metrics_text(member_count));
         AdminReports {
             fleet: Some(fleet.status_lines(self.context.now)),
