--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -1,39 +1,39 @@
-//! A router, a clock and its timers, driven by hand; by default with a primary and two replicas.
+//! A fixture that runs a router on a virtual clock. By default the router knows a primary and two replicas.
 
 use super::*;
 
-/// The time at which a fixture starts.
-const START: Micros = 100_000 * MILLISECOND;
+const START_TIME: Micros = 100_000 * MILLISECOND;
 
-/// A router driven by hand.
+/// A router on a virtual clock. A test passes events to the router and advances the clock.
 pub(crate) struct RouterFixture {
     pub router: Router,
     pub now: Micros,
-    /// Every action so far.
+    /// All actions that the router has returned so far.
     pub history: Vec<TimedAction>,
+    /// Instants at which the pending timers expire.
     timers: Vec<Micros>,
     last_request: u64,
 }
 
 impl RouterFixture {
-    /// A router that knows the primary and both replicas.
+    /// Creates a router that knows the primary and both replicas.
     pub(crate) fn new(settings: Settings) -> RouterFixture {
-        RouterFixture::seeded(settings, 1)
+        RouterFixture::with_seed(settings, 1)
     }
 
-    /// The same with a seed of its own: one of many.
-    pub(crate) fn seeded(settings: Settings, seed: u64) -> RouterFixture {
-        let mut fixture = RouterFixture::starting_at(START, settings, seed);
-        fixture.set_endpoints(&ready(ALL_SERVERS));
+    /// Creates a router with the given random seed that knows the primary and both replicas.
+    pub(crate) fn with_seed(settings: Settings, seed: u64) -> RouterFixture {
+        let mut fixture = RouterFixture::starting_at(START_TIME, settings, seed);
+        fixture.set_endpoints(&ready_endpoints(ALL_SERVERS));
         fixture
     }
 
-    /// A router that has just started and knows no server.
+    /// Creates a router that has received no endpoint list.
     pub(crate) fn without_endpoints(settings: Settings) -> RouterFixture {
-        RouterFixture::starting_at(START, settings, 1)
+        RouterFixture::starting_at(START_TIME, settings, 1)
     }
 
-    /// A router that starts at this time and knows no server.
+    /// Creates a router that starts at the given time and has received no endpoint list.
     pub(crate) fn starting_at(now: Micros, settings: Settings, seed: u64) -> RouterFixture {
         let mut actions = Vec::new();
         let router = Router::new(settings, seed, now, &mut actions);
@@ -42,7 +42,7 @@
         fixture
     }
 
-    /// Adds actions to the history, and their timers to those that expire.
+    /// Appends actions to the history and starts the timers that they request.
     fn record(&mut self, actions: Vec<Action>) -> Vec<Action> {
         for action in &actions {
             if let Action::Timer { delay, .. } = action {
@@ -53,7 +53,7 @@
         actions
     }
 
-    /// Passes an event to the router.
+    /// Passes an event to the router and returns the router's actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -66,13 +66,13 @@
         self.handle(Event::EndpointsChanged(list))
     }
 
-    /// Passes changed entries of the endpoint list to the router.
+    /// Passes an incomplete endpoint list, which contains only changed entries, to the router.
     pub(crate) fn change_endpoints(&mut self, endpoints: &[Endpoint]) -> Vec<Action> {
         let list = EndpointList { complete: false, endpoints: endpoints.to_vec() };
         self.handle(Event::EndpointsChanged(list))
     }
 
-    /// Lets time pass; each timer expires when it is due.
+    /// Advances the clock. Each timer expires at its due time. Returns the actions of the expired timers.
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -85,12 +85,12 @@
         actions
     }
 
-    /// A client sends a request of this class.
+    /// Sends a client request of the given class to the router.
     pub(crate) fn request(&mut self, class: u16) -> ClientRequest {
         self.request_with(class, |_| {})
     }
 
-    /// The same, after a change to the request.
+    /// Sends a client request of the given class to the router, after `change` has modified the request.
     pub(crate) fn request_with(&mut self, class: u16, change: impl FnOnce(&mut Request)) -> ClientRequest {
         self.last_request += 1;
         let mut request = Request {
@@ -108,7 +108,8 @@
         ClientRequest { id, actions: self.handle(Event::Request(request)) }
     }
 
-    /// A client sends a request of this class, which its server answers after this time. Returns the server.
+    /// Sends a request and completes its attempt successfully after `latency`. Returns the server of the
+    /// attempt.
     pub(crate) fn serve(&mut self, class: u16, latency: Micros) -> u32 {
         let request = self.request(class);
         let server = request.server();
@@ -117,7 +118,7 @@
         server
     }
 
-    /// An attempt ends; if it was served, so is its request.
+    /// Completes an attempt with the given outcome. A successful attempt also finishes its request.
     pub(crate) fn complete_attempt(
         &mut self,
         request: u64,
@@ -128,7 +129,7 @@
         self.complete_attempt_with_status(request, attempt, server, outcome, None)
     }
 
-    /// The same, with a status in the response.
+    /// Completes an attempt whose response contains the given status.
     pub(crate) fn complete_attempt_with_status(
         &mut self,
         request: u64,
@@ -149,7 +150,8 @@
         }))
     }
 
-    /// Answers what these actions sent, each as this attempt of its request. Returns the actions that follow.
+    /// Completes every attempt sent by `actions` successfully, each with the given attempt number. Returns
+    /// the resulting actions.
     pub(crate) fn answer_sends(&mut self, attempt: u16, actions: &[Action]) -> Vec<Action> {
         let sent = actions.iter().filter_map(|action| match action {
             Action::Send { request, server, .. } => Some((request.0, server.0)),
@@ -159,14 +161,15 @@
             .collect()
     }
 
-    /// A health check ends without a load report.
+    /// Completes a health check whose response contains no load report.
     pub(crate) fn complete_health_check(&mut self, server: u32, outcome: AttemptOutcome) -> Vec<Action> {
         self.handle(Event::HealthCheckCompleted { server: ServerId(server), outcome, load_report: None })
     }
 
-    /// A health check reports the role of a server and a position that is this far behind the present.
-    pub(crate) fn report_position(&mut self, server: u32, role: Role, behind: Micros) -> Vec<Action> {
-        let report = LoadReport { position: Some(self.now - behind), role: Some(role) };
+    /// Completes a health check that reports the server's role and a log position that is `lag` behind the
+    /// clock.
+    pub(crate) fn report_position(&mut self, server: u32, role: Role, lag: Micros) -> Vec<Action> {
+        let report = LoadReport { position: Some(self.now - lag), role: Some(role) };
         self.handle(Event::HealthCheckCompleted {
             server: ServerId(server),
             outcome: AttemptOutcome::Ok,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings, servers and helpers that the tests share. The fixture itself is [`RouterFixture`].
-#![allow(dead_code)] // Each test binary uses a part of it.
+//! Settings, endpoints and helper functions shared by the tests. The router runs in a [`RouterFixture`].
+#![allow(dead_code)] // Each test binary uses only some of the items.
 
 mod fixture;
 
@@ -8,44 +8,45 @@
 
 pub(crate) const MILLISECOND: Micros = 1_000;
 
-/// Classes of [`settings`], by their consistency.
+/// Indices of the request classes in [`settings`], named after the consistency that each class requires.
 pub(crate) const WRITE: u16 = 0;
 pub(crate) const SESSION: u16 = 1;
 pub(crate) const BOUNDED: u16 = 2;
 pub(crate) const ANY: u16 = 3;
 
-/// Servers of the fixture.
+/// Ids of the servers that the router of [`RouterFixture::new`] knows.
 pub(crate) const PRIMARY: u32 = 1;
 pub(crate) const REPLICA_1: u32 = 2;
 pub(crate) const REPLICA_2: u32 = 3;
 pub(crate) const ALL_SERVERS: [u32; 3] = [PRIMARY, REPLICA_1, REPLICA_2];
 
-/// A request of a client, and the actions that the router took at once.
+/// A client request and the actions that the router returned when the request arrived.
 pub(crate) struct ClientRequest {
     pub id: u64,
     pub actions: Vec<Action>,
 }
 
 impl ClientRequest {
-    /// The servers to which the router sent it at once: none where it is queued or rejected.
+    /// The servers to which the router sent the request on arrival. The list is empty if the router queued or
+    /// rejected the request.
     pub(crate) fn servers(&self) -> Vec<u32> {
         servers_sent_to(&self.actions)
     }
 
-    /// The server to which the router sent it at once; there has to be one.
+    /// The server to which the router sent the request on arrival. Panics if the request was not sent.
     pub(crate) fn server(&self) -> u32 {
         self.servers()[0]
     }
 }
 
-/// An action of the router, with its time.
+/// An action and the time at which the router returned it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TimedAction {
     pub at: Micros,
     pub action: Action,
 }
 
-/// A class of requests with the latency objective, timeout and priority that all classes here have.
+/// A request class with the default latency objective, timeout and priority weight of the tests.
 pub(crate) fn class(consistency: Consistency, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         consistency,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Settings of a single proxy, with the classes named above.
+/// Settings of a fleet that consists of a single proxy. The request classes are those named above.
 pub(crate) fn settings() -> Settings {
     Settings {
         proxy_count: 1,
@@ -89,12 +90,12 @@
     }
 }
 
-/// Idempotency by a key that all servers of the group recognise for 600 ms.
+/// Idempotency through a key by which all servers of the group detect duplicates for 600 ms.
 pub(crate) fn with_idempotency_key() -> Idempotency {
     Idempotency::WithKey { scope: DedupScope::Group, dedup_window: 600 * MILLISECOND }
 }
 
-/// An entry of the endpoint list for a server of group 0.
+/// An endpoint list entry for a server of group 0.
 pub(crate) fn endpoint(id: u32, state: EndpointState) -> Endpoint {
     Endpoint {
         server: ServerId(id),
@@ -107,25 +108,27 @@
     }
 }
 
-/// Entries for servers that are all ready.
-pub(crate) fn ready<const COUNT: usize>(ids: [u32; COUNT]) -> [Endpoint; COUNT] {
+/// Endpoint list entries in state `Ready` for the given servers of group 0.
+pub(crate) fn ready_endpoints<const COUNT: usize>(ids: [u32; COUNT]) -> [Endpoint; COUNT] {
     ids.map(|id| endpoint(id, EndpointState::Ready))
 }
 
-/// Entries for all servers of the fixture, which are ready, after a change to the entry of one of them.
-pub(crate) fn ready_with_change(id: u32, change: impl FnOnce(&mut Endpoint)) -> [Endpoint; 3] {
-    let mut endpoints = ready(ALL_SERVERS);
+/// Endpoint list entries in state `Ready` for all servers of the fixture, after `change` has modified the
+/// entry of server `id`.
+pub(crate) fn endpoints_with_change(id: u32, change: impl FnOnce(&mut Endpoint)) -> [Endpoint; 3] {
+    let mut endpoints = ready_endpoints(ALL_SERVERS);
     let changed = endpoints.iter_mut().find(|endpoint| endpoint.server.0 == id);
     change(changed.expect("a server of the fixture"));
     endpoints
 }
 
-/// Fixtures for all routers of a fleet that shares the fixture's servers. Each sees its own events alone.
-pub(crate) fn fleet(routers: u32, change: impl Fn(&mut Settings)) -> Vec<RouterFixture> {
+/// Creates the routers of a fleet whose proxies share the fixture's servers. Each router receives only the
+/// events of its own fixture.
+pub(crate) fn fleet(proxy_count: u32, change: impl Fn(&mut Settings)) -> Vec<RouterFixture> {
     let mut settings = settings();
-    settings.proxy_count = routers;
+    settings.proxy_count = proxy_count;
     change(&mut settings);
-    (0..routers).map(|index| RouterFixture::seeded(settings.clone(), u64::from(index) + 1)).collect()
+    (0..proxy_count).map(|index| RouterFixture::with_seed(settings.clone(), u64::from(index) + 1)).collect()
 }
 
 /// The servers to which these actions send requests.
@@ -137,27 +140,27 @@
     actions.iter().filter_map(server_of).collect()
 }
 
-/// Whether one of these actions rejects a request.
+/// Whether any of these actions rejects a request.
 pub(crate) fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether one of these actions ends a request with an error.
+/// Whether any of these actions fails a request that may have run.
 pub(crate) fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// The number of health checks among these actions.
+/// The number of health checks that these actions request.
 pub(crate) fn health_check_count(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
 }
 
-/// A status in a response.
+/// A server status, as an optional field of a response.
 pub(crate) fn status(role: Role, position: Micros) -> Option<ServerStatus> {
     Some(ServerStatus { role, position: Some(position) })
 }
 
-/// A copy candidate of a read: this server, whose copy is likely to have reached this position.
+/// A copy candidate whose copy has probably reached the given log position.
 pub(crate) fn copy_candidate(server: u32, likely_position: Micros) -> CopyCandidate {
     CopyCandidate { server: ServerId(server), likely_position }
 }
--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -1,5 +1,5 @@
-//! Limits on the source of the decision module: files that the deploy file names, their size, and nothing that reads
-//! a clock, does I/O or starts a thread.
+//! Limits on the source of the decision module: files that the deploy file names, their size, and nothing
+//! that reads a clock, does I/O or starts a thread.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,9 +1,9 @@
 //! The pages name files, functions and tests that exist.
 //!
-//! Checked is what stands between backticks in the README and the pages under docs/ and example/: paths of files and
-//! folders, and names in snake_case or of the form `Type::name`. Metrics (`birchreach_...`) are put together from
-//! parts and are left out, as are the changelog, the roadmap and the pages of measurements, which tell of earlier
-//! versions.
+//! Checked is what stands between backticks in the README and the pages under docs/ and example/: paths of
+//! files and folders, and names in snake_case or of the form `Type::name`. Metrics (`birchreach_...`) are put
+//! together from parts and are left out, as are the changelog, the roadmap and the pages of measurements,
+//! which tell of earlier versions.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -1,15 +1,16 @@
-//! Which servers may be sent work: the endpoint list, draining and removed servers, broken connections.
+//! Servers that may be sent work, according to the endpoint list, the state of the servers and broken
+//! connections.
 
 mod common;
 use birchreach::*;
 use common::*;
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_removed_server() {
+fn a_draining_or_removed_server_gets_no_new_requests() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        // Given a replica that is listed with this state
+        // Given a replica that is listed as draining or removed
         let mut fixture = RouterFixture::new(settings());
-        fixture.set_endpoints(&ready_with_change(REPLICA_1, |replica| replica.state = state));
+        fixture.set_endpoints(&endpoints_with_change(REPLICA_1, |replica| replica.state = state));
         // When reads arrive, then the other replica gets all of them
         for _ in 0..20 {
             let read = fixture.request(ANY);
@@ -23,32 +24,33 @@
 fn a_server_that_is_missing_from_a_complete_list_is_removed() {
     // Given a router that knows two replicas
     let mut fixture = RouterFixture::new(settings());
-    // When a complete list names only the second
-    fixture.set_endpoints(&ready([PRIMARY, REPLICA_2]));
-    // Then that gets the read
+    // When a complete list names only the second replica
+    fixture.set_endpoints(&ready_endpoints([PRIMARY, REPLICA_2]));
+    // Then the second replica gets the read
     let servers = fixture.request(ANY).servers();
-    assert_eq!(servers, [REPLICA_2], "missing from a complete list means removed");
+    assert_eq!(servers, [REPLICA_2], "a server that is missing from a complete list is removed");
 }
 
 #[test]
-fn a_queued_request_does_not_go_to_a_server_that_began_to_drain() {
+fn a_queued_request_is_not_sent_to_a_server_that_has_begun_to_drain() {
     // Given a write that the primary rejected
     let mut fixture = RouterFixture::new(settings());
     let write = fixture.request(WRITE);
     fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Overloaded);
     // When the primary begins to drain
     let draining = |primary: &mut Endpoint| primary.state = EndpointState::Draining;
-    fixture.set_endpoints(&ready_with_change(PRIMARY, draining));
-    // Then the write is not retried there
+    fixture.set_endpoints(&endpoints_with_change(PRIMARY, draining));
+    // Then the write is not retried at the primary
     assert!(!servers_sent_to(&fixture.advance(2_000 * MILLISECOND)).contains(&PRIMARY));
 }
 
-/// Settings under which a list without a server, or with one as removed, is only advisory.
+/// Settings under which the removal of a server from the endpoint list is only advisory, whether the list
+/// names the server as removed or does not contain it.
 fn with_advisory_removal() -> Settings {
     Settings { removal_is_advisory: true, ..settings() }
 }
 
-/// The servers that get some of 20 reads.
+/// Sends 20 reads. Returns the servers that get at least one of them.
 fn servers_in_use(fixture: &mut RouterFixture) -> Vec<u32> {
     let mut servers: Vec<u32> = (0..20).flat_map(|_| fixture.request(ANY).servers()).collect();
     servers.sort_unstable();
@@ -57,41 +59,41 @@
 }
 
 #[test]
-fn where_removal_is_advisory_a_wrong_list_empties_no_group() {
+fn while_removal_is_advisory_a_list_without_ready_servers_does_not_stop_their_use() {
     // When an empty list arrives, then all servers stay in use
     let mut fixture = RouterFixture::new(with_advisory_removal());
     fixture.set_endpoints(&[]);
-    assert_eq!(servers_in_use(&mut fixture), ALL_SERVERS, "all missing");
-    // When a list arrives in which all are removed, then they stay in use as well
+    assert_eq!(servers_in_use(&mut fixture), ALL_SERVERS, "all servers are missing from the list");
+    // When a list names all servers as removed, then all servers stay in use
     let mut fixture = RouterFixture::new(with_advisory_removal());
     fixture.set_endpoints(&ALL_SERVERS.map(|id| endpoint(id, EndpointState::Removed)));
-    assert_eq!(servers_in_use(&mut fixture), ALL_SERVERS, "all listed as removed");
+    assert_eq!(servers_in_use(&mut fixture), ALL_SERVERS, "all servers are listed as removed");
 }
 
 #[test]
-fn where_removal_is_advisory_draining_binds() {
-    // Given a replica that drained before it was removed
+fn while_removal_is_advisory_a_server_that_drained_before_its_removal_is_not_used() {
+    // Given a replica that was draining before it was removed
     let mut fixture = RouterFixture::new(with_advisory_removal());
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        fixture.set_endpoints(&ready_with_change(REPLICA_1, |replica| replica.state = state));
+        fixture.set_endpoints(&endpoints_with_change(REPLICA_1, |replica| replica.state = state));
     }
-    // Then it is not in use, until it is ready again
-    assert_eq!(servers_in_use(&mut fixture), [PRIMARY, REPLICA_2], "draining, then removed");
-    fixture.set_endpoints(&ready(ALL_SERVERS));
-    assert!(servers_in_use(&mut fixture).contains(&REPLICA_1), "ready again");
+    // Then that replica is not used until it is ready again
+    assert_eq!(servers_in_use(&mut fixture), [PRIMARY, REPLICA_2], "the replica drained and was removed");
+    fixture.set_endpoints(&ready_endpoints(ALL_SERVERS));
+    assert!(servers_in_use(&mut fixture).contains(&REPLICA_1), "the replica is ready again");
 }
 
 #[test]
-fn where_removal_is_advisory_a_server_never_seen_ready_is_not_used() {
-    // Given a replica that is removed in the first list
+fn while_removal_is_advisory_a_removed_server_that_was_never_ready_is_not_used() {
+    // Given a replica that the first list names as removed
     let mut fixture = RouterFixture::without_endpoints(with_advisory_removal());
-    let [primary, replica] = ready([PRIMARY, REPLICA_1]);
+    let [primary, replica] = ready_endpoints([PRIMARY, REPLICA_1]);
     fixture.set_endpoints(&[primary, Endpoint { state: EndpointState::Removed, ..replica }]);
-    // Then it is not in use
-    assert_eq!(servers_in_use(&mut fixture), [PRIMARY], "never seen ready");
+    // Then that replica is not used
+    assert_eq!(servers_in_use(&mut fixture), [PRIMARY], "the replica was never ready");
 }
 
-/// Whether the first attempt of a request, for which a connection is being opened, may still be sent.
+/// Whether the first attempt of a request may still be sent after its connection has been opened.
 fn may_still_send(fixture: &RouterFixture, request: u64) -> bool {
     fixture.router.may_still_send(fixture.now, RequestId(request), AttemptNumber(0))
 }
@@ -103,32 +105,32 @@
     fixture.report_position(REPLICA_1, Role::Replica, 100 * MILLISECOND);
     let read = fixture.request(BOUNDED);
     assert!(read.servers() == [REPLICA_1] && may_still_send(&fixture, read.id));
-    // When the position becomes too old meanwhile, then the read may no longer be sent
+    // When the reported position becomes too old in the meantime, then the read may no longer be sent
     fixture.now += 200 * MILLISECOND;
-    assert!(may_still_send(&fixture, read.id), "300 ms old at most");
+    assert!(may_still_send(&fixture, read.id), "the position is 300 ms old, which the class allows");
     fixture.now += MILLISECOND;
     assert!(!may_still_send(&fixture, read.id));
 }
 
 #[test]
-fn a_write_is_not_sent_once_its_server_drains() {
+fn a_write_is_not_sent_once_its_server_is_draining() {
     // Given a write for which a connection is being opened
     let mut fixture = RouterFixture::new(settings());
     let write = fixture.request(WRITE);
     assert!(write.servers() == [PRIMARY] && may_still_send(&fixture, write.id));
     // When the server begins to drain, then the write may no longer be sent
-    let [primary, replica] = ready([PRIMARY, REPLICA_1]);
+    let [primary, replica] = ready_endpoints([PRIMARY, REPLICA_1]);
     fixture.set_endpoints(&[Endpoint { state: EndpointState::Draining, ..primary }, replica]);
     assert!(!may_still_send(&fixture, write.id));
 }
 
 #[test]
-fn a_read_is_not_sent_once_its_server_states_that_it_is_no_primary() {
+fn a_read_is_not_sent_to_the_primary_once_that_server_reports_that_it_is_a_replica() {
     // Given a read for which a connection to the primary is being opened
     let mut fixture = RouterFixture::new(settings());
     let read = fixture.request(BOUNDED);
     assert!(read.servers() == [PRIMARY] && may_still_send(&fixture, read.id));
-    // When that server states in another response that it is a replica, then the read may no longer be sent
+    // When that server reports in another response that it is a replica, then the read may no longer be sent
     let write = fixture.request(WRITE);
     let replica_status = status(Role::Replica, fixture.now - 1_000 * MILLISECOND);
     fixture.complete_attempt_with_status(write.id, 0, PRIMARY, AttemptOutcome::Ineligible, replica_status);
@@ -140,42 +142,47 @@
     // Given a read for which a connection is being opened
     let mut fixture = RouterFixture::new(settings());
     let read = fixture.request(ANY);
-    // When its client disconnects, then it may no longer be sent
+    // When its client disconnects, then the read may no longer be sent
     fixture.handle(Event::ClientDisconnected { request: RequestId(read.id) });
     assert!(!may_still_send(&fixture, read.id));
 }
 
 #[test]
-fn removed_servers_are_forgotten_but_not_while_an_attempt_is_in_flight() {
+fn a_removed_server_is_forgotten_unless_an_attempt_is_in_flight_at_it() {
     // Given a write in flight at the primary
     let mut fixture = RouterFixture::new(settings());
     let write = fixture.request(WRITE);
     assert_eq!(write.servers(), [PRIMARY]);
-    // When each second another server is the only one, then the primary and the newest are known
+    // When each second a complete list names a single new server, then the primary and the new server are
+    // known
     for next in 10..200 {
-        fixture.set_endpoints(&ready([next]));
+        fixture.set_endpoints(&ready_endpoints([next]));
         fixture.advance(1_000 * MILLISECOND);
         assert!(fixture.router.is_known(ServerId(next)) && fixture.router.is_known(ServerId(PRIMARY)));
     }
     let known = (0..200).filter(|server| fixture.router.is_known(ServerId(*server))).count();
-    assert_eq!(known, 22, "the primary, and those of the last 20 s");
-    // When the write has ended, then the primary is forgotten too
+    assert_eq!(
+        known, 22,
+        "the primary, the current server and the servers removed in the last 20 s are known"
+    );
+    // When the write has ended, then the primary is forgotten as well
     fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::Timeout);
-    fixture.set_endpoints(&ready([199]));
+    fixture.set_endpoints(&ready_endpoints([199]));
     assert!(!fixture.router.is_known(ServerId(PRIMARY)));
 }
 
 #[test]
-fn broken_connections_neither_eject_a_server_nor_start_slow_start() {
+fn a_broken_connection_neither_ejects_a_server_nor_begins_its_slow_start() {
     for outcome in [AttemptOutcome::ClosedBeforeExecution, AttemptOutcome::ConnectionReset] {
-        // Given a write at the primary
+        // Given a write in flight at the primary
         let mut fixture = RouterFixture::new(settings());
         let write = fixture.request(WRITE);
         assert_eq!(write.servers(), [PRIMARY]);
-        // When its connection breaks, then it fails if it may have run
+        // When its connection breaks, then the write fails if it may have run
         let actions = fixture.complete_attempt(write.id, 0, PRIMARY, outcome);
         assert_eq!(is_failed(&actions), outcome == AttemptOutcome::ConnectionReset);
-        // Then what never ran is retried at the same primary after a backoff, which also gets the next write
+        // Then a write that never ran is retried at the primary after a backoff, and the primary gets the
+        // next write
         let never_ran = outcome == AttemptOutcome::ClosedBeforeExecution;
         let retried = if never_ran { vec![PRIMARY] } else { vec![] };
         assert_eq!(servers_sent_to(&fixture.advance(50 * MILLISECOND)), retried);
@@ -183,8 +190,8 @@
     }
 }
 
-/// How many of three writes are sent after the primary refused a connection, and an attempt that was sent before
-/// ended with this outcome.
+/// Lets the primary refuse a connection and then ends an attempt that was sent earlier with the given
+/// outcome. Returns how many of three further writes are sent to the primary.
 fn writes_sent_after_refused_connection(early_outcome: AttemptOutcome) -> usize {
     let mut fixture = RouterFixture::new(settings());
     let early = fixture.request(WRITE);
@@ -198,10 +205,10 @@
 }
 
 #[test]
-fn an_answer_to_an_attempt_sent_before_a_refused_connection_shows_that_the_process_runs() {
-    // When the earlier attempt is answered, then all writes are sent
+fn a_refused_connection_begins_no_slow_start_if_an_earlier_attempt_is_then_answered() {
+    // When the primary responds to the earlier attempt, then its process still runs and all writes are sent
     assert_eq!(writes_sent_after_refused_connection(AttemptOutcome::Ok), 3);
-    // When its connection is reset too, then the server is in slow start
+    // When the connection of the earlier attempt is reset, then the primary is in slow start
     let sent = writes_sent_after_refused_connection(AttemptOutcome::ConnectionReset);
-    assert!(sent < 3, "a server in slow start has its budget");
+    assert!(sent < 3, "the slow-start budget allowed {sent} of 3 writes");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,8 +7,8 @@
 /// Proxies of the largest fleet that the program has to serve.
 const LARGEST_FLEET_SIZE: u32 = 900;
 
-/// Serves 40 reads of a proxy, then all servers stop answering. Returns the number of hedged requests that the proxy
-/// sends for four further reads.
+/// Serves 40 reads of a proxy, then all servers stop answering. Returns the number of hedged requests that
+/// the proxy sends for four further reads.
 fn hedged_requests_of(fixture: &mut RouterFixture) -> usize {
     for _ in 0..40 {
         fixture.serve(ANY, 100 * MILLISECOND);
@@ -33,8 +33,8 @@
     assert!(from_100_proxies <= 200, "{from_100_proxies} hedged requests at once from 100 proxies");
 }
 
-/// Sends ten reads per second from a proxy for a minute, while connections to the first replica fail. Returns the
-/// number of attempts there after the first 5 s: the first attempt of each proxy is no retry.
+/// Sends ten reads per second from a proxy for a minute, while connections to the first replica fail. Returns
+/// the number of attempts there after the first 5 s: the first attempt of each proxy is no retry.
 fn retries_at_unresponsive_replica(fixture: &mut RouterFixture) -> usize {
     let mut sent = 0;
     for tenth_of_second in 0..600 {
@@ -72,8 +72,8 @@
     assert!((100..=1_100).contains(&sent), "{sent} retries from {LARGEST_FLEET_SIZE} proxies");
 }
 
-/// Sends 200 bounded reads, each of which the primary answers after this time if it gets it. Returns the number of
-/// position queries.
+/// Sends 200 bounded reads, each of which the primary answers after this time if it gets it. Returns the
+/// number of position queries.
 fn position_queries(fixture: &mut RouterFixture, latency: Micros) -> usize {
     let mut queries = 0;
     for _ in 0..200 {
@@ -94,13 +94,13 @@
     queries
 }
 
-/// In a large fleet, most reads for which no replica is known to be fresh go to the primary without a position query.
-/// Where the primary takes no more of them, a replica may still be fresh enough: they query.
+/// In a large fleet, most reads for which no replica is known to be fresh go to the primary without a
+/// position query. Where the primary takes no more of them, a replica may still be fresh enough: they query.
 #[test]
 fn a_read_that_the_primary_does_not_take_queries_the_position_of_a_replica() {
     // Given a proxy of a large fleet, which knows no position
     let settings = Settings { proxy_count: 100, health_checks_allowed: true, ..settings() };
-    let mut fixture = RouterFixture::seeded(settings, 3);
+    let mut fixture = RouterFixture::with_seed(settings, 3);
     // When the primary answers in time, then most reads go there without a query
     let while_in_time = position_queries(&mut fixture, 50 * MILLISECOND);
     assert!(while_in_time < 100, "{while_in_time} of 200 query while the primary takes them");
@@ -112,7 +112,7 @@
 /// A proxy of the largest fleet, which knows no position.
 fn proxy_of_largest_fleet() -> RouterFixture {
     let settings = Settings { proxy_count: LARGEST_FLEET_SIZE, health_checks_allowed: true, ..settings() };
-    RouterFixture::seeded(settings, 3)
+    RouterFixture::with_seed(settings, 3)
 }
 
 #[test]
--- a/tests/fleet_simulation/mod.rs
+++ b/tests/fleet_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of routers before its servers, on one virtual clock. Servers are in proportion to routers, and so are
-//! restarts and servers that stop answering.
+//! A fleet of routers before its servers, on one virtual clock. Servers are in proportion to routers, and so
+//! are restarts and servers that stop answering.
 
 mod attempts;
 mod events;
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -21,7 +21,8 @@
 
 #[test]
 fn a_large_fleet_serves_nearly_the_share_of_the_usual_size() {
-    // Given a fleet of the usual size, one of whose servers restarts, and another one of which stops answering
+    // Given a fleet of the usual size, one of whose servers restarts, and another one of which stops
+    // answering
     let usual_share = served_share(USUAL_SIZE);
     for size in LARGE_SIZES {
         // When a larger one has as many such faults in proportion
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -73,7 +73,7 @@
     // Given a router that has just started
     let mut fixture = RouterFixture::without_endpoints(with_health_checks());
     // When it gets the endpoint list, then it checks no server
-    let actions = fixture.set_endpoints(&ready(ALL_SERVERS));
+    let actions = fixture.set_endpoints(&ready_endpoints(ALL_SERVERS));
     assert_eq!(health_check_count(&actions), 0, "hundreds of proxies may start at the same time");
     // When the first read arrives, then it does
     assert!(health_check_count(&fixture.request(BOUNDED).actions) > 0);
@@ -99,8 +99,8 @@
     assert_eq!(reject(1, REPLICA_1), [PRIMARY]);
 }
 
-/// Sends a bounded read, which replicas reject because they lag and the primary answers. Returns the number of
-/// replicas that were tried.
+/// Sends a bounded read, which replicas reject because they lag and the primary answers. Returns the number
+/// of replicas that were tried.
 fn replicas_tried_by_read(fixture: &mut RouterFixture) -> u16 {
     let read = fixture.request(BOUNDED);
     let mut server = read.server();
--- a/tests/invalid_input.rs
+++ b/tests/invalid_input.rs
@@ -23,7 +23,7 @@
     // Given an endpoint list that has a server in two groups
     let mut fixture = RouterFixture::without_endpoints(settings());
     let in_other_group = Endpoint { group: GroupId(1), ..endpoint(REPLICA_1, EndpointState::Ready) };
-    let [primary, replica] = ready([PRIMARY, REPLICA_1]);
+    let [primary, replica] = ready_endpoints([PRIMARY, REPLICA_1]);
     fixture.set_endpoints(&[primary, replica, in_other_group]);
     // When reads of the first group arrive, then none goes to that server
     for _ in 0..10 {
@@ -98,7 +98,7 @@
         ..settings()
     });
     let started_at = Some(fixture.now);
-    let endpoints = ready([PRIMARY, REPLICA_1]).map(|endpoint| Endpoint { started_at, ..endpoint });
+    let endpoints = ready_endpoints([PRIMARY, REPLICA_1]).map(|endpoint| Endpoint { started_at, ..endpoint });
     fixture.set_endpoints(&endpoints);
     // When reads arrive
     let mut sent = 0;
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -18,7 +18,8 @@
     })
 }
 
-/// Sends 200 reads, each when the one before has been answered after this time. Returns the number that were shed.
+/// Sends 200 reads, each when the one before has been answered after this time. Returns the number that were
+/// shed.
 fn shed_of_200(fixture: &mut RouterFixture, latency: Micros) -> usize {
     let read_is_shed = |_: &usize| {
         let read = patient_read(fixture, 0);
@@ -32,7 +33,7 @@
 #[test]
 fn a_fraction_of_reads_is_shed_when_they_end_too_late_until_they_end_in_time_again() {
     // Given reads that end in time, then none is shed
-    let mut fixture = RouterFixture::seeded(settings(), 7);
+    let mut fixture = RouterFixture::with_seed(settings(), 7);
     assert_eq!(shed_of_200(&mut fixture, IN_TIME), 0);
     // When they end too late, then a part of them is shed
     let shed = shed_of_200(&mut fixture, TOO_LATE);
@@ -42,12 +43,13 @@
     assert_eq!(shed_of_200(&mut fixture, IN_TIME), 0, "recovered");
 }
 
-/// Slightly more reads are admitted than the fraction that met the latency objective, so that a group recovers.
+/// Slightly more reads are admitted than the fraction that met the latency objective, so that a group
+/// recovers.
 #[test]
 fn more_reads_are_admitted_than_met_their_objective() {
     const READS: usize = 4_000;
     // Given a proxy of which every second read that is sent misses its latency objective
-    let mut fixture = RouterFixture::seeded(settings(), 7);
+    let mut fixture = RouterFixture::with_seed(settings(), 7);
     let mut sent = 0;
     // When many reads arrive, one after the other
     for _ in 0..READS {
@@ -59,7 +61,8 @@
         fixture.now += if sent % 2 == 0 { TOO_LATE } else { IN_TIME };
         fixture.answer_sends(0, &read.actions);
     }
-    // Then the admitted fraction is 1.4 times a half or a little more, as the miss rate decays with each check
+    // Then the admitted fraction is 1.4 times a half or a little more, as the miss rate decays with each
+    // check
     let admitted = sent as f64 / READS as f64;
     assert!((0.72..0.77).contains(&admitted), "{admitted} admitted");
 }
@@ -98,32 +101,33 @@
     }
 }
 
-/// Runs a proxy with a write per second for a minute. Returns the number of attempts that were sent to the primary in
-/// the second half of it.
+/// Runs a proxy with a write per second for a minute. Returns the number of attempts that were sent to the
+/// primary in the second half of it.
 fn sends_in_last_half_minute(fixture: &mut RouterFixture) -> usize {
     let mut proxy = WritingProxy { fixture, in_flight: vec![], attempt_counts: HashMap::new() };
     let sent_per_second: Vec<usize> = (0..60).map(|_| proxy.run_second()).collect();
     sent_per_second[30..].iter().sum()
 }
 
-/// The primary of a busy group takes far longer than the latency objective for each write. What all proxies together
-/// send it must fall below what it can do, or its queue never drains.
+/// The primary of a busy group takes far longer than the latency objective for each write. What all proxies
+/// together send it must fall below what it can do, or its queue never drains.
 #[test]
 fn many_proxies_send_a_congested_server_less_than_one_request_each() {
     // Given 100 proxies that write to a congested primary
     let mut proxies = fleet(100, |_| {});
     // When half a minute has passed
     let sent: usize = proxies.iter_mut().map(sends_in_last_half_minute).sum();
-    // Then of the 3,000 that were requested it gets what limits of 6 in all allow, each attempt counted for half a
-    // second: 12 per second, for 30 seconds
+    // Then of the 3,000 that were requested it gets what limits of 6 in all allow, each attempt counted for
+    // half a second: 12 per second, for 30 seconds
     assert!((50..=400).contains(&sent), "{sent} sends in 30 s to a congested server");
 }
 
 #[test]
 fn congestion_of_one_group_sheds_no_reads_of_another() {
     // Given two groups with a primary and replicas each
-    let mut fixture = RouterFixture::seeded(settings(), 7);
-    let [primary, replica] = ready([11, 12]).map(|endpoint| Endpoint { group: GroupId(1), ..endpoint });
+    let mut fixture = RouterFixture::with_seed(settings(), 7);
+    let [primary, replica] =
+        ready_endpoints([11, 12]).map(|endpoint| Endpoint { group: GroupId(1), ..endpoint });
     fixture.change_endpoints(&[Endpoint { primary: true, ..primary }, replica]);
     // When reads of the first end too late, and those of the second in time
     let mut shed = [0, 0];
@@ -153,8 +157,8 @@
     (0..GROUPS).flat_map(|group| [10 * group, 10 * group + 1]).map(endpoint_of).collect()
 }
 
-/// Sends a bounded read to each group but the first; all are answered after this time. Returns the number of attempts
-/// that a bounded read of the first group then causes at once.
+/// Sends a bounded read to each group but the first; all are answered after this time. Returns the number of
+/// attempts that a bounded read of the first group then causes at once.
 fn sends_after_reads_of_other_groups(fixture: &mut RouterFixture, latency: Micros) -> usize {
     fixture.set_endpoints(&endpoints_of_all_groups());
     let mut read = |group: u32| fixture.request_with(BOUNDED, |request| request.group = GroupId(group));
@@ -173,8 +177,8 @@
     sampled.map(|fixture| sends_after_reads_of_other_groups(fixture, latency)).sum()
 }
 
-/// Each of hundreds of proxies sends a read to the same primary once in many seconds: reads that fall back must leave
-/// the primaries before each proxy has seen each of them answer late.
+/// Each of hundreds of proxies sends a read to the same primary once in many seconds: reads that fall back
+/// must leave the primaries before each proxy has seen each of them answer late.
 #[test]
 fn late_fallback_reads_in_some_groups_keep_reads_from_the_primary_of_another() {
     // When the primaries of other groups answer in time, then reads go to the primary of the first
@@ -202,7 +206,7 @@
 #[test]
 fn a_restarted_server_does_not_continue_the_pause_of_its_previous_process() {
     // Given a primary that is congested for several minutes, so that it gets nothing for a while
-    let mut fixture = RouterFixture::seeded(Settings { proxy_count: 100, ..settings() }, 1);
+    let mut fixture = RouterFixture::with_seed(Settings { proxy_count: 100, ..settings() }, 1);
     let write_is_queued = |fixture: &mut RouterFixture| fixture.request(WRITE).servers().is_empty();
     for _ in 0..20 {
         write_that_ends_too_late(&mut fixture);
@@ -211,7 +215,7 @@
     write_that_ends_too_late(&mut fixture);
     assert!(write_is_queued(&mut fixture), "a congested primary gets nothing for a while");
     // When the endpoint list says that it restarted, and slow start is over
-    let [primary, replica] = ready([PRIMARY, REPLICA_1]);
+    let [primary, replica] = ready_endpoints([PRIMARY, REPLICA_1]);
     let started_at = Some(fixture.now - 9_900 * MILLISECOND);
     fixture.set_endpoints(&[Endpoint { started_at, ..primary }, replica]);
     fixture.now += 200 * MILLISECOND;
--- a/tests/operation_counts.rs
+++ b/tests/operation_counts.rs
@@ -1,6 +1,6 @@
-//! The work for one event does not grow with the fleet. Operations are counted, not timed: accesses of the router to the
-//! state of servers, and allocations. A list update that is not complete costs what its entries cost, a request what the
-//! members of its group cost, a timer what the requests cost that are due.
+//! The work for one event does not grow with the fleet. Operations are counted, not timed: accesses of the
+//! router to the state of servers, and allocations. A list update that is not complete costs what its entries
+//! cost, a request what the members of its group cost, a timer what the requests cost that are due.
 
 mod common;
 use birchreach::*;
@@ -14,8 +14,8 @@
 const SERVERS_PER_GROUP: u32 = 4;
 /// Events of each kind, so that what only the first one costs shows less.
 const ROUNDS: u32 = 50;
-/// An insertion may split a node of a map in one fleet and none in another. An event inserts its request twice in the map of
-/// requests, and once each an attempt and a wake.
+/// An insertion may split a node of a map in one fleet and none in another. An event inserts its request
+/// twice in the map of requests, and once each an attempt and a wake.
 const ALLOCATION_TOLERANCE: u64 = 4 * ROUNDS as u64;
 
 thread_local! {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Overload and failures: the queue at the concurrency limits, and servers that reject or fail their requests.
+//! Overload and failures: the queue when all servers are at their concurrency limits, and servers that reject
+//! or fail requests.
 
 mod common;
 use birchreach::*;
@@ -10,7 +11,8 @@
     server: u32,
 }
 
-/// Sends reads until all replicas are at their concurrency limits. Returns those in flight; the last read is queued.
+/// Sends reads until all replicas are at their concurrency limits. Returns the reads in flight. The last
+/// read, which is not returned, is queued.
 fn fill_to_limits(fixture: &mut RouterFixture) -> Vec<InFlightRead> {
     let mut in_flight = Vec::new();
     loop {
@@ -22,16 +24,16 @@
     }
 }
 
-/// In order of arrival, requests would be started that can no longer be answered in time.
+/// Guards against a queue in order of arrival, which sends requests that can no longer be answered in time.
 #[test]
-fn at_all_limits_a_read_is_queued_and_the_newest_goes_first() {
-    // Given replicas at their limits and a queued read
+fn reads_are_queued_while_all_replicas_are_at_their_limits_and_the_newest_is_sent_first() {
+    // Given replicas at their concurrency limits and a queued read
     let mut fixture = RouterFixture::new(settings());
     let in_flight = fill_to_limits(&mut fixture);
-    // When another read arrives, then it is queued too
+    // When another read arrives, then it is also queued
     let newest = fixture.request(ANY);
     assert!(newest.servers().is_empty() && !is_rejected(&newest.actions));
-    // When a read in flight is answered, then the newest is sent
+    // When a read in flight is answered, then the newest read is sent
     let InFlightRead { id, server } = in_flight[0];
     let actions = fixture.complete_attempt(id, 0, server, AttemptOutcome::Ok);
     let is_newest =
@@ -40,46 +42,47 @@
 }
 
 #[test]
-fn a_queued_read_is_rejected_while_a_retry_may_help_instead_of_started_too_late() {
-    // Given a queued read whose late answer is worth nothing
+fn a_queued_read_is_rejected_before_its_latency_objective_has_passed() {
+    // Given a queued read for which a late response is worthless
     let mut settings = settings();
     settings.classes[ANY as usize].late_weight_fraction = 0.0;
     let mut fixture = RouterFixture::new(settings);
     fill_to_limits(&mut fixture);
     let queued = fixture.request(ANY);
     let requested_at = fixture.now;
-    // When more time passes than its latency objective
+    // When twice its latency objective has passed
     fixture.advance(1_000 * MILLISECOND);
-    // Then it has been rejected before that
+    // Then the read was rejected before its latency objective, while a retry by the client could still help
     let is_rejection =
         |action: &Action| matches!(action, Action::Reject { request, .. } if request.0 == queued.id);
     let rejection = fixture.history.iter().find(|timed| is_rejection(&timed.action));
     let rejected_at = rejection.unwrap().at;
     assert!(
         rejected_at < requested_at + 500 * MILLISECOND,
-        "before the latency objective, not at it: {}",
+        "rejected {} us after arrival, at or after the latency objective",
         rejected_at - requested_at
     );
 }
 
-/// An overloaded server has nothing in flight and looks idle: it would attract every read.
+/// Guards against an overloaded server that attracts every read because it has no attempts in flight and
+/// looks idle.
 #[test]
-fn an_overloaded_server_gets_no_reads_for_a_while() {
+fn a_server_that_rejected_a_read_as_overloaded_does_not_get_the_next_read() {
     // Given a read in flight at one of two replicas
     let mut fixture = RouterFixture::new(settings());
     let read = fixture.request(ANY);
     let overloaded = read.server();
     let other = if overloaded == REPLICA_1 { REPLICA_2 } else { REPLICA_1 };
-    // When that replica rejects it because it is overloaded
+    // When that replica rejects the read because it is overloaded
     fixture.advance(5 * MILLISECOND);
     let actions = fixture.complete_attempt(read.id, 0, overloaded, AttemptOutcome::Overloaded);
-    // Then the other gets it, and the next read too
+    // Then the other replica gets the retry and also the next read
     assert_eq!(servers_sent_to(&actions), [other]);
     assert_eq!(fixture.request(ANY).servers(), [other]);
 }
 
-/// Sends a read, which the first replica fails at once and any other server answers. Returns the number of attempts
-/// that failed.
+/// Sends a read. The first replica fails each attempt immediately, any other server completes it. Returns the
+/// number of attempts that failed.
 fn failed_attempts_of_read(fixture: &mut RouterFixture) -> u16 {
     let read = fixture.request(ANY);
     let mut server = read.server();
@@ -96,10 +99,10 @@
 }
 
 #[test]
-fn a_server_that_fails_its_requests_at_once_stops_attracting_reads() {
+fn a_server_that_fails_requests_immediately_gets_few_reads() {
     // Given a replica that fails every request
     let mut fixture = RouterFixture::new(settings());
-    // When reads arrive, then only a few are sent to it
+    // When reads arrive, then that replica gets only a few of them
     let failures: u16 = (0..40).map(|_| failed_attempts_of_read(&mut fixture)).sum();
-    assert!(failures <= 5, "{failures}");
+    assert!(failures <= 5, "{failures} attempts failed");
 }
--- a/tests/property/checker.rs
+++ b/tests/property/checker.rs
@@ -185,8 +185,8 @@
         }
     }
 
-    /// A read goes to a server that is proven to be fresh enough, to a copy that is likely to be, or to one that
-    /// rejects stale reads itself.
+    /// A read goes to a server that is proven to be fresh enough, to a copy that is likely to be, or to one
+    /// that rejects stale reads itself.
     fn check_server_may_answer(&self, request: &TrackedRequest, server_id: u32) {
         let server = &self.servers[&server_id];
         let copies = request.copy_candidates.iter().filter(|copy| copy.server.0 == server_id);
--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -1,5 +1,6 @@
-//! Property test of the rules that one router alone can keep, under any legal sequence of events and any combination
-//! of settings. The checker knows only what passes through the public interface; it models no server.
+//! Property test of the rules that one router alone can keep, under any legal sequence of events and any
+//! combination of settings. The checker knows only what passes through the public interface; it models no
+//! server.
 
 mod checker;
 #[path = "../common/mod.rs"]
--- a/tests/property/recorded.rs
+++ b/tests/property/recorded.rs
@@ -1,8 +1,8 @@
 //! Regression test of the routing decisions: the same events with the same seed give the recorded actions.
 //!
-//! `recorded.txt` has one line for each generated event sequence: the bits its settings are drawn from, the number of
-//! actions returned, and a digest of these actions with their times. The text of log actions is not part of the
-//! digest.
+//! `recorded.txt` has one line for each generated event sequence: the bits its settings are drawn from, the
+//! number of actions returned, and a digest of these actions with their times. The text of log actions is not
+//! part of the digest.
 
 use super::*;
 use std::fmt::Write;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -150,7 +150,7 @@
     fixture.handle(Event::ResponseStarted { request: RequestId(5_000), attempt: AttemptNumber(0) });
     fixture.handle(Event::Timer { id: 12 });
     fixture.complete_health_check(999, AttemptOutcome::Timeout);
-    let mut endpoints = ready(ALL_SERVERS);
+    let mut endpoints = ready_endpoints(ALL_SERVERS);
     endpoints[1].weight = f64::NAN;
     endpoints[2].weight = 0.0;
     fixture.set_endpoints(&endpoints);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! The slow-start budget of a server: how one proxy keeps to its part of it, and what the parts of many add up to.
+//! The slow-start budget of a server: how one proxy keeps to its part of it, and what the parts of many add
+//! up to.
 
 mod common;
 use birchreach::*;
@@ -6,13 +7,13 @@
 
 /// Tells a proxy that the first replica has started at this time.
 fn list_started_replica(fixture: &mut RouterFixture, started_at: Micros) {
-    let endpoints = ready_with_change(REPLICA_1, |replica| replica.started_at = Some(started_at));
+    let endpoints = endpoints_with_change(REPLICA_1, |replica| replica.started_at = Some(started_at));
     fixture.set_endpoints(&endpoints);
 }
 
 /// Tells a proxy that both replicas have just started.
 fn list_both_replicas_started(fixture: &mut RouterFixture) {
-    let [primary, replica_1, replica_2] = ready(ALL_SERVERS);
+    let [primary, replica_1, replica_2] = ready_endpoints(ALL_SERVERS);
     let started_at = Some(fixture.now);
     fixture.set_endpoints(&[
         primary,
@@ -59,7 +60,8 @@
     sent
 }
 
-/// The budget must not depend on what other servers serve at that moment: with both replicas new there are none.
+/// The budget must not depend on what other servers serve at that moment: with both replicas new there are
+/// none.
 #[test]
 fn a_fleet_that_is_mostly_in_slow_start_still_gets_its_budget() {
     // Given a router that knows what its servers serve
@@ -78,7 +80,7 @@
 /// A router whose primary serves 100 writes per second, far more than the mean of all servers.
 fn fixture_with_busy_primary() -> RouterFixture {
     let mut fixture = RouterFixture::without_endpoints(settings());
-    let [primary, replica_1, replica_2] = ready(ALL_SERVERS);
+    let [primary, replica_1, replica_2] = ready_endpoints(ALL_SERVERS);
     let in_other_group = |endpoint| Endpoint { group: GroupId(1), ..endpoint };
     fixture.set_endpoints(&[primary, in_other_group(replica_1), in_other_group(replica_2)]);
     for _ in 0..500 {
@@ -127,8 +129,8 @@
     assert!(sent <= 3, "{sent} sends to a server with a fifth of its capacity, within one overload window");
 }
 
-/// Sends a read per second from one proxy, for 13 s before the first replica starts and for 13 s from then on.
-/// Returns the number of reads that it gets after its start.
+/// Sends a read per second from one proxy, for 13 s before the first replica starts and for 13 s from then
+/// on. Returns the number of reads that it gets after its start.
 fn reads_at_starting_replica(fixture: &mut RouterFixture) -> usize {
     let started_at = fixture.now + 13_000 * MILLISECOND;
     let mut sent = 0;
@@ -166,8 +168,8 @@
     }
 }
 
-/// The number of 100 proxies that send a read to the first replica 5.1 s after their first request to it ended
-/// without a connection, after this time.
+/// The number of 100 proxies that send a read to the first replica 5.1 s after their first request to it
+/// ended without a connection, after this time.
 fn sends_after_connect_failure(connect_time: Micros) -> usize {
     let mut sent = 0;
     for fixture in &mut fleet(100, |_| {}) {
@@ -186,8 +188,8 @@
     // When the connection to a server timed out, then it gets reads as usual once it is back
     let after_timeout = sends_after_connect_failure(250 * MILLISECOND);
     assert!(after_timeout > 20, "the network may cause a timeout: {after_timeout} of 100");
-    // When it was refused at once, then the server is in slow start. As nothing has been served yet, it gets one
-    // read from all proxies in each overload window, of which three have passed
+    // When it was refused at once, then the server is in slow start. As nothing has been served yet, it gets
+    // one read from all proxies in each overload window, of which three have passed
     let after_refusal = sends_after_connect_failure(MILLISECOND);
     assert!(after_refusal <= 10, "refused at once: {after_refusal} of 100");
 }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,5 +1,6 @@
-//! Slow start: what all proxies of a fleet together send to one server that has just started. In each overload
-//! window it can take the N requests that the settings allow, plus 2 sqrt(N) + 2 for random variation.
+//! Slow start: what all proxies of a fleet together send to one server that has just started. In each
+//! overload window it can take the N requests that the settings allow, plus 2 sqrt(N) + 2 for random
+//! variation.
 
 mod common;
 use birchreach::*;
@@ -62,7 +63,7 @@
     fn new(index: u32, settings: &Settings, seed: u64, scenario: Scenario, rng: &mut fastrand::Rng) -> Self {
         let relative_rate = if index.is_multiple_of(7) { 4.0 } else { 0.5 };
         let mean_interval = f64::from(settings.proxy_count) / (2.0 * FULL_THROUGHPUT) / relative_rate;
-        let mut fixture = RouterFixture::seeded(settings.clone(), u64::from(index) + seed * 1_000);
+        let mut fixture = RouterFixture::with_seed(settings.clone(), u64::from(index) + seed * 1_000);
         let started_at = fixture.now + 20 * SECOND;
         if index % scenario.one_restarted_in == scenario.one_restarted_in - 1 {
             fixture.now = started_at - SECOND;
@@ -71,8 +72,8 @@
         ProxyRun { fixture, scenario, mean_interval, started_at, listed_at, is_listed: false }
     }
 
-    /// Runs to the end of slow start. Adds the times of requests that the server is sent after the proxy has learnt
-    /// of its start.
+    /// Runs to the end of slow start. Adds the times of requests that the server is sent after the proxy has
+    /// learnt of its start.
     fn run(&mut self, end: Micros, rng: &mut fastrand::Rng, sends: &mut Vec<Micros>) {
         loop {
             let interval = self.draw_interval(rng);
@@ -98,7 +99,7 @@
     fn list_started_server(&mut self) {
         self.is_listed = true;
         let started_at = Some(self.started_at);
-        let endpoints = ready_with_change(REPLICA_1, |replica| replica.started_at = started_at);
+        let endpoints = endpoints_with_change(REPLICA_1, |replica| replica.started_at = started_at);
         self.fixture.set_endpoints(&endpoints);
     }
 
@@ -114,8 +115,8 @@
     }
 }
 
-/// Times, relative to its start, at which the starting server is sent a request by proxies that know of the start.
-/// The proxies share what three servers serve; some are several times busier than the mean.
+/// Times, relative to its start, at which the starting server is sent a request by proxies that know of the
+/// start. The proxies share what three servers serve; some are several times busier than the mean.
 fn sends_to_starting_server(fleet_size: u32, seed: u64, scenario: Scenario) -> Vec<Micros> {
     let proxy_count = fleet_size * scenario.processes;
     let settings = fleet_settings(proxy_count);
@@ -190,8 +191,8 @@
     assert_never_overloaded("steady", STEADY);
 }
 
-/// Low, usual and high load, as fractions of full throughput, followed by bursts of 2.2 times as much: tokens that
-/// the proxies accumulated before must not be spent at once.
+/// Low, usual and high load, as fractions of full throughput, followed by bursts of 2.2 times as much: tokens
+/// that the proxies accumulated before must not be spent at once.
 #[test]
 fn accumulated_tokens_do_not_overload_it_in_a_burst() {
     for load in [0.26, 0.5, 0.76] {
