--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,17 +1,16 @@
-//! The slow-start budget of a server: how one proxy keeps to its part of it, and what the parts of many add
-//! up to.
+//! The slow-start budget of a server: the share of a single proxy, and the sum of the shares of many proxies.
 
 mod common;
 use birchreach::*;
 use common::*;
 
-/// Tells a proxy that the first replica has started at this time.
+/// Passes an endpoint list to the router in which the first replica started at `started_at`.
 fn list_started_replica(fixture: &mut RouterFixture, started_at: Micros) {
     let endpoints = endpoints_with_change(REPLICA_1, |replica| replica.started_at = Some(started_at));
     fixture.set_endpoints(&endpoints);
 }
 
-/// Tells a proxy that both replicas have just started.
+/// Passes an endpoint list to the router in which both replicas have just started.
 fn list_both_replicas_started(fixture: &mut RouterFixture) {
     let [primary, replica_1, replica_2] = ready_endpoints(ALL_SERVERS);
     let started_at = Some(fixture.now);
@@ -22,31 +21,31 @@
     ]);
 }
 
-/// Sends 300 reads one after the other. Returns the number of them that go to the first replica.
+/// Serves 300 reads one after the other. Returns the number of reads that the first replica got.
 fn reads_at_replica_1(fixture: &mut RouterFixture) -> usize {
     let mut count = 0;
-    for turn in 0..300 {
-        let server = fixture.serve(ANY, (4 + turn % 13) * MILLISECOND);
+    for index in 0..300 {
+        let server = fixture.serve(ANY, (4 + index % 13) * MILLISECOND);
         count += usize::from(server == REPLICA_1);
     }
     count
 }
 
 #[test]
-fn a_starting_server_gets_its_part_of_the_budget_and_no_burst() {
-    // Given a replica that gets its part of the reads
+fn a_starting_server_gets_reads_within_its_budget_and_no_burst() {
+    // Given a replica at full capacity, which gets its share of the reads
     let mut fixture = RouterFixture::new(settings());
     let at_full_capacity = reads_at_replica_1(&mut fixture);
-    assert!(at_full_capacity > 90, "{at_full_capacity}");
-    // When it restarts
+    assert!(at_full_capacity > 90, "{at_full_capacity} of 300 reads");
+    // When the replica restarts
     let now = fixture.now;
     list_started_replica(&mut fixture, now);
-    // Then it may have 2 x 0.2 of what a server with full capacity serves, of which a part is used
+    // Then its load may be 2 x 0.2 of the throughput at full capacity, of which the budget uses a fraction
     let in_slow_start = reads_at_replica_1(&mut fixture);
-    assert!((10..=60).contains(&in_slow_start), "{in_slow_start}");
+    assert!((10..=60).contains(&in_slow_start), "{in_slow_start} of 300 reads");
 }
 
-/// Sends 60 reads within 300 ms, each answered at once. Returns the number of them that go to replicas.
+/// Sends 60 reads within 300 ms and answers each immediately. Returns the number of reads sent to replicas.
 fn reads_at_replicas(fixture: &mut RouterFixture) -> usize {
     let mut sent = 0;
     for _ in 0..60 {
@@ -60,11 +59,11 @@
     sent
 }
 
-/// The budget must not depend on what other servers serve at that moment: with both replicas new there are
-/// none.
+/// Guards against a budget that depends on the current throughput of other servers: if both replicas are in
+/// slow start, no other replica serves reads.
 #[test]
-fn a_fleet_that_is_mostly_in_slow_start_still_gets_its_budget() {
-    // Given a router that knows what its servers serve
+fn replicas_get_reads_while_both_are_in_slow_start() {
+    // Given a router that has measured the throughput of its servers
     let mut fixture = RouterFixture::new(settings());
     for _ in 0..1_000 {
         fixture.serve(ANY, 10 * MILLISECOND);
@@ -74,10 +73,10 @@
     fixture.advance(4_000 * MILLISECOND);
     let sent = reads_at_replicas(&mut fixture);
     // Then the replicas get some of the reads
-    assert!(sent > 6, "{sent}");
+    assert!(sent > 6, "{sent} of 60 reads");
 }
 
-/// A router whose primary serves 100 writes per second, far more than the mean of all servers.
+/// Creates a router whose primary serves 100 writes per second, far more than the mean of all servers.
 fn fixture_with_busy_primary() -> RouterFixture {
     let mut fixture = RouterFixture::without_endpoints(settings());
     let [primary, replica_1, replica_2] = ready_endpoints(ALL_SERVERS);
@@ -91,32 +90,33 @@
 }
 
 #[test]
-fn attempts_sent_at_full_capacity_do_not_count_against_the_budget_after_a_restart() {
+fn attempts_sent_before_a_restart_do_not_count_against_the_slow_start_budget() {
     // Given a busy primary
     let mut fixture = fixture_with_busy_primary();
-    // When it refuses a connection at once: no process is running, and the next one begins with slow start
+    // When the primary refuses a connection, which shows that no process is running, and a new process begins
+    // with slow start
     let write = fixture.request(WRITE);
     fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::ConnectFailed);
     let retried = servers_sent_to(&fixture.advance(1_500 * MILLISECOND));
-    assert_eq!(retried, [PRIMARY], "the retry after its ejection");
+    assert_eq!(retried, [PRIMARY], "the write is retried after the ejection of the primary");
     fixture.complete_attempt(write.id, 1, PRIMARY, AttemptOutcome::Ok);
-    // Then it gets some of the writes that follow
+    // Then the primary gets some of the following writes
     let mut sent = 0;
     for _ in 0..100 {
         sent += fixture.request(WRITE).servers().len();
         sent += servers_sent_to(&fixture.advance(10 * MILLISECOND)).len();
     }
-    assert!(sent > 0, "it takes work again");
+    assert!(sent > 0, "the primary gets writes again");
 }
 
-/// The number of these servers that are the first replica.
+/// The number of times that the first replica occurs in `servers`.
 fn replica_1_count(servers: &[u32]) -> usize {
     servers.iter().filter(|server| **server == REPLICA_1).count()
 }
 
 #[test]
-fn a_starting_server_does_not_get_a_request_from_each_of_600_proxies() {
-    // Given 600 proxies that know of a server that has just started
+fn a_starting_server_gets_a_request_from_only_a_few_of_600_proxies() {
+    // Given 600 proxies, and a server that the endpoint list reports as just started
     let mut sent = 0;
     for fixture in &mut fleet(600, |_| {}) {
         let started_at = fixture.now;
@@ -125,12 +125,12 @@
         fixture.advance(500 * MILLISECOND);
         sent += replica_1_count(&fixture.request(ANY).servers());
     }
-    // Then only a few go to that server
-    assert!(sent <= 3, "{sent} sends to a server with a fifth of its capacity, within one overload window");
+    // Then only a few requests go to that server
+    assert!(sent <= 3, "{sent} attempts at a server with a fifth of its capacity, in one overload window");
 }
 
-/// Sends a read per second from one proxy, for 13 s before the first replica starts and for 13 s from then
-/// on. Returns the number of reads that it gets after its start.
+/// Sends a read per second from one proxy for 13 s before the first replica starts and for 13 s afterwards.
+/// Returns the number of reads that the replica gets after its start.
 fn reads_at_starting_replica(fixture: &mut RouterFixture) -> usize {
     let started_at = fixture.now + 13_000 * MILLISECOND;
     let mut sent = 0;
@@ -148,16 +148,18 @@
 }
 
 #[test]
-fn a_starting_server_is_not_starved_by_budgets_of_less_than_one_token() {
-    // Given 600 proxies, each with one request per second and a part of the budget below one token
+fn a_starting_server_gets_requests_from_600_proxies_with_budgets_below_one_token() {
+    // Given 600 proxies, each with one request per second and a share of the budget below one token
     let mut proxies = fleet(600, |_| {});
     // When a server starts
     let sent: usize = proxies.iter_mut().map(reads_at_starting_replica).sum();
-    // Then of its usual third of 600 requests per second it gets a fifth at first and all in the end
-    assert!((200..2_600).contains(&sent), "{sent} sends in its slow-start window");
+    // Then the server gets a fifth of its normal load at first and all of it at the end. Its normal load is a
+    // third of 600 requests per second
+    assert!((200..2_600).contains(&sent), "{sent} attempts in the slow-start window");
 }
 
-/// Sends reads until one goes to the first replica. Returns the id of that one; the others are answered.
+/// Sends reads until the first replica gets one, and answers the others. Returns the id of the read in flight
+/// at the first replica.
 fn read_at_replica_1(fixture: &mut RouterFixture) -> u64 {
     loop {
         let read = fixture.request(ANY);
@@ -168,8 +170,8 @@
     }
 }
 
-/// The number of 100 proxies that send a read to the first replica 5.1 s after their first request to it
-/// ended without a connection, after this time.
+/// Lets the first connection of each of 100 proxies to the first replica fail after `connect_time`. Returns
+/// the number of proxies that send a read to that replica 5.1 s later.
 fn sends_after_connect_failure(connect_time: Micros) -> usize {
     let mut sent = 0;
     for fixture in &mut fleet(100, |_| {}) {
@@ -184,12 +186,14 @@
 }
 
 #[test]
-fn a_server_that_refused_a_connection_is_in_slow_start_before_the_endpoint_list_says_so() {
-    // When the connection to a server timed out, then it gets reads as usual once it is back
+fn a_server_that_refused_a_connection_is_in_slow_start_before_the_endpoint_list_reports_its_start() {
+    // When a connection times out, which the network may cause, then the server gets its normal number of
+    // reads after its ejection
     let after_timeout = sends_after_connect_failure(250 * MILLISECOND);
-    assert!(after_timeout > 20, "the network may cause a timeout: {after_timeout} of 100");
-    // When it was refused at once, then the server is in slow start. As nothing has been served yet, it gets
-    // one read from all proxies in each overload window, of which three have passed
+    assert!(after_timeout > 20, "{after_timeout} of 100 proxies sent a read after a connection timeout");
+    // When a connection is refused immediately, then the server is in slow start. No request has been served
+    // yet, so that the server gets one read from all proxies together in each overload window. Three overload
+    // windows have passed
     let after_refusal = sends_after_connect_failure(MILLISECOND);
-    assert!(after_refusal <= 10, "refused at once: {after_refusal} of 100");
+    assert!(after_refusal <= 10, "{after_refusal} of 100 proxies sent a read after a refused connection");
 }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,5 +1,5 @@
-//! Slow start: what all proxies of a fleet together send to one server that has just started. In each
-//! overload window it can take the N requests that the settings allow, plus 2 sqrt(N) + 2 for random
+//! Slow start: the load that all proxies of a fleet together put on a server that has just started. In each
+//! overload window, the server can take the N requests that the settings allow, plus 2 sqrt(N) + 2 for random
 //! variation.
 
 mod common;
@@ -7,26 +7,27 @@
 use common::*;
 
 const SECOND: Micros = 1_000 * MILLISECOND;
-/// Requests per second that a server with its full capacity serves.
+/// Requests per second that a server serves at full capacity.
 const FULL_THROUGHPUT: f64 = 50.0;
 const FLEET_SIZES: [u32; 5] = [5, 20, 30, 100, 300];
-/// Proxies of the largest fleet that the program has to serve.
+/// Number of proxies in the largest supported fleet.
 const LARGEST_FLEET_SIZE: u32 = 900;
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// What happens to the fleet while a server that started at time 0 warms up.
+/// Conditions under which a server that started at time 0 warms up.
 #[derive(Clone, Copy)]
 struct Scenario {
-    /// Request rate relative to the usual one, up to `burst_at`.
+    /// Request rate before `burst_at`, relative to the base rate.
     rate_before: f64,
-    /// The same from `burst_at` on.
+    /// Request rate from `burst_at` on, relative to the base rate.
     rate_after: f64,
+    /// Time after the start of the server.
     burst_at: Micros,
-    /// The last proxy learns of the start this much later than the first.
+    /// Maximum delay after which the endpoint list reports the start to a proxy.
     endpoint_list_delay: Micros,
-    /// One of this many proxies has only just started itself and knows nothing.
+    /// One in this many proxies starts only 1 s before the server and has measured little throughput.
     one_restarted_in: u32,
-    /// Processes of each proxy, which the settings count.
+    /// Processes per proxy. Each process counts as a proxy in the settings.
     processes: u32,
 }
 
@@ -39,41 +40,42 @@
     processes: 1,
 };
 
-/// Settings of one of this many proxies.
+/// Settings of a proxy in a fleet of `proxy_count` proxies.
 fn fleet_settings(proxy_count: u32) -> Settings {
     Settings { proxy_count, overload_factor: 3.0, slow_start_initial_fraction: 0.15, ..settings() }
 }
 
-/// One proxy of the fleet, with its clients.
+/// One proxy of the fleet and its clients.
 struct ProxyRun {
     fixture: RouterFixture,
     scenario: Scenario,
-    /// Mean time between two requests of its clients at the usual rate, in seconds.
-    mean_interval: f64,
-    /// When the server starts.
+    /// Mean time between two requests at the base rate, in seconds.
+    mean_interval_s: f64,
+    /// Start time of the server.
     started_at: Micros,
-    /// When this proxy learns of the start.
+    /// Time at which the endpoint list reports the start to this proxy.
     listed_at: Micros,
-    /// Whether it has learnt of it.
+    /// Whether the endpoint list has reported the start to this proxy.
     is_listed: bool,
 }
 
 impl ProxyRun {
-    /// A proxy that starts 20 s before the server, or 1 s if it is one of those that restarted.
+    /// Creates a proxy that starts 20 s before the server, or 1 s before it if the scenario restarts this
+    /// proxy.
     fn new(index: u32, settings: &Settings, seed: u64, scenario: Scenario, rng: &mut fastrand::Rng) -> Self {
         let relative_rate = if index.is_multiple_of(7) { 4.0 } else { 0.5 };
-        let mean_interval = f64::from(settings.proxy_count) / (2.0 * FULL_THROUGHPUT) / relative_rate;
+        let mean_interval_s = f64::from(settings.proxy_count) / (2.0 * FULL_THROUGHPUT) / relative_rate;
         let mut fixture = RouterFixture::with_seed(settings.clone(), u64::from(index) + seed * 1_000);
         let started_at = fixture.now + 20 * SECOND;
         if index % scenario.one_restarted_in == scenario.one_restarted_in - 1 {
             fixture.now = started_at - SECOND;
         }
         let listed_at = started_at + rng.i64(0..=scenario.endpoint_list_delay);
-        ProxyRun { fixture, scenario, mean_interval, started_at, listed_at, is_listed: false }
+        ProxyRun { fixture, scenario, mean_interval_s, started_at, listed_at, is_listed: false }
     }
 
-    /// Runs to the end of slow start. Adds the times of requests that the server is sent after the proxy has
-    /// learnt of its start.
+    /// Runs the proxy until `end`. Appends the times, relative to the start of the server, at which it sends
+    /// requests to the server after the endpoint list has reported the start.
     fn run(&mut self, end: Micros, rng: &mut fastrand::Rng, sends: &mut Vec<Micros>) {
         loop {
             let interval = self.draw_interval(rng);
@@ -88,14 +90,14 @@
         }
     }
 
-    /// The time to the next request, which is distributed exponentially.
+    /// Draws the time until the next request from an exponential distribution.
     fn draw_interval(&self, rng: &mut fastrand::Rng) -> Micros {
         let is_before_burst = self.fixture.now - self.started_at < self.scenario.burst_at;
         let rate = if is_before_burst { self.scenario.rate_before } else { self.scenario.rate_after };
-        (-(1.0 - rng.f64()).ln() * self.mean_interval / rate * 1e6) as Micros
+        (-(1.0 - rng.f64()).ln() * self.mean_interval_s / rate * 1e6) as Micros
     }
 
-    /// The endpoint list tells the proxy that the server has started.
+    /// Passes an endpoint list to the proxy that reports the start of the server.
     fn list_started_server(&mut self) {
         self.is_listed = true;
         let started_at = Some(self.started_at);
@@ -103,7 +105,7 @@
         self.fixture.set_endpoints(&endpoints);
     }
 
-    /// A read, which is answered at once.
+    /// Sends a read and answers it immediately. Appends its time to `sends` if the starting server gets it.
     fn serve_read(&mut self, sends: &mut Vec<Micros>) {
         let read = self.fixture.request(ANY);
         for server in read.servers() {
@@ -115,8 +117,9 @@
     }
 }
 
-/// Times, relative to its start, at which the starting server is sent a request by proxies that know of the
-/// start. The proxies share what three servers serve; some are several times busier than the mean.
+/// Runs all proxies of a fleet. Returns the times, relative to the start of the server, at which proxies that
+/// know of the start send requests to it. The proxies share the capacity of three servers, and some proxies
+/// have several times the mean request rate.
 fn sends_to_starting_server(fleet_size: u32, seed: u64, scenario: Scenario) -> Vec<Micros> {
     let proxy_count = fleet_size * scenario.processes;
     let settings = fleet_settings(proxy_count);
@@ -131,16 +134,16 @@
     sends
 }
 
-/// An overload window of the starting server.
+/// The load on the starting server in one overload window.
 struct Window {
-    /// Requests that it was sent.
+    /// Requests that were sent to the server.
     sent: usize,
-    /// Requests that it can take.
+    /// Requests that the server can take.
     allowed: f64,
 }
 
 impl Window {
-    /// The window that begins with the first of these requests.
+    /// The window that begins at the first of the given sending times.
     fn beginning_with(sends: &[Micros], settings: &Settings) -> Self {
         let start = sends[0];
         let sent = sends.iter().take_while(|at| **at - start < settings.overload_window).count();
@@ -152,13 +155,13 @@
         Window { sent, allowed: capacity + 2.0 * capacity.sqrt() + 2.0 }
     }
 
-    /// Requests sent, as a fraction of those allowed.
+    /// Requests sent as a fraction of the requests allowed.
     fn load(&self) -> f64 {
         self.sent as f64 / self.allowed
     }
 }
 
-/// The window with the highest load for the server.
+/// The window with the highest load.
 fn worst_window(sends: &[Micros]) -> Window {
     let settings = fleet_settings(1);
     let windows = (0..sends.len()).map(|index| Window::beginning_with(&sends[index..], &settings));
@@ -166,7 +169,7 @@
     worst.unwrap_or(Window { sent: 0, allowed: 1.0 })
 }
 
-/// Runs the scenario with fleets of all sizes and checks that no window is overloaded.
+/// Runs the scenario with fleets of all sizes and asserts that no window is overloaded.
 fn assert_never_overloaded(name: &str, scenario: Scenario) {
     for fleet_size in FLEET_SIZES.into_iter().chain([LARGEST_FLEET_SIZE]) {
         for seed in SEEDS {
@@ -175,26 +178,29 @@
     }
 }
 
-/// Runs the scenario with one fleet and checks that no window is overloaded.
+/// Runs the scenario with a fleet of one size and asserts that no window is overloaded.
 fn assert_not_overloaded_by(fleet_size: u32, seed: u64, name: &str, scenario: Scenario) {
     // When the server warms up
     let sends = sends_to_starting_server(fleet_size, seed, scenario);
-    // Then it is sent no more in any window than it can take
+    // Then the number of requests in each window is within the capacity of the server
     let Window { sent, allowed } = worst_window(&sends);
     let total = sends.len();
-    println!("{name}, {fleet_size} proxies, seed {seed}: {sent} of {allowed:.1}, {total} in all");
-    assert!(sent as f64 <= allowed, "{name}, {fleet_size} proxies, seed {seed}: {sent} of {allowed:.1}");
+    println!("{name}, {fleet_size} proxies, seed {seed}: {sent} of {allowed:.1} allowed, {total} in total");
+    assert!(
+        sent as f64 <= allowed,
+        "{name}, {fleet_size} proxies, seed {seed}: {sent} of {allowed:.1} allowed"
+    );
 }
 
 #[test]
-fn all_proxies_together_do_not_overload_a_starting_server() {
+fn a_steady_load_from_all_proxies_does_not_overload_a_starting_server() {
     assert_never_overloaded("steady", STEADY);
 }
 
-/// Low, usual and high load, as fractions of full throughput, followed by bursts of 2.2 times as much: tokens
-/// that the proxies accumulated before must not be spent at once.
+/// Guards against proxies that accumulate tokens under a low, medium or high load and spend them all at once
+/// in a burst of 2.2 times that load.
 #[test]
-fn accumulated_tokens_do_not_overload_it_in_a_burst() {
+fn tokens_accumulated_before_a_burst_do_not_overload_a_starting_server() {
     for load in [0.26, 0.5, 0.76] {
         for burst_at in [2 * SECOND, 5 * SECOND] {
             // Given a load that rises while the server warms up
@@ -205,29 +211,30 @@
 }
 
 #[test]
-fn late_endpoint_lists_do_not_overload_it() {
-    // Given proxies that learn of the start up to 4 s later than others
+fn delayed_endpoint_lists_do_not_overload_a_starting_server() {
+    // Given proxies to which the endpoint list reports the start up to 4 s late
     assert_never_overloaded("late list", Scenario { endpoint_list_delay: 4 * SECOND, ..STEADY });
 }
 
 #[test]
-fn restarted_proxies_do_not_overload_it() {
+fn restarted_proxies_do_not_overload_a_starting_server() {
     // Given a fleet of which every third proxy has just started
     assert_never_overloaded("restarts", Scenario { one_restarted_in: 3, ..STEADY });
 }
 
 #[test]
-fn second_processes_do_not_overload_it() {
+fn proxies_with_two_processes_do_not_overload_a_starting_server() {
     // Given proxies with two processes each
     assert_never_overloaded("two processes", Scenario { processes: 2, ..STEADY });
 }
 
-/// With its full capacity a server would take about 500 in that time.
+/// Guards against a starting server that is left idle. At full capacity, the server would get about 500
+/// requests in the same time.
 #[test]
-fn a_starting_server_is_used_while_it_warms_up() {
+fn a_starting_server_gets_requests_while_it_warms_up() {
     for fleet_size in FLEET_SIZES.into_iter().chain([LARGEST_FLEET_SIZE]) {
-        // When a server warms up under steady load, then it gets more than a few requests
+        // When a server warms up under steady load, then it gets more than 100 requests
         let sent = sends_to_starting_server(fleet_size, 1, STEADY).len();
-        assert!(sent > 100, "{fleet_size} proxies: {sent}");
+        assert!(sent > 100, "{fleet_size} proxies: {sent} requests");
     }
 }
