--- a/tests/fleet_simulation/attempts.rs
+++ b/tests/fleet_simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! What routers decide about requests, and how their attempts end.
+//! Actions of the routers, and the completion of attempts and health checks.
 
 use super::events::{AttemptKey, RequestKey, SimulationEvent};
 use super::servers::{Admission, log_position, role};
@@ -8,11 +8,11 @@
     ServerStatus,
 };
 
-/// How long a router waits for the answer to a health check.
+/// Time after which a health check without a response times out.
 const HEALTH_CHECK_TIMEOUT_MICROS: Micros = 500_000;
 
 impl FleetSimulation {
-    /// Does what a router has decided.
+    /// Carries out the actions of a router.
     pub(super) fn execute(&mut self, router: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -34,23 +34,23 @@
         }
     }
 
-    /// Sends an attempt of a request.
+    /// Sends the next attempt of a request to a server and schedules its timeout.
     fn send(&mut self, router: usize, request: RequestId, server: u32, timeout: Micros) {
         let request = RequestKey { router, request: request.0 };
-        let pending = self.pending.get_mut(&request).expect("a request without its final answer");
-        let attempt = AttemptKey { request, number: pending.attempts };
-        pending.attempts += 1;
+        let pending = self.pending.get_mut(&request).expect("an attempt is only sent for a pending request");
+        let attempt = AttemptKey { request, number: pending.attempt_count };
+        pending.attempt_count += 1;
         self.open_attempts.insert(attempt, OpenAttempt { server, sent_at: self.now });
         self.schedule(NETWORK_DELAY_MICROS, SimulationEvent::AttemptArrives(attempt));
         self.end_attempt_after(timeout, attempt, AttemptOutcome::Timeout);
     }
 
-    /// Ends an attempt after this delay, unless it ends before.
+    /// Schedules the end of an attempt. The event has no effect if the attempt has ended by then.
     fn end_attempt_after(&mut self, delay: Micros, attempt: AttemptKey, outcome: AttemptOutcome) {
         self.schedule(delay, SimulationEvent::AttemptDone { attempt, outcome });
     }
 
-    /// An attempt reaches its server.
+    /// Handles the arrival of an attempt at its server.
     pub(super) fn admit_attempt(&mut self, attempt: AttemptKey) {
         let Some(open) = self.open_attempts.get(&attempt) else { return };
         let admission = self.servers[open.server as usize].admit(self.now, &mut self.rng);
@@ -63,7 +63,7 @@
         self.end_attempt_after(delay + NETWORK_DELAY_MICROS, attempt, outcome);
     }
 
-    /// An attempt ends, if it has not ended already; if it was served, so is its request.
+    /// Ends an attempt, unless it has already ended. A successful attempt also serves its request.
     pub(super) fn finish_attempt(&mut self, attempt: AttemptKey, outcome: AttemptOutcome) {
         let Some(open) = self.open_attempts.remove(&attempt) else { return };
         if outcome == AttemptOutcome::Ok {
@@ -81,10 +81,10 @@
             status: (outcome == AttemptOutcome::Ok).then_some(status),
             load_report: None,
         };
-        self.route(attempt.request.router, Event::AttemptCompleted(result));
+        self.handle_router_event(attempt.request.router, Event::AttemptCompleted(result));
     }
 
-    /// Counts a request as served, unless it has its final answer already.
+    /// Counts a request as served, unless it already has a final response.
     fn answer_client(&mut self, request: RequestKey) {
         let Some(pending) = self.pending.remove(&request) else { return };
         let class = &self.settings.classes[usize::from(pending.class.0)];
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Stops a server; the connections to it are reset.
+    /// Stops a server and resets its connections.
     pub(super) fn stop_server(&mut self, server: u32) {
         self.servers[server as usize].stop();
         let at_server = self.open_attempts.iter().filter(|(_, open)| open.server == server);
@@ -107,20 +107,23 @@
         }
     }
 
-    /// Schedules the end of a health check, which times out if the server does not answer.
+    /// Schedules the end of a health check. The check times out if the server does not respond.
     fn start_health_check(&mut self, router: usize, server: u32) {
         let is_answering = self.servers[server as usize].is_answering(self.now);
         let delay = if is_answering { 2 * NETWORK_DELAY_MICROS } else { HEALTH_CHECK_TIMEOUT_MICROS };
         self.schedule(delay, SimulationEvent::HealthCheckDone { router, server });
     }
 
-    /// A health check ends, with a load report if the server answers.
+    /// Ends a health check. Its result contains a load report if the server responds.
     pub(super) fn finish_health_check(&mut self, router: usize, server: u32) {
         let is_answering = self.servers[server as usize].is_answering(self.now);
         let position = Some(log_position(server, self.now));
         let report = LoadReport { position, role: Some(role(server)) };
         let outcome = if is_answering { AttemptOutcome::Ok } else { AttemptOutcome::Timeout };
         let load_report = is_answering.then_some(report);
-        self.route(router, Event::HealthCheckCompleted { server: ServerId(server), outcome, load_report });
+        self.handle_router_event(
+            router,
+            Event::HealthCheckCompleted { server: ServerId(server), outcome, load_report },
+        );
     }
 }
--- a/tests/fleet_simulation/events.rs
+++ b/tests/fleet_simulation/events.rs
@@ -1,70 +1,70 @@
-//! The queue of what happens on the virtual clock.
+//! The event queue of the simulation.
 
 use birchreach::{AttemptOutcome, Micros};
 use std::collections::BTreeMap;
 
-/// A request of one of the routers.
+/// Identifies a request by its router and its request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RequestKey {
     pub router: usize,
     pub request: u64,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt by its request and its number within the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AttemptKey {
     pub request: RequestKey,
     pub number: u16,
 }
 
-/// What happens at an instant.
+/// An event on the virtual clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum SimulationEvent {
-    /// A client sends a request to this router, and the next one later.
+    /// A client sends a request to a router. The event also schedules the router's next client request.
     ClientRequest { router: usize },
     /// An attempt reaches its server.
     AttemptArrives(AttemptKey),
-    /// An attempt ends at its router.
+    /// The result of an attempt reaches its router.
     AttemptDone { attempt: AttemptKey, outcome: AttemptOutcome },
-    /// A timer of this router expires.
+    /// A timer of a router expires.
     RouterTimer { router: usize },
-    /// A health check ends.
+    /// The result of a health check reaches its router.
     HealthCheckDone { router: usize, server: u32 },
-    /// A server stops and refuses connections.
+    /// A server stops. It refuses connections until it starts again.
     ServerStops { server: u32 },
-    /// A server that was stopped serves again.
+    /// A stopped server starts again.
     ServerStarts { server: u32 },
-    /// A router learns of the start of a server.
+    /// The endpoint list reports the start of a server to a router.
     StartListed { router: usize, server: u32, started_at: Micros },
-    /// A server stops answering until this instant.
+    /// A server stops answering until the given instant.
     ServerHangs { server: u32, until: Micros },
 }
 
-/// Where an event is in the queue. Events of one instant keep the order in which they were scheduled.
+/// Sort key of an event in the queue. Events at the same instant keep the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct EventPosition {
+struct EventKey {
     at: Micros,
     sequence: u64,
 }
 
-/// Events that are still to come.
+/// Scheduled events in the order of their instants.
 #[derive(Default)]
 pub(crate) struct EventQueue {
-    events: BTreeMap<EventPosition, SimulationEvent>,
+    events: BTreeMap<EventKey, SimulationEvent>,
     last_sequence: u64,
 }
 
 impl EventQueue {
-    /// Adds an event for an instant.
+    /// Schedules an event at an instant.
     pub(crate) fn schedule(&mut self, at: Micros, event: SimulationEvent) {
         self.last_sequence += 1;
-        self.events.insert(EventPosition { at, sequence: self.last_sequence }, event);
+        self.events.insert(EventKey { at, sequence: self.last_sequence }, event);
     }
 
-    /// Removes the next event that is due by `end`, with its instant.
+    /// Removes and returns the next event that is due at or before `end`, with its instant.
     pub(crate) fn pop_until(&mut self, end: Micros) -> Option<(Micros, SimulationEvent)> {
         let first = self.events.first_entry().filter(|entry| entry.key().at <= end)?;
-        let (position, event) = first.remove_entry();
-        Some((position.at, event))
+        let (key, event) = first.remove_entry();
+        Some((key.at, event))
     }
 }
--- a/tests/fleet_simulation/mod.rs
+++ b/tests/fleet_simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of routers before its servers, on one virtual clock. Servers are in proportion to routers, and so
-//! are restarts and servers that stop answering.
+//! Simulation of a fleet of routers and its servers on one virtual clock. The numbers of servers, of restarts
+//! and of servers that stop answering are proportional to the number of routers.
 
 mod attempts;
 mod events;
@@ -13,37 +13,39 @@
 
 const SECOND: Micros = 1_000 * MILLISECOND;
 const START_MICROS: Micros = 1_000 * SECOND;
-/// How long clients send requests.
-const RUN_MICROS: Micros = 20 * SECOND;
-/// Within this time all requests have ended.
-const FINAL_MICROS: Micros = 5 * SECOND;
-/// Between a router and a server, in each direction.
+/// Time during which clients send requests.
+const REQUEST_PHASE_MICROS: Micros = 20 * SECOND;
+/// Time after the last request within which all requests end.
+const COMPLETION_PHASE_MICROS: Micros = 5 * SECOND;
+/// Delay between a router and a server in each direction.
 const NETWORK_DELAY_MICROS: Micros = MILLISECOND / 2;
-/// Routers for each group of servers.
+/// Number of routers per group of servers.
 const ROUTERS_PER_GROUP: u32 = 15;
 /// Requests per second that the clients of each router send.
 const REQUESTS_PER_S: f64 = 1.0;
-/// Each request has one of this many numbers, which gives its class.
+/// The class of a request is drawn from this many equally likely numbers.
 const CLASS_DRAWS: u32 = 10;
-/// Of these, the numbers that give a write.
+/// How many of these numbers result in a write.
 const WRITE_DRAWS: u32 = 2;
-/// The same for a read with bounded staleness; the others give a read of any server.
+/// How many of these numbers result in a read with bounded staleness. The remaining numbers result in a read
+/// without a freshness requirement.
 const BOUNDED_DRAWS: u32 = 5;
 
-/// Of this many groups, the first has a restart and the second a server that stops answering.
+/// In each block of this many groups, a server of the first group restarts and a server of the second group
+/// stops answering.
 const GROUPS_PER_FAULT: u32 = 2;
-const STOPS_AFTER: Micros = 3 * SECOND;
-const RESTART_MICROS: Micros = 2 * SECOND;
-/// The last router learns of a start this much later than the first.
-const LIST_DELAY_MICROS: Micros = 500 * MILLISECOND;
-const HANGS_AFTER: Micros = 8 * SECOND;
+const STOP_AFTER_MICROS: Micros = 3 * SECOND;
+const DOWNTIME_MICROS: Micros = 2 * SECOND;
+/// Maximum delay after which the endpoint list reports a start to a router.
+const MAX_LIST_DELAY_MICROS: Micros = 500 * MILLISECOND;
+const HANG_AFTER_MICROS: Micros = 8 * SECOND;
 const HANG_MICROS: Micros = 8 * SECOND;
 
-/// A request that its client waits for.
+/// A request whose client waits for the response.
 struct PendingRequest {
     class: ClassId,
     received_at: Micros,
-    attempts: u16,
+    attempt_count: u16,
 }
 
 /// An attempt that has not ended.
@@ -52,7 +54,7 @@
     sent_at: Micros,
 }
 
-/// What became of the clients' requests.
+/// Numbers of client requests sent, served within the latency objective and served after it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServedRequests {
     pub requested: u32,
@@ -61,14 +63,14 @@
 }
 
 impl ServedRequests {
-    /// The share of all requests that were served; a late one counts in part.
+    /// The share of all requests that were served. A late response counts as a fraction of a request.
     pub(crate) fn share(&self) -> f64 {
         let late_fraction = settings().classes[0].late_weight_fraction;
         (f64::from(self.in_time) + late_fraction * f64::from(self.late)) / f64::from(self.requested)
     }
 }
 
-/// A run.
+/// State of a simulated fleet, its servers and its clients.
 pub(crate) struct FleetSimulation {
     now: Micros,
     rng: fastrand::Rng,
@@ -83,10 +85,10 @@
 }
 
 impl FleetSimulation {
-    /// Runs a fleet of so many routers.
+    /// Simulates a fleet of `router_count` routers until all requests have ended.
     pub(crate) fn run(router_count: u32, seed: u64) -> ServedRequests {
         let mut simulation = FleetSimulation::new(router_count, seed);
-        let end = START_MICROS + RUN_MICROS + FINAL_MICROS;
+        let end = START_MICROS + REQUEST_PHASE_MICROS + COMPLETION_PHASE_MICROS;
         while let Some((at, event)) = simulation.events.pop_until(end) {
             simulation.now = at;
             simulation.handle_event(event);
@@ -115,28 +117,28 @@
         simulation
     }
 
-    /// Starts a router that knows all servers, and its clients.
+    /// Starts a router that knows all servers, and starts its clients.
     fn start_router(&mut self, router: usize) {
         let seed = self.rng.u64(..);
         let mut actions = Vec::new();
         self.routers.push(Router::new(self.settings.clone(), seed, self.now, &mut actions));
         self.execute(router, actions);
         let endpoints = (0..self.servers.len() as u32).map(|server| endpoint(server, None)).collect();
-        self.route(router, Event::EndpointsChanged(EndpointList { complete: true, endpoints }));
+        self.handle_router_event(router, Event::EndpointsChanged(EndpointList { complete: true, endpoints }));
         self.schedule_client_request(router);
     }
 
-    /// Schedules the fault of a group, if it has one, at its first replica.
+    /// Schedules the fault of a group at its first replica, if the group has a fault.
     fn schedule_fault(&mut self, primary: u32) {
         let server = primary + 1;
         match group_of(primary) % GROUPS_PER_FAULT {
             0 => {
-                self.schedule(STOPS_AFTER, SimulationEvent::ServerStops { server });
-                self.schedule(STOPS_AFTER + RESTART_MICROS, SimulationEvent::ServerStarts { server });
+                self.schedule(STOP_AFTER_MICROS, SimulationEvent::ServerStops { server });
+                self.schedule(STOP_AFTER_MICROS + DOWNTIME_MICROS, SimulationEvent::ServerStarts { server });
             }
             1 => {
-                let until = self.now + HANGS_AFTER + HANG_MICROS;
-                self.schedule(HANGS_AFTER, SimulationEvent::ServerHangs { server, until });
+                let until = self.now + HANG_AFTER_MICROS + HANG_MICROS;
+                self.schedule(HANG_AFTER_MICROS, SimulationEvent::ServerHangs { server, until });
             }
             _ => {}
         }
@@ -146,7 +148,7 @@
         self.events.schedule(self.now + delay, event);
     }
 
-    /// Schedules a router's next request after an exponentially distributed delay.
+    /// Schedules the next client request to a router after an exponentially distributed delay.
     fn schedule_client_request(&mut self, router: usize) {
         let delay = -(1.0 - self.rng.f64()).ln() / REQUESTS_PER_S * SECOND as f64;
         self.schedule(delay as Micros, SimulationEvent::ClientRequest { router });
@@ -157,21 +159,26 @@
             SimulationEvent::ClientRequest { router } => self.start_request(router),
             SimulationEvent::AttemptArrives(attempt) => self.admit_attempt(attempt),
             SimulationEvent::AttemptDone { attempt, outcome } => self.finish_attempt(attempt, outcome),
-            SimulationEvent::RouterTimer { router } => self.route(router, Event::Timer { id: 0 }),
+            SimulationEvent::RouterTimer { router } => {
+                self.handle_router_event(router, Event::Timer { id: 0 })
+            }
             SimulationEvent::HealthCheckDone { router, server } => self.finish_health_check(router, server),
             SimulationEvent::ServerStops { server } => self.stop_server(server),
             SimulationEvent::ServerStarts { server } => self.start_server(server),
             SimulationEvent::StartListed { router, server, started_at } => {
                 let endpoints = vec![endpoint(server, Some(started_at))];
-                self.route(router, Event::EndpointsChanged(EndpointList { complete: false, endpoints }));
+                self.handle_router_event(
+                    router,
+                    Event::EndpointsChanged(EndpointList { complete: false, endpoints }),
+                );
             }
             SimulationEvent::ServerHangs { server, until } => self.servers[server as usize].hang(until),
         }
     }
 
-    /// A client sends a request, unless the run is over.
+    /// Sends a client request to a router, unless the request phase is over.
     fn start_request(&mut self, router: usize) {
-        if self.now >= START_MICROS + RUN_MICROS {
+        if self.now >= START_MICROS + REQUEST_PHASE_MICROS {
             return;
         }
         self.schedule_client_request(router);
@@ -179,12 +186,12 @@
         self.served.requested += 1;
         let request = self.draw_request();
         let key = RequestKey { router, request: request.id.0 };
-        let pending = PendingRequest { class: request.class, received_at: self.now, attempts: 0 };
+        let pending = PendingRequest { class: request.class, received_at: self.now, attempt_count: 0 };
         self.pending.insert(key, pending);
-        self.route(router, Event::Request(request));
+        self.handle_router_event(router, Event::Request(request));
     }
 
-    /// A request of any class to any group.
+    /// Draws a request of a random class to a random group.
     fn draw_request(&mut self) -> Request {
         let class = match self.rng.u32(..CLASS_DRAWS) {
             draw if draw < WRITE_DRAWS => WRITE,
@@ -203,17 +210,17 @@
         }
     }
 
-    /// Starts a server again; the routers learn of it one after the other.
+    /// Restarts a server. The endpoint list reports the start to each router after a random delay.
     fn start_server(&mut self, server: u32) {
         self.servers[server as usize].start(self.now);
         for router in 0..self.routers.len() {
-            let delay = self.rng.i64(0..=LIST_DELAY_MICROS);
+            let delay = self.rng.i64(0..=MAX_LIST_DELAY_MICROS);
             self.schedule(delay, SimulationEvent::StartListed { router, server, started_at: self.now });
         }
     }
 
-    /// Gives a router an event, and does what it decides.
-    fn route(&mut self, router: usize, event: Event) {
+    /// Passes an event to a router and carries out the resulting actions.
+    fn handle_router_event(&mut self, router: usize, event: Event) {
         let mut actions = Vec::new();
         self.routers[router].handle(self.now, event, &mut actions);
         self.execute(router, actions);
