--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -1,15 +1,15 @@
-//! Freshness: which replica may answer a read, and how its position becomes known.
+//! Freshness: the replicas that may serve a read, and the sources of their log positions.
 
 mod common;
 use birchreach::*;
 use common::*;
 
-/// Settings under which servers reject reads for which they lag too far.
-fn stale_reads_rejected() -> Settings {
+/// Settings under which servers reject reads that require a later position than theirs.
+fn with_stale_reads_rejected() -> Settings {
     Settings { stale_reads: StaleReadPolicy::Rejected, ..settings() }
 }
 
-/// Settings under which the router may query the position of a server by a health check.
+/// Settings under which the router may query the position of a server with a health check.
 fn with_health_checks() -> Settings {
     Settings { health_checks_allowed: true, ..settings() }
 }
@@ -18,37 +18,38 @@
 fn a_bounded_read_needs_a_replica_that_is_proven_fresh_enough() {
     // Given a router to which no position is known, then a bounded read goes to the primary
     let mut fixture = RouterFixture::new(settings());
-    assert_eq!(fixture.request(BOUNDED).servers(), [PRIMARY], "nothing is proven yet");
-    // When a replica reports a position within the bound of 300 ms, then it gets the reads
+    assert_eq!(fixture.request(BOUNDED).servers(), [PRIMARY], "no position is known");
+    // When a replica reports a position within the bound of 300 ms, then it gets a bounded read
     fixture.report_position(REPLICA_1, Role::Replica, 250 * MILLISECOND);
     assert_eq!(fixture.request(BOUNDED).servers(), [REPLICA_1]);
-    // When that position reaches the bound, then the replica still gets them; just after it, no more
+    // When that position is exactly 300 ms old, then the replica still gets a bounded read
     fixture.advance(50 * MILLISECOND);
-    assert_eq!(fixture.request(BOUNDED).servers(), [REPLICA_1], "just inside the bound");
+    assert_eq!(fixture.request(BOUNDED).servers(), [REPLICA_1], "the position is just within the bound");
+    // When that position is older, then the primary gets the read
     fixture.advance(1);
-    assert_eq!(fixture.request(BOUNDED).servers(), [PRIMARY], "just outside");
+    assert_eq!(fixture.request(BOUNDED).servers(), [PRIMARY], "the position is just outside the bound");
 }
 
 #[test]
-fn a_session_read_needs_a_replica_that_is_proven_to_have_its_write() {
+fn a_session_read_needs_a_replica_that_is_proven_to_have_the_last_write_of_its_session() {
     // Given a replica that has reported its position
     let mut fixture = RouterFixture::new(settings());
     fixture.report_position(REPLICA_2, Role::Replica, 0);
     let reported = fixture.now;
-    // When a session reads after a write, then the replica gets the read only if it has that write
+    // When a session reads after a write, then the replica gets the read only if it has applied that write
     let mut read_after_write_at = |position: Micros| {
         fixture.request_with(SESSION, |request| request.last_write_position = Some(position)).servers()
     };
     assert_eq!(read_after_write_at(reported), [REPLICA_2]);
     assert_eq!(read_after_write_at(reported + 1), [PRIMARY]);
-    // When a session that wrote nothing reads, then a replica gets the read
+    // When a session without a write reads, then a replica gets the read
     let without_write = fixture.request(SESSION).servers();
-    assert_ne!(without_write, [PRIMARY], "without a write any replica will do");
+    assert_ne!(without_write, [PRIMARY], "any replica may serve a session without a write");
 }
 
 #[test]
-fn observed_writes_bind_the_session_even_if_the_client_has_disconnected() {
-    // Given replicas that are fresh, and a write whose client disconnects
+fn session_reads_have_to_see_an_observed_write_even_if_its_client_has_disconnected() {
+    // Given fresh replicas, and a write whose client disconnects
     let session_positions = SessionPositionSource::FromObservedWrites;
     let mut fixture = RouterFixture::new(Settings { session_positions, ..settings() });
     fixture.report_position(REPLICA_1, Role::Replica, 0);
@@ -60,7 +61,7 @@
     fixture.advance(5 * MILLISECOND);
     let committed = status(Role::Primary, committed_at);
     fixture.complete_attempt_with_status(write.id, 0, PRIMARY, AttemptOutcome::Ok, committed);
-    // Then reads of its session go to the primary, those of another session to a replica
+    // Then reads of the same session go to the primary, and reads of another session go to a replica
     let mut read_of_session = |session: u64| {
         fixture.request_with(SESSION, |request| request.session = Some(SessionId(session))).servers()
     };
@@ -69,46 +70,47 @@
 }
 
 #[test]
-fn a_new_router_checks_a_group_at_its_first_read_only() {
+fn a_new_router_checks_no_server_of_a_group_before_the_first_read_of_the_group() {
     // Given a router that has just started
     let mut fixture = RouterFixture::without_endpoints(with_health_checks());
-    // When it gets the endpoint list, then it checks no server
+    // When the endpoint list arrives, then the router checks no server
     let actions = fixture.set_endpoints(&ready_endpoints(ALL_SERVERS));
     assert_eq!(health_check_count(&actions), 0, "hundreds of proxies may start at the same time");
-    // When the first read arrives, then it does
+    // When the first read arrives, then the router checks a server
     assert!(health_check_count(&fixture.request(BOUNDED).actions) > 0);
 }
 
 #[test]
-fn where_servers_reject_stale_reads_the_most_advanced_is_tried_before_the_primary() {
-    // Given two replicas that lag, the second a little less
-    let mut fixture = RouterFixture::new(stale_reads_rejected());
+fn if_servers_reject_stale_reads_the_most_advanced_replica_is_tried_first_and_the_primary_last() {
+    // Given two lagging replicas, of which the second lags slightly less
+    let mut fixture = RouterFixture::new(with_stale_reads_rejected());
     fixture.report_position(REPLICA_1, Role::Replica, 900 * MILLISECOND);
     fixture.report_position(REPLICA_2, Role::Replica, 800 * MILLISECOND);
     fixture.advance(600 * MILLISECOND);
-    // When a bounded read arrives, then the second gets it
+    // When a bounded read arrives, then the second replica gets it
     let read = fixture.request(BOUNDED);
     assert_eq!(read.servers(), [REPLICA_2]);
-    // When each replica rejects it, then the next is tried, and the primary last
-    let behind = status(Role::Replica, fixture.now - 800 * MILLISECOND);
+    // When both replicas reject the read, then the first replica is tried second and the primary last
+    let lagging_status = status(Role::Replica, fixture.now - 800 * MILLISECOND);
     let mut reject = |attempt, server| {
         let outcome = AttemptOutcome::Ineligible;
-        servers_sent_to(&fixture.complete_attempt_with_status(read.id, attempt, server, outcome, behind))
+        let actions = fixture.complete_attempt_with_status(read.id, attempt, server, outcome, lagging_status);
+        servers_sent_to(&actions)
     };
     assert_eq!(reject(0, REPLICA_2), [REPLICA_1]);
     assert_eq!(reject(1, REPLICA_1), [PRIMARY]);
 }
 
-/// Sends a bounded read, which replicas reject because they lag and the primary answers. Returns the number
-/// of replicas that were tried.
-fn replicas_tried_by_read(fixture: &mut RouterFixture) -> u16 {
+/// Sends a bounded read. Replicas reject the read because they lag, and the primary serves it. Returns the
+/// number of replicas that were tried.
+fn replicas_tried_for_read(fixture: &mut RouterFixture) -> u16 {
     let read = fixture.request(BOUNDED);
     let mut server = read.server();
     let mut attempt = 0;
     while server != PRIMARY {
-        let behind = status(Role::Replica, fixture.now - 900 * MILLISECOND);
+        let lagging_status = status(Role::Replica, fixture.now - 900 * MILLISECOND);
         let outcome = AttemptOutcome::Ineligible;
-        let actions = fixture.complete_attempt_with_status(read.id, attempt, server, outcome, behind);
+        let actions = fixture.complete_attempt_with_status(read.id, attempt, server, outcome, lagging_status);
         server = servers_sent_to(&actions)[0];
         attempt += 1;
     }
@@ -117,22 +119,22 @@
     attempt
 }
 
-/// While a group lags, each read would otherwise be rejected by every replica first.
+/// Guards against reads that every replica rejects, one after the other, while the whole group lags.
 #[test]
-fn a_replica_that_is_known_to_lag_too_far_is_not_tried_again_at_once() {
+fn a_replica_that_is_known_to_lag_too_far_is_not_tried_by_the_next_reads() {
     // Given replicas that reject stale reads
-    let mut fixture = RouterFixture::new(stale_reads_rejected());
-    // When the first read arrives, then it is tried at each replica
-    let mut tries = replicas_tried_by_read(&mut fixture);
+    let mut fixture = RouterFixture::new(with_stale_reads_rejected());
+    // When the first read arrives, then the read is tried at each replica
+    let mut tries = replicas_tried_for_read(&mut fixture);
     assert_eq!(tries, 2, "the first read is tried at each replica");
-    // When further reads arrive, then none is tried at a replica
+    // When further reads arrive, then none of them is tried at a replica
     for _ in 1..20 {
-        tries += replicas_tried_by_read(&mut fixture);
+        tries += replicas_tried_for_read(&mut fixture);
     }
     assert_eq!(tries, 2);
 }
 
-/// The server of the first health check among these actions.
+/// The server of the first health check that these actions request; `None` if they request no health check.
 fn checked_server(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::HealthCheck { server } => Some(server.0),
@@ -141,57 +143,58 @@
 }
 
 #[test]
-fn a_read_queries_the_position_of_a_replica_before_it_falls_back_on_the_primary() {
-    // Given a router that knows no position
+fn a_read_queries_the_positions_of_replicas_before_it_falls_back_to_the_primary() {
+    // Given a router to which no position is known
     let mut fixture = RouterFixture::new(with_health_checks());
-    // When a bounded read arrives, then it waits until a replica tells that it is fresh enough
+    // When a bounded read arrives, then it waits until a replica reports that it is fresh enough
     let read = fixture.request(BOUNDED);
-    assert!(read.servers().is_empty(), "it waits");
+    assert!(read.servers().is_empty(), "the read waits");
     let first = checked_server(&read.actions).expect("a health check");
     let actions = fixture.report_position(first, Role::Replica, 100 * MILLISECOND);
     assert_eq!(servers_sent_to(&actions), [first]);
     fixture.complete_attempt(read.id, 0, first, AttemptOutcome::Ok);
-    // When the first replica is behind, then the second is checked
+    // When the first replica lags too far, then the second is queried
     fixture.advance(1_000 * MILLISECOND);
     let read = fixture.request(BOUNDED);
     let first = checked_server(&read.actions).expect("a health check");
     let actions = fixture.report_position(first, Role::Replica, 400 * MILLISECOND);
-    let second = checked_server(&actions).expect("another one where the first is behind");
+    let second = checked_server(&actions).expect("a second query after the first replica lags");
     assert_ne!(first, second);
-    // When the second never responds, then the read waits for a part of its latency objective only
+    // When the second replica does not respond, then the read waits only for part of its latency objective
     assert_eq!(servers_sent_to(&fixture.advance(100 * MILLISECOND)), [PRIMARY]);
 }
 
-/// Sends writes one after the other, each answered after this time.
-fn run_writes(fixture: &mut RouterFixture, count: usize, latency: Micros) {
+/// Serves `count` writes one after the other, each answered after `latency`.
+fn serve_writes(fixture: &mut RouterFixture, count: usize, latency: Micros) {
     for _ in 0..count {
         fixture.serve(WRITE, latency);
     }
 }
 
 #[test]
-fn a_read_waits_for_no_position_query_while_the_primary_is_lightly_loaded() {
-    // Given a primary that answers writes after this time, whether a read then queries a position
+fn a_read_sends_no_position_query_while_the_primary_is_lightly_loaded() {
+    // Given a primary that answers writes after `latency`
     let queries_position = |latency: Micros| {
         let mut fixture = RouterFixture::new(with_health_checks());
-        run_writes(&mut fixture, 20, latency);
+        serve_writes(&mut fixture, 20, latency);
         health_check_count(&fixture.request(BOUNDED).actions) > 0
     };
-    // When that is far within the latency objective of 500 ms, then it does not
+    // When the latency is 50 ms, far below the objective of 500 ms, then a read queries no position. When it
+    // is 150 ms, then a read queries a position
     assert_eq!([50 * MILLISECOND, 150 * MILLISECOND].map(queries_position), [false, true]);
 }
 
 #[test]
-fn a_read_queries_the_position_again_after_one_that_fell_back_was_late() {
-    // Given a lightly loaded primary, to which a read falls back
+fn reads_query_positions_again_after_a_fallback_read_missed_its_latency_objective() {
+    // Given a lightly loaded primary, and a read that falls back to it
     let mut fixture = RouterFixture::new(with_health_checks());
-    run_writes(&mut fixture, 20, MILLISECOND);
+    serve_writes(&mut fixture, 20, MILLISECOND);
     let read = fixture.request(BOUNDED);
     assert_eq!(read.servers(), [PRIMARY]);
-    // When that read ends after its latency objective
+    // When that read misses its latency objective
     fixture.advance(600 * MILLISECOND);
     fixture.complete_attempt(read.id, 0, PRIMARY, AttemptOutcome::Ok);
-    // Then the next one queries a position, however fast writes are
-    run_writes(&mut fixture, 10, MILLISECOND);
+    // Then the next read queries a position, even though the primary answers writes fast
+    serve_writes(&mut fixture, 10, MILLISECOND);
     assert!(health_check_count(&fixture.request(BOUNDED).actions) > 0);
 }
