--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -1,5 +1,5 @@
-//! Limits on the source of the decision module: files that the deploy file names, their size, and nothing
-//! that reads a clock, does I/O or starts a thread.
+//! Rules for the sources of the decision module. The deploy file names all policy files, the files are short,
+//! and no code reads a clock, does I/O or starts a thread.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -7,8 +7,8 @@
 
 const MAX_LINES: usize = 250;
 const MAX_LINE_WIDTH: usize = 110;
-/// Parts of paths and calls that stand for I/O, a clock, a thread, a process or the environment.
-const FORBIDDEN: [&str; 17] = [
+/// Code fragments that give access to I/O, a clock, a thread, a process or the environment, and `unsafe`.
+const FORBIDDEN_FRAGMENTS: [&str; 17] = [
     "std::io",
     "std::fs",
     "std::net",
@@ -27,15 +27,15 @@
     "dbg!",
     "unsafe",
 ];
-/// The one line that contains a forbidden word in order to forbid it.
-const UNSAFE_FORBIDDEN: &str = "#![forbid(unsafe_code)]";
+/// The only line that may contain `unsafe`.
+const FORBID_UNSAFE_ATTRIBUTE: &str = "#![forbid(unsafe_code)]";
 
-/// The repository's root.
+/// The root of the repository.
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Adds every file below a folder to `found`, as a path relative to the repository's root.
+/// Adds every file below a folder to `found`, as a path relative to the root of the repository.
 fn find_sources(folder: &Path, found: &mut BTreeSet<String>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -54,55 +54,56 @@
     found
 }
 
-/// The contents of a file of the repository.
+/// Reads a file of the repository.
 fn text_of(file: &str) -> String {
     fs::read_to_string(root().join(file)).unwrap()
 }
 
-/// A line without its comment.
+/// The part of a line before a `//` comment.
 fn code_of(line: &str) -> &str {
     line.split("//").next().unwrap_or_default()
 }
 
 #[test]
 fn the_deploy_file_names_every_policy_file() {
-    // Given the line of the deploy file that names the policy files
+    // Given the line of the deploy file that lists the policy files
     let deploy = text_of("deploy/balancer.toml");
     let line = deploy.lines().find(|line| line.starts_with("policy")).unwrap();
-    // Then it names those that there are
+    // Then that line names exactly the files in src/policy
     let named: BTreeSet<String> = line.split('"').skip(1).step_by(2).map(String::from).collect();
     assert_eq!(named, sources_in("src/policy"));
 }
 
 #[test]
-fn files_are_short() {
+fn no_source_file_exceeds_the_maximum_number_of_lines() {
     for file in sources_in("src") {
-        let text = text_of(&file);
-        assert!(text.lines().count() <= MAX_LINES, "{file}");
+        let line_count = text_of(&file).lines().count();
+        assert!(line_count <= MAX_LINES, "{file}: {line_count} lines, the maximum is {MAX_LINES}");
     }
 }
 
 #[test]
-fn policy_files_are_narrow() {
+fn no_line_of_a_policy_file_exceeds_the_maximum_width() {
     for file in sources_in("src/policy") {
-        assert!(text_of(&file).lines().all(|line| line.chars().count() <= MAX_LINE_WIDTH), "{file}");
+        let fits = |line: &str| line.chars().count() <= MAX_LINE_WIDTH;
+        assert!(text_of(&file).lines().all(fits), "{file}: a line exceeds {MAX_LINE_WIDTH} characters");
     }
 }
 
 #[test]
-fn the_module_uses_no_io_clock_or_thread() {
+fn the_module_uses_no_io_no_clock_and_no_thread() {
     for file in sources_in("src") {
         for (index, line) in text_of(&file).lines().enumerate() {
             let code = code_of(line);
-            let found = FORBIDDEN.iter().find(|word| code.contains(**word));
-            let allowed = code.trim() == UNSAFE_FORBIDDEN;
-            assert!(found.is_none() || allowed, "{file}:{}: {}", index + 1, line);
+            let found = FORBIDDEN_FRAGMENTS.iter().find(|fragment| code.contains(**fragment));
+            let is_allowed = code.trim() == FORBID_UNSAFE_ATTRIBUTE;
+            assert!(found.is_none() || is_allowed, "{file}:{}: {}", index + 1, line);
         }
     }
 }
 
 #[test]
-fn the_policy_module_points_to_the_interface() {
+fn the_documentation_of_the_policy_module_names_the_interface_file() {
     let policy = text_of("src/policy/mod.rs");
     assert!(policy.lines().take(5).any(|line| line.contains("src/interface.rs")));
 }
