--- a/tests/property/draws.rs
+++ b/tests/property/draws.rs
@@ -1,12 +1,12 @@
-//! Endpoints, copy candidates and statuses, drawn from numbers.
+//! Derives endpoints, copy candidates and server statuses from random numbers.
 
 use super::*;
 
-/// The last server that may be listed.
+/// Highest id of a server in an endpoint list.
 const MAX_SERVER: u32 = 6;
 
 impl Checker {
-    /// Entries for some servers. The first may be listed twice.
+    /// Derives endpoint list entries for some of the servers. The first entry may occur twice.
     pub(crate) fn draw_endpoints(&self, first: u32, second: u32) -> Vec<Endpoint> {
         let drawn = (1..=MAX_SERVER).filter_map(|id| self.draw_endpoint(id, first, second));
         let mut endpoints: Vec<Endpoint> = drawn.collect();
@@ -17,7 +17,7 @@
         endpoints
     }
 
-    /// An entry for this server, unless it is missing from the list.
+    /// Derives the entry of a server; `None` if the server is missing from the list.
     fn draw_endpoint(&self, id: u32, first: u32, second: u32) -> Option<Endpoint> {
         let bits = first.rotate_right(id * 5);
         let is_missing = bits & 3 == 3;
@@ -41,7 +41,8 @@
         })
     }
 
-    /// Copy candidates. Some are members of the group itself, or unknown: the router must not rely on them.
+    /// Derives copy candidates. Some of them are unknown servers or members of the request's own group, which
+    /// the router must not treat as copies.
     pub(crate) fn draw_copy_candidates(&self, first: u32, second: u32) -> Vec<CopyCandidate> {
         if first & 64 == 0 {
             return vec![];
@@ -55,7 +56,8 @@
     }
 }
 
-/// The status that a server states, if it responded.
+/// Derives the status in a response; `None` if the outcome is not a response or the response contains no
+/// status.
 pub(crate) fn draw_status(outcome: AttemptOutcome, now: Micros, number: u32) -> Option<ServerStatus> {
     let is_response = matches!(
         outcome,
--- a/tests/property/main.rs
+++ b/tests/property/main.rs
@@ -1,6 +1,6 @@
-//! Property test of the rules that one router alone can keep, under any legal sequence of events and any
-//! combination of settings. The checker knows only what passes through the public interface; it models no
-//! server.
+//! Property test of the invariants that a single router can guarantee, under any valid sequence of events and
+//! any combination of settings. The checker sees only the events and actions of the public interface and does
+//! not model the servers.
 
 mod checker;
 #[path = "../common/mod.rs"]
@@ -18,8 +18,8 @@
 use std::collections::BTreeMap;
 use steps::{OUTCOMES, Step};
 
-/// Settings drawn from the bits of a number.
-fn settings_from(bits: u32) -> Settings {
+/// Derives settings from the bits of a random number.
+fn settings_from_bits(bits: u32) -> Settings {
     let mut settings = common::settings();
     let bit = |index: u32| bits >> index & 1 == 1;
     settings.proxy_count = if bit(0) { 600 } else { u32::from(bit(1)) };
@@ -45,9 +45,10 @@
     settings
 }
 
-/// Runs a sequence of steps and, at the end, lets all requests time out. Returns every action.
+/// Runs a sequence of steps and then advances the clock until all requests have timed out. Returns all
+/// actions.
 fn run_sequence(bits: u32, seed: u64, steps: &[Step]) -> Vec<TimedAction> {
-    let mut checker = Checker::new(settings_from(bits), seed);
+    let mut checker = Checker::new(settings_from_bits(bits), seed);
     checker.change_endpoints(true, 0x2492_4924, 1);
     for step in steps {
         checker.run_step(*step);
@@ -58,16 +59,17 @@
 }
 
 #[test]
-fn the_rules_hold_under_any_legal_sequence_of_events() {
+fn the_invariants_hold_under_any_valid_sequence_of_events() {
     // Given any settings, seed and sequence of steps
     let config = Config { cases: 1_500, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let steps = prop::collection::vec(Step::any(), 1..120);
     let sequences = (any::<u32>(), any::<u64>(), steps);
-    // When a router gets the events, then the checker accepts its actions, which are the same in a second run
+    // When a router receives the events, then its actions satisfy the checker and are the same in a second
+    // run
     let result = runner.run(&sequences, |(bits, seed, steps)| {
         let actions = run_sequence(bits, seed, &steps);
-        assert_eq!(actions, run_sequence(bits, seed, &steps), "the same events, other actions");
+        assert_eq!(actions, run_sequence(bits, seed, &steps), "the same events produced different actions");
         Ok(())
     });
     if let Err(error) = result {
--- a/tests/property/results.rs
+++ b/tests/property/results.rs
@@ -1,10 +1,10 @@
-//! How attempts and health checks end, drawn from numbers.
+//! Completes attempts and health checks with results derived from random numbers.
 
 use super::*;
 use draws::draw_status;
 
 impl Checker {
-    /// An attempt ends with this outcome; what the server states is drawn from `number`.
+    /// Completes an attempt with the given outcome. The status in the response is derived from `number`.
     pub(crate) fn complete_attempt(&mut self, id: u64, attempt: usize, outcome: AttemptOutcome, number: u32) {
         let now = self.now;
         let status = draw_status(outcome, now, number);
@@ -42,7 +42,8 @@
         }
     }
 
-    /// A health check ends, with a load report of its server.
+    /// Completes a health check with a load report. `first` determines the server and the outcome, `second`
+    /// the contents of the report.
     pub(crate) fn complete_health_check(&mut self, first: u32, second: u32) {
         let report = LoadReport {
             position: Some(self.now - Micros::from(second % 900) * MILLISECOND),
@@ -54,7 +55,7 @@
             && let Some(server) = self.servers.get_mut(&server_id)
         {
             server.position = server.position.max(report.position);
-            // It claims to have been primary up to its position, which the router may believe.
+            // The server reports that it was the primary up to its position. The router may rely on this.
             server.is_primary |= report.role == Some(Role::Primary);
         }
         self.handle(Event::HealthCheckCompleted {
--- a/tests/property/steps.rs
+++ b/tests/property/steps.rs
@@ -1,9 +1,9 @@
-//! Events drawn from numbers, so that any sequence of numbers is a legal sequence of events.
+//! Derives events from random numbers, so that any sequence of numbers results in a valid sequence of events.
 
 use super::checker::{TrackedRequest, TrackedServer};
 use super::*;
 
-/// A kind of event, and two numbers from which its details are drawn.
+/// A kind of event, and two numbers that determine its contents.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Step {
     pub kind: u8,
@@ -12,13 +12,13 @@
 }
 
 impl Step {
-    /// Any step.
+    /// A strategy that generates all possible steps.
     pub(crate) fn any() -> impl Strategy<Value = Step> {
         any::<(u8, u32, u32)>().prop_map(|(kind, first, second)| Step { kind, first, second })
     }
 }
 
-/// The outcomes that an attempt or a health check may have.
+/// Outcomes that attempts and health checks are completed with.
 pub(crate) const OUTCOMES: [AttemptOutcome; 9] = [
     AttemptOutcome::Ok,
     AttemptOutcome::Error,
@@ -31,19 +31,20 @@
     AttemptOutcome::Ineligible,
 ];
 
-/// Classes that requests are drawn from: one more than there are.
-const CLASS_COUNT: u32 = 6;
+/// Number of classes that requests are drawn from. It is one more than the settings define, so that some
+/// requests have an unknown class.
+const DRAWN_CLASS_COUNT: u32 = 6;
 
 /// An attempt in flight.
 #[derive(Clone, Copy)]
 struct InFlightAttempt {
     request: u64,
-    /// Its number among the attempts of the request.
+    /// Number of the attempt within its request.
     attempt: usize,
 }
 
 impl TrackedServer {
-    /// Takes over an entry of the endpoint list.
+    /// Updates the tracked state from an entry of the endpoint list.
     fn apply(&mut self, endpoint: &Endpoint, now: Micros, removal_is_advisory: bool) {
         self.group = endpoint.group.0;
         self.is_primary |= endpoint.primary && self.position.is_none();
@@ -61,14 +62,14 @@
         }
     }
 
-    /// From now on the server may not be sent new work.
+    /// Marks the server as closed to new work, unless it is already closed.
     fn close(&mut self, now: Micros) {
         self.closed_at = self.closed_at.or(Some(now));
     }
 }
 
 impl Checker {
-    /// Passes the event that a step stands for to the router, or lets time pass.
+    /// Passes the event of a step to the router, or advances the clock.
     pub(crate) fn run_step(&mut self, step: Step) {
         let Step { kind, first, second } = step;
         let in_flight = self.in_flight();
@@ -91,13 +92,13 @@
         }
     }
 
-    /// The client of a request disconnects.
+    /// Disconnects the client of a request.
     fn disconnect_client(&mut self, id: u64) {
         self.requests.get_mut(&id).unwrap().finished = true;
         self.handle(Event::ClientDisconnected { request: RequestId(id) });
     }
 
-    /// Whether the router has to ignore the last event when it comes twice.
+    /// Whether the router has to ignore a repetition of the last event.
     fn may_repeat_last_event(&self) -> bool {
         matches!(
             self.last_event,
@@ -105,7 +106,7 @@
         )
     }
 
-    /// A list of endpoints arrives, either all of them or only some.
+    /// Passes a complete or an incomplete endpoint list to the router.
     pub(crate) fn change_endpoints(&mut self, complete: bool, first: u32, second: u32) {
         let endpoints = self.draw_endpoints(first, second);
         let (now, removal_is_advisory) = (self.now, self.settings.removal_is_advisory);
@@ -122,10 +123,10 @@
         self.handle(Event::EndpointsChanged(EndpointList { complete, endpoints }));
     }
 
-    /// A client sends a request.
+    /// Sends a client request to the router.
     fn send_request(&mut self, first: u32, second: u32) {
         let id = self.requests.len() as u64 + 1;
-        let class = (first % CLASS_COUNT) as usize;
+        let class = (first % DRAWN_CLASS_COUNT) as usize;
         let session = SessionId(u64::from(second % 3));
         let write_age = Micros::from(second % 400) * MILLISECOND;
         let last_write_position = (second & 8 != 0).then_some(self.now - write_age);
@@ -155,7 +156,8 @@
         }));
     }
 
-    /// The position that a read of this class has to see for its session.
+    /// Log position that a session read of the given class has to see; `None` for other classes or without a
+    /// known write of the session.
     fn session_position(
         &self,
         class: usize,
@@ -172,7 +174,6 @@
         }
     }
 
-    /// All attempts in flight.
     fn in_flight(&self) -> Vec<InFlightAttempt> {
         let mut in_flight = Vec::new();
         for (id, request) in &self.requests {
@@ -185,17 +186,18 @@
         in_flight
     }
 
-    /// The ids of all requests that are not finished.
+    /// Ids of the requests that are not finished.
     fn unfinished_requests(&self) -> Vec<u64> {
         self.requests.iter().filter(|(_, request)| !request.finished).map(|(id, _)| *id).collect()
     }
 
-    /// When an attempt in flight times out.
+    /// Instant at which an attempt in flight times out.
     fn times_out_at(&self, in_flight: InFlightAttempt) -> Micros {
         self.requests[&in_flight.request].attempts[in_flight.attempt].times_out_at
     }
 
-    /// Lets time pass: timers expire when they are due, and attempts time out.
+    /// Advances the clock. Timers expire and attempts time out at their due times, attempts first at equal
+    /// times.
     pub(crate) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
