--- a/tests/fleet_simulation/servers.rs
+++ b/tests/fleet_simulation/servers.rs
@@ -55,7 +55,7 @@
         *self = Server { started_at: Some(now), idle_at: now, ..Server::default() };
     }
 
-    /// Leaves statements and health checks unanswered that arrive before `until`.
+    /// Leaves all statements and health checks that arrive before `until` unanswered.
     pub(crate) fn hang(&mut self, until: Micros) {
         self.unresponsive_until = until;
     }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -81,8 +81,8 @@
     assert_eq!(fixture.request(ANY).servers(), [other]);
 }
 
-/// Sends a read. The first replica fails each attempt immediately, any other server completes it. Returns the
-/// number of attempts that failed.
+/// Sends a read. The first replica fails each attempt immediately; any other server completes the read.
+/// Returns the number of attempts that failed.
 fn failed_attempts_of_read(fixture: &mut RouterFixture) -> u16 {
     let read = fixture.request(ANY);
     let mut server = read.server();
--- a/tests/property/checker.rs
+++ b/tests/property/checker.rs
@@ -156,7 +156,7 @@
         request.finished = true;
     }
 
-    /// Checks that a request has not too many attempts and that the server may get this attempt.
+    /// Checks that the request has attempts left and that the server may get this attempt.
     fn check_send(&mut self, id: u64, server_id: u32, timeout: Micros) {
         let request = &self.requests[&id];
         assert!(!request.finished, "an attempt was sent after the final response");
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -150,7 +150,8 @@
 
 #[test]
 fn a_queued_write_goes_to_the_new_primary_at_once() {
-    // Given a queued write, because the primary refused the connection, and a read in flight at a replica
+    // Given a write that is queued because the primary refused the connection, and a read in flight at a
+    // replica
     let mut fixture = RouterFixture::new(settings());
     let write = fixture.request(WRITE);
     fixture.complete_attempt(write.id, 0, PRIMARY, AttemptOutcome::ConnectFailed);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -4,13 +4,13 @@
 use birchreach::*;
 use common::*;
 
-/// Passes an endpoint list to the router in which the first replica started at `started_at`.
+/// Passes an endpoint list in which the first replica started at `started_at` to the router.
 fn list_started_replica(fixture: &mut RouterFixture, started_at: Micros) {
     let endpoints = endpoints_with_change(REPLICA_1, |replica| replica.started_at = Some(started_at));
     fixture.set_endpoints(&endpoints);
 }
 
-/// Passes an endpoint list to the router in which both replicas have just started.
+/// Passes an endpoint list in which both replicas have just started to the router.
 fn list_both_replicas_started(fixture: &mut RouterFixture) {
     let [primary, replica_1, replica_2] = ready_endpoints(ALL_SERVERS);
     let started_at = Some(fixture.now);
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -97,7 +97,7 @@
         (-(1.0 - rng.f64()).ln() * self.mean_interval_s / rate * 1e6) as Micros
     }
 
-    /// Passes an endpoint list to the proxy that reports the start of the server.
+    /// Passes an endpoint list that reports the start of the server to the proxy.
     fn list_started_server(&mut self) {
         self.is_listed = true;
         let started_at = Some(self.started_at);
