--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients.
+//! Accepts clients' connections, within the limit on their number.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::sources::Source;
@@ -15,23 +15,23 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// The most connections accepted in one turn of the loop: a flood of new ones must not starve the clients that are connected.
+/// The most connections accepted in one turn of the loop, so that a flood of new ones does not starve connected clients.
 const MAX_ACCEPTS_PER_TURN: usize = 32;
-/// How long accepting pauses when no connection can be accepted. A retry without a pause would be a busy loop.
+/// How long accepting pauses when no connection can be accepted. Without the pause, the retries would be a busy loop.
 const ACCEPT_PAUSE_MICROS: Micros = 50_000;
 
 impl Clients {
-    /// The listener is ready.
+    /// Records that the poll reported the listener as readable. The accepts follow in `continue_pending_work`.
     pub(crate) fn listener_ready(&mut self) {
         self.accept_pending = true;
     }
 
-    /// The pause in accepting is over.
+    /// Ends the pause in accepting. Called when its timer is due.
     pub(crate) fn resume_accepting(&mut self) {
         self.accept_paused = false;
     }
 
-    /// Whether there may be connections to accept, and this process may accept them.
+    /// Returns whether connections may be waiting, and this process is in a state to accept them.
     pub(super) fn can_accept(&self) -> bool {
         self.accept_pending
             && !self.accept_paused
@@ -40,27 +40,28 @@
             && self.listener.is_some()
     }
 
-    /// Accepts waiting connections, as many as one turn allows.
+    /// Accepts waiting connections, up to the limit of one turn.
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.can_accept() {
                 return;
             }
-            let is_full = self.counted_clients() >= self.max_clients;
-            if is_full && !self.connections.iter().any(|(_, client)| client.can_be_shed()) {
-                // No client can be shed: new ones wait in the listener's queue.
+            let limit_reached = self.counted_clients() >= self.max_clients;
+            if limit_reached && !self.connections.iter().any(|(_, client)| client.can_be_shed()) {
+                // No client can be shed. New clients wait in the listener's backlog.
                 return self.pause_accepting(context);
             }
             let Some(listener) = &self.listener else { return };
             match listener.accept() {
                 Ok((stream, peer)) => {
-                    let key = self.admit(context, stream, peer);
+                    let key = self.register_client(context, stream, peer);
                     self.shed_for(context, key);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // The system has no descriptor, which is reported even if no client waits. With the reserve the next accept tells.
+                // The system has no free descriptor. It reports that even if no client waits. Dropping the reserve frees one, so
+                // the next accept shows whether a client is waiting.
                 Err(_) if self.reserve_descriptor.take().is_some() => continue,
                 Err(error) => {
                     warn!(event = "accept-failed", error = %Quoted(error));
@@ -72,14 +73,14 @@
         }
     }
 
-    /// Stops accepting until a timer is due.
+    /// Stops accepting until `ACCEPT_PAUSE_MICROS` have passed.
     fn pause_accepting(&mut self, context: &mut EventLoopContext) {
         self.accept_paused = true;
         context.timers.set(context.now + ACCEPT_PAUSE_MICROS, TimerEvent::RetryAccept);
     }
 
-    /// Registers an accepted connection. Returns none if the poll does not take it.
-    fn admit(
+    /// Registers an accepted connection with the poll. Returns `None` and drops the connection if that fails.
+    fn register_client(
         &mut self,
         context: &mut EventLoopContext,
         mut stream: TcpStream,
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to clients' requests, complete or in chunks.
+//! Sends the answers to clients' requests, in one piece or as a stream of chunks.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::Clients;
@@ -8,7 +8,7 @@
 use birchreach::RequestId;
 
 impl Clients {
-    /// Sends the final answer to a client's request.
+    /// Sends the final answer to a request. Does nothing if the client has disconnected.
     pub(crate) fn answer(
         &mut self,
         context: &mut EventLoopContext,
@@ -17,8 +17,8 @@
         answer: &Answer,
     ) {
         let Some(client) = self.connections.get_mut(key.0) else { return };
-        let Some(answered) = client.open_request.take_if(|open| open.id == request) else { return };
-        self.admission.release(&answered.statement);
+        let Some(completed) = client.open_request.take_if(|open| open.id == request) else { return };
+        self.admission.release(&completed.statement);
         client.answered_requests += 1;
         client.close_when_idle = self.handing_over;
         client.streamed_value = None;
@@ -26,7 +26,7 @@
         self.process_client(context, key);
     }
 
-    /// A streamed value begins.
+    /// Starts to forward a value of `length` bytes, which `attempt` receives in chunks.
     pub(crate) fn start_value(
         &mut self,
         context: &mut EventLoopContext,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// More of the value has arrived.
+    /// Forwards the next bytes of the streamed value.
     pub(crate) fn send_value_chunk(
         &mut self,
         context: &mut EventLoopContext,
@@ -58,19 +58,21 @@
         self.process_client(context, key);
     }
 
-    /// The rest of the value will not arrive. Closes the connection, which shows the client that the value is incomplete.
+    /// Closes the connection because the rest of the streamed value will not arrive. The close shows the client that the value is
+    /// incomplete.
     pub(crate) fn abort_value(&mut self, context: &mut EventLoopContext, key: ClientKey, request: RequestId) {
         if self.client_with_request(key, request).is_some() {
             self.close(context, key, ClientCloseReason::ResponseTruncated);
         }
     }
 
-    /// A streamed value of which the client has taken all that was received.
+    /// Returns an attempt that can continue to read its streamed value, because the client has taken all bytes received so far.
+    /// `None` if there is no such attempt.
     pub(crate) fn next_attempt_to_resume(&mut self) -> Option<AttemptId> {
         self.attempts_to_resume.pop()
     }
 
-    /// The client, if it still waits for the answer to this request.
+    /// Returns the client if it still waits for the answer to this request.
     fn client_with_request(&mut self, key: ClientKey, request: RequestId) -> Option<&mut Client> {
         let has_request =
             |client: &&mut Client| client.open_request.as_ref().is_some_and(|open| open.id == request);
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -1,4 +1,4 @@
-//! One client: its socket, protocol state and request, and its rank among the clients that can be shed.
+//! One client's connection: its socket, protocol state and open request, and its rank in the order in which clients are shed.
 
 use super::super::statement_payload::StatementPayload;
 use super::super::stream::StreamEnd;
@@ -9,37 +9,37 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// The first request of a new client may take this long to arrive. Until then the client is not shed for a later one.
+/// How long a new client may take to send its first request before it can be shed in favour of a later client.
 const FIRST_REQUEST_GRACE_MICROS: Micros = 300_000;
 
-/// A request that has not been answered.
+/// A client's request that has not been answered completely.
 pub(super) struct OpenRequest {
     pub id: RequestId,
     pub statement: StatementPayload,
 }
 
-/// A long value that is being forwarded to the client.
+/// A long value that is being forwarded to the client in chunks.
 pub(super) struct StreamedValue {
     pub attempt: AttemptId,
-    /// The client has not taken all that has been received of it.
+    /// The client has not yet taken all bytes that were received of the value.
     pub chunk_unsent: bool,
 }
 
-/// A connection that is to be closed, and how.
+/// The decision to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Closing {
     pub reason: ClientCloseReason,
     pub mode: CloseMode,
 }
 
-/// How a connection is to be closed.
+/// How to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
     Immediate,
-    /// After the error is written that says why. A close while input is unread would reset the connection before the client reads
-    /// it.
+    /// Close after the error that states the reason is written. A close while input is unread would reset the connection before
+    /// the client reads the error.
     AfterFlush,
-    /// The output is written. Until this time, and up to this number of bytes, further input is read and dropped.
+    /// The output is written. Further input is read and dropped until this time, or until this number of bytes is reached.
     Draining {
         until: Micros,
         max_bytes: usize,
@@ -49,64 +49,65 @@
 /// Classes of clients, in the order in which they are shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ShedClass {
-    /// The error that says why it is closed is written.
+    /// The error that states why the connection is closed is written, and only its input is still drained.
     Draining,
-    /// It made no request within the grace period. A flood of such clients must not displace those that make requests.
+    /// The client made no request within the grace period. A flood of such clients must not displace clients that make requests.
     NoRequest,
-    /// It has been answered, and has no open request.
+    /// At least one request of the client has been answered, and no request is open.
     Idle,
-    /// It was accepted within the grace period, and has made no request yet.
+    /// The client was accepted within the grace period and has made no request yet.
     InGracePeriod,
 }
 
-/// The rank in the order in which clients are shed: by class, then the longest idle. Of clients idle equally long, as many are that
-/// were accepted in one turn, the first accepted is shed first.
+/// A client's rank in the order in which clients are shed. The lowest rank is shed first: the class decides, then the longest
+/// idle time. Clients that were accepted in one turn are idle equally long; of these, the one accepted first is shed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ShedRank {
     pub class: ShedClass,
-    since: Micros,
+    inactive_since: Micros,
     serial: ClientSerial,
 }
 
-/// Number of a client, never used again: keys of clients that have gone are.
+/// A client's number in the order of acceptance. Unlike a key, it is never reused after the client has disconnected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ClientSerial(u64);
 
 impl ClientSerial {
-    /// The number of the client that is accepted after this one.
+    /// Returns the number of the client that is accepted after this one.
     pub(super) fn next(self) -> ClientSerial {
         ClientSerial(self.0 + 1)
     }
 }
 
-/// One client's connection.
+/// A client's connection, from its acceptance until it is closed.
 pub(super) struct Client {
     pub stream: TcpStream,
     pub peer: SocketAddr,
-    /// Its place in the order in which clients were accepted.
     serial: ClientSerial,
     pub protocol: Frontend,
     pub open_request: Option<OpenRequest>,
     /// Set while the answer to the open request is being forwarded in chunks.
     pub streamed_value: Option<StreamedValue>,
     pub answered_requests: u64,
-    /// It has made no request yet: it may be a balancer that only checks whether the process accepts connections.
+    /// The client has made no request yet. It may be a balancer that only checks whether the process accepts connections.
     pub unclassified: bool,
-    /// It has closed its connection: what it sent before needs no answer.
+    /// The client has closed its side of the connection. Commands that it sent before need no answer.
     pub peer_closed: bool,
-    /// There is more to read or write than one turn allows.
+    /// The last turn reached its limits before all input was read and all output written.
     pub turn_incomplete: bool,
+    /// Set once the connection is to be closed.
     pub closing: Option<Closing>,
-    /// When it last sent input or read output.
+    /// When the client last sent input or read output.
     pub last_active_at: Micros,
-    /// It was answered after the handover began: it is closed once it is idle.
+    /// The client was answered after the handover began. Its connection is closed once it is idle.
     pub close_when_idle: bool,
-    /// Since when a message that has begun has not arrived in full; for a first request, since the connect.
+    /// When the message that is still incomplete began to arrive; before the first request, the time of acceptance. `None` if no
+    /// message is incomplete.
     pub incomplete_since: Option<Micros>,
 }
 
 impl Client {
-    /// A client that has just been accepted.
+    /// Creates the state of a client that was accepted at `now`.
     pub(super) fn new(stream: TcpStream, peer: SocketAddr, serial: ClientSerial, now: Micros) -> Client {
         Client {
             stream,
@@ -126,31 +127,34 @@
         }
     }
 
-    /// It has no unanswered request.
+    /// Returns whether the connection can be closed without loss of a request: it is draining, or it has no open request and is
+    /// idle or in its startup.
     pub(super) fn can_be_shed(&self) -> bool {
         let is_idle = self.protocol.is_idle() || self.protocol.is_in_startup();
         self.is_draining() || (self.open_request.is_none() && self.closing.is_none() && is_idle)
     }
 
-    /// The error that says why it is closed is written, and further input is dropped for a while.
+    /// Returns whether the error that states the reason for the close is written, and further input is read and dropped.
     pub(super) fn is_draining(&self) -> bool {
         matches!(self.closing, Some(Closing { mode: CloseMode::Draining { .. }, .. }))
     }
 
-    /// Its rank among the clients that can be shed.
+    /// Returns the client's rank in the order in which clients are shed. Meaningful only if `can_be_shed` returns true.
     pub(super) fn shed_rank(&self, now: Micros) -> ShedRank {
-        let since = self.incomplete_since.unwrap_or(self.last_active_at);
-        let grace_expired = self.protocol.has_received_command() || now - since >= FIRST_REQUEST_GRACE_MICROS;
+        let inactive_since = self.incomplete_since.unwrap_or(self.last_active_at);
+        let grace_expired =
+            self.protocol.has_received_command() || now - inactive_since >= FIRST_REQUEST_GRACE_MICROS;
         let class = match self.answered_requests {
             _ if self.is_draining() => ShedClass::Draining,
             0 if grace_expired => ShedClass::NoRequest,
             0 => ShedClass::InGracePeriod,
             _ => ShedClass::Idle,
         };
-        ShedRank { class, since, serial: self.serial }
+        ShedRank { class, inactive_since, serial: self.serial }
     }
 
-    /// The attempt whose value can be read on, if the client has taken what was received of it. Returned once for each chunk.
+    /// Returns the attempt whose streamed value can be read further, if the client has taken all bytes received so far. Returns
+    /// the attempt once for each chunk.
     pub(super) fn take_attempt_to_resume(&mut self) -> Option<AttemptId> {
         let output_is_empty = self.protocol.outbox.pending().is_empty();
         let value = self.streamed_value.as_mut().filter(|value| value.chunk_unsent && output_is_empty)?;
@@ -158,12 +162,12 @@
         Some(value.attempt)
     }
 
-    /// Why the connection ends: the reason decided before, or else this one.
+    /// Returns the reason that was already decided for the close, or else `reason`.
     pub(super) fn close_reason_or(&self, reason: ClientCloseReason) -> ClientCloseReason {
         self.closing.map_or(reason, |closing| closing.reason)
     }
 
-    /// Why the connection ends after its socket ended in this way.
+    /// Returns the reason for the close of a connection whose socket ended in this way.
     pub(super) fn close_reason_for(&self, end: StreamEnd) -> ClientCloseReason {
         self.close_reason_or(match end {
             StreamEnd::Closed if self.protocol.only_terminate_unprocessed() => {
--- a/proxy/src/net/clients/close_reason.rs
+++ b/proxy/src/net/clients/close_reason.rs
@@ -1,31 +1,31 @@
-//! Why clients' connections are closed, with the words that the log has for it.
+//! The reasons for which clients' connections are closed, and their words in the log.
 
 use crate::pg::frontend::EndReason;
 
-/// Why a client's connection was closed, or could not be accepted.
+/// Why a client's connection was closed or could not be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientCloseReason {
-    /// The protocol ended it.
+    /// The connection ended according to the protocol, or violated it.
     Protocol(EndReason),
-    /// The client closed it.
+    /// The client closed the connection.
     ClientClosed,
-    /// It broke.
+    /// The connection was reset, or a write to it failed.
     ClientReset,
-    /// It had no request for the idle timeout.
+    /// The client made no request within the idle timeout.
     Idle,
-    /// The rest of its startup, or of a message, did not arrive in time.
+    /// The rest of the startup or of a message did not arrive in time.
     IncompleteMessage,
-    /// The client does not read what it is sent.
+    /// The client stopped reading its answers.
     Unresponsive,
-    /// A database stopped in the middle of a value that was being forwarded.
+    /// The database did not complete a value that was being forwarded to the client.
     ResponseTruncated,
-    /// It was closed to stay within the limit on clients, or to free a descriptor.
+    /// The connection was closed to stay within the limit on clients, or to free a descriptor.
     Shed,
-    /// Another process of this proxy takes the clients.
+    /// Another process of this proxy has taken over the clients.
     HandedOver,
-    /// The process is stopping.
+    /// This process is shutting down.
     Stopping,
-    /// The system gave no socket.
+    /// The accepted socket could not be registered with the poll.
     NoSocket,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl ClientCloseReason {
-    /// The word for the log.
+    /// Returns the value of the log's `reason=` field.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             ClientCloseReason::Protocol(reason) => reason.as_str(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The client itself ended the connection.
+    /// Returns whether the client itself ended the connection.
     pub(super) fn is_by_client(self) -> bool {
         matches!(
             self,
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -1,4 +1,4 @@
-//! Timeouts of clients.
+//! Timeouts of clients: unread output, incomplete messages, idle connections and the end of draining.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::test_hooks::{self, StopPoint};
@@ -8,16 +8,16 @@
 use crate::core::ClientKey;
 use birchreach::Micros;
 
-/// A client that does not read its answers is closed after this time, which is longer than any deadline.
+/// A client that does not read its answers for this time is closed. The time is longer than any request's deadline.
 const UNREAD_OUTPUT_TIMEOUT_MICROS: Micros = 10_000_000;
-/// A connection without a request for this time is closed.
+/// A connection is closed after it has been without a request for this time.
 const IDLE_TIMEOUT_MICROS: Micros = 5_000_000;
-/// The timeout for a first request, and for the rest of a message: a slow client may take 2 s, and one that sends nothing valid
-/// gets its error within 3 s.
+/// The timeout for the first request and for the rest of a message. A slow client may take 2 s, and a client that sends nothing
+/// valid receives its error within 3 s.
 const INCOMPLETE_MESSAGE_TIMEOUT_MICROS: Micros = 2_300_000;
 
 impl Client {
-    /// The reason to close it for a timeout, if one has expired.
+    /// Returns the reason to close the connection if one of its timeouts has expired.
     fn expiry_reason(&self, now: Micros) -> Option<ClientCloseReason> {
         let inactive_for = now - self.last_active_at;
         match self.closing {
@@ -27,39 +27,39 @@
             Some(Closing { reason, .. }) => {
                 return (inactive_for >= INCOMPLETE_MESSAGE_TIMEOUT_MICROS).then_some(reason);
             }
-            // A streamed value has no deadline, but its client must continue to read.
+            // An open request has a deadline of its own. A streamed value has none, but its client must continue to read.
             None if self.open_request.is_some() && self.streamed_value.is_none() => return None,
             None => {}
         }
-        let is_incomplete =
+        let message_timed_out =
             self.incomplete_since.is_some_and(|since| now - since >= INCOMPLETE_MESSAGE_TIMEOUT_MICROS);
         if !self.protocol.outbox.pending().is_empty() {
             (inactive_for > UNREAD_OUTPUT_TIMEOUT_MICROS).then_some(ClientCloseReason::Unresponsive)
-        } else if is_incomplete {
+        } else if message_timed_out {
             Some(ClientCloseReason::IncompleteMessage)
         } else {
-            let is_expired = self.protocol.is_idle() && inactive_for >= IDLE_TIMEOUT_MICROS;
-            is_expired.then_some(ClientCloseReason::Idle)
+            let idle_timed_out = self.protocol.is_idle() && inactive_for >= IDLE_TIMEOUT_MICROS;
+            idle_timed_out.then_some(ClientCloseReason::Idle)
         }
     }
 }
 
 impl Clients {
-    /// Closes clients that stall in a startup, a message or while they read an answer, and those that are idle. They could occupy
-    /// all connections otherwise.
+    /// Closes clients that stall during the startup, in a message or while reading an answer, and clients that are idle.
+    /// Otherwise they could occupy all connections.
     pub(crate) fn close_expired(&mut self, context: &mut EventLoopContext) {
         let is_expired = |client: &Client| client.expiry_reason(context.now).is_some();
         let expired = self.connections.iter().filter(|(_, client)| is_expired(client));
         let expired: Vec<ClientKey> = expired.map(|(key, _)| ClientKey(key)).collect();
         for key in expired {
             test_hooks::stop_process_at(StopPoint::Sweep);
-            // What has arrived meanwhile is read first: a request must not cross with the close.
+            // Input may have arrived in the meantime. It is read first, so that the close does not race with a request.
             self.handle_ready(context, key);
             self.close_if_expired(context, key);
         }
     }
 
-    /// Closes a client whose timeout has expired. One with an incomplete message is sent an error first.
+    /// Closes a client whose timeout has expired. A client with an incomplete message is sent an error first.
     fn close_if_expired(&mut self, context: &mut EventLoopContext, key: ClientKey) {
         let Some(client) = self.connections.get_mut(key.0) else { return };
         match client.expiry_reason(context.now) {
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -1,4 +1,5 @@
-//! The clients' listener and connections: accepted, served in turns, answered, and closed when they end, expire or are shed.
+//! The clients' listener and connections. Connections are accepted, served in turns, answered, and closed when they end, expire
+//! or are shed.
 
 mod accept;
 mod answers;
@@ -23,47 +24,45 @@
 use std::fs::File;
 use tracing::{debug, info};
 
-/// The listener and all clients.
+/// The listener and the connections of all clients.
 pub(super) struct Clients {
-    /// Until it is passed to another process, or closed.
+    /// `None` after the listener was passed to another process or closed.
     listener: Option<TcpListener>,
     connections: Slab<Client>,
-    /// The number of the next client that is accepted.
     next_serial: ClientSerial,
     admission: StatementAdmission,
     max_clients: usize,
-    /// Above this number idle clients are shed before the limit is reached: clients that keep unused connections would leave none
-    /// to others.
+    /// Above this number of clients, idle ones are shed before the limit is reached. Otherwise clients that keep unused
+    /// connections would leave none to others.
     early_shed_threshold: usize,
-    /// Up to this number, clients that have made no request do not count towards the limit.
+    /// At most this many clients without a request do not count towards the limit.
     unclassified_allowance: usize,
-    /// How many clients have made no request.
     unclassified_count: usize,
-    /// Connections may wait to be accepted.
+    /// Connections may be waiting in the listener's backlog.
     accept_pending: bool,
-    /// Until a timer is due.
+    /// Accepting is paused until `TimerEvent::RetryAccept` is due.
     accept_paused: bool,
-    /// The proxy is stopping: connections are closed once they are idle.
+    /// The proxy is shutting down. Connections are closed once they are idle.
     shutting_down: bool,
-    /// Another process takes the clients: each connection is closed with its next answer.
+    /// Another process takes over the clients. Each connection is closed after its next answer.
     handing_over: bool,
     /// No client is accepted until other proxies have sent their state, or the requests for it have failed.
     awaiting_peer_state: bool,
-    /// Clients with more input than one turn takes.
+    /// Clients whose last turn reached its limits before all work was done.
     turn_incomplete: Vec<ClientKey>,
-    /// Streamed values of which the clients have taken all that was received.
+    /// Attempts that can continue to read their streamed values: the clients have taken all bytes received so far.
     attempts_to_resume: Vec<AttemptId>,
-    /// Closed when the system has no free descriptor, so that one more accept tells whether a client waits.
+    /// Closed when the system has no free descriptor, so that the next accept shows whether a client is waiting.
     reserve_descriptor: Option<File>,
 }
 
-/// A descriptor that can be closed when the system has no other.
+/// Opens a descriptor that can be closed when the system has no other. Returns `None` if the system has none.
 fn open_reserve_descriptor() -> Option<File> {
     File::open("/dev/null").ok()
 }
 
 impl Clients {
-    /// Registers the listener. At most `max_clients` are accepted.
+    /// Registers the listener with the poll. `max_clients` limits the connections that count as clients.
     pub(super) fn new(
         registry: &Registry,
         mut listener: TcpListener,
@@ -92,35 +91,35 @@
         })
     }
 
-    /// How many clients there are.
+    /// Returns the number of connections, including those that do not count towards the limit.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// There are no clients.
+    /// Returns whether no client is connected.
     pub(super) fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Another process takes the clients, or no longer does. While it does, this one accepts no client, and closes each connection
-    /// after its next answer, so that the client connects there.
+    /// Sets whether another process takes over the clients. During a handover this process accepts no client and closes each
+    /// connection after its next answer, so that the client reconnects to the other process.
     pub(super) fn set_handing_over(&mut self, handing_over: bool) {
-        // The poll does not report the listener again for connections that arrived in the meantime.
+        // The poll does not report the listener again for connections that arrived during the handover.
         self.accept_pending |= self.handing_over && !handing_over;
         self.handing_over = handing_over;
     }
 
-    /// No client is accepted while the start waits for other proxies' state.
+    /// Sets whether the startup waits for other proxies' state. No client is accepted while it does.
     pub(super) fn set_awaiting_peer_state(&mut self, awaiting: bool) {
         self.awaiting_peer_state = awaiting;
     }
 
-    /// Whether work is left that the poll will not report.
+    /// Returns whether work is left that the poll will not report again.
     pub(super) fn has_pending_work(&self) -> bool {
         self.can_accept() || !self.turn_incomplete.is_empty()
     }
 
-    /// Continues where the last turn stopped.
+    /// Serves the clients whose last turn left work, then accepts waiting connections.
     pub(super) fn continue_pending_work(&mut self, context: &mut EventLoopContext) {
         for key in std::mem::take(&mut self.turn_incomplete) {
             self.handle_ready(context, key);
@@ -136,7 +135,7 @@
         }
     }
 
-    /// The system reports that a client has closed its connection; input may still be unread.
+    /// Records that a client has closed its connection, as the poll reports. Some of its input may still be unread.
     pub(super) fn peer_closed(&mut self, key: ClientKey) {
         if let Some(client) = self.connections.get_mut(key.0) {
             client.peer_closed = true;
@@ -151,7 +150,8 @@
         let may_be_balancer = self.unclassified_allowance > 0 && client.unclassified;
         let (peer, answered, word) = (client.peer, client.answered_requests, reason.as_str());
         if may_be_balancer && reason.is_by_client() {
-            // Balancers connect hundreds of times: the rate limit of the log must not drop other lines because of theirs.
+            // Balancers connect hundreds of times. At the `info` level their lines would use up the log's rate limit, and other
+            // lines would be dropped.
             debug!(conn = "client", %peer, answered, reason = word);
         } else {
             info!(conn = "client", %peer, answered, reason = word);
--- a/proxy/src/net/clients/shutdown.rs
+++ b/proxy/src/net/clients/shutdown.rs
@@ -1,4 +1,4 @@
-//! How clients are handed over to another process, and how all are closed in a graceful shutdown.
+//! The handover of clients to another process, and their closing in a graceful shutdown.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::test_hooks::{self, StopPoint};
@@ -7,15 +7,15 @@
 use crate::core::ClientKey;
 
 impl Clients {
-    /// Another process has the listening socket too, and accepts the clients that wait. None is accepted here any more, and each
-    /// one is closed after its next answer, so that it connects there.
+    /// Stops accepting clients: another process has the listening socket too, and accepts those that wait. Each connected client
+    /// is closed after its next answer, so that it reconnects to the other process.
     pub(crate) fn start_handover(&mut self, context: &mut EventLoopContext) {
         self.close_listener(context);
         self.handing_over = true;
     }
 
-    /// Accepts and reads what has arrived, then nothing more, and closes each connection once that is answered. Otherwise a client
-    /// that sends one command after the other would have one unanswered when the process is killed.
+    /// Accepts waiting connections, reads the input that has arrived, and then stops reading. Closes each connection once that
+    /// input is answered. A client that keeps sending commands would otherwise have one unanswered when the process is killed.
     pub(crate) fn shut_down(&mut self, context: &mut EventLoopContext) {
         test_hooks::stop_process_at(StopPoint::CloseIdleClients);
         self.accept_pending = true;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Closes the listener of this process, if it is still open.
+    /// Closes this process's listener. Does nothing if it is already closed.
     fn close_listener(&mut self, context: &mut EventLoopContext) {
         if let Some(mut listener) = self.listener.take() {
             let _ = context.poll.registry().deregister(&mut listener);
--- a/proxy/src/net/clients/statement_admission.rs
+++ b/proxy/src/net/clients/statement_admission.rs
@@ -1,4 +1,4 @@
-//! Whether a client's statement becomes a request.
+//! Decides whether a client's statement becomes a request or is rejected with an error.
 
 use super::super::event_loop_context::EventLoopContext;
 use crate::core::RoutingRequest;
@@ -6,14 +6,14 @@
 use birchreach::Micros;
 use std::collections::HashSet;
 
-/// The ids of the open requests of all clients, none of which may be used twice.
+/// The ids of all clients' open requests. A statement with an id that is in use is rejected.
 #[derive(Default)]
 pub(super) struct StatementAdmission {
     open_request_ids: HashSet<Box<[u8]>>,
 }
 
 impl StatementAdmission {
-    /// The request that a statement makes. Its id is in use until `release`.
+    /// Returns the request for a statement. The statement's id is in use until `release` is called.
     pub(super) fn admit(
         &mut self,
         context: &EventLoopContext,
@@ -34,7 +34,7 @@
         Ok(request)
     }
 
-    /// The statement's request is over.
+    /// Frees the statement's id after its request has ended.
     pub(super) fn release(&mut self, statement: &Statement) {
         self.open_request_ids.remove(statement.id());
     }
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -1,5 +1,5 @@
-//! A client's turn: its input is read and decoded, its statements become requests or are answered with an error, its answers are
-//! written.
+//! Serves one turn of a client: reads and decodes its input, starts requests for its statements or answers them with an error,
+//! and writes its output.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::statement_payload::StatementPayload;
@@ -14,36 +14,36 @@
 use birchreach::Micros;
 use std::net::Shutdown;
 
-/// Bytes read from one client before its input is decoded.
+/// The most bytes read from one client before its input is decoded.
 const MAX_READ_BYTES: usize = 64 << 10;
-/// How often one turn reads, decodes and writes at most.
+/// The most rounds of reading, decoding and writing in one turn.
 const MAX_ROUNDS_PER_TURN: usize = 4;
-/// How long the input of a client is read and dropped after the error that says why it is closed.
+/// How long a client's input is read and dropped after the error that states why the connection is closed.
 const DRAIN_TIME_MICROS: Micros = 500_000;
-/// How much of such input is read and dropped.
+/// The most bytes of such input that are read and dropped.
 const MAX_DRAINED_BYTES: usize = 1 << 20;
 
 /// The result of reading a client's socket once.
 struct InputRead {
     bytes: usize,
-    /// Nothing more has arrived. If false, the poll does not report the socket as readable again.
-    is_drained: bool,
+    /// All input that had arrived was read. If false, the poll does not report the socket as readable again.
+    all_read: bool,
 }
 
-/// The result where the socket is not read.
-const NO_INPUT_READ: InputRead = InputRead { bytes: 0, is_drained: true };
+/// The result for a socket that is not read in this round.
+const NO_INPUT_READ: InputRead = InputRead { bytes: 0, all_read: true };
 
 /// The result of one round of a turn.
 enum RoundResult {
-    /// There is more to do.
+    /// Another round may make progress.
     Continue,
-    /// There is nothing more to do in this turn.
+    /// No work is left in this turn.
     Done,
     Close(ClientCloseReason),
 }
 
 impl Clients {
-    /// Serves the client for one turn, and closes it if it has ended.
+    /// Serves the client for one turn, and closes the connection if it has ended or is to be closed.
     pub(super) fn process_client(&mut self, context: &mut EventLoopContext, key: ClientKey) {
         let Some(client) = self.connections.get_mut(key.0) else { return };
         let close_reason = client.process_turn(context, &mut self.admission, key);
@@ -88,14 +88,14 @@
         close_reason
     }
 
-    /// Serves a client that is not being closed, in several rounds. Returns the reason if the connection is to be closed.
+    /// Serves a client that is not draining, in several rounds. Returns the reason if the connection is to be closed.
     fn process_input(
         &mut self,
         context: &mut EventLoopContext,
         admission: &mut StatementAdmission,
         key: ClientKey,
     ) -> Option<ClientCloseReason> {
-        // A bounded number of rounds, so that a client that sends continuously does not starve the others.
+        // The rounds are bounded, so that a client that sends continuously does not starve the others.
         for _ in 0..MAX_ROUNDS_PER_TURN {
             match self.process_round(context, admission, key) {
                 RoundResult::Continue => {}
@@ -107,7 +107,7 @@
         None
     }
 
-    /// One round: reads once, runs the commands that are complete, and writes the output.
+    /// Serves one round: reads once, runs the complete commands and writes the output.
     fn process_round(
         &mut self,
         context: &mut EventLoopContext,
@@ -116,13 +116,13 @@
     ) -> RoundResult {
         let wants_input = self.closing.is_none() && self.protocol.wants_input();
         if self.peer_closed && !wants_input {
-            // The end of the stream follows input that is not read now, and would be noticed too late.
+            // Input that is not read now precedes the end of the stream, which would therefore be noticed too late.
             return RoundResult::Close(self.close_reason_or(ClientCloseReason::ClientClosed));
         }
         let read = if wants_input { self.read_input(context) } else { Ok(NO_INPUT_READ) };
         let read = match read {
             Ok(read) => read,
-            // The client has disconnected: none of its commands is started any more.
+            // The client has disconnected: its remaining commands are not started.
             Err(end) => return RoundResult::Close(self.close_reason_for(end)),
         };
         self.run_commands(context, admission, key);
@@ -134,10 +134,10 @@
         if let Some(closing) = self.closing {
             return self.finish_closing(context, closing);
         }
-        // Commands that were deferred while the output was full continue. Input that was not read completely must be read now, as
-        // the poll does not report the socket as readable again.
+        // Runs the commands that were deferred while the output was full. Input that was not read completely must be read now,
+        // because the poll does not report the socket as readable again.
         self.run_commands(context, admission, key);
-        let more_may_have_arrived = !wants_input || !read.is_drained;
+        let more_may_have_arrived = !wants_input || !read.all_read;
         let has_unread_input = more_may_have_arrived && self.protocol.wants_input();
         let has_output = self.closing.is_some() || !self.protocol.outbox.pending().is_empty();
         if has_unread_input || has_output {
@@ -147,30 +147,30 @@
         RoundResult::Done
     }
 
-    /// Reads the socket, up to the limit of one read.
+    /// Reads from the socket into the protocol's buffer until `MAX_READ_BYTES` is reached or no more input is wanted.
     fn read_input(&mut self, context: &mut EventLoopContext) -> Result<InputRead, StreamEnd> {
         let mut bytes = 0;
         let protocol = &mut self.protocol;
         let now = context.now;
-        let is_drained = stream::read(&mut self.stream, &mut context.scratch, |received| {
+        let all_read = stream::read(&mut self.stream, &mut context.scratch, |received| {
             bytes += received.len();
             protocol.feed(now, received);
             protocol.wants_input() && bytes < MAX_READ_BYTES
         })?;
-        Ok(InputRead { bytes, is_drained })
+        Ok(InputRead { bytes, all_read })
     }
 
-    /// Writes the output. Returns whether all of it is written.
-    fn write_output(&mut self, context: &EventLoopContext, was_read: bool) -> Result<bool, StreamEnd> {
+    /// Writes the output and updates the time of the client's last activity. Returns whether all output is written.
+    fn write_output(&mut self, context: &EventLoopContext, input_received: bool) -> Result<bool, StreamEnd> {
         let bytes_before = self.protocol.outbox.pending().len();
         let written = stream::write(&mut self.stream, &mut self.protocol.outbox);
-        if was_read || self.protocol.outbox.pending().len() < bytes_before {
+        if input_received || self.protocol.outbox.pending().len() < bytes_before {
             self.last_active_at = context.now;
         }
         written
     }
 
-    /// The output of a client that is to be closed is written: closes it, or begins to drain its input.
+    /// Closes a connection whose output is completely written, or begins to drain its input first.
     fn finish_closing(&mut self, context: &mut EventLoopContext, closing: Closing) -> RoundResult {
         if closing.mode != CloseMode::AfterFlush {
             return RoundResult::Close(closing.reason);
@@ -187,23 +187,23 @@
         let Some(Closing { reason, mode: CloseMode::Draining { max_bytes, .. } }) = &mut self.closing else {
             return None;
         };
-        let turn_bytes = (*max_bytes).min(MAX_READ_BYTES);
-        let mut remaining = turn_bytes;
+        let byte_limit = (*max_bytes).min(MAX_READ_BYTES);
+        let mut remaining = byte_limit;
         let read = stream::read(&mut self.stream, &mut context.scratch, |received| {
             remaining = remaining.saturating_sub(received.len());
             remaining > 0
         });
-        *max_bytes -= turn_bytes - remaining;
+        *max_bytes -= byte_limit - remaining;
         match read {
             Err(_) => Some(*reason),
-            Ok(is_drained) => {
-                self.turn_incomplete = !is_drained && *max_bytes > 0;
+            Ok(all_read) => {
+                self.turn_incomplete = !all_read && *max_bytes > 0;
                 None
             }
         }
     }
 
-    /// Runs the client's commands until one of them needs an answer from a database.
+    /// Runs the client's commands until a request is open, the connection is to be closed, or no command can run now.
     fn run_commands(
         &mut self,
         context: &mut EventLoopContext,
@@ -224,12 +224,12 @@
         }
     }
 
-    /// Marks the connection as one that is to be closed.
+    /// Records that the connection is to be closed. It stays open until the output is written.
     fn mark_for_close(&mut self, reason: ClientCloseReason, mode: CloseMode) {
         self.closing = Some(Closing { reason, mode });
     }
 
-    /// Passes a statement on to the core, or answers it with an error.
+    /// Starts a request for a statement, or answers the statement with an error.
     fn start_request(
         &mut self,
         context: &mut EventLoopContext,
