--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -35,7 +35,7 @@
     /// Above this number of clients, idle ones are shed before the limit is reached. Otherwise clients that keep unused
     /// connections would leave none to others.
     early_shed_threshold: usize,
-    /// At most this many clients without a request do not count towards the limit.
+    /// Up to this many clients without a request do not count towards the limit.
     unclassified_allowance: usize,
     unclassified_count: usize,
     /// Connections may be waiting in the listener's backlog.
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Sets how many clients without a request at most do not count towards the limit. Balancers may connect only to check that the proxy
-    /// accepts connections; descriptors are reserved for them.
+    /// Sets how many clients without a request are left out of the limit. They may be balancers that only check whether the proxy
+    /// accepts connections. Descriptors are reserved for them.
     pub(crate) fn set_unclassified_allowance(&mut self, allowance: usize) {
         self.unclassified_allowance = allowance;
     }
--- a/proxy/src/net/pool/background_queries.rs
+++ b/proxy/src/net/pool/background_queries.rs
@@ -1,5 +1,6 @@
-//! Background queries: statements that no client waits for, one after the other on one connection, so that the same process of a
-//! database runs all of them. The owner decides whether and where they run; the pool runs them and keeps the replies for the owner.
+//! Background queries: statements that no client waits for. They run one after the other on one connection, so that the same
+//! process of a database runs all of them. The owner decides whether and where they run; the pool runs them and keeps the
+//! replies for the owner.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::ConnectionKey;
@@ -9,11 +10,11 @@
 use crate::reply::Reply;
 use birchreach::{Micros, ServerId};
 
-/// The owner has no use for a later reply to one statement.
+/// The timeout for the reply to one statement. The owner has no use for a later reply.
 pub(super) const BACKGROUND_QUERY_TIMEOUT_MICROS: Micros = 2_000_000;
 
 impl Pool {
-    /// Runs statements at a server, in this order.
+    /// Runs `statements` in this order on one connection to `server`. The result is available from `take_completed_queries`.
     pub(crate) fn start_background_query(
         &mut self,
         context: &mut EventLoopContext,
@@ -25,17 +26,18 @@
         self.dispatch(context, server, ConnectionTask::BackgroundQuery(query));
     }
 
-    /// Whether background queries are complete that the owner has not taken yet.
+    /// Returns whether a result waits to be taken with `take_completed_queries`.
     pub(crate) fn has_completed_queries(&self) -> bool {
         !self.completed_queries.is_empty()
     }
 
-    /// Takes the results of the background queries that are complete.
+    /// Takes the results of the background queries that have completed since the last call.
     pub(crate) fn take_completed_queries(&mut self) -> Vec<BackgroundQueryResult> {
         std::mem::take(&mut self.completed_queries)
     }
 
-    /// Sends the next statement of a background query on the same connection. Returns the task and its reply if there is none.
+    /// Sends the next statement of a background query on the same connection. Returns the task and its reply if the task has no
+    /// next statement to send.
     pub(super) fn continue_background_query(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/pool/close_reason.rs
+++ b/proxy/src/net/pool/close_reason.rs
@@ -1,40 +1,40 @@
-//! Why connections to databases are closed, with the words that the log has for it.
+//! The reasons for which connections to databases are closed, and their words in the log.
 
-/// Why a connection to a database was closed, or could not be opened.
+/// Why a connection to a database was closed or could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DatabaseCloseReason {
-    /// The attempt that it carried is no longer wanted.
+    /// The attempt on the connection was cancelled.
     Cancelled,
-    /// Its task timed out.
+    /// The connection's task timed out.
     Timeout,
-    /// It was not established in time.
+    /// The connection was not established within the connect timeout.
     ConnectTimeout,
-    /// A response that had begun did not continue in time.
+    /// The database sent no more of a streamed value within the stall timeout.
     ResponseStalled,
-    /// It was idle for long.
+    /// The connection was idle for the idle timeout.
     Idle,
-    /// It was closed so that another one could be opened within the limit.
+    /// The idle connection was closed so that another one could be opened within the limit.
     Evicted,
-    /// Its server is at another address now, or was removed.
+    /// The server has moved to another address or was removed.
     Moved,
-    /// No process listens there.
+    /// No process listens at the server's address.
     Refused,
-    /// The system gave no socket.
+    /// The system could not provide or register a socket.
     NoSocket,
-    /// The database closed it.
+    /// The database closed the connection.
     Closed,
-    /// It broke.
+    /// The connection was reset or failed.
     Reset,
-    /// The database sent an error in place of a startup.
+    /// The database answered the startup with an error.
     Rejected,
-    /// The database sent what the protocol does not allow.
+    /// The database violated the protocol.
     ProtocolError,
-    /// The database sent more than the response to its query.
+    /// The database sent data beyond the response to its query.
     UnexpectedData,
 }
 
 impl DatabaseCloseReason {
-    /// The word for the log.
+    /// Returns the value of the log's `reason=` field.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             DatabaseCloseReason::Cancelled => "cancelled",
--- a/proxy/src/net/pool/closing.rs
+++ b/proxy/src/net/pool/closing.rs
@@ -1,5 +1,5 @@
-//! How connections and their tasks end: each task has one outcome, and whether its query may have run turns on whether the last
-//! byte of the query was written.
+//! Closes connections and completes their tasks. Each task has exactly one outcome. A query counts as one that may have run if
+//! its last byte was written.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::ConnectionKey;
@@ -12,7 +12,7 @@
 use tracing::info;
 
 impl Pool {
-    /// The database closed the connection, or it broke. A response that had arrived still counts.
+    /// Handles a connection that the database closed or that broke. A response that had arrived still counts.
     pub(super) fn connection_ended(
         &mut self,
         context: &mut EventLoopContext,
@@ -26,7 +26,7 @@
         self.fail_connection(context, key, reason, reply);
     }
 
-    /// Closes a connection that cannot be used any more. `reply` is the result of a task whose query was written; a task that
+    /// Closes a connection that can no longer be used. `reply` is the result of a task whose query was written. A task that
     /// waited for the end of the cooldown is dispatched to another connection.
     pub(super) fn fail_connection(
         &mut self,
@@ -38,11 +38,11 @@
         let connection = &self.connections[key];
         let server = connection.server;
         let was_cooling_down = connection.is_cooling_down();
-        let was_written = connection.query == QueryProgress::Written;
+        let query_was_written = connection.query == QueryProgress::Written;
         let Some(task) = self.close(context, key, reason) else { return };
         if was_cooling_down {
             self.dispatch(context, server, task);
-        } else if was_written {
+        } else if query_was_written {
             self.complete_task(context, task, reply);
         } else {
             let reply = Reply::with_outcome(AttemptOutcome::ClosedBeforeExecution);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The connection was not established: it was refused, or the connect timed out.
+    /// Closes a connection that was refused or that exceeded the connect timeout. `reply` is the result of its task.
     pub(super) fn connect_failed(
         &mut self,
         context: &mut EventLoopContext,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Closes the connection and logs why. Returns its task, if it had one, without an outcome.
+    /// Closes the connection and logs the reason. Returns its task, if it had one; the caller must complete or dispatch the task.
     pub(super) fn close(
         &mut self,
         context: &mut EventLoopContext,
@@ -80,7 +80,7 @@
         connection.task
     }
 
-    /// Reports the result of a task to its owner.
+    /// Reports a task's result to its owner: the core, or the owner of background queries.
     pub(super) fn complete_task(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/pool/connection.rs
+++ b/proxy/src/net/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a database, and the task that it was opened or taken for.
+//! One connection to a database, and the task assigned to it.
 
 use super::super::ids::{ConnectionSerial, QuerySerial};
 use super::super::statement_payload::StatementPayload;
@@ -9,7 +9,7 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// Whether a connection is still there after an operation on it.
+/// Whether a connection is still in the pool after an operation on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     Open,
@@ -21,18 +21,18 @@
     pub attempt: AttemptId,
     pub statement: StatementPayload,
     pub deadline: Micros,
-    /// The copy at the server is to be read, not the row itself.
+    /// The statement reads the server's copy of the row, not the row itself.
     pub from_copy: bool,
 }
 
-/// What a connection was opened or taken for.
+/// The work that a connection is used for. At most one task is assigned to a connection at a time.
 pub(super) enum ConnectionTask {
     Attempt(AttemptTask),
-    /// Asked for by the routing decisions, which learn the result.
+    /// A check that the router requested. Its result is reported to the router.
     HealthCheck {
         server: ServerId,
     },
-    /// Asked for by the health monitor, which alone learns the result.
+    /// A check that the health monitor requested. Its result is not reported to the router.
     MonitorCheck {
         server: ServerId,
     },
@@ -43,39 +43,38 @@
 /// Whether the query of a connection's task has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueryProgress {
-    /// Nothing of it is in the output.
+    /// The query is not in the output yet.
     NotQueued,
-    /// It waits to be written, in part at least: it cannot have run.
+    /// At least a part of the query waits to be written: it cannot have run.
     Queued,
-    /// Its last byte was written to the socket: it may have run.
+    /// The query's last byte was written to the socket: it may have run.
     Written,
 }
 
-/// One connection to a database.
+/// A connection to a database, which may still be opening.
 pub(super) struct Connection {
     pub stream: TcpStream,
     pub protocol: Backend,
     pub server: ServerId,
-    /// Where the server was when the connection was opened.
+    /// The server's address at the time the connection was opened.
     pub address: SocketAddr,
     pub serial: ConnectionSerial,
-    /// The latest query that had a timer.
+    /// The latest query on this connection that had a timer.
     pub query_serial: QuerySerial,
     /// The startup exchange is complete.
     pub established: bool,
     pub task: Option<ConnectionTask>,
-    /// Whether the task's query has been sent.
     pub query: QueryProgress,
-    /// When it became idle, if it is.
+    /// When the connection last became idle. Meaningful only while it has no query.
     pub idle_since: Micros,
-    /// When more of a streamed value came, or reading it was resumed.
+    /// When the last bytes of a streamed value arrived, or when reading it was last resumed.
     pub last_progress_at: Micros,
-    /// No more is read until the client has taken what it was sent of a streamed value.
+    /// Reading is paused until the client has taken the bytes of a streamed value that were forwarded to it.
     pub reading_paused: bool,
 }
 
 impl Connection {
-    /// A connection that the system has started to open.
+    /// Creates the state of a connection that the system has started to open.
     pub(super) fn new(
         stream: TcpStream,
         protocol: Backend,
@@ -100,17 +99,18 @@
         }
     }
 
-    /// The system has not finished opening it, or could not.
+    /// Returns whether the TCP connect is still in progress or has failed.
     pub(super) fn is_connecting(&self) -> bool {
         !self.established && self.stream.peer_addr().is_err()
     }
 
-    /// It is established and no query is queued: a task that it has waits for the end of the cooldown.
+    /// Returns whether the connection is established and no query is queued. A task that is assigned in this state waits for the
+    /// end of the cooldown.
     pub(super) fn is_cooling_down(&self) -> bool {
         self.established && self.query == QueryProgress::NotQueued
     }
 
-    /// The attempt that it carries, if its task is one.
+    /// Returns the attempt that the connection's task is for, if the task is an attempt.
     pub(super) fn attempt(&self) -> Option<AttemptId> {
         match &self.task {
             Some(ConnectionTask::Attempt(task)) => Some(task.attempt),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The name of the state in the log.
+    /// Returns the value of the log's `state=` field.
     pub(super) fn state_name(&self) -> &'static str {
         match (self.established, self.query) {
             (false, _) => "opening",
--- a/proxy/src/net/pool/dispatch.rs
+++ b/proxy/src/net/pool/dispatch.rs
@@ -1,4 +1,5 @@
-//! Which connection a task gets: an idle one whose cooldown is over, an idle one that is still cooling down, or a new one.
+//! Assigns tasks to connections. In order of preference, a task gets an idle connection whose cooldown is over, an idle
+//! connection that is still cooling down, or a new connection.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{ConnectionKey, ConnectionSerial};
@@ -8,8 +9,8 @@
 use super::connection::{Connection, ConnectionState, ConnectionTask};
 use birchreach::{Micros, ServerId};
 
-/// A connection is not used for this time after a response: unexpected data or a close that immediately follows the response must
-/// not be taken for an answer to the next query.
+/// How long a connection is not used after a response, so that unexpected data or a close immediately after the response is not
+/// taken for an answer to the next query.
 const COOLDOWN_MICROS: Micros = 1_000;
 
 /// An idle connection that was taken for a task.
@@ -21,7 +22,7 @@
 }
 
 impl Pool {
-    /// Gives a task to a connection of a server, or completes it if there can be none.
+    /// Assigns a task to a connection to `server`, or completes the task if no connection can be opened.
     pub(super) fn dispatch(
         &mut self,
         context: &mut EventLoopContext,
@@ -30,7 +31,7 @@
     ) {
         while let Some(idle) = self.take_idle(context, server) {
             match idle {
-                // The cooldown ends sooner than a new connection could be established.
+                // The cooldown ends before a new connection could be established.
                 IdleConnection::CoolingDown(key) => return self.assign_after_cooldown(context, key, task),
                 IdleConnection::Ready(key) => {
                     if self.verify_usable(context, key) == ConnectionState::Open {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Takes the idle connection that was used last; one that is cooling down only if no other is idle.
+    /// Takes the most recently used idle connection whose cooldown is over, or else one that is cooling down.
     fn take_idle(&mut self, context: &EventLoopContext, server: ServerId) -> Option<IdleConnection> {
         let keys = self.idle.get_mut(&server)?;
         let has_cooled_down =
@@ -69,7 +70,7 @@
         self.assign(key, task);
     }
 
-    /// Assigns a task whose query is sent once the connection is established, which is bounded by the connect timeout.
+    /// Assigns a task whose query is sent once the connection is established. The connect timeout limits the wait.
     fn assign_when_established(
         &mut self,
         context: &mut EventLoopContext,
@@ -81,7 +82,7 @@
         self.assign(key, task);
     }
 
-    /// Records the task, and which connection an attempt has.
+    /// Records the connection's task, and for an attempt the connection's key.
     fn assign(&mut self, key: ConnectionKey, task: ConnectionTask) {
         if let ConnectionTask::Attempt(task) = &task {
             self.attempt_connections.insert(task.attempt, key);
@@ -89,8 +90,9 @@
         self.connections[key].task = Some(task);
     }
 
-    /// Reads a connection right before a query is written to it: its end may have arrived with the event that led here, and the
-    /// query would count as one that may have run.
+    /// Reads a connection right before a query is written to it, and closes the connection if it has ended or holds unexpected
+    /// data. The end may have arrived with the event that is being handled; a query written after the end would count as one
+    /// that may have run.
     fn verify_usable(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
         if self.read(context, key) == ConnectionState::Closed {
             return ConnectionState::Closed;
@@ -102,16 +104,16 @@
         ConnectionState::Closed
     }
 
-    /// The connection's cooldown is over, and a task may wait for that.
+    /// Sends the query of a task that waited for the end of the connection's cooldown, if there is one.
     pub(crate) fn cooldown_ended(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
         serial: ConnectionSerial,
     ) {
-        let is_waiting =
+        let still_cooling_down =
             |connection: &&mut Connection| connection.serial == serial && connection.is_cooling_down();
-        let Some(connection) = self.connections.get_mut(key).filter(is_waiting) else { return };
+        let Some(connection) = self.connections.get_mut(key).filter(still_cooling_down) else { return };
         let (server, address) = (connection.server, connection.address);
         let Some(task) = connection.task.take() else { return };
         if context.core.address(server) != Some(address) {
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -1,5 +1,5 @@
-//! Timeouts of connections and their tasks: attempts that are cancelled, connects and checks that take too long, idle connections,
-//! and responses that stall.
+//! Timeouts and cancellation. Cancels attempts; ends attempts, connects, checks and background queries that take too long; closes
+//! connections that are idle for too long or whose response stalls.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{ConnectionKey, ConnectionSerial, QuerySerial};
@@ -10,16 +10,16 @@
 use crate::reply::Reply;
 use birchreach::{AttemptOutcome, Micros, ServerId};
 
-/// A database that sends no more of a streamed value for this time has failed.
+/// A database that sends no more of a streamed value for this time counts as failed.
 const RESPONSE_STALL_TIMEOUT_MICROS: Micros = 10_000_000;
 
 impl Pool {
-    /// Cancels an attempt. Its connection is closed, for a response may still arrive on it.
+    /// Cancels an attempt. If its query was queued or written, the connection is closed, because a response may still arrive on it.
     pub(crate) fn cancel_attempt(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, DatabaseCloseReason::Cancelled);
     }
 
-    /// The attempt's deadline has passed. A value that is being streamed continues.
+    /// Ends an attempt whose deadline has passed, unless its value is being streamed.
     pub(crate) fn attempt_timed_out(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempt_connections.get(&attempt) else { return };
         if !self.connections[*key].protocol.is_streaming() {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Completes an attempt early. `outcome` is that of an attempt whose query was written, and may have run.
+    /// Completes an attempt before its reply. `outcome` applies if its query was written and may therefore have run.
     fn abandon_attempt(
         &mut self,
         context: &mut EventLoopContext,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Takes the task from a connection that is still being opened, or rests. The connection may serve another.
+    /// Completes the task of a connection that is still being opened or is cooling down. The connection stays open for other
+    /// tasks.
     fn unassign_task(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         let task = self.connections[key].task.take();
         if self.connections[key].established {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The connect timeout of a connection has expired.
+    /// Closes a connection whose connect timeout has expired, if it is still being opened.
     pub(crate) fn connect_timed_out(
         &mut self,
         context: &mut EventLoopContext,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The timeout of a check or of a statement of a background query has expired.
+    /// Closes a connection on which a check or a statement of a background query has timed out.
     pub(crate) fn query_timed_out(
         &mut self,
         context: &mut EventLoopContext,
@@ -79,7 +80,7 @@
         serial: QuerySerial,
     ) {
         let Some(connection) = self.connections.get(key) else { return };
-        let is_outstanding = connection.query_serial == serial
+        let is_in_flight = connection.query_serial == serial
             && matches!(
                 connection.task,
                 Some(
@@ -88,12 +89,12 @@
                         | ConnectionTask::BackgroundQuery(_)
                 )
             );
-        if is_outstanding && let Some(task) = self.close(context, key, DatabaseCloseReason::Timeout) {
+        if is_in_flight && let Some(task) = self.close(context, key, DatabaseCloseReason::Timeout) {
             self.complete_task(context, task, Reply::with_outcome(AttemptOutcome::Timeout));
         }
     }
 
-    /// Closes connections whose response has stalled, and those that have been idle for long.
+    /// Closes connections whose response has stalled, and those that have been idle for the idle timeout.
     pub(crate) fn close_expired(&mut self, context: &mut EventLoopContext) {
         let now = context.now;
         let has_stalled = |connection: &Connection| {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Closes the idle connections of a server that moved or was removed.
+    /// Closes the idle connections to a server that moved or was removed.
     pub(crate) fn close_idle_connections(&mut self, context: &mut EventLoopContext, server: ServerId) {
         for key in self.idle.remove(&server).unwrap_or_default() {
             self.close(context, key, DatabaseCloseReason::Moved);
--- a/proxy/src/net/pool/mod.rs
+++ b/proxy/src/net/pool/mod.rs
@@ -1,5 +1,5 @@
-//! The connections to databases: opened as attempts, checks and background queries need them, kept while of use, each with one
-//! query in flight at a time.
+//! The pool of connections to databases. Connections are opened when attempts, checks and background queries need them, and are
+//! kept for reuse until they have been idle too long. Each has at most one query in flight.
 
 mod background_queries;
 mod close_reason;
@@ -26,19 +26,20 @@
 use connection_table::ConnectionTable;
 use std::collections::HashMap;
 
-/// Connections are kept idle for this fraction of the time after which databases close them, so that no query is sent while the
-/// database closes its connection.
+/// Idle connections are kept for this fraction of the time after which databases close them, so that no query is sent while the
+/// database closes the connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// The connections to all databases.
+/// The connections to all databases, and the settings that apply to them.
 pub(super) struct Pool {
     connections: ConnectionTable,
-    /// Idle connections of each server. The one used last is taken first, so that those that are not needed age and are closed.
+    /// Idle connections by server, in the order in which they became idle. The last one is taken first, so that connections that
+    /// are not needed reach the idle timeout and are closed.
     idle: HashMap<ServerId, Vec<ConnectionKey>>,
-    /// The connection of each attempt that is not completed.
+    /// The connection of each attempt that has not completed.
     attempt_connections: HashMap<AttemptId, ConnectionKey>,
     max_connections: usize,
-    /// The system had no free descriptor, and there was no idle connection to close.
+    /// The system had no free descriptor, and no connection was idle that could be closed.
     descriptors_exhausted: bool,
     last_connection: ConnectionSerial,
     last_query: QuerySerial,
@@ -46,14 +47,14 @@
     connect_timeout: Micros,
     /// The timeout for a check of the health monitor on an established connection.
     monitor_check_timeout: Micros,
-    /// Connections that have been idle for this time are closed.
+    /// Connections that have been idle for this time are closed. See `IDLE_TIMEOUT_FRACTION`.
     idle_timeout: Micros,
     load_report_format: LoadReportFormat,
     completed_queries: Vec<BackgroundQueryResult>,
 }
 
 impl Pool {
-    /// A pool without connections. It opens at most this number.
+    /// Creates a pool without connections. It keeps at most `max_connections` open at a time.
     pub(super) fn new(settings: &DeploymentSettings, max_connections: usize) -> Pool {
         let mut pool = Pool {
             connections: ConnectionTable::default(),
@@ -73,7 +74,7 @@
         pool
     }
 
-    /// Applies the settings for connections to databases.
+    /// Applies the timeouts, and the load report format of connections that are opened later.
     pub(super) fn apply_settings(&mut self, settings: &DeploymentSettings) {
         let field_name =
             |index: Option<usize>| index.and_then(|index| settings.load_report_fields.get(index).cloned());
@@ -86,23 +87,23 @@
         };
     }
 
-    /// The number of connections.
+    /// Returns the number of connections, whether opening, busy or idle.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Sets how many connections there may be. Idle connections beyond that are closed.
+    /// Sets the limit on the number of connections. Idle connections above the limit are closed.
     pub(super) fn set_limit(&mut self, context: &mut EventLoopContext, max_connections: usize) {
         self.max_connections = max_connections;
         while self.connections.len() > self.max_connections && self.evict_oldest_idle(context) {}
     }
 
-    /// Sets how long a check of the health monitor may take on a connection that is established.
+    /// Sets the timeout for a check of the health monitor on an established connection.
     pub(super) fn set_monitor_check_timeout(&mut self, timeout: Micros) {
         self.monitor_check_timeout = timeout;
     }
 
-    /// Starts an attempt at a client's request.
+    /// Starts an attempt at a client's request. The attempt times out at `deadline`; `from_copy` makes it read the server's copy.
     pub(super) fn start_attempt(
         &mut self,
         context: &mut EventLoopContext,
@@ -117,7 +118,7 @@
         self.dispatch(context, server, ConnectionTask::Attempt(task));
     }
 
-    /// Starts a health check for the routing decisions.
+    /// Starts a health check for the router. Its result is reported to the router.
     pub(super) fn start_health_check(&mut self, context: &mut EventLoopContext, server: ServerId) {
         self.dispatch(context, server, ConnectionTask::HealthCheck { server });
     }
--- a/proxy/src/net/pool/opening.rs
+++ b/proxy/src/net/pool/opening.rs
@@ -16,21 +16,21 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Why no connection could be opened. Nothing was sent.
+/// Why no connection could be opened. No query was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OpenError {
     /// The endpoint list has no address for the server.
     NoAddress,
-    /// No process listens there.
+    /// No process listens at the server's address.
     Refused,
-    /// The limit on connections is reached, and none of them is idle.
+    /// The limit on connections is reached, and no connection is idle.
     LimitReached,
-    /// The system had no socket: not a fault of the server.
+    /// The system could not provide or register a socket. This is not a fault of the server.
     NoSocket,
 }
 
 impl OpenError {
-    /// The result for the task that the connection was meant for.
+    /// Returns the result for the task that needed the connection.
     pub(super) fn reply(self) -> Reply {
         match self {
             OpenError::NoAddress => Reply::with_outcome(AttemptOutcome::ConnectFailed),
@@ -40,15 +40,15 @@
     }
 }
 
-/// Logs why no connection was opened.
-fn log_failure(context: &EventLoopContext, server: ServerId, reason: DatabaseCloseReason, error: Error) {
+/// Logs a connection that could not be opened.
+fn log_open_failure(context: &EventLoopContext, server: ServerId, reason: DatabaseCloseReason, error: Error) {
     let server = context.core.server_name(server);
     let reason = reason.as_str();
     info!(conn = "database", server, state = "opening", reason, error = %Quoted(error));
 }
 
 impl Pool {
-    /// Starts to open a connection.
+    /// Starts to open a connection and registers it with the poll. Evicts an idle connection if the limit is reached.
     pub(super) fn open_connection(
         &mut self,
         context: &mut EventLoopContext,
@@ -63,7 +63,7 @@
         let token = Source::Database(key).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Err(error) = context.poll.registry().register(&mut stream, token, interest) {
-            log_failure(context, server, DatabaseCloseReason::NoSocket, error);
+            log_open_failure(context, server, DatabaseCloseReason::NoSocket, error);
             return Err(OpenError::NoSocket);
         }
         self.last_connection = self.last_connection.next();
@@ -73,7 +73,8 @@
         Ok(self.connections.insert(connection))
     }
 
-    /// Begins to connect. Without a free descriptor, closes an idle connection for the next attempt.
+    /// Starts a TCP connect without waiting for its result. If no descriptor is free, closes an idle connection for the next
+    /// attempt.
     fn connect(
         &mut self,
         context: &mut EventLoopContext,
@@ -86,22 +87,22 @@
                 Ok(stream)
             }
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-                log_failure(context, server, DatabaseCloseReason::Refused, error);
+                log_open_failure(context, server, DatabaseCloseReason::Refused, error);
                 Err(OpenError::Refused)
             }
             Err(error) => {
                 // The system has fewer descriptors than the limit allows: closing an idle connection frees one for the next
                 // attempt.
-                log_failure(context, server, DatabaseCloseReason::NoSocket, error);
+                log_open_failure(context, server, DatabaseCloseReason::NoSocket, error);
                 self.descriptors_exhausted |= !self.evict_oldest_idle(context);
                 Err(OpenError::NoSocket)
             }
         }
     }
 
-    /// Closes the connection that has been idle longest. Returns false if none is idle.
+    /// Closes the connection that has been idle longest. Returns false if no connection is idle.
     pub(super) fn evict_oldest_idle(&mut self, context: &mut EventLoopContext) -> bool {
-        // Those of one server are in the order in which they became idle.
+        // The idle connections of one server are in the order in which they became idle.
         let oldest_of_each = self.idle.values().filter_map(|keys| keys.first());
         let oldest = oldest_of_each.min_by_key(|key| self.connections[**key].idle_since).copied();
         let Some(key) = oldest else { return false };
@@ -109,7 +110,7 @@
         true
     }
 
-    /// Whether, since this was last called, the system had no descriptor and there was no idle connection to close.
+    /// Returns whether, since the last call, the system had no free descriptor and no idle connection could be closed.
     pub(crate) fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.descriptors_exhausted)
     }
--- a/proxy/src/net/pool/query.rs
+++ b/proxy/src/net/pool/query.rs
@@ -1,4 +1,4 @@
-//! Sends a task's query on a connection that is established.
+//! Sends tasks' queries on established connections, and returns connections to the idle list afterwards.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::ConnectionKey;
@@ -12,7 +12,7 @@
 use birchreach::{AttemptOutcome, Micros};
 
 impl Pool {
-    /// Writes the task's query to a connection that is established and idle.
+    /// Sends the task's query on an established, idle connection. An attempt that may no longer be sent is completed as not sent.
     pub(super) fn send_query(
         &mut self,
         context: &mut EventLoopContext,
@@ -46,12 +46,13 @@
         self.write(context, key);
     }
 
-    /// Opening the connection took time: the deadline may have passed, and the core may know by now that the send is not allowed.
+    /// Returns whether an attempt may still be sent. While the connection was opened, the deadline may have passed, or the core
+    /// may have found that the send is no longer allowed.
     fn may_send(context: &EventLoopContext, task: &AttemptTask) -> bool {
         task.deadline > context.now && context.core.may_still_send(context.now, task.attempt)
     }
 
-    /// Puts an attempt's statement into the output, with the time that is left of its deadline.
+    /// Puts an attempt's statement into the output, with the time that remains until its deadline.
     fn queue_statement(&mut self, context: &EventLoopContext, key: ConnectionKey, task: &AttemptTask) {
         let protocol = &mut self.connections[key].protocol;
         let remaining_ms =
@@ -65,21 +66,21 @@
         self.attempt_connections.insert(task.attempt, key);
     }
 
-    /// Sets the timeout of the query that is being sent.
+    /// Starts the timeout of the query that is being sent.
     fn start_query_timer(&mut self, context: &mut EventLoopContext, key: ConnectionKey, timeout: Micros) {
         self.last_query = self.last_query.next();
         self.connections[key].query_serial = self.last_query;
         context.timers.set(context.now + timeout, TimerEvent::QueryTimeout(key, self.last_query));
     }
 
-    /// The connection has no task any more: it becomes idle, or is closed if it cannot serve another task.
+    /// Clears the connection's task and makes the connection idle, or closes it if it cannot serve another task.
     pub(super) fn return_to_idle(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         let connection = &mut self.connections[key];
         connection.task = None;
         connection.query = QueryProgress::NotQueued;
         connection.idle_since = context.now;
         if !connection.protocol.is_idle() {
-            // It would be unknown which query the next bytes belong to.
+            // The next bytes could not be matched to a query.
             self.close(context, key, DatabaseCloseReason::UnexpectedData);
         } else if context.core.address(connection.server) == Some(connection.address) {
             self.idle.entry(connection.server).or_default().push(key);
--- a/proxy/src/net/pool/responses.rs
+++ b/proxy/src/net/pool/responses.rs
@@ -1,4 +1,4 @@
-//! Handles what databases send.
+//! Handles the messages that databases send.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::ConnectionKey;
@@ -10,7 +10,7 @@
 use birchreach::AttemptOutcome;
 
 impl Pool {
-    /// Handles the events in the bytes that were received so far.
+    /// Handles all complete events in the bytes received so far.
     pub(super) fn handle_events(
         &mut self,
         context: &mut EventLoopContext,
@@ -26,7 +26,6 @@
         ConnectionState::Open
     }
 
-    /// Handles one event of the protocol.
     fn handle_event(
         &mut self,
         context: &mut EventLoopContext,
@@ -48,7 +47,7 @@
         }
     }
 
-    /// The startup is complete: the waiting task's query is sent.
+    /// Marks the connection as established, and sends the query of its task or makes the connection idle.
     fn connection_established(
         &mut self,
         context: &mut EventLoopContext,
@@ -61,7 +60,7 @@
         context.core.server_alive(context.now, server);
         match task {
             Some(task) if context.core.address(server) != Some(address) => {
-                // The server moved while its connection was opened: nothing more goes to where it was.
+                // The server moved while the connection was opened. No query is sent to its old address.
                 self.close(context, key, DatabaseCloseReason::Moved);
                 self.dispatch(context, server, task);
             }
@@ -71,7 +70,7 @@
         self.connection_state(key)
     }
 
-    /// A value begins that is streamed to the client.
+    /// Reports to the core that a value of `length` bytes begins, which is streamed to the client.
     fn value_started(
         &mut self,
         context: &mut EventLoopContext,
@@ -80,12 +79,12 @@
     ) -> ConnectionState {
         let connection = &mut self.connections[key];
         connection.last_progress_at = context.now;
-        // Only the statement of an attempt is answered by a streamed value.
+        // Only the statements of attempts are answered with streamed values.
         let Some(attempt) = connection.attempt() else { return ConnectionState::Closed };
         if context.core.response_started(context.now, attempt, length) {
             return ConnectionState::Open;
         }
-        // Its request has already been answered by another attempt.
+        // Another attempt has already answered the request.
         self.cancel_attempt(context, attempt);
         ConnectionState::Closed
     }
@@ -98,7 +97,7 @@
         bytes: Vec<u8>,
     ) -> ConnectionState {
         let connection = &mut self.connections[key];
-        // A bounded chunk at a time, and the next once the client has taken this one.
+        // Memory use is bounded: the next chunk is read only after the client has taken this one.
         connection.reading_paused = connection.protocol.is_streaming();
         connection.last_progress_at = context.now;
         if let Some(attempt) = connection.attempt() {
@@ -107,7 +106,7 @@
         ConnectionState::Open
     }
 
-    /// The reply to a query is complete: the next statement of a background query follows, or the task ends.
+    /// Handles the complete reply to a query: sends the next statement of a background query, or completes the task.
     fn query_completed(
         &mut self,
         context: &mut EventLoopContext,
@@ -125,14 +124,14 @@
         self.connection_state(key)
     }
 
-    /// The database answered the startup with an error.
+    /// Closes a connection whose startup the database answered with an error.
     fn connection_rejected(
         &mut self,
         context: &mut EventLoopContext,
         key: ConnectionKey,
         reply: Reply,
     ) -> ConnectionState {
-        // SQLSTATE 53300 says that the database is overloaded; any other error only that no connection is available.
+        // SQLSTATE 53300 means that the database is overloaded. Any other error means only that no connection is available.
         let outcome = match reply.outcome {
             AttemptOutcome::Overloaded => AttemptOutcome::Overloaded,
             _ => AttemptOutcome::ClosedBeforeExecution,
@@ -143,7 +142,6 @@
         ConnectionState::Closed
     }
 
-    /// Whether the connection is still open.
     fn connection_state(&self, key: ConnectionKey) -> ConnectionState {
         if self.connections.contains(key) { ConnectionState::Open } else { ConnectionState::Closed }
     }
--- a/proxy/src/net/pool/socket_io.rs
+++ b/proxy/src/net/pool/socket_io.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the connections' sockets.
+//! Reads from and writes to the connections' sockets.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::ConnectionKey;
@@ -11,7 +11,7 @@
 use std::io::ErrorKind;
 
 impl Pool {
-    /// A connection's socket is ready.
+    /// Writes to and reads from a connection that the poll reported as ready. Ignores keys of closed connections.
     pub(crate) fn handle_ready(&mut self, context: &mut EventLoopContext, key: ConnectionKey) {
         if !self.connections.contains(key) {
             return;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Writes what waits to be written.
+    /// Writes the pending output. Returns `Open` also if the socket accepted only part of it.
     pub(super) fn write(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
         let connection = &mut self.connections[key];
         if connection.is_connecting() {
@@ -37,7 +37,7 @@
                 ConnectionState::Open
             }
             Err(_) => {
-                // What was received before the connection broke may be a response or a rejection.
+                // Input that arrived before the connection broke may hold a response or a rejection.
                 if self.read(context, key) == ConnectionState::Open {
                     self.connection_ended(context, key, DatabaseCloseReason::Reset);
                 }
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Handles a connection that is not established or has failed. A refused one means that no process listens; one that was reset
-    /// had been accepted.
+    /// Checks a connection whose TCP connect has not succeeded, and closes it if the connect has failed. If it was refused, no
+    /// process listens there; if it was reset, it had been accepted.
     fn check_connecting(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
         match self.connections[key].stream.take_error() {
             Ok(None) => return ConnectionState::Open,
@@ -59,7 +59,7 @@
         ConnectionState::Closed
     }
 
-    /// Reads what has arrived, and handles it.
+    /// Reads all input that has arrived and handles its events. Reads nothing while reading is paused.
     pub(super) fn read(&mut self, context: &mut EventLoopContext, key: ConnectionKey) -> ConnectionState {
         if self.connections[key].is_connecting() {
             return ConnectionState::Open;
@@ -70,7 +70,7 @@
                 return ConnectionState::Open;
             }
             let protocol = &mut connection.protocol;
-            // One piece at a time: what has arrived is decoded before more is kept.
+            // Reads one piece at a time: its events are handled before more is buffered.
             let read = stream::read(&mut connection.stream, &mut context.scratch, |bytes| {
                 protocol.feed(bytes);
                 false
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The client has taken what was forwarded of a streamed value: resumes reading.
+    /// Resumes reading a streamed value after the client has taken the bytes that were forwarded to it.
     pub(crate) fn resume_reading(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         let Some(key) = self.attempt_connections.get(&attempt).copied() else { return };
         let connection = &mut self.connections[key];
