--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -14,7 +14,8 @@
 const RESPONSE_STALL_TIMEOUT_MICROS: Micros = 10_000_000;
 
 impl Pool {
-    /// Cancels an attempt. If its query was queued or written, the connection is closed, because a response may still arrive on it.
+    /// Cancels an attempt. If its query was queued or written, the connection is closed, because a response may still arrive on
+    /// it.
     pub(crate) fn cancel_attempt(&mut self, context: &mut EventLoopContext, attempt: AttemptId) {
         self.abandon_attempt(context, attempt, AttemptOutcome::Cancelled, DatabaseCloseReason::Cancelled);
     }
