--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -7,7 +7,7 @@
 use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::{TaskCounts, TaskKind};
 use birchreach_hot_keys::HotKeyTracker;
-use birchreach_shard_split::{ComparisonCounts, Verdict};
+use birchreach_shard_split::{ComparisonCounts, VerificationStatus};
 use labels::CounterLabels;
 pub(crate) use labels::{CopyOutcome, RejectedReport};
 use prometheus_client::encoding::text::encode_registry;
@@ -108,11 +108,11 @@
     }
 
     /// Sets the metrics of a split.
-    pub(crate) fn set_split(&self, verdict: &Verdict, counts: ComparisonCounts) {
+    pub(crate) fn set_split(&self, verdict: &VerificationStatus, counts: ComparisonCounts) {
         let (clean, lacking) = match verdict {
-            Verdict::Clean => (1, 0),
-            Verdict::Dirty(_) => (-1, 0),
-            Verdict::Incomplete(reason) => (0, reason.ranges_below_comparisons),
+            VerificationStatus::Clean => (1, 0),
+            VerificationStatus::DifferencesConfirmed(_) => (-1, 0),
+            VerificationStatus::Incomplete(reason) => (0, reason.ranges_lacking_comparisons),
         };
         self.split_clean.set(clean);
         set_gauge(&self.ranges_lacking, lacking);
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -4,7 +4,7 @@
 use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::{TaskCounts, TaskKind};
 use birchreach_hot_keys::{HotKeyTracker, OTHER_SECRET, PeerReport, Report, ReportError, Settings};
-use birchreach_shard_split::{ComparisonCounts, OTHER_DEFINITION, Verdict};
+use birchreach_shard_split::{ComparisonCounts, OTHER_DEFINITION, VerificationStatus};
 
 /// A tracker that knows no hot key.
 fn tracker() -> HotKeyTracker {
@@ -79,7 +79,7 @@
         confirmed: 2,
         rejected: 1,
     };
-    metrics.set_split(&Verdict::Clean, counts);
+    metrics.set_split(&VerificationStatus::Clean, counts);
 
     let expected = [
         "birchreach_split_clean 1",
@@ -136,7 +136,7 @@
     metrics.count_rejected_report(RejectedReport::SubsystemOff);
     metrics.count_copy(CopyOutcome::Written);
     metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 0, misses: 0 });
-    metrics.set_split(&Verdict::Clean, ComparisonCounts::default());
+    metrics.set_split(&VerificationStatus::Clean, ComparisonCounts::default());
 
     let text = metrics.text();
 
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -10,7 +10,7 @@
 use birchreach::{GroupId, Micros};
 use birchreach_background_tasks::{Task, TaskKind};
 use birchreach_shard_split::{
-    ComparisonQuery, ConfirmedDifference, Definition, DueQuery, QueryResult, Verdict,
+    ComparisonQuery, ConfirmedDifference, Definition, DueQuery, QueryResult, VerificationStatus,
 };
 use tracing::{info, warn};
 
@@ -134,9 +134,9 @@
 }
 
 /// Logs a verdict that has changed.
-fn log_verdict(changed: Option<Verdict>) {
+fn log_verdict(changed: Option<VerificationStatus>) {
     match changed {
-        Some(verdict @ Verdict::Dirty(counts)) => {
+        Some(verdict @ VerificationStatus::DifferencesConfirmed(counts)) => {
             let (missing, extra, differs) = (counts.missing, counts.extra, counts.differs);
             warn!(event = "split", verdict = verdict.as_str(), missing, extra, differs);
         }
--- a/proxy/src/net/background/status.rs
+++ b/proxy/src/net/background/status.rs
@@ -52,7 +52,7 @@
         }
         if let Some(observer) = &self.split {
             let verifier = &observer.borrow().verifier;
-            self.metrics.set_split(&verifier.verdict(heard_members), verifier.counts());
+            self.metrics.set_split(&verifier.status(heard_members), verifier.counts());
         }
         self.metrics.text()
     }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -10,7 +10,7 @@
 use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::{
     ComparisonQuery, ConfirmedDifference, Definition, DifferenceCounts, IncompleteReason, ParentSample,
-    PositionSample, QueryResult, RANGES, RowDigest, Settings, SplitVerifier, Verdict,
+    PositionSample, QueryResult, RANGES, RowDigest, Settings, SplitVerifier, VerificationStatus,
 };
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -25,7 +25,7 @@
     processes: HashMap<ServerId, u64>,
     class_names: Vec<String>,
     /// The kind of the verdict that was logged last.
-    logged_verdict: Option<Discriminant<Verdict>>,
+    logged_verdict: Option<Discriminant<VerificationStatus>>,
 }
 
 /// The crate's settings from the options and the number of configured processes.
@@ -119,8 +119,8 @@
     }
 
     /// The verdict, if it is of another kind than the one that was logged last.
-    pub(crate) fn verdict_to_log(&mut self, heard_members: usize) -> Option<Verdict> {
-        let verdict = self.verifier.verdict(heard_members);
+    pub(crate) fn verdict_to_log(&mut self, heard_members: usize) -> Option<VerificationStatus> {
+        let verdict = self.verifier.status(heard_members);
         let kind = std::mem::discriminant(&verdict);
         let logged = self.logged_verdict.replace(kind);
         (logged != Some(kind)).then_some(verdict)
@@ -146,11 +146,17 @@
 
     /// The first line of the reply to the call `split`.
     fn summary_line(&self, heard_members: usize) -> String {
-        let verdict = self.verifier.verdict(heard_members);
-        let differences =
-            if let Verdict::Dirty(counts) = verdict { counts } else { DifferenceCounts::default() };
-        let reason =
-            if let Verdict::Incomplete(reason) = verdict { reason } else { IncompleteReason::default() };
+        let verdict = self.verifier.status(heard_members);
+        let differences = if let VerificationStatus::DifferencesConfirmed(counts) = verdict {
+            counts
+        } else {
+            DifferenceCounts::default()
+        };
+        let reason = if let VerificationStatus::Incomplete(reason) = verdict {
+            reason
+        } else {
+            IncompleteReason::default()
+        };
         let counts = self.verifier.counts();
         let settings = self.verifier.settings();
         format!(
@@ -161,8 +167,8 @@
             heard_members.min(self.verifier.origin_count()),
             settings.configured_members,
             reason.unreachable_members,
-            reason.ranges_below_comparisons,
-            reason.ranges_below_processes,
+            reason.ranges_lacking_comparisons,
+            reason.ranges_lacking_processes,
             differences.missing,
             differences.extra,
             differences.differs,
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`SplitVerifier`] samples the reads that clients were served ([`SplitVerifier::record_read`]), returns the queries that are due
 //! ([`SplitVerifier::due_queries`]) and takes their results ([`SplitVerifier::record_result`]). It reports its counters
 //! ([`SplitVerifier::report_if_due`]), takes those of other processes ([`SplitVerifier::receive_report`]), and has a verdict for all of
-//! them ([`SplitVerifier::verdict`]). [`judge`] is the rule by which two rows that differ are a fault.
+//! them ([`SplitVerifier::status`]). [`judge`] is the rule by which two rows that differ are a fault.
 //!
 //! The crate does no I/O, reads no clock, and knows neither PostgreSQL nor a type of another subsystem. It never sees a value, only
 //! digests of rows.
@@ -18,7 +18,7 @@
 //! 3. Counters may be received in any order, twice or not at all (`reports_count_once_in_any_order`), and count under one definition
 //!    alone (`reports_of_another_definition_do_not_count`).
 //! 4. The verdict is clean only if all ranges were compared lately, by enough processes, and all processes are reachable
-//!    (`the_verdict_is_clean_only_for_full_coverage`).
+//!    (`the_status_is_clean_only_with_full_coverage`).
 //! 5. Comparisons, confirmed differences and origins are bounded (`tables_are_bounded`).
 //!
 //! Reports are encoded, decoded and kept by `birchreach_peer_reports`. [`Micros`] is defined here and not shared: the crate depends on no
@@ -38,7 +38,7 @@
 mod report;
 mod reporting;
 mod settings;
-mod verdict;
+mod status;
 mod verifier;
 mod window;
 
@@ -50,7 +50,7 @@
 pub use query::{Child, ComparisonQuery, DueQuery, QueryResult};
 pub use report::{OTHER_DEFINITION, RangeDifferences, Report};
 pub use settings::{ComparisonCounts, Settings};
-pub use verdict::{IncompleteReason, Verdict};
+pub use status::{IncompleteReason, VerificationStatus};
 pub use verifier::SplitVerifier;
 
 /// A span of time, or an instant on the caller's clock, in microseconds. Instants are Unix time, as positions are.
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -5,7 +5,7 @@
 use crate::definition::RANGES;
 use crate::difference::DifferenceKind;
 use crate::report::{RangeDifferences, Report};
-use crate::verdict::{Verdict, verdict};
+use crate::status::{VerificationStatus, verification_status};
 use crate::verifier::SplitVerifier;
 use birchreach_peer_reports::{PeerReport, ReportError, ReportHeader};
 use std::collections::BTreeMap;
@@ -57,8 +57,8 @@
     }
 
     /// The verdict. `reachable_members` is the number of processes that this one receives from, itself included.
-    pub fn verdict(&self, reachable_members: usize) -> Verdict {
-        verdict(&self.coverage, &self.settings, reachable_members.min(self.origin_count()))
+    pub fn status(&self, reachable_members: usize) -> VerificationStatus {
+        verification_status(&self.coverage, &self.settings, reachable_members.min(self.origin_count()))
     }
 
     /// How well a range is covered.
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -2,16 +2,16 @@
 
 #[path = "../common/mod.rs"]
 mod common;
-mod verdicts;
+mod status;
 
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
     ComparisonQuery, Definition, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGES,
-    RangeCoverage, RangeDifferences, Report, SplitVerifier, Verdict,
+    RangeCoverage, RangeDifferences, Report, SplitVerifier, VerificationStatus,
 };
 use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, header, key, settings};
-use verdicts::check_clean_verdict;
+use status::check_clean_status;
 
 type CheckResult = Result<(), String>;
 
@@ -53,11 +53,13 @@
         ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
         ensure!(faulty.len() == 5, "seed {seed}: of five only {faulty:?}");
         let members = world.verifiers.len();
-        let is_dirty = |verifier: &SplitVerifier| matches!(verifier.verdict(members), Verdict::Dirty(_));
+        let has_differences = |verifier: &SplitVerifier| {
+            matches!(verifier.status(members), VerificationStatus::DifferencesConfirmed(_))
+        };
         ensure!(
-            world.verifiers.iter().all(is_dirty),
+            world.verifiers.iter().all(has_differences),
             "seed {seed}: {:?}",
-            world.verifiers[0].verdict(members)
+            world.verifiers[0].status(members)
         );
     }
     Ok(())
@@ -116,7 +118,7 @@
     ensure!(split.receive_report(SECOND, header(2, 1), &report.encode()).is_err(), "it is accepted");
     ensure!(
         split.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
-            && !matches!(split.verdict(2), Verdict::Dirty(_)),
+            && !matches!(split.status(2), VerificationStatus::DifferencesConfirmed(_)),
         "it counts"
     );
     Ok(())
@@ -210,8 +212,8 @@
 }
 
 #[test]
-fn the_verdict_is_clean_only_for_full_coverage() {
-    check_clean_verdict().unwrap();
+fn the_status_is_clean_only_with_full_coverage() {
+    check_clean_status().unwrap();
 }
 
 #[test]
@@ -228,7 +230,7 @@
         (Fault::NeverConfirms, check_faults_are_confirmed),
         (Fault::CountsTwice, check_counting),
         (Fault::MixesDefinitions, check_definitions),
-        (Fault::CleanWhileMembersMissing, check_clean_verdict),
+        (Fault::CleanWhileMembersMissing, check_clean_status),
         (Fault::KeepsEverything, check_bounds),
     ];
     for (fault, check) in all {
--- a/shard-split/tests/split/verdicts.rs
+++ b/shard-split/tests/split/status.rs
@@ -3,7 +3,9 @@
 use crate::CheckResult;
 use crate::common::{Disturbances, SECOND, World, definition, header, settings};
 use birchreach_fault_injection::ensure;
-use birchreach_shard_split::{IncompleteReason, PeerReport, RANGES, Report, SplitVerifier, Verdict};
+use birchreach_shard_split::{
+    IncompleteReason, PeerReport, RANGES, Report, SplitVerifier, VerificationStatus,
+};
 
 /// A verifier of three processes, of which two must compare each range, that has received equal reports of the others.
 fn verifier_with_reports(compared: impl Fn(usize) -> u32) -> SplitVerifier {
@@ -17,21 +19,21 @@
     split
 }
 
-pub(crate) fn check_clean_verdict() -> CheckResult {
-    let covered = verifier_with_reports(|_| 1).verdict(3);
-    ensure!(covered == Verdict::Clean, "three times one is enough: {covered:?}");
+pub(crate) fn check_clean_status() -> CheckResult {
+    let covered = verifier_with_reports(|_| 1).status(3);
+    ensure!(covered == VerificationStatus::Clean, "three times one is enough: {covered:?}");
 
-    let one_uncovered = verifier_with_reports(|range| u32::from(range != 7)).verdict(3);
+    let one_uncovered = verifier_with_reports(|range| u32::from(range != 7)).status(3);
     let reason = IncompleteReason {
-        ranges_below_comparisons: 1,
-        ranges_below_processes: 1,
+        ranges_lacking_comparisons: 1,
+        ranges_lacking_processes: 1,
         ..IncompleteReason::default()
     };
-    ensure!(one_uncovered == Verdict::Incomplete(reason), "{one_uncovered:?}");
+    ensure!(one_uncovered == VerificationStatus::Incomplete(reason), "{one_uncovered:?}");
 
-    let partitioned = verifier_with_reports(|_| 9).verdict(2);
+    let partitioned = verifier_with_reports(|_| 9).status(2);
     let reason = IncompleteReason { unreachable_members: 1, ..IncompleteReason::default() };
-    ensure!(partitioned == Verdict::Incomplete(reason), "{partitioned:?}");
+    ensure!(partitioned == VerificationStatus::Incomplete(reason), "{partitioned:?}");
     check_comparisons_expire()
 }
 
@@ -39,17 +41,19 @@
 fn check_comparisons_expire() -> CheckResult {
     let mut world = World::new(1, 1, 600, Disturbances::default());
     world.pass(60 * SECOND, 200.0);
-    let verdict = world.verifiers[0].verdict(1);
-    ensure!(verdict == Verdict::Clean, "{verdict:?}");
+    let status = world.verifiers[0].status(1);
+    ensure!(status == VerificationStatus::Clean, "{status:?}");
 
     world.pass(700 * SECOND, 0.0);
-    let verdict = world.verifiers[0].verdict(1);
-    let is_uncovered =
-        matches!(verdict, Verdict::Incomplete(reason) if reason.ranges_below_comparisons == RANGES);
-    ensure!(is_uncovered, "{verdict:?}");
+    let status = world.verifiers[0].status(1);
+    let is_uncovered = matches!(status, VerificationStatus::Incomplete(reason) if reason.ranges_lacking_comparisons == RANGES);
+    ensure!(is_uncovered, "{status:?}");
 
     let mut split = SplitVerifier::new(settings(1), 1, 0);
     let has_reported = split.report_if_due(2 * SECOND).is_some();
-    ensure!(has_reported && matches!(split.verdict(1), Verdict::Incomplete(_)), "nothing was compared");
+    ensure!(
+        has_reported && matches!(split.status(1), VerificationStatus::Incomplete(_)),
+        "nothing was compared"
+    );
     Ok(())
 }
