--- a/hot-keys/src/report.rs
+++ b/hot-keys/src/report.rs
@@ -32,7 +32,7 @@
 }
 
 /// A report's keys are hashed with another secret than this process's: the key file is being changed.
-pub const OTHER_SECRET: Mismatch =
+pub const SECRET_MISMATCH: Mismatch =
     Mismatch { name: "other-secret", description: "the report's keys are hashed with another secret" };
 
 impl PeerReport for Report {
--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,6 +1,6 @@
 //! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
 
-use crate::report::{MAX_REPORT_ENTRIES, OTHER_SECRET, Report, ReportEntry};
+use crate::report::{MAX_REPORT_ENTRIES, Report, ReportEntry, SECRET_MISMATCH};
 use crate::sketch::KeyRate;
 use crate::tracker::HotKeyTracker;
 use crate::{Key, Micros, mix};
@@ -34,7 +34,7 @@
     ) -> Result<(), ReportError> {
         let report = Report::decode(bytes)?;
         if report.secret_id != self.secret_id {
-            return Err(ReportError::Mismatch(OTHER_SECRET));
+            return Err(ReportError::Mismatch(SECRET_MISMATCH));
         }
         self.reports.record(now, header, report)?;
         Ok(())
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -3,8 +3,8 @@
 use super::{CopyOutcome, Metrics, RejectedReport};
 use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::{TaskCounts, TaskKind};
-use birchreach_hot_keys::{HotKeyTracker, OTHER_SECRET, PeerReport, Report, ReportError, Settings};
-use birchreach_shard_split::{ComparisonCounts, OTHER_DEFINITION, VerificationStatus};
+use birchreach_hot_keys::{HotKeyTracker, PeerReport, Report, ReportError, SECRET_MISMATCH, Settings};
+use birchreach_shard_split::{ComparisonCounts, DEFINITION_MISMATCH, VerificationStatus};
 
 /// A tracker that knows no hot key.
 fn tracker() -> HotKeyTracker {
@@ -100,9 +100,9 @@
     let metrics = Metrics::new();
     for report in [
         RejectedReport::HotKeys(ReportError::Malformed { subject: Report::SUBJECT }),
-        RejectedReport::HotKeys(ReportError::Mismatch(OTHER_SECRET)),
-        RejectedReport::Split(ReportError::Mismatch(OTHER_DEFINITION)),
-        RejectedReport::Split(ReportError::Mismatch(OTHER_DEFINITION)),
+        RejectedReport::HotKeys(ReportError::Mismatch(SECRET_MISMATCH)),
+        RejectedReport::Split(ReportError::Mismatch(DEFINITION_MISMATCH)),
+        RejectedReport::Split(ReportError::Mismatch(DEFINITION_MISMATCH)),
         RejectedReport::SubsystemOff,
     ] {
         metrics.count_rejected_report(report);
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -1,7 +1,7 @@
 //! What all processes have compared and found, by range, by the newest report of each origin.
 
 use crate::difference::{DifferenceCounts, DifferenceKind};
-use crate::report::{OTHER_DEFINITION, Report};
+use crate::report::{DEFINITION_MISMATCH, Report};
 use crate::{Definition, Micros};
 use birchreach_fault_injection::fault_injected;
 use birchreach_peer_reports::{PeerReports, RecordError, ReportError, ReportHeader};
@@ -39,7 +39,7 @@
     ) -> Result<(), ReportError> {
         let is_of_definition = report.definition_digest == definition.digest();
         if !is_of_definition && !fault_injected!(MixesDefinitions) {
-            return Err(ReportError::Mismatch(OTHER_DEFINITION));
+            return Err(ReportError::Mismatch(DEFINITION_MISMATCH));
         }
         let recorded = self.reports.record(now, header, report);
         if recorded == Err(RecordError::Outdated) && fault_injected!(CountsTwice) {
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -48,7 +48,7 @@
 pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
 pub use judge::{Outcome, ParentSample, PositionSample, RowDigest};
 pub use query::{Child, ComparisonQuery, DueQuery, QueryResult};
-pub use report::{OTHER_DEFINITION, RangeDifferences, Report};
+pub use report::{DEFINITION_MISMATCH, RangeDifferences, Report};
 pub use settings::{ComparisonCounts, Settings};
 pub use status::{IncompleteReason, VerificationStatus};
 pub use verifier::SplitVerifier;
--- a/shard-split/src/report.rs
+++ b/shard-split/src/report.rs
@@ -28,7 +28,7 @@
 }
 
 /// A report's process compares by another definition than this one.
-pub const OTHER_DEFINITION: Mismatch =
+pub const DEFINITION_MISMATCH: Mismatch =
     Mismatch { name: "other-definition", description: "the report is of another definition of the split" };
 
 impl PeerReport for Report {
