--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -10,7 +10,7 @@
 use birchreach::{GroupId, Micros};
 use birchreach_background_tasks::{Task, TaskKind};
 use birchreach_shard_split::{
-    ComparisonQuery, ConfirmedDifference, Definition, DueQuery, QueryResult, VerificationStatus,
+    ComparisonQuery, ConfirmedDifference, DueQuery, QueryResult, SplitDefinition, VerificationStatus,
 };
 use tracing::{info, warn};
 
@@ -128,7 +128,7 @@
 
 /// Logs a difference that is confirmed.
 fn log_difference(observer: &SplitObserver, difference: &ConfirmedDifference) {
-    let range = Definition::range(difference.key_hash);
+    let range = SplitDefinition::range(difference.key_hash);
     let fields = observer.difference_fields(range, difference);
     warn!(event = "split-flag", flag = %crate::log::Quoted(fields));
 }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -9,8 +9,8 @@
 use birchreach::{Micros, Role, ServerId};
 use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::{
-    ComparisonQuery, ConfirmedDifference, Definition, DifferenceCounts, IncompleteReason, ParentSample,
-    PositionSample, QueryResult, RANGES, RowDigest, Settings, SplitVerifier, VerificationStatus,
+    ComparisonQuery, ConfirmedDifference, DifferenceCounts, IncompleteReason, ParentSample, PositionSample,
+    QueryResult, RANGES, RowDigest, Settings, SplitDefinition, SplitVerifier, VerificationStatus,
 };
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -41,7 +41,7 @@
         ..
     } = *options;
     Settings {
-        definition: Definition { parent, lower_child, upper_child, split_at },
+        definition: SplitDefinition { parent, lower_child, upper_child, split_at },
         min_comparisons,
         coverage_window: micros(options.coverage_window),
         min_processes,
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -2,7 +2,7 @@
 
 use crate::difference::{DifferenceCounts, DifferenceKind};
 use crate::report::{DEFINITION_MISMATCH, Report};
-use crate::{Definition, Micros};
+use crate::{Micros, SplitDefinition};
 use birchreach_fault_injection::fault_injected;
 use birchreach_peer_reports::{PeerReports, RecordError, ReportError, ReportHeader};
 
@@ -33,7 +33,7 @@
     pub(crate) fn record(
         &mut self,
         now: Micros,
-        definition: &Definition,
+        definition: &SplitDefinition,
         header: ReportHeader,
         report: Report,
     ) -> Result<(), ReportError> {
--- a/shard-split/src/definition.rs
+++ b/shard-split/src/definition.rs
@@ -9,7 +9,7 @@
 
 /// A group and its two children: keys whose hash is below `split_at` go to the lower child, all others to the upper one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Definition {
+pub struct SplitDefinition {
     /// The group that is split.
     pub parent: u32,
     /// The group that gets the keys with the lower hashes.
@@ -39,7 +39,7 @@
     }
 }
 
-impl Definition {
+impl SplitDefinition {
     /// The hash by which keys are split: the first four bytes of their SHA-256.
     pub fn hash(key: &[u8]) -> u32 {
         let hash = Sha256::digest(key);
--- a/shard-split/src/difference.rs
+++ b/shard-split/src/difference.rs
@@ -1,7 +1,7 @@
 //! Differences that were confirmed: a child's row is not the parent's, and it persisted.
 
 use crate::Micros;
-use crate::definition::Definition;
+use crate::definition::SplitDefinition;
 use crate::judge::{ParentSample, PositionSample};
 
 /// How a child differs. The order of the variants is the number of a kind in reports.
@@ -90,6 +90,6 @@
 impl ConfirmedDifference {
     /// The range that the key belongs to.
     pub fn range(&self) -> usize {
-        Definition::range(self.key_hash)
+        SplitDefinition::range(self.key_hash)
     }
 }
--- a/shard-split/src/settings.rs
+++ b/shard-split/src/settings.rs
@@ -1,12 +1,12 @@
 //! The verifier's settings, and its counts of how comparisons ended.
 
-use crate::{Definition, Micros};
+use crate::{Micros, SplitDefinition};
 
 /// What is compared, and when a range is covered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The group that splits, and its children.
-    pub definition: Definition,
+    pub definition: SplitDefinition,
     /// Comparisons that each range needs within the window.
     pub min_comparisons: u32,
     /// Processes that have to compare in each range within the window.
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::compare::{Comparison, ComparisonEnd, Difference};
 use crate::coverage::Coverage;
-use crate::definition::Definition;
+use crate::definition::SplitDefinition;
 use crate::difference::ConfirmedDifference;
 use crate::judge::RowDigest;
 use crate::query::{ComparisonQuery, DueQuery, QueryResult};
@@ -65,9 +65,9 @@
 
     /// Records that a client was served a row of the parent, and starts a comparison of it if its range needs one.
     pub fn record_read(&mut self, now: Micros, class: u16, key: &[u8], row: RowDigest) {
-        let key_hash = Definition::hash(key);
+        let key_hash = SplitDefinition::hash(key);
         self.reads_seen += 1;
-        let is_sampled = !self.is_covered(Definition::range(key_hash))
+        let is_sampled = !self.is_covered(SplitDefinition::range(key_hash))
             || self.reads_seen.is_multiple_of(COVERED_RANGE_SAMPLING);
         let is_in_progress = self.comparisons.values().any(|comparison| comparison.key_hash == key_hash);
         if is_in_progress || !is_sampled {
@@ -138,7 +138,7 @@
         comparison: &Comparison,
         end: ComparisonEnd,
     ) -> Option<ConfirmedDifference> {
-        let range = Definition::range(comparison.key_hash);
+        let range = SplitDefinition::range(comparison.key_hash);
         match end {
             ComparisonEnd::Agrees => {
                 self.counts.agreed += 1;
--- a/shard-split/tests/common/databases.rs
+++ b/shard-split/tests/common/databases.rs
@@ -3,7 +3,7 @@
 use super::{ChildFault, Disturbances, MILLI, SECOND, definition, key};
 use birchreach_shard_split::judge::ParentSample;
 use birchreach_shard_split::{
-    Child, Children, ComparisonQuery, Definition, Micros, PositionSample, QueryResult,
+    Child, Children, ComparisonQuery, Micros, PositionSample, QueryResult, SplitDefinition,
 };
 use std::collections::BTreeMap;
 
@@ -126,7 +126,7 @@
     }
 
     fn child_row(&mut self, now: Micros, number: usize, child: usize, at: Micros) -> Option<u64> {
-        let Children { owner, .. } = definition().children(Definition::hash(&key(number)));
+        let Children { owner, .. } = definition().children(SplitDefinition::hash(&key(number)));
         let is_owner = owner as usize == child + 1;
         let position = self.child_position(child, at);
         let value = self.child_commit(now, number, position).value;
@@ -150,7 +150,7 @@
         if rng.f64() < self.disturbances.lost {
             return QueryResult::NoAnswer;
         }
-        let Children { owner, other } = definition().children(Definition::hash(key_bytes));
+        let Children { owner, other } = definition().children(SplitDefinition::hash(key_bytes));
         let index = |child| if child == Child::Owner { owner as usize - 1 } else { other as usize - 1 };
         let (delay, further_delay) = (rng.i64(0..40 * MILLI), rng.i64(0..40 * MILLI));
         match query {
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -5,7 +5,7 @@
 mod disturbances;
 
 use birchreach_shard_split::{
-    ConfirmedDifference, Definition, DifferenceKind, Micros, QueryResult, ReportHeader, Settings,
+    ConfirmedDifference, DifferenceKind, Micros, QueryResult, ReportHeader, Settings, SplitDefinition,
     SplitVerifier,
 };
 use databases::{Databases, happens};
@@ -17,8 +17,8 @@
 const STEP_MICROS: Micros = 20 * MILLI;
 
 /// A group that splits in the middle.
-pub(crate) fn definition() -> Definition {
-    Definition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
+pub(crate) fn definition() -> SplitDefinition {
+    SplitDefinition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
 }
 
 /// Settings that want two comparisons a range by one process.
@@ -147,7 +147,7 @@
     pub(crate) fn confirmed_keys(&self) -> ConfirmedKeys<'_> {
         let mut confirmed = ConfirmedKeys { faulty: BTreeSet::new(), wrong: Vec::new() };
         for difference in &self.differences {
-            let has_hash = |number: &usize| Definition::hash(&key(*number)) == difference.key_hash;
+            let has_hash = |number: &usize| SplitDefinition::hash(&key(*number)) == difference.key_hash;
             let number = (0..self.databases.keys).find(has_hash);
             let fault = number.and_then(|number| self.databases.faults.get(&number));
             let kind = fault.map(|fault| match fault {
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
 //! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
 
-use birchreach_shard_split::{Definition, PeerReport, RANGES, RangeDifferences, Report};
+use birchreach_shard_split::{PeerReport, RANGES, RangeDifferences, Report, SplitDefinition};
 use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
 
 fn assert_recorded(report: &Report, recorded: &str) {
@@ -42,7 +42,7 @@
 #[test]
 fn definitions_have_the_recorded_digests() {
     let digest = |parent, lower_child, upper_child, split_at| {
-        let definition = Definition { parent, lower_child, upper_child, split_at };
+        let definition = SplitDefinition { parent, lower_child, upper_child, split_at };
         format!("{:016x}", definition.digest())
     };
 
@@ -53,8 +53,8 @@
 #[test]
 fn keys_have_the_recorded_hashes_and_ranges() {
     let hashed = |key: &[u8]| {
-        let hash = Definition::hash(key);
-        format!("{hash:08x} {}", Definition::range(hash))
+        let hash = SplitDefinition::hash(key);
+        format!("{hash:08x} {}", SplitDefinition::range(hash))
     };
 
     assert_eq!(hashed(b""), "e3b0c442 56");
--- a/shard-split/tests/sampling.rs
+++ b/shard-split/tests/sampling.rs
@@ -1,7 +1,7 @@
 //! Which reads are compared.
 
 mod common;
-use birchreach_shard_split::Definition;
+use birchreach_shard_split::SplitDefinition;
 use common::{Disturbances, SECOND, World, key};
 
 #[test]
@@ -20,5 +20,8 @@
 
 #[test]
 fn equal_keys_are_in_one_range() {
-    assert_eq!(Definition::range(Definition::hash(&key(0))), Definition::range(Definition::hash(b"key-0")));
+    assert_eq!(
+        SplitDefinition::range(SplitDefinition::hash(&key(0))),
+        SplitDefinition::range(SplitDefinition::hash(b"key-0"))
+    );
 }
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -7,8 +7,8 @@
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
-    ComparisonQuery, Definition, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGES,
-    RangeCoverage, RangeDifferences, Report, SplitVerifier, VerificationStatus,
+    ComparisonQuery, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGES, RangeCoverage,
+    RangeDifferences, Report, SplitDefinition, SplitVerifier, VerificationStatus,
 };
 use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, header, key, settings};
 use status::check_clean_status;
@@ -107,7 +107,7 @@
 
 /// A report of another definition is rejected and counts nowhere.
 fn check_definitions() -> CheckResult {
-    let other = Definition { split_at: 1 << 30, ..definition() };
+    let other = SplitDefinition { split_at: 1 << 30, ..definition() };
     let report = Report {
         definition_digest: other.digest(),
         compared: vec![9; RANGES],
