--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -10,7 +10,7 @@
 use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::{
     ComparisonQuery, ConfirmedDifference, DifferenceCounts, IncompleteReason, ParentSample, PositionSample,
-    QueryResult, RANGES, RowDigest, Settings, SplitDefinition, SplitVerifier, VerificationStatus,
+    QueryResult, RANGE_COUNT, RowDigest, Settings, SplitDefinition, SplitVerifier, VerificationStatus,
 };
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -131,7 +131,7 @@
     pub(crate) fn status_lines(&self, heard_members: usize) -> String {
         let settings = self.verifier.settings();
         let mut lines = self.summary_line(heard_members);
-        for range in 0..RANGES {
+        for range in 0..RANGE_COUNT {
             let coverage = self.verifier.coverage(range);
             let (compared, seen_by) = (coverage.comparisons, coverage.processes);
             if compared < settings.min_comparisons || seen_by < settings.min_processes {
@@ -160,7 +160,7 @@
         let counts = self.verifier.counts();
         let settings = self.verifier.settings();
         format!(
-            "split verdict={} definition={:016x} heard={} named={} unheard={} ranges={RANGES} lacking={} unseen={} \
+            "split verdict={} definition={:016x} heard={} named={} unheard={} ranges={RANGE_COUNT} lacking={} unseen={} \
              missing={} extra={} differs={} begun={} agreed={} late={} unsure={} silent={} flagged={} crowded={} under_way={}\n",
             verdict.as_str(),
             settings.definition.digest(),
--- a/shard-split/src/definition.rs
+++ b/shard-split/src/definition.rs
@@ -5,7 +5,7 @@
 use sha2::{Digest, Sha256};
 
 /// Equal parts of the space of hashes for which coverage and differences are counted.
-pub const RANGES: usize = 64;
+pub const RANGE_COUNT: usize = 64;
 
 /// A group and its two children: keys whose hash is below `split_at` go to the lower child, all others to the upper one.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,15 +46,15 @@
         hash.first_chunk::<4>().map_or(0, |bytes| u32::from_be_bytes(*bytes))
     }
 
-    /// The range that a hash belongs to, below [`RANGES`].
+    /// The range that a hash belongs to, below [`RANGE_COUNT`].
     pub fn range(hash: u32) -> usize {
-        hash as usize / ((1usize << 32) / RANGES)
+        hash as usize / ((1usize << 32) / RANGE_COUNT)
     }
 
     /// A digest of the definition, equal at all processes that have the same one.
     pub fn digest(&self) -> u64 {
         let mut hash = Sha256::new();
-        for part in [self.parent, self.lower_child, self.upper_child, self.split_at, RANGES as u32] {
+        for part in [self.parent, self.lower_child, self.upper_child, self.split_at, RANGE_COUNT as u32] {
             hash.update(part.to_be_bytes());
         }
         hash.finalize().first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes))
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -44,7 +44,7 @@
 
 pub use birchreach_peer_reports::{PeerReport, RecordError, ReportError, ReportHeader};
 pub use coverage::RangeCoverage;
-pub use definition::{Children, RANGES, SplitDefinition};
+pub use definition::{Children, RANGE_COUNT, SplitDefinition};
 pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
 pub use judge::{Outcome, ParentSample, PositionSample, RowDigest};
 pub use query::{Child, ComparisonQuery, DueQuery, QueryResult};
--- a/shard-split/src/report.rs
+++ b/shard-split/src/report.rs
@@ -1,6 +1,6 @@
 //! What processes report to one another of their comparisons.
 
-use crate::RANGES;
+use crate::RANGE_COUNT;
 use crate::difference::DifferenceKind;
 use birchreach_peer_reports::{Mismatch, PeerReport};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 pub struct RangeDifferences {
     /// The number of the kind.
     pub kind: u8,
-    /// The range, below [`RANGES`].
+    /// The range, below [`RANGE_COUNT`].
     pub range: u8,
     /// How many differences are kept.
     pub count: u32,
@@ -36,8 +36,8 @@
 
     /// It counts each range, and names only ranges and kinds that exist.
     fn is_valid(&self) -> bool {
-        self.compared.len() == RANGES
-            && self.differences.len() <= DifferenceKind::ALL.len() * RANGES
+        self.compared.len() == RANGE_COUNT
+            && self.differences.len() <= DifferenceKind::ALL.len() * RANGE_COUNT
             && self.differences.iter().all(RangeDifferences::exists)
     }
 }
@@ -45,6 +45,6 @@
 impl RangeDifferences {
     /// Whether its range and its kind exist.
     fn exists(&self) -> bool {
-        DifferenceKind::from_number(self.kind).is_some() && usize::from(self.range) < RANGES
+        DifferenceKind::from_number(self.kind).is_some() && usize::from(self.range) < RANGE_COUNT
     }
 }
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::coverage::RangeCoverage;
-use crate::definition::RANGES;
+use crate::definition::RANGE_COUNT;
 use crate::difference::DifferenceKind;
 use crate::report::{RangeDifferences, Report};
 use crate::status::{VerificationStatus, verification_status};
@@ -63,7 +63,7 @@
 
     /// How well a range is covered.
     pub fn coverage(&self, range: usize) -> RangeCoverage {
-        self.coverage.of_range(range.min(RANGES - 1))
+        self.coverage.of_range(range.min(RANGE_COUNT - 1))
     }
 
     /// Processes whose reports are kept, this one included.
--- a/shard-split/src/status.rs
+++ b/shard-split/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::coverage::Coverage;
 use crate::difference::DifferenceCounts;
-use crate::{RANGES, Settings};
+use crate::{RANGE_COUNT, Settings};
 use birchreach_fault_injection::fault_injected;
 
 /// What is missing until the verdict can be clean.
@@ -49,7 +49,7 @@
         return VerificationStatus::DifferencesConfirmed(differences);
     }
     let mut reason = IncompleteReason::default();
-    for range in (0..RANGES).map(|range| coverage.of_range(range)) {
+    for range in (0..RANGE_COUNT).map(|range| coverage.of_range(range)) {
         reason.ranges_lacking_comparisons += usize::from(range.comparisons < settings.min_comparisons);
         reason.ranges_lacking_processes += usize::from(range.processes < settings.min_processes);
     }
--- a/shard-split/src/window.rs
+++ b/shard-split/src/window.rs
@@ -1,6 +1,6 @@
 //! This process's comparisons of late, by range.
 
-use crate::{Micros, RANGES};
+use crate::{Micros, RANGE_COUNT};
 
 /// A window consists of so many parts, of which the oldest is removed at once.
 const WINDOW_PARTS: usize = 4;
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Window {
     /// The newest part first.
-    parts: Vec<[u32; RANGES]>,
+    parts: Vec<[u32; RANGE_COUNT]>,
     part_span: Micros,
     /// When the newest part began.
     part_started_at: Micros,
@@ -19,7 +19,7 @@
     /// A window of this length without comparisons.
     pub(crate) fn new(now: Micros, span: Micros) -> Window {
         Window {
-            parts: vec![[0; RANGES]; WINDOW_PARTS],
+            parts: vec![[0; RANGE_COUNT]; WINDOW_PARTS],
             part_span: (span / WINDOW_PARTS as Micros).max(1),
             part_started_at: now,
         }
@@ -38,10 +38,10 @@
         while now - self.part_started_at >= self.part_span {
             self.part_started_at += self.part_span;
             self.parts.rotate_right(1);
-            self.parts[0] = [0; RANGES];
+            self.parts[0] = [0; RANGE_COUNT];
             if now - self.part_started_at > self.part_span * (WINDOW_PARTS as Micros + 1) {
                 // All that was counted is older than the window.
-                self.parts.fill([0; RANGES]);
+                self.parts.fill([0; RANGE_COUNT]);
                 self.part_started_at = now;
             }
         }
@@ -50,6 +50,6 @@
     /// The comparisons of each range.
     pub(crate) fn sums(&mut self, now: Micros) -> Vec<u32> {
         self.advance(now);
-        (0..RANGES).map(|range| self.parts.iter().map(|part| part[range]).sum()).collect()
+        (0..RANGE_COUNT).map(|range| self.parts.iter().map(|part| part[range]).sum()).collect()
     }
 }
--- a/shard-split/tests/malformed_reports.rs
+++ b/shard-split/tests/malformed_reports.rs
@@ -1,7 +1,7 @@
 //! Malformed reports are rejected, each rejection has its reason, and what is kept of all that is received is bounded.
 
 mod common;
-use birchreach_shard_split::{PeerReport, RANGES, RangeDifferences, Report, SplitVerifier};
+use birchreach_shard_split::{PeerReport, RANGE_COUNT, RangeDifferences, Report, SplitVerifier};
 use common::{SECOND, definition, header, settings};
 
 fn entry(kind: u8, range: u8, count: u32) -> RangeDifferences {
@@ -11,7 +11,7 @@
 fn valid_report() -> Report {
     Report {
         definition_digest: definition().digest(),
-        compared: vec![300; RANGES],
+        compared: vec![300; RANGE_COUNT],
         differences: vec![entry(1, 2, 3)],
     }
 }
@@ -44,9 +44,9 @@
     }
 
     let is_rejected = |report: Report| Report::decode(&report.encode()).is_err();
-    assert!(is_rejected(Report { compared: vec![1; RANGES + 1], ..valid_report() }));
+    assert!(is_rejected(Report { compared: vec![1; RANGE_COUNT + 1], ..valid_report() }));
     assert!(is_rejected(Report { differences: vec![entry(3, 0, 1)], ..valid_report() }));
-    assert!(is_rejected(Report { differences: vec![entry(0, RANGES as u8, 1)], ..valid_report() }));
+    assert!(is_rejected(Report { differences: vec![entry(0, RANGE_COUNT as u8, 1)], ..valid_report() }));
 }
 
 #[test]
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
 //! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
 
-use birchreach_shard_split::{PeerReport, RANGES, RangeDifferences, Report, SplitDefinition};
+use birchreach_shard_split::{PeerReport, RANGE_COUNT, RangeDifferences, Report, SplitDefinition};
 use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
 
 fn assert_recorded(report: &Report, recorded: &str) {
@@ -16,7 +16,7 @@
         "00000000000000000000000000000000000000",
     );
     assert_recorded(
-        &Report { definition_digest: 0, compared: vec![0; RANGES], differences: Vec::new() },
+        &Report { definition_digest: 0, compared: vec![0; RANGE_COUNT], differences: Vec::new() },
         recorded,
     );
 }
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_report_of_comparisons_and_differences_has_the_recorded_bytes() {
-    let compared = (0..RANGES as u32).map(|range| range * range * 1_000).collect();
+    let compared = (0..RANGE_COUNT as u32).map(|range| range * range * 1_000).collect();
     let differences = vec![entry(0, 0, 1), entry(1, 7, 300), entry(2, 63, u32::MAX)];
     let recorded = concat!(
         "ef9bafcdf8acd191014000e807a01fa846807da8c301a09902e8fe0280f403e8f804a08d06a8b10780e508a8a80aa0fb",
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -7,8 +7,8 @@
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
-    ComparisonQuery, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGES, RangeCoverage,
-    RangeDifferences, Report, SplitDefinition, SplitVerifier, VerificationStatus,
+    ComparisonQuery, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGE_COUNT,
+    RangeCoverage, RangeDifferences, Report, SplitDefinition, SplitVerifier, VerificationStatus,
 };
 use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, header, key, settings};
 use status::check_clean_status;
@@ -79,7 +79,7 @@
     let encoded = |comparisons: u32| {
         let report = Report {
             definition_digest: definition().digest(),
-            compared: vec![comparisons; RANGES],
+            compared: vec![comparisons; RANGE_COUNT],
             differences: vec![],
         };
         report.encode()
@@ -110,7 +110,7 @@
     let other = SplitDefinition { split_at: 1 << 30, ..definition() };
     let report = Report {
         definition_digest: other.digest(),
-        compared: vec![9; RANGES],
+        compared: vec![9; RANGE_COUNT],
         differences: vec![RangeDifferences { kind: 0, range: 3, count: 1 }],
     };
     let mut split = SplitVerifier::new(settings(2), 1, 0);
@@ -136,16 +136,19 @@
     let differences = split.differences().count();
     ensure!(differences > 100, "it shows nothing: {differences}");
     ensure!(
-        split.comparison_count() <= 64 && differences <= 4 * RANGES,
+        split.comparison_count() <= 64 && differences <= 4 * RANGE_COUNT,
         "{} in progress, {differences} differences",
         split.comparison_count()
     );
 
     // When more origins report than are kept, then their number is bounded.
     let mut flooded = SplitVerifier::new(settings(2), 1, 0);
-    let report =
-        Report { definition_digest: definition().digest(), compared: vec![1; RANGES], differences: vec![] }
-            .encode();
+    let report = Report {
+        definition_digest: definition().digest(),
+        compared: vec![1; RANGE_COUNT],
+        differences: vec![],
+    }
+    .encode();
     for origin in 2..10_000 {
         let _ = flooded.receive_report(SECOND, header(origin, 1), &report);
     }
--- a/shard-split/tests/split/status.rs
+++ b/shard-split/tests/split/status.rs
@@ -4,14 +4,14 @@
 use crate::common::{Disturbances, SECOND, World, definition, header, settings};
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::{
-    IncompleteReason, PeerReport, RANGES, Report, SplitVerifier, VerificationStatus,
+    IncompleteReason, PeerReport, RANGE_COUNT, Report, SplitVerifier, VerificationStatus,
 };
 
 /// A verifier of three processes, of which two must compare each range, that has received equal reports of the others.
 fn verifier_with_reports(compared: impl Fn(usize) -> u32) -> SplitVerifier {
     let settings = birchreach_shard_split::Settings { min_processes: 2, ..settings(3) };
     let mut split = SplitVerifier::new(settings, 1, 0);
-    let compared = (0..RANGES).map(compared).collect();
+    let compared = (0..RANGE_COUNT).map(compared).collect();
     let report = Report { definition_digest: definition().digest(), compared, differences: vec![] }.encode();
     for origin in 2..=4 {
         let _ = split.receive_report(SECOND, header(origin, 1), &report);
@@ -46,7 +46,7 @@
 
     world.pass(700 * SECOND, 0.0);
     let status = world.verifiers[0].status(1);
-    let is_uncovered = matches!(status, VerificationStatus::Incomplete(reason) if reason.ranges_lacking_comparisons == RANGES);
+    let is_uncovered = matches!(status, VerificationStatus::Incomplete(reason) if reason.ranges_lacking_comparisons == RANGE_COUNT);
     ensure!(is_uncovered, "{status:?}");
 
     let mut split = SplitVerifier::new(settings(1), 1, 0);
