--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -6,7 +6,7 @@
 use super::simulation::{CopyMode, NETWORK_DELAY_MICROS, Simulation};
 use birchreach::{AttemptOutcome, GroupId, Micros};
 use birchreach_background_tasks::{DatabaseId, StartedTask, Task, TaskId, TaskKind};
-use birchreach_hot_keys::{DueCopy, ReportHeader};
+use birchreach_hot_keys::{DueRefresh, ReportHeader};
 use std::net::SocketAddr;
 
 /// The channel of gossip that carries reports of hot keys.
@@ -18,7 +18,7 @@
 /// Work that no client waits for.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum BackgroundTask {
-    RowRead(DueCopy),
+    RowRead(DueRefresh),
     CopyWrite(CopyWrite),
 }
 
@@ -34,8 +34,8 @@
 
 /// A query at a database. A row is read twice: what the second read returns has at least the position that the first one returned.
 pub(super) enum BackgroundQuery {
-    FirstRead { copy: DueCopy, server: u32 },
-    SecondRead { copy: DueCopy, first_position: Micros },
+    FirstRead { copy: DueRefresh, server: u32 },
+    SecondRead { copy: DueRefresh, first_position: Micros },
     CopyWrite(CopyWrite),
 }
 
@@ -134,7 +134,7 @@
         if let Some(report) = self.hot_keys.report_if_due(now) {
             self.gossip_reports.publish(now, HOT_KEY_CHANNEL, report);
         }
-        for copy in self.hot_keys.due_copies(now) {
+        for copy in self.hot_keys.due_refreshes(now) {
             self.submit(now, TaskKind::RowRead, BackgroundTask::RowRead(copy));
         }
     }
@@ -155,7 +155,7 @@
         self.scheduler.start_due(now, proxies, place)
     }
 
-    fn submit_copy_writes(&mut self, now: Micros, copy: &DueCopy, position: Micros) {
+    fn submit_copy_writes(&mut self, now: Micros, copy: &DueRefresh, position: Micros) {
         for holder in &copy.holders {
             let write = CopyWrite { holder: holder.server, group: holder.group, position };
             self.submit(now, TaskKind::CopyWrite, BackgroundTask::CopyWrite(write));
--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -46,7 +46,7 @@
 
 pub use birchreach_peer_reports::{PeerReport, RecordError, ReportError, ReportHeader};
 pub use copy_holders::Database;
-pub use refresh::DueCopy;
+pub use refresh::DueRefresh;
 pub use report::{MAX_REPORT_ENTRIES, Report, ReportEntry, SECRET_MISMATCH};
 pub use reporting::ReportAgreement;
 pub use settings::{CopyCost, CopyRequirement, Settings};
--- a/hot-keys/src/refresh.rs
+++ b/hot-keys/src/refresh.rs
@@ -7,7 +7,7 @@
 
 /// A key whose copies this process refreshes now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DueCopy {
+pub struct DueRefresh {
     /// The key.
     pub key: Key,
     /// The key's bytes, to be sent to databases.
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -3,7 +3,7 @@
 
 use crate::copy_ages::CopyAges;
 use crate::copy_holders::{Database, copy_holders};
-use crate::refresh::{self, DueCopy};
+use crate::refresh::{self, DueRefresh};
 use crate::report::Report;
 use crate::reporting::reporters;
 use crate::sketch::ReadSketch;
@@ -166,7 +166,7 @@
     }
 
     /// The keys whose copies this process refreshes now.
-    pub fn due_copies(&mut self, now: Micros) -> Vec<DueCopy> {
+    pub fn due_refreshes(&mut self, now: Micros) -> Vec<DueRefresh> {
         let interval = self.settings.refresh_interval();
         let mut due = Vec::new();
         for hot_key in self.hot_keys.values_mut() {
@@ -181,7 +181,7 @@
             let reporters = reporters(&self.reports, key);
             if is_copyable && refresh::is_own_slot(slot, key, self.reports.own_origin(), reporters) {
                 let holders = hot_key.copy_holders.clone();
-                due.push(DueCopy { key, key_bytes: key_bytes.to_vec(), holders });
+                due.push(DueRefresh { key, key_bytes: key_bytes.to_vec(), holders });
             }
         }
         due
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -146,7 +146,7 @@
         if let Some(report) = self.trackers[process].report_if_due(now) {
             self.gossip_reports[process].publish(now, 1, report);
         }
-        for due in self.trackers[process].due_copies(now) {
+        for due in self.trackers[process].due_refreshes(now) {
             self.refreshes.entry(due.key).or_default().push((now, process));
         }
         self.send_gossip(process);
--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -10,7 +10,7 @@
 use birchreach::{AttemptOutcome, GroupId, Micros, Role, ServerId};
 use birchreach_background_tasks::{Task, TaskKind};
 use birchreach_hot_keys::copy::{Copy, copy_from_reads};
-use birchreach_hot_keys::{DueCopy, Key};
+use birchreach_hot_keys::{DueRefresh, Key};
 use tracing::info;
 
 /// How long a row that cannot be copied is not read for copying.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum CopyTask {
     /// Reads the row whose copies are due.
-    Read(DueCopy),
+    Read(DueRefresh),
     /// Writes its copy to one holder.
     Write(CopyWrite),
 }
@@ -93,7 +93,7 @@
         &mut self,
         now: Micros,
         observer: &mut HotKeyObserver,
-        due: &DueCopy,
+        due: &DueRefresh,
         result: &BackgroundQueryResult,
     ) {
         match copy_from_result(result) {
@@ -127,7 +127,7 @@
     }
 
     /// Submits a write for each holder of a copy.
-    fn submit_writes(&mut self, due: &DueCopy, copy: &Copy<Vec<u8>>, expires_at: Micros) {
+    fn submit_writes(&mut self, due: &DueRefresh, copy: &Copy<Vec<u8>>, expires_at: Micros) {
         for holder in &due.holders {
             let write = CopyWrite {
                 key: due.key,
@@ -154,7 +154,7 @@
     /// Submits the reads of rows whose copies are due.
     fn submit_reads(&mut self, now: Micros, observer: &mut HotKeyObserver) {
         let expires_at = now + observer.tracker.settings().refresh_interval();
-        for due in observer.tracker.due_copies(now) {
+        for due in observer.tracker.due_refreshes(now) {
             let payload = BackgroundTask::Copy(CopyTask::Read(due));
             self.scheduler.submit(Task { kind: TaskKind::RowRead, expires_at, payload });
         }
