--- a/hot-keys/examples/hot_key_agreement.rs
+++ b/hot-keys/examples/hot_key_agreement.rs
@@ -1,5 +1,5 @@
-//! How long until all processes have one set of hot keys, and how far the summed rates are from the true ones: a table of figures on
-//! virtual time.
+//! Measures on virtual time how long it takes until all processes have the same set of hot keys, and how much the summed
+//! rates differ from the true ones. Prints a table with one row per fleet. The arguments are sizes of fleets:
 //!
 //!     cargo run --release -p birchreach-hot-keys --example hot_key_agreement -- 5 40 300
 
@@ -10,31 +10,31 @@
 use common::{Fleet, SECOND, key, settings};
 use std::time::Instant;
 
-/// The longest time that the fleet gets to come to one set.
+/// The time limit for all processes to add or remove the hot key.
 const MAX_SECONDS: i64 = 120;
 
-/// What was observed of a fleet in which one key is hot.
+/// Observations of a fleet in which one key is hot.
 #[derive(Default)]
 struct Observations {
-    /// The summed rate of the hot key at each process, over the true one.
+    /// The ratio of the summed rate of the hot key to the true rate, for each sample.
     rate_ratios: Vec<f64>,
-    /// Samples: one for each process at each instant.
+    /// The number of samples: one per process and instant.
     samples: usize,
-    /// Samples in which a process had another set than the first one.
+    /// Samples in which the set of a process differed from that of the first process.
     differing_sets: usize,
-    /// Other keys that were hot.
+    /// Occurrences of other keys in hot sets.
     wrongly_hot: usize,
-    /// Bytes that each process sent in a second.
+    /// Bytes that each process sent per second.
     bytes_per_s: f64,
 }
 
 impl Observations {
-    /// A minute of samples, two in each second.
-    fn of(fleet: &mut Fleet, hot_key: Key, true_rate: f64) -> Observations {
+    /// Takes two samples per second for one minute.
+    fn collect(fleet: &mut Fleet, hot_key: Key, true_rate: f64) -> Observations {
         let mut observations = Observations::default();
         let (sent_before, started_at) = (fleet.sent_bytes, fleet.now);
         for _ in 0..120 {
-            fleet.pass(SECOND / 2);
+            fleet.advance(SECOND / 2);
             observations.sample(fleet, hot_key, true_rate);
         }
         let seconds = (fleet.now - started_at) as f64 / 1e6;
@@ -59,8 +59,8 @@
     }
 }
 
-fn seconds(took: Option<f64>) -> String {
-    took.map_or(format!("not in {MAX_SECONDS}"), |took| format!("{took:.1}"))
+fn format_seconds(elapsed: Option<f64>) -> String {
+    elapsed.map_or(format!("more than {MAX_SECONDS}"), |elapsed| format!("{elapsed:.1}"))
 }
 
 fn print_row(count: usize, seed: u64) {
@@ -70,22 +70,22 @@
     let threshold = settings(count).hot_threshold(2);
     let set_reads = |fleet: &mut Fleet, hot_rate: f64| {
         let others = (100..200).map(|number| (key(2, number), 4.0));
-        let both = [(hot_key, hot_rate), (key_below_threshold, 0.4 * threshold)];
-        fleet.reads_per_s = others.chain(both).collect();
+        let named_keys = [(hot_key, hot_rate), (key_below_threshold, 0.4 * threshold)];
+        fleet.reads_per_s = others.chain(named_keys).collect();
     };
     set_reads(&mut fleet, 0.0);
-    fleet.pass(20 * SECOND);
+    fleet.advance(20 * SECOND);
     set_reads(&mut fleet, 3.0 * threshold);
-    let found = fleet.pass_until(hot_key, true, MAX_SECONDS * SECOND);
-    fleet.pass(10 * SECOND);
-    let observations = Observations::of(&mut fleet, hot_key, 3.0 * threshold);
+    let found = fleet.advance_until(hot_key, true, MAX_SECONDS * SECOND);
+    fleet.advance(10 * SECOND);
+    let observations = Observations::collect(&mut fleet, hot_key, 3.0 * threshold);
     let changes = fleet.trackers.iter().map(|tracker| tracker.change_count()).max().unwrap_or(0);
     set_reads(&mut fleet, 0.0);
-    let removed = fleet.pass_until(hot_key, false, MAX_SECONDS * SECOND);
+    let removed = fleet.advance_until(hot_key, false, MAX_SECONDS * SECOND);
     println!(
         "| {count} | {seed} | {} | {} | {:.2} | {:.2}, {:.2} | {:.1}% | {} | {changes} | {:.0} | {:.0} |",
-        seconds(found),
-        seconds(removed),
+        format_seconds(found),
+        format_seconds(removed),
         observations.rate_ratio_at(0.5),
         observations.rate_ratio_at(0.05),
         observations.rate_ratio_at(0.95),
@@ -97,12 +97,12 @@
 }
 
 fn main() {
-    let named: Vec<usize> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
+    let counts: Vec<usize> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
     println!(
-        "| processes | seed | found by all, s | given up by all, s | sum over truth, median | 5th, 95th percentile | looks at which a process had another set | other keys hot | changes of a set | bytes/s each | computed in s |\n\
+        "| processes | seed | found by all, s | removed by all, s | summed rate / true rate, median | 5th, 95th percentile | samples with a differing set | other keys hot | changes of a set | bytes/s per process | run time, s |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
     );
-    for count in if named.is_empty() { vec![5, 40, 300] } else { named } {
+    for count in if counts.is_empty() { vec![5, 40, 300] } else { counts } {
         for seed in [1, 2] {
             print_row(count, seed);
         }
--- a/hot-keys/src/copy_ages.rs
+++ b/hot-keys/src/copy_ages.rs
@@ -1,44 +1,45 @@
-//! What this process observed of copies: how old each holder's copy of a key is likely to be, and which holders had none.
+//! Observed ages of copies: how old each holder's copy of a key is expected to be, and which holders recently had no
+//! usable copy.
 
 use crate::{Key, Micros};
 use std::collections::HashMap;
 
-/// How long a holder is not queried after a miss; doubled with each further miss in a row, up to the maximum.
+/// A holder is not queried for this long after a miss. Each further consecutive miss doubles the time, up to
+/// [`MAX_BACKOFF_MICROS`].
 const INITIAL_BACKOFF_MICROS: Micros = 200_000;
-/// The longest time for which a holder is not queried.
 const MAX_BACKOFF_MICROS: Micros = 6_400_000;
-/// Doublings after which the backoff is at its maximum anyway; it keeps the shift in range.
+/// The backoff has reached its maximum before this many doublings. The limit keeps the shift in range.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// The weight of the older age in the average when a newer copy is seen.
+/// The weight of the previous age in the moving average when a more recent copy is seen.
 const AGE_SMOOTHING: f64 = 0.8;
-/// Locations that are kept; the one that was updated longest ago is evicted.
+/// The limit of the table. When it is full, the location that was updated least recently is evicted.
 const MAX_LOCATIONS: usize = 1_024;
 
-/// How old a copy is likely to be, and when its holder may be queried.
+/// The expected age of a copy, and when its holder may be queried.
 #[derive(Clone, Copy, Debug)]
 struct CopyAge {
-    /// How old the copy was when it served a read. An older copy counts at once, a newer one is averaged in.
+    /// The age of the copy when it served a read. An older copy replaces the value, a more recent one is averaged in.
     age: Micros,
     consecutive_misses: u32,
-    /// Until then the holder is not queried.
+    /// The holder is not queried before this instant.
     retry_at: Micros,
-    /// When the holder answered last.
+    /// When the holder last answered a read.
     updated_at: Micros,
 }
 
-/// A key, and a database that holds a copy of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct CopyLocation {
     key: Key,
+    /// The caller's number for the database.
     holder: u32,
 }
 
-/// The ages of copies, by location.
 #[derive(Default)]
 pub(crate) struct CopyAges(HashMap<CopyLocation, CopyAge>);
 
 impl CopyAges {
-    /// How old a holder's copy is likely to be, `default_age` if none was seen yet; none while the holder is not to be queried.
+    /// Returns the expected age of a holder's copy, `default_age` if no copy was observed there yet, and `None` during the
+    /// holder's backoff.
     pub(crate) fn expected_age(
         &self,
         now: Micros,
@@ -64,7 +65,7 @@
         copy.updated_at = now;
     }
 
-    /// Records that a holder had no copy that was recent enough.
+    /// Records that a holder had no copy, or none that was recent enough.
     pub(crate) fn record_miss(&mut self, now: Micros, key: Key, holder: u32, default_age: Micros) {
         let copy = self.entry(now, key, holder, default_age);
         let doublings = copy.consecutive_misses.min(MAX_BACKOFF_DOUBLINGS);
@@ -73,14 +74,15 @@
         copy.updated_at = now;
     }
 
-    /// Records that a copy was written to the holder: its backoff ends soon.
+    /// Records that a copy was written to the holder. The rest of its backoff is reduced to at most the initial backoff.
     pub(crate) fn record_written(&mut self, now: Micros, key: Key, holder: u32) {
         if let Some(copy) = self.0.get_mut(&CopyLocation { key, holder }) {
             copy.retry_at = copy.retry_at.min(now + INITIAL_BACKOFF_MICROS);
         }
     }
 
-    /// The entry of a location; a new one with this age, for which another may be evicted.
+    /// Returns the entry of a location. A missing entry is inserted with this age, and another one is evicted if the table
+    /// is full.
     fn entry(&mut self, now: Micros, key: Key, holder: u32, age: Micros) -> &mut CopyAge {
         let location = CopyLocation { key, holder };
         if self.0.len() >= MAX_LOCATIONS && !self.0.contains_key(&location) {
@@ -95,7 +97,7 @@
         })
     }
 
-    /// Removes the copies of all other keys.
+    /// Removes the entries of all keys that are not hot.
     pub(crate) fn retain_keys(&mut self, is_hot: impl Fn(Key) -> bool) {
         self.0.retain(|location, _| is_hot(location.key));
     }
--- a/hot-keys/src/faults.rs
+++ b/hot-keys/src/faults.rs
@@ -1,24 +1,24 @@
-//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
+//! Faults that the tests of this crate inject. They show that each check detects the violation that it guards against.
 
 birchreach_fault_injection::declare_faults! {
-    /// A reported rate includes the counter's possible error.
+    /// A reported rate includes the counter's maximum error.
     IncludesCounterError,
-    /// A key is counted from its first read on.
+    /// A key gets a counter at its first read.
     SkipsDoorkeeper,
-    /// Between the two thresholds a process decides by its own report.
-    TrustsOnlyItself,
-    /// One origin's report counts without an upper bound.
+    /// Between the two thresholds a process considers only its own report.
+    CountsOnlyOwnReport,
+    /// The rate that one origin reports counts without an upper bound.
     CountsOriginsUnbounded,
-    /// A key is dropped as soon as its rate falls.
-    SkipsMinimumStay,
-    /// Copies may be placed in the key's own group, and twice in one group.
+    /// A key leaves the hot set as soon as its rate falls.
+    SkipsMinimumHotTime,
+    /// Copies may be placed in the key's own group, and two copies in the same group.
     PlacesCopiesAnywhere,
-    /// A copy is served whatever position is needed.
+    /// A copy serves a read regardless of the position that the read needs.
     ServesAnyPosition,
-    /// The copy that arrived last is kept, whatever its position.
-    KeepsLastWrite,
-    /// A copy gets the position that came with its value in place of the one before.
+    /// A holder keeps the copy that arrived last, regardless of its position.
+    KeepsLastArrival,
+    /// A copy gets the position that came with its value instead of the position that was known before the read.
     UsesLaterPosition,
-    /// Each reporter of a key takes every refresh slot.
+    /// Each reporter of a key claims every refresh slot.
     ClaimsEverySlot,
 }
--- a/hot-keys/src/refresh.rs
+++ b/hot-keys/src/refresh.rs
@@ -1,6 +1,7 @@
-//! Which process refreshes the copies of a key now. Time is divided into slots of a refresh interval, and each slot belongs to the
-//! reporter of the key that rendezvous hashing selects. Correctness does not depend on clocks or reports that agree: a slot with two
-//! owners costs one more copy, a slot with none makes copies older.
+//! Selection of the process that refreshes the copies of a key. Time is divided into slots as long as the refresh
+//! interval. Rendezvous hashing over the reporters of the key selects the owner of each slot. Correctness does not
+//! require that clocks or reports agree: a slot with two owners costs one redundant copy, and a slot without an owner
+//! makes the copies older.
 
 use crate::{Database, Key, Micros, mix};
 use birchreach_fault_injection::fault_injected;
@@ -8,15 +9,15 @@
 /// A key whose copies this process refreshes now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueRefresh {
-    /// The key.
+    /// The key whose row is read.
     pub key: Key,
-    /// The key's bytes, to be sent to databases.
+    /// The key's bytes, which the queries to databases contain.
     pub key_bytes: Vec<u8>,
-    /// The databases that hold its copies; a copy is written to the primaries of their groups.
+    /// The databases that hold the copies. Each copy is written to the primary of its holder's group.
     pub holders: Vec<Database>,
 }
 
-/// How far a key's slots are shifted, so that the slots of all keys do not begin at once.
+/// The time by which a key's slots are shifted, so that the slots of different keys do not begin at the same instant.
 fn slot_offset(key: Key, interval: Micros) -> Micros {
     (mix(key.hash) % interval as u64) as Micros
 }
@@ -27,19 +28,13 @@
     (now + slot_offset(key, interval)).div_euclid(interval)
 }
 
-/// When the next slot of a key begins.
 pub(crate) fn next_slot_at(now: Micros, key: Key, interval: Micros) -> Micros {
     let interval = interval.max(1);
     (slot_at(now, key, interval) + 1) * interval - slot_offset(key, interval)
 }
 
-/// Whether a slot of the key belongs to this origin. Where nobody reports the key, its slots belong to none.
-pub(crate) fn is_own_slot(
-    slot: i64,
-    key: Key,
-    own_origin: u64,
-    reporters: impl Iterator<Item = u64>,
-) -> bool {
+/// Returns whether this origin owns a slot of the key. The slots of a key without reporters have no owner.
+pub(crate) fn owns_slot(slot: i64, key: Key, own_origin: u64, reporters: impl Iterator<Item = u64>) -> bool {
     let weight = |origin: u64| (mix(mix(origin ^ key.hash) ^ slot as u64), origin);
     let own_weight = weight(own_origin);
     let mut weights = reporters.map(weight).peekable();
--- a/hot-keys/src/reporting.rs
+++ b/hot-keys/src/reporting.rs
@@ -1,4 +1,5 @@
-//! The tracker's reports: what this process sends, what it takes of others, and whether they agree.
+//! The tracker's reports: creation of this process's report, receipt of other processes' reports, and agreement
+//! between them.
 
 use crate::report::{MAX_REPORT_ENTRIES, Report, ReportEntry, SECRET_MISMATCH};
 use crate::sketch::KeyRate;
@@ -6,26 +7,28 @@
 use crate::{Key, Micros, mix};
 use birchreach_peer_reports::{PeerReport, PeerReports, ReportError, ReportHeader};
 
-/// A key is reported from this fraction of the rate that would make it hot if all processes read it alike.
+/// A key is reported if its rate at this process reaches this fraction of the rate that would make the key hot if all
+/// processes read it equally often.
 const REPORT_THRESHOLD_FRACTION: f64 = 0.25;
-/// How many keys are considered for a report: some may be below the threshold.
+/// The number of keys that are considered for a report. It exceeds the size of a report because some of the keys may be
+/// below the threshold.
 const REPORT_CANDIDATES: usize = MAX_REPORT_ENTRIES * 4;
 
-/// How many other processes have the same hot set by their newest reports.
+/// The number of other processes whose newest report states the same hot set as this process has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportAgreement {
-    /// Those with an equal set.
+    /// Other processes with an equal hot set.
     pub agreeing: usize,
-    /// All from which a report is kept.
+    /// Other processes whose newest report has not expired.
     pub reporting: usize,
 }
 
 impl HotKeyTracker {
-    /// Takes a report of another process, which is a member of the fleet.
+    /// Records the report of another process. The caller ensures that the process is a member of the fleet.
     ///
     /// # Errors
     ///
-    /// The reason why it is not taken; nothing has changed then.
+    /// Returns the reason if the report is rejected. The tracker is unchanged then.
     pub fn receive_report(
         &mut self,
         now: Micros,
@@ -40,7 +43,7 @@
         Ok(())
     }
 
-    /// This process's report, once in each report interval.
+    /// Returns this process's encoded report once per report interval, and `None` in between.
     pub fn report_if_due(&mut self, now: Micros) -> Option<Vec<u8>> {
         if !self.reports.is_due(now) {
             return None;
@@ -52,7 +55,8 @@
         Some(bytes)
     }
 
-    /// The keys of this process's report: those that are hot, or read often enough here.
+    /// Returns the entries of this process's report: keys that are hot, and keys whose rate at this process reaches the
+    /// report threshold.
     fn report_entries(&mut self, now: Micros) -> Vec<ReportEntry> {
         let top_keys = self.sketch.top_keys(now, REPORT_CANDIDATES);
         let entry = |KeyRate { key, reads_per_s }: KeyRate| {
@@ -67,19 +71,19 @@
         top_keys.into_iter().filter_map(entry).take(MAX_REPORT_ENTRIES).collect()
     }
 
-    /// The rate at this process from which a key of the group is reported.
+    /// Returns the lowest rate, in reads per second at this process, at which a key of the group is reported.
     fn report_threshold(&self, group: u32) -> f64 {
         let replicas = self.replicas.get(&group).copied().unwrap_or(1);
         REPORT_THRESHOLD_FRACTION * self.settings.hot_threshold(replicas) / self.members as f64
     }
 
-    /// A digest of the hot set, equal at all processes that have equal sets.
+    /// Returns a digest of the hot set. Processes with equal sets have equal digests.
     pub fn digest(&self) -> u64 {
-        let of_key = |key: &Key| mix(key.hash ^ mix(u64::from(key.group) + 1));
-        self.hot_keys.keys().fold(0, |digest, key| digest ^ of_key(key))
+        let key_digest = |key: &Key| mix(key.hash ^ mix(u64::from(key.group) + 1));
+        self.hot_keys.keys().fold(0, |digest, key| digest ^ key_digest(key))
     }
 
-    /// How many of the other processes have this set.
+    /// Returns how many of the other processes have the same hot set as this process.
     pub fn agreement(&self) -> ReportAgreement {
         let own_digest = self.digest();
         let mut agreement = ReportAgreement { agreeing: 0, reporting: 0 };
@@ -92,8 +96,8 @@
     }
 }
 
-/// Origins whose newest report names a key, in their order.
+/// Returns the origins whose newest report contains the key, in ascending order.
 pub(crate) fn reporters(reports: &PeerReports<Report>, key: Key) -> impl Iterator<Item = u64> {
-    let names_key = move |report: &Report| report.entries.iter().any(|entry| entry.key == key);
-    reports.newest().filter(move |received| names_key(&received.report)).map(|received| received.origin)
+    let contains_key = move |report: &Report| report.entries.iter().any(|entry| entry.key == key);
+    reports.newest().filter(move |received| contains_key(&received.report)).map(|received| received.origin)
 }
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -1,4 +1,5 @@
-//! The set of hot keys as a function of the reports and nothing else: processes that received equal reports derive equal sets.
+//! Derivation of the set of hot keys. The result depends only on the reports, the settings and the numbers of replicas,
+//! so that processes that received equal reports derive equal sets.
 
 use crate::report::Report;
 use crate::{Key, Micros, Settings};
@@ -6,74 +7,74 @@
 use birchreach_peer_reports::PeerReports;
 use std::collections::BTreeMap;
 
-/// Keys that are hot at once.
+/// The maximum number of keys that are hot at the same time.
 pub(crate) const MAX_HOT_KEYS: usize = 32;
-/// From so many configured processes on no single report makes a key hot.
+/// If at least this many processes are configured, the rate that a single origin reports cannot make a key hot.
 const MIN_PROCESSES_FOR_BOUND: u32 = 3;
 
-/// The rate of a hot key by all reports, and its copies.
+/// The total rate of a hot key, and the number of copies that it needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Hotness {
-    /// Reads a second over all origins that report it, without the bound on each origin.
+pub(crate) struct HotKeyDemand {
+    /// Reads per second over all origins that report the key, without the bound on each origin.
     pub(crate) reads_per_s: f64,
-    /// How many copies it should have.
     pub(crate) wanted_copies: usize,
 }
 
-/// What the set is derived from.
-pub(crate) struct Derivation<'a> {
-    /// The newest report of each process; that of the process that derives the set counts as all others do.
+/// The inputs from which the hot set is derived.
+pub(crate) struct HotSetDerivation<'a> {
+    /// The newest report of each process. The own report of the deriving process counts like all others.
     pub(crate) reports: &'a PeerReports<Report>,
-    /// The settings in force.
     pub(crate) settings: &'a Settings,
-    /// The time that the ages of reports are counted to.
+    /// The instant at which the ages of reports are determined.
     pub(crate) now: Micros,
-    /// How many replicas each group has.
+    /// The number of replicas of each group.
     pub(crate) replicas: &'a BTreeMap<u32, usize>,
 }
 
-/// What all reports add up to for one key.
+/// The totals of one key over all reports.
 #[derive(Default)]
 struct KeyTotals {
-    /// What is compared with the threshold: each origin counts up to a bound.
+    /// The rate that is compared with the threshold. The rate of each origin counts up to a bound.
     counted_per_s: f64,
-    /// The same without the bound.
+    /// The total rate without the bound on each origin.
     reported_per_s: f64,
-    /// Origins that report the key.
+    /// The number of origins that report the key.
     reporters: usize,
-    /// Reporters that have the key in their hot set.
+    /// The number of reporters that have the key in their hot set.
     hot_reporters: usize,
 }
 
 impl KeyTotals {
-    /// A key is hot above the threshold; above half of it, if half of its reporters have it in their sets.
+    /// Returns whether the key is hot: its rate exceeds the threshold, or it exceeds half of the threshold and at least
+    /// half of the key's reporters have the key in their hot set.
     fn is_hot(&self, threshold: f64) -> bool {
         let is_kept = 2 * self.hot_reporters >= self.reporters && self.hot_reporters > 0;
         self.counted_per_s > threshold || (self.counted_per_s > threshold / 2.0 && is_kept)
     }
 }
 
-impl Derivation<'_> {
-    /// The hot keys: those whose rates reach the thresholds, at most [`MAX_HOT_KEYS`], the highest rates first.
-    pub(crate) fn hot_set(&self) -> BTreeMap<Key, Hotness> {
+impl HotSetDerivation<'_> {
+    /// Returns the keys whose rates exceed the thresholds, at most [`MAX_HOT_KEYS`]. If there are more, the keys with the
+    /// highest rates are selected.
+    pub(crate) fn hot_set(&self) -> BTreeMap<Key, HotKeyDemand> {
         let mut thresholds: BTreeMap<u32, f64> = BTreeMap::new();
         let totals = self.totals(&mut thresholds);
         let threshold = |key: &Key| thresholds.get(&key.group).copied().unwrap_or(f64::INFINITY);
-        let mut hot: Vec<(Key, Hotness)> = totals
+        let mut hot: Vec<(Key, HotKeyDemand)> = totals
             .into_iter()
             .filter(|(key, totals)| totals.is_hot(threshold(key)))
-            .map(|(key, totals)| (key, self.hotness(key, totals.reported_per_s)))
+            .map(|(key, totals)| (key, self.demand(key, totals.reported_per_s)))
             .collect();
         hot.sort_by(|a, b| b.1.reads_per_s.total_cmp(&a.1.reads_per_s).then(a.0.cmp(&b.0)));
         hot.truncate(MAX_HOT_KEYS);
         hot.into_iter().collect()
     }
 
-    /// Adds up all reports. `thresholds` gets the threshold of each group that they name.
+    /// Adds up all reports. The threshold of each group in the reports is inserted into `thresholds`.
     fn totals(&self, thresholds: &mut BTreeMap<u32, f64>) -> BTreeMap<Key, KeyTotals> {
         let mut totals = BTreeMap::new();
         for received in self.reports.newest() {
-            let report_weight = weight(self.now - received.made_at, self.reports.lifetime());
+            let report_weight = age_weight(self.now - received.made_at, self.reports.lifetime());
             self.add_report(received.origin, report_weight, &received.report, thresholds, &mut totals);
         }
         totals
@@ -96,33 +97,33 @@
             let key_totals: &mut KeyTotals = totals.entry(entry.key).or_default();
             key_totals.counted_per_s += report_weight * rate.min(self.max_counted_per_origin(threshold));
             key_totals.reported_per_s += report_weight * rate;
-            let counts = !fault_injected!(TrustsOnlyItself) || origin == self.reports.own_origin();
+            let counts = !fault_injected!(CountsOnlyOwnReport) || origin == self.reports.own_origin();
             key_totals.reporters += usize::from(counts);
             key_totals.hot_reporters += usize::from(counts && entry.is_hot);
         }
     }
 
-    /// The rate of a hot key, and the copies that it should have.
-    fn hotness(&self, key: Key, reads_per_s: f64) -> Hotness {
+    fn demand(&self, key: Key, reads_per_s: f64) -> HotKeyDemand {
         let wanted_copies = self.settings.cost(reads_per_s, self.replicas(key.group)).copies;
-        Hotness { reads_per_s, wanted_copies }
+        HotKeyDemand { reads_per_s, wanted_copies }
     }
 
-    /// The rate up to which one origin's report counts: half of the threshold where three or more processes are configured, so that no
-    /// process makes a key hot alone.
+    /// Returns the rate up to which the report of one origin counts. If three or more processes are configured, this is
+    /// half of the threshold, so that no process can make a key hot alone.
     fn max_counted_per_origin(&self, threshold: f64) -> f64 {
         let is_unbounded = self.settings.configured_members < MIN_PROCESSES_FOR_BOUND;
         if is_unbounded || fault_injected!(CountsOriginsUnbounded) { f64::INFINITY } else { threshold / 2.0 }
     }
 
-    /// How many replicas a group has; one if the endpoint list does not name it.
+    /// Returns the number of replicas of a group, or 1 if the group is not in the endpoint list.
     fn replicas(&self, group: u32) -> usize {
         self.replicas.get(&group).copied().unwrap_or(1)
     }
 }
 
-/// How much a report of this age counts: fully for the first half of its lifetime, in which the next one arrives, then less and less.
-fn weight(age: Micros, lifetime: Micros) -> f64 {
+/// Returns the weight of a report by its age: 1 during the first half of its lifetime, in which the next report normally
+/// arrives, then a linear decrease to 0.
+fn age_weight(age: Micros, lifetime: Micros) -> f64 {
     let remaining = (lifetime - age) as f64 / lifetime.max(1) as f64;
     (remaining * 2.0).clamp(0.0, 1.0)
 }
--- a/hot-keys/src/settings.rs
+++ b/hot-keys/src/settings.rs
@@ -1,62 +1,63 @@
-//! The settings of an installation, and what follows from them: when copying a key is worthwhile, how many copies it gets, and how often
-//! they are refreshed.
+//! Settings, and the decisions that follow from them: when copying a key is worthwhile, how many copies it gets, and how
+//! often the copies are refreshed.
 
 use crate::Micros;
 
-/// What reads of a class need of a copy.
+/// The condition under which a copy may serve reads of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyRequirement {
-    /// The current value: a copy never serves.
+    /// The read must return the current value, so that no copy may serve it.
     Current,
-    /// A copy that is at most so old.
+    /// The copy must not be older than this.
     MaxAge(Micros),
-    /// A copy with all that the read's session wrote.
+    /// The copy must include all writes of the read's session.
     Session,
-    /// Any copy.
+    /// Any copy may serve the read, regardless of its age.
     Any,
 }
 
-/// The refresh interval where no class has a maximum age, but one reads what its session wrote: some such reads follow their write
-/// closely.
+/// The refresh interval if no class has a maximum age but some class requires the writes of its session. Some of these
+/// reads follow their write closely.
 const SESSION_REFRESH_MICROS: Micros = 1_000_000;
-/// The refresh interval where every class takes any copy.
+/// The refresh interval if no class has a maximum age or requires the writes of its session.
 const ANY_REFRESH_MICROS: Micros = 5_000_000;
-/// The shortest refresh interval: reading and writing a copy takes some tens of milliseconds.
+/// The minimum refresh interval. Reading a row and writing its copy takes some tens of milliseconds.
 const MIN_REFRESH_MICROS: Micros = 100_000;
-/// The highest threshold that is searched for: no key is read so often.
+/// The upper limit of the search for a threshold. No key is read this often.
 const MAX_THRESHOLD_PER_S: f64 = 1e9;
-/// Bisections of the threshold; 30 give it to a billionth.
+/// Bisection steps of the search for a threshold. 30 steps narrow the search interval by a factor of about one billion.
 const THRESHOLD_BISECTIONS: usize = 30;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The settings of an installation.
+/// The settings of hot key detection and copying.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Reads a second that one database can serve.
+    /// Reads per second that one database can serve.
     pub database_reads_per_s: f64,
-    /// What writing a copy costs the group of its holder, in reads.
+    /// The cost of writing one copy to its holder's group, in units of reads.
     pub copy_cost_reads: f64,
-    /// Copies of one key.
+    /// The maximum number of copies of one key.
     pub max_copies: usize,
-    /// How many processes the options name.
+    /// The number of processes that the options name.
     pub configured_members: u32,
-    /// What reads of each class need.
+    /// The requirement of each class of reads, in the order of classes.
     pub class_requirements: Vec<CopyRequirement>,
 }
 
-/// What copying a key costs and saves, at some rate.
+/// The costs and savings of copying a key that is read at a given rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CopyCost {
-    /// How many copies the key gets.
+    /// The number of copies that the key gets.
     pub copies: usize,
-    /// Reads a second that the key's own group no longer serves.
+    /// Reads per second that the copies serve instead of the key's own group.
     pub saved_per_s: f64,
-    /// What refreshing the copies costs, in reads a second.
+    /// The cost of refreshing the copies, in units of reads per second.
     pub spent_per_s: f64,
 }
 
 impl Settings {
-    /// How often a copy is refreshed: so often that one is always within the lowest maximum age.
+    /// Returns the interval at which copies are refreshed. It is half of the lowest maximum age of all classes, so that
+    /// a copy within that age is always available.
     pub fn refresh_interval(&self) -> Micros {
         let half_of_max_age = |requirement: &CopyRequirement| match requirement {
             CopyRequirement::MaxAge(age) => Some(age / 2),
@@ -68,27 +69,29 @@
         lowest.unwrap_or(default).max(MIN_REFRESH_MICROS)
     }
 
-    /// What copying a key of this rate costs and saves, in a group of so many replicas.
+    /// Returns the costs and savings of copying a key that is read at this rate and belongs to a group with this number of
+    /// replicas.
     pub fn cost(&self, reads_per_s: f64, replicas: usize) -> CopyCost {
-        // Each database that serves the key keeps half of its capacity for other keys.
+        // Each database that serves the key reserves half of its capacity for other keys.
         let servers_needed = (2.0 * reads_per_s / self.database_reads_per_s).ceil() as usize;
         let copies = servers_needed.saturating_sub(replicas).clamp(1, self.max_copies.max(1));
         let refreshes_per_s = MICROS_PER_SECOND / self.refresh_interval() as f64;
         CopyCost {
             copies,
             saved_per_s: reads_per_s * copies as f64 / (copies + replicas.max(1)) as f64,
-            // Two reads in the key's own group, and a write for each copy.
+            // A refresh needs two reads in the key's own group, and one write per copy.
             spent_per_s: (2.0 + self.copy_cost_reads * copies as f64) * refreshes_per_s,
         }
     }
 
-    /// Whether one database cannot serve the key, and copying saves more than it costs.
+    /// Returns whether copying the key is worthwhile: one database alone cannot serve the key, and copying saves more reads
+    /// than it costs.
     pub fn is_worthwhile(&self, reads_per_s: f64, replicas: usize) -> bool {
         let CopyCost { saved_per_s, spent_per_s, .. } = self.cost(reads_per_s, replicas);
         reads_per_s > self.database_reads_per_s && saved_per_s > spent_per_s
     }
 
-    /// The rate in reads a second from which on copying a key is worthwhile.
+    /// Returns the lowest rate, in reads per second, at which copying a key is worthwhile.
     pub fn hot_threshold(&self, replicas: usize) -> f64 {
         let (mut low, mut high) = (0.0, self.database_reads_per_s.max(1.0));
         while !self.is_worthwhile(high, replicas) && high < MAX_THRESHOLD_PER_S {
--- a/hot-keys/src/sketch.rs
+++ b/hot-keys/src/sketch.rs
@@ -1,63 +1,65 @@
-//! The keys that one process reads most, with rates that are never above the true ones: space-saving counters that decay, behind a
-//! doorkeeper that admits a key when it is read a second time.
+//! Estimation of the keys that one process reads most often, with rates that are never above the true ones. The sketch
+//! consists of decaying space-saving counters, and of a doorkeeper that admits a key when it is read for the second time.
 
 use crate::{Key, Micros, mix};
 use birchreach_fault_injection::fault_injected;
 use std::collections::HashMap;
 
-/// Counters. A key that gets more than this fraction of all reads, one in 256, has a counter.
+/// The number of counters. A key that gets more than 1/256 of all reads has a counter.
 const MAX_COUNTERS: usize = 256;
-/// Counts decay by a factor of e in this time, over which a rate is thus a mean.
+/// Counts decay by a factor of e in this time. A rate is therefore a mean over this time.
 const DECAY_MICROS: Micros = 5_000_000;
-/// Counts decay in steps of this length.
 const DECAY_STEP_MICROS: Micros = 250_000;
-/// A counter below this has decayed and is removed.
+/// A counter whose decayed count falls below this value is removed.
 const MIN_COUNT: f64 = 0.01;
-/// Bits of each of the doorkeeper's two Bloom filters.
+/// The size of each of the doorkeeper's two Bloom filters.
 const DOORKEEPER_BITS: usize = 1 << 18;
-/// Bits that a key sets in a Bloom filter.
+/// The number of bits that a key sets in a Bloom filter.
 const DOORKEEPER_HASHES: u64 = 3;
-/// How long a filter takes keys before the other one takes its place; a key that is read once in this time is admitted.
+/// A filter accepts keys for this long before the other filter replaces it. A key that is read at least once in each such
+/// period is admitted.
 const DOORKEEPER_GENERATION_MICROS: Micros = 30_000_000;
-/// Bits set at which a filter is full and replaced early, after some 25,000 keys: it admits one new key in 64 by chance.
+/// A filter with this many set bits is full and is replaced early. This happens after about 25,000 keys. A full filter
+/// admits one new key in 64 as a false positive.
 const DOORKEEPER_FULL_BITS: usize = DOORKEEPER_BITS / 4;
 const BITS_PER_WORD: usize = 64;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A key and its rate at this process.
+/// A key and its read rate at this process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyRate {
-    /// The key.
+    /// The key that was read.
     pub key: Key,
-    /// Reads a second, never more than there were.
+    /// Reads per second, never more than the true rate.
     pub reads_per_s: f64,
 }
 
-/// The counter of one key.
 #[derive(Clone, Debug)]
 struct Counter {
-    /// Reads, each of which decays with its age.
+    /// The decayed number of reads.
     count: f64,
-    /// How much of the count may be of the key that had the counter before.
+    /// The part of the count that may belong to keys that had the counter before.
     error: f64,
     key_bytes: Box<[u8]>,
 }
 
-/// Two Bloom filters: the current one, and the one before.
+/// Two Bloom filters of the keys that were read recently.
 struct Doorkeeper {
+    /// The current filter, and the previous one.
     generations: [Vec<u64>; 2],
-    /// Bits that are set in the current filter.
+    /// The number of bits that are set in the current filter.
     bits_set: usize,
-    generation_since: Micros,
+    generation_started_at: Micros,
 }
 
 impl Doorkeeper {
     fn new(now: Micros) -> Doorkeeper {
         let filter = || vec![0; DOORKEEPER_BITS / BITS_PER_WORD];
-        Doorkeeper { generations: [filter(), filter()], bits_set: 0, generation_since: now }
+        Doorkeeper { generations: [filter(), filter()], bits_set: 0, generation_started_at: now }
     }
 
-    /// Whether the key was read before, as far as the filters know; it is entered.
+    /// Inserts the key into the current filter. Returns whether one of the filters already contained it, which may be a
+    /// false positive.
     fn check_and_insert(&mut self, now: Micros, key: Key) -> bool {
         self.rotate_if_due(now);
         let bit = |hash_index: u64| {
@@ -76,19 +78,19 @@
         is_known
     }
 
-    /// Replaces the current filter by an empty one, if it is too old or full.
+    /// Replaces the current filter with an empty one if it is too old or full.
     fn rotate_if_due(&mut self, now: Micros) {
-        let is_too_old = now - self.generation_since >= DOORKEEPER_GENERATION_MICROS;
+        let is_too_old = now - self.generation_started_at >= DOORKEEPER_GENERATION_MICROS;
         if is_too_old || self.bits_set >= DOORKEEPER_FULL_BITS {
             self.generations.swap(0, 1);
             self.generations[0].fill(0);
             self.bits_set = 0;
-            self.generation_since = now;
+            self.generation_started_at = now;
         }
     }
 }
 
-/// Counts the reads of one process, by key.
+/// A sketch of the reads of one process, which estimates the rates of the most frequent keys.
 pub struct ReadSketch {
     counters: HashMap<Key, Counter>,
     doorkeeper: Doorkeeper,
@@ -97,7 +99,7 @@
 }
 
 impl ReadSketch {
-    /// A sketch that has seen no read.
+    /// Creates an empty sketch. The time before `now` does not lower the rates.
     pub fn new(now: Micros) -> ReadSketch {
         ReadSketch {
             counters: HashMap::with_capacity(MAX_COUNTERS),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Decays all counts by the time since the last call, in whole steps, and removes counters that are nearly zero.
+    /// Decays all counts by the time since the last decay, in whole steps, and removes counters that are nearly zero.
     fn decay(&mut self, now: Micros) {
         let steps = (now - self.decayed_at) / DECAY_STEP_MICROS;
         if steps <= 0 {
@@ -136,7 +138,8 @@
         self.counters.insert(key, Counter { count: error + 1.0, error, key_bytes: key_bytes.into() });
     }
 
-    /// Removes the lowest counter if all are in use, and returns its count, which is the error of the key that replaces it.
+    /// Removes the counter with the lowest count if all counters are in use. Returns its count, which is the maximum error
+    /// of the key that replaces it, or 0 if a counter was free.
     fn free_counter(&mut self) -> f64 {
         if self.counters.len() < MAX_COUNTERS {
             return 0.0;
@@ -145,16 +148,17 @@
         lowest.and_then(|key| self.counters.remove(&key)).map_or(0.0, |counter| counter.count)
     }
 
-    /// Reads a second of a key, never more than there were.
+    /// Returns the reads per second of a key, never more than the true rate.
     fn reads_per_s(&self, now: Micros, counter: &Counter) -> f64 {
-        // A sketch that is younger than the decay time has a mean over its own age.
+        // The rate of a sketch that is younger than the decay time is a mean over the age of the sketch.
         let age = (now - self.started_at).max(DECAY_STEP_MICROS);
         let filled = 1.0 - (-(age as f64) / DECAY_MICROS as f64).exp();
-        let certain = counter.count - if fault_injected!(IncludesCounterError) { 0.0 } else { counter.error };
-        certain.max(0.0) / (DECAY_MICROS as f64 / MICROS_PER_SECOND) / filled
+        let guaranteed_count =
+            counter.count - if fault_injected!(IncludesCounterError) { 0.0 } else { counter.error };
+        guaranteed_count.max(0.0) / (DECAY_MICROS as f64 / MICROS_PER_SECOND) / filled
     }
 
-    /// The keys with the highest rates, the highest first.
+    /// Returns at most `count` keys with the highest rates, in descending order of rate.
     pub fn top_keys(&mut self, now: Micros, count: usize) -> Vec<KeyRate> {
         self.decay(now);
         let rate = |(key, counter): (&Key, &Counter)| KeyRate {
@@ -167,17 +171,17 @@
         rates
     }
 
-    /// The bytes of a key that has a counter.
+    /// Returns the bytes of a key, or `None` if the key has no counter.
     pub fn key_bytes(&self, key: Key) -> Option<&[u8]> {
         self.counters.get(&key).map(|counter| &*counter.key_bytes)
     }
 
-    /// Counters in use.
+    /// Returns the number of counters in use.
     pub fn len(&self) -> usize {
         self.counters.len()
     }
 
-    /// Whether no counter is in use.
+    /// Returns whether no counter is in use.
     pub fn is_empty(&self) -> bool {
         self.counters.is_empty()
     }
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -1,5 +1,5 @@
-//! The tracker's state, the copies that may serve a read, and the copies that are due for a refresh. What it reports and receives is in
-//! `reporting`, how it derives the set in `update`.
+//! The state of the hot key tracker, the copies that may serve a read, and the copies that are due for a refresh. Module
+//! `reporting` creates and receives reports, module `update` derives the hot set.
 
 use crate::copy_ages::CopyAges;
 use crate::copy_holders::{Database, copy_holders};
@@ -12,75 +12,77 @@
 use birchreach_peer_reports::PeerReports;
 use std::collections::BTreeMap;
 
-/// How long a copy takes from its read to its holder. A copy that was not seen yet is assumed to be older than a refresh interval by it.
+/// The assumed time between the read of a row and the arrival of its copy at the holder. The assumed age of a copy that
+/// was not observed yet is the refresh interval plus this time.
 const COPY_TRANSIT_MICROS: Micros = 100_000;
 
-/// A hot key as this process has it.
+/// A key in this process's hot set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HotKey {
-    /// The key.
+    /// Identifies the key, equally at all processes.
     pub key: Key,
-    /// Its reads a second over all processes.
+    /// Reads per second over all processes.
     pub reads_per_s: f64,
-    /// When it became hot here.
+    /// When the key became hot at this process.
     pub hot_since: Micros,
-    /// When the reports last made it hot; later on it only stays for the minimum time.
+    /// When the reports last qualified the key as hot. Without a further confirmation the key stays hot only until the
+    /// minimum time is over.
     pub confirmed_at: Micros,
-    /// The databases that hold its copies.
+    /// The databases that hold copies of the key's row.
     pub copy_holders: Vec<Database>,
-    /// How many copies it should have; there may be fewer holders than that.
+    /// The number of copies that the key should have. There may be fewer holders than this.
     pub(crate) wanted_copies: usize,
-    /// The refresh slot for which it was decided last who refreshes the copies.
+    /// The last refresh slot whose owner was determined.
     pub(crate) last_slot: i64,
 }
 
 /// A database that may have a copy of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyCandidate {
-    /// The caller's number for the database.
+    /// The caller's number for the database, as in [`Database::server`].
     pub server: u32,
-    /// The position that its copy is likely to have.
+    /// The position that the copy is expected to have. It is an estimate from earlier answers.
     pub likely_position: Micros,
 }
 
-/// How many entries the tracker's tables have.
+/// The sizes of the tracker's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Counters of reads.
+    /// Counters of reads in use.
     pub counters: usize,
-    /// Reports, one for each origin.
+    /// Reports, one per origin.
     pub reports: usize,
-    /// Pairs of a key and a holder whose copy's age is known.
+    /// Pairs of a key and a copy holder with a recorded age.
     pub copy_ages: usize,
 }
 
-/// Tracks which keys are hot and where their copies are.
+/// Tracks which keys are hot and which databases hold their copies.
 pub struct HotKeyTracker {
     pub(crate) settings: Settings,
-    /// The number of the secret that keys are hashed with.
+    /// Identifies the secret that keys are hashed with.
     pub(crate) secret_id: u32,
-    /// The reads of this process.
+    /// Estimates the read rates at this process.
     pub(crate) sketch: ReadSketch,
     pub(crate) reports: PeerReports<Report>,
     pub(crate) hot_keys: BTreeMap<Key, HotKey>,
     pub(crate) copy_ages: CopyAges,
-    /// Keys whose rows cannot be copied, and until when that is assumed.
+    /// Keys whose rows cannot be copied, each with the instant at which a copy may be attempted again.
     pub(crate) uncopyable_until: BTreeMap<Key, Micros>,
     /// Databases that may hold copies.
     pub(crate) databases: Vec<Database>,
-    /// How many replicas each group has, by the endpoint list.
+    /// The number of replicas of each group in the endpoint list.
     pub(crate) replicas: BTreeMap<u32, usize>,
-    /// Processes of the fleet, this one included.
+    /// The number of processes in the fleet, including this one.
     pub(crate) members: usize,
-    /// When the set of hot keys was derived last.
+    /// When the hot set was last derived.
     pub(crate) last_derived_at: Micros,
-    /// How often a key became hot, or ceased to be.
+    /// The number of times that a key entered or left the hot set.
     pub(crate) change_count: u64,
 }
 
 impl HotKeyTracker {
-    /// A tracker without hot keys. `own_origin` is this process's number in reports, `secret_id` the number of the secret that keys
-    /// are hashed with.
+    /// Creates a tracker without hot keys. `own_origin` identifies this process in reports, and `secret_id` identifies the
+    /// secret that keys are hashed with.
     pub fn new(settings: Settings, own_origin: u64, secret_id: u32, now: Micros) -> HotKeyTracker {
         HotKeyTracker {
             settings,
@@ -103,18 +105,19 @@
         &self.settings
     }
 
-    /// Replaces the settings; the set is derived by them at the next update.
+    /// Replaces the settings. They apply to the hot set from the next derivation on.
     pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Sets how many processes the fleet has, and how often each of them reports.
+    /// Sets the number of processes in the fleet, including this one, and the interval at which each of them reports.
     pub fn set_fleet(&mut self, members: usize, report_interval: Micros) {
         self.members = members.max(1);
         self.reports.set_interval(report_interval);
     }
 
-    /// Replaces the databases that may hold copies, and the number of replicas of each group.
+    /// Replaces the databases that may hold copies and the number of replicas of each group, and reassigns the copy holders
+    /// of all hot keys.
     pub fn update_databases(&mut self, databases: Vec<Database>, replicas: BTreeMap<u32, usize>) {
         self.databases = databases;
         self.replicas = replicas;
@@ -123,12 +126,13 @@
         }
     }
 
-    /// Counts a read that a copy might serve.
+    /// Counts a read that a copy could serve.
     pub fn record_read(&mut self, now: Micros, key: Key, key_bytes: &[u8]) {
         self.sketch.record_read(now, key, key_bytes);
     }
 
-    /// The databases that may have a copy of the key; none for a key that is not hot.
+    /// Returns the databases that are likely to have a copy of the key, without those in backoff after a miss. The result
+    /// is empty if the key is not hot.
     pub fn copy_candidates(&self, now: Micros, key: Key) -> Vec<CopyCandidate> {
         let Some(hot_key) = self.hot_keys.get(&key) else { return Vec::new() };
         let candidate = |holder: &Database| {
@@ -138,12 +142,13 @@
         hot_key.copy_holders.iter().filter_map(candidate).collect()
     }
 
-    /// How old a copy is assumed to be before one was seen at its holder.
+    /// Returns the assumed age of a copy that was not observed at its holder yet.
     fn default_copy_age(&self) -> Micros {
         self.settings.refresh_interval() + COPY_TRANSIT_MICROS
     }
 
-    /// Records a holder's answer to a read: from a copy with this position, or none if it had no copy that was recent enough.
+    /// Records a holder's answer to a read. `position` is the position of the copy that served the read, or `None` if the
+    /// holder had no copy that was recent enough.
     pub fn record_answer(&mut self, now: Micros, key: Key, holder: u32, position: Option<Micros>) {
         let default_age = self.default_copy_age();
         match position {
@@ -153,33 +158,33 @@
         }
     }
 
-    /// Records that the key's row cannot be copied: no copy is attempted before that instant.
+    /// Records that the key's row cannot be copied. No copy is attempted before the instant `until`.
     pub fn mark_uncopyable(&mut self, key: Key, until: Micros) {
         if self.hot_keys.contains_key(&key) {
             self.uncopyable_until.insert(key, until);
         }
     }
 
-    /// Records that a copy was written to a holder.
+    /// Records that a copy was written to a holder, so that a holder in backoff is queried again soon.
     pub fn record_copy_written(&mut self, now: Micros, key: Key, holder: u32) {
         self.copy_ages.record_written(now, key, holder);
     }
 
-    /// The keys whose copies this process refreshes now.
+    /// Returns the keys whose copies this process must refresh now. Each refresh slot of a key yields the key at most once.
     pub fn due_refreshes(&mut self, now: Micros) -> Vec<DueRefresh> {
         let interval = self.settings.refresh_interval();
         let mut due = Vec::new();
         for hot_key in self.hot_keys.values_mut() {
             let key = hot_key.key;
             let slot = refresh::slot_at(now, key, interval);
-            let is_new = std::mem::replace(&mut hot_key.last_slot, slot) != slot;
-            if !is_new || hot_key.copy_holders.is_empty() {
+            let is_new_slot = std::mem::replace(&mut hot_key.last_slot, slot) != slot;
+            if !is_new_slot || hot_key.copy_holders.is_empty() {
                 continue;
             }
             let Some(key_bytes) = self.sketch.key_bytes(key) else { continue };
             let is_copyable = self.uncopyable_until.get(&key).is_none_or(|until| now >= *until);
             let reporters = reporters(&self.reports, key);
-            if is_copyable && refresh::is_own_slot(slot, key, self.reports.own_origin(), reporters) {
+            if is_copyable && refresh::owns_slot(slot, key, self.reports.own_origin(), reporters) {
                 let holders = hot_key.copy_holders.clone();
                 due.push(DueRefresh { key, key_bytes: key_bytes.to_vec(), holders });
             }
@@ -187,7 +192,7 @@
         due
     }
 
-    /// When the tracker may have something to do: a report, a new set, or a refresh.
+    /// Returns the earliest instant at which a report, a derivation of the hot set or a refresh may be due.
     pub fn next_change(&self, now: Micros) -> Micros {
         let interval = self.settings.refresh_interval();
         let slots = self.hot_keys.keys().map(|key| refresh::next_slot_at(now, *key, interval));
@@ -195,17 +200,17 @@
         slots.chain(regular).min().unwrap_or(Micros::MAX)
     }
 
-    /// The hot keys, in the order of keys.
+    /// Returns the hot keys, ordered by key.
     pub fn hot_keys(&self) -> impl Iterator<Item = &HotKey> {
         self.hot_keys.values()
     }
 
-    /// How often a key became hot, or ceased to be.
+    /// Returns the number of times that a key entered or left the hot set.
     pub fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// How much the tracker keeps.
+    /// Returns the sizes of the tracker's tables.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             counters: self.sketch.len(),
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -1,23 +1,24 @@
-//! The tracker's set of hot keys: derived from the reports at intervals, with a minimum time for which a key stays hot.
+//! Periodic update of the tracker's hot set from the reports, with a minimum time for which a key stays hot.
 
 use crate::copy_holders::copy_holders;
 use crate::refresh;
-use crate::set::{Derivation, Hotness, MAX_HOT_KEYS};
+use crate::set::{HotKeyDemand, HotSetDerivation, MAX_HOT_KEYS};
 use crate::tracker::{HotKey, HotKeyTracker};
 use crate::{Key, Micros};
 use birchreach_fault_injection::fault_injected;
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 
-/// A key that became hot stays so for this long, in which its copies are refreshed and read several times.
+/// The minimum time for which a key stays hot. Its copies are refreshed and read several times in this period.
 const MIN_HOT_MICROS: Micros = 10_000_000;
-/// How often the set is derived.
+/// The interval at which the hot set is derived.
 pub(crate) const DERIVE_INTERVAL_MICROS: Micros = 250_000;
-/// A key that reports made hot within this time is in the set without regard to the minimum time: one derivation may be missed.
+/// A key stays hot for this long after its last confirmation, even if its minimum time is over. This tolerates one
+/// derivation that does not confirm the key.
 const CONFIRMATION_MICROS: Micros = 2 * DERIVE_INTERVAL_MICROS;
 
 impl HotKeyTracker {
-    /// Derives the set, if it is time. True if the set has changed.
+    /// Derives the hot set if a derivation is due. Returns whether the set has changed.
     pub fn update(&mut self, now: Micros) -> bool {
         if now - self.last_derived_at < DERIVE_INTERVAL_MICROS {
             return false;
@@ -25,16 +26,20 @@
         self.last_derived_at = now;
         self.reports.remove_expired(now);
         let before: BTreeSet<Key> = self.hot_keys.keys().copied().collect();
-        let derivation =
-            Derivation { reports: &self.reports, settings: &self.settings, now, replicas: &self.replicas };
-        for (key, hotness) in derivation.hot_set() {
-            self.confirm(now, key, hotness);
+        let derivation = HotSetDerivation {
+            reports: &self.reports,
+            settings: &self.settings,
+            now,
+            replicas: &self.replicas,
+        };
+        for (key, demand) in derivation.hot_set() {
+            self.confirm(now, key, demand);
         }
-        let stays = |hot_key: &HotKey| {
-            let is_young = now - hot_key.hot_since < MIN_HOT_MICROS && !fault_injected!(SkipsMinimumStay);
+        let stays_hot = |hot_key: &HotKey| {
+            let is_young = now - hot_key.hot_since < MIN_HOT_MICROS && !fault_injected!(SkipsMinimumHotTime);
             is_young || now - hot_key.confirmed_at < CONFIRMATION_MICROS
         };
-        self.hot_keys.retain(|_, hot_key| stays(hot_key));
+        self.hot_keys.retain(|_, hot_key| stays_hot(hot_key));
         self.enforce_limit();
         let after: BTreeSet<Key> = self.hot_keys.keys().copied().collect();
         let changes = before.symmetric_difference(&after).count();
@@ -44,9 +49,9 @@
         changes > 0
     }
 
-    /// Adds a key that the reports make hot to the set, or updates it there.
-    fn confirm(&mut self, now: Micros, key: Key, hotness: Hotness) {
-        let Hotness { reads_per_s, wanted_copies } = hotness;
+    /// Adds a key that qualifies as hot to the set, or updates its entry.
+    fn confirm(&mut self, now: Micros, key: Key, demand: HotKeyDemand) {
+        let HotKeyDemand { reads_per_s, wanted_copies } = demand;
         let last_slot = refresh::slot_at(now, key, self.settings.refresh_interval());
         let hot_key = self.hot_keys.entry(key).or_insert(HotKey {
             key,
@@ -59,23 +64,25 @@
         });
         hot_key.reads_per_s = reads_per_s;
         hot_key.confirmed_at = now;
-        // Copies are added at once, but removed only after the minimum time: those that exist have had their cost.
-        let is_fewer_too_early =
+        // Copies are added immediately but removed only after the minimum time, because the cost of writing the existing
+        // copies has already been paid.
+        let removes_copies_too_early =
             wanted_copies < hot_key.wanted_copies && now - hot_key.hot_since < MIN_HOT_MICROS;
-        if wanted_copies != hot_key.wanted_copies && !is_fewer_too_early {
+        if wanted_copies != hot_key.wanted_copies && !removes_copies_too_early {
             hot_key.wanted_copies = wanted_copies;
             hot_key.copy_holders = copy_holders(key, &self.databases, wanted_copies);
         }
     }
 
-    /// Evicts keys until the limit holds: first those that only stay for the minimum time, then those with the lowest rates.
+    /// Evicts keys until the set is within its limit: first the keys whose last confirmation is oldest, which stay hot
+    /// only for the minimum time, and among equally old ones the keys with the lowest rates.
     fn enforce_limit(&mut self) {
         while self.hot_keys.len() > MAX_HOT_KEYS {
             let rank = |hot_key: &HotKey| (hot_key.confirmed_at, hot_key.reads_per_s);
             let by_rank = |a: &&HotKey, b: &&HotKey| rank(a).partial_cmp(&rank(b)).unwrap_or(Ordering::Equal);
-            let least = self.hot_keys.values().min_by(by_rank);
-            let Some(least) = least.map(|hot_key| hot_key.key) else { return };
-            self.hot_keys.remove(&least);
+            let lowest_ranked = self.hot_keys.values().min_by(by_rank);
+            let Some(key) = lowest_ranked.map(|hot_key| hot_key.key) else { return };
+            self.hot_keys.remove(&key);
         }
     }
 }
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -125,7 +125,7 @@
     }
 
     /// Passes time in small steps.
-    pub(crate) fn pass(&mut self, span: Micros) {
+    pub(crate) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP_MICROS;
@@ -184,14 +184,14 @@
     }
 
     /// Passes time until all have the key in their set (`hot`), or none; the seconds that it took, none if longer than `max`.
-    pub(crate) fn pass_until(&mut self, key: Key, hot: bool, max: Micros) -> Option<f64> {
+    pub(crate) fn advance_until(&mut self, key: Key, hot: bool, max: Micros) -> Option<f64> {
         let start = self.now;
         let wanted = if hot { self.trackers.len() } else { 0 };
         while self.processes_with_hot_key(key) != wanted {
             if self.now - start > max {
                 return None;
             }
-            self.pass(STEP_MICROS);
+            self.advance(STEP_MICROS);
         }
         Some((self.now - start) as f64 / 1e6)
     }
--- a/hot-keys/tests/invariants/copies.rs
+++ b/hot-keys/tests/invariants/copies.rs
@@ -59,11 +59,11 @@
     let mut fleet = Fleet::new(5, 5);
     let hot_key = key(0, 1);
     fleet.reads_per_s = vec![(hot_key, 400.0)];
-    fleet.pass_until(hot_key, true, 20 * SECOND).ok_or("it is not found")?;
-    fleet.pass(5 * SECOND);
+    fleet.advance_until(hot_key, true, 20 * SECOND).ok_or("it is not found")?;
+    fleet.advance(5 * SECOND);
 
     fleet.refreshes.clear();
-    fleet.pass(20 * SECOND);
+    fleet.advance(20 * SECOND);
     let refreshes = fleet.refreshes.get(&hot_key).cloned().unwrap_or_default();
 
     let owners: BTreeSet<usize> = refreshes.iter().map(|(_, owner)| *owner).collect();
--- a/hot-keys/tests/invariants/main.rs
+++ b/hot-keys/tests/invariants/main.rs
@@ -137,7 +137,7 @@
     for _ in 0..10 {
         for number in 0..6 {
             fleet.reads_per_s = vec![(key(0, number), 400.0), (steady, 30.0)];
-            fleet.pass(SECOND);
+            fleet.advance(SECOND);
         }
     }
 
@@ -148,9 +148,9 @@
     // When a hot key is not read any more, then it stays for the minimum time.
     let mut fleet = Fleet::new(5, 4);
     fleet.reads_per_s = vec![(steady, 400.0)];
-    fleet.pass_until(steady, true, 20 * SECOND).ok_or("it is not found")?;
+    fleet.advance_until(steady, true, 20 * SECOND).ok_or("it is not found")?;
     fleet.reads_per_s.clear();
-    let removed_after = fleet.pass_until(steady, false, 60 * SECOND).ok_or("it stays for good")?;
+    let removed_after = fleet.advance_until(steady, false, 60 * SECOND).ok_or("it stays for good")?;
     ensure!(removed_after >= 8.0, "it stays for {removed_after} s");
     Ok(())
 }
@@ -195,9 +195,9 @@
     let all: [(Fault, fn() -> CheckResult); 7] = [
         (Fault::IncludesCounterError, check_reported_rates),
         (Fault::SkipsDoorkeeper, check_flood),
-        (Fault::TrustsOnlyItself, check_equal_sets),
+        (Fault::CountsOnlyOwnReport, check_equal_sets),
         (Fault::CountsOriginsUnbounded, check_false_reports),
-        (Fault::SkipsMinimumStay, check_flapping),
+        (Fault::SkipsMinimumHotTime, check_flapping),
         (Fault::PlacesCopiesAnywhere, check_copy_holders),
         (Fault::ClaimsEverySlot, check_refresh_slots),
     ];
--- a/hot-keys/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -171,5 +171,5 @@
 fn each_injected_fault_of_copies_is_found() {
     assert_eq!(violated_properties(Some(Fault::UsesLaterPosition)), ["no read is staler than what it needs"]);
     assert_eq!(violated_properties(Some(Fault::ServesAnyPosition)), ["no read is staler than what it needs"]);
-    assert_eq!(violated_properties(Some(Fault::KeepsLastWrite)), ["a holder's copy never goes back"]);
+    assert_eq!(violated_properties(Some(Fault::KeepsLastArrival)), ["a holder's copy never goes back"]);
 }
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -11,9 +11,10 @@
     let mut fleet = Fleet::new(count, seed);
     let other_keys = (100..150).map(|number| (key(2, number), 4.0));
     fleet.reads_per_s = other_keys.chain([(hot_key, 300.0)]).collect();
-    let took = fleet.pass_until(hot_key, true, 30 * SECOND).unwrap_or_else(|| panic!("{count}: not found"));
+    let took =
+        fleet.advance_until(hot_key, true, 30 * SECOND).unwrap_or_else(|| panic!("{count}: not found"));
     assert!(took < 15.0, "{count}: {took} s");
-    fleet.pass(3 * SECOND);
+    fleet.advance(3 * SECOND);
     fleet
 }
 
@@ -33,7 +34,7 @@
         assert!(fleet.has_one_set() && fleet.processes_with_hot_key(key(2, 100)) == 0, "{count}");
 
         fleet.reads_per_s.clear();
-        fleet.pass_until(hot_key, false, 60 * SECOND).unwrap_or_else(|| panic!("{count}: it stays"));
+        fleet.advance_until(hot_key, false, 60 * SECOND).unwrap_or_else(|| panic!("{count}: it stays"));
 
         assert!(fleet.has_one_set());
     }
@@ -49,7 +50,7 @@
         let half = count / 2;
 
         fleet.is_partitioned = Box::new(move |from, to| (from < half) != (to < half));
-        fleet.pass(30 * SECOND);
+        fleet.advance(30 * SECOND);
         fleet.is_partitioned = Box::new(|_, _| false);
 
         let of_partitions = copy_holders(&fleet).into_iter().chain(before);
@@ -57,14 +58,14 @@
             of_partitions.filter_map(|holders| holders.first().copied()).collect();
         assert!(first_holders.len() <= 1, "{first_holders:?}");
 
-        let found = fleet.pass_until(hot_key, true, 30 * SECOND);
+        let found = fleet.advance_until(hot_key, true, 30 * SECOND);
         found.unwrap_or_else(|| panic!("{count}: not found after the partition"));
-        fleet.pass(5 * SECOND);
+        fleet.advance(5 * SECOND);
 
         assert!(fleet.has_one_set());
 
         fleet.reads_per_s.clear();
-        fleet.pass_until(hot_key, false, 60 * SECOND).unwrap_or_else(|| panic!("{count}: it stays"));
+        fleet.advance_until(hot_key, false, 60 * SECOND).unwrap_or_else(|| panic!("{count}: it stays"));
 
         assert!(fleet.has_one_set());
     }
