--- a/hot-keys/examples/hot_key_agreement.rs
+++ b/hot-keys/examples/hot_key_agreement.rs
@@ -1,5 +1,5 @@
-//! Measures on virtual time how long it takes until all processes have the same set of hot keys, and how much the summed
-//! rates differ from the true ones. Prints a table with one row per fleet. The arguments are sizes of fleets:
+//! Measures on virtual time how long it takes until all processes have the same set of hot keys, and how much the
+//! summed rates differ from the true ones. Prints a table with one row per fleet. The arguments are sizes of fleets:
 //!
 //!     cargo run --release -p birchreach-hot-keys --example hot_key_agreement -- 5 40 300
 
--- a/hot-keys/src/copy_ages.rs
+++ b/hot-keys/src/copy_ages.rs
@@ -38,8 +38,8 @@
 pub(crate) struct CopyAges(HashMap<CopyLocation, CopyAge>);
 
 impl CopyAges {
-    /// Returns the expected age of a holder's copy, `default_age` if no copy was observed there yet, and `None` during the
-    /// holder's backoff.
+    /// Returns the expected age of a holder's copy, `default_age` if no copy was observed there yet, and `None` during
+    /// the holder's backoff.
     pub(crate) fn expected_age(
         &self,
         now: Micros,
@@ -74,15 +74,16 @@
         copy.updated_at = now;
     }
 
-    /// Records that a copy was written to the holder. The rest of its backoff is reduced to at most the initial backoff.
+    /// Records that a copy was written to the holder. The rest of its backoff is reduced to at most the initial
+    /// backoff.
     pub(crate) fn record_written(&mut self, now: Micros, key: Key, holder: u32) {
         if let Some(copy) = self.0.get_mut(&CopyLocation { key, holder }) {
             copy.retry_at = copy.retry_at.min(now + INITIAL_BACKOFF_MICROS);
         }
     }
 
-    /// Returns the entry of a location. A missing entry is inserted with this age, and another one is evicted if the table
-    /// is full.
+    /// Returns the entry of a location. A missing entry is inserted with this age, and another one is evicted if the
+    /// table is full.
     fn entry(&mut self, now: Micros, key: Key, holder: u32, age: Micros) -> &mut CopyAge {
         let location = CopyLocation { key, holder };
         if self.0.len() >= MAX_LOCATIONS && !self.0.contains_key(&location) {
--- a/hot-keys/src/lib.rs
+++ b/hot-keys/src/lib.rs
@@ -2,8 +2,8 @@
 //! rates that all processes report to one another, and are copied to databases of other groups.
 //!
 //! [`HotKeyTracker`] decides which keys are hot, which databases hold their copies, which process refreshes a copy now,
-//! and which copies are likely to be recent enough for a read. It counts reads ([`HotKeyTracker::record_read`]), creates
-//! this process's report ([`HotKeyTracker::report_if_due`]), receives the reports of other processes
+//! and which copies are likely to be recent enough for a read. It counts reads ([`HotKeyTracker::record_read`]),
+//! creates this process's report ([`HotKeyTracker::report_if_due`]), receives the reports of other processes
 //! ([`HotKeyTracker::receive_report`]) and records how copy holders answered ([`HotKeyTracker::record_answer`]). Module
 //! [`copy`] defines what a copy is and when it may serve a read.
 //!
@@ -15,8 +15,8 @@
 //! 1. A process never reports a rate above the true one, regardless of which other keys are read
 //!    (`a_reported_rate_is_never_above_the_true_one`, `keys_read_once_displace_no_counter`).
 //! 2. Processes with equal reports derive equal hot sets (`equal_reports_give_equal_sets`).
-//! 3. A single origin cannot make a key hot if three or more processes are configured. No number of origins can make more
-//!    keys hot than the limit (`false_reports_are_bounded`).
+//! 3. A single origin cannot make a key hot if three or more processes are configured. No number of origins can make
+//!    more keys hot than the limit (`false_reports_are_bounded`).
 //! 4. A key that became hot stays hot for a minimum time (`sets_do_not_flap`).
 //! 5. The holders of a key's copies are outside the key's group and in different groups. Processes with equal endpoint
 //!    lists select the same holders (`copies_are_held_by_other_groups`).
@@ -26,8 +26,8 @@
 //!    `kept_reports_are_bounded`, `counters_are_bounded`).
 //! 8. Nearly every refresh slot of a key is owned by exactly one of its reporters (`each_refresh_slot_has_one_owner`).
 //!
-//! `birchreach_peer_reports` encodes, decodes and stores the reports. [`Micros`] is defined here and not shared, because
-//! the crate depends on no other subsystem and a number of microseconds needs no conversion.
+//! `birchreach_peer_reports` encodes, decodes and stores the reports. [`Micros`] is defined here and not shared,
+//! because the crate depends on no other subsystem and a number of microseconds needs no conversion.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/hot-keys/src/set.rs
+++ b/hot-keys/src/set.rs
@@ -54,8 +54,8 @@
 }
 
 impl HotSetDerivation<'_> {
-    /// Returns the keys whose rates exceed the thresholds, at most [`MAX_HOT_KEYS`]. If there are more, the keys with the
-    /// highest rates are selected.
+    /// Returns the keys whose rates exceed the thresholds, at most [`MAX_HOT_KEYS`]. If there are more, the keys with
+    /// the highest rates are selected.
     pub(crate) fn hot_set(&self) -> BTreeMap<Key, HotKeyDemand> {
         let mut thresholds: BTreeMap<u32, f64> = BTreeMap::new();
         let totals = self.totals(&mut thresholds);
@@ -121,8 +121,8 @@
     }
 }
 
-/// Returns the weight of a report by its age: 1 during the first half of its lifetime, in which the next report normally
-/// arrives, then a linear decrease to 0.
+/// Returns the weight of a report by its age: 1 during the first half of its lifetime, in which the next report
+/// normally arrives, then a linear decrease to 0.
 fn age_weight(age: Micros, lifetime: Micros) -> f64 {
     let remaining = (lifetime - age) as f64 / lifetime.max(1) as f64;
     (remaining * 2.0).clamp(0.0, 1.0)
--- a/hot-keys/src/settings.rs
+++ b/hot-keys/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings, and the decisions that follow from them: when copying a key is worthwhile, how many copies it gets, and how
-//! often the copies are refreshed.
+//! Settings, and the decisions that follow from them: when copying a key is worthwhile, how many copies it gets, and
+//! how often the copies are refreshed.
 
 use crate::Micros;
 
@@ -69,8 +69,8 @@
         lowest.unwrap_or(default).max(MIN_REFRESH_MICROS)
     }
 
-    /// Returns the costs and savings of copying a key that is read at this rate and belongs to a group with this number of
-    /// replicas.
+    /// Returns the costs and savings of copying a key that is read at this rate and belongs to a group with this number
+    /// of replicas.
     pub fn cost(&self, reads_per_s: f64, replicas: usize) -> CopyCost {
         // Each database that serves the key reserves half of its capacity for other keys.
         let servers_needed = (2.0 * reads_per_s / self.database_reads_per_s).ceil() as usize;
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Returns whether copying the key is worthwhile: one database alone cannot serve the key, and copying saves more reads
-    /// than it costs.
+    /// Returns whether copying the key is worthwhile: one database alone cannot serve the key, and copying saves more
+    /// reads than it costs.
     pub fn is_worthwhile(&self, reads_per_s: f64, replicas: usize) -> bool {
         let CopyCost { saved_per_s, spent_per_s, .. } = self.cost(reads_per_s, replicas);
         reads_per_s > self.database_reads_per_s && saved_per_s > spent_per_s
--- a/hot-keys/src/sketch.rs
+++ b/hot-keys/src/sketch.rs
@@ -1,5 +1,6 @@
 //! Estimation of the keys that one process reads most often, with rates that are never above the true ones. The sketch
-//! consists of decaying space-saving counters, and of a doorkeeper that admits a key when it is read for the second time.
+//! consists of decaying space-saving counters, and of a doorkeeper that admits a key when it is read for the second
+//! time.
 
 use crate::{Key, Micros, mix};
 use birchreach_fault_injection::fault_injected;
@@ -16,8 +17,8 @@
 const DOORKEEPER_BITS: usize = 1 << 18;
 /// The number of bits that a key sets in a Bloom filter.
 const DOORKEEPER_HASHES: u64 = 3;
-/// A filter accepts keys for this long before the other filter replaces it. A key that is read at least once in each such
-/// period is admitted.
+/// A filter accepts keys for this long before the other filter replaces it. A key that is read at least once in each
+/// such period is admitted.
 const DOORKEEPER_GENERATION_MICROS: Micros = 30_000_000;
 /// A filter with this many set bits is full and is replaced early. This happens after about 25,000 keys. A full filter
 /// admits one new key in 64 as a false positive.
@@ -138,8 +139,8 @@
         self.counters.insert(key, Counter { count: error + 1.0, error, key_bytes: key_bytes.into() });
     }
 
-    /// Removes the counter with the lowest count if all counters are in use. Returns its count, which is the maximum error
-    /// of the key that replaces it, or 0 if a counter was free.
+    /// Removes the counter with the lowest count if all counters are in use. Returns its count, which is the maximum
+    /// error of the key that replaces it, or 0 if a counter was free.
     fn free_counter(&mut self) -> f64 {
         if self.counters.len() < MAX_COUNTERS {
             return 0.0;
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -1,5 +1,5 @@
-//! The state of the hot key tracker, the copies that may serve a read, and the copies that are due for a refresh. Module
-//! `reporting` creates and receives reports, module `update` derives the hot set.
+//! The state of the hot key tracker, the copies that may serve a read, and the copies that are due for a refresh.
+//! Module `reporting` creates and receives reports, module `update` derives the hot set.
 
 use crate::copy_ages::CopyAges;
 use crate::copy_holders::{Database, copy_holders};
@@ -81,8 +81,8 @@
 }
 
 impl HotKeyTracker {
-    /// Creates a tracker without hot keys. `own_origin` identifies this process in reports, and `secret_id` identifies the
-    /// secret that keys are hashed with.
+    /// Creates a tracker without hot keys. `own_origin` identifies this process in reports, and `secret_id` identifies
+    /// the secret that keys are hashed with.
     pub fn new(settings: Settings, own_origin: u64, secret_id: u32, now: Micros) -> HotKeyTracker {
         HotKeyTracker {
             settings,
@@ -116,8 +116,8 @@
         self.reports.set_interval(report_interval);
     }
 
-    /// Replaces the databases that may hold copies and the number of replicas of each group, and reassigns the copy holders
-    /// of all hot keys.
+    /// Replaces the databases that may hold copies and the number of replicas of each group, and reassigns the copy
+    /// holders of all hot keys.
     pub fn update_databases(&mut self, databases: Vec<Database>, replicas: BTreeMap<u32, usize>) {
         self.databases = databases;
         self.replicas = replicas;
@@ -131,8 +131,8 @@
         self.sketch.record_read(now, key, key_bytes);
     }
 
-    /// Returns the databases that are likely to have a copy of the key, without those in backoff after a miss. The result
-    /// is empty if the key is not hot.
+    /// Returns the databases that are likely to have a copy of the key, without those in backoff after a miss. The
+    /// result is empty if the key is not hot.
     pub fn copy_candidates(&self, now: Micros, key: Key) -> Vec<CopyCandidate> {
         let Some(hot_key) = self.hot_keys.get(&key) else { return Vec::new() };
         let candidate = |holder: &Database| {
@@ -147,8 +147,8 @@
         self.settings.refresh_interval() + COPY_TRANSIT_MICROS
     }
 
-    /// Records a holder's answer to a read. `position` is the position of the copy that served the read, or `None` if the
-    /// holder had no copy that was recent enough.
+    /// Records a holder's answer to a read. `position` is the position of the copy that served the read, or `None` if
+    /// the holder had no copy that was recent enough.
     pub fn record_answer(&mut self, now: Micros, key: Key, holder: u32, position: Option<Micros>) {
         let default_age = self.default_copy_age();
         match position {
@@ -170,7 +170,8 @@
         self.copy_ages.record_written(now, key, holder);
     }
 
-    /// Returns the keys whose copies this process must refresh now. Each refresh slot of a key yields the key at most once.
+    /// Returns the keys whose copies this process must refresh now. Each refresh slot of a key yields the key at most
+    /// once.
     pub fn due_refreshes(&mut self, now: Micros) -> Vec<DueRefresh> {
         let interval = self.settings.refresh_interval();
         let mut due = Vec::new();
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -64,8 +64,8 @@
         });
         hot_key.reads_per_s = reads_per_s;
         hot_key.confirmed_at = now;
-        // Copies are added immediately but removed only after the minimum time, because the cost of writing the existing
-        // copies has already been paid.
+        // Copies are added immediately but removed only after the minimum time, because the cost of writing the
+        // existing copies has already been paid.
         let removes_copies_too_early =
             wanted_copies < hot_key.wanted_copies && now - hot_key.hot_since < MIN_HOT_MICROS;
         if wanted_copies != hot_key.wanted_copies && !removes_copies_too_early {
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet of trackers on virtual time. Reads arrive at random, and reports are exchanged by the gossip protocol
-//! that the fleet also uses in production.
+//! A simulated fleet of trackers on virtual time. Reads arrive at random, and reports are exchanged by the gossip
+//! protocol that the fleet also uses in production.
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 use birchreach_hot_keys::{
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Runs one step of a process: it counts its reads, derives its hot set, reports, and sends a datagram if one is due.
+    /// Runs one step of a process: it counts its reads, derives its hot set, reports, and sends a datagram if one is
+    /// due.
     fn step(&mut self, process: usize) {
         let now = self.now;
         for (key, rate) in self.reads_per_s.clone() {
@@ -182,8 +183,8 @@
         self.trackers.iter().filter(is_hot_at).count()
     }
 
-    /// Advances the time until the key is hot at all processes (`hot`) or at none (`!hot`). Returns the elapsed seconds, or
-    /// `None` if this takes longer than `max`.
+    /// Advances the time until the key is hot at all processes (`hot`) or at none (`!hot`). Returns the elapsed
+    /// seconds, or `None` if this takes longer than `max`.
     pub(crate) fn advance_until(&mut self, key: Key, hot: bool, max: Micros) -> Option<f64> {
         let start = self.now;
         let expected = if hot { self.trackers.len() } else { 0 };
@@ -197,8 +198,8 @@
     }
 }
 
-/// Returns a tracker of the origin `own` that has received these reports, in this order or in reverse, and has derived its
-/// hot set.
+/// Returns a tracker of the origin `own` that has received these reports, in this order or in reverse, and has derived
+/// its hot set.
 pub(crate) fn tracker_with_reports(
     own: u64,
     configured: usize,
--- a/hot-keys/tests/invariants/main.rs
+++ b/hot-keys/tests/invariants/main.rs
@@ -1,5 +1,5 @@
-//! Invariants of read rates, hot sets and copy holders. A further test injects faults, each of which breaks one invariant,
-//! and verifies that the check of this invariant fails.
+//! Invariants of read rates, hot sets and copy holders. A further test injects faults, each of which breaks one
+//! invariant, and verifies that the check of this invariant fails.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -34,8 +34,8 @@
     Ok(())
 }
 
-/// Checks that a key that is read twice per second keeps its counter while thousands of keys are read once each, and that
-/// none of these gets a rate of 1 or more.
+/// Checks that a key that is read twice per second keeps its counter while thousands of keys are read once each, and
+/// that none of these gets a rate of 1 or more.
 fn check_keys_read_once() -> CheckResult {
     let mut sketch = ReadSketch::new(0);
 
@@ -99,7 +99,8 @@
     check_equal_sets_between_thresholds()
 }
 
-/// Checks that between the two thresholds the reports of all processes decide, even at a process whose own report differs.
+/// Checks that between the two thresholds the reports of all processes decide, even at a process whose own report
+/// differs.
 fn check_equal_sets_between_thresholds() -> CheckResult {
     let entry = |is_hot| ReportEntry { key: key(0, 1), reads_per_1000_s: 26_000, is_hot };
     let reports: Vec<(u64, Vec<ReportEntry>)> =
@@ -113,8 +114,8 @@
     Ok(())
 }
 
-/// Checks the effect of false reports with the highest valid rates: a single origin makes no key hot, and many origins do
-/// not make more keys hot than the limit.
+/// Checks the effect of false reports with the highest valid rates: a single origin makes no key hot, and many origins
+/// do not make more keys hot than the limit.
 fn check_false_reports() -> CheckResult {
     let highest_rates = |origin: u64| {
         let entry = |number| ReportEntry {
--- a/hot-keys/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model check of the rules for copies. The model has a writer, two lagging replicas, two copiers, one holder and readers.
-//! Copies may arrive late, twice and from several copiers, the position in an answer may be newer than its value, and each
-//! participant may pause at any step. The transitions call the functions of the crate itself.
+//! Model check of the rules for copies. The model has a writer, two lagging replicas, two copiers, one holder and
+//! readers. Copies may arrive late, twice and from several copiers, the position in an answer may be newer than its
+//! value, and each participant may pause at any step. The transitions call the functions of the crate itself.
 
 use birchreach_hot_keys::copy::{Copy, can_serve, copy_from_reads, newer_copy};
 use birchreach_hot_keys::faults::{self, Fault};
@@ -64,8 +64,8 @@
         copier: usize,
     },
     CopyArrives(Copy<i64>),
-    /// The holder restarts, fails over or is replaced, and has no copy afterwards. A copy that had arrived before may arrive
-    /// again.
+    /// The holder restarts, fails over or is replaced, and has no copy afterwards. A copy that had arrived before may
+    /// arrive again.
     CopyLost,
     /// A read that needs this position is sent to the holder.
     ReadCopy(i64),
--- a/hot-keys/tests/recorded_bytes.rs
+++ b/hot-keys/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Compatibility with earlier versions in the same fleet: recorded reports of an earlier version are decoded and encoded
-//! again byte for byte, and a set of hot keys has the digest that an earlier version computed.
+//! Compatibility with earlier versions in the same fleet: recorded reports of an earlier version are decoded and
+//! encoded again byte for byte, and a set of hot keys has the digest that an earlier version computed.
 
 mod common;
 use birchreach_hot_keys::{Key, PeerReport, Report, ReportEntry};
--- a/hot-keys/tests/tracker.rs
+++ b/hot-keys/tests/tracker.rs
@@ -1,13 +1,13 @@
-//! Behaviour of the tracker: agreement of a fleet on its hot keys, estimates of copy ages, rejection of reports, limits of
-//! tables, and the decision whether copying is worthwhile.
+//! Behaviour of the tracker: agreement of a fleet on its hot keys, estimates of copy ages, rejection of reports, limits
+//! of tables, and the decision whether copying is worthwhile.
 
 mod common;
 use birchreach_hot_keys::{Database, HotKeyTracker, Key, Micros, PeerReport, Report, ReportEntry, Settings};
 use common::{Fleet, SECOND, header, key, settings, tracker_with_reports};
 use std::collections::BTreeSet;
 
-/// Returns a fleet in which one key is hot at all processes. Its total rate is above the threshold, its rate at each process
-/// is below it, and fifty other keys are read rarely.
+/// Returns a fleet in which one key is hot at all processes. Its total rate is above the threshold, its rate at each
+/// process is below it, and fifty other keys are read rarely.
 fn fleet_with_hot_key(count: usize, seed: u64, hot_key: Key) -> Fleet {
     let mut fleet = Fleet::new(count, seed);
     let other_keys = (100..150).map(|number| (key(2, number), 4.0));
@@ -44,8 +44,8 @@
     }
 }
 
-/// During the partition each side counts half of the reads. Where the key is still hot, its holders are the previous ones or
-/// the first of them.
+/// During the partition each side counts half of the reads. Where the key is still hot, its holders are the previous
+/// ones or the first of them.
 #[test]
 fn partitions_select_the_same_copy_holders_and_agree_on_one_set_after_healing() {
     for (count, seed) in [(5, 6), (40, 7)] {
@@ -224,8 +224,8 @@
 
     assert_eq!(settings.refresh_interval(), 400_000);
 
-    // A database serves 100 reads per second. At 300 reads per second and two replicas, four further holders would leave
-    // half of the capacity of each database free, but only three copies are allowed.
+    // A database serves 100 reads per second. At 300 reads per second and two replicas, four further holders would
+    // leave half of the capacity of each database free, but only three copies are allowed.
     assert_eq!(settings.cost(300.0, 2).copies, 3);
     assert_eq!(settings.cost(150.0, 2).copies, 1);
 
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -1,8 +1,8 @@
 //! One comparison: the answer that a client got from the parent against both children's. If a child differs, it and the parent are
 //! sampled, and again after a delay, before the difference is confirmed.
 
-use crate::judge::{Outcome, ParentSample, PositionSample, RowDigest, judge};
 use crate::query::{Child, ComparisonQuery, QueryResult};
+use crate::sample_comparison::{Outcome, ParentSample, PositionSample, RowDigest, compare_samples};
 use crate::{DifferenceKind, Micros};
 use birchreach_fault_injection::fault_injected;
 
@@ -32,7 +32,7 @@
     /// The owner's first answer.
     ReadOwner,
     /// The other child's first answer.
-    ReadOther,
+    ReadNonOwner,
     /// The sample of a child that differed.
     SampleChild(Child),
     /// The parent's sample, which follows the child's.
@@ -55,7 +55,7 @@
     /// How the child differs.
     pub(crate) fn kind(&self) -> DifferenceKind {
         match self.child {
-            Child::Other => DifferenceKind::Extra,
+            Child::NonOwner => DifferenceKind::Extra,
             Child::Owner if self.sample.row.is_none() => DifferenceKind::Missing,
             Child::Owner => DifferenceKind::Differs,
         }
@@ -64,9 +64,9 @@
     /// What the samples prove. The other child agrees if it has no row, whatever the parent has; it may have one at no time.
     fn outcome(&self) -> Outcome {
         match self.child {
-            Child::Owner => judge(self.parent, self.sample),
-            Child::Other if self.sample.row.is_none() => Outcome::Agrees,
-            Child::Other => Outcome::Differs,
+            Child::Owner => compare_samples(self.parent, self.sample),
+            Child::NonOwner if self.sample.row.is_none() => Outcome::Agrees,
+            Child::NonOwner => Outcome::Differs,
         }
     }
 }
@@ -133,7 +133,7 @@
     pub(crate) fn query(&self) -> ComparisonQuery {
         match self.stage {
             ComparisonStage::ReadOwner => ComparisonQuery::SingleRead(Child::Owner),
-            ComparisonStage::ReadOther => ComparisonQuery::SingleRead(Child::Other),
+            ComparisonStage::ReadNonOwner => ComparisonQuery::SingleRead(Child::NonOwner),
             ComparisonStage::SampleChild(child) => ComparisonQuery::Sample(child),
             ComparisonStage::SampleParent(_) => ComparisonQuery::SampleParent,
             ComparisonStage::AwaitConfirmation(child) => ComparisonQuery::Sample(child),
@@ -148,19 +148,19 @@
         result: QueryResult,
         confirmation_delay: Micros,
     ) -> Option<ComparisonEnd> {
-        use ComparisonStage::{AwaitConfirmation, ReadOther, ReadOwner, SampleChild, SampleParent};
+        use ComparisonStage::{AwaitConfirmation, ReadNonOwner, ReadOwner, SampleChild, SampleParent};
         self.query_in_flight = false;
         self.query_at = now;
         match (self.stage, result) {
             (_, QueryResult::NoAnswer) => self.retry(now, ComparisonEnd::Unanswered),
             (ReadOwner, QueryResult::SingleRead { row, .. }) if row == self.parent_row => {
-                self.proceed(ReadOther)
+                self.proceed(ReadNonOwner)
             }
             // Without positions the child cannot be sampled.
             (ReadOwner, QueryResult::SingleRead { position: None, .. }) => Some(ComparisonEnd::Unanswered),
             (ReadOwner, QueryResult::SingleRead { .. }) => self.proceed(SampleChild(Child::Owner)),
-            (ReadOther, QueryResult::SingleRead { row: None, .. }) => Some(ComparisonEnd::Agrees),
-            (ReadOther, QueryResult::SingleRead { .. }) => self.proceed(SampleChild(Child::Other)),
+            (ReadNonOwner, QueryResult::SingleRead { row: None, .. }) => Some(ComparisonEnd::Agrees),
+            (ReadNonOwner, QueryResult::SingleRead { .. }) => self.proceed(SampleChild(Child::NonOwner)),
             (SampleChild(child) | AwaitConfirmation(child), QueryResult::Sample { sample, process }) => {
                 self.proceed(SampleParent(SampledChild { child, sample, process }))
             }
@@ -169,7 +169,7 @@
                 let SampledChild { child, sample: child_sample, .. } = sampled;
                 let found =
                     Difference { child, parent: sample, sample: child_sample, processes, found_at: now };
-                self.compare_samples(now, found, confirmation_delay)
+                self.apply_outcome(now, found, confirmation_delay)
             }
             // A result of another query.
             _ => Some(ComparisonEnd::Unanswered),
@@ -183,7 +183,7 @@
     }
 
     /// Decides by what two samples prove.
-    fn compare_samples(
+    fn apply_outcome(
         &mut self,
         now: Micros,
         found: Difference,
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -38,11 +38,11 @@
         report: Report,
     ) -> Result<(), ReportError> {
         let is_of_definition = report.definition_digest == definition.digest();
-        if !is_of_definition && !fault_injected!(MixesDefinitions) {
+        if !is_of_definition && !fault_injected!(AcceptsOtherDefinitions) {
             return Err(ReportError::Mismatch(DEFINITION_MISMATCH));
         }
         let recorded = self.reports.record(now, header, report);
-        if recorded == Err(RecordError::Outdated) && fault_injected!(CountsTwice) {
+        if recorded == Err(RecordError::Outdated) && fault_injected!(CountsReportsTwice) {
             self.injected_excess += 1;
         }
         Ok(recorded?)
--- a/shard-split/src/definition.rs
+++ b/shard-split/src/definition.rs
@@ -26,7 +26,7 @@
     /// The child that the key goes to.
     pub owner: u32,
     /// The child that must not have it.
-    pub other: u32,
+    pub non_owner: u32,
 }
 
 impl Children {
@@ -34,7 +34,7 @@
     pub(crate) fn group(self, child: Child) -> u32 {
         match child {
             Child::Owner => self.owner,
-            Child::Other => self.other,
+            Child::NonOwner => self.non_owner,
         }
     }
 }
@@ -63,9 +63,9 @@
     /// The children of a key with this hash.
     pub fn children(&self, hash: u32) -> Children {
         if hash < self.split_at {
-            Children { owner: self.lower_child, other: self.upper_child }
+            Children { owner: self.lower_child, non_owner: self.upper_child }
         } else {
-            Children { owner: self.upper_child, other: self.lower_child }
+            Children { owner: self.upper_child, non_owner: self.lower_child }
         }
     }
 }
--- a/shard-split/src/difference.rs
+++ b/shard-split/src/difference.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::definition::SplitDefinition;
-use crate::judge::{ParentSample, PositionSample};
+use crate::sample_comparison::{ParentSample, PositionSample};
 
 /// How a child differs. The order of the variants is the number of a kind in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/shard-split/src/faults.rs
+++ b/shard-split/src/faults.rs
@@ -12,11 +12,11 @@
     /// Every difference ends as inconclusive.
     NeverConfirms,
     /// A report counts each time it is received.
-    CountsTwice,
+    CountsReportsTwice,
     /// Reports of another definition count.
-    MixesDefinitions,
+    AcceptsOtherDefinitions,
     /// The verdict is clean although nothing is received from some configured members.
-    CleanWhileMembersMissing,
+    IgnoresUnreachableMembers,
     /// Comparisons and differences are kept without bound.
-    KeepsEverything,
+    SkipsLimits,
 }
--- a/shard-split/src/query.rs
+++ b/shard-split/src/query.rs
@@ -1,7 +1,7 @@
 //! The queries of a comparison to the databases, and their results.
 
 use crate::Micros;
-use crate::judge::{ParentSample, PositionSample, RowDigest};
+use crate::sample_comparison::{ParentSample, PositionSample, RowDigest};
 
 /// One of the two children, as a key sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -9,7 +9,7 @@
     /// The child that the key goes to.
     Owner,
     /// The child that must not have it.
-    Other,
+    NonOwner,
 }
 
 /// The next query of a comparison.
--- a/shard-split/src/judge.rs
+++ b/shard-split/src/sample_comparison.rs
@@ -42,7 +42,7 @@
 }
 
 /// Compares a child that must have the row with the parent.
-pub fn judge(parent: ParentSample, child: PositionSample) -> Outcome {
+pub fn compare_samples(parent: ParentSample, child: PositionSample) -> Outcome {
     if parent.row == child.row {
         return Outcome::Agrees;
     }
--- a/shard-split/src/status.rs
+++ b/shard-split/src/status.rs
@@ -53,7 +53,7 @@
         reason.ranges_lacking_comparisons += usize::from(range.comparisons < settings.min_comparisons);
         reason.ranges_lacking_processes += usize::from(range.processes < settings.min_processes);
     }
-    if !fault_injected!(CleanWhileMembersMissing) {
+    if !fault_injected!(IgnoresUnreachableMembers) {
         reason.unreachable_members = settings.configured_members.saturating_sub(reachable_members);
     }
     if reason == IncompleteReason::default() {
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -5,8 +5,8 @@
 use crate::coverage::Coverage;
 use crate::definition::SplitDefinition;
 use crate::difference::ConfirmedDifference;
-use crate::judge::RowDigest;
 use crate::query::{ComparisonQuery, DueQuery, QueryResult};
+use crate::sample_comparison::RowDigest;
 use crate::settings::{ComparisonCounts, Settings};
 use crate::window::Window;
 use birchreach_fault_injection::fault_injected;
@@ -73,7 +73,7 @@
         if is_in_progress || !is_sampled {
             return;
         }
-        if self.comparisons.len() >= MAX_COMPARISONS && !fault_injected!(KeepsEverything) {
+        if self.comparisons.len() >= MAX_COMPARISONS && !fault_injected!(SkipsLimits) {
             self.counts.rejected += 1;
             return;
         }
@@ -177,7 +177,7 @@
         let kept = self.differences.entry(range).or_default();
         kept.retain(|other| (other.key_hash, other.kind) != (confirmed.key_hash, confirmed.kind));
         kept.push_back(confirmed.clone());
-        if kept.len() > MAX_DIFFERENCES_PER_RANGE && !fault_injected!(KeepsEverything) {
+        if kept.len() > MAX_DIFFERENCES_PER_RANGE && !fault_injected!(SkipsLimits) {
             kept.pop_front();
         }
         confirmed
--- a/shard-split/tests/common/databases.rs
+++ b/shard-split/tests/common/databases.rs
@@ -1,7 +1,7 @@
 //! The simulated databases of a split: a parent whose rows are written, and two children that follow it.
 
 use super::{ChildFault, Disturbances, MILLI, SECOND, definition, key};
-use birchreach_shard_split::judge::ParentSample;
+use birchreach_shard_split::sample_comparison::ParentSample;
 use birchreach_shard_split::{
     Child, Children, ComparisonQuery, Micros, PositionSample, QueryResult, SplitDefinition,
 };
@@ -38,7 +38,7 @@
     disturbances: Disturbances,
     /// The commits of each key, in their order.
     log: BTreeMap<usize, Vec<Commit>>,
-    lost: Vec<LostCommit>,
+    lost_commits: Vec<LostCommit>,
     /// Changes with each failover.
     parent_process: u64,
     children: [ChildDatabase; 2],
@@ -46,8 +46,8 @@
     pub faults: BTreeMap<usize, ChildFault>,
 }
 
-/// Whether something that happens so often in a second happens within a span.
-pub(super) fn happens(rng: &mut fastrand::Rng, per_s: f64, span: Micros) -> bool {
+/// Whether something that event_occurs so often in a second event_occurs within a span.
+pub(super) fn event_occurs(rng: &mut fastrand::Rng, per_s: f64, span: Micros) -> bool {
     rng.f64() < per_s * span as f64 / 1e6
 }
 
@@ -60,7 +60,7 @@
             keys,
             disturbances,
             log: (0..keys).map(|number| (number, first_commit(number))).collect(),
-            lost: Vec::new(),
+            lost_commits: Vec::new(),
             parent_process: 1,
             children: [child(10), child(20)],
             faults: BTreeMap::new(),
@@ -68,22 +68,22 @@
     }
 
     /// Writes, changes of lag, failovers and restarts that happen within a step.
-    pub(crate) fn disturb(&mut self, rng: &mut fastrand::Rng, now: Micros, step: Micros) {
+    pub(crate) fn apply_disturbances(&mut self, rng: &mut fastrand::Rng, now: Micros, step: Micros) {
         let Disturbances { writes, lag, failovers, restarts, .. } = self.disturbances;
-        if happens(rng, writes, step) {
+        if event_occurs(rng, writes, step) {
             let number = rng.usize(..self.keys.min(20));
             // Each value comes back after some other ones.
             let value = rng.u64(..3) * 1_000 + number as u64;
             self.log.entry(number).or_default().push(Commit { committed_at: now, value });
         }
-        if lag > 0 && happens(rng, 0.5, step) {
+        if lag > 0 && event_occurs(rng, 0.5, step) {
             let child = rng.usize(..2);
             self.children[child].lag = rng.i64(1..=lag);
         }
-        if happens(rng, failovers, step) {
+        if event_occurs(rng, failovers, step) {
             self.fail_over(now);
         }
-        if happens(rng, restarts, step) {
+        if event_occurs(rng, restarts, step) {
             let child = &mut self.children[rng.usize(..2)];
             child.position -= 5 * SECOND;
             child.lag = 4 * SECOND;
@@ -98,7 +98,7 @@
         for (key, commits) in &mut self.log {
             let is_lost = |commit: &mut Commit| commit.committed_at > replicated_until;
             let lost = commits.extract_if(.., is_lost);
-            self.lost.extend(lost.map(|commit| LostCommit { key: *key, commit, lost_at: now }));
+            self.lost_commits.extend(lost.map(|commit| LostCommit { key: *key, commit, lost_at: now }));
         }
     }
 
@@ -115,7 +115,7 @@
                 && lost.commit.committed_at <= position
                 && now - lost.lost_at < CHILD_REPAIR_MICROS
         };
-        let newest_lost = self.lost.iter().filter(is_visible).map(|lost| lost.commit).max();
+        let newest_lost = self.lost_commits.iter().filter(is_visible).map(|lost| lost.commit).max();
         newest_lost.into_iter().chain([self.parent_commit(number, position)]).max().unwrap_or_default()
     }
 
@@ -132,7 +132,7 @@
         let value = self.child_commit(now, number, position).value;
         match self.faults.get(&number) {
             Some(ChildFault::Missing) if is_owner => None,
-            Some(ChildFault::Other) if is_owner => Some(value ^ 1 << 40),
+            Some(ChildFault::Differs) if is_owner => Some(value ^ 1 << 40),
             Some(ChildFault::Extra) => Some(value),
             _ => is_owner.then_some(value),
         }
@@ -147,11 +147,11 @@
         key_bytes: &[u8],
     ) -> QueryResult {
         let number = (0..self.keys).find(|number| key(*number) == key_bytes).unwrap_or(0);
-        if rng.f64() < self.disturbances.lost {
+        if rng.f64() < self.disturbances.lost_answers {
             return QueryResult::NoAnswer;
         }
-        let Children { owner, other } = definition().children(SplitDefinition::hash(key_bytes));
-        let index = |child| if child == Child::Owner { owner as usize - 1 } else { other as usize - 1 };
+        let Children { owner, non_owner } = definition().children(SplitDefinition::hash(key_bytes));
+        let index = |child| if child == Child::Owner { owner as usize - 1 } else { non_owner as usize - 1 };
         let (delay, further_delay) = (rng.i64(0..40 * MILLI), rng.i64(0..40 * MILLI));
         match query {
             ComparisonQuery::SingleRead(child) => {
--- a/shard-split/tests/common/disturbances.rs
+++ b/shard-split/tests/common/disturbances.rs
@@ -10,10 +10,10 @@
     /// The other child has the row too.
     Extra,
     /// The owner has another row.
-    Other,
+    Differs,
 }
 
-/// What happens to the databases.
+/// What event_occurs to the databases.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Disturbances {
     /// Writes in a second, to a few of the keys.
@@ -25,5 +25,5 @@
     /// Restarts of a child from an older state, in a second.
     pub restarts: f64,
     /// The fraction of answers that are lost.
-    pub lost: f64,
+    pub lost_answers: f64,
 }
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -8,7 +8,7 @@
     ConfirmedDifference, DifferenceKind, Micros, QueryResult, ReportHeader, Settings, SplitDefinition,
     SplitVerifier,
 };
-use databases::{Databases, happens};
+use databases::{Databases, event_occurs};
 pub(crate) use disturbances::{ChildFault, Disturbances};
 use std::collections::BTreeSet;
 
@@ -52,7 +52,7 @@
 }
 
 /// The databases, and verifiers that compare what clients read.
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub now: Micros,
     rng: fastrand::Rng,
     pub databases: Databases,
@@ -72,11 +72,11 @@
     pub wrong: Vec<&'a ConfirmedDifference>,
 }
 
-impl World {
-    pub(crate) fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> World {
+impl Simulation {
+    pub(crate) fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> Simulation {
         let now = 1_000_000 * SECOND;
         let verifier = |process| SplitVerifier::new(settings(processes), process as u64 + 1, now);
-        World {
+        Simulation {
             now,
             rng: fastrand::Rng::with_seed(seed),
             databases: Databases::new(keys, disturbances),
@@ -88,13 +88,13 @@
     }
 
     /// Passes time in small steps, with so many reads a second.
-    pub(crate) fn pass(&mut self, span: Micros, reads_per_s: f64) {
+    pub(crate) fn advance(&mut self, span: Micros, reads_per_s: f64) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP_MICROS;
-            self.databases.disturb(&mut self.rng, self.now, STEP_MICROS);
+            self.databases.apply_disturbances(&mut self.rng, self.now, STEP_MICROS);
             for verifier in 0..self.verifiers.len() {
-                if happens(&mut self.rng, reads_per_s / self.verifiers.len() as f64, STEP_MICROS) {
+                if event_occurs(&mut self.rng, reads_per_s / self.verifiers.len() as f64, STEP_MICROS) {
                     self.read(verifier);
                 }
                 self.send_queries(verifier);
@@ -153,7 +153,7 @@
             let kind = fault.map(|fault| match fault {
                 ChildFault::Missing => DifferenceKind::Missing,
                 ChildFault::Extra => DifferenceKind::Extra,
-                ChildFault::Other => DifferenceKind::Differs,
+                ChildFault::Differs => DifferenceKind::Differs,
             });
             match number {
                 Some(number) if kind == Some(difference.kind) => {
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -3,7 +3,7 @@
 //! crate's own.
 
 use birchreach_shard_split::faults::{self, Fault};
-use birchreach_shard_split::judge::{Outcome, ParentSample, PositionSample, judge};
+use birchreach_shard_split::sample_comparison::{Outcome, ParentSample, PositionSample, compare_samples};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const COMMITS: usize = 4;
@@ -72,7 +72,7 @@
             committed_at: state.parent as i64,
             position: parent_position as i64,
         };
-        let differs = judge(parent, sample) == Outcome::Differs;
+        let differs = compare_samples(parent, sample) == Outcome::Differs;
         let last_commit = state.log.len() - 1;
         let all_applied = sample.position_before as usize == last_commit && parent_position == last_commit;
         state.false_difference |= differs && !self.is_faulty(child);
--- a/shard-split/tests/sampling.rs
+++ b/shard-split/tests/sampling.rs
@@ -2,19 +2,19 @@
 
 mod common;
 use birchreach_shard_split::SplitDefinition;
-use common::{Disturbances, SECOND, World, key};
+use common::{Disturbances, SECOND, Simulation, key};
 
 #[test]
 fn covered_ranges_are_queried_less() {
-    let mut world = World::new(4, 2, 600, Disturbances::default());
-    world.pass(2 * SECOND, 200.0);
-    let before = world.queries;
-    world.pass(58 * SECOND, 200.0);
-    let covered = world.queries;
+    let mut simulation = Simulation::new(4, 2, 600, Disturbances::default());
+    simulation.advance(2 * SECOND, 200.0);
+    let before = simulation.queries;
+    simulation.advance(58 * SECOND, 200.0);
+    let covered = simulation.queries;
 
-    world.pass(2 * SECOND, 200.0);
+    simulation.advance(2 * SECOND, 200.0);
 
-    let after = world.queries - covered;
+    let after = simulation.queries - covered;
     assert!(after * 4 < before, "{before} queries in two seconds, {after} once all is covered");
 }
 
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -10,24 +10,26 @@
     ComparisonQuery, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGE_COUNT,
     RangeCoverage, RangeDifferences, Report, SplitDefinition, SplitVerifier, VerificationStatus,
 };
-use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, header, key, settings};
+use common::{
+    ChildFault, ConfirmedKeys, Disturbances, SECOND, Simulation, definition, header, key, settings,
+};
 use status::check_clean_status;
 
 type CheckResult = Result<(), String>;
 
-const ROUGH_DISTURBANCES: Disturbances =
-    Disturbances { writes: 15.0, lag: 2 * SECOND, failovers: 0.1, restarts: 0.05, lost: 0.05 };
+const FREQUENT_DISTURBANCES: Disturbances =
+    Disturbances { writes: 15.0, lag: 2 * SECOND, failovers: 0.1, restarts: 0.05, lost_answers: 0.05 };
 
 /// Writes, lags, restarts and failovers confirm no difference.
 fn check_no_false_difference() -> CheckResult {
     for seed in 0..40 {
-        let mut world = World::new(seed, 3, 60, ROUGH_DISTURBANCES);
+        let mut simulation = Simulation::new(seed, 3, 60, FREQUENT_DISTURBANCES);
 
-        world.pass(60 * SECOND, 60.0);
+        simulation.advance(60 * SECOND, 60.0);
 
-        let wrong = world.confirmed_keys().wrong;
+        let wrong = simulation.confirmed_keys().wrong;
         ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
-        let agreed: u64 = world.verifiers.iter().map(|verifier| verifier.counts().agreed).sum();
+        let agreed: u64 = simulation.verifiers.iter().map(|verifier| verifier.counts().agreed).sum();
         ensure!(agreed > 300, "seed {seed}: hardly anything was compared: {agreed}");
     }
     Ok(())
@@ -36,30 +38,34 @@
 /// Each kind of fault is confirmed, also in keys that are written all the time.
 fn check_faults_are_confirmed() -> CheckResult {
     let faults = [
-        (3, ChildFault::Other),
+        (3, ChildFault::Differs),
         (17, ChildFault::Missing),
         (30, ChildFault::Extra),
         (45, ChildFault::Missing),
-        (52, ChildFault::Other),
+        (52, ChildFault::Differs),
     ];
     for seed in 0..15 {
-        let mut world =
-            World::new(seed, 3, 60, Disturbances { failovers: 0.02, restarts: 0.01, ..ROUGH_DISTURBANCES });
-        world.databases.faults.extend(faults);
+        let mut simulation = Simulation::new(
+            seed,
+            3,
+            60,
+            Disturbances { failovers: 0.02, restarts: 0.01, ..FREQUENT_DISTURBANCES },
+        );
+        simulation.databases.faults.extend(faults);
 
-        world.pass(150 * SECOND, 60.0);
+        simulation.advance(150 * SECOND, 60.0);
 
-        let ConfirmedKeys { faulty, wrong } = world.confirmed_keys();
+        let ConfirmedKeys { faulty, wrong } = simulation.confirmed_keys();
         ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
         ensure!(faulty.len() == 5, "seed {seed}: of five only {faulty:?}");
-        let members = world.verifiers.len();
+        let members = simulation.verifiers.len();
         let has_differences = |verifier: &SplitVerifier| {
             matches!(verifier.status(members), VerificationStatus::DifferencesConfirmed(_))
         };
         ensure!(
-            world.verifiers.iter().all(has_differences),
+            simulation.verifiers.iter().all(has_differences),
             "seed {seed}: {:?}",
-            world.verifiers[0].status(members)
+            simulation.verifiers[0].status(members)
         );
     }
     Ok(())
@@ -126,13 +132,14 @@
 
 /// Comparisons in progress, differences and origins are bounded.
 fn check_bounds() -> CheckResult {
-    // Given a world in which every key differs.
-    let mut world = World::new(2, 1, 3_000, Disturbances { lost: 0.0, ..Disturbances::default() });
-    world.databases.faults.extend((0..3_000).map(|number| (number, ChildFault::Other)));
-    world.pass(120 * SECOND, 400.0);
+    // Given a simulation in which every key differs.
+    let mut simulation =
+        Simulation::new(2, 1, 3_000, Disturbances { lost_answers: 0.0, ..Disturbances::default() });
+    simulation.databases.faults.extend((0..3_000).map(|number| (number, ChildFault::Differs)));
+    simulation.advance(120 * SECOND, 400.0);
 
     // Then comparisons and differences are bounded.
-    let split = &world.verifiers[0];
+    let split = &simulation.verifiers[0];
     let differences = split.differences().count();
     ensure!(differences > 100, "it shows nothing: {differences}");
     ensure!(
@@ -231,10 +238,10 @@
         (Fault::SkipsConfirmation, check_no_false_difference),
         (Fault::IgnoresRestarts, check_processes),
         (Fault::NeverConfirms, check_faults_are_confirmed),
-        (Fault::CountsTwice, check_counting),
-        (Fault::MixesDefinitions, check_definitions),
-        (Fault::CleanWhileMembersMissing, check_clean_status),
-        (Fault::KeepsEverything, check_bounds),
+        (Fault::CountsReportsTwice, check_counting),
+        (Fault::AcceptsOtherDefinitions, check_definitions),
+        (Fault::IgnoresUnreachableMembers, check_clean_status),
+        (Fault::SkipsLimits, check_bounds),
     ];
     for (fault, check) in all {
         assert!(with(fault, check).is_err(), "{fault:?} was not found");
--- a/shard-split/tests/split/status.rs
+++ b/shard-split/tests/split/status.rs
@@ -1,7 +1,7 @@
 //! Which coverage makes a verdict clean.
 
 use crate::CheckResult;
-use crate::common::{Disturbances, SECOND, World, definition, header, settings};
+use crate::common::{Disturbances, SECOND, Simulation, definition, header, settings};
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::{
     IncompleteReason, PeerReport, RANGE_COUNT, Report, SplitVerifier, VerificationStatus,
@@ -39,13 +39,13 @@
 
 /// Comparisons older than the window do not count, nor does a report of none.
 fn check_comparisons_expire() -> CheckResult {
-    let mut world = World::new(1, 1, 600, Disturbances::default());
-    world.pass(60 * SECOND, 200.0);
-    let status = world.verifiers[0].status(1);
+    let mut simulation = Simulation::new(1, 1, 600, Disturbances::default());
+    simulation.advance(60 * SECOND, 200.0);
+    let status = simulation.verifiers[0].status(1);
     ensure!(status == VerificationStatus::Clean, "{status:?}");
 
-    world.pass(700 * SECOND, 0.0);
-    let status = world.verifiers[0].status(1);
+    simulation.advance(700 * SECOND, 0.0);
+    let status = simulation.verifiers[0].status(1);
     let is_uncovered = matches!(status, VerificationStatus::Incomplete(reason) if reason.ranges_lacking_comparisons == RANGE_COUNT);
     ensure!(is_uncovered, "{status:?}");
 
