--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -1,24 +1,25 @@
-//! One comparison: the answer that a client got from the parent against both children's. If a child differs, it and the parent are
-//! sampled, and again after a delay, before the difference is confirmed.
+//! The comparison of one row. The answer that a client received from the parent is compared with the answers of both
+//! children. If a child differs, the child and the parent are sampled, and sampled again after a delay, before the
+//! difference is confirmed.
 
 use crate::query::{Child, ComparisonQuery, QueryResult};
 use crate::sample_comparison::{Outcome, ParentSample, PositionSample, RowDigest, compare_samples};
 use crate::{DifferenceKind, Micros};
 use birchreach_fault_injection::fault_injected;
 
-/// Retries of a comparison until it ends without a result.
+/// A comparison that needs more retries than this ends without a result.
 const MAX_RETRIES: u8 = 6;
-/// The delay before a retry grows by this with each of them.
+/// The delay before a retry grows by this with each retry.
 const RETRY_STEP_MICROS: Micros = 300_000;
 
-/// The processes of the two databases that were sampled.
+/// Identifies the processes of the two databases that were sampled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SampledProcesses {
     child: u64,
     parent: u64,
 }
 
-/// A child that was sampled.
+/// The sample of a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SampledChild {
     child: Child,
@@ -26,22 +27,22 @@
     process: u64,
 }
 
-/// Which result the comparison waits for.
+/// The stage of a comparison: the result that it needs next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ComparisonStage {
-    /// The owner's first answer.
+    /// The first read of the owner.
     ReadOwner,
-    /// The other child's first answer.
+    /// The first read of the other child.
     ReadNonOwner,
     /// The sample of a child that differed.
     SampleChild(Child),
-    /// The parent's sample, which follows the child's.
+    /// The sample of the parent, which is taken after the child's.
     SampleParent(SampledChild),
-    /// A second sample of a child in which a difference was found.
+    /// The second sample of a child that differed.
     AwaitConfirmation(Child),
 }
 
-/// A difference between two samples.
+/// A difference between the samples of the parent and of a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Difference {
     pub(crate) child: Child,
@@ -52,7 +53,6 @@
 }
 
 impl Difference {
-    /// How the child differs.
     pub(crate) fn kind(&self) -> DifferenceKind {
         match self.child {
             Child::NonOwner => DifferenceKind::Extra,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// What the samples prove. The other child agrees if it has no row, whatever the parent has; it may have one at no time.
+    /// Returns what the samples prove. The non-owner agrees if it has no row, regardless of the parent's row, because
+    /// it must never have a row of this key.
     fn outcome(&self) -> Outcome {
         match self.child {
             Child::Owner => compare_samples(self.parent, self.sample),
@@ -76,38 +77,38 @@
 pub(crate) enum ComparisonEnd {
     /// No child differs.
     Agrees,
-    /// The child was behind the parent's row each time.
+    /// In every attempt the child had not yet reached the commit of the parent's row.
     Lagging,
-    /// The row changed each time, or may have.
+    /// In every attempt the row changed or may have changed.
     Inconclusive,
-    /// A database gave no answer that suffices.
+    /// A database did not answer, or its answers lacked a required position or row.
     Unanswered,
-    /// A difference persisted.
+    /// The difference persisted for the confirmation delay.
     Confirmed(Difference),
 }
 
 /// A comparison in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Comparison {
-    /// The class of the read, by the caller's number.
+    /// The caller's number for the class of the read.
     pub(crate) class: u16,
     pub(crate) key_hash: u32,
     pub(crate) key_bytes: Vec<u8>,
-    /// The answer that the client got from the parent.
+    /// The row that the client received from the parent.
     parent_row: RowDigest,
     stage: ComparisonStage,
-    /// The query is sent and has no result yet.
+    /// The current query was sent and has no result yet.
     pub(crate) query_in_flight: bool,
-    /// From when on the next query may be sent.
+    /// The next query must not be sent before this instant.
     pub(crate) query_at: Micros,
     retries: u8,
-    /// The difference that has to persist.
+    /// The difference that has to persist for the confirmation delay.
     first_difference: Option<Difference>,
     pub(crate) started_at: Micros,
 }
 
 impl Comparison {
-    /// A comparison of a row that a client got from the parent.
+    /// Starts the comparison of a row that a client received from the parent.
     pub(crate) fn new(
         now: Micros,
         class: u16,
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The query whose result the comparison waits for.
+    /// Returns the query whose result the current stage needs.
     pub(crate) fn query(&self) -> ComparisonQuery {
         match self.stage {
             ComparisonStage::ReadOwner => ComparisonQuery::SingleRead(Child::Owner),
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Takes the result of the query; how the comparison ended, if it did. `confirmation_delay` is how long a difference has to
-    /// persist.
+    /// Records the result of the current query. Returns how the comparison ended, or `None` if it continues. A
+    /// difference must persist for `confirmation_delay` before it is confirmed.
     pub(crate) fn record_result(
         &mut self,
         now: Micros,
@@ -171,18 +172,18 @@
                     Difference { child, parent: sample, sample: child_sample, processes, found_at: now };
                 self.apply_outcome(now, found, confirmation_delay)
             }
-            // A result of another query.
+            // The result does not belong to the current query.
             _ => Some(ComparisonEnd::Unanswered),
         }
     }
 
-    /// Goes on with another stage, whose query is due at once.
+    /// Enters the next stage. Its query is due immediately.
     fn proceed(&mut self, stage: ComparisonStage) -> Option<ComparisonEnd> {
         self.stage = stage;
         None
     }
 
-    /// Decides by what two samples prove.
+    /// Ends, retries or continues the comparison, depending on what the samples prove.
     fn apply_outcome(
         &mut self,
         now: Micros,
@@ -199,8 +200,8 @@
         }
     }
 
-    /// A difference is confirmed if it was found before, long enough ago, in the same child and by the same processes: after a
-    /// restart or a failover the database may have another state.
+    /// Confirms a difference if it was first found at least `confirmation_delay` ago, in the same child and with the
+    /// same database processes. After a restart or a failover a database may have a different state.
     fn confirm(&mut self, found: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
         let is_same_child = |first: &Difference| first.child == found.child;
         let is_same_process = |first: &Difference| first.processes == found.processes;
@@ -217,7 +218,7 @@
         self.await_confirmation(found, confirmation_delay)
     }
 
-    /// Samples the child again once the difference has had the time to persist; ends after the last retry.
+    /// Schedules the second sample of the child after the confirmation delay. The comparison ends if no retry is left.
     fn await_confirmation(&mut self, first: Difference, confirmation_delay: Micros) -> Option<ComparisonEnd> {
         self.retries += 1;
         self.stage = ComparisonStage::AwaitConfirmation(first.child);
@@ -225,7 +226,8 @@
         (self.retries > MAX_RETRIES).then_some(ComparisonEnd::Inconclusive)
     }
 
-    /// Repeats the query after a delay, from the child's sample on if it was one of the samples; ends after the last retry.
+    /// Schedules the query again after a delay, starting with the child's sample if samples are being taken. The
+    /// comparison ends if no retry is left.
     fn retry(&mut self, now: Micros, end: ComparisonEnd) -> Option<ComparisonEnd> {
         self.retries += 1;
         self.query_at = now + RETRY_STEP_MICROS * Micros::from(self.retries);
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -1,4 +1,5 @@
-//! What all processes have compared and found, by range, by the newest report of each origin.
+//! Coverage of the ranges and confirmed differences over all processes, summed up from the newest report of each
+//! origin.
 
 use crate::difference::{DifferenceCounts, DifferenceKind};
 use crate::report::{DEFINITION_MISMATCH, Report};
@@ -6,30 +7,29 @@
 use birchreach_fault_injection::fault_injected;
 use birchreach_peer_reports::{PeerReports, RecordError, ReportError, ReportHeader};
 
-/// How well a range is covered.
+/// The coverage of one range within the window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RangeCoverage {
-    /// Comparisons over all processes.
+    /// The number of comparisons over all processes.
     pub comparisons: u32,
-    /// Processes that made some.
+    /// The number of processes that made at least one comparison.
     pub processes: usize,
 }
 
-/// What the newest report of each origin covers.
+/// The newest report of each origin, which coverage and differences are computed from.
 #[derive(Clone, Debug)]
 pub(crate) struct Coverage {
     pub(crate) reports: PeerReports<Report>,
-    /// Comparisons that an injected fault counts twice; zero otherwise.
+    /// The comparisons that an injected fault adds for outdated reports. Without the fault this is zero.
     injected_excess: u32,
 }
 
 impl Coverage {
-    /// Nothing is covered yet.
     pub(crate) fn new(own_origin: u64, now: Micros) -> Coverage {
         Coverage { reports: PeerReports::new(own_origin, now), injected_excess: 0 }
     }
 
-    /// Records another process's report, which must be of this process's definition.
+    /// Records the report of another process. It is rejected if the process compares by a different definition.
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -48,14 +48,13 @@
         Ok(recorded?)
     }
 
-    /// How well a range is covered.
     pub(crate) fn of_range(&self, range: usize) -> RangeCoverage {
         let counts = self.reports.newest().filter_map(|received| received.report.compared.get(range));
         let comparisons = counts.clone().fold(self.injected_excess, |sum, count| sum.saturating_add(*count));
         RangeCoverage { comparisons, processes: counts.filter(|count| **count > 0).count() }
     }
 
-    /// Confirmed differences over all processes.
+    /// Returns the confirmed differences over all processes.
     pub(crate) fn difference_counts(&self) -> DifferenceCounts {
         let mut counts = DifferenceCounts::default();
         for entry in self.reports.newest().flat_map(|received| &received.report.differences) {
--- a/shard-split/src/difference.rs
+++ b/shard-split/src/difference.rs
@@ -1,26 +1,26 @@
-//! Differences that were confirmed: a child's row is not the parent's, and it persisted.
+//! Confirmed differences: rows of a child that persistently differ from those of the parent.
 
 use crate::Micros;
 use crate::definition::SplitDefinition;
 use crate::sample_comparison::{ParentSample, PositionSample};
 
-/// How a child differs. The order of the variants is the number of a kind in reports.
+/// How a child differs from the parent. The index of a variant is the number of the kind in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DifferenceKind {
     /// The owner does not have a row that the parent has.
     Missing,
-    /// The other child has a row, which it must not.
+    /// The non-owner has a row, although it must not have one.
     Extra,
-    /// The owner has another row than the parent.
+    /// The owner has a different row than the parent.
     Differs,
 }
 
 impl DifferenceKind {
-    /// All kinds, in the order of their numbers in reports.
+    /// All kinds, ordered by their number in reports.
     pub const ALL: [DifferenceKind; 3] =
         [DifferenceKind::Missing, DifferenceKind::Extra, DifferenceKind::Differs];
 
-    /// The kind as operators see it.
+    /// Returns the name of the kind in the log and in the admin reply.
     pub fn as_str(self) -> &'static str {
         match self {
             DifferenceKind::Missing => "missing",
@@ -29,30 +29,29 @@
         }
     }
 
-    /// The number of the kind in reports.
+    /// Returns the number of the kind in reports.
     pub(crate) fn number(self) -> u8 {
         self as u8
     }
 
-    /// The kind of a number in reports.
+    /// Returns the kind with this number in reports, or `None` if there is no such kind.
     pub(crate) fn from_number(number: u8) -> Option<DifferenceKind> {
         DifferenceKind::ALL.get(usize::from(number)).copied()
     }
 }
 
-/// Confirmed differences by kind.
+/// The number of confirmed differences of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DifferenceCounts {
-    /// Of kind [`DifferenceKind::Missing`].
+    /// Differences of kind [`DifferenceKind::Missing`].
     pub missing: u32,
-    /// Of kind [`DifferenceKind::Extra`].
+    /// Differences of kind [`DifferenceKind::Extra`].
     pub extra: u32,
-    /// Of kind [`DifferenceKind::Differs`].
+    /// Differences of kind [`DifferenceKind::Differs`].
     pub differs: u32,
 }
 
 impl DifferenceCounts {
-    /// Adds differences of one kind.
     pub(crate) fn add(&mut self, kind: DifferenceKind, count: u32) {
         let total = match kind {
             DifferenceKind::Missing => &mut self.missing,
@@ -62,33 +61,33 @@
         *total = total.saturating_add(count);
     }
 
-    /// Whether there are none.
+    /// Returns whether all counts are zero.
     pub fn is_empty(self) -> bool {
         self == DifferenceCounts::default()
     }
 }
 
-/// A difference that was confirmed.
+/// A difference that persisted for the confirmation delay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfirmedDifference {
-    /// How the child differs.
+    /// How the child differs from the parent.
     pub kind: DifferenceKind,
-    /// The class of the read that was compared, by the caller's number.
+    /// The caller's number for the class of the read that was compared.
     pub class: u16,
-    /// The group of the child.
+    /// The group of the child that differs.
     pub child_group: u32,
-    /// The hash of the key.
+    /// The hash of the key, by [`SplitDefinition::hash`].
     pub key_hash: u32,
-    /// The parent's row.
+    /// The parent's sample.
     pub parent: ParentSample,
-    /// The child's row, and the positions between which it was read.
+    /// The child's sample, with the positions between which the row was read.
     pub child: PositionSample,
-    /// When the difference was confirmed.
+    /// When this process confirmed the difference.
     pub confirmed_at: Micros,
 }
 
 impl ConfirmedDifference {
-    /// The range that the key belongs to.
+    /// Returns the index of the range that the key belongs to.
     pub fn range(&self) -> usize {
         SplitDefinition::range(self.key_hash)
     }
--- a/shard-split/src/faults.rs
+++ b/shard-split/src/faults.rs
@@ -1,22 +1,22 @@
-//! Faults of this crate that its tests inject, to show that each check finds the fault it is there for.
+//! Faults that the tests of this crate inject. They show that each check detects the violation that it guards against.
 
 birchreach_fault_injection::declare_faults! {
-    /// A row committed after the child's position counts as a difference.
+    /// A row that was committed after the child's position counts as a difference.
     IgnoresCommitTime,
-    /// The parent's sample need not have reached the child's position.
+    /// Samples are compared even if the parent's sample has not reached the child's position.
     IgnoresLaterCommits,
-    /// A difference is confirmed the first time it is seen.
+    /// A difference is confirmed when it is found for the first time.
     SkipsConfirmation,
-    /// A difference may be confirmed by other database processes.
+    /// A difference may be confirmed although a database was restarted or failed over in between.
     IgnoresRestarts,
-    /// Every difference ends as inconclusive.
+    /// A comparison that finds a difference ends as inconclusive.
     NeverConfirms,
-    /// A report counts each time it is received.
+    /// A report counts each time that it is received.
     CountsReportsTwice,
-    /// Reports of another definition count.
+    /// Reports of other definitions count.
     AcceptsOtherDefinitions,
-    /// The verdict is clean although nothing is received from some configured members.
+    /// The status may be clean although some configured members are unreachable.
     IgnoresUnreachableMembers,
-    /// Comparisons and differences are kept without bound.
+    /// The tables of comparisons and differences have no limit.
     SkipsLimits,
 }
--- a/shard-split/src/query.rs
+++ b/shard-split/src/query.rs
@@ -1,65 +1,65 @@
-//! The queries of a comparison to the databases, and their results.
+//! The queries that a comparison sends to databases, and their results.
 
 use crate::Micros;
 use crate::sample_comparison::{ParentSample, PositionSample, RowDigest};
 
-/// One of the two children, as a key sees them.
+/// One of the two children, by its role for a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Child {
-    /// The child that the key goes to.
+    /// The child that the key belongs to.
     Owner,
-    /// The child that must not have it.
+    /// The child that must not have a row of the key.
     NonOwner,
 }
 
-/// The next query of a comparison.
+/// A query of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ComparisonQuery {
     /// One read of a child.
     SingleRead(Child),
     /// Two reads of a child on one connection.
     Sample(Child),
-    /// Two reads of a replica of the parent on one connection, the second one with the time of the row's commit.
+    /// Two reads of a replica of the parent on one connection. The second read also returns the commit time of the row.
     SampleParent,
 }
 
-/// What a query resulted in. `process` identifies the process of the database: it changes with each restart.
+/// The result of a query. `process` identifies the process of the database and changes with each restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryResult {
-    /// Of [`ComparisonQuery::SingleRead`].
+    /// The result of [`ComparisonQuery::SingleRead`].
     SingleRead {
-        /// What the read gave.
+        /// The row that was read.
         row: RowDigest,
-        /// The position that came with it, if any.
+        /// The position in the answer, or `None` if the answer had none.
         position: Option<Micros>,
     },
-    /// Of [`ComparisonQuery::Sample`].
+    /// The result of [`ComparisonQuery::Sample`].
     Sample {
-        /// What the reads gave.
+        /// The row and the positions that the reads returned.
         sample: PositionSample,
-        /// The child's process.
+        /// Identifies the child's process.
         process: u64,
     },
-    /// Of [`ComparisonQuery::SampleParent`].
+    /// The result of [`ComparisonQuery::SampleParent`].
     ParentSample {
-        /// What the reads gave.
+        /// The row, its commit time and the position that the reads returned.
         sample: ParentSample,
-        /// The parent's process.
+        /// Identifies the process of the parent's replica.
         process: u64,
     },
-    /// No answer, or one that lacks what is needed.
+    /// The database did not answer, or the answer lacked a required value.
     NoAnswer,
 }
 
-/// A query that is to be sent now.
+/// A query that is due to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueQuery {
-    /// The number of the comparison, by which the result is recorded.
+    /// The number of the comparison, which [`SplitVerifier::record_result`](crate::SplitVerifier::record_result) needs.
     pub comparison: u64,
-    /// What is to be read.
+    /// The reads to be sent.
     pub query: ComparisonQuery,
-    /// The key to be read.
+    /// The key of the row to be read.
     pub key_bytes: Vec<u8>,
-    /// The group to be queried.
+    /// The group whose replica is queried.
     pub group: u32,
 }
--- a/shard-split/src/report.rs
+++ b/shard-split/src/report.rs
@@ -1,50 +1,50 @@
-//! What processes report to one another of their comparisons.
+//! The report that processes exchange: their comparisons and confirmed differences per range.
 
 use crate::RANGE_COUNT;
 use crate::difference::DifferenceKind;
 use birchreach_peer_reports::{Mismatch, PeerReport};
 use serde::{Deserialize, Serialize};
 
-/// Confirmed differences of one kind in one range. The order of the fields is the format on the wire.
+/// Confirmed differences of one kind in one range. The order of the fields is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeDifferences {
-    /// The number of the kind.
+    /// The number of the [`DifferenceKind`], which is its index in [`DifferenceKind::ALL`].
     pub kind: u8,
-    /// The range, below [`RANGE_COUNT`].
+    /// The index of the range, below [`RANGE_COUNT`].
     pub range: u8,
-    /// How many differences are kept.
+    /// The number of differences that the process keeps.
     pub count: u32,
 }
 
-/// What one process reports. The order of the fields is the format on the wire (postcard).
+/// The report of one process. The order of the fields is part of the wire format (postcard).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The digest of the definition by which the process compares.
+    /// The digest of the process's definition of the split.
     pub definition_digest: u64,
-    /// Comparisons within the window, by range.
+    /// The number of comparisons within the window for each of the [`RANGE_COUNT`] ranges.
     pub compared: Vec<u32>,
-    /// Confirmed differences that the process keeps.
+    /// The confirmed differences that the process keeps, counted by kind and range.
     pub differences: Vec<RangeDifferences>,
 }
 
-/// A report's process compares by another definition than this one.
+/// The rejection of a report whose process compares by a different definition than this process.
 pub const DEFINITION_MISMATCH: Mismatch =
     Mismatch { name: "other-definition", description: "the report is of another definition of the split" };
 
 impl PeerReport for Report {
     const SUBJECT: &'static str = "comparisons";
 
-    /// It counts each range, and names only ranges and kinds that exist.
+    /// Returns whether the report has a count for each range, and contains only existing ranges and kinds.
     fn is_valid(&self) -> bool {
         self.compared.len() == RANGE_COUNT
             && self.differences.len() <= DifferenceKind::ALL.len() * RANGE_COUNT
-            && self.differences.iter().all(RangeDifferences::exists)
+            && self.differences.iter().all(RangeDifferences::is_valid)
     }
 }
 
 impl RangeDifferences {
-    /// Whether its range and its kind exist.
-    fn exists(&self) -> bool {
+    /// Returns whether the range and the kind exist.
+    fn is_valid(&self) -> bool {
         DifferenceKind::from_number(self.kind).is_some() && usize::from(self.range) < RANGE_COUNT
     }
 }
--- a/shard-split/src/reporting.rs
+++ b/shard-split/src/reporting.rs
@@ -1,4 +1,5 @@
-//! The verifier's reports: what this process sends, what it takes of others, and the verdict that follows from all of them.
+//! The verifier's reports: creation of this process's report, receipt of other processes' reports, and the status that
+//! follows from all of them.
 
 use crate::Micros;
 use crate::coverage::RangeCoverage;
@@ -11,7 +12,7 @@
 use std::collections::BTreeMap;
 
 impl SplitVerifier {
-    /// This process's report, once in each report interval.
+    /// Returns this process's encoded report once per report interval, and `None` in between.
     pub fn report_if_due(&mut self, now: Micros) -> Option<Vec<u8>> {
         if !self.coverage.reports.is_due(now) {
             return None;
@@ -27,7 +28,7 @@
         Some(bytes)
     }
 
-    /// The confirmed differences that are kept, counted by kind and range.
+    /// Counts the stored confirmed differences by kind and range.
     fn range_differences(&self) -> Vec<RangeDifferences> {
         let mut counts: BTreeMap<(DifferenceKind, usize), u32> = BTreeMap::new();
         for difference in self.differences() {
@@ -41,11 +42,11 @@
         counts.into_iter().map(entry).collect()
     }
 
-    /// Takes a report of another process, which is a member of the fleet.
+    /// Records the report of another process. The caller ensures that the process is a member of the fleet.
     ///
     /// # Errors
     ///
-    /// The reason why it is not taken; nothing has changed then.
+    /// Returns the reason if the report is rejected. The verifier is unchanged then.
     pub fn receive_report(
         &mut self,
         now: Micros,
@@ -56,17 +57,18 @@
         self.coverage.record(now, &self.settings.definition, header, report)
     }
 
-    /// The verdict. `reachable_members` is the number of processes that this one receives from, itself included.
+    /// Returns the status of the verification. `reachable_members` is the number of processes that this process
+    /// receives reports from, including itself.
     pub fn status(&self, reachable_members: usize) -> VerificationStatus {
         verification_status(&self.coverage, &self.settings, reachable_members.min(self.origin_count()))
     }
 
-    /// How well a range is covered.
+    /// Returns the coverage of a range over all processes. An index beyond the last range counts as the last range.
     pub fn coverage(&self, range: usize) -> RangeCoverage {
         self.coverage.of_range(range.min(RANGE_COUNT - 1))
     }
 
-    /// Processes whose reports are kept, this one included.
+    /// Returns the number of processes whose reports are stored, including this process.
     pub fn origin_count(&self) -> usize {
         self.coverage.reports.origin_count()
     }
--- a/shard-split/src/sample_comparison.rs
+++ b/shard-split/src/sample_comparison.rs
@@ -1,57 +1,57 @@
-//! When a row of a child that differs from the parent's is a fault, and when it proves nothing.
+//! The rule that decides whether a difference between a child's row and the parent's row proves a fault.
 
 use crate::Micros;
 use birchreach_fault_injection::fault_injected;
 
-/// A digest of a row's value; none where there is no row.
+/// A digest of a row's value, or `None` if the database has no such row.
 pub type RowDigest = Option<u64>;
 
-/// A child that was read twice on one connection.
+/// The result of two reads of a child on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PositionSample {
-    /// What the second read gave.
+    /// The result of the second read.
     pub row: RowDigest,
-    /// The position that came with the first answer: the second read includes all commits up to it.
+    /// The position in the first answer. The second read includes all commits up to this position.
     pub position_before: Micros,
-    /// The position that came with the second answer: the second read includes nothing beyond it.
+    /// The position in the second answer. The second read includes no commits beyond this position.
     pub position_after: Micros,
 }
 
-/// A replica of the parent that was read twice on one connection.
+/// The result of two reads of a replica of the parent on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ParentSample {
-    /// What the second read gave.
+    /// The result of the second read.
     pub row: RowDigest,
-    /// When that row was last committed.
+    /// When the row was last committed.
     pub committed_at: Micros,
-    /// The position that came with the first answer, before the second read.
+    /// The position in the first answer, which was taken before the second read.
     pub position: Micros,
 }
 
-/// What two samples prove.
+/// What the samples of the parent and of the owner prove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The rows are the same.
     Agrees,
-    /// The child has not reached the commit of the parent's row yet.
+    /// The child has not yet reached the commit of the parent's row.
     Lagging,
-    /// The row changed between the samples, or may have.
+    /// The row changed or may have changed between the samples.
     Inconclusive,
-    /// The parent had its row for as long as the child may have had its own, and they are not the same.
+    /// The rows differ, although the parent had its row at every position at which the child may have been read.
     Differs,
 }
 
-/// Compares a child that must have the row with the parent.
+/// Compares the samples of the parent and of the child that owns the key.
 pub fn compare_samples(parent: ParentSample, child: PositionSample) -> Outcome {
     if parent.row == child.row {
         return Outcome::Agrees;
     }
     if child.position_before < parent.committed_at && !fault_injected!(IgnoresCommitTime) {
-        // The child need not have the parent's row yet; if it cannot have it, that is a lag.
-        let cannot_have_it = child.position_after < parent.committed_at;
-        return if cannot_have_it { Outcome::Lagging } else { Outcome::Inconclusive };
+        // The child need not have the parent's row yet. It lags if it cannot have the row.
+        let cannot_have_row = child.position_after < parent.committed_at;
+        return if cannot_have_row { Outcome::Lagging } else { Outcome::Inconclusive };
     }
-    // A later commit may have reached the child before the parent was read.
+    // The child may include a commit beyond the position that the parent's sample is known to include.
     if child.position_after > parent.position && !fault_injected!(IgnoresLaterCommits) {
         return Outcome::Inconclusive;
     }
--- a/shard-split/src/settings.rs
+++ b/shard-split/src/settings.rs
@@ -1,39 +1,39 @@
-//! The verifier's settings, and its counts of how comparisons ended.
+//! The settings of the verifier, and the counts of ended comparisons.
 
 use crate::{Micros, SplitDefinition};
 
-/// What is compared, and when a range is covered.
+/// The settings of the verifier: the split, and the conditions for coverage and confirmation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The group that splits, and its children.
+    /// The group that is split, and its children.
     pub definition: SplitDefinition,
-    /// Comparisons that each range needs within the window.
+    /// The number of comparisons that each range needs within the window.
     pub min_comparisons: u32,
-    /// Processes that have to compare in each range within the window.
+    /// The number of processes that must have compared rows of each range within the window.
     pub min_processes: usize,
-    /// How long a comparison counts.
+    /// The length of the window, which is the time for which a comparison counts.
     pub coverage_window: Micros,
-    /// How long a difference has to persist until it is confirmed.
+    /// The time for which a difference must persist before it is confirmed.
     pub confirmation_delay: Micros,
-    /// How many processes the options name.
+    /// The number of processes that the options name.
     pub configured_members: usize,
 }
 
-/// How comparisons of this process ended.
+/// The number of this process's comparisons, by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ComparisonCounts {
-    /// Were started.
+    /// Comparisons that were started.
     pub started: u64,
-    /// Found no difference.
+    /// Comparisons that found no difference.
     pub agreed: u64,
-    /// Ended as the child was behind the parent's row each time.
+    /// Comparisons in which the child never reached the commit of the parent's row.
     pub lagging: u64,
-    /// Ended as the row changed each time, or may have.
+    /// Comparisons in which the row changed or may have changed in every attempt.
     pub inconclusive: u64,
-    /// Ended without the answers that they needed.
+    /// Comparisons that ended because a required answer was missing.
     pub unanswered: u64,
-    /// Confirmed a difference.
+    /// Comparisons that confirmed a difference.
     pub confirmed: u64,
-    /// Were not started, as too many were in progress.
+    /// Comparisons that were not started because too many were in progress.
     pub rejected: u64,
 }
--- a/shard-split/src/status.rs
+++ b/shard-split/src/status.rs
@@ -1,34 +1,34 @@
-//! The verdict of one process on what all have compared.
+//! The status of the verification at one process, based on the comparisons of all processes.
 
 use crate::coverage::Coverage;
 use crate::difference::DifferenceCounts;
 use crate::{RANGE_COUNT, Settings};
 use birchreach_fault_injection::fault_injected;
 
-/// What is missing until the verdict can be clean.
+/// The conditions that are not yet met for the status to be clean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IncompleteReason {
-    /// Ranges with too few comparisons.
+    /// The number of ranges with too few comparisons.
     pub ranges_lacking_comparisons: usize,
-    /// Ranges that too few processes have compared.
+    /// The number of ranges in which too few processes have compared rows.
     pub ranges_lacking_processes: usize,
-    /// Configured processes from which this one receives nothing.
+    /// The number of configured processes from which this process receives no reports.
     pub unreachable_members: usize,
 }
 
-/// The result of all comparisons.
+/// The status of the verification over all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerificationStatus {
-    /// All ranges are covered, and no difference is confirmed.
+    /// All ranges are covered, reports of all configured processes are received, and no difference is confirmed.
     Clean,
-    /// Differences are confirmed.
+    /// At least one process has confirmed a difference.
     DifferencesConfirmed(DifferenceCounts),
-    /// No difference is confirmed, but not all is covered.
+    /// No difference is confirmed, but a range is not covered or a configured process is unreachable.
     Incomplete(IncompleteReason),
 }
 
 impl VerificationStatus {
-    /// The verdict as operators see it.
+    /// Returns the name of the status in the log and in the admin reply.
     pub fn as_str(&self) -> &'static str {
         match self {
             VerificationStatus::Clean => "clean",
@@ -38,7 +38,8 @@
     }
 }
 
-/// The verdict. `reachable_members` is the number of processes that this one receives from, itself included.
+/// Returns the status. `reachable_members` is the number of processes that this process receives reports from,
+/// including itself.
 pub(crate) fn verification_status(
     coverage: &Coverage,
     settings: &Settings,
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -1,4 +1,5 @@
-//! The verifier's state, its comparisons and the differences that they confirm. Its reports and verdict are in `reporting`.
+//! The state of the verifier, its comparisons, and the differences that they confirm. Module `reporting` creates and
+//! receives reports, and determines the status.
 
 use crate::Micros;
 use crate::compare::{Comparison, ComparisonEnd, Difference};
@@ -12,34 +13,34 @@
 use birchreach_fault_injection::fault_injected;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Comparisons in progress; a read beyond them is not compared.
+/// The maximum number of comparisons in progress. At this limit further reads are not compared.
 const MAX_COMPARISONS: usize = 64;
-/// Confirmed differences that are kept of one range, the newest ones.
+/// The maximum number of confirmed differences that are stored for one range. The oldest one is evicted.
 const MAX_DIFFERENCES_PER_RANGE: usize = 4;
-/// Of a range that is covered, one read in so many is compared.
-const COVERED_RANGE_SAMPLING: u64 = 16;
-/// A comparison that takes longer ends as unanswered: its databases cannot be reached.
+/// Reads of a covered range are sampled: one in this many reads is eligible for a comparison.
+const COVERED_RANGE_SAMPLING_INTERVAL: u64 = 16;
+/// A comparison that takes longer than this ends as unanswered, because its databases cannot be reached.
 const MAX_COMPARISON_MICROS: Micros = 120_000_000;
-/// The delay after which a query that could not be sent is due again.
-const POSTPONE_MICROS: Micros = 200_000;
+/// A query that could not be sent is due again after this delay.
+const POSTPONE_DELAY_MICROS: Micros = 200_000;
 
-/// Compares reads of a group that is split with reads of its children.
+/// Compares reads of a group that is being split with reads of its children.
 pub struct SplitVerifier {
     pub(crate) settings: Settings,
-    /// Comparisons in progress, by number.
+    /// Comparisons in progress, by their number.
     comparisons: BTreeMap<u64, Comparison>,
-    /// The number of the last comparison that was started.
+    /// The number of the comparison that was started last.
     last_comparison: u64,
     pub(crate) window: Window,
     pub(crate) coverage: Coverage,
-    /// Confirmed differences by range, the oldest first.
+    /// Confirmed differences by range, from oldest to newest.
     differences: BTreeMap<usize, VecDeque<ConfirmedDifference>>,
     reads_seen: u64,
     counts: ComparisonCounts,
 }
 
 impl SplitVerifier {
-    /// A verifier that has compared nothing. `own_origin` is this process's number in reports.
+    /// Creates a verifier without comparisons. `own_origin` identifies this process in reports.
     pub fn new(settings: Settings, own_origin: u64, now: Micros) -> SplitVerifier {
         SplitVerifier {
             window: Window::new(now, settings.coverage_window),
@@ -58,17 +59,18 @@
         &self.settings
     }
 
-    /// Sets how often this process reports.
+    /// Sets the interval at which each process of the fleet reports.
     pub fn set_report_interval(&mut self, interval: Micros) {
         self.coverage.reports.set_interval(interval);
     }
 
-    /// Records that a client was served a row of the parent, and starts a comparison of it if its range needs one.
+    /// Records that a client was served a row of the parent. A comparison of the row starts if the read is sampled and
+    /// no comparison of the key is in progress. `class` is the caller's number for the class of the read.
     pub fn record_read(&mut self, now: Micros, class: u16, key: &[u8], row: RowDigest) {
         let key_hash = SplitDefinition::hash(key);
         self.reads_seen += 1;
         let is_sampled = !self.is_covered(SplitDefinition::range(key_hash))
-            || self.reads_seen.is_multiple_of(COVERED_RANGE_SAMPLING);
+            || self.reads_seen.is_multiple_of(COVERED_RANGE_SAMPLING_INTERVAL);
         let is_in_progress = self.comparisons.values().any(|comparison| comparison.key_hash == key_hash);
         if is_in_progress || !is_sampled {
             return;
@@ -83,14 +85,15 @@
         self.comparisons.insert(self.last_comparison, comparison);
     }
 
-    /// Whether a range has enough comparisons by enough processes.
+    /// Returns whether enough processes have made enough comparisons in a range.
     fn is_covered(&self, range: usize) -> bool {
         let coverage = self.coverage.of_range(range);
         coverage.comparisons >= self.settings.min_comparisons
             && coverage.processes >= self.settings.min_processes
     }
 
-    /// The queries that are to be sent now, no more than `max`.
+    /// Returns the queries that are due, at most `max`. Each of them counts as sent until its result is recorded or it
+    /// is postponed.
     pub fn due_queries(&mut self, now: Micros, max: usize) -> Vec<DueQuery> {
         let definition = &self.settings.definition;
         let is_due = |comparison: &Comparison| !comparison.query_in_flight && comparison.query_at <= now;
@@ -108,15 +111,16 @@
         .collect()
     }
 
-    /// Records that a query could not be sent now: it becomes due again later.
+    /// Records that the query of a comparison could not be sent. It becomes due again after a short delay.
     pub fn postpone(&mut self, now: Micros, comparison: u64) {
         if let Some(comparison) = self.comparisons.get_mut(&comparison) {
             comparison.query_in_flight = false;
-            comparison.query_at = now + POSTPONE_MICROS;
+            comparison.query_at = now + POSTPONE_DELAY_MICROS;
         }
     }
 
-    /// Takes the result of a query; the difference that it confirmed, if any.
+    /// Records the result of a comparison's query. Returns the difference if this result confirmed one. An unknown
+    /// number is ignored.
     pub fn record_result(
         &mut self,
         now: Micros,
@@ -125,13 +129,13 @@
     ) -> Option<ConfirmedDifference> {
         let comparison = self.comparisons.get_mut(&number)?;
         let end = comparison.record_result(now, result, self.settings.confirmation_delay);
-        let is_too_long = now - comparison.started_at > MAX_COMPARISON_MICROS;
-        let end = end.or(is_too_long.then_some(ComparisonEnd::Unanswered))?;
+        let is_timed_out = now - comparison.started_at > MAX_COMPARISON_MICROS;
+        let end = end.or(is_timed_out.then_some(ComparisonEnd::Unanswered))?;
         let comparison = self.comparisons.remove(&number)?;
         self.finish(now, &comparison, end)
     }
 
-    /// Counts a comparison that ended; the difference that it confirmed, if any.
+    /// Counts a comparison that ended. Returns the difference if the comparison confirmed one.
     fn finish(
         &mut self,
         now: Micros,
@@ -150,14 +154,14 @@
             ComparisonEnd::Confirmed(difference) => {
                 self.counts.confirmed += 1;
                 self.window.add(now, range);
-                return Some(self.keep_difference(now, comparison, range, difference));
+                return Some(self.store_difference(now, comparison, range, difference));
             }
         }
         None
     }
 
-    /// Keeps a confirmed difference in place of an older one of its key and kind.
-    fn keep_difference(
+    /// Stores a confirmed difference and removes an older one with the same key and kind.
+    fn store_difference(
         &mut self,
         now: Micros,
         comparison: &Comparison,
@@ -174,33 +178,33 @@
             child: difference.sample,
             confirmed_at: now,
         };
-        let kept = self.differences.entry(range).or_default();
-        kept.retain(|other| (other.key_hash, other.kind) != (confirmed.key_hash, confirmed.kind));
-        kept.push_back(confirmed.clone());
-        if kept.len() > MAX_DIFFERENCES_PER_RANGE && !fault_injected!(SkipsLimits) {
-            kept.pop_front();
+        let stored = self.differences.entry(range).or_default();
+        stored.retain(|other| (other.key_hash, other.kind) != (confirmed.key_hash, confirmed.kind));
+        stored.push_back(confirmed.clone());
+        if stored.len() > MAX_DIFFERENCES_PER_RANGE && !fault_injected!(SkipsLimits) {
+            stored.pop_front();
         }
         confirmed
     }
 
-    /// When the verifier may have something to do: a query, or a report.
+    /// Returns the earliest instant at which a query or a report may be due.
     pub fn next_change(&self, now: Micros) -> Micros {
         let waiting = self.comparisons.values().filter(|comparison| !comparison.query_in_flight);
         let queries = waiting.map(|comparison| comparison.query_at.max(now));
         queries.chain([self.coverage.reports.next_due_at()]).min().unwrap_or(Micros::MAX)
     }
 
-    /// Differences that this process confirmed and keeps, in the order of ranges.
+    /// Returns the stored differences that this process confirmed, ordered by range.
     pub fn differences(&self) -> impl Iterator<Item = &ConfirmedDifference> {
         self.differences.values().flatten()
     }
 
-    /// How this process's comparisons ended.
+    /// Returns how this process's comparisons ended.
     pub fn counts(&self) -> ComparisonCounts {
         self.counts
     }
 
-    /// Comparisons in progress.
+    /// Returns the number of comparisons in progress.
     pub fn comparison_count(&self) -> usize {
         self.comparisons.len()
     }
--- a/shard-split/src/window.rs
+++ b/shard-split/src/window.rs
@@ -1,22 +1,22 @@
-//! This process's comparisons of late, by range.
+//! A sliding window over this process's comparisons, counted by range.
 
 use crate::{Micros, RANGE_COUNT};
 
-/// A window consists of so many parts, of which the oldest is removed at once.
+/// The number of parts of the window. The oldest part is removed as a whole.
 const WINDOW_PARTS: usize = 4;
 
-/// This process's comparisons within the window, by range. The window slides by a part of its length at a time.
+/// The number of comparisons in each range within the window. The window advances by one part at a time.
 #[derive(Clone, Debug)]
 pub(crate) struct Window {
-    /// The newest part first.
+    /// The counts of each part, from newest to oldest.
     parts: Vec<[u32; RANGE_COUNT]>,
     part_span: Micros,
-    /// When the newest part began.
+    /// When the newest part started.
     part_started_at: Micros,
 }
 
 impl Window {
-    /// A window of this length without comparisons.
+    /// Creates an empty window of this length.
     pub(crate) fn new(now: Micros, span: Micros) -> Window {
         Window {
             parts: vec![[0; RANGE_COUNT]; WINDOW_PARTS],
@@ -33,21 +33,21 @@
         }
     }
 
-    /// Begins the parts that are due, each in place of the oldest.
+    /// Starts the parts that are due. Each of them replaces the oldest part.
     fn advance(&mut self, now: Micros) {
         while now - self.part_started_at >= self.part_span {
             self.part_started_at += self.part_span;
             self.parts.rotate_right(1);
             self.parts[0] = [0; RANGE_COUNT];
             if now - self.part_started_at > self.part_span * (WINDOW_PARTS as Micros + 1) {
-                // All that was counted is older than the window.
+                // All comparisons are older than the window.
                 self.parts.fill([0; RANGE_COUNT]);
                 self.part_started_at = now;
             }
         }
     }
 
-    /// The comparisons of each range.
+    /// Returns the number of comparisons of each range within the window.
     pub(crate) fn sums(&mut self, now: Micros) -> Vec<u32> {
         self.advance(now);
         (0..RANGE_COUNT).map(|range| self.parts.iter().map(|part| part[range]).sum()).collect()
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A parent, two children that follow it with a lag, clients that read and write, and processes that compare: on virtual time, from a seed.
+//! A parent, two children that follow it with a lag, clients that read and write, and processes that compare: on
+//! virtual time, from a seed.
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 mod databases;
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -1,6 +1,6 @@
-//! The rule of comparison, model-checked: a writer whose values change back and forth, a parent that may itself lag (deposed, or a replica),
-//! two children that lag, and a comparer that pauses anywhere between a position that it got and the read behind it. The rule is the
-//! crate's own.
+//! The rule of comparison, model-checked: a writer whose values change back and forth, a parent that may itself lag
+//! (deposed, or a replica), two children that lag, and a comparer that pauses anywhere between a position that it got
+//! and the read behind it. The rule is the crate's own.
 
 use birchreach_shard_split::faults::{self, Fault};
 use birchreach_shard_split::sample_comparison::{Outcome, ParentSample, PositionSample, compare_samples};
@@ -11,7 +11,8 @@
 /// The child that has another row than it should, where one has.
 const FAULTY_CHILD: usize = 1;
 
-/// What the comparer has read so far: the child's position, its row and its position again, then the parent's position and its row.
+/// What the comparer has read so far: the child's position, its row and its position again, then the parent's position
+/// and its row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     Idle,
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,5 +1,6 @@
-//! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
-//! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
+//! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte
+//! for byte; keys and definitions have the hashes that an earlier version gives them, in reports, lines of differences
+//! and log lines.
 
 use birchreach_shard_split::{PeerReport, RANGE_COUNT, RangeDifferences, Report, SplitDefinition};
 use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -1,4 +1,5 @@
-//! Which differences are confirmed, what is covered, and the verdict; and each check finds the fault that breaks what it holds.
+//! Which differences are confirmed, what is covered, and the verdict; and each check finds the fault that breaks what
+//! it holds.
 
 #[path = "../common/mod.rs"]
 mod common;
