--- a/shard-split/tests/common/databases.rs
+++ b/shard-split/tests/common/databases.rs
@@ -1,4 +1,4 @@
-//! The simulated databases of a split: a parent whose rows are written, and two children that follow it.
+//! The simulated databases of a split: a parent that receives writes, and two children that replicate from it.
 
 use super::{ChildFault, Disturbances, MILLI, SECOND, definition, key};
 use birchreach_shard_split::sample_comparison::ParentSample;
@@ -10,7 +10,7 @@
 /// How long a child keeps commits that the parent lost in a failover.
 const CHILD_REPAIR_MICROS: Micros = SECOND;
 
-/// A value of a row, by the time of its commit.
+/// A value of a row with its commit time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Commit {
     committed_at: Micros,
@@ -31,12 +31,12 @@
     process: u64,
 }
 
-/// A parent and its two children.
+/// The databases of a parent and its two children.
 pub(crate) struct Databases {
-    /// Keys that have a row.
+    /// The number of keys, each of which has a row.
     pub keys: usize,
     disturbances: Disturbances,
-    /// The commits of each key, in their order.
+    /// The commits of each key, from oldest to newest.
     log: BTreeMap<usize, Vec<Commit>>,
     lost_commits: Vec<LostCommit>,
     /// Changes with each failover.
@@ -46,13 +46,13 @@
     pub faults: BTreeMap<usize, ChildFault>,
 }
 
-/// Whether something that event_occurs so often in a second event_occurs within a span.
+/// Draws whether an event with this mean rate occurs within a span.
 pub(super) fn event_occurs(rng: &mut fastrand::Rng, per_s: f64, span: Micros) -> bool {
     rng.f64() < per_s * span as f64 / 1e6
 }
 
 impl Databases {
-    /// Databases with one value of each key.
+    /// Creates databases with one value of each key.
     pub(crate) fn new(keys: usize, disturbances: Disturbances) -> Databases {
         let first_commit = |number: usize| vec![Commit { committed_at: 0, value: number as u64 }];
         let child = |process| ChildDatabase { position: 0, lag: 20 * MILLI, process };
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Writes, changes of lag, failovers and restarts that happen within a step.
+    /// Applies the writes, changes of lag, failovers and restarts that occur within a step.
     pub(crate) fn apply_disturbances(&mut self, rng: &mut fastrand::Rng, now: Micros, step: Micros) {
         let Disturbances { writes, lag, failovers, restarts, .. } = self.disturbances;
         if event_occurs(rng, writes, step) {
             let number = rng.usize(..self.keys.min(20));
-            // Each value comes back after some other ones.
+            // A key has only three values, so that each value recurs after other ones.
             let value = rng.u64(..3) * 1_000 + number as u64;
             self.log.entry(number).or_default().push(Commit { committed_at: now, value });
         }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Another database becomes the parent, without the last commits.
+    /// Makes another database the parent's primary, without the commits of the last 300 ms.
     fn fail_over(&mut self, now: Micros) {
         self.parent_process += 1;
         let replicated_until = now - 300 * MILLI;
@@ -102,13 +102,14 @@
         }
     }
 
-    /// The parent's newest commit of a key up to a position.
+    /// Returns the parent's newest commit of a key up to a position.
     pub(crate) fn parent_commit(&self, number: usize, position: Micros) -> Commit {
         let commits = self.log[&number].iter().filter(|commit| commit.committed_at <= position);
         commits.copied().max().unwrap_or_default()
     }
 
-    /// A child's newest commit of a key up to a position: it has what the parent lost until it is repaired.
+    /// Returns a child's newest commit of a key up to a position. The child keeps commits that the parent lost until it
+    /// is repaired.
     fn child_commit(&self, now: Micros, number: usize, position: Micros) -> Commit {
         let is_visible = |lost: &&LostCommit| {
             lost.key == number
@@ -138,7 +139,7 @@
         }
     }
 
-    /// What a database answers: positions are of other instants than rows.
+    /// Returns the answer of a database. Positions and rows in the answer are taken at different instants.
     pub(crate) fn answer(
         &mut self,
         rng: &mut fastrand::Rng,
--- a/shard-split/tests/common/disturbances.rs
+++ b/shard-split/tests/common/disturbances.rs
@@ -1,28 +1,29 @@
-//! What goes wrong with the databases of a simulated split.
+//! Faults and disturbances of the databases of a simulated split.
 
 use birchreach_shard_split::Micros;
 
-/// A fault of one key in a child.
+/// A fault of the rows of one key in the children.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChildFault {
-    /// The owner lacks the row.
+    /// The owner does not have the row.
     Missing,
-    /// The other child has the row too.
+    /// The non-owner has the row too.
     Extra,
-    /// The owner has another row.
+    /// The owner has a different row.
     Differs,
 }
 
-/// What event_occurs to the databases.
+/// Normal events at the databases, which must not be confirmed as differences.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Disturbances {
-    /// Writes in a second, to a few of the keys.
+    /// Writes per second to a few of the keys.
     pub writes: f64,
-    /// Replication lags change at random, up to this.
+    /// The maximum replication lag. Lags change at random.
     pub lag: Micros,
-    /// Failovers of the parent in a second. Each loses its last writes, which children have for another second.
+    /// Failovers of the parent per second. Each failover loses the last writes, which the children keep for another
+    /// second.
     pub failovers: f64,
-    /// Restarts of a child from an older state, in a second.
+    /// Restarts of a child from an older state, per second.
     pub restarts: f64,
     /// The fraction of answers that are lost.
     pub lost_answers: f64,
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A parent, two children that follow it with a lag, clients that read and write, and processes that compare: on
-//! virtual time, from a seed.
+//! A simulated split on virtual time, with all random choices from one seed: a parent, two lagging children, clients
+//! that read and write, and processes that compare reads.
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 mod databases;
@@ -17,12 +17,12 @@
 const MILLI: Micros = 1_000;
 const STEP_MICROS: Micros = 20 * MILLI;
 
-/// A group that splits in the middle.
+/// Returns a split in the middle of the hash space.
 pub(crate) fn definition() -> SplitDefinition {
     SplitDefinition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
 }
 
-/// Settings that want two comparisons a range by one process.
+/// Returns settings that require two comparisons per range by at least one process.
 pub(crate) fn settings(configured: usize) -> Settings {
     Settings {
         definition: definition(),
@@ -34,17 +34,17 @@
     }
 }
 
-/// A key, by its number.
+/// Returns the key with this number.
 pub(crate) fn key(number: usize) -> Vec<u8> {
     format!("key-{number}").into_bytes()
 }
 
-/// The header of a report that was made just now.
+/// Returns the header of a report that was made just now.
 pub(crate) fn header(origin: u64, sequence: u64) -> ReportHeader {
     ReportHeader { origin, sequence, age: 0 }
 }
 
-/// An answer on its way to a verifier.
+/// A query result that has not arrived at its verifier yet.
 struct AnswerInTransit {
     arrives_at: Micros,
     verifier: usize,
@@ -52,24 +52,24 @@
     result: QueryResult,
 }
 
-/// The databases, and verifiers that compare what clients read.
+/// The databases, and the verifiers that compare the clients' reads.
 pub(crate) struct Simulation {
     pub now: Micros,
     rng: fastrand::Rng,
     pub databases: Databases,
     pub verifiers: Vec<SplitVerifier>,
     answers_in_transit: Vec<AnswerInTransit>,
-    /// Confirmed differences of all verifiers.
+    /// The differences that all verifiers confirmed.
     pub differences: Vec<ConfirmedDifference>,
-    /// Queries that were sent.
+    /// The number of queries that were sent.
     pub queries: u64,
 }
 
-/// What was confirmed, compared with the faults that there are.
+/// Confirmed differences, compared with the faults of the children.
 pub(crate) struct ConfirmedKeys<'a> {
-    /// Keys with a fault for which a difference of its kind was confirmed.
+    /// Faulty keys for which a difference of the right kind was confirmed.
     pub faulty: BTreeSet<usize>,
-    /// Confirmed differences of other keys, or of another kind.
+    /// Confirmed differences of keys without a fault, or of the wrong kind.
     pub wrong: Vec<&'a ConfirmedDifference>,
 }
 
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Passes time in small steps, with so many reads a second.
+    /// Advances the time in small steps, with this rate of client reads.
     pub(crate) fn advance(&mut self, span: Micros, reads_per_s: f64) {
         let end = self.now + span;
         while self.now < end {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A client reads a key at a replica of the parent, which may lag a little.
+    /// Simulates a client's read at a replica of the parent that lags by less than 30 ms.
     fn read(&mut self, verifier: usize) {
         let number = self.rng.usize(..self.databases.keys);
         let position = self.now - 1 - self.rng.i64(0..30 * MILLI);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Each report reaches all other verifiers.
+    /// Delivers each due report to all other verifiers.
     fn exchange_reports(&mut self) {
         let sequence = self.now as u64;
         for from in 0..self.verifiers.len() {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The confirmed differences, by whether there is such a fault.
+    /// Groups the confirmed differences by whether the children have a corresponding fault.
     pub(crate) fn confirmed_keys(&self) -> ConfirmedKeys<'_> {
         let mut confirmed = ConfirmedKeys { faulty: BTreeSet::new(), wrong: Vec::new() };
         for difference in &self.differences {
--- a/shard-split/tests/malformed_reports.rs
+++ b/shard-split/tests/malformed_reports.rs
@@ -1,4 +1,4 @@
-//! Malformed reports are rejected, each rejection has its reason, and what is kept of all that is received is bounded.
+//! Rejection of reports, with its reason, and the limit on the number of stored reports.
 
 mod common;
 use birchreach_shard_split::{PeerReport, RANGE_COUNT, RangeDifferences, Report, SplitVerifier};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn kept_reports_are_bounded_whatever_is_received() {
+fn kept_reports_are_bounded() {
     let mut rng = fastrand::Rng::with_seed(3);
     let valid = valid_report().encode();
     let mut split = SplitVerifier::new(settings(2), 1, 0);
@@ -40,7 +40,7 @@
     let valid = valid_report().encode();
 
     for length in 0..valid.len() {
-        assert!(Report::decode(&valid[..length]).is_err(), "{length} bytes of it");
+        assert!(Report::decode(&valid[..length]).is_err(), "{length} bytes of a report are accepted");
     }
 
     let is_rejected = |report: Report| Report::decode(&report.encode()).is_err();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_rejected_report_has_a_label_and_a_text() {
+fn the_error_for_a_rejected_report_has_a_label_and_a_text() {
     // Given a verifier that keeps a report of another process.
     let valid = valid_report().encode();
     let of_another_definition = Report { definition_digest: 0, ..valid_report() }.encode();
@@ -61,7 +61,7 @@
         (error.as_str(), error.to_string())
     };
 
-    // When reports are rejected.
+    // When the verifier rejects reports for different reasons.
     let malformed = rejection(3, &[]);
     let mismatched = rejection(3, &of_another_definition);
     let outdated = rejection(2, &valid);
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -1,6 +1,6 @@
-//! The rule of comparison, model-checked: a writer whose values change back and forth, a parent that may itself lag
-//! (deposed, or a replica), two children that lag, and a comparer that pauses anywhere between a position that it got
-//! and the read behind it. The rule is the crate's own.
+//! Model check of the rule that compares two samples. The model has a writer whose values recur, a parent that may lag
+//! (because it is a replica or a deposed primary), two lagging children, and a comparer that may pause between the read
+//! of a position and the read of a row. The transitions call the function of the crate itself.
 
 use birchreach_shard_split::faults::{self, Fault};
 use birchreach_shard_split::sample_comparison::{Outcome, ParentSample, PositionSample, compare_samples};
@@ -8,11 +8,16 @@
 
 const COMMITS: usize = 4;
 const CHILDREN: usize = 2;
-/// The child that has another row than it should, where one has.
+/// The child with wrong rows in the model with a faulty child.
 const FAULTY_CHILD: usize = 1;
 
-/// What the comparer has read so far: the child's position, its row and its position again, then the parent's position
-/// and its row.
+/// The names of the properties.
+const NO_FALSE_DIFFERENCE: &str = "no difference is found in a child without a fault";
+const NO_MISSED_FAULT: &str = "a fault is found once all commits are applied";
+const FAULT_FOUND: &str = "a difference is found in the faulty child";
+
+/// The reads that the comparer has completed. It reads the child's position, the child's row and the child's position
+/// again, then the parent's position and the parent's row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     Idle,
@@ -26,23 +31,25 @@
 struct State {
     /// The row's value after each commit.
     log: Vec<u64>,
-    /// The last commit that each child has.
+    /// The last commit that each child has applied.
     applied: [usize; CHILDREN],
-    /// The last commit that the queried database of the parent has.
-    parent: usize,
+    /// The last commit that the queried database of the parent has applied.
+    parent_applied: usize,
     stage: Stage,
+    /// A difference was found in a child without a fault.
     false_difference: bool,
-    /// A child with a fault was sampled after all commits were applied, and no difference was found.
-    overlooked: bool,
-    found: bool,
+    /// No difference was found in the faulty child, although all commits were applied when it was sampled.
+    fault_missed: bool,
+    difference_found: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Commit(u64),
     /// A child applies the next commit.
-    Apply(usize),
-    ParentApplies,
+    ApplyAtChild(usize),
+    /// The queried database of the parent applies the next commit.
+    ApplyAtParent,
     ReadChildPosition(usize),
     ReadChild,
     ReadChildPositionAgain,
@@ -50,13 +57,13 @@
     ReadParent,
 }
 
-struct Rules {
+struct ComparisonModel {
     fault: Option<Fault>,
-    /// One child has another row than it should.
+    /// Whether the rows of one child are wrong.
     has_faulty_child: bool,
 }
 
-impl Rules {
+impl ComparisonModel {
     fn is_faulty(&self, child: usize) -> bool {
         self.has_faulty_child && child == FAULTY_CHILD
     }
@@ -66,24 +73,30 @@
         if self.is_faulty(child) { row + 100 } else { row }
     }
 
-    /// The parent's row is read, and the samples are compared.
-    fn compare(&self, state: &mut State, child: usize, sample: PositionSample, parent_position: usize) {
+    /// Reads the parent's row and compares the samples.
+    fn read_parent_row(
+        &self,
+        state: &mut State,
+        child: usize,
+        sample: PositionSample,
+        parent_position: usize,
+    ) {
         let parent = ParentSample {
-            row: state.log.get(state.parent).copied(),
-            committed_at: state.parent as i64,
+            row: state.log.get(state.parent_applied).copied(),
+            committed_at: state.parent_applied as i64,
             position: parent_position as i64,
         };
         let differs = compare_samples(parent, sample) == Outcome::Differs;
         let last_commit = state.log.len() - 1;
         let all_applied = sample.position_before as usize == last_commit && parent_position == last_commit;
         state.false_difference |= differs && !self.is_faulty(child);
-        state.overlooked |= self.is_faulty(child) && all_applied && !differs;
-        state.found |= differs;
+        state.fault_missed |= self.is_faulty(child) && all_applied && !differs;
+        state.difference_found |= differs;
         state.stage = Stage::Idle;
     }
 }
 
-impl Model for Rules {
+impl Model for ComparisonModel {
     type State = State;
     type Action = Step;
 
@@ -91,11 +104,11 @@
         vec![State {
             log: vec![0],
             applied: [0; CHILDREN],
-            parent: 0,
+            parent_applied: 0,
             stage: Stage::Idle,
             false_difference: false,
-            overlooked: false,
-            found: false,
+            fault_missed: false,
+            difference_found: false,
         }]
     }
 
@@ -104,9 +117,9 @@
             actions.extend([Step::Commit(0), Step::Commit(1)]);
         }
         let lags = |child: &usize| state.applied[*child] + 1 < state.log.len();
-        actions.extend((0..CHILDREN).filter(lags).map(Step::Apply));
-        if state.parent + 1 < state.log.len() {
-            actions.push(Step::ParentApplies);
+        actions.extend((0..CHILDREN).filter(lags).map(Step::ApplyAtChild));
+        if state.parent_applied + 1 < state.log.len() {
+            actions.push(Step::ApplyAtParent);
         }
         match state.stage {
             Stage::Idle => actions.extend((0..CHILDREN).map(Step::ReadChildPosition)),
@@ -122,8 +135,8 @@
         let mut state = state.clone();
         match (step, state.stage.clone()) {
             (Step::Commit(value), _) => state.log.push(value),
-            (Step::Apply(child), _) => state.applied[child] += 1,
-            (Step::ParentApplies, _) => state.parent += 1,
+            (Step::ApplyAtChild(child), _) => state.applied[child] += 1,
+            (Step::ApplyAtParent, _) => state.parent_applied += 1,
             (Step::ReadChildPosition(child), _) => {
                 let position_before = state.applied[child];
                 state.stage = Stage::ChildPositionKnown { child, position_before };
@@ -141,11 +154,11 @@
                 state.stage = Stage::ChildSampled { child, sample };
             }
             (Step::ReadParentPosition, Stage::ChildSampled { child, sample }) => {
-                let parent_position = state.parent;
+                let parent_position = state.parent_applied;
                 state.stage = Stage::ParentPositionKnown { child, sample, parent_position };
             }
             (Step::ReadParent, Stage::ParentPositionKnown { child, sample, parent_position }) => {
-                self.compare(&mut state, child, sample, parent_position);
+                self.read_parent_row(&mut state, child, sample, parent_position);
             }
             _ => return None,
         }
@@ -154,35 +167,35 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no false difference", |_, state: &State| !state.false_difference),
-            Property::always("a persistent fault is found", |_, state: &State| !state.overlooked),
-            Property::sometimes("a fault is found", |rules: &Rules, state: &State| {
-                state.found || !rules.has_faulty_child
+            Property::always(NO_FALSE_DIFFERENCE, |_, state: &State| !state.false_difference),
+            Property::always(NO_MISSED_FAULT, |_, state: &State| !state.fault_missed),
+            Property::sometimes(FAULT_FOUND, |model: &ComparisonModel, state: &State| {
+                state.difference_found || !model.has_faulty_child
             }),
         ]
     }
 }
 
+/// Returns the safety properties that the model violates while the fault is injected.
 fn violated_properties(fault: Option<Fault>, has_faulty_child: bool) -> Vec<&'static str> {
-    let rules = Rules { fault, has_faulty_child };
-    let checker = rules.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
+    let model = ComparisonModel { fault, has_faulty_child };
+    let checker = model.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
-    assert!(fault.is_some() || checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
-    assert!(fault.is_some() || found.contains_key("a fault is found"), "it shows nothing");
-    ["no false difference", "a persistent fault is found"]
-        .into_iter()
-        .filter(|name| found.contains_key(name))
-        .collect()
+    let state_count = checker.unique_state_count();
+    assert!(fault.is_some() || state_count > 1_000, "the model reached only {state_count} states");
+    assert!(fault.is_some() || found.contains_key(FAULT_FOUND), "no state with a found fault was reached");
+    let safety_properties = [NO_FALSE_DIFFERENCE, NO_MISSED_FAULT];
+    safety_properties.into_iter().filter(|name| found.contains_key(name)).collect()
 }
 
 #[test]
-fn only_faults_differ_and_persistent_ones_do() {
+fn samples_differ_only_in_faulty_children_and_a_persistent_fault_is_found() {
     assert_eq!(violated_properties(None, false), Vec::<&str>::new());
     assert_eq!(violated_properties(None, true), Vec::<&str>::new());
 }
 
 #[test]
-fn each_injected_fault_of_the_rule_is_found() {
-    assert_eq!(violated_properties(Some(Fault::IgnoresCommitTime), false), ["no false difference"]);
-    assert_eq!(violated_properties(Some(Fault::IgnoresLaterCommits), false), ["no false difference"]);
+fn the_model_detects_each_injected_fault() {
+    assert_eq!(violated_properties(Some(Fault::IgnoresCommitTime), false), [NO_FALSE_DIFFERENCE]);
+    assert_eq!(violated_properties(Some(Fault::IgnoresLaterCommits), false), [NO_FALSE_DIFFERENCE]);
 }
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,6 +1,6 @@
-//! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte
-//! for byte; keys and definitions have the hashes that an earlier version gives them, in reports, lines of differences
-//! and log lines.
+//! Compatibility with earlier versions in the same fleet: recorded reports of an earlier version are decoded and
+//! encoded again byte for byte. Keys and definitions have the hashes that an earlier version writes to reports, to the
+//! lines of differences in the admin reply and to the log.
 
 use birchreach_shard_split::{PeerReport, RANGE_COUNT, RangeDifferences, Report, SplitDefinition};
 use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -1,19 +1,21 @@
-//! Which differences are confirmed, what is covered, and the verdict; and each check finds the fault that breaks what
-//! it holds.
+//! Invariants of confirmed differences, coverage and status. A further test injects faults, each of which breaks one
+//! invariant, and verifies that the check of this invariant fails.
 
 #[path = "../common/mod.rs"]
 mod common;
+mod reports;
 mod status;
 
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::faults::{Fault, with};
 use birchreach_shard_split::{
-    ComparisonQuery, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGE_COUNT,
-    RangeCoverage, RangeDifferences, Report, SplitDefinition, SplitVerifier, VerificationStatus,
+    ComparisonQuery, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGE_COUNT, Report,
+    SplitVerifier, VerificationStatus,
 };
 use common::{
     ChildFault, ConfirmedKeys, Disturbances, SECOND, Simulation, definition, header, key, settings,
 };
+use reports::{check_counting, check_definitions};
 use status::check_clean_status;
 
 type CheckResult = Result<(), String>;
@@ -21,7 +23,7 @@
 const FREQUENT_DISTURBANCES: Disturbances =
     Disturbances { writes: 15.0, lag: 2 * SECOND, failovers: 0.1, restarts: 0.05, lost_answers: 0.05 };
 
-/// Writes, lags, restarts and failovers confirm no difference.
+/// Checks that no difference is confirmed under writes, replication lag, restarts and failovers.
 fn check_no_false_difference() -> CheckResult {
     for seed in 0..40 {
         let mut simulation = Simulation::new(seed, 3, 60, FREQUENT_DISTURBANCES);
@@ -29,14 +31,14 @@
         simulation.advance(60 * SECOND, 60.0);
 
         let wrong = simulation.confirmed_keys().wrong;
-        ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
+        ensure!(wrong.is_empty(), "seed {seed}: wrongly confirmed: {wrong:?}");
         let agreed: u64 = simulation.verifiers.iter().map(|verifier| verifier.counts().agreed).sum();
-        ensure!(agreed > 300, "seed {seed}: hardly anything was compared: {agreed}");
+        ensure!(agreed > 300, "seed {seed}: too few comparisons ended in agreement: {agreed}");
     }
     Ok(())
 }
 
-/// Each kind of fault is confirmed, also in keys that are written all the time.
+/// Checks that each kind of fault is confirmed, even for keys that are written frequently.
 fn check_faults_are_confirmed() -> CheckResult {
     let faults = [
         (3, ChildFault::Differs),
@@ -57,8 +59,8 @@
         simulation.advance(150 * SECOND, 60.0);
 
         let ConfirmedKeys { faulty, wrong } = simulation.confirmed_keys();
-        ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
-        ensure!(faulty.len() == 5, "seed {seed}: of five only {faulty:?}");
+        ensure!(wrong.is_empty(), "seed {seed}: wrongly confirmed: {wrong:?}");
+        ensure!(faulty.len() == 5, "seed {seed}: only these of five faults were confirmed: {faulty:?}");
         let members = simulation.verifiers.len();
         let has_differences = |verifier: &SplitVerifier| {
             matches!(verifier.status(members), VerificationStatus::DifferencesConfirmed(_))
@@ -72,68 +74,9 @@
     Ok(())
 }
 
-/// A report that a verifier receives.
-#[derive(Clone, Copy)]
-struct SentReport {
-    origin: u64,
-    sequence: u64,
-    /// Comparisons in each range.
-    comparisons: u32,
-}
-
-/// Reports count once, received in several orders, some twice.
-fn check_counting() -> CheckResult {
-    let encoded = |comparisons: u32| {
-        let report = Report {
-            definition_digest: definition().digest(),
-            compared: vec![comparisons; RANGE_COUNT],
-            differences: vec![],
-        };
-        report.encode()
-    };
-    let outdated = SentReport { origin: 2, sequence: 1, comparisons: 5 };
-    let newest = SentReport { origin: 2, sequence: 2, comparisons: 7 };
-    let of_another = SentReport { origin: 3, sequence: 1, comparisons: 1 };
-    let reports = [outdated, newest, of_another, newest, of_another, outdated];
-    let orders: [[usize; 6]; 3] = [[0, 1, 2, 3, 4, 5], [5, 4, 3, 2, 1, 0], [1, 0, 2, 5, 3, 4]];
-    for order in orders {
-        let mut split = SplitVerifier::new(settings(3), 1, 0);
-
-        for SentReport { origin, sequence, comparisons } in order.map(|index| reports[index]) {
-            let _ = split.receive_report(SECOND, header(origin, sequence), &encoded(comparisons));
-        }
-
-        ensure!(
-            split.coverage(0) == RangeCoverage { comparisons: 8, processes: 2 },
-            "{order:?}: {:?}",
-            split.coverage(0)
-        );
-    }
-    Ok(())
-}
-
-/// A report of another definition is rejected and counts nowhere.
-fn check_definitions() -> CheckResult {
-    let other = SplitDefinition { split_at: 1 << 30, ..definition() };
-    let report = Report {
-        definition_digest: other.digest(),
-        compared: vec![9; RANGE_COUNT],
-        differences: vec![RangeDifferences { kind: 0, range: 3, count: 1 }],
-    };
-    let mut split = SplitVerifier::new(settings(2), 1, 0);
-
-    ensure!(split.receive_report(SECOND, header(2, 1), &report.encode()).is_err(), "it is accepted");
-    ensure!(
-        split.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
-            && !matches!(split.status(2), VerificationStatus::DifferencesConfirmed(_)),
-        "it counts"
-    );
-    Ok(())
-}
-
-/// Comparisons in progress, differences and origins are bounded.
+/// Checks the limits on comparisons in progress, stored differences and origins.
 fn check_bounds() -> CheckResult {
-    // Given a simulation in which every key differs.
+    // Given a simulation in which every key has a fault.
     let mut simulation =
         Simulation::new(2, 1, 3_000, Disturbances { lost_answers: 0.0, ..Disturbances::default() });
     simulation.databases.faults.extend((0..3_000).map(|number| (number, ChildFault::Differs)));
@@ -142,7 +85,7 @@
     // Then comparisons and differences are bounded.
     let split = &simulation.verifiers[0];
     let differences = split.differences().count();
-    ensure!(differences > 100, "it shows nothing: {differences}");
+    ensure!(differences > 100, "only {differences} differences are stored");
     ensure!(
         split.comparison_count() <= 64 && differences <= 4 * RANGE_COUNT,
         "{} in progress, {differences} differences",
@@ -164,7 +107,7 @@
     Ok(())
 }
 
-/// A difference that is found twice is not confirmed where a restart or a failover lies in between.
+/// Checks that a difference that is found twice is not confirmed if a restart or a failover occurred in between.
 fn check_processes() -> CheckResult {
     let mut split = SplitVerifier::new(settings(1), 1, 0);
     let (position_before, position_after, parent_position) = (10 * SECOND, 11 * SECOND, 12 * SECOND);
@@ -190,15 +133,24 @@
         confirmed
     };
 
-    ensure!(confirmed(&mut split, 20 * SECOND, 1, 1).is_none(), "at once");
-    ensure!(confirmed(&mut split, 24 * SECOND, 1, 2).is_none(), "the parent failed over in between");
-    ensure!(confirmed(&mut split, 28 * SECOND, 2, 2).is_none(), "the child was restarted in between");
-    ensure!(confirmed(&mut split, 32 * SECOND, 2, 2).is_some(), "it persists, and is not confirmed");
+    ensure!(confirmed(&mut split, 20 * SECOND, 1, 1).is_none(), "confirmed at the first sample");
+    ensure!(
+        confirmed(&mut split, 24 * SECOND, 1, 2).is_none(),
+        "confirmed although the parent failed over in between"
+    );
+    ensure!(
+        confirmed(&mut split, 28 * SECOND, 2, 2).is_none(),
+        "confirmed although the child was restarted in between"
+    );
+    ensure!(
+        confirmed(&mut split, 32 * SECOND, 2, 2).is_some(),
+        "not confirmed although the difference persists"
+    );
     Ok(())
 }
 
 #[test]
-fn a_difference_is_confirmed_by_the_same_processes_only() {
+fn a_difference_is_confirmed_only_by_the_same_database_processes() {
     check_processes().unwrap();
 }
 
@@ -233,7 +185,7 @@
 }
 
 #[test]
-fn each_injected_fault_is_found() {
+fn each_injected_fault_fails_its_check() {
     let all: [(Fault, fn() -> CheckResult); 8] = [
         (Fault::IgnoresCommitTime, check_no_false_difference),
         (Fault::SkipsConfirmation, check_no_false_difference),
@@ -245,6 +197,6 @@
         (Fault::SkipsLimits, check_bounds),
     ];
     for (fault, check) in all {
-        assert!(with(fault, check).is_err(), "{fault:?} was not found");
+        assert!(with(fault, check).is_err(), "no check failed with {fault:?}");
     }
 }
--- a/shard-split/tests/split/status.rs
+++ b/shard-split/tests/split/status.rs
@@ -1,4 +1,4 @@
-//! Which coverage makes a verdict clean.
+//! Checks of the coverage that a clean status requires.
 
 use crate::CheckResult;
 use crate::common::{Disturbances, SECOND, Simulation, definition, header, settings};
@@ -7,7 +7,8 @@
     IncompleteReason, PeerReport, RANGE_COUNT, Report, SplitVerifier, VerificationStatus,
 };
 
-/// A verifier of three processes, of which two must compare each range, that has received equal reports of the others.
+/// Returns a verifier in a fleet of three configured processes that requires two processes per range, and has received
+/// equal reports of three origins.
 fn verifier_with_reports(compared: impl Fn(usize) -> u32) -> SplitVerifier {
     let settings = birchreach_shard_split::Settings { min_processes: 2, ..settings(3) };
     let mut split = SplitVerifier::new(settings, 1, 0);
@@ -21,7 +22,10 @@
 
 pub(crate) fn check_clean_status() -> CheckResult {
     let covered = verifier_with_reports(|_| 1).status(3);
-    ensure!(covered == VerificationStatus::Clean, "three times one is enough: {covered:?}");
+    ensure!(
+        covered == VerificationStatus::Clean,
+        "three processes with one comparison each do not cover the ranges: {covered:?}"
+    );
 
     let one_uncovered = verifier_with_reports(|range| u32::from(range != 7)).status(3);
     let reason = IncompleteReason {
@@ -29,15 +33,21 @@
         ranges_lacking_processes: 1,
         ..IncompleteReason::default()
     };
-    ensure!(one_uncovered == VerificationStatus::Incomplete(reason), "{one_uncovered:?}");
+    ensure!(
+        one_uncovered == VerificationStatus::Incomplete(reason),
+        "with one uncovered range: {one_uncovered:?}"
+    );
 
     let partitioned = verifier_with_reports(|_| 9).status(2);
     let reason = IncompleteReason { unreachable_members: 1, ..IncompleteReason::default() };
-    ensure!(partitioned == VerificationStatus::Incomplete(reason), "{partitioned:?}");
+    ensure!(
+        partitioned == VerificationStatus::Incomplete(reason),
+        "with an unreachable member: {partitioned:?}"
+    );
     check_comparisons_expire()
 }
 
-/// Comparisons older than the window do not count, nor does a report of none.
+/// Checks that comparisons older than the window do not count, and that a report without comparisons covers no range.
 fn check_comparisons_expire() -> CheckResult {
     let mut simulation = Simulation::new(1, 1, 600, Disturbances::default());
     simulation.advance(60 * SECOND, 200.0);
@@ -53,7 +63,7 @@
     let has_reported = split.report_if_due(2 * SECOND).is_some();
     ensure!(
         has_reported && matches!(split.status(1), VerificationStatus::Incomplete(_)),
-        "nothing was compared"
+        "the status is clean without any comparison"
     );
     Ok(())
 }
