--- a/hot-keys/src/refresh.rs
+++ b/hot-keys/src/refresh.rs
@@ -22,7 +22,7 @@
     (mix(key.hash) % interval as u64) as Micros
 }
 
-/// The number of a key's slot at an instant.
+/// Returns the number of the key's slot that contains the instant `now`.
 pub(crate) fn slot_at(now: Micros, key: Key, interval: Micros) -> i64 {
     let interval = interval.max(1);
     (now + slot_offset(key, interval)).div_euclid(interval)
--- a/hot-keys/src/settings.rs
+++ b/hot-keys/src/settings.rs
@@ -57,7 +57,8 @@
 
 impl Settings {
     /// Returns the interval at which copies are refreshed. It is half of the lowest maximum age of all classes, so that
-    /// a copy within that age is always available.
+    /// a copy within that age is always available. If no class has a maximum age, it depends on whether a class
+    /// requires the writes of its session.
     pub fn refresh_interval(&self) -> Micros {
         let half_of_max_age = |requirement: &CopyRequirement| match requirement {
             CopyRequirement::MaxAge(age) => Some(age / 2),
--- a/hot-keys/src/tracker.rs
+++ b/hot-keys/src/tracker.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
--- a/hot-keys/src/update.rs
+++ b/hot-keys/src/update.rs
@@ -15,7 +15,7 @@
 pub(crate) const DERIVE_INTERVAL_MICROS: Micros = 250_000;
 /// A key stays hot for this long after its last confirmation, even if its minimum time is over. This tolerates one
 /// derivation that does not confirm the key.
-const CONFIRMATION_MICROS: Micros = 2 * DERIVE_INTERVAL_MICROS;
+const CONFIRMATION_VALIDITY_MICROS: Micros = 2 * DERIVE_INTERVAL_MICROS;
 
 impl HotKeyTracker {
     /// Derives the hot set if a derivation is due. Returns whether the set has changed.
@@ -37,7 +37,7 @@
         }
         let stays_hot = |hot_key: &HotKey| {
             let is_young = now - hot_key.hot_since < MIN_HOT_MICROS && !fault_injected!(SkipsMinimumHotTime);
-            is_young || now - hot_key.confirmed_at < CONFIRMATION_MICROS
+            is_young || now - hot_key.confirmed_at < CONFIRMATION_VALIDITY_MICROS
         };
         self.hot_keys.retain(|_, hot_key| stays_hot(hot_key));
         self.enforce_limit();
--- a/hot-keys/tests/common/mod.rs
+++ b/hot-keys/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet of trackers on virtual time. Reads arrive at random, and reports are exchanged by the gossip
-//! protocol that the fleet also uses in production.
+//! A simulated fleet of trackers on virtual time. Reads arrive at random, and the gossip of `birchreach_membership`
+//! carries the reports.
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 use birchreach_hot_keys::{
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -77,11 +77,12 @@
 pub(crate) enum ComparisonEnd {
     /// No child differs.
     Agrees,
-    /// In every attempt the child had not yet reached the commit of the parent's row.
+    /// No retry was left, and in the last attempt the child had not yet reached the commit of the parent's row.
     Lagging,
-    /// In every attempt the row changed or may have changed.
+    /// No retry was left. In the last attempt the row changed or may have changed, or a difference was found but could
+    /// not be confirmed yet.
     Inconclusive,
-    /// A database did not answer, or its answers lacked a required position or row.
+    /// A database did not answer, or its answer lacked a required value.
     Unanswered,
     /// The difference persisted for the confirmation delay.
     Confirmed(Difference),
--- a/shard-split/src/coverage.rs
+++ b/shard-split/src/coverage.rs
@@ -1,4 +1,4 @@
-//! Coverage of the ranges and confirmed differences over all processes, summed up from the newest report of each
+//! Coverage of the ranges and confirmed differences over all processes, computed from the newest report of each
 //! origin.
 
 use crate::difference::{DifferenceCounts, DifferenceKind};
--- a/shard-split/src/settings.rs
+++ b/shard-split/src/settings.rs
@@ -26,9 +26,10 @@
     pub started: u64,
     /// Comparisons that found no difference.
     pub agreed: u64,
-    /// Comparisons in which the child never reached the commit of the parent's row.
+    /// Comparisons that ended after the last retry because the child had not reached the commit of the parent's row.
     pub lagging: u64,
-    /// Comparisons in which the row changed or may have changed in every attempt.
+    /// Comparisons that ended after the last retry because the row changed or may have changed, or a difference could
+    /// not be confirmed.
     pub inconclusive: u64,
     /// Comparisons that ended because a required answer was missing.
     pub unanswered: u64,
--- a/shard-split/src/verifier.rs
+++ b/shard-split/src/verifier.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
--- a/shard-split/tests/malformed_reports.rs
+++ b/shard-split/tests/malformed_reports.rs
@@ -20,7 +20,7 @@
 fn kept_reports_are_bounded() {
     let mut rng = fastrand::Rng::with_seed(3);
     let valid = valid_report().encode();
-    let mut split = SplitVerifier::new(settings(2), 1, 0);
+    let mut verifier = SplitVerifier::new(settings(2), 1, 0);
 
     for sequence in 0..50_000u64 {
         let mut bytes = valid.clone();
@@ -29,10 +29,10 @@
             bytes[at] = rng.u8(..);
         }
         bytes.truncate(rng.usize(..=bytes.len()));
-        let _ = split.receive_report(SECOND, header(rng.u64(..), sequence), &bytes);
+        let _ = verifier.receive_report(SECOND, header(rng.u64(..), sequence), &bytes);
     }
 
-    assert!(split.origin_count() <= 4_096);
+    assert!(verifier.origin_count() <= 4_096);
 }
 
 #[test]
@@ -54,10 +54,10 @@
     // Given a verifier that keeps a report of another process.
     let valid = valid_report().encode();
     let of_another_definition = Report { definition_digest: 0, ..valid_report() }.encode();
-    let mut split = SplitVerifier::new(settings(2), 1, 0);
-    assert!(split.receive_report(SECOND, header(2, 5), &valid).is_ok());
+    let mut verifier = SplitVerifier::new(settings(2), 1, 0);
+    assert!(verifier.receive_report(SECOND, header(2, 5), &valid).is_ok());
     let mut rejection = |origin, bytes: &[u8]| {
-        let error = split.receive_report(SECOND, header(origin, 5), bytes).unwrap_err();
+        let error = verifier.receive_report(SECOND, header(origin, 5), bytes).unwrap_err();
         (error.as_str(), error.to_string())
     };
 
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -83,13 +83,13 @@
     simulation.advance(120 * SECOND, 400.0);
 
     // Then comparisons and differences are bounded.
-    let split = &simulation.verifiers[0];
-    let differences = split.differences().count();
+    let verifier = &simulation.verifiers[0];
+    let differences = verifier.differences().count();
     ensure!(differences > 100, "only {differences} differences are stored");
     ensure!(
-        split.comparison_count() <= 64 && differences <= 4 * RANGE_COUNT,
+        verifier.comparison_count() <= 64 && differences <= 4 * RANGE_COUNT,
         "{} in progress, {differences} differences",
-        split.comparison_count()
+        verifier.comparison_count()
     );
 
     // When more origins report than are kept, then their number is bounded.
@@ -109,12 +109,12 @@
 
 /// Checks that a difference that is found twice is not confirmed if a restart or a failover occurred in between.
 fn check_processes() -> CheckResult {
-    let mut split = SplitVerifier::new(settings(1), 1, 0);
+    let mut verifier = SplitVerifier::new(settings(1), 1, 0);
     let (position_before, position_after, parent_position) = (10 * SECOND, 11 * SECOND, 12 * SECOND);
-    split.record_read(0, 0, &key(1), Some(1));
-    let confirmed = |split: &mut SplitVerifier, now, child, parent| {
+    verifier.record_read(0, 0, &key(1), Some(1));
+    let confirmed = |verifier: &mut SplitVerifier, now, child, parent| {
         let mut confirmed = None;
-        while let Some(DueQuery { comparison: number, query, .. }) = split.due_queries(now, 1).pop() {
+        while let Some(DueQuery { comparison: number, query, .. }) = verifier.due_queries(now, 1).pop() {
             let result = match query {
                 ComparisonQuery::SingleRead(_) => {
                     QueryResult::SingleRead { row: Some(2), position: Some(position_before) }
@@ -128,22 +128,22 @@
                     process: parent,
                 },
             };
-            confirmed = split.record_result(now, number, result);
+            confirmed = verifier.record_result(now, number, result);
         }
         confirmed
     };
 
-    ensure!(confirmed(&mut split, 20 * SECOND, 1, 1).is_none(), "confirmed at the first sample");
+    ensure!(confirmed(&mut verifier, 20 * SECOND, 1, 1).is_none(), "confirmed at the first sample");
     ensure!(
-        confirmed(&mut split, 24 * SECOND, 1, 2).is_none(),
+        confirmed(&mut verifier, 24 * SECOND, 1, 2).is_none(),
         "confirmed although the parent failed over in between"
     );
     ensure!(
-        confirmed(&mut split, 28 * SECOND, 2, 2).is_none(),
+        confirmed(&mut verifier, 28 * SECOND, 2, 2).is_none(),
         "confirmed although the child was restarted in between"
     );
     ensure!(
-        confirmed(&mut split, 32 * SECOND, 2, 2).is_some(),
+        confirmed(&mut verifier, 32 * SECOND, 2, 2).is_some(),
         "not confirmed although the difference persists"
     );
     Ok(())
--- a/shard-split/tests/split/reports.rs
+++ b/shard-split/tests/split/reports.rs
@@ -33,16 +33,16 @@
     let reports = [outdated, newest, of_another_origin, newest, of_another_origin, outdated];
     let orders: [[usize; 6]; 3] = [[0, 1, 2, 3, 4, 5], [5, 4, 3, 2, 1, 0], [1, 0, 2, 5, 3, 4]];
     for order in orders {
-        let mut split = SplitVerifier::new(settings(3), 1, 0);
+        let mut verifier = SplitVerifier::new(settings(3), 1, 0);
 
         for SentReport { origin, sequence, comparisons } in order.map(|index| reports[index]) {
-            let _ = split.receive_report(SECOND, header(origin, sequence), &encoded(comparisons));
+            let _ = verifier.receive_report(SECOND, header(origin, sequence), &encoded(comparisons));
         }
 
         ensure!(
-            split.coverage(0) == RangeCoverage { comparisons: 8, processes: 2 },
+            verifier.coverage(0) == RangeCoverage { comparisons: 8, processes: 2 },
             "{order:?}: {:?}",
-            split.coverage(0)
+            verifier.coverage(0)
         );
     }
     Ok(())
@@ -56,12 +56,15 @@
         compared: vec![9; RANGE_COUNT],
         differences: vec![RangeDifferences { kind: 0, range: 3, count: 1 }],
     };
-    let mut split = SplitVerifier::new(settings(2), 1, 0);
+    let mut verifier = SplitVerifier::new(settings(2), 1, 0);
 
-    ensure!(split.receive_report(SECOND, header(2, 1), &report.encode()).is_err(), "the report is accepted");
     ensure!(
-        split.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
-            && !matches!(split.status(2), VerificationStatus::DifferencesConfirmed(_)),
+        verifier.receive_report(SECOND, header(2, 1), &report.encode()).is_err(),
+        "the report is accepted"
+    );
+    ensure!(
+        verifier.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
+            && !matches!(verifier.status(2), VerificationStatus::DifferencesConfirmed(_)),
         "the rejected report counts"
     );
     Ok(())
--- a/shard-split/tests/split/status.rs
+++ b/shard-split/tests/split/status.rs
@@ -11,13 +11,13 @@
 /// equal reports of three origins.
 fn verifier_with_reports(compared: impl Fn(usize) -> u32) -> SplitVerifier {
     let settings = birchreach_shard_split::Settings { min_processes: 2, ..settings(3) };
-    let mut split = SplitVerifier::new(settings, 1, 0);
+    let mut verifier = SplitVerifier::new(settings, 1, 0);
     let compared = (0..RANGE_COUNT).map(compared).collect();
     let report = Report { definition_digest: definition().digest(), compared, differences: vec![] }.encode();
     for origin in 2..=4 {
-        let _ = split.receive_report(SECOND, header(origin, 1), &report);
+        let _ = verifier.receive_report(SECOND, header(origin, 1), &report);
     }
-    split
+    verifier
 }
 
 pub(crate) fn check_clean_status() -> CheckResult {
@@ -59,10 +59,10 @@
     let is_uncovered = matches!(status, VerificationStatus::Incomplete(reason) if reason.ranges_lacking_comparisons == RANGE_COUNT);
     ensure!(is_uncovered, "{status:?}");
 
-    let mut split = SplitVerifier::new(settings(1), 1, 0);
-    let has_reported = split.report_if_due(2 * SECOND).is_some();
+    let mut verifier = SplitVerifier::new(settings(1), 1, 0);
+    let has_reported = verifier.report_if_due(2 * SECOND).is_some();
     ensure!(
-        has_reported && matches!(split.status(1), VerificationStatus::Incomplete(_)),
+        has_reported && matches!(verifier.status(1), VerificationStatus::Incomplete(_)),
         "the status is clean without any comparison"
     );
     Ok(())
