--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -3,8 +3,8 @@
 use super::{BackgroundMetrics, CopyOutcome, RejectedReport};
 use crate::hot::CopyReadCounts;
 use birchreach_background_tasks::{TaskCounts, TaskKind};
-use birchreach_hot_keys::{HotKeyTracker, OTHER_SECRET, PeerReport, Report, ReportError, Settings};
-use birchreach_shard_split::{ComparisonCounts, OTHER_DEFINITION, Verdict};
+use birchreach_hot_keys::{HotKeyTracker, PeerReport, Report, ReportError, SECRET_MISMATCH, Settings};
+use birchreach_shard_split::{ComparisonCounts, DEFINITION_MISMATCH, VerificationStatus};
 
 /// A tracker that knows no hot key.
 fn tracker() -> HotKeyTracker {
@@ -79,7 +79,7 @@
         confirmed: 2,
         rejected: 1,
     };
-    metrics.set_split(&Verdict::Clean, counts);
+    metrics.set_split(&VerificationStatus::Clean, counts);
 
     let expected = [
         "birchreach_split_clean 1",
@@ -100,9 +100,9 @@
     let metrics = BackgroundMetrics::new();
     for report in [
         RejectedReport::HotKeys(ReportError::Malformed { subject: Report::SUBJECT }),
-        RejectedReport::HotKeys(ReportError::Mismatch(OTHER_SECRET)),
-        RejectedReport::Split(ReportError::Mismatch(OTHER_DEFINITION)),
-        RejectedReport::Split(ReportError::Mismatch(OTHER_DEFINITION)),
+        RejectedReport::HotKeys(ReportError::Mismatch(SECRET_MISMATCH)),
+        RejectedReport::Split(ReportError::Mismatch(DEFINITION_MISMATCH)),
+        RejectedReport::Split(ReportError::Mismatch(DEFINITION_MISMATCH)),
         RejectedReport::SubsystemDisabled,
     ] {
         metrics.count_rejected_report(report);
@@ -136,7 +136,7 @@
     metrics.count_rejected_report(RejectedReport::SubsystemDisabled);
     metrics.count_copy(CopyOutcome::Written);
     metrics.set_hot_keys(&tracker(), CopyReadCounts { hits: 0, misses: 0 });
-    metrics.set_split(&Verdict::Clean, ComparisonCounts::default());
+    metrics.set_split(&VerificationStatus::Clean, ComparisonCounts::default());
 
     let text = metrics.text();
 
--- a/proxy/src/net/background/status.rs
+++ b/proxy/src/net/background/status.rs
@@ -52,7 +52,7 @@
         }
         if let Some(observer) = &self.split {
             let verifier = &observer.borrow().verifier;
-            self.metrics.set_split(&verifier.verdict(member_count), verifier.counts());
+            self.metrics.set_split(&verifier.status(member_count), verifier.counts());
         }
         self.metrics.text()
     }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -9,8 +9,8 @@
 use birchreach::{Micros, Role, ServerId};
 use birchreach_peer_state::NameHasher;
 use birchreach_shard_split::{
-    ComparisonQuery, ConfirmedDifference, Definition, DifferenceCounts, IncompleteReason, ParentSample,
-    PositionSample, QueryResult, RANGES, RowDigest, Settings, SplitVerifier, Verdict,
+    ComparisonQuery, ConfirmedDifference, DifferenceCounts, IncompleteReason, ParentSample, PositionSample,
+    QueryResult, RANGE_COUNT, RowDigest, Settings, SplitDefinition, SplitVerifier, VerificationStatus,
 };
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -25,7 +25,7 @@
     processes: HashMap<ServerId, u64>,
     class_names: Vec<String>,
     /// The kind of the verdict that was logged last.
-    logged_verdict: Option<Discriminant<Verdict>>,
+    logged_verdict: Option<Discriminant<VerificationStatus>>,
 }
 
 /// The crate's settings from the options and the number of configured processes.
@@ -41,7 +41,7 @@
         ..
     } = *options;
     Settings {
-        definition: Definition { parent, lower_child, upper_child, split_at },
+        definition: SplitDefinition { parent, lower_child, upper_child, split_at },
         min_comparisons,
         coverage_window: micros(options.coverage_window),
         min_processes,
@@ -119,8 +119,8 @@
     }
 
     /// The verdict, if it is of another kind than the one that was logged last.
-    pub(crate) fn verdict_to_log(&mut self, member_count: usize) -> Option<Verdict> {
-        let verdict = self.verifier.verdict(member_count);
+    pub(crate) fn verdict_to_log(&mut self, member_count: usize) -> Option<VerificationStatus> {
+        let verdict = self.verifier.status(member_count);
         let kind = std::mem::discriminant(&verdict);
         let logged = self.logged_verdict.replace(kind);
         (logged != Some(kind)).then_some(verdict)
@@ -131,7 +131,7 @@
     pub(crate) fn status_lines(&self, member_count: usize) -> String {
         let settings = self.verifier.settings();
         let mut lines = self.summary_line(member_count);
-        for range in 0..RANGES {
+        for range in 0..RANGE_COUNT {
             let coverage = self.verifier.coverage(range);
             let (compared, seen_by) = (coverage.comparisons, coverage.processes);
             if compared < settings.min_comparisons || seen_by < settings.min_processes {
@@ -146,23 +146,29 @@
 
     /// The first line of the reply to the call `split`.
     fn summary_line(&self, member_count: usize) -> String {
-        let verdict = self.verifier.verdict(member_count);
-        let differences =
-            if let Verdict::Dirty(counts) = verdict { counts } else { DifferenceCounts::default() };
-        let reason =
-            if let Verdict::Incomplete(reason) = verdict { reason } else { IncompleteReason::default() };
+        let verdict = self.verifier.status(member_count);
+        let differences = if let VerificationStatus::DifferencesConfirmed(counts) = verdict {
+            counts
+        } else {
+            DifferenceCounts::default()
+        };
+        let reason = if let VerificationStatus::Incomplete(reason) = verdict {
+            reason
+        } else {
+            IncompleteReason::default()
+        };
         let counts = self.verifier.counts();
         let settings = self.verifier.settings();
         format!(
-            "split verdict={} definition={:016x} heard={} named={} unheard={} ranges={RANGES} lacking={} unseen={} \
+            "split verdict={} definition={:016x} heard={} named={} unheard={} ranges={RANGE_COUNT} lacking={} unseen={} \
              missing={} extra={} differs={} begun={} agreed={} late={} unsure={} silent={} flagged={} crowded={} under_way={}\n",
             verdict.as_str(),
             settings.definition.digest(),
             member_count.min(self.verifier.origin_count()),
             settings.configured_members,
             reason.unreachable_members,
-            reason.ranges_below_comparisons,
-            reason.ranges_below_processes,
+            reason.ranges_lacking_comparisons,
+            reason.ranges_lacking_processes,
             differences.missing,
             differences.extra,
             differences.differs,
--- a/shard-split/tests/common/mod.rs
+++ b/shard-split/tests/common/mod.rs
@@ -1,14 +1,15 @@
-//! A parent, two children that follow it with a lag, clients that read and write, and processes that compare: on virtual time, from a seed.
+//! A simulated split on virtual time, with all random choices from one seed: a parent, two lagging children, clients
+//! that read and write, and processes that compare reads.
 #![allow(dead_code, reason = "each test uses a part of this module")]
 
 mod databases;
 mod disturbances;
 
 use birchreach_shard_split::{
-    ConfirmedDifference, Definition, DifferenceKind, Micros, QueryResult, ReportHeader, Settings,
+    ConfirmedDifference, DifferenceKind, Micros, QueryResult, ReportHeader, Settings, SplitDefinition,
     SplitVerifier,
 };
-use databases::{Databases, happens};
+use databases::{Databases, event_occurs};
 pub(crate) use disturbances::{ChildFault, Disturbances};
 use std::collections::BTreeSet;
 
@@ -16,12 +17,12 @@
 const MILLI: Micros = 1_000;
 const STEP_MICROS: Micros = 20 * MILLI;
 
-/// A group that splits in the middle.
-pub(crate) fn definition() -> Definition {
-    Definition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
+/// Returns a split in the middle of the hash space.
+pub(crate) fn definition() -> SplitDefinition {
+    SplitDefinition { parent: 0, lower_child: 1, upper_child: 2, split_at: 1 << 31 }
 }
 
-/// Settings that want two comparisons a range by one process.
+/// Returns settings that require two comparisons per range by at least one process.
 pub(crate) fn settings(configured: usize) -> Settings {
     Settings {
         definition: definition(),
@@ -33,17 +34,17 @@
     }
 }
 
-/// A key, by its number.
+/// Returns the key with this number.
 pub(crate) fn key(number: usize) -> Vec<u8> {
     format!("key-{number}").into_bytes()
 }
 
-/// The header of a report that was made just now.
+/// Returns the header of a report that was made just now.
 pub(crate) fn header(origin: u64, sequence: u64) -> ReportHeader {
     ReportHeader { origin, sequence, age: 0 }
 }
 
-/// An answer on its way to a verifier.
+/// A query result that has not arrived at its verifier yet.
 struct AnswerInTransit {
     arrives_at: Micros,
     verifier: usize,
@@ -51,32 +52,32 @@
     result: QueryResult,
 }
 
-/// The databases, and verifiers that compare what clients read.
-pub(crate) struct World {
+/// The databases, and the verifiers that compare the clients' reads.
+pub(crate) struct Simulation {
     pub now: Micros,
     rng: fastrand::Rng,
     pub databases: Databases,
     pub verifiers: Vec<SplitVerifier>,
     answers_in_transit: Vec<AnswerInTransit>,
-    /// Confirmed differences of all verifiers.
+    /// The differences that all verifiers confirmed.
     pub differences: Vec<ConfirmedDifference>,
-    /// Queries that were sent.
+    /// The number of queries that were sent.
     pub queries: u64,
 }
 
-/// What was confirmed, compared with the faults that there are.
+/// Confirmed differences, compared with the faults of the children.
 pub(crate) struct ConfirmedKeys<'a> {
-    /// Keys with a fault for which a difference of its kind was confirmed.
+    /// Faulty keys for which a difference of the right kind was confirmed.
     pub faulty: BTreeSet<usize>,
-    /// Confirmed differences of other keys, or of another kind.
+    /// Confirmed differences of keys without a fault, or of the wrong kind.
     pub wrong: Vec<&'a ConfirmedDifference>,
 }
 
-impl World {
-    pub(crate) fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> World {
+impl Simulation {
+    pub(crate) fn new(seed: u64, processes: usize, keys: usize, disturbances: Disturbances) -> Simulation {
         let now = 1_000_000 * SECOND;
         let verifier = |process| SplitVerifier::new(settings(processes), process as u64 + 1, now);
-        World {
+        Simulation {
             now,
             rng: fastrand::Rng::with_seed(seed),
             databases: Databases::new(keys, disturbances),
@@ -87,14 +88,14 @@
         }
     }
 
-    /// Passes time in small steps, with so many reads a second.
-    pub(crate) fn pass(&mut self, span: Micros, reads_per_s: f64) {
+    /// Advances the time in small steps, with this rate of client reads.
+    pub(crate) fn advance(&mut self, span: Micros, reads_per_s: f64) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP_MICROS;
-            self.databases.disturb(&mut self.rng, self.now, STEP_MICROS);
+            self.databases.apply_disturbances(&mut self.rng, self.now, STEP_MICROS);
             for verifier in 0..self.verifiers.len() {
-                if happens(&mut self.rng, reads_per_s / self.verifiers.len() as f64, STEP_MICROS) {
+                if event_occurs(&mut self.rng, reads_per_s / self.verifiers.len() as f64, STEP_MICROS) {
                     self.read(verifier);
                 }
                 self.send_queries(verifier);
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A client reads a key at a replica of the parent, which may lag a little.
+    /// Simulates a client's read at a replica of the parent that lags by less than 30 ms.
     fn read(&mut self, verifier: usize) {
         let number = self.rng.usize(..self.databases.keys);
         let position = self.now - 1 - self.rng.i64(0..30 * MILLI);
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Each report reaches all other verifiers.
+    /// Delivers each due report to all other verifiers.
     fn exchange_reports(&mut self) {
         let sequence = self.now as u64;
         for from in 0..self.verifiers.len() {
@@ -143,17 +144,17 @@
         }
     }
 
-    /// The confirmed differences, by whether there is such a fault.
+    /// Groups the confirmed differences by whether the children have a corresponding fault.
     pub(crate) fn confirmed_keys(&self) -> ConfirmedKeys<'_> {
         let mut confirmed = ConfirmedKeys { faulty: BTreeSet::new(), wrong: Vec::new() };
         for difference in &self.differences {
-            let has_hash = |number: &usize| Definition::hash(&key(*number)) == difference.key_hash;
+            let has_hash = |number: &usize| SplitDefinition::hash(&key(*number)) == difference.key_hash;
             let number = (0..self.databases.keys).find(has_hash);
             let fault = number.and_then(|number| self.databases.faults.get(&number));
             let kind = fault.map(|fault| match fault {
                 ChildFault::Missing => DifferenceKind::Missing,
                 ChildFault::Extra => DifferenceKind::Extra,
-                ChildFault::Other => DifferenceKind::Differs,
+                ChildFault::Differs => DifferenceKind::Differs,
             });
             match number {
                 Some(number) if kind == Some(difference.kind) => {
--- a/shard-split/tests/recorded_bytes.rs
+++ b/shard-split/tests/recorded_bytes.rs
@@ -1,7 +1,8 @@
-//! Bytes that processes of one fleet exchange: reports written by an earlier version are read, and written again byte for byte; keys
-//! and definitions have the hashes that an earlier version gives them, in reports, lines of differences and log lines.
+//! Compatibility with earlier versions in the same fleet: recorded reports of an earlier version are decoded and
+//! encoded again byte for byte. Keys and definitions have the hashes that an earlier version writes to reports, to the
+//! lines of differences in the admin reply and to the log.
 
-use birchreach_shard_split::{Definition, PeerReport, RANGES, RangeDifferences, Report};
+use birchreach_shard_split::{PeerReport, RANGE_COUNT, RangeDifferences, Report, SplitDefinition};
 use birchreach_test_support::recorded_bytes::{from_hex, to_hex};
 
 fn assert_recorded(report: &Report, recorded: &str) {
@@ -16,7 +17,7 @@
         "00000000000000000000000000000000000000",
     );
     assert_recorded(
-        &Report { definition_digest: 0, compared: vec![0; RANGES], differences: Vec::new() },
+        &Report { definition_digest: 0, compared: vec![0; RANGE_COUNT], differences: Vec::new() },
         recorded,
     );
 }
@@ -27,7 +28,7 @@
 
 #[test]
 fn a_report_of_comparisons_and_differences_has_the_recorded_bytes() {
-    let compared = (0..RANGES as u32).map(|range| range * range * 1_000).collect();
+    let compared = (0..RANGE_COUNT as u32).map(|range| range * range * 1_000).collect();
     let differences = vec![entry(0, 0, 1), entry(1, 7, 300), entry(2, 63, u32::MAX)];
     let recorded = concat!(
         "ef9bafcdf8acd191014000e807a01fa846807da8c301a09902e8fe0280f403e8f804a08d06a8b10780e508a8a80aa0fb",
@@ -42,7 +43,7 @@
 #[test]
 fn definitions_have_the_recorded_digests() {
     let digest = |parent, lower_child, upper_child, split_at| {
-        let definition = Definition { parent, lower_child, upper_child, split_at };
+        let definition = SplitDefinition { parent, lower_child, upper_child, split_at };
         format!("{:016x}", definition.digest())
     };
 
@@ -53,8 +54,8 @@
 #[test]
 fn keys_have_the_recorded_hashes_and_ranges() {
     let hashed = |key: &[u8]| {
-        let hash = Definition::hash(key);
-        format!("{hash:08x} {}", Definition::range(hash))
+        let hash = SplitDefinition::hash(key);
+        format!("{hash:08x} {}", SplitDefinition::range(hash))
     };
 
     assert_eq!(hashed(b""), "e3b0c442 56");
--- a/shard-split/tests/split/main.rs
+++ b/shard-split/tests/split/main.rs
@@ -1,149 +1,105 @@
-//! Which differences are confirmed, what is covered, and the verdict; and each check finds the fault that breaks what it holds.
+//! Invariants of confirmed differences, coverage and status. A further test injects faults, each of which breaks one
+//! invariant, and verifies that the check of this invariant fails.
 
 #[path = "../common/mod.rs"]
 mod common;
-mod verdicts;
+mod reports;
+mod status;
 
 use birchreach_fault_injection::ensure;
 use birchreach_shard_split::faults::{Fault, run_with_fault};
 use birchreach_shard_split::{
-    ComparisonQuery, Definition, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGES,
-    RangeCoverage, RangeDifferences, Report, SplitVerifier, Verdict,
+    ComparisonQuery, DueQuery, ParentSample, PeerReport, PositionSample, QueryResult, RANGE_COUNT, Report,
+    SplitVerifier, VerificationStatus,
 };
-use common::{ChildFault, ConfirmedKeys, Disturbances, SECOND, World, definition, header, key, settings};
-use verdicts::check_clean_verdict;
+use common::{
+    ChildFault, ConfirmedKeys, Disturbances, SECOND, Simulation, definition, header, key, settings,
+};
+use reports::{check_counting, check_definitions};
+use status::check_clean_status;
 
 type CheckResult = Result<(), String>;
 
-const ROUGH_DISTURBANCES: Disturbances =
-    Disturbances { writes: 15.0, lag: 2 * SECOND, failovers: 0.1, restarts: 0.05, lost: 0.05 };
+const FREQUENT_DISTURBANCES: Disturbances =
+    Disturbances { writes: 15.0, lag: 2 * SECOND, failovers: 0.1, restarts: 0.05, lost_answers: 0.05 };
 
-/// Writes, lags, restarts and failovers confirm no difference.
+/// Checks that no difference is confirmed under writes, replication lag, restarts and failovers.
 fn check_no_false_difference() -> CheckResult {
     for seed in 0..40 {
-        let mut world = World::new(seed, 3, 60, ROUGH_DISTURBANCES);
+        let mut simulation = Simulation::new(seed, 3, 60, FREQUENT_DISTURBANCES);
 
-        world.pass(60 * SECOND, 60.0);
+        simulation.advance(60 * SECOND, 60.0);
 
-        let wrong = world.confirmed_keys().wrong;
-        ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
-        let agreed: u64 = world.verifiers.iter().map(|verifier| verifier.counts().agreed).sum();
-        ensure!(agreed > 300, "seed {seed}: hardly anything was compared: {agreed}");
+        let wrong = simulation.confirmed_keys().wrong;
+        ensure!(wrong.is_empty(), "seed {seed}: wrongly confirmed: {wrong:?}");
+        let agreed: u64 = simulation.verifiers.iter().map(|verifier| verifier.counts().agreed).sum();
+        ensure!(agreed > 300, "seed {seed}: too few comparisons ended in agreement: {agreed}");
     }
     Ok(())
 }
 
-/// Each kind of fault is confirmed, also in keys that are written all the time.
+/// Checks that each kind of fault is confirmed, even for keys that are written frequently.
 fn check_faults_are_confirmed() -> CheckResult {
     let faults = [
-        (3, ChildFault::Other),
+        (3, ChildFault::Differs),
         (17, ChildFault::Missing),
         (30, ChildFault::Extra),
         (45, ChildFault::Missing),
-        (52, ChildFault::Other),
+        (52, ChildFault::Differs),
     ];
     for seed in 0..15 {
-        let mut world =
-            World::new(seed, 3, 60, Disturbances { failovers: 0.02, restarts: 0.01, ..ROUGH_DISTURBANCES });
-        world.databases.faults.extend(faults);
-
-        world.pass(150 * SECOND, 60.0);
-
-        let ConfirmedKeys { faulty, wrong } = world.confirmed_keys();
-        ensure!(wrong.is_empty(), "seed {seed}: {wrong:?}");
-        ensure!(faulty.len() == 5, "seed {seed}: of five only {faulty:?}");
-        let members = world.verifiers.len();
-        let is_dirty = |verifier: &SplitVerifier| matches!(verifier.verdict(members), Verdict::Dirty(_));
-        ensure!(
-            world.verifiers.iter().all(is_dirty),
-            "seed {seed}: {:?}",
-            world.verifiers[0].verdict(members)
+        let mut simulation = Simulation::new(
+            seed,
+            3,
+            60,
+            Disturbances { failovers: 0.02, restarts: 0.01, ..FREQUENT_DISTURBANCES },
         );
-    }
-    Ok(())
-}
+        simulation.databases.faults.extend(faults);
 
-/// A report that a verifier receives.
-#[derive(Clone, Copy)]
-struct SentReport {
-    origin: u64,
-    sequence: u64,
-    /// Comparisons in each range.
-    comparisons: u32,
-}
+        simulation.advance(150 * SECOND, 60.0);
 
-/// Reports count once, received in several orders, some twice.
-fn check_counting() -> CheckResult {
-    let encoded = |comparisons: u32| {
-        let report = Report {
-            definition_digest: definition().digest(),
-            compared: vec![comparisons; RANGES],
-            differences: vec![],
+        let ConfirmedKeys { faulty, wrong } = simulation.confirmed_keys();
+        ensure!(wrong.is_empty(), "seed {seed}: wrongly confirmed: {wrong:?}");
+        ensure!(faulty.len() == 5, "seed {seed}: only these of five faults were confirmed: {faulty:?}");
+        let members = simulation.verifiers.len();
+        let has_differences = |verifier: &SplitVerifier| {
+            matches!(verifier.status(members), VerificationStatus::DifferencesConfirmed(_))
         };
-        report.encode()
-    };
-    let outdated = SentReport { origin: 2, sequence: 1, comparisons: 5 };
-    let newest = SentReport { origin: 2, sequence: 2, comparisons: 7 };
-    let of_another = SentReport { origin: 3, sequence: 1, comparisons: 1 };
-    let reports = [outdated, newest, of_another, newest, of_another, outdated];
-    let orders: [[usize; 6]; 3] = [[0, 1, 2, 3, 4, 5], [5, 4, 3, 2, 1, 0], [1, 0, 2, 5, 3, 4]];
-    for order in orders {
-        let mut split = SplitVerifier::new(settings(3), 1, 0);
-
-        for SentReport { origin, sequence, comparisons } in order.map(|index| reports[index]) {
-            let _ = split.receive_report(SECOND, header(origin, sequence), &encoded(comparisons));
-        }
-
         ensure!(
-            split.coverage(0) == RangeCoverage { comparisons: 8, processes: 2 },
-            "{order:?}: {:?}",
-            split.coverage(0)
+            simulation.verifiers.iter().all(has_differences),
+            "seed {seed}: {:?}",
+            simulation.verifiers[0].status(members)
         );
     }
     Ok(())
 }
 
-/// A report of another definition is rejected and counts nowhere.
-fn check_definitions() -> CheckResult {
-    let other = Definition { split_at: 1 << 30, ..definition() };
-    let report = Report {
-        definition_digest: other.digest(),
-        compared: vec![9; RANGES],
-        differences: vec![RangeDifferences { kind: 0, range: 3, count: 1 }],
-    };
-    let mut split = SplitVerifier::new(settings(2), 1, 0);
-
-    ensure!(split.receive_report(SECOND, header(2, 1), &report.encode()).is_err(), "it is accepted");
-    ensure!(
-        split.coverage(0) == RangeCoverage { comparisons: 0, processes: 0 }
-            && !matches!(split.verdict(2), Verdict::Dirty(_)),
-        "it counts"
-    );
-    Ok(())
-}
-
-/// Comparisons in progress, differences and origins are bounded.
+/// Checks the limits on comparisons in progress, stored differences and origins.
 fn check_bounds() -> CheckResult {
-    // Given a world in which every key differs.
-    let mut world = World::new(2, 1, 3_000, Disturbances { lost: 0.0, ..Disturbances::default() });
-    world.databases.faults.extend((0..3_000).map(|number| (number, ChildFault::Other)));
-    world.pass(120 * SECOND, 400.0);
+    // Given a simulation in which every key has a fault.
+    let mut simulation =
+        Simulation::new(2, 1, 3_000, Disturbances { lost_answers: 0.0, ..Disturbances::default() });
+    simulation.databases.faults.extend((0..3_000).map(|number| (number, ChildFault::Differs)));
+    simulation.advance(120 * SECOND, 400.0);
 
     // Then comparisons and differences are bounded.
-    let split = &world.verifiers[0];
-    let differences = split.differences().count();
-    ensure!(differences > 100, "it shows nothing: {differences}");
+    let verifier = &simulation.verifiers[0];
+    let differences = verifier.differences().count();
+    ensure!(differences > 100, "only {differences} differences are stored");
     ensure!(
-        split.comparison_count() <= 64 && differences <= 4 * RANGES,
+        verifier.comparison_count() <= 64 && differences <= 4 * RANGE_COUNT,
         "{} in progress, {differences} differences",
-        split.comparison_count()
+        verifier.comparison_count()
     );
 
     // When more origins report than are kept, then their number is bounded.
     let mut flooded = SplitVerifier::new(settings(2), 1, 0);
-    let report =
-        Report { definition_digest: definition().digest(), compared: vec![1; RANGES], differences: vec![] }
-            .encode();
+    let report = Report {
+        definition_digest: definition().digest(),
+        compared: vec![1; RANGE_COUNT],
+        differences: vec![],
+    }
+    .encode();
     for origin in 2..10_000 {
         let _ = flooded.receive_report(SECOND, header(origin, 1), &report);
     }
@@ -151,14 +107,14 @@
     Ok(())
 }
 
-/// A difference that is found twice is not confirmed where a restart or a failover lies in between.
+/// Checks that a difference that is found twice is not confirmed if a restart or a failover occurred in between.
 fn check_processes() -> CheckResult {
-    let mut split = SplitVerifier::new(settings(1), 1, 0);
+    let mut verifier = SplitVerifier::new(settings(1), 1, 0);
     let (position_before, position_after, parent_position) = (10 * SECOND, 11 * SECOND, 12 * SECOND);
-    split.record_read(0, 0, &key(1), Some(1));
-    let confirmed = |split: &mut SplitVerifier, now, child, parent| {
+    verifier.record_read(0, 0, &key(1), Some(1));
+    let confirmed = |verifier: &mut SplitVerifier, now, child, parent| {
         let mut confirmed = None;
-        while let Some(DueQuery { comparison: number, query, .. }) = split.due_queries(now, 1).pop() {
+        while let Some(DueQuery { comparison: number, query, .. }) = verifier.due_queries(now, 1).pop() {
             let result = match query {
                 ComparisonQuery::SingleRead(_) => {
                     QueryResult::SingleRead { row: Some(2), position: Some(position_before) }
@@ -172,20 +128,29 @@
                     process: parent,
                 },
             };
-            confirmed = split.record_result(now, number, result);
+            confirmed = verifier.record_result(now, number, result);
         }
         confirmed
     };
 
-    ensure!(confirmed(&mut split, 20 * SECOND, 1, 1).is_none(), "at once");
-    ensure!(confirmed(&mut split, 24 * SECOND, 1, 2).is_none(), "the parent failed over in between");
-    ensure!(confirmed(&mut split, 28 * SECOND, 2, 2).is_none(), "the child was restarted in between");
-    ensure!(confirmed(&mut split, 32 * SECOND, 2, 2).is_some(), "it persists, and is not confirmed");
+    ensure!(confirmed(&mut verifier, 20 * SECOND, 1, 1).is_none(), "confirmed at the first sample");
+    ensure!(
+        confirmed(&mut verifier, 24 * SECOND, 1, 2).is_none(),
+        "confirmed although the parent failed over in between"
+    );
+    ensure!(
+        confirmed(&mut verifier, 28 * SECOND, 2, 2).is_none(),
+        "confirmed although the child was restarted in between"
+    );
+    ensure!(
+        confirmed(&mut verifier, 32 * SECOND, 2, 2).is_some(),
+        "not confirmed although the difference persists"
+    );
     Ok(())
 }
 
 #[test]
-fn a_difference_is_confirmed_by_the_same_processes_only() {
+fn a_difference_is_confirmed_only_by_the_same_database_processes() {
     check_processes().unwrap();
 }
 
@@ -210,8 +175,8 @@
 }
 
 #[test]
-fn the_verdict_is_clean_only_for_full_coverage() {
-    check_clean_verdict().unwrap();
+fn the_status_is_clean_only_with_full_coverage() {
+    check_clean_status().unwrap();
 }
 
 #[test]
@@ -220,18 +185,18 @@
 }
 
 #[test]
-fn each_injected_fault_is_found() {
+fn each_injected_fault_fails_its_check() {
     let all: [(Fault, fn() -> CheckResult); 8] = [
         (Fault::IgnoresCommitTime, check_no_false_difference),
         (Fault::SkipsConfirmation, check_no_false_difference),
         (Fault::IgnoresRestarts, check_processes),
         (Fault::NeverConfirms, check_faults_are_confirmed),
-        (Fault::CountsTwice, check_counting),
-        (Fault::MixesDefinitions, check_definitions),
-        (Fault::CleanWhileMembersMissing, check_clean_verdict),
-        (Fault::KeepsEverything, check_bounds),
+        (Fault::CountsReportsTwice, check_counting),
+        (Fault::AcceptsOtherDefinitions, check_definitions),
+        (Fault::IgnoresUnreachableMembers, check_clean_status),
+        (Fault::SkipsLimits, check_bounds),
     ];
     for (fault, check) in all {
-        assert!(run_with_fault(fault, check).is_err(), "{fault:?} was not found");
+        assert!(run_with_fault(fault, check).is_err(), "the check passes with {fault:?} injected");
     }
 }
