--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -5,6 +5,8 @@
 
 /// The key of errors that concern the settings as a whole.
 pub(crate) const ROOT_KEY: &str = "info";
+/// The most bytes of a value that a message shows. It keeps messages short whatever the settings contain.
+const MAX_SHOWN_BYTES: usize = 60;
 
 /// A text that is not valid JSON, or a key of the settings that is missing or has an unusable value.
 #[derive(Debug)]
@@ -51,7 +53,7 @@
     Object,
     /// A list, whose elements the message leaves out.
     List,
-    /// The JSON text of a value of another kind.
+    /// The complete JSON text of a value of another kind, of which the message shows the first 60 bytes.
     Scalar(String),
 }
 
@@ -114,11 +116,19 @@
         match self {
             FoundValue::Object => f.write_str("an object"),
             FoundValue::List => f.write_str("a list"),
-            FoundValue::Scalar(text) => f.write_str(text),
+            FoundValue::Scalar(text) => write_shortened(f, text),
         }
     }
 }
 
+/// Writes a text. A text that is too long for a message is cut at a character boundary and ends with `...`.
+fn write_shortened(f: &mut fmt::Formatter, text: &str) -> fmt::Result {
+    if text.len() <= MAX_SHOWN_BYTES {
+        return f.write_str(text);
+    }
+    write!(f, "{}...", &text[..text.floor_char_boundary(MAX_SHOWN_BYTES)])
+}
+
 impl std::error::Error for SettingsError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
--- a/settings/tests/messages.rs
+++ b/settings/tests/messages.rs
@@ -101,6 +101,26 @@
     }
 }
 
+#[test]
+fn a_message_shows_the_first_60_bytes_of_a_long_value() {
+    let cases = [
+        // The opening quote and 59 characters of one byte each are 60 bytes.
+        ("x".repeat(10_000), format!("\"{}...", "x".repeat(59))),
+        // The thirtieth character of two bytes would end at byte 61, so that the text is cut before it.
+        ("\u{e4}".repeat(10_000), format!("\"{}...", "\u{e4}".repeat(29))),
+        // With its quotes, a string of 58 characters has 60 bytes, and one of 59 characters has 61 bytes.
+        ("x".repeat(58), format!("\"{}\"", "x".repeat(58))),
+        ("x".repeat(59), format!("\"{}...", "x".repeat(59))),
+    ];
+    for (value, shown) in cases {
+        // When a number is a string of this length
+        let errors = error_texts(&settings_with("/balancers", json!(value)));
+        // Then the message shows at most 60 bytes of it
+        let expected = format!("settings: balancers: expected a non-negative number, found {shown}");
+        assert_eq!(errors, [expected]);
+    }
+}
+
 #[test]
 fn each_error_of_a_class_with_an_idempotency_key_is_reported_in_reading_order() {
     // Given a class with an idempotency key, in which one value is unusable and two are missing
