--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -50,7 +50,7 @@
     /// Rows that are read for copying at one database in a second.
     pub database_copy_reads_per_s: f64,
     /// Copies written, and likewise rows read, at all databases together in a second.
-    pub all_per_s: f64,
+    pub total_rate_per_s: f64,
     /// The rates hold in any span of this length.
     pub window: Duration,
 }
@@ -79,7 +79,7 @@
     /// Reads for comparison at one database in a second.
     pub database_reads_per_s: f64,
     /// Reads for comparison at all databases together in a second.
-    pub all_per_s: f64,
+    pub total_rate_per_s: f64,
     /// The rates hold in any span of this length.
     pub window: Duration,
 }
@@ -99,13 +99,13 @@
             min_processes: DEFAULT_MIN_PROCESSES,
             confirmation_delay: DEFAULT_CONFIRMATION_DELAY,
             database_reads_per_s: DEFAULT_COMPARISON_READS_PER_S,
-            all_per_s: DEFAULT_ALL_COMPARISON_READS_PER_S,
+            total_rate_per_s: DEFAULT_ALL_COMPARISON_READS_PER_S,
             window: DEFAULT_RATE_WINDOW,
         };
         self.read_number(node, "least", &mut split.min_comparisons);
         self.read_number(node, "processes", &mut split.min_processes);
         self.read_number(node, "reads-per-s", &mut split.database_reads_per_s);
-        self.read_number(node, "all-per-s", &mut split.all_per_s);
+        self.read_number(node, "all-per-s", &mut split.total_rate_per_s);
         self.read_duration(node, "within-ms", &mut split.coverage_window);
         self.read_duration(node, "confirm-ms", &mut split.confirmation_delay);
         self.read_duration(node, "window-ms", &mut split.window);
@@ -129,14 +129,14 @@
             max_copies: DEFAULT_MAX_COPIES,
             database_copies_per_s: DEFAULT_COPIES_PER_S,
             database_copy_reads_per_s: DEFAULT_COPY_READS_PER_S,
-            all_per_s: DEFAULT_ALL_COPIES_PER_S,
+            total_rate_per_s: DEFAULT_ALL_COPIES_PER_S,
             window: DEFAULT_RATE_WINDOW,
         };
         self.read_number(node, "copy-cost", &mut hot.copy_cost_reads);
         self.read_number(node, "guests", &mut hot.max_copies);
         self.read_number(node, "copies-per-s", &mut hot.database_copies_per_s);
         self.read_number(node, "reads-per-s", &mut hot.database_copy_reads_per_s);
-        self.read_number(node, "all-per-s", &mut hot.all_per_s);
+        self.read_number(node, "all-per-s", &mut hot.total_rate_per_s);
         self.read_duration(node, "window-ms", &mut hot.window);
         if !has_fleet {
             self.add_error(node, OptionsErrorKind::HotKeysWithoutFleet);
--- a/options/tests/fleet.rs
+++ b/options/tests/fleet.rs
@@ -82,7 +82,7 @@
     let hot = options.hot.unwrap();
     assert_eq!((hot.database_reads_per_s, hot.copy_cost_reads, hot.max_copies), (120.5, 2.0, 3));
     assert_eq!(
-        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.all_per_s),
+        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.total_rate_per_s),
         (10.0, 10.0, 100.0)
     );
     assert_eq!(hot.window, Duration::from_secs(10));
--- a/options/tests/known_options.rs
+++ b/options/tests/known_options.rs
@@ -112,7 +112,7 @@
     // Then each field has its value
     assert_eq!((hot.line, hot.database_reads_per_s, hot.copy_cost_reads, hot.max_copies), (5, 401.5, 2.5, 4));
     assert_eq!(
-        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.all_per_s),
+        (hot.database_copies_per_s, hot.database_copy_reads_per_s, hot.total_rate_per_s),
         (11.0, 12.0, 101.0)
     );
     assert_eq!(hot.window, Duration::from_millis(10_001));
@@ -130,6 +130,6 @@
     assert_eq!((split.min_comparisons, split.min_processes), (4, 5));
     assert_eq!(split.coverage_window, Duration::from_millis(600_001));
     assert_eq!(split.confirmation_delay, Duration::from_millis(10_002));
-    assert_eq!((split.database_reads_per_s, split.all_per_s), (6.0, 51.0));
+    assert_eq!((split.database_reads_per_s, split.total_rate_per_s), (6.0, 51.0));
     assert_eq!(split.window, Duration::from_millis(10_003));
 }
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -27,7 +27,7 @@
     if let Some(hot) = hot {
         let budget = |database_starts_per_s| Budget {
             database_starts_per_s,
-            total_starts_per_s: hot.all_per_s,
+            total_starts_per_s: hot.total_rate_per_s,
             window: micros(hot.window),
         };
         budgets.push(TaskBudget { kind: TaskKind::RowRead, budget: budget(hot.database_copy_reads_per_s) });
@@ -36,7 +36,7 @@
     if let Some(split) = split {
         let budget = Budget {
             database_starts_per_s: split.database_reads_per_s,
-            total_starts_per_s: split.all_per_s,
+            total_starts_per_s: split.total_rate_per_s,
             window: micros(split.window),
         };
         budgets.push(TaskBudget { kind: TaskKind::DualRead, budget });
