--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -1,5 +1,5 @@
-//! Options of background work: copies of hot keys, and the comparison of dual reads while a group splits. Each rate is
-//! over all processes of the fleet.
+//! Options of background work: copies of hot keys, and the comparison of dual reads during a shard split. Each rate is
+//! a total over all processes of the fleet.
 
 use crate::OptionsErrorKind;
 use crate::reader::Reader;
@@ -7,99 +7,100 @@
 use std::time::Duration;
 use uppsala::NodeId;
 
-/// Rates hold in any span of this length.
+/// The length of the spans in which rates are limited.
 const DEFAULT_RATE_WINDOW: Duration = Duration::from_secs(10);
 
-/// What writing a copy costs its group, in reads.
+/// Cost of writing a copy to its group, as a number of reads.
 const DEFAULT_COPY_COST_READS: f64 = 2.0;
-/// Copies of one key.
+/// Maximum number of copies of one key.
 const DEFAULT_MAX_COPIES: usize = 3;
-/// Copies that are written at one database.
+/// Maximum rate of copies that are written to one database.
 const DEFAULT_COPIES_PER_S: f64 = 10.0;
-/// Rows that are read for copying at one database.
+/// Maximum rate of rows that are read from one database for copying.
 const DEFAULT_COPY_READS_PER_S: f64 = 10.0;
-/// Copies written, and likewise rows read, at all databases together.
-const DEFAULT_ALL_COPIES_PER_S: f64 = 100.0;
+/// Maximum rate of copies that are written to all databases, and of rows that are read from them for copying.
+const DEFAULT_TOTAL_COPIES_PER_S: f64 = 100.0;
 
-/// Comparisons in each range of hashes.
+/// Comparisons that each hash range needs.
 const DEFAULT_MIN_COMPARISONS: u32 = 3;
-/// Processes that compare in each range of hashes.
+/// Processes that have to compare in each hash range.
 const DEFAULT_MIN_PROCESSES: usize = 1;
-/// How long a comparison counts.
+/// The time after which a comparison expires.
 const DEFAULT_COVERAGE_WINDOW: Duration = Duration::from_secs(600);
-/// How long a difference has to persist until it is confirmed.
+/// The time for which a difference has to persist until it is confirmed.
 const DEFAULT_CONFIRMATION_DELAY: Duration = Duration::from_secs(10);
-/// Reads for comparison at one database.
+/// Maximum rate of comparison reads at one database.
 const DEFAULT_COMPARISON_READS_PER_S: f64 = 5.0;
-/// Reads for comparison at all databases together.
-const DEFAULT_ALL_COMPARISON_READS_PER_S: f64 = 50.0;
+/// Maximum rate of comparison reads at all databases.
+const DEFAULT_TOTAL_COMPARISON_READS_PER_S: f64 = 50.0;
 
-/// Copies of keys that get more reads than one database can serve (element `hot`).
+/// Copies of keys that receive more reads than one database can serve (element `hot`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct HotKeyOptions {
-    /// The line of the element.
+    /// Line of the element in the file.
     pub line: usize,
-    /// Reads a second that one database can serve.
+    /// Reads that one database can serve in a second.
     pub database_reads_per_s: f64,
-    /// What writing a copy costs its group, in reads.
+    /// Cost of writing a copy to its group, as a number of reads.
     pub copy_cost_reads: f64,
-    /// Copies of one key.
+    /// Maximum number of copies of one key.
     pub max_copies: usize,
-    /// Copies that are written at one database in a second.
+    /// Maximum number of copies that are written to one database in a second.
     pub database_copies_per_s: f64,
-    /// Rows that are read for copying at one database in a second.
+    /// Maximum number of rows that are read from one database for copying in a second.
     pub database_copy_reads_per_s: f64,
-    /// Copies written, and likewise rows read, at all databases together in a second.
+    /// Maximum number of copies that are written to all databases in a second. The same maximum applies separately to
+    /// the rows that are read for copying.
     pub total_rate_per_s: f64,
-    /// The rates hold in any span of this length.
+    /// No rate is exceeded in any span of this length.
     pub window: Duration,
 }
 
-/// A group that splits, and reads of its children that are compared with its own (element `split`).
+/// A shard split, with the comparison of reads from the parent group and its children (element `split`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct SplitOptions {
-    /// The line of the element.
+    /// Line of the element in the file.
     pub line: usize,
-    /// The group that splits.
+    /// The group that is split.
     pub parent: u32,
-    /// The group that gets the keys with the lower hashes.
+    /// The group that receives the keys with the lower hashes.
     pub lower_child: u32,
-    /// The group that gets the keys with the higher hashes.
+    /// The group that receives the keys with the higher hashes.
     pub upper_child: u32,
     /// The lowest hash of the upper child.
     pub split_at: u32,
-    /// Comparisons that each range of hashes needs within the window.
+    /// Comparisons that each hash range needs within the coverage window.
     pub min_comparisons: u32,
-    /// How long a comparison counts.
+    /// The time after which a comparison expires.
     pub coverage_window: Duration,
-    /// Processes that have to compare in each range within the window.
+    /// Processes that have to compare in each hash range within the coverage window.
     pub min_processes: usize,
-    /// How long a difference has to persist until it is confirmed.
+    /// The time for which a difference has to persist until it is confirmed.
     pub confirmation_delay: Duration,
-    /// Reads for comparison at one database in a second.
+    /// Maximum number of comparison reads at one database in a second.
     pub database_reads_per_s: f64,
-    /// Reads for comparison at all databases together in a second.
+    /// Maximum number of comparison reads at all databases in a second.
     pub total_rate_per_s: f64,
-    /// The rates hold in any span of this length.
+    /// No rate is exceeded in any span of this length.
     pub window: Duration,
 }
 
 impl Reader<'_> {
-    /// Element `split`. `has_fleet`: the file has an element `fleet`, without which no process learns what others have
-    /// compared.
-    pub(crate) fn split(&mut self, node: NodeId, has_fleet: bool) -> Option<SplitOptions> {
+    /// Reads the element `split`. The element `fleet` is required, because processes exchange their comparisons through
+    /// the fleet.
+    pub(crate) fn read_split(&mut self, node: NodeId, has_fleet: bool) -> Option<SplitOptions> {
         let mut split = SplitOptions {
-            line: self.doc.node_line(node),
-            parent: self.value(node, "from")?,
-            lower_child: self.value(node, "below")?,
-            upper_child: self.value(node, "above")?,
-            split_at: self.value(node, "at")?,
+            line: self.document.node_line(node),
+            parent: self.number(node, "from")?,
+            lower_child: self.number(node, "below")?,
+            upper_child: self.number(node, "above")?,
+            split_at: self.number(node, "at")?,
             min_comparisons: DEFAULT_MIN_COMPARISONS,
             coverage_window: DEFAULT_COVERAGE_WINDOW,
             min_processes: DEFAULT_MIN_PROCESSES,
             confirmation_delay: DEFAULT_CONFIRMATION_DELAY,
             database_reads_per_s: DEFAULT_COMPARISON_READS_PER_S,
-            total_rate_per_s: DEFAULT_ALL_COMPARISON_READS_PER_S,
+            total_rate_per_s: DEFAULT_TOTAL_COMPARISON_READS_PER_S,
             window: DEFAULT_RATE_WINDOW,
         };
         self.read_number(node, "least", &mut split.min_comparisons);
@@ -114,22 +115,22 @@
         }
         let groups = [split.parent, split.lower_child, split.upper_child];
         if BTreeSet::from(groups).len() < groups.len() {
-            self.add_error(node, OptionsErrorKind::GroupsNotDistinct);
+            self.add_error(node, OptionsErrorKind::GroupsNotDistinct { groups });
         }
         Some(split)
     }
 
-    /// Element `hot`. `has_fleet`: the file has an element `fleet`, without which no process learns of the others'
-    /// reads.
-    pub(crate) fn hot(&mut self, node: NodeId, has_fleet: bool) -> Option<HotKeyOptions> {
+    /// Reads the element `hot`. The element `fleet` is required, because processes exchange their read rates through
+    /// the fleet.
+    pub(crate) fn read_hot_keys(&mut self, node: NodeId, has_fleet: bool) -> Option<HotKeyOptions> {
         let mut hot = HotKeyOptions {
-            line: self.doc.node_line(node),
-            database_reads_per_s: self.value(node, "bears")?,
+            line: self.document.node_line(node),
+            database_reads_per_s: self.number(node, "bears")?,
             copy_cost_reads: DEFAULT_COPY_COST_READS,
             max_copies: DEFAULT_MAX_COPIES,
             database_copies_per_s: DEFAULT_COPIES_PER_S,
             database_copy_reads_per_s: DEFAULT_COPY_READS_PER_S,
-            total_rate_per_s: DEFAULT_ALL_COPIES_PER_S,
+            total_rate_per_s: DEFAULT_TOTAL_COPIES_PER_S,
             window: DEFAULT_RATE_WINDOW,
         };
         self.read_number(node, "copy-cost", &mut hot.copy_cost_reads);
--- a/options/src/conflicts.rs
+++ b/options/src/conflicts.rs
@@ -1,9 +1,10 @@
-//! Addresses that are used twice, and more descriptors than the process has for health checks.
+//! Errors that concern more than one element: addresses that are used twice, and more connections of health checks than
+//! the process has file descriptors for.
 
 use crate::{CheckListener, HealthOptions, Options, OptionsError, OptionsErrorKind};
 use std::net::SocketAddr;
 
-/// An address for links to other proxies, and the element that has it.
+/// An address on which other proxies are received, and the element that sets it.
 struct LinkAddress {
     element: &'static str,
     line: usize,
@@ -11,29 +12,30 @@
 }
 
 impl LinkAddress {
-    /// An error of the element that has the address.
+    /// Returns an error at the element that sets the address.
     fn error(&self, kind: OptionsErrorKind) -> OptionsError {
         OptionsError::new(self.line, self.element, kind)
     }
 
-    /// The error that another element of the options uses the address too.
+    /// Returns the error that another element of the options uses the same address.
     fn shared_with(&self, element: &'static str) -> OptionsError {
         self.error(OptionsErrorKind::SharedAddress { address: self.address, element })
     }
 }
 
 impl Options {
-    /// Descriptors to be reserved for what is switched on here: connections of balancers, and their listeners.
+    /// The number of file descriptors to reserve for health checks: the listeners and the most connections that they
+    /// accept.
     pub fn descriptors(&self) -> usize {
         self.check_listeners().map(|(_, listener)| listener.max_connections + 1).sum()
     }
 
-    /// The listeners for health checks, each with the name of its element.
+    /// Returns the listeners for health checks, each with the name of its element.
     fn check_listeners(&self) -> impl Iterator<Item = (&'static str, &CheckListener)> {
         self.health.iter().flat_map(HealthOptions::check_listeners)
     }
 
-    /// The addresses where other proxies connect or send datagrams.
+    /// Returns the addresses to which other proxies connect or send datagrams.
     fn link_addresses(&self) -> Vec<LinkAddress> {
         let peer_state = self.peer_state.as_ref().and_then(|peer_state| {
             let address = peer_state.listen?;
@@ -45,7 +47,7 @@
         peer_state.into_iter().chain(fleet).collect()
     }
 
-    /// An error for each address that an earlier element of the options uses.
+    /// Returns an error for each link address that another element of the options already uses.
     pub(crate) fn internal_address_conflicts(&self) -> Vec<OptionsError> {
         let links = self.link_addresses();
         let mut errors = Vec::new();
@@ -55,7 +57,7 @@
                 errors.push(link.shared_with(other));
             }
         }
-        // Members of the fleet have links to each other at the port of their datagrams.
+        // The members of a fleet also connect to each other, at the same port as that of their datagrams.
         if let [first, second] = &links[..]
             && addresses_overlap(first.address, second.address)
         {
@@ -64,35 +66,37 @@
         errors
     }
 
-    /// An error if checks would need more than half of this number of descriptors.
+    /// Returns an error if health checks need more than half of this number of file descriptors. The error is at the
+    /// listener with the most connections.
     pub fn excess_descriptors(&self, max_descriptors: usize) -> Option<OptionsError> {
-        let wanted = self.descriptors();
-        if wanted <= max_descriptors / 2 {
+        let needed = self.descriptors();
+        if needed <= max_descriptors / 2 {
             return None;
         }
         let (element, listener) =
             self.check_listeners().max_by_key(|(_, listener)| listener.max_connections)?;
-        let kind = OptionsErrorKind::TooManyDescriptors { wanted, max_descriptors };
+        let kind = OptionsErrorKind::TooManyDescriptors { needed, max_descriptors };
         Some(OptionsError::new(listener.line, element, kind))
     }
 
-    /// An error for each address in the options that something else in the process uses. `others` has names and
-    /// addresses.
-    pub fn address_conflicts(&self, others: &[(&str, SocketAddr)]) -> Vec<OptionsError> {
-        let user_of = |address: SocketAddr| {
-            let user = others.iter().find(|(_, other)| addresses_overlap(*other, address));
-            user.map(|(name, _)| OptionsErrorKind::AddressInUse { address, user: (*name).into() })
+    /// Returns an error for each address of the options that the platform's configuration uses too. `configured` has
+    /// the keys of that configuration that contain addresses, with the addresses.
+    pub fn address_conflicts(&self, configured: &[(&str, SocketAddr)]) -> Vec<OptionsError> {
+        let conflict = |address: SocketAddr| {
+            let found = configured.iter().find(|(_, configured)| addresses_overlap(*configured, address));
+            found.map(|(key, _)| OptionsErrorKind::AddressInUse { address, key: (*key).into() })
         };
         let checks = self.check_listeners().filter_map(|(element, listener)| {
-            Some(OptionsError::new(listener.line, element, user_of(listener.address)?))
+            Some(OptionsError::new(listener.line, element, conflict(listener.address)?))
         });
         let links = self.link_addresses();
-        let links = links.iter().filter_map(|link| Some(link.error(user_of(link.address)?)));
+        let links = links.iter().filter_map(|link| Some(link.error(conflict(link.address)?)));
         checks.chain(links).collect()
     }
 }
 
-/// Whether two sockets could not listen on both addresses.
+/// Returns whether one of two sockets could not listen on its address because the other one does. Port 0 stands for any
+/// free port and overlaps with no address.
 pub(crate) fn addresses_overlap(a: SocketAddr, b: SocketAddr) -> bool {
     let any_interface = a.ip().is_unspecified() || b.ip().is_unspecified();
     a.port() != 0 && a.port() == b.port() && (a.ip() == b.ip() || any_interface)
--- a/options/src/error.rs
+++ b/options/src/error.rs
@@ -5,82 +5,100 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Something wrong in the file.
+const DOCUMENT_TYPE_TEXT: &str = "\
+    a document type declaration is not supported; remove <!DOCTYPE ...> and write the text of its entities where they \
+    are used";
+const NO_HEALTH_LISTENER_TEXT: &str =
+    "no listener for health checks; add at least one of the elements http, agent and grpc";
+const NO_STATE_TRANSFER_TEXT: &str = "\
+    no address for state transfer; set listen to send state to other proxies, or donors to request it from them";
+const HOT_KEYS_WITHOUT_FLEET_TEXT: &str =
+    "requires the element fleet, because processes exchange their read rates through the fleet";
+const SPLIT_WITHOUT_FLEET_TEXT: &str =
+    "requires the element fleet, because processes exchange their comparisons through the fleet";
+
+/// An error at one place of the options file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionsError {
-    /// Its line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The element, or `file`.
+    /// Name of the element, or `file` if the error concerns the file as a whole.
     pub element: String,
-    /// What is wrong with it.
+    /// The cause, with the values that the message shows.
     pub kind: OptionsErrorKind,
 }
 
-/// What is wrong with an element or with the file as a whole.
+/// The cause of an error at an element or in the file as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OptionsErrorKind {
-    /// The file is too long.
-    TooLong,
+    /// The file is longer than [`MAX_FILE_BYTES`].
+    TooLong {
+        /// Length of the file.
+        bytes: usize,
+    },
     /// The file has a document type declaration, which could define entities.
-    DocumentType,
-    /// The file is not XML, by the message of the parser.
+    DocumentTypeDeclaration,
+    /// The file is not well-formed XML. Contains the message of the parser.
     InvalidXml(String),
-    /// The schema itself cannot be used, by the message of the validator.
+    /// The schema itself is invalid. Contains the message of the validator.
     UnusableSchema(String),
-    /// The schema is violated.
+    /// The file violates the schema.
     SchemaViolation {
-        /// The attribute at fault, if the message is about one.
+        /// The attribute with the invalid value; `None` if the message does not quote the value of an attribute.
         attribute: Option<String>,
         /// The message of the validator.
         message: String,
     },
-    /// The schema accepts a value that cannot be read.
-    UnreadableValue {
-        /// The attribute.
+    /// A value that the schema accepts is not a number of the expected type.
+    InvalidNumber {
+        /// Name of the attribute.
         attribute: &'static str,
-        /// Its value.
-        text: String,
+        /// Value of the attribute.
+        found: String,
     },
-    /// An element of a list is not an address and a port.
+    /// A value that the schema accepts, or an element of a list, is not an IP address with a port.
     InvalidAddress {
-        /// The attribute.
+        /// Name of the attribute.
         attribute: &'static str,
-        /// The element of its list.
-        text: String,
+        /// Value of the attribute, or the element of its list.
+        found: String,
     },
     /// The health options have no listener.
     NoHealthListener,
-    /// Settings of the health options contradict one another.
+    /// Two or more of the health options contradict each other.
     HealthSettings(SettingsError),
-    /// State transfer has neither an address of its own nor those of other proxies.
+    /// State transfer is configured with neither a listener nor the addresses of other proxies.
     NoStateTransfer,
-    /// Other members of the fleet cannot reach an address.
+    /// Other members of the fleet cannot send to this address: its IP address is unspecified or its port is 0.
     UnreachableAddress(SocketAddr),
-    /// Hot keys need the fleet, which is switched off.
+    /// Copies of hot keys are configured without a fleet.
     HotKeysWithoutFleet,
-    /// A split needs the fleet, which is switched off.
+    /// A shard split is configured without a fleet.
     SplitWithoutFleet,
-    /// The parent and the children of a split are not three groups.
-    GroupsNotDistinct,
-    /// Another element of the options uses an address.
+    /// The parent and the children of a shard split are not three different groups.
+    GroupsNotDistinct {
+        /// The parent, the lower child and the upper child.
+        groups: [u32; 3],
+    },
+    /// Two elements of the options use the same address.
     SharedAddress {
-        /// The address.
+        /// The address of the element with the error.
         address: SocketAddr,
-        /// The other element.
+        /// Name of the other element.
         element: &'static str,
     },
-    /// The process uses an address for something else.
+    /// An element of the options uses an address of the platform's configuration.
     AddressInUse {
-        /// The address.
+        /// The address of the element with the error.
         address: SocketAddr,
-        /// What it is used as.
-        user: String,
+        /// Key of the address in the platform's configuration.
+        key: String,
     },
-    /// Health checks would need more than half of the descriptors.
+    /// Health checks need more than half of the file descriptors of the process.
     TooManyDescriptors {
-        /// Descriptors for health checks.
-        wanted: usize,
-        /// Descriptors that the process may hold.
+        /// File descriptors that health checks need.
+        needed: usize,
+        /// File descriptors that the process may have open.
         max_descriptors: usize,
     },
 }
@@ -90,7 +108,7 @@
         OptionsError { line, element: element.into(), kind }
     }
 
-    /// An error of the file as a whole.
+    /// Returns an error that concerns the file as a whole.
     pub(crate) fn in_file(line: usize, kind: OptionsErrorKind) -> OptionsError {
         OptionsError::new(line, "file", kind)
     }
@@ -102,52 +120,53 @@
     }
 }
 
-/// Begins with the name of the attribute, if one is at fault.
+/// The message. It begins with the name of the attribute if the error concerns one attribute.
 impl fmt::Display for OptionsErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            OptionsErrorKind::TooLong => write!(f, "longer than {MAX_FILE_BYTES} bytes"),
-            OptionsErrorKind::DocumentType => f.write_str("a document type is not taken"),
-            OptionsErrorKind::InvalidXml(message) => write!(f, "not XML: {message}"),
-            OptionsErrorKind::UnusableSchema(message) => write!(f, "the schema: {message}"),
+            OptionsErrorKind::TooLong { bytes } => {
+                write!(f, "the file has {bytes} bytes, expected at most {MAX_FILE_BYTES}")
+            }
+            OptionsErrorKind::DocumentTypeDeclaration => f.write_str(DOCUMENT_TYPE_TEXT),
+            OptionsErrorKind::InvalidXml(message) => write!(f, "invalid XML: {message}"),
+            OptionsErrorKind::UnusableSchema(message) => {
+                write!(f, "the schema in the program is invalid: {message}")
+            }
             OptionsErrorKind::SchemaViolation { attribute: Some(attribute), message } => {
                 write!(f, "{attribute}: {message}")
             }
             OptionsErrorKind::SchemaViolation { attribute: None, message } => f.write_str(message),
-            OptionsErrorKind::UnreadableValue { attribute, text } => {
-                write!(f, "{attribute}: '{text}' cannot be read")
-            }
-            OptionsErrorKind::InvalidAddress { attribute, text } => {
-                write!(f, "{attribute}: '{text}' is no address and port")
+            OptionsErrorKind::InvalidNumber { attribute, found } => {
+                write!(f, "{attribute}: expected a number, found '{found}'")
             }
-            OptionsErrorKind::NoHealthListener => {
-                f.write_str("neither http, agent nor grpc: nobody could ask")
+            OptionsErrorKind::InvalidAddress { attribute, found } => {
+                write!(f, "{attribute}: expected an IP address and a port, found '{found}'")
             }
+            OptionsErrorKind::NoHealthListener => f.write_str(NO_HEALTH_LISTENER_TEXT),
             OptionsErrorKind::HealthSettings(error) => error.fmt(f),
-            OptionsErrorKind::NoStateTransfer => {
-                f.write_str("neither listen nor donors: nobody is asked, nobody can ask")
-            }
-            OptionsErrorKind::UnreachableAddress(address) => {
-                write!(f, "listen: others cannot reach {address}: name the address in advertise")
-            }
-            OptionsErrorKind::HotKeysWithoutFleet => {
-                f.write_str("there is no element fleet: nobody tells what others are asked for")
-            }
-            OptionsErrorKind::SplitWithoutFleet => {
-                f.write_str("there is no element fleet: nobody tells what others have compared")
-            }
-            OptionsErrorKind::GroupsNotDistinct => {
-                f.write_str("from, below and above: expected three groups")
-            }
+            OptionsErrorKind::NoStateTransfer => f.write_str(NO_STATE_TRANSFER_TEXT),
+            OptionsErrorKind::UnreachableAddress(address) => write!(
+                f,
+                "listen: other proxies cannot send to {address}; set advertise to an IP address and a port that they \
+                 can reach"
+            ),
+            OptionsErrorKind::HotKeysWithoutFleet => f.write_str(HOT_KEYS_WITHOUT_FLEET_TEXT),
+            OptionsErrorKind::SplitWithoutFleet => f.write_str(SPLIT_WITHOUT_FLEET_TEXT),
+            OptionsErrorKind::GroupsNotDistinct { groups: [parent, lower, upper] } => write!(
+                f,
+                "from, below and above: expected three different groups, found {parent}, {lower} and {upper}"
+            ),
             OptionsErrorKind::SharedAddress { address, element } => {
-                write!(f, "listen: {address} is used by {element} too")
-            }
-            OptionsErrorKind::AddressInUse { address, user } => {
-                write!(f, "listen: {address} is used as {user} already")
+                write!(f, "listen: {address} is already used by the element {element}")
             }
-            OptionsErrorKind::TooManyDescriptors { wanted, max_descriptors } => {
-                write!(f, "callers: {wanted} descriptors for checks are more than half of {max_descriptors}")
+            OptionsErrorKind::AddressInUse { address, key } => {
+                write!(f, "listen: {address} is already used as {key} in the platform's configuration")
             }
+            OptionsErrorKind::TooManyDescriptors { needed, max_descriptors } => write!(
+                f,
+                "callers: health checks need {needed} file descriptors, expected at most half of the \
+                 {max_descriptors} of the process"
+            ),
         }
     }
 }
--- a/options/tests/faults.rs
+++ b/options/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Every error names line and element, and nothing of a file with errors is applied.
+//! A file with errors gives no options, and each of its errors names a line and an element.
 
 use birchreach_health::{HealthSettings, Micros, ProbeSettings};
 use birchreach_options::{Options, parse};
@@ -7,10 +7,10 @@
 const EXAMPLE: &str = include_str!("../../deploy/options.xml");
 
 #[test]
-fn the_example_has_the_default_of_every_option() {
+fn each_value_of_the_example_is_the_default() {
     // When the example is read
     let health = parse(EXAMPLE).unwrap().health.unwrap();
-    // Then each value in it is the default
+    // Then each value is the default
     assert_eq!(
         health.settings,
         HealthSettings { probes: Some(ProbeSettings::default()), ..HealthSettings::default() }
@@ -20,25 +20,25 @@
 }
 
 #[test]
-fn an_absent_option_has_its_default() {
-    // When only a listener is given, then the other values are the defaults
+fn a_missing_option_has_its_default() {
+    // When the file has only a listener, then the other values are the defaults
     let listener_alone =
         "<birchreach-options><health><http listen='127.0.0.1:7081'/></health></birchreach-options>";
     let health = parse(listener_alone).unwrap().health.unwrap();
     assert_eq!(health.settings, HealthSettings::default());
     assert_eq!(health.shutdown_notice, 3_000 * MILLISECOND);
-    // When no element is given, then all options are the defaults
+    // When the file has no element, then all options are switched off
     assert_eq!(parse("<birchreach-options/>"), Ok(Options::default()));
 }
 
-/// The errors of the example after one replacement, as they are printed.
+/// Returns the messages of the errors in the example after one replacement.
 fn error_texts(old: &str, new: &str) -> Vec<String> {
     assert!(EXAMPLE.contains(old), "{old}");
     parse(&EXAMPLE.replacen(old, new, 1)).unwrap_err().iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn an_error_names_its_line_and_element() {
+fn an_error_names_its_line_its_element_and_the_cause() {
     for (old, new, line, element, expected) in [
         ("<probes", "<probs", 13, "", "probs"),
         ("every-ms=\"800\"", "each-ms=\"5000\"", 13, "probes", "each-ms"),
@@ -49,19 +49,25 @@
         ("127.0.0.1:7081", "localhost:7081", 6, "http", "localhost"),
         ("127.0.0.1:7081", "127.0.0.1:70810", 6, "http", "listen"),
         ("listen=\"127.0.0.1:7081\" ", "", 6, "http", "listen"),
-        ("127.0.0.1:7082", "127.0.0.1:7081", 7, "agent", "used by http"),
-        ("127.0.0.1:7082", "0.0.0.0:7081", 7, "agent", "used by http"),
+        (
+            "127.0.0.1:7082",
+            "127.0.0.1:7081",
+            7,
+            "agent",
+            "127.0.0.1:7081 is already used by the element http",
+        ),
+        ("127.0.0.1:7082", "0.0.0.0:7081", 7, "agent", "0.0.0.0:7081 is already used by the element http"),
         ("hang-ms=\"1700\"", "hang-ms=\"1900\"", 9, "claims", "1.9 s"),
         ("idle=\"trust\"", "idle=\"trust\">text</claims><claims", 9, "", ""),
         ("every-ms=\"800\"", "every-ms=\"8000\"", 13, "probes", "half of window-ms"),
         ("knee=\"0.6\"", "knee=\"0.96\"", 14, "weight", "must be below hot"),
         ("<stopping", "<health/><stopping", 15, "health", ""),
-        ("</health>", "", 17, "file", "not XML"),
-        ("<birchreach-options>", "<options>", 17, "file", "not XML"),
+        ("</health>", "", 17, "file", "invalid XML"),
+        ("<birchreach-options>", "<options>", 17, "file", "invalid XML"),
     ] {
         // When the example has one error
         let errors = error_texts(old, new);
-        // Then an error names the line, the element and what is wrong
+        // Then an error names the line, the element and the cause
         let start = format!("line {line}: {element}");
         assert!(
             errors.iter().any(|error| error.starts_with(&start) && error.contains(expected)),
@@ -74,23 +80,24 @@
 fn all_errors_are_reported() {
     // Given the example with an error in each of three listeners
     let three_errors = EXAMPLE.replace("callers=\"64\"", "callers=\"2\"");
-    // When it is read, then there are three errors
-    assert_eq!(parse(&three_errors).unwrap_err().len(), 3, "all of them are reported");
+    // When the file is read, then there are three errors
+    assert_eq!(parse(&three_errors).unwrap_err().len(), 3);
 }
 
 #[test]
 fn a_text_that_is_not_an_options_file_gives_an_error() {
     for text in ["", "{}", "<a", "<other/>", "<!DOCTYPE x [<!ENTITY a 'b'>]><birchreach-options/>"] {
-        // When such a text is read, then there is an error
+        // When the text is read, then there is an error
         assert!(!parse(text).unwrap_err().is_empty(), "{text}");
     }
 }
 
 #[test]
 fn a_file_that_is_too_long_or_nested_too_deeply_gives_an_error() {
-    // When a file is 300 KiB long, then the error says so
+    // When a file is longer than 300 KiB, then the error has the length and the maximum
     let long = format!("<birchreach-options>{}</birchreach-options>", " ".repeat(300 << 10));
-    assert!(parse(&long).unwrap_err()[0].kind.to_string().contains("longer"));
+    let error = parse(&long).unwrap_err()[0].kind.to_string();
+    assert_eq!(error, "the file has 307241 bytes, expected at most 262144");
     // When elements are nested 40,000 deep, then there is an error
     let deep = format!("{}{}", "<a>".repeat(40_000), "</a>".repeat(40_000));
     assert!(parse(&deep).is_err());
@@ -98,26 +105,30 @@
 
 #[test]
 fn health_without_a_listener_gives_an_error() {
-    // When no listener is given
+    // When the element has no listener
     let no_listener = "<birchreach-options>\n<health/>\n</birchreach-options>";
     let errors = parse(no_listener).unwrap_err();
-    // Then the error says that nobody could ask
-    assert_eq!(errors[0].to_string(), "line 2: health: neither http, agent nor grpc: nobody could ask");
+    // Then the error names the elements that configure a listener
+    let expected = "line 2: health: no listener for health checks; add at least one of the elements http, agent and grpc";
+    assert_eq!(errors[0].to_string(), expected);
 }
 
 #[test]
-fn an_address_of_the_platform_gives_a_conflict() {
+fn an_address_of_the_platforms_configuration_gives_a_conflict() {
     // Given the example
     let options = parse(EXAMPLE).unwrap();
-    // When the platform uses another address, then there is no conflict
+    // When the platform's configuration has another address, then there is no conflict
     let conflicts = options.address_conflicts(&[("listen", "127.0.0.1:5432".parse().unwrap())]);
     assert_eq!(conflicts, []);
-    // When it uses one of the example, then the conflict names both
+    // When the platform's configuration has an address of the example, then the conflict names element and key
     let conflicts = options.address_conflicts(&[("operator", "127.0.0.1:7082".parse().unwrap())]);
-    assert_eq!(conflicts[0].to_string(), "line 7: agent: listen: 127.0.0.1:7082 is used as operator already");
+    assert_eq!(
+        conflicts[0].to_string(),
+        "line 7: agent: listen: 127.0.0.1:7082 is already used as operator in the platform's configuration"
+    );
 }
 
-/// The example with three bytes replaced at random.
+/// Returns the example after three bytes have been replaced at random.
 fn damaged_example(seed: u64) -> Vec<u8> {
     let mut random = seed;
     let mut bytes = EXAMPLE.as_bytes().to_vec();
@@ -129,7 +140,7 @@
     bytes
 }
 
-/// Random damage: errors or options, never a panic.
+/// Random bytes must not make the parser panic.
 #[test]
 fn a_damaged_file_gives_options_or_errors_with_lines() {
     for seed in 0..400 {
--- a/options/tests/known_options.rs
+++ b/options/tests/known_options.rs
@@ -1,5 +1,5 @@
-//! Every attribute of the options, with a value other than its default: the names and units of the file stay as they
-//! are.
+//! Reads a file that sets every attribute to a value other than the default. A changed name or unit of an attribute,
+//! which would invalidate the files of operators, makes a test fail.
 
 use birchreach_health::{
     AggregationRule, IdleGroupPolicy, Micros, OverloadPolicy, ProbeSettings, SharedCausePolicy,
@@ -25,7 +25,7 @@
 </health>
 </birchreach-options>";
 
-/// A listener at this port of the loopback address, named on this line of the file, with these limits.
+/// Returns the listener at a port of the loopback address whose element is on this line.
 fn listener(port: u16, line: usize, max_connections: usize, silence_ms: Micros) -> CheckListener {
     CheckListener {
         address: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -39,7 +39,7 @@
 fn every_attribute_of_the_health_listeners_is_read() {
     // When options with every attribute are read
     let health = parse(HEALTH).unwrap().health.unwrap();
-    // Then each listener has its values
+    // Then each field has its value
     let http = health.http.unwrap();
     assert_eq!((http.listener, http.idle_timeout), (listener(1, 3, 5, 1_001), 1_002 * MILLISECOND));
     let agent = health.agent.unwrap();
@@ -95,7 +95,7 @@
     assert_eq!(settings.weight, weight);
 }
 
-/// Every attribute of the options of links among proxies, and of background work.
+/// Every attribute of the options that concern other proxies and background work.
 const LINKS: &str = "<birchreach-options>
 <knowledge listen='127.0.0.1:1' key-file='a' donors='127.0.0.1:2 127.0.0.1:3' patience-ms='701' refresh-ms='60001' at-once='5'
  bytes-per-s='100001'/>
--- a/proxy/tests/configuration_messages/options.rs
+++ b/proxy/tests/configuration_messages/options.rs
@@ -14,14 +14,17 @@
     let folder = Folder::new("conflicts");
     let config = folder.write("config.json", VALID);
     let cases = [
-        ("<health/>", "health: neither http, agent nor grpc: nobody could ask"),
+        (
+            "<health/>",
+            "health: no listener for health checks; add at least one of the elements http, agent and grpc",
+        ),
         (
             "<health><http listen='127.0.0.1:6433'/></health>",
-            "http: listen: 127.0.0.1:6433 is used as operator already",
+            "http: listen: 127.0.0.1:6433 is already used as operator in the platform's configuration",
         ),
         (
             "<health><http listen='127.0.0.1:1' callers='1000'/></health>",
-            "http: callers: 1001 descriptors for checks are more than half of 1024",
+            "http: callers: health checks need 1001 file descriptors, expected at most half of the 1024 of the process",
         ),
     ];
     for (elements, expected) in cases {
@@ -123,7 +126,7 @@
     let cases = [
         (
             "<health><http listen='127.0.0.1:6433'/></health>".into(),
-            "options.xml:2: http: listen: 127.0.0.1:6433 is used as operator already",
+            "options.xml:2: http: listen: 127.0.0.1:6433 is already used as operator in the platform's configuration",
         ),
         (
             "<health><http listen='127.0.0.1:1' callers='2'/>\n<grpc listen='127.0.0.1:2' callers='3'/></health>".into(),
--- a/proxy/tests/health/operations.rs
+++ b/proxy/tests/health/operations.rs
@@ -21,7 +21,13 @@
     // When new options are contradictory, then nothing changes
     let config = rig.config(1);
     proxy.reload(&config, &Rig::health_options(other_http, other_http, 64, "")).unwrap();
-    proxy.wait_for_log_line(&["event=reload-failed", ":4: agent", "used by http too"]).unwrap();
+    proxy
+        .wait_for_log_line(&[
+            "event=reload-failed",
+            ":4: agent: listen: ",
+            " is already used by the element http",
+        ])
+        .unwrap();
     assert!(check_ready(http).unwrap().up && check_ready(other_http).is_err());
     // When an address is in use elsewhere, then nothing changes either
     let taken = TcpListener::bind((rig.loopback_address(), 0)).unwrap();
@@ -147,7 +153,10 @@
     // When they are checked, then that is a fault
     let CommandResult { exit_code, text } = files.check();
     assert!(
-        exit_code == Some(2) && text.contains(":3: http: listen: 127.0.0.1:6433 is used as operator already"),
+        exit_code == Some(2)
+            && text.contains(
+                ":3: http: listen: 127.0.0.1:6433 is already used as operator in the platform's configuration"
+            ),
         "{text}"
     );
 }
