--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -1,4 +1,4 @@
-//! The command `check`: every fault and every warning of a configuration and its options.
+//! The command `check`: finds all errors and warnings in a configuration, its options and its key files.
 
 use super::error::{ConfigFault, FaultKind};
 use super::json_location::line_of;
@@ -10,16 +10,16 @@
 use birchreach_settings::SettingsWarning;
 use std::path::{Path, PathBuf};
 
-/// What is wrong, and what is probably not meant.
+/// The errors and warnings that a check has found.
 #[derive(Debug, Default)]
 pub(crate) struct CheckReport {
-    /// Faults of both files. With one, the configuration is not applied.
+    /// Errors in all files. A configuration with an error is not applied.
     pub faults: Vec<ConfigFault>,
-    /// Warnings about the configuration.
+    /// Warnings about settings. A configuration with warnings is applied.
     pub warnings: Vec<ConfigFault>,
 }
 
-/// Checks both files.
+/// Checks the platform's file that an environment variable names, and the options file if there is one.
 pub(crate) fn check(variable: impl Fn(&str) -> Option<String>, options: Option<&Path>) -> CheckReport {
     let mut report = CheckReport::default();
     let Some(file) = variable(CONFIG_VARIABLE).map(PathBuf::from) else {
@@ -34,7 +34,7 @@
 }
 
 impl CheckReport {
-    /// Checks the platform's file; returns the configuration if it has no faults.
+    /// Checks the platform's file. Returns the configuration if the file has no errors.
     fn check_config(&mut self, file: &Path, variable: impl Fn(&str) -> Option<String>) -> Option<Config> {
         let text = match std::fs::read_to_string(file) {
             Ok(text) => text,
@@ -49,38 +49,41 @@
                 self.warnings.extend(located);
                 Some(config)
             }
-            Err(faults) => {
-                self.faults.extend(faults.into_iter().map(|error| locate_error(file, &text, error)));
+            Err(errors) => {
+                self.faults.extend(errors.into_iter().map(|error| locate_error(file, &text, error)));
                 None
             }
         }
     }
 
-    /// Without a configuration the options are checked by themselves.
+    /// Checks the options and their key files. Conflicts with the configuration are found only if the configuration has
+    /// no errors.
     fn check_options(&mut self, file: &Path, config: Option<&Config>) {
         let options = match config {
             Some(config) => read_options(file, config),
             None => parse_options(file),
         };
         self.faults.extend(options.err().unwrap_or_default());
-        let named = parse_options(file).unwrap_or_default();
-        let key_files =
-            [named.peer_state.map(|transfer| transfer.key_file), named.fleet.map(|fleet| fleet.key_file)];
+        let parsed = parse_options(file).unwrap_or_default();
+        let key_files = [
+            parsed.peer_state.map(|peer_state| peer_state.key_file),
+            parsed.fleet.map(|fleet| fleet.key_file),
+        ];
         for key_file in key_files.into_iter().flatten() {
             self.faults.extend(read_key_file(&key_file).err());
         }
     }
 }
 
-/// An error of the platform's file, at the line of its key.
+/// Adds the line of the key to an error in the platform's file.
 fn locate_error(file: &Path, text: &str, error: PlatformFileError) -> ConfigFault {
     let line = line_of(text, &error.key_path());
     ConfigFault { file: file.into(), line, kind: FaultKind::PlatformFile(error) }
 }
 
-/// A warning about a setting, at the line of its key.
+/// Adds the line of the key to a warning about a setting.
 fn locate_warning(file: &Path, text: &str, warning: &SettingsWarning) -> ConfigFault {
-    // A key with a blank is an unknown one, and reported at the line of the settings.
+    // A key that contains a space is unknown. Its warning is at the line of the settings.
     let path =
         if warning.key.contains(' ') { "settings".into() } else { format!("settings.{}", warning.key) };
     ConfigFault { file: file.into(), line: line_of(text, &path), kind: FaultKind::Warning(warning.clone()) }
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration.
+//! Errors and warnings about a configuration, its options and its key files.
 
 use super::key_file::KeyFileError;
 use super::platform_error::PlatformFileError;
@@ -9,55 +9,55 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Something wrong at a place in a file.
+/// An error or a warning at a line of a file.
 #[derive(Debug)]
 pub(crate) struct ConfigFault {
-    /// The file.
+    /// Path of the file, or the name of the environment variable that does not name a file.
     pub file: PathBuf,
-    /// The line, from 1 on.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong, and with which key or element.
+    /// The cause, with the key or element that it concerns.
     pub kind: FaultKind,
 }
 
-/// What is wrong in a file.
+/// The cause of an error or a warning.
 #[derive(Debug)]
 pub(crate) enum FaultKind {
-    /// The environment variable that should name the file is not set.
+    /// The environment variable with the path of the configuration file is not set.
     FileNotSpecified,
     /// The file cannot be read.
     Unreadable(io::Error),
-    /// The platform's JSON is faulty.
+    /// The platform's JSON file has an error.
     PlatformFile(PlatformFileError),
-    /// A setting is probably not meant; it is applied all the same.
+    /// A setting is unknown or contradicts another one. It does not prevent the configuration from being applied.
     Warning(SettingsWarning),
-    /// The options are faulty.
+    /// The options file has an error.
     Options(Box<OptionsError>),
-    /// A file of keys is faulty.
+    /// A key file has an error.
     KeyFile(KeyFileError),
 }
 
-/// Why a configuration is not applied. Each is printed as one plain line.
+/// The reason why a configuration is not applied. The message is a single line.
 #[derive(Debug)]
 pub(crate) enum ConfigError {
-    /// `RELAY_CONFIG` names no file.
+    /// `RELAY_CONFIG` is not set.
     FileNotSpecified,
     /// The file cannot be read.
     Unreadable { file: String, error: io::Error },
-    /// The file's JSON is faulty; this is the first fault.
+    /// The platform's JSON file has errors, of which this is the first.
     Invalid { file: String, first: Option<PlatformFileError> },
-    /// The options are faulty. `more` is the number of faults after the first.
+    /// The options file has errors. `more` is the number of errors after the first.
     Options { first: Option<ConfigFault>, more: usize },
-    /// A file of keys is faulty.
+    /// A key file has an error.
     KeyFile(ConfigFault),
-    /// A key of the configuration in force is absent, or has a value of another kind.
+    /// A key of the running configuration is missing, or has a value of another type.
     MissingKey(String),
-    /// A list of settings has not one value for each class.
-    ClassListLengthMismatch(&'static str),
+    /// A list of settings does not have one entry for each class.
+    ClassListLengthMismatch { key: &'static str, entries: usize, classes: usize },
 }
 
 impl ConfigFault {
-    /// A fault of a file as a whole.
+    /// Returns an error that concerns a file as a whole.
     pub(super) fn for_file(file: &Path, kind: FaultKind) -> ConfigFault {
         ConfigFault { file: file.into(), line: 1, kind }
     }
@@ -72,8 +72,10 @@
 impl Display for FaultKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FaultKind::FileNotSpecified => f.write_str("file: not set: it must name the configuration file"),
-            FaultKind::Unreadable(error) => write!(f, "file: {error}"),
+            FaultKind::FileNotSpecified => f.write_str(
+                "file: the environment variable is not set; set it to the path of the configuration file, or use --config",
+            ),
+            FaultKind::Unreadable(error) => write!(f, "file: cannot be read: {error}"),
             FaultKind::PlatformFile(error @ PlatformFileError::InvalidJson(_)) => write!(f, "file: {error}"),
             FaultKind::PlatformFile(error) => error.fmt(f),
             FaultKind::Warning(warning) => warning.fmt(f),
@@ -87,24 +89,27 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConfigError::FileNotSpecified => {
-                f.write_str("RELAY_CONFIG is not set: it must name the configuration file")
+                f.write_str("RELAY_CONFIG is not set; set it to the path of the configuration file")
             }
-            ConfigError::Unreadable { file, error } => write!(f, "{file}: {error}"),
+            ConfigError::Unreadable { file, error } => write!(f, "{file}: cannot be read: {error}"),
             ConfigError::Invalid { file, first } => {
-                let fault = first.as_ref().map(ToString::to_string).unwrap_or_default();
-                write!(f, "{file}: {}", fault.replace('\n', " "))
+                let message = first.as_ref().map(ToString::to_string).unwrap_or_default();
+                write!(f, "{file}: {}", message.replace('\n', " "))
             }
             ConfigError::Options { first, more } => {
-                if let Some(fault) = first {
-                    fault.fmt(f)?;
+                if let Some(error) = first {
+                    error.fmt(f)?;
                 }
                 if *more > 0 { write!(f, " (and {more} more)") } else { Ok(()) }
             }
-            ConfigError::KeyFile(fault) => fault.fmt(f),
-            ConfigError::MissingKey(path) => write!(f, "{path}: absent, or not of its kind"),
-            ConfigError::ClassListLengthMismatch(key) => {
-                write!(f, "settings.extra.{key}: expected one for each class")
+            ConfigError::KeyFile(error) => error.fmt(f),
+            ConfigError::MissingKey(path) => {
+                write!(f, "{path}: missing, or of another type than in the running configuration")
             }
+            ConfigError::ClassListLengthMismatch { key, entries, classes } => write!(
+                f,
+                "settings.extra.{key}: expected one entry for each class, found {entries} for {classes} classes"
+            ),
         }
     }
 }
--- a/proxy/src/config/json_location.rs
+++ b/proxy/src/config/json_location.rs
@@ -1,7 +1,7 @@
-//! The line of a key in JSON.
+//! Finds the lines of keys in a JSON text.
 
-/// The line of the value at a path such as `a.b[2].c`, or of the last part of the path that is there. Of a text that is not JSON it is
-/// the line where reading ended.
+/// Returns the line of the value at a path such as `a.b[2].c`, or of the last part of the path that exists. For a text
+/// that is not valid JSON, it is the line of the error.
 pub(super) fn line_of(text: &str, path: &str) -> usize {
     let line_at =
         |offset: usize| 1 + text.as_bytes()[..offset.min(text.len())].iter().filter(|b| **b == b'\n').count();
@@ -11,7 +11,7 @@
     }
 }
 
-/// Where the value of `a.b[2].c` begins, or the last part of the path that is there.
+/// Returns the offset at which the value at a path begins, or that of the last part of the path that exists.
 fn value_offset(text: &str, path: &str) -> Option<usize> {
     use jsonc_parser::ast::Value as Node;
     use jsonc_parser::common::Ranged;
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -1,6 +1,8 @@
-//! The configuration, read at the start and again at each SIGHUP. `RELAY_CONFIG` names the platform's JSON file; `RELAY_NAME`,
-//! `RELAY_LISTEN`, `RELAY_DISCOVERY` and `RELAY_OPERATOR` stand in for what that file leaves out. The options are an XML file that
-//! the command line names. Both are applied, or neither.
+//! The configuration of the proxy, which is read at the start and again at each SIGHUP.
+//!
+//! It consists of two files, which are applied together or not at all: the platform's JSON file, whose path is in
+//! `RELAY_CONFIG`, and the options, an XML file that the command line names. `RELAY_NAME`, `RELAY_LISTEN`,
+//! `RELAY_DISCOVERY` and `RELAY_OPERATOR` replace keys that the JSON file does not contain.
 
 mod check;
 mod error;
@@ -27,49 +29,50 @@
 use std::os::fd::RawFd;
 use std::path::{Path, PathBuf};
 
-/// The variable that names the platform's file.
+/// The environment variable with the path of the platform's file.
 pub(crate) const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 const HEX_RADIX: u32 = 16;
 
-/// A configuration, complete and without faults.
+/// A complete configuration without errors.
 #[derive(Debug)]
 pub(crate) struct Config {
-    /// The proxy's name.
+    /// Name of the proxy.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the proxy accepts clients.
     pub listen_address: SocketAddr,
-    /// Where discovery is polled.
+    /// The address at which discovery is polled.
     pub discovery_address: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// The address on which the proxy accepts operators; `None` if the admin listener is switched off.
     pub admin_address: Option<SocketAddr>,
-    /// The descriptor of the listening socket, where the platform holds it.
+    /// File descriptor of the listening socket for clients; `None` unless the process has inherited the socket from the
+    /// platform.
     pub inherited_descriptor: Option<RawFd>,
-    /// Seed of what is random.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// File descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// The endpoint list as this proxy last had it.
+    /// The endpoint list that this proxy had before its restart; `None` if the platform does not pass it.
     pub known_endpoints: Option<EndpointUpdate>,
     /// The platform's settings.
     pub deployment: DeploymentSettings,
-    /// The options; without a file all of them are off.
+    /// The options. Without an options file all of them are switched off.
     pub options: Options,
-    /// The keys among proxies, where the options name a file of them.
+    /// The keys for state transfer between proxies; `None` if state transfer is switched off.
     pub gossip_keys: Option<Keys>,
-    /// The keys of the fleet's datagrams, likewise.
+    /// The keys for datagrams between members of the fleet; `None` if the fleet is switched off.
     pub fleet_keys: Option<Keys>,
-    /// What the settings probably do not mean; they are applied all the same.
+    /// Warnings about settings that are unknown or contradict each other.
     pub warnings: Vec<SettingsWarning>,
-    /// The settings and limits as the file has them, with which a successor is compared.
+    /// The settings and limits in the JSON of the file, with which a replacement is compared.
     limits_and_settings: Value,
 }
 
-/// A variable of the process's environment.
+/// Returns the value of an environment variable; `None` if it is not set or is not valid UTF-8.
 pub(crate) fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Reads the configuration and the options.
+/// Reads the configuration and the options. `variable` returns the values of environment variables.
 pub(crate) fn load(
     variable: impl Fn(&str) -> Option<String>,
     options: Option<&Path>,
@@ -80,7 +83,7 @@
         Err(error) => return Err(ConfigError::Unreadable { file, error }),
     };
     let mut config = parse(&text, variable)
-        .map_err(|faults| ConfigError::Invalid { file, first: faults.into_iter().next() })?;
+        .map_err(|errors| ConfigError::Invalid { file, first: errors.into_iter().next() })?;
     if let Some(options) = options {
         config.load_options(options)?;
     }
@@ -88,13 +91,13 @@
 }
 
 impl Config {
-    /// Reads the options, and the files of keys that they name.
+    /// Reads the options and the key files that they name.
     fn load_options(&mut self, file: &Path) -> Result<(), ConfigError> {
-        self.options = read_options(file, self).map_err(|faults| ConfigError::Options {
-            more: faults.len().saturating_sub(1),
-            first: faults.into_iter().next(),
+        self.options = read_options(file, self).map_err(|errors| ConfigError::Options {
+            more: errors.len().saturating_sub(1),
+            first: errors.into_iter().next(),
         })?;
-        let gossip_key_file = self.options.peer_state.as_ref().map(|transfer| &transfer.key_file);
+        let gossip_key_file = self.options.peer_state.as_ref().map(|peer_state| &peer_state.key_file);
         let fleet_key_file = self.options.fleet.as_ref().map(|fleet| &fleet.key_file);
         self.gossip_keys = read_keys(gossip_key_file)?;
         self.fleet_keys = read_keys(fleet_key_file)?;
@@ -102,7 +105,7 @@
     }
 }
 
-/// Reads a file of keys, where there is one.
+/// Reads a key file, if the options name one.
 fn read_keys(file: Option<&PathBuf>) -> Result<Option<Keys>, ConfigError> {
     file.map(|file| read_key_file(file)).transpose().map_err(ConfigError::KeyFile)
 }
--- a/proxy/src/config/options.rs
+++ b/proxy/src/config/options.rs
@@ -1,33 +1,33 @@
-//! The options file, read by itself or beside a configuration.
+//! Reads the options file, with or without a check for conflicts with the configuration.
 
 use super::Config;
 use super::error::{ConfigFault, FaultKind};
 use birchreach_options::{Options, OptionsError};
 use std::path::Path;
 
-/// The options, which must not conflict with the configuration.
+/// Reads the options and checks that they do not conflict with the configuration.
 pub(super) fn read_options(file: &Path, config: &Config) -> Result<Options, Vec<ConfigFault>> {
     let options = parse_options(file)?;
     let mut addresses = vec![("listen", config.listen_address), ("discovery", config.discovery_address)];
     addresses.extend(config.admin_address.map(|address| ("operator", address)));
     let mut conflicts = options.address_conflicts(&addresses);
     conflicts.extend(options.excess_descriptors(config.max_descriptors));
-    if conflicts.is_empty() { Ok(options) } else { Err(faults(file, conflicts)) }
+    if conflicts.is_empty() { Ok(options) } else { Err(located_errors(file, conflicts)) }
 }
 
-/// The options by themselves.
+/// Reads the options without a check for conflicts.
 pub(super) fn parse_options(file: &Path) -> Result<Options, Vec<ConfigFault>> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| vec![ConfigFault::for_file(file, FaultKind::Unreadable(error))])?;
-    birchreach_options::parse(&text).map_err(|errors| faults(file, errors))
+    birchreach_options::parse(&text).map_err(|errors| located_errors(file, errors))
 }
 
-/// Errors of the options, each at its line of the file.
-fn faults(file: &Path, errors: Vec<OptionsError>) -> Vec<ConfigFault> {
-    let fault = |error: OptionsError| ConfigFault {
+/// Adds the path of the file to errors of the options.
+fn located_errors(file: &Path, errors: Vec<OptionsError>) -> Vec<ConfigFault> {
+    let located = |error: OptionsError| ConfigFault {
         file: file.into(),
         line: error.line,
         kind: FaultKind::Options(Box::new(error)),
     };
-    errors.into_iter().map(fault).collect()
+    errors.into_iter().map(located).collect()
 }
--- a/proxy/src/config/successor.rs
+++ b/proxy/src/config/successor.rs
@@ -1,15 +1,15 @@
-//! A configuration that is to replace the one in force: whether it may, and what of it takes effect with a restart only.
+//! Checks whether a new configuration can replace the running one, and which of its changes need a restart.
 
 use super::Config;
 use super::error::ConfigError;
 use serde_json::Value;
 
-/// The lists of settings that have one value for each class.
+/// The lists under `settings.extra` that have one entry for each class.
 const PER_CLASS_LISTS: [&str; 2] = ["class_read", "max_age_ms"];
 
 impl Config {
-    /// Checks that another configuration may replace this one. It must have each key of the settings and limits in force, even those
-    /// without which a proxy starts.
+    /// Checks that another configuration can replace this one. The new one must have each key of the settings and
+    /// limits of this one, including the keys that are optional at the start.
     pub(crate) fn validate_replacement(&self, new: &Config) -> Result<(), ConfigError> {
         if let Some(path) = first_missing_key(&self.limits_and_settings, &new.limits_and_settings, "") {
             return Err(ConfigError::MissingKey(path));
@@ -17,15 +17,16 @@
         for key in PER_CLASS_LISTS {
             let list =
                 new.limits_and_settings.pointer(&format!("/settings/extra/{key}")).and_then(Value::as_array);
-            if list.is_some_and(|list| list.len() != new.deployment.class_names.len()) {
-                return Err(ConfigError::ClassListLengthMismatch(key));
+            let classes = new.deployment.class_names.len();
+            if let Some(entries) = list.map(Vec::len).filter(|entries| *entries != classes) {
+                return Err(ConfigError::ClassListLengthMismatch { key, entries, classes });
             }
         }
         Ok(())
     }
 
-    /// The keys that another configuration changes and that take effect with a restart only. `known` and `seed` are left out: they
-    /// apply to the start alone.
+    /// Returns the keys whose values another configuration changes and whose changes take effect only after a restart.
+    /// The keys `known` and `seed` are not included, because they are used only at the start.
     pub(crate) fn changes_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let (old_options, new_options) = (&self.options, &new.options);
         let fleet = (&old_options.fleet, &self.fleet_keys) != (&new_options.fleet, &new.fleet_keys);
@@ -42,8 +43,8 @@
     }
 }
 
-/// The first key of `old` that `new` lacks, or has with a value of another kind. Lists may be of other lengths, but each of their
-/// objects has the keys that all objects of the old list have.
+/// Returns the path of the first key of `old` that is missing in `new` or has a value of another type. Lists can differ
+/// in length, but each object of a new list must have the keys that all objects of the old list have.
 fn first_missing_key(old: &Value, new: &Value, path: &str) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, value)| {
@@ -64,7 +65,7 @@
     }
 }
 
-/// The keys that all objects of a list have, with the values of the first one.
+/// Returns the keys that all objects of a list have, with the values of the first object.
 fn common_keys(list: &[Value]) -> Option<Value> {
     let objects: Vec<_> = list.iter().filter_map(Value::as_object).collect();
     let (first, rest) = objects.split_first()?;
--- a/proxy/src/config/tests.rs
+++ b/proxy/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! A configuration that may not take the place of the one in force.
+//! Checks which configurations cannot replace a running one.
 
 use super::Config;
 use super::parse::parse;
@@ -7,7 +7,7 @@
     parse(text, |_| None).unwrap()
 }
 
-/// The example configuration after one replacement.
+/// Returns the example configuration after one replacement.
 fn replaced(old: &str, new: &str) -> Config {
     let example = include_str!("../../../example/config.json");
     assert!(example.contains(old), "{old}");
@@ -16,25 +16,41 @@
 
 #[test]
 fn a_reload_that_omits_a_key_in_use_is_rejected_with_its_path() {
-    // Given a configuration in force, and successors that lack something of it or do not fit it
-    let in_force = config(include_str!("../../../example/config.json"));
+    // Given a running configuration, and configurations that lack a key or have an unsuitable value
+    let running = config(include_str!("../../../example/config.json"));
     let cases = [
-        ("\"cores\": 1.0, ", "", "limits.cores: absent, or not of its kind"),
-        ("\"cores\": 1.0", "\"cores\": \"1\"", "limits.cores: absent, or not of its kind"),
+        (
+            "\"cores\": 1.0, ",
+            "",
+            "limits.cores: missing, or of another type than in the running configuration",
+        ),
+        (
+            "\"cores\": 1.0",
+            "\"cores\": \"1\"",
+            "limits.cores: missing, or of another type than in the running configuration",
+        ),
         ("\"deadline_ms\": 1500.0, ", "\"deadline_ms\": 1500.0, \"goal\": 1, ", ""),
-        (", \"late_worth\": 0.5", "", "settings.classes[3].late_worth: absent, or not of its kind"),
+        (
+            ", \"late_worth\": 0.5",
+            "",
+            "settings.classes[3].late_worth: missing, or of another type than in the running configuration",
+        ),
         (
             "[\"bounded\", \"session\", \"any\", \"write\"]",
             "[\"any\"]",
-            "settings.extra.class_read: expected one for each class",
+            "settings.extra.class_read: expected one entry for each class, found 1 for 4 classes",
+        ),
+        (
+            "[800.0, 0.0, 0.0, 0.0]",
+            "[800.0]",
+            "settings.extra.max_age_ms: expected one entry for each class, found 1 for 4 classes",
         ),
-        ("[800.0, 0.0, 0.0, 0.0]", "[800.0]", "settings.extra.max_age_ms: expected one for each class"),
     ];
     for (old, new, expected) in cases {
-        // When each is to take its place
-        let error = in_force.validate_replacement(&replaced(old, new)).err();
+        // When one of them is checked as a replacement
+        let error = running.validate_replacement(&replaced(old, new)).err();
 
-        // Then the error names the key; an unknown key is no error
+        // Then the error names the key; an unknown key gives no error
         assert_eq!(error.map_or_else(String::new, |error| error.to_string()), expected, "{old}");
     }
 }
--- a/proxy/tests/configuration.rs
+++ b/proxy/tests/configuration.rs
@@ -1,50 +1,49 @@
-//! The built program with configurations that it cannot read, and with a signal that comes early.
+//! Runs the program with invalid configurations, and with a signal that arrives during its start.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, Command, Stdio};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
 const INVALID_CONFIGURATION: i32 = 2;
-/// More lines than the program logs until it has handled the signal.
+/// An upper limit of the lines that the program logs until it has handled the signal.
 const MAX_LINES: usize = 40;
 
-/// A configuration without faults. Nothing answers at its discovery's address.
+/// Returns a valid configuration. No discovery agent answers at the address in it.
 fn valid_configuration() -> String {
     include_str!("exchanges/config.json").replace("$agent", "127.0.0.1:1")
 }
 
-/// How the program refused a configuration.
-struct Refusal {
+/// Exit code and standard error of the program after it rejected a configuration.
+struct Rejection {
     exit_code: Option<i32>,
     message: String,
 }
 
-/// A configuration that cannot be read, or none at all.
+/// An invalid or missing configuration.
 struct InvalidConfiguration {
+    /// The text of the file; `None` if no file is configured.
     text: Option<String>,
-    /// What the message has to name.
-    named: &'static str,
+    /// The text that the message has to contain.
+    expected: &'static str,
 }
 
 impl InvalidConfiguration {
-    /// No configuration.
-    fn missing(named: &'static str) -> InvalidConfiguration {
-        InvalidConfiguration { text: None, named }
+    fn missing(expected: &'static str) -> InvalidConfiguration {
+        InvalidConfiguration { text: None, expected }
     }
 
-    /// This text.
-    fn text(text: &str, named: &'static str) -> InvalidConfiguration {
-        InvalidConfiguration { text: Some(text.into()), named }
+    fn text(text: &str, expected: &'static str) -> InvalidConfiguration {
+        InvalidConfiguration { text: Some(text.into()), expected }
     }
 
-    /// The valid configuration with a change.
-    fn changed(old: &str, new: &str, named: &'static str) -> InvalidConfiguration {
+    /// The valid configuration after a replacement.
+    fn changed(old: &str, new: &str, expected: &'static str) -> InvalidConfiguration {
         let text = valid_configuration().replace(old, new);
-        InvalidConfiguration { text: Some(text), named }
+        InvalidConfiguration { text: Some(text), expected }
     }
 
-    /// Starts the program, which is expected to end by itself.
-    fn refusal(&self, file_number: usize) -> Refusal {
+    /// Starts the program and waits until it exits.
+    fn rejection(&self, file_number: usize) -> Rejection {
         let mut command = Command::new(PROGRAM);
         command.env_remove("RELAY_CONFIG");
         if let Some(text) = &self.text {
@@ -53,39 +52,52 @@
             command.env("RELAY_CONFIG", &path);
         }
         let output = command.output().unwrap();
-        Refusal { exit_code: output.status.code(), message: String::from_utf8(output.stderr).unwrap() }
+        Rejection { exit_code: output.status.code(), message: String::from_utf8(output.stderr).unwrap() }
     }
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_is_refused_in_one_plain_line() {
-    // Given configurations with one fault each.
+fn an_invalid_configuration_is_rejected_with_a_message_of_one_line() {
+    // Given configurations with one error each.
     let configurations = [
-        InvalidConfiguration::missing("RELAY_CONFIG"),
-        InvalidConfiguration::text("{", "not JSON"),
-        InvalidConfiguration::changed("\"listen\"", "\"listens\"", "listen"),
-        InvalidConfiguration::changed("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"here\"", "listen"),
-        InvalidConfiguration::changed("\"settings\"", "\"set\"", "settings"),
-        InvalidConfiguration::changed("\"cold_ms\"", "\"warm_ms\"", "obligations.cold_ms"),
-        InvalidConfiguration::changed("\"rev\"", "\"ref\"", "rev"),
-        InvalidConfiguration::changed("\"sockets\": 40", "\"sockets\": 4", "sockets"),
+        InvalidConfiguration::missing("RELAY_CONFIG is not set"),
+        InvalidConfiguration::text("{", "invalid JSON: "),
+        InvalidConfiguration::changed("\"listen\"", "\"listens\"", "listen: missing"),
+        InvalidConfiguration::changed(
+            "\"listen\": \"127.0.0.1:0\"",
+            "\"listen\": \"here\"",
+            "listen: expected an IP address",
+        ),
+        InvalidConfiguration::changed("\"settings\"", "\"set\"", "settings: missing"),
+        InvalidConfiguration::changed("\"cold_ms\"", "\"warm_ms\"", "obligations.cold_ms: missing"),
+        InvalidConfiguration::changed(
+            "\"rev\"",
+            "\"ref\"",
+            "known: invalid endpoint list: missing field `rev`",
+        ),
+        InvalidConfiguration::changed(
+            "\"sockets\": 40",
+            "\"sockets\": 4",
+            "limits.sockets: expected an integer of at least 40, found 4",
+        ),
     ];
     for (file_number, configuration) in configurations.iter().enumerate() {
-        // When the program starts with each.
-        let Refusal { exit_code, message } = configuration.refusal(file_number);
-
-        // Then it ends with one line that names the fault.
-        let named = configuration.named;
-        assert_eq!(exit_code, Some(INVALID_CONFIGURATION), "{named}: {message}");
-        assert_eq!(message.lines().count(), 1, "{named}: {message}");
-        assert!(message.contains(named) && !message.contains("panicked"), "{named}: {message}");
+        // When the program starts with one of them.
+        let Rejection { exit_code, message } = configuration.rejection(file_number);
+
+        // Then it exits with one line that names the error.
+        let expected = configuration.expected;
+        assert_eq!(exit_code, Some(INVALID_CONFIGURATION), "{expected}: {message}");
+        assert_eq!(message.lines().count(), 1, "{expected}: {message}");
+        assert!(message.contains(expected) && !message.contains("panicked"), "{expected}: {message}");
     }
 }
 
-/// The program opens the pipe for reading only when it reads its configuration: a signal that comes then waits until it serves.
+/// SIGHUP terminates a process that does not catch it. The program opens the pipe only when it reads its configuration,
+/// so that the test can send the signal at that moment. The program must handle the signal as soon as it serves.
 #[test]
-fn a_hangup_before_the_start_is_over_does_not_end_the_program() {
-    // Given a program that has begun to read its configuration, in whose place a reload finds a faulty one.
+fn a_hangup_during_the_start_causes_a_reload_and_does_not_terminate_the_program() {
+    // Given a program that has begun to read its configuration, and an invalid file that a reload reads instead.
     let path = format!("{}/early", env!("CARGO_TARGET_TMPDIR"));
     create_pipe(&path);
     let mut program =
@@ -94,7 +106,7 @@
     std::fs::remove_file(&path).unwrap();
     std::fs::write(&path, "{").unwrap();
 
-    // When the signal comes before the configuration.
+    // When the signal arrives before the configuration.
     send_hangup(&program);
     pipe.write_all(valid_configuration().as_bytes()).unwrap();
     drop(pipe);
@@ -104,10 +116,10 @@
     let reload_failed = lines.take(MAX_LINES).any(|line| line.starts_with("event=reload-failed"));
     let _ = program.kill();
     let _ = program.wait();
-    assert!(reload_failed, "it serves on with the configuration that it has");
+    assert!(reload_failed, "the program has logged no failed reload");
 }
 
-/// Creates a named pipe in place of a file that an earlier run left.
+/// Creates a named pipe, after removing the file that an earlier run left at the path.
 fn create_pipe(path: &str) {
     let _ = std::fs::remove_file(path);
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
--- a/proxy/tests/configuration_messages/main.rs
+++ b/proxy/tests/configuration_messages/main.rs
@@ -1,4 +1,4 @@
-//! The texts about faulty configurations and options, as operators read them: one of each kind, word for word.
+//! Checks the complete text of each kind of error and warning about configurations, options and key files.
 
 mod options;
 mod platform_file;
--- a/proxy/tests/configuration_messages/options.rs
+++ b/proxy/tests/configuration_messages/options.rs
@@ -1,16 +1,15 @@
-//! Faults of the options and of the key files that they name.
+//! Errors in options and in the key files that they name.
 
 use crate::support::{Folder, VALID};
 use std::fs::Permissions;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 
-/// A key's secret.
 const SECRET: &str = "00112233445566778899aabbccddeeff";
 
 #[test]
 fn check_prints_conflicts_of_the_options_with_the_configuration() {
-    // Given options that contradict the configuration, or that nobody could use
+    // Given options that conflict with the configuration or have no listener
     let folder = Folder::new("conflicts");
     let config = folder.write("config.json", VALID);
     let cases = [
@@ -30,15 +29,15 @@
     for (elements, expected) in cases {
         let options = folder.write_options(elements);
 
-        // When they are checked with it
+        // When the options are checked with the configuration
         let lines = folder.check(&config, Some(&options));
 
-        // Then the conflict is printed
+        // Then the error is printed
         assert_eq!(lines, [format!("options.xml:2: {expected}")]);
     }
 }
 
-/// A folder with a valid configuration and options that name a key file.
+/// A folder with a valid configuration and with options that name a key file.
 struct KeyFileFolder {
     folder: Folder,
     config: PathBuf,
@@ -47,7 +46,7 @@
 }
 
 impl KeyFileFolder {
-    /// A folder without the key file.
+    /// Creates a folder without the key file.
     fn new(name: &str) -> KeyFileFolder {
         let folder = Folder::new(name);
         let config = folder.write("config.json", VALID);
@@ -68,26 +67,29 @@
 }
 
 #[test]
-fn check_prints_that_a_key_file_is_absent() {
-    // Given options that name a key file which is not there
+fn check_prints_that_a_key_file_does_not_exist() {
+    // Given options that name a key file that does not exist
     let folder = KeyFileFolder::new("absent_keys");
 
-    // When they are checked
+    // When the options are checked
     let lines = folder.check();
 
-    // Then the system's error is printed
-    assert_eq!(lines, ["keys:1: key: No such file or directory (os error 2)"]);
+    // Then the error of the operating system is printed
+    assert_eq!(lines, ["keys:1: key: the file cannot be read: No such file or directory (os error 2)"]);
 }
 
 #[test]
-fn check_prints_each_fault_of_a_key_file_with_its_line() {
-    // Given key files with one fault each
+fn check_prints_each_error_in_a_key_file_with_its_line() {
+    // Given key files with one error each
     let folder = KeyFileFolder::new("keys");
     let cases = [
-        ("1".into(), "1: key: no secret"),
-        (format!("x {SECRET}"), "1: key: a key's number is no number"),
-        (format!("# a note\n\n1 {SECRET}\n2 zz"), "4: key: the secret is not in pairs of hexadecimal digits"),
-        ("1 abc".into(), "1: key: the secret is not in pairs of hexadecimal digits"),
+        ("1".into(), "1: key: the secret is missing: expected a key number, a space and a secret"),
+        (format!("x {SECRET}"), "1: key: expected a key number from 0 to 4294967295"),
+        (
+            format!("# a note\n\n1 {SECRET}\n2 zz"),
+            "4: key: expected a secret that consists of pairs of hexadecimal digits",
+        ),
+        ("1 abc".into(), "1: key: expected a secret that consists of pairs of hexadecimal digits"),
         (String::new(), "1: key: expected one to four keys"),
         ("1 00".into(), "1: key: a secret of fewer than 16 bytes"),
         (format!("1 {SECRET}\n1 {SECRET}"), "1: key: a key's number twice"),
@@ -95,31 +97,33 @@
     for (keys, expected) in cases {
         folder.write_keys(&keys);
 
-        // When the options that name them are checked
+        // When the options are checked
         let lines = folder.check();
 
-        // Then the fault is printed
+        // Then the error is printed
         assert_eq!(lines, [format!("keys:{expected}")]);
     }
 }
 
 #[test]
-fn check_prints_that_others_may_read_a_key_file() {
-    // Given a valid key file that others than its owner may read
+fn check_prints_that_other_users_have_permissions_for_a_key_file() {
+    // Given a valid key file that users other than the owner can read
     let folder = KeyFileFolder::new("readable_keys");
     folder.write_keys(&format!("1 {SECRET}"));
     std::fs::set_permissions(&folder.key_file, Permissions::from_mode(0o644)).unwrap();
 
-    // When the options that name it are checked
+    // When the options are checked
     let lines = folder.check();
 
-    // Then the expected modes are printed
-    assert_eq!(lines, ["keys:1: key: others may read it: expected mode 0600 or 0400"]);
+    // Then the expected modes and the mode of the file are printed
+    let expected =
+        "users other than the owner have permissions for the file: expected mode 0600 or 0400, found 0644";
+    assert_eq!(lines, [format!("keys:1: key: {expected}")]);
 }
 
 #[test]
-fn the_start_fails_with_the_first_fault_of_the_options_and_the_number_of_the_others() {
-    // Given options with a conflict, with two faults, and with a key file that is not there
+fn a_failed_start_prints_the_first_error_in_the_options_and_the_number_of_further_errors() {
+    // Given options with a conflict, options with two errors, and options with a key file that does not exist
     let folder = Folder::new("start_options");
     let config = folder.write("config.json", VALID);
     let key_file = folder.0.join("keys");
@@ -134,16 +138,16 @@
         ),
         (
             format!("<knowledge listen='127.0.0.1:1' key-file='{}'/>", key_file.display()),
-            "keys:1: key: No such file or directory (os error 2)",
+            "keys:1: key: the file cannot be read: No such file or directory (os error 2)",
         ),
     ];
     for (elements, expected) in cases {
         let options = folder.write_options(&elements);
 
-        // When the program starts with them
+        // When the program starts with the options
         let message = folder.start_error(&config, Some(&options));
 
-        // Then it prints the first fault, and how many others there are
+        // Then it prints the first error, and the number of further errors if there are any
         assert_eq!(message, format!("birchreach-proxy: {expected}\n"));
     }
 }
--- a/proxy/tests/configuration_messages/support.rs
+++ b/proxy/tests/configuration_messages/support.rs
@@ -1,4 +1,4 @@
-//! The program, run on files of a folder.
+//! Runs the program with the files of a folder.
 
 use std::fs::Permissions;
 use std::os::unix::fs::PermissionsExt;
@@ -7,10 +7,10 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
 const INVALID_CONFIGURATION: i32 = 2;
-/// A configuration without faults and warnings.
+/// A configuration without errors and warnings.
 pub(crate) const VALID: &str = include_str!("../../../example/config.json");
 
-/// A folder of one test.
+/// The folder with the files of one test.
 pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
@@ -20,7 +20,7 @@
         Folder(folder)
     }
 
-    /// Writes a file that only its owner may read.
+    /// Writes a file for which only the owner has permissions.
     pub(crate) fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.0.join(name);
         std::fs::write(&path, text).unwrap();
@@ -32,25 +32,25 @@
         self.write("options.xml", &format!("<birchreach-options>\n{elements}\n</birchreach-options>"))
     }
 
-    /// What `check` prints, line by line.
+    /// Runs the command `check` and returns the lines that it prints.
     pub(crate) fn check(&self, config: &Path, options: Option<&Path>) -> Vec<String> {
         let mut command = program();
         command.arg("check").arg("--config").arg(config);
         let output = run(command, options);
-        self.strip(&output.stdout).lines().map(Into::into).collect()
+        self.without_folder(&output.stdout).lines().map(Into::into).collect()
     }
 
-    /// What the program prints that does not start with a configuration.
+    /// Starts the program with an invalid configuration and returns the text on standard error.
     pub(crate) fn start_error(&self, config: &Path, options: Option<&Path>) -> String {
         let mut command = program();
         command.env("RELAY_CONFIG", config);
         let output = run(command, options);
         assert_eq!(output.status.code(), Some(INVALID_CONFIGURATION));
-        self.strip(&output.stderr)
+        self.without_folder(&output.stderr)
     }
 
-    /// A text without the folder's path.
-    fn strip(&self, text: &[u8]) -> String {
+    /// Removes the path of the folder from a text.
+    fn without_folder(&self, text: &[u8]) -> String {
         let folder = format!("{}/", self.0.display());
         String::from_utf8_lossy(text).replace(&folder, "")
     }
@@ -63,7 +63,7 @@
     command.output().unwrap()
 }
 
-/// The program without variables of the platform.
+/// Returns a command that runs the program without the environment variables of the platform.
 pub(crate) fn program() -> Command {
     let mut command = Command::new(PROGRAM);
     for variable in ["CONFIG", "NAME", "LISTEN", "DISCOVERY", "OPERATOR"] {
@@ -72,7 +72,7 @@
     command
 }
 
-/// The valid configuration after one replacement.
+/// Returns the valid configuration after one replacement.
 pub(crate) fn replaced(old: &str, new: &str) -> String {
     assert!(VALID.contains(old), "{old}");
     VALID.replacen(old, new, 1)
