--- a/proxy/src/log/json.rs
+++ b/proxy/src/log/json.rs
@@ -1,4 +1,4 @@
-//! Events as JSON objects, for collectors.
+//! Formats events as JSON objects, for log collectors.
 
 use serde::ser::{SerializeMap, Serializer};
 use std::fmt::Debug;
@@ -6,17 +6,16 @@
 use tracing::Level;
 use tracing::field::{Field, Visit};
 
-/// The initial capacity for an object, which few exceed.
+/// The initial capacity of the buffer for an object. Few objects are longer.
 const OBJECT_CAPACITY_BYTES: usize = 256;
 
-/// The fields of an object under construction.
+/// The serializer of the fields of an object in memory.
 pub(super) type Json<'a> = JsonFields<<&'a mut serde_json::Serializer<Vec<u8>> as Serializer>::SerializeMap>;
 
 /// Serializes fields of an event as entries of a JSON object.
 pub(super) struct JsonFields<M>(M);
 
 impl<M: SerializeMap> JsonFields<M> {
-    /// Adds an entry.
     pub(super) fn entry<T: serde::Serialize + ?Sized>(&mut self, name: &str, value: &T) {
         // Serializing to memory does not fail.
         let _ = self.0.serialize_entry(name, value);
@@ -46,7 +45,7 @@
 
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         let text = format!("{value:?}");
-        // A text that is quoted for key=value lines is written without those quotes.
+        // `Quoted` adds quotes for key=value lines. JSON has its own, so that they are removed here.
         let is_quoted = text.len() > 1 && text.starts_with('"') && text.ends_with('"');
         if is_quoted && let Ok(serde_json::Value::String(unquoted)) = serde_json::from_str(&text) {
             self.entry(field.name(), &unquoted);
@@ -56,7 +55,7 @@
     }
 }
 
-/// Appends an object with the time, the level and then these fields.
+/// Appends an object with the time, the level and then the entries that `fields` adds.
 pub(super) fn append_object(line: &mut String, level: Level, fields: impl FnOnce(&mut Json)) {
     let mut serializer = serde_json::Serializer::new(Vec::with_capacity(OBJECT_CAPACITY_BYTES));
     if let Ok(map) = serializer.serialize_map(None) {
--- a/proxy/src/log/logfmt.rs
+++ b/proxy/src/log/logfmt.rs
@@ -1,16 +1,15 @@
-//! Events as `key=value` lines, for people and `grep`.
+//! Formats events as `key=value` lines, for people and `grep`.
 
 use std::fmt::{self, Debug, Display, Write};
 use tracing::field::{Field, Visit};
 
-/// Appends the fields of an event to a line, in the order in which the event names them.
+/// Appends the fields of an event to a line, in the order in which the event declares them.
 pub(super) struct LogfmtFields<'a> {
     line: &'a mut String,
     is_first: bool,
 }
 
 impl LogfmtFields<'_> {
-    /// Appends to this line.
     pub(super) fn new(line: &mut String) -> LogfmtFields<'_> {
         LogfmtFields { line, is_first: true }
     }
@@ -23,12 +22,13 @@
 
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         let separator = if std::mem::replace(&mut self.is_first, false) { "" } else { " " };
-        // Writing to a string does not fail.
+        // Writing to a string never fails.
         let _ = write!(self.line, "{separator}{}={value:?}", field.name());
     }
 }
 
-/// A text in quotes, with quotes and control characters escaped, so that it stays one value on one line.
+/// A text that is displayed in quotes, with quotes, backslashes and control characters escaped, so that it remains a
+/// single value on a single line.
 pub(crate) struct Quoted<T>(pub T);
 
 impl<T: Display> Display for Quoted<T> {
--- a/proxy/src/log/mod.rs
+++ b/proxy/src/log/mod.rs
@@ -1,6 +1,6 @@
-//! The log: structured events on standard error, limited in number.
+//! Writes the log: structured events on standard error, as `key=value` or as JSON, with a limited rate.
 //!
-//! Fields are written in the order in which an event names them, as `key=value` or as JSON.
+//! Fields are written in the order in which an event declares them.
 
 mod json;
 mod logfmt;
@@ -21,20 +21,21 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::registry::Registry;
 
-/// The initial capacity for a line, which few exceed.
+/// The initial capacity of the buffer for a line. Few lines are longer.
 const LINE_CAPACITY_BYTES: usize = 512;
 
-/// How lines are written.
+/// The format of log lines. The comments of the variants are the help texts of the command line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub(crate) enum LogFormat {
-    /// key=value, for people
+    /// key=value pairs, for people
     #[default]
     Logfmt,
-    /// an object a line, with time and level, for collectors
+    /// one object on each line, with time and level, for log collectors
     Json,
 }
 
-/// The layer that writes lines, each in one call, preceded by the number of dropped lines if there are any.
+/// The layer that writes lines, with one system call each. If lines were dropped since the last line, a line with their
+/// number comes first.
 struct LineWriter<W> {
     format: LogFormat,
     dropped: Arc<AtomicU64>,
@@ -61,7 +62,7 @@
             LogFormat::Json => append_object(line, *event.metadata().level(), |fields| event.record(fields)),
         }
         line.push('\n');
-        // A failure to write the log cannot be reported anywhere.
+        // A failure to write the log is ignored, because there is no other place to report it.
         let _ = writer.write_all(line.as_bytes());
     }
 }
@@ -71,7 +72,7 @@
     fn append_dropped_count(&self, line: &mut String, dropped: u64) {
         match self.format {
             LogFormat::Logfmt => {
-                // Writing to a string does not fail.
+                // Writing to a string never fails.
                 let _ = write!(line, "event=log-limited dropped={dropped}");
             }
             LogFormat::Json => append_object(line, Level::WARN, |fields: &mut Json| {
@@ -83,7 +84,7 @@
     }
 }
 
-/// The layers of the log.
+/// Returns the layers of the log: filter, rate limit and writer.
 fn subscriber<W: std::io::Write + Send + 'static>(
     format: LogFormat,
     filter: Targets,
@@ -93,12 +94,13 @@
     let rate_limit = RateLimitLayer::new(dropped.clone());
     let output = Output { line: String::with_capacity(LINE_CAPACITY_BYTES), writer };
     let lines = LineWriter { format, dropped, output: Mutex::new(output) };
-    // The filter comes first: lines that it removes are not counted as dropped.
+    // The filter is applied first, so that the lines that it removes are not counted as dropped.
     Registry::default().with(lines).with(rate_limit).with(filter)
 }
 
-/// Writes events to standard error from now on. `filter` names levels by module, such as `warn,birchreach_proxy::net=info`.
+/// Installs the log, which writes events to standard error. `filter` contains levels by module, such as
+/// `warn,birchreach_proxy::net=info`.
 pub(crate) fn init(format: LogFormat, filter: Targets) {
-    // The first subscriber stays, if there is one.
+    // This fails only if the process already has a subscriber, which then remains.
     let _ = tracing::subscriber::set_global_default(subscriber(format, filter, std::io::stderr()));
 }
--- a/proxy/src/log/rate_limit.rs
+++ b/proxy/src/log/rate_limit.rs
@@ -1,4 +1,5 @@
-//! The rate limit of the log: a flood of lines about closed connections must not use the processor time of the other connections.
+//! Limits the rate of log lines: a flood of lines about closed connections must not take processor time from other
+//! connections.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -8,7 +9,7 @@
 
 /// The sustained rate, in lines per second.
 const LINES_PER_SECOND: f64 = 50.0;
-/// The most lines in a burst.
+/// The maximum number of lines in a burst.
 pub(super) const BURST_LINES: f64 = 200.0;
 
 /// A token bucket of lines.
@@ -19,7 +20,7 @@
 }
 
 impl RateLimit {
-    /// Whether a line may be written now. If so, it is counted.
+    /// Returns whether a line can be written now, and counts the line if so.
     pub(super) fn allows(&mut self, now: Instant) -> bool {
         let last = self.last_line_at.replace(now);
         let elapsed = last.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
@@ -32,14 +33,14 @@
     }
 }
 
-/// The layer that passes a limited number of lines and counts the others.
+/// The layer that drops lines above the rate limit and counts the dropped lines.
 pub(super) struct RateLimitLayer {
     limit: Mutex<RateLimit>,
     dropped: Arc<AtomicU64>,
 }
 
 impl RateLimitLayer {
-    /// `dropped` counts the lines that are not written.
+    /// Creates a layer that adds the dropped lines to `dropped`.
     pub(super) fn new(dropped: Arc<AtomicU64>) -> RateLimitLayer {
         RateLimitLayer { limit: Mutex::default(), dropped }
     }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -32,7 +32,7 @@
 use std::io::Write;
 use std::path::Path;
 
-/// The exit code if the proxy could not start or could not continue.
+/// The exit code if the proxy cannot start or cannot continue.
 const EXIT_FAILURE: i32 = 1;
 /// The exit code if the configuration or the options are invalid.
 const EXIT_INVALID_CONFIGURATION: i32 = 2;
@@ -52,7 +52,7 @@
 
 /// Serves clients until a graceful shutdown is complete.
 fn serve(options: Option<&Path>) {
-    // This comes first: until signals are caught, they terminate the process.
+    // Signal handlers are installed first, because a signal without a handler terminates the process.
     let signals = net::signals().unwrap_or_else(|error| exit_with_error(&error, EXIT_FAILURE));
     let config = config::load(config::environment, options)
         .unwrap_or_else(|error| exit_with_error(&error, EXIT_INVALID_CONFIGURATION));
@@ -60,14 +60,14 @@
         .unwrap_or_else(|error| exit_with_error(&error, EXIT_FAILURE));
 }
 
-/// The command `check`: prints the errors and warnings of the configuration and the options.
+/// Executes the command `check`: prints the errors and warnings about the configuration and the options.
 fn check(arguments: &cli::CheckArguments, options: Option<&Path>) {
     let variable = |name: &str| match &arguments.config {
         Some(path) if name == config::CONFIG_VARIABLE => path.to_str().map(Into::into),
         _ => config::environment(name),
     };
     let CheckReport { faults, warnings } = config::check(variable, options);
-    let mut text: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
+    let mut text: String = faults.iter().map(|error| format!("{error}\n")).collect();
     text.extend(warnings.iter().map(|warning| format!("doubt: {warning}\n")));
     if faults.is_empty() {
         text.push_str("no faults\n");
@@ -75,7 +75,7 @@
     print_and_exit(if faults.is_empty() { 0 } else { EXIT_INVALID_CONFIGURATION }, &text);
 }
 
-/// The command `health`: prints the state of a running proxy.
+/// Executes the command `health`: prints the health of a running proxy.
 fn health(arguments: &cli::HealthArguments, options: Option<&Path>) {
     let options = options.map(|file| match health_command::read_options(file) {
         Ok(options) => options,
@@ -85,13 +85,13 @@
     print_and_exit(code, &text);
 }
 
-/// Prints and exits. A failure to print does not change the exit code.
+/// Prints a text to standard output and exits. A failure to print does not change the exit code.
 fn print_and_exit(code: i32, text: &str) -> ! {
     let _ = std::io::stdout().write_all(text.as_bytes());
     std::process::exit(code)
 }
 
-/// Prints an error and exits.
+/// Prints an error to standard error and exits.
 fn exit_with_error(error: &dyn Display, code: i32) -> ! {
     eprintln!("birchreach-proxy: {error}");
     std::process::exit(code)
