--- a/proxy/tests/peer_state.rs
+++ b/proxy/tests/peer_state.rs
@@ -164,13 +164,13 @@
     let key_file = peers.write_key_file("one", ONE_KEY);
     set_mode(&key_file, 0o644);
     let error = peers.start_and_fail(listen, &key_file);
-    assert!(error.contains("others may read it"), "{error}");
+    assert!(error.contains("expected mode 0600 or 0400, found 0644"), "{error}");
     // Given a text that is no key file, then the error says what is wrong with it
     for (text, reason) in [
         ("", "one to four keys"),
-        ("1 0g", "hexadecimal"),
-        ("x 00", "no number"),
-        ("1", "no secret"),
+        ("1 0g", "expected a secret that consists of pairs of hexadecimal digits"),
+        ("x 00", "expected a key number from 0 to 4294967295"),
+        ("1", "the secret is missing: expected a key number, a space and a secret"),
         ("1 00", "16 bytes"),
     ] {
         let key_file = peers.write_key_file("bad", text);
