--- a/proxy/src/net/gossip/close_reason.rs
+++ b/proxy/src/net/gossip/close_reason.rs
@@ -1,4 +1,4 @@
-//! Why a link to another proxy ends or is not opened, as the log says it.
+//! Reasons for closing a link to another proxy or for not opening it, with their words in the log.
 
 use birchreach_membership::PayloadError;
 use birchreach_peer_state::frame::FrameError;
@@ -6,36 +6,34 @@
 
 /// Whether a link stays open after a step of its protocol.
 pub(super) enum LinkProgress {
-    /// The link stays open.
     Continue,
-    /// The link ends.
     Close(LinkCloseReason),
 }
 
-/// Why a link ends.
+/// Why a link is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkCloseReason {
-    /// This proxy has sent all it had to send.
+    /// This proxy has sent everything that it had to send.
     Sent,
     /// This proxy has received a complete answer.
     Received,
-    /// The other side closed the connection.
+    /// The connection has failed, or the other side has closed it.
     Closed,
-    /// The link timed out.
+    /// The link was still open at its timeout.
     Unresponsive,
-    /// The other side violated the protocol, or has no common key.
+    /// The other side has violated the protocol, or shares no key with this proxy.
     Frame(FrameError),
-    /// The other side's members were rejected.
+    /// The members that the other side has sent were rejected.
     Members(PayloadError),
 }
 
 impl LinkCloseReason {
-    /// The link has served its purpose.
+    /// Whether the transfer or exchange on the link was completed.
     pub(super) fn is_complete(self) -> bool {
         matches!(self, LinkCloseReason::Sent | LinkCloseReason::Received)
     }
 
-    /// What was received was rejected.
+    /// Whether this proxy has rejected data from the other side.
     pub(super) fn is_rejection(self) -> bool {
         matches!(self, LinkCloseReason::Frame(_) | LinkCloseReason::Members(_))
     }
@@ -57,15 +55,15 @@
 /// Why a link is not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkError {
-    /// The limit on links is reached.
+    /// The limit on links or on full exchanges is reached.
     ConnectionLimit,
     /// A provider's name is not an address and port.
     InvalidAddress,
     /// The other side refused the connection.
     Refused,
-    /// The system had no socket.
+    /// The operating system could not create, bind or register the socket.
     NoSocket,
-    /// The system had no random numbers.
+    /// The operating system provided no random numbers for the nonce.
     NoRandomNumbers,
 }
 
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -1,4 +1,4 @@
-//! One link to another proxy: its connection, and the role that this process has on it.
+//! A link to another proxy: its connection, and the role of this process on it.
 
 use super::super::ids::LinkSerial;
 use super::super::stream;
@@ -8,20 +8,20 @@
 use mio::net::TcpStream;
 use std::net::SocketAddr;
 
-/// The most bytes that one read takes.
-const READ_BYTES: usize = 16 << 10;
+/// The size of the buffer for one read.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// The kind of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkKind {
-    /// State is transferred.
+    /// One side requests state, the other sends it.
     PeerState,
-    /// Members of the fleet are exchanged.
+    /// Both sides send the members of the fleet that they know.
     Fleet,
 }
 
 impl LinkKind {
-    /// The name for the log.
+    /// Returns the value of the log field `conn`.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             LinkKind::PeerState => "peer-state",
@@ -30,22 +30,23 @@
     }
 }
 
-/// What this process does on a link.
+/// The role of this process on a link.
 pub(super) enum LinkRole {
-    /// Requests state from a provider.
-    RequestsState { requester: Box<StateRequester>, provider: String, requested_at: Micros },
-    /// Sends state to a requester.
+    RequestsState {
+        requester: Box<StateRequester>,
+        provider: String,
+        requested_at: Micros,
+    },
     SendsState {
         sender: Box<StateSender>,
-        /// The request was admitted: it counts towards the limit of [`birchreach_peer_state::provider::StateProvider`].
+        /// Whether the request was admitted and counts towards the limit of
+        /// [`birchreach_peer_state::provider::StateProvider`].
         admitted: bool,
     },
-    /// Exchanges all members with another member of the fleet.
     ExchangesMembers(Box<FullExchange>),
 }
 
 impl LinkRole {
-    /// The kind of the link.
     pub(super) fn kind(&self) -> LinkKind {
         match self {
             LinkRole::RequestsState { .. } | LinkRole::SendsState { .. } => LinkKind::PeerState,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes bytes that were read.
+    /// Passes bytes that were read to the protocol.
     pub(super) fn feed(&mut self, bytes: &[u8]) {
         match self {
             LinkRole::RequestsState { requester, .. } => requester.feed(bytes),
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Bytes to be written.
+    /// Returns the bytes that wait to be written.
     pub(super) fn output(&mut self) -> &mut Vec<u8> {
         match self {
             LinkRole::RequestsState { requester, .. } => &mut requester.output,
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Once the output is written, this side has nothing more to send. A requester's link ends with the answer instead.
+    /// Whether this side has nothing more to send once the output is written. Always false for a requester of state, whose link ends
+    /// when the answer is complete.
     pub(super) fn has_sent_everything(&self) -> bool {
         match self {
             LinkRole::RequestsState { .. } => false,
@@ -80,41 +82,42 @@
         }
     }
 
-    /// A part of the answer is still to be put into the output.
+    /// Whether parts of the answer have yet to be appended to the output.
     pub(super) fn is_sending(&self) -> bool {
         matches!(self, LinkRole::SendsState { sender, .. } if sender.is_sending())
     }
 }
 
-/// A link in its slot. The serial distinguishes it from earlier links in the same slot.
+/// An open link in its slot.
 pub(super) struct PeerLink {
     pub(super) stream: TcpStream,
     pub(super) role: LinkRole,
     pub(super) peer: SocketAddr,
+    /// Distinguishes the link from earlier links in the same slot.
     pub(super) serial: LinkSerial,
     pub(super) opened_at: Micros,
 }
 
 impl PeerLink {
-    /// Whether the connection is established.
+    /// Whether the connection is established. A connect does not block, so it may complete later.
     fn is_connected(&self) -> bool {
         self.stream.peer_addr().is_ok()
     }
 
-    /// Reads what has arrived.
+    /// Reads the bytes that have arrived. Does nothing before the connection is established.
     pub(super) fn read_input(&mut self, scratch: &mut [u8]) -> Result<(), stream::StreamEnd> {
         if !self.is_connected() {
             return Ok(());
         }
-        let read_bytes = READ_BYTES.min(scratch.len());
-        let read = stream::read(&mut self.stream, &mut scratch[..read_bytes], |bytes| {
+        let buffer_length = READ_BUFFER_BYTES.min(scratch.len());
+        let read = stream::read(&mut self.stream, &mut scratch[..buffer_length], |bytes| {
             self.role.feed(bytes);
             true
         });
         read.map(drop)
     }
 
-    /// Writes the output as far as the socket accepts it.
+    /// Writes as much of the output as the socket accepts. Does nothing before the connection is established.
     pub(super) fn write_output(&mut self) -> Result<(), stream::StreamEnd> {
         if !self.is_connected() {
             return Ok(());
--- a/proxy/src/net/gossip/link_events.rs
+++ b/proxy/src/net/gossip/link_events.rs
@@ -1,4 +1,4 @@
-//! A link's turn: its input is read and processed, the output is written, and the link stays open or ends.
+//! One turn of a link: its input is read and processed, its output is written, and a link that has ended is closed.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::LinkKey;
@@ -9,7 +9,7 @@
 use super::peer_protocol::{self, LinkId};
 
 impl Gossip {
-    /// A link's connection is readable or writable.
+    /// Reads, processes and writes as far as the link's connection allows. Does nothing if the link is no longer open.
     pub(crate) fn process_link(&mut self, context: &mut EventLoopContext, key: LinkKey) {
         let Some(link) = self.links.get_mut(key.0) else { return };
         let id = LinkId { key, serial: link.serial };
@@ -25,16 +25,18 @@
             _ => LinkProgress::Close(LinkCloseReason::Closed),
         };
         let write_failed = link.write_output().is_err();
-        let is_written = link.role.output().is_empty();
-        let has_failed =
+        let output_written = link.role.output().is_empty();
+        let connection_failed =
             read_failed || write_failed || matches!(link.stream.take_error(), Ok(Some(_)) | Err(_));
         match progress {
             LinkProgress::Close(reason) => self.close_link(context, key, reason),
-            LinkProgress::Continue if is_written && link.role.has_sent_everything() => {
+            LinkProgress::Continue if output_written && link.role.has_sent_everything() => {
                 self.close_link(context, key, LinkCloseReason::Sent);
             }
-            LinkProgress::Continue if has_failed => self.close_link(context, key, LinkCloseReason::Closed),
-            LinkProgress::Continue if is_written && link.role.is_sending() => {
+            LinkProgress::Continue if connection_failed => {
+                self.close_link(context, key, LinkCloseReason::Closed)
+            }
+            LinkProgress::Continue if output_written && link.role.is_sending() => {
                 context.timers.set(context.now + 1, TimerEvent::GossipSend(key, id.serial));
             }
             LinkProgress::Continue => {}
--- a/proxy/src/net/gossip/listener.rs
+++ b/proxy/src/net/gossip/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners for links of other proxies.
+//! Listeners for links that other proxies open.
 
 use super::super::error::{ListenError, ListenPurpose};
 use super::super::sources::Source;
@@ -6,7 +6,7 @@
 use mio::{Interest, Registry};
 use std::net::SocketAddr;
 
-/// Opens a listener and registers it; `purpose` is named in the error.
+/// Opens a listener and registers it with the event loop. The error names `purpose`.
 pub(super) fn listen(
     registry: &Registry,
     address: SocketAddr,
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -1,5 +1,5 @@
-//! Full exchanges of the membership with other members of the fleet: their listener, and this process's connections. The listener
-//! has the port of the datagrams' address; what is sent and accepted is decided by [`Membership`].
+//! Full exchanges of the membership with other members of the fleet: the listener for them, and the connections that this process
+//! opens. The listener has the same address and port as the datagrams. [`Membership`] decides what is sent and accepted.
 
 use super::super::error::ListenPurpose;
 use super::super::event_loop_context::EventLoopContext;
@@ -18,25 +18,25 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// The limit on such links, in both directions. Each may use about half a megabyte of memory.
+/// The limit on links for full exchanges, incoming and outgoing together. Each link may use about half a megabyte of memory.
 pub(super) const MAX_EXCHANGES: usize = 6;
-/// The error code of a connect that has not completed yet: `EINPROGRESS`.
-const IN_PROGRESS: i32 = 115;
+/// Linux's error number for a connect that has not completed yet.
+const EINPROGRESS: i32 = 115;
 
-/// The listener and the connections of full exchanges.
+/// Opens and accepts connections for full exchanges, and merges the members received on them.
 pub(crate) struct MembershipSync {
-    /// None: another process of this proxy has the listener.
+    /// `None` while another process of this proxy has the address or represents the proxy in the fleet.
     listener: Option<TcpListener>,
-    /// Where others reach this process.
+    /// The address of the listener. Outgoing connections use its IP address too.
     local_address: SocketAddr,
     keys: Keys,
     membership: Shared<Membership>,
-    /// Connections may wait to be accepted.
+    /// Whether connections may be waiting to be accepted.
     pub(super) accept_pending: bool,
 }
 
 impl MembershipSync {
-    /// The listener opens with [`MembershipSync::set_active`].
+    /// Creates the state without a listener, which [`MembershipSync::set_active`] opens.
     pub(crate) fn new(
         local_address: SocketAddr,
         keys: Keys,
@@ -45,8 +45,8 @@
         MembershipSync { listener: None, local_address, keys, membership, accept_pending: false }
     }
 
-    /// The listener is open while this process represents the proxy in the fleet. Where another process still has the address,
-    /// it is tried again with the next datagram.
+    /// Opens the listener if this process represents the proxy in the fleet, and closes it otherwise. If another process still has
+    /// the address, opening it is tried again with the next datagram.
     pub(crate) fn set_active(&mut self, registry: &Registry, active: bool) {
         if active && self.listener.is_none() {
             self.listener =
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Begins a connection to a member, from this process's own address, which the member may use to admit it.
+    /// Starts to connect to a member. The connection comes from this process's own IP address, because the member may use the source
+    /// address to admit it.
     pub(super) fn connect(&self, peer: SocketAddr) -> Result<(TcpStream, Box<FullExchange>), LinkError> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, Some(Protocol::TCP));
         let socket = socket.map_err(|_| LinkError::NoSocket)?;
@@ -69,14 +70,15 @@
         match socket.connect(&peer.into()) {
             Ok(()) => {}
             Err(error)
-                if error.raw_os_error() == Some(IN_PROGRESS) || error.kind() == ErrorKind::WouldBlock => {}
+                if error.raw_os_error() == Some(EINPROGRESS) || error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return Err(LinkError::Refused),
         }
         let stream = TcpStream::from_std(socket.into());
         Ok((stream, Box::new(FullExchange::new(Side::Requester, self.keys.clone(), nonce()?))))
     }
 
-    /// The next connection of a member, if one waits.
+    /// Accepts the next connection from a member. Returns `None` if no connection is waiting, or if the system has no random numbers
+    /// for a nonce.
     pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<FullExchange>)> {
         let listener = self.listener.as_ref().filter(|_| self.accept_pending)?;
         let Ok((stream, peer)) = listener.accept() else {
@@ -98,13 +100,13 @@
                 Ok(None) => return LinkProgress::Continue,
                 Ok(Some(ExchangeEvent::Connected)) => self.send_members(exchange),
                 Ok(Some(ExchangeEvent::Complete(parts))) => {
-                    let sent_first = exchange.has_sent();
-                    if !sent_first {
+                    let already_sent = exchange.has_sent();
+                    if !already_sent {
                         self.send_members(exchange);
                     }
                     match self.import_members(context, &parts) {
                         Err(error) => return LinkProgress::Close(LinkCloseReason::Members(error)),
-                        Ok(()) if sent_first => return LinkProgress::Close(LinkCloseReason::Received),
+                        Ok(()) if already_sent => return LinkProgress::Close(LinkCloseReason::Received),
                         Ok(()) => {}
                     }
                 }
@@ -112,13 +114,13 @@
         }
     }
 
-    /// Sends all members of the fleet, as this process sees it.
+    /// Sends all members that this process knows.
     fn send_members(&self, exchange: &mut FullExchange) {
         exchange.send_parts(&self.membership.borrow().export_members());
     }
 
-    /// Merges the other side's members. The timer that is set makes [`super::super::fleet::FleetMembership`] log the changes and
-    /// send gossip.
+    /// Merges the members of the other side. Sets the fleet's timer to the present time, so that
+    /// [`super::super::fleet::FleetMembership`] logs the changes and sends gossip.
     fn import_members(&self, context: &mut EventLoopContext, parts: &[Vec<u8>]) -> Result<(), PayloadError> {
         let result = self.membership.borrow_mut().import_members(context.now, parts);
         context.timers.set(context.now, TimerEvent::Fleet);
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -1,6 +1,7 @@
-//! Links to other proxies: some transfer state, others exchange the members of the fleet. Owns the sockets and timeouts; which
-//! proxy to request from, which request to answer and what to accept is decided by the crates `birchreach-peer-state` and
-//! `birchreach-membership`.
+//! Links to other proxies. Some transfer state, others exchange the members of the fleet.
+//!
+//! This module owns the sockets and timeouts. The crates `birchreach-peer-state` and `birchreach-membership` decide which proxy to
+//! request state from, which requests to answer and which data to accept.
 
 mod close_reason;
 mod link;
@@ -27,16 +28,16 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// The limit on links, in both directions; a further one is closed.
+/// The limit on open links, incoming and outgoing together. Further connections are closed.
 pub(super) const MAX_LINKS: usize = 24;
-/// A link that has not ended after this time is closed.
+/// A link that is still open after this time is closed.
 const LINK_TIMEOUT_MICROS: Micros = 5_000_000;
-/// The most connections that are accepted of each listener in one turn.
-const ACCEPTS_PER_TURN: usize = 16;
-/// The timer is set at least this often.
+/// The most connections accepted from each listener in one turn of the event loop.
+const MAX_ACCEPTS_PER_TURN: usize = 16;
+/// The longest time for which the timer is set.
 const MAX_TIMER_INTERVAL_MICROS: Micros = 1_000_000;
 
-/// All links, and the subsystems that use them.
+/// All links to other proxies, and the subsystems that use them.
 #[derive(Default)]
 pub(super) struct Gossip {
     links: Slab<PeerLink>,
@@ -46,29 +47,29 @@
 }
 
 impl Gossip {
-    /// State is transferred from now on.
+    /// Enables state transfer.
     pub(super) fn set_state_transfer(&mut self, state_transfer: StateTransfer) {
         self.state_transfer = Some(state_transfer);
     }
 
-    /// Members are exchanged from now on.
+    /// Enables full exchanges of the membership.
     pub(super) fn set_membership_sync(&mut self, membership_sync: MembershipSync) {
         self.membership_sync = Some(membership_sync);
     }
 
-    /// This process represents the proxy in the fleet, or no longer does.
+    /// Sets whether this process represents the proxy in the fleet. Only such a process listens for full exchanges.
     pub(super) fn set_active(&mut self, registry: &Registry, active: bool) {
         if let Some(sync) = &mut self.membership_sync {
             sync.set_active(registry, active);
         }
     }
 
-    /// Whether the start need not wait for other proxies' state any more.
+    /// Whether startup no longer waits for the state of other proxies. Always true without state transfer.
     pub(super) fn is_startup_complete(&self) -> bool {
         self.state_transfer.as_ref().is_none_or(|transfer| transfer.requests.is_startup_complete())
     }
 
-    /// A listener is ready.
+    /// Notes that a listener has connections to accept.
     pub(super) fn accept_ready(&mut self, source: Source) {
         match source {
             Source::MembershipListener => {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Closes links that have timed out, accepts connections and sends requests that are due.
+    /// Closes links that have timed out, accepts connections, sends the requests that are due and sets the next timer.
     pub(super) fn advance(&mut self, context: &mut EventLoopContext) {
         self.close_timed_out_links(context);
         self.accept(context);
@@ -91,7 +92,6 @@
             .set(next_request.map_or(latest_timer_at, |at| at.min(latest_timer_at)), TimerEvent::Gossip);
     }
 
-    /// Closes links that have not ended in time.
     fn close_timed_out_links(&mut self, context: &mut EventLoopContext) {
         let is_timed_out = |link: &PeerLink| context.now - link.opened_at >= LINK_TIMEOUT_MICROS;
         let timed_out: Vec<LinkKey> =
@@ -99,7 +99,7 @@
         timed_out.into_iter().for_each(|key| self.close_link(context, key, LinkCloseReason::Unresponsive));
     }
 
-    /// Requests state from the providers whose request is due.
+    /// Requests state from each provider whose request is due. A request that cannot be sent is recorded as failed.
     fn send_due_requests(&mut self, context: &mut EventLoopContext) {
         let Some(transfer) = &mut self.state_transfer else { return };
         for provider in transfer.requests.due_requests(context.now) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Opens a link for one request.
+    /// Opens a link that requests state from a provider.
     fn send_request(&mut self, context: &mut EventLoopContext, provider: &str) -> Result<(), LinkError> {
         let Some(transfer) = &self.state_transfer else { return Ok(()) };
         let (stream, peer, requester) = transfer.connect(provider)?;
@@ -121,14 +121,14 @@
         self.open_link(context, stream, peer, role)
     }
 
-    /// How busy this process is with its clients, 0 to 1.
+    /// Sets the load that clients cause on this process, from 0 to 1.
     pub(super) fn set_load(&mut self, load: f64) {
         if let Some(transfer) = &mut self.state_transfer {
             transfer.provider.set_load(load);
         }
     }
 
-    /// Begins a full exchange with a member.
+    /// Starts a full exchange with a member. If the link cannot be opened, the reason is logged.
     pub(super) fn begin_exchange(&mut self, context: &mut EventLoopContext, peer: SocketAddr) {
         let Some(sync) = &self.membership_sync else { return };
         let opened = sync.connect(peer).and_then(|(stream, exchange)| {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Registers a link's connection, unless the limit is reached.
+    /// Registers a connection with the event loop and adds its link. Fails if there are too many links or the registration fails.
     fn open_link(
         &mut self,
         context: &mut EventLoopContext,
@@ -163,9 +163,9 @@
         Ok(())
     }
 
-    /// Accepts connections of both listeners.
+    /// Accepts a bounded number of connections from each listener.
     fn accept(&mut self, context: &mut EventLoopContext) {
-        for _ in 0..ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let request = self.state_transfer.as_mut().and_then(StateTransfer::accept);
             let exchange = self.membership_sync.as_mut().and_then(MembershipSync::accept);
             if request.is_none() && exchange.is_none() {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// The send budget allows a link's next part, or the link has ended.
+    /// Continues to send on a link when the send budget allows the next part. Does nothing if the link has ended.
     pub(super) fn continue_sending(
         &mut self,
         context: &mut EventLoopContext,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Closes a link, reports its outcome and logs why.
+    /// Closes a link, records the outcome of its transfer and logs the reason.
     fn close_link(&mut self, context: &mut EventLoopContext, key: LinkKey, reason: LinkCloseReason) {
         let mut link = self.links.remove(key.0);
         let _ = context.poll.registry().deregister(&mut link.stream);
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -1,5 +1,5 @@
-//! The steps of a state transfer: a provider's parts are merged into this proxy's state, and a requester is sent this proxy's
-//! state within the provider's budget.
+//! The steps of a state transfer. A requester merges the parts that a provider sends into its own state. A provider sends its state
+//! in parts, within its send budget.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{LinkKey, LinkSerial};
@@ -11,17 +11,17 @@
 use birchreach_peer_state::request_scheduler::RequestOutcome;
 use birchreach_peer_state::transfer_protocol::{StateRequester, StateSender, TransferEvent};
 
-/// What a part takes from the send budget, as its length is not known yet.
+/// The number of bytes taken from the send budget for each part, whose length is not known in advance.
 const PART_BUDGET_BYTES: usize = 16 << 10;
 
-/// The key of a link's slot, and the serial that distinguishes it from earlier links in the slot.
+/// Identifies a link by the key of its slot and by a serial, which distinguishes it from earlier links in that slot.
 #[derive(Clone, Copy)]
 pub(super) struct LinkId {
     pub(super) key: LinkKey,
     pub(super) serial: LinkSerial,
 }
 
-/// Processes what a provider has sent.
+/// Merges the parts that a provider has sent, and records the outcome of the request when the answer is complete.
 pub(super) fn receive_state(
     context: &mut EventLoopContext,
     requester: &mut StateRequester,
@@ -49,7 +49,8 @@
     }
 }
 
-/// Answers a requester, if it has sent its request, and puts the next part into the output where the budget allows it.
+/// Admits or rejects a request once it has arrived, and appends the next part of the answer to the output if the send budget allows
+/// it. Otherwise sets a timer for the time at which the budget does.
 pub(super) fn answer_request(
     context: &mut EventLoopContext,
     sender: &mut StateSender,
--- a/proxy/src/net/gossip/state_transfer.rs
+++ b/proxy/src/net/gossip/state_transfer.rs
@@ -1,4 +1,4 @@
-//! State transfer with other proxies: the listener for their requests, and this proxy's own requests.
+//! Connections for state transfer: the listener for requests from other proxies, and this proxy's requests to them.
 
 use super::super::error::{ListenError, ListenPurpose};
 use super::super::sources::Source;
@@ -17,22 +17,22 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// This proxy's state, its requests to others, and its answers to theirs.
+/// Requests state from other proxies, and sends them the state of this proxy.
 pub(crate) struct StateTransfer {
     listener: Option<TcpListener>,
     keys: Keys,
-    /// Observes the core too.
+    /// Also subscribed to the core's events.
     pub(super) peer_state: Shared<PeerStateObserver>,
     pub(super) requests: RequestScheduler,
     pub(super) provider: StateProvider,
-    /// Other providers that an answer names.
+    /// The providers that this proxy names in its answers.
     pub(super) named_providers: Vec<String>,
-    /// Connections may wait to be accepted.
+    /// Whether connections may be waiting to be accepted.
     pub(super) accept_pending: bool,
 }
 
 impl StateTransfer {
-    /// Opens the listener, if the options name one.
+    /// Opens the listener if the options name its address.
     pub(crate) fn new(
         registry: &Registry,
         options: &birchreach_options::PeerStateOptions,
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Begins a connection to a provider.
+    /// Starts to connect to a provider, which is given as `address:port`.
     pub(super) fn connect(
         &self,
         provider: &str,
@@ -69,7 +69,8 @@
         Ok((stream, peer, Box::new(StateRequester::new(self.keys.clone(), nonce))))
     }
 
-    /// The next connection of a requester, if one waits.
+    /// Accepts the next connection from a requester. Returns `None` if no connection is waiting, or if the system has no random
+    /// numbers for a nonce.
     pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<StateSender>)> {
         let listener = self.listener.as_ref().filter(|_| self.accept_pending)?;
         let Ok((stream, peer)) = listener.accept() else {
