--- a/proxy/src/handover_protocol.rs
+++ b/proxy/src/handover_protocol.rs
@@ -1,5 +1,5 @@
-//! The protocol between two processes of one proxy while one replaces the other. Messages are lines of text. A state machine that
-//! is fed bytes.
+//! The protocol between two processes of one proxy while one replaces the other. Messages are lines of text. The protocol is a state
+//! machine: the caller reads and writes the bytes.
 
 #[cfg(test)]
 mod tests;
@@ -8,48 +8,48 @@
 use std::error::Error;
 use std::fmt::{self, Display};
 
-/// The longest line.
+/// The most bytes that may arrive before the end of a line.
 const MAX_LINE_BYTES: usize = 64;
 
-/// A message to the other process. The words on the wire must not change, as the other process may be of an earlier version.
+/// A message to the other process. The words on the wire must not change, because the other process may run an earlier version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HandoverMessage {
     /// `serving`: the newer process accepts clients.
     Serving,
-    /// `leaving N`: the older process is stopping, and still has this number of descriptors open.
+    /// `leaving N`: the older process is stopping and still has `N` descriptors open.
     Stopping(usize),
-    /// `yields T`: the older process accepts no work from this time on, in Unix microseconds of the system's clock, which both
+    /// `yields T`: the older process accepts no work from the time `T` on, in Unix microseconds of the system's clock, which both
     /// processes read.
     StopsAcceptingAt(i64),
 }
 
-/// A line that is not a message.
+/// A received line is not a message, or is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InvalidMessage;
 
 impl Display for InvalidMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("not a message between processes of one proxy")
+        f.write_str("received a line that is not a handover message")
     }
 }
 
 impl Error for InvalidMessage {}
 
-/// The protocol's state on one connection.
+/// The state of the protocol on one connection.
 #[derive(Default)]
 pub(crate) struct HandoverProtocol {
     input: Vec<u8>,
-    /// Messages to the other process.
+    /// Encoded messages that wait to be written.
     pub outbox: Outbox,
 }
 
 impl HandoverProtocol {
-    /// Takes bytes that the other process sent.
+    /// Adds bytes that were read from the other process.
     pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// The next message, once its line is complete.
+    /// Returns the next message, or `None` until its line is complete.
     pub(crate) fn next_message(&mut self) -> Result<Option<HandoverMessage>, InvalidMessage> {
         let Some(end) = self.input.iter().position(|byte| *byte == b'\n') else {
             return if self.input.len() > MAX_LINE_BYTES { Err(InvalidMessage) } else { Ok(None) };
@@ -59,7 +59,7 @@
         parse(line.trim_end()).map(Some)
     }
 
-    /// Puts a message into the outbox.
+    /// Appends a message to the outbox.
     pub(crate) fn send(&mut self, message: HandoverMessage) {
         let line = match message {
             HandoverMessage::Serving => "serving\n".to_string(),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Parses a line without its end.
+/// Parses a line without its line break.
 fn parse(line: &str) -> Result<HandoverMessage, InvalidMessage> {
     match line.split_once(' ') {
         None if line == "serving" => Ok(HandoverMessage::Serving),
--- a/proxy/src/handover_protocol/tests.rs
+++ b/proxy/src/handover_protocol/tests.rs
@@ -1,4 +1,5 @@
-//! The bytes between two processes of one proxy, literally: a process of another version must understand them.
+//! The exact bytes between two processes of one proxy. They must not change, because a process of another version must understand
+//! them.
 
 use super::*;
 
@@ -19,7 +20,7 @@
         // Given a message, when it is sent
         let mut sender = HandoverProtocol::default();
         sender.send(message);
-        // Then its line is to be written
+        // Then the outbox contains its line
         assert_eq!(sender.outbox.pending(), line, "{message:?}");
     }
 }
@@ -30,7 +31,7 @@
         // Given a message's line, when it arrives
         let mut receiver = HandoverProtocol::default();
         receiver.feed(line);
-        // Then the message is read, once
+        // Then the message is returned once
         assert_eq!(receiver.next_message(), Ok(Some(message)));
         assert_eq!(receiver.next_message(), Ok(None));
     }
@@ -41,36 +42,36 @@
     // Given lines that end with a carriage return, one with a time before the epoch, when they arrive
     let mut receiver = HandoverProtocol::default();
     receiver.feed(b"yields -5\r\nleaving 0\r\n");
-    // Then their messages are read
+    // Then their messages are returned
     assert_eq!(receiver.next_message(), Ok(Some(HandoverMessage::StopsAcceptingAt(-5))));
     assert_eq!(receiver.next_message(), Ok(Some(HandoverMessage::Stopping(0))));
 }
 
 #[test]
 fn messages_arrive_in_order_when_fed_byte_by_byte() {
-    // Given the bytes of several messages
+    // Given the lines of several messages
     let mut sender = HandoverProtocol::default();
     for (message, _) in MESSAGES {
         sender.send(message);
     }
-    // When they arrive one by one
+    // When their bytes arrive one by one
     let mut receiver = HandoverProtocol::default();
     let mut received = Vec::new();
     for byte in sender.outbox.pending() {
         receiver.feed(&[*byte]);
         received.extend(receiver.next_message().unwrap());
     }
-    // Then all messages are read in their order
+    // Then all messages are returned in the order in which they were sent
     assert_eq!(received, MESSAGES.map(|(message, _)| message));
 }
 
 #[test]
-fn invalid_lines_are_reported() {
+fn invalid_lines_are_rejected() {
     for line in ["leaving\n", "leaving -1\n", "yields soon\n", "\n", &"x".repeat(65)] {
-        // Given a line that is no message, when it arrives
+        // Given a line that is not a message, when it arrives
         let mut receiver = HandoverProtocol::default();
         receiver.feed(line.as_bytes());
-        // Then it is reported
+        // Then an error is returned
         assert_eq!(receiver.next_message(), Err(InvalidMessage), "{line}");
     }
 }
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -1,4 +1,4 @@
-//! Receiving and sending the fleet's datagrams.
+//! Receives and sends the fleet's datagrams.
 
 use super::FleetMembership;
 use crate::fleet::{Direction, DropReason};
@@ -8,27 +8,27 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Datagrams that are received in one turn; the rest waits for the next.
-const DATAGRAMS_PER_TURN: usize = 64;
-/// The first byte of a payload of [`birchreach_membership::Membership`].
+/// The most datagrams received in one turn of the event loop. The next turn receives the rest.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// The first byte of each payload for [`birchreach_membership::Membership`].
 const MEMBERSHIP_CHANNEL: u8 = 0;
-/// The first byte of a payload of [`birchreach_membership::GossipReports`].
+/// The first byte of each payload for [`birchreach_membership::GossipReports`].
 const REPORTS_CHANNEL: u8 = 1;
 
 impl FleetMembership {
-    /// The socket is readable: receives a bounded number of datagrams.
+    /// Receives datagrams, up to a limit, and sends what is due as a result.
     pub(crate) fn receive_datagrams(&mut self, now: Micros) {
         self.may_have_unread = false;
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for received in 0.. {
             let Some(socket) = &self.socket else { return };
-            if received == DATAGRAMS_PER_TURN {
+            if received == MAX_DATAGRAMS_PER_TURN {
                 self.may_have_unread = true;
                 break;
             }
             match socket.recv_from(&mut buffer) {
                 Ok((length, _)) => self.receive(now, &buffer[..length]),
-                // An earlier datagram's recipient refused it; the socket is not affected.
+                // A refusal concerns the recipient of an earlier datagram. The socket stays usable.
                 Err(error)
                     if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted) => {}
                 Err(_) => break,
@@ -37,7 +37,7 @@
         self.flush(now);
     }
 
-    /// Opens a datagram and passes its payload on; counts it.
+    /// Opens a datagram, passes its payload to the membership or the reports, and counts it as received or dropped.
     fn receive(&mut self, now: Micros, bytes: &[u8]) {
         let OpenedDatagram { sender_incarnation: sender, payload } = match self.datagrams.open(now, bytes) {
             Err(error) => return self.metrics.count_dropped(DropReason::Datagram(error)),
@@ -52,7 +52,7 @@
                 let new = self.gossip_reports.apply_gossip(now, members, is_member, payload);
                 new.map(|new| self.new_reports.extend(new))
             }
-            // From a later version.
+            // A later version may send on other channels.
             _ => Err(PayloadError::Malformed),
         };
         match accepted {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends the payloads and reports that are due, and logs changes of the membership.
+    /// Sends the membership payloads and reports that are due, and logs changes of the membership.
     pub(super) fn flush(&mut self, now: Micros) {
         loop {
             let Some(outgoing) = self.membership.borrow_mut().next_payload() else { break };
@@ -80,13 +80,13 @@
         }
     }
 
-    /// Seals and sends a payload; counts it.
+    /// Seals and sends a payload, and counts it as sent or dropped.
     fn send(&mut self, to: SocketAddr, channel: u8, payload: &[u8]) {
         let sealed = self.datagrams.seal(&[&[channel], payload].concat());
         let (Some(socket), Some(datagram)) = (&self.socket, sealed) else { return };
         match socket.send_to(&datagram, to) {
             Ok(_) => self.metrics.count_datagram(Direction::Sent, datagram.len()),
-            // Handled like the loss of a datagram on the network.
+            // Treated like a datagram that the network has lost.
             Err(_) => self.metrics.count_dropped(DropReason::Unsent),
         }
     }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -1,5 +1,8 @@
-//! The datagrams of the fleet: transferred between their socket and [`Membership`] or [`GossipReports`], sealed and opened. Owns
-//! the socket and the timer; which processes are members, and what is sent to whom, is decided by `birchreach-membership`.
+//! The datagrams of the fleet. This module seals and opens them, and transfers them between their socket and [`Membership`] or
+//! [`GossipReports`].
+//!
+//! It owns the socket and the timer. The crate `birchreach-membership` decides which processes are members and what each of them is
+//! sent.
 
 mod datagrams;
 mod start;
@@ -17,34 +20,33 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// While another process of this proxy has the address, it is tried again at this interval.
+/// The interval between attempts to bind the address while another process of this proxy has it.
 const BIND_RETRY_INTERVAL_MICROS: Micros = 500_000;
-/// The shortest time to the next timer.
+/// The shortest time for which the timer is set, except to receive datagrams that one turn left unread.
 const MIN_TIMER_INTERVAL_MICROS: Micros = 1_000;
 
 /// This process as a member of the fleet.
 pub(super) struct FleetMembership {
-    /// None: another process of this proxy represents it in the fleet, or this one has left.
+    /// `None` while another process of this proxy represents the proxy in the fleet, or once this process has left.
     socket: Option<UdpSocket>,
     listen: SocketAddr,
     membership: Shared<Membership>,
     gossip_reports: GossipReports,
-    /// Reports that were received and not yet taken.
+    /// Received reports that [`FleetMembership::take_new_reports`] has not returned yet.
     new_reports: Vec<ReceivedReport>,
     datagrams: DatagramCodec,
     metrics: FleetMetrics,
-    /// When the timer that is set is due.
+    /// The time for which the timer is set, or [`Micros::MAX`] if it is not set.
     timer_at: Micros,
-    /// The socket may hold more datagrams than one turn takes.
+    /// Whether the last turn may have left datagrams unread.
     may_have_unread: bool,
-    /// Another process of this proxy replaces this one, and represents the proxy in its place.
+    /// Whether another process of this proxy replaces this one and represents the proxy in its place.
     is_replaced: bool,
-    /// This process has left the fleet.
     has_left: bool,
 }
 
 impl FleetMembership {
-    /// Opens the socket. It fails while another process of this proxy has the address.
+    /// Opens the socket. Fails while another process of this proxy has the address.
     fn open(&mut self, registry: &Registry) -> std::io::Result<()> {
         let mut socket = UdpSocket::bind(self.listen)?;
         registry.register(&mut socket, Source::Fleet.token(), Interest::READABLE)?;
@@ -53,30 +55,30 @@
         Ok(())
     }
 
-    /// Closes the socket, if it is open.
+    /// Closes the socket if it is open.
     fn close(&mut self, registry: &Registry) {
         if let Some(mut socket) = self.socket.take() {
             let _ = registry.deregister(&mut socket);
         }
     }
 
-    /// This process's view of the fleet.
+    /// Returns the fleet as this process sees it.
     pub(super) fn view(&self) -> View {
         self.membership.borrow().view()
     }
 
-    /// The random number of this process.
+    /// Returns the random number that identifies this process in the fleet.
     pub(super) fn incarnation(&self) -> u64 {
         self.membership.borrow().identity().incarnation
     }
 
-    /// Replaces this process's report on a channel.
+    /// Publishes a report on a channel, in place of this process's earlier report there.
     pub(super) fn publish_report(&mut self, now: Micros, channel: u8, payload: Vec<u8>) {
         self.gossip_reports.publish(now, channel, payload);
         self.flush(now);
     }
 
-    /// Reports received since the last call.
+    /// Returns the reports received since the last call.
     pub(super) fn take_new_reports(&mut self) -> Vec<ReceivedReport> {
         std::mem::take(&mut self.new_reports)
     }
@@ -86,7 +88,8 @@
         self.socket.is_some()
     }
 
-    /// The timer is due.
+    /// Handles the timer when it is due: receives unread datagrams, opens the socket if it should be open, and advances the
+    /// membership.
     pub(super) fn process_timer(&mut self, context: &EventLoopContext) {
         let now = context.now;
         self.timer_at = Micros::MAX;
@@ -94,7 +97,7 @@
             self.receive_datagrams(now);
         }
         if self.socket.is_none() && !self.is_replaced && !self.has_left {
-            // Tried again after `BIND_RETRY_INTERVAL_MICROS`.
+            // After a failure, the timer tries again in `BIND_RETRY_INTERVAL_MICROS`.
             let _ = self.open(context.poll.registry());
         }
         if self.socket.is_some() {
@@ -103,7 +106,8 @@
         self.flush(now);
     }
 
-    /// Another process of this proxy replaces this one, or no longer does: one of them represents the proxy at a time.
+    /// Sets whether another process of this proxy replaces this one. Leaves or rejoins the fleet accordingly, because one process
+    /// represents the proxy at a time.
     pub(super) fn set_replaced(&mut self, context: &EventLoopContext, replaced: bool) {
         if std::mem::replace(&mut self.is_replaced, replaced) == replaced {
             return;
@@ -116,7 +120,7 @@
         }
     }
 
-    /// Leaves the fleet.
+    /// Leaves the fleet and closes the socket. Does nothing if this process has already left.
     pub(super) fn leave(&mut self, context: &EventLoopContext) {
         if !std::mem::replace(&mut self.has_left, true) {
             self.membership.borrow_mut().leave(context.now);
@@ -125,7 +129,6 @@
         }
     }
 
-    /// Logs a change of the membership.
     fn log_change(&self, change: MembershipChange) {
         match change {
             MembershipChange::Joined(peer) => {
@@ -152,17 +155,18 @@
         }
     }
 
-    /// The answer to the operators' `fleet`.
+    /// Returns the answer of the admin listener to `fleet`.
     pub(super) fn status_lines(&self, now: Micros) -> String {
         fleet::status_lines(&self.membership.borrow(), now)
     }
 
-    /// The fleet's figures, without the last line of their format.
+    /// Returns the metrics of the fleet in the OpenMetrics text format, without the final `# EOF`.
     pub(super) fn metrics_text(&self) -> String {
         self.metrics.text(&self.membership.borrow())
     }
 
-    /// When the timer is to be set, if that is sooner than the time for which it is set.
+    /// Returns the time for which the timer must be set. `None` means that it is already set for that time or an earlier one, or that
+    /// this process has left the fleet.
     fn reschedule_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = match &self.socket {
             _ if self.has_left => return None,
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -1,4 +1,4 @@
-//! The event loop's side of the fleet: its start, its timer, and what follows each call.
+//! The fleet in the event loop: starts it, handles its timer, and passes its results to the other subsystems.
 
 use super::super::EventLoop;
 use super::super::admin::AdminReports;
@@ -41,7 +41,7 @@
             has_left: false,
         };
         match fleet.open(self.context.poll.registry()) {
-            // The process that this one replaces still has the address.
+            // The predecessor still has the address, so the fleet's timer tries again.
             Err(error)
                 if error.kind() == ErrorKind::AddrInUse && self.config.inherited_descriptor.is_some() => {}
             other => other.map_err(failed)?,
@@ -53,7 +53,8 @@
         Ok(())
     }
 
-    /// The settings of the membership from the configuration.
+    /// Derives the settings of the membership from the configuration. Fails if the proxy's name is too long or contains control
+    /// characters.
     fn membership_settings(
         &self,
         options: &birchreach_options::FleetOptions,
@@ -75,7 +76,8 @@
         })
     }
 
-    /// The answers to the operators' calls about the fleet and the subsystems that depend on it.
+    /// Returns the answers of the admin listener about the fleet and the subsystems that depend on it. They are empty without a
+    /// fleet.
     pub(in crate::net) fn admin_reports(&self) -> AdminReports {
         let Some(fleet) = &self.fleet else { return AdminReports::default() };
         let (background, view) = (self.background.as_ref(), fleet.view());
@@ -89,7 +91,7 @@
         }
     }
 
-    /// The fleet's timer is due.
+    /// Handles the fleet's timer when it is due.
     pub(in crate::net) fn handle_fleet_timer(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.process_timer(&self.context);
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Follows each call of [`FleetMembership`]: its timer is set, and gossip and the background subsystems take the results of the
-    /// call.
+    /// Applies the results of a call of [`FleetMembership`], and must follow each of these calls. Sets the fleet's timer, opens or
+    /// closes the listener for full exchanges, passes new reports to the background tasks and starts a full exchange that is due.
     pub(in crate::net) fn apply_fleet_changes(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -1,5 +1,6 @@
-//! The graceful shutdown: connections that still arrive are served, idle clients are closed, and the process ends once no request
-//! is open. This module owns the times of these steps; [`super::clients`] decides which client is closed.
+//! Graceful shutdown. The process serves connections that still arrive, then closes idle clients, and exits once no request is open.
+//!
+//! This module sets the times of these steps. [`super::clients`] decides which client is closed.
 
 #[cfg(test)]
 mod tests;
@@ -10,23 +11,24 @@
 use birchreach_health::HealthEvent;
 use tracing::info;
 
-/// Connections may still arrive for this time after SIGTERM, and are served.
+/// Connections may still arrive for this long after SIGTERM. They are served.
 const LATE_ARRIVAL_PERIOD_MICROS: Micros = 400_000;
-/// A request that is accepted later than this after SIGTERM may not have its whole timeout before SIGKILL: that comes the longest
-/// timeout and this time after SIGTERM, or later.
+/// SIGKILL follows SIGTERM after the longest request timeout plus this time, or later. A request that is accepted later than this
+/// after SIGTERM may therefore be cut off before its timeout.
 const SAFE_ACCEPT_PERIOD_MICROS: Micros = 700_000;
-/// When idle clients are closed: halfway between those two times.
+/// Idle clients are closed this long after the shutdown of clients is scheduled, halfway between the two times above.
 const CLOSE_IDLE_AFTER_MICROS: Micros =
     LATE_ARRIVAL_PERIOD_MICROS + (SAFE_ACCEPT_PERIOD_MICROS - LATE_ARRIVAL_PERIOD_MICROS) / 2;
-/// The same if another process has the listener too, so that no new client arrives here. If an idle client sends another request
-/// within this time, the connection is closed right after the response, when no further request can be under way.
+/// Replaces [`CLOSE_IDLE_AFTER_MICROS`] if another process has the listener too, so that no new client arrives here. If an idle
+/// client sends another request within this time, its connection is closed right after the response, when no further request can be
+/// in flight.
 const CLOSE_IDLE_AFTER_HANDOVER_MICROS: Micros = 600_000;
-/// When the process exits, this time after the longest timeout of a request that was accepted: no client still waits.
+/// The process exits this long after the last accepted request can time out, when no client still waits for a response.
 const EXIT_AFTER_LONGEST_TIMEOUT_MICROS: Micros = 1_500_000;
 
 impl EventLoop {
-    /// Begins the shutdown. Where balancers check this proxy they first have some time to send clients elsewhere; a second signal
-    /// ends that time.
+    /// Begins the shutdown. If balancers check this proxy, they first get some time to send clients elsewhere. A second signal ends
+    /// that time early.
     pub(super) fn begin_shutdown(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.context.core.open_request_count());
@@ -39,7 +41,7 @@
         self.schedule_client_shutdown();
     }
 
-    /// Sets the times at which idle clients are closed and the process exits.
+    /// Sets the timers that close idle clients and exit the process. Does nothing if they are already set.
     pub(super) fn schedule_client_shutdown(&mut self) {
         if std::mem::replace(&mut self.listener_closed, true) {
             return;
@@ -56,7 +58,7 @@
         self.context.timers.set(exit_at, TimerEvent::Exit);
     }
 
-    /// Closes idle clients; each of the others is closed with its response.
+    /// Closes idle clients and leaves the fleet. Each other client is closed after its response.
     pub(super) fn close_idle_clients(&mut self) {
         self.clients.shut_down(&mut self.context);
         if let Some(fleet) = &mut self.fleet {
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -1,5 +1,5 @@
-//! The handover between two processes of one proxy: the one that this process replaces, and the one that replaces it. They connect
-//! at a Unix socket in `$TMPDIR`, so that limits and budgets cover both.
+//! The handover between processes of one proxy. A predecessor is the process that this one replaces, a successor is the process that
+//! replaces this one. They connect at a Unix socket in `$TMPDIR`, so that limits and budgets cover both.
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
@@ -13,20 +13,20 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// A connection to another process, and the state that it has reported.
+/// A connection to another process, and the state that the other process has reported.
 struct ProcessLink {
     stream: UnixStream,
     protocol: HandoverProtocol,
-    /// A successor takes clients.
+    /// Whether the other process is a successor that accepts clients.
     is_serving: bool,
-    /// A predecessor is stopping, and still has this number of descriptors open.
+    /// The number of descriptors that a stopping predecessor still has open. `None` if the other process is not stopping.
     descriptors_when_stopping: Option<usize>,
-    /// When a predecessor stops accepting work, in Unix microseconds.
+    /// The time at which a predecessor stops accepting work, in Unix microseconds. `None` until it is announced.
     stops_accepting_at: Option<i64>,
 }
 
 impl ProcessLink {
-    /// A link on a connection that is registered.
+    /// Creates a link on a connection that is registered with the event loop.
     fn new(stream: UnixStream) -> ProcessLink {
         ProcessLink {
             stream,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Reads and writes as far as possible without waiting. Returns whether the link is still usable.
+    /// Reads and writes as far as possible without blocking. Returns whether the link is still usable.
     fn exchange(&mut self, scratch: &mut [u8]) -> bool {
         let protocol = &mut self.protocol;
         let read = stream::read(&mut self.stream, scratch, |bytes| {
@@ -49,7 +49,7 @@
         read.is_ok() && applied.is_ok() && written.is_ok()
     }
 
-    /// Applies the messages that are complete.
+    /// Applies the messages that have arrived completely.
     fn apply_messages(&mut self) -> Result<(), InvalidMessage> {
         while let Some(message) = self.protocol.next_message()? {
             match message {
@@ -66,19 +66,20 @@
     }
 }
 
-/// The connections to other processes of this proxy. The default has none, for a proxy that does not share its listener.
+/// The connections to other processes of this proxy. The default has no connections and no listener, for a proxy that does not share
+/// its client listener.
 #[derive(Default)]
 pub(super) struct ProcessHandover {
     path: Option<PathBuf>,
     listener: Option<UnixListener>,
     predecessor: Option<ProcessLink>,
     successor: Option<ProcessLink>,
-    /// The predecessor was informed that this process serves.
+    /// Whether the predecessor was informed that this process serves.
     serving_announced: bool,
 }
 
 impl ProcessHandover {
-    /// Connects to the process that serves at this address, if there is one, and listens for the next one.
+    /// Connects to the process that serves at this address, if there is one, and listens for a successor.
     pub(super) fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
@@ -88,7 +89,7 @@
         handover
     }
 
-    /// Listens where the next process connects. If that fails, the two processes act as if each were the only one.
+    /// Listens at the path to which a successor connects. If that fails, each of the two processes acts as if it were the only one.
     fn listen(&mut self, registry: &Registry) {
         let Some(path) = &self.path else { return };
         let _ = std::fs::remove_file(path);
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Other processes have connected: the newest is the successor.
+    /// Accepts connections from other processes. The newest of them is the successor.
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         while let Some(Ok((mut stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             if let Some(mut older) = self.successor.take() {
@@ -117,18 +118,18 @@
         }
     }
 
-    /// The predecessor's link is ready.
+    /// Reads and writes the predecessor's link.
     pub(super) fn predecessor_ready(&mut self, context: &mut EventLoopContext) {
         if exchange_or_remove(&mut self.predecessor, context) {
             info!(event = "predecessor-disconnected");
         }
     }
 
-    /// The successor's link is ready.
+    /// Reads and writes the successor's link. If the successor has disconnected, this process listens again.
     pub(super) fn successor_ready(&mut self, context: &mut EventLoopContext) {
         if exchange_or_remove(&mut self.successor, context) {
             info!(event = "successor-disconnected");
-            // It had bound the path of this process's socket.
+            // The successor had bound its own socket to this process's path.
             self.listen(context.poll.registry());
         }
     }
@@ -144,12 +145,12 @@
         true
     }
 
-    /// Informs the successor how many descriptors this process still has open.
+    /// Informs the successor that this process is stopping, and how many descriptors it still has open.
     pub(super) fn announce_stopping(&mut self, context: &mut EventLoopContext, descriptors: usize) {
         self.send_to_successor(context, HandoverMessage::Stopping(descriptors));
     }
 
-    /// Informs the successor when this process stops accepting work, in Unix microseconds.
+    /// Informs the successor of the time at which this process stops accepting work, in Unix microseconds.
     pub(super) fn announce_stop_accepting(&mut self, context: &mut EventLoopContext, at: i64) {
         self.send_to_successor(context, HandoverMessage::StopsAcceptingAt(at));
     }
@@ -162,33 +163,35 @@
         }
     }
 
-    /// When the predecessor stops accepting work, in Unix microseconds, if it has announced it.
+    /// Returns the time at which the predecessor stops accepting work, in Unix microseconds. `None` if there is no predecessor or it
+    /// has not announced the time.
     pub(super) fn predecessor_stops_accepting_at(&self) -> Option<i64> {
         self.predecessor.as_ref()?.stops_accepting_at
     }
 
-    /// Whether the process that this one replaces is still there.
+    /// Whether the process that this one replaces is still connected.
     pub(super) fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Whether another process takes the clients now.
+    /// Whether a successor accepts the clients now.
     pub(super) fn is_replaced(&self) -> bool {
         self.successor.as_ref().is_some_and(|successor| successor.is_serving)
     }
 
-    /// How many processes of this proxy there are, this one included.
+    /// Returns the number of processes of this proxy that run, including this one.
     pub(super) fn process_count(&self) -> u32 {
         1 + u32::from(self.predecessor.is_some()) + u32::from(self.successor.is_some())
     }
 
-    /// How many descriptors a predecessor that is stopping still holds; it opens no more.
+    /// Returns the number of descriptors that a stopping predecessor still has open. It opens no more. `None` if no predecessor is
+    /// stopping.
     pub(super) fn predecessor_descriptors(&self) -> Option<usize> {
         self.predecessor.as_ref()?.descriptors_when_stopping
     }
 }
 
-/// Connects to a process that serves. Returns none if there is none: the socket does not exist, or refuses the connection.
+/// Connects to a process that serves. Returns `None` if the socket does not exist or refuses the connection.
 fn connect(registry: &Registry, path: &Path) -> Option<ProcessLink> {
     let mut stream = UnixStream::connect(path).ok()?;
     if !register(registry, &mut stream, Source::Predecessor) {
@@ -197,12 +200,12 @@
     Some(ProcessLink::new(stream))
 }
 
-/// Registers a link's stream. Returns whether that succeeded.
+/// Registers a link's stream with the event loop. Returns whether that succeeded.
 fn register(registry: &Registry, stream: &mut UnixStream, source: Source) -> bool {
     registry.register(stream, source.token(), Interest::READABLE | Interest::WRITABLE).is_ok()
 }
 
-/// Reads and writes a link, if there is one, and removes it if it is no longer usable. Returns whether it was removed.
+/// Reads and writes a link, if there is one. Removes a link that is no longer usable, and returns whether it did.
 fn exchange_or_remove(link: &mut Option<ProcessLink>, context: &mut EventLoopContext) -> bool {
     let Some(open) = link else { return false };
     if open.exchange(&mut context.scratch) {
