--- a/proxy/src/grpc/call.rs
+++ b/proxy/src/grpc/call.rs
@@ -1,4 +1,5 @@
-//! One call on a connection: its request is received, then it is answered once (`Check`) or with each change (`Watch`).
+//! One call on a connection. Once its request is received, `Check` is answered once, and `Watch` is sent the status and
+//! each change of it.
 
 use super::message::{
     InvalidRequest, MAX_REQUEST_BYTES, ServingStatus, StatusCode, parse_request, response_frame,
@@ -12,20 +13,20 @@
 use http::{Method, Request, Response, StatusCode as HttpStatus};
 use std::task::{Context, Poll};
 
-/// The methods of the service.
+/// The methods of the service `grpc.health.v1.Health`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallMethod {
     Check,
     Watch,
 }
 
-/// A call by its state.
+/// A call in one of its states.
 pub(super) enum Call {
     Receiving(ReceivingCall),
     Watching(WatchingCall),
 }
 
-/// A call whose request is not complete.
+/// A call whose request has not arrived completely.
 pub(super) struct ReceivingCall {
     method: CallMethod,
     body: RecvStream,
@@ -33,28 +34,28 @@
     respond: SendResponse<Bytes>,
 }
 
-/// A call that is sent each change of a status.
+/// A call that is sent the status of a service and each change of it.
 pub(super) struct WatchingCall {
     query: HealthQuery,
     last_sent: Option<ServingStatus>,
     stream: SendStream<Bytes>,
 }
 
-/// The state of a call after a round.
+/// What a call did in one round of [`super::GrpcCheckConnection::process`].
 pub(super) enum CallProgress {
-    /// It is unchanged.
+    /// The call did nothing and stays open.
     Open,
-    /// It has sent something.
+    /// The call sent a status and stays open.
     Sent,
-    /// It has been answered and ended.
+    /// The call was answered and has ended.
     Answered,
-    /// It has ended without an answer.
+    /// The call has ended without an answer.
     Ended,
-    /// It continues as a watch.
+    /// The call continues as a watch.
     StartedWatch(WatchingCall),
 }
 
-/// How much of a request's body has arrived.
+/// The state of a request's body after reading what has arrived.
 enum ReceivedBody {
     Complete,
     Incomplete,
@@ -63,7 +64,7 @@
 }
 
 impl Call {
-    /// Begins a call; none if it is answered immediately.
+    /// Begins a call. Returns `None` if the request is not gRPC or its method is unknown; it is then answered immediately.
     pub(super) fn begin(request: Request<RecvStream>, mut respond: SendResponse<Bytes>) -> Option<Call> {
         let (head, body) = request.into_parts();
         let content_type = head.headers.get("content-type").and_then(|value| value.to_str().ok());
@@ -85,7 +86,6 @@
         Some(Call::Receiving(ReceivingCall { method, body, received: Vec::new(), respond }))
     }
 
-    /// Whether it is sent each change of a status.
     pub(super) fn is_watch(&self) -> bool {
         matches!(self, Call::Watching(_))
     }
@@ -118,12 +118,12 @@
         }
     }
 
-    /// Receives what has arrived of the request.
+    /// Reads the part of the request's body that has arrived.
     fn receive(&mut self, context: &mut Context) -> ReceivedBody {
         loop {
             match self.body.poll_data(context) {
                 Poll::Ready(Some(Ok(bytes))) => {
-                    // Fails only for more than was received.
+                    // Fails only for more bytes than were received.
                     let _ = self.body.flow_control().release_capacity(bytes.len());
                     if self.received.len() + bytes.len() > MAX_REQUEST_BYTES {
                         return ReceivedBody::TooLong;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Answers a check, or begins a watch.
+    /// Answers a check, or starts a watch.
     fn answer(&mut self, query: ParsedQuery, verdict: &Verdict) -> CallProgress {
         if self.method == CallMethod::Check {
             send_answer(&mut self.respond, serving_status(&query, verdict));
@@ -146,8 +146,8 @@
         let Ok(stream) = self.respond.send_response(response_headers(), false) else {
             return CallProgress::Answered;
         };
-        // A service that is unknown now may exist with later settings, so its watch stays open. A name that can't be
-        // parsed is watched as the empty class name, which is unknown too.
+        // A service that is unknown now may exist with later settings, so its watch stays open. A name that cannot be
+        // parsed is watched as the empty class name, which is also unknown.
         let query =
             query.unwrap_or_else(|_| HealthQuery { class: Some(String::new()), ..HealthQuery::default() });
         CallProgress::StartedWatch(WatchingCall { query, last_sent: None, stream })
@@ -155,7 +155,7 @@
 }
 
 impl WatchingCall {
-    /// Sends the status if it differs from the one sent last. If the peer reads slowly, only the newest is sent.
+    /// Sends the status if it differs from the one sent last. A peer that reads slowly is sent only the newest status.
     fn advance(&mut self, context: &mut Context, verdict: &Verdict) -> CallProgress {
         if self.stream.poll_reset(context).is_ready() {
             return CallProgress::Ended;
--- a/proxy/src/grpc/message.rs
+++ b/proxy/src/grpc/message.rs
@@ -8,9 +8,9 @@
 use prost::Message;
 use std::fmt;
 
-/// The longest request message, with its frame.
+/// The longest request message, including its frame header.
 pub(super) const MAX_REQUEST_BYTES: usize = 1 << 10;
-/// Compression flag and length before each message.
+/// The length of the header before each message: a compression flag and the message's length.
 const FRAME_HEADER_BYTES: usize = 5;
 
 /// The request of both methods.
@@ -27,7 +27,7 @@
     status: i32,
 }
 
-/// The values of `HealthCheckResponse.ServingStatus` that are used.
+/// The values of `HealthCheckResponse.ServingStatus` that are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServingStatus {
     Serving = 1,
@@ -35,7 +35,7 @@
     ServiceUnknown = 3,
 }
 
-/// The status codes of gRPC that are used.
+/// The status codes of gRPC that are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StatusCode {
     Ok = 0,
@@ -45,12 +45,12 @@
     Unimplemented = 12,
 }
 
-/// A frame or message that is not one of grpc.health.v1.
+/// The body of a request is not a valid frame and message of grpc.health.v1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InvalidRequest;
 
 impl InvalidRequest {
-    /// The message for the peer.
+    /// The error message that is sent to the peer.
     pub(super) const MESSAGE: &str = "not a request of grpc.health.v1";
 }
 
@@ -62,7 +62,7 @@
 
 impl std::error::Error for InvalidRequest {}
 
-/// The query in a request's body; none while the body is incomplete.
+/// Parses the query in a request's body. Returns `None` while the message is incomplete.
 pub(super) fn parse_request(body: &[u8]) -> Option<Result<ParsedQuery, InvalidRequest>> {
     let (header, rest) = body.split_first_chunk::<FRAME_HEADER_BYTES>()?;
     let [compressed, length @ ..] = *header;
@@ -75,20 +75,20 @@
     Some(request.map(|request| HealthQuery::parse(request.service.as_bytes())))
 }
 
-/// The status of the service in the query; none if there is no such service.
+/// Returns the status of the service in the query, or `None` if there is no such service.
 pub(super) fn serving_status(query: &ParsedQuery, verdict: &Verdict) -> Option<ServingStatus> {
     let capability = verdict.capability(query.as_ref().ok()?)?;
     Some(if capability.available { ServingStatus::Serving } else { ServingStatus::NotServing })
 }
 
-/// The headers of a response that carries messages.
+/// Returns the headers that start every gRPC response.
 pub(super) fn response_headers() -> Response<()> {
     let mut response = Response::new(());
     response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
     response
 }
 
-/// A response's message in its frame.
+/// Encodes a response message with its frame header.
 pub(super) fn response_frame(status: ServingStatus) -> Bytes {
     let message = HealthCheckResponse { status: status as i32 }.encode_to_vec();
     let mut frame = vec![0];
@@ -97,7 +97,7 @@
     frame.into()
 }
 
-/// The trailers with a status code, and a message unless it is empty.
+/// Returns trailers with a status code, and with a message unless it is empty.
 fn status_trailers(code: StatusCode, message: &'static str) -> HeaderMap {
     let mut trailers = HeaderMap::new();
     trailers.insert("grpc-status", HeaderValue::from(code as u16));
@@ -107,14 +107,14 @@
     trailers
 }
 
-/// Ends a call with an error. If the peer has disconnected, the connection notices it.
+/// Ends a call with an error. A failure to send it is ignored, because the connection detects that the peer has disconnected.
 pub(super) fn send_error(respond: &mut SendResponse<Bytes>, code: StatusCode, message: &'static str) {
     let mut response = response_headers();
     response.headers_mut().extend(status_trailers(code, message));
     let _ = respond.send_response(response, true);
 }
 
-/// Ends a call with its answer.
+/// Ends a call with the status of the service, or with an error if there is no such service.
 pub(super) fn send_answer(respond: &mut SendResponse<Bytes>, status: Option<ServingStatus>) {
     let Some(status) = status else {
         return send_error(respond, StatusCode::NotFound, "no such service");
--- a/proxy/src/grpc/mod.rs
+++ b/proxy/src/grpc/mod.rs
@@ -1,7 +1,7 @@
-//! gRPC health v1 (`Check` and `Watch`) as a state machine that is fed bytes. h2 speaks HTTP/2 over a pipe in memory and
-//! is polled by the event loop itself, so that no other thread and no async runtime is needed.
+//! The service `grpc.health.v1.Health` (`Check` and `Watch`) as a state machine without I/O. h2 implements HTTP/2 over a
+//! pipe in memory. The event loop polls h2 itself, so that no other thread and no async runtime is needed.
 //!
-//! Service names are parsed like agent-check lines; the answers come from the verdict. Streams, headers, messages and
+//! Service names are parsed like agent-check lines. The answers come from the verdict. The streams, headers, messages and
 //! buffers of a connection are bounded.
 
 mod call;
@@ -30,7 +30,7 @@
 const STREAM_WINDOW_BYTES: u32 = MAX_REQUEST_BYTES as u32 * 2;
 /// The flow-control window of a connection.
 const CONNECTION_WINDOW_BYTES: u32 = 16 << 10;
-/// Bounds the work for one connection in one run of [`GrpcCheckConnection::process`].
+/// The most rounds in one call of [`GrpcCheckConnection::process`], which bounds the work for one connection.
 const MAX_ROUNDS: usize = 32;
 
 /// The state of the HTTP/2 connection.
@@ -40,12 +40,12 @@
     Closed,
 }
 
-/// A balancer's connection.
+/// A balancer's connection for gRPC health checks.
 pub(crate) struct GrpcCheckConnection {
     pipe: Rc<RefCell<Pipe>>,
     state: ConnectionState,
     calls: Vec<Call>,
-    /// How many answers, watch messages and pongs there have been.
+    /// The number of answers and watch messages sent, and of pongs received.
     activity: u64,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// The state that a round of processing can change. If it is equal before and after, the round has done nothing.
+/// The state that a round of processing can change. If a round leaves it equal, that round did no work.
 #[derive(PartialEq, Eq)]
 struct RoundState {
     activity: u64,
@@ -77,65 +77,66 @@
 }
 
 impl GrpcCheckConnection {
-    /// More input may be read.
+    /// Whether there is room for more input.
     pub(crate) fn wants_input(&self) -> bool {
         self.pipe.borrow().input.len() < MAX_BUFFERED_BYTES
     }
 
-    /// Takes input.
+    /// Adds bytes that were read from the peer.
     pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.pipe.borrow_mut().input.extend(bytes);
     }
 
-    /// The peer sends no more.
+    /// Records that the peer sends no more input.
     pub(crate) fn input_ended(&mut self) {
         self.pipe.borrow_mut().input_ended = true;
     }
 
-    /// The output that waits to be written. What can't be written goes to [`Self::return_output`].
+    /// Takes the output that waits to be written. The caller passes the part that it cannot write to
+    /// [`Self::return_output`].
     pub(crate) fn take_output(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pipe.borrow_mut().output)
     }
 
-    /// The end of the taken output that could not be written.
+    /// Puts back the end of the taken output, which could not be written.
     pub(crate) fn return_output(&mut self, unwritten: &[u8]) {
         self.pipe.borrow_mut().output.splice(..0, unwritten.iter().copied());
     }
 
-    /// Output waits to be written.
+    /// Whether output waits to be written.
     pub(crate) fn has_output(&self) -> bool {
         !self.pipe.borrow().output.is_empty()
     }
 
-    /// The connection has ended.
+    /// Whether the connection has ended.
     pub(crate) fn is_finished(&self) -> bool {
         matches!(self.state, ConnectionState::Closed)
     }
 
-    /// The number of answers, watch messages and pongs so far: if it grows, the peer is active.
+    /// Returns the number of answers and watch messages sent, and of pongs received. It grows while the peer is active.
     pub(crate) fn activity(&self) -> u64 {
         self.activity
     }
 
-    /// No call is open.
+    /// Whether the handshake is complete and no call is open.
     pub(crate) fn is_idle(&self) -> bool {
         matches!(self.state, ConnectionState::Open(..)) && self.calls.is_empty()
     }
 
-    /// A watch is open.
     pub(crate) fn has_watches(&self) -> bool {
         self.calls.iter().any(Call::is_watch)
     }
 
-    /// Sends a ping; the peer's answer counts as activity.
+    /// Sends a ping. The peer's pong counts as activity.
     pub(crate) fn ping(&mut self) {
         if let ConnectionState::Open(_, Some(ping)) = &mut self.state {
-            // Fails if a ping is in flight already, which serves as well.
+            // Fails if a ping is already in flight, whose pong serves the same purpose.
             let _ = ping.send_ping(Ping::opaque());
         }
     }
 
-    /// Processes as much as input and output allow. Returns whether there may be more to do without either.
+    /// Processes as much as the present input and the room for output allow. Returns whether work may remain that needs
+    /// neither more input nor more room.
     pub(crate) fn process(&mut self, verdict: &Verdict) -> bool {
         let mut context = Context::from_waker(Waker::noop());
         for _ in 0..MAX_ROUNDS {
@@ -153,7 +154,7 @@
         true
     }
 
-    /// The present state, for a comparison after a round.
+    /// Returns the present state, to be compared with that after a round.
     fn round_state(&self) -> RoundState {
         let pipe = self.pipe.borrow();
         RoundState {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Completes the handshake, and accepts new calls.
+    /// Completes the handshake, receives pongs and accepts new calls.
     fn poll_connection(&mut self, context: &mut Context) {
         if let ConnectionState::Handshake(handshake) = &mut self.state {
             self.state = match handshake.as_mut().poll(context) {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Advances every call, and removes those that have ended.
+    /// Advances every call, and removes the calls that have ended.
     fn advance_calls(&mut self, context: &mut Context, verdict: &Verdict) {
         let activity = &mut self.activity;
         self.calls.retain_mut(|call| match call.advance(context, verdict) {
--- a/proxy/src/grpc/pipe.rs
+++ b/proxy/src/grpc/pipe.rs
@@ -1,4 +1,4 @@
-//! The transport under h2: two buffers in memory instead of a socket.
+//! The transport that h2 uses: two buffers in memory instead of a socket.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -8,10 +8,10 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Input that waits for h2, and output that waits to be written, are each limited to about this.
+/// The limit on output that waits to be written, and the approximate limit on input that waits for h2.
 pub(super) const MAX_BUFFERED_BYTES: usize = 16 << 10;
 
-/// Both directions of a connection.
+/// The buffers for both directions of a connection.
 #[derive(Default)]
 pub(super) struct Pipe {
     pub input: VecDeque<u8>,
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -1,5 +1,5 @@
-//! Connects the core with the health crate: translates core events and settings into those of the health monitor. It
-//! makes no decision of its own.
+//! Connects the core with the health crate by translating the core's events and settings into those of the health monitor.
+//! This module makes no decisions.
 
 use crate::observe::{CoreEvent, Observer};
 use crate::reply::Reply;
@@ -12,15 +12,14 @@
 
 /// Feeds the health monitor from the core's events.
 pub(crate) struct HealthObserver {
-    /// The monitor.
     pub monitor: Monitor,
-    /// Since when each group's oldest write is queued, as the monitor was told last.
+    /// The time since which each group's oldest queued write has waited, as last reported to the monitor.
     writes_queued_since: BTreeMap<health::GroupId, Micros>,
 }
 
 /// What the event loop must do after an update of the monitor.
 pub(crate) struct HealthUpdate {
-    /// When the next update is due, unless an event comes first.
+    /// The time at which the next update is due, unless an event arrives earlier.
     pub next_update_at: Micros,
     /// Changes of the verdict, for the log.
     pub changes: Vec<Change>,
@@ -28,7 +27,8 @@
     pub probes: Vec<ServerId>,
 }
 
-/// The monitor's settings from the options and the deployment's settings. Probes are sent only if both allow them.
+/// Returns the monitor's settings, derived from the options and the deployment's settings. Probes are sent only if both
+/// allow them.
 pub(crate) fn monitor_settings(
     options: &HealthOptions,
     deployment: &DeploymentSettings,
@@ -60,17 +60,17 @@
     health::ServerId(id.0)
 }
 
-/// What the end of an attempt tells of its server.
+/// Translates the outcome of an attempt into evidence about its server.
 fn attempt_outcome(reply: &Reply) -> health::AttemptOutcome {
     match reply.outcome {
-        // The server itself has answered each of these.
+        // In each of these cases the server itself has answered.
         AttemptOutcome::Ok
         | AttemptOutcome::Error
         | AttemptOutcome::Overloaded
         | AttemptOutcome::Ineligible => health::AttemptOutcome::Answered,
         AttemptOutcome::Timeout => health::AttemptOutcome::TimedOut,
         AttemptOutcome::ConnectFailed if reply.connection_refused => health::AttemptOutcome::Refused,
-        // A connect without any answer counts like a reset: only several in a row are evidence.
+        // A connect without any answer counts as a reset, because only several of them in a row are evidence.
         AttemptOutcome::ConnectFailed
         | AttemptOutcome::ClosedBeforeExecution
         | AttemptOutcome::ConnectionReset => health::AttemptOutcome::Reset,
@@ -79,34 +79,35 @@
     }
 }
 
-/// The role that the server reported, or else the one that it showed by serving or rejecting a write.
+/// Returns the role that the server reported. Without a report, the role is inferred from a write that the server has
+/// executed or rejected.
 fn reported_role(reply: &Reply, write: bool) -> Option<health::Role> {
     let in_status = reply.status.map(|status| status.role);
     let in_load_report = || reply.load_report.and_then(|report| report.role);
-    let shown = match reply.outcome {
+    let inferred = match reply.outcome {
         AttemptOutcome::Ok if write => Some(Role::Primary),
         AttemptOutcome::Ineligible if write => Some(Role::Replica),
         _ => None,
     };
-    Some(match in_status.or_else(in_load_report).or(shown)? {
+    Some(match in_status.or_else(in_load_report).or(inferred)? {
         Role::Primary => health::Role::Primary,
         Role::Replica => health::Role::Replica,
     })
 }
 
 impl HealthObserver {
-    /// An observer with a monitor that starts now.
+    /// Creates an observer with a monitor that starts at `now`.
     pub(crate) fn new(settings: HealthSettings, now: Micros) -> HealthObserver {
         HealthObserver { monitor: Monitor::new(settings, now), writes_queued_since: BTreeMap::new() }
     }
 
-    /// The verdict as of now.
+    /// Returns the verdict at `now`.
     pub(crate) fn verdict(&mut self, now: Micros) -> &health::Verdict {
         self.update_if_due(now);
         self.monitor.verdict()
     }
 
-    /// Updates the monitor if that is due, and takes what the event loop must do.
+    /// Updates the monitor if that is due, and returns what the event loop must do.
     pub(crate) fn update(&mut self, now: Micros) -> HealthUpdate {
         self.update_if_due(now);
         let probes = self.monitor.take_probes();
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Takes the queued writes, each with its group and since when it is queued. Groups that aren't named have none.
+    /// Reports each group's oldest queued write to the monitor. `writes` has the group of every queued write and the time
+    /// since which it is queued. Groups that `writes` does not contain have no queued write.
     fn record_queued_writes(&mut self, now: Micros, writes: &[(GroupId, Micros)]) {
         let mut oldest: BTreeMap<health::GroupId, Micros> = BTreeMap::new();
         for (group, since) in writes {
@@ -168,7 +170,7 @@
             }
             CoreEvent::DiscoveryAnswered => HealthEvent::DiscoveryAnswered,
             CoreEvent::QueuedWrites { writes } => return self.record_queued_writes(now, writes),
-            // The others don't concern the proxy's health.
+            // The other events do not concern the proxy's health.
             _ => return,
         };
         self.monitor.handle_event(now, event);
--- a/proxy/src/health_command.rs
+++ b/proxy/src/health_command.rs
@@ -14,25 +14,25 @@
 
 /// The exit code if the proxy can serve the requests that the command names.
 pub(crate) const EXIT_AVAILABLE: i32 = 0;
-/// The exit code if it cannot.
+/// The exit code if the proxy cannot serve them.
 pub(crate) const EXIT_UNAVAILABLE: i32 = 1;
-/// The exit code if there is no answer.
+/// The exit code if there is no valid answer, or the options cannot be read.
 pub(crate) const EXIT_NO_ANSWER: i32 = 2;
 
-/// The longest answer that is read.
+/// The limit on the length of an answer.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 /// The HTTP status of a proxy that can serve the requests.
 const STATUS_AVAILABLE: u16 = 200;
-/// The HTTP status of one that cannot.
+/// The HTTP status of a proxy that cannot serve the requests.
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// The proxy's answer.
+/// The HTTP response of the proxy.
 struct Answer {
     status: u16,
     body: String,
 }
 
-/// Returns the exit code and what to print.
+/// Runs the command. Returns the exit code and the text to print, which may be an error message.
 pub(crate) fn run(arguments: &HealthArguments, options: Option<&Options>) -> (i32, String) {
     match query_proxy(arguments, options) {
         Ok((code, text)) => (code, text),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reads the options, which may name the address.
+/// Reads the options, which may contain the address to query.
 pub(crate) fn read_options(file: &Path) -> Result<Options, HealthCommandError> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| HealthCommandError::OptionsUnreadable { file: file.into(), error })?;
@@ -68,7 +68,7 @@
     Ok((code, report::format_answer(&answer)))
 }
 
-/// Sends the HTTP request, and reads the answer.
+/// Sends the HTTP request and reads the response.
 fn send_request(
     arguments: &HealthArguments,
     options: Option<&Options>,
@@ -90,7 +90,7 @@
     Ok(Answer { status: response.status().as_u16(), body: body.map_err(failed)? })
 }
 
-/// The path for the class and group in the arguments.
+/// Returns the path for the class and group in the arguments.
 fn request_path(arguments: &HealthArguments) -> String {
     match (&arguments.class, arguments.group) {
         (None, None) => "/health".to_string(),
@@ -100,12 +100,12 @@
     }
 }
 
-/// The name in the form that a path needs.
+/// Encodes a name as one segment of a path.
 fn percent_encode(name: &str) -> String {
     percent_encoding::utf8_percent_encode(name, percent_encoding::NON_ALPHANUMERIC).to_string()
 }
 
-/// The address to connect to: the loopback address for a proxy that listens on every address.
+/// Returns the address to connect to, which is the loopback address for a proxy that listens on every address.
 fn connectable_address(address: SocketAddr) -> SocketAddr {
     let ip = match address.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => IpAddr::V4(Ipv4Addr::LOCALHOST),
--- a/proxy/src/health_command/error.rs
+++ b/proxy/src/health_command/error.rs
@@ -7,18 +7,18 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why there is no answer.
+/// Why the command has no valid answer.
 #[derive(Debug)]
 pub(crate) enum HealthCommandError {
-    /// The options cannot be read.
+    /// The options file cannot be read.
     OptionsUnreadable { file: PathBuf, error: io::Error },
-    /// The options are invalid; this is the first error.
+    /// The options are invalid. `first` is their first error.
     OptionsInvalid { file: PathBuf, first: Option<OptionsError> },
     /// Neither the command line nor the options name an address.
     NoAddress,
-    /// The request failed.
+    /// The connection, the request or reading the response failed.
     Request { address: SocketAddr, error: ureq::Error },
-    /// The proxy has no such class or group, or the address is not a proxy's.
+    /// The HTTP status is neither 200 nor 503: the proxy has no such class or group, or the address is not that of a proxy.
     UnexpectedStatus { status: u16, body: String },
     /// The answer is not JSON.
     NotJson(serde_json::Error),
@@ -35,15 +35,15 @@
                 first.iter().try_for_each(|error| error.fmt(f))
             }
             HealthCommandError::NoAddress => {
-                writeln!(f, "not reached: no address: give --at, or --options with an http element")
+                writeln!(f, "no address to query: pass --at, or --options with an http element")
             }
             HealthCommandError::Request { address, error } => {
-                writeln!(f, "not reached: {address}: {error}")
+                writeln!(f, "the health query to {address} failed: {error}")
             }
             HealthCommandError::UnexpectedStatus { status, body } => {
-                write!(f, "no such thing there: {status} {body}")
+                write!(f, "expected HTTP status 200 or 503 from the proxy, got {status}: {body}")
             }
-            HealthCommandError::NotJson(error) => writeln!(f, "not reached: no JSON came: {error}"),
+            HealthCommandError::NotJson(error) => writeln!(f, "the proxy's answer is not JSON: {error}"),
         }
     }
 }
--- a/proxy/src/health_command/tests.rs
+++ b/proxy/src/health_command/tests.rs
@@ -1,10 +1,10 @@
-//! The answer of a proxy about its health, as people read it.
+//! Checks the text that the command `health` prints for a proxy's answer.
 
 use super::report::format_answer;
 use serde_json::{Value, json};
 
-/// An answer about the whole proxy, with each kind of value that a line shows.
-fn whole_proxy() -> Value {
+/// Returns an answer about the whole proxy with each kind of value that a line shows.
+fn proxy_answer() -> Value {
     json!({
         "state": "degraded", "able": true, "partial": true, "weight": 40, "reason": "pressure", "since_ms": 1234.0,
         "pressure": 0.85, "in_progress": 12, "held": 3, "room": 20, "discovery_ms": 350,
@@ -24,12 +24,12 @@
 #[test]
 fn the_proxy_answer_has_one_line_per_class_and_two_per_group() {
     // Given an answer about the whole proxy
-    let answer = whole_proxy();
+    let answer = proxy_answer();
 
-    // When it is written for people
+    // When it is formatted as text
     let text = format_answer(&answer);
 
-    // Then it has a line for the proxy, one for its load, and those of classes and groups
+    // Then the text has a line for the proxy, a line for its load, and the lines for classes and groups
     let lines = [
         "degraded: able in part, weight 40%, pressure, for 1.2 s",
         "pressure 0.85, 12 in progress (3 held), places for 20 clients, discovery heard 0.3 s ago",
@@ -47,6 +47,6 @@
     // Given an answer about one class
     let answer = json!({"able": true, "weight": 100, "reason": "ok", "since_ms": 500});
 
-    // When it is written for people, then it has one line
+    // When it is formatted as text, then the text has one line
     assert_eq!(format_answer(&answer), "able yes, weight 100%, ok, for 0.5 s\n");
 }
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -1,4 +1,4 @@
-//! The event loop's part in health reporting: the monitor's timers and probes, the load, and the time at which one
+//! Health reporting in the event loop: the monitor's timers and probes, the load reports, and the time at which one
 //! process of this proxy hands over to the next.
 
 use super::EventLoop;
@@ -12,36 +12,35 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// How often the load is reported to the monitor.
+/// The interval between load reports to the monitor.
 const LOAD_INTERVAL_MICROS: Micros = 250_000;
-/// The handover happens this long after it is announced, so that the announcement has arrived and both processes act
-/// at the same time, even if one of them is held up for 150 ms.
+/// The time between the announcement of a handover and the handover itself. The announcement arrives within it, so that
+/// both processes act at the same time even if one of them is delayed by 150 ms.
 const HANDOVER_DELAY_MICROS: Micros = 300_000;
-/// A process that replaces another waits this long for the announcement, which earlier releases don't send.
+/// A process that replaces another one waits this long for the announcement, which earlier releases do not send.
 const ANNOUNCEMENT_TIMEOUT_MICROS: Micros = 1_000_000;
-/// It opens its check listeners this long before it answers, so that no balancer finds the address closed, even if it is
-/// held up for 150 ms.
+/// A process that replaces another one opens its check listeners this long before it answers checks. No balancer then
+/// finds the address closed, even if the process is delayed by 150 ms.
 const LISTEN_LEAD_TIME_MICROS: Micros = 250_000;
-/// A process that has not taken over yet is ready at a time that is not known.
+/// The ready time of a process that does not know yet when it takes over.
 const UNKNOWN_READY_TIME: Micros = Micros::MAX / 4;
 
-/// The state of health reporting.
+/// The state of health reporting in the event loop.
 #[derive(Default)]
 pub(super) struct HealthReporting {
-    /// Keeps the verdict, if the options have a health element. It is subscribed to the core.
+    /// Holds the verdict, and is subscribed to the core's events. `None` if the options have no health element.
     pub observer: Option<Shared<HealthObserver>>,
-    /// When the timer for the monitor's next update is due, if one is set.
+    /// The time for which the timer for the monitor's next update is set. `None` if it is not set.
     pub update_timer: Option<Micros>,
-    /// The timer for the next load report is set.
     load_timer_set: bool,
     load_reported_at: Micros,
-    /// How long the loop has slept since the last load report.
+    /// How long the event loop has slept since the last load report.
     pub idle_time: Micros,
-    /// This process has announced its handover to the next one.
+    /// Whether this process has announced its handover to the next one.
     pub handing_over: bool,
-    /// This process isn't ready before this time.
+    /// This process is not ready before this time.
     ready_at: Micros,
-    /// It is known when the predecessor hands over.
+    /// Whether it is known when the predecessor hands over.
     handover_time_known: bool,
 }
 
@@ -60,7 +59,8 @@
         Ok(())
     }
 
-    /// Takes over from the predecessor, if there is one: it hands over clients and balancers from now on.
+    /// Announces to the predecessor, if there is one, that this process serves. The predecessor then hands over its clients
+    /// and balancers.
     pub(super) fn take_over_from_predecessor(&mut self) {
         if self.handover.announce_serving(&mut self.context) {
             self.set_ready_at(self.context.now + ANNOUNCEMENT_TIMEOUT_MICROS);
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Starts, reconfigures or ends the monitor according to the current configuration.
+    /// Starts, reconfigures or stops the monitor according to the current configuration.
     pub(super) fn configure_health(&mut self) {
         let Some(options) = &self.config.options.health else {
             if let Some(observer) = self.health.observer.take() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sets the time from which this process is ready, and opens its check listeners shortly before.
+    /// Sets the time from which this process is ready, and the timer that opens its check listeners shortly before.
     fn set_ready_at(&mut self, at: Micros) {
         self.health.ready_at = at;
         self.record_health_event(HealthEvent::ReadyAt(at));
@@ -108,8 +108,8 @@
         self.context.timers.set(at - LISTEN_LEAD_TIME_MICROS, TimerEvent::OpenCheckListeners);
     }
 
-    /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both
-    /// unavailable, nor both available.
+    /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both processes
+    /// unavailable or both available.
     pub(super) fn negotiate_handover(&mut self) {
         if self.health.observer.is_some() {
             self.announce_handover();
@@ -117,7 +117,7 @@
         self.update_ready_time();
     }
 
-    /// Announces the handover to a process that replaces this one, or revokes it when that process has disconnected.
+    /// Announces the handover to a process that replaces this one. Revokes the handover if that process has disconnected.
     fn announce_handover(&mut self) {
         let replaced = self.handover.is_replaced();
         if replaced == self.health.handing_over {
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Becomes ready at the time that the predecessor announces, or immediately if it has disconnected.
+    /// Makes this process ready at the time that the predecessor has announced, or immediately if the predecessor has
+    /// disconnected.
     fn update_ready_time(&mut self) {
         let now = self.context.now;
         if self.health.ready_at <= now || self.health.handover_time_known {
@@ -154,8 +155,8 @@
         self.set_ready_at(ready_at);
     }
 
-    /// Reports the load to the monitor. The pressure is the greater of two fractions: of the time that the loop did not
-    /// sleep, and of the connections for databases that have an attempt in flight.
+    /// Reports the load to the monitor. The pressure is the greater of two fractions: the share of time in which the event
+    /// loop did not sleep, and the share of database connections that have an attempt in flight.
     pub(super) fn report_load(&mut self) {
         if self.health.observer.is_none() {
             self.health.load_timer_set = false;
@@ -177,7 +178,7 @@
         self.context.timers.set(now + LOAD_INTERVAL_MICROS, TimerEvent::HealthLoadReport);
     }
 
-    /// Updates the verdict if it may have changed, and sends the probes that are due.
+    /// Updates the verdict if that is due, sends its changes to watches, and sends the probes that are due.
     pub(super) fn update_health(&mut self) {
         let Some(observer) = &self.health.observer else { return };
         let HealthUpdate { next_update_at, changes, probes } = observer.borrow_mut().update(self.context.now);
@@ -197,14 +198,14 @@
         }
     }
 
-    /// Reports an event to the monitor that the core does not observe.
+    /// Reports an event to the monitor that the core does not emit.
     pub(super) fn record_health_event(&self, event: HealthEvent) {
         if let Some(observer) = &self.health.observer {
             observer.borrow_mut().monitor.handle_event(self.context.now, event);
         }
     }
 
-    /// Closes inactive check connections, and opens check listeners that should be open and are not.
+    /// Closes inactive check connections, and opens check listeners that should be open but are not.
     pub(super) fn reopen_check_listeners(&mut self) {
         self.checks.close_inactive(&mut self.context);
         let may_listen = self.context.now >= self.health.ready_at - LISTEN_LEAD_TIME_MICROS;
@@ -214,7 +215,6 @@
     }
 }
 
-/// Logs a change of the verdict.
 fn log_change(change: &Change) {
     match *change {
         Change::State { from, to, reason } => {
--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -1,4 +1,4 @@
-//! A balancer's connection, whichever protocol it speaks, and why it is closed.
+//! A balancer's connection in any of the check protocols, and the reasons for closing it.
 
 use super::super::ids::CheckSerial;
 use super::super::sources::Source;
@@ -21,7 +21,7 @@
 }
 
 impl CheckProtocol {
-    /// The event source of its listener.
+    /// Returns the event source of the protocol's listener.
     pub(super) fn source(self) -> Source {
         match self {
             CheckProtocol::Http => Source::HttpListener,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Its name in the log.
+    /// Returns the name of the protocol in the log.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             CheckProtocol::Http => "http",
@@ -43,26 +43,26 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CheckCloseReason {
-    /// Its last response is written.
+    /// The last response is written.
     Answered,
-    /// The balancer closed it between requests.
+    /// The balancer has closed the connection between requests.
     Closed,
-    /// It had no request for long enough.
+    /// No request is open, and none has arrived within the idle timeout.
     Idle,
-    /// The balancer closed it within a request.
+    /// The balancer has closed the connection within a request.
     RequestTruncated,
-    /// It broke.
+    /// The connection was reset or has failed in another way.
     Reset,
-    /// It makes room for another.
+    /// The limit on connections is reached, and another connection has arrived.
     Shed,
-    /// No complete request came, or the response was not read, in time.
+    /// The balancer has not sent a complete request or has not read the response in time.
     Unresponsive,
-    /// Health reporting is switched off.
+    /// Health reporting is off.
     ListenerDisabled,
 }
 
 impl CheckCloseReason {
-    /// Its name in the log.
+    /// Returns the word for the reason in the log.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             CheckCloseReason::Answered => "answered",
@@ -76,25 +76,25 @@
         }
     }
 
-    /// The connection ended as it should. There are hundreds of these a second.
+    /// Whether the connection ended normally. Hundreds of connections may end this way each second.
     pub(super) fn is_expected(self) -> bool {
         matches!(self, CheckCloseReason::Answered | CheckCloseReason::Closed | CheckCloseReason::Idle)
     }
 }
 
-/// The state of a connection in its protocol.
+/// The protocol state of a connection.
 pub(super) enum ProtocolState {
     Http(HttpCheckConnection),
     Agent {
         line: AgentCheckConnection,
-        /// What is left to write of the reply, once there is one.
+        /// The part of the reply that is not written yet. `None` until there is a reply.
         reply: Option<Vec<u8>>,
     },
     Grpc(Box<GrpcCheckConnection>),
 }
 
 impl ProtocolState {
-    /// The state of a connection on which nothing has arrived.
+    /// Creates the state of a connection on which no bytes have arrived.
     fn new(protocol: CheckProtocol) -> ProtocolState {
         match protocol {
             CheckProtocol::Http => ProtocolState::Http(HttpCheckConnection::default()),
@@ -111,24 +111,24 @@
     pub(super) stream: TcpStream,
     pub(super) protocol: CheckProtocol,
     pub(super) state: ProtocolState,
-    /// Tells it from an earlier connection with the same key.
+    /// Distinguishes the connection from earlier ones with the same key.
     pub(super) serial: CheckSerial,
-    /// When it last completed a request or read something.
+    /// The time at which the balancer last completed a request or read some output.
     pub(super) active_at: Micros,
 }
 
 impl CheckConnection {
-    /// A connection that was accepted just now.
+    /// Creates the state of a connection that has just been accepted.
     pub(super) fn new(stream: TcpStream, protocol: CheckProtocol, serial: CheckSerial, now: Micros) -> Self {
         CheckConnection { stream, protocol, state: ProtocolState::new(protocol), serial, active_at: now }
     }
 
-    /// It is sent each change of the verdict.
+    /// Whether the balancer is sent each change of the verdict.
     pub(super) fn has_watches(&self) -> bool {
         matches!(&self.state, ProtocolState::Grpc(grpc) if grpc.has_watches())
     }
 
-    /// Sends a ping if watches leave it without traffic for long.
+    /// Sends a ping if the connection has watches and was inactive for half of the idle timeout. Returns whether it did.
     pub(super) fn ping_if_idle(&mut self, now: Micros, options: &HealthOptions) -> bool {
         let idle_timeout = options.grpc.as_ref().map_or(0, |grpc| grpc.idle_timeout);
         match &mut self.state {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Why it is to be closed for inactivity, if it is.
+    /// Returns why the connection must be closed for inactivity, or `None` if it may stay open.
     pub(super) fn inactivity_reason(&self, now: Micros, options: &HealthOptions) -> Option<CheckCloseReason> {
         let (timeout, reason) = match &self.state {
             ProtocolState::Http(http)
@@ -163,7 +163,7 @@
     }
 }
 
-/// The listeners that the options require.
+/// Returns the listeners that the options require.
 pub(super) fn wanted_listeners(
     options: &HealthOptions,
 ) -> impl Iterator<Item = (CheckProtocol, &CheckListener)> {
@@ -172,7 +172,7 @@
         .filter_map(|protocol| Some((protocol, listener_options(options, protocol)?)))
 }
 
-/// The options of a protocol's listener.
+/// Returns the options of a protocol's listener, or `None` if the options require no such listener.
 pub(super) fn listener_options(options: &HealthOptions, protocol: CheckProtocol) -> Option<&CheckListener> {
     match protocol {
         CheckProtocol::Http => options.http.as_ref().map(|http| &http.listener),
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -1,4 +1,5 @@
-//! The listeners for balancers' checks: opened and closed as the options say, and for another process of this proxy.
+//! The listeners for balancers' checks. They are opened and closed according to the options, and closed when another
+//! process of this proxy takes over.
 
 use super::super::error::{ListenError, ListenPurpose};
 use super::super::event_loop_context::EventLoopContext;
@@ -15,24 +16,24 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// The most connections accepted of one listener in one turn.
+/// The most connections accepted from one listener in one turn of the event loop.
 const MAX_ACCEPTED_PER_TURN: usize = 64;
-/// The length of the queue of connections that aren't accepted yet.
+/// The length of the queue of connections that are not accepted yet.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A listener that is open.
+/// An open listener for one protocol.
 pub(super) struct OpenListener {
     protocol: CheckProtocol,
     socket: TcpListener,
     address: SocketAddr,
-    /// Connections may wait to be accepted.
+    /// Whether connections may be waiting to be accepted.
     pub(super) accept_pending: bool,
 }
 
-/// Listeners opened for options that aren't in force yet.
+/// Listeners that were opened for options that are not in effect yet.
 pub(crate) struct OpenedListeners(Vec<OpenListener>);
 
-/// Opens a listening socket. `shares_address`: another process may listen at the same address.
+/// Opens a listening socket. If `shares_address` is true, another process may listen at the same address.
 fn listen(address: SocketAddr, shares_address: bool) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
@@ -47,7 +48,7 @@
 }
 
 impl HealthCheckServer {
-    /// Opens the listeners that these options require and that aren't open; those in force stay as they are.
+    /// Opens the listeners that these options require and that are not open yet. Open listeners stay unchanged.
     pub(crate) fn open(&self, options: Option<&HealthOptions>) -> Result<OpenedListeners, ListenError> {
         let mut opened = Vec::new();
         for (protocol, wanted) in options.into_iter().flat_map(wanted_listeners) {
@@ -67,7 +68,8 @@
         Ok(OpenedListeners(opened))
     }
 
-    /// Puts these options in force, with the listeners that were opened for them.
+    /// Puts these options into effect with the listeners that were opened for them, and closes listeners that the options
+    /// do not require. Without options, all connections are closed too.
     pub(crate) fn apply_options(
         &mut self,
         context: &mut EventLoopContext,
@@ -104,7 +106,7 @@
         self.listeners.push(listener);
     }
 
-    /// Opens the listeners again that were closed for another process.
+    /// Opens the listeners that the options require and that are not open, such as those closed for another process.
     pub(crate) fn reopen_listeners(&mut self, context: &mut EventLoopContext) {
         match self.open(self.options.as_ref()) {
             Ok(opened) => {
@@ -115,7 +117,8 @@
         }
     }
 
-    /// Closes the listeners where another process listens too and answers from now on. Connections stay open.
+    /// Accepts the waiting connections and closes the listeners, if another process listens at the same addresses and
+    /// answers from now on. Connections stay open.
     pub(crate) fn stop_listening(&mut self, context: &mut EventLoopContext) {
         if !self.shares_addresses {
             return;
@@ -125,24 +128,24 @@
         self.listeners.drain(..).for_each(|listener| close_listener(context, listener));
     }
 
-    /// Some listener that the options require isn't open.
+    /// Whether a listener that the options require is not open.
     pub(crate) fn is_missing_listener(&self) -> bool {
         let wanted = self.options.iter().flat_map(wanted_listeners).count();
         wanted > self.listeners.len()
     }
 
-    /// No connection is accepted before this time.
+    /// Sets the time before which no connection is accepted.
     pub(crate) fn set_accept_start(&mut self, at: Micros) {
         self.accept_start = at;
     }
 
-    /// A listener has connections to accept.
+    /// Notes that a listener has connections to accept.
     pub(crate) fn listener_ready(&mut self, source: Source) {
         let ready = self.listeners.iter_mut().filter(|listener| listener.protocol.source() == source);
         ready.for_each(|listener| listener.accept_pending = true);
     }
 
-    /// Accepts connections of all listeners, a bounded number of each.
+    /// Accepts a bounded number of connections from each listener.
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         if context.now < self.accept_start {
             return;
@@ -158,7 +161,7 @@
                         let protocol = listener.protocol;
                         self.add(context, stream, protocol);
                     }
-                    // After other errors, the next connection or `close_inactive` makes it try again.
+                    // After other errors, the listener is tried again with the next connection or by `close_inactive`.
                     Err(error) => {
                         listener.accept_pending =
                             matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted);
@@ -169,8 +172,7 @@
     }
 }
 
-/// Closes a listener's socket.
 fn close_listener(context: &mut EventLoopContext, mut listener: OpenListener) {
-    // Closing the socket deregisters it as well.
+    // If this fails, closing the socket deregisters it.
     let _ = context.poll.registry().deregister(&mut listener.socket);
 }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -1,8 +1,8 @@
-//! The server for balancers' checks. It has descriptors of its own and comes first in each turn of the event loop, so
-//! that checks are answered however many clients there are. Connections that are inactive make room for others.
+//! The server for balancers' checks. It has descriptors of its own and runs first in each turn of the event loop, so that
+//! checks are answered regardless of the number of clients. Inactive connections are closed to make room for others.
 //!
-//! It moves bytes between sockets and the protocols' state machines, and decides only which connections stay open; the
-//! answers come from the monitor's verdict.
+//! The server moves bytes between sockets and the protocols' state machines, and decides only which connections stay
+//! open. The answers come from the monitor's verdict.
 
 mod connection;
 mod listeners;
@@ -26,28 +26,28 @@
 use slab::Slab;
 use tracing::{debug, info};
 
-/// The most connections with unfinished work that go on in one turn. It bounds the delay that a balancer with thousands
-/// of requests causes for everybody else.
+/// The most connections whose unfinished work is continued in one turn. The limit bounds the delay that a balancer with
+/// thousands of requests causes for all other connections.
 const MAX_CONTINUED_PER_TURN: usize = 16;
 
 /// The listeners and connections for balancers' checks.
 pub(super) struct HealthCheckServer {
-    /// Keeps the verdict, if health reporting is on.
+    /// Holds the verdict. `None` while health reporting is off.
     pub observer: Option<Shared<HealthObserver>>,
     options: Option<HealthOptions>,
     listeners: Vec<OpenListener>,
     connections: Slab<CheckConnection>,
-    /// The keys of connections that have more to do than one turn allows.
+    /// The connections that have more work than one turn allows.
     unfinished: Vec<CheckKey>,
     last_serial: CheckSerial,
-    /// No connection is accepted before this time: another process answers until then.
+    /// No connection is accepted before this time, because another process answers until then.
     accept_start: Micros,
-    /// Another process of this proxy may listen at the same addresses.
+    /// Whether another process of this proxy may listen at the same addresses.
     shares_addresses: bool,
 }
 
 impl HealthCheckServer {
-    /// A server without listeners.
+    /// Creates a server without listeners.
     pub(super) fn new(shares_addresses: bool) -> HealthCheckServer {
         HealthCheckServer {
             observer: None,
@@ -61,14 +61,14 @@
         }
     }
 
-    /// There is work left for which no socket will report an event.
+    /// Whether work remains for which no socket will report an event.
     pub(super) fn has_pending_work(&self, now: Micros) -> bool {
         let may_accept = now >= self.accept_start;
         !self.unfinished.is_empty()
             || (may_accept && self.listeners.iter().any(|listener| listener.accept_pending))
     }
 
-    /// Goes on with unfinished work and accepts connections.
+    /// Continues unfinished work and accepts connections.
     pub(super) fn continue_work(&mut self, context: &mut EventLoopContext) {
         let later = self.unfinished.split_off(self.unfinished.len().min(MAX_CONTINUED_PER_TURN));
         for key in std::mem::replace(&mut self.unfinished, later) {
@@ -77,7 +77,7 @@
         self.accept(context);
     }
 
-    /// Serves a connection as far as its socket and one turn allow.
+    /// Serves a connection as far as its socket and the limits of one turn allow.
     pub(super) fn serve(&mut self, context: &mut EventLoopContext, key: CheckKey) {
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
         let Some(connection) = self.connections.get_mut(key.0) else { return };
@@ -88,7 +88,8 @@
         }
     }
 
-    /// An agent-check has sent no line in time: it is answered for the proxy as a whole.
+    /// Answers an agent-check that has sent no complete line in time. The bytes received so far are its query; an empty query
+    /// is answered for the whole proxy.
     pub(super) fn query_timed_out(
         &mut self,
         context: &mut EventLoopContext,
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Closes connections that are inactive for too long.
+    /// Closes connections that have been inactive for too long, pings idle connections that have watches, and marks all
+    /// listeners to be tried again.
     pub(super) fn close_inactive(&mut self, context: &mut EventLoopContext) {
         self.listeners.iter_mut().for_each(|listener| listener.accept_pending = true);
         let Some(options) = &self.options else { return };
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Sends a change of the verdict to the connections that watch.
+    /// Sends a changed verdict to the connections that have watches.
     pub(super) fn notify_watches(&mut self, context: &mut EventLoopContext) {
         let watching = self.connections.iter().filter(|(_, connection)| connection.has_watches());
         for key in watching.map(|(key, _)| CheckKey(key)).collect::<Vec<_>>() {
@@ -136,12 +138,12 @@
         }
     }
 
-    /// Adds a connection that was accepted.
+    /// Adds an accepted connection and serves it. If the protocol has too many connections, another one is closed.
     fn add(&mut self, context: &mut EventLoopContext, mut stream: TcpStream, protocol: CheckProtocol) {
         let listener = self.options.as_ref().and_then(|options| listener_options(options, protocol));
         let Some(max_connections) = listener.map(|listener| listener.max_connections) else { return };
         self.make_room(context, protocol, max_connections);
-        // Without it, responses may be slower.
+        // If this fails, responses may be slower.
         let _ = stream.set_nodelay(true);
         let slot = self.connections.vacant_entry();
         let key = CheckKey(slot.key());
@@ -156,11 +158,11 @@
             let timeout = TimerEvent::CheckTimeout(key, self.last_serial);
             context.timers.set(context.now + agent.query_timeout, timeout);
         }
-        // A request that came with the connect may be there already.
+        // The first request may already have arrived.
         self.serve(context, key);
     }
 
-    /// Closes the connection of this protocol that is inactive for longest, if there are too many.
+    /// Closes the connection of this protocol that has been inactive longest, if the protocol has reached its limit.
     fn make_room(&mut self, context: &mut EventLoopContext, protocol: CheckProtocol, limit: usize) {
         let same_protocol =
             || self.connections.iter().filter(|(_, connection)| connection.protocol == protocol);
@@ -173,10 +175,10 @@
         }
     }
 
-    /// Closes a connection and logs why.
+    /// Closes a connection and logs the reason.
     fn close(&mut self, context: &mut EventLoopContext, key: CheckKey, reason: CheckCloseReason) {
         let mut connection = self.connections.remove(key.0);
-        // Fails only if the socket isn't registered, which is as well.
+        // Fails only if the socket is not registered, which makes no difference here.
         let _ = context.poll.registry().deregister(&mut connection.stream);
         let (kind, expected, reason) = (connection.protocol.as_str(), reason.is_expected(), reason.as_str());
         if expected {
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -1,4 +1,4 @@
-//! One turn of a balancer's connection: its requests are read, and answered from the verdict as of now.
+//! One turn of a balancer's connection: its requests are read and answered from the current verdict.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream;
@@ -13,23 +13,23 @@
 use mio::net::TcpStream;
 use std::net::Shutdown;
 
-/// The most that is read of one connection at once.
-const MAX_READ_BYTES: usize = 8 << 10;
+/// The size of the buffer for one read from an HTTP or gRPC connection.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
-/// How a connection goes on after its turn.
+/// What a connection needs after its turn.
 pub(super) enum CheckProgress {
-    /// It is to be closed.
+    /// The connection must be closed.
     Finished(CheckCloseReason),
-    /// It has more to do, for which the socket will report no event.
+    /// The connection has more work, for which its socket will report no event.
     WorkRemaining,
-    /// It waits for its socket.
+    /// The connection waits for an event of its socket.
     WaitingForSocket,
 }
 
-/// What a turn of a connection came to.
+/// The result of one turn of a connection.
 struct TurnResult {
     progress: CheckProgress,
-    /// It completed a request, or its output went on.
+    /// Whether the balancer completed a request or read some output.
     was_active: bool,
 }
 
@@ -39,14 +39,14 @@
     }
 }
 
-/// What all connections answer from.
+/// The state from which all connections are answered.
 #[derive(Clone, Copy)]
 pub(super) struct AnswerSource<'a> {
     pub(super) options: Option<&'a HealthOptions>,
     pub(super) observer: Option<&'a Shared<HealthObserver>>,
 }
 
-/// Serves a connection as far as its socket and one turn allow.
+/// Serves a connection as far as its socket and the limits of one turn allow.
 pub(super) fn serve(
     context: &mut EventLoopContext,
     connection: &mut CheckConnection,
@@ -68,8 +68,8 @@
     turn.progress
 }
 
-/// Serves an HTTP connection. Bytes that complete no request don't count as activity: otherwise a client could keep its
-/// connection open without end.
+/// Serves an HTTP connection. Bytes that do not complete a request do not count as activity. Otherwise a client could keep
+/// its connection open indefinitely.
 fn serve_http(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
@@ -78,7 +78,7 @@
 ) -> TurnResult {
     let answered_before = http.requests_answered();
     let read = if http.wants_input() {
-        let length = MAX_READ_BYTES.min(context.scratch.len());
+        let length = READ_BUFFER_BYTES.min(context.scratch.len());
         stream::read(stream, &mut context.scratch[..length], |bytes| {
             http.feed(bytes);
             http.wants_input()
@@ -102,7 +102,7 @@
             CheckProgress::Finished(CheckCloseReason::RequestTruncated)
         }
         (Err(stream::StreamEnd::Closed), _) => CheckProgress::Finished(CheckCloseReason::Closed),
-        // The socket reports when it can be written again. It doesn't report input again that was left unread or unanswered.
+        // The socket reports when it is writable again. It does not report again that input was left unread or unanswered.
         (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => {
             CheckProgress::WaitingForSocket
         }
@@ -111,7 +111,6 @@
     TurnResult { progress, was_active }
 }
 
-/// Serves a gRPC connection.
 fn serve_grpc(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
@@ -120,7 +119,7 @@
 ) -> TurnResult {
     let activity_before = grpc.activity();
     let read = if grpc.wants_input() {
-        let length = MAX_READ_BYTES.min(context.scratch.len());
+        let length = READ_BUFFER_BYTES.min(context.scratch.len());
         stream::read(stream, &mut context.scratch[..length], |bytes| {
             grpc.feed(bytes);
             grpc.wants_input()
@@ -144,7 +143,7 @@
     if grpc.is_finished() {
         return TurnResult { progress: CheckProgress::Finished(CheckCloseReason::Closed), was_active };
     }
-    // Written output makes room for more, which no socket reports.
+    // Written output makes room for more output, for which the socket reports no event.
     let may_continue = matches!(read, Ok(false)) || more_to_process || !output.is_empty();
     let progress = if may_continue && !grpc.has_output() {
         CheckProgress::WorkRemaining
@@ -154,7 +153,7 @@
     TurnResult { progress, was_active }
 }
 
-/// Serves an agent-check.
+/// Reads the line of an agent-check and writes the reply.
 fn serve_agent(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
@@ -193,7 +192,7 @@
     }
 }
 
-/// The reply to an agent-check; empty while health reporting is off.
+/// Returns the reply to an agent-check. The reply is empty while health reporting is off.
 pub(super) fn agent_reply(context: &EventLoopContext, query: &ParsedQuery, source: AnswerSource) -> Vec<u8> {
     let Some(observer) = source.observer else { return Vec::new() };
     let mut observer = observer.borrow_mut();
