--- a/proxy/src/grpc/call.rs
+++ b/proxy/src/grpc/call.rs
@@ -64,7 +64,8 @@
 }
 
 impl Call {
-    /// Begins a call. Returns `None` if the request is not gRPC or its method is unknown; it is then answered immediately.
+    /// Begins a call. Returns `None` if the request is not gRPC or its method is unknown; it is then answered
+    /// immediately.
     pub(super) fn begin(request: Request<RecvStream>, mut respond: SendResponse<Bytes>) -> Option<Call> {
         let (head, body) = request.into_parts();
         let content_type = head.headers.get("content-type").and_then(|value| value.to_str().ok());
--- a/proxy/src/grpc/message.rs
+++ b/proxy/src/grpc/message.rs
@@ -107,7 +107,8 @@
     trailers
 }
 
-/// Ends a call with an error. A failure to send it is ignored, because the connection detects that the peer has disconnected.
+/// Ends a call with an error. A failure to send it is ignored, because the connection detects that the peer has
+/// disconnected.
 pub(super) fn send_error(respond: &mut SendResponse<Bytes>, code: StatusCode, message: &'static str) {
     let mut response = response_headers();
     response.headers_mut().extend(status_trailers(code, message));
--- a/proxy/src/grpc/mod.rs
+++ b/proxy/src/grpc/mod.rs
@@ -1,8 +1,8 @@
 //! The service `grpc.health.v1.Health` (`Check` and `Watch`) as a state machine without I/O. h2 implements HTTP/2 over a
 //! pipe in memory. The event loop polls h2 itself, so that no other thread and no async runtime is needed.
 //!
-//! Service names are parsed like agent-check lines. The answers come from the verdict. The streams, headers, messages and
-//! buffers of a connection are bounded.
+//! Service names are parsed like agent-check lines. The answers come from the verdict. The streams, headers, messages
+//! and buffers of a connection are bounded.
 
 mod call;
 mod message;
--- a/proxy/src/handover_protocol.rs
+++ b/proxy/src/handover_protocol.rs
@@ -1,5 +1,5 @@
-//! The protocol between two processes of one proxy while one replaces the other. Messages are lines of text. The protocol is a state
-//! machine: the caller reads and writes the bytes.
+//! The protocol between two processes of one proxy while one replaces the other. Messages are lines of text. The protocol is a
+//! state machine: the caller reads and writes the bytes.
 
 #[cfg(test)]
 mod tests;
--- a/proxy/src/health.rs
+++ b/proxy/src/health.rs
@@ -1,5 +1,5 @@
-//! Connects the core with the health crate by translating the core's events and settings into those of the health monitor.
-//! This module makes no decisions.
+//! Connects the core with the health crate by translating the core's events and settings into those of the health
+//! monitor. This module makes no decisions.
 
 use crate::observe::{CoreEvent, Observer};
 use crate::reply::Reply;
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Reports each group's oldest queued write to the monitor. `writes` has the group of every queued write and the time
-    /// since which it is queued. Groups that `writes` does not contain have no queued write.
+    /// Reports each group's oldest queued write to the monitor. `writes` has the group of every queued write and the
+    /// time since which it is queued. Groups that `writes` does not contain have no queued write.
     fn record_queued_writes(&mut self, now: Micros, writes: &[(GroupId, Micros)]) {
         let mut oldest: BTreeMap<health::GroupId, Micros> = BTreeMap::new();
         for (group, since) in writes {
--- a/proxy/src/health_command/error.rs
+++ b/proxy/src/health_command/error.rs
@@ -18,7 +18,8 @@
     NoAddress,
     /// The connection, the request or reading the response failed.
     Request { address: SocketAddr, error: ureq::Error },
-    /// The HTTP status is neither 200 nor 503: the proxy has no such class or group, or the address is not that of a proxy.
+    /// The HTTP status is neither 200 nor 503: the proxy has no such class or group, or the address is not that of a
+    /// proxy.
     UnexpectedStatus { status: u16, body: String },
     /// The answer is not JSON.
     NotJson(serde_json::Error),
--- a/proxy/src/health_command/report.rs
+++ b/proxy/src/health_command/report.rs
@@ -21,7 +21,8 @@
     output
 }
 
-/// Appends the summary line for the proxy, or for the class or group of the query. The proxy has a second line for its load.
+/// Appends the summary line for the proxy, or for the class or group of the query. The proxy has a second line for its
+/// load.
 fn append_summary(output: &mut String, answer: &Value) {
     let is_for_proxy = answer.get("state").is_some();
     if is_for_proxy {
--- a/proxy/src/net/balancers.rs
+++ b/proxy/src/net/balancers.rs
@@ -59,8 +59,8 @@
         Ok(())
     }
 
-    /// Announces to the predecessor, if there is one, that this process serves. The predecessor then hands over its clients
-    /// and balancers.
+    /// Announces to the predecessor, if there is one, that this process serves. The predecessor then hands over its
+    /// clients and balancers.
     pub(super) fn take_over_from_predecessor(&mut self) {
         if self.handover.announce_serving(&mut self.context) {
             self.set_ready_at(self.context.now + ANNOUNCEMENT_TIMEOUT_MICROS);
@@ -108,8 +108,8 @@
         self.context.timers.set(at - LISTEN_LEAD_TIME_MICROS, TimerEvent::OpenCheckListeners);
     }
 
-    /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both processes
-    /// unavailable or both available.
+    /// Agrees with the other process of this proxy on the time of the handover, so that balancers never find both
+    /// processes unavailable or both available.
     pub(super) fn negotiate_handover(&mut self) {
         if self.health.observer.is_some() {
             self.announce_handover();
@@ -117,7 +117,8 @@
         self.update_ready_time();
     }
 
-    /// Announces the handover to a process that replaces this one. Revokes the handover if that process has disconnected.
+    /// Announces the handover to a process that replaces this one. Revokes the handover if that process has
+    /// disconnected.
     fn announce_handover(&mut self) {
         let replaced = self.handover.is_replaced();
         if replaced == self.health.handing_over {
@@ -155,8 +156,8 @@
         self.set_ready_at(ready_at);
     }
 
-    /// Reports the load to the monitor. The pressure is the greater of two fractions: the share of time in which the event
-    /// loop did not sleep, and the share of database connections that have an attempt in flight.
+    /// Reports the load to the monitor. The pressure is the greater of two fractions: the share of time in which the
+    /// event loop did not sleep, and the share of database connections that have an attempt in flight.
     pub(super) fn report_load(&mut self) {
         if self.health.observer.is_none() {
             self.health.load_timer_set = false;
--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -128,7 +128,8 @@
         matches!(&self.state, ProtocolState::Grpc(grpc) if grpc.has_watches())
     }
 
-    /// Sends a ping if the connection has watches and was inactive for half of the idle timeout. Returns whether it did.
+    /// Sends a ping if the connection has watches and was inactive for half of the idle timeout. Returns whether a ping
+    /// was sent.
     pub(super) fn ping_if_idle(&mut self, now: Micros, options: &HealthOptions) -> bool {
         let idle_timeout = options.grpc.as_ref().map_or(0, |grpc| grpc.idle_timeout);
         match &mut self.state {
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -68,8 +68,8 @@
         Ok(OpenedListeners(opened))
     }
 
-    /// Puts these options into effect with the listeners that were opened for them, and closes listeners that the options
-    /// do not require. Without options, all connections are closed too.
+    /// Puts these options into effect with the listeners that were opened for them, and closes listeners that the
+    /// options do not require. Without options, all connections are closed too.
     pub(crate) fn apply_options(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -1,5 +1,6 @@
-//! The server for balancers' checks. It has descriptors of its own and runs first in each turn of the event loop, so that
-//! checks are answered regardless of the number of clients. Inactive connections are closed to make room for others.
+//! The server for balancers' checks. It has descriptors of its own and runs first in each turn of the event loop, so
+//! that checks are answered regardless of the number of clients. Inactive connections are closed to make room for
+//! others.
 //!
 //! The server moves bytes between sockets and the protocols' state machines, and decides only which connections stay
 //! open. The answers come from the monitor's verdict.
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Answers an agent-check that has sent no complete line in time. The bytes received so far are its query; an empty query
-    /// is answered for the whole proxy.
+    /// Answers an agent-check that has sent no complete line in time. The bytes received so far are its query; an empty
+    /// query is answered for the whole proxy.
     pub(super) fn query_timed_out(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -68,8 +68,8 @@
     turn.progress
 }
 
-/// Serves an HTTP connection. Bytes that do not complete a request do not count as activity. Otherwise a client could keep
-/// its connection open indefinitely.
+/// Serves an HTTP connection. Bytes that do not complete a request do not count as activity. Otherwise a client could
+/// keep its connection open indefinitely.
 fn serve_http(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
@@ -102,7 +102,8 @@
             CheckProgress::Finished(CheckCloseReason::RequestTruncated)
         }
         (Err(stream::StreamEnd::Closed), _) => CheckProgress::Finished(CheckCloseReason::Closed),
-        // The socket reports when it is writable again. It does not report again that input was left unread or unanswered.
+        // The socket reports when it is writable again. It does not report again that input was left unread or
+        // unanswered.
         (Ok(drained), _) if (drained && all_answered) || !http.output.is_empty() => {
             CheckProgress::WaitingForSocket
         }
--- a/proxy/src/net/fleet/mod.rs
+++ b/proxy/src/net/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! The datagrams of the fleet. This module seals and opens them, and transfers them between their socket and [`Membership`] or
 //! [`GossipReports`].
 //!
-//! It owns the socket and the timer. The crate `birchreach-membership` decides which processes are members and what each of them is
-//! sent.
+//! It owns the socket and the timer. The crate `birchreach-membership` decides which processes are members and what each of them
+//! is sent.
 
 mod datagrams;
 mod start;
@@ -165,8 +165,8 @@
         self.metrics.text(&self.membership.borrow())
     }
 
-    /// Returns the time for which the timer must be set. `None` means that it is already set for that time or an earlier one, or that
-    /// this process has left the fleet.
+    /// Returns the time for which the timer must be set. `None` means that it is already set for that time or an earlier one, or
+    /// that this process has left the fleet.
     fn reschedule_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = match &self.socket {
             _ if self.has_left => return None,
--- a/proxy/src/net/fleet/start.rs
+++ b/proxy/src/net/fleet/start.rs
@@ -99,8 +99,9 @@
         }
     }
 
-    /// Applies the results of a call of [`FleetMembership`], and must follow each of these calls. Sets the fleet's timer, opens or
-    /// closes the listener for full exchanges, passes new reports to the background tasks and starts a full exchange that is due.
+    /// Applies the results of a call of [`FleetMembership`], and must follow each of these calls. Sets the fleet's timer, opens
+    /// or closes the listener for full exchanges, passes new reports to the background tasks and starts a full exchange that is
+    /// due.
     pub(in crate::net) fn apply_fleet_changes(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let due_exchange = fleet.membership.borrow_mut().due_exchange(self.context.now);
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Whether this side has nothing more to send once the output is written. Always false for a requester of state, whose link ends
-    /// when the answer is complete.
+    /// Whether this side has nothing more to send once the output is written. Always false for a requester of state, whose link
+    /// ends when the answer is complete.
     pub(super) fn has_sent_everything(&self) -> bool {
         match self {
             LinkRole::RequestsState { .. } => false,
--- a/proxy/src/net/gossip/membership_sync.rs
+++ b/proxy/src/net/gossip/membership_sync.rs
@@ -45,8 +45,8 @@
         MembershipSync { listener: None, local_address, keys, membership, accept_pending: false }
     }
 
-    /// Opens the listener if this process represents the proxy in the fleet, and closes it otherwise. If another process still has
-    /// the address, opening it is tried again with the next datagram.
+    /// Opens the listener if this process represents the proxy in the fleet, and closes it otherwise. If another process still
+    /// has the address, opening it is tried again with the next datagram.
     pub(crate) fn set_active(&mut self, registry: &Registry, active: bool) {
         if active && self.listener.is_none() {
             self.listener =
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Starts to connect to a member. The connection comes from this process's own IP address, because the member may use the source
-    /// address to admit it.
+    /// Starts to connect to a member. The connection comes from this process's own IP address, because the member may use the
+    /// source address to admit it.
     pub(super) fn connect(&self, peer: SocketAddr) -> Result<(TcpStream, Box<FullExchange>), LinkError> {
         let socket = Socket::new(Domain::for_address(peer), Type::STREAM, Some(Protocol::TCP));
         let socket = socket.map_err(|_| LinkError::NoSocket)?;
@@ -77,8 +77,8 @@
         Ok((stream, Box::new(FullExchange::new(Side::Requester, self.keys.clone(), nonce()?))))
     }
 
-    /// Accepts the next connection from a member. Returns `None` if no connection is waiting, or if the system has no random numbers
-    /// for a nonce.
+    /// Accepts the next connection from a member. Returns `None` if no connection is waiting, or if the system has no random
+    /// numbers for a nonce.
     pub(super) fn accept(&mut self) -> Option<(TcpStream, SocketAddr, Box<FullExchange>)> {
         let listener = self.listener.as_ref().filter(|_| self.accept_pending)?;
         let Ok((stream, peer)) = listener.accept() else {
--- a/proxy/src/net/gossip/mod.rs
+++ b/proxy/src/net/gossip/mod.rs
@@ -1,7 +1,7 @@
 //! Links to other proxies. Some transfer state, others exchange the members of the fleet.
 //!
-//! This module owns the sockets and timeouts. The crates `birchreach-peer-state` and `birchreach-membership` decide which proxy to
-//! request state from, which requests to answer and which data to accept.
+//! This module owns the sockets and timeouts. The crates `birchreach-peer-state` and `birchreach-membership` decide which proxy
+//! to request state from, which requests to answer and which data to accept.
 
 mod close_reason;
 mod link;
--- a/proxy/src/net/gossip/peer_protocol.rs
+++ b/proxy/src/net/gossip/peer_protocol.rs
@@ -1,5 +1,5 @@
-//! The steps of a state transfer. A requester merges the parts that a provider sends into its own state. A provider sends its state
-//! in parts, within its send budget.
+//! The steps of a state transfer. A requester merges the parts that a provider sends into its own state. A provider sends its
+//! state in parts, within its send budget.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{LinkKey, LinkSerial};
@@ -49,8 +49,8 @@
     }
 }
 
-/// Admits or rejects a request once it has arrived, and appends the next part of the answer to the output if the send budget allows
-/// it. Otherwise sets a timer for the time at which the budget does.
+/// Admits or rejects a request once it has arrived, and appends the next part of the answer to the output if the send budget
+/// allows it. Otherwise sets a timer for the time at which the budget does.
 pub(super) fn answer_request(
     context: &mut EventLoopContext,
     sender: &mut StateSender,
--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown. The process serves connections that still arrive, then closes idle clients, and exits once no request is open.
+//! Graceful shutdown. The process serves connections that still arrive, then closes idle clients, and exits once no request is
+//! open.
 //!
 //! This module sets the times of these steps. [`super::clients`] decides which client is closed.
 
@@ -20,15 +21,15 @@
 const CLOSE_IDLE_AFTER_MICROS: Micros =
     LATE_ARRIVAL_PERIOD_MICROS + (SAFE_ACCEPT_PERIOD_MICROS - LATE_ARRIVAL_PERIOD_MICROS) / 2;
 /// Replaces [`CLOSE_IDLE_AFTER_MICROS`] if another process has the listener too, so that no new client arrives here. If an idle
-/// client sends another request within this time, its connection is closed right after the response, when no further request can be
-/// in flight.
+/// client sends another request within this time, its connection is closed right after the response, when no further request can
+/// be in flight.
 const CLOSE_IDLE_AFTER_HANDOVER_MICROS: Micros = 600_000;
 /// The process exits this long after the last accepted request can time out, when no client still waits for a response.
 const EXIT_AFTER_LONGEST_TIMEOUT_MICROS: Micros = 1_500_000;
 
 impl EventLoop {
-    /// Begins the shutdown. If balancers check this proxy, they first get some time to send clients elsewhere. A second signal ends
-    /// that time early.
+    /// Begins the shutdown. If balancers check this proxy, they first get some time to send clients elsewhere. A second signal
+    /// ends that time early.
     pub(super) fn begin_shutdown(&mut self) {
         if !std::mem::replace(&mut self.stopping, true) {
             info!(event = "stopping", open = self.context.core.open_request_count());
--- a/proxy/src/net/graceful_shutdown/tests.rs
+++ b/proxy/src/net/graceful_shutdown/tests.rs
@@ -5,8 +5,8 @@
 /// The delay allowed for an event loop that shares its processor core.
 const MARGIN_MICROS: Micros = 100_000;
 
-/// Idle clients that are closed too early lose connections that still arrive. Closed too late, they may send requests that SIGKILL
-/// cuts off before their timeout.
+/// If idle clients are closed too early, connections that still arrive are lost. If they are closed too late, they may send
+/// requests that SIGKILL cuts off before their timeout.
 #[test]
 fn a_request_accepted_after_sigterm_reaches_its_timeout_before_sigkill() {
     // Given the time after which a request may be cut off by SIGKILL before its timeout
--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -1,5 +1,5 @@
-//! The handover between processes of one proxy. A predecessor is the process that this one replaces, a successor is the process that
-//! replaces this one. They connect at a Unix socket in `$TMPDIR`, so that limits and budgets cover both.
+//! The handover between processes of one proxy. A predecessor is the process that this one replaces, a successor is the process
+//! that replaces this one. They connect at a Unix socket in `$TMPDIR`, so that limits and budgets cover both.
 
 use super::event_loop_context::EventLoopContext;
 use super::sources::Source;
@@ -66,8 +66,8 @@
     }
 }
 
-/// The connections to other processes of this proxy. The default has no connections and no listener, for a proxy that does not share
-/// its client listener.
+/// The connections to other processes of this proxy. The default has no connections and no listener, for a proxy that does not
+/// share its client listener.
 #[derive(Default)]
 pub(super) struct ProcessHandover {
     path: Option<PathBuf>,
@@ -89,7 +89,8 @@
         handover
     }
 
-    /// Listens at the path to which a successor connects. If that fails, each of the two processes acts as if it were the only one.
+    /// Listens at the path to which a successor connects. If that fails, each of the two processes acts as if it were the only
+    /// one.
     fn listen(&mut self, registry: &Registry) {
         let Some(path) = &self.path else { return };
         let _ = std::fs::remove_file(path);
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Returns the time at which the predecessor stops accepting work, in Unix microseconds. `None` if there is no predecessor or it
-    /// has not announced the time.
+    /// Returns the time at which the predecessor stops accepting work, in Unix microseconds. `None` if there is no predecessor
+    /// or it has not announced the time.
     pub(super) fn predecessor_stops_accepting_at(&self) -> Option<i64> {
         self.predecessor.as_ref()?.stops_accepting_at
     }
@@ -184,8 +185,8 @@
         1 + u32::from(self.predecessor.is_some()) + u32::from(self.successor.is_some())
     }
 
-    /// Returns the number of descriptors that a stopping predecessor still has open. It opens no more. `None` if no predecessor is
-    /// stopping.
+    /// Returns the number of descriptors that a stopping predecessor still has open; a stopping process opens no more. `None` if
+    /// no predecessor is stopping.
     pub(super) fn predecessor_descriptors(&self) -> Option<usize> {
         self.predecessor.as_ref()?.descriptors_when_stopping
     }
@@ -205,13 +206,13 @@
     registry.register(stream, source.token(), Interest::READABLE | Interest::WRITABLE).is_ok()
 }
 
-/// Reads and writes a link, if there is one. Removes a link that is no longer usable, and returns whether it did.
+/// Reads and writes a link, if there is one, and removes a link that is no longer usable. Returns whether the link was removed.
 fn exchange_or_remove(link: &mut Option<ProcessLink>, context: &mut EventLoopContext) -> bool {
-    let Some(open) = link else { return false };
-    if open.exchange(&mut context.scratch) {
+    let Some(open_link) = link else { return false };
+    if open_link.exchange(&mut context.scratch) {
         return false;
     }
-    let _ = context.poll.registry().deregister(&mut open.stream);
+    let _ = context.poll.registry().deregister(&mut open_link.stream);
     *link = None;
     true
 }
