--- a/proxy/src/core/actions.rs
+++ b/proxy/src/core/actions.rs
@@ -1,22 +1,21 @@
-//! Translates the router's actions into commands for the event loop.
+//! Execution of the router's actions, which become commands for the event loop.
 
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, LogRecord, RequestPayload, RoutingTimerId};
 use crate::observe::CoreEvent;
 use crate::units::MICROS_PER_MILLI;
 use birchreach::{Action, AttemptNumber, Micros, RequestId, ServerId};
 
-/// The shortest delay of a timer, so that a timer which the router sets again on its expiry cannot loop endlessly.
+/// Minimum delay of a timer. Without it, a timer that the router sets again on each expiry could cause an endless loop.
 const MIN_TIMER_DELAY_MICROS: Micros = 1;
 
 impl<P: RequestPayload> Core<P> {
-    /// Carries out the actions that the router has returned.
+    /// Executes the actions that the router returned.
     pub(super) fn execute_actions(&mut self, now: Micros) {
         for action in std::mem::take(&mut self.actions) {
             self.execute_action(now, action);
         }
     }
 
-    /// Translates one action.
     fn execute_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, server, timeout } => self.start_attempt(now, request, server, timeout),
@@ -35,7 +34,7 @@
                 let at = now + delay.max(MIN_TIMER_DELAY_MICROS);
                 self.commands.push_back(Command::SetTimer { id: RoutingTimerId(id), at });
             }
-            // The event loop watches the endpoint list at all times.
+            // Nothing to do: the event loop watches the endpoint list at all times.
             Action::WatchEndpoints => {}
             Action::Log(message) => {
                 self.commands.push_back(Command::Log(LogRecord::RouterMessage(message)));
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Records an attempt, and commands the event loop to send it.
+    /// Records an attempt and commands the event loop to send it.
     fn start_attempt(&mut self, now: Micros, request: RequestId, server: ServerId, timeout: Micros) {
         let Some(pending) = self.requests.get_mut(&request) else { return };
         let attempt = AttemptId { request, number: AttemptNumber(pending.attempts_started) };
--- a/proxy/src/core/attempts.rs
+++ b/proxy/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from their start to their result, which is reported to the router and to the observers.
+//! Attempts, from their start to the result that is reported to the router and to the observers.
 
 use super::{Answer, AttemptId, Command, Core, InFlightAttempt, MAX_CLOCK_SKEW_MICROS, RequestPayload};
 use crate::observe::CoreEvent;
@@ -8,17 +8,19 @@
 };
 
 impl<P: RequestPayload> Core<P> {
-    /// How many attempts have no result yet.
+    /// Returns the number of attempts without a result.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Whether an attempt may still be sent: while its connection was opened, the endpoint list may have changed.
+    /// Returns whether an attempt may still be sent. The endpoint list may have changed while the connection was being
+    /// established.
     pub(crate) fn may_still_send(&self, now: Micros, attempt: AttemptId) -> bool {
         self.router.may_still_send(now, attempt.request, attempt.number)
     }
 
-    /// A long response begins to arrive. Returns false if another response already answers the request.
+    /// Handles the start of a long response. Returns false if the request is no longer pending, or if the response of another
+    /// attempt is already being streamed.
     pub(crate) fn response_started(&mut self, now: Micros, attempt: AttemptId, length: usize) -> bool {
         let AttemptId { request, number } = attempt;
         let pending = self.requests.get_mut(&request);
@@ -35,7 +37,8 @@
         true
     }
 
-    /// The next bytes of a long response, which are forwarded unchanged.
+    /// Forwards the next bytes of a long response to the client unchanged. The bytes are discarded unless this attempt's response
+    /// is being streamed.
     pub(crate) fn response_chunk(&mut self, attempt: AttemptId, bytes: Vec<u8>) {
         let request = attempt.request;
         let pending = self.requests.get(&request);
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Handles the result of an attempt. Each attempt has exactly one.
+    /// Handles the result of an attempt. Each attempt has exactly one result.
     pub(crate) fn attempt_completed(&mut self, now: Micros, attempt: AttemptId, reply: Reply) {
         let Some(in_flight) = self.in_flight.remove(&attempt) else { return };
         let (request, server) = (attempt.request, in_flight.server);
@@ -68,7 +71,7 @@
         self.handle(now, Event::AttemptCompleted(result));
     }
 
-    /// The request has one attempt less in flight.
+    /// Decrements the number of attempts in flight for the request.
     fn release_attempt(&mut self, now: Micros, request: RequestId) {
         let Some(pending) = self.requests.get_mut(&request) else { return };
         pending.attempts_in_flight = pending.attempts_in_flight.saturating_sub(1);
@@ -77,8 +80,8 @@
         }
     }
 
-    /// Answers the request if the attempt served it, or failed while its response was being streamed. A request whose response was
-    /// streamed in part is not retried.
+    /// Answers the request if the attempt served it. If the attempt failed while its response was being streamed, the stream is
+    /// aborted: a request whose response was streamed in part is not retried.
     fn answer_from_reply(&mut self, now: Micros, attempt: AttemptId, reply: Reply) {
         let request = attempt.request;
         let Some(pending) = self.requests.get(&request) else { return };
@@ -101,7 +104,7 @@
         self.observers.notify(now, CoreEvent::AttemptEnded { server, uid, write, reply });
     }
 
-    /// Notifies observers of the value that a read returned, from a member of its group or from a copy.
+    /// Notifies observers of the result of a read, which came from a member of its group or from a copy.
     fn notify_read_served(&self, now: Micros, request: RequestId, attempt: &InFlightAttempt, reply: &Reply) {
         let Some(pending) = self.requests.get(&request) else { return };
         let (group, class, key) = (pending.group, pending.class, pending.payload.key());
@@ -117,13 +120,15 @@
     }
 }
 
-/// The status without a position in the future, which would be wrong.
+/// Returns the status, without its position if that is further in the future than the clock skew allows. Such a position is
+/// wrong.
 fn without_future_position(status: ServerStatus, now: Micros) -> ServerStatus {
     let position = status.position.filter(|position| *position <= now + MAX_CLOCK_SKEW_MICROS);
     ServerStatus { position, ..status }
 }
 
-/// The report, unless its position is in the future: such a report is corrupt and not used at all.
+/// Returns the report, unless its position is further in the future than the clock skew allows. Such a report is corrupt, and
+/// none of its values is used.
 pub(super) fn discard_if_in_future(report: Option<LoadReport>, now: Micros) -> Option<LoadReport> {
     report.filter(|report| report.position.is_none_or(|position| position <= now + MAX_CLOCK_SKEW_MICROS))
 }
--- a/proxy/src/core/classes.rs
+++ b/proxy/src/core/classes.rs
@@ -1,7 +1,7 @@
-//! Request classes by number, across changes of the settings.
+//! Numbers of request classes, and their use across changes of the settings.
 //!
-//! A number identifies one class with its rules for as long as one of its requests may be open: a class that is dropped or gets
-//! other rules keeps its old number for a while, and the new one gets a free number.
+//! A number identifies one class and its rules for as long as a request of the class may be open. A class that is dropped from
+//! the settings or gets other rules keeps its old number for a while. The changed class gets a free number.
 
 use super::{Core, RequestPayload};
 use crate::stats::{ClassRowIndex, RequestResult, Stats};
@@ -9,27 +9,26 @@
 use birchreach_settings::DeploymentSettings;
 use std::collections::HashSet;
 
-/// A class that was dropped still accepts requests for this time, as clients may not know yet that it was.
+/// How long a dropped class still accepts requests. Clients may not know yet that the class was dropped.
 const DROPPED_CLASS_GRACE_MICROS: Micros = 2_000_000;
 
-/// A class and its number's history.
+/// A class, and the state of its number.
 #[derive(Clone, Debug)]
 struct ClassEntry {
     name: String,
     rules: RequestClass,
-    /// Index of its row in the statistics.
     stats_row: ClassRowIndex,
-    /// Set once the class is dropped or replaced by another of its name: its last requests have arrived by then.
+    /// Set once the class is dropped or replaced by another class of the same name. All requests of the old class are expected to
+    /// have arrived by this time.
     accepted_until: Option<Micros>,
 }
 
 impl ClassEntry {
-    /// Whether the current settings have this class.
+    /// Returns whether the current settings contain this class.
     fn is_current(&self) -> bool {
         self.accepted_until.is_none()
     }
 
-    /// Whether requests of this class are accepted.
     fn accepts_requests(&self, now: Micros) -> bool {
         self.accepted_until.is_none_or(|until| now < until)
     }
@@ -37,60 +36,59 @@
 
 /// All classes, and the settings of the router.
 pub(super) struct ClassTable {
-    /// By number, including classes that were dropped.
+    /// Indexed by class number. Classes that were dropped are included.
     classes: Vec<ClassEntry>,
-    /// Settings of the router; its list of classes is replaced by the one above.
+    /// Settings of the router. Their list of classes is not used, because `classes` replaces it.
     routing: Settings,
-    /// Processes that share the quota of this proxy.
+    /// Number of processes that share the quota of this proxy.
     process_count: u32,
 }
 
 impl ClassTable {
-    /// The classes of these settings.
+    /// Creates a table with the classes of these settings.
     pub(super) fn new(settings: &DeploymentSettings, stats: &mut Stats) -> ClassTable {
         let named = settings.class_names.iter().zip(&settings.routing.classes);
-        let numbered = named.map(|(name, rules)| ClassEntry {
+        let entries = named.map(|(name, rules)| ClassEntry {
             name: name.clone(),
             rules: rules.clone(),
             stats_row: stats.class_row(name),
             accepted_until: None,
         });
-        ClassTable { classes: numbered.collect(), routing: settings.routing.clone(), process_count: 1 }
+        ClassTable { classes: entries.collect(), routing: settings.routing.clone(), process_count: 1 }
     }
 
-    /// The class with this number.
     fn get(&self, class: ClassId) -> Option<&ClassEntry> {
         self.classes.get(usize::from(class.0))
     }
 
-    /// Counts a request of this class that got its final answer.
+    /// Counts a request of this class that received its final answer.
     pub(super) fn count_result(&self, stats: &mut Stats, class: ClassId, result: RequestResult) {
         if let Some(class) = self.get(class) {
             stats.count_result(class.stats_row, result);
         }
     }
 
-    /// Whether requests of this class write.
+    /// Returns whether requests of this class are writes; false for an unknown class.
     pub(super) fn is_write(&self, class: ClassId) -> bool {
         self.get(class).is_some_and(|class| class.rules.consistency == Consistency::Write)
     }
 
-    /// Consistency of a class; that of a write for an unknown one.
+    /// Returns the consistency of a class; [`Consistency::Write`] for an unknown class.
     pub(super) fn consistency(&self, class: ClassId) -> Consistency {
         self.get(class).map_or(Consistency::Write, |class| class.rules.consistency)
     }
 
-    /// Consistency of each class, by the number of the class.
+    /// Returns the consistency of each class, indexed by class number.
     pub(super) fn consistencies(&self) -> Vec<Consistency> {
         self.classes.iter().map(|class| class.rules.consistency).collect()
     }
 
-    /// Whether the settings allow health checks.
+    /// Returns whether the settings allow health checks.
     pub(super) fn health_checks_allowed(&self) -> bool {
         self.routing.health_checks_allowed
     }
 
-    /// Applies new settings. `in_use` are the numbers of classes with open requests or attempts.
+    /// Applies new settings. `in_use` contains the numbers of classes with open requests or attempts.
     fn update(
         &mut self,
         now: Micros,
@@ -107,7 +105,8 @@
         self.routing = settings.routing.clone();
     }
 
-    /// Drops the classes that the settings do not have, or have with other rules.
+    /// Drops the classes that are missing from the settings or have other rules there. A dropped class that the settings contain
+    /// again with the same rules becomes current again.
     fn drop_missing(&mut self, now: Micros, settings: &DeploymentSettings) {
         for class in &mut self.classes {
             let mut named = settings.class_names.iter().zip(&settings.routing.classes);
@@ -126,7 +125,7 @@
         in_use: &HashSet<ClassId>,
         stats: &mut Stats,
     ) {
-        let added = ClassEntry {
+        let entry = ClassEntry {
             name: name.to_string(),
             rules: rules.clone(),
             stats_row: stats.class_row(name),
@@ -136,19 +135,20 @@
             !class.accepts_requests(now) && !in_use.iter().any(|class_id| usize::from(class_id.0) == index)
         };
         match self.classes.iter().enumerate().position(is_free) {
-            Some(index) => self.classes[index] = added,
-            None => self.classes.push(added),
+            Some(index) => self.classes[index] = entry,
+            None => self.classes.push(entry),
         }
     }
 
-    /// The settings for the router, for which each process of this proxy counts as a proxy.
+    /// Returns the settings for the router, in which each process of this proxy counts as a separate proxy.
     fn router_settings(&self) -> Settings {
         let classes = self.classes.iter().map(|class| class.rules.clone()).collect();
         let proxy_count = self.routing.proxy_count.saturating_mul(self.process_count);
         Settings { classes, proxy_count, ..self.routing.clone() }
     }
 
-    /// The number and rules of a class that accepts requests. Of two with this name the current one is found.
+    /// Returns the number and rules of a class that accepts requests. If several classes have this name, the current one is
+    /// preferred.
     fn find(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
         let classes = self.classes.iter().enumerate();
         let accepting = classes.filter(|(_, class)| class.name == name && class.accepts_requests(now));
@@ -167,7 +167,7 @@
         self.update_router_settings(now);
     }
 
-    /// Sets how many processes share the quota of this proxy.
+    /// Sets the number of processes that share the quota of this proxy.
     pub(crate) fn set_process_count(&mut self, now: Micros, process_count: u32) {
         if std::mem::replace(&mut self.classes.process_count, process_count) != process_count {
             self.update_router_settings(now);
@@ -180,12 +180,12 @@
         self.handle(now, Event::Settings(Box::new(settings)));
     }
 
-    /// The number and rules of the class with this name, while requests of it are accepted.
+    /// Returns the number and rules of the class with this name, or `None` if no class with this name accepts requests.
     pub(crate) fn find_class(&self, now: Micros, name: &str) -> Option<(ClassId, &RequestClass)> {
         self.classes.find(now, name)
     }
 
-    /// Where the required positions of session reads come from.
+    /// Returns where the required positions of session reads come from.
     pub(crate) fn session_position_source(&self) -> SessionPositionSource {
         self.classes.routing.session_positions
     }
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -1,11 +1,11 @@
-//! The values exchanged between the core, the protocol front ends and the event loop. They belong to no protocol.
+//! Values that the core, the protocol front ends and the event loop exchange. They are independent of any protocol.
 
 use crate::reply::Value;
 use birchreach::{AttemptNumber, ClassId, GroupId, Micros, RequestId, ServerId, SessionId};
 
-/// A front end's own form of a request.
+/// A request in the form that its front end uses.
 pub(crate) trait RequestPayload: Clone {
-    /// The key that is read or written.
+    /// Returns the key that the request reads or writes.
     fn key(&self) -> &[u8];
 }
 
@@ -15,38 +15,39 @@
     }
 }
 
-/// A request in the form that all front ends use.
+/// The protocol-independent properties of a request, which the core uses for routing.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RoutingRequest {
-    /// Its class.
+    /// Class of the request, as [`super::Core::find_class`] returns it.
     pub class: ClassId,
-    /// The group that it addresses.
+    /// The group that holds the requested data.
     pub group: GroupId,
-    /// Its session.
+    /// Session of a write or of a session read; `None` for other requests.
     pub session: Option<SessionId>,
-    /// The position that a session read has to see.
+    /// Position that a session read has to see; `None` if the request does not state one.
     pub read_after_position: Option<Micros>,
-    /// How long the client waits from now on.
+    /// How long the client waits, counted from the arrival of the request.
     pub timeout: Micros,
 }
 
-/// The final answer to a request. Each request has exactly one, unless its client disconnects.
+/// The final answer to a request. Each request gets exactly one final answer, unless its client disconnects or its stream is
+/// aborted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
-    /// Served, with this value.
+    /// The request was served with this value.
     Served(Value),
-    /// Served; the value was streamed and is complete.
+    /// The request was served, and its value was streamed completely.
     Streamed,
-    /// Not served, and safe to retry.
+    /// The request was not served and is safe to retry.
     Rejected {
-        /// Suggested delay before the client retries.
+        /// Suggested delay before the client retries; `None` if the router suggests none.
         retry_after_ms: Option<u64>,
     },
-    /// Not served; it may have run.
+    /// The request was not served, but may have run.
     Failed,
 }
 
-/// The key of the client connection that a request came from, in the tables of the front end.
+/// Identifies the client connection that sent a request, in the tables of the front end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ClientKey(pub usize);
 
@@ -61,7 +62,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RoutingTimerId(pub u32);
 
-/// A command for the event loop, to be carried out in order. `client` is the key that the client's request came with.
+/// A command for the event loop, which must execute commands in order. `client` is the key that was passed with the client's
+/// request.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Command<P> {
     /// Send an attempt to a server.
@@ -69,9 +71,10 @@
         attempt: AttemptId,
         server: ServerId,
         payload: P,
-        /// The attempt times out at this time.
+        /// Time at which the attempt times out.
         deadline: Micros,
-        /// The server belongs to another group: its copy is read, with the position of [`super::Core::required_copy_position`].
+        /// The server belongs to another group, and the attempt reads its copy. The copy must have reached the position that
+        /// [`super::Core::required_copy_position`] returns.
         from_copy: bool,
     },
     /// Cancel an attempt.
@@ -80,11 +83,11 @@
     HealthCheck { server: ServerId },
     /// Send a client its answer.
     Answer { client: ClientKey, request: RequestId, answer: Answer },
-    /// A long value begins. Chunks follow, then [`Answer::Streamed`] or [`Command::AbortStream`].
+    /// Start to stream a long value. Chunks follow, and then [`Answer::Streamed`] or [`Command::AbortStream`].
     BeginStream { client: ClientKey, request: RequestId, attempt: AttemptId, length: usize },
-    /// The next bytes of a long value.
+    /// Send the next bytes of a long value.
     StreamChunk { client: ClientKey, request: RequestId, bytes: Vec<u8> },
-    /// The rest of a long value will not arrive.
+    /// Abort a stream, because the rest of the long value will not arrive.
     AbortStream { client: ClientKey, request: RequestId },
     /// Call [`super::Core::timer_fired`] at this time.
     SetTimer { id: RoutingTimerId, at: Micros },
@@ -97,6 +100,6 @@
 pub(crate) enum LogRecord {
     /// A message of the router.
     RouterMessage(String),
-    /// The endpoint list names a server for the first time; messages of the router refer to it by its number.
+    /// The endpoint list contains a server for the first time. Messages of the router refer to the server by its number.
     ServerListed { server: ServerId, uid: String, endpoint: String },
 }
--- a/proxy/src/core/copies.rs
+++ b/proxy/src/core/copies.rs
@@ -1,4 +1,4 @@
-//! Reads from copies that servers of other groups have, and the router's decisions for background work.
+//! Reads from copies at servers of other groups, and the selection of servers for background work.
 
 use super::{AttemptId, Core, RequestPayload};
 use crate::observe::{CopyLocator, ReadDescription};
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 impl<P: RequestPayload> Core<P> {
-    /// Servers of other groups that may hold a copy of the requested data; none without locators.
+    /// Returns the servers of other groups that may hold a copy of the requested data. The list is empty if no locator was added.
     pub(super) fn locate_copies(
         &self,
         now: Micros,
@@ -29,23 +29,28 @@
         self.copy_locators.push(locator);
     }
 
-    /// Removes such a subsystem.
+    /// Removes a subsystem that locates copies.
     pub(crate) fn remove_copy_locator(&mut self, locator: &Rc<RefCell<dyn CopyLocator>>) {
         self.copy_locators.retain(|known| !Rc::ptr_eq(known, locator));
     }
 
-    /// The position that a copy must have reached to answer this attempt; 0 if any copy may answer it.
+    /// Returns the position that a copy must have reached to answer this attempt; 0 if any copy may answer it.
     pub(crate) fn required_copy_position(&self, now: Micros, attempt: AttemptId) -> Micros {
         self.router.required_copy_position(now, attempt.request).unwrap_or(0).max(0)
     }
 
-    /// The server that the router allows for background work of a group now. `yields`: the work waits while clients use the
-    /// capacity.
-    pub(crate) fn background_candidate(&self, group: GroupId, write: bool, yields: bool) -> Option<ServerId> {
-        self.router.background_candidate(group, write, yields)
+    /// Returns the server that the router currently allows for background work of a group, or `None` if it allows no server. Work
+    /// that `yields_to_clients` waits while clients use the capacity.
+    pub(crate) fn background_candidate(
+        &self,
+        group: GroupId,
+        write: bool,
+        yields_to_clients: bool,
+    ) -> Option<ServerId> {
+        self.router.background_candidate(group, write, yields_to_clients)
     }
 
-    /// Consistency of each class, by the number of the class.
+    /// Returns the consistency of each class, indexed by class number.
     pub(crate) fn consistencies(&self) -> Vec<Consistency> {
         self.classes.consistencies()
     }
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list: they are applied to the table of servers, and passed to the router and to observers.
+//! Updates of the endpoint list. They are applied to the server table and passed to the router and to observers.
 
 use super::{Command, Core, LogRecord, RequestPayload};
 use crate::discovery::{EndpointUpdate, ListedEndpoint};
@@ -9,32 +9,34 @@
 use std::rc::Rc;
 
 impl<P: RequestPayload> Core<P> {
-    /// The address of a server.
+    /// Returns the address of a server. `None` if the server is unknown, or if its entries never contained a valid address.
     pub(crate) fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.servers.listed.get(&server)?.address
     }
 
-    /// Whether the endpoint list has servers of this group. While there is no list, any group may exist. Cost: O(1).
+    /// Returns whether the endpoint list contains servers of this group. Every group may exist while no server is known.
+    ///
+    /// Cost: O(1).
     pub(crate) fn has_group(&self, group: GroupId) -> bool {
         self.servers.listed.is_empty() || self.servers.group_sizes.contains_key(&group)
     }
 
-    /// Name of a server in the list, for the log.
+    /// Returns the name of a server in the endpoint list, for the log. The name of an unknown server is `?`.
     pub(crate) fn server_name(&self, server: ServerId) -> &str {
         self.servers.name(server)
     }
 
-    /// Applies a change of the endpoint list. Returns the servers that moved or were removed.
+    /// Applies an update of the endpoint list. Returns the servers that moved or were removed.
     ///
-    /// Cost: O(entries and servers that were removed and are still known); for a complete list also O(known servers).
+    /// Cost: O(entries of the update + removed servers that are still known), and for a complete list also O(known servers).
     pub(crate) fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate) -> Vec<ServerId> {
         if update.complete {
             self.servers.mark_all_removed();
         }
         let (mut moved, mut endpoints) = (Vec::new(), Vec::new());
-        for target in &update.endpoints {
-            let server = self.number_server(target);
-            let (endpoint, has_moved) = self.servers.update(server, target);
+        for entry in &update.endpoints {
+            let server = self.assign_number(entry);
+            let (endpoint, has_moved) = self.servers.update(server, entry);
             moved.extend(has_moved.then_some(server));
             endpoints.push(endpoint);
         }
@@ -44,18 +46,18 @@
         moved
     }
 
-    /// The number of a server. One that is new is logged.
-    fn number_server(&mut self, target: &ListedEndpoint) -> ServerId {
-        let (server, is_new) = self.servers.assign_number(&target.uid);
+    /// Returns the number of a server, and logs the server if it is new.
+    fn assign_number(&mut self, entry: &ListedEndpoint) -> ServerId {
+        let (server, is_new) = self.servers.assign_number(&entry.uid);
         if is_new {
-            let (uid, endpoint) = (target.uid.clone(), target.endpoint.clone());
+            let (uid, endpoint) = (entry.uid.clone(), entry.endpoint.clone());
             let record = LogRecord::ServerListed { server, uid, endpoint };
             self.commands.push_back(Command::Log(record));
         }
         server
     }
 
-    /// Notifies observers of these entries, and of the servers that are removed.
+    /// Notifies observers of these entries and of the servers that are removed.
     fn notify_listed(&self, now: Micros, endpoints: &[Endpoint]) {
         let listed = &self.servers.listed;
         for endpoint in endpoints {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Drops the servers that the router has dropped; it drops none but removed ones.
+    /// Drops the servers that the router has dropped. The router drops only removed servers.
     fn drop_unknown_servers(&mut self) {
         let removed = self.servers.removed.iter().copied();
         let unknown: Vec<ServerId> = removed.filter(|id| !self.router.is_known(*id)).collect();
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Adds an observer, and notifies it of all servers in the list.
+    /// Adds an observer and notifies it of all servers in the endpoint list.
     pub(crate) fn subscribe(&mut self, now: Micros, observer: Rc<RefCell<dyn Observer>>) {
         for (id, server) in self.servers.listed.iter().filter(|(_, server)| !server.removed) {
             observer.borrow_mut().on_event(now, server.event(*id));
--- a/proxy/src/core/health_checks.rs
+++ b/proxy/src/core/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers, by the router and by observers, and reports of other proxies about servers.
+//! Health checks that the router or observers request, and positions that other proxies report.
 
 use super::attempts::discard_if_in_future;
 use super::{Command, Core, RequestPayload};
@@ -7,26 +7,26 @@
 use birchreach::{AttemptOutcome, Event, LoadReport, Micros, ServerId};
 
 impl<P: RequestPayload> Core<P> {
-    /// Commands the event loop to check a server.
+    /// Commands the event loop to check the health of a server.
     pub(super) fn start_health_check(&mut self, now: Micros, server: ServerId) {
         self.observers.notify(now, CoreEvent::AttemptSent { server });
         self.commands.push_back(Command::HealthCheck { server });
     }
 
-    /// A health check of the router ended.
+    /// Handles the result of a health check that the router or [`Core::check_role`] requested.
     pub(crate) fn health_check_completed(&mut self, now: Micros, server: ServerId, reply: &Reply) {
         self.notify_attempt_ended(now, server, false, reply);
         let load_report = discard_if_in_future(reply.load_report, now);
         self.handle(now, Event::HealthCheckCompleted { server, outcome: reply.outcome, load_report });
     }
 
-    /// A health check ended that an observer requested; its result is not reported to the router.
+    /// Handles the result of a health check that an observer requested. The result is not reported to the router.
     pub(crate) fn monitor_check_completed(&self, now: Micros, server: ServerId, reply: &Reply) {
         self.observers.notify(now, CoreEvent::MonitorCheckEnded { server, reply });
     }
 
-    /// Another proxy has observed a position of the present process of a listed server. The router uses it as a lower bound, like a
-    /// load report.
+    /// Records a position that another proxy observed at the current process of a listed server. The router uses the position as
+    /// a lower bound, like the position of a load report.
     pub(crate) fn record_remote_position(&mut self, now: Micros, uid: &str, report: LoadReport) {
         let load_report = discard_if_in_future(Some(report), now);
         if let (Some(server), Some(_)) = (self.servers.find_by_uid(uid), load_report) {
@@ -35,19 +35,19 @@
         }
     }
 
-    /// Checks the role of a server, where health checks are allowed.
+    /// Starts a health check that determines the role of a server, if the settings allow health checks.
     pub(crate) fn check_role(&mut self, now: Micros, uid: &str) {
         if let Some(server) = self.servers.find_by_uid(uid).filter(|_| self.classes.health_checks_allowed()) {
             self.start_health_check(now, server);
         }
     }
 
-    /// A connection to a server was established.
+    /// Notifies observers that a connection to a server was established.
     pub(crate) fn server_alive(&self, now: Micros, server: ServerId) {
         self.observers.notify(now, CoreEvent::ServerAlive { server });
     }
 
-    /// Discovery answered a poll.
+    /// Notifies observers that discovery answered a poll.
     pub(crate) fn discovery_answered(&self, now: Micros) {
         self.observers.notify(now, CoreEvent::DiscoveryAnswered);
     }
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -1,8 +1,8 @@
-//! The proxy's core: connects protocol front ends and the event loop to the router.
+//! The core of the proxy, which connects the protocol front ends and the event loop to the router.
 //!
-//! It has the tables of pending requests and of attempts in flight, translates what happens into events of the router, and the
-//! router's actions into commands for the event loop. It depends on no socket, no protocol and none of the subsystems that observe
-//! it. `P` is the front end's own form of a request, which is returned with each attempt.
+//! The core keeps the tables of pending requests and of attempts in flight. It translates what happens into events for the
+//! router, and the router's actions into commands for the event loop. It depends on no socket, on no protocol and on none of the
+//! subsystems that observe it. `P` is the front end's form of a request, which the core returns with each attempt.
 
 mod actions;
 mod attempts;
@@ -29,7 +29,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// The most that machines' clocks may differ: positions up to this far in the future are accepted.
+/// Maximum difference between the clocks of two machines. Positions up to this far in the future are accepted.
 const MAX_CLOCK_SKEW_MICROS: Micros = 1_000_000;
 
 /// A request without a final answer.
@@ -38,17 +38,17 @@
     class: ClassId,
     group: GroupId,
     payload: P,
-    /// Servers of other groups that may hold a copy of the data.
+    /// Servers of other groups that may hold a copy of the requested data.
     copy_holders: Vec<ServerId>,
     attempts_started: u16,
     attempts_in_flight: u16,
-    /// Since when no attempt is in flight; meaningful only while none is.
+    /// Time since which no attempt has been in flight. Meaningful only while no attempt is in flight.
     idle_since: Micros,
     /// The attempt whose response is being streamed to the client.
     streaming_attempt: Option<AttemptId>,
 }
 
-/// An attempt whose result the router waits for.
+/// An attempt for whose result the router waits.
 struct InFlightAttempt {
     server: ServerId,
     class: ClassId,
@@ -56,7 +56,7 @@
     from_copy: bool,
 }
 
-/// The pending requests, and the router that decides about them.
+/// The pending requests, and the router that decides how they are served.
 pub(crate) struct Core<P> {
     router: Router,
     requests: HashMap<RequestId, PendingRequest<P>>,
@@ -73,7 +73,7 @@
 }
 
 impl<P: RequestPayload> Core<P> {
-    /// A core without servers or requests.
+    /// Creates a core without servers or requests. `seed` makes the random decisions of the router reproducible.
     pub(crate) fn new(settings: &DeploymentSettings, seed: u64, now: Micros) -> Core<P> {
         let mut actions = Vec::new();
         let router = Router::new(settings.routing.clone(), seed, now, &mut actions);
@@ -96,29 +96,29 @@
         core
     }
 
-    /// The next command for the event loop.
+    /// Removes and returns the oldest command for the event loop.
     pub(crate) fn next_command(&mut self) -> Option<Command<P>> {
         self.commands.pop_front()
     }
 
-    /// The gauges for operators.
+    /// Returns the present values of the gauges.
     pub(crate) fn gauges(&self, now: Micros) -> Gauges {
         let skipped =
             self.servers.present().filter(|server| self.router.is_out_of_rotation(now, *server)).count();
         Gauges { in_progress: self.requests.len(), known: self.servers.present().count(), skipped }
     }
 
-    /// Requests without a final answer.
+    /// Returns the number of requests without a final answer.
     pub(crate) fn open_request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// A timer of the router expired.
+    /// Handles the expiry of a timer that [`Command::SetTimer`] set.
     pub(crate) fn timer_fired(&mut self, now: Micros, id: RoutingTimerId) {
         self.handle(now, Event::Timer { id: id.0 });
     }
 
-    /// Passes an event to the router, and carries out its actions.
+    /// Passes an event to the router and executes the actions that the router returns.
     fn handle(&mut self, now: Micros, event: Event) {
         self.router.handle(now, event, &mut self.actions);
         self.execute_actions(now);
--- a/proxy/src/core/requests.rs
+++ b/proxy/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their final answer.
+//! Requests, from their arrival to their final answer.
 
 use super::{Answer, ClientKey, Command, Core, PendingRequest, RequestPayload, RoutingRequest};
 use crate::hash::fnv1a;
@@ -7,7 +7,7 @@
 use birchreach::{Event, Micros, Request, RequestId, SessionId, TenantId};
 
 impl<P: RequestPayload> Core<P> {
-    /// Accepts a client's request. `client` is returned with its answer.
+    /// Accepts a client's request and returns its id. The commands that answer the request contain `client`.
     pub(crate) fn request(
         &mut self,
         now: Micros,
@@ -45,14 +45,14 @@
         id
     }
 
-    /// The client disconnected; its request needs no answer.
+    /// Drops the request of a client that disconnected. The request needs no answer.
     pub(crate) fn client_disconnected(&mut self, now: Micros, request: RequestId) {
         if self.requests.remove(&request).is_some() {
             self.handle(now, Event::ClientDisconnected { request });
         }
     }
 
-    /// Gives a pending request its final answer.
+    /// Gives a pending request its final answer, and counts its result.
     pub(super) fn answer(&mut self, now: Micros, request: RequestId, answer: Answer) {
         let Some(pending) = self.requests.remove(&request) else { return };
         let result = match answer {
@@ -64,14 +64,15 @@
         self.commands.push_back(Command::Answer { client: pending.client, request, answer });
     }
 
-    /// A response failed while it was streamed to the client, which must see that it is incomplete.
+    /// Aborts the stream of a response that failed while it was being streamed. The client must see that the response is
+    /// incomplete.
     pub(super) fn abort_stream(&mut self, now: Micros, request: RequestId) {
         let Some(pending) = self.requests.remove(&request) else { return };
         self.count_result(now, &pending, RequestResult::Failed);
         self.commands.push_back(Command::AbortStream { client: pending.client, request });
     }
 
-    /// Counts the result of a request, and notifies observers of that of a read.
+    /// Counts the result of a request, and notifies observers if the request is a read.
     fn count_result(&mut self, now: Micros, pending: &PendingRequest<P>, result: RequestResult) {
         self.classes.count_result(&mut self.stats, pending.class, result);
         if !self.classes.is_write(pending.class) {
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Notifies observers of the writes without an attempt in flight. Returns how many requests, including reads, have none.
+    /// Notifies observers of the writes without an attempt in flight. Returns the number of all requests without an attempt in
+    /// flight, including reads.
     pub(crate) fn report_queued_requests(&self, now: Micros) -> usize {
         let queued = self.requests.values().filter(|pending| pending.attempts_in_flight == 0);
         let queued_count = queued.clone().count();
@@ -91,7 +93,7 @@
     }
 }
 
-/// The id of a session, from its name.
+/// Returns the id of the session with this name.
 pub(crate) fn session_id(name: &[u8]) -> SessionId {
     SessionId(fnv1a(name))
 }
--- a/proxy/src/core/server_table.rs
+++ b/proxy/src/core/server_table.rs
@@ -1,4 +1,4 @@
-//! The servers of the endpoint list: their names, numbers and addresses.
+//! The servers of the endpoint list, with their names, numbers and addresses.
 //!
 //! A number is never used for two servers. A removed server is dropped once the router has dropped it.
 
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Shown in place of the name of a server that is no longer known.
+/// Name that is shown for a server that is no longer known.
 const UNKNOWN_SERVER: &str = "?";
 
 /// The latest entry of the endpoint list for a server.
@@ -25,12 +25,12 @@
 }
 
 impl ListedServer {
-    /// A server that is new on the list; `update` sets the rest.
-    fn new(target: &ListedEndpoint) -> ListedServer {
+    /// Creates a server that is new in the list. [`ListedServer::update`] sets the remaining fields.
+    fn new(entry: &ListedEndpoint) -> ListedServer {
         ListedServer {
-            uid: target.uid.clone(),
+            uid: entry.uid.clone(),
             address: None,
-            group: GroupId(target.group),
+            group: GroupId(entry.group),
             primary: None,
             up: false,
             started_ms: None,
@@ -38,14 +38,15 @@
         }
     }
 
-    /// Applies an entry of the list. Returns whether connections to the server cannot be used any more: it moved or was removed.
-    pub(super) fn update(&mut self, target: &ListedEndpoint) -> bool {
-        let address = target.endpoint.parse().ok();
-        self.group = GroupId(target.group);
-        self.primary = target.is_primary();
-        self.up = target.state == ListedState::Up;
-        self.started_ms = target.started_ms();
-        self.removed = target.state == ListedState::Removed;
+    /// Applies an entry of the list. Returns whether existing connections to the server cannot be used any more, because the
+    /// server moved or was removed.
+    pub(super) fn update(&mut self, entry: &ListedEndpoint) -> bool {
+        let address = entry.endpoint.parse().ok();
+        self.group = GroupId(entry.group);
+        self.primary = entry.is_primary();
+        self.up = entry.state == ListedState::Up;
+        self.started_ms = entry.started_ms();
+        self.removed = entry.state == ListedState::Removed;
         let moved = self.address != address || self.removed;
         if moved {
             self.address = address.or(self.address);
@@ -53,7 +54,7 @@
         moved
     }
 
-    /// The event that notifies observers of this entry.
+    /// Returns the event that notifies observers of this entry.
     pub(super) fn event(&self, server: ServerId) -> CoreEvent<'_> {
         if self.removed {
             return CoreEvent::Unlisted { server, uid: &self.uid };
@@ -69,21 +70,20 @@
     }
 }
 
-/// All servers that the list has named and the router has not dropped.
+/// All servers that the endpoint list has contained and the router has not dropped.
 pub(super) struct ServerTable {
     zone_names: Vec<String>,
     pub(super) numbers: HashMap<String, ServerId>,
     pub(super) listed: HashMap<ServerId, ListedServer>,
-    /// Those of them that were removed.
+    /// Servers in `listed` that were removed from the endpoint list.
     pub(super) removed: BTreeSet<ServerId>,
-    /// How many of them each group has; none has 0.
+    /// Number of servers in `listed` by group. Groups without a server have no entry.
     pub(super) group_sizes: HashMap<GroupId, usize>,
-    /// The number for the next new server.
     next_number: u32,
 }
 
 impl ServerTable {
-    /// A table without servers.
+    /// Creates a table without servers.
     pub(super) fn new(settings: &DeploymentSettings) -> ServerTable {
         ServerTable {
             zone_names: settings.zone_names.clone(),
@@ -95,27 +95,27 @@
         }
     }
 
-    /// Applies the zones of other settings.
+    /// Applies the zone names of new settings.
     pub(super) fn set_zones(&mut self, settings: &DeploymentSettings) {
         self.zone_names.clone_from(&settings.zone_names);
     }
 
-    /// Servers that were not removed.
+    /// Returns the servers that were not removed from the endpoint list.
     pub(super) fn present(&self) -> impl Iterator<Item = ServerId> {
         self.listed.iter().filter(|(_, server)| !server.removed).map(|(id, _)| *id)
     }
 
-    /// Name of a server in the list.
+    /// Returns the name of a server in the endpoint list. The name of an unknown server is `?`.
     pub(super) fn name(&self, server: ServerId) -> &str {
         self.listed.get(&server).map_or(UNKNOWN_SERVER, |server| &server.uid)
     }
 
-    /// The number of the server with this name.
+    /// Returns the number of the server with this name.
     pub(super) fn find_by_uid(&self, uid: &str) -> Option<ServerId> {
         self.numbers.get(uid).copied()
     }
 
-    /// The number of a server, which is assigned if it is new; and whether it is new.
+    /// Returns the number of the server with this name, and whether the server is new. A new server is assigned the next number.
     pub(super) fn assign_number(&mut self, uid: &str) -> (ServerId, bool) {
         if let Some(server) = self.find_by_uid(uid) {
             return (server, false);
@@ -126,11 +126,11 @@
         (server, true)
     }
 
-    /// Applies an entry of the list. Returns it for the router, and whether the server moved or was removed.
-    pub(super) fn update(&mut self, server: ServerId, target: &ListedEndpoint) -> (Endpoint, bool) {
+    /// Applies an entry of the list. Returns the entry for the router, and whether the server moved or was removed.
+    pub(super) fn update(&mut self, server: ServerId, entry: &ListedEndpoint) -> (Endpoint, bool) {
         let previous_group = self.listed.get(&server).map(|listed| listed.group);
-        let listed = self.listed.entry(server).or_insert_with(|| ListedServer::new(target));
-        let moved = listed.update(target);
+        let listed = self.listed.entry(server).or_insert_with(|| ListedServer::new(entry));
+        let moved = listed.update(entry);
         let (group, is_removed) = (listed.group, listed.removed);
         if is_removed {
             self.removed.insert(server);
@@ -143,21 +143,21 @@
         }
         let endpoint = Endpoint {
             server,
-            group: GroupId(target.group),
-            zone: self.zone(&target.zone),
-            state: match target.state {
+            group: GroupId(entry.group),
+            zone: self.zone(&entry.zone),
+            state: match entry.state {
                 ListedState::Up => EndpointState::Ready,
                 ListedState::Draining => EndpointState::Draining,
                 ListedState::Removed => EndpointState::Removed,
             },
-            started_at: target.started_ms().and_then(|ms| ms.checked_mul(MICROS_PER_MILLI)),
-            weight: target.weight,
-            primary: target.is_primary() == Some(true),
+            started_at: entry.started_ms().and_then(|ms| ms.checked_mul(MICROS_PER_MILLI)),
+            weight: entry.weight,
+            primary: entry.is_primary() == Some(true),
         };
         (endpoint, moved)
     }
 
-    /// Marks all servers as removed, before a complete list names those that are not.
+    /// Marks all servers as removed, before the entries of a complete list are applied.
     pub(super) fn mark_all_removed(&mut self) {
         for (id, server) in &mut self.listed {
             server.removed = true;
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Drops a server.
+    /// Drops a server and its number.
     pub(super) fn drop_server(&mut self, id: ServerId) {
         self.removed.remove(&id);
         let Some(server) = self.listed.remove(&id) else { return };
@@ -173,7 +173,7 @@
         self.remove_from_group(server.group);
     }
 
-    /// A group has one server less.
+    /// Decrements the number of servers in a group.
     fn remove_from_group(&mut self, group: GroupId) {
         let Some(size) = self.group_sizes.get_mut(&group) else { return };
         *size -= 1;
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The number of a zone. An unknown name has a number that no server or proxy has.
+    /// Returns the number of a zone. An unknown name gets `u16::MAX`, a number that no server or proxy in a known zone has.
     fn zone(&self, name: &str) -> ZoneId {
         let index = self.zone_names.iter().position(|known| known == name);
         ZoneId(index.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX))
