--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -73,7 +73,7 @@
 }
 
 impl<P: RequestPayload> Core<P> {
-    /// Creates a core without servers or requests. `seed` makes the random decisions of the router reproducible.
+    /// Creates a core without servers or requests. `seed` initializes the random number generator of the router.
     pub(crate) fn new(settings: &DeploymentSettings, seed: u64, now: Micros) -> Core<P> {
         let mut actions = Vec::new();
         let router = Router::new(settings.routing.clone(), seed, now, &mut actions);
--- a/proxy/src/hash.rs
+++ b/proxy/src/hash.rs
@@ -1,11 +1,11 @@
-//! A hash that is the same in every process and after a restart.
+//! A hash function that returns the same value in every process and after a restart.
 
 /// The initial value of FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// The multiplier of FNV-1a.
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// FNV-1a of 64 bits.
+/// Returns the 64-bit FNV-1a hash of these bytes.
 pub(crate) fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -1,18 +1,18 @@
-//! Observers of the core: subsystems that are notified of what happens to servers and requests.
+//! Observers of the core: subsystems that are notified of events that concern servers and requests.
 //!
-//! An observer returns nothing to the core and changes nothing in it, and is independent of the other observers. A subsystem
-//! implements [`Observer`] and is added by its driver; the core does not change.
+//! An observer returns nothing to the core, changes nothing in the core, and is independent of other observers. A subsystem
+//! implements [`Observer`] and is added by its driver, so that the core need not change.
 
 use crate::reply::{Reply, Value};
 use birchreach::{ClassId, Consistency, CopyCandidate, GroupId, Micros, ServerId};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Something that happened in the core.
+/// An event in the core.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CoreEvent<'a> {
-    /// The endpoint list has a server, or changed its entry. `primary`: whether it is a primary by the list, if the list names
-    /// roles.
+    /// The endpoint list contains a server, or changed the entry of the server. `primary` states whether the server is a primary
+    /// according to the list; it is `None` if the list states no roles. `started_ms` is 0 if the list states no start time.
     Listed {
         server: ServerId,
         uid: &'a str,
@@ -23,54 +23,57 @@
     },
     /// A server was removed from the endpoint list.
     Unlisted { server: ServerId, uid: &'a str },
-    /// An attempt or a health check of the router is sent.
+    /// An attempt is sent, or a health check whose result the router receives.
     AttemptSent { server: ServerId },
-    /// It ended. `write` is set for classes that only the primary serves.
+    /// An attempt ended, or a health check whose result the router receives. `write` is set for attempts of a class of writes.
     AttemptEnded { server: ServerId, uid: &'a str, write: bool, reply: &'a Reply },
-    /// A health check ended that an observer requested.
+    /// A health check that an observer requested ended.
     MonitorCheckEnded { server: ServerId, reply: &'a Reply },
-    /// A connection was established, or a response has begun.
+    /// A connection to the server was established, or a response of the server began.
     ServerAlive { server: ServerId },
     /// A read got its final answer.
     ReadFinished { group: GroupId, served: bool },
-    /// Writes without an attempt in flight: the group of each, and since when it has none.
+    /// There are writes without an attempt in flight. Each element contains the group of a write, and the time since which it has
+    /// had no attempt in flight.
     QueuedWrites { writes: &'a [(GroupId, Micros)] },
     /// Discovery answered a poll.
     DiscoveryAnswered,
-    /// A read of a key was served by a member of its group.
+    /// A member of the group served a read of a key.
     ReadServed { group: GroupId, class: ClassId, key: &'a [u8], value: &'a Value },
-    /// A server of another group answered a read from its copy with this position, or had no copy that was recent enough.
+    /// A server of another group answered a read. `position` is the position of the server's copy; it is `None` if the server had
+    /// no copy that was recent enough.
     CopyRead { group: GroupId, key: &'a [u8], server: ServerId, position: Option<Micros> },
 }
 
 /// A subsystem that is notified of what happens in the core.
 pub(crate) trait Observer {
-    /// Called for each event, in the order in which they happen.
+    /// Handles an event. Called for each event, in the order in which the events happen.
     fn on_event(&mut self, now: Micros, event: CoreEvent<'_>);
 }
 
-/// The part of a read that a [`CopyLocator`] needs.
+/// The properties of a read that a [`CopyLocator`] needs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadDescription<'a> {
-    /// The group that it addresses.
+    /// The group that holds the requested data.
     pub group: GroupId,
-    /// Which data it has to see.
+    /// The consistency that the read requires.
     pub consistency: Consistency,
-    /// The key that it reads.
+    /// The key that is read.
     pub key: &'a [u8],
 }
 
-/// A subsystem that locates copies of rows at servers of other groups. It returns candidates; the router selects one, and its reply
-/// states the position of the copy.
+/// A subsystem that locates copies of rows at servers of other groups. It returns candidates, of which the router selects one.
+/// The reply of the selected server states the position of its copy.
 pub(crate) trait CopyLocator {
-    /// Candidates for a read.
+    /// Returns the servers that may hold a copy of the requested row.
     fn locate_copies(&mut self, now: Micros, read: &ReadDescription<'_>) -> Vec<CopyCandidate>;
 }
 
-/// An observer that its driver uses too. There is one thread, and no borrow is held across a call that notifies observers.
+/// An observer that its driver uses too. All of its users run on one thread, and no borrow is held across a call that notifies
+/// observers.
 pub(crate) type Shared<T> = Rc<RefCell<T>>;
 
-/// Makes an observer that its driver uses too.
+/// Wraps an observer so that its driver can use it too.
 pub(crate) fn shared<T>(observer: T) -> Shared<T> {
     Rc::new(RefCell::new(observer))
 }
@@ -80,7 +83,7 @@
 pub(crate) struct Observers(Vec<Rc<RefCell<dyn Observer>>>);
 
 impl Observers {
-    /// Adds an observer.
+    /// Adds an observer, which is notified after those that were added before.
     pub(crate) fn add(&mut self, observer: Rc<RefCell<dyn Observer>>) {
         self.0.push(observer);
     }
@@ -90,12 +93,12 @@
         self.0.retain(|known| !Rc::ptr_eq(known, observer));
     }
 
-    /// Whether there is any.
+    /// Returns whether there are any observers.
     pub(crate) fn has_any(&self) -> bool {
         !self.0.is_empty()
     }
 
-    /// Notifies all observers.
+    /// Notifies all observers of an event.
     pub(crate) fn notify(&self, now: Micros, event: CoreEvent) {
         for observer in &self.0 {
             observer.borrow_mut().on_event(now, event);
--- a/proxy/src/peer_state.rs
+++ b/proxy/src/peer_state.rs
@@ -1,6 +1,7 @@
-//! Peer state in the proxy: translates this proxy's observations of servers into the facts of the crate `birchreach-peer-state`,
-//! and the facts of other proxies into positions and role checks for the router. The crate decides what a fact may be used for; no
-//! write is sent because of one.
+//! Adapter between the core and the crate `birchreach-peer-state`. It translates this proxy's observations of servers into facts,
+//! and the facts of other proxies into positions and role checks for the router.
+//!
+//! The crate decides what a fact may be used for. No write is sent because of a fact.
 
 #[cfg(test)]
 mod tests;
@@ -13,45 +14,45 @@
 };
 use std::collections::HashMap;
 
-/// An older position is not reported to the router, which measures the lag of a replica from the time at which a position is
-/// reported, and would avoid the replica for a while.
+/// Maximum age of a position that is reported to the router. The router measures the lag of a replica from the time at which a
+/// position is reported. An older position would make the router avoid the replica for a while.
 const MAX_POSITION_AGE_MICROS: Micros = 5_000_000;
-/// A server whose observation as primary is trusted less than this is not checked.
+/// Minimum trust in the observation of a primary. A server with less trust is not checked.
 const MIN_TRUST: f64 = 0.05;
 
 /// This proxy's peer state, kept up to date from the core's events.
 pub(crate) struct PeerStateObserver {
-    /// The facts.
+    /// The facts that are known about servers.
     pub state: PeerState,
-    /// The last position of each server that was reported to the router.
+    /// Last position of each server that was reported to the router, by the name of the server.
     reported_positions: HashMap<String, Micros>,
 }
 
-/// A position of a server that another proxy observed.
+/// The position of a server, as another proxy observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RemotePosition {
-    /// The server.
+    /// Name of the server in the endpoint list.
     pub uid: String,
-    /// Its position.
+    /// Load report that contains only the position.
     pub report: LoadReport,
 }
 
-/// What the router may use of another proxy's state.
+/// Hints for the router from the state of another proxy.
 #[derive(Debug, Default)]
 pub(crate) struct PeerHints {
-    /// Positions of servers on the endpoint list.
+    /// Positions of servers in the endpoint list.
     pub positions: Vec<RemotePosition>,
-    /// Servers whose role should be checked, as each may be its group's primary.
+    /// Names of servers whose role should be checked, because each may be the primary of its group.
     pub primary_candidates: Vec<String>,
 }
 
 impl PeerStateObserver {
-    /// Nothing is known. `observer` is random and identifies this process.
+    /// Creates an observer without facts. `observer` is a random number that identifies this process.
     pub(crate) fn new(observer: u64) -> PeerStateObserver {
         PeerStateObserver { state: PeerState::new(observer), reported_positions: HashMap::new() }
     }
 
-    /// Records the status that a server reported, with an answer or a load report.
+    /// Records the role, the position and the health of a server, as its reply shows them.
     fn record_reply(&mut self, now: Micros, uid: &str, reply: &Reply) {
         if let Some(status) = reply.status {
             let source = ObservationSource::ServerStatus;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Records a position, if there is one, and its lag.
+    /// Records the position of a server and its lag. Does nothing if there is no position.
     fn record_position(
         &mut self,
         now: Micros,
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Merges a part of another proxy's state, which was requested at this time.
+    /// Merges a part of another proxy's state, and returns the hints that follow from it. `requested_at` is the time at which the
+    /// part was requested.
     pub(crate) fn apply_transfer(
         &mut self,
         now: Micros,
@@ -105,20 +107,22 @@
         PeerHints { positions, primary_candidates }
     }
 
-    /// A recent position that another proxy observed, if it is later than those reported to the router.
+    /// Returns the position of a server if another proxy observed it, if it is recent, and if it is later than the positions that
+    /// were already reported to the router.
     fn new_position(&mut self, now: Micros, uid: &str) -> Option<RemotePosition> {
-        let seen = advice::position(&self.state, uid)?;
-        let is_recent_and_remote = seen.hop_count > 0 && seen.age(now) <= MAX_POSITION_AGE_MICROS;
-        let is_later = self.reported_positions.get(uid).is_none_or(|before| *before < seen.value);
+        let observation = advice::position(&self.state, uid)?;
+        let is_recent_and_remote =
+            observation.hop_count > 0 && observation.age(now) <= MAX_POSITION_AGE_MICROS;
+        let is_later = self.reported_positions.get(uid).is_none_or(|reported| *reported < observation.value);
         if !is_recent_and_remote || !is_later {
             return None;
         }
-        self.reported_positions.insert(uid.into(), seen.value);
-        let report = LoadReport { position: Some(seen.value), role: None };
+        self.reported_positions.insert(uid.into(), observation.value);
+        let report = LoadReport { position: Some(observation.value), role: None };
         Some(RemotePosition { uid: uid.into(), report })
     }
 
-    /// The groups of those servers that have facts, each once.
+    /// Returns the groups of those servers that have facts, without duplicates.
     fn groups_of(&self, servers: &[TransferredServer]) -> Vec<u32> {
         let mut groups = Vec::new();
         for facts in servers.iter().filter_map(|server| self.state.facts(&server.uid)) {
@@ -129,10 +133,11 @@
         groups
     }
 
-    /// The most likely primary of a group, unless this proxy has observed it itself or trust is too low.
+    /// Returns the most likely primary of a group. Returns `None` if this proxy has observed the role of this server itself, or
+    /// if the trust is too low.
     fn primary_candidate(&self, now: Micros, group: u32) -> Option<String> {
-        let first = advice::primary_candidates(&self.state, group, now).into_iter().next()?;
-        (first.observation.hop_count > 0 && first.trust >= MIN_TRUST).then_some(first.uid)
+        let candidate = advice::primary_candidates(&self.state, group, now).into_iter().next()?;
+        (candidate.observation.hop_count > 0 && candidate.trust >= MIN_TRUST).then_some(candidate.uid)
     }
 }
 
@@ -149,7 +154,7 @@
     }
 }
 
-/// The role as the crate defines it.
+/// Converts a role of the router to a role of the crate.
 fn to_peer_role(role: birchreach::Role) -> Role {
     match role {
         birchreach::Role::Primary => Role::Primary,
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -1,8 +1,8 @@
-//! Counters since the start of the process, as operators see them.
+//! Counters since the start of the process, and their text form for operators.
 
 use std::fmt::Write;
 
-/// Counters of a class: its requests by their result.
+/// Requests of a class, counted by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ResultCounts {
     served: u64,
@@ -10,44 +10,44 @@
     failed: u64,
 }
 
-/// Counters of one class, by its name.
+/// The counters of the class with this name.
 #[derive(Debug)]
 struct ClassRow {
     name: String,
     counts: ResultCounts,
 }
 
-/// The index of a class's counters.
+/// Index of the counters of a class in [`Stats`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClassRowIndex(usize);
 
 /// The result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestResult {
-    /// It was served.
+    /// The request was served.
     Served,
-    /// It was not served, and may be retried.
+    /// The request was not served, and may be retried.
     Rejected,
-    /// It was not served, and may have run.
+    /// The request was not served, but may have run.
     Failed,
 }
 
-/// All counters. A request is counted when it gets its answer, an attempt when the last byte of its query is written.
+/// All counters. A request is counted when it is answered. An attempt is counted when the last byte of its query was written.
 #[derive(Debug, Default)]
 pub(crate) struct Stats {
     classes: Vec<ClassRow>,
-    /// Attempts written to databases.
+    /// Attempts that were written to databases.
     pub attempts: u64,
-    /// Configuration files applied after SIGHUP.
+    /// Configuration files that were applied after SIGHUP.
     pub configuration_loads: u64,
-    /// Configuration files not applied because of errors.
+    /// Configuration files that were not applied after SIGHUP because of errors.
     pub configuration_load_errors: u64,
 }
 
-/// Values of the present state.
+/// Values that describe the present state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Gauges {
-    /// Requests without an answer.
+    /// Requests without a final answer.
     pub in_progress: usize,
     /// Databases in the endpoint list.
     pub known: usize,
@@ -56,16 +56,16 @@
 }
 
 impl Stats {
-    /// The index of a class's row. A class that was known before keeps its counters.
+    /// Returns the index of a class's row. A class that was known before keeps its counters.
     pub(crate) fn class_row(&mut self, name: &str) -> ClassRowIndex {
-        let known = self.classes.iter().position(|row| row.name == name);
-        ClassRowIndex(known.unwrap_or_else(|| {
+        let existing = self.classes.iter().position(|row| row.name == name);
+        ClassRowIndex(existing.unwrap_or_else(|| {
             self.classes.push(ClassRow { name: name.to_string(), counts: ResultCounts::default() });
             self.classes.len() - 1
         }))
     }
 
-    /// Counts a request of the class with this row.
+    /// Counts the result of a request of the class with this row.
     pub(crate) fn count_result(&mut self, row: ClassRowIndex, result: RequestResult) {
         let Some(ClassRow { counts, .. }) = self.classes.get_mut(row.0) else { return };
         match result {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Every counter and gauge, a line each. The names are public and must not change.
+    /// Returns every counter and gauge on a line of its own. The names are public and must not change.
     pub(crate) fn lines(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
--- a/proxy/src/units.rs
+++ b/proxy/src/units.rs
@@ -1,4 +1,4 @@
-//! Units of time.
+//! Conversion between units of time.
 
 use birchreach::Micros;
 
