--- a/proxy/src/background_query.rs
+++ b/proxy/src/background_query.rs
@@ -1,5 +1,5 @@
-//! Background queries: statements that no client waits for, run one after the other on one connection to a database, and their
-//! replies.
+//! Background queries: statements that no client waits for, and their replies. The statements of a query run one after the other
+//! on one connection to a database.
 
 #[cfg(test)]
 mod tests;
@@ -8,22 +8,23 @@
 use birchreach::{AttemptOutcome, ServerId};
 use std::fmt;
 
-/// The sender's number for a query.
+/// Identifies a query. The sender assigns the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct BackgroundQueryId(pub u64);
 
-/// The id in the comment of a background statement, as clients' statements have one. The statements of one query share it.
+/// The id in the comment of a background statement. Statements of clients have such an id too. All statements of one query have
+/// the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BackgroundStatementId(pub u64);
 
-/// Hands out the ids of this process's background statements. They count on from its incarnation, so that they differ among
-/// incarnations.
+/// Generates the ids of this process's background statements. The first id follows the incarnation of the process, so that the
+/// ids of different incarnations differ.
 #[derive(Debug)]
 pub(crate) struct BackgroundStatementIds {
     last: BackgroundStatementId,
 }
 
-/// Statements, and the replies so far.
+/// The statements of a query, and the replies that have arrived.
 pub(crate) struct BackgroundQuery {
     id: BackgroundQueryId,
     server: ServerId,
@@ -34,13 +35,13 @@
 /// The result of a query.
 #[derive(Debug)]
 pub(crate) struct BackgroundQueryResult {
-    /// The sender's number for it.
+    /// Identifies the query.
     pub id: BackgroundQueryId,
-    /// The server that it was sent to.
+    /// The server to which the query was sent.
     pub server: ServerId,
-    /// A reply for each statement that was sent; none is sent after the first that failed.
+    /// One reply for each statement that was sent. No statement is sent after a statement that failed.
     pub replies: Vec<Reply>,
-    /// Every statement was sent and succeeded.
+    /// Whether every statement was sent and succeeded.
     pub complete: bool,
 }
 
@@ -51,12 +52,12 @@
 }
 
 impl BackgroundStatementIds {
-    /// No id is handed out yet.
+    /// Creates a generator whose first id is the incarnation plus one.
     pub(crate) fn new(incarnation: u64) -> BackgroundStatementIds {
         BackgroundStatementIds { last: BackgroundStatementId(incarnation) }
     }
 
-    /// The id after the one that was handed out last.
+    /// Returns the next id. Ids wrap around to zero.
     pub(crate) fn next_id(&mut self) -> BackgroundStatementId {
         self.last = BackgroundStatementId(self.last.0.wrapping_add(1));
         self.last
@@ -64,27 +65,27 @@
 }
 
 impl BackgroundQuery {
-    /// Statements for a server, in this order.
+    /// Creates a query that sends these statements to a server in this order.
     pub(crate) fn new(id: BackgroundQueryId, server: ServerId, statements: Vec<Vec<u8>>) -> BackgroundQuery {
         BackgroundQuery { id, server, statements, replies: Vec::new() }
     }
 
-    /// The first statement without a reply.
+    /// Returns the first statement without a reply, or an empty slice if every statement has a reply.
     pub(crate) fn current_statement(&self) -> &[u8] {
         self.statements.get(self.replies.len()).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether another statement follows the one with this reply.
+    /// Returns whether another statement must be sent after this reply to the current statement.
     pub(crate) fn continues_after(&self, reply: &Reply) -> bool {
         reply.outcome == AttemptOutcome::Ok && self.replies.len() + 1 < self.statements.len()
     }
 
-    /// Adds the reply to the current statement, after which another one follows.
+    /// Adds the reply to the current statement. The next statement becomes the current one.
     pub(crate) fn add_reply(&mut self, reply: Reply) {
         self.replies.push(reply);
     }
 
-    /// The result, with the last reply.
+    /// Returns the result of the query. `reply` is the last reply.
     pub(crate) fn complete(mut self, reply: Reply) -> BackgroundQueryResult {
         self.replies.push(reply);
         let all_succeeded = self.replies.iter().all(|reply| reply.outcome == AttemptOutcome::Ok);
--- a/proxy/src/background_query/tests.rs
+++ b/proxy/src/background_query/tests.rs
@@ -1,4 +1,4 @@
-//! The ids of background statements.
+//! Ids of background statements.
 
 use super::{BackgroundStatementId, BackgroundStatementIds};
 
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The fleet as operators see it: the reply to the call `fleet`, a summary line and one for each other member, and the metrics in
-//! the reply to `metrics`. Both formats are public and must not change.
+//! Status and metrics of the fleet for operators. The status is the reply to the admin call `fleet`: a summary line, and a line
+//! for each other member. The metrics are part of the reply to the admin call `metrics`. Both formats are public and must not
+//! change.
 
 use crate::units::MICROS_PER_MILLI;
 use birchreach_membership::{Membership, Micros, PayloadError, ViewState};
@@ -12,22 +13,22 @@
 use prometheus_client::registry::Registry;
 use std::fmt::Write;
 
-/// The direction of a datagram. The names are the label's values.
+/// The direction of a datagram. The names of the variants are the values of the label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum Direction {
-    /// Sent.
+    /// The datagram was sent.
     Sent,
-    /// Received and accepted.
+    /// The datagram was received and accepted.
     Taken,
 }
 
-/// The label of metrics by direction.
+/// Label of metrics that are counted by direction. The name of the field is the name of the label.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct DirectionLabel {
     way: Direction,
 }
 
-/// The label of metrics by reason.
+/// Label of metrics that are counted by reason. The name of the field is the name of the label.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabel {
     reason: &'static str,
@@ -36,16 +37,16 @@
 /// Why a datagram counts as dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DropReason {
-    /// It could not be opened.
+    /// The datagram could not be opened.
     Datagram(DatagramError),
-    /// Its payload was rejected.
+    /// The payload of the datagram was rejected.
     Payload(PayloadError),
-    /// The system did not send it.
+    /// The operating system did not send the datagram.
     Unsent,
 }
 
 impl DropReason {
-    /// The value of the label.
+    /// Returns the value of the label.
     fn as_str(self) -> &'static str {
         match self {
             DropReason::Datagram(error) => error.as_str(),
@@ -66,7 +67,7 @@
 }
 
 impl FleetMetrics {
-    /// All metrics at zero.
+    /// Registers all metrics with the value zero.
     pub(crate) fn new() -> FleetMetrics {
         let mut metrics = FleetMetrics {
             registry: Registry::with_prefix("birchreach_fleet"),
@@ -97,18 +98,18 @@
         metrics
     }
 
-    /// A datagram was sent, or received and accepted.
-    pub(crate) fn count_datagram(&self, way: Direction, bytes: usize) {
-        self.datagrams.get_or_create(&DirectionLabel { way }).inc();
-        self.bytes.get_or_create(&DirectionLabel { way }).inc_by(bytes as u64);
+    /// Counts a datagram that was sent, or received and accepted.
+    pub(crate) fn count_datagram(&self, direction: Direction, bytes: usize) {
+        self.datagrams.get_or_create(&DirectionLabel { way: direction }).inc();
+        self.bytes.get_or_create(&DirectionLabel { way: direction }).inc_by(bytes as u64);
     }
 
-    /// A datagram was not accepted, or not sent.
+    /// Counts a datagram that was not accepted or not sent.
     pub(crate) fn count_dropped(&self, reason: DropReason) {
         self.dropped.get_or_create(&ReasonLabel { reason: reason.as_str() }).inc();
     }
 
-    /// All metrics in the text format, without its last line.
+    /// Returns all metrics in the text format, without the `# EOF` line at the end.
     pub(crate) fn text(&self, membership: &Membership) -> String {
         let view = membership.view();
         self.members.set(i64::try_from(view.member_count).unwrap_or(i64::MAX));
@@ -120,7 +121,7 @@
     }
 }
 
-/// The reply to the call `fleet`.
+/// Returns the reply to the admin call `fleet`.
 pub(crate) fn status_lines(membership: &Membership, now: Micros) -> String {
     let view = membership.view();
     let identity = membership.identity();
--- a/proxy/src/hot.rs
+++ b/proxy/src/hot.rs
@@ -1,5 +1,6 @@
-//! Hot keys in the proxy: translates the core's events, the endpoint list and the options into the types of the crate `hot-keys`,
-//! and its state into the reply to the call `hot`. The crate decides which keys are hot and which databases have copies.
+//! Adapter between the core and the crate `birchreach-hot-keys`. It translates the core's events, the endpoint list and the
+//! options into the types of the crate, and the state of the crate into the reply to the admin call `hot`. The crate decides
+//! which keys are hot and which databases hold copies.
 
 use crate::observe::{CopyLocator, CoreEvent, Observer, ReadDescription};
 use crate::units::MICROS_PER_MILLI;
@@ -17,28 +18,28 @@
     up: bool,
 }
 
-/// The tracker of hot keys as an observer of the core, and the locator of its copies.
+/// The tracker of hot keys as an observer of the core, and the locator of the tracker's copies.
 pub(crate) struct HotKeyObserver {
-    /// The decisions.
+    /// Decides which keys are hot and which databases hold their copies.
     pub tracker: HotKeyTracker,
     hasher: NameHasher,
     listed: HashMap<ServerId, ListedServer>,
-    /// The tracker does not have the latest endpoint list yet.
+    /// Whether the endpoint list has changed since it was last passed to the tracker.
     list_changed: bool,
     copy_hits: u64,
     copy_misses: u64,
 }
 
-/// How often the holders of copies had a copy that was recent enough, and how often not.
+/// Counts of the reads that were sent to holders of copies, by whether the holder had a copy that was recent enough.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CopyReadCounts {
-    /// Reads served from copies.
+    /// Reads that were served from copies.
     pub hits: u64,
-    /// Reads for which the holder had no copy, or an old one.
+    /// Reads for which the holder had no copy, or a copy that was too old.
     pub misses: u64,
 }
 
-/// What a copy must fulfil to answer a read of this consistency.
+/// Returns the requirement that a copy must meet to serve a read of this consistency.
 fn copy_requirement(consistency: Consistency) -> CopyRequirement {
     match consistency {
         Consistency::Write | Consistency::Strong => CopyRequirement::Current,
@@ -48,7 +49,7 @@
     }
 }
 
-/// The crate's settings from the options, the number of configured processes and the classes of requests.
+/// Returns the crate's settings from the options, the number of configured processes and the consistency of each request class.
 pub(crate) fn settings(
     options: &birchreach_options::HotKeyOptions,
     configured_members: u32,
@@ -64,7 +65,7 @@
 }
 
 impl HotKeyObserver {
-    /// An observer that has seen nothing; `local_origin` is this process's number in reports.
+    /// Creates an observer without counted reads. `local_origin` identifies this process in reports.
     pub(crate) fn new(
         settings: Settings,
         local_origin: u64,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Passes the endpoint list to the tracker, if it has changed.
+    /// Passes the endpoint list to the tracker if the list has changed.
     pub(crate) fn apply_list_changes(&mut self) {
         if !std::mem::take(&mut self.list_changed) {
             return;
@@ -90,24 +91,24 @@
         let mut databases = Vec::new();
         for (id, server) in self.listed.iter().filter(|(_, server)| server.up) {
             *replicas.entry(server.group).or_default() += usize::from(!server.primary);
-            // A hash of the name alone is the same in all processes, whichever key file they use.
+            // An unkeyed hash of the name is equal in all processes, whichever key file they use.
             let name_hash = crate::hash::fnv1a(server.uid.as_bytes());
             databases.push(Database { server: id.0, group: server.group, name_hash });
         }
         self.tracker.update_databases(databases, replicas);
     }
 
-    /// The key by its hash, which cannot be computed outside the fleet.
+    /// Returns the key with its keyed hash, which cannot be computed outside the fleet.
     fn key(&self, group: u32, key_bytes: &[u8]) -> Key {
         Key { group, hash: self.hasher.hash(group, key_bytes) }
     }
 
-    /// How often copies answered reads.
+    /// Returns how many reads the holders of copies served and missed.
     pub(crate) fn copy_read_counts(&self) -> CopyReadCounts {
         CopyReadCounts { hits: self.copy_hits, misses: self.copy_misses }
     }
 
-    /// The reply to the call `hot`: a summary line, and one for each hot key.
+    /// Returns the reply to the admin call `hot`: a summary line, and a line for each hot key.
     pub(crate) fn status_lines(&self, now: Micros) -> String {
         let agreement = self.tracker.agreement();
         let mut lines = String::new();
@@ -129,12 +130,12 @@
         lines
     }
 
-    /// The line for a hot key.
+    /// Returns the line for a hot key.
     fn key_line(&self, now: Micros, hot_key: &HotKey) -> String {
-        let uid = |holder: &Database| {
+        let holder_name = |holder: &Database| {
             self.listed.get(&ServerId(holder.server)).map_or("?", |server| server.uid.as_str())
         };
-        let holders: Vec<&str> = hot_key.copy_holders.iter().map(uid).collect();
+        let holders: Vec<&str> = hot_key.copy_holders.iter().map(holder_name).collect();
         format!(
             "key group={} hash={:016x} rate={:.1} for_ms={} guests={}",
             hot_key.key.group,
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of background work and of the subsystems that it is done for. Each name is defined here and nowhere else.
+//! Metrics of background work and of the subsystems that it is done for. Metric names are defined only here.
 
 mod labels;
 #[cfg(test)]
@@ -17,7 +17,7 @@
 use prometheus_client::registry::{Metric, Registry};
 use std::sync::atomic::Ordering;
 
-/// The metrics, under the prefix `birchreach`.
+/// The metrics, whose names have the prefix `birchreach`.
 pub(crate) struct BackgroundMetrics {
     registry: Registry,
     tasks: Family<CounterLabels, Counter>,
@@ -33,7 +33,7 @@
 }
 
 impl BackgroundMetrics {
-    /// All metrics, at zero.
+    /// Registers all metrics with the value zero.
     pub(crate) fn new() -> BackgroundMetrics {
         let mut registry = Registry::with_prefix("birchreach");
         let target = &mut registry;
@@ -82,12 +82,12 @@
         self.rejected_reports.get_or_create(&labels).inc();
     }
 
-    /// Counts a copy, by what became of it.
+    /// Counts a copy by its outcome.
     pub(crate) fn count_copy(&self, outcome: CopyOutcome) {
         self.copies.get_or_create(&CounterLabels { kind: "copy", end: outcome.as_str() }).inc();
     }
 
-    /// Sets what became of the scheduler's tasks of a kind.
+    /// Sets the counters of the scheduler's tasks of one kind.
     pub(crate) fn set_task_counts(&self, kind: TaskKind, counts: TaskCounts) {
         let tasks = CountersOfKind { family: &self.tasks, kind: kind.as_str() };
         tasks.set("started", counts.started);
@@ -108,8 +108,8 @@
     }
 
     /// Sets the metrics of a split.
-    pub(crate) fn set_split(&self, verdict: &VerificationStatus, counts: ComparisonCounts) {
-        let (clean, lacking) = match verdict {
+    pub(crate) fn set_split(&self, status: &VerificationStatus, counts: ComparisonCounts) {
+        let (clean, lacking) = match status {
             VerificationStatus::Clean => (1, 0),
             VerificationStatus::DifferencesConfirmed(_) => (-1, 0),
             VerificationStatus::Incomplete(reason) => (0, reason.ranges_lacking_comparisons),
@@ -126,7 +126,7 @@
         comparisons.set("crowded", counts.rejected);
     }
 
-    /// All metrics in the text format, without the line that ends it.
+    /// Returns all metrics in the text format, without the `# EOF` line at the end.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -135,27 +135,27 @@
     }
 }
 
-/// The counters of one kind in a family.
+/// The counters of a family that have the same kind.
 struct CountersOfKind<'a> {
     family: &'a Family<CounterLabels, Counter>,
     kind: &'static str,
 }
 
 impl CountersOfKind<'_> {
-    /// Sets how many came to this end, a count that is kept elsewhere.
-    fn set(&self, end: &'static str, count: u64) {
-        set_counter(&self.family.get_or_create(&CounterLabels { kind: self.kind, end }), count);
+    /// Sets the counter with this outcome to a count that is kept elsewhere.
+    fn set(&self, outcome: &'static str, count: u64) {
+        set_counter(&self.family.get_or_create(&CounterLabels { kind: self.kind, end: outcome }), count);
     }
 }
 
-/// Adds a metric to the registry.
+/// Creates a metric and adds it to the registry.
 fn register<M: Metric + Clone + Default>(registry: &mut Registry, name: &str, help: &str) -> M {
     let metric = M::default();
     registry.register(name, help, metric.clone());
     metric
 }
 
-/// Sets a gauge to a number that may be too large for it.
+/// Sets a gauge. A value that is too large for the gauge is replaced by the gauge's maximum.
 fn set_gauge(gauge: &Gauge, value: usize) {
     gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
 }
--- a/proxy/src/metrics/labels.rs
+++ b/proxy/src/metrics/labels.rs
@@ -1,25 +1,25 @@
-//! The labels of counters: what is counted, and what became of it.
+//! The labels of counters: what is counted, and the outcome.
 
 use birchreach_hot_keys::ReportError;
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// What became of a copy of a row.
+/// The outcome of a copy of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CopyOutcome {
-    /// It was written to its holder.
+    /// The copy was written to its holder.
     Written,
-    /// The write to its holder failed.
+    /// The write of the copy to its holder failed.
     WriteFailed,
-    /// The row's value is longer than a copy may be.
+    /// The value of the row is longer than a copy may be.
     TooLong,
     /// The database answered the read of the row with an error.
     ReadFailed,
-    /// The read of the row gave no value, or no position of a replica.
+    /// The read of the row returned no value, or no position of a replica.
     ReadIncomplete,
 }
 
 impl CopyOutcome {
-    /// Its value as a label.
+    /// Returns the value of the label.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             CopyOutcome::Written => "written",
@@ -31,19 +31,19 @@
     }
 }
 
-/// A report of another member that was rejected, and why.
+/// A report of another member that was rejected, with the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectedReport {
     /// A report on hot keys.
     HotKeys(ReportError),
     /// A report on a split.
     Split(ReportError),
-    /// The subsystem of its channel is switched off here or unknown.
+    /// The subsystem of the report's channel is disabled in this process or unknown.
     SubsystemDisabled,
 }
 
 impl RejectedReport {
-    /// The subsystem that it is for, as a label.
+    /// Returns the value of the label for the subsystem of the report.
     pub(super) fn subsystem(self) -> &'static str {
         match self {
             RejectedReport::HotKeys(_) => "hot",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Why it was rejected, as a label.
+    /// Returns the value of the label for the reason.
     pub(super) fn reason(self) -> &'static str {
         match self {
             RejectedReport::HotKeys(error) => error.as_str(),
@@ -62,11 +62,11 @@
     }
 }
 
-/// The labels of counters: what is counted, and what became of it.
+/// The labels of a counter. The names of the fields are the names of the labels.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct CounterLabels {
     /// What is counted.
     pub kind: &'static str,
-    /// What became of it.
+    /// The outcome, or the reason for a rejection.
     pub end: &'static str,
 }
--- a/proxy/src/metrics/tests.rs
+++ b/proxy/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! The names, labels and help texts of the metrics, as monitoring reads them.
+//! Names, labels and help texts of the metrics, which monitoring systems read.
 
 use super::{BackgroundMetrics, CopyOutcome, RejectedReport};
 use crate::hot::CopyReadCounts;
@@ -6,7 +6,7 @@
 use birchreach_hot_keys::{HotKeyTracker, PeerReport, Report, ReportError, SECRET_MISMATCH, Settings};
 use birchreach_shard_split::{ComparisonCounts, DEFINITION_MISMATCH, VerificationStatus};
 
-/// A tracker that knows no hot key.
+/// Creates a tracker without hot keys.
 fn tracker() -> HotKeyTracker {
     let settings = Settings {
         database_reads_per_s: 100.0,
@@ -18,7 +18,7 @@
     HotKeyTracker::new(settings, 1, 1, 0)
 }
 
-/// The values of a metric, in the order of their labels.
+/// Returns the samples of a metric, sorted by their text.
 fn samples(metrics: &BackgroundMetrics, name: &str) -> Vec<String> {
     let text = metrics.text();
     let mut samples: Vec<_> = text.lines().filter(|line| line.starts_with(name)).map(Into::into).collect();
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -1,6 +1,6 @@
-//! The comparison of a split in the proxy: translates the core's events, replies of databases and the options into the types of the
-//! crate `shard-split`, and its state into the reply to the call `split`. The crate decides what is compared and what a difference
-//! means.
+//! Adapter between the core and the crate `birchreach-shard-split`, which verifies a shard split. It translates the core's
+//! events, the replies of databases and the options into the types of the crate, and the state of the crate into the reply to the
+//! admin call `split`. The crate decides what is compared and what a difference means.
 
 use crate::background_query::BackgroundQueryResult;
 use crate::observe::{CoreEvent, Observer};
@@ -16,21 +16,22 @@
 use std::fmt::Write;
 use std::mem::Discriminant;
 
-/// The verifier of a split as an observer of the core.
+/// The verifier of a shard split as an observer of the core.
 pub(crate) struct SplitObserver {
-    /// The decisions.
+    /// Decides what is compared and what a difference means.
     pub verifier: SplitVerifier,
     hasher: NameHasher,
-    /// A number for each database's process, from its name and its last start.
+    /// A number for the process of each database, which is derived from the database's name and the time of its last start.
     processes: HashMap<ServerId, u64>,
     class_names: Vec<String>,
-    /// The kind of the verdict that was logged last.
-    logged_verdict: Option<Discriminant<VerificationStatus>>,
+    /// Kind of the status that was logged last.
+    logged_status: Option<Discriminant<VerificationStatus>>,
 }
 
-/// The crate's settings from the options and the number of configured processes.
+/// Returns the crate's settings from the options and the number of configured processes.
 pub(crate) fn settings(options: &birchreach_options::SplitOptions, configured_members: u32) -> Settings {
-    let micros = |span: std::time::Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
+    let micros =
+        |duration: std::time::Duration| Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX);
     let birchreach_options::SplitOptions {
         parent,
         lower_child,
@@ -51,7 +52,7 @@
 }
 
 impl SplitObserver {
-    /// An observer that has seen nothing; `local_origin` is this process's number in reports.
+    /// Creates an observer without comparisons. `local_origin` identifies this process in reports.
     pub(crate) fn new(
         settings: Settings,
         local_origin: u64,
@@ -60,15 +61,16 @@
         now: Micros,
     ) -> SplitObserver {
         let verifier = SplitVerifier::new(settings, local_origin, now);
-        SplitObserver { verifier, hasher, processes: HashMap::new(), class_names, logged_verdict: None }
+        SplitObserver { verifier, hasher, processes: HashMap::new(), class_names, logged_status: None }
     }
 
-    /// The digest of a value, which cannot be computed outside the fleet.
+    /// Returns the keyed digest of a value, which cannot be computed outside the fleet.
     fn digest(&self, value: &[u8]) -> u64 {
         self.hasher.hash(0, value)
     }
 
-    /// The result of a query from the answers of the database.
+    /// Returns the result of a query from the replies of the database. The result is [`QueryResult::NoAnswer`] if the query is
+    /// incomplete or a reply cannot be used.
     pub(crate) fn query_result(
         &self,
         query: ComparisonQuery,
@@ -78,7 +80,8 @@
         result.unwrap_or(QueryResult::NoAnswer)
     }
 
-    /// The result from the replies; none if one of them cannot be used.
+    /// Returns the result from the replies of a complete query; `None` if the process of the database is unknown or a reply
+    /// cannot be used.
     fn parse_replies(
         &self,
         query: ComparisonQuery,
@@ -99,7 +102,7 @@
                 QueryResult::Sample { sample, process }
             }
             ComparisonQuery::SampleParent => {
-                // The second answer must be a replica's too.
+                // The second reply must be from a replica too.
                 replica_position(completed, 1)?;
                 let row = commit_time_query::parse_row_with_commit_time(completed.replies.get(1)?)?;
                 let sample = ParentSample {
@@ -112,22 +115,22 @@
         })
     }
 
-    /// The digest of the row in the reply with this index; none without such a reply.
+    /// Returns the digest of the row in the reply with this index; `None` if there is no such reply.
     fn row(&self, completed: &BackgroundQueryResult, index: usize) -> Option<RowDigest> {
         let reply = completed.replies.get(index)?;
         Some(reply.value.as_ref().map(|value| self.digest(&value.bytes)))
     }
 
-    /// The verdict, if it is of another kind than the one that was logged last.
+    /// Returns the status if it is of another kind than the status that was logged last.
     pub(crate) fn verdict_to_log(&mut self, member_count: usize) -> Option<VerificationStatus> {
-        let verdict = self.verifier.status(member_count);
-        let kind = std::mem::discriminant(&verdict);
-        let logged = self.logged_verdict.replace(kind);
-        (logged != Some(kind)).then_some(verdict)
+        let status = self.verifier.status(member_count);
+        let kind = std::mem::discriminant(&status);
+        let logged = self.logged_status.replace(kind);
+        (logged != Some(kind)).then_some(status)
     }
 
-    /// The reply to the call `split`: a summary line, one for each range that is not covered, and one for each difference that this
-    /// process confirmed.
+    /// Returns the reply to the admin call `split`: a summary line, a line for each range that is not covered, and a line for
+    /// each difference that this process confirmed.
     pub(crate) fn status_lines(&self, member_count: usize) -> String {
         let settings = self.verifier.settings();
         let mut lines = self.summary_line(member_count);
@@ -144,15 +147,15 @@
         lines
     }
 
-    /// The first line of the reply to the call `split`.
+    /// Returns the summary line of the reply to the admin call `split`.
     fn summary_line(&self, member_count: usize) -> String {
-        let verdict = self.verifier.status(member_count);
-        let differences = if let VerificationStatus::DifferencesConfirmed(counts) = verdict {
+        let status = self.verifier.status(member_count);
+        let differences = if let VerificationStatus::DifferencesConfirmed(counts) = status {
             counts
         } else {
             DifferenceCounts::default()
         };
-        let reason = if let VerificationStatus::Incomplete(reason) = verdict {
+        let reason = if let VerificationStatus::Incomplete(reason) = status {
             reason
         } else {
             IncompleteReason::default()
@@ -162,7 +165,7 @@
         format!(
             "split verdict={} definition={:016x} heard={} named={} unheard={} ranges={RANGE_COUNT} lacking={} unseen={} \
              missing={} extra={} differs={} begun={} agreed={} late={} unsure={} silent={} flagged={} crowded={} under_way={}\n",
-            verdict.as_str(),
+            status.as_str(),
             settings.definition.digest(),
             member_count.min(self.verifier.origin_count()),
             settings.configured_members,
@@ -183,7 +186,7 @@
         )
     }
 
-    /// A confirmed difference as operators see it, in the log and in the admin call.
+    /// Returns the fields of a confirmed difference, as the log and the admin call show them.
     pub(crate) fn difference_fields(&self, range: usize, difference: &ConfirmedDifference) -> String {
         let row = |row: RowDigest| row.map_or("none".into(), |digest| format!("{digest:016x}"));
         let class = self.class_names.get(usize::from(difference.class)).map_or("?", String::as_str);
@@ -202,8 +205,11 @@
     }
 }
 
-/// The position in the reply with this index, if it is from a replica. A primary that was deposed without noticing would state the
-/// present time and answer with old data, while a replica's position is that of the log that it has applied.
+/// Returns the position in the reply with this index, if the reply is from a replica. The inner `None` means that the replica
+/// stated no position.
+///
+/// Replies of a primary are not used: a primary that was deposed without noticing would state the present time and answer with
+/// old data. The position of a replica is the log position that the replica has applied.
 fn replica_position(completed: &BackgroundQueryResult, index: usize) -> Option<Option<Micros>> {
     let status = completed.replies.get(index)?.status?;
     (status.role == Role::Replica).then_some(status.position)
