--- a/proxy/src/core/attempts.rs
+++ b/proxy/src/core/attempts.rs
@@ -120,8 +120,7 @@
     }
 }
 
-/// Returns the status, without its position if that is further in the future than the clock skew allows. Such a position is
-/// wrong.
+/// Returns the status without a position that is further in the future than the clock skew allows. Such a position is wrong.
 fn without_future_position(status: ServerStatus, now: Micros) -> ServerStatus {
     let position = status.position.filter(|position| *position <= now + MAX_CLOCK_SKEW_MICROS);
     ServerStatus { position, ..status }
--- a/proxy/src/core/copies.rs
+++ b/proxy/src/core/copies.rs
@@ -39,8 +39,8 @@
         self.router.required_copy_position(now, attempt.request).unwrap_or(0).max(0)
     }
 
-    /// Returns the server that the router currently allows for background work of a group, or `None` if it allows no server. Work
-    /// that `yields_to_clients` waits while clients use the capacity.
+    /// Returns the server that the router currently allows for background work of a group, or `None` if it allows no server. With
+    /// `yields_to_clients`, the work waits while clients use the capacity.
     pub(crate) fn background_candidate(
         &self,
         group: GroupId,
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -33,8 +33,8 @@
     ServerAlive { server: ServerId },
     /// A read got its final answer.
     ReadFinished { group: GroupId, served: bool },
-    /// There are writes without an attempt in flight. Each element contains the group of a write, and the time since which it has
-    /// had no attempt in flight.
+    /// Reports the writes without an attempt in flight. Each element contains the group of a write, and the time since which the
+    /// write has had no attempt in flight.
     QueuedWrites { writes: &'a [(GroupId, Micros)] },
     /// Discovery answered a poll.
     DiscoveryAnswered,
