--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! The operators' listener and connections. Descriptors are reserved for them, and the oldest connection is closed when another one
-//! exceeds the limit.
+//! The listener for operators and their connections. File descriptors are reserved for them. A new connection above the
+//! limit closes the oldest one.
 
 use super::error::{EventLoopError, ListenError, ListenPurpose, RegisteredSource};
 use super::event_loop_context::EventLoopContext;
@@ -15,45 +15,45 @@
 use std::net::{Shutdown, SocketAddr};
 use tracing::info;
 
-/// The limit on open connections; one more, and the oldest is closed.
+/// The maximum number of open connections. Accepting another connection closes the oldest one.
 pub(super) const MAX_CONNECTIONS: usize = 8;
-/// A connection that has not sent a call after this time is closed.
+/// Connections that have not sent a call within this time are closed.
 const CALL_TIMEOUT_MICROS: Micros = 5_000_000;
-/// The most connections that are accepted in one turn of the loop.
+/// The maximum number of connections that are accepted in one turn of the loop.
 const ACCEPTS_PER_TURN: usize = 16;
-/// The most that is read from one connection in a turn.
+/// The maximum number of bytes that are read from one connection in one turn of the loop.
 const READ_BYTES_PER_TURN: usize = 64 << 10;
 
-/// What the subsystems report to operators; nothing of those that are off.
+/// The reports of the subsystems to operators. The report of a disabled subsystem is `None`.
 #[derive(Default)]
 pub(super) struct AdminReports {
-    /// The members of the fleet.
+    /// Lists the members of the fleet.
     pub fleet: Option<String>,
-    /// Hot keys.
+    /// Lists the hot keys and the state of the background scheduler.
     pub hot: Option<String>,
-    /// The comparison of a group that is split with its children.
+    /// Describes the comparison of a group that is being split with its child groups.
     pub split: Option<String>,
-    /// Figures in the text form of Prometheus.
+    /// Contains the metrics in the text format of Prometheus.
     pub metrics: Option<String>,
 }
 
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AdminCloseReason {
-    /// It was closed for a newer one.
+    /// The connection was closed to make room for a newer one.
     Shed,
-    /// It was reset.
+    /// The connection was reset, or it failed in another way.
     Reset,
-    /// The operator closed it without a call.
+    /// The operator closed the connection without a call.
     Closed,
-    /// Its reply is written.
+    /// The whole reply was written.
     Answered,
-    /// It sent no call in time.
+    /// The operator sent no call within the time limit.
     Unresponsive,
 }
 
 impl AdminCloseReason {
-    /// The word for the log.
+    /// Returns the word that stands for the reason in the log.
     fn as_str(self) -> &'static str {
         match self {
             AdminCloseReason::Shed => "shed",
@@ -65,23 +65,23 @@
     }
 }
 
-/// One operator's connection.
 struct Connection {
     stream: TcpStream,
     protocol: AdminProtocol,
     accepted_at: Micros,
 }
 
-/// The operators' listener and connections.
+/// The listener for operators and their connections.
 pub(super) struct AdminListener {
+    /// `None` if the configuration has no address for operators.
     listener: Option<TcpListener>,
     connections: Slab<Connection>,
-    /// Connections may wait to be accepted.
+    /// Connections may be waiting in the listener's backlog.
     accept_pending: bool,
 }
 
 impl AdminListener {
-    /// Without an address there is no listener.
+    /// Opens the listener and registers it with the poll. Opens none if `address` is `None`.
     pub(super) fn new(
         registry: &Registry,
         address: Option<SocketAddr>,
@@ -100,37 +100,37 @@
         Ok(admin)
     }
 
-    /// The address that operators connect to, if there is one.
+    /// Returns the address that operators connect to, or `None` if there is no listener.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.local_addr().ok()
     }
 
-    /// The listener is ready: connections wait to be accepted.
+    /// Records that the poll reported the listener as ready.
     pub(super) fn accept_ready(&mut self) {
         self.accept_pending = true;
     }
 
-    /// Whether more may wait than one turn accepts.
+    /// Returns whether more connections may be waiting than one turn accepts.
     pub(super) fn has_pending_work(&self) -> bool {
         self.accept_pending
     }
 
-    /// Accepts connections that wait.
+    /// Accepts waiting connections, up to the limit of one turn.
     pub(super) fn accept(&mut self, context: &mut EventLoopContext) {
         for _ in 0..ACCEPTS_PER_TURN {
             let Some(listener) = self.listener.as_ref().filter(|_| self.accept_pending) else { return };
             match listener.accept() {
-                Ok((stream, _)) => self.add(context, stream),
+                Ok((stream, _)) => self.register_connection(context, stream),
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // The poll reports the listener again with the next connection, and the sweep tries it too.
+                // The poll reports the listener again with the next connection. The sweep also tries to accept.
                 Err(_) => self.accept_pending = false,
             }
         }
     }
 
-    /// Registers an accepted connection, and closes the oldest one if there are too many.
-    fn add(&mut self, context: &mut EventLoopContext, mut stream: TcpStream) {
+    /// Registers an accepted connection with the poll. Closes the oldest connection first if the limit is reached.
+    fn register_connection(&mut self, context: &mut EventLoopContext, mut stream: TcpStream) {
         if self.connections.len() >= MAX_CONNECTIONS {
             let oldest = self.connections.iter().min_by_key(|(_, connection)| connection.accepted_at);
             if let Some((slot, _)) = oldest {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Reads a connection. The caller answers a returned call with [`AdminListener::answer`].
+    /// Reads a connection that is ready. The caller must answer a returned call with [`AdminListener::answer`].
     pub(super) fn handle_ready(
         &mut self,
         context: &mut EventLoopContext,
@@ -155,16 +155,16 @@
         let protocol = &mut connection.protocol;
         let mut call = None;
         let mut read_bytes = 0;
-        let drained = stream::read(&mut connection.stream, &mut context.scratch, |bytes| {
+        let read_result = stream::read(&mut connection.stream, &mut context.scratch, |bytes| {
             read_bytes += bytes.len();
             call = call.or_else(|| protocol.feed(bytes));
             read_bytes < READ_BYTES_PER_TURN
         });
-        if drained == Err(stream::StreamEnd::Reset) {
+        if read_result == Err(stream::StreamEnd::Reset) {
             self.close(context, key, AdminCloseReason::Reset);
             return None;
         }
-        if drained.is_err() && call.is_none() {
+        if read_result.is_err() && call.is_none() {
             call = connection.protocol.input_ended();
             if call.is_none() && !connection.protocol.is_answered() {
                 self.close(context, key, AdminCloseReason::Closed);
@@ -177,7 +177,7 @@
         call
     }
 
-    /// Answers the connection's call.
+    /// Sends the reply to the call of this connection. Does nothing if the connection has been closed.
     pub(super) fn answer(&mut self, context: &mut EventLoopContext, key: AdminKey, reply: &AdminReply) {
         if let Some(connection) = self.connections.get_mut(key.0) {
             connection.protocol.answer(reply);
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Writes the reply, if there is one, and closes the connection once all of it is written.
+    /// Writes the reply, if there is one, and closes the connection after the last byte.
     fn write(&mut self, context: &mut EventLoopContext, key: AdminKey) {
         let Some(connection) = self.connections.get_mut(key.0) else { return };
         if !connection.protocol.is_answered() {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Closes connections that sent no call in time.
+    /// Closes connections that sent no call within the time limit, and makes the next turn try to accept.
     pub(super) fn sweep(&mut self, context: &mut EventLoopContext) {
         self.accept_pending = self.listener.is_some();
         let timed_out = |connection: &Connection| context.now - connection.accepted_at >= CALL_TIMEOUT_MICROS;
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Closes the connection and logs why.
+    /// Closes the connection and logs the reason.
     fn close(&mut self, context: &mut EventLoopContext, key: AdminKey, reason: AdminCloseReason) {
         let mut connection = self.connections.remove(key.0);
         let _ = context.poll.registry().deregister(&mut connection.stream);
--- a/proxy/src/net/admin_calls.rs
+++ b/proxy/src/net/admin_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, answered with what the parts of the loop report.
+//! Answers the calls of operators with the reports of the subsystems.
 
 use super::EventLoop;
 use super::ids::AdminKey;
@@ -6,7 +6,7 @@
 use birchreach_health::HealthEvent;
 
 impl EventLoop {
-    /// Reads an operator's connection, and answers its call once that is complete.
+    /// Reads an operator's connection, and answers the call once all of it has arrived.
     pub(super) fn handle_admin(&mut self, key: AdminKey) {
         let Some(call) = self.admin.handle_ready(&mut self.context, key) else { return };
         let reply = self.admin_reply(call);
@@ -18,9 +18,10 @@
         }
     }
 
-    /// What a call is answered with.
+    /// Returns the reply to a call. Calls to a disabled subsystem are unknown calls.
     fn admin_reply(&self, call: AdminCall) -> AdminReply {
-        let report = |report: Option<String>| report.map_or(AdminReply::UnknownCall, AdminReply::Lines);
+        let lines_or_unknown =
+            |report: Option<String>| report.map_or(AdminReply::UnknownCall, AdminReply::Lines);
         match call {
             AdminCall::Status if self.stopping => AdminReply::No("stopping"),
             AdminCall::Status => AdminReply::Yes("it takes clients"),
@@ -28,20 +29,20 @@
                 let core = &self.context.core;
                 AdminReply::Lines(core.stats.lines(core.gauges(self.context.now)))
             }
-            AdminCall::Fleet => report(self.admin_reports().fleet),
-            AdminCall::Hot => report(self.admin_reports().hot),
-            AdminCall::Split => report(self.admin_reports().split),
+            AdminCall::Fleet => lines_or_unknown(self.admin_reports().fleet),
+            AdminCall::Hot => lines_or_unknown(self.admin_reports().hot),
+            AdminCall::Split => lines_or_unknown(self.admin_reports().split),
             AdminCall::Metrics => {
                 self.admin_reports().metrics.map_or(AdminReply::UnknownCall, AdminReply::Text)
             }
-            // Without balancers there is no rotation to be taken out of.
+            // Without health checks there is no balancer that could take this proxy out of rotation.
             AdminCall::Maintenance(_) if !self.has_health_reporting() => AdminReply::UnknownCall,
             AdminCall::Maintenance(true) => AdminReply::Yes("balancers are told maintenance"),
             AdminCall::Maintenance(false) => AdminReply::Yes("maintenance is over"),
         }
     }
 
-    /// Whether balancers check this proxy.
+    /// Returns whether balancers check this proxy.
     fn has_health_reporting(&self) -> bool {
         self.health.observer.is_some()
     }
--- a/proxy/src/net/commands.rs
+++ b/proxy/src/net/commands.rs
@@ -1,4 +1,4 @@
-//! The core's commands, carried out on the connections.
+//! Executes the commands of the core on the connections.
 
 use super::EventLoop;
 use super::statement_payload::StatementPayload;
@@ -9,13 +9,13 @@
 use tracing::{info, warn};
 
 impl EventLoop {
-    /// Carries out the core's commands, and those that follow from them, until none is left.
+    /// Executes the commands of the core, including those that result from executing others, until none is left.
     pub(super) fn execute_commands(&mut self) {
         loop {
             if let Some(command) = self.context.core.next_command() {
                 self.execute_command(command);
             } else if let Some(attempt) = self.clients.next_attempt_to_resume() {
-                // A client that has taken what there was of a long value gets more of it.
+                // The client has taken all bytes of a streamed value that were received, so the attempt reads more.
                 self.pool.resume_reading(&mut self.context, attempt);
             } else {
                 return;
@@ -23,7 +23,6 @@
         }
     }
 
-    /// Carries out one command.
     fn execute_command(&mut self, command: Command<StatementPayload>) {
         let context = &mut self.context;
         match command {
@@ -52,8 +51,8 @@
         }
     }
 
-    /// Applies an update of the endpoint list, and closes idle connections to servers that moved. With its first servers, this
-    /// process takes over from its predecessor.
+    /// Applies an update of the endpoint list, and closes idle connections to servers whose address changed. The first
+    /// update that lists servers lets this process take over from its predecessor.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate) {
         info!(
             event = "endpoint-list",
@@ -74,7 +73,7 @@
     }
 }
 
-/// Logs the first of the entries whose server an earlier entry names, too.
+/// Logs the first entry that names the same server as an earlier entry, and the number of such entries.
 fn log_duplicates(update: &EndpointUpdate) {
     let Some(duplicate) = update.first_duplicate() else { return };
     warn!(
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -1,29 +1,31 @@
-//! How descriptors are divided among the process's own needs, clients, databases and checks, and between two processes of one
-//! proxy.
+//! Divides the file descriptors of the process among its own needs, clients, databases and health checks. Two processes
+//! of one proxy share the descriptors during a handover.
 
 use super::process_handover::ProcessHandover;
 use super::{EventLoop, admin, gossip};
 use crate::config::Config;
 
-/// Descriptors reserved for standard streams, poll, signals, listeners, discovery, the handover and operators.
+/// Descriptors reserved for the standard streams, the poll, signals, listeners, discovery, the handover and operators.
 const BASE_DESCRIPTORS: usize = 16 + admin::MAX_CONNECTIONS;
-/// The lowest limit: the reserved descriptors are seldom all in use.
+/// The minimum number of connections to clients and databases together. It may exceed the unreserved descriptors,
+/// because the reserved ones are seldom all in use.
 const MIN_CONNECTIONS: usize = 8;
-/// Balancers that connect to the clients' listener without sending a request count as no clients, up to this number.
-const UNCLASSIFIED_CONNECTIONS: usize = 16;
+/// Up to this number, connections to the client listener that have not sent a request do not count as clients:
+/// balancers open such connections.
+const MAX_UNCLASSIFIED_CONNECTIONS: usize = 16;
 
-/// How many connections a process may hold.
+/// The maximum number of connections that a process may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
-    /// To clients.
+    /// Connections to clients.
     pub(super) clients: usize,
-    /// To databases.
+    /// Connections to databases.
     pub(super) databases: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides all but the reserved descriptors. Another process gets half of them; while it shuts down, only those that it still
-    /// has open.
+    /// Divides the descriptors that are not reserved. If another process of this proxy is running, it gets half of
+    /// them. A predecessor that is shutting down gets only those that it still has open.
     pub(super) fn new(config: &Config, handover: &ProcessHandover) -> ConnectionLimits {
         let processes = handover.process_count() as usize;
         let reserved = (BASE_DESCRIPTORS + subsystem_descriptors(config)) * processes;
@@ -37,23 +39,24 @@
     }
 }
 
-/// Descriptors reserved for balancers' checks, for balancers at the clients' listener, and for other proxies.
+/// Returns the number of descriptors reserved for health checks, for balancers at the client listener, and for links to
+/// other proxies.
 fn subsystem_descriptors(config: &Config) -> usize {
     let options = &config.options;
     let links =
         if options.peer_state.is_some() || options.fleet.is_some() { gossip::MAX_LINKS + 1 } else { 0 };
-    // The fleet has a listener for links and a socket for datagrams.
+    // The fleet uses a listener for links and a socket for datagrams.
     let fleet = if options.fleet.is_some() { 2 } else { 0 };
     options.descriptors() + unclassified_allowance(config) + links + fleet
 }
 
-/// How many connections without a request do not count as clients.
+/// Returns how many connections that have sent no request do not count as clients.
 pub(super) fn unclassified_allowance(config: &Config) -> usize {
-    if config.options.health.is_some() { UNCLASSIFIED_CONNECTIONS } else { 0 }
+    if config.options.health.is_some() { MAX_UNCLASSIFIED_CONNECTIONS } else { 0 }
 }
 
 impl EventLoop {
-    /// Recalculates the limits after another process of this proxy started or ended.
+    /// Recalculates the connection limits after another process of this proxy started or exited.
     pub(super) fn apply_process_count(&mut self) {
         let limits = self.connection_limits();
         self.context.core.set_process_count(self.context.now, self.handover.process_count());
@@ -65,7 +68,7 @@
         }
     }
 
-    /// The limits of the current configuration.
+    /// Returns the limits for the current configuration and number of processes.
     pub(super) fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits::new(&self.config, &self.handover)
     }
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery, on which the endpoint list is polled.
+//! The connection to discovery. The proxy polls the endpoint list on it.
 
 mod close_reason;
 mod responses;
@@ -21,35 +21,36 @@
 /// The state of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollState {
-    /// No poll is outstanding: the next one waits for its time.
+    /// No poll is outstanding. The next one starts when the timer expires.
     Waiting,
-    /// The connection is not established yet.
+    /// The connection is being established.
     Connecting,
-    /// The request was written, or is being written.
+    /// The request has been written, or is being written.
     Requested,
     /// Part of the response has arrived.
     Receiving,
 }
 
-/// The connection to discovery, and the poll on it.
+/// The connection to discovery and the state of the current poll.
 pub(super) struct DiscoveryConnection {
     address: SocketAddr,
     watch: EndpointWatch,
     stream: Option<TcpStream>,
     outbox: Outbox,
     polled_at: Micros,
-    /// The outstanding poll may wait for a change.
+    /// Discovery may delay the response to the outstanding poll until the endpoint list changes.
     long_poll: bool,
     state: PollState,
-    /// The system had no descriptor for a connection.
+    /// The system had no free descriptor for a connection.
     descriptors_exhausted: bool,
-    /// The number of the current state: the timeout of an earlier one is ignored.
+    /// Identifies the current state. Timeouts of earlier states are ignored.
     state_serial: PollStateSerial,
     backoff: Backoff,
 }
 
 impl DiscoveryConnection {
-    /// A connection that is not opened before `start`; `revision` is that of the endpoint list that is already known.
+    /// Creates a connection that [`DiscoveryConnection::start`] opens. `revision` is the revision of the endpoint list
+    /// that is already known, or `None` if no list is known.
     pub(super) fn new(
         address: SocketAddr,
         revision: Option<u64>,
@@ -70,18 +71,20 @@
         }
     }
 
-    /// Sets the time of the first poll, spread over all proxies that start now and share discovery.
+    /// Schedules the first poll. The wait is randomized, because all proxies that share discovery may start at the same
+    /// time.
     pub(super) fn start(&mut self, context: &mut EventLoopContext) {
         let wait = self.backoff.initial_wait();
         self.poll_after(context, wait);
     }
 
-    /// Applies other settings to the next polls.
+    /// Applies changed settings to the waits before the next polls.
     pub(super) fn update_settings(&mut self, settings: &Settings) {
         self.backoff.update_settings(settings);
     }
 
-    /// Discovery has another address: polls it there immediately, for changes after the list received so far.
+    /// Changes the address of discovery. Polls the new address immediately, for changes since the last list that was
+    /// received.
     pub(super) fn set_address(&mut self, context: &mut EventLoopContext, address: SocketAddr) {
         if self.address == address {
             return;
@@ -93,19 +96,19 @@
         self.poll(context);
     }
 
-    /// Enters a state, and sets its timeout.
+    /// Enters a state and sets its timeout.
     fn enter_state(&mut self, context: &mut EventLoopContext, state: PollState, timeout: Micros) {
         self.state = state;
         self.state_serial = self.state_serial.next();
         context.timers.set(context.now + timeout, TimerEvent::Discovery(self.state_serial));
     }
 
-    /// Makes the next poll after this time.
+    /// Schedules the next poll after `wait`.
     fn poll_after(&mut self, context: &mut EventLoopContext, wait: Micros) {
         self.enter_state(context, PollState::Waiting, wait);
     }
 
-    /// Makes the next poll, on a new connection where there is none.
+    /// Sends the next poll. Opens a connection first if there is none.
     fn poll(&mut self, context: &mut EventLoopContext) {
         self.polled_at = context.now;
         self.long_poll = self.watch.is_long_poll();
@@ -125,7 +128,7 @@
         self.write(context);
     }
 
-    /// Begins to connect.
+    /// Starts to connect, and registers the socket with the poll.
     fn connect(&self, context: &EventLoopContext) -> std::io::Result<TcpStream> {
         let mut stream = TcpStream::connect(self.address)?;
         let _ = stream.set_nodelay(true);
@@ -134,7 +137,7 @@
         Ok(stream)
     }
 
-    /// The timeout of a state has expired; that of an earlier state is ignored.
+    /// Handles the timeout of a state. Ignores the timeout of an earlier state.
     pub(super) fn timed_out(&mut self, context: &mut EventLoopContext, state_serial: PollStateSerial) {
         if self.state_serial != state_serial {
             return;
@@ -146,12 +149,12 @@
         }
     }
 
-    /// Whether the system had no descriptor for a connection since this was last called.
+    /// Returns whether the system has lacked a free descriptor for a connection since the last call.
     pub(super) fn take_descriptors_exhausted(&mut self) -> bool {
         std::mem::take(&mut self.descriptors_exhausted)
     }
 
-    /// Closes the connection, if there is one, and logs why.
+    /// Closes the connection, if there is one, and logs the reason.
     fn disconnect(&mut self, context: &mut EventLoopContext, reason: &DiscoveryCloseReason) {
         if let Some(mut stream) = self.stream.take() {
             let _ = context.poll.registry().deregister(&mut stream);
@@ -159,7 +162,7 @@
         info!(conn = "discovery", reason = %Quoted(reason));
     }
 
-    /// The poll failed: the connection is closed, and the next poll waits.
+    /// Handles a failed poll: closes the connection, and schedules the next poll after the backoff.
     fn fail(&mut self, context: &mut EventLoopContext, error: &PollError) {
         self.disconnect(context, &DiscoveryCloseReason::Failed(error.clone()));
         self.watch.record_failure();
@@ -167,7 +170,8 @@
         self.poll_after(context, wait);
     }
 
-    /// Returns whether the connection is established and its output was written as far as it goes.
+    /// Writes the request as far as the socket accepts it. Returns whether the connection is established and the write
+    /// succeeded.
     fn write(&mut self, context: &mut EventLoopContext) -> bool {
         let Some(stream) = &mut self.stream else { return false };
         if stream.peer_addr().is_err() {
--- a/proxy/src/net/discovery_connection/close_reason.rs
+++ b/proxy/src/net/discovery_connection/close_reason.rs
@@ -1,13 +1,13 @@
-//! Why the connection to discovery was closed, as the log says it.
+//! The reasons for which the connection to discovery is closed, and their words in the log.
 
 use crate::discovery::PollError;
 use std::fmt::{self, Display};
 
-/// Why the connection was closed.
+/// Why the connection to discovery was closed.
 pub(super) enum DiscoveryCloseReason {
-    /// The configuration has another address.
+    /// The address of discovery in the configuration has changed.
     Moved,
-    /// A poll failed, or the other side closed the connection after a response.
+    /// A poll failed, or discovery closed the connection after a response.
     Failed(PollError),
 }
 
--- a/proxy/src/net/discovery_connection/responses.rs
+++ b/proxy/src/net/discovery_connection/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of discovery: read from the connection, and the next poll that follows each.
+//! Reads the responses of discovery, and schedules the poll that follows each response.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::stream::{self, StreamEnd};
@@ -7,17 +7,20 @@
 use crate::discovery::{EndpointUpdate, PollError, PollResponse, RESPONSE_TIMEOUT_MICROS};
 use birchreach::Micros;
 
-/// A discovery that answers sooner than this with no change is polled again only after this time.
+/// If discovery answers sooner than this without a change, the next poll waits for this time.
 const MIN_POLL_INTERVAL_MICROS: Micros = 20_000;
 
-/// The result of reading the connection once.
+/// The result of reading from the connection until no more input is available.
 struct ReadResult {
+    /// `Ok(None)` if the response is incomplete.
     response: Result<Option<PollResponse>, PollError>,
+    /// How the connection ended after the input, or `None` if it is still open.
     end: Option<StreamEnd>,
 }
 
 impl DiscoveryConnection {
-    /// The socket is ready: writes and reads as far as it goes. Returns an update of the list.
+    /// Writes and reads as far as possible after the poll reported the socket as ready. Returns an update of the
+    /// endpoint list if a response contained one.
     pub(crate) fn handle_ready(&mut self, context: &mut EventLoopContext) -> Option<EndpointUpdate> {
         if !self.write(context) {
             return None;
@@ -37,26 +40,28 @@
         None
     }
 
-    /// Reads what has arrived, and whether the connection ended after it.
+    /// Reads all input that has arrived. Returns `None` if there is no connection.
     fn read(&mut self, context: &mut EventLoopContext) -> Option<ReadResult> {
         let stream = self.stream.as_mut()?;
         let watch = &mut self.watch;
         let mut response = Ok(None);
         let read = stream::read(stream, &mut context.scratch, |bytes| {
-            // Continues to the end of the input: the poll does not report again that the connection ended after the response.
+            // All input is read, because the poll does not report a second time that the connection ended after the
+            // response.
             if response == Ok(None) {
                 response = watch.feed(bytes);
             }
             true
         });
-        // A reset does not complete a response without a length.
+        // The end of the connection completes a response without a length, but a reset does not.
         if read == Err(StreamEnd::Closed) && response == Ok(None) {
             response = watch.finish_on_close();
         }
         Some(ReadResult { response, end: read.err() })
     }
 
-    /// A response is complete, and the connection may have ended after it. The next poll follows.
+    /// Handles a complete response, and sends or schedules the next poll. `connection_ended` is whether the connection
+    /// ended after the response.
     fn finish_poll(
         &mut self,
         context: &mut EventLoopContext,
@@ -69,12 +74,12 @@
             PollResponse::Stale => None,
         };
         let no_change = update.as_ref().is_none_or(|update| update.endpoints.is_empty());
-        // If discovery closes the connection after each poll without waiting for a change, the backoff grows.
+        // The backoff keeps growing if discovery closes the connection after each poll and never waits for a change.
         if self.long_poll || !no_change {
             self.backoff.reset();
         }
         if connection_ended {
-            // The poll did not fail: the next one may be a long poll.
+            // The poll itself succeeded, so no failure is recorded and the next poll may be a long poll.
             self.disconnect(context, &DiscoveryCloseReason::Failed(PollError::Closed));
             let wait = self.backoff.wait_after(&PollError::Closed);
             self.poll_after(context, wait);
--- a/proxy/src/net/error.rs
+++ b/proxy/src/net/error.rs
@@ -10,34 +10,34 @@
 /// Why the event loop could not start or continue.
 #[derive(Debug)]
 pub(crate) enum EventLoopError {
-    /// Signals could not be caught.
+    /// The signal handlers could not be installed.
     Signals(io::Error),
-    /// The poll could not be opened.
+    /// The poll could not be created.
     OpenPoll(io::Error),
-    /// Waiting for events failed.
+    /// The poll failed while it waited for events.
     Poll(io::Error),
-    /// A source could not be registered with the poll.
+    /// An event source could not be registered with the poll.
     Register { source: RegisteredSource, error: io::Error },
     /// A listener could not be opened.
     Listen(ListenError),
-    /// The listening socket that was inherited from the platform cannot be used.
+    /// The file descriptor inherited from the platform is not a usable listening socket.
     InheritedDescriptor { descriptor: RawFd, error: io::Error },
-    /// The clients' listener has no address.
+    /// The local address of the client listener could not be read.
     ListenerAddress(io::Error),
-    /// The system gave no random numbers.
+    /// The system could not provide random numbers.
     RandomNumbers(getrandom::Error),
-    /// The proxy's name is too long for the fleet, or not printable.
+    /// The name of the proxy is longer than the fleet allows, or contains control characters.
     FleetName { max_bytes: usize },
 }
 
-/// What was to be registered with the poll.
+/// The event source that could not be registered with the poll.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum RegisteredSource {
-    /// The signals.
+    /// The source that reports signals.
     Signals,
-    /// The clients' listener.
+    /// The listener for clients.
     ClientListener,
-    /// The operators' listener.
+    /// The listener for operators.
     AdminListener(SocketAddr),
 }
 
@@ -49,36 +49,42 @@
     pub error: io::Error,
 }
 
-/// Who connects to a listener.
+/// The peers that a listener is opened for.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ListenPurpose {
-    /// Clients.
+    /// Clients connect to send statements.
     Clients,
-    /// Operators.
+    /// Operators connect to send admin calls.
     Operators,
-    /// Balancers, for health checks of this protocol.
+    /// Balancers connect to check the health of this proxy with the given protocol.
     Checks(CheckProtocol),
-    /// Proxies that request state.
+    /// Other proxies connect to request this proxy's state.
     PeerState,
-    /// Members of the fleet.
+    /// Members of the fleet connect to synchronize membership.
     Fleet,
 }
 
 impl Display for EventLoopError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EventLoopError::Signals(error) => write!(f, "no signals: {error}"),
-            EventLoopError::OpenPoll(error) => write!(f, "no poll: {error}"),
-            EventLoopError::Poll(error) => write!(f, "polling: {error}"),
-            EventLoopError::Register { source, error } => write!(f, "watching {source}: {error}"),
+            EventLoopError::Signals(error) => write!(f, "cannot install the signal handlers: {error}"),
+            EventLoopError::OpenPoll(error) => write!(f, "cannot create the event poll: {error}"),
+            EventLoopError::Poll(error) => write!(f, "waiting for events failed: {error}"),
+            EventLoopError::Register { source, error } => {
+                write!(f, "cannot register {source} with the event poll: {error}")
+            }
             EventLoopError::Listen(error) => error.fmt(f),
             EventLoopError::InheritedDescriptor { descriptor, error } => {
-                write!(f, "the inherited descriptor {descriptor}: {error}")
+                write!(f, "cannot listen on the inherited descriptor {descriptor}: {error}")
+            }
+            EventLoopError::ListenerAddress(error) => {
+                write!(f, "cannot read the address of the client listener: {error}")
+            }
+            EventLoopError::RandomNumbers(error) => {
+                write!(f, "the system provided no random numbers: {error}")
             }
-            EventLoopError::ListenerAddress(error) => write!(f, "the listener: {error}"),
-            EventLoopError::RandomNumbers(error) => write!(f, "no random numbers: {error}"),
             EventLoopError::FleetName { max_bytes } => {
-                write!(f, "name: the fleet takes {max_bytes} printable bytes at most")
+                write!(f, "name: must have at most {max_bytes} bytes and no control characters in a fleet")
             }
         }
     }
@@ -87,9 +93,9 @@
 impl Display for RegisteredSource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RegisteredSource::Signals => f.write_str("signals"),
-            RegisteredSource::ClientListener => f.write_str("the listener"),
-            RegisteredSource::AdminListener(address) => address.fmt(f),
+            RegisteredSource::Signals => f.write_str("the signal source"),
+            RegisteredSource::ClientListener => f.write_str("the client listener"),
+            RegisteredSource::AdminListener(address) => write!(f, "the operator listener on {address}"),
         }
     }
 }
@@ -98,13 +104,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ListenError { purpose, address, error } = self;
         match purpose {
-            ListenPurpose::Clients => write!(f, "listening on {address}: {error}"),
-            ListenPurpose::Operators => write!(f, "listening for operators on {address}: {error}"),
+            ListenPurpose::Clients => write!(f, "cannot listen for clients on {address}: {error}"),
+            ListenPurpose::Operators => write!(f, "cannot listen for operators on {address}: {error}"),
             ListenPurpose::Checks(protocol) => {
-                write!(f, "listening for {} checks on {address}: {error}", protocol.as_str())
+                write!(f, "cannot listen for {} checks on {address}: {error}", protocol.as_str())
+            }
+            ListenPurpose::PeerState => {
+                write!(f, "cannot listen for state requests of other proxies on {address}: {error}")
             }
-            ListenPurpose::PeerState => write!(f, "listening for knowledge on {address}: {error}"),
-            ListenPurpose::Fleet => write!(f, "listening for the fleet on {address}: {error}"),
+            ListenPurpose::Fleet => write!(f, "cannot listen for fleet members on {address}: {error}"),
         }
     }
 }
--- a/proxy/tests/health/operations.rs
+++ b/proxy/tests/health/operations.rs
@@ -26,7 +26,7 @@
     // When an address is in use elsewhere, then nothing changes either
     let taken = TcpListener::bind((rig.loopback_address(), 0)).unwrap();
     proxy.reload(&config, &Rig::health_options(taken.local_addr().unwrap(), agent, 64, "")).unwrap();
-    proxy.wait_for_log_line(&["event=reload-failed", "listening for http checks"]).unwrap();
+    proxy.wait_for_log_line(&["event=reload-failed", "cannot listen for http checks"]).unwrap();
     assert!(check_ready(http).unwrap().up);
     // When the options are valid, then the listener moves
     proxy.reload(&config, &Rig::health_options(other_http, agent, 64, "<claims sum='all'/>")).unwrap();
