--- a/proxy/src/net/listener.rs
+++ b/proxy/src/net/listener.rs
@@ -1,12 +1,13 @@
-//! The clients' listening socket: inherited from the platform, or opened here.
+//! The listening socket for clients. It is inherited from the platform or opened by this process.
 
 use super::error::{EventLoopError, ListenError, ListenPurpose};
 use mio::net::TcpListener;
 use std::net::SocketAddr;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-/// The listener for clients. An inherited socket is shared with the platform and with other processes of this proxy: it is closed
-/// here but never shut down, and any of these processes may accept the connections in its queue.
+/// Opens the listener for clients, or takes over the inherited socket. An inherited socket is shared with the platform
+/// and with other processes of this proxy. This process closes it but never shuts it down, and any of these processes
+/// may accept the connections in its backlog.
 pub(super) fn open(address: SocketAddr, inherited: Option<RawFd>) -> Result<TcpListener, EventLoopError> {
     match inherited {
         Some(descriptor) => {
@@ -17,10 +18,10 @@
     }
 }
 
-/// Takes over a listening socket that was inherited.
+/// Takes over an inherited listening socket and makes it non-blocking.
 fn adopt(descriptor: RawFd) -> std::io::Result<TcpListener> {
-    // SAFETY: called once, at the start; the platform passed this number to this process, and nothing else in it owns the
-    // descriptor. A number that is not a socket's fails at the next call.
+    // SAFETY: This is called once, at the start. The platform passed this descriptor to this process, and nothing else
+    // in the process owns it. If it is not a socket, the next call fails.
     let listener = std::net::TcpListener::from(unsafe { OwnedFd::from_raw_fd(descriptor) });
     listener.local_addr()?;
     listener.set_nonblocking(true)?;
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: sockets that are ready feed the protocols' state machines, timers that are due are handled, the core's commands
-//! are carried out, and output is written. One thread, one clock.
+//! The event loop. It feeds input from ready sockets to the state machines of the protocols, handles timers that are
+//! due, executes the commands of the core, and writes output. It runs on one thread and reads one clock.
 
 mod admin;
 mod admin_calls;
@@ -51,14 +51,15 @@
 use timers::Clock;
 use tracing::info;
 
-/// The most events in one turn.
+/// The maximum number of events that one turn of the loop handles.
 const EVENTS_PER_TURN: usize = 1024;
-/// The same where balancers check this proxy. They wait for the end of a turn, and a request takes about 50 us.
+/// The same limit while balancers check this proxy. A check waits for the end of a turn, and each request in the turn
+/// takes about 50 us.
 const EVENTS_PER_TURN_WITH_CHECKS: usize = 128;
-/// How often connections are checked for those that have been idle for too long.
+/// How often the loop looks for connections that have been idle for too long.
 const SWEEP_INTERVAL_MICROS: Micros = 250_000;
 
-/// The loop's state. Each field owns its part; calls between the parts go through here.
+/// The state of the event loop. Each field owns one subsystem. Calls between subsystems go through the loop.
 struct EventLoop {
     clock: Clock,
     context: EventLoopContext,
@@ -73,24 +74,26 @@
     health: HealthReporting,
     handover: ProcessHandover,
     config: Config,
-    /// The file of the options, which is read again at a reload.
+    /// The path of the options file, which a reload reads again. `None` if the proxy runs without options.
     options: Option<PathBuf>,
-    /// The longest time that a client may wait for a response.
+    /// The longest time that a client may wait for a response, over all classes of the current and the previous
+    /// configuration.
     longest_client_timeout: Micros,
     /// A graceful shutdown has begun.
     stopping: bool,
-    /// Connections still arrive for a while, and idle clients may send another request until they are closed.
+    /// The shutdown of clients is scheduled. Connections still arrive for a while, and idle clients may send another
+    /// request until they are closed.
     listener_closed: bool,
-    /// Idle clients were closed: the loop ends with the last client.
+    /// Idle clients were closed. The loop ends when the last client disconnects.
     clients_closed: bool,
 }
 
-/// Catches signals: from here on they are handled by the loop instead of ending the process.
+/// Installs the signal handlers. From now on the loop handles these signals, and they no longer end the process.
 pub(crate) fn signals() -> Result<Signals, EventLoopError> {
     Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(EventLoopError::Signals)
 }
 
-/// Serves until a graceful shutdown is complete.
+/// Runs the event loop until a graceful shutdown is complete.
 pub(crate) fn run(
     config: Config,
     options: Option<PathBuf>,
@@ -110,17 +113,17 @@
 }
 
 impl EventLoop {
-    /// Whether the graceful shutdown is complete.
+    /// Returns whether the graceful shutdown is complete.
     fn is_finished(&self) -> bool {
         self.clients_closed && self.clients.is_empty()
     }
 
-    /// The most events in the next turn.
+    /// Returns the maximum number of events in the next turn.
     fn events_per_turn(&self) -> usize {
         if self.health.observer.is_some() { EVENTS_PER_TURN_WITH_CHECKS } else { EVENTS_PER_TURN }
     }
 
-    /// Gossip's timer is due, or another proxy connects.
+    /// Advances gossip after its timer expired or another proxy connected.
     fn advance_gossip(&mut self) {
         if let Some(gossip) = &mut self.gossip {
             gossip.advance(&mut self.context);
@@ -128,8 +131,8 @@
         }
     }
 
-    /// Follows each call of gossip: no client is accepted while the start still waits for peers' state, and what the core now
-    /// commands is carried out.
+    /// Follows each call into gossip. Accepts no clients while the start still waits for the state of
+    /// other proxies, and executes the commands that the call added to the core.
     fn apply_gossip_progress(&mut self) {
         let Some(gossip) = &self.gossip else { return };
         self.clients.set_awaiting_peer_state(!gossip.is_startup_complete());
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -1,4 +1,4 @@
-//! The configuration, read again at SIGHUP: applied as a whole or not at all.
+//! Reloads the configuration at SIGHUP. A reload applies the whole configuration or none of it.
 
 use super::EventLoop;
 use super::checks::OpenedListeners;
@@ -11,26 +11,26 @@
 use std::fmt::{self, Display};
 use tracing::{info, warn};
 
-/// The most warnings about one configuration that are logged; the command `check` prints all.
+/// The maximum number of warnings about one configuration that are logged. The command `check` prints all of them.
 const MAX_LOGGED_WARNINGS: usize = 20;
 
-/// Logs the warnings about the settings, a line each.
+/// Logs the warnings about the settings, one line for each.
 pub(super) fn log_settings_warnings(config: &Config) {
     for warning in config.warnings.iter().take(MAX_LOGGED_WARNINGS) {
         warn!(event = "settings-warning", about = %Quoted(warning));
     }
 }
 
-/// The longest time that a client may wait for a response.
+/// Returns the longest time that a client of any class may wait for a response.
 pub(super) fn longest_client_timeout(settings: &DeploymentSettings) -> Micros {
     settings.routing.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0)
 }
 
-/// Why a configuration was not applied.
+/// Why a reload did not apply the configuration.
 enum ReloadError {
-    /// The configuration or the options are invalid, or omit something that is in use.
+    /// The configuration or the options are invalid, or they omit something that is in use.
     Configuration(ConfigError),
-    /// A listener that they name could not be opened.
+    /// A listener named in the options could not be opened.
     Listen(ListenError),
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl EventLoop {
-    /// Reads the configuration again. Discovery's address, settings and limits change immediately, the rest with a restart. An
-    /// invalid configuration changes nothing.
+    /// Reads the configuration again and applies it. The address of discovery, the settings and the limits change
+    /// immediately. Everything else changes only with a restart. An invalid configuration changes nothing.
     pub(super) fn reload(&mut self) {
         match self.load_replacement() {
             Ok((config, check_listeners)) => self.apply_configuration(config, check_listeners),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The new configuration, with the listeners that it needs in addition.
+    /// Loads and validates the new configuration, and opens the listeners that it adds.
     fn load_replacement(&self) -> Result<(Config, OpenedListeners), ReloadError> {
         let config =
             config::load(config::environment, self.options.as_deref()).map_err(ReloadError::Configuration)?;
@@ -66,7 +66,7 @@
         Ok((config, check_listeners))
     }
 
-    /// Applies a configuration.
+    /// Applies a valid configuration, except for the parts that need a restart.
     fn apply_configuration(&mut self, mut new: Config, check_listeners: OpenedListeners) {
         self.context.core.stats.configuration_loads += 1;
         let needs_restart = self.config.changes_needing_restart(&new).join(",");
@@ -74,7 +74,7 @@
         info!(event = "reloaded", discovery = %new.discovery_address, classes, "needs-restart" = needs_restart);
         log_settings_warnings(&new);
         self.keep_until_restart(&mut new);
-        // Requests that are open keep the timeouts that they came with.
+        // Open requests keep the timeouts that applied when they arrived.
         self.longest_client_timeout =
             longest_client_timeout(&new.deployment).max(longest_client_timeout(&self.config.deployment));
         self.apply_settings(&new);
@@ -85,21 +85,21 @@
         self.execute_commands();
     }
 
-    /// Copies what changes only with a restart from the current configuration to a new one.
+    /// Copies the parts that change only with a restart from the current configuration to the new one.
     fn keep_until_restart(&self, new: &mut Config) {
         let old = &self.config;
         new.name.clone_from(&old.name);
         new.listen_address = old.listen_address;
         new.admin_address = old.admin_address;
         new.inherited_descriptor = old.inherited_descriptor;
-        // Links among proxies count in the division of descriptors as they are until then.
+        // The division of descriptors counts the links between proxies, which do not change before the restart.
         new.options.peer_state.clone_from(&old.options.peer_state);
         new.options.fleet.clone_from(&old.options.fleet);
         new.gossip_keys.clone_from(&old.gossip_keys);
         new.fleet_keys.clone_from(&old.fleet_keys);
     }
 
-    /// Applies settings and limits to the subsystems that use them.
+    /// Applies the settings and limits to the subsystems that use them.
     fn apply_settings(&mut self, new: &Config) {
         let limits = ConnectionLimits::new(new, &self.handover);
         self.context.core.apply_settings(self.context.now, &new.deployment);
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -1,5 +1,5 @@
-//! One turn of the loop: waits for events, serves operators and balancers first and then all others in the order of their events,
-//! continues unfinished work, and handles timers that are due.
+//! One turn of the event loop. It waits for events, serves operators and balancers first, and serves all other sources
+//! in the order of their events. Then it continues unfinished work and handles timers that are due.
 
 use super::EventLoop;
 use super::error::EventLoopError;
@@ -14,13 +14,13 @@
 use std::time::Duration;
 
 impl EventLoop {
-    /// Waits for events or the next timer, and handles what is due.
+    /// Waits for events or the next timer, and handles all that are due.
     pub(super) fn run_once(
         &mut self,
         events: &mut Events,
         signals: &mut Signals,
     ) -> Result<(), EventLoopError> {
-        self.wait(events)?;
+        self.wait_for_events(events)?;
         self.serve_priority_sources(events);
         for event in events.iter() {
             let source = Source::from_token(event.token());
@@ -38,8 +38,8 @@
         Ok(())
     }
 
-    /// Waits for events until the next timer is due, and reads the clock.
-    fn wait(&mut self, events: &mut Events) -> Result<(), EventLoopError> {
+    /// Waits for events until the next timer is due, and reads the clock. Does not wait if there is unfinished work.
+    fn wait_for_events(&mut self, events: &mut Events) -> Result<(), EventLoopError> {
         let waiting_since = self.clock.now();
         let has_work = self.has_unfinished_work(waiting_since);
         let timeout = if has_work { Some(Duration::ZERO) } else { self.context.timers.wait(waiting_since) };
@@ -52,12 +52,12 @@
         Ok(())
     }
 
-    /// Whether there is work left from the last turn that the poll does not report again.
+    /// Returns whether work is left over from the last turn. The poll does not report such work again.
     fn has_unfinished_work(&self, now: Micros) -> bool {
         self.clients.has_pending_work() || self.admin.has_pending_work() || self.checks.has_pending_work(now)
     }
 
-    /// Serves operators and balancers.
+    /// Serves the sources that have priority: operators and balancers.
     fn serve_priority_sources(&mut self, events: &Events) {
         for event in events.iter() {
             match Source::from_token(event.token()) {
@@ -74,7 +74,7 @@
         self.checks.continue_work(&mut self.context);
     }
 
-    /// Serves one of the other sources.
+    /// Serves a source that has no priority.
     fn handle_event(&mut self, source: Source, event: &Event, signals: &mut Signals) {
         match source {
             Source::ClientListener => self.clients.listener_ready(),
@@ -102,7 +102,7 @@
                 self.clients.handle_ready(&mut self.context, key);
             }
             Source::Database(key) => self.pool.handle_ready(&mut self.context, key),
-            // Served by `serve_priority_sources`.
+            // `serve_priority_sources` has served these sources.
             Source::AdminListener
             | Source::Admin(_)
             | Source::HttpListener
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A listener for links of other proxies is ready.
+    /// Accepts links of other proxies after the listener became ready.
     fn accept_links(&mut self, listener: Source) {
         if let Some(gossip) = &mut self.gossip {
             gossip.accept_ready(listener);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A link to another proxy is ready.
+    /// Reads and writes a link to another proxy after it became ready.
     fn handle_link(&mut self, key: LinkKey) {
         if let Some(gossip) = &mut self.gossip {
             gossip.process_link(&mut self.context, key);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// SIGHUP reloads the configuration; the other signals begin a graceful shutdown.
+    /// Handles pending signals. SIGHUP reloads the configuration. The other signals begin a graceful shutdown.
     fn handle_signals(&mut self, signals: &mut Signals) {
         for signal in signals.pending() {
             match signal {
@@ -138,14 +138,14 @@
         }
     }
 
-    /// Reads discovery, and applies an update of the endpoint list.
+    /// Reads the connection to discovery, and applies an update of the endpoint list if one has arrived.
     fn handle_discovery(&mut self) {
         if let Some(update) = self.discovery.handle_ready(&mut self.context) {
             self.update_endpoints(update);
         }
     }
 
-    /// Another process of this proxy has connected, sent a message or disconnected.
+    /// Applies the state of the handover after another process of this proxy connected, sent a message or disconnected.
     pub(super) fn apply_handover_state(&mut self) {
         self.apply_process_count();
         if let Some(fleet) = &mut self.fleet {
@@ -155,7 +155,7 @@
         self.negotiate_handover();
     }
 
-    /// Reads the datagrams of the fleet.
+    /// Receives the datagrams of the fleet and applies the changes of membership.
     fn handle_fleet(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.receive_datagrams(self.context.now);
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Continues with clients where the last turn stopped, and sheds idle ones if the system had no descriptor for a connection to
-    /// a database or to discovery.
+    /// Continues the work that was left over for clients. Sheds idle clients if the system had no free descriptor for a
+    /// connection to a database or to discovery.
     fn continue_connections(&mut self) {
         self.clients.continue_pending_work(&mut self.context);
         if self.pool.take_descriptors_exhausted() {
@@ -176,7 +176,7 @@
         self.execute_commands();
     }
 
-    /// Handles the timers that are due, at a time read after the events.
+    /// Reads the clock again after the events, and handles the timers that are due.
     fn handle_due_timers(&mut self) {
         self.context.now = self.clock.now();
         while let Some(due) = self.context.timers.due(self.context.now) {
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -1,4 +1,4 @@
-//! Sources of events, and the tokens by which the poll names them.
+//! The event sources of the loop, and the tokens that identify them in the poll.
 
 #[cfg(test)]
 mod tests;
@@ -7,16 +7,16 @@
 use crate::core::ClientKey;
 use mio::Token;
 
-/// Something that becomes ready. A key is that of the owner's slab.
+/// An event source that the poll reports as ready. A key is an index into the owner's slab.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// The clients' listener.
+    /// The listener for clients.
     ClientListener,
-    /// The signals.
+    /// The source that reports signals.
     Signals,
     /// The connection to discovery.
     Discovery,
-    /// The operators' listener.
+    /// The listener for operators.
     AdminListener,
     /// The listener for the process that replaces this one.
     HandoverListener,
@@ -24,31 +24,31 @@
     Predecessor,
     /// The connection to the process that replaces this one.
     Successor,
-    /// The listener for balancers' checks over HTTP.
+    /// The listener for health checks over HTTP.
     HttpListener,
-    /// The listener for balancers' agent checks.
+    /// The listener for agent checks.
     AgentListener,
-    /// The listener for balancers' checks over gRPC.
+    /// The listener for health checks over gRPC.
     GrpcListener,
-    /// The listener for proxies that request state.
+    /// The listener for proxies that request this proxy's state.
     GossipListener,
     /// The listener for members of the fleet.
     MembershipListener,
-    /// The fleet's datagrams.
+    /// The datagram socket of the fleet.
     Fleet,
-    /// A client.
+    /// A connection to a client.
     Client(ClientKey),
     /// A connection to a database.
     Database(ConnectionKey),
-    /// An operator.
+    /// A connection to an operator.
     Admin(AdminKey),
-    /// A balancer that checks this proxy.
+    /// A connection to a balancer that checks this proxy.
     Check(CheckKey),
     /// A link to another proxy.
     Gossip(LinkKey),
 }
 
-/// The sources without a key. The token of each is its index.
+/// The sources without a key. The token of such a source is its index in this array.
 const FIXED_SOURCES: [Source; 13] = [
     Source::ClientListener,
     Source::Signals,
@@ -64,8 +64,9 @@
     Source::MembershipListener,
     Source::Fleet,
 ];
-/// Constructors of the sources that have a key, by the number of their slab. Their tokens follow those of the single sources: key k
-/// of slab n has the token `FIXED_SOURCES.len() + k * KEYED_SOURCES.len() + n`.
+/// The constructors of the sources with a key, indexed by the number of the slab. The tokens of these sources follow
+/// the tokens of the sources without a key: key k of slab n has the token `FIXED_SOURCES.len() + k *
+/// KEYED_SOURCES.len() + n`.
 const KEYED_SOURCES: [fn(usize) -> Source; 5] = [
     |key| Source::Client(ClientKey(key)),
     |key| Source::Database(ConnectionKey(key)),
@@ -75,9 +76,9 @@
 ];
 
 impl Source {
-    /// The token by which the poll names this source.
+    /// Returns the token that identifies this source in the poll.
     pub(super) fn token(self) -> Token {
-        let keyed = |index: usize, key: usize| FIXED_SOURCES.len() + key * KEYED_SOURCES.len() + index;
+        let keyed = |slab: usize, key: usize| FIXED_SOURCES.len() + key * KEYED_SOURCES.len() + slab;
         Token(match self {
             Source::Client(ClientKey(key)) => keyed(0, key),
             Source::Database(ConnectionKey(key)) => keyed(1, key),
@@ -88,7 +89,7 @@
         })
     }
 
-    /// The source that the poll names by this token.
+    /// Returns the source that a token of the poll identifies.
     pub(super) fn from_token(Token(token): Token) -> Source {
         FIXED_SOURCES.get(token).copied().unwrap_or_else(|| {
             let keyed_token = token - FIXED_SOURCES.len();
@@ -96,8 +97,8 @@
         })
     }
 
-    /// Whether it is served before all others, however many are ready: connections of operators and balancers are few, and matter
-    /// most under load.
+    /// Returns whether the source is served before all others, however many are ready. Operators and balancers have few
+    /// connections, and these matter most under load.
     pub(super) fn has_priority(self) -> bool {
         matches!(
             self,
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -1,4 +1,4 @@
-//! The start of the event loop: listeners and connections are opened, and each subsystem that the options name is started.
+//! Starts the event loop. Opens its listeners and connections, and starts each subsystem that the options enable.
 
 use super::admin::AdminListener;
 use super::balancers::HealthReporting;
@@ -27,10 +27,11 @@
 use std::path::PathBuf;
 use tracing::info;
 
-/// The most that is read from a socket at once.
+/// The maximum number of bytes that one read takes from a socket.
 const SCRATCH_BYTES: usize = 64 << 10;
 
-/// The connections to other processes of this proxy; none unless it shares its listener.
+/// Connects to the other process of this proxy, or listens for one. Does neither if this proxy does not share its
+/// listener.
 fn open_handover(poll: &Poll, address: SocketAddr, shared_listener: bool) -> ProcessHandover {
     if shared_listener {
         ProcessHandover::connect_or_listen(poll.registry(), address)
@@ -40,7 +41,8 @@
 }
 
 impl EventLoop {
-    /// Opens the poll and the listeners, and starts the subsystems.
+    /// Creates the poll, opens the listeners, and starts the subsystems. Fails if a listener or an event source cannot
+    /// be opened.
     pub(super) fn start(
         mut config: Config,
         options: Option<PathBuf>,
@@ -59,7 +61,7 @@
         Ok(event_loop)
     }
 
-    /// Opens the listeners, and creates the subsystems that always exist.
+    /// Opens the listener for operators, and creates the subsystems that always exist.
     fn open(
         poll: Poll,
         listener: mio::net::TcpListener,
@@ -71,7 +73,7 @@
         let clock = Clock::new();
         let now = clock.now();
         let admin = AdminListener::new(poll.registry(), config.admin_address)?;
-        // Only a proxy that shares its listener can consist of two processes.
+        // Only a proxy that shares its listener can run as two processes.
         let shared_listener = config.inherited_descriptor.is_some();
         let handover = open_handover(&poll, address, shared_listener);
         let limits = ConnectionLimits::new(&config, &handover);
@@ -101,7 +103,7 @@
         })
     }
 
-    /// Logs the addresses, and warnings about the settings.
+    /// Logs the addresses of this process, and the warnings about the settings.
     fn log_started(&self, address: SocketAddr) {
         let Config { name, discovery_address, .. } = &self.config;
         let operator = self.admin.address().map(tracing::field::display);
@@ -109,7 +111,7 @@
         log_settings_warnings(&self.config);
     }
 
-    /// Starts the subsystems, including those that the options name, and applies the endpoint list that is already known.
+    /// Starts the subsystems, including those that the options enable. Applies the endpoint list that is already known.
     fn start_subsystems(&mut self, known_endpoints: Option<EndpointUpdate>) -> Result<(), EventLoopError> {
         let started_at = self.context.now;
         self.start_health()?;
@@ -129,12 +131,13 @@
         Ok(())
     }
 
-    /// Starts to transfer state to and from other proxies, if the options enable it.
+    /// Starts the state transfer between this proxy and other proxies, if the options enable it.
     fn start_gossip(&mut self) -> Result<(), EventLoopError> {
         let (Some(options), Some(keys)) = (&self.config.options.peer_state, &self.config.gossip_keys) else {
             return Ok(());
         };
-        // Each process is an observer of its own: observations of its predecessor are those of another one.
+        // Each process has its own observer id, so that observations of its predecessor count as those of another
+        // observer.
         let mut observer = [0; 8];
         getrandom::fill(&mut observer)?;
         let peer_state = shared(PeerStateObserver::new(u64::from_be_bytes(observer)));
--- a/proxy/src/net/statement_payload.rs
+++ b/proxy/src/net/statement_payload.rs
@@ -1,10 +1,11 @@
-//! What the core carries for each request: the client's statement, shared by all attempts at it.
+//! The payload that the core keeps for each request: the statement of the client, shared by all attempts of the
+//! request.
 
 use crate::core::RequestPayload;
 use crate::pg::statement::Statement;
 use std::rc::Rc;
 
-/// A statement that its client waits for and its attempts read.
+/// A client's statement, shared by the client's connection and the attempts that execute the statement.
 pub(super) type StatementPayload = Rc<Statement>;
 
 impl RequestPayload for StatementPayload {
--- a/proxy/src/net/stream.rs
+++ b/proxy/src/net/stream.rs
@@ -1,29 +1,30 @@
-//! Reads and writes one socket as far as possible without waiting.
+//! Non-blocking reads and writes of one socket.
 
 use crate::outbox::Outbox;
 use std::io::{ErrorKind, Read, Write};
 
-/// How a connection ended, as far as the socket reports it.
+/// How a connection ended, according to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamEnd {
-    /// The other side closed it.
+    /// The peer closed the connection.
     Closed,
-    /// It was reset, or failed in another way.
+    /// The connection was reset, or it failed in another way.
     Reset,
 }
 
-/// Reads what has arrived, a piece at a time, until `take` returns false. Returns whether all of it was read; if not, the poll does
-/// not report the socket as readable again.
+/// Reads the available input into `scratch` and passes each piece to `consume`, until no input is left or `consume`
+/// returns false. Returns whether all available input was read. If it was not, the caller must read again later,
+/// because the poll does not report the socket as readable a second time.
 pub(super) fn read(
     stream: &mut impl Read,
     scratch: &mut [u8],
-    mut take: impl FnMut(&[u8]) -> bool,
+    mut consume: impl FnMut(&[u8]) -> bool,
 ) -> Result<bool, StreamEnd> {
     loop {
         match stream.read(scratch) {
             Ok(0) => return Err(StreamEnd::Closed),
             Ok(count) => {
-                if !take(&scratch[..count]) {
+                if !consume(&scratch[..count]) {
                     return Ok(false);
                 }
             }
@@ -34,14 +35,14 @@
     }
 }
 
-/// Writes the output as far as the socket accepts it. Returns whether all of it is written.
+/// Writes the output as far as the socket accepts it. Returns whether all of the output has been written.
 pub(super) fn write(stream: &mut impl Write, outbox: &mut Outbox) -> Result<bool, StreamEnd> {
     let written = write_some(stream, outbox.pending())?;
     outbox.advance(written);
     Ok(outbox.pending().is_empty())
 }
 
-/// Writes bytes as far as the socket accepts them. Returns how many are written.
+/// Writes bytes as far as the socket accepts them. Returns the number of bytes written.
 pub(super) fn write_some(stream: &mut impl Write, bytes: &[u8]) -> Result<usize, StreamEnd> {
     let mut written = 0;
     while written < bytes.len() {
--- a/proxy/src/net/test_hooks.rs
+++ b/proxy/src/net/test_hooks.rs
@@ -1,18 +1,19 @@
-//! For tests: the process stops itself once at a named point, so that a test can send something at that moment. Without debug
-//! assertions this does nothing.
+//! A hook for tests: the process stops itself once at a named point, so that a test can send input at that moment.
+//! Builds without debug assertions never stop.
 
-/// Points at which the process can stop.
+/// The points at which the process can stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopPoint {
-    /// A client was idle for too long; it has not been read once more.
+    /// A client was idle for too long, and its final read has not happened yet.
     Sweep,
-    /// A client is to be shed; it has not been read once more.
+    /// A client is about to be shed, and its final read has not happened yet.
     Shed,
-    /// The last idle clients are to be closed; none has been read once more.
+    /// The last idle clients are about to be closed, and their final reads have not happened yet.
     CloseIdleClients,
 }
 
-/// Stops the process here, once, if the environment of the test names this point.
+/// Stops the process with SIGSTOP if the environment variable `BIRCHREACH_TEST_STOP_AT` names this point. Stops at most
+/// once.
 #[cfg(debug_assertions)]
 pub(super) fn stop_process_at(point: StopPoint) {
     use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,12 +23,12 @@
         StopPoint::Shed => "shed",
         StopPoint::CloseIdleClients => "leave",
     };
-    let wanted = std::env::var_os("BIRCHREACH_TEST_STOP_AT").is_some_and(|wanted| wanted == name);
-    if wanted && !STOPPED.swap(true, Ordering::Relaxed) {
+    let requested = std::env::var_os("BIRCHREACH_TEST_STOP_AT").is_some_and(|value| value == name);
+    if requested && !STOPPED.swap(true, Ordering::Relaxed) {
         let _ = signal_hook::low_level::raise(signal_hook::consts::SIGSTOP);
     }
 }
 
-/// Does nothing in a build without debug assertions.
+/// Does nothing, because this build has no debug assertions.
 #[cfg(not(debug_assertions))]
 pub fn stop_process_at(_: StopPoint) {}
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -1,4 +1,4 @@
-//! Passes each timer that is due to the owner that set it.
+//! Dispatches each timer that is due to its owner.
 
 use super::ids::{LinkKey, LinkSerial};
 use super::timer_events::TimerEvent;
@@ -6,7 +6,8 @@
 use tracing::info;
 
 impl EventLoop {
-    /// Passes a due timer to its owner. No timer is ever cancelled: each owner checks whether its own still applies.
+    /// Passes a due timer to its owner. Timers are never cancelled, so each owner checks whether the timer still
+    /// applies.
     pub(super) fn handle_timer(&mut self, due: TimerEvent) {
         let context = &mut self.context;
         match due {
@@ -19,7 +20,7 @@
             TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
             TimerEvent::Sweep => self.sweep(),
             TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
-            // `update_health` at the end of the turn does the rest.
+            // `update_health` updates the verdict at the end of the turn.
             TimerEvent::HealthUpdate => {
                 self.health.update_timer = self.health.update_timer.filter(|at| *at > context.now)
             }
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Sends the next part of a state transfer, if its link is still open.
+    /// Sends the next part of a state transfer if the link is still open.
     fn continue_gossip_send(&mut self, key: LinkKey, serial: LinkSerial) {
         if let Some(gossip) = &mut self.gossip {
             gossip.continue_sending(&mut self.context, key, serial);
@@ -52,14 +53,14 @@
         }
     }
 
-    /// The fraction of the connections to databases that serve attempts.
+    /// Returns the number of attempts in flight divided by the limit of connections to databases.
     pub(super) fn database_connections_in_use(&self) -> f64 {
         let limit = self.connection_limits().databases.max(1);
         self.context.core.attempts_in_flight() as f64 / limit as f64
     }
 
-    /// Closes connections that have been idle or unresponsive for too long, and reports the load of this process to other processes
-    /// and proxies.
+    /// Closes connections that have been idle or unresponsive for too long. Reports the load of this process to other
+    /// processes and proxies.
     fn sweep(&mut self) {
         let context = &mut self.context;
         self.clients.close_expired(context);
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -1,51 +1,52 @@
-//! The events that timers are set for.
+//! The events for which the subsystems set timers.
 
 use super::ids::{
     CheckKey, CheckSerial, ConnectionKey, ConnectionSerial, LinkKey, LinkSerial, PollStateSerial, QuerySerial,
 };
 use crate::core::{AttemptId, RoutingTimerId};
 
-/// What a timer was set for. A key is that of the owner's slab; a serial distinguishes later uses of the same key.
+/// The event for which a timer was set. A key is an index into the owner's slab. A serial distinguishes later uses of
+/// the same key.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerEvent {
-    /// A timer of the decisions.
+    /// A timer of the router is due.
     Routing(RoutingTimerId),
-    /// The deadline of an attempt has passed.
+    /// An attempt has reached its deadline.
     AttemptTimeout(AttemptId),
-    /// A connection to a database was not established in time.
+    /// A connection to a database was not established within the time limit.
     ConnectTimeout(ConnectionKey, ConnectionSerial),
-    /// A health check or a background query was not answered in time.
+    /// A health check or a background query was not answered within the time limit.
     QueryTimeout(ConnectionKey, QuerySerial),
     /// The cooldown of a connection to a database is over.
     CooldownEnded(ConnectionKey, ConnectionSerial),
-    /// Clients may be accepted again after the system had no free descriptor.
+    /// Clients are accepted again after a pause, because the system had no free descriptor.
     RetryAccept,
     /// The next poll of discovery is due, or a state of the current one has timed out.
     Discovery(PollStateSerial),
-    /// Connections are checked for those that have been idle for too long.
+    /// The next sweep for connections that have been idle for too long is due.
     Sweep,
-    /// A balancer has sent no query in time.
+    /// A balancer has not sent a query within the time limit.
     CheckTimeout(CheckKey, CheckSerial),
-    /// The verdict for balancers may change.
+    /// The verdict for balancers may change at this time.
     HealthUpdate,
-    /// The load is reported to the health monitor.
+    /// The next load report to the health monitor is due.
     HealthLoadReport,
-    /// Checks are answered by the process that replaces this one.
+    /// The process that replaces this one answers health checks from now on.
     StopAcceptingChecks,
-    /// The process that this one replaces no longer answers checks.
+    /// The process that this one replaces is about to stop answering health checks.
     OpenCheckListeners,
     /// A request for another proxy's state is due, or a link may have timed out.
     Gossip,
-    /// The send budget allows the next part of the state that is sent to another proxy.
+    /// The send budget allows the next part of a state transfer to another proxy.
     GossipSend(LinkKey, LinkSerial),
-    /// A probe of a member of the fleet is due or has timed out.
+    /// A probe of a fleet member is due or has timed out.
     Fleet,
     /// Background work may be due.
     Background,
-    /// The shutdown notice to balancers is over: the listener is closed.
+    /// The shutdown notice to balancers has ended, and the shutdown of clients begins.
     ShutdownNoticeEnded,
     /// Idle clients are closed in a graceful shutdown.
     CloseIdleClients,
-    /// The process exits.
+    /// The process exits, even if requests are still open.
     Exit,
 }
--- a/proxy/src/net/timers.rs
+++ b/proxy/src/net/timers.rs
@@ -1,46 +1,48 @@
-//! The clock and the timers of the event loop.
+//! The clock and the timer queue of the event loop.
 
 use birchreach::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The only clock of the loop: Unix time at the start plus the monotonic time since. It never goes back.
+/// The only clock of the event loop. It adds the monotonic time since the start to the Unix time of the start, so it
+/// never goes back.
 pub(super) struct Clock {
     started: Instant,
     started_unix: Micros,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at the current system time.
     pub(super) fn new() -> Clock {
         Clock { started: Instant::now(), started_unix: unix_micros() }
     }
 
-    /// The time.
+    /// Returns the current time in Unix microseconds.
     pub(super) fn now(&self) -> Micros {
         self.started_unix + micros(self.started.elapsed())
     }
 
-    /// How far the system's clock, by which two processes agree on an instant, is ahead of this one: it may have been set since the
-    /// start.
+    /// Returns how far the system clock is ahead of this clock. The system clock may have been set since the start. Two
+    /// processes agree on an instant by the system clock.
     pub(super) fn unix_offset(&self) -> Micros {
         unix_micros() - self.now()
     }
 }
 
-/// The Unix time by the system's clock.
+/// Returns the Unix time of the system clock.
 fn unix_micros() -> Micros {
     micros(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
 
-/// The duration in microseconds. One that is too long for the type becomes one that can still be added to another without overflow.
-fn micros(span: Duration) -> Micros {
-    Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX / 4)
+/// Converts a duration to microseconds. Limits a duration that is too long for the type, so that adding another
+/// duration to it does not overflow.
+fn micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 4)
 }
 
-/// A timer that is set. The order of the fields is that in which timers become due: those of equal time in the order in which they
-/// were set.
+/// A timer that is set. The order of the fields determines the order of timers: they are sorted by the time at which
+/// they are due, and timers with the same time by the order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer<T> {
     due_at: Micros,
@@ -48,31 +50,32 @@
     event: T,
 }
 
-/// Timers, the soonest first. None is ever cancelled: the owner that set it checks whether it still applies.
+/// A priority queue of timers, the earliest first. Timers are never cancelled. The owner that set a timer checks
+/// whether the timer still applies.
 pub(super) struct Timers<T> {
     heap: BinaryHeap<Reverse<Timer<T>>>,
     last_serial: u64,
 }
 
 impl<T: Ord> Timers<T> {
-    /// No timer is set.
+    /// Creates a queue without timers.
     pub(super) fn new() -> Timers<T> {
         Timers { heap: BinaryHeap::new(), last_serial: 0 }
     }
 
-    /// Sets a timer for an event.
+    /// Sets a timer that delivers `event` at `due_at` or later.
     pub(super) fn set(&mut self, due_at: Micros, event: T) {
         self.last_serial += 1;
         self.heap.push(Reverse(Timer { due_at, serial: self.last_serial, event }));
     }
 
-    /// Removes the next timer that is due.
+    /// Removes the next timer that is due and returns its event. Returns `None` if no timer is due.
     pub(super) fn due(&mut self, now: Micros) -> Option<T> {
         self.heap.peek().filter(|Reverse(timer)| timer.due_at <= now)?;
         self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
-    /// How long until the next timer is due, if one is set.
+    /// Returns the time until the next timer is due, zero if it is overdue, or `None` if no timer is set.
     pub(super) fn wait(&self, now: Micros) -> Option<Duration> {
         let Reverse(timer) = self.heap.peek()?;
         Some(Duration::from_micros(u64::try_from(timer.due_at - now).unwrap_or(0)))
