--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -1,5 +1,5 @@
-//! The tasks that make copies of hot keys: a row is read twice on one connection to a replica of its group, and written to the groups of
-//! the databases that hold its copies.
+//! The background tasks that copy the rows of hot keys. A row is read twice on one connection to a replica of its
+//! group, and then written to the groups of the databases that hold its copies.
 
 use super::BackgroundWork;
 use super::task::{BackgroundTask, STATEMENT_TIMEOUT_MS, TaskTarget};
@@ -13,31 +13,32 @@
 use birchreach_hot_keys::{DueRefresh, Key};
 use tracing::info;
 
-/// How long a row that cannot be copied is not read for copying.
+/// How long a row that cannot be copied is not read again for copying.
 const UNCOPYABLE_ROW_PAUSE_MICROS: Micros = 60_000_000;
 
-/// One step of making copies.
+/// One step of copying a row.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum CopyTask {
-    /// Reads the row whose copies are due.
+    /// Reads the row whose copies are due for a refresh.
     Read(DueRefresh),
-    /// Writes its copy to one holder.
+    /// Writes the copy of the row to one holder.
     Write(CopyWrite),
 }
 
-/// A copy for one holder.
+/// The write of a copy to one holder.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct CopyWrite {
     key: Key,
     key_bytes: Vec<u8>,
-    /// The database that holds the copy, and its group, whose primary takes the write.
+    /// The database that holds the copy.
     holder: ServerId,
+    /// The group of the holder. The primary of this group executes the write.
     holder_group: GroupId,
     copy: Copy<Vec<u8>>,
 }
 
 impl CopyTask {
-    /// The group of the row if it is read, or of the holder if the copy is written.
+    /// Returns the group of the row for a read, or the group of the holder for a write.
     pub(super) fn target(&self) -> TaskTarget {
         match self {
             CopyTask::Read(due) => TaskTarget { group: GroupId(due.key.group), writes: false },
@@ -45,10 +46,12 @@
         }
     }
 
-    /// Its statements, in order. `id` is the id of the reads; writes have none.
+    /// Returns the statements of the task in the order of their execution. `id` identifies the statements that read.
+    /// Statements that write have no id.
     pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         match self {
-            // The position in the first answer is known before the second read is sent.
+            // The row is read twice because the position of the copy must be known before the read that gives its value
+            // is sent. The first reply has this position.
             CopyTask::Read(due) => {
                 let group = GroupId(due.key.group);
                 vec![copies::read_row(&due.key_bytes, group, id, STATEMENT_TIMEOUT_MS); 2]
@@ -60,12 +63,13 @@
     }
 }
 
-/// The copy that the reads of a row give, or why they give none.
+/// Returns the copy that results from the two reads of a row, or the reason why there is none.
 fn copy_from_result(result: &BackgroundQueryResult) -> Result<Copy<Vec<u8>>, CopyOutcome> {
     if result.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error) {
         return Err(CopyOutcome::ReadFailed);
     }
-    // A primary may have been deposed without knowing it, and would state the present; a replica's position is what it has applied.
+    // Only positions of replicas count. A replica reports the position that it has applied. A primary that has been
+    // replaced without knowing it would report its own present position.
     let position = |index: usize| {
         let status = result.replies.get(index)?.status.filter(|status| status.role == Role::Replica)?;
         status.position
@@ -79,7 +83,7 @@
 }
 
 impl BackgroundWork {
-    /// Submits the writes of a row that was read, or records the write of a copy.
+    /// Submits the writes after the reads of a row, or records the outcome of a write.
     pub(super) fn finish_copy_task(&mut self, now: Micros, task: CopyTask, result: &BackgroundQueryResult) {
         let Some(observer) = self.hot_keys.clone() else { return };
         match task {
@@ -88,7 +92,8 @@
         }
     }
 
-    /// Submits the writes of the copy that the reads give. A row that cannot be copied is not read again for a while.
+    /// Submits the writes of the copy that results from the reads. A row that is too long or cannot be read is not read
+    /// again for [`UNCOPYABLE_ROW_PAUSE_MICROS`].
     fn finish_read(
         &mut self,
         now: Micros,
@@ -110,7 +115,7 @@
         }
     }
 
-    /// Tells the tracker of a copy that was written, and counts the outcome.
+    /// Counts the outcome of a write, and records a successful write in the tracker.
     fn finish_write(
         &self,
         now: Micros,
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Submits a write for each holder of a copy.
+    /// Submits one write for each holder of the copy.
     fn submit_writes(&mut self, due: &DueRefresh, copy: &Copy<Vec<u8>>, expires_at: Micros) {
         for holder in &due.holders {
             let write = CopyWrite {
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Derives the hot set, and submits the reads of rows whose copies are due.
+    /// Updates the set of hot keys, and submits the reads of rows whose copies are due for a refresh.
     pub(super) fn run_hot_keys(&mut self, now: Micros, member_count: usize, report_interval: Micros) {
         let Some(observer) = self.hot_keys.clone() else { return };
         let mut observer = observer.borrow_mut();
@@ -151,7 +156,7 @@
         self.submit_reads(now, &mut observer);
     }
 
-    /// Submits the reads of rows whose copies are due.
+    /// Submits the reads of rows whose copies are due for a refresh.
     fn submit_reads(&mut self, now: Micros, observer: &mut HotKeyObserver) {
         let expires_at = now + observer.tracker.settings().refresh_interval();
         for due in observer.tracker.due_refreshes(now) {
@@ -161,23 +166,23 @@
     }
 }
 
-/// Derives the hot set, and logs how it changed.
+/// Updates the set of hot keys, and logs the changes.
 fn update_hot_keys(now: Micros, observer: &mut HotKeyObserver) {
-    let before: Vec<Key> = observer.tracker.hot_keys().map(|hot_key| hot_key.key).collect();
+    let previously_hot: Vec<Key> = observer.tracker.hot_keys().map(|hot_key| hot_key.key).collect();
     if observer.tracker.update(now) {
-        log_changes(observer, &before);
+        log_changes(observer, &previously_hot);
     }
 }
 
-/// Logs the keys that became hot, and those that ceased to be.
-fn log_changes(observer: &HotKeyObserver, before: &[Key]) {
+/// Logs the keys that became hot and the keys that are no longer hot.
+fn log_changes(observer: &HotKeyObserver, previously_hot: &[Key]) {
     let tracker = &observer.tracker;
-    for hot_key in tracker.hot_keys().filter(|hot_key| !before.contains(&hot_key.key)) {
+    for hot_key in tracker.hot_keys().filter(|hot_key| !previously_hot.contains(&hot_key.key)) {
         let key = hot_key.key;
         let (hash, rate) = (format!("{:016x}", key.hash), format!("{:.1}", hot_key.reads_per_s));
         info!(event = "hot-key", group = key.group, hash, rate, guests = hot_key.copy_holders.len());
     }
-    for key in before.iter().filter(|key| tracker.hot_keys().all(|hot_key| hot_key.key != **key)) {
+    for key in previously_hot.iter().filter(|key| tracker.hot_keys().all(|hot_key| hot_key.key != **key)) {
         info!(event = "hot-key-over", group = key.group, hash = format!("{:016x}", key.hash));
     }
 }
--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -1,5 +1,5 @@
-//! The tasks that compare reads while a group splits: a query of the verifier is sent to a replica of a child or of the parent, and
-//! its result is returned to the verifier.
+//! The background tasks that compare reads while a group is split. A task sends a query of the verifier to a replica of
+//! a child group or of the parent group, and returns the result to the verifier.
 
 use super::BackgroundWork;
 use super::task::{BackgroundTask, STATEMENT_TIMEOUT_MS, TaskTarget};
@@ -14,44 +14,45 @@
 };
 use tracing::{info, warn};
 
-/// The most queries that are submitted in one run.
+/// The maximum number of queries that are submitted in one run.
 const MAX_QUERIES_PER_RUN: usize = 8;
-/// A query that was not started within this time is due again later.
+/// A query that is not started within this time is postponed.
 const MAX_QUEUED_MICROS: Micros = 1_000_000;
 
-/// Number of a comparison among those that this process has started.
+/// The serial number of a comparison that this process has started. It is never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct SplitGeneration(u64);
 
 impl SplitGeneration {
-    /// The number of the comparison after this one.
+    /// Returns the serial number of the next comparison.
     pub(super) fn next(self) -> SplitGeneration {
         SplitGeneration(self.0 + 1)
     }
 }
 
-/// A query of the verifier.
+/// A query of the verifier, as a background task.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct DualRead {
-    /// The comparison that it belongs to.
+    /// The comparison that the query belongs to.
     split_generation: SplitGeneration,
     due: DueQuery,
 }
 
 impl DualRead {
-    /// The group that it reads from.
+    /// Returns the group that the query reads from.
     pub(super) fn target(&self) -> TaskTarget {
         TaskTarget { group: GroupId(self.due.group), writes: false }
     }
 
-    /// Its statements, in order, each with this id.
+    /// Returns the statements of the query in the order of their execution. Each of them has the given id.
     pub(super) fn statements(&self, id: BackgroundStatementId) -> Vec<Vec<u8>> {
         let DueQuery { query, ref key_bytes, .. } = self.due;
         let group = GroupId(self.due.group);
         let read = copies::read_row(key_bytes, group, id, STATEMENT_TIMEOUT_MS);
         match query {
             ComparisonQuery::SingleRead(_) => vec![read],
-            // Positions come with answers: one before the read that counts, one with it.
+            // Each reply has a position. The verifier needs one from before the read that it compares, and one from
+            // that read.
             ComparisonQuery::Sample(_) => vec![read; 2],
             ComparisonQuery::SampleParent => {
                 let with_commit_time =
@@ -63,7 +64,7 @@
 }
 
 impl BackgroundWork {
-    /// Logs the verdict if it changed, and submits the queries that are due.
+    /// Logs the verdict if it has changed, and submits the queries that are due.
     pub(super) fn run_split(&mut self, now: Micros, member_count: usize, report_interval: Micros) {
         self.postpone_expired_reads(now);
         let Some(observer) = self.split.clone() else { return };
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Postpones the queries that were queued for too long.
+    /// Postpones the queries that have been queued for too long.
     fn postpone_expired_reads(&mut self, now: Micros) {
         for task in self.scheduler.take_expired() {
             if let BackgroundTask::DualRead(read) = task {
@@ -97,26 +98,27 @@
         }
     }
 
-    /// The query was not started: the verifier makes it due again later.
+    /// Returns a query that was not started to its verifier, which makes it due again later.
     fn postpone(&self, now: Micros, read: &DualRead) {
-        if let Some(observer) = self.observer_of(read) {
+        if let Some(observer) = self.active_observer(read) {
             observer.borrow_mut().verifier.postpone(now, read.due.comparison);
         }
     }
 
-    /// The observer of the comparison that a query belongs to; none if that is not in progress any more.
-    fn observer_of(&self, read: &DualRead) -> Option<&Shared<SplitObserver>> {
+    /// Returns the observer of the comparison that a query belongs to, or `None` if this comparison has ended.
+    fn active_observer(&self, read: &DualRead) -> Option<&Shared<SplitObserver>> {
         self.split.as_ref().filter(|_| read.split_generation == self.split_generation)
     }
 
-    /// Passes the result of a query to its verifier; none if the end of the query was not reported.
+    /// Passes the result of a query to its verifier. `result` is `None` if the pool did not report the end of the query
+    /// in time.
     pub(super) fn finish_dual_read(
         &self,
         now: Micros,
         read: &DualRead,
         result: Option<&BackgroundQueryResult>,
     ) {
-        let Some(observer) = self.observer_of(read) else { return };
+        let Some(observer) = self.active_observer(read) else { return };
         let mut observer = observer.borrow_mut();
         let result =
             result.map_or(QueryResult::NoAnswer, |result| observer.query_result(read.due.query, result));
@@ -126,7 +128,7 @@
     }
 }
 
-/// Logs a difference that is confirmed.
+/// Logs a confirmed difference.
 fn log_difference(observer: &SplitObserver, difference: &ConfirmedDifference) {
     let range = SplitDefinition::range(difference.key_hash);
     let fields = observer.difference_fields(range, difference);
--- a/proxy/src/net/background/in_flight.rs
+++ b/proxy/src/net/background/in_flight.rs
@@ -1,4 +1,4 @@
-//! Tasks in flight: how they start and end.
+//! Starts background tasks, and finishes those that have ended or timed out.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::pool::Pool;
@@ -9,24 +9,24 @@
 use birchreach_background_tasks::{DatabaseId, StartedTask, TaskId};
 use tracing::info;
 
-/// A background query whose end is not reported within this time has failed.
+/// A background query has failed if the pool does not report its end within this time.
 const MAX_QUERY_MICROS: Micros = 3_000_000;
 
-/// A task whose statements were sent.
+/// A task whose statements have been sent.
 pub(super) struct TaskInFlight {
     task: BackgroundTask,
     started_at: Micros,
 }
 
 impl TaskInFlight {
-    /// Whether its end is not to be expected any more.
+    /// Returns whether the task has run longer than a background query may take.
     fn is_overdue(&self, now: Micros) -> bool {
         now - self.started_at >= MAX_QUERY_MICROS
     }
 }
 
 impl BackgroundWork {
-    /// Starts the tasks that the scheduler selects, unless the process was suspended a short time ago.
+    /// Starts the tasks that the scheduler selects. Starts none shortly after a suspension of the process.
     pub(super) fn start_due_tasks(&mut self, context: &mut EventLoopContext, pool: &mut Pool, divisor: u32) {
         self.pause_after_suspension(context.now);
         if context.now < self.paused_until {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Pauses the start of tasks if the last run was so long ago that the process must have been suspended.
+    /// Pauses the start of tasks if the time since the last run shows that the process was suspended.
     fn pause_after_suspension(&mut self, now: Micros) {
         if now - self.last_run_at > SUSPENSION_THRESHOLD_MICROS {
             self.paused_until = now + SUSPENSION_THRESHOLD_MICROS;
@@ -51,7 +51,7 @@
         self.last_run_at = now;
     }
 
-    /// Sends the statements of a task to its database.
+    /// Sends the statements of a task to the database that the scheduler selected.
     fn start_task(
         &mut self,
         context: &mut EventLoopContext,
@@ -64,7 +64,7 @@
         pool.start_background_query(context, BackgroundQueryId(id.0), ServerId(database.0), statements);
     }
 
-    /// Finishes the tasks with these results, and gives up those whose end was not reported in time.
+    /// Finishes the tasks with these results, and abandons the overdue tasks.
     pub(super) fn finish_tasks(&mut self, now: Micros, results: Vec<BackgroundQueryResult>) {
         for result in results {
             self.finish_task(now, &result);
@@ -72,7 +72,7 @@
         self.abandon_overdue_tasks(now);
     }
 
-    /// Passes the result of a task to its subsystem. A task that was given up before is not in flight any more.
+    /// Passes the result of a task to its subsystem. Ignores the result of a task that was abandoned before.
     fn finish_task(&mut self, now: Micros, result: &BackgroundQueryResult) {
         match self.remove_task(TaskId(result.id.0)) {
             Some(BackgroundTask::Copy(task)) => self.finish_copy_task(now, task, result),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Gives up the tasks whose end was not reported in time.
+    /// Abandons the tasks whose end was not reported in time.
     fn abandon_overdue_tasks(&mut self, now: Micros) {
         let in_flight = self.in_flight.iter();
         let overdue: Vec<TaskId> =
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Removes a task that has ended or is given up. The scheduler may start another one in its place.
+    /// Removes a task that has ended or is abandoned, so that the scheduler may start another task in its place.
     fn remove_task(&mut self, id: TaskId) -> Option<BackgroundTask> {
         self.scheduler.finish(id);
         self.in_flight.remove(&id).map(|task| task.task)
--- a/proxy/src/net/background/mod.rs
+++ b/proxy/src/net/background/mod.rs
@@ -1,5 +1,6 @@
-//! Background work: copies of hot keys, and reads that are compared while a group splits. It owns the tasks in flight and their
-//! timeouts. The subsystems' crates decide what is to be done, the scheduler when, and the router at which database.
+//! Background work of two subsystems: copies of hot keys, and the comparison of reads while a group is split. This
+//! module owns the tasks in flight and their timeouts. The crates of the subsystems decide which tasks are needed, the
+//! scheduler decides when a task starts, and the router selects the database.
 
 mod copy_tasks;
 mod dual_reads;
@@ -21,34 +22,38 @@
 use std::collections::HashMap;
 use task::BackgroundTask;
 
-/// A run that is later than this follows a suspension of the process: runs are at most half of this apart.
+/// A longer time than this between two runs shows that the process was suspended, because the timer makes runs at most
+/// half of this time apart.
 const SUSPENSION_THRESHOLD_MICROS: Micros = 1_500_000;
-/// How soon tasks are tried again that wait for capacity or for their budget.
+/// The time until the next attempt to start tasks that wait for capacity or for their budget.
 const QUEUE_RETRY_MICROS: Micros = 20_000;
-/// The shortest time between two runs.
+/// The minimum time between two runs.
 const MIN_RUN_INTERVAL_MICROS: Micros = 1_000;
 
-/// The background subsystems that the options switch on, and their tasks.
+/// The background subsystems that the options enable, and their tasks.
 pub(super) struct BackgroundWork {
     scheduler: Scheduler<BackgroundTask>,
-    /// The tasks whose statements were sent.
+    /// The tasks whose statements have been sent.
     in_flight: HashMap<TaskId, TaskInFlight>,
     statement_ids: BackgroundStatementIds,
+    /// `None` while copies of hot keys are disabled.
     hot_keys: Option<Shared<HotKeyObserver>>,
+    /// `None` while no comparison is enabled.
     split: Option<Shared<SplitObserver>>,
-    /// The comparison in progress: results of an earlier one are ignored.
+    /// Identifies the comparison in progress. Results of earlier comparisons are ignored.
     split_generation: SplitGeneration,
     metrics: BackgroundMetrics,
-    /// When the timer that is set expires.
+    /// When the timer for the next run is due.
     timer_at: Micros,
-    /// The last run that could start tasks.
+    /// The time of the last run that was allowed to start tasks.
     last_run_at: Micros,
-    /// Nothing is started before this time: a process that was suspended has not received the current reports yet.
+    /// No task is started before this time, because a process that was suspended has not yet received the current
+    /// reports.
     paused_until: Micros,
 }
 
 impl BackgroundWork {
-    /// No subsystem is switched on.
+    /// Creates background work without any enabled subsystem.
     fn new(incarnation: u64, now: Micros) -> BackgroundWork {
         BackgroundWork {
             scheduler: Scheduler::new(&[], now),
@@ -64,7 +69,7 @@
         }
     }
 
-    /// When the subsystems run next.
+    /// Returns the time of the next run.
     fn next_run_at(&self, now: Micros) -> Micros {
         let hot_keys = self.hot_keys.as_ref().map(|observer| observer.borrow().tracker.next_change(now));
         let split = self.split.as_ref().map(|observer| observer.borrow().verifier.next_change(now));
@@ -74,7 +79,7 @@
         earliest.max(now + MIN_RUN_INTERVAL_MICROS)
     }
 
-    /// Whether no subsystem is switched on.
+    /// Returns whether no subsystem is enabled.
     fn is_idle(&self) -> bool {
         self.hot_keys.is_none() && self.split.is_none()
     }
--- a/proxy/src/net/background/reports.rs
+++ b/proxy/src/net/background/reports.rs
@@ -1,4 +1,4 @@
-//! The reports that the members of the fleet send each other on hot keys and on a split.
+//! The reports on hot keys and on a split that the fleet members send to each other.
 
 use super::BackgroundWork;
 use crate::metrics::RejectedReport;
@@ -6,19 +6,19 @@
 use birchreach_hot_keys::ReportHeader;
 use birchreach_membership::ReceivedReport;
 
-/// The channel of members' reports on hot keys.
+/// The channel for reports on hot keys.
 const HOT_KEYS_CHANNEL: u8 = 1;
-/// The channel of members' reports on a split.
+/// The channel for reports on a split.
 const SPLIT_CHANNEL: u8 = 2;
 
-/// A report that is to be sent to the other members.
+/// A report to the other fleet members.
 pub(super) struct OutgoingReport {
     pub channel: u8,
     pub payload: Vec<u8>,
 }
 
 impl BackgroundWork {
-    /// Passes reports of other members to their subsystems, and counts those that are rejected.
+    /// Passes the reports of other members to their subsystems, and counts the rejected ones.
     pub(in crate::net) fn receive_reports(&self, now: Micros, reports: Vec<ReceivedReport>) {
         for report in reports {
             if let Err(rejected) = self.receive_report(now, &report) {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Passes a report to the subsystem of its channel.
+    /// Passes a report to the subsystem of its channel. Fails if the report is invalid or the subsystem is disabled.
     fn receive_report(&self, now: Micros, report: &ReceivedReport) -> Result<(), RejectedReport> {
         let ReceivedReport { channel, origin, sequence, age, ref payload } = *report;
         let header = ReportHeader { origin, sequence, age };
@@ -44,19 +44,19 @@
         }
     }
 
-    /// This process's reports that are due.
+    /// Returns the reports of this process that are due.
     pub(super) fn due_reports(&self, now: Micros) -> Vec<OutgoingReport> {
         [self.due_hot_keys_report(now), self.due_split_report(now)].into_iter().flatten().collect()
     }
 
-    /// The report on hot keys, if they are switched on and it is due.
+    /// Returns the report on hot keys. Returns `None` if copies of hot keys are disabled or the report is not due.
     fn due_hot_keys_report(&self, now: Micros) -> Option<OutgoingReport> {
         let tracker = &mut self.hot_keys.as_ref()?.borrow_mut().tracker;
         let payload = tracker.report_if_due(now)?;
         Some(OutgoingReport { channel: HOT_KEYS_CHANNEL, payload })
     }
 
-    /// The report on the split, if a comparison is switched on and it is due.
+    /// Returns the report on the split. Returns `None` if no comparison is enabled or the report is not due.
     fn due_split_report(&self, now: Micros) -> Option<OutgoingReport> {
         let verifier = &mut self.split.as_ref()?.borrow_mut().verifier;
         let payload = verifier.report_if_due(now)?;
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -1,4 +1,4 @@
-//! How the event loop switches background subsystems on and off, and runs them.
+//! Enables, disables and runs the background subsystems in the event loop.
 
 use super::BackgroundWork;
 use super::reports::OutgoingReport;
@@ -17,12 +17,12 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The budgets of the subsystems that the options name.
-fn budgets(
+/// Returns the budgets of the task kinds of all subsystems that the options enable.
+fn task_budgets(
     hot: Option<&birchreach_options::HotKeyOptions>,
     split: Option<&birchreach_options::SplitOptions>,
 ) -> Vec<TaskBudget> {
-    let micros = |span: Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
+    let micros = |duration: Duration| Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX);
     let mut budgets = Vec::new();
     if let Some(hot) = hot {
         let budget = |database_starts_per_s| Budget {
@@ -44,16 +44,16 @@
     budgets
 }
 
-/// What a background subsystem needs to know of the fleet.
+/// The facts about the fleet that a background subsystem needs.
 #[derive(Clone, Copy)]
 struct FleetIdentity {
-    /// This incarnation, which is its origin in reports.
+    /// The incarnation of this process, which identifies it as the origin of its reports.
     incarnation: u64,
     configured_members: u32,
 }
 
 impl BackgroundWork {
-    /// Warns of the kinds of tasks that never start, as the process's quota of their budget is empty.
+    /// Logs a warning for each kind of task that can never start because this process's quota of the budget is empty.
     fn warn_about_empty_quotas(&self, divisor: u32) {
         for kind in TaskKind::ALL {
             if self.scheduler.quota(kind, divisor).is_some_and(Quota::is_empty) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sets the timer for the next run, unless one is set that expires sooner.
+    /// Sets the timer for the next run, unless an earlier timer is already set.
     fn schedule_next_run(&mut self, context: &mut EventLoopContext) {
         let next = self.next_run_at(context.now);
         if next < self.timer_at || self.timer_at <= context.now {
@@ -73,7 +73,8 @@
 }
 
 impl EventLoop {
-    /// Switches on what the options name, and off what they no longer name.
+    /// Enables the subsystems that the options name, and disables those that the options no longer name. Does nothing
+    /// if this proxy is not in a fleet.
     pub(in crate::net) fn configure_background(&mut self) {
         let (Some(fleet), Some(_)) = (&self.fleet, &self.config.fleet_keys) else { return };
         let identity = FleetIdentity {
@@ -89,7 +90,7 @@
         self.configure_hot_keys(&mut work, identity);
         self.configure_split(&mut work, identity);
         let options = &self.config.options;
-        work.scheduler.set_budgets(&budgets(options.hot.as_ref(), options.split.as_ref()), now);
+        work.scheduler.set_budgets(&task_budgets(options.hot.as_ref(), options.split.as_ref()), now);
         work.warn_about_empty_quotas(divisor);
         if !work.is_idle() {
             self.background = Some(work);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Switches copies of hot keys on or off, or updates their settings.
+    /// Enables or disables copies of hot keys, or updates their settings.
     fn configure_hot_keys(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
         let hasher = keys.name_hasher(b"hot keys");
@@ -119,7 +120,7 @@
         };
     }
 
-    /// Switches copies of hot keys on: an observer follows the requests and says where there are copies.
+    /// Enables copies of hot keys. The returned observer follows the requests and locates copies for the core.
     fn enable_hot_keys(
         &mut self,
         settings: birchreach_hot_keys::Settings,
@@ -135,7 +136,7 @@
         observer
     }
 
-    /// Switches copies of hot keys off.
+    /// Disables copies of hot keys.
     fn disable_hot_keys(&mut self, observer: Shared<HotKeyObserver>) {
         let core = &mut self.context.core;
         core.unsubscribe(&(observer.clone() as Rc<RefCell<dyn Observer>>));
@@ -143,28 +144,30 @@
         info!(event = "hot-off");
     }
 
-    /// Switches the comparison of a split on or off. One whose settings are unchanged continues; with other settings a new one
-    /// starts.
+    /// Enables or disables the comparison for a split. A comparison with unchanged settings continues. Changed settings
+    /// end it and start a new one.
     fn configure_split(&mut self, work: &mut BackgroundWork, identity: FleetIdentity) {
         let Some(keys) = &self.config.fleet_keys else { return };
         let hasher = keys.name_hasher(b"split");
         let options = self.config.options.split.as_ref();
-        let wanted = options.map(|options| split::settings(options, identity.configured_members));
-        let is_wanted =
-            |observer: &Shared<SplitObserver>| Some(observer.borrow().verifier.settings()) == wanted.as_ref();
-        if work.split.as_ref().is_some_and(is_wanted) {
+        let requested = options.map(|options| split::settings(options, identity.configured_members));
+        let has_requested_settings = |observer: &Shared<SplitObserver>| {
+            Some(observer.borrow().verifier.settings()) == requested.as_ref()
+        };
+        if work.split.as_ref().is_some_and(has_requested_settings) {
             return;
         }
         if let Some(observer) = work.split.take() {
             self.disable_split(observer);
         }
-        if let Some(settings) = wanted {
+        if let Some(settings) = requested {
             work.split = Some(self.enable_split(settings, identity, hasher));
             work.split_generation = work.split_generation.next();
         }
     }
 
-    /// Switches a comparison on: an observer follows the requests and says what to read a second time.
+    /// Starts a comparison. The returned observer follows the requests and selects the keys that are read a second
+    /// time.
     fn enable_split(
         &mut self,
         settings: birchreach_shard_split::Settings,
@@ -180,13 +183,14 @@
         observer
     }
 
-    /// Switches a comparison off.
+    /// Ends a comparison.
     fn disable_split(&mut self, observer: Shared<SplitObserver>) {
         self.context.core.unsubscribe(&(observer as Rc<RefCell<dyn Observer>>));
         info!(event = "split-off");
     }
 
-    /// Runs the background subsystems once: takes finished queries, starts due tasks, sends reports, sets the timer.
+    /// Runs the background subsystems once: finishes completed queries, starts due tasks, sets the timer for the next
+    /// run, and sends reports.
     pub(in crate::net) fn run_background(&mut self) {
         let (Some(fleet), Some(work)) = (&self.fleet, &mut self.background) else { return };
         let (view, is_active) = (fleet.view(), fleet.is_active());
@@ -196,7 +200,7 @@
         work.run_hot_keys(now, view.member_count, report_interval);
         let reports = work.due_reports(now);
         work.finish_tasks(now, self.pool.take_completed_queries());
-        // Of two processes of one proxy only the one that is a member of the fleet starts tasks.
+        // If two processes of one proxy are running, only the one that is a fleet member starts tasks.
         if is_active {
             work.start_due_tasks(&mut self.context, &mut self.pool, view.quota_divisor());
         }
@@ -205,7 +209,7 @@
         self.publish_reports(reports);
     }
 
-    /// Publishes reports to the other members of the fleet.
+    /// Publishes reports to the other fleet members.
     fn publish_reports(&mut self, reports: Vec<OutgoingReport>) {
         if reports.is_empty() {
             return;
--- a/proxy/src/net/background/status.rs
+++ b/proxy/src/net/background/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of background work and of the subsystems that it is done for.
+//! The admin reports and metrics of background work and its subsystems.
 
 use super::BackgroundWork;
 use birchreach::Micros;
@@ -6,19 +6,19 @@
 use std::fmt::Write;
 
 impl BackgroundWork {
-    /// The answer to the admin call `hot`; none while hot keys are switched off.
+    /// Returns the reply to the admin call `hot`, or `None` while copies of hot keys are disabled.
     pub(crate) fn hot_key_lines(&self, now: Micros, divisor: u32) -> Option<String> {
         let observer = self.hot_keys.as_ref()?;
         Some(observer.borrow().status_lines(now) + &self.scheduler_lines(divisor))
     }
 
-    /// The answer to the admin call `split`; none while no comparison is switched on.
+    /// Returns the reply to the admin call `split`, or `None` while no comparison is enabled.
     pub(crate) fn split_lines(&self, member_count: usize, divisor: u32) -> Option<String> {
         let observer = self.split.as_ref()?;
         Some(observer.borrow().status_lines(member_count) + &self.scheduler_lines(divisor))
     }
 
-    /// A line for each kind of task that has a budget, and one for all.
+    /// Returns one line for each kind of task that has a budget, and one line for all tasks together.
     fn scheduler_lines(&self, divisor: u32) -> String {
         let mut lines = String::new();
         for kind in TaskKind::ALL {
@@ -41,7 +41,7 @@
         lines
     }
 
-    /// The metrics of background work, in the text format.
+    /// Updates the metrics of background work, and returns them in the text format of Prometheus.
     pub(crate) fn metrics_text(&self, member_count: usize) -> String {
         for kind in TaskKind::ALL {
             self.metrics.set_task_counts(kind, self.scheduler.counts(kind));
