--- a/proxy/src/net/background/copy_tasks.rs
+++ b/proxy/src/net/background/copy_tasks.rs
@@ -68,8 +68,8 @@
     if result.replies.iter().any(|reply| reply.outcome == AttemptOutcome::Error) {
         return Err(CopyOutcome::ReadFailed);
     }
-    // Only positions of replicas count. A replica reports the position that it has applied. A primary that has been
-    // replaced without knowing it would report its own present position.
+    // Only positions of replicas count, because a replica reports the position that it has applied. A primary that has
+    // been replaced without knowing it would still report the present as its position.
     let position = |index: usize| {
         let status = result.replies.get(index)?.status.filter(|status| status.role == Role::Replica)?;
         status.position
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -10,7 +10,7 @@
 /// The minimum number of connections to clients and databases together. It may exceed the unreserved descriptors,
 /// because the reserved ones are seldom all in use.
 const MIN_CONNECTIONS: usize = 8;
-/// Up to this number, connections to the client listener that have not sent a request do not count as clients:
+/// Up to this number, connections to the client listener that have not sent a request do not count as clients, because
 /// balancers open such connections.
 const MAX_UNCLASSIFIED_CONNECTIONS: usize = 16;
 
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Schedules the first poll. The wait is randomized, because all proxies that share discovery may start at the same
-    /// time.
+    /// Schedules the first poll. The wait is random, so that proxies that start at the same time spread their polls of
+    /// the shared discovery.
     pub(super) fn start(&mut self, context: &mut EventLoopContext) {
         let wait = self.backoff.initial_wait();
         self.poll_after(context, wait);
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Follows each call into gossip. Accepts no clients while the start still waits for the state of
-    /// other proxies, and executes the commands that the call added to the core.
+    /// Must follow each call into gossip. Accepts no clients while the start still waits for the state of other
+    /// proxies, and executes the commands that the call added to the core.
     fn apply_gossip_progress(&mut self) {
         let Some(gossip) = &self.gossip else { return };
         self.clients.set_awaiting_peer_state(!gossip.is_startup_complete());
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -65,8 +65,8 @@
     Source::Fleet,
 ];
 /// The constructors of the sources with a key, indexed by the number of the slab. The tokens of these sources follow
-/// the tokens of the sources without a key: key k of slab n has the token `FIXED_SOURCES.len() + k *
-/// KEYED_SOURCES.len() + n`.
+/// the tokens of the sources without a key. Key k of slab n has the token
+/// `FIXED_SOURCES.len() + k * KEYED_SOURCES.len() + n`.
 const KEYED_SOURCES: [fn(usize) -> Source; 5] = [
     |key| Source::Client(ClientKey(key)),
     |key| Source::Database(ConnectionKey(key)),
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -19,7 +19,7 @@
     QueryTimeout(ConnectionKey, QuerySerial),
     /// The cooldown of a connection to a database is over.
     CooldownEnded(ConnectionKey, ConnectionSerial),
-    /// Clients are accepted again after a pause, because the system had no free descriptor.
+    /// The pause in accepting clients is over. Accepting pauses when the system has no free descriptor.
     RetryAccept,
     /// The next poll of discovery is due, or a state of the current one has timed out.
     Discovery(PollStateSerial),
