--- a/proxy/src/pg/backend/messages.rs
+++ b/proxy/src/pg/backend/messages.rs
@@ -1,4 +1,4 @@
-//! The handling of each message of a database, depending on the state of the connection.
+//! Handling of database messages, depending on the state of the connection.
 
 use super::{Backend, BackendEvent, Phase};
 use crate::pg::codec::{DecodeError, MAX_SERVER_MESSAGE_BYTES, ServerMessage};
@@ -7,11 +7,12 @@
 use crate::pg::sqlstate::SqlState;
 use crate::reply::Value;
 
-/// The most bytes in all messages of one reply, without a streamed value.
+/// The limit on the total size of the messages of one reply, not counting a streamed value.
 const MAX_REPLY_BYTES: usize = 2 * MAX_SERVER_MESSAGE_BYTES;
 
 impl Backend {
-    /// Handles a message of this number of bytes. It is an error if the message is not allowed in the present state.
+    /// Handles a message whose size is `bytes`. Fails if the message is not allowed in the present state or makes the reply too
+    /// long.
     pub(super) fn handle_message(
         &mut self,
         message: ServerMessage,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Records a parameter that belongs to the reply.
+    /// Records a ParameterStatus that describes the database: its role, log position or load report. Others are ignored.
     fn record_parameter(&mut self, name: &str, value: &str) {
         match name {
             "server_role" => self.partial_reply.role = parse_role(value),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// An error completes the reply, or rejects the connection during the startup.
+    /// Handles an error, which completes the reply. An error during startup closes the connection.
     fn handle_error(&mut self, code: SqlState) -> Result<Option<BackendEvent>, DecodeError> {
         if self.phase == Phase::Startup {
             self.partial_reply.error = Some(code);
@@ -64,7 +65,7 @@
         Ok(None)
     }
 
-    /// Clients' values must be in binary form, as they are forwarded as they are.
+    /// Handles the description of the result. Values for clients are forwarded unchanged, and so must be in binary format.
     fn handle_row_description(&mut self, binary: bool) -> Result<Option<BackendEvent>, DecodeError> {
         let is_expected = self.phase.expected_reply().is_some() && (binary || !self.phase.serves_client());
         if !is_expected || self.partial_reply.stage != ReplyStage::Nothing {
@@ -74,7 +75,7 @@
         Ok(None)
     }
 
-    /// The reply's one row, which follows its description.
+    /// Handles the only row of the reply, which follows the description.
     fn handle_row(&mut self, bytes: Vec<u8>) -> Result<Option<BackendEvent>, DecodeError> {
         if self.partial_reply.stage != ReplyStage::Description {
             return Err(DecodeError::UnexpectedMessage);
@@ -85,11 +86,11 @@
         Ok(None)
     }
 
-    /// The end of the reply's data.
+    /// Handles the end of a statement's result.
     fn handle_command_complete(&mut self) -> Result<Option<BackendEvent>, DecodeError> {
         match self.partial_reply.stage {
             ReplyStage::Row => {}
-            // No row, or a statement that returns none.
+            // The query found no row, or the statement returns no rows.
             ReplyStage::Nothing | ReplyStage::Description if self.phase == Phase::BackgroundQuery => {}
             _ => return Err(DecodeError::UnexpectedMessage),
         }
@@ -97,7 +98,7 @@
         Ok(None)
     }
 
-    /// The end of the startup or of a complete reply.
+    /// Handles ReadyForQuery, which ends the startup or a reply.
     fn handle_ready(&mut self) -> Result<BackendEvent, DecodeError> {
         if self.phase == Phase::Startup {
             self.phase = Phase::Idle;
--- a/proxy/src/pg/backend/mod.rs
+++ b/proxy/src/pg/backend/mod.rs
@@ -1,5 +1,5 @@
-//! The protocol on a connection to a database. It is fed the bytes that the database sends, and reports when the connection is
-//! established and the reply to each query.
+//! Protocol state machine of a database connection. It takes the bytes that the database sends, and reports when the connection
+//! is established and the reply to each query.
 
 mod messages;
 
@@ -12,26 +12,27 @@
 use crate::reply::Reply;
 use birchreach::Micros;
 
-/// What the connection is in use for.
+/// What the connection is used for at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Startup,
     Idle,
-    /// A client's statement.
+    /// A client's statement is in flight.
     Statement,
-    /// The copy of what a client's statement reads.
+    /// A read of a copy of the row that a client's statement reads is in flight.
     CopyRead {
         required_position: Micros,
     },
+    /// A query for the load report is in flight.
     LoadReportQuery,
-    /// A statement that no client sent.
+    /// A statement of a background task is in flight.
     BackgroundQuery,
-    /// The connection cannot be used any more.
+    /// The connection can no longer be used.
     Closed,
 }
 
 impl Phase {
-    /// The kind of reply to the query in flight, if there is one.
+    /// The kind of reply that the query in flight expects. `None`: no query is in flight.
     fn expected_reply(self) -> Option<ExpectedReply> {
         match self {
             Phase::Startup | Phase::Idle | Phase::Closed => None,
@@ -41,26 +42,26 @@
         }
     }
 
-    /// Whether a client waits for the query in flight.
+    /// Whether a client is waiting for the query in flight.
     fn serves_client(self) -> bool {
         matches!(self, Phase::Statement | Phase::CopyRead { .. })
     }
 }
 
-/// An event in the bytes that a database sends.
+/// An event on a database connection.
 #[derive(Debug, PartialEq)]
 pub(crate) enum BackendEvent {
     /// The connection is established.
     Ready,
-    /// A streamed value of this length begins. Its bytes follow in chunks, and `QueryCompleted` after them.
+    /// A streamed value of this length in bytes begins. `ValueChunk` events with its bytes follow, and then `QueryCompleted`.
     ValueStarted(usize),
     /// The next bytes of a streamed value.
     ValueChunk(Vec<u8>),
     /// The reply to the query is complete.
     QueryCompleted(Reply),
-    /// The database answered the startup with an error.
+    /// The database answered the startup message with an error. The connection can no longer be used.
     Rejected(Reply),
-    /// The database violated the protocol. The connection cannot be used any more.
+    /// The database violated the protocol. The connection can no longer be used.
     ProtocolError,
 }
 
@@ -68,14 +69,14 @@
 pub(crate) struct Backend {
     phase: Phase,
     inbox: Inbox,
-    /// Output that waits to be written.
+    /// Output that has not been written to the socket.
     pub outbox: Outbox,
     partial_reply: PartialReply,
     load_report_format: LoadReportFormat,
 }
 
 impl Backend {
-    /// A new connection. The startup message waits to be written.
+    /// Creates the state of a new connection, with the startup message in the outbox.
     pub(crate) fn new(load_report_format: LoadReportFormat) -> Backend {
         let mut outbox = Outbox::default();
         outbox.startup("api", "ledger");
@@ -88,13 +89,13 @@
         }
     }
 
-    /// Forwards a statement, unchanged except for the remaining wait.
+    /// Forwards a statement, unchanged except for the timeout, which becomes `remaining_ms`.
     pub(crate) fn send_statement(&mut self, statement: &Statement, remaining_ms: u64) {
         let (head, tail) = statement.text_around_timeout();
         self.send(Phase::Statement, &[head, remaining_ms.to_string().as_bytes(), tail]);
     }
 
-    /// Asks for the copy of what the statement reads, if it has this position.
+    /// Sends a query for the copy of the row that the statement reads. Only a copy at `required_position` or later is returned.
     pub(crate) fn send_copy_read(
         &mut self,
         statement: &Statement,
@@ -105,29 +106,29 @@
         self.send(Phase::CopyRead { required_position }, &[&query]);
     }
 
-    /// Sends a statement that no client sent.
+    /// Sends a statement of a background task.
     pub(crate) fn send_background_query(&mut self, text: &[u8]) {
         self.send(Phase::BackgroundQuery, &[text]);
     }
 
-    /// Asks the database for its load report.
+    /// Sends a query for the database's load report.
     pub(crate) fn send_load_report_query(&mut self) {
         self.send(Phase::LoadReportQuery, &[b"SHOW usage"]);
     }
 
-    /// Puts a query, in parts, into the output.
+    /// Appends a query, the concatenation of `query_parts`, to the output and expects the reply to it.
     fn send(&mut self, phase: Phase, query_parts: &[&[u8]]) {
         self.outbox.query(query_parts);
         self.phase = phase;
         self.partial_reply = PartialReply::default();
     }
 
-    /// Takes bytes that were received.
+    /// Appends received bytes to the input.
     pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.inbox.feed(bytes);
     }
 
-    /// The next event in the bytes received so far.
+    /// Decodes the next event from the bytes received so far.
     pub(crate) fn next_event(&mut self) -> Option<BackendEvent> {
         while self.phase != Phase::Closed {
             if self.is_streaming() {
@@ -151,45 +152,45 @@
             match handled {
                 Ok(None) => {}
                 Ok(Some(event)) => return Some(event),
-                // Invalid bytes after a complete reply do not invalidate the reply, only the connection.
+                // Invalid bytes after a complete reply make the connection unusable, but the reply remains valid.
                 Err(_) => return Some(self.connection_ended().unwrap_or(BackendEvent::ProtocolError)),
             }
         }
         None
     }
 
-    /// A streamed value has begun, and not all of it has arrived.
+    /// Whether a streamed value has begun and has not arrived in full.
     pub(crate) fn is_streaming(&self) -> bool {
         self.partial_reply.value_bytes_remaining > 0
     }
 
-    /// No query is in flight and there is no unexpected input: another query may be sent.
+    /// Whether the next query may be sent: no query is in flight, and no unexpected input has arrived.
     pub(crate) fn is_idle(&self) -> bool {
         self.phase == Phase::Idle && self.inbox.len() == 0
     }
 
-    /// The connection has ended. A reply that was complete except for the last message still counts.
+    /// Handles the end of the connection. A reply of which only ReadyForQuery is missing is still returned.
     pub(crate) fn connection_ended(&mut self) -> Option<BackendEvent> {
         let phase = std::mem::replace(&mut self.phase, Phase::Closed);
         let expected = phase.expected_reply().filter(|_| self.partial_reply.stage == ReplyStage::Complete)?;
         Some(BackendEvent::QueryCompleted(self.take_reply(expected)))
     }
 
-    /// A value begins that is too long to be buffered.
+    /// Starts streaming a value that is too long to be buffered.
     fn start_streamed_value(&mut self, length: usize) -> BackendEvent {
         self.partial_reply.value_bytes_remaining = length;
         self.partial_reply.stage = ReplyStage::Row;
         BackendEvent::ValueStarted(length)
     }
 
-    /// Takes what has arrived of the streamed value.
+    /// Removes and returns the next received bytes of the streamed value. `None`: no more have arrived.
     fn next_value_chunk(&mut self) -> Option<BackendEvent> {
         let chunk = self.inbox.take_up_to(self.partial_reply.value_bytes_remaining);
         self.partial_reply.value_bytes_remaining -= chunk.len();
         (!chunk.is_empty()).then_some(BackendEvent::ValueChunk(chunk))
     }
 
-    /// The reply from the messages so far; the next reply starts without any.
+    /// Builds the reply from the messages so far, and resets the state for the next reply.
     fn take_reply(&mut self, expected: ExpectedReply) -> Reply {
         std::mem::take(&mut self.partial_reply).into_reply(expected, &self.load_report_format)
     }
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -1,14 +1,14 @@
-//! The messages of clients, as typed values.
+//! Messages from clients, as typed values.
 
 use super::{DecodeError, split_c_string, to_string_lossy};
 
-/// The first message of a connection.
+/// The first message of a connection, which has no tag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Startup {
     /// `SSLRequest` or `GSSENCRequest`.
     EncryptionRequest,
     CancelRequest,
-    /// Version 3 of this minor, with the protocol options that it names.
+    /// Protocol version 3. `options` holds the names of the requested protocol options.
     Version3 {
         minor: u16,
         options: Vec<String>,
@@ -16,11 +16,11 @@
     UnsupportedVersion,
 }
 
-/// The prefix of the names of protocol options.
+/// Startup parameters whose names have this prefix are protocol options.
 const PROTOCOL_OPTION_PREFIX: &[u8] = b"_pq_.";
 
 impl Startup {
-    /// Decodes the body of the first message.
+    /// Decodes a startup message, without its length field.
     pub(super) fn decode(body: &[u8]) -> Result<Startup, DecodeError> {
         let [major_high, major_low, minor_high, minor_low, parameters @ ..] = body else {
             return Err(DecodeError::LengthTooSmall);
@@ -36,7 +36,7 @@
     }
 }
 
-/// The names of the protocol options among a startup message's parameters.
+/// Returns the names of the protocol options among the parameters of a startup message.
 fn protocol_options(mut parameters: &[u8]) -> Result<Vec<String>, DecodeError> {
     let mut options = Vec::new();
     loop {
@@ -52,21 +52,21 @@
     }
 }
 
-/// A client's message after the first.
+/// A message from a client after the startup message.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ClientMessage {
     Query(Vec<u8>),
-    /// A part of the extended protocol, all of which a Sync ends.
+    /// A message of the extended query protocol that is answered up to the next Sync: Parse, Bind, Describe, Execute or Close.
     Extended,
     FunctionCall,
     Sync,
-    /// Allowed at any time, and without effect here.
+    /// A Flush, or a message of a COPY that was never started. Both are ignored.
     Flush,
     Terminate,
 }
 
 impl ClientMessage {
-    /// Decodes the body of a message with this tag.
+    /// Decodes the body of the message with this tag.
     pub(super) fn decode(tag: u8, body: &[u8]) -> Result<ClientMessage, DecodeError> {
         Ok(match tag {
             b'Q' => match split_c_string(body) {
@@ -76,7 +76,7 @@
             b'P' | b'B' | b'D' | b'E' | b'C' => ClientMessage::Extended,
             b'F' => ClientMessage::FunctionCall,
             b'S' => ClientMessage::Sync,
-            // Messages of a copy that never began are dropped, as PostgreSQL drops them.
+            // PostgreSQL also ignores COPY messages outside a COPY.
             b'H' | b'd' | b'c' | b'f' => ClientMessage::Flush,
             b'X' => ClientMessage::Terminate,
             _ => return Err(DecodeError::UnknownMessage),
--- a/proxy/src/pg/codec/error.rs
+++ b/proxy/src/pg/codec/error.rs
@@ -1,28 +1,29 @@
-//! Why bytes are not a valid message.
+//! Errors of decoding protocol messages.
 
 use std::error::Error;
 use std::fmt;
 
-/// A violation of the protocol, or of a limit. Clients receive its text as the error message.
+/// A violation of the protocol or of a size limit by a client or a database. A client that causes an error receives the `Display`
+/// text as the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecodeError {
-    /// The declared length is above the limit.
+    /// The declared length, or the size of a reply, is above the limit.
     TooLong,
     /// The declared length is shorter than the message's header.
     LengthTooSmall,
-    /// No message of the protocol has this tag.
+    /// The protocol has no message with this tag from this sender.
     UnknownMessage,
-    /// A startup message's list of parameters does not end.
+    /// The parameter list of a startup message is not terminated.
     UnterminatedStartup,
     /// A startup message has a parameter without a value.
     StartupParameterWithoutValue,
-    /// A query's text does not end with the message.
+    /// The text of a query is not terminated, or not at the end of the message.
     UnterminatedQuery,
-    /// The parts of a database's message do not add up to its length.
+    /// A database sent a message whose fields are malformed or do not add up to the message's length.
     InvalidContents,
-    /// A database sent a message that is not allowed in the present state.
+    /// A database sent a message that is not allowed in the connection's present state.
     UnexpectedMessage,
-    /// A database requests a password.
+    /// A database requests authentication with a password or by another method, which the proxy does not support.
     PasswordRequested,
 }
 
@@ -35,9 +36,9 @@
             DecodeError::UnterminatedStartup => "a startup message without its end",
             DecodeError::StartupParameterWithoutValue => "a startup parameter without a value",
             DecodeError::UnterminatedQuery => "a query without its end",
-            DecodeError::InvalidContents => "a message whose parts do not fit it",
-            DecodeError::UnexpectedMessage => "a message out of place",
-            DecodeError::PasswordRequested => "a password is wanted",
+            DecodeError::InvalidContents => "malformed message contents",
+            DecodeError::UnexpectedMessage => "message not allowed in this state",
+            DecodeError::PasswordRequested => "database requests authentication",
         })
     }
 }
--- a/proxy/src/pg/codec/inbox.rs
+++ b/proxy/src/pg/codec/inbox.rs
@@ -1,4 +1,4 @@
-//! The buffer of received bytes, from which messages are decoded one at a time.
+//! Buffer of received bytes, from which messages are decoded one at a time.
 
 use super::{
     ClientMessage, DecodeError, MAX_BUFFERED_VALUE_BYTES, MAX_QUERY_BYTES, MAX_SERVER_MESSAGE_BYTES,
@@ -7,77 +7,77 @@
 use crate::outbox::IDLE_BUFFER_BYTES;
 use std::ops::RangeInclusive;
 
-/// The longest startup message; PostgreSQL has the same limit.
+/// The longest startup message. PostgreSQL has the same limit.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// The shortest startup message: the length and the version.
+/// The shortest startup message: the length field and the protocol version.
 const MIN_STARTUP_BYTES: usize = 8;
-/// The length field of a message, which counts itself.
+/// The length field of a message. The length includes this field.
 const LENGTH_BYTES: usize = 4;
-/// A message's tag and length.
+/// The tag and the length field of a message.
 const MESSAGE_HEADER_BYTES: usize = 5;
-/// Tags of the messages that a client may send.
+/// Tags of the messages that a client may send after the startup message.
 const CLIENT_TAGS: &[u8] = b"QPBDECFSHdcfX";
 /// Tags of the messages that a database may send.
 const SERVER_TAGS: &[u8] = b"RSZTDCIENAKv";
 
-/// Whether a row too long to be buffered comes next.
+/// Whether the next message is a row whose value is too long to be buffered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LongRowHeader {
     Absent,
-    /// It may be one, but its header has not arrived in full.
+    /// The next message may be such a row, but its header has not arrived in full.
     Incomplete,
-    /// Its one value has this length.
+    /// The length of the row's only value, in bytes.
     Present(usize),
 }
 
-/// A message of a database, and its length.
+/// A decoded message from a database, and its size.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ReceivedServerMessage {
     pub message: ServerMessage,
-    /// With its tag and length.
+    /// Size of the message, including its tag and length field.
     pub bytes: usize,
 }
 
-/// The bytes that were received and not yet decoded.
+/// Bytes that were received and are not decoded yet.
 #[derive(Default)]
 pub(crate) struct Inbox {
     buffer: Vec<u8>,
-    /// The bytes before this index are decoded.
+    /// Bytes before this index are already decoded.
     start: usize,
 }
 
 impl Inbox {
-    /// Takes bytes that were received.
+    /// Appends received bytes.
     pub(crate) fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.start);
         self.start = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The bytes that wait to be decoded.
+    /// Returns the bytes that are not decoded yet.
     pub(crate) fn unread(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
-    /// How many bytes wait to be decoded.
+    /// Returns the number of bytes that are not decoded yet.
     pub(crate) fn len(&self) -> usize {
         self.buffer.len() - self.start
     }
 
-    /// The next message of a client after its first.
+    /// Decodes the next message of a client after the startup message. `None`: the message has not arrived in full.
     pub(crate) fn client_message(&mut self) -> Result<Option<ClientMessage>, DecodeError> {
         let message = self.message(CLIENT_TAGS, MAX_QUERY_BYTES)?;
         message.map(|(tag, body)| ClientMessage::decode(tag, body)).transpose()
     }
 
-    /// The next message of a database.
+    /// Decodes the next message of a database. `None`: the message has not arrived in full.
     pub(crate) fn server_message(&mut self) -> Result<Option<ReceivedServerMessage>, DecodeError> {
         let Some((tag, body)) = self.message(SERVER_TAGS, MAX_SERVER_MESSAGE_BYTES)? else { return Ok(None) };
         let bytes = body.len() + MESSAGE_HEADER_BYTES;
         Ok(Some(ReceivedServerMessage { message: ServerMessage::decode(tag, body)?, bytes }))
     }
 
-    /// The first message of a connection, which has no tag.
+    /// Decodes the startup message, which has no tag. `None`: the message has not arrived in full.
     pub(crate) fn startup(&mut self) -> Result<Option<Startup>, DecodeError> {
         let start = self.start;
         let lengths = MIN_STARTUP_BYTES..=MAX_STARTUP_BYTES;
@@ -85,23 +85,24 @@
         self.take(start + LENGTH_BYTES, start + length).map(Startup::decode).transpose()
     }
 
-    /// What has arrived of the body of a message that has not arrived in full.
+    /// Returns the received part of the next message's body, for a message that has not arrived in full. `None`: the header is
+    /// incomplete.
     pub(crate) fn incomplete_body(&self) -> Option<&[u8]> {
         self.buffer.get(self.start + MESSAGE_HEADER_BYTES..)
     }
 
-    /// Takes the header of a long row, if that comes next, with the length of its one value. The value's bytes follow, and
-    /// `take_up_to` hands them out as they arrive.
+    /// Removes the header of a long row, if such a row comes next, and returns the length of its only value. `take_up_to` then
+    /// returns the bytes of the value as they arrive.
     pub(crate) fn take_long_row_header(&mut self) -> LongRowHeader {
         let [tag, header @ ..] = &self.buffer[self.start..] else { return LongRowHeader::Absent };
-        let around_value = ROW_HEADER_BYTES - 1;
-        let Some(value) = read_length(header).and_then(|length| length.checked_sub(around_value)) else {
+        let header_length = ROW_HEADER_BYTES - 1;
+        let Some(value) = read_length(header).and_then(|length| length.checked_sub(header_length)) else {
             return LongRowHeader::Absent;
         };
         if *tag != b'D' || !(MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&value) {
             return LongRowHeader::Absent;
         }
-        match header.get(LENGTH_BYTES..around_value) {
+        match header.get(LENGTH_BYTES..header_length) {
             None => LongRowHeader::Incomplete,
             Some([0, 1, value_length @ ..]) if read_length(value_length) == Some(value) => {
                 self.start += ROW_HEADER_BYTES;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes what has arrived, up to this number of bytes.
+    /// Removes and returns the undecoded bytes, at most `max_bytes`.
     pub(crate) fn take_up_to(&mut self, max_bytes: usize) -> Vec<u8> {
         let taken: Vec<u8> = self.unread().iter().copied().take(max_bytes).collect();
         self.start += taken.len();
@@ -119,7 +120,7 @@
         taken
     }
 
-    /// Frees a large buffer once it is empty.
+    /// Shrinks the buffer to [`IDLE_BUFFER_BYTES`] if all bytes are decoded.
     pub(crate) fn release_empty_buffer(&mut self) {
         if self.start == self.buffer.len() {
             self.start = 0;
@@ -128,7 +129,8 @@
         }
     }
 
-    /// The next message: its tag and body. An unknown tag is an error at once, whatever follows it.
+    /// Removes the next message and returns its tag and body. `None`: the message has not arrived in full. An unknown tag is an
+    /// error as soon as it arrives.
     fn message(&mut self, tags: &[u8], max_length: usize) -> Result<Option<(u8, &[u8])>, DecodeError> {
         let Some(&tag) = self.buffer.get(self.start) else { return Ok(None) };
         if !tags.contains(&tag) {
@@ -139,7 +141,8 @@
         Ok(self.take(start + LENGTH_BYTES, start + length).map(|body| (tag, body)))
     }
 
-    /// The declared length of a message. It is checked before anything is buffered for the message.
+    /// Reads the length field at `position` and checks it, so that a message of invalid length is rejected before its body is
+    /// buffered. `None`: the field has not arrived in full.
     fn declared_length(
         &self,
         position: usize,
@@ -155,7 +158,7 @@
         Ok(Some(length))
     }
 
-    /// Takes the bytes up to `end`, and returns those from `from` on; none if they have not all arrived.
+    /// Removes the bytes up to `end` and returns those from `from` on. `None`: not all of them have arrived.
     fn take(&mut self, from: usize, end: usize) -> Option<&[u8]> {
         if self.buffer.len() < end {
             return None;
@@ -165,7 +168,7 @@
     }
 }
 
-/// The length in the first bytes; none if they have not all arrived.
+/// Reads a length field at the front of `bytes`. `None`: the field has not arrived in full.
 fn read_length(bytes: &[u8]) -> Option<usize> {
     read_u32(bytes).and_then(|length| usize::try_from(length).ok())
 }
--- a/proxy/src/pg/codec/server.rs
+++ b/proxy/src/pg/codec/server.rs
@@ -1,40 +1,40 @@
-//! The messages of databases, as typed values.
+//! Messages from databases, as typed values.
 
 use super::{DecodeError, MAX_BUFFERED_VALUE_BYTES, read_u32, split_c_string, to_string_lossy};
 use crate::pg::sqlstate::SqlState;
 
-/// A message of a database, as far as the proxy uses it.
+/// A message from a database, with the fields that the proxy uses.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ServerMessage {
-    /// The authentication that the database requests; 0 is none.
+    /// The code of the authentication request. 0 (AuthenticationOk): none is needed, or it has succeeded.
     Authentication(u32),
     ParameterStatus {
         name: String,
         value: String,
     },
     ReadyForQuery,
-    /// Of one column, in binary form or as text.
+    /// The description of one column. `binary`: values are in binary format, otherwise in text format.
     RowDescription {
         binary: bool,
     },
-    /// The value of a row of one column.
+    /// The value of a row that has one column.
     DataRow(Vec<u8>),
     CommandComplete,
     Error {
         code: SqlState,
     },
-    /// Notices, key data and the like.
+    /// A message that the proxy ignores, such as a notice or cancellation key data.
     Skipped,
 }
 
 impl ServerMessage {
-    /// Decodes the body of a message with this tag. A message that becomes part of an answer must have no unused bytes, so that no
-    /// incomplete value is forwarded.
+    /// Decodes the body of the message with this tag. Messages that become part of a response must not have unused bytes, so that
+    /// an incomplete value is never forwarded.
     pub(super) fn decode(tag: u8, body: &[u8]) -> Result<ServerMessage, DecodeError> {
         let invalid = DecodeError::InvalidContents;
         Ok(match tag {
             b'R' => ServerMessage::Authentication(read_u32(body).ok_or(invalid)?),
-            // A status that cannot be read does not invalidate the answer that it belongs to.
+            // A malformed ParameterStatus does not invalidate the reply that it belongs to.
             b'S' => parameter_status(body).unwrap_or(ServerMessage::Skipped),
             b'Z' => match body {
                 b"I" | b"T" | b"E" => ServerMessage::ReadyForQuery,
@@ -53,16 +53,17 @@
     }
 }
 
-/// The name and value of a parameter status.
+/// Decodes the name and value of a ParameterStatus. `None`: the message is malformed.
 fn parameter_status(body: &[u8]) -> Option<ServerMessage> {
     let (name, rest) = split_c_string(body)?;
     let (value, _) = split_c_string(rest)?;
     Some(ServerMessage::ParameterStatus { name: to_string_lossy(name), value: to_string_lossy(value) })
 }
 
-/// Whether the one column that is described has values in binary form.
+/// Decodes a RowDescription. Returns whether the only column has values in binary format. `None`: the message is malformed or has
+/// another number of columns.
 fn column_is_binary(body: &[u8]) -> Option<bool> {
-    // After the name: table, column, type, length, modifier, and then the format.
+    // After the name come the table, column number, type, type size and type modifier, and then the format code.
     let (_name, rest) = split_c_string(body.strip_prefix(&[0, 1])?)?;
     let fields = <[u8; 18]>::try_from(rest).ok()?;
     match fields[16..] {
@@ -71,14 +72,16 @@
     }
 }
 
-/// The value of a row's one column, which fills the message to its end.
+/// Returns the value of a DataRow with one column. `None`: the row has another number of columns, or the value does not end with
+/// the message or is too long.
 fn column_value(body: &[u8]) -> Option<&[u8]> {
     let (length, value) = body.strip_prefix(&[0, 1])?.split_at_checked(4)?;
-    let fits = read_u32(length).and_then(|length| usize::try_from(length).ok()) == Some(value.len());
-    (fits && value.len() <= MAX_BUFFERED_VALUE_BYTES).then_some(value)
+    let length_matches =
+        read_u32(length).and_then(|length| usize::try_from(length).ok()) == Some(value.len());
+    (length_matches && value.len() <= MAX_BUFFERED_VALUE_BYTES).then_some(value)
 }
 
-/// The code among an error's fields.
+/// Returns the SQLSTATE code of an ErrorResponse. `None`: the message is malformed or has no code.
 fn error_code(body: &[u8]) -> Option<SqlState> {
     let mut code = None;
     let mut rest = body;
--- a/proxy/src/pg/frontend/messages.rs
+++ b/proxy/src/pg/frontend/messages.rs
@@ -1,4 +1,4 @@
-//! The handling of each message of a client, depending on the state of the connection.
+//! Handling of client messages, depending on the state of the connection.
 
 use super::{ClientCommand, DecodeProgress, EndReason, Frontend, Phase};
 use crate::pg::codec::{ClientMessage, DecodeError, Severity, Startup};
@@ -6,7 +6,7 @@
 use crate::pg::statement::Statement;
 use birchreach::Micros;
 
-/// The settings that are reported to clients at their startup.
+/// Server settings that are reported to each client when its startup message is accepted.
 const PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -25,12 +25,12 @@
         Ok(match message {
             None => DecodeProgress::NeedsInput,
             Some(Startup::EncryptionRequest) => {
-                // Encryption is not supported.
+                // The reply `N` tells the client that encryption is not supported.
                 self.outbox.append(b"N");
                 DecodeProgress::Continue
             }
             Some(Startup::CancelRequest) => {
-                // No cancellation keys are issued: a client cancels a request by closing its connection.
+                // The proxy issues no cancellation keys. A client cancels a request by closing its connection.
                 self.phase = Phase::Closed;
                 DecodeProgress::Command(ClientCommand::Close(EndReason::CancelRequest))
             }
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Answers the startup of a client that is accepted.
+    /// Accepts a client's startup message, and writes the replies to it up to ReadyForQuery.
     fn accept_startup(&mut self, minor: u16, options: &[String]) {
         if minor > 0 || !options.is_empty() {
             self.outbox.negotiate_version(options);
@@ -58,13 +58,13 @@
         self.phase = Phase::Ready;
     }
 
-    /// Handles a message after the startup.
+    /// Handles a message after the startup message.
     pub(super) fn process_message(&mut self, now: Micros) -> Result<DecodeProgress, DecodeError> {
         let bytes_before = self.inbox.len();
         let message = self.inbox.client_message()?;
         let arrived_at = self.take_arrival_time(bytes_before, now);
         let Some(message) = message else {
-            // A message that cannot become valid is rejected before it has arrived in full.
+            // A message that cannot become a valid statement is rejected before it has arrived in full.
             let has_valid_prefix = self.inbox.incomplete_body().is_none_or(Statement::has_valid_prefix);
             return if has_valid_prefix { Ok(DecodeProgress::NeedsInput) } else { Err(DecodeError::TooLong) };
         };
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Parses a query. A statement becomes a command; anything else is answered here.
+    /// Parses a query. A valid statement becomes a command. An empty query and an invalid statement are answered here.
     fn process_query(&mut self, text: Vec<u8>, arrived_at: Micros) -> DecodeProgress {
         if text.trim_ascii().is_empty() {
             self.outbox.empty_query_response();
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -1,5 +1,5 @@
-//! The protocol on a client's connection. It is fed the bytes that the client sends, returns the client's commands one at a time,
-//! and holds the output.
+//! Protocol state machine of a client connection. It takes the bytes that the client sends, returns the client's commands one at
+//! a time, and buffers the output.
 
 mod messages;
 mod replies;
@@ -11,26 +11,26 @@
 use crate::outbox::Outbox;
 use birchreach::Micros;
 
-/// The limit on undecoded input and on unwritten output, beyond one message. Above it no more of the client's input is processed.
+/// The limit on undecoded input and on unwritten output, each in excess of one message. Above the limit, no further input of the
+/// client is processed.
 const MAX_BUFFERED_BYTES: usize = 16 << 10;
-/// The most commands in one turn, so that a client that sends hundreds at once does not starve the others.
+/// The most commands of a client per turn of the event loop, so that one that pipelines hundreds does not starve other clients.
 const MAX_COMMANDS_PER_TURN: u32 = 32;
-/// The message that ends a connection.
+/// An encoded Terminate message.
 const TERMINATE_MESSAGE: &[u8] = b"X\0\0\0\x04";
 
-/// What the connection waits for.
+/// What the connection is waiting for.
 #[derive(Debug, PartialEq, Eq)]
 enum Phase {
+    /// The startup message.
     Startup,
     /// The next command.
     Ready,
     /// The answer to a statement that was returned as a command.
-    AnswerPending {
-        is_write: bool,
-    },
-    /// The next Sync, after an error in the extended protocol: messages before it are skipped.
+    AnswerPending { is_write: bool },
+    /// The next Sync, after an error in the extended query protocol. Messages before the Sync are skipped.
     SkippingUntilSync,
-    /// Nothing: the connection is to be closed.
+    /// Nothing. The connection is about to be closed.
     Closed,
 }
 
@@ -41,16 +41,16 @@
     Terminate,
     /// The connection was opened for a cancel request.
     CancelRequest,
-    /// The client requests another version of the protocol.
+    /// The client requested an unsupported protocol version.
     UnsupportedVersion,
-    /// A message is too long.
+    /// The client sent a message that exceeds the size limit.
     MessageTooLong,
     /// The client violated the protocol.
     Malformed,
 }
 
 impl EndReason {
-    /// The word for the log.
+    /// Returns the `reason` value for the log.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             EndReason::Terminate => "terminate",
@@ -65,21 +65,21 @@
 /// A command of a client.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ClientCommand {
-    /// Run a statement, whose last byte arrived at this time.
+    /// Run a statement. The time is that of the arrival of the statement's last byte.
     Run(Statement, Micros),
     /// Close the connection.
     Close(EndReason),
-    /// Close the connection once the client has read the error that says why.
+    /// Close the connection once the client has read the error message in the outbox.
     CloseWithError(EndReason),
 }
 
 /// How decoding continues after a message.
 enum DecodeProgress {
-    /// With the next message.
+    /// Decode the next message.
     Continue,
-    /// Once more input has arrived.
+    /// Wait until more input arrives.
     NeedsInput,
-    /// After this command has been carried out.
+    /// Return this command to the caller.
     Command(ClientCommand),
 }
 
@@ -88,15 +88,15 @@
     phase: Phase,
     inbox: Inbox,
     arrivals: ArrivalTimes,
-    /// No more input is read: only what has been read is answered.
+    /// If set, no more input is read. Commands that have already been read are still answered.
     reading_stopped: bool,
     /// Output that waits to be written.
     pub outbox: Outbox,
-    /// How many more commands this turn may process.
+    /// The number of further commands that may be processed in this turn.
     remaining_commands_in_turn: u32,
-    /// How many messages have arrived after the startup.
+    /// The number of complete messages since the startup message.
     commands_received: u64,
-    /// The next message has not arrived completely.
+    /// The next message has not arrived in full.
     message_incomplete: bool,
 }
 
@@ -116,13 +116,13 @@
 }
 
 impl Frontend {
-    /// Takes bytes that were received.
+    /// Appends received bytes to the input.
     pub(crate) fn feed(&mut self, now: Micros, bytes: &[u8]) {
         self.arrivals.record(bytes.len(), now);
         self.inbox.feed(bytes);
     }
 
-    /// Whether input should be read now. Only a little is read ahead of the command that is being answered.
+    /// Whether input should be read now. Input behind a pending command is read only up to [`MAX_BUFFERED_BYTES`].
     pub(crate) fn wants_input(&self) -> bool {
         let completes_message = self.accepts_messages() && self.message_incomplete && !self.output_is_full();
         self.phase != Phase::Closed
@@ -130,12 +130,12 @@
             && (self.inbox.len() < MAX_BUFFERED_BYTES || completes_message)
     }
 
-    /// No more input is read from now on.
+    /// Stops reading input. Commands that have already been read are still answered.
     pub(crate) fn stop_reading(&mut self) {
         self.reading_stopped = true;
     }
 
-    /// Reading has stopped, and all that was read is answered, except for an incomplete message.
+    /// Whether reading has stopped and all complete messages are answered. An incomplete message does not count.
     pub(crate) fn all_input_answered(&self) -> bool {
         self.reading_stopped
             && self.accepts_messages()
@@ -143,53 +143,53 @@
             && (self.message_incomplete || self.inbox.len() == 0)
     }
 
-    /// A new turn of the loop begins.
+    /// Starts a new turn of the event loop, with a new limit on the number of commands.
     pub(crate) fn start_turn(&mut self) {
         self.remaining_commands_in_turn = MAX_COMMANDS_PER_TURN;
     }
 
-    /// Commands wait for the next turn.
+    /// Whether input remains that is processed only in the next turn.
     pub(crate) fn commands_deferred(&self) -> bool {
         self.remaining_commands_in_turn == 0
             && matches!(self.phase, Phase::Ready | Phase::SkippingUntilSync)
             && self.inbox.len() > 0
     }
 
-    /// The only input that is left is the message that ends the connection.
+    /// Whether the remaining input is exactly one Terminate message.
     pub(crate) fn only_terminate_unprocessed(&self) -> bool {
         self.inbox.unread() == TERMINATE_MESSAGE
     }
 
-    /// A complete message after the startup has arrived, at any time.
+    /// Whether a complete message has ever arrived after the startup message.
     pub(crate) fn has_received_command(&self) -> bool {
         self.commands_received > 0
     }
 
-    /// No message after the startup has arrived yet, or one is incomplete.
+    /// Whether the next message is incomplete, or no message has arrived yet after the startup message.
     pub(crate) fn has_incomplete_message(&self) -> bool {
         let has_partial_message = self.inbox.len() > 0 && self.message_incomplete;
         self.commands_received == 0
             || (has_partial_message && !matches!(self.phase, Phase::AnswerPending { .. }))
     }
 
-    /// The rest of a message did not arrive in time: sends the error.
+    /// Ends the connection with an error because the rest of a message did not arrive in time.
     pub(crate) fn fail_incomplete_message(&mut self) {
         self.fail(SqlState::PROTOCOL_VIOLATION, "no whole message in time");
     }
 
-    /// Every command is answered completely.
+    /// Whether all commands are answered and all output is written.
     pub(crate) fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Ready | Phase::SkippingUntilSync)
             && self.inbox.len() == 0
             && self.outbox.pending().is_empty()
     }
 
-    /// The startup is not complete.
+    /// Whether no startup message has been accepted yet.
     pub(crate) fn is_in_startup(&self) -> bool {
         self.phase == Phase::Startup
     }
 
-    /// The next command in the input. None while an answer is pending.
+    /// Decodes the next command. `None`: the input has none, an answer is pending, or a limit on commands or output is reached.
     pub(crate) fn next_command(&mut self, now: Micros) -> Option<ClientCommand> {
         while !self.output_is_full() && self.remaining_commands_in_turn > 0 {
             let progress = match self.phase {
@@ -211,7 +211,7 @@
         None
     }
 
-    /// Ends the connection after input that cannot be decoded.
+    /// Ends the connection with an error after input that cannot be decoded.
     fn fail_decoding(&mut self, error: DecodeError) -> ClientCommand {
         let (code, reason) = match error {
             DecodeError::TooLong => (SqlState::LIMIT_EXCEEDED, EndReason::MessageTooLong),
@@ -221,25 +221,25 @@
         ClientCommand::CloseWithError(reason)
     }
 
-    /// Sends an error that ends the connection.
+    /// Writes a fatal error message and ends the connection.
     fn fail(&mut self, code: SqlState, message: &str) {
         self.outbox.error(Severity::Fatal, code, message, None);
         self.phase = Phase::Closed;
     }
 
-    /// Whether messages are processed: no answer is pending.
+    /// Whether the next message may be processed: no answer is pending and the connection is not ended.
     fn accepts_messages(&self) -> bool {
         matches!(self.phase, Phase::Startup | Phase::Ready | Phase::SkippingUntilSync)
     }
 
-    /// Whether the client must read output before more commands are processed.
+    /// Whether the client must read output before further commands are processed.
     fn output_is_full(&self) -> bool {
         self.outbox.pending().len() > MAX_BUFFERED_BYTES
     }
 
-    /// When the last of the bytes arrived that were decoded since `bytes_before` were waiting.
+    /// Returns when the last byte arrived of those decoded since the input held `bytes_before` undecoded bytes.
     fn take_arrival_time(&mut self, bytes_before: usize, now: Micros) -> Micros {
-        let taken = bytes_before.saturating_sub(self.inbox.len());
-        self.arrivals.consume(taken).unwrap_or(now)
+        let decoded_bytes = bytes_before.saturating_sub(self.inbox.len());
+        self.arrivals.consume(decoded_bytes).unwrap_or(now)
     }
 }
--- a/proxy/src/pg/frontend/replies.rs
+++ b/proxy/src/pg/frontend/replies.rs
@@ -1,27 +1,28 @@
-//! The answers to a client: values as the databases sent them, and errors.
+//! Replies to a client: values as the databases sent them, and errors.
 
 use super::{Frontend, Phase};
 use crate::core::Answer;
 use crate::pg::codec::Severity;
 use crate::pg::sqlstate::SqlState;
 
-/// The name of the one column.
+/// The name of the only column in a result.
 const COLUMN: &str = "blob";
 
 impl Frontend {
-    /// Answers the command with an error, and is ready for the next.
+    /// Answers the pending command with an error. The next command may follow.
     pub(crate) fn reject(&mut self, code: SqlState, message: &str) {
         self.outbox.error(Severity::Error, code, message, None);
         self.outbox.ready_for_query();
         self.phase = Phase::Ready;
     }
 
-    /// A value of this length begins.
+    /// Writes the row header of a value with this length in bytes. The caller appends the value to the outbox.
     pub(crate) fn start_value(&mut self, binary: bool, length: usize) {
         self.outbox.row_header(COLUMN, binary, length);
     }
 
-    /// Sends the final answer to the statement that was returned as a command.
+    /// Writes the answer to the pending statement. For [`Answer::Streamed`] the row has already been written. Does nothing if no
+    /// statement is pending.
     pub(crate) fn answer(&mut self, answer: &Answer) {
         let Phase::AnswerPending { is_write } = self.phase else { return };
         let tag = if is_write { "INSERT 0 1" } else { "SELECT 1" };
--- a/proxy/src/pg/mod.rs
+++ b/proxy/src/pg/mod.rs
@@ -1,5 +1,5 @@
-//! PostgreSQL's protocol, version 3: the codec, the forms of statement, and the state machines of a client's connection
-//! (`frontend`) and of a connection to a database (`backend`). They are fed bytes and use no socket.
+//! PostgreSQL protocol version 3: the codec, the accepted statements, and the state machines of a client connection (`frontend`)
+//! and of a database connection (`backend`). The state machines take bytes as input and perform no I/O.
 
 pub(crate) mod arrival_times;
 pub(crate) mod backend;
