--- a/proxy/src/pg/arrival_times.rs
+++ b/proxy/src/pg/arrival_times.rs
@@ -1,30 +1,32 @@
-//! When a client's input arrived. Commands may wait for earlier ones, and the deadline of each counts from its own last byte.
+//! Arrival times of a client's input. A command may wait for earlier commands, but its deadline counts from the arrival of its
+//! own last byte.
 
 use birchreach::Micros;
 use std::collections::VecDeque;
 
-/// Bytes that arrive within this time after others count as having arrived with those. Not more than the margin for the client's
-/// clock.
+/// Bytes that arrive within this time after others are recorded with the time of those. The resolution must not exceed the margin
+/// for the client's clock (`CLIENT_CLOCK_MARGIN_MICROS`).
 const TIME_RESOLUTION_MICROS: Micros = 10_000;
 
-/// The input up to `end`, counted from the beginning, had arrived by this time.
+/// The arrival time of a section of the input.
 struct Arrival {
+    /// Number of bytes from the beginning of the input to the end of the section.
     end: u64,
     at: Micros,
 }
 
-/// Times of arrival by position in the input. There is at most one for each byte that is not consumed.
+/// Arrival times by position in the input. At most one is kept for each unconsumed byte.
 #[derive(Default)]
 pub(crate) struct ArrivalTimes {
-    /// Bytes received since the beginning.
+    /// Number of bytes received since the connection was opened.
     received_bytes: u64,
-    /// Bytes consumed since the beginning.
+    /// Number of bytes consumed since the connection was opened.
     consumed_bytes: u64,
     arrivals: VecDeque<Arrival>,
 }
 
 impl ArrivalTimes {
-    /// Records the arrival of this number of bytes.
+    /// Records the arrival of a number of bytes.
     pub(crate) fn record(&mut self, bytes: usize, now: Micros) {
         self.received_bytes += bytes as u64;
         match self.arrivals.back_mut() {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Consumes this number of bytes. Returns when the last of them arrived.
+    /// Consumes a number of bytes. Returns when the last of them arrived, or `None` if no time is recorded for it.
     pub(crate) fn consume(&mut self, bytes: usize) -> Option<Micros> {
         self.consumed_bytes += bytes as u64;
         while self.arrivals.front().is_some_and(|arrival| arrival.end < self.consumed_bytes) {
@@ -47,7 +49,7 @@
         arrived_at
     }
 
-    /// How many times are kept.
+    /// Returns the number of arrival times that are kept.
     #[cfg(test)]
     pub(crate) fn recorded_times(&self) -> usize {
         self.arrivals.len()
--- a/proxy/src/pg/commit_time_query.rs
+++ b/proxy/src/pg/commit_time_query.rs
@@ -1,5 +1,5 @@
-//! A row of a group that is being split, with the time of its last commit, in plain SQL. The group's databases keep commit times
-//! (`track_commit_timestamp`).
+//! SQL query that reads a row of a group that is being split, together with the time of the row's last commit. The group's
+//! databases must record commit times (`track_commit_timestamp`).
 
 use super::copies::background_comment;
 use crate::background_query::BackgroundStatementId;
@@ -7,16 +7,17 @@
 use crate::units::MICROS_PER_MILLI;
 use birchreach::{GroupId, Micros};
 
-/// The state of a row since its last commit.
+/// A row as of its last commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CommittedRow<'a> {
-    /// When it was last committed; 0 if there is no row.
+    /// When the row was last committed. 0: there is no row.
     pub committed_at: Micros,
-    /// `None`: there is no row.
+    /// The value of the row. `None`: there is no row.
     pub value: Option<&'a [u8]>,
 }
 
-/// The query for the time of a row's last commit, in milliseconds and rounded up, followed by the row's value.
+/// Returns the query for a row. The result is the time of the row's last commit as eight bytes, in milliseconds and rounded up,
+/// followed by the row's value.
 pub(crate) fn read_row_with_commit_time(
     key: &[u8],
     group: GroupId,
@@ -30,7 +31,7 @@
     [select, key, b"' ", comment.as_bytes()].concat()
 }
 
-/// Parses the reply to that query. `None`: it is not such a reply.
+/// Parses the reply to the query of [`read_row_with_commit_time`]. `None`: the reply does not have a valid commit time.
 pub(crate) fn parse_row_with_commit_time(reply: &Reply) -> Option<CommittedRow<'_>> {
     let Some(value) = &reply.value else { return Some(CommittedRow { committed_at: 0, value: None }) };
     let (millis, blob) = value.bytes.split_first_chunk::<8>()?;
--- a/proxy/src/pg/copies.rs
+++ b/proxy/src/pg/copies.rs
@@ -1,5 +1,6 @@
-//! The SQL for copies of rows in a table of another group. A copy is read only if it has reached a position, and written only if no
-//! newer one exists. The crate `hot-keys` has both rules, and checks them on a model.
+//! SQL statements for copies of rows, which are kept in a table of another group. A copy is read only if it has reached the
+//! required position, and is written only if no newer copy exists. The crate `hot-keys` implements both rules and checks them on
+//! a model.
 //!
 //!     CREATE TABLE copies (home int, handle text, at bigint NOT NULL, blob bytea NOT NULL, PRIMARY KEY (home, handle));
 
@@ -9,11 +10,11 @@
 use crate::units::MICROS_PER_MILLI;
 use birchreach::{AttemptOutcome, GroupId, Micros};
 
-/// The longest value that is copied.
+/// The longest value that is copied, in bytes.
 pub(crate) const MAX_COPY_BYTES: usize = 16 << 10;
 
-/// The query for the copy of the row that a statement reads: the position and the value in one column, or an empty one. The comment
-/// is forwarded as it arrived, except for the wait.
+/// Returns the query for the copy of the row that `statement` reads. The result is the position as eight bytes followed by the
+/// value, or is empty if there is no such copy. The client's comment is forwarded unchanged, except for the timeout.
 pub(crate) fn read_copy(statement: &Statement, remaining_ms: u64, required_position: Micros) -> Vec<u8> {
     let (comment_head, comment_tail) = statement.comment_around_timeout();
     let select = format!(
@@ -33,7 +34,8 @@
     .concat()
 }
 
-/// Parses the reply to that query: a copy that has reached the position, or else `miss`.
+/// Parses the reply to the query of [`read_copy`]. Returns `miss` unless the reply has a copy that has reached the required
+/// position.
 pub(crate) fn parse_copy(value: Option<Value>, required_position: Micros, miss: Reply) -> Reply {
     let Some(Value { bytes, binary }) = value else { return miss };
     let Some((millis, blob)) = bytes.split_first_chunk::<8>() else { return miss };
@@ -45,18 +47,19 @@
     Reply { outcome: AttemptOutcome::Ok, value, copy_position: Some(position), ..miss }
 }
 
-/// The query for a row in its own group, for copying or a comparison.
+/// Returns the query by which a background task reads a row in its own group, to copy or to compare it.
 pub(crate) fn read_row(key: &[u8], group: GroupId, id: BackgroundStatementId, timeout_ms: u64) -> Vec<u8> {
     let comment = background_comment(group, id, timeout_ms);
     [b"SELECT blob FROM rows WHERE handle = '", key, b"' ", comment.as_bytes()].concat()
 }
 
-/// The comment of a background statement that reads a row in its own group.
+/// Returns the comment of a background statement that reads a row in its own group.
 pub(super) fn background_comment(group: GroupId, id: BackgroundStatementId, timeout_ms: u64) -> String {
     format!("/* id={id},c=background,d={timeout_ms},cluster={} */", group.0)
 }
 
-/// The statement that writes a copy, unless a newer one exists.
+/// Returns the statement that writes a copy, unless the table has one of the same or a later position. `position` is rounded down
+/// to a millisecond.
 pub(crate) fn write_copy(home: GroupId, key: &[u8], position: Micros, blob: &[u8]) -> Vec<u8> {
     let insert = format!("INSERT INTO copies (home, handle, at, blob) VALUES ({}, '", home.0);
     let values = format!("', {}, '\\x", position.div_euclid(MICROS_PER_MILLI));
@@ -66,7 +69,7 @@
     [insert.as_bytes(), key, values.as_bytes(), hex.as_bytes(), upsert.as_bytes()].concat()
 }
 
-/// The position in milliseconds, rounded up.
+/// Converts a position to milliseconds, rounded up.
 fn to_millis_rounded_up(position: Micros) -> Micros {
     position.div_euclid(MICROS_PER_MILLI) + Micros::from(position.rem_euclid(MICROS_PER_MILLI) > 0)
 }
--- a/proxy/src/pg/partial_reply.rs
+++ b/proxy/src/pg/partial_reply.rs
@@ -1,4 +1,4 @@
-//! A database's reply while it arrives, and the result of a complete one.
+//! A database's reply while its parts arrive, and its conversion to a [`Reply`].
 
 use super::copies;
 use super::load_report::LoadReportFormat;
@@ -6,25 +6,25 @@
 use crate::reply::{Reply, Value};
 use birchreach::{AttemptOutcome, LoadReport, Micros, Role, ServerStatus};
 
-/// The last part of a reply that has arrived. They arrive in this order; an error may replace any of them.
+/// The last part of a reply that has arrived. The parts arrive in this order. An error may arrive in place of any of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum ReplyStage {
     #[default]
     Nothing,
     Description,
     Row,
-    /// The complete reply, or an error: only ReadyForQuery is missing.
+    /// The end of the result, or an error. Only ReadyForQuery is missing.
     Complete,
 }
 
-/// The kind of reply to a query.
+/// The kind of reply that a query expects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExpectedReply {
-    /// A value, or an error.
+    /// The value of a row, or no row.
     Value,
-    /// The copy of a value, which must have this position at least.
+    /// The copy of a row. A copy with an earlier position than `required_position` is a miss.
     Copy { required_position: Micros },
-    /// A load report.
+    /// A load report as text.
     LoadReport,
 }
 
@@ -32,23 +32,23 @@
 #[derive(Default)]
 pub(super) struct PartialReply {
     pub stage: ReplyStage,
-    /// The bytes of its messages so far.
+    /// The total size of the reply's messages so far, without a streamed value.
     pub bytes: usize,
-    /// Bytes of a streamed value that have not arrived.
+    /// The number of bytes of a streamed value that have not arrived.
     pub value_bytes_remaining: usize,
-    /// The value of the one row, unless it is streamed.
+    /// The value of the only row. `None`: there is no row, or its value is streamed.
     pub value: Option<Value>,
     pub error: Option<SqlState>,
-    /// The server's role, as it stated it with the reply.
+    /// The role that the server reported with the reply.
     pub role: Option<Role>,
-    /// The server's position, as it stated it with the reply.
+    /// The log position that the server reported with the reply.
     pub position: Option<Micros>,
     /// The load report that came with the reply.
     pub load_report: Option<LoadReport>,
 }
 
 impl PartialReply {
-    /// The reply from these parts. Errors too have the server's status, if it was sent.
+    /// Converts the parts to a reply. An error reply also has the server's status if the server sent it.
     pub(super) fn into_reply(self, expected: ExpectedReply, format: &LoadReportFormat) -> Reply {
         let outcome = self.outcome();
         let succeeded = outcome == AttemptOutcome::Ok;
@@ -74,7 +74,7 @@
         Reply { value, status, load_report, ..Reply::with_outcome(outcome) }
     }
 
-    /// The outcome that the error stands for, if there is one.
+    /// The outcome of the attempt, by the SQLSTATE code of the error.
     fn outcome(&self) -> AttemptOutcome {
         match self.error {
             Some(SqlState::READ_ONLY | SqlState::SNAPSHOT_TOO_OLD) => AttemptOutcome::Ineligible,
--- a/proxy/src/pg/statement/error.rs
+++ b/proxy/src/pg/statement/error.rs
@@ -1,24 +1,24 @@
-//! Why a statement of a valid form is not accepted.
+//! Errors in statements that are syntactically valid.
 
 use crate::pg::sqlstate::SqlState;
 use std::error::Error;
 use std::fmt;
 
-/// Why a statement is answered with an error and does not become a request. Clients receive its text as the error message.
+/// Why a valid statement is rejected instead of becoming a request. Clients receive the `Display` text as the error message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StatementError {
-    /// The settings have no class of its name.
+    /// The settings have no request class with the name in the statement.
     UnknownClass,
-    /// Its class is for reads and it writes, or the other way round.
+    /// The statement is a write and its request class is for reads, or the reverse.
     ClassMismatch,
-    /// No group has its number.
+    /// No group has the number in the statement.
     UnknownGroup,
-    /// Another open request has its id.
+    /// Another open request has the same ID.
     DuplicateId,
 }
 
 impl StatementError {
-    /// The code of the error message.
+    /// Returns the SQLSTATE code of the error message.
     pub(crate) fn sqlstate(self) -> SqlState {
         match self {
             StatementError::UnknownClass
--- a/proxy/src/pg/statement/parser.rs
+++ b/proxy/src/pg/statement/parser.rs
@@ -1,4 +1,4 @@
-//! Parses the text of a statement.
+//! Parser for the text of a statement.
 
 use super::{Statement, WRITE_PREFIX};
 use crate::pg::codec::MAX_CLIENT_VALUE_BYTES;
@@ -7,15 +7,15 @@
 
 /// The beginning of a select, up to the key.
 const READ_PREFIX: &[u8] = b"SELECT blob FROM rows WHERE handle = '";
-/// The longest key.
+/// The longest key, in bytes.
 const MAX_KEY_BYTES: usize = 1024;
-/// The longest name or value of a field in the comment.
+/// The longest name or value of a comment field, in bytes.
 const MAX_FIELD_BYTES: usize = 128;
-/// The most digits of a number, which then fits 64 bits, and a float without loss.
+/// The most digits of a number. Numbers of this length fit into 64 bits, and into a 64-bit float without loss.
 const MAX_DIGITS: usize = 15;
 
 impl Statement {
-    /// Parses a statement. `None`: the text has neither of the two forms.
+    /// Parses a statement. `None`: the text has neither of the two accepted forms.
     pub(crate) fn parse(text: Vec<u8>) -> Option<Statement> {
         let mut parser = Parser { text: &text, position: 0 };
         let is_write = parser.accept(WRITE_PREFIX);
@@ -46,7 +46,7 @@
     }
 }
 
-/// Where the values of a comment's fields are in the text. The idempotency key is forwarded without being parsed.
+/// The positions in the text of the values of the comment's fields. The idempotency key is forwarded without being parsed.
 #[derive(Default)]
 struct CommentFields {
     id: Option<Range<usize>>,
@@ -59,7 +59,7 @@
 }
 
 impl CommentFields {
-    /// The field with this name on the wire.
+    /// Returns the field with this name on the wire. `None`: there is no such field.
     fn field_mut(&mut self, name: &[u8]) -> Option<&mut Option<Range<usize>>> {
         Some(match name {
             b"id" => &mut self.id,
@@ -73,7 +73,8 @@
         })
     }
 
-    /// The values that a request is made of. `None`: a field is missing, or a number is none. The number of a retry is only checked.
+    /// Parses the values that a request needs. `None`: a required field is missing, or a value is not a valid number. The retry
+    /// number is checked but not used.
     fn parse_values(&self, text: &[u8]) -> Option<CommentValues> {
         let number = |range: &Range<usize>| parse_number(&text[range.clone()]);
         if self.retry.as_ref().is_some_and(|range| number(range).is_none()) {
@@ -92,7 +93,7 @@
     }
 }
 
-/// The values of a comment that a request is made of.
+/// The values of a comment that a request needs.
 struct CommentValues {
     class: String,
     timeout_ms: u32,
@@ -100,25 +101,25 @@
     read_after_ms: Option<i64>,
 }
 
-/// The number that these digits are. `None`: there are too many, or other bytes among them.
+/// Parses a decimal number. `None`: there are more than [`MAX_DIGITS`] bytes, or one of them is not a digit.
 fn parse_number(digits: &[u8]) -> Option<u64> {
     let is_number = digits.len() <= MAX_DIGITS && digits.iter().all(u8::is_ascii_digit);
     is_number.then(|| digits.iter().fold(0, |number, digit| number * 10 + u64::from(digit - b'0')))
 }
 
-/// The text of a statement, and how far it is parsed.
+/// The text of a statement, and the position up to which it is parsed.
 struct Parser<'a> {
     text: &'a [u8],
     position: usize,
 }
 
 impl Parser<'_> {
-    /// The key of the row.
+    /// Takes the key of the row.
     fn key(&mut self) -> Option<Range<usize>> {
         self.take_run(|byte| byte.is_ascii_graphic() && byte != b'\'' && byte != b'\\', MAX_KEY_BYTES)
     }
 
-    /// The value of a write, from the end of the key to the comment.
+    /// Skips the value of a write, from the end of the key to the comment.
     fn skip_hex_value(&mut self) -> Option<()> {
         self.expect(b"', '\\x")?;
         let empty = self.position..self.position;
@@ -129,7 +130,7 @@
         self.expect(b"') RETURNING blob")
     }
 
-    /// The fields of the comment.
+    /// Parses the comment. `None`: it is malformed, or has an unknown or a repeated field.
     fn comment(&mut self) -> Option<CommentFields> {
         self.expect(b" /* ")?;
         let mut fields = CommentFields::default();
@@ -150,7 +151,7 @@
         Some(fields)
     }
 
-    /// The end of the text.
+    /// Checks that the text has been parsed to its end.
     fn end(&self) -> Option<()> {
         (self.position == self.text.len()).then_some(())
     }
@@ -167,7 +168,7 @@
         self.accept(bytes).then_some(())
     }
 
-    /// One byte or more of a kind, up to this number.
+    /// Takes the longest run of accepted bytes. `None`: the run is empty or longer than `max_bytes`.
     fn take_run(&mut self, is_accepted: impl Fn(u8) -> bool, max_bytes: usize) -> Option<Range<usize>> {
         let length = self.text[self.position..].iter().take_while(|byte| is_accepted(**byte)).count();
         let run = self.position..self.position + length;
--- a/proxy/src/pg/tests/arrival_times.rs
+++ b/proxy/src/pg/tests/arrival_times.rs
@@ -1,4 +1,4 @@
-//! A command's time runs from when its last byte came, however long it waited behind others.
+//! The timeout of a command starts when the command's last byte arrives, however long the command waits behind others.
 
 use crate::core::{Answer, RoutingRequest};
 use crate::pg::arrival_times::ArrivalTimes;
@@ -9,24 +9,23 @@
 const MICROS_PER_MS: Micros = 1_000;
 const PROTOCOL_VERSION: u32 = 196_608;
 
-/// Some time in milliseconds.
 fn ms(milliseconds: Micros) -> Micros {
     milliseconds * MICROS_PER_MS
 }
 
-/// A body behind its length, which counts itself.
+/// Prefixes a body with the length field. The length includes the field itself.
 fn with_length(body: &[u8]) -> Vec<u8> {
     [&(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// A query for a row, whose client waits so long.
+/// A query for a row with this timeout.
 fn read_query(id: &str, timeout_ms: u32) -> Vec<u8> {
     let text =
         format!("SELECT blob FROM rows WHERE handle = 'k' /* id={id},c=look,d={timeout_ms},cluster=0 */\0");
     [b"Q", &with_length(text.as_bytes())[..]].concat()
 }
 
-/// A client that has sent its startup message.
+/// A client connection whose startup is complete.
 fn started_client() -> Frontend {
     let mut client = Frontend::default();
     let startup = [&PROTOCOL_VERSION.to_be_bytes()[..], b"user\0api\0database\0ledger\0\0"].concat();
@@ -35,13 +34,13 @@
     client
 }
 
-/// A statement that the client wants to be run.
+/// A statement returned as a command, and its arrival time.
 struct NextStatement {
     statement: Statement,
     arrived_at: Micros,
 }
 
-/// The client's next command, which has to be a statement.
+/// Decodes the next command, which must be a statement.
 fn next_statement(client: &mut Frontend, now: Micros) -> NextStatement {
     match client.next_command(now) {
         Some(ClientCommand::Run(statement, arrived_at)) => NextStatement { statement, arrived_at },
@@ -51,14 +50,14 @@
 
 #[test]
 fn each_command_arrives_with_its_own_last_byte() {
-    // Given three queries, of which the last one arrives in two parts.
+    // Given three queries, the last of which arrives in two parts.
     let mut client = started_client();
     let (first, second, third) = (read_query("1", 900), read_query("2", 900), read_query("3", 900));
     let (head, tail) = third.split_at(20);
     client.feed(ms(100), &[&first[..], &second, head].concat());
     client.feed(ms(350), tail);
 
-    // When each is taken after the answer to the one before, then its time is that of its own last byte.
+    // When each query is decoded after the previous one was answered, then its arrival time is that of its own last byte.
     for (now_ms, expected_ms) in [(360, 100), (700, 100), (900, 350)] {
         let next = next_statement(&mut client, ms(now_ms));
 
@@ -66,14 +65,14 @@
         client.answer(&Answer::Rejected { retry_after_ms: None });
     }
 
-    // When a query comes later, then its time is later.
+    // When another query arrives later, then its arrival time is later.
     client.feed(ms(1_500), &read_query("4", 900));
     assert_eq!(next_statement(&mut client, ms(1_501)).arrived_at, ms(1_500));
 }
 
 #[test]
 fn time_since_arrival_is_subtracted_from_the_timeout() {
-    // Given a statement whose client waits for 900 ms.
+    // Given a statement with a timeout of 900 ms.
     let class = RequestClass {
         consistency: Consistency::Any,
         idempotency: Idempotency::Idempotent,
@@ -86,31 +85,31 @@
     client.feed(0, &read_query("1", 900));
     let statement = next_statement(&mut client, 0).statement;
 
-    // When it is routed after some waiting.
+    // When the statement is routed some time after its arrival.
     let timeout_after = |elapsed| -> Micros {
         let source = SessionPositionSource::FromRequest;
         let request: RoutingRequest = statement.routing_request(ClassId(0), &class, source, elapsed).unwrap();
         request.timeout
     };
 
-    // Then its timeout is shorter by that.
+    // Then the remaining timeout is shorter by that time.
     let full_timeout = timeout_after(0);
     assert!((ms(880)..ms(900)).contains(&full_timeout));
     assert_eq!(timeout_after(ms(300)), full_timeout - ms(300));
-    assert_eq!(timeout_after(ms(5_000)), 0, "its client has given it up");
+    assert_eq!(timeout_after(ms(5_000)), 0, "the client has timed out");
 }
 
-/// A message that comes byte by byte does not make the proxy keep a time for each.
+/// Guards against one recorded time per byte when a message arrives byte by byte.
 #[test]
 fn recorded_arrival_times_are_bounded_by_resolution_and_unread_input() {
-    // Given 100,000 bytes, one each 10 microseconds.
+    // Given 100,000 bytes that arrive one by one, 10 microseconds apart.
     let mut arrivals = ArrivalTimes::default();
 
     for byte in 0..100_000 {
         arrivals.record(1, byte * 10);
     }
 
-    // Then there is a time for each 10 ms, and none is left when all bytes are taken.
+    // Then one time is recorded for each 10 ms, and none is kept once all bytes are consumed.
     assert!(arrivals.recorded_times() <= 101, "{}", arrivals.recorded_times());
     assert_eq!(arrivals.consume(50_000), Some(ms(490)));
     assert_eq!(arrivals.consume(50_000), Some(ms(990)));
--- a/proxy/src/pg/tests/copies.rs
+++ b/proxy/src/pg/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Queries for copies, and what their replies prove.
+//! Statements that read and write copies, and the parsing of replies to reads.
 
 use crate::background_query::BackgroundStatementId;
 use crate::pg::copies::{parse_copy, read_copy, read_row, write_copy};
@@ -6,18 +6,16 @@
 use crate::reply::{Reply, Value};
 use birchreach::{AttemptOutcome, GroupId, Micros};
 
-/// A read that a client sent.
 fn client_read() -> Statement {
     let text = "SELECT blob FROM rows WHERE handle = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=17 */";
     Statement::parse(text.into()).unwrap()
 }
 
-/// The reply that counts as a miss.
 fn miss() -> Reply {
     Reply::with_outcome(AttemptOutcome::Ineligible)
 }
 
-/// What the bytes that a copy's holder returns prove of a position.
+/// Parses a reply with this value to a read of a copy.
 fn parse_copy_bytes(bytes: &[u8], required_position: Micros) -> Reply {
     let value = Value { bytes: bytes.to_vec(), binary: true };
     parse_copy(Some(value), required_position, miss())
@@ -25,11 +23,11 @@
 
 #[test]
 fn copy_reads_round_positions_up_and_copy_writes_round_them_down() {
-    // Given positions between two milliseconds, when a copy is read at one and written at the other.
+    // Given positions between two milliseconds, when a copy is read at one of them and written at the other.
     let read = read_copy(&client_read(), 95, 1_234_001);
     let write = write_copy(GroupId(2), b"7f3a", 1_234_999, &[0x9f, 3]);
 
-    // Then the read requires the next millisecond, and the write claims the one before.
+    // Then the read requires the next millisecond, and the write records the previous one.
     assert_eq!(
         String::from_utf8(read).unwrap(),
         "SELECT coalesce((SELECT int8send(at) || blob FROM copies WHERE home = 2 AND handle = '7f3a' \
@@ -54,7 +52,7 @@
 
 #[test]
 fn a_copy_reply_below_the_required_position_is_a_miss() {
-    // Given a copy of position 5 ms.
+    // Given a copy at position 5 ms.
     let copy = [&5i64.to_be_bytes()[..], b"value"].concat();
 
     // When a read requires that position, then the copy serves it.
@@ -62,7 +60,7 @@
     assert_eq!((served.outcome, served.copy_position), (AttemptOutcome::Ok, Some(5_000)));
     assert_eq!(served.value.unwrap().bytes, b"value");
 
-    // When it requires a later one, or there is no copy, or its bytes are too few, then it is a miss.
+    // When a read requires a later position, or there is no copy, or the reply is too short, then the read is a miss.
     for (bytes, required_position) in [(&copy[..], 5_001), (b"", 0), (b"short", 0)] {
         let reply = parse_copy_bytes(bytes, required_position);
 
--- a/proxy/src/pg/tests/mod.rs
+++ b/proxy/src/pg/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol's state machines and queries, with times made by hand.
+//! Tests of the protocol's state machines and statements, with simulated time.
 
 mod arrival_times;
 mod commit_time_query;
--- a/proxy/src/pg/tests/statement.rs
+++ b/proxy/src/pg/tests/statement.rs
@@ -1,24 +1,22 @@
-//! The two forms of statement that clients send, and texts that have neither.
+//! Parsing of the two accepted forms of statement, and rejection of other texts.
 
 use crate::pg::statement::Statement;
 use birchreach::GroupId;
 
-/// A read with every field that a comment may have.
+/// A read whose comment has every field.
 const READ: &str = "SELECT blob FROM rows WHERE handle = '7f3a' /* id=9b1f,c=basket,d=480,cluster=2,after=17,r=1,k=a-b_c.d */";
 
-/// A read of this key with this comment.
 fn read(key: &str, comment: &str) -> String {
     format!("SELECT blob FROM rows WHERE handle = '{key}' /* {comment} */")
 }
 
-/// A write of this value with the required fields.
+/// A write of this value whose comment has the required fields.
 fn write(hex_digits: &str) -> String {
     format!(
         "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x{hex_digits}') RETURNING blob /* id=1,c=entry,d=9,cluster=0 */"
     )
 }
 
-/// The parsed statement, if the text is one.
 fn parse(text: &str) -> Option<Statement> {
     Statement::parse(text.as_bytes().to_vec())
 }
@@ -65,18 +63,18 @@
     let comments = [
         ("no id", "c=look,d=9,cluster=0"),
         ("no class", "id=1,d=9,cluster=0"),
-        ("no wait", "id=1,c=look,cluster=0"),
+        ("no timeout", "id=1,c=look,cluster=0"),
         ("no group", "id=1,c=look,d=9"),
-        ("a field twice", "id=1,id=1,c=look,d=9,cluster=0"),
+        ("a repeated field", "id=1,id=1,c=look,d=9,cluster=0"),
         ("an unknown field", "id=1,c=look,d=9,cluster=0,x=1"),
         ("an empty value", "id=,c=look,d=9,cluster=0"),
-        ("a wait that is no number", "id=1,c=look,d=9s,cluster=0"),
-        ("a wait that is too great", "id=1,c=look,d=4294967296,cluster=0"),
-        ("a group that is no number", "id=1,c=look,d=9,cluster=a"),
-        ("a group that is too great", "id=1,c=look,d=9,cluster=4294967296"),
-        ("a position that is no number", "id=1,c=look,d=9,cluster=0,after=a"),
-        ("a position of sixteen digits", "id=1,c=look,d=9,cluster=0,after=1234567890123456"),
-        ("a retry that is no number", "id=1,c=look,d=9,cluster=0,r=a"),
+        ("a timeout that is not a number", "id=1,c=look,d=9s,cluster=0"),
+        ("a timeout that is too large", "id=1,c=look,d=4294967296,cluster=0"),
+        ("a group that is not a number", "id=1,c=look,d=9,cluster=a"),
+        ("a group that is too large", "id=1,c=look,d=9,cluster=4294967296"),
+        ("a position that is not a number", "id=1,c=look,d=9,cluster=0,after=a"),
+        ("a position with sixteen digits", "id=1,c=look,d=9,cluster=0,after=1234567890123456"),
+        ("a retry number that is not a number", "id=1,c=look,d=9,cluster=0,r=a"),
     ];
     for (reason, comment) in comments {
         assert_eq!(parse(&read("7f3a", comment)), None, "{reason}");
