--- a/proxy/src/discovery/bounded_entries.rs
+++ b/proxy/src/discovery/bounded_entries.rs
@@ -1,13 +1,13 @@
-//! The entries of a list, of which only so many are read.
+//! Deserialization of list entries, with a limit on their number.
 
 use super::list::ListedEndpoint;
 use serde::de::{Deserializer, Error, SeqAccess, Visitor};
 use std::fmt;
 
-/// The most entries of a list: five times those of the largest fleet.
+/// The limit on the entries of a list: five times the number of servers in the largest fleet.
 pub(super) const MAX_ENTRIES: usize = 16_384;
 
-/// Reads the entries. One beyond [`MAX_ENTRIES`] is an error, at which reading ends.
+/// Deserializes the entries. Stops with an error at the first entry beyond [`MAX_ENTRIES`].
 pub(super) fn deserialize<'de, D>(deserializer: D) -> Result<Vec<ListedEndpoint>, D::Error>
 where
     D: Deserializer<'de>,
@@ -15,7 +15,6 @@
     deserializer.deserialize_seq(EntriesVisitor)
 }
 
-/// Collects the entries.
 struct EntriesVisitor;
 
 impl<'de> Visitor<'de> for EntriesVisitor {
--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -1,48 +1,49 @@
-//! Why a poll of discovery failed.
+//! Errors of polls of discovery.
 
 use std::error::Error;
 use std::fmt::{self, Display};
 
-/// The longest description of an error in a list. The parser quotes the value that it rejects, which may be as long as the list.
-const MAX_LIST_FAULT_BYTES: usize = 200;
+/// The longest parser message that is kept in full. The parser quotes the value that it rejects, which may be as long as the
+/// list.
+const MAX_PARSER_MESSAGE_BYTES: usize = 200;
 
-/// Why a poll failed. Its connection is not used again.
+/// Why a poll failed. The connection is not reused. The `Display` text is the `reason` in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PollError {
-    /// The system had no socket for a connection.
+    /// The operating system provided no socket for the connection.
     NoSocket,
     /// The connection was refused.
     ConnectionRefused,
     /// The connection was not established in time.
     ConnectTimeout,
-    /// No complete response came in time.
+    /// The response did not arrive in full before the timeout.
     Unresponsive,
-    /// Discovery closed the connection before or after a response.
+    /// Discovery closed the connection when no response was in progress.
     Closed,
-    /// The connection was reset. This does not complete a response without a length.
+    /// The connection was reset. A reset does not complete a response without a length.
     Reset,
-    /// Discovery had no capacity for the request (503).
+    /// Discovery rejected the request for lack of capacity (status 503).
     Overloaded,
-    /// Another status than 200.
+    /// The status code is neither 200 nor 503.
     Status(u16),
-    /// The response ended before it was complete.
+    /// The connection was closed before the response was complete.
     Truncated,
-    /// The head, the body or the response as a whole exceeds the limit.
+    /// The head, the body or the complete response exceeds the size limit.
     TooLong,
-    /// The response is not HTTP/1.1.
+    /// The response is not valid HTTP/1.1.
     InvalidHttp(HttpFault),
-    /// The body is not an endpoint list; with the position of the error.
+    /// The body is not a valid endpoint list. The text is the parser's message, with the line and column of the error.
     InvalidList(String),
 }
 
 impl PollError {
-    /// The parser's error for a body, with its position.
+    /// Converts the parser's error. A long message is shortened, but keeps the line and column of the error.
     pub(super) fn invalid_list(error: &serde_json::Error) -> PollError {
         let text = error.to_string();
-        if text.len() <= MAX_LIST_FAULT_BYTES {
+        if text.len() <= MAX_PARSER_MESSAGE_BYTES {
             return PollError::InvalidList(text);
         }
-        let start = &text[..text.floor_char_boundary(MAX_LIST_FAULT_BYTES)];
+        let start = &text[..text.floor_char_boundary(MAX_PARSER_MESSAGE_BYTES)];
         let (line, column) = (error.line(), error.column());
         PollError::InvalidList(format!("{start}... at line {line} column {column}"))
     }
@@ -51,11 +52,11 @@
 /// The part of a response that is not valid HTTP/1.1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HttpFault {
-    /// Its head.
+    /// The status line or the headers.
     Head,
-    /// Its `Content-Length`.
+    /// The value of `Content-Length`.
     ContentLength,
-    /// The size of one of its chunks.
+    /// The size of a chunk.
     ChunkSize,
 }
 
@@ -81,9 +82,9 @@
 impl Display for HttpFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            HttpFault::Head => "no head of an answer",
-            HttpFault::ContentLength => "a length that is no number",
-            HttpFault::ChunkSize => "a chunk without a size",
+            HttpFault::Head => "malformed status line or headers",
+            HttpFault::ContentLength => "Content-Length is not a number",
+            HttpFault::ChunkSize => "malformed chunk size",
         })
     }
 }
--- a/proxy/src/discovery/http.rs
+++ b/proxy/src/discovery/http.rs
@@ -1,20 +1,22 @@
-//! The body of an HTTP/1.1 response: with a length, in chunks, or up to the end of the connection. Its size is bounded.
+//! Extracts the body of an HTTP/1.1 response: of a declared length, in chunks, or up to the end of the connection. The size of
+//! the body is limited.
 
 use super::error::{HttpFault, PollError};
 
-/// The status of a request that discovery rejects because it has no capacity.
+/// The status code with which discovery rejects a request for lack of capacity.
 const SERVICE_UNAVAILABLE: u16 = 503;
-/// The status of a request that discovery answers.
+/// The status code of a response that contains a list.
 const OK: u16 = 200;
-/// The longest body that is buffered.
+/// The longest body that is accepted, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 4 << 20;
-/// The longest head that is buffered.
+/// The longest head (status line and headers) that is accepted, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The most headers of a response.
+/// The limit on the headers of a response.
 const MAX_HEADERS: usize = 64;
 
-/// The body, once it is complete. `ended`: the connection was closed, which completes a body without a length.
-pub(super) fn response_body(input: &[u8], ended: bool) -> Result<Option<Vec<u8>>, PollError> {
+/// Returns the body. `None`: the response is incomplete. `connection_closed` is set once the connection is closed, which
+/// completes a body of undeclared length.
+pub(super) fn response_body(input: &[u8], connection_closed: bool) -> Result<Option<Vec<u8>>, PollError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let parsed = response.parse(input).map_err(|_| PollError::InvalidHttp(HttpFault::Head))?;
@@ -37,7 +39,7 @@
     }
     let length = match header("content-length") {
         Some(length) => length.parse().map_err(|_| PollError::InvalidHttp(HttpFault::ContentLength))?,
-        None if ended => rest.len(),
+        None if connection_closed => rest.len(),
         None if rest.len() > MAX_BODY_BYTES => MAX_BODY_BYTES + 1,
         None => return Ok(None),
     };
@@ -47,9 +49,9 @@
     Ok(rest.get(..length).map(<[u8]>::to_vec))
 }
 
-/// A body that is sent in chunks, once it is complete.
+/// Decodes a chunked body. `None`: the body is incomplete.
 fn chunked_body(mut rest: &[u8]) -> Result<Option<Vec<u8>>, PollError> {
-    /// The end of each chunk.
+    /// The line end after each chunk's data.
     const LINE_END: &[u8] = b"\r\n";
     let mut body = Vec::new();
     loop {
--- a/proxy/src/discovery/list.rs
+++ b/proxy/src/discovery/list.rs
@@ -1,28 +1,28 @@
-//! Discovery's endpoint list. The names in its JSON are mapped to those of this program here and nowhere else.
+//! Discovery's endpoint list. Only this module maps the names in discovery's JSON to those of this program.
 
 use super::bounded_entries;
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// The state of a database on the list.
+/// The state of a database, as the list gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum ListedState {
-    /// It accepts new requests.
+    /// The database accepts new requests.
     Up,
-    /// It completes its requests and accepts no new ones.
+    /// The database completes its open requests and accepts no new ones.
     Draining,
-    /// It does not exist any more.
+    /// The database no longer exists.
     Removed,
 }
 
-/// The role of a database on the list, if the list names roles.
+/// The role of a database, as the list gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub(crate) enum Access {
     /// A primary.
     Writer,
-    /// A replica: any text but `writer`.
+    /// A replica. Any text other than `writer` means a replica.
     Reader,
 }
 
@@ -32,67 +32,67 @@
     }
 }
 
-/// A database on the list.
+/// An entry of the list, which describes one database.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub(crate) struct ListedEndpoint {
-    /// Its identity, which stays when its address changes.
+    /// The unique ID of the database, which remains the same when the address changes.
     pub uid: String,
-    /// Its address, `host:port`.
+    /// The address as `host:port`. Empty if the entry has none.
     #[serde(default)]
     pub endpoint: String,
-    /// Its availability zone.
+    /// The availability zone. Empty if the entry has none.
     #[serde(default, rename = "az")]
     pub zone: String,
-    /// The number of its group: one primary and its replicas.
+    /// The number of the database's group, which is a primary and its replicas.
     #[serde(default, rename = "pod_group")]
     pub group: u32,
-    /// Whether it accepts requests.
+    /// Whether the database accepts requests.
     pub state: ListedState,
-    /// Its capacity relative to the others.
+    /// The capacity of the database, relative to the others.
     #[serde(default = "default_weight", rename = "capacity_hint")]
     pub weight: f64,
-    /// Unix time of its last start in milliseconds; 0 if that was long ago.
+    /// Unix time of the database's last start in milliseconds. 0: the last start was long ago.
     #[serde(default, rename = "boot_ms")]
     pub started_unix_ms: f64,
-    /// Its role, if the list names roles.
+    /// The role of the database. `None`: the list does not give roles.
     #[serde(default)]
     pub access: Option<Access>,
 }
 
-/// The weight of a database for which the list names none.
+/// The weight of a database whose entry has none.
 fn default_weight() -> f64 {
     1.0
 }
 
 impl ListedEndpoint {
-    /// When it last started, in milliseconds of Unix time; none if that was long ago.
+    /// Returns the time of the last start, in milliseconds of Unix time. `None`: the last start was long ago.
     pub(crate) fn started_ms(&self) -> Option<i64> {
         let started = self.started_unix_ms as i64;
         (started > 0).then_some(started)
     }
 
-    /// Whether it is a primary by the list; none if the list names no roles.
+    /// Whether the list gives the database the role of a primary. `None`: the list does not give roles.
     pub(crate) fn is_primary(&self) -> Option<bool> {
         self.access.map(|access| access == Access::Writer)
     }
 }
 
-/// A response of discovery: changes to the list, or the complete list.
+/// The body of a response from discovery: changes to the list, or the complete list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub(crate) struct EndpointUpdate {
-    /// The version of the list after this update.
+    /// The revision of the list after this update.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// The list is complete: a database that is not on it has been removed.
+    /// Whether the update is the complete list. Databases that are not on a complete list have been removed.
     #[serde(rename = "all")]
     pub complete: bool,
-    /// The databases that changed, or all of them.
+    /// The databases that have changed, or all databases if the list is complete.
     #[serde(rename = "targets", deserialize_with = "bounded_entries::deserialize")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointUpdate {
-    /// The first entry that names a server again. The last entry of a server is the one that counts.
+    /// Finds the first entry that repeats the server of an earlier entry. If a server has several entries, the last one applies.
     pub(crate) fn first_duplicate(&self) -> Option<DuplicateEntry<'_>> {
         let mut first_entries = HashMap::with_capacity(self.endpoints.len());
         let mut found = None;
@@ -107,15 +107,15 @@
     }
 }
 
-/// An entry of a list whose server an earlier entry names, too.
+/// An entry of the list for a server that already has an earlier entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DuplicateEntry<'a> {
-    /// The server's identity.
+    /// The unique ID of the server.
     pub uid: &'a str,
-    /// The index of the entry.
+    /// The index of the repeated entry.
     pub entry: usize,
     /// The index of the server's first entry.
     pub first_entry: usize,
-    /// The number of such entries in the list.
+    /// The number of repeated entries in the list, for all servers.
     pub count: usize,
 }
--- a/proxy/src/discovery/mod.rs
+++ b/proxy/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! Discovery's endpoint list and the watch on it, over HTTP/1.1. State machines that are fed bytes and use no socket.
+//! The client of discovery: the endpoint list and the watch on it, over HTTP/1.1. The state machines take bytes as input and
+//! perform no I/O.
 
 mod backoff;
 mod bounded_entries;
--- a/proxy/src/discovery/tests/large_lists.rs
+++ b/proxy/src/discovery/tests/large_lists.rs
@@ -1,5 +1,4 @@
-//! Lists of as many servers as the largest fleet has: complete, malformed at the end, with each server
-//! twice, or beyond the limit.
+//! Lists with as many servers as the largest fleet: valid, malformed at the end, with each server twice, or beyond a limit.
 
 use super::super::bounded_entries::MAX_ENTRIES;
 use super::super::error::PollError;
@@ -7,20 +6,20 @@
 use super::super::list::{DuplicateEntry, EndpointUpdate};
 use super::super::watch::{EndpointWatch, PollResponse};
 
-/// The servers of the largest fleet.
+/// The number of servers in the largest fleet.
 const SERVERS: usize = 3_200;
-/// The revision that the watch has before it is fed.
-const HELD_REVISION: u64 = 41;
-/// The longest name of a host that DNS allows, used for the uid and for the zone of each entry.
+/// The revision of the watch before the response.
+const CURRENT_REVISION: u64 = 41;
+/// The longest host name in DNS. The UID and the zone of each entry have this length.
 const LONGEST_NAME_BYTES: usize = 253;
-/// What arrives in one read.
+/// The number of bytes that arrive in one read.
 const READ_BYTES: usize = 16 << 10;
-/// The lines of a list before its first entry.
+/// The number of lines in a list before the first entry.
 const LINES_BEFORE_ENTRIES: usize = 1;
-/// The longest text of an error: one line of the log.
+/// The limit on the text of an error, so that it fits into one line of the log.
 const MAX_ERROR_BYTES: usize = 400;
 
-/// An entry with every key, and names of the greatest length.
+/// An entry with every key and with names of maximum length.
 fn entry(number: usize) -> String {
     let uid = format!("{number:0>LONGEST_NAME_BYTES$}");
     let zone = "z".repeat(LONGEST_NAME_BYTES);
@@ -29,7 +28,7 @@
     )
 }
 
-/// An entry with the keys that it must have.
+/// An entry with the required keys only.
 fn short_entry(number: usize) -> String {
     format!(r#"{{"uid":"s-{number}","state":"up"}}"#)
 }
@@ -39,14 +38,13 @@
     format!("{{\"rev\":42,\"all\":true,\"targets\":[\n{}\n]}}", entries.join(",\n"))
 }
 
-/// The entries of all servers.
 fn all_entries() -> Vec<String> {
     (0..SERVERS).map(entry).collect()
 }
 
-/// A watch that holds a list, fed with a response in parts of [`READ_BYTES`], and what it returned.
+/// Feeds a response in parts of [`READ_BYTES`] to a watch that has a list. Returns the watch and the result.
 fn feed(body: &str) -> (EndpointWatch, Result<Option<PollResponse>, PollError>) {
-    let mut watch = EndpointWatch::new("agent".into(), Some(HELD_REVISION));
+    let mut watch = EndpointWatch::new("agent".into(), Some(CURRENT_REVISION));
     let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let mut result = Ok(None);
     for part in response.as_bytes().chunks(READ_BYTES) {
@@ -58,7 +56,7 @@
     (watch, result)
 }
 
-/// The update that a valid body is.
+/// Feeds a valid body and returns the update.
 fn read_update(body: &str) -> EndpointUpdate {
     match feed(body).1 {
         Ok(Some(PollResponse::Updated(update))) => update,
@@ -66,23 +64,23 @@
     }
 }
 
-/// The error's text, after which the next poll asks for what follows the revision that is held.
-fn rejected(body: &str) -> String {
+/// Feeds a malformed body and returns the text of the error. The next poll must request the changes after the watch's revision.
+fn rejection_message(body: &str) -> String {
     let (mut watch, result) = feed(body);
     let error = result.expect_err("a malformed list");
     watch.record_failure();
     let request = String::from_utf8(watch.next_request()).unwrap();
-    assert!(request.starts_with(&format!("GET /v1/endpoints?from={HELD_REVISION}&")), "{request}");
+    assert!(request.starts_with(&format!("GET /v1/endpoints?from={CURRENT_REVISION}&")), "{request}");
     error.to_string()
 }
 
 #[test]
 fn a_list_of_maximum_size_is_read() {
-    // Given a list with all servers, which is shorter than the limit
+    // Given a list with all servers that is shorter than the limit
     let body = list_of(&all_entries());
     assert!(body.len() < MAX_BODY_BYTES, "{} bytes", body.len());
 
-    // When it arrives, then all entries are read and no server is named twice
+    // When the list arrives, then all entries are read and no server is repeated
     let update = read_update(&body);
     assert_eq!((update.revision, update.endpoints.len()), (42, SERVERS));
     assert_eq!(update.first_duplicate(), None);
@@ -103,8 +101,8 @@
         let mut entries = all_entries();
         *entries.last_mut().unwrap() = malformed;
 
-        // When it arrives, then the error names what it is and where
-        let error = rejected(&list_of(&entries));
+        // When the list arrives, then the error describes the fault and its position
+        let error = rejection_message(&list_of(&entries));
         assert!(error.starts_with("invalid list: ") && error.contains(wanted), "{error}");
         assert!(error.contains(&last_line), "{error}");
     }
@@ -112,14 +110,14 @@
 
 #[test]
 fn a_truncated_last_entry_is_rejected_with_its_position() {
-    // Given a list that lacks its end
+    // Given a truncated list
     let body = list_of(&all_entries());
     let truncated = &body[..body.len() - "}\n]}".len()];
 
-    // When it arrives, then the error names the place where it ends
-    let place = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
-    let error = rejected(truncated);
-    assert!(error.contains("EOF") && error.contains(&place), "{error}");
+    // When the list arrives, then the error has the position of the truncation
+    let position = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
+    let error = rejection_message(truncated);
+    assert!(error.contains("EOF") && error.contains(&position), "{error}");
 }
 
 #[test]
@@ -129,23 +127,23 @@
     let last = entries.last_mut().unwrap();
     *last = last.replace("draining", &"é".repeat(500_000));
 
-    // When it arrives, then the error is one short line with the place
-    let error = rejected(&list_of(&entries));
+    // When the list arrives, then the error is one short line with the position
+    let error = rejection_message(&list_of(&entries));
     assert!(error.len() < MAX_ERROR_BYTES, "{} bytes", error.len());
-    let place = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
-    assert!(error.contains("unknown variant") && error.contains(&place), "{error}");
+    let position = format!("line {} column ", LINES_BEFORE_ENTRIES + SERVERS);
+    assert!(error.contains("unknown variant") && error.contains(&position), "{error}");
 }
 
 #[test]
 fn a_content_length_above_the_limit_is_rejected() {
-    // Given a valid list, followed by white space up to the limit or one byte more
+    // Given a valid list, followed by white space up to the limit, or to one byte beyond it
     let list = list_of(&all_entries());
     let at_limit = list.clone() + &" ".repeat(MAX_BODY_BYTES - list.len());
     let beyond_limit = format!("{at_limit} ");
 
-    // When it arrives, then one within the limit is read, and one beyond it is rejected
+    // When the lists arrive, then the one within the limit is read, and the one beyond the limit is rejected
     assert_eq!(read_update(&at_limit).endpoints.len(), SERVERS);
-    assert_eq!(rejected(&beyond_limit), "response too long");
+    assert_eq!(rejection_message(&beyond_limit), "response too long");
 }
 
 #[test]
@@ -153,11 +151,11 @@
     let chunk = format!("{READ_BYTES:x}\r\n{}\r\n", " ".repeat(READ_BYTES));
     let part = " ".repeat(READ_BYTES);
     for (head, part) in [("", part), ("Transfer-Encoding: chunked\r\n", chunk)] {
-        // Given a response that does not say its length and never ends
-        let mut watch = EndpointWatch::new("agent".into(), Some(HELD_REVISION));
+        // Given a response of undeclared length that never ends
+        let mut watch = EndpointWatch::new("agent".into(), Some(CURRENT_REVISION));
         let mut result = watch.feed(format!("HTTP/1.1 200 OK\r\n{head}\r\n").as_bytes());
 
-        // When it goes on, then it is rejected as soon as it exceeds the limit
+        // When more bytes arrive, then the response is rejected as soon as it exceeds the limit
         let mut received = 0;
         while result == Ok(None) {
             assert!(received <= MAX_BODY_BYTES, "{received} bytes are buffered");
@@ -170,11 +168,11 @@
 
 #[test]
 fn the_first_duplicate_entry_is_found() {
-    // Given a list in which each entry stands twice
+    // Given a list in which each entry is repeated
     let entries: Vec<String> = (0..SERVERS).map(short_entry).collect();
     let body = list_of(&[&entries[..], &entries[..]].concat());
 
-    // When it is read, then all entries are there, and the first that repeats one is named
+    // When the list is read, then it has all entries, and the first repeated entry is found
     let update = read_update(&body);
     assert_eq!(update.endpoints.len(), 2 * SERVERS);
     let uid = update.endpoints[0].uid.as_str();
@@ -184,13 +182,16 @@
 
 #[test]
 fn a_list_with_too_many_entries_is_rejected_with_the_position() {
-    // Given a list with the most entries, and one with two more
+    // Given a list with the maximum number of entries, and one with two more
     let entries: Vec<String> = (0..MAX_ENTRIES + 2).map(short_entry).collect();
     let (most, too_many) = (list_of(&entries[..MAX_ENTRIES]), list_of(&entries));
 
-    // When they arrive, then the first is read, and the second is rejected at the first entry beyond the limit
+    // When the lists arrive, then the first is read, and the second is rejected at the first entry beyond the limit
     assert_eq!(read_update(&most).endpoints.len(), MAX_ENTRIES);
-    // The parser has read that entry and the comma after it: it names the end of the entry's line.
-    let place = format!("line {} column 0", LINES_BEFORE_ENTRIES + MAX_ENTRIES + 2);
-    assert_eq!(rejected(&too_many), format!("invalid list: more than {MAX_ENTRIES} entries at {place}"));
+    // The parser has read that entry and the comma after it, so the error has the position at the end of the entry's line.
+    let position = format!("line {} column 0", LINES_BEFORE_ENTRIES + MAX_ENTRIES + 2);
+    assert_eq!(
+        rejection_message(&too_many),
+        format!("invalid list: more than {MAX_ENTRIES} entries at {position}")
+    );
 }
--- a/proxy/src/discovery/tests/mass_restart.rs
+++ b/proxy/src/discovery/tests/mass_restart.rs
@@ -1,4 +1,4 @@
-//! Many proxies that poll one discovery of fixed capacity.
+//! Simulations of many proxies that poll one discovery service of fixed capacity.
 
 use super::super::backoff::{MAX_OVERLOAD_WAIT_MICROS, POLL_SLOT_MICROS};
 use super::super::error::PollError;
@@ -7,18 +7,17 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Discovery rejects a poll that would wait longer for its slot.
+/// Discovery rejects polls that would wait longer than this for their slot.
 const QUEUE_LIMIT_MICROS: Micros = 2_000_000;
 
-/// What came of a restart.
 struct RestartResult {
-    /// When each proxy had the list, in order.
+    /// The times at which the proxies received the list, in ascending order.
     notified_at: Vec<Micros>,
-    /// The longest time between two polls of one proxy.
+    /// The longest wait of any proxy after a rejected poll.
     longest_wait: Micros,
 }
 
-/// So many proxies, all started at once.
+/// Simulates the simultaneous start of this number of proxies.
 fn simulate_restart(proxies: usize, seed: u64) -> RestartResult {
     let backoffs = (0..proxies).map(|index| polling_backoff(proxies as u32, seed * 1_000 + index as u64));
     let mut backoffs: Vec<_> = backoffs.collect();
@@ -42,15 +41,15 @@
     RestartResult { notified_at, longest_wait }
 }
 
-/// Up to fifty proxies all have the list within the notification deadline. For more the capacity does not suffice: it is used to the
-/// last slot, no proxy is left out, and none waits longer than the bound between two polls.
+/// Up to fifty proxies must all have the list within the notification deadline. For more proxies the capacity does not suffice.
+/// It must then be used to the last slot, every proxy must receive the list, and no wait between two polls may exceed the bound.
 #[test]
 fn after_a_mass_restart_all_proxies_are_notified_at_the_capacity_of_discovery() {
     for seed in 1..=5 {
         for proxies in [1, 5, 20, 48, 100, 300, LARGEST_FLEET_SIZE as usize] {
-            // Given so many proxies, when all start at once
+            // Given a number of proxies, when all start simultaneously
             let RestartResult { notified_at, longest_wait } = simulate_restart(proxies, seed);
-            // Then none waits longer than the bound, and the last one has the list as soon as the capacity allows
+            // Then no wait exceeds the bound, and the last proxy receives the list as soon as the capacity allows
             let last = notified_at[notified_at.len() - 1];
             let capacity = proxies as Micros * POLL_SLOT_MICROS;
             assert!(longest_wait <= MAX_OVERLOAD_WAIT_MICROS);
@@ -60,34 +59,34 @@
     }
 }
 
-/// The most of these times that one second has.
+/// The largest number of polls within one second.
 fn max_polls_in_one_second(times: &[Micros]) -> Option<usize> {
     times.iter().map(|at| times.iter().filter(|time| (0..1_000_000).contains(&(*time - at))).count()).max()
 }
 
-/// 48 proxies that start at one moment: their polls must not come in bursts.
+/// Guards against bursts of polls when 48 proxies start simultaneously.
 #[test]
 fn proxies_started_simultaneously_spread_their_first_polls() {
-    // Given proxies that start at once, half of which are rejected
+    // Given proxies that start simultaneously, half of which are rejected
     let mut backoffs: Vec<_> = (0..48).map(|seed| polling_backoff(48, seed)).collect();
     let mut rejected = || -> Vec<Micros> {
         backoffs[..24].iter_mut().map(|backoff| backoff.wait_after(&PollError::Overloaded)).collect()
     };
-    // When they are rejected once, then they fit into half a round, and are spread over it
+    // When the polls are rejected once, then the next polls are spread over half a round
     let second = rejected();
     assert!(
         max_polls_in_one_second(&second) < Some(26) && second.iter().all(|time| *time <= 1_440_000),
         "{second:?}"
     );
-    // When they are rejected again, then they are spread over a longer one
+    // When they are rejected again, then the next polls are spread over half of a longer round
     let third = rejected();
     assert!(
         third.iter().any(|time| *time > 1_440_000) && third.iter().all(|time| *time <= 2_880_000),
         "{third:?}"
     );
-    // When connections break, then all poll again at once: the watch goes on if the next poll comes soon
+    // When connections are closed, then all proxies poll again soon, as the watch continues if the next poll comes soon
     assert!(backoffs.iter_mut().all(|backoff| backoff.wait_after(&PollError::Closed) <= 20_000));
-    // When they had an answer meanwhile, then the round has its first length again
+    // When the proxies have received a response, then the round has its initial length again
     backoffs.iter_mut().for_each(|backoff| backoff.reset());
     assert!(backoffs.iter_mut().all(|backoff| backoff.wait_after(&PollError::Overloaded) <= 1_440_000));
 }
