--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -1,78 +1,78 @@
-//! The operators' protocol: one line is a call, it gets one reply, and the connection is closed. A state machine that is fed bytes
-//! and uses no socket.
+//! Protocol state machine of an admin connection. The operator sends one line with a call, receives one reply, and the connection
+//! is closed. The state machine takes bytes as input and performs no I/O.
 
 use crate::outbox::Outbox;
 
-/// The longest line that is read.
+/// The longest line that is accepted, in bytes.
 const MAX_LINE_BYTES: usize = 256;
 
 /// A call of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdminCall {
-    /// Whether this process accepts clients.
+    /// Report whether this process accepts clients.
     Status,
-    /// Its counters and gauges.
+    /// Report the counters and gauges of this process.
     Stats,
-    /// The members of the fleet, and this process's view of it.
+    /// Report the members of the fleet, and this process's view of the fleet.
     Fleet,
-    /// The hot keys and their copies.
+    /// Report the hot keys and their copies.
     Hot,
-    /// The comparison of a group that is split with its children.
+    /// Report the comparison of a group that is being split with its child groups.
     Split,
-    /// The metrics of subsystems, in the text format of Prometheus.
+    /// Report the metrics of subsystems in the Prometheus text format.
     Metrics,
-    /// Take the proxy out of the balancers' rotation, or put it back.
+    /// `true`: take the proxy out of the load balancers' rotation. `false`: put it back.
     Maintenance(bool),
 }
 
 /// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AdminReply {
-    /// Yes, or done.
+    /// The answer is yes, or the call was carried out.
     Yes(&'static str),
-    /// No, with the reason.
+    /// The answer is no, or the call was refused. The text is the reason.
     No(&'static str),
-    /// There is no such call, or its subsystem is off.
+    /// There is no such call, or the call's subsystem is disabled.
     UnknownCall,
-    /// Lines of figures, which are followed by an end line.
+    /// Lines of figures. The protocol appends the end line.
     Lines(String),
-    /// A text that has its own end line.
+    /// A text with an end line of its own.
     Text(String),
 }
 
-/// The protocol's state on one connection.
+/// The state of the protocol on one connection.
 #[derive(Default)]
 pub(crate) struct AdminProtocol {
     line: Vec<u8>,
     answered: bool,
-    /// The reply.
+    /// Output that has not been written to the socket. It holds at most one reply.
     pub outbox: Outbox,
 }
 
 impl AdminProtocol {
-    /// Takes bytes; returns the call once its line is complete. An invalid line is answered here.
+    /// Takes received bytes and returns the call once the line is complete. An invalid line is answered here.
     pub(crate) fn feed(&mut self, bytes: &[u8]) -> Option<AdminCall> {
         if self.answered {
-            // What follows the line is ignored.
+            // Input after the line is ignored.
             return None;
         }
         let end = bytes.iter().position(|byte| *byte == b'\n');
-        let part_of_line = &bytes[..end.unwrap_or(bytes.len())];
-        if self.line.len() + part_of_line.len() > MAX_LINE_BYTES {
+        let line_part = &bytes[..end.unwrap_or(bytes.len())];
+        if self.line.len() + line_part.len() > MAX_LINE_BYTES {
             self.answer(&AdminReply::No("the line is too long"));
             return None;
         }
-        self.line.extend_from_slice(part_of_line);
+        self.line.extend_from_slice(line_part);
         end?;
         self.parse_line()
     }
 
-    /// The operator has closed its side, which ends the line too.
+    /// Handles the end of the input, which also completes the line.
     pub(crate) fn input_ended(&mut self) -> Option<AdminCall> {
         if self.answered || self.line.is_empty() { None } else { self.parse_line() }
     }
 
-    /// The call in the line. An invalid line is answered here.
+    /// Parses the line and returns the call. An invalid line is answered here.
     fn parse_line(&mut self) -> Option<AdminCall> {
         match self.line.trim_ascii() {
             b"status" => return Some(AdminCall::Status),
@@ -89,7 +89,7 @@
         None
     }
 
-    /// Writes the reply to the outbox; further input is ignored.
+    /// Writes the reply to the outbox. Further input is ignored.
     pub(crate) fn answer(&mut self, reply: &AdminReply) {
         match reply {
             AdminReply::Yes(text) => self.write(&format!("YES {text}\n")),
@@ -101,12 +101,11 @@
         self.answered = true;
     }
 
-    /// Appends to the outbox.
     fn write(&mut self, text: &str) {
         self.outbox.append(text.as_bytes());
     }
 
-    /// Whether the reply is in the outbox.
+    /// Whether the reply has been written to the outbox.
     pub(crate) fn is_answered(&self) -> bool {
         self.answered
     }
--- a/proxy/src/outbox.rs
+++ b/proxy/src/outbox.rs
@@ -1,23 +1,23 @@
-//! The output buffer of a connection, for every protocol.
+//! Output buffer of a connection, used by all protocols.
 
-/// The capacity that an empty buffer keeps.
+/// The capacity that an empty buffer retains.
 pub(crate) const IDLE_BUFFER_BYTES: usize = 4096;
 
-/// Output that waits to be written.
+/// Output that has not been written to the socket.
 #[derive(Default)]
 pub(crate) struct Outbox {
     bytes: Vec<u8>,
-    /// How many of the bytes are written.
+    /// The number of bytes at the front of `bytes` that have been written to the socket.
     written: usize,
 }
 
 impl Outbox {
-    /// What is not written yet.
+    /// Returns the bytes that have not been written.
     pub(crate) fn pending(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
-    /// This number of pending bytes has been written.
+    /// Records that `count` pending bytes have been written.
     pub(crate) fn advance(&mut self, count: usize) {
         self.written = (self.written + count).min(self.bytes.len());
         if self.written == self.bytes.len() {
@@ -27,12 +27,13 @@
         }
     }
 
-    /// Adds output.
+    /// Appends output.
     pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The buffer, for an encoder that appends to it. The bytes in it must not be changed.
+    /// Returns the buffer for an encoder that appends to it. The encoder must not change the bytes that are already in the
+    /// buffer.
     pub(crate) fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
--- a/proxy/src/reply.rs
+++ b/proxy/src/reply.rs
@@ -1,37 +1,36 @@
-//! The reply of a database to an attempt or a health check, independent of the protocol.
-//!
-//! The protocol's state machines create it; the core and its observers use it.
+//! The reply of a database to an attempt or a health check, independent of the protocol. The protocol's state machines create it,
+//! and the core and its observers use it.
 
 use birchreach::{AttemptOutcome, LoadReport, Micros, ServerStatus};
 
-/// A value as a database sent it.
+/// A value, as the database sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Value {
-    /// Its bytes.
+    /// The encoded value.
     pub bytes: Vec<u8>,
-    /// The bytes are in the databases' binary format, not in the text format.
+    /// Whether the bytes are in PostgreSQL's binary format. Otherwise they are in the text format.
     pub binary: bool,
 }
 
 /// The result of an attempt or a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Reply {
-    /// How it ended.
+    /// How the attempt or the health check ended.
     pub outcome: AttemptOutcome,
-    /// The value that was read.
+    /// The value of the row. `None`: there was no row, or the value was streamed.
     pub value: Option<Value>,
-    /// Role and position that the database stated.
+    /// The role and the log position that the database reported. `None`: it reported no role.
     pub status: Option<ServerStatus>,
-    /// Load report in the reply.
+    /// The load report in the reply. `None`: the reply had no valid load report.
     pub load_report: Option<LoadReport>,
-    /// The connection was refused: no process listens there.
+    /// Whether the connection was refused, which means that no process listens on the address.
     pub connection_refused: bool,
-    /// Position of the copy from which a read was answered.
+    /// The position of the copy that answered the read. `None`: no copy answered it.
     pub copy_position: Option<Micros>,
 }
 
 impl Reply {
-    /// A result with nothing but an outcome.
+    /// Creates a result that has only an outcome.
     pub(crate) fn with_outcome(outcome: AttemptOutcome) -> Reply {
         Reply {
             outcome,
@@ -43,7 +42,7 @@
         }
     }
 
-    /// The result of an attempt whose connection was refused.
+    /// Creates the result of an attempt whose connection was refused.
     pub(crate) fn connection_refused() -> Reply {
         Reply { connection_refused: true, ..Reply::with_outcome(AttemptOutcome::ConnectFailed) }
     }
