--- a/proxy/src/discovery/tests/large_lists.rs
+++ b/proxy/src/discovery/tests/large_lists.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_error_about_a_long_value_is_short_and_has_its_position() {
+fn the_error_for_a_long_invalid_value_is_short_and_has_the_position() {
     // Given a list whose last state is very long
     let mut entries = all_entries();
     let last = entries.last_mut().unwrap();
--- a/proxy/src/discovery/tests/mass_restart.rs
+++ b/proxy/src/discovery/tests/mass_restart.rs
@@ -64,9 +64,9 @@
     times.iter().map(|at| times.iter().filter(|time| (0..1_000_000).contains(&(*time - at))).count()).max()
 }
 
-/// Guards against bursts of polls when 48 proxies start simultaneously.
+/// Guards against bursts of polls after 48 proxies have started simultaneously and discovery has rejected half of them.
 #[test]
-fn proxies_started_simultaneously_spread_their_first_polls() {
+fn rejected_polls_are_spread_over_a_round_that_doubles() {
     // Given proxies that start simultaneously, half of which are rejected
     let mut backoffs: Vec<_> = (0..48).map(|seed| polling_backoff(48, seed)).collect();
     let mut rejected = || -> Vec<Micros> {
--- a/proxy/src/discovery/tests/responses.rs
+++ b/proxy/src/discovery/tests/responses.rs
@@ -20,7 +20,7 @@
 }
 
 /// Whether the result is the list of [`LIST`].
-fn is_the_list(result: &Result<Option<PollResponse>, PollError>) -> bool {
+fn is_expected_list(result: &Result<Option<PollResponse>, PollError>) -> bool {
     matches!(result, Ok(Some(PollResponse::Updated(update))) if update.revision == 43 && update.endpoints.len() == 1)
 }
 
@@ -52,7 +52,7 @@
                 assert!(watch.response_started());
             }
             // And the last byte completes the list
-            assert!(is_the_list(&watch.feed(&[*last])));
+            assert!(is_expected_list(&watch.feed(&[*last])));
             assert!(!watch.response_started());
         }
     }
@@ -65,7 +65,7 @@
         let FedWatch { mut watch, result } = feed(&format!("HTTP/1.1 200 OK\r\n\r\n{body}"));
         assert_eq!(result, Ok(None), "the response may continue");
         // When the connection is closed, then the list is complete
-        assert!(is_the_list(&watch.finish_on_close()));
+        assert!(is_expected_list(&watch.finish_on_close()));
     }
 }
 
--- a/proxy/src/pg/backend/mod.rs
+++ b/proxy/src/pg/backend/mod.rs
@@ -12,6 +12,11 @@
 use crate::reply::Reply;
 use birchreach::Micros;
 
+/// The user name in the startup message.
+const DATABASE_USER: &str = "api";
+/// The database name in the startup message.
+const DATABASE_NAME: &str = "ledger";
+
 /// What the connection is used for at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
@@ -79,7 +84,7 @@
     /// Creates the state of a new connection, with the startup message in the outbox.
     pub(crate) fn new(load_report_format: LoadReportFormat) -> Backend {
         let mut outbox = Outbox::default();
-        outbox.startup("api", "ledger");
+        outbox.startup(DATABASE_USER, DATABASE_NAME);
         Backend {
             phase: Phase::Startup,
             inbox: Inbox::default(),
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -16,6 +16,12 @@
     UnsupportedVersion,
 }
 
+/// The major version number that marks a startup message as a special request. The minor number is the kind of request.
+const REQUEST_CODE_MAJOR: u16 = 1234;
+const CANCEL_REQUEST_MINOR: u16 = 5678;
+const SSL_REQUEST_MINOR: u16 = 5679;
+const GSSENC_REQUEST_MINOR: u16 = 5680;
+
 /// Startup parameters whose names have this prefix are protocol options.
 const PROTOCOL_OPTION_PREFIX: &[u8] = b"_pq_.";
 
@@ -28,8 +34,8 @@
         let major = u16::from_be_bytes([*major_high, *major_low]);
         let minor = u16::from_be_bytes([*minor_high, *minor_low]);
         match (major, minor) {
-            (1234, 5679 | 5680) => Ok(Startup::EncryptionRequest),
-            (1234, 5678) => Ok(Startup::CancelRequest),
+            (REQUEST_CODE_MAJOR, SSL_REQUEST_MINOR | GSSENC_REQUEST_MINOR) => Ok(Startup::EncryptionRequest),
+            (REQUEST_CODE_MAJOR, CANCEL_REQUEST_MINOR) => Ok(Startup::CancelRequest),
             (3, _) => Ok(Startup::Version3 { minor, options: protocol_options(parameters)? }),
             _ => Ok(Startup::UnsupportedVersion),
         }
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -237,7 +237,7 @@
         self.outbox.pending().len() > MAX_BUFFERED_BYTES
     }
 
-    /// Returns when the last byte arrived of those decoded since the input held `bytes_before` undecoded bytes.
+    /// Returns the arrival time of the last byte that was decoded since the input held `bytes_before` undecoded bytes.
     fn take_arrival_time(&mut self, bytes_before: usize, now: Micros) -> Micros {
         let decoded_bytes = bytes_before.saturating_sub(self.inbox.len());
         self.arrivals.consume(decoded_bytes).unwrap_or(now)
