--- a/example/local-cluster/src/main.rs
+++ b/example/local-cluster/src/main.rs
@@ -1,8 +1,8 @@
-//! A cluster to try the proxy with on one machine: a primary, a replica and discovery in this program, and proxies as processes of their
-//! own.
+//! A local cluster for trying the proxy on one machine. The primary, the replica and discovery run in this program; each proxy is a
+//! separate process.
 //!
-//! It prints each statement that reaches a database and what the proxies log. The replica has every write at once. Nothing here is meant
-//! for real use.
+//! The program prints each statement that reaches a database and each line that the proxies log. Writes appear on the replica without
+//! delay. The cluster is not meant for production use.
 
 mod proxies;
 
@@ -18,19 +18,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Port of the primary database.
 const PRIMARY_PORT: u16 = 6001;
-/// Port of the replica.
 const REPLICA_PORT: u16 = 6002;
-/// Port of discovery.
 const DISCOVERY_PORT: u16 = 8500;
-/// How often the logs of the proxies are read.
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts databases, discovery and proxies on this machine, and says what to type
+/// Starts databases, discovery and proxies on this machine, and prints commands to try
 #[derive(Parser)]
 struct Arguments {
-    /// So many proxies, which know of one another; 0: start them by hand
+    /// Number of proxies, which form one fleet; with 0, start proxies by hand
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(0..=9))]
     proxies: u16,
 }
@@ -39,7 +35,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// The databases and discovery, which live as long as this value.
+/// The databases and discovery. They stop when this value is dropped.
 struct Databases {
     primary: Database,
     replica: Database,
@@ -47,7 +43,7 @@
 }
 
 impl Databases {
-    /// Starts both databases on the same rows, and discovery that lists them.
+    /// Starts both databases on shared rows, and a discovery server that lists them.
     fn start() -> io::Result<Databases> {
         let rows = Arc::default();
         let primary = Database::start(loopback(PRIMARY_PORT), true, &rows, true)?;
@@ -75,8 +71,8 @@
     }
 }
 
-/// Prints what to type in another terminal.
-fn print_statements(proxies: u16) {
+/// Prints commands for another terminal.
+fn print_commands(proxies: u16) {
     println!(
         "\nPaste into another terminal:\n\n  psql -h 127.0.0.1 -p 6432 -U api ledger -c \"INSERT INTO rows (handle, blob) \
          VALUES ('7f3a', '\\x9f03') RETURNING blob /* id=01,c=file-entry,d=3000,cluster=0 */\"\n  psql -h 127.0.0.1 -p 6432 \
@@ -88,9 +84,11 @@
     }
 }
 
-/// Prints what the proxies log until the program receives a signal to stop.
-fn print_logs(proxies: &[Process], stop: &AtomicBool) {
-    println!("\nCtrl-C ends all of it. What reaches the databases, and what the proxies log:\n");
+/// Prints the log lines of the proxies until `stop` is set by a signal.
+fn print_logs_until_stopped(proxies: &[Process], stop: &AtomicBool) {
+    println!(
+        "\nPress Ctrl-C to stop the cluster. Statements at the databases and log lines of the proxies:\n"
+    );
     let mut printed = vec![0; proxies.len()];
     while !stop.load(Ordering::Relaxed) {
         for (proxy, printed) in proxies.iter().zip(&mut printed) {
@@ -120,10 +118,10 @@
             let ProxyAddresses { clients, admin, .. } = ProxyAddresses::of(number);
             println!("proxy {}: clients {clients}, operators {admin}", proxy_name(number));
         }
-        print_statements(count);
+        print_commands(count);
     }
-    print_logs(&proxies, &stop);
-    // Ends the proxies, which use the folder.
+    print_logs_until_stopped(&proxies, &stop);
+    // Stops the proxies before their folder is removed.
     drop(proxies);
     std::fs::remove_dir_all(&folder)
 }
--- a/example/local-cluster/src/proxies.rs
+++ b/example/local-cluster/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies of the cluster: processes with files in a folder of their own.
+//! Starts the proxies of the cluster as processes, with their files in a temporary folder.
 
 use crate::loopback;
 use birchreach_test_support::process::{Process, ProcessSettings};
@@ -8,18 +8,18 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// Port at which the first proxy takes clients.
+/// Client port of the first proxy.
 const CLIENT_PORT: u16 = 6432;
-/// Port at which the first proxy takes operators.
+/// Admin port of the first proxy.
 const ADMIN_PORT: u16 = 6433;
-/// Port at which the first proxy takes its peers; those of the others follow without a gap.
+/// Gossip port of the first proxy. The other proxies use the ports that follow.
 const FLEET_PORT: u16 = 7100;
-/// The ports for clients and operators of one proxy and the next are this far apart.
+/// Distance between the client ports, and between the admin ports, of consecutive proxies.
 const PORT_STEP: u16 = 10;
-/// Length of the key by which proxies authenticate one another.
+/// Length of the key with which proxies authenticate one another.
 const KEY_BYTES: usize = 16;
 
-/// Where a proxy listens.
+/// The addresses on which a proxy listens.
 pub(crate) struct ProxyAddresses {
     pub(crate) clients: SocketAddr,
     pub(crate) admin: SocketAddr,
@@ -27,7 +27,7 @@
 }
 
 impl ProxyAddresses {
-    /// The addresses of a proxy, numbered from 0.
+    /// Returns the addresses of a proxy. Proxy numbers start at 0.
     pub(crate) fn of(number: u16) -> ProxyAddresses {
         ProxyAddresses {
             clients: loopback(CLIENT_PORT + PORT_STEP * number),
@@ -37,22 +37,22 @@
     }
 }
 
-/// The name of a proxy, which counts from 1.
+/// Returns the name of a proxy. Names count from 1, proxy numbers from 0.
 pub(crate) fn proxy_name(number: u16) -> String {
     format!("local-{}", number + 1)
 }
 
-/// Starts proxies with files in a folder of their own.
+/// Starts proxies that share a program, a folder and a key file.
 pub(crate) struct ProxyStarter {
     program: PathBuf,
     folder: PathBuf,
     key_file: PathBuf,
-    /// How many proxies there are in all.
+    /// The number of proxies in the cluster.
     count: u16,
 }
 
 impl ProxyStarter {
-    /// Finds or builds the program, and writes the key file.
+    /// Finds the proxy's program, building it if it is missing, and writes the key file.
     pub(crate) fn new(folder: &Path, count: u16) -> io::Result<ProxyStarter> {
         Ok(ProxyStarter {
             program: proxy_program()?,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Starts a proxy and waits until it serves.
+    /// Starts a proxy and waits until it accepts clients.
     pub(crate) fn start(&self, number: u16) -> io::Result<Process> {
         let name = proxy_name(number);
         let options = self.options(number);
@@ -76,11 +76,13 @@
             max_descriptors: None,
         })?;
         let serving = process.wait_until_serving();
-        serving.ok_or_else(|| io::Error::other(format!("{name} does not serve: {:?}", process.log())))?;
+        serving.ok_or_else(|| {
+            io::Error::other(format!("{name} did not start to accept clients; its log: {:?}", process.log()))
+        })?;
         Ok(process)
     }
 
-    /// The example's configuration with what differs from proxy to proxy.
+    /// Returns `example/config.json` with the name, addresses and seed of one proxy.
     fn configuration(&self, number: u16) -> io::Result<String> {
         let addresses = ProxyAddresses::of(number);
         let mut configuration: Value = serde_json::from_str(include_str!("../../config.json"))?;
@@ -92,7 +94,7 @@
         Ok(configuration.to_string())
     }
 
-    /// The options by which the proxies know of one another.
+    /// Returns the options that make the proxies one fleet.
     fn options(&self, number: u16) -> String {
         let peers: Vec<String> =
             (0..self.count).map(|number| ProxyAddresses::of(number).fleet.to_string()).collect();
@@ -105,11 +107,11 @@
     }
 }
 
-/// The proxy's program, beside this one; built first if it is not there.
+/// Returns the path of the proxy's program in the folder of this executable. Builds the program if it is missing.
 fn proxy_program() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?.with_file_name("birchreach-proxy");
     if !program.exists() {
-        println!("building the proxy ...");
+        println!("building birchreach-proxy ...");
         let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
         let mut build = std::process::Command::new(cargo);
         build.args(["build", "-p", "birchreach-proxy", "--locked"]);
@@ -121,13 +123,13 @@
     Ok(program)
 }
 
-/// A key that all proxies share and only this user may read.
+/// Writes a random key that all proxies share. Only this user may read the file.
 fn write_key_file(folder: &Path) -> io::Result<PathBuf> {
     let mut secret = [0; KEY_BYTES];
     getrandom::fill(&mut secret).map_err(|error| io::Error::other(error.to_string()))?;
     let digits: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
     let path = folder.join("keys");
-    // A process with the same pid may have left one.
+    // An earlier process with the same pid may have left a key file.
     let _ = std::fs::remove_file(&path);
     let mut file = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(&path)?;
     writeln!(file, "1 {digits}")?;
