--- a/benches/src/cost.rs
+++ b/benches/src/cost.rs
@@ -1,8 +1,9 @@
-//! What balancer checks cost the proxy, and what requests lose by them. Modes take turns within one run.
+//! Measures the processor time that balancer checks cost the proxy, and their effect on requests. The modes
+//! alternate within one run.
 
 use crate::MeasurementResult;
 use crate::process_cpu::{cpu_micros_since, mean_cpu_micros};
-use crate::times::Times;
+use crate::times::DurationHistogram;
 use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::Client;
 use birchreach_test_support::process::{MAX_WAIT, Process};
@@ -16,21 +17,21 @@
 use std::time::{Duration, Instant};
 
 const GROUPS: u32 = 2;
-/// How long a mode has its turn.
-const SLICE: Duration = Duration::from_secs(3);
+/// Duration of one turn of a mode.
+const TURN: Duration = Duration::from_secs(3);
 const CLIENTS: u32 = 8;
-/// One in so many clients writes, the others read.
-const WRITER_INTERVAL: u32 = 4;
+/// Number of clients per writer. The other clients read.
+const CLIENTS_PER_WRITER: u32 = 4;
 const WRITE_TIMEOUT_MS: u32 = 3_000;
 const READ_TIMEOUT_MS: u32 = 2_500;
 const MAX_CHECK_CONNECTIONS: u32 = 64;
-/// Calls of which the mean cost is taken.
+/// Number of calls over which the mean cost is computed.
 const CALLS: u64 = 20_000;
 const POLLERS: usize = 20;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const RESPONSE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How the proxy is checked while it serves requests.
+/// The health checks that the proxy receives while it serves requests.
 #[derive(Clone, Copy, PartialEq)]
 enum Mode {
     ChecksOff,
@@ -44,39 +45,39 @@
     (Mode::Polled, "polled hard (200 a second)"),
 ];
 
-/// Requests and processor time of a mode.
+/// Durations of the requests made in a mode, and the processor time of the proxy.
 #[derive(Default)]
 struct Cost {
-    times: Times,
+    durations: DurationHistogram,
     cpu_micros: f64,
 }
 
-/// Addresses of the check listeners.
+/// Addresses of the health check listeners.
 #[derive(Clone, Copy)]
 struct CheckAddresses {
     http: SocketAddr,
     agent: SocketAddr,
 }
 
-/// Measures checks, and requests beside them, and prints tables.
+/// Measures the cost of checks and of requests in each mode, and prints the tables.
 pub(crate) fn run(program: &Path, folder: &Path, rounds: u32) -> MeasurementResult {
     let rig = Rig::new(GROUPS, [127, 93, 0, 1], program, folder)?;
     let without_checks = rig.start(1, None, None)?;
     let with_checks = rig.start_with_checks(2, MAX_CHECK_CONNECTIONS, "")?;
     let addresses = CheckAddresses {
-        http: with_checks.check_address("http").ok_or("no http")?,
-        agent: with_checks.check_address("agent").ok_or("no agent")?,
+        http: with_checks.check_address("http").ok_or("proxy has no HTTP check address")?,
+        agent: with_checks.check_address("agent").ok_or("proxy has no agent check address")?,
     };
     print_check_costs(&with_checks, addresses)?;
     let mut costs: Vec<Cost> = MODES.iter().map(|_| Cost::default()).collect();
     for round in 0..rounds as usize {
         for turn in 0..MODES.len() {
-            // Each mode is first, second and last in turn.
+            // Rotates the order: each mode runs first, second and last in successive rounds.
             let index = (turn + round) % MODES.len();
             let mode = MODES[index].0;
             let process = if mode == Mode::ChecksOff { &without_checks } else { &with_checks };
-            let cost = measure_slice(process, mode, addresses)?;
-            costs[index].times.merge(&cost.times);
+            let cost = measure_turn(process, mode, addresses)?;
+            costs[index].durations.merge(&cost.durations);
             costs[index].cpu_micros += cost.cpu_micros;
         }
     }
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-/// Reads one HTTP response to its end, by its Content-Length.
+/// Reads one HTTP response completely, as its Content-Length header states.
 fn read_response(connection: &mut TcpStream) {
     let mut response = Vec::new();
     let mut buffer = [0; RESPONSE_BUFFER_BYTES];
@@ -126,9 +127,9 @@
     }
 }
 
-/// Requests for the time of a slice, beside what the mode has of checks.
-fn measure_slice(process: &Process, mode: Mode, addresses: CheckAddresses) -> Result<Cost, &'static str> {
-    let clients = process.client_address().ok_or("no clients")?;
+/// Makes requests for one turn of a mode, together with the mode's health checks.
+fn measure_turn(process: &Process, mode: Mode, addresses: CheckAddresses) -> Result<Cost, &'static str> {
+    let clients = process.client_address().ok_or("proxy has no client address")?;
     let stop = AtomicBool::new(false);
     Ok(thread::scope(|scope| {
         let stop = &stop;
@@ -137,9 +138,9 @@
             scope.spawn(move || poll(poller, addresses, stop));
         }
         let before = process.cpu_time().unwrap_or_default();
-        let times = request_for(clients, SLICE);
+        let durations = run_clients(clients, TURN);
         stop.store(true, Ordering::Relaxed);
-        Cost { times, cpu_micros: cpu_micros_since(process, before) }
+        Cost { durations, cpu_micros: cpu_micros_since(process, before) }
     }))
 }
 
@@ -153,49 +154,53 @@
     }
 }
 
-/// The times of requests by all clients within a span.
-fn request_for(address: SocketAddr, span: Duration) -> Times {
-    let until = Instant::now() + span;
-    let all_times = Mutex::new(Times::default());
+/// Runs all clients for a time, and returns the durations of their requests.
+fn run_clients(address: SocketAddr, run_time: Duration) -> DurationHistogram {
+    let deadline = Instant::now() + run_time;
+    let shared_durations = Mutex::new(DurationHistogram::default());
     thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let all_times = &all_times;
+            let shared_durations = &shared_durations;
             scope.spawn(move || {
-                let Some(times) = request_until(client, address, until) else { return };
-                all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).merge(&times);
+                let Some(durations) = run_client(client, address, deadline) else { return };
+                shared_durations.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).merge(&durations);
             });
         }
     });
-    all_times.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner())
+    shared_durations.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// The times of one client's requests; none if its connection broke.
-fn request_until(client_number: u32, address: SocketAddr, until: Instant) -> Option<Times> {
+/// Makes requests until the deadline, and returns their durations, or `None` if the connection broke.
+fn run_client(client_number: u32, address: SocketAddr, deadline: Instant) -> Option<DurationHistogram> {
     let mut client = Client::connect(address).ok()?;
     let group = client_number % GROUPS;
-    let mut times = Times::default();
-    while Instant::now() < until {
+    let mut durations = DurationHistogram::default();
+    while Instant::now() < deadline {
         let start = Instant::now();
-        let reply = if client_number.is_multiple_of(WRITER_INTERVAL) {
+        let reply = if client_number.is_multiple_of(CLIENTS_PER_WRITER) {
             client.write("file-entry", group, WRITE_TIMEOUT_MS)
         } else {
             client.read("tariff-lookup", group, READ_TIMEOUT_MS)
         };
         reply.ok()?;
-        times.record(start.elapsed());
+        durations.record(start.elapsed());
     }
-    Some(times)
+    Some(durations)
 }
 
 fn print_request_costs(costs: &[Cost], rounds: u32) {
     println!(
         "\n| requests, {CLIENTS} clients, {rounds} rounds of {} s | a second | n | median ms | 99th ms | most ms | CPU us each |",
-        SLICE.as_secs()
+        TURN.as_secs()
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for ((_, name), cost) in MODES.iter().zip(costs) {
-        let count = cost.times.count() as f64;
-        let rate = count / (SLICE.as_secs_f64() * f64::from(rounds));
-        println!("| {name} | {rate:.0} | {} | {:.1} |", cost.times.row(), cost.cpu_micros / count);
+        let count = cost.durations.count() as f64;
+        let rate = count / (TURN.as_secs_f64() * f64::from(rounds));
+        println!(
+            "| {name} | {rate:.0} | {} | {:.1} |",
+            cost.durations.table_cells(),
+            cost.cpu_micros / count
+        );
     }
 }
--- a/benches/src/crowd.rs
+++ b/benches/src/crowd.rs
@@ -1,7 +1,8 @@
-//! Responses to balancers while 1,000 clients crowd the proxy and 200 checkers poll it, 50 of which send or read nothing.
+//! Measures the responses to health checks under 1,000 clients and 200 checkers. 50 of the checkers misbehave: they send
+//! nothing, or do not read the responses.
 
 use crate::MeasurementResult;
-use crate::times::Times;
+use crate::times::DurationHistogram;
 use birchreach_test_support::balancer::{Check, run_check};
 use birchreach_test_support::client::{Client, Reply};
 use birchreach_test_support::process::MAX_WAIT;
@@ -22,16 +23,16 @@
 const MAX_CHECK_CONNECTIONS: u32 = 128;
 const MISBEHAVING_PAUSE: Duration = Duration::from_secs(3);
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Checkers begin one after the other, this far apart.
+/// Time between the starts of consecutive checkers.
 const CHECKER_STAGGER_MS: u64 = 5;
-/// Requests that a misbehaving checker sends without reading a response.
+/// Number of requests that a misbehaving checker sends without reading a response.
 const UNREAD_REQUESTS: usize = 4_000;
 const WRITE_TIMEOUT_MS: u32 = 3_000;
 const READ_TIMEOUT_MS: u32 = 2_500;
-/// One in so many clients writes, the others read.
-const WRITER_INTERVAL: usize = 4;
+/// Number of clients per writer. The other clients read.
+const CLIENTS_PER_WRITER: usize = 4;
 
-/// Where the proxy listens.
+/// The addresses on which the proxy listens.
 #[derive(Clone, Copy)]
 struct Addresses {
     clients: SocketAddr,
@@ -39,37 +40,37 @@
     agent: SocketAddr,
 }
 
-/// What the threads counted.
+/// Counters and durations, shared by all threads.
 #[derive(Default)]
 struct Counts {
     served: AtomicU64,
-    answered_otherwise: AtomicU64,
+    error_responses: AtomicU64,
     checks_without_response: AtomicU64,
-    http_times: Mutex<Times>,
-    agent_times: Mutex<Times>,
+    http_durations: Mutex<DurationHistogram>,
+    agent_durations: Mutex<DurationHistogram>,
 }
 
-/// Runs the measurement and prints its tables.
+/// Loads the proxy for a number of seconds, and prints the tables.
 pub(crate) fn run(program: &Path, folder: &Path, seconds: u64) -> MeasurementResult {
     let rig = Rig::new(GROUPS as u32, [127, 92, 0, 1], program, folder)?;
     let proxy = rig.start_with_checks(1, MAX_CHECK_CONNECTIONS, "")?;
     let addresses = Addresses {
-        clients: proxy.client_address().ok_or("no clients")?,
-        http: proxy.check_address("http").ok_or("no http")?,
-        agent: proxy.check_address("agent").ok_or("no agent")?,
+        clients: proxy.client_address().ok_or("proxy has no client address")?,
+        http: proxy.check_address("http").ok_or("proxy has no HTTP check address")?,
+        agent: proxy.check_address("agent").ok_or("proxy has no agent check address")?,
     };
-    let until = Instant::now() + Duration::from_secs(seconds);
+    let deadline = Instant::now() + Duration::from_secs(seconds);
     let counts = Counts::default();
     thread::scope(|scope| {
         let counts = &counts;
         for thread in 0..CLIENT_THREADS {
-            scope.spawn(move || run_clients(thread, addresses.clients, until, counts));
+            scope.spawn(move || run_clients(thread, addresses.clients, deadline, counts));
         }
         for checker in 0..MISBEHAVING_CHECKERS {
-            scope.spawn(move || misbehave(checker, addresses, until));
+            scope.spawn(move || misbehave(checker, addresses, deadline));
         }
         for checker in 0..CHECKERS - MISBEHAVING_CHECKERS {
-            scope.spawn(move || run_checks(checker, addresses, until, counts));
+            scope.spawn(move || run_checks(checker, addresses, deadline, counts));
         }
     });
     let memory_kib = proxy.resident_memory_kib().unwrap_or(0);
@@ -77,34 +78,34 @@
     Ok(())
 }
 
-/// Each connection makes a request in its turn, and is made again when the proxy sheds it.
-fn run_clients(thread: usize, address: SocketAddr, until: Instant, counts: &Counts) {
+/// Makes one request after the other, on each connection in turn. Reconnects a client whose connection the proxy has closed.
+fn run_clients(thread: usize, address: SocketAddr, deadline: Instant, counts: &Counts) {
     let mut clients: Vec<Option<Client>> = (0..CLIENTS_PER_THREAD).map(|_| None).collect();
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         for (index, slot) in clients.iter_mut().enumerate() {
             let Some(client) = slot else {
                 *slot = Client::connect(address).ok();
                 continue;
             };
             let group = ((thread + index) % GROUPS) as u32;
-            let reply = if index.is_multiple_of(WRITER_INTERVAL) {
+            let reply = if index.is_multiple_of(CLIENTS_PER_WRITER) {
                 client.write("file-entry", group, WRITE_TIMEOUT_MS)
             } else {
                 client.read("tariff-lookup", group, READ_TIMEOUT_MS)
             };
             match reply {
                 Ok(Reply::Served(_)) => drop(counts.served.fetch_add(1, Ordering::Relaxed)),
-                Ok(Reply::Error(_)) => drop(counts.answered_otherwise.fetch_add(1, Ordering::Relaxed)),
+                Ok(Reply::Error(_)) => drop(counts.error_responses.fetch_add(1, Ordering::Relaxed)),
                 Err(_) => *slot = None,
             }
         }
     }
 }
 
-/// Connects again and again; sends nothing, or many requests whose responses it does not read.
-fn misbehave(checker: usize, addresses: Addresses, until: Instant) {
+/// Connects repeatedly, and sends either nothing or many requests whose responses are never read.
+fn misbehave(checker: usize, addresses: Addresses, deadline: Instant) {
     let address = if checker.is_multiple_of(2) { addresses.http } else { addresses.agent };
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let Ok(mut stream) = TcpStream::connect(address) else { continue };
         let _ = stream.set_nonblocking(true);
         if checker.is_multiple_of(4) {
@@ -114,36 +115,38 @@
     }
 }
 
-fn run_checks(checker: usize, addresses: Addresses, until: Instant, counts: &Counts) {
-    let (kind, address, all_times) = match checker % 2 {
-        0 => (Check::Http("/ready".into()), addresses.http, &counts.http_times),
-        _ => (Check::Agent("file-entry".into()), addresses.agent, &counts.agent_times),
+fn run_checks(checker: usize, addresses: Addresses, deadline: Instant, counts: &Counts) {
+    let (kind, address, shared_durations) = match checker % 2 {
+        0 => (Check::Http("/ready".into()), addresses.http, &counts.http_durations),
+        _ => (Check::Agent("file-entry".into()), addresses.agent, &counts.agent_durations),
     };
-    let mut times = Times::default();
+    let mut durations = DurationHistogram::default();
     thread::sleep(Duration::from_millis(CHECKER_STAGGER_MS * checker as u64));
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let start = Instant::now();
         match run_check(address, &kind, MAX_WAIT) {
-            Ok(_) => times.record(start.elapsed()),
+            Ok(_) => durations.record(start.elapsed()),
             Err(_) => drop(counts.checks_without_response.fetch_add(1, Ordering::Relaxed)),
         }
         thread::sleep(CHECK_INTERVAL);
     }
-    all_times.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).merge(&times);
+    shared_durations.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).merge(&durations);
 }
 
-fn print_tables(counts: Counts, seconds: u64, sockets: u32, memory_kib: u64) {
-    let times = |times: Mutex<Times>| times.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+fn print_tables(counts: Counts, seconds: u64, max_descriptors: u32, memory_kib: u64) {
+    let into_inner = |durations: Mutex<DurationHistogram>| {
+        durations.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner())
+    };
     println!(
-        "{} clients on {sockets} descriptors: {} requests served, {} answered otherwise, in {seconds} s; {} of {CHECKERS} \
+        "{} clients on {max_descriptors} descriptors: {} requests served, {} answered otherwise, in {seconds} s; {} of {CHECKERS} \
          checkers misbehave; resident memory {memory_kib} KiB\n",
         CLIENT_THREADS * CLIENTS_PER_THREAD,
         counts.served.load(Ordering::Relaxed),
-        counts.answered_otherwise.load(Ordering::Relaxed),
+        counts.error_responses.load(Ordering::Relaxed),
         MISBEHAVING_CHECKERS,
     );
     println!("| checks | n | median ms | 99th ms | most ms |\n| --- | --- | --- | --- | --- |");
-    println!("| HTTP `/ready`, a connection each | {} |", times(counts.http_times).row());
-    println!("| agent-check `file-entry` | {} |", times(counts.agent_times).row());
+    println!("| HTTP `/ready`, a connection each | {} |", into_inner(counts.http_durations).table_cells());
+    println!("| agent-check `file-entry` | {} |", into_inner(counts.agent_durations).table_cells());
     println!("\nchecks without a response: {}", counts.checks_without_response.load(Ordering::Relaxed));
 }
--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -1,5 +1,6 @@
-//! Long measurements of the built proxy against the stand-ins. Seeds go in, Markdown tables and SVG charts come out; each
-//! ends by itself. Build everything in release first. None of it runs in CI: times are measured here and not asserted.
+//! Long measurements of the built proxy against the test databases and clients of `test-support`. Each measurement takes a
+//! seed, prints Markdown tables or draws SVG charts, and ends by itself. Build the workspace in release mode first. CI runs
+//! none of the measurements, because they report times and assert nothing about them.
 
 mod cost;
 mod crowd;
@@ -17,11 +18,14 @@
 use scale::ScaleSettings;
 use std::path::{Path, PathBuf};
 
-/// How a measurement ends, once its tables are printed.
+/// The result of a measurement, which has printed its tables by then.
 type MeasurementResult = Result<(), Box<dyn std::error::Error>>;
 
 #[derive(Parser)]
-#[command(name = "birchreach-measure", about = "Measures the built proxy against stand-ins")]
+#[command(
+    name = "birchreach-measure",
+    about = "Measures the built proxy against simulated databases and clients"
+)]
 struct Cli {
     /// The program to measure
     #[arg(long, global = true, default_value = "target/release/birchreach-proxy")]
@@ -34,37 +38,37 @@
 
 #[derive(Subcommand)]
 enum Measurement {
-    /// From a primary's hang to the changed answer; and false withdrawals in calm and heavy runs
+    /// Time from a primary's hang to the changed health check response, and false withdrawals in runs without a hang
     Hangs {
         #[arg(long, default_value_t = 208)]
         hangs: usize,
-        /// Seconds of each run without a hang
+        /// Duration of each run without a hang, in seconds
         #[arg(long, default_value_t = 30)]
         calm: u64,
     },
-    /// Answers to balancers while clients and rude callers crowd the proxy
+    /// Response times of health checks while many clients and misbehaving checkers load the proxy
     Crowd {
         #[arg(long, default_value_t = 20)]
         seconds: u64,
     },
-    /// What checks cost, and what requests lose by them
+    /// Processor time of health checks, and their effect on requests
     Cost {
         #[arg(long, default_value_t = 5)]
         rounds: u32,
     },
-    /// What a log line costs: another program of this project beside this one, under clients that come and go
+    /// Processor time of a log line, compared with another build of the proxy, while clients connect and disconnect
     Lines {
         #[arg(long)]
         against: PathBuf,
         #[arg(long, default_value_t = 5)]
         rounds: u32,
     },
-    /// Weights of 16 proxies before two late balancers, in virtual time; draws a chart
+    /// Weights of 16 proxies behind two balancers that read them at intervals, in virtual time; draws a chart
     Fleet {
         #[arg(long, default_value = "docs/measured/health-fleet.svg")]
         chart: PathBuf,
     },
-    /// What copies of a hot key gain, on virtual time: off, on and an oracle; draws a chart
+    /// Gain from copies of a hot key, in virtual time: without copies, with copies and with an oracle; draws a chart
     Gain {
         #[arg(long, default_value = "docs/measured/hot-gain.svg")]
         chart: PathBuf,
@@ -73,7 +77,7 @@
         #[arg(long, default_value_t = 2)]
         seeds: u64,
     },
-    /// Seeded schedules of faults on four processes each, with hot keys and a split: what was broken, if anything was
+    /// Seeded fault schedules, each on four processes with hot keys and a shard split; prints those that fail
     Schedules {
         #[arg(long, default_value_t = 1)]
         from: u64,
@@ -82,22 +86,22 @@
         #[arg(long, default_value_t = 8)]
         side_by_side: usize,
     },
-    /// How long the view of a fleet of real processes takes to settle, whom it removes wrongly, and what it costs
+    /// Settling time, false removals and cost of the membership view in a fleet of real processes
     View {
         #[arg(long, default_value_t = 40)]
         processes: usize,
     },
-    /// What a proxy costs as its fleet grows from 120 to 3,200 databases, under the same load
+    /// Resources that a proxy needs under the same load as the endpoint list grows from 120 to 3,200 databases
     Scale {
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..))]
         rounds: u32,
-        /// Seconds of each run
+        /// Duration of each run in seconds
         #[arg(long, default_value_t = 20)]
         seconds: u64,
-        /// Requests a second over all clients
+        /// Requests per second of all clients together
         #[arg(long, default_value_t = 80, value_parser = clap::value_parser!(u32).range(1..))]
         rate: u32,
-        /// Groups at every size; without it they grow in proportion
+        /// Number of groups at every size; without it, the number grows with the databases
         #[arg(long, value_parser = clap::value_parser!(u32).range(1..=40))]
         groups: Option<u32>,
     },
@@ -113,7 +117,7 @@
 }
 
 impl Measurement {
-    /// Runs the measurement of a program, with a folder for its files.
+    /// Measures `program`, whose files are kept in `folder`.
     fn run(self, program: &Path, folder: &Path, seed: u64) -> MeasurementResult {
         match self {
             Measurement::Hangs { hangs, calm } => hangs::run(program, folder, hangs, calm, seed),
--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -1,4 +1,5 @@
-//! Seeded schedules of faults on several processes with hot keys and a split, many side by side; each that fails is printed whole.
+//! Runs seeded fault schedules, several at a time. Each schedule uses several processes with hot keys and a shard split. The
+//! complete report of each failed schedule is printed.
 
 use crate::MeasurementResult;
 use birchreach_test_support::groups::play::{SeededSchedule, Summary};
@@ -7,50 +8,53 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Addresses are used again after so many seeds.
+/// Number of seeds after which loopback addresses are reused.
 const SEEDS_PER_ADDRESS_RANGE: u64 = 250;
 
-/// The schedules that were played.
+/// The results of the schedules that have ended.
 #[derive(Default)]
-struct Played {
+struct ScheduleResults {
     passed: Vec<Summary>,
     failures: Vec<String>,
 }
 
-/// Plays the schedules of all seeds, so many at once, and prints the table.
+/// Runs the schedules of all seeds, `concurrency` of them at a time, and prints the table.
 pub(crate) fn run(
     program: &Path,
     folder: &Path,
     seeds: RangeInclusive<u64>,
-    side_by_side: usize,
+    concurrency: usize,
 ) -> MeasurementResult {
     let next_seed = AtomicU64::new(*seeds.start());
     let last_seed = *seeds.end();
-    let played: Mutex<Played> = Mutex::default();
+    let results: Mutex<ScheduleResults> = Mutex::default();
     std::thread::scope(|scope| {
-        for thread in 0..side_by_side {
-            let (next_seed, played) = (&next_seed, &played);
+        for thread in 0..concurrency {
+            let (next_seed, results) = (&next_seed, &results);
             scope.spawn(move || {
                 loop {
                     let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed > last_seed {
                         return;
                     }
-                    let result = play(program, folder, thread, seed);
-                    let mut played = played.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-                    played.add(result);
+                    let result = run_seed(program, folder, thread, seed);
+                    let mut results = results.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+                    results.add(result);
                 }
             });
         }
     });
-    let played = played.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
-    played.print();
-    let failed = played.failures.len();
-    if failed == 0 { Ok(()) } else { Err(format!("{failed} failed").into()) }
+    let results = results.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    results.print();
+    let failed = results.failures.len();
+    if failed > 0 {
+        return Err(format!("{failed} of {} schedules failed", failed + results.passed.len()).into());
+    }
+    Ok(())
 }
 
-/// Plays one seed at addresses that no other thread uses meanwhile.
-fn play(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
+/// Runs the schedule of one seed, at addresses that no other thread uses meanwhile.
+fn run_seed(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
     let loopback_address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
     let folder = folder.join(format!("seed-{seed}"));
     let result = SeededSchedule { seed, loopback_address, program, folder: &folder }.play();
@@ -58,7 +62,7 @@
     result
 }
 
-impl Played {
+impl ScheduleResults {
     fn add(&mut self, result: Result<Summary, String>) {
         match result {
             Ok(summary) => self.passed.push(summary),
--- a/benches/src/times.rs
+++ b/benches/src/times.rs
@@ -1,4 +1,4 @@
-//! A record of measured times.
+//! A histogram of measured durations.
 
 use hdrhistogram::Histogram;
 use std::time::Duration;
@@ -6,31 +6,30 @@
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Times in microseconds.
-pub(crate) struct Times(Histogram<u64>);
+/// Measured durations, recorded in microseconds.
+pub(crate) struct DurationHistogram(Histogram<u64>);
 
-impl Default for Times {
-    fn default() -> Times {
+impl Default for DurationHistogram {
+    fn default() -> DurationHistogram {
         let mut histogram =
             Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("three digits are allowed"));
         histogram.auto(true);
-        Times(histogram)
+        DurationHistogram(histogram)
     }
 }
 
-impl Times {
-    /// Records one time.
-    pub(crate) fn record(&mut self, time: Duration) {
-        let _ = self.0.record(time.as_micros() as u64);
+impl DurationHistogram {
+    pub(crate) fn record(&mut self, duration: Duration) {
+        let _ = self.0.record(duration.as_micros() as u64);
     }
 
-    /// Adds all times of another record.
-    pub(crate) fn merge(&mut self, other: &Times) {
+    /// Adds all durations of another histogram.
+    pub(crate) fn merge(&mut self, other: &DurationHistogram) {
         let _ = self.0.add(&other.0);
     }
 
-    /// `n | median | 99th percentile | most`, in milliseconds.
-    pub(crate) fn row(&self) -> String {
+    /// Returns the table cells `n | median | 99th percentile | maximum`, with durations in milliseconds.
+    pub(crate) fn table_cells(&self) -> String {
         format!(
             "{} | {} | {} | {}",
             self.0.len(),
@@ -44,7 +43,7 @@
         milliseconds(self.0.value_at_quantile(quantile))
     }
 
-    /// How many times were recorded.
+    /// Returns the number of recorded durations.
     pub(crate) fn count(&self) -> u64 {
         self.0.len()
     }
--- a/benches/src/view.rs
+++ b/benches/src/view.rs
@@ -1,5 +1,5 @@
-//! The view of the fleet on real processes: how long it takes to settle after joins, crashes, partitions and stops at several loss
-//! rates, which live members are removed, and processor time and bytes of each process.
+//! Measures the membership view of a fleet of real processes at several loss rates: the time to settle after joins, crashes,
+//! partitions and stops, the false removals of live members, and the processor time and bytes sent of each process.
 
 use crate::MeasurementResult;
 use birchreach_test_support::fleet::{Fleet, admin_call, check_settled, fleet_value};
@@ -10,17 +10,17 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A view that has not settled by then is reported as such.
+/// A view that has not settled within this time is reported as not settled.
 const MAX_WAIT: Duration = Duration::from_secs(90);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long nothing happens while cost is measured.
+/// Duration of the measurement of cost, in which no fault happens.
 const IDLE_TIME: Duration = Duration::from_secs(30);
 const PARTITION_TIME: Duration = Duration::from_secs(30);
 const STOP_TIME: Duration = Duration::from_secs(20);
 const LOSS_FRACTIONS: [f64; 3] = [0.0, 0.05, 0.2];
 const SENT_BYTES_METRIC: &str = "birchreach_fleet_bytes_total{way=\"Sent\"}";
 
-/// How long something took to hold; none if it did not within [`MAX_WAIT`].
+/// The time until a condition held; `None` if the condition did not hold within [`MAX_WAIT`].
 struct SettlingTime(Option<Duration>);
 
 impl fmt::Display for SettlingTime {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until `holds` returns true, at most [`MAX_WAIT`].
 fn wait_until(mut holds: impl FnMut() -> bool) -> SettlingTime {
     let start = Instant::now();
     while !holds() {
@@ -44,22 +44,22 @@
     SettlingTime(Some(start.elapsed()))
 }
 
-/// What the processes cost at rest.
+/// Removals and resource use of the processes while no fault happens.
 struct IdleCost {
-    /// Members removed by the others.
+    /// Removals of live members by other members.
     removals: usize,
     cpu_percent_per_process: f64,
     sent_bytes_per_s_per_process: f64,
 }
 
-/// Counters of all processes together.
+/// Counters, summed over all processes.
 struct Counters {
     cpu_time: Duration,
     sent_bytes: f64,
     removals: usize,
 }
 
-/// Measures the view at each loss rate, and prints the table.
+/// Measures a fleet at each loss rate, and prints the table.
 pub(crate) fn run(program: &Path, folder: &Path, processes: usize, seed: u64) -> MeasurementResult {
     println!(
         "| processes | loss | join | one crash noticed | back | heal | after a stop of 20 s | false removals in 30 s | CPU each, % | bytes/s each |\n\
@@ -67,35 +67,35 @@
     );
     for (number, loss_fraction) in LOSS_FRACTIONS.into_iter().enumerate() {
         let fleet = Fleet::new(processes, [127, 91, number as u8, 1], program, folder, seed)?;
-        let mut measurement = Measurement::start(fleet, processes, loss_fraction)?;
+        let mut measurement = FleetMeasurement::start(fleet, processes, loss_fraction)?;
         measurement.print_row()?;
     }
     Ok(())
 }
 
-/// A fleet whose network loses datagrams at one rate.
-struct Measurement {
+/// A running fleet whose network loses a fixed fraction of the datagrams.
+struct FleetMeasurement {
     processes: Vec<Process>,
     loss_fraction: f64,
     fleet: Fleet,
 }
 
-impl Measurement {
-    fn start(fleet: Fleet, processes: usize, loss_fraction: f64) -> std::io::Result<Measurement> {
+impl FleetMeasurement {
+    fn start(fleet: Fleet, processes: usize, loss_fraction: f64) -> std::io::Result<FleetMeasurement> {
         fleet.relays.set_faults(NetworkFaults { loss_fraction, ..NetworkFaults::default() });
         let processes = (0..processes).map(|process| fleet.start(process, None)).collect::<Result<_, _>>()?;
-        Ok(Measurement { processes, loss_fraction, fleet })
+        Ok(FleetMeasurement { processes, loss_fraction, fleet })
     }
 
     fn print_row(&mut self) -> MeasurementResult {
         let affected = self.processes.len() / 2;
         let join = self.wait_for_agreement();
         let cost = self.measure_idle_cost();
-        let crash = self.crash(affected);
+        let crash = self.measure_crash(affected);
         self.processes[affected] = self.fleet.start(affected, None)?;
         let restart = self.wait_for_agreement();
-        let heal = self.partition();
-        let stop = self.stop_and_continue(affected);
+        let heal = self.measure_partition();
+        let stop = self.measure_stop(affected);
         println!(
             "| {} | {:.0}% | {join} | {crash} | {restart} | {heal} | {stop} | {} | {:.2} | {:.0} |",
             self.processes.len(),
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Waits until all processes have one settled view.
+    /// Waits until all processes have the same settled view.
     fn wait_for_agreement(&self) -> SettlingTime {
         let processes: Vec<&Process> = self.processes.iter().collect();
         wait_until(|| check_settled(processes.len(), &processes).is_ok())
@@ -139,16 +139,16 @@
         }
     }
 
-    /// Kills a process; how long until all others have removed it.
-    fn crash(&self, crashed: usize) -> SettlingTime {
+    /// Kills a process, and returns the time until all other processes have removed it.
+    fn measure_crash(&self, crashed: usize) -> SettlingTime {
         self.processes[crashed].signal("KILL");
         let (before, after) = (&self.processes[..crashed], &self.processes[crashed + 1..]);
         let remaining = (self.processes.len() - 1).to_string();
         wait_until(|| before.iter().chain(after).all(|process| fleet_value(process, "members=") == remaining))
     }
 
-    /// Separates the halves of the fleet for a time; how long until they have one view again.
-    fn partition(&self) -> SettlingTime {
+    /// Partitions the fleet into halves for [`PARTITION_TIME`], and returns the time until they agree again.
+    fn measure_partition(&self) -> SettlingTime {
         let processes = self.processes.len();
         self.set_faults(NetworkFaults::partition(processes / 2, processes));
         sleep(PARTITION_TIME);
@@ -156,13 +156,13 @@
         self.wait_for_agreement()
     }
 
-    /// Sets the network's faults, beside the loss.
+    /// Sets the network's faults, and keeps the loss rate.
     fn set_faults(&self, faults: NetworkFaults) {
         self.fleet.relays.set_faults(NetworkFaults { loss_fraction: self.loss_fraction, ..faults });
     }
 
-    /// Stops a process for a time; how long until it is in everybody's view again.
-    fn stop_and_continue(&self, stopped: usize) -> SettlingTime {
+    /// Stops a process for [`STOP_TIME`], and returns the time until all processes agree on a view with the process in it.
+    fn measure_stop(&self, stopped: usize) -> SettlingTime {
         self.processes[stopped].signal("STOP");
         sleep(STOP_TIME);
         self.processes[stopped].signal("CONT");
@@ -170,7 +170,7 @@
     }
 }
 
-/// The value of a metric of one process; zero without one.
+/// Returns the value of a metric of one process, or zero if the process does not export the metric.
 fn metric(process: &Process, name: &str) -> f64 {
     let text = admin_call(process, "metrics");
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok());
