--- a/benches/src/fleet/mod.rs
+++ b/benches/src/fleet/mod.rs
@@ -1,22 +1,23 @@
-//! 16 proxies and two late balancers in virtual time, one of the proxies losing half its core: the chart and the table of what
-//! `health/tests/` asserts of the fleet, beside policies that were not chosen.
+//! Simulates 16 proxies and two balancers in virtual time. One proxy loses half its core; the balancers read the weights of the
+//! proxies at intervals, so they act on old weights. The chart and the table show what `health/tests/` asserts about the fleet,
+//! and compare the policy of the health monitor with two alternatives that were not chosen.
 
 mod simulation;
 
 use crate::MeasurementResult;
 use birchreach_health::Micros;
 use plotters::prelude::*;
-use simulation::{Course, MICROS_PER_SECOND, Policy, SECONDS, Simulation};
+use simulation::{FleetHistory, MICROS_PER_SECOND, Policy, SECONDS, Simulation};
 use std::ops::Range;
 use std::path::Path;
 
-/// The table is of these seconds, from 60 s after the loss on.
+/// The seconds that the table covers, from 60 s after the loss.
 const TABLE_SECONDS: Range<usize> = 180..299;
 const BALANCER_INTERVALS_S: [Micros; 3] = [1, 2, 5];
 const CHART_INTERVAL_S: Micros = 2;
 const CHART_SIZE_PIXELS: (u32, u32) = (900, 420);
-/// The length of the line before a curve's name.
-const LEGEND_PIXELS: i32 = 20;
+/// Length of the line sample before each name in the legend.
+const LEGEND_LINE_PIXELS: i32 = 20;
 
 const POLICIES: [Policy; 3] = [Policy::Step, Policy::FreeCapacity, Policy::Monitor];
 
@@ -26,25 +27,25 @@
         "| way | balancers read every | use of the weak one, 60 s to 180 s after it lost half its core: least, most | the others, mean | its weight: least, most |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    let mut drawn = Vec::new();
+    let mut curves = Vec::new();
     for policy in POLICIES {
         for interval_s in BALANCER_INTERVALS_S {
-            let course = Simulation::new(policy, interval_s * MICROS_PER_SECOND, seed).run();
-            print_row(policy, interval_s, &course);
+            let history = Simulation::new(policy, interval_s * MICROS_PER_SECOND, seed).run();
+            print_row(policy, interval_s, &history);
             if interval_s == CHART_INTERVAL_S {
-                drawn.push(Curve { policy, course });
+                curves.push(Curve { policy, history });
             }
         }
     }
-    draw(chart, &drawn)?;
+    draw(chart, &curves)?;
     println!("\nchart: {}", chart.display());
     Ok(())
 }
 
-fn print_row(policy: Policy, interval_s: Micros, course: &Course) {
-    let usage = Extremes::of(&course.weak_usage[TABLE_SECONDS]);
-    let weight = Extremes::of(&course.weak_weight[TABLE_SECONDS]);
-    let others = course.other_usage[TABLE_SECONDS].iter().sum::<f64>() / TABLE_SECONDS.len() as f64;
+fn print_row(policy: Policy, interval_s: Micros, history: &FleetHistory) {
+    let usage = Extremes::of(&history.degraded_usage[TABLE_SECONDS]);
+    let weight = Extremes::of(&history.degraded_weight[TABLE_SECONDS]);
+    let others = history.other_usage[TABLE_SECONDS].iter().sum::<f64>() / TABLE_SECONDS.len() as f64;
     println!(
         "| {} | {interval_s} s | {:.2}, {:.2} | {others:.2} | {:.0}, {:.0} |",
         policy.name(),
@@ -55,7 +56,7 @@
     );
 }
 
-/// The least and the greatest of some values that are not negative.
+/// Minimum and maximum of a set of values, none of which is negative.
 struct Extremes {
     min: f64,
     max: f64,
@@ -68,10 +69,10 @@
     }
 }
 
-/// A line of the chart.
+/// The usage curve of one policy in the chart.
 struct Curve {
     policy: Policy,
-    course: Course,
+    history: FleetHistory,
 }
 
 fn draw(chart: &Path, curves: &[Curve]) -> MeasurementResult {
@@ -91,10 +92,10 @@
         .light_line_style(WHITE)
         .draw()?;
     for (curve, color) in curves.iter().zip([&RED, &BLUE, &BLACK]) {
-        let line = curve.course.weak_usage.iter().enumerate().map(|(second, usage)| (second, *usage));
+        let line = curve.history.degraded_usage.iter().enumerate().map(|(second, usage)| (second, *usage));
         plot.draw_series(LineSeries::new(line, color))?
             .label(curve.policy.name())
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_PIXELS, y)], color));
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_PIXELS, y)], color));
     }
     plot.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
     root.present()?;
--- a/benches/src/fleet/simulation.rs
+++ b/benches/src/fleet/simulation.rs
@@ -1,37 +1,40 @@
-//! The fleet on virtual time.
+//! The simulated fleet: proxies with health monitors, and balancers that read their weights.
 
 use birchreach_health::{GroupId, HealthEvent, HealthSettings, Micros, Monitor, ServerId};
 use std::ops::Range;
 
 const PROXIES: usize = 16;
 const BALANCERS: usize = 2;
-/// The proxy that loses half its core.
-const WEAK: usize = 5;
-const WEAK_CAPACITY: f64 = 0.5;
+/// The proxy that loses half its core for [`DEGRADED_SECONDS`].
+const DEGRADED_PROXY: usize = 5;
+const DEGRADED_CAPACITY: f64 = 0.5;
 const TICK_MICROS: Micros = 250_000;
 pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
-/// The length of a run.
+/// Duration of a run.
 pub(super) const SECONDS: usize = 480;
-const WEAK_SECONDS: Range<Micros> = 120..300;
+const DEGRADED_SECONDS: Range<Micros> = 120..300;
 const LOAD_PER_PROXY: f64 = 0.9;
-/// The width of the range by which a measured pressure varies.
+/// Width of the range of random noise that is added to each measured pressure.
 const NOISE: f64 = 0.02;
 const FULL_WEIGHT_PERCENT: f64 = 100.0;
-/// [`Policy::Step`]: the weight above a pressure.
+/// Pressure above which [`Policy::Step`] reduces the weight.
 const STEP_PRESSURE: f64 = 0.9;
+/// Weight that [`Policy::Step`] sets above [`STEP_PRESSURE`].
 const STEP_WEIGHT_PERCENT: f64 = 10.0;
 
-/// How the weight follows the pressure.
+/// Policy that computes a proxy's weight from its pressure.
 #[derive(Clone, Copy)]
 pub(super) enum Policy {
+    /// Full weight up to [`STEP_PRESSURE`], and a small weight above.
     Step,
+    /// Weight in proportion to the free capacity.
     FreeCapacity,
-    /// What the program does.
+    /// The health monitor of the proxy.
     Monitor,
 }
 
 impl Policy {
-    /// Its name in the table and the chart.
+    /// Returns the policy's name in the table and the chart.
     pub(super) fn name(self) -> &'static str {
         match self {
             Policy::Step => "a step at 0.9",
@@ -50,13 +53,15 @@
     }
 }
 
-/// A run, second by second.
+/// Usage and weights of a run, with one value per second.
 #[derive(Default)]
-pub(super) struct Course {
-    pub weak_usage: Vec<f64>,
-    /// Mean of the other proxies.
+pub(super) struct FleetHistory {
+    /// Used fraction of the degraded proxy's capacity.
+    pub degraded_usage: Vec<f64>,
+    /// Mean usage of the other proxies.
     pub other_usage: Vec<f64>,
-    pub weak_weight: Vec<f64>,
+    /// Weight of the degraded proxy, in percent.
+    pub degraded_weight: Vec<f64>,
 }
 
 fn new_monitor() -> Monitor {
@@ -71,20 +76,20 @@
     monitor
 }
 
-/// 16 proxies, and balancers that read each proxy's weight at an interval, each balancer at its own times.
+/// Proxies, and balancers that read each proxy's weight at an interval. Each balancer reads at different times.
 pub(super) struct Simulation {
     policy: Policy,
     read_interval: Micros,
     rng: fastrand::Rng,
     monitors: Vec<Monitor>,
-    /// Of each proxy, in percent.
+    /// Current weight of each proxy, in percent.
     weights: [f64; PROXIES],
-    /// The weights that each balancer has read last.
+    /// Last weights that each balancer has read, in percent.
     read_weights: [[f64; PROXIES]; BALANCERS],
 }
 
 impl Simulation {
-    /// The start of a run, with all weights in full.
+    /// Creates a fleet in which all proxies have full weight.
     pub(super) fn new(policy: Policy, read_interval: Micros, seed: u64) -> Simulation {
         Simulation {
             policy,
@@ -96,9 +101,9 @@
         }
     }
 
-    /// Runs to the end.
-    pub(super) fn run(mut self) -> Course {
-        let mut course = Course::default();
+    /// Simulates the complete run and returns its history.
+    pub(super) fn run(mut self) -> FleetHistory {
+        let mut history = FleetHistory::default();
         for tick in 1..=(SECONDS as Micros * MICROS_PER_SECOND / TICK_MICROS) {
             let now = tick * TICK_MICROS;
             let usage = self.usage(now / MICROS_PER_SECOND);
@@ -107,13 +112,13 @@
                 self.read_weight(now, proxy);
             }
             if now % MICROS_PER_SECOND == 0 {
-                course.record(&usage, self.weights[WEAK]);
+                history.record(&usage, self.weights[DEGRADED_PROXY]);
             }
         }
-        course
+        history
     }
 
-    /// The used fraction of each proxy's capacity, by the weights that the balancers last read.
+    /// Returns the used fraction of each proxy's capacity, according to the weights that the balancers last read.
     fn usage(&self, second: Micros) -> [f64; PROXIES] {
         let load_per_balancer = LOAD_PER_PROXY * PROXIES as f64 / BALANCERS as f64;
         let mut usage = [0.0; PROXIES];
@@ -134,7 +139,7 @@
         self.weights[proxy] = self.policy.weight(pressure, &self.monitors[proxy]);
     }
 
-    /// The balancers read a proxy's weight, if it is time.
+    /// Updates the weight known to each balancer whose read of this proxy is due.
     fn read_weight(&mut self, now: Micros, proxy: usize) {
         let interval = self.read_interval;
         for (balancer, read_weights) in self.read_weights.iter_mut().enumerate() {
@@ -148,14 +153,14 @@
 }
 
 fn capacity(proxy: usize, second: Micros) -> f64 {
-    if proxy == WEAK && WEAK_SECONDS.contains(&second) { WEAK_CAPACITY } else { 1.0 }
+    if proxy == DEGRADED_PROXY && DEGRADED_SECONDS.contains(&second) { DEGRADED_CAPACITY } else { 1.0 }
 }
 
-impl Course {
-    fn record(&mut self, usage: &[f64; PROXIES], weak_weight: f64) {
-        self.weak_usage.push(usage[WEAK]);
-        let other_usage = usage.iter().sum::<f64>() - usage[WEAK];
+impl FleetHistory {
+    fn record(&mut self, usage: &[f64; PROXIES], degraded_weight: f64) {
+        self.degraded_usage.push(usage[DEGRADED_PROXY]);
+        let other_usage = usage.iter().sum::<f64>() - usage[DEGRADED_PROXY];
         self.other_usage.push(other_usage / (PROXIES - 1) as f64);
-        self.weak_weight.push(weak_weight);
+        self.degraded_weight.push(degraded_weight);
     }
 }
--- a/benches/src/scale/bounds.rs
+++ b/benches/src/scale/bounds.rs
@@ -1,36 +1,37 @@
-//! What a proxy may need at a size, from what it needs at the smallest.
+//! Bounds on the resources of a proxy at each size, computed from its resources at the smallest size.
 
 const KIB_PER_MB: f64 = 1024.0;
 const BYTES_PER_KB: f64 = 1024.0;
 const DATABASES_PER_THOUSAND: f64 = 1000.0;
 
-/// A figure that has a bound.
+/// A measured quantity that has a bound.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Resource {
-    /// Seconds.
+    /// Processor time in seconds.
     Cpu,
-    /// KiB.
+    /// Peak resident memory in KiB.
     PeakMemory,
+    /// Highest number of open file descriptors.
     Descriptors,
-    /// Connections made to databases.
+    /// Number of connections made to databases.
     Connections,
-    /// Bytes of lists and changes from discovery.
+    /// Bytes of endpoint lists and changes received from discovery.
     ListBytes,
-    /// Of all requests, from 0 to 1.
-    ShareServed,
+    /// Fraction of all requests that were served, from 0 to 1.
+    FractionServed,
 }
 
-/// All figures, in the table's order.
+/// All resources, in the order of the table.
 pub(super) const RESOURCES: [Resource; 6] = [
     Resource::Cpu,
     Resource::PeakMemory,
     Resource::Descriptors,
     Resource::Connections,
     Resource::ListBytes,
-    Resource::ShareServed,
+    Resource::FractionServed,
 ];
 
-/// A multiple of the figure at the smallest size, and what comes on top.
+/// Coefficients of a bound: a multiple of the value at the smallest size, and additions to the multiple.
 struct Allowance {
     factor: f64,
     fixed: f64,
@@ -38,7 +39,7 @@
 }
 
 impl Resource {
-    /// Its name and unit in the table.
+    /// Returns the resource's name and unit in the table.
     pub(super) fn label(self) -> &'static str {
         match self {
             Resource::Cpu => "CPU, s",
@@ -46,14 +47,14 @@
             Resource::Descriptors => "descriptors, most",
             Resource::Connections => "connections to databases",
             Resource::ListBytes => "bytes of lists",
-            Resource::ShareServed => "share served",
+            Resource::FractionServed => "share served",
         }
     }
 
-    /// Decimals in the table.
+    /// Returns the number of decimals in the table.
     pub(super) fn decimals(self) -> usize {
         match self {
-            Resource::Cpu | Resource::ShareServed => 3,
+            Resource::Cpu | Resource::FractionServed => 3,
             _ => 0,
         }
     }
@@ -65,22 +66,26 @@
             Resource::Descriptors => (2.0, 40.0, 0.0),
             Resource::Connections => (2.5, 40.0, 0.0),
             Resource::ListBytes => (2.0, 64.0 * BYTES_PER_KB, 500.0 * BYTES_PER_KB),
-            Resource::ShareServed => (0.85, 0.0, 0.0),
+            Resource::FractionServed => (0.85, 0.0, 0.0),
         };
         Allowance { factor, fixed, per_thousand_databases }
     }
 
-    /// The most, or of the share served the least, that is allowed at a size.
-    pub(super) fn bound(self, at_smallest: f64, size: u32) -> f64 {
+    /// Returns the bound at a size: a minimum for the fraction served, a maximum for all other resources.
+    ///
+    /// `smallest_size_value` is the value at the smallest size.
+    pub(super) fn bound(self, smallest_size_value: f64, size: u32) -> f64 {
         let Allowance { factor, fixed, per_thousand_databases } = self.allowance();
-        factor * at_smallest + fixed + per_thousand_databases * f64::from(size) / DATABASES_PER_THOUSAND
+        factor * smallest_size_value
+            + fixed
+            + per_thousand_databases * f64::from(size) / DATABASES_PER_THOUSAND
     }
 
-    /// Whether a figure is on the wrong side of its bound.
-    pub(super) fn breaks(self, figure: f64, bound: f64) -> bool {
+    /// Returns whether a value violates the bound.
+    pub(super) fn violates(self, value: f64, bound: f64) -> bool {
         match self {
-            Resource::ShareServed => figure < bound,
-            _ => figure > bound,
+            Resource::FractionServed => value < bound,
+            _ => value > bound,
         }
     }
 }
--- a/benches/src/scale/restarts.rs
+++ b/benches/src/scale/restarts.rs
@@ -1,5 +1,5 @@
-//! Databases that restart, at a rate in proportion to their number: each drains, breaks its connections and is listed
-//! again with a new start.
+//! Restarts databases at a rate in proportion to their number. A restarting database drains, breaks its connections and is then
+//! listed with a new start time.
 
 use birchreach_test_support::discovery::Discovery;
 use birchreach_test_support::many_databases::ManyDatabases;
@@ -8,44 +8,45 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// In this time as many databases restart as there are, primaries included.
+/// Time in which the number of restarts equals the number of databases, including primaries.
 const RESTART_PERIOD: Duration = Duration::from_secs(120);
 
-/// How long a database drains: over the grace that the proxy's settings name.
+/// Time that a database drains, which is longer than the drain grace in the proxy's settings.
 const DRAIN_TIME: Duration = Duration::from_millis(2_500);
 
-/// A database that drains.
-struct Draining {
+/// A draining database, which is restarted at the deadline.
+struct DrainingDatabase {
     index: u32,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// Restarts one replica after the other.
+/// Restarts one replica after the other until the deadline.
 pub(super) fn restart_until(
     discovery: &Discovery,
     databases: &ManyDatabases,
     replicas: Range<u32>,
-    until: Instant,
+    deadline: Instant,
 ) {
     let interval = RESTART_PERIOD / replicas.end;
     let mut draining = VecDeque::new();
     let mut next = Instant::now();
     for index in replicas.cycle() {
         next += interval;
-        if next > until {
+        if next > deadline {
             return;
         }
         thread::sleep(next.saturating_duration_since(Instant::now()));
         discovery.change_database(index as usize, |database| database.state = "draining");
-        draining.push_back(Draining { index, until: Instant::now() + DRAIN_TIME });
-        while let Some(drained) = draining.pop_front_if(|first: &mut Draining| first.until <= Instant::now())
+        draining.push_back(DrainingDatabase { index, deadline: Instant::now() + DRAIN_TIME });
+        while let Some(drained) =
+            draining.pop_front_if(|first: &mut DrainingDatabase| first.deadline <= Instant::now())
         {
             restart(discovery, databases, drained.index);
         }
     }
 }
 
-/// Breaks a database's connections and lists it with a new start.
+/// Breaks a database's connections and lists the database with a new start time.
 fn restart(discovery: &Discovery, databases: &ManyDatabases, index: u32) {
     databases.break_connections(index);
     discovery.change_database(index as usize, |database| {
--- a/benches/src/scale/table.rs
+++ b/benches/src/scale/table.rs
@@ -1,11 +1,11 @@
-//! The table of medians, bounds and ratios.
+//! Prints the table of medians, bounds and ratios.
 
 use super::bounds::{RESOURCES, Resource};
 use super::load::{CLIENTS, Outcomes};
 use super::resources::Resources;
 use super::{SIZES, ScaleSettings};
 
-/// Prints each figure at each size, and the counts that explain them.
+/// Prints the median of each resource at each size, and the counts that explain the medians.
 pub(super) fn print(runs_by_size: &[Vec<Resources>; SIZES.len()], settings: ScaleSettings) {
     println!(
         "{} requests a second on {CLIENTS} connections for {} s; medians of {} rounds\n",
@@ -13,33 +13,34 @@
     );
     println!("| what | databases | median | bound | ratio | within |\n| --- | --- | --- | --- | --- | --- |");
     for resource in RESOURCES {
-        let at_smallest = median(&runs_by_size[0], resource);
+        let smallest_size_value = median(&runs_by_size[0], resource);
         for (size, runs) in SIZES.iter().zip(runs_by_size) {
-            print_row(resource, *size, median(runs, resource), at_smallest);
+            print_row(resource, *size, median(runs, resource), smallest_size_value);
         }
     }
     print_counts(runs_by_size, settings);
 }
 
-fn print_row(resource: Resource, size: u32, figure: f64, at_smallest: f64) {
-    let bound = resource.bound(at_smallest, size);
-    let verdict = if resource.breaks(figure, bound) { "**no**" } else { "yes" };
+fn print_row(resource: Resource, size: u32, value: f64, smallest_size_value: f64) {
+    let bound = resource.bound(smallest_size_value, size);
+    let verdict = if resource.violates(value, bound) { "**no**" } else { "yes" };
     let decimals = resource.decimals();
     println!(
-        "| {} | {size} | {figure:.decimals$} | {bound:.decimals$} | {:.2} | {verdict} |",
+        "| {} | {size} | {value:.decimals$} | {bound:.decimals$} | {:.2} | {verdict} |",
         resource.label(),
-        figure / at_smallest
+        value / smallest_size_value
     );
 }
 
-/// Prints, over all rounds of each size, how requests ended and how many statements reached databases.
+/// Prints, summed over the rounds of each size, the outcomes of requests and the number of statements that reached databases.
 fn print_counts(runs_by_size: &[Vec<Resources>; SIZES.len()], settings: ScaleSettings) {
     println!(
         "\n| databases | groups | groups asked, a run | served | failed | unanswered | statements at databases |\n| --- | --- | --- | --- | --- | --- | --- |"
     );
     for (size, runs) in SIZES.iter().zip(runs_by_size) {
         let groups_asked = runs.iter().map(|run| run.outcomes.groups.len()).sum::<usize>() / runs.len();
-        let outcomes = runs.iter().map(|run| run.outcomes.clone()).fold(Outcomes::default(), Outcomes::plus);
+        let outcomes =
+            runs.iter().map(|run| run.outcomes.clone()).fold(Outcomes::default(), Outcomes::merged_with);
         let statements: u64 = runs.iter().map(|run| run.statements).sum();
         let Outcomes { served, failed, unanswered, .. } = outcomes;
         println!(
@@ -49,9 +50,9 @@
     }
 }
 
-/// The median of a figure; the upper one of an even number.
+/// Returns the median of a resource, or the upper median of an even number of runs.
 fn median(runs: &[Resources], resource: Resource) -> f64 {
-    let mut figures: Vec<f64> = runs.iter().map(|run| run.get(resource)).collect();
-    figures.sort_by(f64::total_cmp);
-    figures.get(figures.len() / 2).copied().unwrap_or(f64::NAN)
+    let mut values: Vec<f64> = runs.iter().map(|run| run.get(resource)).collect();
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
