--- a/benches/src/gain/attempts.rs
+++ b/benches/src/gain/attempts.rs
@@ -1,4 +1,4 @@
-//! How attempts end: with a server's result, or with their timeout.
+//! The end of attempts, by a server's result or by timeout.
 
 use super::classes::class;
 use super::events::StatementResult;
@@ -9,7 +9,7 @@
     AttemptNumber, AttemptOutcome, AttemptResult, Event, Micros, RequestId, ServerId, ServerStatus,
 };
 
-/// An attempt that has just ended.
+/// The data of an ended attempt that the router's event needs.
 struct FinishedAttempt {
     key: AttemptKey,
     server: u32,
@@ -22,7 +22,7 @@
         self.report_outcome(&attempt, AttemptOutcome::Timeout, None);
     }
 
-    /// Takes a result to the attempt or background query that waits for it.
+    /// Delivers a result to the attempt or background query that waits for it.
     pub(super) fn handle_result(&mut self, result: StatementResult) {
         match result.statement.owner {
             StatementOwner::Attempt(key) => self.handle_attempt_result(key, &result),
@@ -45,7 +45,7 @@
         self.report_outcome(&attempt, result.outcome, status);
     }
 
-    /// Marks an attempt as finished; none if it is already, or if its request is.
+    /// Marks an attempt as finished. Returns `None` if the attempt or its request has finished before.
     fn finish_attempt(&mut self, key: AttemptKey) -> Option<FinishedAttempt> {
         let pending = self.pending.get_mut(&key.request)?;
         let attempt = pending.attempts.get_mut(usize::from(key.attempt))?;
@@ -64,7 +64,8 @@
         self.proxies[proxy].hot_keys.record_answer(self.now, HOT_KEY, result.server, position);
     }
 
-    /// Answers the client, and counts the priority weight that the answer earns.
+    /// Ends a request with a successful response. For the hot key's group, adds the priority weight of the response to the sum,
+    /// reduced if the response is later than the latency objective.
     fn finish_request(&mut self, key: RequestKey) {
         let Some(pending) = self.pending.remove(&key) else { return };
         if pending.group != HOT_KEY.group {
--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -1,4 +1,4 @@
-//! What proxies do apart from requests: reports of hot keys, and queries that refresh copies.
+//! Periodic work of the proxies: reports of hot keys, and background queries that refresh copies.
 
 use super::events::{SimulationEvent, StatementResult};
 use super::proxies::{HOT_KEY, Proxy};
@@ -9,13 +9,13 @@
 use birchreach_hot_keys::{DueRefresh, ReportHeader};
 use std::net::SocketAddr;
 
-/// The channel of gossip that carries reports of hot keys.
+/// Gossip channel of the hot key reports.
 const HOT_KEY_CHANNEL: u8 = 1;
 const GOSSIP_PORT: u16 = 7;
-/// Proxies whose addresses have the same third byte.
+/// Number of proxies whose addresses share the third byte.
 const PROXIES_PER_SUBNET: usize = 200;
 
-/// Work that no client waits for.
+/// Payload of a scheduled task, for which no client waits.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum BackgroundTask {
     RowRead(DueRefresh),
@@ -25,14 +25,16 @@
 /// A write of a copy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct CopyWrite {
-    /// The server whose copy is refreshed.
+    /// The server that holds the refreshed copy.
     holder: u32,
-    /// Its group, at whose primary the copy is written.
+    /// The holder's group. The copy is written at the group's primary.
     group: u32,
+    /// The log position of the original row that the copy has at least.
     position: Micros,
 }
 
-/// A query at a database. A row is read twice: what the second read returns has at least the position that the first one returned.
+/// A running query of a task. A row is read twice, so that the row of the second read has at least the log position that the first
+/// read returned.
 pub(super) enum BackgroundQuery {
     FirstRead { copy: DueRefresh, server: u32 },
     SecondRead { copy: DueRefresh, first_position: Micros },
@@ -40,7 +42,7 @@
 }
 
 impl Simulation {
-    /// The periodic work of a proxy.
+    /// Does a proxy's periodic work, which exists only in the mode [`CopyMode::On`].
     pub(super) fn update_proxy(&mut self, number: usize) {
         if self.mode != CopyMode::On {
             return;
@@ -80,7 +82,7 @@
         self.schedule(NETWORK_DELAY_MICROS, SimulationEvent::StatementArrives { server, statement });
     }
 
-    /// Sends gossip, which arrives without delay or loss, except across a partition.
+    /// Sends a proxy's gossip. Messages arrive without delay or loss, except that messages across a partition are dropped.
     fn send_gossip(&mut self, sender: usize) {
         let proxies = self.proxies.len();
         let others: Vec<SocketAddr> =
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Handles the result of a background query: a row that was read twice is copied to all holders.
+    /// Handles the result of a background query. After the second read of a row, copies of the row are written for all holders.
     pub(super) fn continue_background_query(&mut self, proxy: usize, id: TaskId, result: &StatementResult) {
         let Some(query) = self.proxies[proxy].background_queries.remove(&id) else { return };
         let is_ok = result.outcome == AttemptOutcome::Ok;
@@ -128,7 +130,7 @@
 }
 
 impl Proxy {
-    /// Updates the set of hot keys, reports it, and submits the reads of copies that are due.
+    /// Updates the set of hot keys, publishes a report if one is due, and submits row reads for copies that are due for a refresh.
     fn update_hot_keys(&mut self, now: Micros) {
         self.hot_keys.update(now);
         if let Some(report) = self.hot_keys.report_if_due(now) {
@@ -141,7 +143,7 @@
 
     fn start_tasks(&mut self, now: Micros, proxies: u32) -> Vec<StartedTask<BackgroundTask>> {
         let router = &self.router;
-        let place = |task: &BackgroundTask| {
+        let find_database = |task: &BackgroundTask| {
             let server = match task {
                 BackgroundTask::RowRead(copy) => {
                     router.background_candidate(GroupId(copy.key.group), false, false)
@@ -152,7 +154,7 @@
             };
             server.map(|server| DatabaseId(server.0))
         };
-        self.scheduler.start_due(now, proxies, place)
+        self.scheduler.start_due(now, proxies, find_database)
     }
 
     fn submit_copy_writes(&mut self, now: Micros, copy: &DueRefresh, position: Micros) {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Submits a task that is of use until the next refresh.
+    /// Submits a task that expires after the refresh interval, when the next refresh replaces the task.
     fn submit(&mut self, now: Micros, kind: TaskKind, payload: BackgroundTask) {
         let expires_at = now + self.hot_keys.settings().refresh_interval();
         self.scheduler.submit(Task { kind, expires_at, payload });
--- a/benches/src/gain/chart.rs
+++ b/benches/src/gain/chart.rs
@@ -1,4 +1,4 @@
-//! The chart: served fractions by second, one diagram for each number of proxies.
+//! Draws the chart of served fractions by second, with one diagram for each number of proxies.
 
 use super::{ChartRuns, RUN_SECONDS};
 use crate::MeasurementResult;
@@ -9,18 +9,18 @@
 const WIDTH_PIXELS: u32 = 720;
 const DIAGRAM_HEIGHT_PIXELS: u32 = 240;
 const CAPTION_PIXELS: u32 = 14;
-/// The length of the line before a curve's name.
-const LEGEND_PIXELS: i32 = 12;
-/// A second may serve a little more than was requested in it.
+/// Length of the line sample before each name in the legend.
+const LEGEND_LINE_PIXELS: i32 = 12;
+/// Upper end of the axis. A fraction can exceed 1, because requests of one second may be served in the next.
 const MAX_FRACTION: f64 = 1.05;
 
-/// Draws the diagrams one below the other.
-pub(super) fn draw(chart: &Path, shown: &[ChartRuns]) -> MeasurementResult {
-    let diagrams = shown.len().max(1);
+/// Draws one diagram for each entry, from top to bottom.
+pub(super) fn draw(chart: &Path, charted_runs: &[ChartRuns]) -> MeasurementResult {
+    let diagrams = charted_runs.len().max(1);
     let size = (WIDTH_PIXELS, DIAGRAM_HEIGHT_PIXELS * diagrams as u32);
     let root = SVGBackend::new(chart, size).into_drawing_area();
     root.fill(&WHITE)?;
-    for (diagram, area) in shown.iter().zip(root.split_evenly((diagrams, 1))) {
+    for (diagram, area) in charted_runs.iter().zip(root.split_evenly((diagrams, 1))) {
         draw_diagram(&area, diagram)?;
     }
     root.present()?;
@@ -44,7 +44,7 @@
         let points = fractions.map(|(second, fraction)| (second as f64, *fraction));
         plot.draw_series(LineSeries::new(points, &color))?
             .label(name)
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_PIXELS, y)], color));
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + LEGEND_LINE_PIXELS, y)], color));
     }
     plot.configure_series_labels().border_style(BLACK).draw()?;
     Ok(())
--- a/benches/src/gain/classes.rs
+++ b/benches/src/gain/classes.rs
@@ -1,16 +1,15 @@
-//! The classes of requests.
+//! Request classes of the simulation.
 
 use birchreach::{ClassId, Consistency, Idempotency, Micros, RequestClass};
 
-/// Reads of bounded staleness.
+/// Reads with bounded staleness.
 pub(super) const READ_CLASS: ClassId = ClassId(0);
-/// Writes.
 pub(super) const WRITE_CLASS: ClassId = ClassId(1);
 
 const MAX_STALENESS_MICROS: Micros = 800_000;
 const LATE_WEIGHT_FRACTION: f64 = 0.2;
 
-/// The classes by number.
+/// All request classes, indexed by [`ClassId`].
 pub(super) const CLASSES: [RequestClass; 2] = [
     RequestClass {
         consistency: Consistency::BoundedStaleness(MAX_STALENESS_MICROS),
@@ -30,7 +29,6 @@
     },
 ];
 
-/// The settings of a class.
 pub(super) fn class(id: ClassId) -> &'static RequestClass {
     &CLASSES[usize::from(id.0)]
 }
--- a/benches/src/gain/events.rs
+++ b/benches/src/gain/events.rs
@@ -1,20 +1,20 @@
-//! The queue of what happens on the virtual clock.
+//! Event queue of the simulation.
 
 use super::servers::{AttemptKey, Statement};
 use birchreach::{AttemptOutcome, Micros};
 use std::collections::BTreeMap;
 
-/// The result of a statement, on its way back to the proxy.
+/// The result of a statement, which a server sends back to the proxy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StatementResult {
     pub statement: Statement,
     pub server: u32,
     pub outcome: AttemptOutcome,
-    /// The position of the server's log.
+    /// Log position of the server when the result was sent.
     pub position: Micros,
 }
 
-/// What happens at an instant.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     ClientRequest {
@@ -37,35 +37,35 @@
         proxy: usize,
         server: u32,
     },
-    /// The periodic work of all proxies.
+    /// All proxies do their periodic work.
     UpdateProxies,
 }
 
-/// Where an event is in the queue. Events of one instant keep the order in which they were scheduled.
+/// Key that orders events in the queue. Events at the same time keep the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct EventPosition {
+struct EventKey {
     at: Micros,
     sequence: u64,
 }
 
-/// Events that are still to come.
+/// Pending events in order of time.
 #[derive(Default)]
 pub(super) struct EventQueue {
-    events: BTreeMap<EventPosition, SimulationEvent>,
+    events: BTreeMap<EventKey, SimulationEvent>,
     last_sequence: u64,
 }
 
 impl EventQueue {
-    /// Adds an event for an instant.
+    /// Adds an event that happens at the virtual time `at`.
     pub(super) fn schedule(&mut self, at: Micros, event: SimulationEvent) {
         self.last_sequence += 1;
-        self.events.insert(EventPosition { at, sequence: self.last_sequence }, event);
+        self.events.insert(EventKey { at, sequence: self.last_sequence }, event);
     }
 
-    /// Removes the next event that is due by `end`, with its instant.
+    /// Removes and returns the next event with its time, or `None` if no event is due by `end`.
     pub(super) fn pop_until(&mut self, end: Micros) -> Option<(Micros, SimulationEvent)> {
         let first = self.events.first_entry().filter(|entry| entry.key().at <= end)?;
-        let (position, event) = first.remove_entry();
-        Some((position.at, event))
+        let (key, event) = first.remove_entry();
+        Some((key.at, event))
     }
 }
--- a/benches/src/gain/mod.rs
+++ b/benches/src/gain/mod.rs
@@ -1,5 +1,5 @@
-//! What copies of a hot key gain, on virtual time with the program's own decisions: without copies, with them, and with those of
-//! an oracle, side by side from the same seeds. Draws a chart.
+//! Measures the gain from copies of a hot key in virtual time, with the proxy's own decisions. Each seed is run in three modes:
+//! without copies, with copies, and with the copies of an oracle. Prints a table and draws a chart.
 
 mod attempts;
 mod background_queries;
@@ -16,47 +16,48 @@
 use std::path::Path;
 
 const RUN_SECONDS: usize = 40;
-/// Seconds at the start of a run that means leave out.
+/// Seconds at the start of a run that are excluded from means.
 const WARM_UP_SECONDS: usize = 5;
 const LAST_SECONDS: usize = 10;
 const PARTITION_SECOND: usize = 20;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 const HOT_READS_PER_S: f64 = 900.0;
-/// Fewer than make a key hot.
+/// A read rate too low to make a key hot.
 const MODERATE_READS_PER_S: f64 = 60.0;
-/// The oracle's gain is no measure of ours where it is less than this.
+/// Gain of the oracle below which the gain is not reported as a fraction of the oracle's.
 const MIN_ORACLE_GAIN: f64 = 0.02;
-/// A second without requests has a fraction of zero.
+/// Lower limit of the divisor, so that a second without requests has a served fraction of zero.
 const MIN_REQUESTED_WEIGHT: f64 = 1e-9;
-/// The chart shows runs of this seed.
+/// Seed of the runs in the chart.
 const CHART_SEED: u64 = 1;
 
-/// A run of one mode.
+/// The result of a run in one mode.
 struct Run {
-    /// Priority weight served of that requested, of the hot key's group, by second.
+    /// For each second, the priority weight served in the hot key's group, divided by the weight requested.
     served_fractions: Vec<f64>,
     copies: CopyCounts,
 }
 
-/// Runs of all modes from one seed.
+/// The results of all modes with one seed.
 struct ModeRuns {
     off: Run,
     on: Run,
     oracle: Run,
 }
 
-/// The runs that the chart shows of one number of proxies.
+/// The runs in the chart's diagram of one fleet size.
 struct ChartRuns {
     proxies: usize,
     runs: ModeRuns,
 }
 
-/// Sums over seeds: mean served fractions, and copies of the mode `On`.
+/// Sums over the seeds of a scenario: mean served fractions of each mode, and counts of copies in the mode [`CopyMode::On`].
 #[derive(Default)]
-struct Sums {
+struct ScenarioSums {
     off: f64,
     on: f64,
     oracle: f64,
+    /// Mean served fraction of the mode [`CopyMode::On`] in the last seconds of a run.
     on_last_seconds: f64,
     copies: CopyCounts,
 }
@@ -67,21 +68,21 @@
         "| proxies | reads/s of the key | cut into halves at 20 s | off | on | oracle | way to the oracle | on, last 10 s | copies written | read from copies | misses |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let mut shown = Vec::new();
+    let mut charted_runs = Vec::new();
     for &proxies in fleet_sizes {
         for scenario in scenarios(proxies) {
-            let mut sums = Sums::default();
+            let mut sums = ScenarioSums::default();
             for seed in 1..=seeds {
                 let runs = simulate_modes(&scenario, seed);
                 sums.add(&runs);
                 if seed == CHART_SEED && scenario.is_in_chart() {
-                    shown.push(ChartRuns { proxies, runs });
+                    charted_runs.push(ChartRuns { proxies, runs });
                 }
             }
             print_row(&scenario, &sums, seeds);
         }
     }
-    chart::draw(chart, &shown)
+    chart::draw(chart, &charted_runs)
 }
 
 fn scenarios(proxies: usize) -> [Scenario; 3] {
@@ -129,7 +130,7 @@
     }
 }
 
-impl Sums {
+impl ScenarioSums {
     fn add(&mut self, runs: &ModeRuns) {
         self.off += runs.off.mean_from(WARM_UP_SECONDS);
         self.on += runs.on.mean_from(WARM_UP_SECONDS);
@@ -141,17 +142,17 @@
     }
 }
 
-fn print_row(scenario: &Scenario, sums: &Sums, seeds: u64) {
+fn print_row(scenario: &Scenario, sums: &ScenarioSums, seeds: u64) {
     let mean = |sum: f64| sum / seeds as f64;
     let (off, on, oracle) = (mean(sums.off), mean(sums.on), mean(sums.oracle));
     let on_last_seconds = mean(sums.on_last_seconds);
-    let gain_of_oracle = if oracle - off > MIN_ORACLE_GAIN {
+    let fraction_of_oracle_gain = if oracle - off > MIN_ORACLE_GAIN {
         format!("{:.0}%", (on_last_seconds - off) / (oracle - off) * 100.0)
     } else {
         "-".into()
     };
     println!(
-        "| {} | {:.0} | {} | {off:.3} | {on:.3} | {oracle:.3} | {gain_of_oracle} | {on_last_seconds:.3} | {} | {} | {} |",
+        "| {} | {:.0} | {} | {off:.3} | {on:.3} | {oracle:.3} | {fraction_of_oracle_gain} | {on_last_seconds:.3} | {} | {} | {} |",
         scenario.proxies,
         scenario.hot_reads_per_s,
         if scenario.has_partition { "yes" } else { "no" },
--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -1,4 +1,4 @@
-//! A proxy on virtual time: the program's own router, hot keys and scheduler, without sockets.
+//! A simulated proxy: the router, hot key tracker and scheduler of the real proxy, without sockets.
 
 use super::background_queries::{BackgroundQuery, BackgroundTask};
 use super::classes::CLASSES;
@@ -14,33 +14,34 @@
 use birchreach_membership::GossipReports;
 use std::collections::HashMap;
 
-/// The key that clients read often.
+/// The key that clients read at the scenario's hot rate.
 pub(super) const HOT_KEY: Key = Key { group: 0, hash: 0x5eed };
 
 const HOT_KEY_BYTES: &[u8] = b"hot";
-/// The servers that hold the oracle's copies, each of another group than the hot key.
+/// The servers that hold the oracle's copies. Their groups differ from each other and from the hot key's group.
 const ORACLE_HOLDERS: [u32; MAX_COPIES] = [4, 7, 10];
 const MAX_COPIES: usize = 3;
 const COPY_COST_READS: f64 = 2.0;
 const MAX_COPY_AGE_MICROS: Micros = 800_000;
 const BUDGET: Budget = Budget { database_starts_per_s: 30.0, total_starts_per_s: 60.0, window: 10_000_000 };
-/// Longer than the budget's window: the scheduler has nothing to allow for of an earlier incarnation.
+/// Age of the scheduler at the start. It exceeds the budget's window, so the scheduler reserves no budget for tasks of an earlier
+/// incarnation.
 const SCHEDULER_AGE_MICROS: Micros = 20_000_000;
 const GOSSIP_SEED_MASK: u64 = 0xabc;
 
-/// A proxy and its background queries.
+/// The state of a simulated proxy.
 pub(super) struct Proxy {
     pub router: Router,
     pub hot_keys: HotKeyTracker,
     pub gossip_reports: GossipReports,
     pub scheduler: Scheduler<BackgroundTask>,
-    /// Background queries at a database, by the task that each runs for.
+    /// Running background queries, by task.
     pub background_queries: HashMap<TaskId, BackgroundQuery>,
     pub actions: Vec<Action>,
 }
 
 impl Proxy {
-    /// A proxy that knows all servers, and no hot key.
+    /// Creates a proxy that knows all servers and no hot key.
     pub(super) fn new(number: usize, proxies: usize, seed: u64, now: Micros) -> Proxy {
         let mut actions = Vec::new();
         let mut router = Router::new(router_settings(proxies), seed, now, &mut actions);
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Counts a read of the hot key; the copies that may serve it.
+    /// Returns the copies that may serve a read of the hot key. Records the read in the mode [`CopyMode::On`].
     pub(super) fn copy_candidates(&mut self, mode: CopyMode, now: Micros) -> Vec<CopyCandidate> {
         match mode {
             CopyMode::Off => Vec::new(),
--- a/benches/src/gain/requests.rs
+++ b/benches/src/gain/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests, and what a proxy's router decides about them.
+//! Requests of clients, and the actions that a proxy's router takes.
 
 use super::classes::{READ_CLASS, WRITE_CLASS, class};
 use super::events::SimulationEvent;
@@ -14,19 +14,19 @@
     pub is_finished: bool,
 }
 
-/// A request that a client waits for.
+/// A request without a response so far.
 pub(super) struct PendingRequest {
     pub class: ClassId,
     pub group: u32,
     pub received_at: Micros,
-    /// By number.
+    /// Attempts of this request, indexed by attempt number.
     pub attempts: Vec<Attempt>,
-    /// Whether copies in other groups may serve it.
+    /// Whether copies in other groups may serve the request.
     has_copy_candidates: bool,
 }
 
 impl Simulation {
-    /// Draws a client's request and gives it to the router.
+    /// Generates a random request and passes it to the router.
     pub(super) fn start_request(&mut self, proxy: usize) {
         if self.rng.f64() * self.requests_per_s() < self.hot_reads_per_s {
             let copy_candidates = self.proxies[proxy].copy_candidates(self.mode, self.now);
@@ -71,7 +71,7 @@
         self.route(proxy, Event::Request(request));
     }
 
-    /// Gives a proxy's router an event, and does what it decides.
+    /// Passes an event to a proxy's router, and executes the router's actions.
     pub(super) fn route(&mut self, proxy: usize, event: Event) {
         let target = &mut self.proxies[proxy];
         target.router.handle(self.now, event, &mut target.actions);
--- a/benches/src/gain/servers.rs
+++ b/benches/src/gain/servers.rs
@@ -1,38 +1,37 @@
-//! Database servers on virtual time: bounded concurrency and queues, log positions, and copies of the hot key.
+//! Simulated database servers with bounded concurrency, bounded queues, log positions and copies of the hot key.
 
 use birchreach::{Micros, Role};
 use birchreach_background_tasks::TaskId;
 use std::collections::VecDeque;
 
-/// Groups of servers, each with a primary as its first server.
+/// Number of groups. The first server of each group is its primary.
 pub(super) const GROUPS: u32 = 6;
 pub(super) const SERVERS_PER_GROUP: u32 = 3;
 pub(super) const SERVERS: u32 = GROUPS * SERVERS_PER_GROUP;
-/// How far a replica's log is behind its primary's.
+/// Delay of a replica's log behind the log of its primary.
 pub(super) const REPLICATION_LAG_MICROS: Micros = 20_000;
-/// Reads that a server completes in a second.
+/// Number of reads that a saturated server completes per second.
 pub(super) const READS_PER_S_PER_SERVER: f64 = MAX_RUNNING_STATEMENTS as f64 * 1e6 / READ_MICROS as f64;
 
 const MAX_RUNNING_STATEMENTS: usize = 2;
-/// A server rejects statements beyond these.
+/// Queue length at which a server rejects further statements.
 const MAX_QUEUED_STATEMENTS: usize = 150;
 const READ_MICROS: Micros = 10_000;
 const WRITE_MICROS: Micros = 8_000;
-/// A read that finds no copy only looks into an index.
+/// Duration of a read that finds no copy, and needs only an index lookup.
 const COPY_MISS_MICROS: Micros = READ_MICROS / 10;
 const COPY_RETENTION_MICROS: Micros = 10_000_000;
 
-/// The role of a server, which stays as it is.
+/// Returns the role of a server. Roles never change in the simulation.
 pub(super) fn role(server: u32) -> Role {
     if server.is_multiple_of(SERVERS_PER_GROUP) { Role::Primary } else { Role::Replica }
 }
 
-/// The group of a server.
 pub(super) fn group_of(server: u32) -> u32 {
     server / SERVERS_PER_GROUP
 }
 
-/// The position of a server's log: the instant up to which it has all writes.
+/// Returns the log position of a server, which is the time up to which the server has all writes.
 pub(super) fn log_position(server: u32, now: Micros) -> Micros {
     match role(server) {
         Role::Primary => now - 1,
@@ -40,28 +39,28 @@
     }
 }
 
-/// A request of a proxy.
+/// Identifies a request among those of all proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RequestKey {
     pub proxy: usize,
     pub request: u64,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AttemptKey {
     pub request: RequestKey,
     pub attempt: u16,
 }
 
-/// Who waits for a statement's result.
+/// The receiver of a statement's result.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum StatementOwner {
     Attempt(AttemptKey),
     BackgroundQuery { proxy: usize, id: TaskId },
 }
 
-/// What a statement does.
+/// The work that a statement causes at a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum StatementKind {
     Read,
@@ -77,14 +76,14 @@
     pub kind: StatementKind,
 }
 
-/// What a server does with a statement that arrives.
+/// The decision of a server about an arriving statement.
 pub(super) enum Admission {
     Started { done_at: Micros },
     Queued,
     Rejected,
 }
 
-/// A statement that leaves the queue.
+/// A statement that was started from the queue.
 pub(super) struct StartedStatement {
     pub statement: Statement,
     pub done_at: Micros,
@@ -103,16 +102,16 @@
     copies: Vec<StoredCopy>,
 }
 
-/// All servers, by number.
+/// All servers, indexed by server number.
 pub(super) struct Servers(Vec<Server>);
 
 impl Servers {
-    /// Idle servers without copies.
+    /// Creates idle servers without copies.
     pub(super) fn new() -> Servers {
         Servers((0..SERVERS).map(|_| Server::default()).collect())
     }
 
-    /// Starts, queues or rejects a statement.
+    /// Starts an arriving statement, or queues or rejects it if the server is busy.
     pub(super) fn admit(&mut self, now: Micros, server: u32, statement: Statement) -> Admission {
         let server = &mut self.0[server as usize];
         if server.running < MAX_RUNNING_STATEMENTS {
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Ends a statement and starts the next one of the queue.
+    /// Ends a running statement, and starts and returns the next one from the queue.
     pub(super) fn finish(&mut self, now: Micros, server: u32) -> Option<StartedStatement> {
         let server = &mut self.0[server as usize];
         let Some(statement) = server.queue.pop_front() else {
@@ -136,7 +135,7 @@
         Some(StartedStatement { statement, done_at: now + server.duration(now, statement.kind) })
     }
 
-    /// Stores a copy at a group's primary, from where it is replicated.
+    /// Stores a copy at a group's primary. The replicas can read the copy after the replication lag.
     pub(super) fn store_copy(&mut self, now: Micros, group: u32, position: Micros) {
         for (number, server) in (0..SERVERS).zip(&mut self.0) {
             if group_of(number) != group {
@@ -148,7 +147,7 @@
         }
     }
 
-    /// The position of the newest copy that a server can read.
+    /// Returns the log position of the newest copy that a server can read.
     pub(super) fn newest_copy_position(&self, now: Micros, server: u32) -> Option<Micros> {
         self.0[server as usize].newest_copy_position(now)
     }
--- a/benches/src/gain/simulation.rs
+++ b/benches/src/gain/simulation.rs
@@ -1,4 +1,4 @@
-//! Clients, proxies and servers on one virtual clock.
+//! Discrete-event simulation of clients, proxies and servers.
 
 use super::events::{EventQueue, SimulationEvent, StatementResult};
 use super::proxies::Proxy;
@@ -7,47 +7,48 @@
 use birchreach::{AttemptOutcome, Event, LoadReport, Micros, ServerId};
 use std::collections::HashMap;
 
-/// Each proxy's seed is one of a range that belongs to the run's seed.
+/// Number of proxy seeds that are reserved for each run seed.
 const SEEDS_PER_RUN: u64 = 1_000;
 const START_MICROS: Micros = 1_000_000_000_000;
-/// Between a proxy and a server, in each direction.
+/// Delay between a proxy and a server, in each direction.
 pub(super) const NETWORK_DELAY_MICROS: Micros = 500;
 const UPDATE_INTERVAL_MICROS: Micros = 50_000;
-/// Of every group, beside reads of the hot key.
+/// Read rate of each group, without the reads of the hot key.
 pub(super) const READS_PER_S_PER_GROUP: f64 = 100.0;
 pub(super) const WRITES_PER_S_PER_GROUP: f64 = 10.0;
-/// The least part of the clients that a proxy gets, before parts are scaled to a sum of one.
+/// Minimum weight in the distribution of clients over proxies, before the weights are normalized to a sum of one.
 const MIN_CLIENT_WEIGHT: f64 = 0.2;
-/// The logarithm of a draw is finite from here on.
+/// Lower limit of random numbers whose logarithm is taken, which keeps the logarithm finite.
 const MIN_DRAW: f64 = 1e-12;
 
-/// Where copies of the hot key come from.
+/// Source of the copies of the hot key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CopyMode {
+    /// There are no copies.
     Off,
-    /// The program's own decisions.
+    /// The hot key tracker of the proxy decides about copies.
     On,
-    /// The key is known from the start, and its copies cost nothing.
+    /// The hot key is known from the start, and its copies cost nothing.
     Oracle,
 }
 
-/// What is the same in all modes.
+/// Settings that are the same in all modes.
 #[derive(Clone, Copy)]
 pub(super) struct Scenario {
     pub proxies: usize,
     pub hot_reads_per_s: f64,
-    /// Whether the network between the proxies is cut into halves in the middle of the run.
+    /// Whether a partition separates the proxies into halves from the middle of the run.
     pub has_partition: bool,
 }
 
-/// Sums of priority weights of the hot key's group.
+/// Sums of the priority weights of requests to the hot key's group.
 #[derive(Clone, Copy, Default)]
 pub(super) struct WeightSums {
     pub served: f64,
     pub requested: f64,
 }
 
-/// Counts of copies written, and of reads by whether they found one.
+/// Counts of copies written, and of copy reads that found a copy or missed.
 #[derive(Clone, Copy, Default)]
 pub(super) struct CopyCounts {
     pub written: u64,
@@ -55,7 +56,7 @@
     pub missed: u64,
 }
 
-/// A run of one mode.
+/// The state of a run in one mode.
 pub(super) struct Simulation {
     pub(super) mode: CopyMode,
     pub(super) now: Micros,
@@ -65,17 +66,17 @@
     pub(super) pending: HashMap<RequestKey, PendingRequest>,
     pub(super) last_request: u64,
     pub(super) hot_reads_per_s: f64,
-    /// The fraction of all clients that each proxy has.
+    /// Fraction of all clients that are connected to each proxy.
     client_fractions: Vec<f64>,
     events: EventQueue,
-    /// Whether gossip reaches only the sender's half of the proxies.
+    /// Whether gossip reaches only proxies in the sender's half.
     pub is_partitioned: bool,
     pub weights: WeightSums,
     pub copies: CopyCounts,
 }
 
 impl Simulation {
-    /// The start of a run.
+    /// Creates a simulation and schedules its first events.
     pub(super) fn new(mode: CopyMode, scenario: &Scenario, seed: u64) -> Simulation {
         let now = START_MICROS;
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -101,7 +102,7 @@
         simulation
     }
 
-    /// Advances the clock, and handles what is due by then.
+    /// Advances the virtual clock by a time span, and handles all events that are due.
     pub(super) fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some((at, event)) = self.events.pop_until(end) {
@@ -115,7 +116,7 @@
         self.events.schedule(self.now + delay, event);
     }
 
-    /// Requests per second of all clients.
+    /// Returns the request rate of all clients together.
     pub(super) fn requests_per_s(&self) -> f64 {
         (READS_PER_S_PER_GROUP + WRITES_PER_S_PER_GROUP) * f64::from(GROUPS) + self.hot_reads_per_s
     }
@@ -200,7 +201,7 @@
     }
 }
 
-/// Uneven parts, so that proxies see different rates of the hot key.
+/// Draws uneven fractions, so that the proxies see different read rates of the hot key.
 fn draw_client_fractions(rng: &mut fastrand::Rng, proxies: usize) -> Vec<f64> {
     let weights: Vec<f64> = (0..proxies).map(|_| MIN_CLIENT_WEIGHT - rng.f64().ln()).collect();
     let sum: f64 = weights.iter().sum();
--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -18,7 +18,7 @@
 use scale::ScaleSettings;
 use std::path::{Path, PathBuf};
 
-/// The result of a measurement, which has printed its tables by then.
+/// Result of a measurement, whose tables go to standard output.
 type MeasurementResult = Result<(), Box<dyn std::error::Error>>;
 
 #[derive(Parser)]
--- a/benches/src/process_cpu.rs
+++ b/benches/src/process_cpu.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Wait after the last call, so that the work that the calls still cause is counted.
+/// Wait after the last call, so that work still in progress is counted with the calls.
 const SETTLING_TIME: Duration = Duration::from_millis(50);
 const MICROS_PER_SECOND: f64 = 1e6;
 
--- a/benches/src/scale/bounds.rs
+++ b/benches/src/scale/bounds.rs
@@ -15,7 +15,7 @@
     Descriptors,
     /// Number of connections made to databases.
     Connections,
-    /// Bytes of endpoint lists and changes received from discovery.
+    /// Bytes of endpoint lists and changes sent by discovery.
     ListBytes,
     /// Fraction of all requests that were served, from 0 to 1.
     FractionServed,
--- a/example/local-cluster/src/main.rs
+++ b/example/local-cluster/src/main.rs
@@ -26,7 +26,7 @@
 /// Starts databases, discovery and proxies on this machine, and prints commands to try
 #[derive(Parser)]
 struct Arguments {
-    /// Number of proxies, which form one fleet; with 0, start proxies by hand
+    /// Number of proxies, which form one fleet; 0 starts the databases alone
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(0..=9))]
     proxies: u16,
 }
