--- a/benches/src/gain/proxies.rs
+++ b/benches/src/gain/proxies.rs
@@ -24,8 +24,8 @@
 const COPY_COST_READS: f64 = 2.0;
 const MAX_COPY_AGE_MICROS: Micros = 800_000;
 const BUDGET: Budget = Budget { database_starts_per_s: 30.0, total_starts_per_s: 60.0, window: 10_000_000 };
-/// Age of the scheduler at the start. It exceeds the budget's window, so the scheduler reserves no budget for tasks of an earlier
-/// incarnation.
+/// Age of the scheduler at the start of a run. A new scheduler starts no tasks for one window, because an earlier incarnation may
+/// have used the budget. This age is longer than the window, so tasks start at once.
 const SCHEDULER_AGE_MICROS: Micros = 20_000_000;
 const GOSSIP_SEED_MASK: u64 = 0xabc;
 
--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -1,6 +1,6 @@
-//! Long measurements of the built proxy against the test databases and clients of `test-support`. Each measurement takes a
-//! seed, prints Markdown tables or draws SVG charts, and ends by itself. Build the workspace in release mode first. CI runs
-//! none of the measurements, because they report times and assert nothing about them.
+//! Long measurements of the built proxy against the test databases and clients of `test-support`. Measurements
+//! draw their random numbers from a seed, print Markdown tables, draw SVG charts, and end by themselves. Build the workspace in
+//! release mode first. CI runs none of the measurements, because they report times and assert nothing about them.
 
 mod cost;
 mod crowd;
