--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -1,6 +1,6 @@
-//! A load balancer with the behaviour that common ones document: it polls each proxy by agent-check or HTTP, accepts a
-//! change of state after `fall` or `rise` equal answers in a row, and distributes connections by weighted least
-//! connections.
+//! A load balancer that behaves as common load balancers are documented to behave. It polls each proxy by agent-check
+//! or HTTP, changes a server's state after `fall` or `rise` consecutive equal answers, and distributes connections by
+//! weighted least connections.
 
 mod check;
 
@@ -13,81 +13,81 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often [`Balancer::wait_for_state`] looks again.
+/// Interval at which [`Balancer::wait_for_state`] checks the state.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A proxy as the balancer sees it.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Where it is reached.
+    /// Where its health checks and its clients connect.
     pub addresses: ServerAddresses,
-    /// Whether it is in rotation.
+    /// Whether it is in rotation: the balancer sends connections only to servers that are up.
     pub up: bool,
-    /// Its weight in percent.
+    /// Its weight in percent, from the last check that was answered.
     pub weight: u32,
-    /// Connections that it has now.
+    /// Connections that [`Balancer::choose_server`] has assigned to it and that have not been released.
     pub active_connections: u32,
-    /// Answers in a row that contradict `up`.
-    contrary_answers: u32,
-    /// When its state changed last.
+    /// Consecutive answers that contradict `up`.
+    opposite_answers: u32,
+    /// When `up` last changed, or when polling started.
     pub changed_at: Instant,
 }
 
-/// Where a server is reached.
+/// The addresses of one server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerAddresses {
-    /// Where its health checks go.
+    /// The listener that answers its health checks.
     pub check: SocketAddr,
-    /// Where its clients go.
+    /// The listener that accepts its clients.
     pub client: SocketAddr,
 }
 
 impl Server {
-    /// A server that is out of rotation until its checks succeed.
+    /// Creates a server that stays out of rotation until its checks succeed.
     fn new(addresses: ServerAddresses) -> Server {
         Server {
             addresses,
             up: false,
             weight: 0,
             active_connections: 0,
-            contrary_answers: 0,
+            opposite_answers: 0,
             changed_at: Instant::now(),
         }
     }
 
-    /// Active connections for each unit of weight, if it had one more.
+    /// The number of active connections per unit of weight if the server accepted one more.
     fn load(&self) -> f64 {
         f64::from(self.active_connections + 1) / f64::from(self.weight.max(1))
     }
 }
 
-/// How often checks run and how many equal answers change a server's state.
+/// The interval of health checks and how many consecutive equal answers change a server's state.
 #[derive(Clone, Debug)]
 pub struct CheckPolicy {
-    /// Time between two checks of one server.
+    /// Time between the starts of two checks of one server.
     pub interval: Duration,
-    /// How long a check may take.
+    /// Time limit for connecting, and again for each read of the answer.
     pub timeout: Duration,
-    /// Successes in a row that bring a server into rotation.
+    /// Consecutive successes that put a server into rotation.
     pub rise: u32,
-    /// Failures in a row that take it out.
+    /// Consecutive failures that take a server out of rotation.
     pub fall: u32,
 }
 
-/// A change of a server's state, as the balancer sees it.
+/// A change of a server's state, as the balancer has detected it.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// When.
+    /// When the balancer changed the state.
     pub at: Instant,
-    /// The server's index.
+    /// The server's index in the list that [`Balancer::start`] received.
     pub server: usize,
-    /// Its new state.
+    /// Whether the server is now in rotation.
     pub up: bool,
-    /// The answer, or the error, that completed the change.
+    /// The last answer or error, which caused the change.
     pub text: String,
 }
 
-/// A handle to a running balancer; its checks end when the last handle of the test is dropped.
+/// A handle to a running balancer. Health checks stop when the test drops its last handle.
 #[derive(Clone)]
 pub struct Balancer {
     servers: Arc<Mutex<Vec<Server>>>,
@@ -96,7 +96,7 @@
 }
 
 impl Balancer {
-    /// Starts polling servers. Their checks are spread over the interval; all begin out of rotation.
+    /// Starts polling the servers, with their checks spread over the interval. All servers start out of rotation.
     pub fn start(servers: &[ServerAddresses], check: &Check, policy: &CheckPolicy) -> Balancer {
         let new_servers: Vec<Server> = servers.iter().copied().map(Server::new).collect();
         let balancer = Balancer {
@@ -115,7 +115,7 @@
         balancer
     }
 
-    /// Checks a server at each interval.
+    /// Checks a server once per interval until the balancer is dropped.
     fn poll_until_stopped(&self, server: usize, check: &Check, policy: &CheckPolicy) {
         while !self.stopped.load(Ordering::Relaxed) {
             let start = Instant::now();
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Checks a server once, takes its weight, and changes its state after enough equal answers.
+    /// Checks a server once, updates its weight, and changes its state after enough equal answers.
     fn poll(&self, index: usize, check: &Check, policy: &CheckPolicy) {
         let address = lock(&self.servers)[index].addresses.check;
         let answer = run_check(address, check, policy.timeout);
@@ -132,37 +132,38 @@
         let server = &mut servers[index];
         let (up, text) = match answer {
             Ok(answer) => {
-                // Only the state is debounced: balancers apply weights at once.
+                // Only the state requires consecutive answers: balancers apply weights immediately.
                 server.weight = answer.weight;
                 (answer.up, answer.text)
             }
             Err(error) => (false, error.to_string()),
         };
         if up == server.up {
-            server.contrary_answers = 0;
+            server.opposite_answers = 0;
             return;
         }
-        server.contrary_answers += 1;
+        server.opposite_answers += 1;
         let needed = if up { policy.rise } else { policy.fall };
-        if server.contrary_answers >= needed {
+        if server.opposite_answers >= needed {
             server.up = up;
-            server.contrary_answers = 0;
+            server.opposite_answers = 0;
             server.changed_at = Instant::now();
             lock(&self.changes).push(Change { at: Instant::now(), server: index, up, text });
         }
     }
 
-    /// All servers as they are now.
+    /// A snapshot of all servers, in the order given to [`Balancer::start`].
     pub fn servers(&self) -> Vec<Server> {
         lock(&self.servers).clone()
     }
 
-    /// All changes of state so far.
+    /// All state changes since the start, oldest first.
     pub fn changes(&self) -> Vec<Change> {
         lock(&self.changes).clone()
     }
 
-    /// The server for the next connection, if one is up; return it with [`Balancer::release_server`].
+    /// Chooses a server for the next connection and counts the connection; `None` if no server is up. Call
+    /// [`Balancer::release_server`] when the connection ends.
     pub fn choose_server(&self) -> Option<usize> {
         let mut servers = lock(&self.servers);
         let up = servers.iter().enumerate().filter(|(_, server)| server.up);
@@ -171,14 +172,14 @@
         Some(chosen)
     }
 
-    /// A connection to this server has ended.
+    /// Records that a connection to this server has ended.
     pub fn release_server(&self, server: usize) {
         let mut servers = lock(&self.servers);
         let active_connections = &mut servers[server].active_connections;
         *active_connections = active_connections.saturating_sub(1);
     }
 
-    /// Waits until the balancer has a server in this state; false if it does not within the timeout.
+    /// Waits until a server has this state. Returns false if the timeout expires first.
     pub fn wait_for_state(&self, server: usize, up: bool, timeout: Duration) -> bool {
         let start = Instant::now();
         while lock(&self.servers)[server].up != up {
@@ -193,7 +194,8 @@
 
 impl Drop for Balancer {
     fn drop(&mut self) {
-        // Each polling thread holds one handle, so this is the last one of the test.
+        // Each polling thread holds one handle. If only those and this one remain, the test has dropped its last
+        // handle.
         if Arc::strong_count(&self.stopped) <= 1 + lock(&self.servers).len() {
             self.stopped.store(true, Ordering::Relaxed);
         }
--- a/test-support/src/balancer/check.rs
+++ b/test-support/src/balancer/check.rs
@@ -1,37 +1,38 @@
-//! Health checks as balancers run them, and their answers.
+//! Health checks as load balancers run them, and the parsing of their answers.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The weight of a proxy whose answer names none, in percent.
+/// The weight in percent of a proxy whose answer contains no weight.
 const DEFAULT_WEIGHT: u32 = 100;
 
-/// Agent-check's words that take a server out of rotation.
+/// Words in an agent-check answer that take a server out of rotation.
 const AGENT_DOWN_WORDS: [&str; 5] = ["down", "drain", "maint", "fail", "stopped"];
 
-/// The kind of health check.
+/// A kind of health check with its request.
 #[derive(Clone, Debug)]
 pub enum Check {
-    /// Agent-check, with the line that is sent first.
+    /// Agent-check over TCP. The text is the line that the balancer sends first.
     Agent(String),
-    /// HTTP, with the path.
+    /// An HTTP GET request for this path.
     Http(String),
 }
 
 /// The answer to a health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckAnswer {
-    /// Whether the proxy may be sent connections.
+    /// Whether the proxy accepts new connections.
     pub up: bool,
-    /// Its weight in percent.
+    /// The proxy's weight in percent.
     pub weight: u32,
-    /// The complete answer.
+    /// The complete answer as received, including any HTTP header.
     pub text: String,
 }
 
 impl CheckAnswer {
-    /// Reads the words of an agent-check: up if one says so and none takes it out of rotation, with the weight that ends in `%`.
+    /// Parses an agent-check answer. The proxy is up if the answer contains `up` and no word that takes it out of
+    /// rotation. The weight is the word that ends in `%`.
     fn from_agent(text: String) -> CheckAnswer {
         let words: Vec<&str> = text.split([' ', ',', '\r', '\n']).collect();
         let weight = words.iter().find_map(|word| word.strip_suffix('%')).and_then(|word| word.parse().ok());
@@ -39,7 +40,7 @@
         CheckAnswer { up: words.contains(&"up") && !down, weight: weight.unwrap_or(DEFAULT_WEIGHT), text }
     }
 
-    /// Reads a response: up if its status is 200, with the weight that its JSON body names.
+    /// Parses an HTTP response. The proxy is up if the status is 200. The weight is `weight` in the JSON body.
     fn from_http(text: String) -> CheckAnswer {
         let up = text.starts_with("HTTP/1.1 200 ");
         let after_name = text.split("\"weight\":").nth(1);
@@ -48,7 +49,7 @@
     }
 }
 
-/// Runs one health check on a connection of its own.
+/// Runs one health check on a new connection. An empty answer is an error.
 pub fn run_check(address: SocketAddr, check: &Check, timeout: Duration) -> io::Result<CheckAnswer> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -1,35 +1,35 @@
-//! A client of the proxy: one connection, one statement at a time.
+//! A PostgreSQL client of the proxy with one connection, which sends one statement at a time.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// How long connecting may take.
+/// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a reply may take; longer than any deadline that tests send.
+/// Time limit for each read of a reply. It is longer than any deadline that tests send.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// PostgreSQL's protocol version 3.0, as the startup message has it.
+/// PostgreSQL's protocol version 3.0, as encoded in the startup message.
 const PROTOCOL_VERSION: u32 = 196_608;
 
-/// Bound on the body of one message.
+/// Largest message body that the client reads.
 const MAX_MESSAGE_BYTES: usize = 1 << 24;
 
-/// Where the value begins in a row of one column: after the column count (2 bytes) and the value's length (4 bytes).
+/// Offset of the value in a row of one column: it follows the column count (2 bytes) and the value's length (4 bytes).
 const ROW_VALUE_OFFSET: usize = 6;
 
 /// The result of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Served, with the value of the only row; empty without one.
+    /// The statement succeeded. Holds the value of the only row, or nothing if there was no row.
     Served(Vec<u8>),
-    /// Failed, with this SQLSTATE.
+    /// The statement failed with this SQLSTATE.
     Error(String),
 }
 
-/// A connection that is ready for statements.
+/// A connection that has completed the startup exchange.
 pub struct Client {
     stream: TcpStream,
 }
@@ -50,17 +50,18 @@
         Ok(client)
     }
 
-    /// Reads the row that [`Client::write`] writes.
+    /// Reads the row that [`Client::write`] writes. `wait_ms` is the request's deadline in milliseconds.
     pub fn read(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
         self.read_key(class, group, "7f3a", wait_ms, None)
     }
 
-    /// Writes a fixed row.
+    /// Writes a fixed value to a fixed key. `wait_ms` is the request's deadline in milliseconds.
     pub fn write(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
         self.write_key(class, group, "7f3a", "9f03", wait_ms)
     }
 
-    /// Reads the row of a key. `after`: the position that the read has to see, in milliseconds.
+    /// Reads the row of a key. `wait_ms` is the request's deadline in milliseconds. `after` is the log position that
+    /// the read must include, in milliseconds; `None` sets no position.
     pub fn read_key(
         &mut self,
         class: &str,
@@ -76,7 +77,8 @@
         ))
     }
 
-    /// Writes the row of a key, with its value in hexadecimal digits.
+    /// Writes the row of a key. `hex` is the value in hexadecimal digits, `wait_ms` the request's deadline in
+    /// milliseconds.
     pub fn write_key(
         &mut self,
         class: &str,
@@ -92,12 +94,12 @@
         ))
     }
 
-    /// Sends the message that ends a session in order.
+    /// Sends the Terminate message, which ends the session.
     pub fn send_terminate(&mut self) -> io::Result<()> {
         self.stream.write_all(b"X\0\0\0\x04")
     }
 
-    /// Runs one statement and reads its complete reply.
+    /// Sends one statement and reads its complete reply.
     pub fn run_statement(&mut self, text: &str) -> io::Result<Reply> {
         let mut message = vec![b'Q'];
         message.extend((text.len() as u32 + 5).to_be_bytes());
@@ -107,7 +109,7 @@
         self.read_reply()
     }
 
-    /// Reads messages until the server is ready for the next statement.
+    /// Reads messages up to ReadyForQuery and returns the row or error among them.
     fn read_reply(&mut self) -> io::Result<Reply> {
         let mut reply = Reply::Served(Vec::new());
         loop {
@@ -126,7 +128,7 @@
     }
 }
 
-/// The SQLSTATE field of an error message's body.
+/// The SQLSTATE in the body of an ErrorResponse; empty if the field is missing.
 fn sqlstate(body: &[u8]) -> String {
     let mut fields = body.split(|byte| *byte == 0);
     let code = fields.find_map(|field| field.strip_prefix(b"C")).unwrap_or_default();
--- a/test-support/src/database.rs
+++ b/test-support/src/database.rs
@@ -1,5 +1,6 @@
-//! A scripted database, primary or replica, which can be slow, hang (it accepts connections and answers nothing), go down
-//! and come back. A group's databases share their rows, so replicas have every write at once.
+//! A scripted database, primary or replica. Tests can make it slow, make it hang (it accepts connections but answers
+//! nothing), shut it down and start it again. The databases of a group share their rows, so replicas see every write
+//! immediately.
 
 use crate::database_server::{DatabaseBehavior, start_accepting};
 use crate::groups::now_ms;
@@ -14,19 +15,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// How a database behaves now.
+/// The current behavior of a database, as the test has set it.
 #[derive(Clone, Debug)]
 struct Behavior {
-    /// Whether it accepts connections; otherwise they break.
+    /// Whether it accepts connections. If not, existing connections break and new ones are refused.
     available: bool,
-    /// Whether it leaves everything unanswered.
+    /// Whether it leaves all statements unanswered.
     hung: bool,
     primary: bool,
-    /// How long statements of a request class take.
+    /// Delay of statements by request class.
     delay_by_class: HashMap<String, Duration>,
 }
 
-/// What a group's databases share: the rows, and how often each request's write was executed.
+/// The data that the databases of a group share: the rows, and how often the write of each request was executed.
 #[derive(Default)]
 pub struct Rows {
     value_by_key: Mutex<HashMap<String, String>>,
@@ -34,17 +35,17 @@
 }
 
 impl Rows {
-    /// Requests whose write was executed.
+    /// Number of requests whose write was executed at least once.
     pub fn write_count(&self) -> usize {
         lock(&self.executions_by_request).len()
     }
 
-    /// Requests whose write was executed more than once.
+    /// Number of requests whose write was executed more than once.
     pub fn duplicate_count(&self) -> usize {
         lock(&self.executions_by_request).values().filter(|count| **count > 1).count()
     }
 
-    /// The last value that was written.
+    /// The value that was last written to a key.
     fn value(&self, key: &str) -> Option<String> {
         lock(&self.value_by_key).get(key).cloned()
     }
@@ -62,16 +63,15 @@
     changed: Condvar,
     rows: Arc<Rows>,
     statement_count: AtomicU64,
-    /// Whether it prints each statement.
     prints_statements: bool,
 }
 
-/// A handle to a running database; its threads end with the test process.
+/// A handle to a running database. Its threads run until the test process ends.
 #[derive(Clone)]
 pub struct Database(Arc<Inner>);
 
 impl Database {
-    /// Starts a database; port 0 takes a free port.
+    /// Starts a database. Port 0 selects a free port. `prints_statements` prints each statement to standard output.
     pub fn start(
         address: SocketAddr,
         primary: bool,
@@ -94,45 +94,46 @@
         Ok(database)
     }
 
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.0.address
     }
 
-    /// Statements received so far, health checks included.
+    /// Number of statements received so far, including health checks.
     pub fn statement_count(&self) -> u64 {
         self.0.statement_count.load(Ordering::Relaxed)
     }
 
-    /// Changes the behavior and wakes the threads that wait for that.
+    /// Changes the behavior and wakes the threads that wait for a change.
     fn change_behavior(&self, change: impl FnOnce(&mut Behavior)) {
         change(&mut lock(&self.0.behavior));
         self.0.changed.notify_all();
     }
 
-    /// Hung, it accepts connections and answers nothing.
+    /// Makes the database hang or resume. While it hangs, it accepts connections but answers nothing.
     pub fn set_hung(&self, hung: bool) {
         self.change_behavior(|behavior| behavior.hung = hung);
     }
 
-    /// Unavailable, its connections break and new ones are refused.
+    /// Makes the database available or unavailable. While it is unavailable, its connections break and new ones are
+    /// refused.
     pub fn set_available(&self, available: bool) {
         self.change_behavior(|behavior| behavior.available = available);
     }
 
-    /// Whether it takes writes and reports to be the primary.
+    /// Sets whether the database executes writes and reports itself as the primary.
     pub fn set_primary(&self, primary: bool) {
         self.change_behavior(|behavior| behavior.primary = primary);
     }
 
-    /// Sets how long statements of a request class take.
+    /// Sets the delay of statements of a request class.
     pub fn set_delay(&self, class: &str, delay: Duration) {
         self.change_behavior(|behavior| {
             behavior.delay_by_class.insert(class.into(), delay);
         });
     }
 
-    /// Sleeps for the time that statements of this class take.
+    /// Sleeps for the delay of the statement's request class, if one is set.
     fn delay(&self, query: &str) {
         let class = comment_field(query, "c=").unwrap_or_default();
         let delay = lock(&self.0.behavior).delay_by_class.get(class).copied();
--- a/test-support/src/database_server.rs
+++ b/test-support/src/database_server.rs
@@ -1,5 +1,5 @@
-//! What every test database does on its sockets: it accepts connections while it is available, completes the startup
-//! exchange, and answers one statement after the other. What it answers is each database's own.
+//! The socket handling that all test databases share. A database accepts connections while it is available, completes
+//! the startup exchange, and answers statements one at a time. Its [`DatabaseBehavior`] supplies the answers.
 
 use crate::wire::message;
 use std::io::{self, ErrorKind, Read, Write};
@@ -7,56 +7,55 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a blocked thread looks whether its database is still available.
+/// Interval at which a blocked thread checks whether its database is still available.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Bound on the body of one message.
+/// Largest message body that a database reads.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Message types of the protocol.
+/// Message types of the PostgreSQL protocol.
 const AUTHENTICATION: u8 = b'R';
 const QUERY: u8 = b'Q';
 const READY_FOR_QUERY: u8 = b'Z';
 
-/// The body of an authentication message that asks for nothing.
+/// The body of AuthenticationOk, which requests no password.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
-/// The body of a ready message outside of a transaction.
+/// The body of ReadyForQuery outside a transaction.
 const IDLE: &[u8] = b"I";
 
-/// A database as its connections need it; each thread has a handle of its own.
+/// The behavior of a database that its connections depend on. Each thread has its own handle.
 pub(crate) trait DatabaseBehavior: Clone + Send + 'static {
-    /// Where it listens.
+    /// The address on which it listens.
     fn address(&self) -> SocketAddr;
 
-    /// Whether its threads have to end.
+    /// Whether its threads must end.
     fn is_stopped(&self) -> bool {
         false
     }
 
-    /// Whether it accepts connections; otherwise they break.
+    /// Whether it accepts connections. If not, existing connections break and new ones are refused.
     fn is_available(&self) -> bool;
 
-    /// Waits until it does not hang; false if it is unavailable.
+    /// Waits while the database hangs. Returns false if it is unavailable.
     fn wait_while_hung(&self) -> bool;
 
-    /// Differs from one process of the database to the next; connections break when it changes.
+    /// Identifies the current process of the database. Connections break when the value changes.
     fn incarnation(&self) -> i64 {
         0
     }
 
-    /// The messages that answer a statement, up to the one that says that it is ready for the next; `None` if the connection
-    /// breaks instead.
+    /// The messages that answer a statement, without the final ReadyForQuery. `None` breaks the connection instead.
     fn answer_statement(&self, query: &str) -> Option<Vec<u8>>;
 }
 
-/// Starts the thread that accepts connections, on this listener first and on others after each time that the database was
-/// unavailable.
+/// Starts the thread that accepts connections. It starts with this listener and binds a new one whenever the database
+/// becomes available again.
 pub(crate) fn start_accepting(database: impl DatabaseBehavior, listener: TcpListener) {
     thread::spawn(move || accept_until_stopped(&database, listener));
 }
 
-/// Closes the listener while the database is unavailable, and binds the same address again afterwards.
+/// Accepts connections. Closes the listener while the database is unavailable, then binds the same address again.
 fn accept_until_stopped(database: &impl DatabaseBehavior, first: TcpListener) {
     let mut listener = Some(first);
     while !database.is_stopped() {
@@ -72,7 +71,7 @@
     }
 }
 
-/// Accepts the connections that are pending, each with a thread of its own.
+/// Accepts all pending connections and starts a thread for each.
 fn accept_pending(database: &impl DatabaseBehavior, listener: &TcpListener) {
     let _ = listener.set_nonblocking(true);
     while let Ok((stream, _)) = listener.accept() {
@@ -81,7 +80,6 @@
     }
 }
 
-/// An accepted connection.
 struct Connection<D> {
     database: D,
     stream: TcpStream,
@@ -95,7 +93,7 @@
         self.stream.set_read_timeout(Some(POLL_INTERVAL))?;
         self.read_body()?;
         if self.database.wait_while_hung() {
-            self.write_and_be_ready(message(AUTHENTICATION, &AUTHENTICATION_OK))?;
+            self.write_with_ready_for_query(message(AUTHENTICATION, &AUTHENTICATION_OK))?;
         }
         let incarnation = self.database.incarnation();
         while self.database.is_available() && self.database.incarnation() == incarnation {
@@ -104,17 +102,17 @@
             if self.database.incarnation() != incarnation {
                 break;
             }
-            self.write_and_be_ready(answer)?;
+            self.write_with_ready_for_query(answer)?;
         }
         Ok(())
     }
 
-    /// Writes messages, and the one that says that the database is ready for the next statement.
-    fn write_and_be_ready(&mut self, messages: Vec<u8>) -> io::Result<()> {
+    /// Writes these messages followed by ReadyForQuery.
+    fn write_with_ready_for_query(&mut self, messages: Vec<u8>) -> io::Result<()> {
         self.stream.write_all(&[messages, message(READY_FOR_QUERY, IDLE)].concat())
     }
 
-    /// Reads the next statement; `None` if the message is another one.
+    /// Reads the next statement. Returns `None` if the next message is not a Query.
     fn read_query(&mut self) -> io::Result<Option<String>> {
         let mut tag = [0];
         self.read_exactly(&mut tag)?;
@@ -125,7 +123,7 @@
         Ok(Some(String::from_utf8_lossy(&body).trim_end_matches('\0').to_string()))
     }
 
-    /// Reads a message from its length on and returns the body.
+    /// Reads a message's length and body and returns the body. The caller has read the type byte, if there is one.
     fn read_body(&mut self) -> io::Result<Vec<u8>> {
         let mut length = [0; 4];
         self.read_exactly(&mut length)?;
@@ -135,7 +133,7 @@
         Ok(body)
     }
 
-    /// Fills the buffer, however long that takes, while the database is available.
+    /// Fills the buffer, without a time limit while the database is available.
     fn read_exactly(&mut self, buffer: &mut [u8]) -> io::Result<()> {
         let mut filled = 0;
         while filled < buffer.len() {
@@ -150,7 +148,7 @@
     }
 }
 
-/// Whether a read ended because nothing arrived within its timeout.
+/// Whether a read failed because no data arrived within its timeout.
 fn is_timeout(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery service: the endpoint list and the long poll on it, over HTTP/1.1. A change by the test is visible at once.
+//! A discovery service that serves the endpoint list over HTTP/1.1 and supports long polling. Changes that a test makes
+//! are visible immediately.
 
 use crate::lock;
 use std::io::{self, BufRead, BufReader, Write};
@@ -11,28 +12,28 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedDatabase {
-    /// Identity of the database; a database restored from a copy has another one.
+    /// Identity of the database. A database that was restored from a backup has a new identity.
     pub uid: String,
-    /// Where it listens.
+    /// The address on which the database listens.
     pub endpoint: SocketAddr,
-    /// The group that it belongs to.
+    /// The number of the group that the database belongs to.
     pub group: u32,
-    /// Its state, in discovery's word for it.
+    /// The state as written in the list, for example `up` or `draining`.
     pub state: &'static str,
-    /// Whether it is listed as the group's primary.
+    /// Whether the list names it as the group's primary.
     pub primary: bool,
-    /// When its process started, in milliseconds of Unix time; 0 if that was long ago.
+    /// When its process started, in milliseconds of Unix time. 0 stands for a start long ago.
     pub started_at_ms: i64,
 }
 
-/// The list with the number of its revision.
+/// The endpoint list with its revision number.
 #[derive(Clone, Debug, Default)]
 struct EndpointList {
     revision: u64,
-    /// The revision at which the whole list was replaced the last time.
+    /// The revision at which the complete list was last replaced.
     replaced_at: u64,
     databases: Vec<ListedDatabase>,
-    /// For each database the revision of its last change.
+    /// The revision of each database's last change, in the order of `databases`.
     changed_at: Vec<u64>,
 }
 
@@ -40,13 +41,13 @@
 struct Inner {
     list: Mutex<EndpointList>,
     changed: Condvar,
-    /// Sent once in place of the list, to the next poll that is answered.
+    /// A body that replaces the list once, in the next answer to a poll.
     next_body: Mutex<Option<String>>,
     stopped: AtomicBool,
     sent_body_bytes: AtomicU64,
 }
 
-/// A handle to a running discovery service; it ends with the process or with [`Discovery::stop`].
+/// A handle to a running discovery service. It runs until [`Discovery::stop`] or the end of the process.
 #[derive(Clone)]
 pub struct Discovery {
     inner: Arc<Inner>,
@@ -54,7 +55,7 @@
 }
 
 impl Discovery {
-    /// Starts the service with a list; port 0 takes a free port.
+    /// Starts the service with this list. Port 0 selects a free port.
     pub fn start(address: SocketAddr, databases: Vec<ListedDatabase>) -> io::Result<Discovery> {
         let listener = TcpListener::bind(address)?;
         let discovery = Discovery { inner: Arc::default(), address: listener.local_addr()? };
@@ -64,24 +65,24 @@
         Ok(discovery)
     }
 
-    /// Where it listens.
+    /// The address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting connections; polls that are waiting end when their time is over.
+    /// Stops accepting connections. Waiting polls end when their wait time expires.
     pub fn stop(&self) {
         self.inner.stopped.store(true, Ordering::Relaxed);
-        // The accepting thread notices the flag at its next connection.
+        // The accepting thread checks the flag only when a connection arrives.
         let _ = TcpStream::connect(self.address);
     }
 
-    /// Starts a service with the same list at the same address, after [`Discovery::stop`].
+    /// Starts a new service with the same list at the same address. Call [`Discovery::stop`] first.
     pub fn restarted(&self) -> io::Result<Discovery> {
         Discovery::start(self.address, lock(&self.inner.list).databases.clone())
     }
 
-    /// Replaces the list.
+    /// Replaces the complete list. Every poller receives the new list in full.
     pub fn set_databases(&self, databases: Vec<ListedDatabase>) {
         let mut list = lock(&self.inner.list);
         let revision = list.revision + 1;
@@ -90,7 +91,7 @@
         self.inner.changed.notify_all();
     }
 
-    /// Changes the entry at an index; who knows the list as it was is told of this change alone.
+    /// Changes the entry at an index. A poller that knows the previous revision receives only this entry.
     pub fn change_database(&self, index: usize, change: impl FnOnce(&mut ListedDatabase)) {
         let mut list = lock(&self.inner.list);
         list.revision += 1;
@@ -99,19 +100,19 @@
         self.inner.changed.notify_all();
     }
 
-    /// Bytes of all lists and changes that it has sent, without HTTP headers.
+    /// Total size of all bodies sent so far, in bytes, without HTTP headers.
     pub fn sent_body_bytes(&self) -> u64 {
         self.inner.sent_body_bytes.load(Ordering::Relaxed)
     }
 
-    /// Changes some entries of the list.
+    /// Replaces the list with a changed copy. Every poller receives the new list in full.
     pub fn change_databases(&self, change: impl FnOnce(&mut Vec<ListedDatabase>)) {
         let mut databases = lock(&self.inner.list).databases.clone();
         change(&mut databases);
         self.set_databases(databases);
     }
 
-    /// Answers one poll with this body, be it a list or not: one that is waiting, or the next one.
+    /// Answers one poll with this body, which need not be a valid list: a poll that is waiting, or else the next one.
     pub fn send_body_once(&self, body: String) {
         let _list = lock(&self.inner.list);
         *lock(&self.inner.next_body) = Some(body);
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Answers the polls that come on one connection, each after its wait, until the client closes it.
+    /// Answers the polls on one connection, each after its wait, until the client closes the connection.
     fn answer_requests(&self, mut stream: &TcpStream) -> io::Result<()> {
         let mut lines = BufReader::new(stream.try_clone()?).lines();
         while let Some(request) = lines.next().transpose()? {
@@ -144,7 +145,7 @@
         Ok(())
     }
 
-    /// The list, once it differs from the known revision or the wait is over.
+    /// Waits until the list differs from the known revision or the wait time expires, then returns the list.
     fn wait_for_change(&self, known_revision: Option<u64>, wait: Option<Duration>) -> EndpointList {
         let until = wait.map(|wait| Instant::now() + wait);
         let mut list = lock(&self.inner.list);
@@ -158,14 +159,15 @@
     }
 }
 
-/// The number after `name` (with its `=`) in the request line.
+/// The number after `name` (which includes the `=`) in the request line.
 fn query_parameter(request: &str, name: &str) -> Option<u64> {
     let (_, rest) = request.split_once(name)?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
 
 impl EndpointList {
-    /// The answer to a poll: the changes since the known revision, or the whole list if it was replaced since.
+    /// The body of the answer to a poll: the changes since the known revision, or the complete list if it was replaced
+    /// after that revision.
     fn to_json(&self, known_revision: Option<u64>) -> String {
         let changes_since = known_revision.filter(|known| (self.replaced_at..=self.revision).contains(known));
         let oldest_known = changes_since.unwrap_or(0);
--- a/test-support/src/fleet.rs
+++ b/test-support/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of proxy processes that know one another, with a relay in front of each; and what their admin listeners report.
+//! A fleet of proxy processes that are configured as each other's peers, with a network relay in front of each. Also
+//! reads reports from their admin listeners.
 
 use crate::process::{MAX_WAIT, Process};
 use crate::relay::Relays;
@@ -8,25 +9,26 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
 
-/// The key file of all members: the key's number and its 16 bytes.
+/// The key file of all members: the key's number and its 16 bytes in hexadecimal.
 const KEY_FILE_TEXT: &str = "1 000102030405060708090a0b0c0d0e0f\n";
 
-/// Only its owner may read a key file.
+/// Read and write permission for the owner only, which the proxy requires of a key file.
 const KEY_FILE_MODE: u32 = 0o600;
 
-/// The rig and relays that a fleet's processes are started with.
+/// The test rig and the network relays of a fleet's processes.
 pub struct Fleet {
-    /// Databases, discovery and files.
+    /// Databases, discovery service and configuration files.
     pub rig: Rig,
-    /// The network among the processes.
+    /// The network between the processes.
     pub relays: Relays,
     key_file: String,
-    /// Further elements of the options file, beside `fleet`.
+    /// XML elements that are added to the options file after `fleet`.
     pub extra_options: String,
 }
 
 impl Fleet {
-    /// A fleet for so many processes, none of which is started. `loopback_address`: see [`Rig::new`].
+    /// Prepares a fleet of `process_count` processes without starting any. `loopback_address` and `folder` are those of
+    /// [`Rig::new`]. `seed` determines the random choices of the relays.
     pub fn new(
         process_count: usize,
         loopback_address: [u8; 4],
@@ -42,7 +44,7 @@
         Ok(Fleet { rig, relays, key_file: key_file.to_string_lossy().into(), extra_options: String::new() })
     }
 
-    /// The options file's text for a process.
+    /// The text of a process's options file.
     pub fn options_xml(&self, process: usize) -> String {
         let listen = self.relays.process_addresses[process];
         let advertise = self.relays.relay_addresses[process];
@@ -55,14 +57,14 @@
         )
     }
 
-    /// Starts a process. `shared_listener`: the listening socket for clients, if another process of the same proxy has it
-    /// too.
+    /// Starts a process. `shared_listener` is the listening socket for clients if another process of the same proxy
+    /// uses it too; `None` lets the process bind its own.
     pub fn start(&self, process: usize, shared_listener: Option<&TcpListener>) -> io::Result<Process> {
         self.rig.start(process as u64 + 1, Some(&self.options_xml(process)), shared_listener)
     }
 }
 
-/// The answer of a process's admin listener to a call; empty if there is none.
+/// The answer of a process's admin listener to a call; empty if the process does not answer.
 pub fn admin_call(process: &Process, call: &str) -> String {
     try_admin_call(process, call).unwrap_or_default()
 }
@@ -77,17 +79,18 @@
     Some(text)
 }
 
-/// The value after `key` (with its `=`) in a process's answer to the admin call `fleet`; empty without one.
+/// The value after `key` (which includes the `=`) in a process's answer to the admin call `fleet`; empty if the key is
+/// missing.
 pub fn fleet_value(process: &Process, key: &str) -> String {
     value_after(&admin_call(process, "fleet"), key)
 }
 
-/// The value after `key` (with its `=`) in a text of words; empty without one.
+/// The value after `key` (which includes the `=`) in a text of words; empty if the key is missing.
 fn value_after(text: &str, key: &str) -> String {
     text.split_whitespace().find_map(|word| word.strip_prefix(key)).unwrap_or_default().to_string()
 }
 
-/// One process's view of the fleet, in the words of its admin listener.
+/// One process's view of the fleet, with the values as its admin listener writes them.
 #[derive(Debug)]
 struct FleetView {
     state: String,
@@ -106,8 +109,8 @@
     }
 }
 
-/// Checks that all of these processes report a settled fleet of so many members, and the same one. The error holds what
-/// they report.
+/// Checks that all these processes report the same settled fleet of `member_count` members. The error contains their
+/// reports.
 pub fn check_settled(member_count: usize, processes: &[&Process]) -> Result<(), String> {
     let views: Vec<FleetView> = processes.iter().map(|process| FleetView::of(process)).collect();
     let is_settled = |view: &FleetView| {
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -1,4 +1,4 @@
-//! How a member answers statements: it records each, waits for capacity, and answers from the group's state.
+//! How a member answers statements: it records each statement, waits for capacity, and answers from the group's state.
 
 use super::history::{Change, Entry, PlantedDifference, Record, StatementKind};
 use super::member::Group;
@@ -10,16 +10,17 @@
 use crate::wire::{decode_hex, error, message, role_and_position, row, row_of, usage_row};
 use std::thread;
 
-/// By then all proxies that reach discovery know of a restart, and statements that were on their way have arrived. What
-/// arrives earlier is not counted as sent to a member that is warming up.
-const START_KNOWN_AFTER_MS: i64 = 500;
+/// Time after a restart until all proxies that reach discovery know of it and statements already in transit have
+/// arrived. Statements that arrive earlier do not count as sent to a member in slow start.
+const RESTART_PROPAGATION_MS: i64 = 500;
 
-/// The text of all errors; proxies look at their codes alone.
+/// The text of all errors. Proxies evaluate only the SQLSTATE.
 const ERROR_TEXT: &str = "no";
 
 impl Group {
-    /// Waits until the member has capacity for a statement, and takes the time for it: longer while it warms up.
-    fn do_work(&self, member: usize) {
+    /// Waits until the member has capacity for a statement, then sleeps for the time that the statement takes.
+    /// Statements take longer during slow start.
+    fn simulate_execution(&self, member: usize) {
         let capacity = &self.0.capacity;
         let mut in_flight = lock(&self.0.in_flight);
         while in_flight[member] >= capacity.max_concurrent {
@@ -34,22 +35,22 @@
         self.0.changed.notify_all();
     }
 
-    /// Records a statement that a member received just now.
+    /// Records a statement that a member has just received.
     fn record(&self, member: usize, statement: StatementKind) {
         let now = now_ms();
         let mut state = lock(&self.0.state);
         let age_ms = now - state.members[member].started_at_ms;
         let slow_start_ms = self.0.capacity.slow_start_window.as_millis() as i64;
-        let warming_up = (START_KNOWN_AFTER_MS..slow_start_ms).contains(&age_ms);
+        let warming_up = (RESTART_PROPAGATION_MS..slow_start_ms).contains(&age_ms);
         state.records.push(Record { received_at_ms: now, member, statement, warming_up });
     }
 
-    /// The rows of the group that this one follows, if it follows one.
+    /// The replicated log of the parent group; `None` if the group has no parent.
     fn parent_rows(&self) -> Option<Vec<Entry>> {
         self.0.parent_log.as_ref().map(|parent| lock(&parent.group.0.state).replicated_log(now_ms()))
     }
 
-    /// A row as the member has it. A planted value has no commit.
+    /// A row as the member sees it. An injected value has the commit time 0, because no commit wrote it.
     fn visible_row(&self, member: usize, key: &str) -> Option<VisibleRow> {
         let log = self.parent_rows();
         let mut state = lock(&self.0.state);
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The messages that answer a statement, up to the one that says that it is ready for the next.
+    /// The messages that answer a statement, without the final ReadyForQuery.
     pub(super) fn answer_statement(&self, member: usize, query: &str) -> Vec<u8> {
         let messages = match parse(query) {
             Statement::Unknown => error("42601", ERROR_TEXT),
@@ -89,9 +90,10 @@
 
     fn answer_read(&self, member: usize, key: &str, background: bool) -> Vec<u8> {
         self.record(member, StatementKind::Read { background });
-        // The row is read before the work, the position reported after it: the position may be newer than the row.
+        // The row is read before the simulated execution and the position is reported after it, so the position may be
+        // newer than the row.
         let found = self.visible_row(member, key);
-        self.do_work(member);
+        self.simulate_execution(member);
         match found {
             Some(row) => row_of(&decode_hex(&row.value)),
             None if background => message(b'C', b"SELECT 0\0"),
@@ -99,11 +101,11 @@
         }
     }
 
-    /// Answers with the time of the row's commit before its value.
+    /// Answers with the row's commit time followed by its value.
     fn answer_position_read(&self, member: usize, key: &str) -> Vec<u8> {
         self.record(member, StatementKind::PositionRead);
         let found = self.visible_row(member, key);
-        self.do_work(member);
+        self.simulate_execution(member);
         match found {
             // The statement rounds the time up.
             Some(row) => row_of(&position_and_value(row.committed_at_ms + 1, &row.value)),
@@ -111,24 +113,24 @@
         }
     }
 
-    /// Answers with the copy's position before its value; with an empty value if no copy is new enough.
+    /// Answers with the copy's position followed by its value, or with an empty value if no copy is new enough.
     fn answer_copy_read(&self, member: usize, home: u32, key: &str, min_position_ms: i64) -> Vec<u8> {
         let copy = self.with_state(|state| state.copy(member, now_ms(), home, key));
         let copy = copy.filter(|copy| copy.position_ms >= min_position_ms);
         self.record(member, StatementKind::CopyRead { served: copy.is_some() });
         match copy {
             Some(copy) => {
-                self.do_work(member);
+                self.simulate_execution(member);
                 row_of(&position_and_value(copy.position_ms, &copy.value))
             }
             None => row_of(&[]),
         }
     }
 
-    /// Commits at the primary and reports the commit as the position; an error anywhere else.
+    /// Commits a write at the primary and reports the commit time as the position. Other members answer with an error.
     fn answer_write(&self, member: usize, key: String, value: String, id: String) -> Vec<u8> {
         self.record(member, StatementKind::Write { id: id.clone() });
-        self.do_work(member);
+        self.simulate_execution(member);
         let change = Change::Row { key, value: value.clone() };
         match self.with_state(|state| state.commit(member, now_ms(), &id, change)) {
             None => self.with_parameter_status(member, error("25006", ERROR_TEXT), None),
@@ -138,14 +140,15 @@
 
     fn answer_copy_write(&self, member: usize, change: Change) -> Vec<u8> {
         self.record(member, StatementKind::CopyWrite);
-        self.do_work(member);
+        self.simulate_execution(member);
         match self.with_state(|state| state.commit(member, now_ms(), "", change)) {
             None => error("25006", ERROR_TEXT),
             Some(_) => message(b'C', b"INSERT 0 1\0"),
         }
     }
 
-    /// Adds the messages that report a member's role and position; after a write, the position is its commit.
+    /// Appends the messages that report the member's role and position. `commit_ms` is the commit time of a write,
+    /// which is reported as the position instead of the member's own.
     fn with_parameter_status(&self, member: usize, messages: Vec<u8>, commit_ms: Option<i64>) -> Vec<u8> {
         let (claims, at_ms) =
             self.with_state(|state| (state.claims_primary(member), state.position(member, now_ms())));
@@ -153,7 +156,7 @@
     }
 }
 
-/// A position as 8 bytes, then the value.
+/// Encodes a position as 8 bytes in big-endian order, followed by the value.
 fn position_and_value(position_ms: i64, value: &str) -> Vec<u8> {
     [&position_ms.to_be_bytes()[..], &decode_hex(value)].concat()
 }
--- a/test-support/src/groups/cluster_rig.rs
+++ b/test-support/src/groups/cluster_rig.rs
@@ -1,4 +1,5 @@
-//! A test rig of several groups, the discovery service that lists them, and a fleet of proxies that know one another.
+//! A test rig of several groups, the discovery service that lists them, and a fleet of proxies that are each other's
+//! peers.
 
 use super::member::{Group, GroupProfile};
 use super::now_ms;
@@ -12,21 +13,22 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a member that restarts is away.
+/// Downtime of a member that restarts.
 const RESTART_TIME: Duration = Duration::from_millis(300);
 
-/// Groups, discovery and a fleet; dropping it stops the groups and the discovery.
+/// Groups, a discovery service and a fleet. Dropping this value stops the groups and the discovery service.
 pub struct ClusterRig {
     /// The groups of databases.
     pub groups: Vec<Group>,
     /// The discovery service.
     pub discovery: Discovery,
-    /// The proxies' rig and network.
+    /// The proxies' configuration and network.
     pub fleet: Fleet,
 }
 
 impl ClusterRig {
-    /// Starts discovery for these groups and prepares a fleet. `extra_options`: elements of the options file, beside `fleet`.
+    /// Starts a discovery service for these groups and prepares a fleet without starting its processes. For the
+    /// parameters, see [`Fleet::new`]; `extra_options` is the value of [`Fleet::extra_options`].
     pub fn new(
         groups: Vec<Group>,
         process_count: usize,
@@ -45,19 +47,19 @@
         Ok(ClusterRig { groups, discovery, fleet })
     }
 
-    /// Starts so many groups, none of which follows another.
+    /// Starts `count` groups without a parent group.
     pub fn groups(count: usize, loopback_address: [u8; 4], profile: &GroupProfile) -> io::Result<Vec<Group>> {
         let address = SocketAddr::new(IpAddr::from(loopback_address), 0);
         (0..count).map(|_| Group::start(address, profile, None)).collect()
     }
 
-    /// Starts a proxy process.
+    /// Starts the proxy process with this index.
     pub fn start(&self, process: usize) -> io::Result<Process> {
         self.fleet.start(process, None)
     }
 
-    /// Ends a member, takes it out of the list for a moment, and starts it again: with its data, or (`behind_ms` above 0) as
-    /// another database, restored from a copy so old.
+    /// Stops a member, removes it from the endpoint list for the downtime, and starts it again. If `behind_ms` is 0,
+    /// the member keeps its data. Otherwise it is a new database, restored from a backup that is `behind_ms` old.
     pub fn restart(&self, group: usize, member: usize, behind_ms: i64) {
         self.groups[group].with_state(|state| state.members[member].running = false);
         self.update_discovery();
@@ -66,7 +68,7 @@
         self.update_discovery();
     }
 
-    /// Makes discovery list the members that run, and the primaries as they are.
+    /// Updates the endpoint list to the running members and the current primaries.
     pub fn update_discovery(&self) {
         self.discovery.set_databases(listed_databases(&self.groups));
     }
@@ -79,14 +81,14 @@
     }
 }
 
-/// The list as it should be: the running members, with the present primaries.
+/// The correct endpoint list: the running members with the current primaries.
 pub(super) fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut listed = Vec::new();
     for (group_index, group) in groups.iter().enumerate() {
         let (primary, members) = group.with_state(|state| (state.primary, state.members.clone()));
         for (index, member) in members.iter().enumerate().filter(|(_, member)| member.running) {
             listed.push(ListedDatabase {
-                // A database restored from a copy has another identity.
+                // A database that was restored from a backup has a new identity.
                 uid: format!("s-{group_index}-{index}-{}", member.restore_count),
                 endpoint: group.address(index),
                 group: group_index as u32,
@@ -99,7 +101,7 @@
     listed
 }
 
-/// The settings of such a cluster: a request class of each kind.
+/// The value of `settings` in the configuration, with a request class of each consistency level.
 fn settings(proxies: usize) -> String {
     let class = |name: &str,
                  priority_weight: f64,
--- a/test-support/src/groups/database_faults.rs
+++ b/test-support/src/groups/database_faults.rs
@@ -1,40 +1,41 @@
-//! Faults of databases, drawn from a seed beside a schedule of faults of processes.
+//! Faults of databases. They are generated from the same seed as a schedule of process faults.
 
 use super::play::{FAULT_PERIOD, PROCESS_COUNT};
 use super::{ClusterRig, now_ms};
 use crate::schedule::Schedule;
 use std::time::Duration;
 
-/// Groups of the rig that faults are drawn for, and members of each.
+/// Number of groups in the rig, and number of members in each group.
 pub(super) const GROUP_COUNT: usize = 4;
 pub(super) const MEMBER_COUNT: usize = 3;
 
-/// Replication lag without a fault.
+/// Replication lag in the absence of faults.
 pub(super) const NORMAL_LAG_MS: i64 = 30;
 
-/// Replication lags that [`DatabaseFault::Lag`] is drawn from.
+/// Replication lags from which a [`DatabaseFault::Lag`] is chosen.
 const LAGS_MS: [i64; 3] = [30, 1_500, 4_000];
 
-/// Oldest copy that a database is restored from.
+/// Age limit of the backups from which databases are restored.
 const MAX_BEHIND_MS: i64 = 6_000;
 
-/// Keeps these draws apart from those of the schedule, which has the same seed.
+/// Makes the random numbers independent of those of the schedule, which has the same seed.
 const SEED_MASK: u64 = 0x5ca1ab1e;
 
-/// A fault of a database, or the end of one. Groups and members are indices.
+/// A fault of a database, or the end of a fault. Groups and members are indices.
 #[derive(Clone, Debug)]
 pub(super) enum DatabaseFault {
-    /// Another member becomes the primary. The old one is notified, or it keeps reporting to be the primary.
+    /// Another member becomes the primary. Unless the old primary is notified, it continues to report itself as the
+    /// primary.
     FailOver { group: usize, new_primary: usize, old_primary_notified: bool },
-    /// All members of a group apply their log so late.
+    /// Sets the replication lag of all members of a group.
     Lag { group: usize, lag_ms: i64 },
-    /// A member restarts from a copy so old.
+    /// A member restarts from a backup that is `behind_ms` old.
     Restart { group: usize, member: usize, behind_ms: i64 },
-    /// A member begins or ceases to leave everything unanswered.
+    /// A member stops or resumes answering statements.
     Hang { group: usize, member: usize, hung: bool },
 }
 
-/// A fault and its time from the start.
+/// A fault and its time since the start of the faults.
 #[derive(Clone, Debug)]
 pub(super) struct TimedDatabaseFault {
     pub after: Duration,
@@ -43,7 +44,7 @@
 
 impl DatabaseFault {
     fn generate(rng: &mut fastrand::Rng) -> DatabaseFault {
-        // Both are drawn for each kind of fault, used or not: a seed's faults depend on the order of draws.
+        // Both are drawn for every kind of fault, used or not: the faults of a seed depend on the order of draws.
         let (group, member) = (rng.usize(..GROUP_COUNT), rng.usize(..MEMBER_COUNT));
         match rng.u8(..5) {
             0 => DatabaseFault::FailOver { group, new_primary: member, old_primary_notified: rng.bool() },
@@ -56,13 +57,13 @@
 
 /// All faults of a run.
 pub(super) struct GeneratedFaults {
-    /// The faults of processes and of their network.
+    /// The faults of the processes and of the network between them.
     pub schedule: Schedule,
-    /// The faults of databases, by time.
+    /// The faults of databases, ordered by time.
     pub database_faults: Vec<TimedDatabaseFault>,
 }
 
-/// Draws the faults of processes and those of databases.
+/// Generates the faults of processes and of databases from a seed.
 pub(super) fn generate_faults(seed: u64) -> GeneratedFaults {
     let mut rng = fastrand::Rng::with_seed(seed ^ SEED_MASK);
     let schedule = Schedule::generate(seed, PROCESS_COUNT, rng.usize(2..8), FAULT_PERIOD);
@@ -86,7 +87,7 @@
         DatabaseFault::Lag { group, lag_ms } => rig.groups[group]
             .with_state(|state| state.members.iter_mut().for_each(|member| member.lag_ms = lag_ms)),
         DatabaseFault::Restart { group, member, behind_ms } => {
-            // A primary that ends is replaced.
+            // Fail over before the primary stops.
             rig.groups[group].with_state(|state| {
                 if state.primary == member {
                     state.fail_over((member + 1) % MEMBER_COUNT, now_ms(), true);
@@ -100,7 +101,7 @@
     }
 }
 
-/// Ends all faults of databases.
+/// Ends all database faults and updates the endpoint list.
 pub(super) fn clear_database_faults(rig: &ClusterRig) {
     for group in &rig.groups {
         group.with_state(|state| {
--- a/test-support/src/groups/history.rs
+++ b/test-support/src/groups/history.rs
@@ -1,24 +1,24 @@
-//! What a group's history consists of: commits, and statements that its members received.
+//! The history of a group: its commits, and the statements that its members received.
 
-/// What a commit changes.
+/// The change that a commit makes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A row's value, in hexadecimal digits.
+    /// A new value of a row.
     Row {
         /// The row's key.
         key: String,
-        /// Its new value.
+        /// The row's new value, in hexadecimal digits.
         value: String,
     },
-    /// A copy of another group's row.
+    /// A new version of the copy of another group's row.
     Copy {
-        /// The other group.
+        /// The number of the other group.
         home: u32,
         /// The row's key.
         key: String,
-        /// The position in the other group up to which the copy is complete.
+        /// The log position of the other group up to which the copy is complete.
         position_ms: i64,
-        /// The row's value there.
+        /// The row's value in the other group, in hexadecimal digits.
         value: String,
     },
 }
@@ -26,71 +26,71 @@
 /// A commit in a group's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// When it was committed; times grow strictly along a log.
+    /// The commit time. Commit times increase strictly along a log.
     pub committed_at_ms: i64,
-    /// The id of the request; empty for what no client wrote.
+    /// The id of the client's request; empty if no client wrote the change.
     pub id: String,
-    /// What it changed.
+    /// The committed change.
     pub change: Change,
 }
 
-/// A difference between a child of a split and its parent, which the child has from its start.
+/// A difference between a child of a shard split and its parent. Tests inject it; the child has it from its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlantedDifference {
     /// The child lacks the row.
     Missing,
     /// The child has the row although it belongs to the other child.
     Extra,
-    /// The child has this value.
+    /// The child has this value instead of the parent's, in hexadecimal digits.
     OtherValue(String),
 }
 
-/// The kind of a statement that a member received.
+/// The kind of statement that a member received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// A client's write, with its request's id.
+    /// A write by a client.
     Write {
-        /// The request's id.
+        /// The id of the client's request.
         id: String,
     },
     /// A read of a row.
     Read {
-        /// Whether a proxy sent it on its own account.
+        /// Whether it is a background read that a proxy sent without a client's request.
         background: bool,
     },
     /// A read of a copy of another group's row.
     CopyRead {
-        /// Whether there was a copy that was new enough.
+        /// Whether the member had a copy that was new enough.
         served: bool,
     },
-    /// A write of such a copy.
+    /// A write of a copy of another group's row.
     CopyWrite,
-    /// A read of a row with the time of its last commit.
+    /// A read of a row together with the time of its last commit.
     PositionRead,
-    /// A health check.
+    /// A health check that reads the usage figures.
     HealthCheck,
 }
 
 /// A statement that a member received.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// When.
+    /// When the member received it, in milliseconds of Unix time.
     pub received_at_ms: i64,
     /// The member's index.
     pub member: usize,
-    /// The kind of statement.
+    /// What kind of statement it was.
     pub statement: StatementKind,
-    /// Whether the member was in its slow start and proxies could know that.
+    /// Whether the member was in slow start and had restarted long enough ago for proxies to know it.
     pub warming_up: bool,
 }
 
-/// What a group recorded up to a moment.
+/// A snapshot of what a group has recorded.
 #[derive(Clone, Debug)]
 pub struct GroupHistory {
-    /// The statements that its members received.
+    /// The statements that its members received, in order.
     pub records: Vec<Record>,
-    /// Its commits, in the order of their times.
+    /// Its commits, ordered by commit time.
     pub log: Vec<Entry>,
-    /// Commits that failovers have lost.
+    /// The commits that failovers lost.
     pub lost_commits: Vec<Entry>,
 }
--- a/test-support/src/groups/history_checks.rs
+++ b/test-support/src/groups/history_checks.rs
@@ -1,30 +1,30 @@
-//! Checks on recorded histories: what databases and clients recorded, against the guarantees that proxies give. Pure
-//! functions; `tests/history_checks.rs` has a history for each that it must reject.
+//! Checks of the histories that databases and clients recorded against the guarantees that proxies give. The checks are
+//! pure functions. `tests/history_checks.rs` contains a history for each check that the check must reject.
 
 use super::history::{Change, Entry, Record, StatementKind};
 use std::collections::HashMap;
 
-/// A read that was served, as its client saw it.
+/// A read that was served, as its client recorded it.
 #[derive(Clone, Debug)]
 pub struct ServedRead {
     /// The key that was read.
     pub key: String,
-    /// The read has to see everything that was committed up to then.
+    /// The log position that the read must include, in milliseconds of Unix time.
     pub required_position_ms: i64,
-    /// The value that it got.
+    /// The value that the client received, in hexadecimal digits.
     pub value: String,
 }
 
-/// A value that a key had.
+/// A value that was committed for a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CommittedValue<'a> {
     committed_at_ms: i64,
     value: &'a str,
-    /// Whether no failover lost the commit.
+    /// Whether the commit survived all failovers.
     durable: bool,
 }
 
-/// The values that each key had, by the time of their commits.
+/// The values that were committed for each key, ordered by commit time.
 fn values_by_key<'a>(log: &'a [Entry], lost: &'a [Entry]) -> HashMap<&'a str, Vec<CommittedValue<'a>>> {
     let mut by_key: HashMap<&str, Vec<CommittedValue>> = HashMap::new();
     for (entries, durable) in [(log, true), (lost, false)] {
@@ -39,28 +39,31 @@
     by_key
 }
 
-/// Checks that no read saw less than it had to. `lost`: commits that a failover took back, which reads may have seen
-/// before. Returns how many reads were checked: those that had to see a commit.
+/// Checks that each read included the position that it required. `lost` contains the commits that failovers lost; reads
+/// may have seen them earlier. Returns how many reads were checked: those for which a commit was required.
 pub fn check_freshness(reads: &[ServedRead], log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
     let by_key = values_by_key(log, lost);
     let mut checked = 0;
     for read in reads {
         let Some(values) = by_key.get(read.key.as_str()) else { continue };
-        // The newest durable value that had to be seen; any later one is right, too.
+        // The newest durable value that the read had to include. Any later value is correct too.
         let is_required =
             |value: &CommittedValue| value.durable && value.committed_at_ms <= read.required_position_ms;
         let Some(required) = values.iter().rposition(is_required) else { continue };
         checked += 1;
         if !values[required..].iter().any(|value| value.value == read.value) {
             let seen = values.iter().rfind(|value| value.value == read.value);
-            return Err(format!("{read:?}: had to see {:?}, saw {seen:?}", values[required]));
+            return Err(format!(
+                "stale read: {read:?} must see {:?} or a later value, got {seen:?}",
+                values[required]
+            ));
         }
     }
     Ok(checked)
 }
 
-/// Checks that each copy in `copies` of a row of the group `home` holds everything that was committed there up to the
-/// copy's position, whoever made the copy and whether it was read or not. Returns how many were checked.
+/// Checks that each copy in `copies` of a row of the group `home` includes all commits there up to the copy's position,
+/// whichever proxy made the copy and whether or not the copy was read. Returns how many copies were checked.
 pub fn check_copies(copies: &[Entry], home: u32, log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
     let mut reads = Vec::new();
     for entry in copies {
@@ -74,21 +77,21 @@
     check_freshness(&reads, log, lost)
 }
 
-/// Checks that no request's write was executed twice, by its id. Returns how many writes were received.
+/// Checks by request id that no write was executed more than once. Returns how many writes the members received.
 pub fn check_single_execution(records: &[&[Record]], logs: &[&[Entry]]) -> Result<usize, String> {
     let mut executions: HashMap<&str, usize> = HashMap::new();
     for entry in logs.iter().copied().flatten().filter(|entry| !entry.id.is_empty()) {
         *executions.entry(&entry.id).or_default() += 1;
     }
     if let Some((id, count)) = executions.iter().find(|(_, count)| **count > 1) {
-        return Err(format!("{id} was executed {count} times"));
+        return Err(format!("write {id} was executed {count} times"));
     }
     let is_write = |record: &&Record| matches!(record.statement, StatementKind::Write { .. });
     Ok(records.iter().copied().flatten().filter(is_write).count())
 }
 
-/// Checks that no member received more than `limit` statements of a kind in any window of `window_ms`. Returns the highest
-/// count.
+/// Checks that no member received more than `limit` of the statements that `is_counted` selects in any window of
+/// `window_ms`. Returns the highest count.
 pub fn check_rate_limit(
     records: &[Record],
     window_ms: i64,
@@ -107,7 +110,7 @@
             highest = highest.max(count);
             if count > limit {
                 return Err(format!(
-                    "member {member}: {count} within {window_ms} ms of {start}, {limit} allowed"
+                    "member {member} received {count} statements within {window_ms} ms of {start}, limit {limit}"
                 ));
             }
         }
@@ -115,13 +118,15 @@
     Ok(highest)
 }
 
-/// Checks that no member received statements of a kind while it was warming up.
+/// Checks that no member in slow start received statements that `is_excluded` selects.
 pub fn check_none_while_warming_up(
     records: &[Record],
     is_excluded: impl Fn(&StatementKind) -> bool,
 ) -> Result<(), String> {
     match records.iter().find(|record| record.warming_up && is_excluded(&record.statement)) {
-        Some(record) => Err(format!("a member received {record:?} while it was warming up")),
+        Some(record) => {
+            Err(format!("member {} received a statement during slow start: {record:?}", record.member))
+        }
         None => Ok(()),
     }
 }
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -1,5 +1,5 @@
-//! The members of a group, on sockets. Each executes a limited number of statements at once and answers from the group's
-//! state.
+//! The members of a group as servers on sockets. Each executes a limited number of statements at once and answers from
+//! the group's state.
 
 use super::history::GroupHistory;
 use super::state::{Member, State};
@@ -12,24 +12,24 @@
 use std::thread;
 use std::time::Duration;
 
-/// Lowest speed, so that no statement takes forever.
+/// Lowest speed as a fraction of full speed. It bounds the time that a statement takes.
 const MIN_SPEED: f64 = 0.01;
 
-/// What a member can do.
+/// The capacity of a member.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
-    /// Statements that it executes at once; others wait.
+    /// Number of statements that it executes at once. Further statements wait.
     pub max_concurrent: usize,
-    /// How long a statement takes at full speed.
+    /// Execution time of a statement at full speed.
     pub statement_time: Duration,
-    /// Its speed right after a start, as a fraction of full speed.
+    /// Its speed immediately after a start, as a fraction of full speed.
     pub slow_start_initial_fraction: f64,
-    /// How long it takes to reach full speed, in a straight line.
+    /// Time from the start until it reaches full speed. The speed increases linearly.
     pub slow_start_window: Duration,
 }
 
 impl CapacityModel {
-    /// The fraction of full speed that a member has at this age.
+    /// The speed of a member this long after its start, as a fraction of full speed.
     pub(super) fn speed(&self, age_ms: i64) -> f64 {
         let window_ms = self.slow_start_window.as_millis().max(1) as f64;
         let progress = (age_ms as f64 / window_ms).clamp(0.0, 1.0);
@@ -38,43 +38,43 @@
     }
 }
 
-/// The members of a group, which are all alike.
+/// The size and behavior of a group. All members have the same values.
 #[derive(Clone, Debug)]
 pub struct GroupProfile {
-    /// How many there are.
+    /// Number of members.
     pub member_count: usize,
-    /// How late replicas apply the log.
+    /// Replication lag in milliseconds.
     pub lag_ms: i64,
-    /// What each can do.
+    /// The capacity of each member.
     pub capacity: CapacityModel,
 }
 
-/// The log that a child of a split follows.
+/// The parent log of a child of a shard split, from which the child reads its rows.
 pub struct ParentLog {
     /// The group that splits.
     pub group: Group,
-    /// Whether the child takes over a key.
+    /// Whether the child owns a key after the split.
     pub owns_key: fn(&str) -> bool,
 }
 
 pub(super) struct Inner {
     pub(super) addresses: Vec<SocketAddr>,
     pub(super) state: Mutex<State>,
-    /// Statements that each member executes now.
+    /// Number of statements that each member is executing.
     pub(super) in_flight: Mutex<Vec<usize>>,
     pub(super) changed: Condvar,
     pub(super) capacity: CapacityModel,
     pub(super) parent_log: Option<ParentLog>,
-    /// Set when the members' threads have to end.
+    /// Set when the members' threads must end.
     stopped: AtomicBool,
 }
 
-/// A handle to a running group; it ends with the process or with [`Group::stop`].
+/// A handle to a running group. The group runs until [`Group::stop`] or the end of the process.
 #[derive(Clone)]
 pub struct Group(pub(super) Arc<Inner>);
 
 impl Group {
-    /// Starts a group whose first member is the primary; port 0 takes free ports.
+    /// Starts a group whose first member is the primary. Port 0 selects a free port for each member.
     pub fn start(
         address: SocketAddr,
         profile: &GroupProfile,
@@ -99,24 +99,24 @@
         Ok(group)
     }
 
-    /// Where a member listens.
+    /// The address on which a member listens.
     pub fn address(&self, member: usize) -> SocketAddr {
         self.0.addresses[member]
     }
 
-    /// How many members the group has.
+    /// Number of members in the group.
     pub fn members(&self) -> usize {
         self.0.addresses.len()
     }
 
-    /// Reads or changes the group's state.
-    pub fn with_state<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
-        let result = act(&mut lock(&self.0.state));
+    /// Runs an operation that reads or changes the group's state, with the state locked, and returns its result.
+    pub fn with_state<T>(&self, operation: impl FnOnce(&mut State) -> T) -> T {
+        let result = operation(&mut lock(&self.0.state));
         self.0.changed.notify_all();
         result
     }
 
-    /// What the group has recorded so far.
+    /// A snapshot of what the group has recorded so far.
     pub fn history(&self) -> GroupHistory {
         self.with_state(|state| GroupHistory {
             records: state.records.clone(),
@@ -125,7 +125,7 @@
         })
     }
 
-    /// Ends the members' threads, and their connections with them.
+    /// Stops the members' threads and thereby breaks their connections.
     pub fn stop(&self) {
         self.0.stopped.store(true, Ordering::Relaxed);
     }
@@ -140,7 +140,7 @@
     }
 }
 
-/// One member, for its connections.
+/// The server of one member.
 #[derive(Clone)]
 struct MemberServer {
     group: Group,
@@ -181,7 +181,7 @@
             return None;
         }
         let answer = self.group.answer_statement(self.member, query);
-        // The member may hang or end while it executes the statement.
+        // The member may hang or stop while it executes the statement.
         self.wait_while_hung().then_some(answer)
     }
 }
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -1,6 +1,7 @@
-//! Groups of databases with the behaviour that proxies have to cope with: a log with positions, replicas that apply it late,
-//! failover that loses the last writes, slow starts, queues, hangs, copies of other groups' rows, and children that follow
-//! a group that splits. Each statement is recorded; checks on these records show what proxies did.
+//! Simulated groups of databases with the behavior that proxies must handle: a log with positions, replication lag,
+//! failovers that lose the last writes, slow start, queues, hangs, copies of other groups' rows, and the children of a
+//! shard split, which replicate from their parent group. The groups record each statement, so that checks can verify
+//! what proxies sent.
 
 mod answers;
 mod cluster_rig;
@@ -25,7 +26,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The clock of all positions: Unix time in milliseconds.
+/// The current Unix time in milliseconds, which all log positions are based on.
 pub fn now_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as i64)
 }
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -1,6 +1,6 @@
-//! One run of several processes with hot keys and a shard split at once. Faults of processes, of their network and of
-//! databases are drawn from a seed; clients send requests all the while; all checks follow at the end. A failing seed gives
-//! the same faults again.
+//! A seeded fault-injection run of several processes, with hot keys and a shard split at the same time. The faults of
+//! processes, network and databases are generated from a seed. Clients send requests during the whole run, and all
+//! checks run at the end. A failing seed reproduces the same faults.
 
 use super::database_faults::{
     DatabaseFault, GROUP_COUNT, GeneratedFaults, MEMBER_COUNT, NORMAL_LAG_MS, TimedDatabaseFault,
@@ -20,16 +20,16 @@
 
 pub(super) const PROCESS_COUNT: usize = 4;
 
-/// How long faults happen.
+/// Duration of the period in which faults occur.
 pub(super) const FAULT_PERIOD: Duration = Duration::from_secs(8);
 
-/// Traffic without faults, before and after them.
+/// Duration of the traffic without faults, before and after the fault period.
 const QUIET_PERIOD: Duration = Duration::from_secs(3);
 
-/// How long processes may take to agree on the fleet.
+/// Time limit for the processes to agree on the fleet.
 pub(super) const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
 
-/// The members of each group.
+/// Size and behavior of each group.
 const GROUP_PROFILE: GroupProfile = GroupProfile {
     member_count: MEMBER_COUNT,
     lag_ms: NORMAL_LAG_MS,
@@ -41,68 +41,69 @@
     },
 };
 
-/// Keys that are read; each client writes the first of its list.
+/// Number of keys that are read. Each client writes only the first key of its list.
 const KEY_COUNT: usize = 24;
 
-/// Keys below this one may be written, so no difference is planted in them.
+/// Clients may write the keys below this index, so no differences are injected there.
 const FIRST_UNWRITTEN_KEY: usize = 8;
 
-/// One key in so many gets a difference, where differences are planted.
+/// On average, one in this many keys gets a difference in runs that inject differences.
 const KEYS_PER_DIFFERENCE: u8 = 6;
 
-/// Budgets in the options below, in a window of one second.
+/// Background budgets in `EXTRA_OPTIONS`, per window of one second.
 pub(super) const COPIES_PER_SECOND: usize = 12;
 pub(super) const DUAL_READS_PER_SECOND: usize = 24;
 
-/// Statements that paused processes may have sent before, and that arrive beside a window's budget.
+/// Bound on statements that processes sent before they were suspended and that arrive in addition to a window's budget.
 pub(super) const MAX_DELAYED_STATEMENTS: usize = PROCESS_COUNT;
 
 const EXTRA_OPTIONS: &str = "<hot bears='25' copies-per-s='12' reads-per-s='12' all-per-s='60' window-ms='1000'/>\
      <split from='0' below='1' above='2' at='2147483648' least='1' within-ms='60000' confirm-ms='2500' \
      reads-per-s='24' all-per-s='80' window-ms='1000'/>";
 
-/// The result of a run.
+/// The counts of a successful run.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// Reads that were served.
+    /// Number of reads that were served.
     pub served: u64,
-    /// Reads that were rejected without execution.
+    /// Number of reads that were rejected without execution.
     pub rejected: u64,
-    /// Reads that failed otherwise.
+    /// Number of reads that failed for other reasons.
     pub failed: u64,
-    /// Reads during which the connection broke.
+    /// Number of reads during which the connection broke.
     pub disconnected: u64,
-    /// Reads that were checked for freshness.
+    /// Number of reads that were checked for freshness.
     pub checked_reads: usize,
-    /// Copies that were checked against their home group's log.
+    /// Number of copies that were checked against the log of their home group.
     pub checked_copies: usize,
-    /// Reads that were served from a copy.
+    /// Number of reads that were served from a copy.
     pub copy_reads: usize,
-    /// Copies that were written.
+    /// Number of writes of copies.
     pub copy_writes: usize,
-    /// Background reads for comparisons and copies.
+    /// Number of background reads for comparisons and copies.
     pub dual_reads: usize,
-    /// Differences that processes reported.
+    /// Number of differences that processes reported in their logs.
     pub reported_differences: usize,
-    /// Differences that were planted in the children of the split.
+    /// Number of differences that were injected into the children of the split.
     pub planted_differences: usize,
 }
 
-/// A schedule of faults, and what it is played with.
+/// A schedule of faults with the resources that its run uses.
 #[derive(Clone, Copy, Debug)]
 pub struct SeededSchedule<'a> {
-    /// The faults, the requests and the planted differences are drawn from it.
+    /// The seed of the faults, the requests and the injected differences.
     pub seed: u64,
-    /// A loopback address that nobody else uses meanwhile.
+    /// A loopback address that is not in use elsewhere during the run.
     pub loopback_address: [u8; 4],
-    /// The built proxy.
+    /// Path of the built proxy.
     pub program: &'a Path,
-    /// The processes' files; it is deleted and created.
+    /// The folder for the processes' files, which is deleted and created again.
     pub folder: &'a Path,
 }
 
 impl SeededSchedule<'_> {
-    /// Plays the schedule on processes and runs all checks. The error says which check failed, with the faults.
+    /// Runs the processes, clients and faults, then all checks. The error names the check that failed and lists the
+    /// faults.
     pub fn play(&self) -> Result<Summary, String> {
         let SeededSchedule { seed, loopback_address, program, folder } = *self;
         let GeneratedFaults { schedule, database_faults } = generate_faults(seed);
@@ -138,14 +139,14 @@
     }
 }
 
-/// The group that splits, its two children, and a group that holds copies.
+/// Starts the group that splits, its two children, and a group that holds copies.
 fn start_groups(loopback_address: [u8; 4]) -> io::Result<Vec<Group>> {
     let mut groups = start_split_groups(loopback_address, &GROUP_PROFILE, &GROUP_PROFILE)?;
     groups.extend(ClusterRig::groups(GROUP_COUNT - groups.len(), loopback_address, &GROUP_PROFILE)?);
     Ok(groups)
 }
 
-/// Plants differences in the children of the split, for even seeds, and returns them as logs report them.
+/// For even seeds, injects differences into the children of the split. Returns the differences as logs report them.
 fn plant_differences(seed: u64, groups: &[Group], keys: &[String]) -> BTreeSet<String> {
     let mut planted = BTreeSet::new();
     if !seed.is_multiple_of(2) {
@@ -166,7 +167,7 @@
     planted
 }
 
-/// Whether a fault leaves a former primary of the splitting group that was not notified.
+/// Whether a fault leaves a former primary of the splitting group that was not notified of the failover.
 fn leaves_stale_primary(timed: &TimedDatabaseFault) -> bool {
     matches!(timed.fault, DatabaseFault::FailOver { group: PARENT, old_primary_notified: false, .. })
 }
--- a/test-support/src/groups/run.rs
+++ b/test-support/src/groups/run.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: their start, their traffic, and the faults while they run.
+//! The processes of a run: their start, their traffic, and the faults that occur while they run.
 
 use super::ClusterRig;
 use super::database_faults::{TimedDatabaseFault, apply_database_fault};
@@ -14,35 +14,35 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-/// How often it is checked whether processes agree on the fleet.
+/// Interval at which the processes' agreement on the fleet is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The hot key, and how often each client reads it and every other key in a second.
+/// The index of the hot key, and how many times per second each client reads the hot key and every other key.
 const HOT_KEY: usize = 3;
 const HOT_READ_RATE: f64 = 20.0;
 const READ_RATE: f64 = 1.0;
 
-/// How often a client writes in a second; the client whose first key is the hot one writes less.
+/// Writes per second of each client. The client whose first key is the hot key writes less often.
 const WRITE_RATE: f64 = 3.0;
 const HOT_WRITE_RATE: f64 = 1.0;
 
-/// Fraction of reads of the first key that have to see the client's last write.
+/// The fraction of reads of the first key that must see the client's last write.
 const SESSION_FRACTION: f64 = 0.3;
 
-/// The processes of a run and what they left so far. The processes end before the rig.
+/// The processes of a run and the data collected so far. `processes` is declared before `rig` so that the processes are
+/// dropped first.
 pub(super) struct Run {
-    /// `None` stands where a process was killed.
+    /// `None` stands for a process that was killed.
     pub processes: Vec<Option<Process>>,
     pub rig: ClusterRig,
     addresses: Arc<ProxyAddresses>,
-    /// Whether each process was killed or restarted.
+    /// For each process, whether it was killed or restarted.
     pub killed: [bool; PROCESS_COUNT],
-    /// Log lines of processes that ended.
+    /// Log lines of processes that have ended.
     pub log_lines: Vec<String>,
 }
 
 impl Run {
-    /// Starts all processes.
     pub(super) fn start(rig: ClusterRig) -> io::Result<Run> {
         let processes: Vec<Option<Process>> =
             (0..PROCESS_COUNT).map(|n| rig.start(n).map(Some)).collect::<io::Result<_>>()?;
@@ -61,20 +61,20 @@
         let start = Instant::now();
         while check_settled(PROCESS_COUNT, &running).is_err() {
             if start.elapsed() > RECOVERY_LIMIT {
-                return Err("the processes did not agree on the fleet".into());
+                return Err(format!("the processes did not agree on the fleet within {RECOVERY_LIMIT:?}"));
             }
             sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Tells clients where the processes are reached now.
+    /// Updates the addresses at which clients connect to the processes.
     pub(super) fn update_addresses(&self) {
         let addresses = client_addresses(&self.processes);
         *lock(&self.addresses) = addresses;
     }
 
-    /// Starts a client for each process; the result has one for each, too.
+    /// Starts one client for each process. The result is in the order of the processes.
     pub(super) fn start_traffic(&self, keys: &[String], seed: u64) -> Vec<Traffic> {
         self.update_addresses();
         let start_client = |process: usize| {
@@ -90,7 +90,7 @@
         (0..PROCESS_COUNT).map(start_client).collect()
     }
 
-    /// Applies the faults of processes and of databases at their times, and waits for the end of their period.
+    /// Applies the process and database faults at their times and waits for the end of the fault period.
     pub(super) fn apply_faults(
         &mut self,
         schedule: &Schedule,
@@ -123,12 +123,12 @@
     }
 }
 
-/// Where clients reach each process; `None` for those that do not run.
+/// The address of each process for clients; `None` if the process does not run.
 fn client_addresses(processes: &[Option<Process>]) -> Vec<Option<SocketAddr>> {
     processes.iter().map(|process| process.as_ref()?.client_address()).collect()
 }
 
-/// The keys with their rates, for the client of a process: it writes the first, which differs from client to client.
+/// The keys and read rates of a process's client. The client writes the first key, which differs between clients.
 fn read_rates(keys: &[String], process: usize) -> Vec<ReadRate> {
     let rate = |key: &String| ReadRate { key: key.clone(), reads_per_second: READ_RATE };
     let mut rates: Vec<ReadRate> = keys.iter().map(rate).collect();
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -1,4 +1,4 @@
-//! What a finished run has to fulfil: every check on its histories, logs and replies.
+//! The checks of a finished run, on its histories, logs and replies.
 
 use super::history_checks::{
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
@@ -9,25 +9,25 @@
 use super::{Entry, Group, GroupHistory, Record, StatementKind};
 use std::collections::BTreeSet;
 
-/// The window of the background budgets in the run's options.
+/// Window of the background budgets in the run's options.
 const BUDGET_WINDOW_MS: i64 = 1_000;
 
-/// Each comparison and each copy reads twice.
+/// Number of reads for each comparison and for each copy.
 const READS_PER_BACKGROUND_TASK: usize = 2;
 
-/// The group that is split and whose rows are copied.
+/// The index of the group that is split and whose rows are copied.
 const HOME_GROUP: usize = 0;
 
-/// What a run left behind.
+/// The recorded results of a run.
 pub(super) struct FinishedRun<'a> {
     pub groups: &'a [Group],
-    /// The replies that the clients of each process got.
+    /// The replies that the clients of each process received.
     pub traffic: &'a [TrafficResult],
-    /// Whether each process was killed or restarted.
+    /// For each process, whether it was killed or restarted.
     pub killed: &'a [bool],
-    /// Log lines of all processes.
+    /// The log lines of all processes.
     pub log_lines: &'a [String],
-    /// The planted differences, as logs report them.
+    /// The injected differences, as logs report them.
     pub planted: &'a BTreeSet<String>,
     /// Whether a former primary of the home group was not notified of a failover.
     pub stale_primary: bool,
@@ -54,7 +54,7 @@
         Ok(summary)
     }
 
-    /// Connections broke only at processes that were killed.
+    /// Checks that connections broke only at processes that were killed or restarted.
     fn check_connections(&self, summary: &mut Summary) -> Result<(), String> {
         for (result, killed) in self.traffic.iter().zip(self.killed) {
             summary.served += result.served;
@@ -62,16 +62,19 @@
             summary.failed += result.failed;
             summary.disconnected += result.disconnected;
             if result.disconnected > 0 && !killed {
-                return Err(format!("{} requests lost at a proxy that was not killed", result.disconnected));
+                return Err(format!(
+                    "{} connections broke at a proxy that was neither killed nor restarted",
+                    result.disconnected
+                ));
             }
         }
         Ok(())
     }
 
-    /// Reads of a group were fresh enough.
+    /// Checks that reads of a group were fresh enough.
     fn check_reads(&self, group: usize, history: &GroupHistory, summary: &mut Summary) -> Result<(), String> {
-        // A former primary that was not notified reports the present position, so proxies cannot know that its rows are
-        // old. Copies of such rows are checked all the same.
+        // A former primary that was not notified of a failover reports the current position, so proxies cannot know
+        // that its rows are old. Copies of such rows are checked nevertheless.
         if self.stale_primary {
             return Ok(());
         }
@@ -82,12 +85,12 @@
         Ok(())
     }
 
-    /// Every reported difference was planted, and no process panicked.
+    /// Checks that every reported difference was injected and that no process panicked.
     fn check_log_lines(&self, summary: &mut Summary) -> Result<(), String> {
         for line in self.log_lines.iter().filter(|line| line.contains("event=split-flag")) {
             let reported = format!("{} {}", log_value(line, "sort="), log_value(line, "hash="));
             if !self.planted.contains(&reported) {
-                return Err(format!("a difference that was not planted: {line}"));
+                return Err(format!("a process reported a difference that was not injected: {line}"));
             }
             summary.reported_differences += 1;
         }
@@ -98,7 +101,7 @@
     }
 }
 
-/// Background statements kept their budgets and avoided members that were warming up.
+/// Checks that background statements stayed within their budgets and were not sent to members in slow start.
 fn check_background_statements(
     group: usize,
     records: &[Record],
@@ -109,7 +112,7 @@
         matches!(statement, StatementKind::Read { background: true } | StatementKind::PositionRead)
     };
     check_rate_limit(records, BUDGET_WINDOW_MS, COPIES_PER_SECOND + MAX_DELAYED_STATEMENTS, is_copy)?;
-    // Rows are read for copies in their home group alone.
+    // Reads for copies go only to the home group.
     let copies = if group == HOME_GROUP { COPIES_PER_SECOND } else { 0 };
     let tasks = copies + DUAL_READS_PER_SECOND + MAX_DELAYED_STATEMENTS;
     check_rate_limit(records, BUDGET_WINDOW_MS, READS_PER_BACKGROUND_TASK * tasks, is_dual_read)?;
@@ -123,7 +126,7 @@
     Ok(())
 }
 
-/// The value after `key` (with its `=`) in a log line; empty without one.
+/// The value after `key` (which includes the `=`) in a log line; empty if the key is missing.
 fn log_value(line: &str, key: &str) -> String {
     line.split([' ', '"']).find_map(|word| word.strip_prefix(key)).unwrap_or_default().to_string()
 }
--- a/test-support/src/groups/split_groups.rs
+++ b/test-support/src/groups/split_groups.rs
@@ -1,21 +1,22 @@
-//! A group that splits into two children, and the rows that it has at first.
+//! A group that is split into two children, and its initial rows.
 
 use super::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
 use super::{Change, Group, GroupProfile, ParentLog, PlantedDifference, now_ms};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// The index of the group that splits.
+/// The index of the group that is split.
 pub const PARENT: usize = 0;
-/// The index of the child that takes over the lower hashes.
+/// The index of the child that owns the lower hashes.
 pub const LOWER_CHILD: usize = 1;
-/// The index of the child that takes over the upper hashes.
+/// The index of the child that owns the upper hashes.
 pub const UPPER_CHILD: usize = 2;
 
-/// How long ago the keys' first values were committed.
+/// Age of the initial values.
 const INITIAL_AGE_MS: i64 = 10_000;
 
-/// Starts the group that splits and its two children, which follow its log; they stand at their indices.
+/// Starts the group that is split and its two children, which replicate its log. The result has them at the indices
+/// [`PARENT`], [`LOWER_CHILD`] and [`UPPER_CHILD`].
 pub fn start_split_groups(
     loopback_address: [u8; 4],
     parent_profile: &GroupProfile,
@@ -30,7 +31,7 @@
     Ok(vec![parent.clone(), start_child(goes_to_lower_child)?, start_child(goes_to_upper_child)?])
 }
 
-/// Commits a value of each key, so long ago that all replicas have it.
+/// Commits an initial value of each key, with a commit time so long ago that all replicas have applied it.
 pub fn write_initial_rows(parent: &Group, keys: &[String]) {
     for (index, key) in keys.iter().enumerate() {
         let change = Change::Row { key: key.clone(), value: format!("{index:04x}") };
@@ -38,8 +39,8 @@
     }
 }
 
-/// Plants a difference at a key, in the child that has to have the key or in the one that must not have it. Returns the
-/// difference as logs report it.
+/// Injects a difference at a key: an extra row into the child that does not own the key, any other difference into the
+/// child that owns the key. Returns the difference as logs report it.
 pub fn plant_difference(groups: &[Group], key: &str, difference: PlantedDifference) -> String {
     let reported = format!("{} {:08x}", logged_kind(&difference), hash(key));
     let (owner, other) = match goes_to_lower_child(key) {
@@ -51,7 +52,7 @@
     reported
 }
 
-/// The word by which logs name a difference of this kind.
+/// The word for this kind of difference in logs.
 fn logged_kind(difference: &PlantedDifference) -> &'static str {
     match difference {
         PlantedDifference::Missing => "missing",
--- a/test-support/src/groups/sql.rs
+++ b/test-support/src/groups/sql.rs
@@ -1,34 +1,32 @@
-//! Parsing of the statements that a member knows: those of clients, and those that proxies send on their own account.
+//! Parsing of the statements that a member supports: those of clients, and those that proxies send in the background.
 
 use super::history::Change;
 use crate::statement_text::{comment_field, quoted_strings};
 
-/// A parsed statement.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Statement {
-    /// A read of a row, by a client or (`background`) by a proxy.
+    /// A read of a row. `background` is true if a proxy sent it without a client's request.
     Read { key: String, background: bool },
-    /// A client's write; `id` is its request's.
+    /// A write by a client. `id` is the id of the client's request.
     Write { key: String, value: String, id: String },
-    /// A read of the copy of another group's row, if the copy is that new.
+    /// A read of the copy of another group's row, which requires the copy's position to be at least `min_position_ms`.
     CopyRead { home: u32, key: String, min_position_ms: i64 },
-    /// A write of such a copy.
+    /// A write of a copy of another group's row.
     CopyWrite(Change),
-    /// A read of a row with the time of its last commit.
+    /// A read of a row together with the time of its last commit.
     PositionRead { key: String },
-    /// The health check that reads usage figures.
+    /// The health check that reads the usage figures.
     Usage,
-    /// Anything else.
+    /// Any other statement.
     Unknown,
 }
 
-/// What stands between the first `start` and the next `end`.
+/// The text between the first `start` and the next `end`.
 fn text_between<'a>(text: &'a str, start: &str, end: &str) -> Option<&'a str> {
     let (_, rest) = text.split_once(start)?;
     Some(rest.split_once(end)?.0)
 }
 
-/// Parses a statement.
 pub(super) fn parse(query: &str) -> Statement {
     parse_known(query).unwrap_or(Statement::Unknown)
 }
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -1,5 +1,5 @@
-//! The state of a group as values: its log, how far each member has applied it, and what each member sees of it. No socket,
-//! no clock.
+//! The state of a group: its log, the position that each member has applied, and the rows that each member sees. This
+//! module uses neither sockets nor a clock; callers pass the time.
 
 use super::history::{Change, Entry, PlantedDifference, Record};
 use std::collections::HashMap;
@@ -9,29 +9,29 @@
 pub struct Member {
     /// Whether its process runs.
     pub running: bool,
-    /// Whether it leaves everything unanswered.
+    /// Whether it leaves all statements unanswered.
     pub hung: bool,
-    /// How long it takes until it has applied a commit.
+    /// Replication lag: the time until the member has applied a commit.
     pub lag_ms: i64,
-    /// The newest position that it reported; positions never go back.
+    /// The highest position that it has reported. Reported positions never decrease.
     position_ms: i64,
-    /// When its process started; 0 if that was before the test.
+    /// When its process started, in milliseconds of Unix time; 0 if it started before the test.
     pub started_at_ms: i64,
-    /// How old the copy was that it was restored from.
+    /// Age of the backup that it was restored from, at the time of the restore.
     restored_behind_ms: i64,
-    /// How often it was restored from a copy.
+    /// Number of times that it was restored from a backup.
     pub restore_count: u32,
-    /// Set for a former primary that was not notified of the failover: it answers from its state up to this position, and
-    /// reports the present one.
+    /// Set for a former primary that was not notified of the failover. It answers from its state up to this position,
+    /// but reports the current position.
     frozen_position_ms: Option<i64>,
-    /// Copies from before this time are lost.
+    /// The member has lost the copies that were committed before this time.
     copies_since_ms: i64,
 }
 
 /// A row as a member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VisibleRow {
-    /// Its value, in hexadecimal digits.
+    /// The row's value, in hexadecimal digits.
     pub value: String,
     /// When the value was committed.
     pub committed_at_ms: i64,
@@ -40,39 +40,39 @@
 /// A copy of another group's row, as a member sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VisibleCopy {
-    /// The position in the other group up to which the copy is complete.
+    /// The log position of the other group up to which the copy is complete.
     pub position_ms: i64,
-    /// The row's value there, in hexadecimal digits.
+    /// The row's value in the other group, in hexadecimal digits.
     pub value: String,
 }
 
-/// For how long after a failover those who follow a group's log still see the commits that the failover lost.
+/// How long after a failover the groups that replicate a log still see the commits that the failover lost.
 const LOST_COMMITS_VISIBLE_MS: i64 = 1_000;
 
-/// How much faster than time passes a restored member makes good what it lacks, beyond keeping up.
+/// Milliseconds by which a restored member reduces its lag per millisecond, in addition to applying new commits.
 const CATCH_UP_FACTOR: i64 = 4;
 
 /// The state of a group.
 #[derive(Clone, Debug)]
 pub struct State {
-    /// Commits, in the order of their times.
+    /// The commits, ordered by commit time.
     pub log: Vec<Entry>,
-    /// Commits that failovers have lost.
+    /// The commits that failovers lost.
     pub lost_commits: Vec<Entry>,
-    /// When the last failover was.
+    /// The time of the last failover.
     lost_at_ms: i64,
-    /// The members.
+    /// The members, in the order of their indices.
     pub members: Vec<Member>,
     /// The primary's index.
     pub primary: usize,
-    /// Differences to the parent group, by key.
+    /// Injected differences from the parent group, by key.
     pub planted_differences: HashMap<String, PlantedDifference>,
     /// All statements that members received.
     pub records: Vec<Record>,
 }
 
 impl State {
-    /// A group without commits, whose first member is the primary.
+    /// Creates a group without commits, whose first member is the primary.
     pub fn new(member_count: usize, lag_ms: i64) -> State {
         let member = Member {
             running: true,
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Whether a member reports to be the primary.
+    /// Whether a member reports itself as the primary.
     pub fn claims_primary(&self, member: usize) -> bool {
         self.primary == member || self.members[member].frozen_position_ms.is_some()
     }
 
-    /// The position that a member reports. Whatever commits later has a later time.
+    /// The log position that a member reports. Later commits have a higher position.
     pub fn position(&mut self, member: usize, now: i64) -> i64 {
         let last_commit_ms = self.log.last().map_or(0, |entry| entry.committed_at_ms);
         let is_primary = self.primary == member;
@@ -117,12 +117,12 @@
         member.position_ms
     }
 
-    /// The position that a member answers from.
+    /// The log position up to which a member sees commits.
     fn visible_position(&mut self, member: usize, now: i64) -> i64 {
         self.members[member].frozen_position_ms.unwrap_or_else(|| self.position(member, now))
     }
 
-    /// A row as a member sees it. `log`: that of the parent group, if the group follows one.
+    /// A row as a member sees it. `log` is the parent group's log; `None` uses the group's own log.
     pub fn row(&mut self, log: Option<&[Entry]>, member: usize, now: i64, key: &str) -> Option<VisibleRow> {
         let visible_ms = self.visible_position(member, now);
         let is_stale_primary = self.members[member].frozen_position_ms.is_some();
@@ -140,7 +140,8 @@
         })
     }
 
-    /// The log as groups that follow it have it: shortly after a failover with the commits that it lost.
+    /// The log as the groups that replicate it have received it. Shortly after a failover, it still contains the
+    /// commits that the failover lost.
     pub fn replicated_log(&self, now: i64) -> Vec<Entry> {
         let lost_commits =
             self.lost_commits.iter().filter(|_| now - self.lost_at_ms < LOST_COMMITS_VISIBLE_MS);
@@ -149,7 +150,7 @@
         entries
     }
 
-    /// The newest copy of another group's row that a member sees.
+    /// The copy of another group's row with the highest position that a member sees.
     pub fn copy(&mut self, member: usize, now: i64, home: u32, key: &str) -> Option<VisibleCopy> {
         let visible_ms = self.visible_position(member, now);
         let visible = self.members[member].copies_since_ms..=visible_ms;
@@ -166,7 +167,8 @@
         newest
     }
 
-    /// Commits a change at the primary and returns its time; other members commit nothing.
+    /// Commits a change at the primary and returns the commit time. Returns `None` without a commit if the member is
+    /// not the primary.
     pub fn commit(&mut self, member: usize, now: i64, id: &str, change: Change) -> Option<i64> {
         if self.primary != member || self.members[member].frozen_position_ms.is_some() {
             return None;
@@ -176,8 +178,8 @@
         Some(committed_at_ms)
     }
 
-    /// Another member becomes the primary, with the commits that it has applied; all later ones are lost. The old primary
-    /// is notified, or it keeps reporting to be the primary.
+    /// Makes another member the primary. It keeps the commits that it has applied; all later commits are lost. Unless
+    /// the old primary is notified, it continues to report itself as the primary.
     pub fn fail_over(&mut self, to: usize, now: i64, old_primary_notified: bool) {
         let old = self.primary;
         if to == old {
@@ -201,8 +203,8 @@
         self.members[member].frozen_position_ms = None;
     }
 
-    /// Starts a member's process again, without its copies of other groups' rows. `behind_ms` above 0: it is restored from a
-    /// copy so old, and catches up.
+    /// Restarts a member's process, without its copies of other groups' rows. If `behind_ms` is above 0, the member is
+    /// restored from a backup of that age and then catches up.
     pub fn restart(&mut self, member: usize, now: i64, behind_ms: i64) {
         let position_ms = self.position(member, now) - behind_ms;
         let member = &mut self.members[member];
--- a/test-support/src/groups/traffic.rs
+++ b/test-support/src/groups/traffic.rs
@@ -1,4 +1,5 @@
-//! Clients of a fleet: each sends one proxy reads of keys at given rates, writes now and then, and records the replies.
+//! Clients of a fleet. Each client connects to one proxy, reads keys and writes one of them at given rates, and records
+//! the replies.
 
 use super::Group;
 use super::history_checks::ServedRead;
@@ -9,55 +10,56 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 
-/// A key that a client reads.
+/// A key with the rate at which a client reads it.
 #[derive(Clone, Debug)]
 pub struct ReadRate {
     /// The key.
     pub key: String,
-    /// How often it is read, on average.
+    /// Average number of reads per second.
     pub reads_per_second: f64,
 }
 
-/// What one client does.
+/// The requests that one client sends.
 #[derive(Clone)]
 pub struct TrafficProfile {
-    /// The index of the proxy that it connects to.
+    /// The index of the proxy that the client connects to.
     pub proxy: usize,
-    /// The group that it reads and writes.
+    /// The number of the group that it reads and writes.
     pub group: u32,
-    /// The keys that it reads.
+    /// The keys that it reads. It writes only the first; without a key, it sends nothing.
     pub read_rates: Vec<ReadRate>,
-    /// Fraction of the first key's reads that have to see the client's last write; all others are bounded in age.
+    /// The fraction of the first key's reads that must see the client's last write. All other reads have bounded
+    /// staleness.
     pub session_fraction: f64,
-    /// How often the first key is written in a second.
+    /// Average number of writes of the first key per second.
     pub write_rate: f64,
 }
 
-/// A served read and the group that was read.
+/// A served read and the group that it read from.
 #[derive(Clone, Debug)]
 pub struct GroupRead {
-    /// The group.
+    /// The number of the group.
     pub group: u32,
-    /// The read.
+    /// The read as its client recorded it.
     pub read: ServedRead,
 }
 
-/// The replies that clients got.
+/// The replies that clients received.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficResult {
-    /// Reads that were served, one by one.
+    /// Each read that was served.
     pub reads: Vec<GroupRead>,
-    /// How many reads were served.
+    /// Number of reads that were served.
     pub served: u64,
-    /// Reads that were rejected without execution (SQLSTATE 53300 or 57P03).
+    /// Number of reads that were rejected without execution (SQLSTATE 53300 or 57P03).
     pub rejected: u64,
-    /// Reads that failed otherwise.
+    /// Number of reads that failed with another error.
     pub failed: u64,
-    /// Reads during which the connection broke.
+    /// Number of reads during which the connection broke.
     pub disconnected: u64,
     /// Durations of served reads, in microseconds.
     pub read_times_micros: Vec<u64>,
-    /// Writes that were sent.
+    /// Number of writes that were sent.
     pub writes: u64,
 }
 
@@ -69,10 +71,10 @@
     }
 }
 
-/// Where each proxy is reached now; `None` while it does not run.
+/// The current address of each proxy; `None` while the proxy does not run.
 pub type ProxyAddresses = Mutex<Vec<Option<SocketAddr>>>;
 
-/// Clients that run until they are stopped.
+/// Running clients, which send requests until [`Traffic::stop`].
 pub struct Traffic {
     stopped: Arc<AtomicBool>,
     result: Arc<Mutex<TrafficResult>>,
@@ -80,7 +82,7 @@
 }
 
 impl Traffic {
-    /// Starts a client for each profile. The addresses may change as proxies restart.
+    /// Starts a client for each profile. The caller updates `proxies` when a proxy restarts at another address.
     pub fn start(
         proxies: &Arc<ProxyAddresses>,
         groups: &[Group],
@@ -101,12 +103,12 @@
         Traffic { stopped, result, threads }
     }
 
-    /// The replies since the last call.
+    /// Returns the replies since the last call.
     pub fn take_result(&self) -> TrafficResult {
         std::mem::take(&mut lock(&self.result))
     }
 
-    /// Stops all clients and returns the replies since the last call.
+    /// Stops all clients and returns the replies since the last [`Traffic::take_result`].
     pub fn stop(self) -> TrafficResult {
         self.stopped.store(true, Ordering::Relaxed);
         self.threads.into_iter().for_each(|thread| drop(thread.join()));
--- a/test-support/src/groups/traffic_client.rs
+++ b/test-support/src/groups/traffic_client.rs
@@ -1,4 +1,4 @@
-//! One client of a fleet's traffic.
+//! One of the clients that generate a fleet's traffic.
 
 use super::history_checks::ServedRead;
 use super::traffic::{GroupRead, ProxyAddresses, ReadRate, TrafficProfile, TrafficResult};
@@ -12,28 +12,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The bound on the age of reads outside of sessions; the class `status-check` has it in the rig's settings.
+/// Staleness bound of reads outside sessions. The class `status-check` has the same bound in the rig's settings.
 const BOUNDED_READ_AGE_MS: i64 = 800;
 
-/// Deadlines that clients send, by the kind of request.
+/// The deadlines that clients send, by kind of request.
 const WRITE_DEADLINE_MS: u32 = 2500;
 const SESSION_READ_DEADLINE_MS: u32 = 1500;
 const BOUNDED_READ_DEADLINE_MS: u32 = 1200;
 
-/// Longest sleep before a client looks whether it was stopped or has a write to send; also the pause after a failed
-/// connect.
+/// Longest sleep before a client checks whether it was stopped or a write is due. Also the pause after a failed
+/// connection attempt.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Reads that are later than this are skipped, so that no burst follows a pause.
+/// Reads that are delayed for longer than this are skipped, so that no burst follows a pause.
 const MAX_READ_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest time between two requests of one kind, in seconds; also what a rate of zero gives.
+/// Longest time between two requests of one kind, in seconds. A rate of zero results in this interval.
 const MAX_INTERVAL_SECONDS: f64 = 60.0;
 
-/// The next value that is written; each is written once, so that its commit can be found.
+/// The next value to write. Each value is written only once, so that it identifies its commit.
 static NEXT_VALUE: AtomicU64 = AtomicU64::new(1);
 
-/// One client: a request at a time, on a connection that is made again when it breaks.
+/// A client that sends one request at a time and reconnects when its connection breaks.
 pub(super) struct TrafficClient {
     proxies: Arc<ProxyAddresses>,
     group: Group,
@@ -41,10 +41,10 @@
     result: Arc<Mutex<TrafficResult>>,
     rng: fastrand::Rng,
     connection: Option<Client>,
-    /// When each key is read next, by its index in the profile.
+    /// When the next read of each key is due, by the key's index in the profile.
     read_due: BTreeMap<usize, Instant>,
     write_due: Instant,
-    /// When the last write was committed.
+    /// Commit time of the last write.
     last_write_ms: Option<i64>,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends requests until the flag is set; at once done if the profile has no key.
+    /// Sends requests until the flag is set. Returns immediately if the profile has no keys.
     pub(super) fn run(&mut self, stopped: &AtomicBool) {
         if self.profile.read_rates.is_empty() {
             return;
@@ -86,24 +86,25 @@
                 continue;
             };
             let result = self.run_next_request(&mut connection);
-            // A connection that failed is dropped.
+            // Drop a connection that failed.
             self.connection = result.ok().map(|()| connection);
         }
     }
 
-    /// Connects to the proxy where it is reached now; `None` if it does not run or accepts nobody.
+    /// Connects to the proxy at its current address. `None` if the proxy does not run or does not accept the
+    /// connection.
     fn connect(&self) -> Option<Client> {
         let address = lock(&self.proxies)[self.profile.proxy]?;
         Client::connect(address).ok()
     }
 
-    /// An exponentially distributed time between requests of this rate.
+    /// Draws an exponentially distributed interval for requests with this average rate per second.
     fn draw_interval(&mut self, rate: f64) -> Duration {
         let seconds = -self.rng.f64().max(1e-9).ln() / rate.max(1e-6);
         Duration::from_secs_f64(seconds.min(MAX_INTERVAL_SECONDS))
     }
 
-    /// Sends the write or read that is due, or waits a moment for it. An error: the connection broke.
+    /// Sends the write or read that is due, or sleeps briefly if none is due. An error means that the connection broke.
     fn run_next_request(&mut self, connection: &mut Client) -> std::io::Result<()> {
         if self.profile.write_rate > 0.0 && Instant::now() >= self.write_due {
             return self.write(connection);
@@ -118,7 +119,7 @@
         self.read(connection, key_index, due)
     }
 
-    /// Writes a new value of the first key and notes when it was committed.
+    /// Writes a new value of the first key and remembers its commit time.
     fn write(&mut self, connection: &mut Client) -> std::io::Result<()> {
         self.write_due = Instant::now() + self.draw_interval(self.profile.write_rate);
         let value = format!("{:016x}", NEXT_VALUE.fetch_add(1, Ordering::Relaxed));
@@ -131,13 +132,13 @@
         Ok(())
     }
 
-    /// Reads the key of this index, as part of the session or not, and draws when it is read next.
+    /// Reads the key with this index and schedules its next read. Whether the read belongs to the session is random.
     fn read(&mut self, connection: &mut Client, key_index: usize, due: Instant) -> std::io::Result<()> {
         let ReadRate { key, reads_per_second } = self.profile.read_rates[key_index].clone();
         let earliest = Instant::now() - MAX_READ_DELAY;
         let next_due = due.max(earliest) + self.draw_interval(reads_per_second);
         self.read_due.insert(key_index, next_due);
-        // Only the first key is written, so only its reads can belong to the session.
+        // The client writes only the first key, so only reads of that key can belong to the session.
         let in_session =
             key_index == 0 && self.last_write_ms.is_some() && self.rng.f64() < self.profile.session_fraction;
         let after = self.last_write_ms.filter(|_| in_session);
@@ -151,7 +152,7 @@
         self.record_read(key, required_position_ms, start.elapsed(), reply)
     }
 
-    /// Counts a read by its reply, with its value if it was served. An error: the connection broke.
+    /// Counts a read by its reply and records its value if it was served. An error means that the connection broke.
     fn record_read(
         &self,
         key: String,
@@ -179,7 +180,7 @@
     }
 }
 
-/// When a value was committed, if it is still in the log.
+/// The commit time of a value; `None` if its commit is not in the log.
 fn commit_time_ms(group: &Group, value: &str) -> Option<i64> {
     let writes_value = |change: &Change| matches!(change, Change::Row { value: other, .. } if other == value);
     group.with_state(|state| {
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -1,9 +1,9 @@
-//! Test doubles for everything a proxy talks to, on loopback addresses: scripted databases, discovery, a load balancer
-//! that runs health checks, clients, a network with faults, and the built program as a child process; and what tests need to compare
-//! with recorded bytes.
+//! Test doubles for everything that a proxy communicates with, on loopback addresses: scripted databases, a discovery
+//! service, a load balancer that runs health checks, clients, and a network with faults. The crate also runs the built
+//! program as a child process and compares data with recorded bytes.
 //!
-//! They use threads and blocking sockets, because simple code matters more here than speed. Nothing here is meant for
-//! production, and nothing here depends on the proxy's code.
+//! The test doubles use threads and blocking sockets, because simple code matters more here than speed. The crate is
+//! not meant for production and does not depend on the proxy's code.
 
 #![warn(missing_docs)]
 
@@ -26,7 +26,8 @@
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks a mutex, even if a thread panicked while it held it: each holder leaves the data consistent.
+/// Locks a mutex, even if a thread panicked while holding it. Ignoring the poison flag is safe because every holder
+/// leaves the data consistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
--- a/test-support/src/links.rs
+++ b/test-support/src/links.rs
@@ -1,5 +1,6 @@
-//! Relays for links (TCP connections) among processes, under the same faults as datagrams. A blocked link stays open and
-//! silent, as in a network partition. The sender is known by the address that its connection comes from.
+//! Relays for links (TCP connections) between processes. They apply the blocked directions of the same faults as the
+//! datagram relays. A blocked link stays open and transfers nothing, as in a network partition. A relay identifies the
+//! sender by the source address of its connection.
 
 use crate::relay::RelayContext;
 use std::io::{ErrorKind, Read, Write};
@@ -7,24 +8,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a blocked or idle link looks whether that has changed.
+/// Interval at which a blocked or idle link checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Size of a copying thread's buffer.
+/// Size of a copying thread's buffer in bytes.
 const BUFFER_BYTES: usize = 16 << 10;
 
 /// One direction of a link.
 #[derive(Clone)]
 struct LinkDirection {
-    /// The sending process; `None` if it is none of the fleet's.
+    /// The sending process; `None` if it does not belong to the fleet.
     from: Option<usize>,
-    /// The receiving process; `None` likewise.
+    /// The receiving process; `None` if it does not belong to the fleet.
     to: Option<usize>,
     context: RelayContext,
 }
 
 impl LinkDirection {
-    /// The way back.
     fn reversed(&self) -> LinkDirection {
         LinkDirection { from: self.to, to: self.from, context: self.context.clone() }
     }
@@ -58,7 +58,8 @@
     });
 }
 
-/// Connects an accepted link to the process once neither direction is blocked, and copies both ways.
+/// Waits until neither direction is blocked, connects an accepted link to the process, and copies both ways. `None`
+/// means that the relays were stopped or a socket operation failed.
 fn connect_link(client: TcpStream, address: SocketAddr, direction: &LinkDirection) -> Option<()> {
     client.set_nonblocking(false).ok()?;
     while direction.is_blocked() || direction.reversed().is_blocked() {
@@ -76,7 +77,7 @@
     Some(())
 }
 
-/// Copies until either end closes; waits while the direction is blocked.
+/// Copies bytes until either end closes or the relays are stopped. Waits while the direction is blocked.
 fn copy_bytes(mut from: TcpStream, mut to: TcpStream, direction: &LinkDirection) {
     let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = [0; BUFFER_BYTES];
--- a/test-support/src/many_databases.rs
+++ b/test-support/src/many_databases.rs
@@ -1,5 +1,6 @@
-//! Thousands of databases in one process: one listener accepts for all loopback addresses, and the address that a
-//! connection was made to tells which database answers. They share no rows: each read gets the same value.
+//! Thousands of databases in one process. One listener accepts connections for all loopback addresses, and the
+//! destination address of a connection selects the database that answers. The databases store no rows: every read
+//! returns the same value.
 
 use crate::groups::now_ms;
 use crate::lock;
@@ -12,16 +13,16 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Bound on the body of one message.
+/// Largest message body that a database reads.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// The value of every row.
+/// The value that every read and write returns.
 const VALUE: &str = "\\x9f03";
 
-/// The first database's address; the others follow it.
+/// The address of the first database. The others have consecutive addresses.
 const FIRST_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 100, 0, 1);
 
-/// A handle to the running databases; their threads end with the process.
+/// A handle to the running databases. Their threads run until the process ends.
 #[derive(Clone)]
 pub struct ManyDatabases {
     inner: Arc<Inner>,
@@ -36,9 +37,9 @@
 }
 
 impl ManyDatabases {
-    /// Starts databases with these indices as primaries; the others are replicas.
+    /// Starts the databases. Those with these indices are primaries, all others replicas.
     pub fn start(primaries: impl Iterator<Item = u32>) -> io::Result<ManyDatabases> {
-        // A listener at the unspecified address is the only one that accepts for a whole range of addresses.
+        // Only a listener on the unspecified address accepts connections for a range of addresses.
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         let port = listener.local_addr()?.port();
         let inner = Inner {
@@ -53,22 +54,22 @@
         Ok(databases)
     }
 
-    /// Where the database with this index listens.
+    /// The address of the database with this index.
     pub fn address(&self, index: u32) -> SocketAddr {
         SocketAddr::new(ip_address(index), self.port)
     }
 
-    /// Connections accepted so far, by all databases.
+    /// Number of connections that all databases have accepted so far.
     pub fn connection_count(&self) -> u64 {
         self.inner.connection_count.load(Ordering::Relaxed)
     }
 
-    /// Statements received so far, health checks included, by all databases.
+    /// Number of statements that all databases have received so far, including health checks.
     pub fn statement_count(&self) -> u64 {
         self.inner.statement_count.load(Ordering::Relaxed)
     }
 
-    /// Breaks the connections of a database, as its restart does.
+    /// Breaks all connections of a database, as a restart of the database does.
     pub fn break_connections(&self, index: u32) {
         let streams = lock(&self.inner.open_connections).remove(&ip_address(index)).unwrap_or_default();
         for stream in streams {
@@ -78,7 +79,7 @@
 
     fn accept(&self, listener: &TcpListener) {
         for stream in listener.incoming().flatten() {
-            // The listener can be reached from other machines; nobody there has business with it.
+            // The listener is reachable from other machines; reject their connections.
             if !stream.peer_addr().is_ok_and(|peer| peer.ip().is_loopback()) {
                 continue;
             }
@@ -88,12 +89,12 @@
         }
     }
 
-    /// Answers statements until either end breaks the connection.
+    /// Answers statements until either end closes the connection.
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         let database = stream.local_addr()?.ip();
         let peer = stream.peer_addr()?;
-        let for_break = stream.try_clone()?;
-        lock(&self.inner.open_connections).entry(database).or_default().push(for_break);
+        let registered_stream = stream.try_clone()?;
+        lock(&self.inner.open_connections).entry(database).or_default().push(registered_stream);
         let result = self.answer_statements(&mut stream, self.inner.primaries.contains(&database));
         if let Some(streams) = lock(&self.inner.open_connections).get_mut(&database) {
             streams.retain(|other| other.peer_addr().is_ok_and(|other| other != peer));
@@ -104,7 +105,7 @@
     fn answer_statements(&self, stream: &mut TcpStream, is_primary: bool) -> io::Result<()> {
         stream.set_nodelay(true)?;
         read_body(stream)?;
-        stream.write_all(&[message(b'R', &[0; 4]), ready()].concat())?;
+        stream.write_all(&[message(b'R', &[0; 4]), ready_for_query()].concat())?;
         let mut tag = [0];
         loop {
             stream.read_exact(&mut tag)?;
@@ -119,12 +120,11 @@
     }
 }
 
-/// The address of the database with this index.
 fn ip_address(index: u32) -> IpAddr {
     Ipv4Addr::from_bits(FIRST_ADDRESS.to_bits() + index).into()
 }
 
-/// The messages that answer a statement.
+/// The messages that answer a statement, including ReadyForQuery.
 fn answer(query: &str, is_primary: bool) -> Vec<u8> {
     let now = now_ms();
     let result = match quoted_strings(query).len() {
@@ -134,15 +134,15 @@
         _ if is_primary => row(VALUE),
         _ => error("25006", "this is no primary"),
     };
-    [result, role_and_position(is_primary, now), ready()].concat()
+    [result, role_and_position(is_primary, now), ready_for_query()].concat()
 }
 
-/// Says that the database is ready for the next statement, outside of a transaction.
-fn ready() -> Vec<u8> {
+/// ReadyForQuery outside a transaction.
+fn ready_for_query() -> Vec<u8> {
     message(b'Z', b"I")
 }
 
-/// Reads a message from its length on and returns the body.
+/// Reads a message's length and body and returns the body. The caller has read the type byte, if there is one.
 fn read_body(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
--- a/test-support/src/process.rs
+++ b/test-support/src/process.rs
@@ -1,4 +1,4 @@
-//! The built program as a child process of a test, with its own configuration and options files.
+//! Runs the built program as a child process of a test, with its own configuration and options files.
 
 use crate::lock;
 use std::io::{BufRead, BufReader};
@@ -10,34 +10,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Upper bound of every wait: longer than a loaded test machine stalls, and reached only when a test fails.
+/// Upper bound of every wait. It is longer than any stall of a loaded test machine, so a test reaches it only when it
+/// fails.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// How often a wait looks again.
+/// Interval at which waits check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Pause after the start was logged or the exit was seen, so that log lines written with it have arrived.
+/// Pause after the process has logged its start or has exited, so that the log lines written at the same time have
+/// arrived.
 const START_SETTLE_TIME: Duration = Duration::from_millis(10);
 
-/// What a process is started with.
+/// The settings that a process is started with.
 pub struct ProcessSettings<'a> {
-    /// The executable.
+    /// Path of the executable.
     pub program: &'a Path,
     /// An existing folder for the process's files.
     pub folder: &'a Path,
-    /// Name of the files within the folder, without their endings.
+    /// Base name of the configuration and options files within the folder, without extensions.
     pub name: &'a str,
     /// Text of the configuration file.
     pub config: &'a str,
-    /// Text of the options file; without it the process runs without options.
+    /// Text of the options file; `None` starts the process without options.
     pub options: Option<&'a str>,
-    /// The listening socket for clients, if the process inherits it instead of binding its own.
+    /// The listening socket for clients that the process inherits; `None` lets it bind its own.
     pub inherited_listener: Option<&'a TcpListener>,
-    /// The limit on open file descriptors (`ulimit -n`), if it is not the test's own.
+    /// The limit on open file descriptors (`ulimit -n`); `None` keeps the test's own limit.
     pub max_descriptors: Option<u32>,
 }
 
-/// A running process; dropping it kills it.
+/// A running process. Dropping this handle kills the process.
 pub struct Process {
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
@@ -53,7 +55,7 @@
 }
 
 impl Process {
-    /// Writes the files and starts the program.
+    /// Writes the configuration and options files and starts the program.
     pub fn start(settings: &ProcessSettings) -> std::io::Result<Process> {
         let file = |ending: &str| settings.folder.join(format!("{}.{ending}", settings.name));
         let (config, options, tmp) = (file("json"), file("xml"), settings.folder.join("tmp"));
@@ -87,7 +89,7 @@
         self.child.id()
     }
 
-    /// All lines that it has logged so far.
+    /// All lines that the process has logged so far.
     pub fn log(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
@@ -111,12 +113,13 @@
         }
     }
 
-    /// The address in the value of `key` (with its `=`) in the first log line that contains these words.
+    /// Waits for the first log line that contains these words and returns the address after `key` (which includes the
+    /// `=`).
     fn logged_address(&self, words: &[&str], key: &str) -> Option<SocketAddr> {
         self.wait_for_log_line(words)?.split(' ').find_map(|w| w.strip_prefix(key))?.parse().ok()
     }
 
-    /// Waits until it accepts clients and returns their address; `None` if it exits before.
+    /// Waits until the process accepts clients and returns the address for clients. `None` if the process exits first.
     pub fn wait_until_serving(&mut self) -> Option<SocketAddr> {
         loop {
             let started = lock(&self.log).iter().any(|l| l.contains("event=started"));
@@ -128,27 +131,28 @@
         }
     }
 
-    /// The address that clients connect to.
+    /// The address for clients, from the log. Waits up to [`MAX_WAIT`] for the start to be logged.
     pub fn client_address(&self) -> Option<SocketAddr> {
         self.logged_address(&["event=started"], "listen=")
     }
 
-    /// The address of the admin listener.
+    /// The address of the admin listener, from the log. Waits up to [`MAX_WAIT`] for the start to be logged.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.logged_address(&["event=started"], "operator=")
     }
 
-    /// The address of the health check listener of a kind, `http` or `agent`.
+    /// The address of the health check listener of this kind, `http` or `agent`, from the log. Waits up to [`MAX_WAIT`]
+    /// for the listener to be logged.
     pub fn check_address(&self, kind: &str) -> Option<SocketAddr> {
         self.logged_address(&["event=health-listening", &format!("kind={kind}")], "at=")
     }
 
-    /// Sends a signal, by its name without `SIG`.
+    /// Sends the process a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").args([&format!("-{name}"), &self.pid().to_string()]).status();
     }
 
-    /// Replaces both files and makes the process read them again (SIGHUP).
+    /// Replaces the configuration and options files and makes the process reload them (SIGHUP).
     pub fn reload(&self, config: &str, options: &str) -> std::io::Result<()> {
         std::fs::write(&self.config, config)?;
         std::fs::write(&self.options, options)?;
@@ -156,7 +160,7 @@
         Ok(())
     }
 
-    /// Waits for its exit and returns the exit code; `None` after [`MAX_WAIT`] or if a signal ended it.
+    /// Waits until the process exits and returns its exit code. `None` after [`MAX_WAIT`] or if a signal ended it.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < MAX_WAIT {
@@ -168,29 +172,30 @@
         None
     }
 
-    /// Processor time used so far. The program has one thread, so one thread's figure is complete.
+    /// CPU time used so far. The file read covers only the main thread, which suffices because the program has one
+    /// thread.
     pub fn cpu_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid())).ok()?;
         Some(Duration::from_nanos(stat.split(' ').next()?.parse().ok()?))
     }
 
-    /// Resident memory in KiB.
+    /// Current resident memory in KiB; `None` if the system does not report it.
     pub fn resident_memory_kib(&self) -> Option<u64> {
         self.memory_kib("VmRSS:")
     }
 
-    /// The most resident memory that it has had so far, in KiB.
+    /// Peak resident memory so far in KiB; `None` if the system does not report it.
     pub fn peak_memory_kib(&self) -> Option<u64> {
         self.memory_kib("VmHWM:")
     }
 
-    /// A figure of the system's account of its memory, by its label.
+    /// The value with this label in `/proc/<pid>/status`, in KiB.
     fn memory_kib(&self, label: &str) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).ok()?;
         status.lines().find_map(|l| l.strip_prefix(label))?.trim().split(' ').next()?.parse().ok()
     }
 
-    /// How many descriptors it has open.
+    /// Number of open file descriptors; `None` if the system does not report it.
     pub fn open_descriptors(&self) -> Option<usize> {
         Some(std::fs::read_dir(format!("/proc/{}/fd", self.pid())).ok()?.count())
     }
--- a/test-support/src/recorded_bytes.rs
+++ b/test-support/src/recorded_bytes.rs
@@ -1,15 +1,16 @@
-//! Bytes that an earlier release wrote, recorded in hexadecimal: tests compare what is written now with them, and read them.
+//! Bytes that an earlier release wrote, recorded in hexadecimal. Tests compare the current output with them and check
+//! that they can still be read.
 
-/// The bytes in hexadecimal.
+/// Encodes bytes as lower-case hexadecimal digits.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes that are written in hexadecimal.
+/// Decodes bytes from hexadecimal digits.
 ///
 /// # Panics
 ///
-/// If the text is anything but pairs of hexadecimal digits.
+/// Panics if the text contains anything other than pairs of hexadecimal digits.
 pub fn from_hex(text: &str) -> Vec<u8> {
     let byte_at = |at: usize| match u8::from_str_radix(&text[at..at + 2], 16) {
         Ok(byte) => byte,
@@ -18,11 +19,12 @@
     (0..text.len()).step_by(2).map(byte_at).collect()
 }
 
-/// The bytes that a recording has under a name. Each of its lines is a name and the bytes in hexadecimal.
+/// Returns the bytes recorded under a name. Each line of a recording consists of a name, a space and the bytes in
+/// hexadecimal.
 ///
 /// # Panics
 ///
-/// If the recording does not have the name.
+/// Panics if the recording does not contain the name.
 pub fn find_recorded(recording: &str, name: &str) -> Vec<u8> {
     let mut entries = recording.lines().filter_map(|line| line.split_once(' '));
     match entries.find(|(recorded_name, _)| *recorded_name == name) {
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -1,5 +1,6 @@
-//! The network among processes: a relay in front of each, for datagrams (here) and for links (TCP, `links.rs`). Relays
-//! block, lose, delay, duplicate and corrupt what passes, by faults that a test changes as it runs, and by a seed.
+//! The network between processes: a relay in front of each process, for datagrams (this module) and for links (TCP,
+//! `links.rs`). The faults that a test sets determine what the relays block, drop, delay, duplicate and corrupt. A seed
+//! determines the random choices.
 
 use crate::links::relay_links;
 use crate::lock;
@@ -11,19 +12,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How far the processes' loopback addresses are from the relays' own.
+/// Offset of the first process's loopback address from the address of the relays.
 const PROCESS_ADDRESS_OFFSET: usize = 10;
 
-/// How long a relay waits for a datagram before it looks at those that it delays.
+/// How long a relay waits for a datagram before it checks which delayed datagrams are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How often another port is tried where TCP's port of the same number is in use.
+/// How often another port is tried if the TCP port with the same number is in use.
 const MAX_BIND_RETRIES: u32 = 50;
 
-/// Longest datagram that is relayed.
+/// Longest datagram that is relayed without truncation.
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// The way from one process to another, by their indices.
+/// A direction of traffic between two processes, which are given by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Direction {
     /// The sending process.
@@ -32,30 +33,30 @@
     pub to: usize,
 }
 
-/// What happens to traffic on its way.
+/// The network faults that relays apply to traffic. The default has no faults.
 #[derive(Clone, Debug, Default)]
 pub struct NetworkFaults {
-    /// Directions in which nothing passes.
+    /// Directions in which the relays forward nothing.
     pub blocked: HashSet<Direction>,
-    /// The fraction of datagrams that is lost.
+    /// The fraction of datagrams that are dropped, from 0 to 1.
     pub loss_fraction: f64,
-    /// The fraction of datagrams that arrives twice.
+    /// The fraction of datagrams that are delivered twice, from 0 to 1.
     pub duplicate_fraction: f64,
-    /// The fraction of datagrams in which a bit is changed.
+    /// The fraction of datagrams in which one bit is flipped, from 0 to 1.
     pub corrupt_fraction: f64,
-    /// The longest delay of a datagram; each has its own, so that some arrive out of order.
+    /// The longest delay of a datagram. Each datagram has its own random delay, so some arrive out of order.
     pub max_delay: Duration,
 }
 
 impl NetworkFaults {
-    /// Separates the processes below `first` from the others.
+    /// Blocks all traffic between the processes with an index below `first` and the others.
     pub fn partition(first: usize, process_count: usize) -> NetworkFaults {
         let blocked = blocked_directions(process_count, |from, to| (from < first) != (to < first));
         NetworkFaults { blocked, ..NetworkFaults::default() }
     }
 }
 
-/// The directions among so many processes that this selects, by the sender and the receiver.
+/// The directions between `process_count` processes for which `is_blocked(from, to)` holds.
 pub(crate) fn blocked_directions(
     process_count: usize,
     is_blocked: impl Fn(usize, usize) -> bool,
@@ -65,10 +66,9 @@
     all.filter(|direction| is_blocked(direction.from, direction.to)).collect()
 }
 
-/// What a relay's threads share with the test.
+/// The state that a relay's threads share with the test.
 #[derive(Clone)]
 pub(crate) struct RelayContext {
-    /// The address of each process.
     pub(crate) process_addresses: Vec<SocketAddr>,
     pub(crate) faults: Arc<Mutex<NetworkFaults>>,
     pub(crate) stopped: Arc<AtomicBool>,
@@ -79,31 +79,31 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Whether nothing passes from one process to another.
+    /// Whether the faults block traffic from one process to another.
     pub(crate) fn is_blocked(&self, from: usize, to: usize) -> bool {
         lock(&self.faults).blocked.contains(&Direction { from, to })
     }
 }
 
-/// The relays in front of a fleet's processes; they end when this is dropped.
+/// The relays in front of a fleet's processes. Dropping this value stops them.
 pub struct Relays {
-    /// Where others reach each process: its relay.
+    /// The address of each process's relay, to which the other processes send.
     pub relay_addresses: Vec<SocketAddr>,
-    /// Where each process listens.
+    /// The address on which each process listens.
     pub process_addresses: Vec<SocketAddr>,
-    /// The faults that hold now.
+    /// The current faults.
     pub faults: Arc<Mutex<NetworkFaults>>,
     stopped: Arc<AtomicBool>,
 }
 
 impl Relays {
-    /// Starts a relay for each process. `loopback_address`: an address that nobody else uses, with those that follow it:
-    /// processes listen from the tenth after it.
+    /// Starts a relay for each process. `loopback_address` and the addresses after it must not be in use elsewhere: the
+    /// relays listen on the address itself, the processes on the addresses from the tenth after it.
     pub fn start(process_count: usize, loopback_address: IpAddr, seed: u64) -> io::Result<Relays> {
         let bind_relay = |_| PortPair::bind((loopback_address, 0).into());
         let relay_ports = (0..process_count).map(bind_relay).collect::<io::Result<Vec<_>>>()?;
         let relay_addresses = relay_ports.iter().map(PortPair::address).collect::<io::Result<Vec<_>>>()?;
-        // These ports are free now; all are held until all are known, so that they differ.
+        // Find a free port for each process. All stay bound until the last one is known, so that they differ.
         let reserve = |process| {
             let address = nth_address(loopback_address, PROCESS_ADDRESS_OFFSET + process);
             PortPair::bind(SocketAddr::new(address, 0))
@@ -131,12 +131,12 @@
         }
     }
 
-    /// The faults that hold now.
+    /// A copy of the current faults.
     pub fn faults(&self) -> NetworkFaults {
         lock(&self.faults).clone()
     }
 
-    /// Replaces the faults.
+    /// Replaces the current faults.
     pub fn set_faults(&self, faults: NetworkFaults) {
         *lock(&self.faults) = faults;
     }
@@ -155,7 +155,7 @@
 }
 
 impl PortPair {
-    /// Binds both; with port 0 to a number that is free for both.
+    /// Binds both sockets. Port 0 selects a number that is free for both.
     fn bind(address: SocketAddr) -> io::Result<PortPair> {
         let mut retries = 0;
         loop {
@@ -173,7 +173,7 @@
     }
 }
 
-/// The address that is so many after this one.
+/// The IPv4 address that is `offset` after `first`. IPv6 addresses are returned unchanged.
 pub fn nth_address(first: IpAddr, offset: usize) -> IpAddr {
     match first {
         IpAddr::V4(first) => Ipv4Addr::from(u32::from(first).wrapping_add(offset as u32)).into(),
@@ -181,7 +181,7 @@
     }
 }
 
-/// A datagram that is on its way.
+/// A datagram that is sent when it is due.
 struct DelayedDatagram {
     due: Instant,
     bytes: Vec<u8>,
@@ -206,7 +206,7 @@
     }
 }
 
-/// Puts a datagram on its way: never, once or twice.
+/// Applies the faults to a datagram and queues it never, once or twice.
 fn apply_faults(
     datagram: &[u8],
     faults: &NetworkFaults,
--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -1,4 +1,5 @@
-//! A test rig: groups of databases, the discovery service that lists them, and the files that let proxies find them.
+//! A test rig: groups of databases, the discovery service that lists them, and the configuration files that point
+//! proxies to the discovery service.
 
 use crate::database::{Database, Rows};
 use crate::discovery::{Discovery, ListedDatabase};
@@ -11,35 +12,36 @@
 
 /// A group of two databases.
 pub struct Group {
-    /// The primary, until a failover.
+    /// The database that starts as the primary.
     pub primary: Database,
-    /// The replica, until a failover.
+    /// The database that starts as the replica.
     pub replica: Database,
-    /// Their rows.
+    /// The rows that both databases share.
     pub rows: Arc<Rows>,
 }
 
-/// Descriptors that the system grants a process beyond its configured limit.
+/// How many more descriptors the system allows a process than its configuration does.
 const EXTRA_DESCRIPTORS: u32 = 64;
 
-/// Free addresses have ports from this one on, below those that the system chooses for listeners at port 0.
+/// The lowest port of free addresses. Their ports stay below those that the system chooses for listeners on port 0.
 const FIRST_PORT: u16 = 10_000;
 
-/// The ports at which rigs begin: each process at another one, so that two runs of the same tests do not meet.
+/// Number of ports at which rigs may start their search. Each test process starts at a different one, so that two
+/// concurrent runs of the same tests do not use the same ports.
 const START_PORTS: u32 = 20_000;
 
-/// Ports between the starts of two processes that follow one another.
+/// Distance between the start ports of test processes with consecutive process ids.
 const START_PORT_STEP: u32 = 97;
 
-/// Another discovery service and other settings for a rig's proxies.
+/// A discovery service and settings that a rig's proxies use instead of the rig's own.
 pub struct ExternalDiscovery {
-    /// Where the service listens.
+    /// The address on which the service listens.
     pub address: SocketAddr,
     /// The configuration's `settings`, as JSON.
     pub settings: String,
 }
 
-/// Databases, discovery and files for proxies.
+/// Databases, a discovery service and configuration files for proxies.
 pub struct Rig {
     /// The groups of databases.
     pub groups: Vec<Group>,
@@ -52,12 +54,13 @@
     next_port: AtomicU16,
     /// The limit on descriptors in a proxy's configuration.
     pub max_descriptors: u32,
-    /// Used instead of this rig's own discovery and settings.
+    /// If set, proxies use these instead of the rig's own discovery service and settings.
     pub external_discovery: Option<ExternalDiscovery>,
 }
 
 impl Rig {
-    /// `loopback_address`: one that nobody else uses meanwhile. The folder is deleted and created.
+    /// Starts the databases and the discovery service. `loopback_address` must not be in use elsewhere at the same
+    /// time. The folder is deleted and created again.
     pub fn new(
         group_count: u32,
         loopback_address: [u8; 4],
@@ -87,7 +90,7 @@
         })
     }
 
-    /// An address with a port that is free now and that this rig has not handed out before.
+    /// An address with a port that is currently free and that this rig has not returned before.
     pub fn free_address(&self) -> io::Result<SocketAddr> {
         loop {
             let port = self.next_port.fetch_add(1, Ordering::Relaxed);
@@ -98,12 +101,12 @@
         }
     }
 
-    /// The rig's loopback address.
+    /// The loopback address on which the databases and the discovery service listen.
     pub fn loopback_address(&self) -> IpAddr {
         self.loopback_address
     }
 
-    /// The configuration file's text for the proxy `p{seed}`.
+    /// The text of the configuration file for the proxy `p{seed}`.
     pub fn config(&self, seed: u64) -> String {
         let (discovery, settings) = match &self.external_discovery {
             Some(external) => (external.address, external.settings.clone()),
@@ -119,7 +122,8 @@
         )
     }
 
-    /// Options with both health check listeners, and further elements within `health`.
+    /// The text of an options file with both health check listeners. `callers` is the limit on simultaneous connections
+    /// to each listener. `extra` is added within the element `health`.
     pub fn health_options(http: SocketAddr, agent: SocketAddr, callers: u32, extra: &str) -> String {
         format!(
             "<birchreach-options>\n<health>\n<http listen='{http}' callers='{callers}'/>\n\
@@ -135,13 +139,13 @@
         inherited_listener: Option<&TcpListener>,
     ) -> io::Result<Process> {
         let mut process = self.spawn(number, options, inherited_listener)?;
-        process
-            .wait_until_serving()
-            .ok_or_else(|| io::Error::other(format!("it does not serve: {:?}", process.log())))?;
+        process.wait_until_serving().ok_or_else(|| {
+            io::Error::other(format!("proxy p{number} does not accept clients; its log: {:?}", process.log()))
+        })?;
         Ok(process)
     }
 
-    /// Starts the proxy `p{number}`.
+    /// Starts the proxy `p{number}` without waiting until it accepts clients.
     pub fn spawn(
         &self,
         number: u64,
@@ -159,13 +163,14 @@
         })
     }
 
-    /// Starts the proxy `p{number}` with both health check listeners at free ports.
+    /// Starts the proxy `p{number}` with both health check listeners on free ports and waits until it accepts clients.
+    /// For `callers` and `extra`, see [`Rig::health_options`].
     pub fn start_with_checks(&self, number: u64, callers: u32, extra: &str) -> io::Result<Process> {
         let free = SocketAddr::new(self.loopback_address, 0);
         self.start(number, Some(&Rig::health_options(free, free, callers, extra)), None)
     }
 
-    /// The replica of a group becomes its primary. `announced`: discovery lists it so, too.
+    /// Makes the replica of a group its primary. If `announced` is true, discovery lists the new primary too.
     pub fn fail_over(&self, group: usize, announced: bool) {
         let Group { primary, replica, .. } = &self.groups[group];
         primary.set_primary(false);
@@ -175,7 +180,7 @@
         }
     }
 
-    /// The group's first primary is the primary again, available and not hung.
+    /// Makes the group's original primary the primary again, available and not hung, and lists it in discovery.
     pub fn restore(&self, group: usize) {
         let Group { primary, replica, .. } = &self.groups[group];
         replica.set_primary(false);
@@ -195,13 +200,13 @@
     }
 }
 
-/// The port at which this process's rigs begin to look for free ones.
+/// The port at which this process's rigs start to search for free ports.
 fn first_port() -> u16 {
     let offset = std::process::id().wrapping_mul(START_PORT_STEP) % START_PORTS;
     FIRST_PORT + offset as u16
 }
 
-/// All databases as discovery lists them at the start.
+/// The initial endpoint list: all databases of these groups.
 fn listed_databases(groups: &[Group]) -> Vec<ListedDatabase> {
     let mut listed = Vec::new();
     for (index, Group { primary, replica, .. }) in groups.iter().enumerate() {
@@ -214,7 +219,7 @@
     listed
 }
 
-/// The configuration's `settings`, with three request classes.
+/// The value of `settings` in the configuration, with three request classes.
 fn settings() -> String {
     let class = |name: &str, priority_weight: f64, deadline_ms: f64, idempotency: &str| {
         format!(
--- a/test-support/src/schedule.rs
+++ b/test-support/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Schedules of faults on a fleet of processes. They are data drawn from a seed, which is printed when a run fails and
-//! gives the same schedule again.
+//! Schedules of faults on a fleet of processes. A schedule is data that is generated from a seed. Errors contain the
+//! seed, which reproduces the schedule.
 
 use crate::fleet::{Fleet, check_settled};
 use crate::process::Process;
@@ -8,57 +8,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often recovery is checked.
+/// Interval at which recovery is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The fault fractions that [`FaultAction::DatagramFaults`] is drawn from.
+/// The fractions from which a [`FaultAction::DatagramFaults`] is chosen.
 const DATAGRAM_FAULT_FRACTIONS: [f64; 3] = [0.0, 0.05, 0.2];
 
-/// A fault, or the end of one. Numbers are indices of processes.
+/// A fault, or the end of a fault. Numbers are process indices unless stated otherwise.
 #[derive(Clone, Debug)]
 pub enum FaultAction {
     /// Kills a process.
     Kill(usize),
-    /// Starts a process (killing its predecessor) under the same name, without its state.
+    /// Starts a process under the same name but without its earlier state. Kills the old process if it still runs.
     Start(usize),
-    /// Stops a process from running (SIGSTOP).
+    /// Suspends a process (SIGSTOP).
     Pause(usize),
-    /// Lets a paused process run again (SIGCONT).
+    /// Resumes a suspended process (SIGCONT).
     Resume(usize),
-    /// Separates the processes below this index from the others.
+    /// Blocks all traffic between the processes below this index and the others.
     Partition(usize),
-    /// A process receives nothing.
+    /// Blocks all traffic to a process.
     BlockInbound(usize),
-    /// Nothing that a process sends arrives.
+    /// Blocks all traffic from a process.
     BlockOutbound(usize),
-    /// Everything arrives again.
+    /// Unblocks all traffic.
     HealNetwork,
-    /// This fraction of datagrams is lost, duplicated and corrupted, with a delay of up to as many seconds.
+    /// Sets the loss, duplicate and corruption fractions to this value, and the maximum delay to the same number of
+    /// seconds.
     DatagramFaults(f64),
 }
 
-/// A fault and its time from the schedule's start.
+/// A fault action and the time at which it is applied.
 #[derive(Clone, Debug)]
 pub struct TimedAction {
-    /// Time from the start.
+    /// Time since the start of the schedule.
     pub after: Duration,
-    /// What happens then.
+    /// The action to apply.
     pub action: FaultAction,
 }
 
-/// Faults in the order of their times.
+/// A sequence of fault actions, ordered by time.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// What the schedule was drawn from.
+    /// The seed that the schedule was generated from.
     pub seed: u64,
-    /// Processes of the fleet.
+    /// Number of processes in the fleet.
     pub process_count: usize,
-    /// The faults, by time.
+    /// The actions, ordered by time.
     pub actions: Vec<TimedAction>,
 }
 
 impl FaultAction {
-    /// The process whose present incarnation this ends, if it ends one.
+    /// The process whose current incarnation this action ends; `None` if it ends no process.
     pub fn ended_process(&self) -> Option<usize> {
         match self {
             FaultAction::Kill(process) | FaultAction::Start(process) => Some(*process),
@@ -67,7 +68,7 @@
     }
 
     fn generate(rng: &mut fastrand::Rng, process_count: usize) -> FaultAction {
-        // Drawn for each kind of fault, used or not: a seed's schedule depends on the order of draws.
+        // Drawn for every kind of fault, used or not: the schedule of a seed depends on the order of draws.
         let process = rng.usize(..process_count);
         match rng.u8(..10) {
             0 | 1 => FaultAction::Kill(process),
@@ -87,7 +88,7 @@
 }
 
 impl Schedule {
-    /// Draws so many actions within a period.
+    /// Generates `action_count` actions at random times within a period.
     pub fn generate(seed: u64, process_count: usize, action_count: usize, period: Duration) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut timed_action = |_| {
@@ -99,7 +100,7 @@
         Schedule { seed, process_count, actions }
     }
 
-    /// Applies all actions at their times to running processes; `None` stands where one was killed.
+    /// Applies all actions at their times to the processes of a fleet. `None` stands for a process that does not run.
     pub fn play(&self, fleet: &Fleet, processes: &mut [Option<Process>]) -> io::Result<()> {
         let start = Instant::now();
         for TimedAction { after, action } in &self.actions {
@@ -109,7 +110,7 @@
         Ok(())
     }
 
-    /// Applies one action.
+    /// Applies one action immediately. Fails if a process cannot be started.
     pub fn apply(
         &self,
         fleet: &Fleet,
@@ -119,7 +120,7 @@
         match *action {
             FaultAction::Kill(process) => processes[process] = None,
             FaultAction::Start(process) => {
-                // The old process ends before the new one takes its addresses.
+                // The old process must end before the new one binds its addresses.
                 processes[process] = None;
                 processes[process] = Some(fleet.start(process, None)?);
             }
@@ -140,14 +141,14 @@
         Ok(())
     }
 
-    /// Blocks exactly the directions that this selects, by the sender and the receiver.
+    /// Blocks exactly the directions for which `is_blocked(from, to)` holds.
     fn block(&self, fleet: &Fleet, is_blocked: impl Fn(usize, usize) -> bool) {
         let blocked = blocked_directions(self.process_count, |from, to| from != to && is_blocked(from, to));
         fleet.relays.set_faults(NetworkFaults { blocked, ..fleet.relays.faults() });
     }
 
-    /// Ends all faults and starts the processes that are missing. Returns how long they took to agree on the fleet; the
-    /// error holds the schedule and what they report if they do not within the limit.
+    /// Ends all faults and starts the processes that do not run. Returns how long the processes took to agree on the
+    /// fleet. If they do not agree within the limit, the error contains the schedule and their reports.
     pub fn recover(
         &self,
         fleet: &Fleet,
@@ -173,7 +174,7 @@
     }
 }
 
-/// Sends a signal to a process, if it runs.
+/// Sends a signal to a process if it runs.
 fn signal(process: &Option<Process>, name: &str) {
     if let Some(process) = process {
         process.signal(name);
--- a/test-support/src/wire.rs
+++ b/test-support/src/wire.rs
@@ -1,17 +1,18 @@
-//! The part of PostgreSQL's protocol that test databases need: building messages, and those that every test database sends.
+//! The part of the PostgreSQL protocol that test databases need: encoding of messages in general, and of the messages
+//! that every test database sends.
 
-/// A message with its type byte and length.
+/// Encodes a message with its type byte and length.
 pub(crate) fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
     [&[tag], &length[..], body].concat()
 }
 
-/// A result of one row with one text column.
+/// A result of one row with one column, whose value is this text.
 pub(crate) fn row(value: &str) -> Vec<u8> {
     row_of(value.as_bytes())
 }
 
-/// A result of one row with one column, in binary format as the real databases send it.
+/// A result of one row with one column, in the binary format that real databases use.
 pub(crate) fn row_of(value: &[u8]) -> Vec<u8> {
     let length = (value.len() as u32).to_be_bytes();
     let column = [&[0, 1][..], b"blob\0", &[0; 6], &[0, 0, 0, 17], &[255; 6], &[0, 1]].concat();
@@ -19,25 +20,25 @@
     [message(b'T', &column), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
-/// An error message.
+/// An ErrorResponse message.
 pub(crate) fn error(sqlstate: &str, text: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{sqlstate}\0M{text}\0\0").as_bytes())
 }
 
-/// The answer to `SHOW usage`: the database's position, and whether it reports to be the primary.
+/// The answer to `SHOW usage`: the database's log position, and whether it reports itself as the primary.
 pub(crate) fn usage_row(is_primary: bool, position_ms: i64) -> Vec<u8> {
     let (seconds, millis) = (position_ms / 1000, position_ms % 1000);
     row(&format!("x0={seconds}.{millis:03},x1={}", u8::from(is_primary)))
 }
 
-/// The parameters that follow each answer: the database's role and its position.
+/// The ParameterStatus messages that follow each answer: the database's role and its log position.
 pub(crate) fn role_and_position(is_primary: bool, position_ms: i64) -> Vec<u8> {
     let role = format!("server_role\0{}\0", if is_primary { "writer" } else { "reader" });
     let position = format!("commit_clock\0{position_ms}\0");
     [message(b'S', role.as_bytes()), message(b'S', position.as_bytes())].concat()
 }
 
-/// Decodes hexadecimal digits; pairs that are none are left out.
+/// Decodes hexadecimal digits. Skips pairs that are not hexadecimal digits.
 pub(crate) fn decode_hex(hex: &str) -> Vec<u8> {
     let pair = |at: usize| u8::from_str_radix(hex.get(at..at + 2)?, 16).ok();
     (0..hex.len()).step_by(2).filter_map(pair).collect()
--- a/test-support/tests/history_checks.rs
+++ b/test-support/tests/history_checks.rs
@@ -1,5 +1,5 @@
-//! A check that never rejects anything shows nothing: for each there is a history here that it has to reject, and one that
-//! it has to accept.
+//! Tests of the history checks. A check that accepts everything would detect no fault, so each check has a history here
+//! that it must reject and one that it must accept.
 
 use birchreach_test_support::groups::history_checks::{
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
@@ -10,7 +10,7 @@
 /// The group whose rows are written and copied.
 const HOME: u32 = 0;
 
-/// The commit of a row.
+/// A commit of a row.
 fn entry(committed_at_ms: i64, key: &str, value: &str) -> Entry {
     Entry {
         committed_at_ms,
@@ -19,7 +19,7 @@
     }
 }
 
-/// The commit of a copy of the key `k`, which says that it is complete up to a position.
+/// A commit of a copy of the key `k`, whose position claims that it is complete up to there.
 fn copy(position_ms: i64, value: &str) -> Entry {
     Entry {
         committed_at_ms: 100,
@@ -33,7 +33,7 @@
     ServedRead { key: "k".into(), required_position_ms, value: value.into() }
 }
 
-/// A copy that a member received.
+/// A record of a copy write that a member received.
 fn copy_write(received_at_ms: i64, member: usize) -> Record {
     Record { received_at_ms, member, statement: StatementKind::CopyWrite, warming_up: false }
 }
@@ -43,61 +43,64 @@
 }
 
 #[test]
-fn stale_reads_are_found() {
+fn stale_reads_are_rejected() {
     // Given two commits of a key, and one between them that a failover lost
     let log = [entry(10, "k", "a"), entry(20, "k", "b"), entry(30, "other", "c")];
     let lost = [entry(25, "k", "lost")];
-    // When reads saw what they had to see, or something later, then they are accepted; the first had to see nothing
+    // When reads saw the required value or a later one, then they are accepted. No value is required of the first read.
     let fresh = [read(5, "x"), read(15, "a"), read(15, "b"), read(20, "b"), read(24, "lost")];
     assert_eq!(check_freshness(&fresh, &log, &lost), Ok(4));
-    // When a read saw less, then it is rejected
+    // When a read saw an older value, then it is rejected
     assert!(check_freshness(&[read(20, "a")], &log, &lost).is_err(), "b was committed at 20");
     assert!(check_freshness(&[read(30, "a")], &log, &lost).is_err());
-    assert_eq!(check_freshness(&[read(30, "b")], &log, &lost), Ok(1), "the lost write need not be seen");
+    assert_eq!(check_freshness(&[read(30, "b")], &log, &lost), Ok(1), "a lost write is not required");
 }
 
 #[test]
-fn copies_behind_their_position_are_found() {
+fn copies_older_than_their_position_are_rejected() {
     // Given two commits of a key
     let log = [entry(10, "k", "a"), entry(20, "k", "b")];
-    // When copies hold what was committed up to their position, then they are accepted
+    // When copies include all commits up to their position, then they are accepted
     assert_eq!(check_copies(&[copy(19, "a"), copy(19, "b"), copy(25, "b")], HOME, &log, &[]), Ok(3));
-    // When a copy holds less, then it is rejected
+    // When a copy lacks a commit, then it is rejected
     assert!(check_copies(&[copy(20, "a")], HOME, &log, &[]).is_err());
-    assert_eq!(check_copies(&[copy(20, "a")], HOME + 1, &log, &[]), Ok(0), "of another home");
+    assert_eq!(check_copies(&[copy(20, "a")], HOME + 1, &log, &[]), Ok(0), "copies of another home group");
 }
 
 #[test]
-fn repeated_executions_are_found() {
-    // Given two commits, each once
+fn repeated_executions_are_rejected() {
+    // Given two commits of different requests
     let log = [entry(10, "k", "a"), entry(20, "k", "b")];
     assert_eq!(check_single_execution(&[], &[&log]), Ok(0));
-    // When one of them is in another log, too, then they are rejected
+    // When one of them is also in another log, then the logs are rejected
     let twice = [entry(10, "k", "a")];
-    assert!(check_single_execution(&[], &[&log, &twice]).is_err(), "in another group, or lost and run again");
+    assert!(
+        check_single_execution(&[], &[&log, &twice]).is_err(),
+        "executed in another group too, or executed again after it was lost"
+    );
 }
 
 #[test]
-fn rates_over_the_limit_are_found() {
-    // Given four copies at one member, three of them within a second, and one at another
+fn rates_over_the_limit_are_rejected() {
+    // Given four copy writes at one member, three of them within a second, and one at another member
     let records =
         [copy_write(0, 0), copy_write(900, 0), copy_write(1000, 0), copy_write(1800, 0), copy_write(500, 1)];
-    // When three in a second are allowed, then they are accepted
+    // When three per second are allowed, then they are accepted
     assert_eq!(check_rate_limit(&records, 1000, 3, is_copy_write), Ok(3));
-    // When only two are allowed, then they are rejected
+    // When only two per second are allowed, then they are rejected
     assert!(check_rate_limit(&records, 1000, 2, is_copy_write).is_err(), "900, 1000 and 1800");
-    // And statements of other kinds aren't counted
+    // And statements of other kinds are not counted
     let is_position_read = |statement: &StatementKind| *statement == StatementKind::PositionRead;
     assert_eq!(check_rate_limit(&records, 1000, 0, is_position_read), Ok(0));
 }
 
 #[test]
-fn statements_to_warming_members_are_found() {
-    // Given copies at members that have warmed up, then they are accepted
+fn statements_to_members_in_slow_start_are_rejected() {
+    // Given copy writes at members at full speed, then they are accepted
     let records =
         [copy_write(0, 0), copy_write(900, 0), copy_write(1000, 0), copy_write(1800, 0), copy_write(500, 1)];
     assert_eq!(check_none_while_warming_up(&records, is_copy_write), Ok(()));
-    // Given one at a member that is warming up, then it is rejected
+    // Given a copy write at a member in slow start, then it is rejected
     let while_warming_up = [Record { warming_up: true, ..copy_write(0, 0) }];
     assert!(check_none_while_warming_up(&while_warming_up, is_copy_write).is_err());
 }
--- a/test-support/tests/recorded_bytes.rs
+++ b/test-support/tests/recorded_bytes.rs
@@ -1,9 +1,9 @@
-//! Recorded bytes are found by their name and are those that were recorded.
+//! Recorded bytes are found by name and decoded to the bytes that were recorded.
 
 use birchreach_test_support::recorded_bytes::{find_recorded, from_hex, to_hex};
 
 #[test]
-fn hexadecimal_is_read_as_it_was_written() {
+fn hexadecimal_digits_are_decoded_to_the_encoded_bytes() {
     let bytes = [0, 1, 0x7f, 0xab, 0xff];
 
     assert_eq!(to_hex(&bytes), "00017fabff");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn recorded_bytes_are_found_by_their_name() {
+fn recorded_bytes_are_found_by_name() {
     let recording = "hello 00ff\nhello-2 01\n";
 
     assert_eq!(find_recorded(recording, "hello"), [0, 0xff]);
@@ -21,12 +21,12 @@
 
 #[test]
 #[should_panic(expected = "hello-3 is not recorded")]
-fn a_name_that_is_not_recorded_fails_the_test() {
+fn a_name_that_is_not_recorded_panics() {
     find_recorded("hello 00ff\n", "hello-3");
 }
 
 #[test]
 #[should_panic(expected = "byte 1 of 00zz")]
-fn digits_that_are_not_hexadecimal_fail_the_test() {
+fn digits_that_are_not_hexadecimal_panic() {
     from_hex("00zz");
 }
