--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -76,7 +76,7 @@
 
 /// A change of a server's state, as the balancer has detected it.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct StateChange {
     /// When the balancer changed the state.
     pub at: Instant,
     /// The server's index in the list that [`Balancer::start`] received.
@@ -91,7 +91,7 @@
 #[derive(Clone)]
 pub struct Balancer {
     servers: Arc<Mutex<Vec<Server>>>,
-    changes: Arc<Mutex<Vec<Change>>>,
+    changes: Arc<Mutex<Vec<StateChange>>>,
     stopped: Arc<AtomicBool>,
 }
 
@@ -148,7 +148,7 @@
             server.up = up;
             server.opposite_answers = 0;
             server.changed_at = Instant::now();
-            lock(&self.changes).push(Change { at: Instant::now(), server: index, up, text });
+            lock(&self.changes).push(StateChange { at: Instant::now(), server: index, up, text });
         }
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// All state changes since the start, oldest first.
-    pub fn changes(&self) -> Vec<Change> {
+    pub fn changes(&self) -> Vec<StateChange> {
         lock(&self.changes).clone()
     }
 
--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -50,34 +50,34 @@
         Ok(client)
     }
 
-    /// Reads the row that [`Client::write`] writes. `wait_ms` is the request's deadline in milliseconds.
-    pub fn read(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
-        self.read_key(class, group, "7f3a", wait_ms, None)
+    /// Reads the row that [`Client::write`] writes. `deadline_ms` is the request's deadline in milliseconds.
+    pub fn read(&mut self, class: &str, group: u32, deadline_ms: u32) -> io::Result<Reply> {
+        self.read_key(class, group, "7f3a", deadline_ms, None)
     }
 
-    /// Writes a fixed value to a fixed key. `wait_ms` is the request's deadline in milliseconds.
-    pub fn write(&mut self, class: &str, group: u32, wait_ms: u32) -> io::Result<Reply> {
-        self.write_key(class, group, "7f3a", "9f03", wait_ms)
+    /// Writes a fixed value to a fixed key. `deadline_ms` is the request's deadline in milliseconds.
+    pub fn write(&mut self, class: &str, group: u32, deadline_ms: u32) -> io::Result<Reply> {
+        self.write_key(class, group, "7f3a", "9f03", deadline_ms)
     }
 
-    /// Reads the row of a key. `wait_ms` is the request's deadline in milliseconds. `after` is the log position that
+    /// Reads the row of a key. `deadline_ms` is the request's deadline in milliseconds. `after` is the log position that
     /// the read must include, in milliseconds; `None` sets no position.
     pub fn read_key(
         &mut self,
         class: &str,
         group: u32,
         key: &str,
-        wait_ms: u32,
+        deadline_ms: u32,
         after: Option<i64>,
     ) -> io::Result<Reply> {
         let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
         let after = after.map_or(String::new(), |at| format!(",after={at}"));
         self.run_statement(&format!(
-            "SELECT blob FROM rows WHERE handle = '{key}' /* id={id:016x},c={class},d={wait_ms},cluster={group}{after} */"
+            "SELECT blob FROM rows WHERE handle = '{key}' /* id={id:016x},c={class},d={deadline_ms},cluster={group}{after} */"
         ))
     }
 
-    /// Writes the row of a key. `hex` is the value in hexadecimal digits, `wait_ms` the request's deadline in
+    /// Writes the row of a key. `hex` is the value in hexadecimal digits, `deadline_ms` the request's deadline in
     /// milliseconds.
     pub fn write_key(
         &mut self,
@@ -85,12 +85,12 @@
         group: u32,
         key: &str,
         hex: &str,
-        wait_ms: u32,
+        deadline_ms: u32,
     ) -> io::Result<Reply> {
         let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
         self.run_statement(&format!(
             "INSERT INTO rows (handle, blob) VALUES ('{key}', '\\x{hex}') RETURNING blob \
-             /* id={id:016x},c={class},d={wait_ms},cluster={group} */"
+             /* id={id:016x},c={class},d={deadline_ms},cluster={group} */"
         ))
     }
 
--- a/test-support/src/database.rs
+++ b/test-support/src/database.rs
@@ -6,7 +6,7 @@
 use crate::groups::now_ms;
 use crate::lock;
 use crate::statement_text::{comment_field, quoted_strings};
-use crate::wire::{error, role_and_position, row, usage_row};
+use crate::wire::{error_response, role_and_position, text_row, usage_row};
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -134,7 +134,7 @@
     }
 
     /// Sleeps for the delay of the statement's request class, if one is set.
-    fn delay(&self, query: &str) {
+    fn sleep_for_delay(&self, query: &str) {
         let class = comment_field(query, "c=").unwrap_or_default();
         let delay = lock(&self.0.behavior).delay_by_class.get(class).copied();
         delay.into_iter().for_each(thread::sleep);
@@ -149,14 +149,14 @@
         let now = now_ms();
         let answer = match quoted_strings(query)[..] {
             _ if query == "SHOW usage" => usage_row(primary, now),
-            [_, _, ..] if !primary => error("25006", "this is no primary"),
+            [_, _, ..] if !primary => error_response("25006", "this is no primary"),
             [handle, blob, ..] => {
                 let id = comment_field(query, "id=").unwrap_or_default();
                 self.0.rows.write(handle, blob, id);
-                row(blob)
+                text_row(blob)
             }
-            [handle] => row(&self.0.rows.value(handle).unwrap_or("(no such row)".into())),
-            [] => error("42601", "not a statement that is known here"),
+            [handle] => text_row(&self.0.rows.value(handle).unwrap_or("(no such row)".into())),
+            [] => error_response("42601", "not a statement that is known here"),
         };
         [answer, role_and_position(primary, now)].concat()
     }
@@ -181,7 +181,7 @@
 
     fn answer_statement(&self, query: &str) -> Option<Vec<u8>> {
         self.0.statement_count.fetch_add(1, Ordering::Relaxed);
-        self.delay(query);
+        self.sleep_for_delay(query);
         self.wait_while_hung().then(|| self.execute(query))
     }
 }
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -7,7 +7,7 @@
 use super::state::VisibleRow;
 use crate::database_server::POLL_INTERVAL;
 use crate::lock;
-use crate::wire::{decode_hex, error, message, role_and_position, row, row_of, usage_row};
+use crate::wire::{binary_row, decode_hex, error_response, message, role_and_position, text_row, usage_row};
 use std::thread;
 
 /// Time after a restart until all proxies that reach discovery know of it and statements already in transit have
@@ -68,7 +68,7 @@
     /// The messages that answer a statement, without the final ReadyForQuery.
     pub(super) fn answer_statement(&self, member: usize, query: &str) -> Vec<u8> {
         let messages = match parse(query) {
-            Statement::Unknown => error("42601", ERROR_TEXT),
+            Statement::Unknown => error_response("42601", ERROR_TEXT),
             Statement::Usage => self.answer_usage(member),
             Statement::Read { key, background } => self.answer_read(member, &key, background),
             Statement::PositionRead { key } => self.answer_position_read(member, &key),
@@ -95,9 +95,9 @@
         let found = self.visible_row(member, key);
         self.simulate_execution(member);
         match found {
-            Some(row) => row_of(&decode_hex(&row.value)),
+            Some(row) => binary_row(&decode_hex(&row.value)),
             None if background => message(b'C', b"SELECT 0\0"),
-            None => row("(no such row)"),
+            None => text_row("(no such row)"),
         }
     }
 
@@ -108,7 +108,7 @@
         self.simulate_execution(member);
         match found {
             // The statement rounds the time up.
-            Some(row) => row_of(&position_and_value(row.committed_at_ms + 1, &row.value)),
+            Some(row) => binary_row(&position_and_value(row.committed_at_ms + 1, &row.value)),
             None => message(b'C', b"SELECT 0\0"),
         }
     }
@@ -121,9 +121,9 @@
         match copy {
             Some(copy) => {
                 self.simulate_execution(member);
-                row_of(&position_and_value(copy.position_ms, &copy.value))
+                binary_row(&position_and_value(copy.position_ms, &copy.value))
             }
-            None => row_of(&[]),
+            None => binary_row(&[]),
         }
     }
 
@@ -133,8 +133,8 @@
         self.simulate_execution(member);
         let change = Change::Row { key, value: value.clone() };
         match self.with_state(|state| state.commit(member, now_ms(), &id, change)) {
-            None => self.with_parameter_status(member, error("25006", ERROR_TEXT), None),
-            Some(at_ms) => self.with_parameter_status(member, row_of(&decode_hex(&value)), Some(at_ms)),
+            None => self.with_parameter_status(member, error_response("25006", ERROR_TEXT), None),
+            Some(at_ms) => self.with_parameter_status(member, binary_row(&decode_hex(&value)), Some(at_ms)),
         }
     }
 
@@ -142,7 +142,7 @@
         self.record(member, StatementKind::CopyWrite);
         self.simulate_execution(member);
         match self.with_state(|state| state.commit(member, now_ms(), "", change)) {
-            None => error("25006", ERROR_TEXT),
+            None => error_response("25006", ERROR_TEXT),
             Some(_) => message(b'C', b"INSERT 0 1\0"),
         }
     }
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -105,7 +105,7 @@
     }
 
     /// Number of members in the group.
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.0.addresses.len()
     }
 
--- a/test-support/src/groups/split_groups.rs
+++ b/test-support/src/groups/split_groups.rs
@@ -1,6 +1,6 @@
 //! A group that is split into two children, and its initial rows.
 
-use super::split_keys::{goes_to_lower_child, goes_to_upper_child, hash};
+use super::split_keys::{belongs_to_lower_child, belongs_to_upper_child, hash};
 use super::{Change, Group, GroupProfile, ParentLog, PlantedDifference, now_ms};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -28,7 +28,7 @@
         let parent_log = ParentLog { group: parent.clone(), owns_key };
         Group::start(address, child_profile, Some(parent_log))
     };
-    Ok(vec![parent.clone(), start_child(goes_to_lower_child)?, start_child(goes_to_upper_child)?])
+    Ok(vec![parent.clone(), start_child(belongs_to_lower_child)?, start_child(belongs_to_upper_child)?])
 }
 
 /// Commits an initial value of each key, with a commit time so long ago that all replicas have applied it.
@@ -43,7 +43,7 @@
 /// child that owns the key. Returns the difference as logs report it.
 pub fn plant_difference(groups: &[Group], key: &str, difference: PlantedDifference) -> String {
     let reported = format!("{} {:08x}", logged_kind(&difference), hash(key));
-    let (owner, other) = match goes_to_lower_child(key) {
+    let (owner, other) = match belongs_to_lower_child(key) {
         true => (LOWER_CHILD, UPPER_CHILD),
         false => (UPPER_CHILD, LOWER_CHILD),
     };
--- a/test-support/src/groups/split_keys.rs
+++ b/test-support/src/groups/split_keys.rs
@@ -13,11 +13,11 @@
 }
 
 /// Whether the lower child owns a key.
-pub fn goes_to_lower_child(key: &str) -> bool {
+pub fn belongs_to_lower_child(key: &str) -> bool {
     hash(key) < FIRST_UPPER_HASH
 }
 
 /// Whether the upper child owns a key.
-pub fn goes_to_upper_child(key: &str) -> bool {
-    !goes_to_lower_child(key)
+pub fn belongs_to_upper_child(key: &str) -> bool {
+    !belongs_to_lower_child(key)
 }
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -60,7 +60,7 @@
     /// The commits that failovers lost.
     pub lost_commits: Vec<Entry>,
     /// The time of the last failover.
-    lost_at_ms: i64,
+    last_failover_ms: i64,
     /// The members, in the order of their indices.
     pub members: Vec<Member>,
     /// The primary's index.
@@ -88,7 +88,7 @@
         State {
             log: Vec::new(),
             lost_commits: Vec::new(),
-            lost_at_ms: i64::MIN / 2,
+            last_failover_ms: i64::MIN / 2,
             members: vec![member; member_count],
             primary: 0,
             planted_differences: HashMap::new(),
@@ -144,7 +144,7 @@
     /// commits that the failover lost.
     pub fn replicated_log(&self, now: i64) -> Vec<Entry> {
         let lost_commits =
-            self.lost_commits.iter().filter(|_| now - self.lost_at_ms < LOST_COMMITS_VISIBLE_MS);
+            self.lost_commits.iter().filter(|_| now - self.last_failover_ms < LOST_COMMITS_VISIBLE_MS);
         let mut entries: Vec<Entry> = self.log.iter().chain(lost_commits).cloned().collect();
         entries.sort_by_key(|entry| entry.committed_at_ms);
         entries
@@ -191,7 +191,7 @@
             self.log.drain(..).partition(|entry| entry.committed_at_ms <= applied_ms);
         self.log = kept;
         self.lost_commits.extend(lost);
-        self.lost_at_ms = now;
+        self.last_failover_ms = now;
         self.primary = to;
         self.members[to].frozen_position_ms = None;
         self.members[old].frozen_position_ms = (!old_primary_notified).then_some(old_position_ms);
--- a/test-support/src/many_databases.rs
+++ b/test-support/src/many_databases.rs
@@ -5,7 +5,7 @@
 use crate::groups::now_ms;
 use crate::lock;
 use crate::statement_text::quoted_strings;
-use crate::wire::{error, message, role_and_position, row, usage_row};
+use crate::wire::{error_response, message, role_and_position, text_row, usage_row};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -129,10 +129,10 @@
     let now = now_ms();
     let result = match quoted_strings(query).len() {
         _ if query == "SHOW usage" => usage_row(is_primary, now),
-        0 => error("42601", "not a statement that is known here"),
-        1 => row(VALUE),
-        _ if is_primary => row(VALUE),
-        _ => error("25006", "this is no primary"),
+        0 => error_response("42601", "not a statement that is known here"),
+        1 => text_row(VALUE),
+        _ if is_primary => text_row(VALUE),
+        _ => error_response("25006", "this is no primary"),
     };
     [result, role_and_position(is_primary, now), ready_for_query()].concat()
 }
--- a/test-support/src/process.rs
+++ b/test-support/src/process.rs
@@ -19,7 +19,7 @@
 
 /// Pause after the process has logged its start or has exited, so that the log lines written at the same time have
 /// arrived.
-const START_SETTLE_TIME: Duration = Duration::from_millis(10);
+const LOG_SETTLE_TIME: Duration = Duration::from_millis(10);
 
 /// The settings that a process is started with.
 pub struct ProcessSettings<'a> {
@@ -124,7 +124,7 @@
         loop {
             let started = lock(&self.log).iter().any(|l| l.contains("event=started"));
             if started || matches!(self.child.try_wait(), Ok(Some(_)) | Err(_)) {
-                thread::sleep(START_SETTLE_TIME);
+                thread::sleep(LOG_SETTLE_TIME);
                 return if started { self.client_address() } else { None };
             }
             thread::sleep(POLL_INTERVAL);
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -174,7 +174,7 @@
 }
 
 /// The IPv4 address that is `offset` after `first`. IPv6 addresses are returned unchanged.
-pub fn nth_address(first: IpAddr, offset: usize) -> IpAddr {
+fn nth_address(first: IpAddr, offset: usize) -> IpAddr {
     match first {
         IpAddr::V4(first) => Ipv4Addr::from(u32::from(first).wrapping_add(offset as u32)).into(),
         other => other,
--- a/test-support/src/wire.rs
+++ b/test-support/src/wire.rs
@@ -8,12 +8,12 @@
 }
 
 /// A result of one row with one column, whose value is this text.
-pub(crate) fn row(value: &str) -> Vec<u8> {
-    row_of(value.as_bytes())
+pub(crate) fn text_row(value: &str) -> Vec<u8> {
+    binary_row(value.as_bytes())
 }
 
 /// A result of one row with one column, in the binary format that real databases use.
-pub(crate) fn row_of(value: &[u8]) -> Vec<u8> {
+pub(crate) fn binary_row(value: &[u8]) -> Vec<u8> {
     let length = (value.len() as u32).to_be_bytes();
     let column = [&[0, 1][..], b"blob\0", &[0; 6], &[0, 0, 0, 17], &[255; 6], &[0, 1]].concat();
     let data = [&[0, 1][..], &length, value].concat();
@@ -21,14 +21,14 @@
 }
 
 /// An ErrorResponse message.
-pub(crate) fn error(sqlstate: &str, text: &str) -> Vec<u8> {
+pub(crate) fn error_response(sqlstate: &str, text: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{sqlstate}\0M{text}\0\0").as_bytes())
 }
 
 /// The answer to `SHOW usage`: the database's log position, and whether it reports itself as the primary.
 pub(crate) fn usage_row(is_primary: bool, position_ms: i64) -> Vec<u8> {
     let (seconds, millis) = (position_ms / 1000, position_ms % 1000);
-    row(&format!("x0={seconds}.{millis:03},x1={}", u8::from(is_primary)))
+    text_row(&format!("x0={seconds}.{millis:03},x1={}", u8::from(is_primary)))
 }
 
 /// The ParameterStatus messages that follow each answer: the database's role and its log position.
