--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -88,7 +88,7 @@
             sum(|summary| summary.copy_reads as u64),
             sum(|summary| summary.copy_writes as u64),
             sum(|summary| summary.dual_reads as u64),
-            sum(|summary| summary.planted_differences as u64),
+            sum(|summary| summary.injected_differences as u64),
             sum(|summary| summary.reported_differences as u64)
         );
     }
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -4,8 +4,8 @@
 mod rig;
 
 use birchreach_test_support::fleet::admin_call;
-use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, plant_difference};
-use birchreach_test_support::groups::{PlantedDifference, State, now_ms};
+use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, inject_difference};
+use birchreach_test_support::groups::{InjectedDifference, State, now_ms};
 use birchreach_test_support::relay::NetworkFaults;
 use rig::{CHILD_LAG_MS, SPLIT_OPTIONS, SplitRig};
 use std::thread::sleep;
@@ -48,11 +48,11 @@
     let mut planted = Vec::new();
     for (index, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
         let difference = match index % 3 {
-            0 => PlantedDifference::Missing,
-            1 => PlantedDifference::Extra,
-            _ => PlantedDifference::OtherValue("ffff".into()),
+            0 => InjectedDifference::Missing,
+            1 => InjectedDifference::Extra,
+            _ => InjectedDifference::OtherValue("ffff".into()),
         };
-        planted.push(plant_difference(&rig.cluster.groups, key, difference));
+        planted.push(inject_difference(&rig.cluster.groups, key, difference));
     }
     planted.sort();
     planted
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -1,6 +1,6 @@
 //! How a member answers statements: it records each statement, waits for capacity, and answers from the group's state.
 
-use super::history::{Change, Entry, PlantedDifference, Record, StatementKind};
+use super::history::{Change, Entry, InjectedDifference, Record, StatementKind};
 use super::member::Group;
 use super::now_ms;
 use super::sql::{Statement, parse};
@@ -54,12 +54,12 @@
     fn visible_row(&self, member: usize, key: &str) -> Option<VisibleRow> {
         let log = self.parent_rows();
         let mut state = lock(&self.0.state);
-        let planted = state.planted_differences.get(key).cloned();
+        let injected = state.injected_differences.get(key).cloned();
         let is_owned = self.0.parent_log.as_ref().is_none_or(|parent| (parent.owns_key)(key));
-        match planted {
-            Some(PlantedDifference::Missing) => None,
-            Some(PlantedDifference::OtherValue(value)) => Some(VisibleRow { value, committed_at_ms: 0 }),
-            Some(PlantedDifference::Extra) => state.row(log.as_deref(), member, now_ms(), key),
+        match injected {
+            Some(InjectedDifference::Missing) => None,
+            Some(InjectedDifference::OtherValue(value)) => Some(VisibleRow { value, committed_at_ms: 0 }),
+            Some(InjectedDifference::Extra) => state.row(log.as_deref(), member, now_ms(), key),
             None if is_owned => state.row(log.as_deref(), member, now_ms(), key),
             None => None,
         }
--- a/test-support/src/groups/history.rs
+++ b/test-support/src/groups/history.rs
@@ -36,7 +36,7 @@
 
 /// A difference between a child of a shard split and its parent. Tests inject it; the child has it from its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlantedDifference {
+pub enum InjectedDifference {
     /// The child lacks the row.
     Missing,
     /// The child has the row although it belongs to the other child.
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/play.rs
@@ -8,9 +8,9 @@
 };
 use super::run::Run;
 use super::run_checks::FinishedRun;
-use super::split_groups::{PARENT, plant_difference, start_split_groups, write_initial_rows};
+use super::split_groups::{PARENT, inject_difference, start_split_groups, write_initial_rows};
 use super::traffic::{Traffic, TrafficResult};
-use super::{CapacityModel, ClusterRig, Group, GroupProfile, PlantedDifference};
+use super::{CapacityModel, ClusterRig, Group, GroupProfile, InjectedDifference};
 use crate::process::Process;
 use std::collections::BTreeSet;
 use std::io;
@@ -85,7 +85,7 @@
     /// Number of differences that processes reported in their logs.
     pub reported_differences: usize,
     /// Number of differences that were injected into the children of the split.
-    pub planted_differences: usize,
+    pub injected_differences: usize,
 }
 
 /// A schedule of faults with the resources that its run uses.
@@ -112,7 +112,7 @@
         let keys: Vec<String> = (0..KEY_COUNT).map(|n| format!("key-{n}")).collect();
         let groups = start_groups(loopback_address).map_err(describe_io)?;
         write_initial_rows(&groups[PARENT], &keys);
-        let planted = plant_differences(seed, &groups, &keys);
+        let injected = inject_differences(seed, &groups, &keys);
         let rig =
             ClusterRig::new(groups, PROCESS_COUNT, loopback_address, program, folder, seed, EXTRA_OPTIONS)
                 .map_err(describe_io)?;
@@ -132,7 +132,7 @@
             traffic: &results,
             killed: &run.killed,
             log_lines: &run.log_lines,
-            planted: &planted,
+            injected: &injected,
             stale_primary: database_faults.iter().any(leaves_stale_primary),
         };
         finished.check().map_err(describe)
@@ -147,10 +147,10 @@
 }
 
 /// For even seeds, injects differences into the children of the split. Returns the differences as logs report them.
-fn plant_differences(seed: u64, groups: &[Group], keys: &[String]) -> BTreeSet<String> {
-    let mut planted = BTreeSet::new();
+fn inject_differences(seed: u64, groups: &[Group], keys: &[String]) -> BTreeSet<String> {
+    let mut injected = BTreeSet::new();
     if !seed.is_multiple_of(2) {
-        return planted;
+        return injected;
     }
     let mut rng = fastrand::Rng::with_seed(seed);
     for key in keys.iter().skip(FIRST_UNWRITTEN_KEY) {
@@ -158,13 +158,13 @@
             continue;
         }
         let difference = match rng.u8(..3) {
-            0 => PlantedDifference::Missing,
-            1 => PlantedDifference::Extra,
-            _ => PlantedDifference::OtherValue("ffff".into()),
+            0 => InjectedDifference::Missing,
+            1 => InjectedDifference::Extra,
+            _ => InjectedDifference::OtherValue("ffff".into()),
         };
-        planted.insert(plant_difference(groups, key, difference));
+        injected.insert(inject_difference(groups, key, difference));
     }
-    planted
+    injected
 }
 
 /// Whether a fault leaves a former primary of the splitting group that was not notified of the failover.
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -28,7 +28,7 @@
     /// The log lines of all processes.
     pub log_lines: &'a [String],
     /// The injected differences, as logs report them.
-    pub planted: &'a BTreeSet<String>,
+    pub injected: &'a BTreeSet<String>,
     /// Whether a former primary of the home group was not notified of a failover.
     pub stale_primary: bool,
 }
@@ -36,7 +36,7 @@
 impl FinishedRun<'_> {
     /// Runs all checks.
     pub(super) fn check(&self) -> Result<Summary, String> {
-        let mut summary = Summary { planted_differences: self.planted.len(), ..Summary::default() };
+        let mut summary = Summary { injected_differences: self.injected.len(), ..Summary::default() };
         self.check_connections(&mut summary)?;
         let histories: Vec<GroupHistory> = self.groups.iter().map(Group::history).collect();
         for (group, history) in histories.iter().enumerate() {
@@ -89,7 +89,7 @@
     fn check_log_lines(&self, summary: &mut Summary) -> Result<(), String> {
         for line in self.log_lines.iter().filter(|line| line.contains("event=split-flag")) {
             let reported = format!("{} {}", log_value(line, "sort="), log_value(line, "hash="));
-            if !self.planted.contains(&reported) {
+            if !self.injected.contains(&reported) {
                 return Err(format!("a process reported a difference that was not injected: {line}"));
             }
             summary.reported_differences += 1;
--- a/test-support/src/groups/split_groups.rs
+++ b/test-support/src/groups/split_groups.rs
@@ -1,7 +1,7 @@
 //! A group that is split into two children, and its initial rows.
 
 use super::split_keys::{belongs_to_lower_child, belongs_to_upper_child, hash};
-use super::{Change, Group, GroupProfile, ParentLog, PlantedDifference, now_ms};
+use super::{Change, Group, GroupProfile, InjectedDifference, ParentLog, now_ms};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
@@ -41,22 +41,22 @@
 
 /// Injects a difference at a key: an extra row into the child that does not own the key, any other difference into the
 /// child that owns the key. Returns the difference as logs report it.
-pub fn plant_difference(groups: &[Group], key: &str, difference: PlantedDifference) -> String {
+pub fn inject_difference(groups: &[Group], key: &str, difference: InjectedDifference) -> String {
     let reported = format!("{} {:08x}", logged_kind(&difference), hash(key));
     let (owner, other) = match belongs_to_lower_child(key) {
         true => (LOWER_CHILD, UPPER_CHILD),
         false => (UPPER_CHILD, LOWER_CHILD),
     };
-    let child = if difference == PlantedDifference::Extra { other } else { owner };
-    groups[child].with_state(|state| state.planted_differences.insert(key.into(), difference));
+    let child = if difference == InjectedDifference::Extra { other } else { owner };
+    groups[child].with_state(|state| state.injected_differences.insert(key.into(), difference));
     reported
 }
 
 /// The word for this kind of difference in logs.
-fn logged_kind(difference: &PlantedDifference) -> &'static str {
+fn logged_kind(difference: &InjectedDifference) -> &'static str {
     match difference {
-        PlantedDifference::Missing => "missing",
-        PlantedDifference::Extra => "extra",
-        PlantedDifference::OtherValue(_) => "differs",
+        InjectedDifference::Missing => "missing",
+        InjectedDifference::Extra => "extra",
+        InjectedDifference::OtherValue(_) => "differs",
     }
 }
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -1,7 +1,7 @@
 //! The state of a group: its log, the position that each member has applied, and the rows that each member sees. This
 //! module uses neither sockets nor a clock; callers pass the time.
 
-use super::history::{Change, Entry, PlantedDifference, Record};
+use super::history::{Change, Entry, InjectedDifference, Record};
 use std::collections::HashMap;
 
 /// The state of one member.
@@ -66,7 +66,7 @@
     /// The primary's index.
     pub primary: usize,
     /// Injected differences from the parent group, by key.
-    pub planted_differences: HashMap<String, PlantedDifference>,
+    pub injected_differences: HashMap<String, InjectedDifference>,
     /// All statements that members received.
     pub records: Vec<Record>,
 }
@@ -91,7 +91,7 @@
             last_failover_ms: i64::MIN / 2,
             members: vec![member; member_count],
             primary: 0,
-            planted_differences: HashMap::new(),
+            injected_differences: HashMap::new(),
             records: Vec::new(),
         }
     }
