--- a/proxy/tests/hot/main.rs
+++ b/proxy/tests/hot/main.rs
@@ -37,7 +37,7 @@
     let deposed = primary(copies);
     copies.with_state(|state| state.fail_over((deposed + 1) % MEMBER_COUNT, now_ms(), false));
     sleep(Duration::from_secs(1));
-    copies.with_state(|state| state.notify_deposed(deposed));
+    copies.with_state(|state| state.notify_former_primary(deposed));
     rig.cluster.update_discovery();
 }
 
--- a/test-support/src/groups/database_faults.rs
+++ b/test-support/src/groups/database_faults.rs
@@ -106,7 +106,7 @@
     for group in &rig.groups {
         group.with_state(|state| {
             for index in 0..state.members.len() {
-                state.notify_deposed(index);
+                state.notify_former_primary(index);
                 let member = &mut state.members[index];
                 member.hung = false;
                 member.running = true;
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -199,7 +199,7 @@
     }
 
     /// Notifies a former primary of the failover.
-    pub fn notify_deposed(&mut self, member: usize) {
+    pub fn notify_former_primary(&mut self, member: usize) {
         self.members[member].frozen_position_ms = None;
     }
 
--- a/test-support/tests/group_state.rs
+++ b/test-support/tests/group_state.rs
@@ -102,7 +102,7 @@
     assert_eq!(state.row(None, 0, 2_000, "k").map(|row| row.value), Some("04".into()));
     assert_eq!(state.commit(0, 2_000, "w5", row("k", "05")), None);
     // When it is notified, then it no longer reports itself as the primary
-    state.notify_deposed(0);
+    state.notify_former_primary(0);
     assert!(!state.claims_primary(0));
 }
 
@@ -111,7 +111,7 @@
     // Given a group after a failover of which the old primary has been notified
     let mut state = group_with_unreplicated_commits();
     state.fail_over(2, 1_060, false);
-    state.notify_deposed(0);
+    state.notify_former_primary(0);
     // When the other replica restarts from a backup that is two seconds old
     state.restart(1, 3_000, 2_000);
     // Then it lags behind at first and catches up
