--- a/proxy/tests/hot/records.rs
+++ b/proxy/tests/hot/records.rs
@@ -7,7 +7,7 @@
     check_single_execution,
 };
 use birchreach_test_support::groups::traffic::TrafficResult;
-use birchreach_test_support::groups::{Entry, GroupHistory, Record, StatementKind};
+use birchreach_test_support::groups::{GroupHistory, LogEntry, StatementKind, StatementRecord};
 
 const BUDGET_WINDOW_MS: i64 = 2_000;
 
@@ -44,7 +44,7 @@
 }
 
 /// Checks that copies and their reads kept the budget and avoided databases that were warming up. Returns the most copies in a window.
-fn check_copy_budget(records: &[Record]) -> usize {
+fn check_copy_budget(records: &[StatementRecord]) -> usize {
     let is_copy_write = |statement: &StatementKind| *statement == StatementKind::CopyWrite;
     let is_background_read =
         |statement: &StatementKind| *statement == StatementKind::Read { background: true };
@@ -59,8 +59,9 @@
 }
 
 fn check_no_write_twice(histories: &[GroupHistory]) {
-    let records: Vec<&[Record]> = histories.iter().map(|history| history.records.as_slice()).collect();
-    let logs: Vec<&[Entry]> =
+    let records: Vec<&[StatementRecord]> =
+        histories.iter().map(|history| history.records.as_slice()).collect();
+    let logs: Vec<&[LogEntry]> =
         histories.iter().flat_map(|history| [&history.log[..], &history.lost_commits[..]]).collect();
     check_single_execution(&records, &logs).unwrap();
 }
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -1,6 +1,6 @@
 //! How a member answers statements: it records each statement, waits for capacity, and answers from the group's state.
 
-use super::history::{Change, Entry, InjectedDifference, Record, StatementKind};
+use super::history::{Change, InjectedDifference, LogEntry, StatementKind, StatementRecord};
 use super::member::Group;
 use super::now_ms;
 use super::sql::{Statement, parse};
@@ -42,11 +42,11 @@
         let age_ms = now - state.members[member].started_at_ms;
         let slow_start_ms = self.0.capacity.slow_start_window.as_millis() as i64;
         let warming_up = (RESTART_PROPAGATION_MS..slow_start_ms).contains(&age_ms);
-        state.records.push(Record { received_at_ms: now, member, statement, warming_up });
+        state.records.push(StatementRecord { received_at_ms: now, member, statement, warming_up });
     }
 
     /// The replicated log of the parent group; `None` if the group has no parent.
-    fn parent_rows(&self) -> Option<Vec<Entry>> {
+    fn parent_rows(&self) -> Option<Vec<LogEntry>> {
         self.0.parent_log.as_ref().map(|parent| lock(&parent.group.0.state).replicated_log(now_ms()))
     }
 
--- a/test-support/src/groups/history.rs
+++ b/test-support/src/groups/history.rs
@@ -25,7 +25,7 @@
 
 /// A commit in a group's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct LogEntry {
     /// The commit time. Commit times increase strictly along a log.
     pub committed_at_ms: i64,
     /// The id of the client's request; empty if no client wrote the change.
@@ -73,7 +73,7 @@
 
 /// A statement that a member received.
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct StatementRecord {
     /// When the member received it, in milliseconds of Unix time.
     pub received_at_ms: i64,
     /// The member's index.
@@ -88,9 +88,9 @@
 #[derive(Clone, Debug)]
 pub struct GroupHistory {
     /// The statements that its members received, in order.
-    pub records: Vec<Record>,
+    pub records: Vec<StatementRecord>,
     /// Its commits, ordered by commit time.
-    pub log: Vec<Entry>,
+    pub log: Vec<LogEntry>,
     /// The commits that failovers lost.
-    pub lost_commits: Vec<Entry>,
+    pub lost_commits: Vec<LogEntry>,
 }
--- a/test-support/src/groups/history_checks.rs
+++ b/test-support/src/groups/history_checks.rs
@@ -1,7 +1,7 @@
 //! Checks of the histories that databases and clients recorded against the guarantees that proxies give. The checks are
 //! pure functions. `tests/history_checks.rs` contains a history for each check that the check must reject.
 
-use super::history::{Change, Entry, Record, StatementKind};
+use super::history::{Change, LogEntry, StatementKind, StatementRecord};
 use std::collections::HashMap;
 
 /// A read that was served, as its client recorded it.
@@ -25,10 +25,10 @@
 }
 
 /// The values that were committed for each key, ordered by commit time.
-fn values_by_key<'a>(log: &'a [Entry], lost: &'a [Entry]) -> HashMap<&'a str, Vec<CommittedValue<'a>>> {
+fn values_by_key<'a>(log: &'a [LogEntry], lost: &'a [LogEntry]) -> HashMap<&'a str, Vec<CommittedValue<'a>>> {
     let mut by_key: HashMap<&str, Vec<CommittedValue>> = HashMap::new();
     for (entries, durable) in [(log, true), (lost, false)] {
-        for Entry { committed_at_ms, change, .. } in entries {
+        for LogEntry { committed_at_ms, change, .. } in entries {
             if let Change::Row { key, value } = change {
                 let committed = CommittedValue { committed_at_ms: *committed_at_ms, value, durable };
                 by_key.entry(key).or_default().push(committed);
@@ -41,7 +41,7 @@
 
 /// Checks that each read included the position that it required. `lost` contains the commits that failovers lost; reads
 /// may have seen them earlier. Returns how many reads were checked: those for which a commit was required.
-pub fn check_freshness(reads: &[ServedRead], log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
+pub fn check_freshness(reads: &[ServedRead], log: &[LogEntry], lost: &[LogEntry]) -> Result<usize, String> {
     let by_key = values_by_key(log, lost);
     let mut checked = 0;
     for read in reads {
@@ -64,7 +64,12 @@
 
 /// Checks that each copy in `copies` of a row of the group `home` includes all commits there up to the copy's position,
 /// whichever proxy made the copy and whether or not the copy was read. Returns how many copies were checked.
-pub fn check_copies(copies: &[Entry], home: u32, log: &[Entry], lost: &[Entry]) -> Result<usize, String> {
+pub fn check_copies(
+    copies: &[LogEntry],
+    home: u32,
+    log: &[LogEntry],
+    lost: &[LogEntry],
+) -> Result<usize, String> {
     let mut reads = Vec::new();
     for entry in copies {
         if let Change::Copy { home: copied_from, key, position_ms, value } = &entry.change
@@ -78,7 +83,7 @@
 }
 
 /// Checks by request id that no write was executed more than once. Returns how many writes the members received.
-pub fn check_single_execution(records: &[&[Record]], logs: &[&[Entry]]) -> Result<usize, String> {
+pub fn check_single_execution(records: &[&[StatementRecord]], logs: &[&[LogEntry]]) -> Result<usize, String> {
     let mut executions: HashMap<&str, usize> = HashMap::new();
     for entry in logs.iter().copied().flatten().filter(|entry| !entry.id.is_empty()) {
         *executions.entry(&entry.id).or_default() += 1;
@@ -86,14 +91,14 @@
     if let Some((id, count)) = executions.iter().find(|(_, count)| **count > 1) {
         return Err(format!("write {id} was executed {count} times"));
     }
-    let is_write = |record: &&Record| matches!(record.statement, StatementKind::Write { .. });
+    let is_write = |record: &&StatementRecord| matches!(record.statement, StatementKind::Write { .. });
     Ok(records.iter().copied().flatten().filter(is_write).count())
 }
 
 /// Checks that no member received more than `limit` of the statements that `is_counted` selects in any window of
 /// `window_ms`. Returns the highest count.
 pub fn check_rate_limit(
-    records: &[Record],
+    records: &[StatementRecord],
     window_ms: i64,
     limit: usize,
     is_counted: impl Fn(&StatementKind) -> bool,
@@ -120,7 +125,7 @@
 
 /// Checks that no member in slow start received statements that `is_excluded` selects.
 pub fn check_none_while_warming_up(
-    records: &[Record],
+    records: &[StatementRecord],
     is_excluded: impl Fn(&StatementKind) -> bool,
 ) -> Result<(), String> {
     match records.iter().find(|record| record.warming_up && is_excluded(&record.statement)) {
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -20,7 +20,7 @@
 mod traffic_client;
 
 pub use cluster_rig::ClusterRig;
-pub use history::{Change, Entry, GroupHistory, InjectedDifference, Record, StatementKind};
+pub use history::{Change, GroupHistory, InjectedDifference, LogEntry, StatementKind, StatementRecord};
 pub use member::{CapacityModel, Group, GroupProfile, ParentLog};
 pub use state::{State, VisibleCopy, VisibleRow};
 
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -6,7 +6,7 @@
 };
 use super::play::{COPIES_PER_SECOND, DUAL_READS_PER_SECOND, MAX_DELAYED_STATEMENTS, Summary};
 use super::traffic::TrafficResult;
-use super::{Entry, Group, GroupHistory, Record, StatementKind};
+use super::{Group, GroupHistory, LogEntry, StatementKind, StatementRecord};
 use std::collections::BTreeSet;
 
 /// Window of the background budgets in the run's options.
@@ -46,8 +46,9 @@
                 check_copies(&history.log, HOME_GROUP as u32, &home.log, &home.lost_commits)?;
             check_background_statements(group, &history.records, &mut summary)?;
         }
-        let records: Vec<&[Record]> = histories.iter().map(|history| history.records.as_slice()).collect();
-        let logs: Vec<&[Entry]> =
+        let records: Vec<&[StatementRecord]> =
+            histories.iter().map(|history| history.records.as_slice()).collect();
+        let logs: Vec<&[LogEntry]> =
             histories.iter().flat_map(|history| [&history.log[..], &history.lost_commits[..]]).collect();
         check_single_execution(&records, &logs)?;
         self.check_log_lines(&mut summary)?;
@@ -104,7 +105,7 @@
 /// Checks that background statements stayed within their budgets and were not sent to members in slow start.
 fn check_background_statements(
     group: usize,
-    records: &[Record],
+    records: &[StatementRecord],
     summary: &mut Summary,
 ) -> Result<(), String> {
     let is_copy = |statement: &StatementKind| *statement == StatementKind::CopyWrite;
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -1,7 +1,7 @@
 //! The state of a group: its log, the position that each member has applied, and the rows that each member sees. This
 //! module uses neither sockets nor a clock; callers pass the time.
 
-use super::history::{Change, Entry, InjectedDifference, Record};
+use super::history::{Change, InjectedDifference, LogEntry, StatementRecord};
 use std::collections::HashMap;
 
 /// The state of one member.
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug)]
 pub struct State {
     /// The commits, ordered by commit time.
-    pub log: Vec<Entry>,
+    pub log: Vec<LogEntry>,
     /// The commits that failovers lost.
-    pub lost_commits: Vec<Entry>,
+    pub lost_commits: Vec<LogEntry>,
     /// The time of the last failover.
     last_failover_ms: i64,
     /// The members, in the order of their indices.
@@ -68,7 +68,7 @@
     /// Injected differences from the parent group, by key.
     pub injected_differences: HashMap<String, InjectedDifference>,
     /// All statements that members received.
-    pub records: Vec<Record>,
+    pub records: Vec<StatementRecord>,
 }
 
 impl State {
@@ -123,10 +123,16 @@
     }
 
     /// A row as a member sees it. `log` is the parent group's log; `None` uses the group's own log.
-    pub fn row(&mut self, log: Option<&[Entry]>, member: usize, now: i64, key: &str) -> Option<VisibleRow> {
+    pub fn row(
+        &mut self,
+        log: Option<&[LogEntry]>,
+        member: usize,
+        now: i64,
+        key: &str,
+    ) -> Option<VisibleRow> {
         let visible_ms = self.visible_position(member, now);
         let is_stale_primary = self.members[member].frozen_position_ms.is_some();
-        let is_visible = |entry: &&Entry| {
+        let is_visible = |entry: &&LogEntry| {
             entry.committed_at_ms <= visible_ms
                 && matches!(&entry.change, Change::Row { key: other, .. } if other == key)
         };
@@ -142,10 +148,10 @@
 
     /// The log as the groups that replicate it have received it. Shortly after a failover, it still contains the
     /// commits that the failover lost.
-    pub fn replicated_log(&self, now: i64) -> Vec<Entry> {
+    pub fn replicated_log(&self, now: i64) -> Vec<LogEntry> {
         let lost_commits =
             self.lost_commits.iter().filter(|_| now - self.last_failover_ms < LOST_COMMITS_VISIBLE_MS);
-        let mut entries: Vec<Entry> = self.log.iter().chain(lost_commits).cloned().collect();
+        let mut entries: Vec<LogEntry> = self.log.iter().chain(lost_commits).cloned().collect();
         entries.sort_by_key(|entry| entry.committed_at_ms);
         entries
     }
@@ -174,7 +180,7 @@
             return None;
         }
         let committed_at_ms = self.log.last().map_or(now, |entry| now.max(entry.committed_at_ms + 1));
-        self.log.push(Entry { committed_at_ms, id: id.into(), change });
+        self.log.push(LogEntry { committed_at_ms, id: id.into(), change });
         Some(committed_at_ms)
     }
 
@@ -187,7 +193,7 @@
         }
         let applied_ms = self.position(to, now);
         let old_position_ms = self.position(old, now);
-        let (kept, lost): (Vec<Entry>, Vec<Entry>) =
+        let (kept, lost): (Vec<LogEntry>, Vec<LogEntry>) =
             self.log.drain(..).partition(|entry| entry.committed_at_ms <= applied_ms);
         self.log = kept;
         self.lost_commits.extend(lost);
--- a/test-support/tests/history_checks.rs
+++ b/test-support/tests/history_checks.rs
@@ -5,14 +5,14 @@
     ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
     check_single_execution,
 };
-use birchreach_test_support::groups::{Change, Entry, Record, StatementKind};
+use birchreach_test_support::groups::{Change, LogEntry, StatementKind, StatementRecord};
 
 /// The group whose rows are written and copied.
 const HOME: u32 = 0;
 
 /// A commit of a row.
-fn entry(committed_at_ms: i64, key: &str, value: &str) -> Entry {
-    Entry {
+fn entry(committed_at_ms: i64, key: &str, value: &str) -> LogEntry {
+    LogEntry {
         committed_at_ms,
         id: format!("{key}{committed_at_ms}"),
         change: Change::Row { key: key.into(), value: value.into() },
@@ -20,8 +20,8 @@
 }
 
 /// A commit of a copy of the key `k`, whose position claims that it is complete up to there.
-fn copy(position_ms: i64, value: &str) -> Entry {
-    Entry {
+fn copy(position_ms: i64, value: &str) -> LogEntry {
+    LogEntry {
         committed_at_ms: 100,
         id: String::new(),
         change: Change::Copy { home: HOME, key: "k".into(), position_ms, value: value.into() },
@@ -34,8 +34,8 @@
 }
 
 /// A record of a copy write that a member received.
-fn copy_write(received_at_ms: i64, member: usize) -> Record {
-    Record { received_at_ms, member, statement: StatementKind::CopyWrite, warming_up: false }
+fn copy_write(received_at_ms: i64, member: usize) -> StatementRecord {
+    StatementRecord { received_at_ms, member, statement: StatementKind::CopyWrite, warming_up: false }
 }
 
 fn is_copy_write(statement: &StatementKind) -> bool {
@@ -101,6 +101,6 @@
         [copy_write(0, 0), copy_write(900, 0), copy_write(1000, 0), copy_write(1800, 0), copy_write(500, 1)];
     assert_eq!(check_none_while_warming_up(&records, is_copy_write), Ok(()));
     // Given a copy write at a member in slow start, then it is rejected
-    let while_warming_up = [Record { warming_up: true, ..copy_write(0, 0) }];
+    let while_warming_up = [StatementRecord { warming_up: true, ..copy_write(0, 0) }];
     assert!(check_none_while_warming_up(&while_warming_up, is_copy_write).is_err());
 }
