--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -5,13 +5,13 @@
 
 use birchreach_test_support::fleet::admin_call;
 use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, inject_difference};
-use birchreach_test_support::groups::{InjectedDifference, State, now_ms};
+use birchreach_test_support::groups::{GroupState, InjectedDifference, now_ms};
 use birchreach_test_support::relay::NetworkFaults;
 use rig::{CHILD_LAG_MS, SPLIT_OPTIONS, SplitRig};
 use std::thread::sleep;
 use std::time::Duration;
 
-fn set_lag(state: &mut State, lag_ms: i64) {
+fn set_lag(state: &mut GroupState, lag_ms: i64) {
     state.members.iter_mut().for_each(|member| member.lag_ms = lag_ms);
 }
 
--- a/proxy/tests/split/rig.rs
+++ b/proxy/tests/split/rig.rs
@@ -7,7 +7,7 @@
 };
 use birchreach_test_support::groups::split_keys::hash;
 use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile};
-use birchreach_test_support::groups::{CapacityModel, ClusterRig, GroupProfile, State, StatementKind};
+use birchreach_test_support::groups::{CapacityModel, ClusterRig, GroupProfile, GroupState, StatementKind};
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -168,7 +168,7 @@
 }
 
 /// Checks that a child was read by proxies alone, within their budget and not while it was warming up.
-fn check_child_records(state: &State) {
+fn check_child_records(state: &GroupState) {
     let is_client_read =
         |statement: &StatementKind| matches!(statement, StatementKind::Read { background: false });
     let client_reads = state.records.iter().filter(|record| is_client_read(&record.statement)).count();
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -2,7 +2,7 @@
 //! the group's state.
 
 use super::history::GroupHistory;
-use super::state::{Member, State};
+use super::state::{GroupState, MemberState};
 use crate::database_server::{DatabaseBehavior, POLL_INTERVAL, start_accepting};
 use crate::lock;
 use std::io;
@@ -59,7 +59,7 @@
 
 pub(super) struct Inner {
     pub(super) addresses: Vec<SocketAddr>,
-    pub(super) state: Mutex<State>,
+    pub(super) state: Mutex<GroupState>,
     /// Number of statements that each member is executing.
     pub(super) in_flight: Mutex<Vec<usize>>,
     pub(super) changed: Condvar,
@@ -86,7 +86,7 @@
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
         let group = Group(Arc::new(Inner {
             addresses,
-            state: Mutex::new(State::new(member_count, lag_ms)),
+            state: Mutex::new(GroupState::new(member_count, lag_ms)),
             in_flight: Mutex::new(vec![0; member_count]),
             changed: Condvar::new(),
             capacity,
@@ -110,7 +110,7 @@
     }
 
     /// Runs an operation that reads or changes the group's state, with the state locked, and returns its result.
-    pub fn with_state<T>(&self, operation: impl FnOnce(&mut State) -> T) -> T {
+    pub fn with_state<T>(&self, operation: impl FnOnce(&mut GroupState) -> T) -> T {
         let result = operation(&mut lock(&self.0.state));
         self.0.changed.notify_all();
         result
@@ -163,7 +163,7 @@
     fn wait_while_hung(&self) -> bool {
         loop {
             let state = lock(&self.group.0.state);
-            let Member { running, hung, .. } = state.members[self.member];
+            let MemberState { running, hung, .. } = state.members[self.member];
             if !running || !hung || self.is_stopped() {
                 return running;
             }
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -22,7 +22,7 @@
 pub use cluster_rig::ClusterRig;
 pub use history::{Change, GroupHistory, InjectedDifference, LogEntry, StatementKind, StatementRecord};
 pub use member::{CapacityModel, Group, GroupProfile, ParentLog};
-pub use state::{State, VisibleCopy, VisibleRow};
+pub use state::{GroupState, VisibleCopy, VisibleRow};
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -6,7 +6,7 @@
 
 /// The state of one member.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct MemberState {
     /// Whether its process runs.
     pub running: bool,
     /// Whether it leaves all statements unanswered.
@@ -54,7 +54,7 @@
 
 /// The state of a group.
 #[derive(Clone, Debug)]
-pub struct State {
+pub struct GroupState {
     /// The commits, ordered by commit time.
     pub log: Vec<LogEntry>,
     /// The commits that failovers lost.
@@ -62,7 +62,7 @@
     /// The time of the last failover.
     last_failover_ms: i64,
     /// The members, in the order of their indices.
-    pub members: Vec<Member>,
+    pub members: Vec<MemberState>,
     /// The primary's index.
     pub primary: usize,
     /// Injected differences from the parent group, by key.
@@ -71,10 +71,10 @@
     pub records: Vec<StatementRecord>,
 }
 
-impl State {
+impl GroupState {
     /// Creates a group without commits, whose first member is the primary.
-    pub fn new(member_count: usize, lag_ms: i64) -> State {
-        let member = Member {
+    pub fn new(member_count: usize, lag_ms: i64) -> GroupState {
+        let member = MemberState {
             running: true,
             hung: false,
             lag_ms,
@@ -85,7 +85,7 @@
             frozen_position_ms: None,
             copies_since_ms: i64::MIN,
         };
-        State {
+        GroupState {
             log: Vec::new(),
             lost_commits: Vec::new(),
             last_failover_ms: i64::MIN / 2,
--- a/test-support/tests/group_state.rs
+++ b/test-support/tests/group_state.rs
@@ -1,6 +1,6 @@
 //! The simulated state of a group: commits, replication lag, copies, failover and restart.
 
-use birchreach_test_support::groups::{Change, State, VisibleCopy, VisibleRow};
+use birchreach_test_support::groups::{Change, GroupState, VisibleCopy, VisibleRow};
 
 /// The group whose rows are copied.
 const HOME: u32 = 7;
@@ -22,15 +22,15 @@
 }
 
 /// A group of three members with two commits of the key `k`. The first member is the primary.
-fn group_with_two_commits() -> State {
-    let mut state = State::new(3, LAG_MS);
+fn group_with_two_commits() -> GroupState {
+    let mut state = GroupState::new(3, LAG_MS);
     assert_eq!(state.commit(0, 1_000, "w1", row("k", "01")), Some(1_000));
     assert_eq!(state.commit(0, 1_000, "w2", row("k", "02")), Some(1_001));
     state
 }
 
 /// The group of [`group_with_two_commits`] with another commit of the key and two copies, which no replica has applied.
-fn group_with_unreplicated_commits() -> State {
+fn group_with_unreplicated_commits() -> GroupState {
     let mut state = group_with_two_commits();
     assert_eq!(state.position(0, 1_020), 1_019);
     assert_eq!(state.commit(0, 1_020, "w4", row("k", "04")), Some(1_020));
