--- a/proxy/tests/hot/records.rs
+++ b/proxy/tests/hot/records.rs
@@ -3,7 +3,7 @@
 
 use crate::rig::{HOME_GROUP, HotRig};
 use birchreach_test_support::groups::history_checks::{
-    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    ServedRead, check_copies, check_freshness, check_none_during_slow_start, check_rate_limit,
     check_single_execution,
 };
 use birchreach_test_support::groups::traffic::TrafficResult;
@@ -51,7 +51,7 @@
     let highest = check_rate_limit(records, BUDGET_WINDOW_MS, MAX_COPIES_IN_A_WINDOW, is_copy_write).unwrap();
     let max_reads = READS_PER_COPY * MAX_COPIES_IN_A_WINDOW;
     check_rate_limit(records, BUDGET_WINDOW_MS, max_reads, is_background_read).unwrap();
-    check_none_while_warming_up(records, |statement| {
+    check_none_during_slow_start(records, |statement| {
         is_copy_write(statement) || is_background_read(statement)
     })
     .unwrap();
--- a/proxy/tests/split/rig.rs
+++ b/proxy/tests/split/rig.rs
@@ -1,7 +1,7 @@
 //! Proxies in front of a group that splits into two children, and clients that read all its keys.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
-use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
+use birchreach_test_support::groups::history_checks::{check_none_during_slow_start, check_rate_limit};
 use birchreach_test_support::groups::split_groups::{
     LOWER_CHILD, PARENT, UPPER_CHILD, start_split_groups, write_initial_rows,
 };
@@ -177,6 +177,6 @@
         matches!(statement, StatementKind::Read { background: true } | StatementKind::PositionRead)
     };
     let highest = check_rate_limit(&state.records, BUDGET_WINDOW_MS, MAX_DUAL_READS, is_dual_read).unwrap();
-    check_none_while_warming_up(&state.records, is_dual_read).unwrap();
+    check_none_during_slow_start(&state.records, is_dual_read).unwrap();
     assert!(highest > 0);
 }
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -41,8 +41,8 @@
         let mut state = lock(&self.0.state);
         let age_ms = now - state.members[member].started_at_ms;
         let slow_start_ms = self.0.capacity.slow_start_window.as_millis() as i64;
-        let warming_up = (RESTART_PROPAGATION_MS..slow_start_ms).contains(&age_ms);
-        state.records.push(StatementRecord { received_at_ms: now, member, statement, warming_up });
+        let in_slow_start = (RESTART_PROPAGATION_MS..slow_start_ms).contains(&age_ms);
+        state.records.push(StatementRecord { received_at_ms: now, member, statement, in_slow_start });
     }
 
     /// The replicated log of the parent group; `None` if the group has no parent.
--- a/test-support/src/groups/history.rs
+++ b/test-support/src/groups/history.rs
@@ -81,7 +81,7 @@
     /// What kind of statement it was.
     pub statement: StatementKind,
     /// Whether the member was in slow start and had restarted long enough ago for proxies to know it.
-    pub warming_up: bool,
+    pub in_slow_start: bool,
 }
 
 /// A snapshot of what a group has recorded.
--- a/test-support/src/groups/history_checks.rs
+++ b/test-support/src/groups/history_checks.rs
@@ -124,11 +124,11 @@
 }
 
 /// Checks that no member in slow start received statements that `is_excluded` selects.
-pub fn check_none_while_warming_up(
+pub fn check_none_during_slow_start(
     records: &[StatementRecord],
     is_excluded: impl Fn(&StatementKind) -> bool,
 ) -> Result<(), String> {
-    match records.iter().find(|record| record.warming_up && is_excluded(&record.statement)) {
+    match records.iter().find(|record| record.in_slow_start && is_excluded(&record.statement)) {
         Some(record) => {
             Err(format!("member {} received a statement during slow start: {record:?}", record.member))
         }
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -1,7 +1,7 @@
 //! The checks of a finished run, on its histories, logs and replies.
 
 use super::history_checks::{
-    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    ServedRead, check_copies, check_freshness, check_none_during_slow_start, check_rate_limit,
     check_single_execution,
 };
 use super::play::{COPIES_PER_SECOND, DUAL_READS_PER_SECOND, MAX_DELAYED_STATEMENTS, Summary};
@@ -117,7 +117,7 @@
     let copies = if group == HOME_GROUP { COPIES_PER_SECOND } else { 0 };
     let tasks = copies + DUAL_READS_PER_SECOND + MAX_DELAYED_STATEMENTS;
     check_rate_limit(records, BUDGET_WINDOW_MS, READS_PER_BACKGROUND_TASK * tasks, is_dual_read)?;
-    check_none_while_warming_up(records, |statement| is_copy(statement) || is_dual_read(statement))?;
+    check_none_during_slow_start(records, |statement| is_copy(statement) || is_dual_read(statement))?;
     let count = |is_counted: &dyn Fn(&StatementKind) -> bool| {
         records.iter().filter(|record| is_counted(&record.statement)).count()
     };
--- a/test-support/tests/history_checks.rs
+++ b/test-support/tests/history_checks.rs
@@ -2,7 +2,7 @@
 //! that it must reject and one that it must accept.
 
 use birchreach_test_support::groups::history_checks::{
-    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    ServedRead, check_copies, check_freshness, check_none_during_slow_start, check_rate_limit,
     check_single_execution,
 };
 use birchreach_test_support::groups::{Change, LogEntry, StatementKind, StatementRecord};
@@ -35,7 +35,7 @@
 
 /// A record of a copy write that a member received.
 fn copy_write(received_at_ms: i64, member: usize) -> StatementRecord {
-    StatementRecord { received_at_ms, member, statement: StatementKind::CopyWrite, warming_up: false }
+    StatementRecord { received_at_ms, member, statement: StatementKind::CopyWrite, in_slow_start: false }
 }
 
 fn is_copy_write(statement: &StatementKind) -> bool {
@@ -99,8 +99,8 @@
     // Given copy writes at members at full speed, then they are accepted
     let records =
         [copy_write(0, 0), copy_write(900, 0), copy_write(1000, 0), copy_write(1800, 0), copy_write(500, 1)];
-    assert_eq!(check_none_while_warming_up(&records, is_copy_write), Ok(()));
+    assert_eq!(check_none_during_slow_start(&records, is_copy_write), Ok(()));
     // Given a copy write at a member in slow start, then it is rejected
-    let while_warming_up = [StatementRecord { warming_up: true, ..copy_write(0, 0) }];
-    assert!(check_none_while_warming_up(&while_warming_up, is_copy_write).is_err());
+    let during_slow_start = [StatementRecord { in_slow_start: true, ..copy_write(0, 0) }];
+    assert!(check_none_during_slow_start(&during_slow_start, is_copy_write).is_err());
 }
