--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on several processes with hot keys and a split, many side by side; each that fails is printed whole.
 
 use crate::MeasurementResult;
-use birchreach_test_support::groups::play::{SeededSchedule, Summary};
+use birchreach_test_support::groups::seeded_schedule::{SeededSchedule, Summary};
 use std::ops::RangeInclusive;
 use std::path::Path;
 use std::sync::Mutex;
@@ -53,7 +53,7 @@
 fn play(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
     let loopback_address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
     let folder = folder.join(format!("seed-{seed}"));
-    let result = SeededSchedule { seed, loopback_address, program, folder: &folder }.play();
+    let result = SeededSchedule { seed, loopback_address, program, folder: &folder }.run();
     let _ = std::fs::remove_dir_all(folder);
     result
 }
--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -183,7 +183,7 @@
     let mut processes: Vec<Option<Process>> = (0..4).map(|n| fleet.start(n, None).ok()).collect();
     // When a schedule of faults has been played, then it settles
     let schedule = Schedule::generate(3, 4, 6, Duration::from_secs(5));
-    schedule.play(&fleet, &mut processes).unwrap();
+    schedule.run(&fleet, &mut processes).unwrap();
     schedule.recover(&fleet, &mut processes, 2 * MAX_WAIT).unwrap();
     // And somebody received the whole state of another
     let has_exchanged = |process: &Process| {
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults on four processes with hot keys and a split: the same ones each time. Thousands more are played by
 //! `birchreach-measure schedules`; a seed that failed there once stands here for good.
 
-use birchreach_test_support::groups::play::{SeededSchedule, Summary};
+use birchreach_test_support::groups::seeded_schedule::{SeededSchedule, Summary};
 use std::path::Path;
 
 /// Seed 7 has a child's primary that is deposed without knowing it, seed 31 a process that is suspended while a database restarts.
@@ -13,7 +13,7 @@
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let loopback_address = [127, 85, (seed % 250) as u8, 1];
     let schedule = SeededSchedule { seed, loopback_address, program, folder: &folder };
-    schedule.play().unwrap_or_else(|failure| panic!("{failure}"))
+    schedule.run().unwrap_or_else(|failure| panic!("{failure}"))
 }
 
 #[test]
--- a/test-support/src/groups/database_faults.rs
+++ b/test-support/src/groups/database_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of databases. They are generated from the same seed as a schedule of process faults.
 
-use super::play::{FAULT_PERIOD, PROCESS_COUNT};
+use super::seeded_schedule::{FAULT_PERIOD, PROCESS_COUNT};
 use super::{ClusterRig, now_ms};
 use crate::schedule::Schedule;
 use std::time::Duration;
--- a/test-support/src/groups/run.rs
+++ b/test-support/src/groups/run.rs
@@ -2,7 +2,7 @@
 
 use super::ClusterRig;
 use super::database_faults::{TimedDatabaseFault, apply_database_fault};
-use super::play::{FAULT_PERIOD, PROCESS_COUNT, RECOVERY_LIMIT};
+use super::seeded_schedule::{FAULT_PERIOD, PROCESS_COUNT, RECOVERY_LIMIT};
 use super::traffic::{ProxyAddresses, ReadRate, Traffic, TrafficProfile};
 use crate::fleet::check_settled;
 use crate::lock;
--- a/test-support/src/groups/run_checks.rs
+++ b/test-support/src/groups/run_checks.rs
@@ -4,7 +4,7 @@
     ServedRead, check_copies, check_freshness, check_none_during_slow_start, check_rate_limit,
     check_single_execution,
 };
-use super::play::{COPIES_PER_SECOND, DUAL_READS_PER_SECOND, MAX_DELAYED_STATEMENTS, Summary};
+use super::seeded_schedule::{COPIES_PER_SECOND, DUAL_READS_PER_SECOND, MAX_DELAYED_STATEMENTS, Summary};
 use super::traffic::TrafficResult;
 use super::{Group, GroupHistory, LogEntry, StatementKind, StatementRecord};
 use std::collections::BTreeSet;
--- a/test-support/src/groups/play.rs
+++ b/test-support/src/groups/seeded_schedule.rs
@@ -104,7 +104,7 @@
 impl SeededSchedule<'_> {
     /// Runs the processes, clients and faults, then all checks. The error names the check that failed and lists the
     /// faults.
-    pub fn play(&self) -> Result<Summary, String> {
+    pub fn run(&self) -> Result<Summary, String> {
         let SeededSchedule { seed, loopback_address, program, folder } = *self;
         let GeneratedFaults { schedule, database_faults } = generate_faults(seed);
         let describe = |error: String| format!("seed {seed}: {error}\n{schedule:?}\n{database_faults:?}");
--- a/test-support/src/schedule.rs
+++ b/test-support/src/schedule.rs
@@ -101,7 +101,7 @@
     }
 
     /// Applies all actions at their times to the processes of a fleet. `None` stands for a process that does not run.
-    pub fn play(&self, fleet: &Fleet, processes: &mut [Option<Process>]) -> io::Result<()> {
+    pub fn run(&self, fleet: &Fleet, processes: &mut [Option<Process>]) -> io::Result<()> {
         let start = Instant::now();
         for TimedAction { after, action } in &self.actions {
             thread::sleep(after.saturating_sub(start.elapsed()));
