--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -1,5 +1,6 @@
 //! A PostgreSQL client of the proxy with one connection, which sends one statement at a time.
 
+use crate::wire::{DATA_ROW, ERROR_RESPONSE, QUERY, READY_FOR_QUERY, TERMINATE, message};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -96,16 +97,13 @@
 
     /// Sends the Terminate message, which ends the session.
     pub fn send_terminate(&mut self) -> io::Result<()> {
-        self.stream.write_all(b"X\0\0\0\x04")
+        self.stream.write_all(&message(TERMINATE, &[]))
     }
 
     /// Sends one statement and reads its complete reply.
     pub fn run_statement(&mut self, text: &str) -> io::Result<Reply> {
-        let mut message = vec![b'Q'];
-        message.extend((text.len() as u32 + 5).to_be_bytes());
-        message.extend(text.as_bytes());
-        message.push(0);
-        self.stream.write_all(&message)?;
+        let body = [text.as_bytes(), b"\0"].concat();
+        self.stream.write_all(&message(QUERY, &body))?;
         self.read_reply()
     }
 
@@ -119,9 +117,9 @@
             let mut body = vec![0; length.saturating_sub(4).min(MAX_MESSAGE_BYTES)];
             self.stream.read_exact(&mut body)?;
             match head[0] {
-                b'D' => reply = Reply::Served(body.get(ROW_VALUE_OFFSET..).unwrap_or_default().to_vec()),
-                b'E' => reply = Reply::Error(sqlstate(&body)),
-                b'Z' => return Ok(reply),
+                DATA_ROW => reply = Reply::Served(body.get(ROW_VALUE_OFFSET..).unwrap_or_default().to_vec()),
+                ERROR_RESPONSE => reply = Reply::Error(sqlstate(&body)),
+                READY_FOR_QUERY => return Ok(reply),
                 _ => {}
             }
         }
--- a/test-support/src/database_server.rs
+++ b/test-support/src/database_server.rs
@@ -1,7 +1,7 @@
 //! The socket handling that all test databases share. A database accepts connections while it is available, completes
 //! the startup exchange, and answers statements one at a time. Its [`DatabaseBehavior`] supplies the answers.
 
-use crate::wire::message;
+use crate::wire::{QUERY, authentication_ok, ready_for_query};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
@@ -13,17 +13,6 @@
 /// Largest message body that a database reads.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Message types of the PostgreSQL protocol.
-const AUTHENTICATION: u8 = b'R';
-const QUERY: u8 = b'Q';
-const READY_FOR_QUERY: u8 = b'Z';
-
-/// The body of AuthenticationOk, which requests no password.
-const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-
-/// The body of ReadyForQuery outside a transaction.
-const IDLE: &[u8] = b"I";
-
 /// The behavior of a database that its connections depend on. Each thread has its own handle.
 pub(crate) trait DatabaseBehavior: Clone + Send + 'static {
     /// The address on which it listens.
@@ -93,7 +82,7 @@
         self.stream.set_read_timeout(Some(POLL_INTERVAL))?;
         self.read_body()?;
         if self.database.wait_while_hung() {
-            self.write_with_ready_for_query(message(AUTHENTICATION, &AUTHENTICATION_OK))?;
+            self.write_with_ready_for_query(authentication_ok())?;
         }
         let incarnation = self.database.incarnation();
         while self.database.is_available() && self.database.incarnation() == incarnation {
@@ -109,7 +98,7 @@
 
     /// Writes these messages followed by ReadyForQuery.
     fn write_with_ready_for_query(&mut self, messages: Vec<u8>) -> io::Result<()> {
-        self.stream.write_all(&[messages, message(READY_FOR_QUERY, IDLE)].concat())
+        self.stream.write_all(&[messages, ready_for_query()].concat())
     }
 
     /// Reads the next statement. Returns `None` if the next message is not a Query.
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -7,7 +7,9 @@
 use super::state::VisibleRow;
 use crate::database_server::POLL_INTERVAL;
 use crate::lock;
-use crate::wire::{binary_row, decode_hex, error_response, message, role_and_position, text_row, usage_row};
+use crate::wire::{
+    COMMAND_COMPLETE, binary_row, decode_hex, error_response, message, role_and_position, text_row, usage_row,
+};
 use std::thread;
 
 /// Time after a restart until all proxies that reach discovery know of it and statements already in transit have
@@ -96,7 +98,7 @@
         self.simulate_execution(member);
         match found {
             Some(row) => binary_row(&decode_hex(&row.value)),
-            None if background => message(b'C', b"SELECT 0\0"),
+            None if background => message(COMMAND_COMPLETE, b"SELECT 0\0"),
             None => text_row("(no such row)"),
         }
     }
@@ -109,7 +111,7 @@
         match found {
             // The statement rounds the time up.
             Some(row) => binary_row(&position_and_value(row.committed_at_ms + 1, &row.value)),
-            None => message(b'C', b"SELECT 0\0"),
+            None => message(COMMAND_COMPLETE, b"SELECT 0\0"),
         }
     }
 
@@ -143,7 +145,7 @@
         self.simulate_execution(member);
         match self.with_state(|state| state.commit(member, now_ms(), "", change)) {
             None => error_response("25006", ERROR_TEXT),
-            Some(_) => message(b'C', b"INSERT 0 1\0"),
+            Some(_) => message(COMMAND_COMPLETE, b"INSERT 0 1\0"),
         }
     }
 
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -13,19 +13,20 @@
     pub hung: bool,
     /// Replication lag: the time until the member has applied a commit.
     pub lag_ms: i64,
-    /// The highest position that it has reported. Reported positions never decrease.
+    /// The highest position that it has reported since the last failover or restart. In between, reported positions do
+    /// not decrease.
     position_ms: i64,
     /// When its process started, in milliseconds of Unix time; 0 if it started before the test.
     pub started_at_ms: i64,
     /// Age of the backup that it was restored from, at the time of the restore.
-    restored_behind_ms: i64,
+    backup_age_ms: i64,
     /// Number of times that it was restored from a backup.
     pub restore_count: u32,
     /// Set for a former primary that was not notified of the failover. It answers from its state up to this position,
     /// but reports the current position.
     frozen_position_ms: Option<i64>,
     /// The member has lost the copies that were committed before this time.
-    copies_since_ms: i64,
+    copies_lost_before_ms: i64,
 }
 
 /// A row as a member sees it.
@@ -80,10 +81,10 @@
             lag_ms,
             position_ms: 0,
             started_at_ms: 0,
-            restored_behind_ms: 0,
+            backup_age_ms: 0,
             restore_count: 0,
             frozen_position_ms: None,
-            copies_since_ms: i64::MIN,
+            copies_lost_before_ms: i64::MIN,
         };
         GroupState {
             log: Vec::new(),
@@ -107,7 +108,7 @@
         let is_primary = self.primary == member;
         let member = &mut self.members[member];
         let caught_up_ms = CATCH_UP_FACTOR * (now - member.started_at_ms);
-        let behind_ms = (member.restored_behind_ms - caught_up_ms).max(0);
+        let behind_ms = (member.backup_age_ms - caught_up_ms).max(0);
         let applied_ms =
             if is_primary { last_commit_ms.max(now - 1) } else { now - 1 - member.lag_ms - behind_ms };
         if member.frozen_position_ms.is_some() {
@@ -159,7 +160,7 @@
     /// The copy of another group's row with the highest position that a member sees.
     pub fn copy(&mut self, member: usize, now: i64, home: u32, key: &str) -> Option<VisibleCopy> {
         let visible_ms = self.visible_position(member, now);
-        let visible = self.members[member].copies_since_ms..=visible_ms;
+        let visible = self.members[member].copies_lost_before_ms..=visible_ms;
         let mut newest: Option<VisibleCopy> = None;
         for entry in self.log.iter().filter(|entry| visible.contains(&entry.committed_at_ms)) {
             if let Change::Copy { home: entry_home, key: entry_key, position_ms, value } = &entry.change
@@ -186,22 +187,23 @@
 
     /// Makes another member the primary. It keeps the commits that it has applied; all later commits are lost. Unless
     /// the old primary is notified, it continues to report itself as the primary.
-    pub fn fail_over(&mut self, to: usize, now: i64, old_primary_notified: bool) {
-        let old = self.primary;
-        if to == old {
+    pub fn fail_over(&mut self, new_primary: usize, now: i64, old_primary_notified: bool) {
+        let old_primary = self.primary;
+        if new_primary == old_primary {
             return;
         }
-        let applied_ms = self.position(to, now);
-        let old_position_ms = self.position(old, now);
+        let applied_ms = self.position(new_primary, now);
+        let old_position_ms = self.position(old_primary, now);
         let (kept, lost): (Vec<LogEntry>, Vec<LogEntry>) =
             self.log.drain(..).partition(|entry| entry.committed_at_ms <= applied_ms);
         self.log = kept;
         self.lost_commits.extend(lost);
         self.last_failover_ms = now;
-        self.primary = to;
-        self.members[to].frozen_position_ms = None;
-        self.members[old].frozen_position_ms = (!old_primary_notified).then_some(old_position_ms);
-        self.members[old].position_ms = self.members[old].position_ms.min(applied_ms);
+        self.primary = new_primary;
+        self.members[new_primary].frozen_position_ms = None;
+        self.members[old_primary].frozen_position_ms = (!old_primary_notified).then_some(old_position_ms);
+        let old_member = &mut self.members[old_primary];
+        old_member.position_ms = old_member.position_ms.min(applied_ms);
     }
 
     /// Notifies a former primary of the failover.
@@ -215,9 +217,9 @@
         let position_ms = self.position(member, now) - behind_ms;
         let member = &mut self.members[member];
         member.started_at_ms = now;
-        member.restored_behind_ms = behind_ms;
+        member.backup_age_ms = behind_ms;
         member.position_ms = position_ms;
-        member.copies_since_ms = now;
+        member.copies_lost_before_ms = now;
         member.running = true;
         member.hung = false;
         member.restore_count += u32::from(behind_ms > 0);
--- a/test-support/src/many_databases.rs
+++ b/test-support/src/many_databases.rs
@@ -5,7 +5,9 @@
 use crate::groups::now_ms;
 use crate::lock;
 use crate::statement_text::quoted_strings;
-use crate::wire::{error_response, message, role_and_position, text_row, usage_row};
+use crate::wire::{
+    QUERY, authentication_ok, error_response, ready_for_query, role_and_position, text_row, usage_row,
+};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -105,12 +107,12 @@
     fn answer_statements(&self, stream: &mut TcpStream, is_primary: bool) -> io::Result<()> {
         stream.set_nodelay(true)?;
         read_body(stream)?;
-        stream.write_all(&[message(b'R', &[0; 4]), ready_for_query()].concat())?;
+        stream.write_all(&[authentication_ok(), ready_for_query()].concat())?;
         let mut tag = [0];
         loop {
             stream.read_exact(&mut tag)?;
             let body = read_body(stream)?;
-            if tag != [b'Q'] {
+            if tag != [QUERY] {
                 return Ok(());
             }
             self.inner.statement_count.fetch_add(1, Ordering::Relaxed);
@@ -137,11 +139,6 @@
     [result, role_and_position(is_primary, now), ready_for_query()].concat()
 }
 
-/// ReadyForQuery outside a transaction.
-fn ready_for_query() -> Vec<u8> {
-    message(b'Z', b"I")
-}
-
 /// Reads a message's length and body and returns the body. The caller has read the type byte, if there is one.
 fn read_body(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut length = [0; 4];
--- a/test-support/src/wire.rs
+++ b/test-support/src/wire.rs
@@ -1,5 +1,22 @@
-//! The part of the PostgreSQL protocol that test databases need: encoding of messages in general, and of the messages
-//! that every test database sends.
+//! The part of the PostgreSQL protocol that test databases and clients need: message types, the encoding of messages, and
+//! the messages that every test database sends.
+
+/// Message types of the PostgreSQL protocol.
+pub(crate) const AUTHENTICATION: u8 = b'R';
+pub(crate) const COMMAND_COMPLETE: u8 = b'C';
+pub(crate) const DATA_ROW: u8 = b'D';
+pub(crate) const ERROR_RESPONSE: u8 = b'E';
+pub(crate) const PARAMETER_STATUS: u8 = b'S';
+pub(crate) const QUERY: u8 = b'Q';
+pub(crate) const READY_FOR_QUERY: u8 = b'Z';
+pub(crate) const ROW_DESCRIPTION: u8 = b'T';
+pub(crate) const TERMINATE: u8 = b'X';
+
+/// The body of AuthenticationOk, which requests no password.
+const AUTHENTICATION_OK: [u8; 4] = [0; 4];
+
+/// The body of ReadyForQuery outside a transaction.
+const IDLE: &[u8] = b"I";
 
 /// Encodes a message with its type byte and length.
 pub(crate) fn message(tag: u8, body: &[u8]) -> Vec<u8> {
@@ -7,6 +24,16 @@
     [&[tag], &length[..], body].concat()
 }
 
+/// The answer to a startup message.
+pub(crate) fn authentication_ok() -> Vec<u8> {
+    message(AUTHENTICATION, &AUTHENTICATION_OK)
+}
+
+/// ReadyForQuery outside a transaction.
+pub(crate) fn ready_for_query() -> Vec<u8> {
+    message(READY_FOR_QUERY, IDLE)
+}
+
 /// A result of one row with one column, whose value is this text.
 pub(crate) fn text_row(value: &str) -> Vec<u8> {
     binary_row(value.as_bytes())
@@ -17,12 +44,13 @@
     let length = (value.len() as u32).to_be_bytes();
     let column = [&[0, 1][..], b"blob\0", &[0; 6], &[0, 0, 0, 17], &[255; 6], &[0, 1]].concat();
     let data = [&[0, 1][..], &length, value].concat();
-    [message(b'T', &column), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
+    [message(ROW_DESCRIPTION, &column), message(DATA_ROW, &data), message(COMMAND_COMPLETE, b"SELECT 1\0")]
+        .concat()
 }
 
 /// An ErrorResponse message.
 pub(crate) fn error_response(sqlstate: &str, text: &str) -> Vec<u8> {
-    message(b'E', format!("SERROR\0C{sqlstate}\0M{text}\0\0").as_bytes())
+    message(ERROR_RESPONSE, format!("SERROR\0C{sqlstate}\0M{text}\0\0").as_bytes())
 }
 
 /// The answer to `SHOW usage`: the database's log position, and whether it reports itself as the primary.
@@ -35,7 +63,7 @@
 pub(crate) fn role_and_position(is_primary: bool, position_ms: i64) -> Vec<u8> {
     let role = format!("server_role\0{}\0", if is_primary { "writer" } else { "reader" });
     let position = format!("commit_clock\0{position_ms}\0");
-    [message(b'S', role.as_bytes()), message(b'S', position.as_bytes())].concat()
+    [message(PARAMETER_STATUS, role.as_bytes()), message(PARAMETER_STATUS, position.as_bytes())].concat()
 }
 
 /// Decodes hexadecimal digits. Skips pairs that are not hexadecimal digits.
--- a/test-support/tests/many_databases.rs
+++ b/test-support/tests/many_databases.rs
@@ -5,7 +5,7 @@
 use birchreach_test_support::many_databases::ManyDatabases;
 
 const GROUP: u32 = 0;
-const WAIT_MS: u32 = 1_000;
+const DEADLINE_MS: u32 = 1_000;
 
 #[test]
 fn each_address_is_a_database_with_its_own_role() {
@@ -15,8 +15,8 @@
     let mut replica = Client::connect(databases.address(3_199)).unwrap();
     // When both receive a read and a write
     let replies = [&mut primary, &mut replica].map(|client| {
-        let read = client.read("tariff-lookup", GROUP, WAIT_MS).unwrap();
-        (read, client.write("file-entry", GROUP, WAIT_MS).unwrap())
+        let read = client.read("tariff-lookup", GROUP, DEADLINE_MS).unwrap();
+        (read, client.write("file-entry", GROUP, DEADLINE_MS).unwrap())
     });
     // Then both serve the read, and only the primary serves the write
     let served = || Reply::Served(b"\\x9f03".to_vec());
@@ -33,8 +33,8 @@
     // When one restarts
     databases.break_connections(1);
     // Then only its connection is broken, and a new connection is served
-    assert!(restarted.read("tariff-lookup", GROUP, WAIT_MS).is_err());
-    assert!(other.read("tariff-lookup", GROUP, WAIT_MS).is_ok());
-    let mut again = Client::connect(databases.address(1)).unwrap();
-    assert!(again.read("tariff-lookup", GROUP, WAIT_MS).is_ok());
+    assert!(restarted.read("tariff-lookup", GROUP, DEADLINE_MS).is_err());
+    assert!(other.read("tariff-lookup", GROUP, DEADLINE_MS).is_ok());
+    let mut reconnected = Client::connect(databases.address(1)).unwrap();
+    assert!(reconnected.read("tariff-lookup", GROUP, DEADLINE_MS).is_ok());
 }
