--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -27,7 +27,7 @@
     pub weight: u32,
     /// Connections that [`Balancer::choose_server`] has assigned to it and that have not been released.
     pub active_connections: u32,
-    /// Consecutive answers that contradict `up`.
+    /// Consecutive check results that contradict `up`, failed checks included.
     opposite_answers: u32,
     /// When `up` last changed, or when polling started.
     pub changed_at: Instant,
