--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -2,7 +2,7 @@
 //! complete report of each failed schedule is printed.
 
 use crate::MeasurementResult;
-use birchreach_test_support::groups::play::{SeededSchedule, Summary};
+use birchreach_test_support::groups::seeded_schedule::{SeededSchedule, Summary};
 use std::ops::RangeInclusive;
 use std::path::Path;
 use std::sync::Mutex;
@@ -57,7 +57,7 @@
 fn run_seed(program: &Path, folder: &Path, thread: usize, seed: u64) -> Result<Summary, String> {
     let loopback_address = [127, 70 + thread as u8, (seed % SEEDS_PER_ADDRESS_RANGE) as u8, 1];
     let folder = folder.join(format!("seed-{seed}"));
-    let result = SeededSchedule { seed, loopback_address, program, folder: &folder }.play();
+    let result = SeededSchedule { seed, loopback_address, program, folder: &folder }.run();
     let _ = std::fs::remove_dir_all(folder);
     result
 }
@@ -92,7 +92,7 @@
             sum(|summary| summary.copy_reads as u64),
             sum(|summary| summary.copy_writes as u64),
             sum(|summary| summary.dual_reads as u64),
-            sum(|summary| summary.planted_differences as u64),
+            sum(|summary| summary.injected_differences as u64),
             sum(|summary| summary.reported_differences as u64)
         );
     }
--- a/proxy/tests/hot/records.rs
+++ b/proxy/tests/hot/records.rs
@@ -3,11 +3,11 @@
 
 use crate::rig::{HOME_GROUP, HotRig};
 use birchreach_test_support::groups::history_checks::{
-    ServedRead, check_copies, check_freshness, check_none_while_warming_up, check_rate_limit,
+    ServedRead, check_copies, check_freshness, check_none_during_slow_start, check_rate_limit,
     check_single_execution,
 };
 use birchreach_test_support::groups::traffic::TrafficResult;
-use birchreach_test_support::groups::{Entry, GroupHistory, Record, StatementKind};
+use birchreach_test_support::groups::{GroupHistory, LogEntry, StatementKind, StatementRecord};
 
 const BUDGET_WINDOW_MS: i64 = 2_000;
 
@@ -44,14 +44,14 @@
 }
 
 /// Checks that copies and their reads kept the budget and avoided databases that were warming up. Returns the most copies in a window.
-fn check_copy_budget(records: &[Record]) -> usize {
+fn check_copy_budget(records: &[StatementRecord]) -> usize {
     let is_copy_write = |statement: &StatementKind| *statement == StatementKind::CopyWrite;
     let is_background_read =
         |statement: &StatementKind| *statement == StatementKind::Read { background: true };
     let highest = check_rate_limit(records, BUDGET_WINDOW_MS, MAX_COPIES_IN_A_WINDOW, is_copy_write).unwrap();
     let max_reads = READS_PER_COPY * MAX_COPIES_IN_A_WINDOW;
     check_rate_limit(records, BUDGET_WINDOW_MS, max_reads, is_background_read).unwrap();
-    check_none_while_warming_up(records, |statement| {
+    check_none_during_slow_start(records, |statement| {
         is_copy_write(statement) || is_background_read(statement)
     })
     .unwrap();
@@ -59,8 +59,9 @@
 }
 
 fn check_no_write_twice(histories: &[GroupHistory]) {
-    let records: Vec<&[Record]> = histories.iter().map(|history| history.records.as_slice()).collect();
-    let logs: Vec<&[Entry]> =
+    let records: Vec<&[StatementRecord]> =
+        histories.iter().map(|history| history.records.as_slice()).collect();
+    let logs: Vec<&[LogEntry]> =
         histories.iter().flat_map(|history| [&history.log[..], &history.lost_commits[..]]).collect();
     check_single_execution(&records, &logs).unwrap();
 }
