--- a/background-tasks/src/budget.rs
+++ b/background-tasks/src/budget.rs
@@ -30,9 +30,9 @@
 /// The number of tasks of one kind that one process may start in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
-    /// Starts at one database.
+    /// The maximum number of starts at one database in a window.
     pub per_database: usize,
-    /// Starts at all databases together.
+    /// The maximum number of starts at all databases together in a window.
     pub total: usize,
 }
 
--- a/health/src/agent.rs
+++ b/health/src/agent.rs
@@ -17,7 +17,7 @@
 /// The input side of one agent-check connection.
 #[derive(Default)]
 pub struct AgentCheckConnection {
-    /// The bytes of the line received so far.
+    /// The received part of the line.
     line: Vec<u8>,
     /// Set once the query was returned. Further input is ignored.
     finished: bool,
@@ -39,8 +39,8 @@
         line_end.and_then(|_| self.input_ended())
     }
 
-    /// Ends the input, because the balancer closed its side or the query timeout expired. Returns the bytes received so
-    /// far as the query, even without a line end, or `None` if the query was returned before.
+    /// Ends the input, because the balancer closed its side or the query timeout expired. Parses the received bytes as
+    /// the query, even without a line end. Returns `None` if the query was returned before.
     pub fn input_ended(&mut self) -> Option<ParsedQuery> {
         if std::mem::replace(&mut self.finished, true) {
             return None;
--- a/health/src/event.rs
+++ b/health/src/event.rs
@@ -24,7 +24,7 @@
 pub enum HealthEvent {
     /// The endpoint list added a server or changed its entry.
     ServerListed {
-        /// The listed server.
+        /// The server whose entry was added or changed.
         server: ServerId,
         /// The group that the server belongs to.
         group: GroupId,
@@ -35,17 +35,17 @@
     },
     /// The endpoint list no longer contains the server.
     ServerUnlisted {
-        /// The removed server.
+        /// The server whose entry was removed from the list.
         server: ServerId,
     },
-    /// Discovery responded.
+    /// Discovery responded. This is evidence that the proxy is not isolated.
     DiscoveryAnswered,
     /// An attempt was sent to a server.
     AttemptSent {
         /// The server that the attempt was sent to.
         server: ServerId,
     },
-    /// An attempt ended.
+    /// An attempt was answered, failed, was cancelled or was never sent.
     AttemptEnded {
         /// The server that the attempt was sent to.
         server: ServerId,
@@ -58,7 +58,7 @@
     },
     /// A probe that the monitor requested ended.
     ProbeEnded {
-        /// The probed server.
+        /// The server that the probe was for.
         server: ServerId,
         /// How the probe ended.
         outcome: AttemptOutcome,
@@ -67,7 +67,7 @@
     },
     /// A connection to a server was established, or a response began to arrive.
     ServerAlive {
-        /// The server that responded.
+        /// The server at the other end of the connection.
         server: ServerId,
     },
     /// A read request got its final answer.
@@ -86,7 +86,7 @@
     },
     /// A measurement of the proxy's own load since the previous measurement.
     Load {
-        /// From 0 (idle) to 1 (saturated).
+        /// How close the proxy is to saturation, from 0 (idle) to 1 (saturated).
         pressure: f64,
         /// The number of open requests.
         in_progress: usize,
--- a/health/src/http/report.rs
+++ b/health/src/http/report.rs
@@ -63,7 +63,7 @@
     capability: Option<CapabilityReport>,
 }
 
-/// The body of `/health`.
+/// The JSON object in the response to a request for `/health`.
 #[derive(Serialize)]
 struct Report<'a> {
     state: State,
--- a/health/src/http/request.rs
+++ b/health/src/http/request.rs
@@ -20,7 +20,7 @@
 /// Tells Envoy to take the proxy out of rotation at once, without waiting for its threshold.
 const ENVOY_IMMEDIATE_FAIL: Header = Header { name: "x-envoy-immediate-health-check-fail", value: "true" };
 
-/// The supported methods.
+/// The HTTP methods that a health listener accepts. Requests with other methods are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Method {
     Get,
@@ -32,9 +32,9 @@
 enum Resource {
     /// Always available while the process runs.
     Liveness,
-    /// The complete report.
+    /// The state of the proxy and the capabilities of all classes and groups.
     Report,
-    /// One capability.
+    /// The capability that the query selects.
     Capability(HealthQuery),
     /// The path names no resource.
     Unknown,
--- a/health/src/labels.rs
+++ b/health/src/labels.rs
@@ -40,7 +40,7 @@
 }
 
 labels! {
-    /// The state of the proxy as a whole.
+    /// The overall state of the proxy. If several states apply, the most significant one is reported.
     pub enum State {
         /// The proxy has no endpoint list yet, or waits for the process that it replaces.
         Starting = "starting",
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -21,7 +21,7 @@
 //! 3. Writes that were withdrawn because of evidence are restored only by a later proof (`histories/`).
 //! 4. The minimum time in each state bounds the rate of transitions (`transitions_are_bounded`).
 //! 5. A cause that all proxies share doesn't change the overall weight (`histories/`).
-//! 6. The weight changes by a bounded factor per second. It is 0 only while the proxy as a whole is unavailable
+//! 6. The weight changes by a bounded factor per second. It is 0 only while the entire proxy is unavailable
 //!    (`the_weight_changes_by_a_bounded_factor`).
 //! 7. Probes stay within their budgets (`probes_stay_within_their_budget`).
 //! 8. Between events, the verdict changes only at [`Monitor::next_change`] (`the_verdict_changes_only_at_next_change`).
--- a/health/src/overall.rs
+++ b/health/src/overall.rs
@@ -1,5 +1,5 @@
-//! The state of the proxy as a whole. It combines the lifecycle of the process, the proxy's own faults and the states
-//! of its groups.
+//! The overall state of the proxy. It combines the lifecycle of the process, the proxy's own faults and the states of
+//! its groups.
 
 use crate::connectivity::Connectivity;
 use crate::group::GroupState;
--- a/health/src/query.rs
+++ b/health/src/query.rs
@@ -4,7 +4,7 @@
 use crate::labels::Operation;
 use std::fmt;
 
-/// Selects the capability that a balancer asks about. If no field is set, the balancer asks about the proxy as a whole.
+/// Selects the capability that a balancer asks about. If no field is set, the balancer asks about the entire proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HealthQuery {
     /// The name of a class of requests; `None` for all requests.
@@ -53,7 +53,7 @@
 
 impl HealthQuery {
     /// Parses terms in any order: a class's name, `class=NAME`, `group=N`, `read`, `write`. Terms are separated by
-    /// white space, commas or semicolons. A text without terms is a query for the proxy as a whole.
+    /// white space, commas or semicolons. A text without terms is a query for the entire proxy.
     pub fn parse(text: &[u8]) -> Result<HealthQuery, QueryError> {
         let text = std::str::from_utf8(text).map_err(|_| QueryError::NotText)?;
         let mut query = HealthQuery::default();
--- a/health/src/read_window.rs
+++ b/health/src/read_window.rs
@@ -4,7 +4,7 @@
 
 /// The number of intervals in the window.
 const INTERVALS: usize = 3;
-/// The length of one interval.
+/// The window advances in steps of this length.
 pub(crate) const INTERVAL_MICROS: Micros = 1_000_000;
 /// With fewer reads in the window, the success rate is not significant.
 const MIN_READS: u64 = 20;
--- a/health/src/settings.rs
+++ b/health/src/settings.rs
@@ -13,21 +13,21 @@
     Withdraw,
 }
 
-/// How a cause that all proxies share affects the proxy as a whole. The shared cause is that no group has a primary.
+/// Whether the proxy stays available if no group has a primary, which is a cause that all proxies share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SharedCausePolicy {
     /// The proxy stays in rotation. Only the affected capabilities are unavailable.
     StayInRotation,
-    /// The proxy is unavailable.
+    /// The overall capability is unavailable, so that balancers take the proxy out of rotation.
     ReportDown,
 }
 
-/// How overload affects the proxy as a whole.
+/// Whether the proxy stays available while it is overloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverloadPolicy {
     /// The proxy stays available with a reduced weight.
     ReduceWeight,
-    /// The proxy is unavailable.
+    /// The proxy and all its groups are reported as unavailable.
     ReportDown,
 }
 
@@ -91,16 +91,16 @@
     pub trim_above: f64,
 }
 
-/// The settings of a monitor.
+/// The policies, delays and limits by which a monitor derives its verdict and requests probes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthSettings {
     /// The classes of requests that balancers may ask for.
     pub classes: Vec<RequestClass>,
     /// How the writes of idle groups are reported.
     pub idle_groups: IdleGroupPolicy,
-    /// How a shared cause affects the proxy as a whole.
+    /// Whether the proxy stays available if no group has a primary.
     pub shared_causes: SharedCausePolicy,
-    /// How overload affects the proxy as a whole.
+    /// Whether the proxy stays available while it is overloaded.
     pub overload: OverloadPolicy,
     /// When an operation counts as available in a query over all groups.
     pub aggregation: AggregationRule,
--- a/health/src/verdict.rs
+++ b/health/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict: the reported health of the proxy as a whole, of each group and of each class of requests. All protocols
+//! The verdict: the reported health of the entire proxy, of each group and of each class of requests. All protocols
 //! answer from the same verdict.
 
 use crate::labels::{Operation, Reason, State};
@@ -16,7 +16,7 @@
     pub partial: bool,
     /// Why the capability is available or unavailable. If it is partial, why a part is unavailable.
     pub reason: Reason,
-    /// When the reported availability last changed. For the proxy as a whole, also when its state last changed.
+    /// When the reported availability last changed. For the overall capability, also when the state last changed.
     pub since: Micros,
     /// The balancer weight from 1 to 100, or 0 if the capability is unavailable.
     pub weight_percent: u8,
@@ -25,7 +25,7 @@
 /// The reported health of one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupVerdict {
-    /// The id of the group.
+    /// The group that the verdict is about.
     pub group: GroupId,
     /// Whether reads of this group can be served.
     pub read: Capability,
@@ -43,9 +43,9 @@
 /// The health that is reported to balancers and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// The state of the proxy as a whole.
+    /// The overall state of the proxy.
     pub state: State,
-    /// The capability of the proxy as a whole, which answers a query without any field.
+    /// The capability of the entire proxy, which answers a query without any field.
     pub overall: Capability,
     /// The groups, in ascending order of their ids.
     pub groups: Vec<GroupVerdict>,
@@ -72,9 +72,9 @@
 pub enum Change {
     /// The overall state changed.
     State {
-        /// The previous state.
+        /// The state before the update of the verdict.
         from: State,
-        /// The new state.
+        /// The state after the update of the verdict.
         to: State,
         /// Why the proxy is in the new state.
         reason: Reason,
@@ -85,7 +85,7 @@
         group: GroupId,
         /// Whether the capability concerns reads or writes.
         operation: Operation,
-        /// The new availability.
+        /// Whether balancers may now send such requests to the proxy.
         available: bool,
         /// Why the capability is available or unavailable now.
         reason: Reason,
--- a/health/src/weight.rs
+++ b/health/src/weight.rs
@@ -28,7 +28,7 @@
     log_weight: f64,
     /// The natural logarithm of the trim factor.
     log_trim: f64,
-    /// The smoothed pressure, from 0 to 1.
+    /// The measured pressure (0 to 1), smoothed with [`PRESSURE_TIME_CONSTANT_SECONDS`].
     pressure: f64,
     updated_at: Micros,
 }
--- a/health/tests/agent_check.rs
+++ b/health/tests/agent_check.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn input_without_a_line_end_is_parsed_when_the_input_ends() {
-    // Given a balancer that sends nothing, when its input ends, then the query for the proxy as a whole is returned
+    // Given a balancer that sends nothing, when its input ends, then the query for the entire proxy is returned
     // once
     let mut silent = AgentCheckConnection::default();
     assert_eq!(silent.input_ended(), Some(expected(None, None, None)));
--- a/health/tests/fleet.rs
+++ b/health/tests/fleet.rs
@@ -32,12 +32,12 @@
     max: u8,
 }
 
-/// The measurements of a period.
+/// The utilization and the weights of the proxies during a period.
 #[derive(Default)]
 struct Observed {
     /// The largest difference in utilization between two proxies.
     spread: f64,
-    /// The highest utilization.
+    /// The highest utilization of any proxy.
     max_utilization: f64,
     weights: Vec<WeightRange>,
 }
--- a/hot-keys/src/sketch.rs
+++ b/hot-keys/src/sketch.rs
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Decays all counts by the time since the last decay, in whole steps, and removes counters that are nearly zero.
+    /// Decays all counts by the time since the last decay, rounded down to complete steps, and removes counters that
+    /// are nearly zero.
     fn decay(&mut self, now: Micros) {
         let steps = (now - self.decayed_at) / DECAY_STEP_MICROS;
         if steps <= 0 {
--- a/hot-keys/tests/model.rs
+++ b/hot-keys/tests/model.rs
@@ -13,7 +13,7 @@
 const REPLICAS: usize = 2;
 const COPIERS: usize = 2;
 
-/// The names of the properties.
+// The properties that are checked. The checker reports a discovery under the text of its property.
 const NO_STALE_READ: &str = "no copy serves a read that needs a newer position";
 const POSITION_NEVER_DECREASES: &str = "the position of a holder's copy never decreases";
 const CURRENT_COPY_ARRIVES: &str = "a copy with the last commit arrives";
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -4,7 +4,7 @@
 use birchreach_fault_injection::fault_injected;
 use sha2::{Digest, Sha256};
 
-/// Reliability of a view.
+/// How reliable a view is: whether messages arrive from other members, and whether the members have the same view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewState {
     /// The process is configured as the only member and has no other member in its view.
@@ -38,7 +38,7 @@
 /// The members of the fleet, as seen by one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// Reliability of the view.
+    /// How reliable the view is at present.
     pub state: ViewState,
     /// Hash of the members. Processes with the same incarnations in their views have the same digest.
     pub digest: u64,
