--- a/options/src/background.rs
+++ b/options/src/background.rs
@@ -61,7 +61,7 @@
 pub struct SplitOptions {
     /// Line of the element in the file.
     pub line: usize,
-    /// The group that is split.
+    /// The group whose keys are divided between the two children.
     pub parent: u32,
     /// The group that receives the keys with the lower hashes.
     pub lower_child: u32,
--- a/options/src/error.rs
+++ b/options/src/error.rs
@@ -20,20 +20,20 @@
 /// An error at one place of the options file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OptionsError {
-    /// Line number, from 1.
+    /// Line of the element or of the XML error, counted from 1. It is 1 if the error has no known place in the file.
     pub line: usize,
-    /// Name of the element, or `file` if the error concerns the file as a whole.
+    /// Name of the element, or `file` if the error concerns the entire file.
     pub element: String,
     /// The cause, with the values that the message shows.
     pub kind: OptionsErrorKind,
 }
 
-/// The cause of an error at an element or in the file as a whole.
+/// The cause of an error that concerns one element or the entire file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OptionsErrorKind {
     /// The file is longer than [`MAX_FILE_BYTES`].
     TooLong {
-        /// Length of the file.
+        /// Length of the file in bytes.
         bytes: usize,
     },
     /// The file has a document type declaration, which could define entities.
@@ -46,19 +46,19 @@
     SchemaViolation {
         /// The attribute with the invalid value; `None` if the message does not quote the value of an attribute.
         attribute: Option<String>,
-        /// The message of the validator.
+        /// Message of the schema validator, which is shown unchanged.
         message: String,
     },
     /// A value that the schema accepts is not a number of the expected type.
     InvalidNumber {
-        /// Name of the attribute.
+        /// Name of the attribute that has to be a number.
         attribute: &'static str,
-        /// Value of the attribute.
+        /// The text that the attribute has instead.
         found: String,
     },
     /// A value that the schema accepts, or an element of a list, is not an IP address with a port.
     InvalidAddress {
-        /// Name of the attribute.
+        /// Name of the attribute that has to be an address or a list of addresses.
         attribute: &'static str,
         /// Value of the attribute, or the element of its list.
         found: String,
@@ -108,7 +108,7 @@
         OptionsError { line, element: element.into(), kind }
     }
 
-    /// Returns an error that concerns the file as a whole.
+    /// Returns an error that concerns the entire file.
     pub(crate) fn in_file(line: usize, kind: OptionsErrorKind) -> OptionsError {
         OptionsError::new(line, "file", kind)
     }
--- a/options/src/health.rs
+++ b/options/src/health.rs
@@ -54,7 +54,7 @@
 /// A listener whose connections may stay open between requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeepAliveListener {
-    /// Address and limits.
+    /// The address of the listener and the limits on its connections.
     pub listener: CheckListener,
     /// The time after which a connection without requests is closed.
     pub idle_timeout: Micros,
@@ -63,9 +63,9 @@
 /// The listener for agent-checks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentListener {
-    /// Address and limits.
+    /// The address of the listener and the limits on its connections.
     pub listener: CheckListener,
-    /// A load balancer that sends nothing within this time receives the report on the proxy as a whole.
+    /// A load balancer that sends nothing within this time receives the report on the entire proxy.
     pub query_timeout: Micros,
     /// Whether replies contain the number of connections that the load balancer may open.
     pub reports_maxconn: bool,
--- a/peer-state/src/advice.rs
+++ b/peer-state/src/advice.rs
@@ -53,7 +53,7 @@
     /// The confidence that the server is the primary, 0 to 1. It falls with the age of the observation, its
     /// hops, contradicting observations and suspicion of the server.
     pub trust: f64,
-    /// The observation as primary.
+    /// The observation of the server as the primary, with its time and origin.
     pub observation: Observation<()>,
 }
 
--- a/peer-state/src/datagram.rs
+++ b/peer-state/src/datagram.rs
@@ -125,10 +125,10 @@
     }
 }
 
-/// An authenticated datagram.
+/// A received datagram with a valid MAC, a new sequence number and a sender within its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
-    /// The incarnation of its sender.
+    /// The random number that identifies the process that sent the datagram.
     pub sender_incarnation: u64,
     /// The content, without header and MAC.
     pub payload: &'a [u8],
@@ -140,7 +140,7 @@
     keys: Keys,
     incarnation: u64,
     last_sequence: u64,
-    /// The senders by incarnation.
+    /// The replay windows and rate limits of the senders, by incarnation.
     senders: BTreeMap<u64, Sender>,
 }
 
--- a/peer-state/src/frame/link.rs
+++ b/peer-state/src/frame/link.rs
@@ -8,7 +8,7 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The side of a connection.
+/// The role of a process on a connection. Each MAC covers the side that sent the frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// The side that opened the connection and requests state.
--- a/peer-state/src/frame/mod.rs
+++ b/peer-state/src/frame/mod.rs
@@ -27,7 +27,7 @@
 /// A random number that is used on one connection only.
 pub type Nonce = [u8; NONCE_BYTES];
 
-/// The kind of a frame.
+/// The purpose of a frame and the format of its payload. Every header contains the kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// Contains the sender's nonce.
@@ -108,16 +108,16 @@
 
 impl std::error::Error for FrameError {}
 
-/// An authenticated frame.
+/// A received frame whose MAC matches its sender, number and content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// The kind, which determines the format of the payload.
+    /// The purpose of the frame, which determines the format of the payload.
     pub kind: FrameKind,
     /// The content, without header and MAC.
     pub payload: Vec<u8>,
 }
 
-/// The header of a frame.
+/// The header of a frame, without the magic number and the protocol version.
 struct Header {
     kind: FrameKind,
     key_id: u32,
--- a/peer-state/src/full_exchange.rs
+++ b/peer-state/src/full_exchange.rs
@@ -7,7 +7,7 @@
 /// The maximum number of parts that one side sends and the other accepts.
 pub const MAX_PARTS: usize = 16;
 
-/// The progress of an exchange.
+/// A stage of a full exchange at which the caller has to act.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeEvent {
     /// Both sides have sent Hello, and the requester is to send its parts. Only the requester gets this
--- a/peer-state/src/keys.rs
+++ b/peer-state/src/keys.rs
@@ -33,7 +33,7 @@
 
 impl std::error::Error for KeysError {}
 
-/// A secret and its identifier.
+/// A secret that the proxies of a fleet share, with the number by which messages refer to it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
     /// The identifier that frames and datagrams carry: the number in the key file.
@@ -104,7 +104,7 @@
 /// A keyed hash function for names. Its results are equal at all proxies that seal with the same key.
 #[derive(Clone)]
 pub struct NameHasher {
-    /// The identifier of the key.
+    /// The identifier of the key that the names are hashed with; 0 without a key.
     pub key_id: u32,
     /// The HMAC after the purpose was hashed. `None` if HMAC does not accept the secret.
     mac: Option<Hmac<Sha256>>,
--- a/peer-state/src/observation.rs
+++ b/peer-state/src/observation.rs
@@ -4,11 +4,12 @@
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// The source from which the first observer learned a fact. The variants are declared from the least to the
-/// most reliable, and a merge prefers the more reliable one of two observations at the same time.
+/// The source from which the first observer learned a fact. The variants are declared in ascending order of
+/// reliability. Of two observations with the same time and number of hops, a merge prefers the more reliable
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ObservationSource {
-    /// The endpoint list.
+    /// The server's entry in the endpoint list.
     EndpointList,
     /// A load report of the server.
     LoadReport,
--- a/peer-state/src/request_scheduler.rs
+++ b/peer-state/src/request_scheduler.rs
@@ -59,7 +59,7 @@
     InFlight(Micros),
 }
 
-/// A provider in the table.
+/// The request state, failures and backoff of one provider.
 #[derive(Clone, Debug)]
 struct KnownProvider {
     state: RequestState,
@@ -76,12 +76,12 @@
     }
 }
 
-/// The outcome of a request.
+/// How a request ended, as the caller reports it to [`RequestScheduler::record_outcome`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// The answer is complete. It named these addresses of other providers.
     Complete(Vec<String>),
-    /// The provider rejected the request. It may be retried after this time.
+    /// The provider rejected the request. The request may be retried after this delay.
     Busy(Micros),
     /// The request ended without a complete answer.
     Failed,
@@ -90,7 +90,7 @@
 /// The schedule of one proxy's requests for state.
 pub struct RequestScheduler {
     settings: RequestSettings,
-    /// The providers by address.
+    /// The configured providers and those that other providers named, by address.
     providers: BTreeMap<String, KnownProvider>,
     rng: fastrand::Rng,
     started_at: Micros,
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::fmt;
 
-/// The key of errors that concern the settings as a whole.
+/// The key of errors that concern the entire text: it is not valid JSON, or its root is not an object.
 pub(crate) const ROOT_KEY: &str = "info";
 /// The most bytes of a value that a message shows. It keeps messages short whatever the settings contain.
 const MAX_SHOWN_BYTES: usize = 60;
@@ -24,7 +24,7 @@
         key: String,
         /// The values that the key can have.
         expected: ExpectedValue,
-        /// The value of the key.
+        /// The value that the key has instead.
         found: FoundValue,
     },
 }
@@ -32,15 +32,15 @@
 /// The values that a key of the settings can have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExpectedValue {
-    /// An object.
+    /// A JSON object with further keys.
     Object,
-    /// A list.
+    /// A JSON array.
     List,
     /// A number of zero or more.
     NonNegativeNumber,
-    /// A boolean.
+    /// `true` or `false`.
     Boolean,
-    /// Any string.
+    /// A string with any content.
     String,
     /// One of these strings. There are at least two.
     OneOf(Vec<&'static str>),
@@ -68,7 +68,7 @@
 }
 
 impl SettingsError {
-    /// Path of the key that is missing or has an unusable value; `info` if the error concerns the settings as a whole.
+    /// Path of the key that is missing or has an unusable value; `info` if the error concerns the entire text.
     pub fn key(&self) -> &str {
         match self {
             SettingsError::InvalidJson(_) => ROOT_KEY,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -32,7 +32,7 @@
 /// Settings of a deployment: those of the router, and those that only the program around the router needs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeploymentSettings {
-    /// Settings of the router.
+    /// Settings that are passed to the router.
     pub routing: Settings,
     /// Names of the request classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
--- a/settings/src/reader.rs
+++ b/settings/src/reader.rs
@@ -14,7 +14,7 @@
     (!found.is_null()).then_some(found)
 }
 
-/// Converts milliseconds, which can have a fraction, to whole microseconds. Fractions of a microsecond are cut off.
+/// Converts milliseconds, which can have a fraction, to microseconds. Fractions of a microsecond are cut off.
 pub(crate) fn micros_from_ms(milliseconds: f64) -> Micros {
     (milliseconds * MICROS_PER_MILLISECOND) as Micros
 }
--- a/settings/src/warning.rs
+++ b/settings/src/warning.rs
@@ -12,7 +12,7 @@
     pub kind: WarningKind,
 }
 
-/// The reason for a warning.
+/// What is probably wrong with a usable value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarningKind {
     /// The platform does not document the key.
@@ -31,7 +31,7 @@
     ObjectiveAfterTimeout,
     /// The maximum age of a class with bounded staleness is 0.
     ZeroMaxAge {
-        /// Index of the class.
+        /// Index of the class in [`Settings::classes`](birchreach::Settings::classes).
         class: usize,
     },
     /// A write class is configured as idempotent.
--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -19,7 +19,7 @@
     parent: u64,
 }
 
-/// The sample of a child.
+/// The sample of a child, kept until the parent is sampled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SampledChild {
     child: Child,
@@ -88,7 +88,7 @@
     Confirmed(Difference),
 }
 
-/// A comparison in progress.
+/// The comparison of one row of the parent with both children, until its result is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Comparison {
     /// The caller's number for the class of the read.
--- a/shard-split/src/definition.rs
+++ b/shard-split/src/definition.rs
@@ -11,7 +11,7 @@
 /// child.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SplitDefinition {
-    /// The group that is split.
+    /// The group whose keys are divided between the two children.
     pub parent: u32,
     /// The group that receives the keys with the lower hashes.
     pub lower_child: u32,
--- a/shard-split/src/query.rs
+++ b/shard-split/src/query.rs
@@ -12,10 +12,10 @@
     NonOwner,
 }
 
-/// A query of a comparison.
+/// The reads that one query of a comparison runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ComparisonQuery {
-    /// One read of a child.
+    /// One read of the row at a child. If the answer is not as expected, the child is sampled.
     SingleRead(Child),
     /// Two reads of a child on one connection.
     Sample(Child),
@@ -56,7 +56,7 @@
 pub struct DueQuery {
     /// The number of the comparison, which [`SplitVerifier::record_result`](crate::SplitVerifier::record_result) needs.
     pub comparison: u64,
-    /// The reads to be sent.
+    /// Whether a child or the parent is read, and how many reads the query runs.
     pub query: ComparisonQuery,
     /// The key of the row to be read.
     pub key_bytes: Vec<u8>,
--- a/shard-split/src/window.rs
+++ b/shard-split/src/window.rs
@@ -2,7 +2,7 @@
 
 use crate::{Micros, RANGE_COUNT};
 
-/// The number of parts of the window. The oldest part is removed as a whole.
+/// The number of parts of the window. All counts of the oldest part leave the window together.
 const WINDOW_PARTS: usize = 4;
 
 /// The number of comparisons in each range within the window. The window advances by one part at a time.
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -11,7 +11,7 @@
 /// The child with wrong rows in the model with a faulty child.
 const FAULTY_CHILD: usize = 1;
 
-/// The names of the properties.
+// The properties that are checked. The checker reports a discovery under the text of its property.
 const NO_FALSE_DIFFERENCE: &str = "no difference is found in a child without a fault";
 const NO_MISSED_FAULT: &str = "a fault is found once all commits are applied";
 const FAULT_FOUND: &str = "a difference is found in the faulty child";
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -25,11 +25,11 @@
     EndpointListTooLong,
     /// A record refers to an endpoint list that was never defined.
     UndefinedEndpointList(EndpointListId),
-    /// The mode of a change of the endpoint list is unknown.
+    /// The protocol defines no mode of endpoint list changes with this code.
     UnknownEndpointListMode(u8),
-    /// The state of an endpoint is unknown.
+    /// The protocol defines no state of an endpoint with this code.
     UnknownEndpointState(u8),
-    /// The outcome of an attempt or a health check is unknown.
+    /// The protocol defines no outcome of an attempt or a health check with this code.
     UnknownOutcome(u8),
     /// An error in a record of a batch.
     Record { batch: u32, index: usize, error: Box<FrameError> },
--- a/simulator-adapter/src/wire/events.rs
+++ b/simulator-adapter/src/wire/events.rs
@@ -51,7 +51,7 @@
     DefineEndpointList { list: EndpointListId, endpoints: Vec<EndpointRecord> },
     /// Starts a router. The settings are JSON that has not been parsed yet.
     Start { router: RouterId, seed: u64, settings: String },
-    /// Stops a router.
+    /// Removes a router and its state.
     Stop { router: RouterId },
     /// Passes an event to a router.
     Event { router: RouterId, event: Event },
--- a/simulator-adapter/src/wire/reply.rs
+++ b/simulator-adapter/src/wire/reply.rs
@@ -38,7 +38,6 @@
         Record { text: Some(text), ..Record::new(code, router) }
     }
 
-    /// Sets the bytes of a field.
     fn set_field<const LENGTH: usize>(&mut self, offset: usize, bytes: [u8; LENGTH]) {
         self.bytes[offset..offset + LENGTH].copy_from_slice(&bytes);
     }
--- a/simulator-adapter/tests/common/mod.rs
+++ b/simulator-adapter/tests/common/mod.rs
@@ -15,7 +15,7 @@
     pub input_written: io::Result<()>,
 }
 
-/// A parsed reply.
+/// The adapter's reply to one batch.
 pub(crate) struct Reply {
     pub batch: u32,
     pub actions: Vec<ActionRecord>,
