--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -19,7 +19,7 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Id of the server.
+    /// The server that the entry describes.
     pub server: ServerId,
     /// The group that the server belongs to.
     pub group: GroupId,
@@ -53,7 +53,7 @@
     pub likely_position: Micros,
 }
 
-/// A client request.
+/// What the router has to know about a client request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Unique id of the request. A request whose id is still open is ignored.
@@ -139,9 +139,9 @@
 /// Result of an attempt. The caller reports exactly one for each [`Action::Send`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Id of the request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt within its request, counted from 0.
     pub attempt: AttemptNumber,
     /// The server that the attempt was sent to.
     pub server: ServerId,
@@ -157,7 +157,7 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// An input of the router.
+/// What the caller reports to [`Router::handle`](crate::Router::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The settings changed. A class with open requests has to keep its index and its rules.
@@ -170,16 +170,16 @@
     Request(Request),
     /// The response of an attempt has begun to stream to the client. The deadline of the request no longer applies.
     ResponseStarted {
-        /// Id of the request.
+        /// The request whose response has begun.
         request: RequestId,
-        /// Number of the attempt.
+        /// The attempt that the response belongs to.
         attempt: AttemptNumber,
     },
-    /// An attempt ended.
+    /// An attempt ended, with or without a response.
     AttemptCompleted(AttemptResult),
     /// The client disconnected. The router finishes the request without a response.
     ClientDisconnected {
-        /// Id of the request.
+        /// The request that the client no longer waits for.
         request: RequestId,
     },
     /// A health check ended.
@@ -193,7 +193,7 @@
     },
     /// A timer set by [`Action::Timer`] expired.
     Timer {
-        /// The id from the action.
+        /// The `id` of the action that set the timer.
         id: u32,
     },
 }
@@ -203,7 +203,7 @@
 pub enum Action {
     /// Send the next attempt of the request.
     Send {
-        /// Id of the request.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// The server to send the attempt to.
         server: ServerId,
@@ -212,26 +212,26 @@
     },
     /// Send the final response: the request was not served, and a retry by the client is safe.
     Reject {
-        /// Id of the request.
+        /// The request that is rejected.
         request: RequestId,
         /// Delay to suggest to the client before it retries; `None` for no suggestion.
         retry_after: Option<Micros>,
     },
     /// Send the final response: the request was not served, but it may have run.
     Fail {
-        /// Id of the request.
+        /// The request that failed.
         request: RequestId,
     },
     /// Stop waiting for an attempt. The caller still reports its result.
     Cancel {
-        /// Id of the request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt.
+        /// The attempt to cancel.
         attempt: AttemptNumber,
     },
     /// Check the health of a server and request its load report.
     HealthCheck {
-        /// The server to check.
+        /// The server that the check is sent to.
         server: ServerId,
     },
     /// Send [`Event::Timer`] after a delay.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -32,7 +32,7 @@
 /// Which servers recognise a duplicate request by its idempotency key and drop it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All servers.
+    /// The servers of all groups and zones.
     AllServers,
     /// The servers in the zone of the first server that may have run the request.
     Zone,
@@ -56,7 +56,7 @@
     NotIdempotent,
 }
 
-/// A class of requests.
+/// The rules and objectives that the requests of a class share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// Which data a request has to see, or whether it is a write.
@@ -73,7 +73,7 @@
     pub late_weight_fraction: f64,
 }
 
-/// Quota of a tenant.
+/// The request rate that a tenant is entitled to. It affects no decision of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests per second, summed over all proxies, that count in full.
@@ -112,9 +112,9 @@
 pub enum LoadReportSource {
     /// Responses and health checks.
     Responses,
-    /// Health checks.
+    /// Health checks only.
     HealthChecks,
-    /// No messages.
+    /// The servers send no load reports.
     Never,
 }
 
--- a/src/policy/groups.rs
+++ b/src/policy/groups.rs
@@ -5,7 +5,6 @@
 use crate::interface::{GroupId, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replication group.
 #[derive(Default)]
 pub(super) struct Group {
     pub members: BTreeSet<ServerId>,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -122,7 +122,8 @@
         self.pending.len()
     }
 
-    /// Number of accesses to the state of a server so far. Tests measure the cost of an event by it.
+    /// Number of accesses to the state of a server since the router was created. Tests measure the cost of an
+    /// event by it.
     #[cfg(feature = "operation-counts")]
     pub fn server_access_count(&self) -> u64 {
         self.servers.access_count()
--- a/src/policy/pending.rs
+++ b/src/policy/pending.rs
@@ -21,7 +21,8 @@
     /// Log position that a session read has to see, if there is one.
     pub required_session_position: Option<Micros>,
     pub copy_candidates: Vec<CopyCandidate>,
-    /// Time after which a response has no value, at the latest when the client gives up.
+    /// Time after which a response has no value. It is at the latest the time at which the client stops
+    /// waiting for the response.
     pub deadline: Micros,
     /// Whether no server can have received the complete request.
     pub is_undelivered: bool,
@@ -29,7 +30,7 @@
     /// that the client has time to retry elsewhere.
     pub delivery_deadline: Micros,
     pub queue_position: QueuePosition,
-    /// Number of attempts sent so far; also the number of the next attempt.
+    /// Number of attempts that were sent; also the number of the next attempt.
     pub attempts_sent: u16,
     pub max_attempts: u16,
     pub in_flight_attempts: Vec<AttemptNumber>,
@@ -37,7 +38,7 @@
     pub tried_servers: Vec<ServerId>,
     /// Replicas whose position was queried for this read.
     pub queried_servers: Vec<ServerId>,
-    /// Until when the read waits for the position of the last of these replicas.
+    /// Time until which the read waits for the position of the last of these replicas.
     pub query_until: Option<Micros>,
     /// Uniform random number in [0, 1). The request is admitted if it is below the admitted fraction.
     pub admission_draw: f64,
--- a/src/policy/position_queries.rs
+++ b/src/policy/position_queries.rs
@@ -55,8 +55,8 @@
             && self.settings.stale_reads == StaleReadPolicy::Served
     }
 
-    /// The least loaded replica that may be fresh enough. Replicas whose last health check succeeded are
-    /// preferred.
+    /// Returns the least loaded of the replicas that may be fresh enough. Replicas whose last health check
+    /// succeeded are preferred.
     fn query_candidate(
         &mut self,
         request: &PendingRequest,
--- a/src/policy/server_table.rs
+++ b/src/policy/server_table.rs
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub(super) struct ServerTable {
     by_id: BTreeMap<ServerId, Server>,
-    /// Number of accesses to servers so far, for tests.
+    /// Number of accesses to servers since the table was created, for tests.
     #[cfg(feature = "operation-counts")]
     access_count: std::cell::Cell<u64>,
 }
--- a/tests/common/fixture.rs
+++ b/tests/common/fixture.rs
@@ -8,7 +8,7 @@
 pub(crate) struct RouterFixture {
     pub router: Router,
     pub now: Micros,
-    /// All actions that the router has returned so far.
+    /// All actions that the router has returned, with their times, in order.
     pub history: Vec<TimedAction>,
     /// Instants at which the pending timers expire.
     timers: Vec<Micros>,
--- a/tests/copy_candidates.rs
+++ b/tests/copy_candidates.rs
@@ -7,7 +7,7 @@
 
 /// A server of group 1 that may hold copies of rows of group 0.
 const COPY_HOLDER: u32 = 21;
-/// The primary of group 1.
+/// The primary of group 1, to which the copy holder belongs as well.
 const OTHER_PRIMARY: u32 = 22;
 
 /// Creates a router that knows the servers of group 0 and both servers of group 1.
--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -30,7 +30,7 @@
 /// The only line that may contain `unsafe`.
 const FORBID_UNSAFE_ATTRIBUTE: &str = "#![forbid(unsafe_code)]";
 
-/// The root of the repository.
+/// Returns the folder of the root crate's `Cargo.toml`.
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -26,7 +26,7 @@
     text: &'page str,
 }
 
-/// The root of the repository.
+/// Returns the folder of the root crate's `Cargo.toml`.
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
@@ -99,8 +99,8 @@
     !part.is_empty() && part.chars().all(|character| character.is_ascii_alphanumeric() || character == '_')
 }
 
-/// The words of a name in snake_case or of the form `Type::name`, with or without `()` at the end. `None` if
-/// the code span is not such a name.
+/// Splits a name in snake_case or of the form `Type::name`, with or without `()` at the end, into its words.
+/// Returns `None` if the code span is not such a name.
 fn words_of_name(span: &str) -> Option<Vec<&str>> {
     let name = span.strip_suffix("()").unwrap_or(span);
     let parts: Vec<&str> = name.split("::").collect();
@@ -126,7 +126,7 @@
 
 #[test]
 fn pages_name_only_existing_files_and_identifiers() {
-    // Given the words of all sources
+    // Given all words that occur in the sources
     let words = words_of_sources();
     // When the paths and names on each page are looked up
     let mut missing = Vec::new();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn the_retry_budget_bounds_the_hedged_requests_of_all_proxies_together() {
-    // When servers stop answering a fleet of one proxy, then this proxy may spend the whole budget
+    // When servers stop answering a fleet of one proxy, then this proxy may spend the entire budget
     assert!(hedged_requests_of_fleet(1) >= 3, "a single proxy hedges at least three of four reads");
     // When servers stop answering a fleet of 100 proxies, then each proxy may spend only its share
     let from_100_proxies = hedged_requests_of_fleet(100);
--- a/tests/fleet_simulation/servers.rs
+++ b/tests/fleet_simulation/servers.rs
@@ -26,9 +26,9 @@
 pub(crate) enum Admission {
     /// The statement is queued or runs, and ends at `done_at`.
     Runs { done_at: Micros },
-    /// The queue is full.
+    /// The statement would have to wait longer than [`MAX_QUEUE_MICROS`].
     Rejected,
-    /// The connection is refused.
+    /// The server is stopped and refuses the connection.
     Refused,
     /// The server does not respond.
     Unanswered,
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -119,7 +119,7 @@
     attempt
 }
 
-/// Guards against reads that every replica rejects, one after the other, while the whole group lags.
+/// Guards against reads that every replica rejects, one after the other, while all replicas lag.
 #[test]
 fn a_replica_that_is_known_to_lag_too_far_is_not_tried_by_the_next_reads() {
     // Given replicas that reject stale reads
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -68,7 +68,6 @@
     assert!((0.72..0.77).contains(&admitted), "the admitted fraction is {admitted}");
 }
 
-/// An attempt in flight.
 struct InFlightAttempt {
     request: u64,
     attempt: u16,
--- a/tests/property/checker.rs
+++ b/tests/property/checker.rs
@@ -1,4 +1,4 @@
-//! Checks each action of the router against the events that the router has received so far.
+//! Checks each action of the router against the events that the router received before the action.
 
 use super::*;
 
--- a/tests/property/recorded.rs
+++ b/tests/property/recorded.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds an action and its time.
+    /// Adds the time, kind and fields of an action, but not the text of a log line.
     fn add_action(&mut self, timed: &TimedAction) {
         self.add_word(timed.at);
         let words = match &timed.action {
--- a/tests/property/steps.rs
+++ b/tests/property/steps.rs
@@ -35,7 +35,6 @@
 /// requests have an unknown class.
 const DRAWN_CLASS_COUNT: u32 = 6;
 
-/// An attempt in flight.
 #[derive(Clone, Copy)]
 struct InFlightAttempt {
     request: u64,
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -40,7 +40,6 @@
     processes: 1,
 };
 
-/// Settings of a proxy in a fleet of `proxy_count` proxies.
 fn fleet_settings(proxy_count: u32) -> Settings {
     Settings { proxy_count, overload_factor: 3.0, slow_start_initial_fraction: 0.15, ..settings() }
 }
