--- a/benches/src/crowd.rs
+++ b/benches/src/crowd.rs
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-/// Makes one request after the other, on each connection in turn. Reconnects a client whose connection the proxy has closed.
+/// Sends requests one at a time, cycling through the clients. Reconnects a client whose connection the proxy has closed.
 fn run_clients(thread: usize, address: SocketAddr, deadline: Instant, counts: &Counts) {
     let mut clients: Vec<Option<Client>> = (0..CLIENTS_PER_THREAD).map(|_| None).collect();
     while Instant::now() < deadline {
--- a/benches/src/fleet/simulation.rs
+++ b/benches/src/fleet/simulation.rs
@@ -10,7 +10,7 @@
 const DEGRADED_CAPACITY: f64 = 0.5;
 const TICK_MICROS: Micros = 250_000;
 pub(super) const MICROS_PER_SECOND: Micros = 1_000_000;
-/// Duration of a run.
+/// Duration of a run, in virtual time.
 pub(super) const SECONDS: usize = 480;
 const DEGRADED_SECONDS: Range<Micros> = 120..300;
 const LOAD_PER_PROXY: f64 = 0.9;
--- a/benches/src/gain/background_queries.rs
+++ b/benches/src/gain/background_queries.rs
@@ -22,7 +22,7 @@
     CopyWrite(CopyWrite),
 }
 
-/// A write of a copy.
+/// A task that writes the refreshed copy of a row to a group other than the row's own.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct CopyWrite {
     /// The server that holds the refreshed copy.
--- a/benches/src/gain/events.rs
+++ b/benches/src/gain/events.rs
@@ -14,7 +14,7 @@
     pub position: Micros,
 }
 
-/// An event of the simulation.
+/// What happens in the simulation when an entry of the [`EventQueue`] is due.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum SimulationEvent {
     ClientRequest {
--- a/benches/src/gain/requests.rs
+++ b/benches/src/gain/requests.rs
@@ -14,7 +14,7 @@
     pub is_finished: bool,
 }
 
-/// A request without a response so far.
+/// A request that a proxy has received from a client and has not answered.
 pub(super) struct PendingRequest {
     pub class: ClassId,
     pub group: u32,
--- a/benches/src/main.rs
+++ b/benches/src/main.rs
@@ -27,7 +27,7 @@
     about = "Measures the built proxy against simulated databases and clients"
 )]
 struct Cli {
-    /// The program to measure
+    /// Path of the proxy executable to measure
     #[arg(long, global = true, default_value = "target/release/birchreach-proxy")]
     program: PathBuf,
     #[arg(long, global = true, default_value_t = 1)]
--- a/benches/src/scale/mod.rs
+++ b/benches/src/scale/mod.rs
@@ -102,8 +102,8 @@
     Ok(resources)
 }
 
-/// Returns the initial endpoint list entry of a database. The list has all primaries first, then the replicas, assigned to the
-/// groups in turn.
+/// Returns the initial endpoint list entry of a database. The list has all primaries first, then the replicas. Databases
+/// are assigned to groups round-robin.
 fn listed_database(databases: &ManyDatabases, index: u32, group_count: u32) -> ListedDatabase {
     ListedDatabase {
         uid: format!("s-{index}"),
