--- a/proxy/src/admin_protocol.rs
+++ b/proxy/src/admin_protocol.rs
@@ -3,10 +3,10 @@
 
 use crate::outbox::Outbox;
 
-/// The longest line that is accepted, in bytes.
+/// The longest line that is accepted, not counting the line feed.
 const MAX_LINE_BYTES: usize = 256;
 
-/// A call of an operator.
+/// A valid call from an operator. The event loop carries it out and passes the reply to [`AdminProtocol::answer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdminCall {
     /// Report whether this process accepts clients.
@@ -25,7 +25,7 @@
     Maintenance(bool),
 }
 
-/// The reply to a call.
+/// The reply to a line from an operator. The variant determines the format in which the reply is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AdminReply {
     /// The answer is yes, or the call was carried out.
@@ -34,9 +34,9 @@
     No(&'static str),
     /// There is no such call, or the call's subsystem is disabled.
     UnknownCall,
-    /// Lines of figures. The protocol appends the end line.
+    /// Lines of a report, each with a line feed. The protocol appends the line `END`.
     Lines(String),
-    /// A text with an end line of its own.
+    /// A text that is sent unchanged, because its format has an end line of its own.
     Text(String),
 }
 
--- a/proxy/src/background_query.rs
+++ b/proxy/src/background_query.rs
@@ -32,14 +32,14 @@
     replies: Vec<Reply>,
 }
 
-/// The result of a query.
+/// The result of a query after its last statement, or after the first statement that failed.
 #[derive(Debug)]
 pub(crate) struct BackgroundQueryResult {
-    /// Identifies the query.
+    /// The number that the sender assigned to the query.
     pub id: BackgroundQueryId,
     /// The server to which the query was sent.
     pub server: ServerId,
-    /// One reply for each statement that was sent. No statement is sent after a statement that failed.
+    /// One reply for each statement that was sent, in the order of the statements. The last reply may be a failure.
     pub replies: Vec<Reply>,
     /// Whether every statement was sent and succeeded.
     pub complete: bool,
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -14,7 +14,7 @@
 pub(crate) struct ConfigFault {
     /// Path of the file, or the name of the environment variable that does not name a file.
     pub file: PathBuf,
-    /// Line number, from 1.
+    /// Line of the file, counted from 1. It is 1 if the fault concerns the entire file.
     pub line: usize,
     /// The cause, with the key or element that it concerns.
     pub kind: FaultKind,
@@ -57,7 +57,7 @@
 }
 
 impl ConfigFault {
-    /// Returns an error that concerns a file as a whole.
+    /// Creates an error that concerns an entire file.
     pub(super) fn for_file(file: &Path, kind: FaultKind) -> ConfigFault {
         ConfigFault { file: file.into(), line: 1, kind }
     }
--- a/proxy/src/config/mod.rs
+++ b/proxy/src/config/mod.rs
@@ -36,7 +36,7 @@
 /// A complete configuration without errors.
 #[derive(Debug)]
 pub(crate) struct Config {
-    /// Name of the proxy.
+    /// The name that identifies the proxy among the members of the fleet; `proxy` if none is configured.
     pub name: String,
     /// The address on which the proxy accepts clients.
     pub listen_address: SocketAddr,
@@ -47,7 +47,7 @@
     /// File descriptor of the listening socket for clients; `None` unless the process has inherited the socket from the
     /// platform.
     pub inherited_descriptor: Option<RawFd>,
-    /// Seed of the random number generator.
+    /// Seed of the random number generators. It must differ between proxies; the default is the process ID.
     pub seed: u64,
     /// File descriptors that the process may have open.
     pub max_descriptors: usize,
--- a/proxy/src/config/platform_error.rs
+++ b/proxy/src/config/platform_error.rs
@@ -53,7 +53,7 @@
 }
 
 impl PlatformFileError {
-    /// Returns the path of the key that the error concerns; empty if the error concerns the file as a whole.
+    /// Returns the path of the key that the error concerns; empty if the error concerns the entire file.
     pub(super) fn key_path(&self) -> String {
         match self {
             PlatformFileError::InvalidJson(_) => String::new(),
--- a/proxy/src/core/command.rs
+++ b/proxy/src/core/command.rs
@@ -77,9 +77,9 @@
         /// [`super::Core::required_copy_position`] returns.
         from_copy: bool,
     },
-    /// Cancel an attempt.
+    /// End an attempt without its reply. If its query was written, the database may still run it.
     CancelAttempt { attempt: AttemptId },
-    /// Check the health of a server.
+    /// Send a server a health check. [`super::Core::health_check_completed`] receives its result.
     HealthCheck { server: ServerId },
     /// Send a client its answer.
     Answer { client: ClientKey, request: RequestId, answer: Answer },
@@ -91,15 +91,15 @@
     AbortStream { client: ClientKey, request: RequestId },
     /// Call [`super::Core::timer_fired`] at this time.
     SetTimer { id: RoutingTimerId, at: Micros },
-    /// Write a line to the log.
+    /// Write one line to the log.
     Log(LogRecord),
 }
 
-/// A line for the log.
+/// The content of one line of the log. The event loop formats the line.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum LogRecord {
-    /// A message of the router.
+    /// Free text from the router, which refers to servers by their numbers.
     RouterMessage(String),
-    /// The endpoint list contains a server for the first time. Messages of the router refer to the server by its number.
+    /// The endpoint list contains a server for the first time. The line relates the server's number to its uid and address.
     ServerListed { server: ServerId, uid: String, endpoint: String },
 }
--- a/proxy/src/core/endpoints.rs
+++ b/proxy/src/core/endpoints.rs
@@ -89,7 +89,7 @@
         self.observers.add(observer);
     }
 
-    /// Removes an observer.
+    /// Removes an observer, which then receives no further events. Does nothing if the observer was not added.
     pub(crate) fn unsubscribe(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
         self.observers.remove(observer);
     }
--- a/proxy/src/discovery/error.rs
+++ b/proxy/src/discovery/error.rs
@@ -54,9 +54,9 @@
 pub(crate) enum HttpFault {
     /// The status line or the headers.
     Head,
-    /// The value of `Content-Length`.
+    /// The value of `Content-Length`, which must be a number.
     ContentLength,
-    /// The size of a chunk.
+    /// The hexadecimal size at the start of a chunk.
     ChunkSize,
 }
 
--- a/proxy/src/discovery/list.rs
+++ b/proxy/src/discovery/list.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub(crate) enum Access {
-    /// A primary.
+    /// A primary, which the list calls `writer`.
     Writer,
     /// A replica. Any text other than `writer` means a replica.
     Reader,
--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// The metrics of the fleet.
+/// Metrics of this process's datagrams and of its view of the fleet, as they are reported to operators.
 pub(crate) struct FleetMetrics {
     registry: Registry,
     datagrams: Family<DirectionLabel, Counter>,
--- a/proxy/src/grpc/call.rs
+++ b/proxy/src/grpc/call.rs
@@ -20,7 +20,7 @@
     Watch,
 }
 
-/// A call in one of its states.
+/// An open call. When its request is complete, a `Check` call ends and a `Watch` call starts watching.
 pub(super) enum Call {
     Receiving(ReceivingCall),
     Watching(WatchingCall),
--- a/proxy/src/hash.rs
+++ b/proxy/src/hash.rs
@@ -1,8 +1,8 @@
 //! A hash function that returns the same value in every process and after a restart.
 
-/// The initial value of FNV-1a.
+/// The offset basis of 64-bit FNV-1a, which is the hash of an empty input.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// The multiplier of FNV-1a.
+/// The prime of 64-bit FNV-1a, by which the hash is multiplied for each byte of the input.
 const PRIME: u64 = 0x0100_0000_01b3;
 
 /// Returns the 64-bit FNV-1a hash of these bytes.
--- a/proxy/src/health_command/tests.rs
+++ b/proxy/src/health_command/tests.rs
@@ -3,7 +3,7 @@
 use super::report::format_answer;
 use serde_json::{Value, json};
 
-/// Returns an answer about the whole proxy with each kind of value that a line shows.
+/// Returns an answer about the entire proxy, with each kind of value that a line shows.
 fn proxy_answer() -> Value {
     json!({
         "state": "degraded", "able": true, "partial": true, "weight": 40, "reason": "pressure", "since_ms": 1234.0,
@@ -23,7 +23,7 @@
 
 #[test]
 fn the_proxy_answer_has_one_line_per_class_and_two_per_group() {
-    // Given an answer about the whole proxy
+    // Given an answer about the entire proxy
     let answer = proxy_answer();
 
     // When it is formatted as text
--- a/proxy/src/metrics.rs
+++ b/proxy/src/metrics.rs
@@ -82,7 +82,8 @@
         self.rejected_reports.get_or_create(&labels).inc();
     }
 
-    /// Counts a copy by its outcome.
+    /// Counts the outcome of writing a copy to one holder. A row that cannot be copied is counted once, not
+    /// once for each holder.
     pub(crate) fn count_copy(&self, outcome: CopyOutcome) {
         self.copies.get_or_create(&CounterLabels { kind: "copy", end: outcome.as_str() }).inc();
     }
@@ -96,7 +97,7 @@
         tasks.set("crowded", counts.rejected);
     }
 
-    /// Sets the metrics of hot keys.
+    /// Sets the metrics of hot keys from the present state of the tracker and from the counts of copy reads.
     pub(crate) fn set_hot_keys(&self, tracker: &HotKeyTracker, copy_reads: CopyReadCounts) {
         let agreement = tracker.agreement();
         set_gauge(&self.hot_keys, tracker.hot_keys().count());
--- a/proxy/src/metrics/labels.rs
+++ b/proxy/src/metrics/labels.rs
@@ -34,9 +34,9 @@
 /// A report of another member that was rejected, with the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectedReport {
-    /// A report on hot keys.
+    /// The report concerned hot keys, and was rejected with this error.
     HotKeys(ReportError),
-    /// A report on a split.
+    /// The report concerned the comparison of a split, and was rejected with this error.
     Split(ReportError),
     /// The subsystem of the report's channel is disabled in this process or unknown.
     SubsystemDisabled,
@@ -65,7 +65,7 @@
 /// The labels of a counter. The names of the fields are the names of the labels.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct CounterLabels {
-    /// What is counted.
+    /// What the counter counts: the reports of a subsystem, the tasks of a kind, or an operation such as `copy`.
     pub kind: &'static str,
     /// The outcome, or the reason for a rejection.
     pub end: &'static str,
--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -46,7 +46,7 @@
     Reset,
     /// The operator closed the connection without a call.
     Closed,
-    /// The whole reply was written.
+    /// The complete reply was written.
     Answered,
     /// The operator sent no call within the time limit.
     Unresponsive,
--- a/proxy/src/net/background/start.rs
+++ b/proxy/src/net/background/start.rs
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Starts a comparison. The returned observer follows the requests and selects the keys that are read a second
-    /// time.
+    /// Starts the comparison of a group that is being split with its child groups. The returned observer
+    /// follows the requests and selects the keys that are read a second time.
     fn enable_split(
         &mut self,
         settings: birchreach_shard_split::Settings,
@@ -183,7 +183,7 @@
         observer
     }
 
-    /// Ends a comparison.
+    /// Ends a comparison. The core no longer notifies its observer.
     fn disable_split(&mut self, observer: Shared<SplitObserver>) {
         self.context.core.unsubscribe(&(observer as Rc<RefCell<dyn Observer>>));
         info!(event = "split-off");
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Answers an agent-check that has sent no complete line in time. The bytes received so far are its query; an empty
-    /// query is answered for the whole proxy.
+    /// Answers an agent check that has sent no complete line in time. The bytes received so far are its query. An empty
+    /// query is answered for the entire proxy.
     pub(super) fn query_timed_out(
         &mut self,
         context: &mut EventLoopContext,
--- a/proxy/src/net/clients/answers.rs
+++ b/proxy/src/net/clients/answers.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Returns an attempt that can continue to read its streamed value, because the client has taken all bytes received so far.
-    /// `None` if there is no such attempt.
+    /// Returns an attempt that can continue to read its streamed value, because all bytes that it has read were written to the
+    /// client's socket. Returns `None` if there is no such attempt.
     pub(crate) fn next_attempt_to_resume(&mut self) -> Option<AttemptId> {
         self.attempts_to_resume.pop()
     }
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -153,8 +153,8 @@
         ShedRank { class, inactive_since, serial: self.serial }
     }
 
-    /// Returns the attempt whose streamed value can be read further, if the client has taken all bytes received so far. Returns
-    /// the attempt once for each chunk.
+    /// Returns the attempt that can continue to read the streamed value, if all bytes that it has read were written to the
+    /// client's socket. Returns the attempt once for each chunk.
     pub(super) fn take_attempt_to_resume(&mut self) -> Option<AttemptId> {
         let output_is_empty = self.protocol.outbox.pending().is_empty();
         let value = self.streamed_value.as_mut().filter(|value| value.chunk_unsent && output_is_empty)?;
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -50,7 +50,8 @@
     awaiting_peer_state: bool,
     /// Clients whose last turn reached its limits before all work was done.
     turn_incomplete: Vec<ClientKey>,
-    /// Attempts that can continue to read their streamed values: the clients have taken all bytes received so far.
+    /// Attempts that can continue to read their streamed values, because all bytes that they have read were written to the
+    /// clients' sockets.
     attempts_to_resume: Vec<AttemptId>,
     /// Closed when the system has no free descriptor, so that the next accept shows whether a client is waiting.
     reserve_descriptor: Option<File>,
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -17,9 +17,10 @@
 /// The maximum number of connections that a process may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
-    /// Connections to clients.
+    /// Connections that count as clients. Further connections without a request are allowed, see
+    /// [`unclassified_allowance`].
     pub(super) clients: usize,
-    /// Connections to databases.
+    /// Connections in the pool, idle ones included.
     pub(super) databases: usize,
 }
 
--- a/proxy/src/net/discovery_connection.rs
+++ b/proxy/src/net/discovery_connection.rs
@@ -18,7 +18,8 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// The state of a poll.
+/// The progress of polling. Each state has a timer, which starts the next poll in `Waiting` and fails the poll in the
+/// other states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollState {
     /// No poll is outstanding. The next one starts when the timer expires.
--- a/proxy/src/net/error.rs
+++ b/proxy/src/net/error.rs
@@ -35,9 +35,9 @@
 pub(crate) enum RegisteredSource {
     /// The source that reports signals.
     Signals,
-    /// The listener for clients.
+    /// The listener for clients, which this process opened or inherited.
     ClientListener,
-    /// The listener for operators.
+    /// The listener for operators, with its configured address.
     AdminListener(SocketAddr),
 }
 
--- a/proxy/src/net/gossip/link.rs
+++ b/proxy/src/net/gossip/link.rs
@@ -11,7 +11,7 @@
 /// The size of the buffer for one read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// The kind of a link.
+/// The purpose of a link, which determines the protocol on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkKind {
     /// One side requests state, the other sends it.
--- a/proxy/src/net/ids.rs
+++ b/proxy/src/net/ids.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionKey(pub usize);
 
-/// The serial number of a connection in the pool. It is never reused, so a timer that names the serial beside the key
-/// cannot reach a later connection in the same slot.
+/// The serial number of a connection in the pool. It is never reused, so a timer that names both the key and the
+/// serial cannot reach a later connection in the same slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionSerial(u64);
 
@@ -22,8 +22,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CheckKey(pub usize);
 
-/// The serial number of a balancer's connection. It is never reused, so a timer that names the serial beside the key
-/// cannot reach a later connection in the same slot.
+/// The serial number of a balancer's connection. It is never reused, so a timer that names both the key and the
+/// serial cannot reach a later connection in the same slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CheckSerial(u64);
 
@@ -31,8 +31,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LinkKey(pub usize);
 
-/// The serial number of a link to another proxy. It is never reused, so a timer that names the serial beside the key
-/// cannot reach a later link in the same slot.
+/// The serial number of a link to another proxy. It is never reused, so a timer that names both the key and the
+/// serial cannot reach a later link in the same slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LinkSerial(u64);
 
@@ -41,35 +41,30 @@
 pub(super) struct PollStateSerial(u64);
 
 impl ConnectionSerial {
-    /// Returns the serial number of the next connection.
     pub(super) fn next(self) -> ConnectionSerial {
         ConnectionSerial(self.0 + 1)
     }
 }
 
 impl QuerySerial {
-    /// Returns the serial number of the next query.
     pub(super) fn next(self) -> QuerySerial {
         QuerySerial(self.0 + 1)
     }
 }
 
 impl CheckSerial {
-    /// Returns the serial number of the next connection.
     pub(super) fn next(self) -> CheckSerial {
         CheckSerial(self.0 + 1)
     }
 }
 
 impl LinkSerial {
-    /// Returns the serial number of the next link.
     pub(super) fn next(self) -> LinkSerial {
         LinkSerial(self.0 + 1)
     }
 }
 
 impl PollStateSerial {
-    /// Returns the serial number of the next state.
     pub(super) fn next(self) -> PollStateSerial {
         PollStateSerial(self.0 + 1)
     }
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration at SIGHUP. A reload applies the whole configuration or none of it.
+//! Reloads the configuration at SIGHUP. A reload applies the complete configuration or none of it.
 
 use super::EventLoop;
 use super::checks::OpenedListeners;
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -10,13 +10,13 @@
 /// An event source that the poll reports as ready. A key is an index into the owner's slab.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// The listener for clients.
+    /// The listener for clients. Balancers may also connect to it to check that the process accepts connections.
     ClientListener,
-    /// The source that reports signals.
+    /// The source that reports the signals for a shutdown and for a reload.
     Signals,
-    /// The connection to discovery.
+    /// The connection on which the endpoint list is polled.
     Discovery,
-    /// The listener for operators.
+    /// The listener for operators, who send admin calls.
     AdminListener,
     /// The listener for the process that replaces this one.
     HandoverListener,
@@ -36,15 +36,15 @@
     MembershipListener,
     /// The datagram socket of the fleet.
     Fleet,
-    /// A connection to a client.
+    /// A connection that was accepted from a client.
     Client(ClientKey),
-    /// A connection to a database.
+    /// A connection that the pool opened to a database.
     Database(ConnectionKey),
-    /// A connection to an operator.
+    /// A connection that was accepted from an operator.
     Admin(AdminKey),
-    /// A connection to a balancer that checks this proxy.
+    /// A connection that was accepted from a balancer, which checks the health of this proxy.
     Check(CheckKey),
-    /// A link to another proxy.
+    /// A link to another proxy, opened by either side.
     Gossip(LinkKey),
 }
 
--- a/proxy/src/observe.rs
+++ b/proxy/src/observe.rs
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// An event in the core.
+/// An event that the core passes to all observers. The references in it are valid only during [`Observer::on_event`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CoreEvent<'a> {
     /// The endpoint list contains a server, or changed the entry of the server. `primary` states whether the server is a primary
@@ -58,7 +58,7 @@
     pub group: GroupId,
     /// The consistency that the read requires.
     pub consistency: Consistency,
-    /// The key that is read.
+    /// The key of the requested row.
     pub key: &'a [u8],
 }
 
@@ -88,17 +88,16 @@
         self.0.push(observer);
     }
 
-    /// Removes an observer.
+    /// Removes this instance of an observer. Does nothing if the instance was not added.
     pub(crate) fn remove(&mut self, observer: &Rc<RefCell<dyn Observer>>) {
         self.0.retain(|known| !Rc::ptr_eq(known, observer));
     }
 
-    /// Returns whether there are any observers.
     pub(crate) fn has_any(&self) -> bool {
         !self.0.is_empty()
     }
 
-    /// Notifies all observers of an event.
+    /// Passes an event to each observer, in the order in which the observers were added.
     pub(crate) fn notify(&self, now: Micros, event: CoreEvent) {
         for observer in &self.0 {
             observer.borrow_mut().on_event(now, event);
--- a/proxy/src/outbox.rs
+++ b/proxy/src/outbox.rs
@@ -27,7 +27,6 @@
         }
     }
 
-    /// Appends output.
     pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
--- a/proxy/src/pg/backend/mod.rs
+++ b/proxy/src/pg/backend/mod.rs
@@ -56,13 +56,13 @@
 /// An event on a database connection.
 #[derive(Debug, PartialEq)]
 pub(crate) enum BackendEvent {
-    /// The connection is established.
+    /// The startup is complete. The first query may be sent.
     Ready,
     /// A streamed value of this length in bytes begins. `ValueChunk` events with its bytes follow, and then `QueryCompleted`.
     ValueStarted(usize),
     /// The next bytes of a streamed value.
     ValueChunk(Vec<u8>),
-    /// The reply to the query is complete.
+    /// The complete reply to the query in flight. It has no value if the value was streamed.
     QueryCompleted(Reply),
     /// The database answered the startup message with an error. The connection can no longer be used.
     Rejected(Reply),
@@ -133,7 +133,8 @@
         self.inbox.feed(bytes);
     }
 
-    /// Decodes the next event from the bytes received so far.
+    /// Decodes the next event from the bytes received so far. `None`: more bytes are needed, or the connection can no longer be
+    /// used.
     pub(crate) fn next_event(&mut self) -> Option<BackendEvent> {
         while self.phase != Phase::Closed {
             if self.is_streaming() {
@@ -195,7 +196,7 @@
         (!chunk.is_empty()).then_some(BackendEvent::ValueChunk(chunk))
     }
 
-    /// Builds the reply from the messages so far, and resets the state for the next reply.
+    /// Builds the reply from the messages that have arrived, and resets the state for the next reply.
     fn take_reply(&mut self, expected: ExpectedReply) -> Reply {
         std::mem::take(&mut self.partial_reply).into_reply(expected, &self.load_report_format)
     }
--- a/proxy/src/pg/codec/client.rs
+++ b/proxy/src/pg/codec/client.rs
@@ -5,7 +5,7 @@
 /// The first message of a connection, which has no tag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Startup {
-    /// `SSLRequest` or `GSSENCRequest`.
+    /// A request for encryption, by `SSLRequest` or `GSSENCRequest`. Another startup message follows the answer.
     EncryptionRequest,
     CancelRequest,
     /// Protocol version 3. `options` holds the names of the requested protocol options.
--- a/proxy/src/pg/frontend/mod.rs
+++ b/proxy/src/pg/frontend/mod.rs
@@ -19,18 +19,18 @@
 /// An encoded Terminate message.
 const TERMINATE_MESSAGE: &[u8] = b"X\0\0\0\x04";
 
-/// What the connection is waiting for.
+/// The phase of the connection, which determines how the next message is handled.
 #[derive(Debug, PartialEq, Eq)]
 enum Phase {
-    /// The startup message.
+    /// No startup message has been accepted yet. The client may request encryption first, which is refused.
     Startup,
-    /// The next command.
+    /// The next message is processed as a command.
     Ready,
-    /// The answer to a statement that was returned as a command.
+    /// A statement was returned as a command and has no answer yet. Messages wait in the inbox.
     AnswerPending { is_write: bool },
-    /// The next Sync, after an error in the extended query protocol. Messages before the Sync are skipped.
+    /// An error occurred in the extended query protocol. Messages before the next Sync are skipped.
     SkippingUntilSync,
-    /// Nothing. The connection is about to be closed.
+    /// The connection is about to be closed. No further message is processed.
     Closed,
 }
 
@@ -62,12 +62,12 @@
     }
 }
 
-/// A command of a client.
+/// An instruction to the event loop that follows from the messages of a client.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ClientCommand {
     /// Run a statement. The time is that of the arrival of the statement's last byte.
     Run(Statement, Micros),
-    /// Close the connection.
+    /// Close the connection immediately. The client expects no answer.
     Close(EndReason),
     /// Close the connection once the client has read the error message in the outbox.
     CloseWithError(EndReason),
--- a/proxy/src/pg/partial_reply.rs
+++ b/proxy/src/pg/partial_reply.rs
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub(super) struct PartialReply {
     pub stage: ReplyStage,
-    /// The total size of the reply's messages so far, without a streamed value.
+    /// The total size of the messages that have arrived for the reply, not counting a streamed value.
     pub bytes: usize,
     /// The number of bytes of a streamed value that have not arrived.
     pub value_bytes_remaining: usize,
--- a/proxy/src/reply.rs
+++ b/proxy/src/reply.rs
@@ -6,7 +6,7 @@
 /// A value, as the database sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Value {
-    /// The encoded value.
+    /// The value in the format that `binary` states, without a length field.
     pub bytes: Vec<u8>,
     /// Whether the bytes are in PostgreSQL's binary format. Otherwise they are in the text format.
     pub binary: bool,
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -21,10 +21,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClassRowIndex(usize);
 
-/// The result of a request.
+/// How a request ended, as far as its class counts it. Requests of clients that disconnect early have no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestResult {
-    /// The request was served.
+    /// The final answer contained a value, or the value was streamed completely.
     Served,
     /// The request was not served, and may be retried.
     Rejected,
--- a/proxy/src/units.rs
+++ b/proxy/src/units.rs
@@ -2,5 +2,4 @@
 
 use birchreach::Micros;
 
-/// Microseconds in a millisecond.
 pub(crate) const MICROS_PER_MILLI: Micros = 1_000;
