--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -55,7 +55,7 @@
             match listener.accept() {
                 Ok((stream, peer)) => {
                     let key = self.register_client(context, stream, peer);
-                    self.shed_for(context, key);
+                    self.shed_if_over_limit(context, key);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
                 Err(error)
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -32,7 +32,7 @@
     }
 
     /// Sheds one client to free a descriptor for a connection to a database or to discovery.
-    pub(crate) fn release_descriptor(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn shed_to_free_descriptor(&mut self, context: &mut EventLoopContext) {
         self.shed(context, None, ShedClass::InGracePeriod);
     }
 
@@ -43,7 +43,11 @@
 
     /// Sheds another client if a new one exceeds the limit or the early-shed threshold, or took the last descriptor. Runs after
     /// the accept, because only the accept shows that a client has arrived. `new_client` is `None` if it could not be registered.
-    pub(super) fn shed_for(&mut self, context: &mut EventLoopContext, new_client: Option<ClientKey>) {
+    pub(super) fn shed_if_over_limit(
+        &mut self,
+        context: &mut EventLoopContext,
+        new_client: Option<ClientKey>,
+    ) {
         if self.counted_clients() > self.max_clients || self.reserve_descriptor.is_none() {
             self.shed(context, new_client, ShedClass::InGracePeriod);
         } else if self.counted_clients() > self.early_shed_threshold {
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -63,7 +63,7 @@
         if made_first_request {
             self.unclassified_count -= 1;
             if self.unclassified_allowance > 0 {
-                self.shed_for(context, Some(key));
+                self.shed_if_over_limit(context, Some(key));
             }
         }
     }
--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -168,10 +168,10 @@
     fn continue_connections(&mut self) {
         self.clients.continue_pending_work(&mut self.context);
         if self.pool.take_descriptors_exhausted() {
-            self.clients.release_descriptor(&mut self.context);
+            self.clients.shed_to_free_descriptor(&mut self.context);
         }
         if self.discovery.take_descriptors_exhausted() {
-            self.clients.release_descriptor(&mut self.context);
+            self.clients.shed_to_free_descriptor(&mut self.context);
         }
         self.execute_commands();
     }
