--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -97,7 +97,7 @@
             return None;
         }
         slot.insert(Client::new(stream, peer, self.next_serial, context.now));
-        self.unclassified_count += 1;
+        self.clients_without_request += 1;
         self.next_serial = self.next_serial.next();
         Some(key)
     }
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -90,7 +90,7 @@
     pub streamed_value: Option<StreamedValue>,
     pub answered_requests: u64,
     /// The client has made no request yet. It may be a balancer that only checks whether the process accepts connections.
-    pub unclassified: bool,
+    pub awaits_first_request: bool,
     /// The client has closed its side of the connection. Commands that it sent before need no answer.
     pub peer_closed: bool,
     /// The last turn reached its limits before all input was read and all output written.
@@ -117,7 +117,7 @@
             open_request: None,
             streamed_value: None,
             answered_requests: 0,
-            unclassified: true,
+            awaits_first_request: true,
             peer_closed: false,
             turn_incomplete: false,
             closing: None,
--- a/proxy/src/net/clients/mod.rs
+++ b/proxy/src/net/clients/mod.rs
@@ -36,8 +36,8 @@
     /// connections would leave none to others.
     early_shed_threshold: usize,
     /// Up to this many clients without a request do not count towards the limit.
-    unclassified_allowance: usize,
-    unclassified_count: usize,
+    max_uncounted_clients: usize,
+    clients_without_request: usize,
     /// Connections may be waiting in the listener's backlog.
     accept_pending: bool,
     /// Accepting is paused until `TimerEvent::RetryAccept` is due.
@@ -78,8 +78,8 @@
             admission: StatementAdmission::default(),
             max_clients,
             early_shed_threshold: shed::early_shed_threshold(max_clients),
-            unclassified_allowance: 0,
-            unclassified_count: 0,
+            max_uncounted_clients: 0,
+            clients_without_request: 0,
             accept_pending: false,
             accept_paused: false,
             shutting_down: false,
@@ -146,8 +146,8 @@
     fn close(&mut self, context: &mut EventLoopContext, key: ClientKey, reason: ClientCloseReason) {
         let mut client = self.connections.remove(key.0);
         let _ = context.poll.registry().deregister(&mut client.stream);
-        self.unclassified_count -= usize::from(client.unclassified);
-        let may_be_balancer = self.unclassified_allowance > 0 && client.unclassified;
+        self.clients_without_request -= usize::from(client.awaits_first_request);
+        let may_be_balancer = self.max_uncounted_clients > 0 && client.awaits_first_request;
         let (peer, answered, word) = (client.peer, client.answered_requests, reason.as_str());
         if may_be_balancer && reason.is_by_client() {
             // Balancers connect hundreds of times. At the `info` level their lines would use up the log's rate limit, and other
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -27,8 +27,8 @@
 
     /// Sets how many clients without a request are left out of the limit. They may be balancers that only check whether the proxy
     /// accepts connections. Descriptors are reserved for them.
-    pub(crate) fn set_unclassified_allowance(&mut self, allowance: usize) {
-        self.unclassified_allowance = allowance;
+    pub(crate) fn set_max_uncounted_clients(&mut self, max_uncounted_clients: usize) {
+        self.max_uncounted_clients = max_uncounted_clients;
     }
 
     /// Sheds one client to free a descriptor for a connection to a database or to discovery.
@@ -38,7 +38,7 @@
 
     /// Returns the number of clients that count towards the limit.
     pub(super) fn counted_clients(&self) -> usize {
-        self.connections.len() - self.unclassified_count.min(self.unclassified_allowance)
+        self.connections.len() - self.clients_without_request.min(self.max_uncounted_clients)
     }
 
     /// Sheds another client if a new one exceeds the limit or the early-shed threshold, or took the last descriptor. Runs after
--- a/proxy/src/net/clients/turn.rs
+++ b/proxy/src/net/clients/turn.rs
@@ -47,8 +47,8 @@
     pub(super) fn process_client(&mut self, context: &mut EventLoopContext, key: ClientKey) {
         let Some(client) = self.connections.get_mut(key.0) else { return };
         let close_reason = client.process_turn(context, &mut self.admission, key);
-        let made_first_request = client.unclassified && client.open_request.is_some();
-        client.unclassified &= !made_first_request;
+        let made_first_request = client.awaits_first_request && client.open_request.is_some();
+        client.awaits_first_request &= !made_first_request;
         self.attempts_to_resume.extend(client.take_attempt_to_resume());
         let has_request = client.open_request.is_some();
         if let Some(reason) = close_reason {
@@ -61,8 +61,8 @@
             self.turn_incomplete.push(key);
         }
         if made_first_request {
-            self.unclassified_count -= 1;
-            if self.unclassified_allowance > 0 {
+            self.clients_without_request -= 1;
+            if self.max_uncounted_clients > 0 {
                 self.shed_if_over_limit(context, Some(key));
             }
         }
--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -12,7 +12,7 @@
 const MIN_CONNECTIONS: usize = 8;
 /// Up to this number, connections to the client listener that have not sent a request do not count as clients, because
 /// balancers open such connections.
-const MAX_UNCLASSIFIED_CONNECTIONS: usize = 16;
+const MAX_UNCOUNTED_CLIENTS: usize = 16;
 
 /// The maximum number of connections that a process may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,12 +47,12 @@
         if options.peer_state.is_some() || options.fleet.is_some() { gossip::MAX_LINKS + 1 } else { 0 };
     // The fleet uses a listener for links and a socket for datagrams.
     let fleet = if options.fleet.is_some() { 2 } else { 0 };
-    options.descriptors() + unclassified_allowance(config) + links + fleet
+    options.descriptors() + max_uncounted_clients(config) + links + fleet
 }
 
-/// Returns how many connections that have sent no request do not count as clients.
-pub(super) fn unclassified_allowance(config: &Config) -> usize {
-    if config.options.health.is_some() { MAX_UNCLASSIFIED_CONNECTIONS } else { 0 }
+/// Returns how many clients that have made no request yet do not count towards the limit.
+pub(super) fn max_uncounted_clients(config: &Config) -> usize {
+    if config.options.health.is_some() { MAX_UNCOUNTED_CLIENTS } else { 0 }
 }
 
 impl EventLoop {
@@ -61,7 +61,7 @@
         let limits = self.connection_limits();
         self.context.core.set_process_count(self.context.now, self.handover.process_count());
         self.pool.set_limit(&mut self.context, limits.databases);
-        self.clients.set_unclassified_allowance(unclassified_allowance(&self.config));
+        self.clients.set_max_uncounted_clients(max_uncounted_clients(&self.config));
         self.clients.set_limit(&mut self.context, limits.clients);
         if !self.stopping {
             self.clients.set_handing_over(self.handover.is_replaced());
--- a/proxy/src/net/reload.rs
+++ b/proxy/src/net/reload.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use super::checks::OpenedListeners;
-use super::connection_limits::{ConnectionLimits, unclassified_allowance};
+use super::connection_limits::{ConnectionLimits, max_uncounted_clients};
 use super::error::ListenError;
 use crate::config::{self, Config, ConfigError};
 use crate::log::Quoted;
@@ -105,7 +105,7 @@
         self.context.core.apply_settings(self.context.now, &new.deployment);
         self.pool.apply_settings(&new.deployment);
         self.pool.set_limit(&mut self.context, limits.databases);
-        self.clients.set_unclassified_allowance(unclassified_allowance(new));
+        self.clients.set_max_uncounted_clients(max_uncounted_clients(new));
         self.clients.set_limit(&mut self.context, limits.clients);
         self.discovery.update_settings(&new.deployment.routing);
         self.discovery.set_address(&mut self.context, new.discovery_address);
