--- a/proxy/src/net/admin.rs
+++ b/proxy/src/net/admin.rs
@@ -123,7 +123,8 @@
                 Ok((stream, _)) => self.register_connection(context, stream),
                 Err(error)
                     if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                // The poll reports the listener again with the next connection. The sweep also tries to accept.
+                // The poll reports the listener again with the next connection. `close_unresponsive` also
+                // makes the loop try to accept.
                 Err(_) => self.accept_pending = false,
             }
         }
@@ -202,7 +203,7 @@
     }
 
     /// Closes connections that sent no call within the time limit, and makes the next turn try to accept.
-    pub(super) fn sweep(&mut self, context: &mut EventLoopContext) {
+    pub(super) fn close_unresponsive(&mut self, context: &mut EventLoopContext) {
         self.accept_pending = self.listener.is_some();
         let timed_out = |connection: &Connection| context.now - connection.accepted_at >= CALL_TIMEOUT_MICROS;
         let unresponsive = self.connections.iter().filter(|(_, connection)| timed_out(connection));
--- a/proxy/src/net/clients/expiry.rs
+++ b/proxy/src/net/clients/expiry.rs
@@ -52,7 +52,7 @@
         let expired = self.connections.iter().filter(|(_, client)| is_expired(client));
         let expired: Vec<ClientKey> = expired.map(|(key, _)| ClientKey(key)).collect();
         for key in expired {
-            test_hooks::stop_process_at(StopPoint::Sweep);
+            test_hooks::stop_process_at(StopPoint::CloseExpired);
             // Input may have arrived in the meantime. It is read first, so that the close does not race with a request.
             self.handle_ready(context, key);
             self.close_if_expired(context, key);
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -56,8 +56,8 @@
 /// The same limit while balancers check this proxy. A check waits for the end of a turn, and each request in the turn
 /// takes about 50 us.
 const EVENTS_PER_TURN_WITH_CHECKS: usize = 128;
-/// How often the loop looks for connections that have been idle for too long.
-const SWEEP_INTERVAL_MICROS: Micros = 250_000;
+/// The interval of the periodic tasks, such as closing connections that have been idle for too long.
+const PERIODIC_TASK_INTERVAL_MICROS: Micros = 250_000;
 
 /// The state of the event loop. Each field owns one subsystem. Calls between subsystems go through the loop.
 struct EventLoop {
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -15,7 +15,7 @@
 use super::sources::Source;
 use super::timer_events::TimerEvent;
 use super::timers::{Clock, Timers};
-use super::{EventLoop, SWEEP_INTERVAL_MICROS, listener};
+use super::{EventLoop, PERIODIC_TASK_INTERVAL_MICROS, listener};
 use crate::config::Config;
 use crate::core::Core;
 use crate::discovery::EndpointUpdate;
@@ -126,7 +126,7 @@
             info!(event = "predecessor-connected");
         }
         self.apply_process_count();
-        self.context.timers.set(started_at + SWEEP_INTERVAL_MICROS, TimerEvent::Sweep);
+        self.context.timers.set(started_at + PERIODIC_TASK_INTERVAL_MICROS, TimerEvent::PeriodicTasks);
         self.discovery.start(&mut self.context);
         Ok(())
     }
--- a/proxy/src/net/test_hooks.rs
+++ b/proxy/src/net/test_hooks.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopPoint {
     /// A client was idle for too long, and its final read has not happened yet.
-    Sweep,
+    CloseExpired,
     /// A client is about to be shed, and its final read has not happened yet.
     Shed,
     /// The last idle clients are about to be closed, and their final reads have not happened yet.
@@ -19,7 +19,7 @@
     use std::sync::atomic::{AtomicBool, Ordering};
     static STOPPED: AtomicBool = AtomicBool::new(false);
     let name = match point {
-        StopPoint::Sweep => "sweep",
+        StopPoint::CloseExpired => "sweep",
         StopPoint::Shed => "shed",
         StopPoint::CloseIdleClients => "leave",
     };
--- a/proxy/src/net/timer_dispatch.rs
+++ b/proxy/src/net/timer_dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::ids::{LinkKey, LinkSerial};
 use super::timer_events::TimerEvent;
-use super::{EventLoop, SWEEP_INTERVAL_MICROS};
+use super::{EventLoop, PERIODIC_TASK_INTERVAL_MICROS};
 use tracing::info;
 
 impl EventLoop {
@@ -18,7 +18,7 @@
             TimerEvent::CooldownEnded(key, serial) => self.pool.cooldown_ended(context, key, serial),
             TimerEvent::RetryAccept => self.clients.resume_accepting(),
             TimerEvent::Discovery(state_serial) => self.discovery.timed_out(context, state_serial),
-            TimerEvent::Sweep => self.sweep(),
+            TimerEvent::PeriodicTasks => self.run_periodic_tasks(),
             TimerEvent::CheckTimeout(key, serial) => self.checks.query_timed_out(context, key, serial),
             // `update_health` updates the verdict at the end of the turn.
             TimerEvent::HealthUpdate => {
@@ -59,15 +59,15 @@
         self.context.core.attempts_in_flight() as f64 / limit as f64
     }
 
-    /// Closes connections that have been idle or unresponsive for too long. Reports the load of this process to other
-    /// processes and proxies.
-    fn sweep(&mut self) {
+    /// Closes connections that have been idle or unresponsive for too long, reports the load of this process to other
+    /// processes and proxies, and opens missing listeners for checks. Sets the timer for the next run.
+    fn run_periodic_tasks(&mut self) {
         let context = &mut self.context;
         self.clients.close_expired(context);
         self.pool.close_expired(context);
-        context.timers.set(context.now + SWEEP_INTERVAL_MICROS, TimerEvent::Sweep);
+        context.timers.set(context.now + PERIODIC_TASK_INTERVAL_MICROS, TimerEvent::PeriodicTasks);
         let descriptors = self.clients.len() + self.pool.len();
-        self.admin.sweep(context);
+        self.admin.close_unresponsive(context);
         if self.stopping {
             self.handover.announce_stopping(context, descriptors);
         }
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -23,8 +23,8 @@
     RetryAccept,
     /// The next poll of discovery is due, or a state of the current one has timed out.
     Discovery(PollStateSerial),
-    /// The next sweep for connections that have been idle for too long is due.
-    Sweep,
+    /// The periodic tasks are due: connections that have been idle for too long are closed, and the load is reported.
+    PeriodicTasks,
     /// A balancer has not sent a query within the time limit.
     CheckTimeout(CheckKey, CheckSerial),
     /// The verdict for balancers may change at this time.
