--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -1,6 +1,6 @@
 //! A balancer's connection in any of the check protocols, and the reasons for closing it.
 
-use super::super::ids::CheckSerial;
+use super::super::ids::CheckConnectionSerial;
 use super::super::sources::Source;
 use crate::grpc::GrpcCheckConnection;
 use birchreach::Micros;
@@ -112,14 +112,19 @@
     pub(super) protocol: CheckProtocol,
     pub(super) state: ProtocolState,
     /// Distinguishes the connection from earlier ones with the same key.
-    pub(super) serial: CheckSerial,
+    pub(super) serial: CheckConnectionSerial,
     /// The time at which the balancer last completed a request or read some output.
     pub(super) active_at: Micros,
 }
 
 impl CheckConnection {
     /// Creates the state of a connection that has just been accepted.
-    pub(super) fn new(stream: TcpStream, protocol: CheckProtocol, serial: CheckSerial, now: Micros) -> Self {
+    pub(super) fn new(
+        stream: TcpStream,
+        protocol: CheckProtocol,
+        serial: CheckConnectionSerial,
+        now: Micros,
+    ) -> Self {
         CheckConnection { stream, protocol, state: ProtocolState::new(protocol), serial, active_at: now }
     }
 
--- a/proxy/src/net/checks/listeners.rs
+++ b/proxy/src/net/checks/listeners.rs
@@ -3,7 +3,7 @@
 
 use super::super::error::{ListenError, ListenPurpose};
 use super::super::event_loop_context::EventLoopContext;
-use super::super::ids::CheckKey;
+use super::super::ids::CheckConnectionKey;
 use super::super::sources::Source;
 use super::HealthCheckServer;
 use super::connection::{CheckCloseReason, CheckProtocol, wanted_listeners};
@@ -87,7 +87,8 @@
             self.register(context, listener);
         }
         if options.is_none() {
-            let keys: Vec<CheckKey> = self.connections.iter().map(|(key, _)| CheckKey(key)).collect();
+            let keys: Vec<CheckConnectionKey> =
+                self.connections.iter().map(|(key, _)| CheckConnectionKey(key)).collect();
             keys.into_iter().for_each(|key| self.close(context, key, CheckCloseReason::ListenerDisabled));
         }
         self.options = options;
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -10,7 +10,7 @@
 mod serve;
 
 use super::event_loop_context::EventLoopContext;
-use super::ids::{CheckKey, CheckSerial};
+use super::ids::{CheckConnectionKey, CheckConnectionSerial};
 use super::sources::Source;
 use super::timer_events::TimerEvent;
 use crate::health::HealthObserver;
@@ -39,8 +39,8 @@
     listeners: Vec<OpenListener>,
     connections: Slab<CheckConnection>,
     /// The connections that have more work than one turn allows.
-    unfinished: Vec<CheckKey>,
-    last_serial: CheckSerial,
+    unfinished: Vec<CheckConnectionKey>,
+    last_serial: CheckConnectionSerial,
     /// No connection is accepted before this time, because another process answers until then.
     accept_start: Micros,
     /// Whether another process of this proxy may listen at the same addresses.
@@ -56,7 +56,7 @@
             listeners: Vec::new(),
             connections: Slab::new(),
             unfinished: Vec::new(),
-            last_serial: CheckSerial::default(),
+            last_serial: CheckConnectionSerial::default(),
             accept_start: 0,
             shares_addresses,
         }
@@ -79,7 +79,7 @@
     }
 
     /// Serves a connection as far as its socket and the limits of one turn allow.
-    pub(super) fn serve(&mut self, context: &mut EventLoopContext, key: CheckKey) {
+    pub(super) fn serve(&mut self, context: &mut EventLoopContext, key: CheckConnectionKey) {
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
         let Some(connection) = self.connections.get_mut(key.0) else { return };
         match serve(context, connection, source) {
@@ -94,8 +94,8 @@
     pub(super) fn query_timed_out(
         &mut self,
         context: &mut EventLoopContext,
-        key: CheckKey,
-        serial: CheckSerial,
+        key: CheckConnectionKey,
+        serial: CheckConnectionSerial,
     ) {
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
         let connection = self.connections.get_mut(key.0).filter(|connection| connection.serial == serial);
@@ -117,11 +117,11 @@
         let mut pinged = Vec::new();
         for (key, connection) in &mut self.connections {
             if connection.ping_if_idle(now, options) {
-                pinged.push(CheckKey(key));
+                pinged.push(CheckConnectionKey(key));
             }
         }
         let inactive = self.connections.iter().filter_map(|(key, connection)| {
-            Some((CheckKey(key), connection.inactivity_reason(now, options)?))
+            Some((CheckConnectionKey(key), connection.inactivity_reason(now, options)?))
         });
         for (key, reason) in inactive.collect::<Vec<_>>() {
             self.close(context, key, reason);
@@ -134,7 +134,7 @@
     /// Sends a changed verdict to the connections that have watches.
     pub(super) fn notify_watches(&mut self, context: &mut EventLoopContext) {
         let watching = self.connections.iter().filter(|(_, connection)| connection.has_watches());
-        for key in watching.map(|(key, _)| CheckKey(key)).collect::<Vec<_>>() {
+        for key in watching.map(|(key, _)| CheckConnectionKey(key)).collect::<Vec<_>>() {
             self.serve(context, key);
         }
     }
@@ -147,7 +147,7 @@
         // If this fails, responses may be slower.
         let _ = stream.set_nodelay(true);
         let slot = self.connections.vacant_entry();
-        let key = CheckKey(slot.key());
+        let key = CheckConnectionKey(slot.key());
         let interest = Interest::READABLE | Interest::WRITABLE;
         if context.poll.registry().register(&mut stream, Source::Check(key).token(), interest).is_err() {
             return;
@@ -171,13 +171,13 @@
             return;
         }
         let oldest = same_protocol().min_by_key(|(_, connection)| (connection.active_at, connection.serial));
-        if let Some(key) = oldest.map(|(key, _)| CheckKey(key)) {
+        if let Some(key) = oldest.map(|(key, _)| CheckConnectionKey(key)) {
             self.close(context, key, CheckCloseReason::Shed);
         }
     }
 
     /// Closes a connection and logs the reason.
-    fn close(&mut self, context: &mut EventLoopContext, key: CheckKey, reason: CheckCloseReason) {
+    fn close(&mut self, context: &mut EventLoopContext, key: CheckConnectionKey, reason: CheckCloseReason) {
         let mut connection = self.connections.remove(key.0);
         // Fails only if the socket is not registered, which makes no difference here.
         let _ = context.poll.registry().deregister(&mut connection.stream);
--- a/proxy/src/net/ids.rs
+++ b/proxy/src/net/ids.rs
@@ -20,12 +20,12 @@
 
 /// The slab slot of a balancer's connection. Slots of closed connections are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct CheckKey(pub usize);
+pub(super) struct CheckConnectionKey(pub usize);
 
 /// The serial number of a balancer's connection. It is never reused, so a timer that names the serial beside the key
 /// cannot reach a later connection in the same slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct CheckSerial(u64);
+pub(super) struct CheckConnectionSerial(u64);
 
 /// The slab slot of a link to another proxy. Slots of closed links are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -54,10 +54,10 @@
     }
 }
 
-impl CheckSerial {
+impl CheckConnectionSerial {
     /// Returns the serial number of the next connection.
-    pub(super) fn next(self) -> CheckSerial {
-        CheckSerial(self.0 + 1)
+    pub(super) fn next(self) -> CheckConnectionSerial {
+        CheckConnectionSerial(self.0 + 1)
     }
 }
 
--- a/proxy/src/net/sources.rs
+++ b/proxy/src/net/sources.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use super::ids::{AdminKey, CheckKey, ConnectionKey, LinkKey};
+use super::ids::{AdminKey, CheckConnectionKey, ConnectionKey, LinkKey};
 use crate::core::ClientKey;
 use mio::Token;
 
@@ -43,7 +43,7 @@
     /// A connection to an operator.
     Admin(AdminKey),
     /// A connection to a balancer that checks this proxy.
-    Check(CheckKey),
+    Check(CheckConnectionKey),
     /// A link to another proxy.
     Gossip(LinkKey),
 }
@@ -71,7 +71,7 @@
     |key| Source::Client(ClientKey(key)),
     |key| Source::Database(ConnectionKey(key)),
     |key| Source::Admin(AdminKey(key)),
-    |key| Source::Check(CheckKey(key)),
+    |key| Source::Check(CheckConnectionKey(key)),
     |key| Source::Gossip(LinkKey(key)),
 ];
 
@@ -83,7 +83,7 @@
             Source::Client(ClientKey(key)) => keyed(0, key),
             Source::Database(ConnectionKey(key)) => keyed(1, key),
             Source::Admin(AdminKey(key)) => keyed(2, key),
-            Source::Check(CheckKey(key)) => keyed(3, key),
+            Source::Check(CheckConnectionKey(key)) => keyed(3, key),
             Source::Gossip(LinkKey(key)) => keyed(4, key),
             fixed => FIXED_SOURCES.iter().position(|source| *source == fixed).unwrap_or(usize::MAX),
         })
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -1,7 +1,8 @@
 //! The events for which the subsystems set timers.
 
 use super::ids::{
-    CheckKey, CheckSerial, ConnectionKey, ConnectionSerial, LinkKey, LinkSerial, PollStateSerial, QuerySerial,
+    CheckConnectionKey, CheckConnectionSerial, ConnectionKey, ConnectionSerial, LinkKey, LinkSerial,
+    PollStateSerial, QuerySerial,
 };
 use crate::core::{AttemptId, RoutingTimerId};
 
@@ -26,7 +27,7 @@
     /// The periodic tasks are due: connections that have been idle for too long are closed, and the load is reported.
     PeriodicTasks,
     /// A balancer has not sent a query within the time limit.
-    CheckTimeout(CheckKey, CheckSerial),
+    CheckTimeout(CheckConnectionKey, CheckConnectionSerial),
     /// The verdict for balancers may change at this time.
     HealthUpdate,
     /// The next load report to the health monitor is due.
