--- a/proxy/src/net/background/dual_reads.rs
+++ b/proxy/src/net/background/dual_reads.rs
@@ -64,14 +64,14 @@
 }
 
 impl BackgroundWork {
-    /// Logs the verdict if it has changed, and submits the queries that are due.
+    /// Logs the verification status if it has changed, and submits the queries that are due.
     pub(super) fn run_split(&mut self, now: Micros, member_count: usize, report_interval: Micros) {
         self.postpone_expired_reads(now);
         let Some(observer) = self.split.clone() else { return };
         let due_queries = {
             let mut observer = observer.borrow_mut();
             observer.verifier.set_report_interval(report_interval);
-            log_verdict(observer.verdict_to_log(member_count));
+            log_status(observer.status_to_log(member_count));
             observer.verifier.due_queries(now, MAX_QUERIES_PER_RUN)
         };
         for due in due_queries {
@@ -135,14 +135,14 @@
     warn!(event = "split-flag", flag = %crate::log::Quoted(fields));
 }
 
-/// Logs a verdict that has changed.
-fn log_verdict(changed: Option<VerificationStatus>) {
+/// Logs the status of the verification. `changed` is `None` if the last status that was logged is of the same kind.
+fn log_status(changed: Option<VerificationStatus>) {
     match changed {
-        Some(verdict @ VerificationStatus::DifferencesConfirmed(counts)) => {
+        Some(status @ VerificationStatus::DifferencesConfirmed(counts)) => {
             let (missing, extra, differs) = (counts.missing, counts.extra, counts.differs);
-            warn!(event = "split", verdict = verdict.as_str(), missing, extra, differs);
+            warn!(event = "split", verdict = status.as_str(), missing, extra, differs);
         }
-        Some(verdict) => info!(event = "split", verdict = verdict.as_str()),
+        Some(status) => info!(event = "split", verdict = status.as_str()),
         None => {}
     }
 }
--- a/proxy/src/split.rs
+++ b/proxy/src/split.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns the status if it is of another kind than the status that was logged last.
-    pub(crate) fn verdict_to_log(&mut self, member_count: usize) -> Option<VerificationStatus> {
+    pub(crate) fn status_to_log(&mut self, member_count: usize) -> Option<VerificationStatus> {
         let status = self.verifier.status(member_count);
         let kind = std::mem::discriminant(&status);
         let logged = self.logged_status.replace(kind);
