--- a/proxy/src/core/endpoints/tests.rs
+++ b/proxy/src/core/endpoints/tests.rs
@@ -74,7 +74,7 @@
     core.update_endpoints(0, serde_json::from_str(&list).unwrap());
 
     // Then each server is listed once, with the address of its last entry
-    assert_eq!(core.servers.present().count(), 100);
+    assert_eq!(core.servers.listed_servers().count(), 100);
     for server in (0..100).map(ServerId) {
         assert_eq!(core.address(server), Some(SocketAddr::from(([127, 0, 0, 1], 2000))));
     }
--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -103,9 +103,12 @@
 
     /// Returns the present values of the gauges.
     pub(crate) fn gauges(&self, now: Micros) -> Gauges {
-        let skipped =
-            self.servers.present().filter(|server| self.router.is_out_of_rotation(now, *server)).count();
-        Gauges { in_progress: self.requests.len(), known: self.servers.present().count(), skipped }
+        let skipped = self
+            .servers
+            .listed_servers()
+            .filter(|server| self.router.is_out_of_rotation(now, *server))
+            .count();
+        Gauges { in_progress: self.requests.len(), known: self.servers.listed_servers().count(), skipped }
     }
 
     /// Returns the number of requests without a final answer.
--- a/proxy/src/core/server_table.rs
+++ b/proxy/src/core/server_table.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns the servers that were not removed from the endpoint list.
-    pub(super) fn present(&self) -> impl Iterator<Item = ServerId> {
+    pub(super) fn listed_servers(&self) -> impl Iterator<Item = ServerId> {
         self.listed.iter().filter(|(_, server)| !server.removed).map(|(id, _)| *id)
     }
 
