--- a/proxy/src/core/mod.rs
+++ b/proxy/src/core/mod.rs
@@ -103,12 +103,12 @@
 
     /// Returns the present values of the gauges.
     pub(crate) fn gauges(&self, now: Micros) -> Gauges {
-        let skipped = self
-            .servers
-            .listed_servers()
-            .filter(|server| self.router.is_out_of_rotation(now, *server))
-            .count();
-        Gauges { in_progress: self.requests.len(), known: self.servers.listed_servers().count(), skipped }
+        let is_out_of_rotation = |server: &ServerId| self.router.is_out_of_rotation(now, *server);
+        Gauges {
+            in_progress: self.requests.len(),
+            listed_databases: self.servers.listed_servers().count(),
+            databases_out_of_rotation: self.servers.listed_servers().filter(is_out_of_rotation).count(),
+        }
     }
 
     /// Returns the number of requests without a final answer.
--- a/proxy/src/stats.rs
+++ b/proxy/src/stats.rs
@@ -50,9 +50,9 @@
     /// Requests without a final answer.
     pub in_progress: usize,
     /// Databases in the endpoint list.
-    pub known: usize,
+    pub listed_databases: usize,
     /// Databases that receive no new requests at present.
-    pub skipped: usize,
+    pub databases_out_of_rotation: usize,
 }
 
 impl Stats {
@@ -89,8 +89,8 @@
         }
         line("upstream_tries", self.attempts);
         line("in_progress", gauges.in_progress as u64);
-        line("known_databases", gauges.known as u64);
-        line("skipped_databases", gauges.skipped as u64);
+        line("known_databases", gauges.listed_databases as u64);
+        line("skipped_databases", gauges.databases_out_of_rotation as u64);
         line("loads", self.configuration_loads);
         line("load_errors", self.configuration_load_errors);
         text
