--- a/proxy/src/net/process_handover.rs
+++ b/proxy/src/net/process_handover.rs
@@ -80,7 +80,7 @@
 
 impl ProcessHandover {
     /// Connects to the process that serves at this address, if there is one, and listens for a successor.
-    pub(super) fn connect_or_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
+    pub(super) fn connect_and_listen(registry: &Registry, address: SocketAddr) -> ProcessHandover {
         let name = format!("birchreach-{:016x}.sock", fnv1a(address.to_string().as_bytes()));
         let path = std::env::temp_dir().join(name);
         let predecessor = connect(registry, &path);
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -30,11 +30,11 @@
 /// The maximum number of bytes that one read takes from a socket.
 const SCRATCH_BYTES: usize = 64 << 10;
 
-/// Connects to the other process of this proxy, or listens for one. Does neither if this proxy does not share its
-/// listener.
+/// Connects to the predecessor of this process, if there is one, and listens for a successor. Does neither if this proxy
+/// does not share its listener.
 fn open_handover(poll: &Poll, address: SocketAddr, shared_listener: bool) -> ProcessHandover {
     if shared_listener {
-        ProcessHandover::connect_or_listen(poll.registry(), address)
+        ProcessHandover::connect_and_listen(poll.registry(), address)
     } else {
         ProcessHandover::default()
     }
