--- a/proxy/src/fleet.rs
+++ b/proxy/src/fleet.rs
@@ -2,24 +2,37 @@
 //! for each other member. The metrics are part of the reply to the admin call `metrics`. Both formats are public and must not
 //! change.
 
+#[cfg(test)]
+mod tests;
+
 use crate::units::MICROS_PER_MILLI;
 use birchreach_membership::{Membership, Micros, PayloadError, ViewState};
 use birchreach_peer_state::datagram::DatagramError;
 use prometheus_client::encoding::text::encode_registry;
-use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
+use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 
-/// The direction of a datagram. The names of the variants are the values of the label.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
+/// The direction of a datagram.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Direction {
     /// The datagram was sent.
     Sent,
     /// The datagram was received and accepted.
-    Taken,
+    Received,
+}
+
+impl EncodeLabelValue for Direction {
+    /// Writes the value of the label. The values are public and must not change.
+    fn encode(&self, encoder: &mut LabelValueEncoder) -> fmt::Result {
+        encoder.write_str(match self {
+            Direction::Sent => "Sent",
+            Direction::Received => "Taken",
+        })
+    }
 }
 
 /// Label of metrics that are counted by direction. The name of the field is the name of the label.
--- a/proxy/src/net/fleet/datagrams.rs
+++ b/proxy/src/net/fleet/datagrams.rs
@@ -57,7 +57,7 @@
         };
         match accepted {
             Err(error) => self.metrics.count_dropped(DropReason::Payload(error)),
-            Ok(()) => self.metrics.count_datagram(Direction::Taken, bytes.len()),
+            Ok(()) => self.metrics.count_datagram(Direction::Received, bytes.len()),
         }
     }
 
