--- a/shard-split/src/compare.rs
+++ b/shard-split/src/compare.rs
@@ -3,7 +3,7 @@
 //! difference is confirmed.
 
 use crate::query::{Child, ComparisonQuery, QueryResult};
-use crate::sample_comparison::{Outcome, ParentSample, PositionSample, RowDigest, compare_samples};
+use crate::sample_comparison::{ComparisonOutcome, ParentSample, PositionSample, RowDigest, compare_samples};
 use crate::{DifferenceKind, Micros};
 use birchreach_fault_injection::fault_injected;
 
@@ -63,11 +63,11 @@
 
     /// Returns what the samples prove. The non-owner agrees if it has no row, regardless of the parent's row, because
     /// it must never have a row of this key.
-    fn outcome(&self) -> Outcome {
+    fn outcome(&self) -> ComparisonOutcome {
         match self.child {
             Child::Owner => compare_samples(self.parent, self.sample),
-            Child::NonOwner if self.sample.row.is_none() => Outcome::Agrees,
-            Child::NonOwner => Outcome::Differs,
+            Child::NonOwner if self.sample.row.is_none() => ComparisonOutcome::Agrees,
+            Child::NonOwner => ComparisonOutcome::Differs,
         }
     }
 }
@@ -192,12 +192,14 @@
         confirmation_delay: Micros,
     ) -> Option<ComparisonEnd> {
         match found.outcome() {
-            Outcome::Agrees => Some(ComparisonEnd::Agrees),
-            Outcome::Lagging => self.retry(now, ComparisonEnd::Lagging),
-            Outcome::Inconclusive => self.retry(now, ComparisonEnd::Inconclusive),
-            Outcome::Differs if fault_injected!(NeverConfirms) => Some(ComparisonEnd::Inconclusive),
-            Outcome::Differs if fault_injected!(SkipsConfirmation) => Some(ComparisonEnd::Confirmed(found)),
-            Outcome::Differs => self.confirm(found, confirmation_delay),
+            ComparisonOutcome::Agrees => Some(ComparisonEnd::Agrees),
+            ComparisonOutcome::Lagging => self.retry(now, ComparisonEnd::Lagging),
+            ComparisonOutcome::Inconclusive => self.retry(now, ComparisonEnd::Inconclusive),
+            ComparisonOutcome::Differs if fault_injected!(NeverConfirms) => Some(ComparisonEnd::Inconclusive),
+            ComparisonOutcome::Differs if fault_injected!(SkipsConfirmation) => {
+                Some(ComparisonEnd::Confirmed(found))
+            }
+            ComparisonOutcome::Differs => self.confirm(found, confirmation_delay),
         }
     }
 
--- a/shard-split/src/lib.rs
+++ b/shard-split/src/lib.rs
@@ -50,7 +50,7 @@
 pub use difference::{ConfirmedDifference, DifferenceCounts, DifferenceKind};
 pub use query::{Child, ComparisonQuery, DueQuery, QueryResult};
 pub use report::{DEFINITION_MISMATCH, RangeDifferences, Report};
-pub use sample_comparison::{Outcome, ParentSample, PositionSample, RowDigest};
+pub use sample_comparison::{ComparisonOutcome, ParentSample, PositionSample, RowDigest};
 pub use settings::{ComparisonCounts, Settings};
 pub use status::{IncompleteReason, VerificationStatus};
 pub use verifier::SplitVerifier;
--- a/shard-split/src/sample_comparison.rs
+++ b/shard-split/src/sample_comparison.rs
@@ -30,7 +30,7 @@
 
 /// What the samples of the parent and of the owner prove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Outcome {
+pub enum ComparisonOutcome {
     /// The rows are the same.
     Agrees,
     /// The child has not yet reached the commit of the parent's row.
@@ -42,18 +42,18 @@
 }
 
 /// Compares the samples of the parent and of the child that owns the key.
-pub fn compare_samples(parent: ParentSample, child: PositionSample) -> Outcome {
+pub fn compare_samples(parent: ParentSample, child: PositionSample) -> ComparisonOutcome {
     if parent.row == child.row {
-        return Outcome::Agrees;
+        return ComparisonOutcome::Agrees;
     }
     if child.position_before < parent.committed_at && !fault_injected!(IgnoresCommitTime) {
         // The child need not have the parent's row yet. It lags if it cannot have the row.
         let cannot_have_row = child.position_after < parent.committed_at;
-        return if cannot_have_row { Outcome::Lagging } else { Outcome::Inconclusive };
+        return if cannot_have_row { ComparisonOutcome::Lagging } else { ComparisonOutcome::Inconclusive };
     }
     // The child may include a commit beyond the position that the parent's sample is known to include.
     if child.position_after > parent.position && !fault_injected!(IgnoresLaterCommits) {
-        return Outcome::Inconclusive;
+        return ComparisonOutcome::Inconclusive;
     }
-    Outcome::Differs
+    ComparisonOutcome::Differs
 }
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -3,7 +3,9 @@
 //! of a position and the read of a row. The transitions call the function of the crate itself.
 
 use birchreach_shard_split::faults::{self, Fault};
-use birchreach_shard_split::sample_comparison::{Outcome, ParentSample, PositionSample, compare_samples};
+use birchreach_shard_split::sample_comparison::{
+    ComparisonOutcome, ParentSample, PositionSample, compare_samples,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const COMMITS: usize = 4;
@@ -86,7 +88,7 @@
             committed_at: state.parent_applied as i64,
             position: parent_position as i64,
         };
-        let differs = compare_samples(parent, sample) == Outcome::Differs;
+        let differs = compare_samples(parent, sample) == ComparisonOutcome::Differs;
         let last_commit = state.log.len() - 1;
         let all_applied = sample.position_before as usize == last_commit && parent_position == last_commit;
         state.false_difference |= differs && !self.is_faulty(child);
