--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -19,7 +19,7 @@
         let Some(mut request) = self.pending.remove(&request_id) else { return false };
         let may_send = request.attempts_sent < request.max_attempts && self.now < request.deadline;
         let selected = if may_send { self.select_server(&mut request, actions) } else { None };
-        let selected = selected.filter(|server| self.may_repeat(&request, *server));
+        let selected = selected.filter(|server| self.may_execute_on(&request, *server));
         let has_attempt_in_flight = !request.in_flight_attempts.is_empty();
         self.pending.insert(request_id, request);
         match selected {
@@ -79,8 +79,9 @@
         })
     }
 
-    /// Whether the request may be sent to this server although earlier attempts may have run it.
-    pub(super) fn may_repeat(&self, request: &PendingRequest, server_id: ServerId) -> bool {
+    /// Returns whether the request may be executed on this server. If an earlier attempt may have executed
+    /// it, that depends on the hedging setting and on the idempotency of the request's class.
+    pub(super) fn may_execute_on(&self, request: &PendingRequest, server_id: ServerId) -> bool {
         let Some(first) = self.first_possible_execution(request) else { return true };
         if !request.in_flight_attempts.is_empty() && !self.settings.hedging_allowed {
             return false;
