--- a/proxy/src/config/check.rs
+++ b/proxy/src/config/check.rs
@@ -1,6 +1,6 @@
 //! The command `check`: finds all errors and warnings in a configuration, its options and its key files.
 
-use super::error::{ConfigFault, FaultKind};
+use super::error::{ConfigDiagnostic, DiagnosticKind};
 use super::json_location::line_of;
 use super::key_file::read_key_file;
 use super::options::{parse_options, read_options};
@@ -14,16 +14,18 @@
 #[derive(Debug, Default)]
 pub(crate) struct CheckReport {
     /// Errors in all files. A configuration with an error is not applied.
-    pub faults: Vec<ConfigFault>,
+    pub errors: Vec<ConfigDiagnostic>,
     /// Warnings about settings. A configuration with warnings is applied.
-    pub warnings: Vec<ConfigFault>,
+    pub warnings: Vec<ConfigDiagnostic>,
 }
 
 /// Checks the platform's file that an environment variable names, and the options file if there is one.
 pub(crate) fn check(variable: impl Fn(&str) -> Option<String>, options: Option<&Path>) -> CheckReport {
     let mut report = CheckReport::default();
     let Some(file) = variable(CONFIG_VARIABLE).map(PathBuf::from) else {
-        report.faults.push(ConfigFault::for_file(Path::new(CONFIG_VARIABLE), FaultKind::FileNotSpecified));
+        report
+            .errors
+            .push(ConfigDiagnostic::for_file(Path::new(CONFIG_VARIABLE), DiagnosticKind::FileNotSpecified));
         return report;
     };
     let config = report.check_config(&file, variable);
@@ -39,7 +41,7 @@
         let text = match std::fs::read_to_string(file) {
             Ok(text) => text,
             Err(error) => {
-                self.faults.push(ConfigFault::for_file(file, FaultKind::Unreadable(error)));
+                self.errors.push(ConfigDiagnostic::for_file(file, DiagnosticKind::Unreadable(error)));
                 return None;
             }
         };
@@ -50,7 +52,7 @@
                 Some(config)
             }
             Err(errors) => {
-                self.faults.extend(errors.into_iter().map(|error| locate_error(file, &text, error)));
+                self.errors.extend(errors.into_iter().map(|error| locate_error(file, &text, error)));
                 None
             }
         }
@@ -63,28 +65,32 @@
             Some(config) => read_options(file, config),
             None => parse_options(file),
         };
-        self.faults.extend(options.err().unwrap_or_default());
+        self.errors.extend(options.err().unwrap_or_default());
         let parsed = parse_options(file).unwrap_or_default();
         let key_files = [
             parsed.peer_state.map(|peer_state| peer_state.key_file),
             parsed.fleet.map(|fleet| fleet.key_file),
         ];
         for key_file in key_files.into_iter().flatten() {
-            self.faults.extend(read_key_file(&key_file).err());
+            self.errors.extend(read_key_file(&key_file).err());
         }
     }
 }
 
 /// Adds the line of the key to an error in the platform's file.
-fn locate_error(file: &Path, text: &str, error: PlatformFileError) -> ConfigFault {
+fn locate_error(file: &Path, text: &str, error: PlatformFileError) -> ConfigDiagnostic {
     let line = line_of(text, &error.key_path());
-    ConfigFault { file: file.into(), line, kind: FaultKind::PlatformFile(error) }
+    ConfigDiagnostic { file: file.into(), line, kind: DiagnosticKind::PlatformFile(error) }
 }
 
 /// Adds the line of the key to a warning about a setting.
-fn locate_warning(file: &Path, text: &str, warning: &SettingsWarning) -> ConfigFault {
+fn locate_warning(file: &Path, text: &str, warning: &SettingsWarning) -> ConfigDiagnostic {
     // A key that contains a space is unknown. Its warning is at the line of the settings.
     let path =
         if warning.key.contains(' ') { "settings".into() } else { format!("settings.{}", warning.key) };
-    ConfigFault { file: file.into(), line: line_of(text, &path), kind: FaultKind::Warning(warning.clone()) }
+    ConfigDiagnostic {
+        file: file.into(),
+        line: line_of(text, &path),
+        kind: DiagnosticKind::Warning(warning.clone()),
+    }
 }
--- a/proxy/src/config/error.rs
+++ b/proxy/src/config/error.rs
@@ -11,18 +11,18 @@
 
 /// An error or a warning at a line of a file.
 #[derive(Debug)]
-pub(crate) struct ConfigFault {
+pub(crate) struct ConfigDiagnostic {
     /// Path of the file, or the name of the environment variable that does not name a file.
     pub file: PathBuf,
     /// Line number, from 1.
     pub line: usize,
     /// The cause, with the key or element that it concerns.
-    pub kind: FaultKind,
+    pub kind: DiagnosticKind,
 }
 
 /// The cause of an error or a warning.
 #[derive(Debug)]
-pub(crate) enum FaultKind {
+pub(crate) enum DiagnosticKind {
     /// The environment variable with the path of the configuration file is not set.
     FileNotSpecified,
     /// The file cannot be read.
@@ -47,40 +47,40 @@
     /// The platform's JSON file has errors, of which this is the first.
     Invalid { file: String, first: Option<PlatformFileError> },
     /// The options file has errors. `more` is the number of errors after the first.
-    Options { first: Option<ConfigFault>, more: usize },
+    Options { first: Option<ConfigDiagnostic>, more: usize },
     /// A key file has an error.
-    KeyFile(ConfigFault),
+    KeyFile(ConfigDiagnostic),
     /// A key of the running configuration is missing, or has a value of another type.
     MissingKey(String),
     /// A list of settings does not have one entry for each class.
     ClassListLengthMismatch { key: &'static str, entries: usize, classes: usize },
 }
 
-impl ConfigFault {
+impl ConfigDiagnostic {
     /// Returns an error that concerns a file as a whole.
-    pub(super) fn for_file(file: &Path, kind: FaultKind) -> ConfigFault {
-        ConfigFault { file: file.into(), line: 1, kind }
+    pub(super) fn for_file(file: &Path, kind: DiagnosticKind) -> ConfigDiagnostic {
+        ConfigDiagnostic { file: file.into(), line: 1, kind }
     }
 }
 
-impl Display for ConfigFault {
+impl Display for ConfigDiagnostic {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:{}: {}", self.file.display(), self.line, self.kind)
     }
 }
 
-impl Display for FaultKind {
+impl Display for DiagnosticKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FaultKind::FileNotSpecified => f.write_str(
+            DiagnosticKind::FileNotSpecified => f.write_str(
                 "file: the environment variable is not set; set it to the path of the configuration file, or use --config",
             ),
-            FaultKind::Unreadable(error) => write!(f, "file: cannot be read: {error}"),
-            FaultKind::PlatformFile(error @ PlatformFileError::InvalidJson(_)) => write!(f, "file: {error}"),
-            FaultKind::PlatformFile(error) => error.fmt(f),
-            FaultKind::Warning(warning) => warning.fmt(f),
-            FaultKind::Options(error) => write!(f, "{}: {}", error.element, error.kind),
-            FaultKind::KeyFile(error) => write!(f, "key: {error}"),
+            DiagnosticKind::Unreadable(error) => write!(f, "file: cannot be read: {error}"),
+            DiagnosticKind::PlatformFile(error @ PlatformFileError::InvalidJson(_)) => write!(f, "file: {error}"),
+            DiagnosticKind::PlatformFile(error) => error.fmt(f),
+            DiagnosticKind::Warning(warning) => warning.fmt(f),
+            DiagnosticKind::Options(error) => write!(f, "{}: {}", error.element, error.kind),
+            DiagnosticKind::KeyFile(error) => write!(f, "key: {error}"),
         }
     }
 }
@@ -114,6 +114,6 @@
     }
 }
 
-impl Error for ConfigFault {}
+impl Error for ConfigDiagnostic {}
 
 impl Error for ConfigError {}
--- a/proxy/src/config/key_file.rs
+++ b/proxy/src/config/key_file.rs
@@ -1,7 +1,7 @@
 //! Reads the key file that the proxies of a fleet share.
 
 use super::HEX_RADIX;
-use super::error::{ConfigFault, FaultKind};
+use super::error::{ConfigDiagnostic, DiagnosticKind};
 use birchreach_peer_state::KeysError;
 use birchreach_peer_state::frame::{Key, Keys};
 use std::error::Error;
@@ -58,8 +58,9 @@
 /// Reads a key file. Each line contains the number of a key and its secret in hexadecimal digits. Empty lines and lines
 /// that begin with `#` are ignored. The first key seals the messages that this proxy sends. Only the owner may have
 /// permissions for the file.
-pub(super) fn read_key_file(file: &Path) -> Result<Keys, ConfigFault> {
-    let error_at = |line, error| ConfigFault { file: file.into(), line, kind: FaultKind::KeyFile(error) };
+pub(super) fn read_key_file(file: &Path) -> Result<Keys, ConfigDiagnostic> {
+    let error_at =
+        |line, error| ConfigDiagnostic { file: file.into(), line, kind: DiagnosticKind::KeyFile(error) };
     let file_error = |error| error_at(1, error);
     let metadata = std::fs::metadata(file).map_err(|error| file_error(KeyFileError::Unreadable(error)))?;
     let mode = metadata.permissions().mode() & SHOWN_MODE_BITS;
--- a/proxy/src/config/options.rs
+++ b/proxy/src/config/options.rs
@@ -1,12 +1,12 @@
 //! Reads the options file, with or without a check for conflicts with the configuration.
 
 use super::Config;
-use super::error::{ConfigFault, FaultKind};
+use super::error::{ConfigDiagnostic, DiagnosticKind};
 use birchreach_options::{Options, OptionsError};
 use std::path::Path;
 
 /// Reads the options and checks that they do not conflict with the configuration.
-pub(super) fn read_options(file: &Path, config: &Config) -> Result<Options, Vec<ConfigFault>> {
+pub(super) fn read_options(file: &Path, config: &Config) -> Result<Options, Vec<ConfigDiagnostic>> {
     let options = parse_options(file)?;
     let mut addresses = vec![("listen", config.listen_address), ("discovery", config.discovery_address)];
     addresses.extend(config.admin_address.map(|address| ("operator", address)));
@@ -16,18 +16,18 @@
 }
 
 /// Reads the options without a check for conflicts.
-pub(super) fn parse_options(file: &Path) -> Result<Options, Vec<ConfigFault>> {
+pub(super) fn parse_options(file: &Path) -> Result<Options, Vec<ConfigDiagnostic>> {
     let text = std::fs::read_to_string(file)
-        .map_err(|error| vec![ConfigFault::for_file(file, FaultKind::Unreadable(error))])?;
+        .map_err(|error| vec![ConfigDiagnostic::for_file(file, DiagnosticKind::Unreadable(error))])?;
     birchreach_options::parse(&text).map_err(|errors| located_errors(file, errors))
 }
 
 /// Adds the path of the file to errors of the options.
-fn located_errors(file: &Path, errors: Vec<OptionsError>) -> Vec<ConfigFault> {
-    let located = |error: OptionsError| ConfigFault {
+fn located_errors(file: &Path, errors: Vec<OptionsError>) -> Vec<ConfigDiagnostic> {
+    let located = |error: OptionsError| ConfigDiagnostic {
         file: file.into(),
         line: error.line,
-        kind: FaultKind::Options(Box::new(error)),
+        kind: DiagnosticKind::Options(Box::new(error)),
     };
     errors.into_iter().map(located).collect()
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -66,13 +66,13 @@
         Some(path) if name == config::CONFIG_VARIABLE => path.to_str().map(Into::into),
         _ => config::environment(name),
     };
-    let CheckReport { faults, warnings } = config::check(variable, options);
-    let mut text: String = faults.iter().map(|error| format!("{error}\n")).collect();
+    let CheckReport { errors, warnings } = config::check(variable, options);
+    let mut text: String = errors.iter().map(|error| format!("{error}\n")).collect();
     text.extend(warnings.iter().map(|warning| format!("doubt: {warning}\n")));
-    if faults.is_empty() {
+    if errors.is_empty() {
         text.push_str("no faults\n");
     }
-    print_and_exit(if faults.is_empty() { 0 } else { EXIT_INVALID_CONFIGURATION }, &text);
+    print_and_exit(if errors.is_empty() { 0 } else { EXIT_INVALID_CONFIGURATION }, &text);
 }
 
 /// Executes the command `health`: prints the health of a running proxy.
