--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -86,7 +86,7 @@
 pub(super) enum ProtocolState {
     Http(HttpCheckConnection),
     Agent {
-        line: AgentCheckConnection,
+        query_parser: AgentCheckConnection,
         /// The part of the reply that is not written yet. `None` until there is a reply.
         reply: Option<Vec<u8>>,
     },
@@ -99,7 +99,7 @@
         match protocol {
             CheckProtocol::Http => ProtocolState::Http(HttpCheckConnection::default()),
             CheckProtocol::Agent => {
-                ProtocolState::Agent { line: AgentCheckConnection::default(), reply: None }
+                ProtocolState::Agent { query_parser: AgentCheckConnection::default(), reply: None }
             }
             CheckProtocol::Grpc => ProtocolState::Grpc(Box::default()),
         }
--- a/proxy/src/net/checks/mod.rs
+++ b/proxy/src/net/checks/mod.rs
@@ -100,8 +100,8 @@
         let source = AnswerSource { options: self.options.as_ref(), observer: self.observer.as_ref() };
         let connection = self.connections.get_mut(key.0).filter(|connection| connection.serial == serial);
         let Some(connection) = connection else { return };
-        if let ProtocolState::Agent { line, reply: reply @ None } = &mut connection.state
-            && let Some(query) = line.input_ended()
+        if let ProtocolState::Agent { query_parser, reply: reply @ None } = &mut connection.state
+            && let Some(query) = query_parser.input_ended()
         {
             *reply = Some(agent_reply(context, &query, source));
             self.serve(context, key);
--- a/proxy/src/net/checks/serve.rs
+++ b/proxy/src/net/checks/serve.rs
@@ -57,8 +57,8 @@
     let turn = match (state, source.observer) {
         (ProtocolState::Http(http), Some(observer)) => serve_http(context, stream, http, observer),
         (ProtocolState::Grpc(grpc), Some(observer)) => serve_grpc(context, stream, grpc, observer),
-        (ProtocolState::Agent { line, reply }, Some(_)) => {
-            TurnResult::inactive(serve_agent(context, stream, line, reply, source))
+        (ProtocolState::Agent { query_parser, reply }, Some(_)) => {
+            TurnResult::inactive(serve_agent(context, stream, query_parser, reply, source))
         }
         (_, None) => TurnResult::inactive(CheckProgress::Finished(CheckCloseReason::ListenerDisabled)),
     };
@@ -158,18 +158,18 @@
 fn serve_agent(
     context: &mut EventLoopContext,
     stream: &mut TcpStream,
-    line: &mut AgentCheckConnection,
+    query_parser: &mut AgentCheckConnection,
     reply: &mut Option<Vec<u8>>,
     source: AnswerSource,
 ) -> CheckProgress {
     let mut query = None;
     let read = stream::read(stream, &mut context.scratch, |bytes| {
-        query = query.take().or_else(|| line.feed(bytes));
+        query = query.take().or_else(|| query_parser.feed(bytes));
         query.is_none()
     });
     if reply.is_none() {
         if read == Err(stream::StreamEnd::Closed) {
-            query = query.or_else(|| line.input_ended());
+            query = query.or_else(|| query_parser.input_ended());
         }
         *reply = query.map(|query| agent_reply(context, &query, source));
     }
