--- a/proxy/src/net/graceful_shutdown.rs
+++ b/proxy/src/net/graceful_shutdown.rs
@@ -44,7 +44,7 @@
 
     /// Sets the timers that close idle clients and exit the process. Does nothing if they are already set.
     pub(super) fn schedule_client_shutdown(&mut self) {
-        if std::mem::replace(&mut self.listener_closed, true) {
+        if std::mem::replace(&mut self.client_shutdown_scheduled, true) {
             return;
         }
         let close_idle_after = if self.config.inherited_descriptor.is_some() {
--- a/proxy/src/net/mod.rs
+++ b/proxy/src/net/mod.rs
@@ -83,7 +83,7 @@
     stopping: bool,
     /// The shutdown of clients is scheduled. Connections still arrive for a while, and idle clients may send another
     /// request until they are closed.
-    listener_closed: bool,
+    client_shutdown_scheduled: bool,
     /// Idle clients were closed. The loop ends when the last client disconnects.
     clients_closed: bool,
 }
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -98,7 +98,7 @@
             config,
             options,
             stopping: false,
-            listener_closed: false,
+            client_shutdown_scheduled: false,
             clients_closed: false,
         })
     }
