--- a/proxy/src/net/run_once.rs
+++ b/proxy/src/net/run_once.rs
@@ -42,7 +42,8 @@
     fn wait_for_events(&mut self, events: &mut Events) -> Result<(), EventLoopError> {
         let waiting_since = self.clock.now();
         let has_work = self.has_unfinished_work(waiting_since);
-        let timeout = if has_work { Some(Duration::ZERO) } else { self.context.timers.wait(waiting_since) };
+        let timeout =
+            if has_work { Some(Duration::ZERO) } else { self.context.timers.time_until_next(waiting_since) };
         match self.context.poll.poll(events, timeout) {
             Err(error) if error.kind() != ErrorKind::Interrupted => return Err(EventLoopError::Poll(error)),
             _ => {}
@@ -179,7 +180,7 @@
     /// Reads the clock again after the events, and handles the timers that are due.
     fn handle_due_timers(&mut self) {
         self.context.now = self.clock.now();
-        while let Some(due) = self.context.timers.due(self.context.now) {
+        while let Some(due) = self.context.timers.pop_due(self.context.now) {
             self.handle_timer(due);
             self.execute_commands();
         }
--- a/proxy/src/net/timers.rs
+++ b/proxy/src/net/timers.rs
@@ -70,13 +70,13 @@
     }
 
     /// Removes the next timer that is due and returns its event. Returns `None` if no timer is due.
-    pub(super) fn due(&mut self, now: Micros) -> Option<T> {
+    pub(super) fn pop_due(&mut self, now: Micros) -> Option<T> {
         self.heap.peek().filter(|Reverse(timer)| timer.due_at <= now)?;
         self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
     /// Returns the time until the next timer is due, zero if it is overdue, or `None` if no timer is set.
-    pub(super) fn wait(&self, now: Micros) -> Option<Duration> {
+    pub(super) fn time_until_next(&self, now: Micros) -> Option<Duration> {
         let Reverse(timer) = self.heap.peek()?;
         Some(Duration::from_micros(u64::try_from(timer.due_at - now).unwrap_or(0)))
     }
