--- a/health/tests/histories/reference_model.rs
+++ b/health/tests/histories/reference_model.rs
@@ -61,7 +61,7 @@
 }
 
 impl ReferenceModel {
-    /// An model without servers.
+    /// Creates a model without servers.
     pub(crate) fn new(seed: u64, settings: HealthSettings) -> ReferenceModel {
         ReferenceModel {
             seed,
