--- a/proxy/src/cli.rs
+++ b/proxy/src/cli.rs
@@ -49,7 +49,8 @@
     /// Check configuration and options, and print each error with file, line and element; exit 2 if there are errors.
     /// Warnings, for example about unknown keys, are printed too and do not change the exit code
     Check(CheckArguments),
-    /// Print the health of a running proxy; exit 0 if it is available, 1 if not, 2 if there is no answer
+    /// Print the health of a running proxy; exit 0 if it is available, 1 if not, 2 if that cannot be determined, for
+    /// example because the proxy does not answer
     Health(HealthArguments),
 }
 
