--- a/proxy/src/net/checks/connection.rs
+++ b/proxy/src/net/checks/connection.rs
@@ -1,6 +1,6 @@
 //! A balancer's connection in any of the check protocols, and the reasons for closing it.
 
-use super::super::ids::CheckSerial;
+use super::super::ids::CheckConnectionSerial;
 use super::super::sources::Source;
 use crate::grpc::GrpcCheckConnection;
 use birchreach::Micros;
@@ -86,7 +86,7 @@
 pub(super) enum ProtocolState {
     Http(HttpCheckConnection),
     Agent {
-        line: AgentCheckConnection,
+        query_parser: AgentCheckConnection,
         /// The part of the reply that is not written yet. `None` until there is a reply.
         reply: Option<Vec<u8>>,
     },
@@ -99,7 +99,7 @@
         match protocol {
             CheckProtocol::Http => ProtocolState::Http(HttpCheckConnection::default()),
             CheckProtocol::Agent => {
-                ProtocolState::Agent { line: AgentCheckConnection::default(), reply: None }
+                ProtocolState::Agent { query_parser: AgentCheckConnection::default(), reply: None }
             }
             CheckProtocol::Grpc => ProtocolState::Grpc(Box::default()),
         }
@@ -112,14 +112,19 @@
     pub(super) protocol: CheckProtocol,
     pub(super) state: ProtocolState,
     /// Distinguishes the connection from earlier ones with the same key.
-    pub(super) serial: CheckSerial,
+    pub(super) serial: CheckConnectionSerial,
     /// The time at which the balancer last completed a request or read some output.
     pub(super) active_at: Micros,
 }
 
 impl CheckConnection {
     /// Creates the state of a connection that has just been accepted.
-    pub(super) fn new(stream: TcpStream, protocol: CheckProtocol, serial: CheckSerial, now: Micros) -> Self {
+    pub(super) fn new(
+        stream: TcpStream,
+        protocol: CheckProtocol,
+        serial: CheckConnectionSerial,
+        now: Micros,
+    ) -> Self {
         CheckConnection { stream, protocol, state: ProtocolState::new(protocol), serial, active_at: now }
     }
 
--- a/proxy/src/net/start.rs
+++ b/proxy/src/net/start.rs
@@ -15,7 +15,7 @@
 use super::sources::Source;
 use super::timer_events::TimerEvent;
 use super::timers::{Clock, Timers};
-use super::{EventLoop, SWEEP_INTERVAL_MICROS, listener};
+use super::{EventLoop, PERIODIC_TASK_INTERVAL_MICROS, listener};
 use crate::config::Config;
 use crate::core::Core;
 use crate::discovery::EndpointUpdate;
@@ -30,11 +30,11 @@
 /// The maximum number of bytes that one read takes from a socket.
 const SCRATCH_BYTES: usize = 64 << 10;
 
-/// Connects to the other process of this proxy, or listens for one. Does neither if this proxy does not share its
-/// listener.
+/// Connects to the predecessor of this process, if there is one, and listens for a successor. Does neither if this proxy
+/// does not share its listener.
 fn open_handover(poll: &Poll, address: SocketAddr, shared_listener: bool) -> ProcessHandover {
     if shared_listener {
-        ProcessHandover::connect_or_listen(poll.registry(), address)
+        ProcessHandover::connect_and_listen(poll.registry(), address)
     } else {
         ProcessHandover::default()
     }
@@ -98,7 +98,7 @@
             config,
             options,
             stopping: false,
-            listener_closed: false,
+            client_shutdown_scheduled: false,
             clients_closed: false,
         })
     }
@@ -126,7 +126,7 @@
             info!(event = "predecessor-connected");
         }
         self.apply_process_count();
-        self.context.timers.set(started_at + SWEEP_INTERVAL_MICROS, TimerEvent::Sweep);
+        self.context.timers.set(started_at + PERIODIC_TASK_INTERVAL_MICROS, TimerEvent::PeriodicTasks);
         self.discovery.start(&mut self.context);
         Ok(())
     }
--- a/proxy/src/net/timer_events.rs
+++ b/proxy/src/net/timer_events.rs
@@ -1,7 +1,8 @@
 //! The events for which the subsystems set timers.
 
 use super::ids::{
-    CheckKey, CheckSerial, ConnectionKey, ConnectionSerial, LinkKey, LinkSerial, PollStateSerial, QuerySerial,
+    CheckConnectionKey, CheckConnectionSerial, ConnectionKey, ConnectionSerial, LinkKey, LinkSerial,
+    PollStateSerial, QuerySerial,
 };
 use crate::core::{AttemptId, RoutingTimerId};
 
@@ -23,10 +24,10 @@
     RetryAccept,
     /// The next poll of discovery is due, or a state of the current one has timed out.
     Discovery(PollStateSerial),
-    /// The next sweep for connections that have been idle for too long is due.
-    Sweep,
+    /// The periodic tasks are due: connections that have been idle for too long are closed, and the load is reported.
+    PeriodicTasks,
     /// A balancer has not sent a query within the time limit.
-    CheckTimeout(CheckKey, CheckSerial),
+    CheckTimeout(CheckConnectionKey, CheckConnectionSerial),
     /// The verdict for balancers may change at this time.
     HealthUpdate,
     /// The next load report to the health monitor is due.
