--- a/proxy/src/net/clients/accept.rs
+++ b/proxy/src/net/clients/accept.rs
@@ -55,7 +55,7 @@
             match listener.accept() {
                 Ok((stream, peer)) => {
                     let key = self.register_client(context, stream, peer);
-                    self.shed_for(context, key);
+                    self.shed_if_over_limit(context, key);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.accept_pending = false,
                 Err(error)
@@ -97,7 +97,7 @@
             return None;
         }
         slot.insert(Client::new(stream, peer, self.next_serial, context.now));
-        self.unclassified_count += 1;
+        self.clients_without_request += 1;
         self.next_serial = self.next_serial.next();
         Some(key)
     }
--- a/proxy/src/net/clients/client.rs
+++ b/proxy/src/net/clients/client.rs
@@ -90,7 +90,7 @@
     pub streamed_value: Option<StreamedValue>,
     pub answered_requests: u64,
     /// The client has made no request yet. It may be a balancer that only checks whether the process accepts connections.
-    pub unclassified: bool,
+    pub awaits_first_request: bool,
     /// The client has closed its side of the connection. Commands that it sent before need no answer.
     pub peer_closed: bool,
     /// The last turn reached its limits before all input was read and all output written.
@@ -117,7 +117,7 @@
             open_request: None,
             streamed_value: None,
             answered_requests: 0,
-            unclassified: true,
+            awaits_first_request: true,
             peer_closed: false,
             turn_incomplete: false,
             closing: None,
@@ -153,8 +153,8 @@
         ShedRank { class, inactive_since, serial: self.serial }
     }
 
-    /// Returns the attempt whose streamed value can be read further, if the client has taken all bytes received so far. Returns
-    /// the attempt once for each chunk.
+    /// Returns the attempt that can continue to read the streamed value, if all bytes that it has read were written to the
+    /// client's socket. Returns the attempt once for each chunk.
     pub(super) fn take_attempt_to_resume(&mut self) -> Option<AttemptId> {
         let output_is_empty = self.protocol.outbox.pending().is_empty();
         let value = self.streamed_value.as_mut().filter(|value| value.chunk_unsent && output_is_empty)?;
--- a/proxy/src/net/clients/shed.rs
+++ b/proxy/src/net/clients/shed.rs
@@ -27,23 +27,27 @@
 
     /// Sets how many clients without a request are left out of the limit. They may be balancers that only check whether the proxy
     /// accepts connections. Descriptors are reserved for them.
-    pub(crate) fn set_unclassified_allowance(&mut self, allowance: usize) {
-        self.unclassified_allowance = allowance;
+    pub(crate) fn set_max_uncounted_clients(&mut self, max_uncounted_clients: usize) {
+        self.max_uncounted_clients = max_uncounted_clients;
     }
 
     /// Sheds one client to free a descriptor for a connection to a database or to discovery.
-    pub(crate) fn release_descriptor(&mut self, context: &mut EventLoopContext) {
+    pub(crate) fn shed_to_free_descriptor(&mut self, context: &mut EventLoopContext) {
         self.shed(context, None, ShedClass::InGracePeriod);
     }
 
     /// Returns the number of clients that count towards the limit.
     pub(super) fn counted_clients(&self) -> usize {
-        self.connections.len() - self.unclassified_count.min(self.unclassified_allowance)
+        self.connections.len() - self.clients_without_request.min(self.max_uncounted_clients)
     }
 
     /// Sheds another client if a new one exceeds the limit or the early-shed threshold, or took the last descriptor. Runs after
     /// the accept, because only the accept shows that a client has arrived. `new_client` is `None` if it could not be registered.
-    pub(super) fn shed_for(&mut self, context: &mut EventLoopContext, new_client: Option<ClientKey>) {
+    pub(super) fn shed_if_over_limit(
+        &mut self,
+        context: &mut EventLoopContext,
+        new_client: Option<ClientKey>,
+    ) {
         if self.counted_clients() > self.max_clients || self.reserve_descriptor.is_none() {
             self.shed(context, new_client, ShedClass::InGracePeriod);
         } else if self.counted_clients() > self.early_shed_threshold {
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -4,14 +4,14 @@
 mod rig;
 
 use birchreach_test_support::fleet::admin_call;
-use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, plant_difference};
-use birchreach_test_support::groups::{PlantedDifference, State, now_ms};
+use birchreach_test_support::groups::split_groups::{LOWER_CHILD, PARENT, UPPER_CHILD, inject_difference};
+use birchreach_test_support::groups::{GroupState, InjectedDifference, now_ms};
 use birchreach_test_support::relay::NetworkFaults;
 use rig::{CHILD_LAG_MS, SPLIT_OPTIONS, SplitRig};
 use std::thread::sleep;
 use std::time::Duration;
 
-fn set_lag(state: &mut State, lag_ms: i64) {
+fn set_lag(state: &mut GroupState, lag_ms: i64) {
     state.members.iter_mut().for_each(|member| member.lag_ms = lag_ms);
 }
 
@@ -48,11 +48,11 @@
     let mut planted = Vec::new();
     for (index, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
         let difference = match index % 3 {
-            0 => PlantedDifference::Missing,
-            1 => PlantedDifference::Extra,
-            _ => PlantedDifference::OtherValue("ffff".into()),
+            0 => InjectedDifference::Missing,
+            1 => InjectedDifference::Extra,
+            _ => InjectedDifference::OtherValue("ffff".into()),
         };
-        planted.push(plant_difference(&rig.cluster.groups, key, difference));
+        planted.push(inject_difference(&rig.cluster.groups, key, difference));
     }
     planted.sort();
     planted
--- a/proxy/tests/split/rig.rs
+++ b/proxy/tests/split/rig.rs
@@ -1,13 +1,13 @@
 //! Proxies in front of a group that splits into two children, and clients that read all its keys.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
-use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
+use birchreach_test_support::groups::history_checks::{check_none_during_slow_start, check_rate_limit};
 use birchreach_test_support::groups::split_groups::{
     LOWER_CHILD, PARENT, UPPER_CHILD, start_split_groups, write_initial_rows,
 };
 use birchreach_test_support::groups::split_keys::hash;
 use birchreach_test_support::groups::traffic::{ReadRate, Traffic, TrafficProfile};
-use birchreach_test_support::groups::{CapacityModel, ClusterRig, GroupProfile, State, StatementKind};
+use birchreach_test_support::groups::{CapacityModel, ClusterRig, GroupProfile, GroupState, StatementKind};
 use birchreach_test_support::process::{MAX_WAIT, Process};
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -168,7 +168,7 @@
 }
 
 /// Checks that a child was read by proxies alone, within their budget and not while it was warming up.
-fn check_child_records(state: &State) {
+fn check_child_records(state: &GroupState) {
     let is_client_read =
         |statement: &StatementKind| matches!(statement, StatementKind::Read { background: false });
     let client_reads = state.records.iter().filter(|record| is_client_read(&record.statement)).count();
@@ -177,6 +177,6 @@
         matches!(statement, StatementKind::Read { background: true } | StatementKind::PositionRead)
     };
     let highest = check_rate_limit(&state.records, BUDGET_WINDOW_MS, MAX_DUAL_READS, is_dual_read).unwrap();
-    check_none_while_warming_up(&state.records, is_dual_read).unwrap();
+    check_none_during_slow_start(&state.records, is_dual_read).unwrap();
     assert!(highest > 0);
 }
--- a/shard-split/tests/model.rs
+++ b/shard-split/tests/model.rs
@@ -3,7 +3,9 @@
 //! of a position and the read of a row. The transitions call the function of the crate itself.
 
 use birchreach_shard_split::faults::{self, Fault};
-use birchreach_shard_split::sample_comparison::{Outcome, ParentSample, PositionSample, compare_samples};
+use birchreach_shard_split::sample_comparison::{
+    ComparisonOutcome, ParentSample, PositionSample, compare_samples,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const COMMITS: usize = 4;
@@ -11,7 +13,7 @@
 /// The child with wrong rows in the model with a faulty child.
 const FAULTY_CHILD: usize = 1;
 
-/// The names of the properties.
+// The properties that are checked. The checker reports a discovery under the text of its property.
 const NO_FALSE_DIFFERENCE: &str = "no difference is found in a child without a fault";
 const NO_MISSED_FAULT: &str = "a fault is found once all commits are applied";
 const FAULT_FOUND: &str = "a difference is found in the faulty child";
@@ -86,7 +88,7 @@
             committed_at: state.parent_applied as i64,
             position: parent_position as i64,
         };
-        let differs = compare_samples(parent, sample) == Outcome::Differs;
+        let differs = compare_samples(parent, sample) == ComparisonOutcome::Differs;
         let last_commit = state.log.len() - 1;
         let all_applied = sample.position_before as usize == last_commit && parent_position == last_commit;
         state.false_difference |= differs && !self.is_faulty(child);
--- a/test-support/src/groups/mod.rs
+++ b/test-support/src/groups/mod.rs
@@ -1,6 +1,7 @@
-//! Groups of databases with the behaviour that proxies have to cope with: a log with positions, replicas that apply it late,
-//! failover that loses the last writes, slow starts, queues, hangs, copies of other groups' rows, and children that follow
-//! a group that splits. Each statement is recorded; checks on these records show what proxies did.
+//! Simulated groups of databases with the behavior that proxies must handle: a log with positions, replication lag,
+//! failovers that lose the last writes, slow start, queues, hangs, copies of other groups' rows, and the children of a
+//! shard split, which replicate from their parent group. The groups record each statement, so that checks can verify
+//! what proxies sent.
 
 mod answers;
 mod cluster_rig;
@@ -8,9 +9,9 @@
 mod history;
 pub mod history_checks;
 mod member;
-pub mod play;
 mod run;
 mod run_checks;
+pub mod seeded_schedule;
 pub mod split_groups;
 pub mod split_keys;
 mod sql;
@@ -19,13 +20,13 @@
 mod traffic_client;
 
 pub use cluster_rig::ClusterRig;
-pub use history::{Change, Entry, GroupHistory, PlantedDifference, Record, StatementKind};
+pub use history::{Change, GroupHistory, InjectedDifference, LogEntry, StatementKind, StatementRecord};
 pub use member::{CapacityModel, Group, GroupProfile, ParentLog};
-pub use state::{State, VisibleCopy, VisibleRow};
+pub use state::{GroupState, VisibleCopy, VisibleRow};
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The clock of all positions: Unix time in milliseconds.
+/// The current Unix time in milliseconds, which all log positions are based on.
 pub fn now_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as i64)
 }
