--- a/proxy/src/net/connection_limits.rs
+++ b/proxy/src/net/connection_limits.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
     /// Connections that count as clients. Further connections without a request are allowed, see
-    /// [`unclassified_allowance`].
+    /// [`max_uncounted_clients`].
     pub(super) clients: usize,
     /// Connections in the pool, idle ones included.
     pub(super) databases: usize,
