--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -33,7 +33,7 @@
     pub changed_at: Instant,
 }
 
-/// The addresses of one server.
+/// The listeners of one server. The balancer connects only to `check`; tests connect their clients to `client`.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerAddresses {
     /// The listener that answers its health checks.
--- a/test-support/src/client.rs
+++ b/test-support/src/client.rs
@@ -21,10 +21,11 @@
 /// Offset of the value in a row of one column: it follows the column count (2 bytes) and the value's length (4 bytes).
 const ROW_VALUE_OFFSET: usize = 6;
 
-/// The result of a statement.
+/// What the proxy answered to a statement before ReadyForQuery. A broken connection or an expired time limit is an
+/// [`io::Error`] instead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The statement succeeded. Holds the value of the only row, or nothing if there was no row.
+    /// The statement succeeded. Holds the value of the only row; empty if there was no row.
     Served(Vec<u8>),
     /// The statement failed with this SQLSTATE.
     Error(String),
@@ -61,8 +62,8 @@
         self.write_key(class, group, "7f3a", "9f03", deadline_ms)
     }
 
-    /// Reads the row of a key. `deadline_ms` is the request's deadline in milliseconds. `after` is the log position that
-    /// the read must include, in milliseconds; `None` sets no position.
+    /// Reads the row of a key. `deadline_ms` is the request's deadline in milliseconds. `after` is the log position, in
+    /// milliseconds, that the read must include; `None` sets no position.
     pub fn read_key(
         &mut self,
         class: &str,
--- a/test-support/src/database.rs
+++ b/test-support/src/database.rs
@@ -94,12 +94,14 @@
         Ok(database)
     }
 
-    /// The address on which it listens.
+    /// The address on which the database listens. It stays the same when the database becomes unavailable and available
+    /// again.
     pub fn address(&self) -> SocketAddr {
         self.0.address
     }
 
-    /// Number of statements received so far, including health checks.
+    /// Number of statements that the database has received since its start. Health checks and statements without an
+    /// answer are included.
     pub fn statement_count(&self) -> u64 {
         self.0.statement_count.load(Ordering::Relaxed)
     }
--- a/test-support/src/database_server.rs
+++ b/test-support/src/database_server.rs
@@ -15,7 +15,7 @@
 
 /// The behavior of a database that its connections depend on. Each thread has its own handle.
 pub(crate) trait DatabaseBehavior: Clone + Send + 'static {
-    /// The address on which it listens.
+    /// The address on which the database listens, and which it binds again when it becomes available again.
     fn address(&self) -> SocketAddr;
 
     /// Whether its threads must end.
--- a/test-support/src/discovery.rs
+++ b/test-support/src/discovery.rs
@@ -100,7 +100,8 @@
         self.inner.changed.notify_all();
     }
 
-    /// Total size of all bodies sent so far, in bytes, without HTTP headers.
+    /// Total size in bytes of all bodies that the service has sent, without HTTP headers. A restarted service counts
+    /// from 0.
     pub fn sent_body_bytes(&self) -> u64 {
         self.inner.sent_body_bytes.load(Ordering::Relaxed)
     }
--- a/test-support/src/groups/answers.rs
+++ b/test-support/src/groups/answers.rs
@@ -12,8 +12,8 @@
 };
 use std::thread;
 
-/// Time after a restart until all proxies that reach discovery know of it and statements already in transit have
-/// arrived. Statements that arrive earlier do not count as sent to a member in slow start.
+/// Time after a restart until all proxies that reach discovery have learned of the restart and statements already in
+/// transit have arrived. Statements that arrive earlier do not count as sent to a member in slow start.
 const RESTART_PROPAGATION_MS: i64 = 500;
 
 /// The text of all errors. Proxies evaluate only the SQLSTATE.
--- a/test-support/src/groups/cluster_rig.rs
+++ b/test-support/src/groups/cluster_rig.rs
@@ -18,9 +18,10 @@
 
 /// Groups, a discovery service and a fleet. Dropping this value stops the groups and the discovery service.
 pub struct ClusterRig {
-    /// The groups of databases.
+    /// The groups. The index of a group is its number in the endpoint list and in requests.
     pub groups: Vec<Group>,
-    /// The discovery service.
+    /// The service that lists the running members. Call [`ClusterRig::update_discovery`] after a change of a primary or
+    /// of the members that run.
     pub discovery: Discovery,
     /// The proxies' configuration and network.
     pub fleet: Fleet,
--- a/test-support/src/groups/history.rs
+++ b/test-support/src/groups/history.rs
@@ -26,11 +26,12 @@
 /// A commit in a group's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// The commit time. Commit times increase strictly along a log.
+    /// The commit time in milliseconds, which is also the log position of the commit. Commit times increase strictly
+    /// along a log.
     pub committed_at_ms: i64,
     /// The id of the client's request; empty if no client wrote the change.
     pub id: String,
-    /// The committed change.
+    /// What the commit wrote: a row of this group or its copy of another group's row.
     pub change: Change,
 }
 
@@ -48,12 +49,12 @@
 /// The kind of statement that a member received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
-    /// A write by a client.
+    /// A write by a client. It is recorded even if the member rejects it because another member is the primary.
     Write {
         /// The id of the client's request.
         id: String,
     },
-    /// A read of a row.
+    /// A read of a row of this group, without the time of its last commit.
     Read {
         /// Whether it is a background read that a proxy sent without a client's request.
         background: bool,
@@ -63,7 +64,7 @@
         /// Whether the member had a copy that was new enough.
         served: bool,
     },
-    /// A write of a copy of another group's row.
+    /// A write of a copy of another group's row. Like a client's write, it is recorded even if the member rejects it.
     CopyWrite,
     /// A read of a row together with the time of its last commit.
     PositionRead,
--- a/test-support/src/groups/member.rs
+++ b/test-support/src/groups/member.rs
@@ -15,14 +15,14 @@
 /// Lowest speed as a fraction of full speed. It bounds the time that a statement takes.
 const MIN_SPEED: f64 = 0.01;
 
-/// The capacity of a member.
+/// How many statements a member executes at once and how long each of them takes.
 #[derive(Clone, Debug)]
 pub struct CapacityModel {
-    /// Number of statements that it executes at once. Further statements wait.
+    /// Number of statements that it executes at once, at least 1. Further statements wait.
     pub max_concurrent: usize,
     /// Execution time of a statement at full speed.
     pub statement_time: Duration,
-    /// Its speed immediately after a start, as a fraction of full speed.
+    /// Its speed immediately after a start, as a fraction of full speed. Speeds below 0.01 act as 0.01.
     pub slow_start_initial_fraction: f64,
     /// Time from the start until it reaches full speed. The speed increases linearly.
     pub slow_start_window: Duration,
@@ -41,9 +41,9 @@
 /// The size and behavior of a group. All members have the same values.
 #[derive(Clone, Debug)]
 pub struct GroupProfile {
-    /// Number of members.
+    /// Number of members, at least 1. The first member starts as the primary, the others as replicas.
     pub member_count: usize,
-    /// Replication lag in milliseconds.
+    /// Initial replication lag of each member, in milliseconds. Tests may change it while the group runs.
     pub lag_ms: i64,
     /// The capacity of each member.
     pub capacity: CapacityModel,
@@ -51,7 +51,7 @@
 
 /// The parent log of a child of a shard split, from which the child reads its rows.
 pub struct ParentLog {
-    /// The group that splits.
+    /// The parent. Commits that it lost in a failover stay visible to the child for a short time.
     pub group: Group,
     /// Whether the child owns a key after the split.
     pub owns_key: fn(&str) -> bool,
@@ -99,12 +99,12 @@
         Ok(group)
     }
 
-    /// The address on which a member listens.
+    /// The address on which a member listens. It stays the same when the member restarts.
     pub fn address(&self, member: usize) -> SocketAddr {
         self.0.addresses[member]
     }
 
-    /// Number of members in the group.
+    /// Number of members, including those that do not run.
     pub fn member_count(&self) -> usize {
         self.0.addresses.len()
     }
@@ -116,7 +116,7 @@
         result
     }
 
-    /// A snapshot of what the group has recorded so far.
+    /// A snapshot of the commits and statements that the group has recorded since its start.
     pub fn history(&self) -> GroupHistory {
         self.with_state(|state| GroupHistory {
             records: state.records.clone(),
@@ -140,7 +140,7 @@
     }
 }
 
-/// The server of one member.
+/// A handle through which the connections of one member reach the group's state.
 #[derive(Clone)]
 struct MemberServer {
     group: Group,
--- a/test-support/src/groups/run.rs
+++ b/test-support/src/groups/run.rs
@@ -29,8 +29,8 @@
 /// The fraction of reads of the first key that must see the client's last write.
 const SESSION_FRACTION: f64 = 0.3;
 
-/// The processes of a run and the data collected so far. `processes` is declared before `rig` so that the processes are
-/// dropped first.
+/// The processes of a run and the data collected during the run. `processes` is declared before `rig` so that the
+/// processes are dropped first.
 pub(super) struct Run {
     /// `None` stands for a process that was killed.
     pub processes: Vec<Option<Process>>,
@@ -38,7 +38,7 @@
     addresses: Arc<ProxyAddresses>,
     /// For each process, whether it was killed or restarted.
     pub killed: [bool; PROCESS_COUNT],
-    /// Log lines of processes that have ended.
+    /// Log lines of processes that have ended; after the traffic has stopped, of all processes.
     pub log_lines: Vec<String>,
 }
 
--- a/test-support/src/groups/seeded_schedule.rs
+++ b/test-support/src/groups/seeded_schedule.rs
@@ -1,6 +1,6 @@
 //! A seeded fault-injection run of several processes, with hot keys and a shard split at the same time. The faults of
-//! processes, network and databases are generated from a seed. Clients send requests during the whole run, and all
-//! checks run at the end. A failing seed reproduces the same faults.
+//! processes, network and databases are generated from a seed. Clients send requests throughout the run, and all checks
+//! run at the end. A failing seed reproduces the same faults.
 
 use super::database_faults::{
     DatabaseFault, GROUP_COUNT, GeneratedFaults, MEMBER_COUNT, NORMAL_LAG_MS, TimedDatabaseFault,
--- a/test-support/src/groups/split_groups.rs
+++ b/test-support/src/groups/split_groups.rs
@@ -31,7 +31,7 @@
     Ok(vec![parent.clone(), start_child(belongs_to_lower_child)?, start_child(belongs_to_upper_child)?])
 }
 
-/// Commits an initial value of each key, with a commit time so long ago that all replicas have applied it.
+/// Commits an initial value of each key, with a commit time far enough in the past that all replicas have applied it.
 pub fn write_initial_rows(parent: &Group, keys: &[String]) {
     for (index, key) in keys.iter().enumerate() {
         let change = Change::Row { key: key.clone(), value: format!("{index:04x}") };
--- a/test-support/src/groups/state.rs
+++ b/test-support/src/groups/state.rs
@@ -4,7 +4,7 @@
 use super::history::{Change, InjectedDifference, LogEntry, StatementRecord};
 use std::collections::HashMap;
 
-/// The state of one member.
+/// The data that determines what a member answers. Tests set `running`, `hung` and `lag_ms` to inject faults.
 #[derive(Clone, Debug)]
 pub struct MemberState {
     /// Whether its process runs.
@@ -34,7 +34,7 @@
 pub struct VisibleRow {
     /// The row's value, in hexadecimal digits.
     pub value: String,
-    /// When the value was committed.
+    /// When the value was committed; 0 for an injected value, which no commit wrote.
     pub committed_at_ms: i64,
 }
 
@@ -53,18 +53,20 @@
 /// Milliseconds by which a restored member reduces its lag per millisecond, in addition to applying new commits.
 const CATCH_UP_FACTOR: i64 = 4;
 
-/// The state of a group.
+/// The data from which all members of a group answer, and the record of the statements that they received. All times
+/// are in milliseconds of the clock from which callers take `now`.
 #[derive(Clone, Debug)]
 pub struct GroupState {
     /// The commits, ordered by commit time.
     pub log: Vec<LogEntry>,
     /// The commits that failovers lost.
     pub lost_commits: Vec<LogEntry>,
-    /// The time of the last failover.
+    /// The time of the last failover; far in the past if there was none.
     last_failover_ms: i64,
     /// The members, in the order of their indices.
     pub members: Vec<MemberState>,
-    /// The primary's index.
+    /// The index of the primary in `members`. A former primary that was not notified of the failover reports itself as
+    /// the primary too.
     pub primary: usize,
     /// Injected differences from the parent group, by key.
     pub injected_differences: HashMap<String, InjectedDifference>,
--- a/test-support/src/groups/traffic.rs
+++ b/test-support/src/groups/traffic.rs
@@ -13,9 +13,9 @@
 /// A key with the rate at which a client reads it.
 #[derive(Clone, Debug)]
 pub struct ReadRate {
-    /// The key.
+    /// Identifies the row. Statements contain the key without escaping.
     pub key: String,
-    /// Average number of reads per second.
+    /// Average number of reads per second. The intervals between reads are exponentially distributed.
     pub reads_per_second: f64,
 }
 
@@ -31,14 +31,14 @@
     /// The fraction of the first key's reads that must see the client's last write. All other reads have bounded
     /// staleness.
     pub session_fraction: f64,
-    /// Average number of writes of the first key per second.
+    /// Average number of writes of the first key per second; 0 for a client that only reads.
     pub write_rate: f64,
 }
 
-/// A served read and the group that it read from.
+/// A served read and the group that the client sent it to.
 #[derive(Clone, Debug)]
 pub struct GroupRead {
-    /// The number of the group.
+    /// The number of the group that owns the row. The value may come from a copy in another group.
     pub group: u32,
     /// The read as its client recorded it.
     pub read: ServedRead,
--- a/test-support/src/links.rs
+++ b/test-support/src/links.rs
@@ -14,7 +14,7 @@
 /// Size of a copying thread's buffer in bytes.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// One direction of a link.
+/// The sender and receiver of the bytes that one thread copies. Faults block the two directions of a link separately.
 #[derive(Clone)]
 struct LinkDirection {
     /// The sending process; `None` if it does not belong to the fleet.
--- a/test-support/src/many_databases.rs
+++ b/test-support/src/many_databases.rs
@@ -61,12 +61,13 @@
         SocketAddr::new(ip_address(index), self.port)
     }
 
-    /// Number of connections that all databases have accepted so far.
+    /// Number of connections that all databases together have accepted since their start. Connections from other
+    /// machines are rejected and not counted.
     pub fn connection_count(&self) -> u64 {
         self.inner.connection_count.load(Ordering::Relaxed)
     }
 
-    /// Number of statements that all databases have received so far, including health checks.
+    /// Number of statements that all databases together have received since their start, including health checks.
     pub fn statement_count(&self) -> u64 {
         self.inner.statement_count.load(Ordering::Relaxed)
     }
--- a/test-support/src/process.rs
+++ b/test-support/src/process.rs
@@ -23,7 +23,7 @@
 
 /// The settings that a process is started with.
 pub struct ProcessSettings<'a> {
-    /// Path of the executable.
+    /// Path of the built program. A shell receives it in single quotation marks, so it must not contain any.
     pub program: &'a Path,
     /// An existing folder for the process's files.
     pub folder: &'a Path,
@@ -84,17 +84,18 @@
         Ok(Process { child, log, config, options })
     }
 
-    /// The process id.
+    /// The process id of the program. The shell that starts the program replaces itself with it, so the id is the same.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// All lines that the process has logged so far.
+    /// The lines that the process has written to standard error since its start, oldest first. A line appears here
+    /// shortly after the process has written it.
     pub fn log(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
 
-    /// The first log line so far that contains all of these words.
+    /// The first log line that contains all of these words; `None` if no such line has arrived yet.
     pub fn find_log_line(&self, words: &[&str]) -> Option<String> {
         lock(&self.log).iter().find(|line| words.iter().all(|w| line.contains(w))).cloned()
     }
@@ -172,8 +173,8 @@
         None
     }
 
-    /// CPU time used so far. The file read covers only the main thread, which suffices because the program has one
-    /// thread.
+    /// CPU time that the process has used since its start; `None` if the system does not report it. The file read
+    /// covers only the main thread, which suffices because the program has one thread.
     pub fn cpu_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid())).ok()?;
         Some(Duration::from_nanos(stat.split(' ').next()?.parse().ok()?))
@@ -184,7 +185,7 @@
         self.memory_kib("VmRSS:")
     }
 
-    /// Peak resident memory so far in KiB; `None` if the system does not report it.
+    /// Highest resident memory since the start in KiB; `None` if the system does not report it.
     pub fn peak_memory_kib(&self) -> Option<u64> {
         self.memory_kib("VmHWM:")
     }
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -27,9 +27,9 @@
 /// A direction of traffic between two processes, which are given by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Direction {
-    /// The sending process.
+    /// The process that sends the data. On a link, it need not be the process that opened the connection.
     pub from: usize,
-    /// The receiving process.
+    /// The process that receives the data.
     pub to: usize,
 }
 
@@ -91,7 +91,8 @@
     pub relay_addresses: Vec<SocketAddr>,
     /// The address on which each process listens.
     pub process_addresses: Vec<SocketAddr>,
-    /// The current faults.
+    /// The faults that all relays apply, as set by [`Relays::set_faults`]. Datagrams that were queued before a change are
+    /// still delivered.
     pub faults: Arc<Mutex<NetworkFaults>>,
     stopped: Arc<AtomicBool>,
 }
--- a/test-support/src/rig.rs
+++ b/test-support/src/rig.rs
@@ -43,16 +43,16 @@
 
 /// Databases, a discovery service and configuration files for proxies.
 pub struct Rig {
-    /// The groups of databases.
+    /// The groups. The index of a group is its number in the endpoint list and in requests.
     pub groups: Vec<Group>,
-    /// The discovery service.
+    /// The service that lists the databases of `groups`. Proxies ignore it if `external_discovery` is set.
     pub discovery: Discovery,
     folder: PathBuf,
     program: PathBuf,
     loopback_address: IpAddr,
     /// The next port that [`Rig::free_address`] tries.
     next_port: AtomicU16,
-    /// The limit on descriptors in a proxy's configuration.
+    /// The limit on descriptors in the configuration of proxies that are started after it is set.
     pub max_descriptors: u32,
     /// If set, proxies use these instead of the rig's own discovery service and settings.
     pub external_discovery: Option<ExternalDiscovery>,
--- a/test-support/src/schedule.rs
+++ b/test-support/src/schedule.rs
@@ -17,7 +17,7 @@
 /// A fault, or the end of a fault. Numbers are process indices unless stated otherwise.
 #[derive(Clone, Debug)]
 pub enum FaultAction {
-    /// Kills a process.
+    /// Kills a process (SIGKILL). The process stays down until [`FaultAction::Start`] or [`Schedule::recover`].
     Kill(usize),
     /// Starts a process under the same name but without its earlier state. Kills the old process if it still runs.
     Start(usize),
@@ -43,7 +43,7 @@
 pub struct TimedAction {
     /// Time since the start of the schedule.
     pub after: Duration,
-    /// The action to apply.
+    /// The fault that begins or ends at this time.
     pub action: FaultAction,
 }
 
@@ -52,7 +52,7 @@
 pub struct Schedule {
     /// The seed that the schedule was generated from.
     pub seed: u64,
-    /// Number of processes in the fleet.
+    /// Number of processes in the fleet. The process indices in `actions` are below it.
     pub process_count: usize,
     /// The actions, ordered by time.
     pub actions: Vec<TimedAction>,
--- a/test-support/src/wire.rs
+++ b/test-support/src/wire.rs
@@ -1,5 +1,5 @@
-//! The part of the PostgreSQL protocol that test databases and clients need: message types, the encoding of messages, and
-//! the messages that every test database sends.
+//! The part of the PostgreSQL protocol that test databases and clients need: message types, the encoding of messages,
+//! and the messages that every test database sends.
 
 /// Message types of the PostgreSQL protocol.
 pub(crate) const AUTHENTICATION: u8 = b'R';
@@ -29,7 +29,7 @@
     message(AUTHENTICATION, &AUTHENTICATION_OK)
 }
 
-/// ReadyForQuery outside a transaction.
+/// Encodes ReadyForQuery for a session outside a transaction.
 pub(crate) fn ready_for_query() -> Vec<u8> {
     message(READY_FOR_QUERY, IDLE)
 }
@@ -48,7 +48,7 @@
         .concat()
 }
 
-/// An ErrorResponse message.
+/// Encodes an ErrorResponse of severity ERROR with this SQLSTATE and message text.
 pub(crate) fn error_response(sqlstate: &str, text: &str) -> Vec<u8> {
     message(ERROR_RESPONSE, format!("SERROR\0C{sqlstate}\0M{text}\0\0").as_bytes())
 }
--- a/test-support/tests/group_state.rs
+++ b/test-support/tests/group_state.rs
@@ -5,7 +5,7 @@
 /// The group whose rows are copied.
 const HOME: u32 = 7;
 
-/// Replication lag.
+/// Time after a commit until a replica has applied it.
 const LAG_MS: i64 = 50;
 
 fn row(key: &str, value: &str) -> Change {
--- a/test-support/tests/history_checks.rs
+++ b/test-support/tests/history_checks.rs
@@ -10,7 +10,7 @@
 /// The group whose rows are written and copied.
 const HOME: u32 = 0;
 
-/// A commit of a row.
+/// A client's commit of a row. Entries with the same key and commit time have the same request id.
 fn entry(committed_at_ms: i64, key: &str, value: &str) -> LogEntry {
     LogEntry {
         committed_at_ms,
@@ -19,7 +19,7 @@
     }
 }
 
-/// A commit of a copy of the key `k`, whose position claims that it is complete up to there.
+/// A commit of a copy of the key `k`. The copy claims to include all commits up to `position_ms`.
 fn copy(position_ms: i64, value: &str) -> LogEntry {
     LogEntry {
         committed_at_ms: 100,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A read of the key `k`.
+/// A read of the key `k` that has to include all commits up to `required_position_ms`.
 fn read(required_position_ms: i64, value: &str) -> ServedRead {
     ServedRead { key: "k".into(), required_position_ms, value: value.into() }
 }
