--- a/benches/src/schedules.rs
+++ b/benches/src/schedules.rs
@@ -76,7 +76,7 @@
     fn print(&self) {
         let sum = |count: fn(&Summary) -> u64| self.passed.iter().map(count).sum::<u64>();
         println!(
-            "| schedules | failed | served | refused | failed requests | broken with a killed proxy | reads judged | copies judged | served by copies | copies written | reads compared | planted faults | flags of them |"
+            "| schedules | failed | served | refused | failed requests | broken with a killed proxy | reads judged | copies judged | served by copies | copies written | reads compared | injected differences | reported differences |"
         );
         println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         println!(
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Seeded schedules of faults on four processes with hot keys and a split: the same ones each time. Thousands more are played by
-//! `birchreach-measure schedules`; a seed that failed there once stands here for good.
+//! Runs a fixed list of seeded fault schedules on four processes with hot keys and a shard split.
+//! `birchreach-measure schedules` runs thousands more; a seed that failed there is added to this list and stays in it.
 
 use birchreach_test_support::groups::seeded_schedule::{SeededSchedule, Summary};
 use std::path::Path;
@@ -7,8 +7,8 @@
 /// Seed 7 has a child's primary that is deposed without knowing it, seed 31 a process that is suspended while a database restarts.
 const SEEDS: [u64; 3] = [2, 7, 31];
 
-/// Plays a seed's schedule at loopback addresses of its own; panics if a check fails.
-fn play_seed(seed: u64) -> Summary {
+/// Runs the schedule of a seed at loopback addresses that no other schedule uses. Panics if a check fails.
+fn run_seed(seed: u64) -> Summary {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("schedule-{seed}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let loopback_address = [127, 85, (seed % 250) as u8, 1];
@@ -18,9 +18,9 @@
 
 #[test]
 fn seeded_schedules_of_faults_break_no_invariant() {
-    // Given schedules of faults, when they are played side by side, then no check fails
+    // Given schedules of faults, when they run concurrently, then no check fails
     let summaries: Vec<Summary> = std::thread::scope(|scope| {
-        let threads = SEEDS.map(|seed| scope.spawn(move || play_seed(seed)));
+        let threads = SEEDS.map(|seed| scope.spawn(move || run_seed(seed)));
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
     // And they had enough to check
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -43,19 +43,20 @@
     rig.cluster.fleet.relays.set_faults(NetworkFaults::default());
 }
 
-/// Plants a difference of each kind in turn, at every seventh key. Returns them as logs report them, sorted.
-fn plant_differences(rig: &SplitRig) -> Vec<String> {
-    let mut planted = Vec::new();
+/// Injects a difference at every seventh key and cycles through the kinds. Returns the differences as logs report them,
+/// sorted.
+fn inject_differences(rig: &SplitRig) -> Vec<String> {
+    let mut injected = Vec::new();
     for (index, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
         let difference = match index % 3 {
             0 => InjectedDifference::Missing,
             1 => InjectedDifference::Extra,
             _ => InjectedDifference::OtherValue("ffff".into()),
         };
-        planted.push(inject_difference(&rig.cluster.groups, key, difference));
+        injected.push(inject_difference(&rig.cluster.groups, key, difference));
     }
-    planted.sort();
-    planted
+    injected.sort();
+    injected
 }
 
 #[test]
@@ -74,17 +75,17 @@
 }
 
 #[test]
-fn planted_faults_are_confirmed_while_a_third_is_partitioned() {
-    // Given three processes and children with differences
+fn injected_differences_are_confirmed_while_a_third_is_partitioned() {
+    // Given three processes and children with injected differences
     let mut rig = SplitRig::start(2, 3);
-    let planted = plant_differences(&rig);
+    let injected = inject_differences(&rig);
     // When one of the processes hears from nobody, then they are confirmed all the same, and it reports what it knows
     rig.cluster.fleet.relays.set_faults(NetworkFaults::partition(1, 3));
-    rig.wait_until("found", |rig| rig.confirmed_differences() == planted);
+    rig.wait_until("found", |rig| rig.confirmed_differences() == injected);
     // When it hears from the others again, then the verdict speaks for all
     rig.cluster.fleet.relays.set_faults(NetworkFaults::default());
     rig.wait_until("dirty", |rig| rig.all_have_verdict("dirty"));
-    assert_eq!(rig.confirmed_differences(), planted);
+    assert_eq!(rig.confirmed_differences(), injected);
     rig.stop_and_check_records();
 }
 
