--- a/proxy/tests/configuration.rs
+++ b/proxy/tests/configuration.rs
@@ -5,7 +5,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
 const INVALID_CONFIGURATION: i32 = 2;
-/// An upper limit of the lines that the program logs until it has handled the signal.
+/// The number of log lines in which the failed reload must appear.
 const MAX_LINES: usize = 40;
 
 /// Returns a valid configuration. No discovery agent answers at the address in it.
@@ -36,7 +36,7 @@
         InvalidConfiguration { text: Some(text.into()), expected }
     }
 
-    /// The valid configuration after a replacement.
+    /// Replaces `old` in the valid configuration.
     fn changed(old: &str, new: &str, expected: &'static str) -> InvalidConfiguration {
         let text = valid_configuration().replace(old, new);
         InvalidConfiguration { text: Some(text), expected }
@@ -106,12 +106,12 @@
     std::fs::remove_file(&path).unwrap();
     std::fs::write(&path, "{").unwrap();
 
-    // When the signal arrives before the configuration.
+    // When the signal arrives before the program has read the configuration.
     send_hangup(&program);
     pipe.write_all(valid_configuration().as_bytes()).unwrap();
     drop(pipe);
 
-    // Then the program serves with the configuration that it has read, and the reload fails.
+    // Then the program serves with the configuration from the pipe, and the reload of the invalid file fails.
     let lines = BufReader::new(program.stderr.take().unwrap()).lines().map_while(Result::ok);
     let reload_failed = lines.take(MAX_LINES).any(|line| line.starts_with("event=reload-failed"));
     let _ = program.kill();
--- a/proxy/tests/configuration_messages/support.rs
+++ b/proxy/tests/configuration_messages/support.rs
@@ -10,7 +10,7 @@
 /// A configuration without errors and warnings.
 pub(crate) const VALID: &str = include_str!("../../../example/config.json");
 
-/// The folder with the files of one test.
+/// The folder that holds the files of one test.
 pub(crate) struct Folder(pub PathBuf);
 
 impl Folder {
--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -1,13 +1,14 @@
-//! Seeded schedules of faults on four processes with hot keys and a split: the same ones each time. Thousands more are played by
-//! `birchreach-measure schedules`; a seed that failed there once stands here for good.
+//! Seeded schedules of faults on four processes with hot keys and a split. `birchreach-measure schedules` plays thousands of other
+//! seeds; each seed that failed there is added to this test as a regression test.
 
 use birchreach_test_support::groups::play::{SeededSchedule, Summary};
 use std::path::Path;
 
-/// Seed 7 has a child's primary that is deposed without knowing it, seed 31 a process that is suspended while a database restarts.
+/// In seed 7, the primary of a child group is deposed and does not know it. In seed 31, a process is suspended while a database
+/// restarts.
 const SEEDS: [u64; 3] = [2, 7, 31];
 
-/// Plays a seed's schedule at loopback addresses of its own; panics if a check fails.
+/// Plays the schedule of a seed. Each seed has its own loopback addresses. Panics if a check fails.
 fn play_seed(seed: u64) -> Summary {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("schedule-{seed}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
@@ -18,12 +19,12 @@
 
 #[test]
 fn seeded_schedules_of_faults_break_no_invariant() {
-    // Given schedules of faults, when they are played side by side, then no check fails
+    // Given schedules of faults, when they are played in parallel, then no check fails
     let summaries: Vec<Summary> = std::thread::scope(|scope| {
         let threads = SEEDS.map(|seed| scope.spawn(move || play_seed(seed)));
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    // And they had enough to check
+    // And the schedules cause enough reads and copies for the checks to be meaningful
     let total = |count: fn(&Summary) -> usize| summaries.iter().map(count).sum::<usize>();
     assert!(
         total(|summary| summary.checked_reads) > 500 && total(|summary| summary.checked_copies) > 10,
--- a/proxy/tests/slow_reader.rs
+++ b/proxy/tests/slow_reader.rs
@@ -1,4 +1,4 @@
-//! A client that sends many requests and reads nothing.
+//! A client that sends many requests and reads no response.
 
 use birchreach_test_support::client::{Client, Reply};
 use birchreach_test_support::rig::Rig;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const VALUE_BYTES: usize = 30_000;
-/// Their responses are many times longer than what sockets hold.
+/// The total size of the responses is many times the size of the socket buffers.
 const UNREAD_REQUESTS: u32 = 1_000;
 const READ_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_MEMORY_KIB: u64 = 64 << 10;
@@ -16,11 +16,11 @@
 const STARTUP_PARAMETERS: &[u8] = b"user\0api\0database\0ledger\0\0";
 const LENGTH_BYTES: u32 = 4;
 
-/// What the proxy keeps for the client is bounded, others are served meanwhile, and the client is closed once it has read nothing
-/// for long.
+/// The proxy limits the memory that it uses for the client's responses, serves other clients meanwhile, and closes the client's
+/// connection after a time in which the client has read nothing.
 #[test]
-fn a_client_that_reads_nothing_is_closed_and_harms_nobody() {
-    // Given a long value, and a client that asks for it again and again without reading a response.
+fn a_client_that_reads_nothing_is_closed_while_other_clients_are_served() {
+    // Given a long value, and a client that requests it repeatedly without reading a response.
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("slow_reader");
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
     let rig = Rig::new(1, [127, 88, 221, 1], program, &folder).unwrap();
@@ -31,19 +31,19 @@
     assert!(matches!(written, Reply::Served(_)), "{written:?}");
     let _slow_client = send_unread_requests(address);
 
-    // Then another client is served until the proxy closes that one.
+    // Then another client is served until the proxy closes the slow client's connection.
     while process.find_log_line(&["conn=client", "reason=unresponsive"]).is_none() {
         let served = other_client.read_key("tariff-lookup", 0, "long", 2500, None).unwrap();
         assert!(matches!(served, Reply::Served(_)), "{served:?}");
         std::thread::sleep(READ_INTERVAL);
     }
 
-    // And the responses that nobody read have not filled the proxy's memory.
+    // And the memory of the proxy stays below the limit in spite of the unread responses.
     let memory_kib = process.resident_memory_kib();
     assert!(memory_kib.is_some_and(|kib| kib < MAX_MEMORY_KIB), "{memory_kib:?} KiB");
 }
 
-/// Connects and sends requests for the long value.
+/// Connects and sends requests for the long value. Returns the connection, from which nothing is read.
 fn send_unread_requests(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.write_all(&startup_message()).unwrap();
@@ -61,12 +61,12 @@
     [&message_length(&body), &body[..]].concat()
 }
 
-/// A `Query` message; the text ends with a zero byte.
+/// Returns a `Query` message. `text` has to end with a zero byte.
 fn query_message(text: &str) -> Vec<u8> {
     [b"Q", &message_length(text.as_bytes())[..], text.as_bytes()].concat()
 }
 
-/// The length field of a message, which counts itself.
+/// Returns the length field of a message. The length includes the field itself.
 fn message_length(body: &[u8]) -> [u8; LENGTH_BYTES as usize] {
     (body.len() as u32 + LENGTH_BYTES).to_be_bytes()
 }
