--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The membership of the fleet on real processes, with relays between them: cuts, crashes, pauses, restarts, and foreign datagrams.
+//! Fleet membership of proxy processes that are connected by relays: partitions, crashes, pauses, restarts, and invalid datagrams.
 
 use birchreach_test_support::fleet::{Fleet, admin_call, check_settled, fleet_value};
 use birchreach_test_support::process::{MAX_WAIT, Process};
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A fleet with a folder and addresses of its own, by the number of the test. No process is started.
+/// Creates a fleet without starting its processes. `test_number` selects the folder and addresses, which no other test uses.
 fn new_fleet(test_number: u8, process_count: usize) -> Fleet {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-{test_number}"));
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
@@ -16,7 +16,7 @@
         .unwrap()
 }
 
-/// Waits until all of these processes report a settled fleet of so many members.
+/// Waits until all of the processes report a settled fleet of `member_count` members.
 fn wait_until_settled<'a>(what: &str, member_count: usize, processes: impl IntoIterator<Item = &'a Process>) {
     let processes: Vec<&Process> = processes.into_iter().collect();
     let start = Instant::now();
@@ -26,22 +26,21 @@
     }
 }
 
-/// The process ids.
 fn pids(processes: &[Process]) -> Vec<u32> {
     processes.iter().map(Process::pid).collect()
 }
 
-/// The incarnations as the processes report their own.
 fn incarnations(processes: &[Process]) -> Vec<String> {
     processes.iter().map(incarnation).collect()
 }
 
-/// The incarnation as the process reports its own.
+/// Returns the incarnation that the process reports for itself.
 fn incarnation(process: &Process) -> String {
     fleet_value(process, "boot=")
 }
 
-/// Separates two of five from the others, with datagrams that are duplicated, delayed, reordered and corrupted, and heals the partition.
+/// Partitions two of five processes from the others and heals the partition. The relays also duplicate, delay, reorder and corrupt
+/// datagrams.
 fn partition_and_heal(fleet: &Fleet, processes: &[Process]) {
     let faults = NetworkFaults {
         duplicate_fraction: 0.1,
@@ -50,23 +49,27 @@
         ..NetworkFaults::partition(2, 5)
     };
     fleet.relays.set_faults(faults.clone());
-    wait_until_settled("the two", 2, &processes[..2]);
-    wait_until_settled("the three", 3, &processes[2..]);
-    assert_eq!(fleet_value(&processes[0], "divisor="), "5", "two never act as if they were the whole fleet");
+    wait_until_settled("partition of two", 2, &processes[..2]);
+    wait_until_settled("partition of three", 3, &processes[2..]);
+    assert_eq!(
+        fleet_value(&processes[0], "divisor="),
+        "5",
+        "a partition of two still divides its budgets by the five known processes"
+    );
     fleet.relays.set_faults(NetworkFaults { blocked: Default::default(), ..faults });
     wait_until_settled("heal", 5, processes);
 }
 
-/// Pauses a process until all others have removed it, and resumes it.
+/// Pauses the last process until all others have removed it, and resumes it.
 fn pause_and_resume_the_last(processes: &[Process]) {
     processes[4].signal("STOP");
-    wait_until_settled("stop", 4, &processes[..4]);
+    wait_until_settled("pause", 4, &processes[..4]);
     processes[4].signal("CONT");
-    wait_until_settled("go on", 5, processes);
-    processes[4].wait_for_log_line(&["event=fleet-epoch-renewed"]).expect("it was removed");
+    wait_until_settled("resume", 5, processes);
+    processes[4].wait_for_log_line(&["event=fleet-epoch-renewed"]).expect("the process was removed");
 }
 
-/// Kills a process and starts it again under its name, with an empty memory.
+/// Kills the second process and starts it again under its name. The new process has no state.
 fn kill_and_restart_the_second(fleet: &Fleet, processes: &mut [Process]) {
     let before = (incarnations(processes), pids(processes));
     processes[1].signal("KILL");
@@ -76,22 +79,23 @@
 }
 
 #[test]
-fn a_fleet_settles_after_cuts_crashes_pauses_and_restarts() {
+fn a_fleet_settles_after_partitions_pauses_crashes_and_restarts() {
     // Given a settled fleet of five
     let fleet = new_fleet(1, 5);
     let mut processes: Vec<Process> = (0..5).map(|n| fleet.start(n, None).unwrap()).collect();
     wait_until_settled("join", 5, &processes);
-    // When it is partitioned, paused or restarted in part, then it settles each time
+    // When the fleet is partitioned, a process is paused, and a process is restarted, then the fleet settles each time
     partition_and_heal(&fleet, &processes);
     pause_and_resume_the_last(&processes);
     kill_and_restart_the_second(&fleet, &mut processes);
-    // When one shuts down gracefully, then the others settle without it
+    // When a process shuts down gracefully, then the others settle without it
     processes[0].signal("TERM");
     wait_until_settled("leave", 4, &processes[1..]);
 }
 
-/// Sends a process datagrams that are none of the fleet's: empty, too short, too long, and one whose authentication code is wrong.
-fn send_foreign_datagrams(fleet: &Fleet, process: usize) {
+/// Sends datagrams to a process that do not come from the fleet: an empty one, a short one, a long one, and one with a wrong
+/// authentication code.
+fn send_invalid_datagrams(fleet: &Fleet, process: usize) {
     let socket = UdpSocket::bind((fleet.rig.loopback_address(), 0)).unwrap();
     for bytes in [
         &b""[..],
@@ -103,7 +107,7 @@
     }
 }
 
-/// Waits until a process has counted a datagram whose authentication code is wrong.
+/// Waits until a process has counted a datagram with a wrong authentication code.
 fn wait_for_wrong_code(process: &Process) {
     let start = Instant::now();
     while !admin_call(process, "metrics").contains("reason=\"wrong-code\"} 1") {
@@ -112,14 +116,14 @@
 }
 
 #[test]
-fn foreign_datagrams_change_nothing_and_a_partitioned_process_reports_itself_blind() {
-    // Given a process that receives from nobody
+fn invalid_datagrams_are_counted_and_dropped_and_an_isolated_process_reports_itself_blind() {
+    // Given a process that receives no datagrams from other processes
     let fleet = new_fleet(2, 3);
     let one = fleet.start(0, None).unwrap();
-    one.wait_for_log_line(&["event=fleet ", "state=blind"]).expect("it receives from nobody");
-    // When it receives foreign datagrams
-    send_foreign_datagrams(&fleet, 0);
-    // Then it counts them, and is alone as before
+    one.wait_for_log_line(&["event=fleet ", "state=blind"]).expect("the process receives no datagrams");
+    // When it receives invalid datagrams
+    send_invalid_datagrams(&fleet, 0);
+    // Then it counts them, and still reports itself as the only member
     wait_for_wrong_code(&one);
     let metrics = admin_call(&one, "metrics");
     assert!(
@@ -134,11 +138,11 @@
 }
 
 #[test]
-fn a_process_without_options_has_no_call_about_the_fleet() {
+fn a_process_without_options_rejects_the_fleet_and_metrics_calls() {
     // Given a process without options
     let fleet = new_fleet(4, 1);
     let plain = fleet.rig.start(9, None, None).unwrap();
-    // When it is asked for the fleet and for metrics, then it has neither call
+    // When an operator calls `fleet` and `metrics`, then the process rejects both calls
     assert!(
         admin_call(&plain, "fleet").starts_with("NO no such call")
             && admin_call(&plain, "metrics").starts_with("NO no such call")
@@ -146,46 +150,46 @@
 }
 
 #[test]
-fn of_two_processes_of_one_proxy_one_is_a_member() {
-    // Given a settled fleet of three, one of them with a listener that another process may share
+fn only_one_of_two_processes_of_a_proxy_is_a_member() {
+    // Given a settled fleet of three, one of which has a listener that another process can share
     let fleet = new_fleet(3, 3);
     let shared = TcpListener::bind((fleet.rig.loopback_address(), 0)).unwrap();
     let mut predecessor = fleet.start(0, Some(&shared)).unwrap();
     let (one, two) = (fleet.start(1, None).unwrap(), fleet.start(2, None).unwrap());
     wait_until_settled("join", 3, [&predecessor, &one, &two]);
     let before = incarnation(&predecessor);
-    // When its successor starts with its name and address, then the predecessor leaves, and the successor joins
+    // When a successor starts with the same name and address, then the predecessor leaves, and the successor joins
     let successor = fleet.start(0, Some(&shared)).unwrap();
     successor.wait_for_log_line(&["event=fleet-listening"]).expect("the predecessor closes its socket");
     wait_until_settled("handover", 3, [&successor, &one, &two]);
     assert_ne!(incarnation(&successor), before);
     // When the successor crashes, then the predecessor joins again, under a new epoch
     drop(successor);
-    wait_until_settled("back", 3, [&predecessor, &one, &two]);
+    wait_until_settled("predecessor rejoins", 3, [&predecessor, &one, &two]);
     assert_eq!(incarnation(&predecessor), before);
     // When the next successor has taken over and the predecessor shuts down, then the fleet stays settled
     let successor = fleet.start(0, Some(&shared)).unwrap();
-    wait_until_settled("the next", 3, [&successor, &one, &two]);
+    wait_until_settled("next handover", 3, [&successor, &one, &two]);
     predecessor.signal("TERM");
     assert_eq!(predecessor.wait_for_exit(), Some(0));
-    wait_until_settled("and on", 3, [&successor, &one, &two]);
-    // And nobody saw both
+    wait_until_settled("after the shutdown", 3, [&successor, &one, &two]);
+    // And no other process saw both
     let saw_both =
         |process: &Process| process.log().iter().any(|line| line.contains("event=fleet-name-conflict"));
-    assert!([&one, &two].iter().all(|process| !saw_both(process)), "nobody saw both");
+    assert!([&one, &two].iter().all(|process| !saw_both(process)), "another process saw both");
 }
 
-/// Faults from a seed, the same each time: all come to one view once they are over.
+/// The seed determines the faults. After the last fault, all processes must report the same members.
 #[test]
-fn a_schedule_from_a_seed_settles() {
+fn a_fleet_settles_after_a_seeded_schedule_of_faults() {
     // Given a fleet of four
     let fleet = new_fleet(5, 4);
     let mut processes: Vec<Option<Process>> = (0..4).map(|n| fleet.start(n, None).ok()).collect();
-    // When a schedule of faults has been played, then it settles
+    // When a schedule of faults has been played, then the fleet settles
     let schedule = Schedule::generate(3, 4, 6, Duration::from_secs(5));
     schedule.play(&fleet, &mut processes).unwrap();
     schedule.recover(&fleet, &mut processes, 2 * MAX_WAIT).unwrap();
-    // And somebody received the whole state of another
+    // And at least one process received the complete state of another
     let has_exchanged = |process: &Process| {
         let log = process.log();
         log.iter().any(|line| line.contains("conn=fleet") && line.contains("reason=received"))
--- a/proxy/tests/grpc/client.rs
+++ b/proxy/tests/grpc/client.rs
@@ -1,4 +1,4 @@
-//! A client of gRPC health: h2's client, polled by hand over a loopback socket.
+//! A client for the gRPC health service. It uses h2's client on a loopback socket and polls it without an async runtime.
 
 use birchreach_test_support::process::MAX_WAIT;
 use bytes::Bytes;
@@ -13,16 +13,16 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The content type of gRPC's messages.
+/// The content type of gRPC requests and responses.
 pub(crate) const CONTENT_TYPE: &str = "application/grpc";
 
-/// gRPC's status code of a call that succeeded, as trailers have it.
+/// The gRPC status code of a successful call, as it appears in trailers.
 const OK: &str = "0";
 
-/// A nonblocking socket, polled again and again.
+/// A nonblocking socket. It never wakes its task: the client polls it in a loop.
 struct Socket(TcpStream);
 
-/// Pending, where nothing can be read or written now.
+/// Converts the result of a nonblocking read or write; `WouldBlock` becomes `Pending`.
 fn to_poll<T>(result: std::io::Result<T>) -> Poll<std::io::Result<T>> {
     match result {
         Err(error) if error.kind() == ErrorKind::WouldBlock => Poll::Pending,
@@ -53,20 +53,20 @@
     }
 }
 
-/// The start of a response, whose messages and trailers are read as they come.
+/// The headers of a response, and the body from which the messages and trailers are read as they arrive.
 pub(crate) struct RpcResponse {
     headers: HeaderMap,
     body: RecvStream,
 }
 
 impl RpcResponse {
-    /// gRPC's status code in the headers, which a response without messages has there.
+    /// Returns the gRPC status code in the headers. Only a response without messages has the code there; otherwise it is in the trailers.
     pub(crate) fn status_code(&self) -> Option<&str> {
         self.headers.get("grpc-status").map(|code| code.to_str().unwrap())
     }
 }
 
-/// A client with one connection, which makes progress only while the client waits.
+/// A client with one connection. The connection makes progress only while a method of the client runs.
 pub(crate) struct Client {
     request_sender: SendRequest<Bytes>,
     connection: Connection<Socket>,
@@ -82,7 +82,7 @@
         Client { request_sender, connection }
     }
 
-    /// Polls until it is ready, and the connection meanwhile.
+    /// Polls `poll` and the connection until `poll` is ready.
     fn wait<T>(&mut self, mut poll: impl FnMut(&mut Context) -> Poll<T>) -> T {
         wait(|context| {
             let _ = Pin::new(&mut self.connection).poll(context);
@@ -90,21 +90,21 @@
         })
     }
 
-    /// Sends a message to a method and waits for the start of the response.
+    /// Calls a method with a message and waits for the headers of the response.
     pub(crate) fn call(&mut self, method: &str, message: &[u8], content_type: &str) -> RpcResponse {
         let request = Request::post(format!("http://proxy/grpc.health.v1.Health/{method}"))
             .header("content-type", content_type)
             .header("te", "trailers")
             .body(())
             .unwrap();
-        let (mut reply, mut body) = self.request_sender.send_request(request, false).unwrap();
+        let (mut response, mut body) = self.request_sender.send_request(request, false).unwrap();
         body.send_data(frame(message).into(), true).unwrap();
-        let response = self.wait(|context| Pin::new(&mut reply).poll(context)).unwrap();
+        let response = self.wait(|context| Pin::new(&mut response).poll(context)).unwrap();
         let (head, body) = response.into_parts();
         RpcResponse { headers: head.headers, body }
     }
 
-    /// The serving status of a service, or gRPC's status code if there is none.
+    /// Returns the serving status of a service, or the gRPC status code as the error if the call fails.
     pub(crate) fn check(&mut self, service: &str) -> Result<u8, String> {
         let mut response = self.call("Check", &request_for(service), CONTENT_TYPE);
         if let Some(code) = response.status_code() {
@@ -116,7 +116,7 @@
         Ok(status)
     }
 
-    /// The serving status in the next message of a response.
+    /// Returns the serving status in the next message of a response, or `None` if the response has ended.
     pub(crate) fn next(&mut self, response: &mut RpcResponse) -> Option<u8> {
         let body = &mut response.body;
         let bytes = self.wait(|context| body.poll_data(context))?.unwrap();
@@ -125,7 +125,7 @@
         Some(bytes[6])
     }
 
-    /// Sends no request for this time, but answers pings.
+    /// Sends no request for the time `span`, but answers pings.
     pub(crate) fn stay_idle(&mut self, span: Duration) {
         let idle_since = Instant::now();
         while idle_since.elapsed() < span {
@@ -135,18 +135,18 @@
     }
 }
 
-/// An uncompressed message with its length.
+/// Returns an uncompressed message with its prefix of compression flag and length.
 fn frame(message: &[u8]) -> Vec<u8> {
     let length = (message.len() as u32).to_be_bytes();
     [&[0], &length[..], message].concat()
 }
 
-/// A request message for a service.
+/// Returns the request message that names a service.
 pub(crate) fn request_for(service: &str) -> Vec<u8> {
     [&[10, service.len() as u8], service.as_bytes()].concat()
 }
 
-/// Polls until it is ready.
+/// Polls until the result is ready. Panics after [`MAX_WAIT`].
 fn wait<T>(mut poll: impl FnMut(&mut Context) -> Poll<T>) -> T {
     let start = Instant::now();
     let mut context = Context::from_waker(Waker::noop());
@@ -154,7 +154,7 @@
         if let Poll::Ready(value) = poll(&mut context) {
             return value;
         }
-        assert!(start.elapsed() < MAX_WAIT, "no reply");
+        assert!(start.elapsed() < MAX_WAIT, "no response within {MAX_WAIT:?}");
         thread::sleep(Duration::from_millis(1));
     }
 }
--- a/proxy/tests/grpc/main.rs
+++ b/proxy/tests/grpc/main.rs
@@ -1,4 +1,4 @@
-//! gRPC health on a real process.
+//! Calls the gRPC health service of a proxy process.
 
 mod client;
 
@@ -11,22 +11,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Serving statuses in the protocol's answers.
+/// Serving statuses in the responses of the health service.
 const SERVING: u8 = 1;
 const NOT_SERVING: u8 = 2;
 const SERVICE_UNKNOWN: u8 = 3;
 
-/// gRPC's status codes, as headers have them.
+/// gRPC status codes, as they appear in headers.
 const INVALID_ARGUMENT: &str = "3";
 const NOT_FOUND: &str = "5";
 const RESOURCE_EXHAUSTED: &str = "8";
 const UNIMPLEMENTED: &str = "12";
 
-/// After this time without a request, the proxy closes a connection that answers no pings. A test that is held up for half of it loses
-/// its connection.
+/// The proxy closes a connection after this time without a request if the client does not answer its pings. If the test stalls for
+/// half of this time, it loses its connection.
 const IDLE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Calls that are invalid or name something unknown get their status code.
+/// Checks that invalid calls and calls that name an unknown service or method fail with the right status code.
 fn check_invalid_calls(client: &mut Client) {
     assert_eq!(client.check("none"), Err(NOT_FOUND.into()));
     let response = client.call("List", &[], CONTENT_TYPE);
@@ -39,8 +39,8 @@
     assert!(response.status_code().is_none());
 }
 
-/// Sends what is no gRPC, and waits for each connection to be closed.
-fn send_noise(address: SocketAddr) {
+/// Sends bytes that are not gRPC, and waits until the proxy has closed each connection.
+fn send_invalid_bytes(address: SocketAddr) {
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff", b""] {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
@@ -50,7 +50,7 @@
     }
 }
 
-/// Starts a proxy with a gRPC listener that closes idle connections soon.
+/// Starts a proxy with a gRPC listener that closes idle connections after [`IDLE_LIMIT`].
 fn start_proxy(rig: &Rig) -> Process {
     let options = format!(
         "<birchreach-options><health><grpc listen='{}:0' callers='8' idle-ms='{}'/>\
@@ -61,7 +61,6 @@
     rig.start(1, Some(&options), None).unwrap()
 }
 
-/// Waits until a service is serving.
 fn wait_until_serving(client: &mut Client, service: &str) {
     let start = Instant::now();
     while client.check(service) != Ok(SERVING) {
@@ -71,7 +70,7 @@
 }
 
 #[test]
-fn checks_and_watches_report_the_verdict() {
+fn check_and_watch_report_the_serving_status() {
     // Given a proxy with two healthy groups
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("grpc");
     let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
@@ -80,23 +79,23 @@
     let address = proxy.check_address("grpc").unwrap();
     let mut client = Client::connect(address);
     wait_until_serving(&mut client, "file-entry");
-    // Then every service is serving, and invalid calls get their status code
+    // Then every service is serving, and invalid calls fail with the right status code
     for service in ["", "group=1 write", "tariff-lookup", "file-entry group=0"] {
         assert_eq!(client.check(service), Ok(SERVING), "{service}");
     }
     check_invalid_calls(&mut client);
-    // When other connections send noise or nothing, or end, then they are closed
-    send_noise(address);
-    // And the first one was idle for too long meanwhile, so a new one is opened
+    // When other connections send invalid bytes or nothing, then the proxy closes them
+    send_invalid_bytes(address);
+    // And the first connection was idle for too long meanwhile, so the test opens another one
     let mut client = Client::connect(address);
     assert_eq!(client.check("file-entry"), Ok(SERVING));
-    // Given watches on a connection, when it is idle for longer than the limit, then pings keep it open
+    // Given watches on a connection, when the connection is idle for longer than the limit, then answered pings keep it open
     let mut watch = client.call("Watch", &request_for("group=1 write"), CONTENT_TYPE);
     assert_eq!(client.next(&mut watch), Some(SERVING));
     let mut unknown = client.call("Watch", &request_for("none"), CONTENT_TYPE);
     assert_eq!(client.next(&mut unknown), Some(SERVICE_UNKNOWN));
     client.stay_idle(IDLE_LIMIT * 5 / 2);
-    // When the primary stops responding, responds again, and the proxy shuts down, then the watch is sent each change
+    // When the primary stops responding, responds again, and the proxy shuts down, then the watch reports each change
     rig.groups[1].primary.set_hung(true);
     assert_eq!(client.next(&mut watch), Some(NOT_SERVING));
     rig.groups[1].primary.set_hung(false);
