--- a/proxy/tests/health/crowds.rs
+++ b/proxy/tests/health/crowds.rs
@@ -1,4 +1,4 @@
-//! Many connections at once, of balancers and of clients.
+//! Many concurrent connections of balancers and clients.
 
 use crate::support::{CheckAddresses, agent_check, http_check, is_up, new_rig, wait_until};
 use birchreach_test_support::balancer::{Check, run_check};
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Connections that send too much, noise, half a request or nothing, and read nothing.
-fn misbehaving_checks(http: SocketAddr, agent: SocketAddr) -> Vec<TcpStream> {
+/// Opens check connections that send too much, invalid bytes, half a request or nothing, and that read nothing.
+fn open_misbehaving_checks(http: SocketAddr, agent: SocketAddr) -> Vec<TcpStream> {
     let mut misbehaving: Vec<TcpStream> = Vec::new();
     for n in 0..120 {
         let mut stream = TcpStream::connect(if n % 2 == 0 { http } else { agent }).unwrap();
@@ -28,47 +28,48 @@
     misbehaving
 }
 
-/// Whether a client's read is served.
 fn is_served(client: &mut Client) -> bool {
     matches!(client.read("tariff-lookup", 0, 2500), Ok(Reply::Served(_)))
 }
 
-/// Sends several requests on one connection, one after the other and then many at once.
-fn check_kept_connection(http: SocketAddr) {
-    let mut kept = TcpStream::connect(http).unwrap();
+/// Sends several requests on one connection, first one at a time and then pipelined, and checks that all are answered.
+fn check_persistent_connection(http: SocketAddr) {
+    let mut connection = TcpStream::connect(http).unwrap();
     let mut buffer = [0; 15];
     for _ in 0..3 {
-        kept.write_all(b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n").unwrap();
+        connection.write_all(b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n").unwrap();
         let mut response = Vec::new();
         while !response.ends_with(b"\r\n\r\n") {
-            let length = kept.read(&mut buffer).unwrap();
+            let length = connection.read(&mut buffer).unwrap();
             assert!(length > 0);
             response.extend_from_slice(&buffer[..length]);
         }
     }
-    // Many pipelined requests are all answered, in their order.
-    kept.write_all(
-        &[b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n".repeat(999), b"HEAD /none HTTP/1.0\r\n\r\n".to_vec()]
-            .concat(),
-    )
-    .unwrap();
+    // Pipelined requests are all answered in order. The last one uses HTTP/1.0, so the connection closes after its response.
+    connection
+        .write_all(
+            &[b"HEAD /live HTTP/1.1\r\nHost: p\r\n\r\n".repeat(999), b"HEAD /none HTTP/1.0\r\n\r\n".to_vec()]
+                .concat(),
+        )
+        .unwrap();
     let mut all = String::new();
-    kept.read_to_string(&mut all).unwrap();
+    connection.read_to_string(&mut all).unwrap();
     assert_eq!((all.matches("HTTP/1.1 200 ").count(), all.matches("HTTP/1.1 404 ").count()), (999, 1));
 }
 
-/// Check connections that send nothing, read nothing or send noise, and clients that fill every place.
+/// Health checks have to be answered while client connections fill the proxy's limit and other check connections misbehave.
 #[test]
-fn a_crowd_of_connections_does_not_keep_balancers_from_their_answer() {
-    // Given a crowd of clients and misbehaving checks
+fn health_checks_are_answered_while_many_connections_are_open_or_misbehave() {
+    // Given many client connections and misbehaving check connections
     let mut rig = new_rig(5, 1);
     rig.max_descriptors = 200;
     let proxy = rig.start_with_checks(1, 40, "").unwrap();
     let clients = proxy.client_address().unwrap();
-    let crowd: Vec<TcpStream> = (0..300).filter_map(|_| TcpStream::connect(clients).ok()).collect();
+    let idle_connections: Vec<TcpStream> =
+        (0..300).filter_map(|_| TcpStream::connect(clients).ok()).collect();
     let http_address = proxy.check_address("http").unwrap();
     let agent_address = proxy.check_address("agent").unwrap();
-    let misbehaving = misbehaving_checks(http_address, agent_address);
+    let misbehaving = open_misbehaving_checks(http_address, agent_address);
     // Then every check is answered
     for _ in 0..200 {
         assert!(
@@ -77,22 +78,22 @@
                 && http_check(&proxy, "/live").up
         );
     }
-    assert!(crowd.len() > 100, "a crowd that did not come shows nothing");
-    // Then a connection may be kept for several requests, also pipelined ones
-    check_kept_connection(http_address);
+    assert!(idle_connections.len() > 100, "too few client connections: {}", idle_connections.len());
+    // And a check connection can carry several requests, also pipelined ones
+    check_persistent_connection(http_address);
     // And connections without a complete request are closed
     wait_until("unresponsive connections are closed", || {
         proxy.log().iter().any(|line| line.contains("conn=check") && line.contains("unresponsive"))
     });
-    // And connections beyond the limit are shed; the log's own limit may have suppressed the first of them
+    // And connections above the limit are shed. The log's rate limit can suppress the first of these lines, so more are opened.
     let mut more = Vec::new();
-    wait_until("connections beyond the limit are shed", || {
+    wait_until("connections above the limit are shed", || {
         more.extend((0..64).map_while(|_| TcpStream::connect(http_address).ok()));
         proxy.log().iter().any(|line| line.contains("conn=check") && line.contains("shed"))
     });
-    // When the crowd has gone, then clients are served again
+    // When these connections are closed, then clients are served again
     drop(more);
-    drop((misbehaving, crowd));
+    drop((misbehaving, idle_connections));
     wait_until("clients are served again", || {
         let mut client = Client::connect(clients).ok();
         client
@@ -102,7 +103,7 @@
     });
 }
 
-/// Opens many connections that only send the startup message; every other one ends in order.
+/// Opens many connections that only send the startup message. Half of them send a Terminate message before they close.
 fn send_startup_checks(address: SocketAddr) {
     for n in 0..400 {
         let mut startup_check = Client::connect(address).unwrap();
@@ -112,21 +113,21 @@
     }
 }
 
-/// Checks by HTTP, or by agent-check, again and again until the flag is set.
-fn check_until_over(addresses: &CheckAddresses, by_http: bool, over: &AtomicBool) {
+/// Repeats HTTP checks or agent-checks until `stopped` is set.
+fn check_until_stopped(addresses: &CheckAddresses, by_http: bool, stopped: &AtomicBool) {
     let (address, check) = match by_http {
         true => (addresses.http, Check::Http("/ready".into())),
         false => (addresses.agent, Check::Agent(String::new())),
     };
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         let _ = run_check(address, &check, Duration::from_secs(2));
     }
 }
 
-/// Balancers that check by PostgreSQL's startup message take no client's place and don't flood the log. A restart under a
-/// flood of checks is over as soon as the process serves.
+/// Balancers that check with a PostgreSQL startup message must neither displace clients nor flood the log. A process that restarts
+/// under a flood of checks must become ready and serve clients.
 #[test]
-fn startup_checks_cost_no_place_and_floods_do_not_delay_a_restart() {
+fn startup_checks_displace_no_client_and_a_flood_of_checks_does_not_prevent_a_restart() {
     // Given a proxy
     let mut rig = new_rig(8, 1);
     rig.max_descriptors = 200;
@@ -134,29 +135,29 @@
     let options = addresses.options(32);
     let proxy = rig.start(1, Some(&options), None).unwrap();
     let clients = proxy.client_address().unwrap();
-    // As many idle clients as may stay: 2 in 5 of the 47 places that are left beside all that is reserved.
+    // 18 idle clients are kept: two fifths of the 47 client connections that the descriptors allow beside the reserved ones.
     let mut idle_clients: Vec<Client> = (0..18).map(|_| Client::connect(clients).unwrap()).collect();
     assert!(idle_clients.iter_mut().all(is_served));
-    // When many connections only send the startup message
+    // When many other connections only send the startup message
     send_startup_checks(clients);
     // Then no client has lost its connection, and the log is short
-    assert!(idle_clients.iter_mut().all(is_served), "all of them have their connection still");
+    assert!(idle_clients.iter_mut().all(is_served), "every idle client is still connected");
     let log = proxy.log();
     assert!(!log.iter().any(|line| line.contains("reason=shed")));
     assert!(log.iter().filter(|line| line.contains("conn=client")).count() < 10, "{}", log.len());
     // When the process restarts under a flood of checks, then it is ready and serves clients
-    let over = AtomicBool::new(false);
+    let stopped = AtomicBool::new(false);
     thread::scope(|scope| {
         for n in 0..40 {
-            let (addresses, over) = (&addresses, &over);
-            scope.spawn(move || check_until_over(addresses, n % 2 == 0, over));
+            let (addresses, stopped) = (&addresses, &stopped);
+            scope.spawn(move || check_until_stopped(addresses, n % 2 == 0, stopped));
         }
         drop(proxy);
-        let again = rig.start(2, Some(&options), None).unwrap();
+        let restarted = rig.start(2, Some(&options), None).unwrap();
         let check = Check::Agent("file-entry".into());
         wait_until("it is ready under the flood", || is_up(addresses.agent, &check));
-        let mut client = Client::connect(again.client_address().unwrap()).unwrap();
+        let mut client = Client::connect(restarted.client_address().unwrap()).unwrap();
         assert!(is_served(&mut client));
-        over.store(true, Ordering::Relaxed);
+        stopped.store(true, Ordering::Relaxed);
     });
 }
--- a/proxy/tests/health/main.rs
+++ b/proxy/tests/health/main.rs
@@ -1,5 +1,5 @@
-//! Health reporting on real processes: scripted databases fail and change roles while test balancers check. Times are
-//! bounded generously; how soon something is reported is measured by `benches/`, not asserted here.
+//! Health reporting of proxy processes: scripted databases fail and change roles while test balancers run health checks. The time
+//! limits here are generous; `benches/` measures how soon a change is reported.
 
 mod crowds;
 mod database_faults;
--- a/proxy/tests/health/support.rs
+++ b/proxy/tests/health/support.rs
@@ -1,4 +1,4 @@
-//! Proxies on scripted databases, and what balancers and operators ask them.
+//! Proxies in front of scripted databases, and the calls of balancers and operators.
 
 use birchreach_test_support::balancer::{Check, CheckAnswer, run_check};
 use birchreach_test_support::client::Client;
@@ -14,7 +14,7 @@
 
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_birchreach-proxy");
 
-/// A rig with its own loopback network and folder, by the number of the test.
+/// Creates a rig. `test_number` selects the loopback network and the folder, which no other test uses.
 pub(crate) fn new_rig(test_number: u8, group_count: u32) -> Rig {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("health-{test_number}"));
     Rig::new(group_count, [127, 88, test_number, 1], Path::new(PROGRAM), &folder).unwrap()
@@ -27,45 +27,45 @@
 }
 
 impl CheckAddresses {
-    /// Addresses that are free now.
+    /// Returns two addresses that are currently not in use.
     pub(crate) fn free(rig: &Rig) -> CheckAddresses {
         CheckAddresses { http: rig.free_address().unwrap(), agent: rig.free_address().unwrap() }
     }
 
-    /// Options with both listeners, for so many callers.
+    /// Returns options with both listeners. `callers` is the limit of concurrent check connections.
     pub(crate) fn options(&self, callers: u32) -> String {
         Rig::health_options(self.http, self.agent, callers, "")
     }
 }
 
-/// Probes with short intervals.
+/// An options element for probes with short intervals.
 pub(crate) const PROBES: &str = "<probes every-ms='500' suspect-ms='300' timeout-ms='400'/>";
 
-/// The reply to an agent-check with this line.
+/// Sends `line` as an agent-check and returns the reply.
 pub(crate) fn agent_check(process: &Process, line: &str) -> CheckAnswer {
     run_check(process.check_address("agent").unwrap(), &Check::Agent(line.into()), MAX_WAIT).unwrap()
 }
 
-/// The response to an HTTP check of this path.
+/// Sends an HTTP check of `path` and returns the response.
 pub(crate) fn http_check(process: &Process, path: &str) -> CheckAnswer {
     run_check(process.check_address("http").unwrap(), &Check::Http(path.into()), MAX_WAIT).unwrap()
 }
 
-/// Whether the check at this address succeeds; false if nothing answers.
+/// Returns whether the check at the address succeeds. Returns false if nothing answers.
 pub(crate) fn is_up(address: SocketAddr, check: &Check) -> bool {
     run_check(address, check, MAX_WAIT).is_ok_and(|answer| answer.up)
 }
 
-/// Waits until the condition holds.
+/// Waits until the condition holds. Panics with `what` after [`MAX_WAIT`].
 pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < MAX_WAIT, "never: {what}");
+        assert!(start.elapsed() < MAX_WAIT, "not within {MAX_WAIT:?}: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Clients that write and read in all groups until it is dropped, whatever fails meanwhile.
+/// Clients that write and read in all groups until this is dropped. They reconnect after a failure.
 pub(crate) struct Traffic {
     stopped: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<()>>,
@@ -87,7 +87,7 @@
         Traffic { threads: (0..client_count).map(start_client).collect(), stopped }
     }
 
-    /// Ends the clients and waits for their last replies.
+    /// Stops the clients and waits for their last replies.
     pub(crate) fn stop(mut self) {
         self.stopped.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| thread.join().unwrap());
@@ -100,7 +100,7 @@
     }
 }
 
-/// Connects a client or sends one request, and pauses. Returns the client if its connection holds.
+/// Connects a client or sends one request, and pauses. Returns the client if it is connected.
 fn connect_or_send(client: Option<Client>, address: SocketAddr, writes: bool, group: u32) -> Option<Client> {
     let Some(mut client) = client else {
         let connected = Client::connect(address).ok();
@@ -115,7 +115,7 @@
     reply.ok().map(|_| client)
 }
 
-/// The reply to an operator's call.
+/// Sends a call to the admin listener and returns the reply.
 pub(crate) fn admin_call(proxy: &Process, call: &str) -> String {
     let mut stream = TcpStream::connect(proxy.admin_address().unwrap()).unwrap();
     writeln!(stream, "{call}").unwrap();
--- a/proxy/tests/hot/main.rs
+++ b/proxy/tests/hot/main.rs
@@ -1,5 +1,5 @@
-//! Hot keys on several real processes in front of groups of databases, with faults injected: found by all processes, served from copies,
-//! never stale, never over the budget.
+//! Hot keys on several proxy processes in front of groups of databases, with injected faults. All processes detect the hot key and
+//! serve it from copies. No read is stale, and the copies stay within their budget.
 
 mod records;
 mod rig;
@@ -15,21 +15,22 @@
     group.with_state(|state| state.primary)
 }
 
-/// Sets how late the copies' groups apply their log.
+/// Sets the replication lag of the groups that hold copies.
 fn set_lag_of_copies(rig: &HotRig, lag_ms: i64) {
     for group in &rig.cluster.groups[HOME_GROUP + 1..] {
         group.with_state(|state| state.members.iter_mut().for_each(|member| member.lag_ms = lag_ms));
     }
 }
 
-/// The replicas of the copies' groups lag for some time: their copies are older than expected.
+/// Makes the replicas of the groups with copies lag for 3 s, so that their copies are older than expected.
 fn delay_copies(rig: &HotRig) {
     set_lag_of_copies(rig, 4_000);
     sleep(Duration::from_secs(3));
     set_lag_of_copies(rig, LAG_MS);
 }
 
-/// The hot key's primary fails over and loses its last writes; in a group with copies the deposed primary does not know it at once.
+/// Fails over the hot key's group, which loses its last writes, and a group with copies, whose deposed primary learns of the failover
+/// 1 s later.
 fn fail_over_home_and_copies(rig: &HotRig) {
     rig.cluster.groups[HOME_GROUP]
         .with_state(|state| state.fail_over((state.primary + 1) % MEMBER_COUNT, now_ms(), true));
@@ -41,7 +42,7 @@
     rig.cluster.update_discovery();
 }
 
-/// The fleet is partitioned on a bad network, and one process is suspended meanwhile.
+/// Partitions the fleet on a network that duplicates and delays datagrams, and suspends one process for 3 s meanwhile.
 fn partition_and_suspend(rig: &HotRig) {
     rig.cluster.fleet.relays.set_faults(NetworkFaults {
         duplicate_fraction: 0.1,
@@ -55,7 +56,7 @@
     rig.cluster.fleet.relays.set_faults(NetworkFaults::default());
 }
 
-/// A replica of each group with copies restarts, cold and without its copies.
+/// Restarts a replica of each group with copies. The replica starts with a cold cache and without its copies.
 fn restart_replicas_with_copies(rig: &HotRig) {
     for group in HOME_GROUP + 1..GROUP_COUNT {
         let replica = (primary(&rig.cluster.groups[group]) + 1) % MEMBER_COUNT;
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_hot_key_is_served_from_copies_of_proven_position() {
+fn a_hot_key_is_served_from_copies_without_stale_reads_despite_faults() {
     // Given five processes with a hot key that is served from copies
     let mut rig = HotRig::start(1, 5);
     let traffic = rig.start_traffic(20.0);
@@ -76,10 +77,10 @@
     rig.restart(1);
     restart_replicas_with_copies(&rig);
     // Then the fleet settles and serves from copies again
-    rig.wait_until("settled", || check_settled(5, &rig.running()).is_ok());
+    rig.wait_until("settled", || check_settled(5, &rig.running_processes()).is_ok());
     let before = rig.served_from_copies();
     rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > before + 100);
-    // And what was recorded is right
+    // And the records of databases and clients pass all checks
     let result = traffic.stop();
     rig.check_records(&result);
     assert!(
@@ -88,18 +89,18 @@
         result.served,
         result.served + result.rejected + result.failed + result.disconnected
     );
-    // When nobody reads, then the key is hot no longer
+    // When no client reads, then the key is no longer hot
     rig.wait_until("cold", || rig.all_have_hot_keys(0));
 }
 
-/// What is in flight when SIGHUP switches hot keys off ends as it would.
+/// Requests and copies that are in flight when a reload disables hot keys have to complete normally.
 #[test]
-fn a_reload_switches_hot_keys_off_and_on_under_load() {
+fn a_reload_disables_and_enables_hot_keys_under_load() {
     // Given three processes with a hot key that is served from copies
     let rig = HotRig::start(2, 3);
     let traffic = rig.start_traffic(30.0);
     rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 20);
-    // When a reload switches hot keys off
+    // When a reload disables hot keys
     rig.reload_all("");
     rig.wait_until("off", || rig.all_hot_statuses_start_with("NO "));
     // Then clients are still served
@@ -107,29 +108,29 @@
     sleep(Duration::from_secs(1));
     let off = traffic.take_result();
     assert!(off.served_fraction() > 0.5 && off.served > 0, "{off:?}");
-    // When a reload switches them on, then the key is served from copies again
+    // When a reload enables them, then the key is served from copies again
     rig.reload_all(HOT_OPTIONS);
     rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 20);
-    // And no read was stale, at any of these times
+    // And no read was stale before, during or after that time
     let mut result = traffic.stop();
     result.reads.extend(before.reads);
     result.reads.extend(off.reads);
     rig.check_records(&result);
 }
 
-/// The new incarnations find copies of the old ones, each of which has the needed position or is a miss, and start nothing until the window
-/// is over in which the old ones may have used the budget.
+/// The new incarnations find copies of the old ones. Each of these copies either has the required log position or is a miss. The new
+/// incarnations start no background task until the budget window ends in which the old ones can have used the budget.
 #[test]
-fn copies_outlive_a_restart_of_all_proxies() {
+fn copies_remain_usable_after_a_restart_of_all_proxies() {
     // Given three processes with a hot key that is served from copies
     let mut rig = HotRig::start(3, 3);
     let traffic = rig.start_traffic(30.0);
     rig.wait_until("hot", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 50);
-    // When all are killed and start again
+    // When all of them are killed and restarted
     rig.processes.iter_mut().for_each(|process| *process = None);
     (0..3).for_each(|process| rig.restart(process));
-    // Then they settle and serve the key from copies
-    rig.wait_until("join", || check_settled(3, &rig.running()).is_ok());
+    // Then the fleet settles, and the key is served from copies
+    rig.wait_until("join", || check_settled(3, &rig.running_processes()).is_ok());
     rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 50);
     rig.check_records(&traffic.stop());
 }
--- a/proxy/tests/hot/records.rs
+++ b/proxy/tests/hot/records.rs
@@ -1,5 +1,5 @@
-//! Checks of what databases and clients recorded: no stale read, no false claim of a position, no window over the budget, no load on cold
-//! databases, no write twice.
+//! Checks of the records of databases and clients: no stale read, no copy with a false log position, no budget window above the limit,
+//! no background load on databases that are warming up, no write executed twice.
 
 use crate::rig::{HOME_GROUP, HotRig};
 use birchreach_test_support::groups::history_checks::{
@@ -11,14 +11,14 @@
 
 const BUDGET_WINDOW_MS: i64 = 2_000;
 
-/// Ten a second over all processes in any two seconds, and what a process that was suspended may have had in flight.
+/// The budget of 10 copies per second for all processes in any 2 s, and 5 copies that a suspended process can have had in flight.
 const MAX_COPIES_IN_A_WINDOW: usize = 20 + 5;
 
 /// Each copy reads its row twice.
 const READS_PER_COPY: usize = 2;
 
 impl HotRig {
-    /// Runs all checks.
+    /// Runs all checks, and checks that the records have enough reads and copies for the checks to be meaningful.
     pub(crate) fn check_records(&self, result: &TrafficResult) {
         let histories: Vec<GroupHistory> = self.cluster.groups.iter().map(|group| group.history()).collect();
         let home = &histories[HOME_GROUP];
@@ -33,7 +33,8 @@
         check_no_write_twice(&histories);
         assert!(
             checked_reads > 200 && highest_copies > 0 && checked_copies > 0,
-            "{checked_reads} reads, at most {highest_copies} copies: it shows nothing"
+            "{checked_reads} reads, at most {highest_copies} copies in a window, {checked_copies} checked copies: \
+             too few for the checks to be meaningful"
         );
     }
 }
@@ -43,7 +44,8 @@
     of_group.map(|served| served.read.clone()).collect()
 }
 
-/// Checks that copies and their reads kept the budget and avoided databases that were warming up. Returns the most copies in a window.
+/// Checks that copies and their reads stayed within the budget and avoided databases that were warming up. Returns the highest number
+/// of copies in a window.
 fn check_copy_budget(records: &[Record]) -> usize {
     let is_copy_write = |statement: &StatementKind| *statement == StatementKind::CopyWrite;
     let is_background_read =
--- a/proxy/tests/hot/rig.rs
+++ b/proxy/tests/hot/rig.rs
@@ -1,4 +1,4 @@
-//! Proxies in front of four groups of databases, one of which has the key that gets hot; the others hold copies of it.
+//! Proxies in front of four groups of databases. One group has the key that becomes hot; the others hold copies of it.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::traffic::{ProxyAddresses, ReadRate, Traffic, TrafficProfile};
@@ -15,10 +15,10 @@
 pub(crate) const GROUP_COUNT: usize = 4;
 pub(crate) const MEMBER_COUNT: usize = 3;
 
-/// The group whose key gets hot.
+/// The group of the key that becomes hot.
 pub(crate) const HOME_GROUP: usize = 0;
 
-/// How late replicas apply the log.
+/// The replication lag.
 pub(crate) const LAG_MS: i64 = 20;
 
 const GROUP_PROFILE: GroupProfile = GroupProfile {
@@ -32,18 +32,18 @@
     },
 };
 
-/// So many clients write, too.
+/// The number of clients that also write.
 const WRITING_CLIENTS: usize = 2;
 
 pub(crate) struct HotRig {
     pub(crate) cluster: ClusterRig,
-    /// `None` stands where a process was killed.
+    /// By index of the process; `None` for a process that was killed.
     pub(crate) processes: Vec<Option<Process>>,
     addresses: Arc<ProxyAddresses>,
 }
 
 impl HotRig {
-    /// Starts so many processes. `test_number`: for a folder and addresses of its own.
+    /// Starts the processes. `test_number` selects the folder and addresses, which no other test uses.
     pub(crate) fn start(test_number: u8, process_count: usize) -> HotRig {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hot-{test_number}"));
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
@@ -57,12 +57,11 @@
             (0..process_count).map(|process| Some(cluster.start(process).unwrap())).collect();
         let client_addresses = processes.iter().map(|process| process.as_ref()?.client_address()).collect();
         let rig = HotRig { cluster, processes, addresses: Arc::new(Mutex::new(client_addresses)) };
-        rig.wait_until("join", || check_settled(process_count, &rig.running()).is_ok());
+        rig.wait_until("join", || check_settled(process_count, &rig.running_processes()).is_ok());
         rig
     }
 
-    /// The processes that run.
-    pub(crate) fn running(&self) -> Vec<&Process> {
+    pub(crate) fn running_processes(&self) -> Vec<&Process> {
         self.processes.iter().flatten().collect()
     }
 
@@ -71,27 +70,27 @@
         let start = Instant::now();
         while !holds() {
             let status = |process: &&Process| hot_status(process) + &admin_call(process, "fleet");
-            let statuses: Vec<String> = self.running().iter().map(status).collect();
+            let statuses: Vec<String> = self.running_processes().iter().map(status).collect();
             assert!(start.elapsed() < 2 * MAX_WAIT, "{what}: {statuses:#?}");
             sleep(Duration::from_millis(50));
         }
     }
 
     pub(crate) fn all_hot_statuses_start_with(&self, start: &str) -> bool {
-        self.running().iter().all(|process| hot_status(process).starts_with(start))
+        self.running_processes().iter().all(|process| hot_status(process).starts_with(start))
     }
 
-    /// Whether all processes have so many hot keys.
+    /// Returns whether each running process has `key_count` hot keys.
     pub(crate) fn all_have_hot_keys(&self, key_count: usize) -> bool {
         self.all_hot_statuses_start_with(&format!("hot keys={key_count} "))
     }
 
-    /// Reads that copies served, over all processes.
+    /// Returns the number of reads that copies have served, summed over all running processes.
     pub(crate) fn served_from_copies(&self) -> u64 {
-        self.running().iter().map(|process| reads_served_from_copies(process)).sum()
+        self.running_processes().iter().map(|process| reads_served_from_copies(process)).sum()
     }
 
-    /// Starts a client of each process, which reads the hot key at this rate and another one seldom; some write.
+    /// Starts a client of each process. The clients read the hot key at this rate and another key once a second; some also write.
     pub(crate) fn start_traffic(&self, hot_reads_per_second: f64) -> Traffic {
         let read_rate = |key: &str, reads_per_second| ReadRate { key: key.into(), reads_per_second };
         let profile = |process| TrafficProfile {
@@ -105,7 +104,7 @@
         Traffic::start(&self.addresses, &self.cluster.groups, &profiles, 1)
     }
 
-    /// Kills a process, if it runs, and starts it again.
+    /// Kills a process if it is running, and starts it again.
     pub(crate) fn restart(&mut self, process: usize) {
         self.processes[process] = None;
         let started = self.cluster.start(process).unwrap();
@@ -113,9 +112,9 @@
         self.processes[process] = Some(started);
     }
 
-    /// Gives all processes other options for hot keys, by SIGHUP. All have to run.
+    /// Reloads all processes with other options for hot keys. All of them have to be running.
     pub(crate) fn reload_all(&self, hot_options: &str) {
-        for (index, process) in self.running().iter().enumerate() {
+        for (index, process) in self.running_processes().iter().enumerate() {
             let options = self.cluster.fleet.options_xml(index).replace(HOT_OPTIONS, hot_options);
             let config = self.cluster.fleet.rig.config(index as u64 + 1);
             process.reload(&config, &options).unwrap();
@@ -123,12 +122,12 @@
     }
 }
 
-/// A process's answer to the admin call `hot`.
+/// Returns the reply of a process to the admin call `hot`.
 fn hot_status(process: &Process) -> String {
     admin_call(process, "hot")
 }
 
-/// Reads that copies served, as a process counts them.
+/// Returns a process's own count of the reads that copies have served.
 fn reads_served_from_copies(process: &Process) -> u64 {
     let status = hot_status(process);
     let served = status.split_whitespace().find_map(|word| word.strip_prefix("served=")?.parse().ok());
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -1,5 +1,5 @@
-//! Reads that are compared while a group splits, on several real processes: faults alone are confirmed, all of them, and the verdict
-//! speaks for all processes.
+//! Comparison of reads during a shard split, by several proxy processes: all differences that faults cause are confirmed, no others
+//! are, and a verdict covers all processes.
 
 mod rig;
 
@@ -15,14 +15,14 @@
     state.members.iter_mut().for_each(|member| member.lag_ms = lag_ms);
 }
 
-/// The parent loses its last writes in a failover, which its children have for another second.
+/// Fails the parent over. The parent loses its last writes, which its children keep for another second.
 fn fail_over_parent(rig: &SplitRig) {
     rig.cluster.groups[PARENT].with_state(|state| state.fail_over(1, now_ms(), true));
     rig.cluster.update_discovery();
     sleep(Duration::from_secs(2));
 }
 
-/// One child lags for some time, and a replica of the other restarts from an old state; then this child fails over.
+/// Makes one child lag for 3 s and restarts a replica of the other child from an old state. Then fails the other child over.
 fn disturb_children(rig: &SplitRig) {
     let [lower, upper] = [LOWER_CHILD, UPPER_CHILD].map(|child| &rig.cluster.groups[child]);
     lower.with_state(|state| set_lag(state, 2_500));
@@ -34,16 +34,16 @@
     rig.cluster.update_discovery();
 }
 
-/// One process is partitioned until it has no verdict for all; another is suspended meanwhile, in the middle of its samples.
+/// Partitions one process until it has no verdict for all processes, and suspends another meanwhile while it takes samples.
 fn partition_one_process_and_suspend_another(rig: &SplitRig) {
     rig.cluster.fleet.relays.set_faults(NetworkFaults::partition(1, 4));
     rig.processes[2].signal("STOP");
-    rig.wait_until("cut off", |rig| rig.split_status(0).contains("verdict=not-yet"));
+    rig.wait_until("partitioned", |rig| rig.split_status(0).contains("verdict=not-yet"));
     rig.processes[2].signal("CONT");
     rig.cluster.fleet.relays.set_faults(NetworkFaults::default());
 }
 
-/// Plants a difference of each kind in turn, at every seventh key. Returns them as logs report them, sorted.
+/// Plants a difference at every seventh key, alternating between the kinds. Returns the differences as logs report them, sorted.
 fn plant_differences(rig: &SplitRig) -> Vec<String> {
     let mut planted = Vec::new();
     for (index, key) in rig.keys.iter().enumerate().skip(20).step_by(7) {
@@ -59,54 +59,56 @@
 }
 
 #[test]
-fn only_faults_are_confirmed_and_the_verdict_needs_all_processes() {
+fn disturbances_confirm_no_difference_and_the_verdict_needs_all_processes() {
     // Given four processes whose verdict is that the children are clean
     let mut rig = SplitRig::start(1, 4);
     rig.wait_until("clean", |rig| rig.all_have_verdict("clean"));
-    // When databases fail over, lag and restart, and processes are partitioned and suspended
+    // When databases fail over, lag and restart, one process is partitioned, and another is suspended
     fail_over_parent(&rig);
     disturb_children(&rig);
     partition_one_process_and_suspend_another(&rig);
-    // Then the verdict is the same again, and no difference was confirmed
+    // Then the verdict becomes clean again, and no difference was confirmed
     rig.wait_until("clean again", |rig| rig.all_have_verdict("clean"));
     assert_eq!(rig.confirmed_differences(), Vec::<String>::new());
     rig.stop_and_check_records();
 }
 
 #[test]
-fn planted_faults_are_confirmed_while_a_third_is_partitioned() {
+fn planted_differences_are_confirmed_while_one_of_three_processes_is_partitioned() {
     // Given three processes and children with differences
     let mut rig = SplitRig::start(2, 3);
     let planted = plant_differences(&rig);
-    // When one of the processes hears from nobody, then they are confirmed all the same, and it reports what it knows
+    // When one of the processes is partitioned, then the processes confirm all planted differences
     rig.cluster.fleet.relays.set_faults(NetworkFaults::partition(1, 3));
     rig.wait_until("found", |rig| rig.confirmed_differences() == planted);
-    // When it hears from the others again, then the verdict speaks for all
+    // When the partition heals, then the verdict of all processes is that the children differ
     rig.cluster.fleet.relays.set_faults(NetworkFaults::default());
     rig.wait_until("dirty", |rig| rig.all_have_verdict("dirty"));
     assert_eq!(rig.confirmed_differences(), planted);
     rig.stop_and_check_records();
 }
 
-/// Two definitions in one fleet never mix, and SIGHUP ends a comparison under load.
+/// Processes must not combine samples of different definitions of the split. A reload has to stop a comparison under load.
 #[test]
-fn definitions_do_not_mix_and_a_reload_ends_a_comparison() {
+fn samples_of_different_definitions_are_not_combined_and_a_reload_stops_a_comparison() {
     // Given three processes whose verdict is that the children are clean
     let mut rig = SplitRig::start(3, 3);
     rig.wait_until("clean", |rig| rig.all_have_verdict("clean"));
-    // When one has another definition of the split
+    // When one of them gets another definition of the split
     rig.reload(0, &SPLIT_OPTIONS.replace("2147483648", "1073741824"));
-    // Then nobody has a verdict for all, and the others ignore its samples
-    rig.wait_until("apart", |rig| (0..rig.processes.len()).all(|process| rig.has_no_clean_verdict(process)));
+    // Then no process has a clean verdict for all processes, and the others ignore the samples of this process
+    rig.wait_until("no clean verdict", |rig| {
+        (0..rig.processes.len()).all(|process| rig.has_no_clean_verdict(process))
+    });
     let metrics = admin_call(&rig.processes[1], "metrics");
     assert!(metrics.contains("kind=\"split\",end=\"other-definition\""), "{metrics}");
-    // And by its own definition the children have other keys than they should, which it alone finds
-    rig.wait_until("by its definition", |rig| rig.split_status(0).contains("verdict=dirty"));
+    // And only this process finds that the children have wrong keys according to its own definition
+    rig.wait_until("dirty by its own definition", |rig| rig.split_status(0).contains("verdict=dirty"));
     assert!((1..rig.processes.len()).all(|process| !rig.split_status(process).contains("verdict=dirty")));
-    // When it has no split, then it compares nothing
+    // When its options have no split, then it compares nothing
     rig.reload(0, "");
-    rig.wait_until("off", |rig| rig.split_status(0).starts_with("NO "));
-    // When it has the others' definition again, then all agree
+    rig.wait_until("comparison stopped", |rig| rig.split_status(0).starts_with("NO "));
+    // When it has the same definition as the others again, then all verdicts are clean
     rig.reload(0, SPLIT_OPTIONS);
     rig.wait_until("clean again", |rig| rig.all_have_verdict("clean"));
     rig.stop_and_check_records();
--- a/proxy/tests/split/rig.rs
+++ b/proxy/tests/split/rig.rs
@@ -1,4 +1,4 @@
-//! Proxies in front of a group that splits into two children, and clients that read all its keys.
+//! Proxies in front of a group that splits into two children, and clients that read all keys of the group.
 
 use birchreach_test_support::fleet::{admin_call, check_settled};
 use birchreach_test_support::groups::history_checks::{check_none_while_warming_up, check_rate_limit};
@@ -17,10 +17,10 @@
 pub(crate) const SPLIT_OPTIONS: &str = "<split from='0' below='1' above='2' at='2147483648' least='1' within-ms='60000' confirm-ms='2500' \
                      reads-per-s='60' all-per-s='200' window-ms='1000'/>";
 
-/// How late replicas of the children apply the log.
+/// The replication lag of the children.
 pub(crate) const CHILD_LAG_MS: i64 = 30;
 
-/// There is a key in each of these ranges of hashes.
+/// The number of equal ranges of the hash space. The test has one key in each range.
 const RANGE_COUNT: usize = 64;
 const HASHES_PER_RANGE: usize = 1 << 26;
 
@@ -37,7 +37,7 @@
 
 const BUDGET_WINDOW_MS: i64 = 1_000;
 
-/// Reads that a child may get in a window: a sample reads twice; and what was in flight before a suspension.
+/// The maximum number of reads of a child in a window: two for each sample, and 8 that can be in flight before a suspension.
 const MAX_DUAL_READS: usize = 2 * 60 + 8;
 
 pub(crate) struct SplitRig {
@@ -48,7 +48,7 @@
 }
 
 impl SplitRig {
-    /// Starts so many processes and a client of each. `test_number`: for a folder and addresses of its own.
+    /// Starts the processes and a client of each. `test_number` selects the folder and addresses, which no other test uses.
     pub(crate) fn start(test_number: u8, process_count: usize) -> SplitRig {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("split-{test_number}"));
         let program = Path::new(env!("CARGO_BIN_EXE_birchreach-proxy"));
@@ -70,7 +70,7 @@
         rig
     }
 
-    /// Starts a client of each process, which writes a key of its own and reads all.
+    /// Starts a client of each process. Each client writes a key that no other client writes, and reads all keys.
     fn start_traffic(&self) -> Traffic {
         let proxies = Arc::new(Mutex::new(self.processes.iter().map(Process::client_address).collect()));
         let profile = |process: usize| TrafficProfile {
@@ -84,7 +84,7 @@
         Traffic::start(&proxies, &self.cluster.groups, &profiles, 7)
     }
 
-    /// All keys; the first, which the client writes, differs from process to process.
+    /// Returns read rates for all keys. The client writes the first key, which differs between processes.
     fn read_rates(&self, process: usize) -> Vec<ReadRate> {
         let read_rate = |key: &String| ReadRate { key: key.clone(), reads_per_second: 1.0 };
         let mut rates: Vec<ReadRate> = self.keys.iter().map(read_rate).collect();
@@ -92,14 +92,14 @@
         rates
     }
 
-    /// Gives a process other options for the split, by SIGHUP.
+    /// Reloads a process with other options for the split.
     pub(crate) fn reload(&self, process: usize, split_options: &str) {
         let options = self.cluster.fleet.options_xml(process).replace(SPLIT_OPTIONS, split_options);
         let config = self.cluster.fleet.rig.config(process as u64 + 1);
         self.processes[process].reload(&config, &options).unwrap();
     }
 
-    /// A process's answer to the admin call `split`.
+    /// Returns the reply of a process to the admin call `split`.
     pub(crate) fn split_status(&self, process: usize) -> String {
         admin_call(&self.processes[process], "split")
     }
@@ -119,13 +119,13 @@
         (0..self.processes.len()).all(|process| self.split_status(process).starts_with(&start))
     }
 
-    /// Whether a process has no verdict for all, or one that the children differ.
+    /// Returns whether a process has no verdict for all processes yet, or the verdict that the children differ.
     pub(crate) fn has_no_clean_verdict(&self, process: usize) -> bool {
         let status = self.split_status(process);
         status.contains("verdict=not-yet") || status.contains("verdict=dirty")
     }
 
-    /// Confirmed differences in the logs of all processes, by kind and hash; sorted, each once.
+    /// Returns the kind and hash of each difference that a log reports as confirmed, sorted and without duplicates.
     pub(crate) fn confirmed_differences(&self) -> Vec<String> {
         let lines = self.processes.iter().flat_map(Process::log);
         let flags = lines.filter(|line| line.contains("event=split-flag"));
@@ -135,12 +135,12 @@
         differences
     }
 
-    /// Stops the clients. Checks that they were served by the parent alone, and that children were read within the budget.
+    /// Stops the clients. Checks that only the parent served them and that the reads of the children stayed within the budget.
     pub(crate) fn stop_and_check_records(&mut self) {
         let result = self.traffic.take().unwrap().stop();
         assert!(
             result.served_fraction() > 0.5 && result.served > 200,
-            "{} served, {} refused",
+            "{} served, {} rejected",
             result.served,
             result.rejected
         );
@@ -150,7 +150,7 @@
     }
 }
 
-/// A key in each of the ranges, by their order.
+/// Returns one key for each range of hashes, in the order of the ranges.
 fn key_in_each_range() -> Vec<String> {
     let mut by_range: Vec<Option<String>> = vec![None; RANGE_COUNT];
     for n in 0..10_000 {
@@ -161,18 +161,18 @@
     by_range.into_iter().flatten().collect()
 }
 
-/// The kind and hash in a log line that reports a difference.
+/// Returns the kind and hash in a log line that reports a difference.
 fn reported_difference(line: &str) -> Option<String> {
     let value_of = |key: &str| line.split([' ', '"']).find_map(|word| word.strip_prefix(key));
     Some(format!("{} {}", value_of("sort=")?, value_of("hash=")?))
 }
 
-/// Checks that a child was read by proxies alone, within their budget and not while it was warming up.
+/// Checks that a child was read only by the proxies' comparison, within its budget, and not while the child was warming up.
 fn check_child_records(state: &State) {
     let is_client_read =
         |statement: &StatementKind| matches!(statement, StatementKind::Read { background: false });
     let client_reads = state.records.iter().filter(|record| is_client_read(&record.statement)).count();
-    assert_eq!(client_reads, 0, "a client's read went to a child");
+    assert_eq!(client_reads, 0, "a child served a read of a client");
     let is_dual_read = |statement: &StatementKind| {
         matches!(statement, StatementKind::Read { background: true } | StatementKind::PositionRead)
     };
