--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -54,7 +54,7 @@
     assert_eq!(
         fleet_value(&processes[0], "divisor="),
         "5",
-        "a partition of two still divides its budgets by the five known processes"
+        "two partitioned processes divide quotas as if they were the whole fleet"
     );
     fleet.relays.set_faults(NetworkFaults { blocked: Default::default(), ..faults });
     wait_until_settled("heal", 5, processes);
--- a/proxy/tests/health/crowds.rs
+++ b/proxy/tests/health/crowds.rs
@@ -141,7 +141,7 @@
     // When many other connections only send the startup message
     send_startup_checks(clients);
     // Then no client has lost its connection, and the log is short
-    assert!(idle_clients.iter_mut().all(is_served), "every idle client is still connected");
+    assert!(idle_clients.iter_mut().all(is_served), "an idle client has lost its connection");
     let log = proxy.log();
     assert!(!log.iter().any(|line| line.contains("reason=shed")));
     assert!(log.iter().filter(|line| line.contains("conn=client")).count() < 10, "{}", log.len());
--- a/proxy/tests/stopping.rs
+++ b/proxy/tests/stopping.rs
@@ -72,5 +72,5 @@
     let rows = &rig.groups[0].rows;
     assert_eq!(rows.duplicate_count(), 0);
     let answered = clients.answered_writes.load(Ordering::Relaxed);
-    assert_eq!(rows.write_count(), answered, "each executed write was answered");
+    assert_eq!(rows.write_count(), answered, "number of executed writes and of answered writes");
 }
