--- a/proxy/tests/exchanges.rs
+++ b/proxy/tests/exchanges.rs
@@ -1,14 +1,14 @@
-//! Plays the recorded exchanges of `tests/exchanges/*.txt` against the built program: the player is
-//! its clients, its databases and its discovery. How the files read: `exchanges/README`.
+//! Plays the recorded exchanges in `tests/exchanges/*.txt` against the built program. The player acts as the clients, the databases and
+//! the discovery agent. `exchanges/README` describes the format of the files.
 
 mod player;
 
 use player::Player;
 
-/// The steps that each exchange begins with.
+/// The name of the file with the steps that precede each exchange.
 const COMMON_STEPS: &str = "common";
 
-/// Plays an exchange; a step that does not go as it is written panics.
+/// Plays an exchange. Panics at the first step that fails.
 fn play(exchange: &str) {
     let script = read_script(exchange);
     let mut player = Player::start(exchange, &script);
@@ -21,14 +21,14 @@
     std::fs::read_to_string(path).unwrap()
 }
 
-/// Plays the lines that are neither empty nor comments, each of which is printed before.
+/// Plays each line that is neither empty nor a comment, and prints it beforehand.
 fn play_steps(player: &mut Player, name: &str, script: &str) {
     for (line, number) in script.lines().zip(1..) {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
         println!("{name}.txt:{number}: {line}");
-        player.step(line);
+        player.execute_step(line);
     }
 }
 
--- a/proxy/tests/large_lists.rs
+++ b/proxy/tests/large_lists.rs
@@ -79,11 +79,11 @@
 
         // The next poll succeeds and reports that the current list is up to date.
         self.wait_for_line_count(&["event=endpoint-list"], lists_before + 1);
-        assert_eq!(self.line_count(words), lines_before + 1, "more than one line about the invalid list");
+        assert_eq!(self.line_count(words), lines_before + 1, "number of log lines about the invalid list");
         assert_eq!(
             self.line_count(&["conn=discovery"]),
             closed_connections_before + 1,
-            "more than one line about the connection"
+            "number of log lines about the connection"
         );
         let complete_lists = self.line_count(&["event=endpoint-list", "all=true"]);
         assert_eq!(complete_lists, complete_lists_before, "the invalid list was applied");
--- a/proxy/tests/player/bytes.rs
+++ b/proxy/tests/player/bytes.rs
@@ -1,17 +1,17 @@
-//! Bytes as the exchanges write them; the notation is described in `exchanges/README`.
+//! Parser for the byte notation of the exchanges, which `exchanges/README` describes.
 
 use std::collections::HashMap;
 
-/// Bytes to be sent, or matched; `None` matches any byte.
+/// Bytes to send or to match. `None` matches any byte.
 pub(super) type Bytes = Vec<Option<u8>>;
 
-/// Named bytes, as `$NAME` refers to them.
+/// Bytes by the name with which `$NAME` refers to them.
 pub(super) type NamedBytes = HashMap<String, Bytes>;
 
 /// The size of the length field of messages and values.
 const LENGTH_BYTES: usize = 4;
 
-/// The bytes of a text itself.
+/// Returns the bytes of a text, without parsing the notation.
 pub(super) fn literal(text: &str) -> Bytes {
     text.bytes().map(Some).collect()
 }
@@ -23,18 +23,18 @@
     while !rest.is_empty() {
         rest = parser.parse_next(rest).trim_start();
     }
-    assert!(parser.open_brackets.is_empty(), "an open bracket");
+    assert!(parser.open_brackets.is_empty(), "a bracket is not closed: {text}");
     parser.output
 }
 
-/// A bracket, and the offset of the first byte that its length counts or precedes.
+/// An open bracket. `start` is the offset of its length field, or of the body for [`OpenBracket::Http`].
 #[derive(Clone, Copy)]
 enum OpenBracket {
-    /// `http[`: the length stands in a header before the body.
+    /// `http[`: the `Content-Length` header before the body has the length.
     Http { start: usize },
-    /// `X[` or `[`: the length field counts itself.
+    /// `X[` or `[`: the length includes the length field.
     Message { start: usize },
-    /// `(`: the length field doesn't count itself.
+    /// `(`: the length does not include the length field.
     Value { start: usize },
 }
 
@@ -45,11 +45,11 @@
 }
 
 impl Parser<'_> {
-    /// Parses a quoted text or a word at the start; what follows it.
+    /// Parses the quoted text or the word at the start, and returns the rest.
     fn parse_next<'t>(&mut self, text: &'t str) -> &'t str {
         if let Some(quote) = text.chars().next().filter(|first| "\"'".contains(*first)) {
             let quoted = &text[1..];
-            let end = quoted.find(quote).expect("an open quote");
+            let end = quoted.find(quote).expect("a quote is not closed");
             self.output.extend(literal(&quoted[..end].replace("\\r", "\r").replace("\\n", "\n")));
             return &quoted[end + 1..];
         }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Writes the length of what the innermost bracket encloses.
+    /// Closes the innermost bracket and writes its length.
     fn close_bracket(&mut self, word: &str) {
         let end = self.output.len();
         match (self.open_brackets.pop().unwrap(), word) {
@@ -93,7 +93,7 @@
             }
             (OpenBracket::Message { start }, "]") => self.write_length(start, end - start),
             (OpenBracket::Value { start }, ")") => self.write_length(start, end - start - LENGTH_BYTES),
-            _ => panic!("{word} closes another bracket"),
+            _ => panic!("{word} does not match the innermost open bracket"),
         }
     }
 
--- a/proxy/tests/player/mod.rs
+++ b/proxy/tests/player/mod.rs
@@ -1,4 +1,4 @@
-//! The player of recorded exchanges: the built program's clients, its databases and its discovery.
+//! The player of recorded exchanges. It acts as the clients, the databases and the discovery agent of the built program.
 
 mod bytes;
 mod process;
@@ -14,7 +14,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Longer than any machine stalls; no exchange waits for it unless it fails.
+/// The time-out of each step. It is longer than the stalls of a busy machine, and only a failing exchange waits for it.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
@@ -26,24 +26,24 @@
 
 /// Plays the steps of one exchange.
 pub(crate) struct Player {
-    /// The one that the steps speak of comes first.
+    /// The process that the steps refer to is the first.
     processes: Vec<Process>,
     shell_command: String,
-    /// The clients' listening socket, if the platform holds it.
+    /// The listening socket for clients if the platform passes it to the processes.
     inherited_listener: Option<TcpListener>,
     client_address: SocketAddr,
     listeners: Listeners,
-    /// Open connections by the names of their parties.
+    /// Open connections by the name of the party, such as `c1` or `r.1`.
     connections: HashMap<String, TcpStream>,
     names: NamedBytes,
     last_log_line: String,
-    /// When a party last sent bytes at once.
+    /// The time of the last [`Step::Send`](step::Step::Send).
     last_sent_at: Instant,
     config: Configuration,
 }
 
 impl Player {
-    /// Starts the program as an exchange needs it.
+    /// Starts the program with the settings of an exchange.
     pub(crate) fn start(exchange: &str, script: &str) -> Player {
         let listeners = setup::bind_listeners(exchange);
         let Setup { config, shell_command, inherited_listener } = Setup::parse(script, &listeners);
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The connection of a party, which is made when it is first named. `c` and a number: a client, which connects; `o` and a number:
-    /// an operator, which connects; `p.2`: the second connection that `p` accepts.
+    /// Returns the connection of a party, and opens it first if the party has none. `c1` is a client, which connects. `o1` is an
+    /// operator, which connects. `p.2` is the second connection that the listener `p` accepts.
     fn connection(&mut self, party: &str) -> &mut TcpStream {
         if !self.connections.contains_key(party) {
             let stream = match party.split_once('.') {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Waits until somebody connects.
+/// Waits for a connection and accepts it.
 fn accept(listener: &TcpListener) -> TcpStream {
     let start = Instant::now();
     listener.set_nonblocking(true).unwrap();
@@ -100,7 +100,7 @@
             Err(error) if error.kind() == ErrorKind::WouldBlock && start.elapsed() < MAX_WAIT => {
                 std::thread::sleep(ACCEPT_POLL_INTERVAL);
             }
-            Err(error) => panic!("nobody connects: {error}"),
+            Err(error) => panic!("no connection within {MAX_WAIT:?}: {error}"),
         }
     }
 }
--- a/proxy/tests/player/process.rs
+++ b/proxy/tests/player/process.rs
@@ -11,16 +11,14 @@
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A process of the program, which is killed when this is dropped.
+/// A running process of the program. Dropping it kills the process.
 pub(super) struct Process {
     program: Child,
-    /// The lines of its log that are not read yet.
+    /// Log lines that no step has read yet.
     pub log: Receiver<String>,
-    /// The line with which it reports that it serves.
+    /// The log line that reports that the process serves.
     pub first_log_line: String,
-    /// Where clients connect.
     pub client_address: SocketAddr,
-    /// Where operators connect.
     pub admin_address: SocketAddr,
 }
 
@@ -32,7 +30,7 @@
 }
 
 impl Process {
-    /// Starts the program by a shell command and waits until it serves.
+    /// Starts the program with a shell command and waits until it serves.
     pub(super) fn start(shell_command: &str, config_path: &str, inherited: Option<&TcpListener>) -> Process {
         let mut command = Command::new("/bin/sh");
         command
@@ -55,36 +53,35 @@
         Process { program, log, first_log_line, client_address, admin_address }
     }
 
-    /// Waits until it has stopped itself.
+    /// Waits until the process is in the stopped state, `T` in `/proc`.
     pub(super) fn wait_until_stopped(&self) {
         let stat_path = format!("/proc/{}/stat", self.program.id());
         let start = Instant::now();
         while !std::fs::read_to_string(&stat_path).unwrap().contains(") T ") {
-            assert!(start.elapsed() < MAX_WAIT, "it goes on");
+            assert!(start.elapsed() < MAX_WAIT, "the process has not stopped within {MAX_WAIT:?}");
             std::thread::sleep(STOP_POLL_INTERVAL);
         }
     }
 
-    /// Waits until it has ended.
     pub(super) fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.program.try_wait().unwrap() {
                 return status;
             }
-            assert!(start.elapsed() < MAX_WAIT, "it goes on");
+            assert!(start.elapsed() < MAX_WAIT, "the process has not exited within {MAX_WAIT:?}");
             std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
-    /// Sends it a signal, such as `HUP`.
+    /// Sends a signal to the process. `name` has no `SIG` prefix: `HUP`.
     pub(super) fn signal(&self, name: &str) {
         let pid = self.program.id().to_string();
         assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
     }
 }
 
-/// The address in the word of a log line that starts with `key`.
+/// Returns the address that follows `key` in a log line. `key` includes the equals sign.
 fn address_after(line: &str, key: &str) -> SocketAddr {
     line.split(' ').find_map(|word| word.strip_prefix(key)).unwrap().parse().unwrap()
 }
--- a/proxy/tests/player/setup.rs
+++ b/proxy/tests/player/setup.rs
@@ -1,28 +1,27 @@
-//! What an exchange changes before it starts: the configuration, and how the program is started.
+//! The settings of an exchange: the configuration and the command that starts the program.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, TcpListener};
 
-/// The listeners of discovery and of the databases, which the configuration or discovery's answers name.
+/// The names of the listeners of the discovery agent and of the databases. The configuration and the responses of the agent refer to
+/// their addresses.
 pub(super) const LISTENERS: [&str; 4] = ["agent", "p", "r", "q"];
-/// File descriptors that the system gives, if an exchange doesn't say another number.
+/// The limit of file descriptors of the process if an exchange does not set another one.
 const DEFAULT_DESCRIPTORS: &str = "256";
 
-/// Listeners by their names.
 pub(super) type Listeners = HashMap<&'static str, TcpListener>;
 
-/// The settings of an exchange, from the lines that the player reads before it starts the program.
+/// The settings from the lines of an exchange that the player reads before it starts the program.
 pub(super) struct Setup {
-    /// The text of the configuration.
+    /// The text of the configuration file.
     pub config: String,
-    /// The shell command that starts the program.
     pub shell_command: String,
-    /// The clients' listening socket, if the platform holds it.
+    /// The listening socket for clients if the platform passes it to the processes.
     pub inherited_listener: Option<TcpListener>,
 }
 
 impl Setup {
-    /// Reads the settings of an exchange.
+    /// Reads the settings from the text of an exchange.
     pub(super) fn parse(script: &str, listeners: &Listeners) -> Setup {
         let inherited_listener =
             script.lines().any(|line| line == "inherited").then(|| TcpListener::bind("127.0.0.1:0").unwrap());
@@ -34,7 +33,8 @@
     }
 }
 
-/// Listeners at a loopback address that no other exchange has: a port that one gives up is not taken by another.
+/// Binds the listeners to a loopback address that is derived from the name of the exchange, so that no other exchange takes a port that
+/// this one closes.
 pub(super) fn bind_listeners(exchange: &str) -> Listeners {
     let hash = exchange.bytes().fold(1u16, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte.into()));
     let [high, low] = hash.to_be_bytes();
@@ -42,12 +42,11 @@
     LISTENERS.map(|name| (name, TcpListener::bind((address, 0)).unwrap())).into_iter().collect()
 }
 
-/// The address of a listener.
 pub(super) fn address(listeners: &Listeners, name: &str) -> String {
     listeners[name].local_addr().unwrap().to_string()
 }
 
-/// `config.json` with the listeners' addresses, and with the changes of the `config` lines.
+/// Returns the text of `config.json` with the addresses of the listeners and with the replacements of the `config` lines.
 fn configuration(script: &str, listeners: &Listeners) -> String {
     let mut config = include_str!("../exchanges/config.json").to_string();
     for name in LISTENERS {
--- a/proxy/tests/player/step.rs
+++ b/proxy/tests/player/step.rs
@@ -1,4 +1,4 @@
-//! The steps of an exchange, and how its lines write them.
+//! The steps of an exchange, and the parser for their lines.
 
 use std::time::Duration;
 
@@ -10,9 +10,10 @@
     Replace { old: &'a str, new: &'a str },
 }
 
-/// What a line of an exchange does. Bytes are in the notation of the exchanges, which refers to names that earlier steps define.
+/// The step that a line of an exchange describes. `bytes` is in the notation of the exchanges and can refer to names that earlier
+/// steps define.
 pub(super) enum Step<'a> {
-    /// Read before the program starts; see [`super::setup`].
+    /// A setting that [`super::setup`] reads before the program starts.
     Setup,
     WaitUntilStopped,
     StartAnotherProcess,
@@ -60,7 +61,7 @@
         party: &'a str,
         bytes: &'a str,
     },
-    /// Like `Receive`, and not soon after what was sent last.
+    /// Like `Receive`, but fails if the bytes arrive too soon after the last `Send`.
     ReceiveLater {
         party: &'a str,
         bytes: &'a str,
@@ -82,13 +83,13 @@
 impl<'a> Step<'a> {
     /// Parses a line that is neither empty nor a comment.
     pub(super) fn parse(line: &'a str) -> Step<'a> {
-        let (subject, predicate) = split_word(line);
-        Step::parse_process_step(subject, predicate)
-            .or_else(|| Step::parse_party_step(subject, predicate))
-            .unwrap_or_else(|| panic!("no such step"))
+        let (first_word, rest) = split_word(line);
+        Step::parse_process_step(first_word, rest)
+            .or_else(|| Step::parse_party_step(first_word, rest))
+            .unwrap_or_else(|| panic!("unknown step: {line}"))
     }
 
-    /// A step whose first word says what it is.
+    /// Parses a step whose first word is a keyword. Returns `None` if it is not.
     fn parse_process_step(keyword: &'a str, arguments: &'a str) -> Option<Step<'a>> {
         let (argument, rest) = split_word(arguments);
         Some(match keyword {
@@ -108,9 +109,9 @@
         })
     }
 
-    /// A step that says what a client, operator, database or discovery does.
-    fn parse_party_step(party: &'a str, predicate: &'a str) -> Option<Step<'a>> {
-        let (verb, bytes) = split_word(predicate);
+    /// Parses a step of a client, an operator, a database or the discovery agent. Returns `None` if its second word is not a verb.
+    fn parse_party_step(party: &'a str, action: &'a str) -> Option<Step<'a>> {
+        let (verb, bytes) = split_word(action);
         Some(match verb {
             "full" => Step::FillListenQueue { listener: party },
             "room" => Step::DrainListenQueue { listener: party },
@@ -138,13 +139,13 @@
     }
 }
 
-/// The first word, and what follows it after a space.
+/// Splits a text after its first word.
 fn split_word(text: &str) -> (&str, &str) {
     text.split_once(' ').unwrap_or((text, ""))
 }
 
-/// A text to look for; an empty one would be found anywhere.
+/// Panics if the text to search for is empty, because each log line would contain it.
 fn non_empty(text: &str) -> &str {
-    assert!(!text.is_empty(), "a text is missing");
+    assert!(!text.is_empty(), "the step has no text to search for");
     text
 }
--- a/proxy/tests/player/steps.rs
+++ b/proxy/tests/player/steps.rs
@@ -1,4 +1,4 @@
-//! What the player does at each kind of step.
+//! Execution of the steps.
 
 use super::bytes::{self, Bytes};
 use super::process::Process;
@@ -8,14 +8,14 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// [`Step::ReceiveLater`] expects nothing within this time of what was sent last.
+/// [`Step::ReceiveLater`] fails if its bytes arrive within this time after the last [`Step::Send`].
 const MIN_DELAY: Duration = Duration::from_millis(1);
-/// The buffer of a read that expects the end of the connection.
+/// The buffer size of a read that expects the end of the connection.
 const BUFFER_BYTES: usize = 64;
 
 impl Player {
-    /// Does what a line of an exchange says.
-    pub(crate) fn step(&mut self, line: &str) {
+    /// Executes the step that a line of an exchange describes. Panics if the step fails.
+    pub(crate) fn execute_step(&mut self, line: &str) {
         match Step::parse(line) {
             Step::Setup => {}
             Step::WaitUntilStopped => self.processes[0].wait_until_stopped(),
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Starts the program once more, which the steps speak of from here on.
+    /// Starts another process of the program. The following steps refer to it.
     fn start_another_process(&mut self) {
         let inherited = self.inherited_listener.as_ref();
         let process = Process::start(&self.shell_command, &self.config.path, inherited);
         self.processes.insert(0, process);
     }
 
-    /// Writes a configuration with changes to the original one, and lets the program read it.
+    /// Writes the original configuration with changes, and makes the process reload it.
     fn reload(&self, changes: &[ConfigChange]) {
         let address = |name| setup::address(&self.listeners, name);
         let insert_addresses =
@@ -62,7 +62,7 @@
                 ConfigChange::ReplaceAll { new } => new.to_string(),
                 ConfigChange::Replace { old, new } => {
                     let old = insert_addresses(old);
-                    assert!(text.contains(&old), "the configuration has no {old}");
+                    assert!(text.contains(&old), "the configuration does not contain {old}");
                     text.replacen(&old, &insert_addresses(new), 1)
                 }
             };
@@ -75,7 +75,7 @@
         bytes::parse(text, &self.names)
     }
 
-    /// Bytes to be sent; those that match any are left out.
+    /// Parses bytes to send. Wildcards are left out.
     fn parse_bytes_to_send(&self, text: &str) -> Vec<u8> {
         self.parse_bytes(text).into_iter().flatten().collect()
     }
@@ -85,19 +85,20 @@
         self.names.insert(name.to_string(), bytes);
     }
 
-    /// Reads the log on from the last line that was looked at, that one included, until a line has the text.
+    /// Reads the log, beginning with the line that was read last, until a line contains the text.
     fn expect_log(&mut self, text: &str) {
         let start = Instant::now();
-        let mut passed_over = Vec::new();
+        let mut skipped_lines = Vec::new();
         while !self.last_log_line.contains(text) {
-            passed_over.push(self.last_log_line.clone());
+            skipped_lines.push(self.last_log_line.clone());
             let remaining = MAX_WAIT.saturating_sub(start.elapsed());
             let next = self.processes[0].log.recv_timeout(remaining);
-            self.last_log_line = next.unwrap_or_else(|_| panic!("not in the log: {passed_over:#?}"));
+            self.last_log_line =
+                next.unwrap_or_else(|_| panic!("the log does not contain {text}: {skipped_lines:#?}"));
         }
     }
 
-    /// Checks the lines that have come since the last one that was looked at, that one included.
+    /// Checks that no line contains one of the texts, from the line that was read last to the newest one.
     fn expect_not_logged(&self, texts: &[&str]) {
         let mut lines: Vec<String> = self.processes[0].log.try_iter().collect();
         lines.insert(0, self.last_log_line.clone());
@@ -110,7 +111,7 @@
         assert_eq!(status.code(), Some(code));
     }
 
-    /// Leaves room for one connection in the listener's queue and takes it: the system drops whoever else connects.
+    /// Reduces the listener's queue to one connection and occupies it, so that the system drops further connection attempts.
     fn fill_listen_queue(&mut self, name: &str) {
         let listener = &self.listeners[name];
         socket2::SockRef::from(listener).listen(0).unwrap();
@@ -121,7 +122,7 @@
     fn expect_no_connection(&self, name: &str) {
         let listener = &self.listeners[name];
         listener.set_nonblocking(true).unwrap();
-        assert!(listener.accept().is_err(), "somebody has connected");
+        assert!(listener.accept().is_err(), "a connection to {name} was opened");
     }
 
     fn send(&mut self, party: &str, text: &str) {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Reads as many bytes as are expected, or until one differs.
+    /// Reads until the number of expected bytes has arrived or a byte differs.
     fn receive(&mut self, party: &str, text: &str) {
         let expected = self.parse_bytes(text);
         let mut received = vec![0; expected.len()];
@@ -148,23 +149,23 @@
                 end => panic!("{end:?} after {:?}", String::from_utf8_lossy(&received[..length])),
             }
         }
-        let is_same = length == received.len() && is_match(&expected, &received);
-        assert!(is_same, "came: {:?}", String::from_utf8_lossy(&received[..length]));
+        let is_equal = length == received.len() && is_match(&expected, &received);
+        assert!(is_equal, "received: {:?}", String::from_utf8_lossy(&received[..length]));
     }
 
     fn receive_later(&mut self, party: &str, text: &str) {
         self.receive(party, text);
         let waited = self.last_sent_at.elapsed();
-        assert!(waited >= MIN_DELAY, "it came after {waited:?}");
+        assert!(waited >= MIN_DELAY, "received {waited:?} after the last send");
     }
 
     fn expect_unread_input(&mut self, party: &str) {
         let stream = self.connection(party);
         let peeked = retry_interrupted(|| stream.peek(&mut [0]));
-        assert!(peeked.is_ok_and(|length| length > 0), "nothing comes");
+        assert!(peeked.is_ok_and(|length| length > 0), "{party} has received nothing");
     }
 
-    /// Expects the end of the connection, which nothing that the party sent has broken.
+    /// Expects a regular end of the connection, not a reset.
     fn expect_closed(&mut self, party: &str) {
         let end = self.read_end(party);
         assert_eq!(end.ok(), Some(0));
@@ -182,13 +183,13 @@
     }
 }
 
-/// Whether bytes are the expected ones, as far as both go.
+/// Compares the bytes up to the shorter length.
 fn is_match(expected: &[Option<u8>], received: &[u8]) -> bool {
     expected.iter().zip(received).all(|(expected, received)| expected.is_none_or(|byte| byte == *received))
 }
 
-/// Reads again when a signal interrupts a read that has a time-out: that happens if only the whole test was stopped and goes on,
-/// and tells nothing of the connection.
+/// Repeats a read that a signal has interrupted. The system interrupts a read with a time-out when the test process is stopped and
+/// continued, which says nothing about the connection.
 fn retry_interrupted(mut read: impl FnMut() -> io::Result<usize>) -> io::Result<usize> {
     loop {
         match read() {
