--- a/proxy/tests/fleet.rs
+++ b/proxy/tests/fleet.rs
@@ -141,11 +141,11 @@
 fn a_process_without_options_rejects_the_fleet_and_metrics_calls() {
     // Given a process without options
     let fleet = new_fleet(4, 1);
-    let plain = fleet.rig.start(9, None, None).unwrap();
+    let process = fleet.rig.start(9, None, None).unwrap();
     // When an operator calls `fleet` and `metrics`, then the process rejects both calls
     assert!(
-        admin_call(&plain, "fleet").starts_with("NO no such call")
-            && admin_call(&plain, "metrics").starts_with("NO no such call")
+        admin_call(&process, "fleet").starts_with("NO no such call")
+            && admin_call(&process, "metrics").starts_with("NO no such call")
     );
 }
 
--- a/proxy/tests/grpc/main.rs
+++ b/proxy/tests/grpc/main.rs
@@ -22,8 +22,8 @@
 const RESOURCE_EXHAUSTED: &str = "8";
 const UNIMPLEMENTED: &str = "12";
 
-/// The proxy closes a connection after this time without a request if the client does not answer its pings. If the test stalls for
-/// half of this time, it loses its connection.
+/// The proxy closes a connection after this time without a request if the client does not answer its pings. A test that stalls
+/// for half of this time loses its connection.
 const IDLE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Checks that invalid calls and calls that name an unknown service or method fail with the right status code.
--- a/proxy/tests/health/crowds.rs
+++ b/proxy/tests/health/crowds.rs
@@ -52,9 +52,12 @@
                 .concat(),
         )
         .unwrap();
-    let mut all = String::new();
-    connection.read_to_string(&mut all).unwrap();
-    assert_eq!((all.matches("HTTP/1.1 200 ").count(), all.matches("HTTP/1.1 404 ").count()), (999, 1));
+    let mut responses = String::new();
+    connection.read_to_string(&mut responses).unwrap();
+    assert_eq!(
+        (responses.matches("HTTP/1.1 200 ").count(), responses.matches("HTTP/1.1 404 ").count()),
+        (999, 1)
+    );
 }
 
 /// Health checks have to be answered while client connections fill the proxy's limit and other check connections misbehave.
@@ -86,13 +89,13 @@
         proxy.log().iter().any(|line| line.contains("conn=check") && line.contains("unresponsive"))
     });
     // And connections above the limit are shed. The log's rate limit can suppress the first of these lines, so more are opened.
-    let mut more = Vec::new();
+    let mut excess_connections = Vec::new();
     wait_until("connections above the limit are shed", || {
-        more.extend((0..64).map_while(|_| TcpStream::connect(http_address).ok()));
+        excess_connections.extend((0..64).map_while(|_| TcpStream::connect(http_address).ok()));
         proxy.log().iter().any(|line| line.contains("conn=check") && line.contains("shed"))
     });
     // When these connections are closed, then clients are served again
-    drop(more);
+    drop(excess_connections);
     drop((misbehaving, idle_connections));
     wait_until("clients are served again", || {
         let mut client = Client::connect(clients).ok();
--- a/proxy/tests/hot/main.rs
+++ b/proxy/tests/hot/main.rs
@@ -78,8 +78,10 @@
     restart_replicas_with_copies(&rig);
     // Then the fleet settles and serves from copies again
     rig.wait_until("settled", || check_settled(5, &rig.running_processes()).is_ok());
-    let before = rig.served_from_copies();
-    rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > before + 100);
+    let served_before = rig.served_from_copies();
+    rig.wait_until("hot again", || {
+        rig.all_have_hot_keys(1) && rig.served_from_copies() > served_before + 100
+    });
     // And the records of databases and clients pass all checks
     let result = traffic.stop();
     rig.check_records(&result);
@@ -104,17 +106,20 @@
     rig.reload_all("");
     rig.wait_until("off", || rig.all_hot_statuses_start_with("NO "));
     // Then clients are still served
-    let before = traffic.take_result();
+    let result_until_disabled = traffic.take_result();
     sleep(Duration::from_secs(1));
-    let off = traffic.take_result();
-    assert!(off.served_fraction() > 0.5 && off.served > 0, "{off:?}");
+    let result_while_disabled = traffic.take_result();
+    assert!(
+        result_while_disabled.served_fraction() > 0.5 && result_while_disabled.served > 0,
+        "{result_while_disabled:?}"
+    );
     // When a reload enables them, then the key is served from copies again
     rig.reload_all(HOT_OPTIONS);
     rig.wait_until("hot again", || rig.all_have_hot_keys(1) && rig.served_from_copies() > 20);
     // And no read was stale before, during or after that time
     let mut result = traffic.stop();
-    result.reads.extend(before.reads);
-    result.reads.extend(off.reads);
+    result.reads.extend(result_until_disabled.reads);
+    result.reads.extend(result_while_disabled.reads);
     rig.check_records(&result);
 }
 
--- a/proxy/tests/large_lists.rs
+++ b/proxy/tests/large_lists.rs
@@ -126,7 +126,7 @@
     proxy.check_requests_are_served();
 
     // When it receives lists that are malformed at the last entry, truncated, or above a limit
-    let valid = entry(SERVERS - 1);
+    let valid_entry = entry(SERVERS - 1);
     let complete = list_of(&all_entries());
     let too_many = list_of(&(0..SHORT_ENTRIES).map(short_entry).collect::<Vec<_>>());
     // The first entry is on line 2. The parser stops after the comma that follows the first entry above the limit.
@@ -135,9 +135,15 @@
     let last_line = format!("line {} column ", 1 + SERVERS);
     let position = last_line.as_str();
     let cases = [
-        (list_with_last(valid.replace("\"up\"", "\"asleep\"")), vec!["unknown variant `asleep`", position]),
-        (list_with_last(valid.replace("\"az\":", "\"az\"")), vec!["expected `:`", position]),
-        (list_with_last(valid.replace("up", &"x".repeat(1 << 20))), vec!["unknown variant `xxx", position]),
+        (
+            list_with_last(valid_entry.replace("\"up\"", "\"asleep\"")),
+            vec!["unknown variant `asleep`", position],
+        ),
+        (list_with_last(valid_entry.replace("\"az\":", "\"az\"")), vec!["expected `:`", position]),
+        (
+            list_with_last(valid_entry.replace("up", &"x".repeat(1 << 20))),
+            vec!["unknown variant `xxx", position],
+        ),
         (complete.trim_end_matches("}\n]}").to_string(), vec!["EOF while parsing", position]),
         (too_many, vec![too_many_position.as_str()]),
         (complete.clone() + &" ".repeat(MAX_BODY_BYTES), vec!["reason=\"response too long\""]),
--- a/proxy/tests/peer_state.rs
+++ b/proxy/tests/peer_state.rs
@@ -103,14 +103,17 @@
     provider.wait_for_log_line(&["conn=peer-state", "reason=sent"]).expect("the provider sends state");
     send_requests(&new_proxy);
     // When a proxy starts that lacks the provider's current key, then it receives no state and serves requests
-    let late = peers.start(3, third, &[second], &one_key);
-    late.wait_for_log_line(&["conn=peer-state", "unknown-key"]).expect("the proxy rejects the unknown key");
-    send_requests(&late);
+    let late_proxy = peers.start(3, third, &[second], &one_key);
+    late_proxy
+        .wait_for_log_line(&["conn=peer-state", "unknown-key"])
+        .expect("the proxy rejects the unknown key");
+    send_requests(&late_proxy);
     // When its providers change by a reload, then the log states that the change needs a restart
     for _ in 0..2 {
-        late.reload(&peers.rig.config(3), &options(third, &[first], &one_key)).unwrap();
+        late_proxy.reload(&peers.rig.config(3), &options(third, &[first], &one_key)).unwrap();
     }
-    late.wait_for_log_line(&["event=reloaded", "needs-restart=knowledge"])
+    late_proxy
+        .wait_for_log_line(&["event=reloaded", "needs-restart=knowledge"])
         .expect("the need of a restart is logged");
     assert!(peers.rig.groups.iter().all(|group| group.rows.duplicate_count() == 0));
 }
--- a/proxy/tests/player/step.rs
+++ b/proxy/tests/player/step.rs
@@ -89,7 +89,7 @@
             .unwrap_or_else(|| panic!("unknown step: {line}"))
     }
 
-    /// Parses a step whose first word is a keyword. Returns `None` if it is not.
+    /// Parses a step that begins with a keyword. Returns `None` if the first word is not a keyword.
     fn parse_process_step(keyword: &'a str, arguments: &'a str) -> Option<Step<'a>> {
         let (argument, rest) = split_word(arguments);
         Some(match keyword {
--- a/proxy/tests/split/main.rs
+++ b/proxy/tests/split/main.rs
@@ -78,7 +78,8 @@
     // Given three processes and children with differences
     let mut rig = SplitRig::start(2, 3);
     let planted = plant_differences(&rig);
-    // When one of the processes is partitioned, then the processes confirm all planted differences
+    // When one of the processes is partitioned, then the processes still confirm all planted differences, and the partitioned
+    // process reports the ones that it finds
     rig.cluster.fleet.relays.set_faults(NetworkFaults::partition(1, 3));
     rig.wait_until("found", |rig| rig.confirmed_differences() == planted);
     // When the partition heals, then the verdict of all processes is that the children differ
