--- a/proxy/tests/player/mod.rs
+++ b/proxy/tests/player/mod.rs
@@ -35,7 +35,7 @@
     listeners: Listeners,
     /// Open connections by the name of the party, such as `c1` or `r.1`.
     connections: HashMap<String, TcpStream>,
-    names: NamedBytes,
+    named_bytes: NamedBytes,
     last_log_line: String,
     /// The time of the last [`Step::Send`](step::Step::Send).
     last_sent_at: Instant,
@@ -59,7 +59,7 @@
             inherited_listener,
             client_address: process.client_address,
             connections: HashMap::new(),
-            names: LISTENERS.map(named_address).into_iter().collect(),
+            named_bytes: LISTENERS.map(named_address).into_iter().collect(),
             listeners,
             last_log_line: process.first_log_line.clone(),
             last_sent_at: Instant::now(),
--- a/proxy/tests/player/steps.rs
+++ b/proxy/tests/player/steps.rs
@@ -72,7 +72,7 @@
     }
 
     fn parse_bytes(&self, text: &str) -> Bytes {
-        bytes::parse(text, &self.names)
+        bytes::parse(text, &self.named_bytes)
     }
 
     /// Parses bytes to send. Wildcards are left out.
@@ -82,7 +82,7 @@
 
     fn define(&mut self, name: &str, text: &str) {
         let bytes = self.parse_bytes(text);
-        self.names.insert(name.to_string(), bytes);
+        self.named_bytes.insert(name.to_string(), bytes);
     }
 
     /// Reads the log, beginning with the line that was read last, until a line contains the text.
