--- a/proxy/tests/schedules.rs
+++ b/proxy/tests/schedules.rs
@@ -4,7 +4,8 @@
 use birchreach_test_support::groups::seeded_schedule::{SeededSchedule, Summary};
 use std::path::Path;
 
-/// Seed 7 has a child's primary that is deposed without knowing it, seed 31 a process that is suspended while a database restarts.
+/// In seed 7, the primary of a child group is deposed and does not know it. In seed 31, a process is suspended while a database
+/// restarts.
 const SEEDS: [u64; 3] = [2, 7, 31];
 
 /// Runs the schedule of a seed at loopback addresses that no other schedule uses. Panics if a check fails.
@@ -23,7 +24,7 @@
         let threads = SEEDS.map(|seed| scope.spawn(move || run_seed(seed)));
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    // And they had enough to check
+    // And the schedules cause enough reads and copies for the checks to be meaningful
     let total = |count: fn(&Summary) -> usize| summaries.iter().map(count).sum::<usize>();
     assert!(
         total(|summary| summary.checked_reads) > 500 && total(|summary| summary.checked_copies) > 10,
