--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -156,8 +156,9 @@
         self.groups.remove_member(server.endpoint.listed.group, id);
     }
 
-    /// Number of servers that accept work, but at least 1, so that it can serve as a divisor.
-    pub(super) fn positive_accepting_server_count(&self) -> usize {
+    /// Number of servers that accept work, or 1 if there are none. Serves as the divisor of averages per
+    /// server.
+    pub(super) fn accepting_server_count_or_one(&self) -> usize {
         self.accepting_server_count.max(1)
     }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -129,7 +129,7 @@
         // Before anything has been served: one attempt per overload window, summed over all proxies.
         let min_rate = 1.0 / (f64::from(self.settings.proxy_count) * overload_window.max(1) as f64);
         let served_rate =
-            self.throughput.per_server(self.now, self.positive_accepting_server_count(), &self.settings);
+            self.throughput.per_server(self.now, self.accepting_server_count_or_one(), &self.settings);
         let rate = SLOW_START_UTILIZATION * self.settings.overload_factor * capacity_fraction * served_rate;
         let rate = rate.max(min_rate);
         let capacity = (rate * overload_window as f64).max(1.0);
@@ -155,7 +155,7 @@
     /// Updates the throughput that servers provide to this proxy by the result of an attempt.
     pub(super) fn record_throughput(&mut self, outcome: AttemptOutcome) {
         let is_success = outcome == AttemptOutcome::Ok;
-        let server_count = self.positive_accepting_server_count();
+        let server_count = self.accepting_server_count_or_one();
         self.throughput.record(is_success, self.now, server_count, self.settings.slow_start_window);
     }
 }
