--- a/background-tasks/src/scheduler.rs
+++ b/background-tasks/src/scheduler.rs
@@ -85,8 +85,13 @@
         }
     }
 
-    /// Replaces the budgets. A kind whose budget is unchanged is not interrupted. A kind with a new budget waits for a
-    /// window. Queued tasks of a kind without a budget are dropped.
+    /// Replaces the budgets. Running tasks continue.
+    ///
+    /// - If the budget of a kind is unchanged, the starts counted so far still count, and tasks of the kind may start
+    ///   as before.
+    /// - If the budget of a kind is new or has changed, the starts counted so far are discarded. Tasks of the kind may
+    ///   not start until one window of the new budget has passed since `now`.
+    /// - If a kind no longer has a budget, its queued tasks are dropped.
     pub fn set_budgets(&mut self, budgets: &[TaskBudget], now: Micros) {
         let is_unchanged = |kind: TaskKind, usage: &BudgetUsage| {
             budgets.contains(&TaskBudget { kind, budget: usage.budget() })
--- a/proxy/src/config/key_file.rs
+++ b/proxy/src/config/key_file.rs
@@ -55,9 +55,9 @@
 
 impl Error for KeyFileError {}
 
-/// Reads a key file. Each line contains the number of a key and its secret in hexadecimal digits. Empty lines and lines
-/// that begin with `#` are ignored. The first key seals the messages that this proxy sends. Only the owner may have
-/// permissions for the file.
+/// Reads a key file. Each line contains the number of a key, a space, and the secret in hexadecimal digits. Empty lines
+/// and lines that begin with `#` are ignored. The proxy uses the first key to seal the messages that it sends. Only the
+/// owner may have permissions for the file.
 pub(super) fn read_key_file(file: &Path) -> Result<Keys, ConfigDiagnostic> {
     let error_at =
         |line, error| ConfigDiagnostic { file: file.into(), line, kind: DiagnosticKind::KeyFile(error) };
--- a/proxy/src/discovery/watch.rs
+++ b/proxy/src/discovery/watch.rs
@@ -10,10 +10,11 @@
 use crate::units::MICROS_PER_MILLI;
 use birchreach::Micros;
 
-/// The proxy counts as notified of a change this long after discovery had the change, or after a poll became unresponsive.
+/// The time after which the proxy counts as notified of a change. It is counted from the instant at which discovery had the
+/// change, or from the instant at which a poll became unresponsive.
 pub(super) const NOTIFICATION_DEADLINE_MICROS: Micros = 6_000_000;
-/// If a long poll missed the change, the proxy counts as notified this long after the end of the poll's wait, where that is
-/// later.
+/// If a long poll missed the change, the proxy counts as notified this long after the end of the poll's wait, or
+/// [`NOTIFICATION_DEADLINE_MICROS`] after the change, whichever is later.
 const LONG_POLL_GRACE_MICROS: Micros = 2_000_000;
 /// The part of these two times that is reserved for the next poll and its response.
 pub(super) const NEXT_POLL_RESERVE_MICROS: Micros = 500_000;
--- a/proxy/src/grpc/call.rs
+++ b/proxy/src/grpc/call.rs
@@ -1,5 +1,5 @@
-//! One call on a connection. Once its request is received, `Check` is answered once, and `Watch` is sent the status and
-//! each change of it.
+//! A call on a connection. After the request is complete, a `Check` call sends one response and ends. A `Watch` call
+//! sends the current status, stays open, and sends the new status after a change.
 
 use super::message::{
     InvalidRequest, MAX_REQUEST_BYTES, ServingStatus, StatusCode, parse_request, response_frame,
@@ -34,7 +34,7 @@
     respond: SendResponse<Bytes>,
 }
 
-/// A call that is sent the status of a service and each change of it.
+/// An open `Watch` call. It sends the current status of a service first, and the new status after a change.
 pub(super) struct WatchingCall {
     query: HealthQuery,
     last_sent: Option<ServingStatus>,
--- a/proxy/src/net/pool/expiry.rs
+++ b/proxy/src/net/pool/expiry.rs
@@ -1,5 +1,5 @@
-//! Timeouts and cancellation. Cancels attempts; ends attempts, connects, checks and background queries that take too long; closes
-//! connections that are idle for too long or whose response stalls.
+//! Timeouts and cancellation. This module cancels attempts. It ends attempts, connects, checks and background queries that exceed
+//! their timeouts. It closes connections that have been idle for too long or whose response has stalled.
 
 use super::super::event_loop_context::EventLoopContext;
 use super::super::ids::{ConnectionKey, ConnectionSerial, QuerySerial};
--- a/src/policy/replication.rs
+++ b/src/policy/replication.rs
@@ -3,7 +3,7 @@
 use super::Router;
 use crate::interface::{GroupId, LoadReport, Micros, Role, ServerId, ServerStatus};
 
-/// Time for which a replica that was too far behind is not considered again.
+/// Time for which a replica counts as lagging after a report that shows too large a lag.
 const LAG_RECHECK_INTERVAL: Micros = 500_000;
 
 /// Role and log position of a server, according to its responses and load reports.
@@ -38,7 +38,8 @@
         required.is_none_or(|required| self.position >= Some(required))
     }
 
-    /// Whether a recent report shows a lag that is too large for the required position.
+    /// Whether the replica counts as lagging: its last report shows too large a lag for the required position
+    /// and is at most [`LAG_RECHECK_INTERVAL`] old. `None` requires no position.
     pub(super) fn is_lagging(&self, required: Option<Micros>, now: Micros) -> bool {
         let was_behind = required.is_some_and(|required| required > now - self.lag);
         was_behind && self.lag_observed_at >= Some(now - LAG_RECHECK_INTERVAL)
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -38,8 +38,9 @@
         self.updated_at = initial.updated_at;
     }
 
-    /// Records an answer to an attempt that was sent at this time. The process that answered has been running
-    /// since then, so that a connection refused after that time does not show a stopped process.
+    /// Records an answer to an attempt that was sent at `sent_at`. The process that answered has been running
+    /// at least since `sent_at`. A connection refused after `sent_at` therefore does not show that no process
+    /// was running, and the refusal is discarded.
     pub(super) fn record_answer_to_attempt_sent_at(&mut self, sent_at: Micros) {
         self.connection_refused_at = self.connection_refused_at.filter(|at| *at <= sent_at);
     }
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -207,7 +207,8 @@
     }
 }
 
-/// Applies the faults to a datagram and queues it never, once or twice.
+/// Applies the faults to a datagram and queues the result for delivery. A dropped datagram is not queued, and a
+/// duplicated datagram is queued twice.
 fn apply_faults(
     datagram: &[u8],
     faults: &NetworkFaults,
