--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -38,8 +38,9 @@
         self.updated_at = initial.updated_at;
     }
 
-    /// Records an answer to an attempt that was sent at this time. The process that answered has been running
-    /// since then, so that a connection refused after that time does not show a stopped process.
+    /// Records an answer to an attempt that was sent at `sent_at`. The process that answered has been running
+    /// at least since `sent_at`. A connection refused after `sent_at` therefore does not show that no process
+    /// was running, and the refusal is discarded.
     pub(super) fn record_answer_to_attempt_sent_at(&mut self, sent_at: Micros) {
         self.connection_refused_at = self.connection_refused_at.filter(|at| *at <= sent_at);
     }
@@ -129,7 +130,7 @@
         // Before anything has been served: one attempt per overload window, summed over all proxies.
         let min_rate = 1.0 / (f64::from(self.settings.proxy_count) * overload_window.max(1) as f64);
         let served_rate =
-            self.throughput.per_server(self.now, self.positive_accepting_server_count(), &self.settings);
+            self.throughput.per_server(self.now, self.accepting_server_count_or_one(), &self.settings);
         let rate = SLOW_START_UTILIZATION * self.settings.overload_factor * capacity_fraction * served_rate;
         let rate = rate.max(min_rate);
         let capacity = (rate * overload_window as f64).max(1.0);
@@ -155,7 +156,7 @@
     /// Updates the throughput that servers provide to this proxy by the result of an attempt.
     pub(super) fn record_throughput(&mut self, outcome: AttemptOutcome) {
         let is_success = outcome == AttemptOutcome::Ok;
-        let server_count = self.positive_accepting_server_count();
+        let server_count = self.accepting_server_count_or_one();
         self.throughput.record(is_success, self.now, server_count, self.settings.slow_start_window);
     }
 }
